--- /dev/null
+++ b/internal/compat/adapt_stored_test.go
@@ -0,0 +1,391 @@
+package compat
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"connectrpc.com/connect"
+
+	"stepwick/internal/adapter/disklog"
+	"stepwick/internal/core/ballot"
+	"stepwick/internal/core/sheet"
+	"stepwick/internal/events"
+	"stepwick/internal/kernel"
+	"stepwick/internal/node/replica"
+	"stepwick/internal/port"
+	"stepwick/internal/wire"
+	"stepwick/internal/wire/wireconnect"
+)
+
+const (
+	segmentBytes    = 2048
+	reserveBytes    = 4096
+	snapshotRecords = 110
+	orderedAtMS     = 1790000000000
+)
+
+// encodeBody returns the stored bytes of an operator's order.
+func encodeBody(verb, operator, body string) (string, error) {
+	command, fault := sheet.ParseOrder(verb, operator, []byte(body), sheet.Limits{Bytes: 1 << 20}, orderedAtMS)
+	if fault != nil {
+		return "", fault
+	}
+	return string(sheet.Encode(command)), nil
+}
+
+// recodeCommand decodes a stored command and encodes it again.
+func recodeCommand(command string) (string, error) {
+	decoded, err := sheet.Decode([]byte(command))
+	if err != nil {
+		return "", err
+	}
+	return string(sheet.Encode(decoded)), nil
+}
+
+// recodeSheet reads a sheet as an operator writes it and returns its JSON.
+func recodeSheet(text string) (string, error) {
+	parsed, fault := sheet.ParseSheet([]byte(text), 1<<20)
+	if fault != nil {
+		return "", fault
+	}
+	data, err := json.Marshal(parsed)
+	return string(data), err
+}
+
+// recodeState decodes a stored state of the configuration and encodes it again.
+func recodeState(text string) (string, error) {
+	state, err := sheet.DecodeState([]byte(text))
+	return string(state.Encode()), err
+}
+
+// applyCommands folds commands into the empty configuration and tells the code
+// and epochs of each result, and the last state's bytes.
+func applyCommands(commands []string) (results []string, state string) {
+	var current sheet.State
+	for _, command := range commands {
+		next, result := current.Step(current.Epoch+1, []byte(command))
+		results = append(results, fmt.Sprintf("%d epoch %d sheet %d %s", result.Code, result.Epoch, result.SheetEpoch, result.Detail))
+		current = next
+	}
+	return results, string(current.Encode())
+}
+
+// sampleRecords returns one record of each kind, by what it says.
+func sampleRecords() map[string][]byte {
+	ballotOfB := ballot.Ballot{Number: 5, Core: "b"}
+	chosen := []*wire.Chosen{{Epoch: 18, Command: []byte("eighteen")}, {Epoch: 19, Command: []byte("nineteen")}}
+	votes := map[uint64]ballot.Vote{
+		20: {Promised: ballotOfB, Accepted: ballot.Ballot{Number: 4, Core: "c"}, Value: []byte("twenty")},
+		22: {Promised: ballotOfB},
+	}
+	records := map[string]ballot.Record{
+		"1 formation joined":            ballot.Joined{Formation: "a-1", Voters: []string{"a", "b", "c"}},
+		"1 formation joined with state": ballot.Joined{Formation: "a-1", Voters: []string{"a"}, SnapshotEpoch: 17, Snapshot: []byte("state")},
+		"2 disk life":                   ballot.Lived{Core: "b", Life: 3},
+		"3 promise":                     ballot.Promised{Slot: 20, Ballot: ballotOfB},
+		"4 vote":                        ballot.Accepted{Slot: 20, Ballot: ballotOfB, Value: []byte("twenty")},
+		"5 learned":                     ballot.Learned{Epoch: 18, Command: []byte("eighteen")},
+		"5 learned as voted":            ballot.Learned{Epoch: 18, AsAccepted: true},
+		"6 snapshot installed":          ballot.Installed{Epoch: 17, Snapshot: []byte("state")},
+		"7 recovery": ballot.Entered{Lives: map[string]uint64{"a": 1, "b": 2, "c": 1}, SnapshotEpoch: 17,
+			Snapshot: []byte("state"), Chosen: chosen, Votes: votes},
+	}
+	encoded := map[string][]byte{}
+	for what, record := range records {
+		encoded[what] = ballot.EncodeRecord(record)
+	}
+	return encoded
+}
+
+// recodeRecord decodes a record and encodes it again.
+func recodeRecord(data []byte) ([]byte, error) {
+	record, err := ballot.DecodeRecord(data)
+	if err != nil {
+		return nil, err
+	}
+	return ballot.EncodeRecord(record), nil
+}
+
+func digest(data []byte) string {
+	sum := sha256.Sum256(data)
+	return fmt.Sprintf("%d bytes %s", len(data), hex.EncodeToString(sum[:8]))
+}
+
+// describeFolder tells what a core's data folder holds: the log, the state of
+// the agreement and the configuration.
+func describeFolder(t testing.TB, folder, core string) string {
+	t.Helper()
+	replay, err := disklog.Inspect(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	fmt.Fprintf(&out, "log: snapshot %s, %d segments, %d records, torn %q %d bytes, bad snapshot %q\n", digest(replay.Snapshot),
+		replay.Segments, len(replay.Records), replay.CutSegment, replay.CutBytes, replay.BadSnapshot)
+	for i, record := range replay.Records {
+		fmt.Fprintf(&out, "record %d: kind %d, %s\n", i, record[0], digest(record))
+	}
+	state := ballot.Blank(core)
+	if replay.Snapshot != nil {
+		if state, err = ballot.Decode(replay.Snapshot); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if state, err = ballot.Replay(state, replay.Records); err != nil {
+		t.Fatal(err)
+	}
+	describeAgreement(&out, state)
+	describeConfiguration(t, &out, state)
+	contents, err := replica.Inspect(folder, core)
+	if err != nil {
+		t.Fatal(err)
+	}
+	shown, err := json.MarshalIndent(contents, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&out, "inspected: %s\n", shown)
+	return out.String()
+}
+
+func describeAgreement(out *strings.Builder, state ballot.State) {
+	fmt.Fprintf(out, "core %s of formation %s with %v\n", state.Self, state.Formation, state.Voters)
+	for _, core := range slices.Sorted(maps.Keys(state.Lives)) {
+		fmt.Fprintf(out, "disk life of %s: %d\n", core, state.Lives[core])
+	}
+	fmt.Fprintf(out, "announced life: %d\n", state.Announced)
+	fmt.Fprintf(out, "snapshot at %d: %s\n", state.SnapshotEpoch, digest(state.Snapshot))
+	for _, chosen := range state.Chosen {
+		fmt.Fprintf(out, "chosen %d: %s\n", chosen.Epoch, digest(chosen.Command))
+	}
+	for _, slot := range slices.Sorted(maps.Keys(state.Votes)) {
+		vote := state.Votes[slot]
+		fmt.Fprintf(out, "slot %d: promised %d.%s, accepted %d.%s %s\n", slot, vote.Promised.Number, vote.Promised.Core,
+			vote.Accepted.Number, vote.Accepted.Core, digest(vote.Value))
+	}
+}
+
+func describeConfiguration(t testing.TB, out *strings.Builder, state ballot.State) {
+	t.Helper()
+	var current sheet.State
+	if state.SnapshotEpoch > 0 {
+		var err error
+		if current, err = sheet.DecodeState(state.Snapshot); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, chosen := range state.Chosen {
+		next, result := current.Step(chosen.Epoch, chosen.Command)
+		fmt.Fprintf(out, "epoch %d: code %d\n", chosen.Epoch, result.Code)
+		current = next
+	}
+	fmt.Fprintf(out, "configuration: %s\n", current.Encode())
+}
+
+// openLog opens a folder's log and returns its snapshot and records, the size
+// of the torn tail that it cut, and functions that append a synced record and
+// close the log.
+func openLog(t testing.TB, folder string) (snapshot []byte, records [][]byte, cut int64, add func([]byte), end func()) {
+	t.Helper()
+	log, replay, err := disklog.Open(disklog.Config{Folder: folder, SegmentBytes: segmentBytes, ReserveBytes: reserveBytes})
+	if err != nil {
+		t.Fatal(err)
+	}
+	add = func(record []byte) {
+		place, err := log.Append([][]byte{record}, false)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for synced := uint64(0); synced < place; {
+			select {
+			case synced = <-log.Synced():
+			case <-log.Dead():
+				t.Fatal(log.Err())
+			}
+		}
+	}
+	end = func() {
+		if err := log.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return replay.Snapshot, replay.Records, replay.CutBytes, add, end
+}
+
+// fleet runs cores on data folders, joined by direct calls.
+type fleet struct {
+	root  string
+	cores map[string]*atomic.Pointer[replica.Replica]
+	stops map[string]func()
+}
+
+func newFleet(root string) *fleet {
+	f := &fleet{root: root, cores: map[string]*atomic.Pointer[replica.Replica]{}, stops: map[string]func(){}}
+	for _, name := range []string{"a", "b", "c"} {
+		f.cores[name] = &atomic.Pointer[replica.Replica]{}
+	}
+	return f
+}
+
+func (f *fleet) start(names ...string) {
+	for _, name := range names {
+		disk := disklog.Config{Folder: filepath.Join(f.root, name), SegmentBytes: segmentBytes, ReserveBytes: reserveBytes}
+		core := replica.New(replica.Config{Self: name, SnapshotRecords: snapshotRecords, Seed: 7}, replica.OnDisk(disk),
+			peers{f, name}, kernel.System(), events.Discard)
+		ctx, cancel := context.WithCancel(context.Background())
+		done := make(chan struct{})
+		go func() {
+			defer close(done)
+			_ = core.Serve(ctx)
+		}()
+		f.cores[name].Store(core)
+		f.stops[name] = func() {
+			cancel()
+			<-done
+			f.cores[name].Store(nil)
+			delete(f.stops, name)
+		}
+	}
+}
+
+func (f *fleet) stopAll() {
+	for _, stop := range f.stops {
+		stop()
+	}
+}
+
+// voting waits, in virtual time, until the cores vote.
+func (f *fleet) voting(t testing.TB, names ...string) {
+	t.Helper()
+	for _, name := range names {
+		f.until(t, func() bool {
+			return f.cores[name].Load().Standing() == wire.Standing_STANDING_VOTING
+		})
+	}
+}
+
+func (f *fleet) until(t testing.TB, met func() bool) {
+	t.Helper()
+	for range 3000 {
+		if met() {
+			return
+		}
+		<-time.After(20 * time.Millisecond)
+	}
+	t.Fatal("not within a minute")
+}
+
+// learned waits until each core holds an epoch.
+func (f *fleet) learned(t testing.TB, epoch uint64) {
+	t.Helper()
+	for _, name := range []string{"a", "b", "c"} {
+		f.until(t, func() bool { return f.cores[name].Load().Current().Epoch >= epoch })
+	}
+}
+
+// propose has a command agreed through a core. It returns the epoch that the
+// command made, which for one sent again is the first time's, and its code.
+func (f *fleet) propose(t testing.TB, core, command string) (epoch uint64, code int) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	_, result, err := f.cores[core].Load().Propose(ctx, []byte(command))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return result.Epoch, int(result.Code)
+}
+
+// configuration reads the state that a majority agrees on.
+func (f *fleet) configuration(t testing.TB, core string) string {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	state, err := f.cores[core].Load().ReadMajority(ctx)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(state.Encode())
+}
+
+type peers struct {
+	fleet *fleet
+	self  string
+}
+
+func (p peers) Process(name string) (*wire.Process, bool) {
+	_, known := p.fleet.cores[name]
+	return &wire.Process{Name: name, Address: name, Core: true}, known
+}
+
+func (p peers) Cores() []*wire.Process { return port.CoresOf(p.Processes()) }
+
+func (p peers) Processes() (all []*wire.Process) {
+	for _, name := range slices.Sorted(maps.Keys(p.fleet.cores)) {
+		process, _ := p.Process(name)
+		all = append(all, process)
+	}
+	return all
+}
+
+func (p peers) Client(address string) wireconnect.PeerClient {
+	return client{fleet: p.fleet, to: address}
+}
+
+type client struct {
+	wireconnect.PeerClient
+	fleet *fleet
+	to    string
+}
+
+func reach[Q, A any](ctx context.Context, c client, req *connect.Request[Q],
+	handler func(*replica.Replica, kernel.Context, *Q) (*A, error)) (*connect.Response[A], error) {
+	to := c.fleet.cores[c.to].Load()
+	if to == nil {
+		return nil, syscall.ECONNREFUSED
+	}
+	resp, err := handler(to, ctx, req.Msg)
+	if err != nil {
+		return nil, err
+	}
+	return connect.NewResponse(resp), nil
+}
+
+func (c client) Found(ctx context.Context, q *connect.Request[wire.FoundRequest]) (*connect.Response[wire.FoundResponse], error) {
+	return reach(ctx, c, q, (*replica.Replica).Found)
+}
+
+func (c client) Prepare(ctx context.Context, q *connect.Request[wire.PrepareRequest]) (*connect.Response[wire.PrepareResponse], error) {
+	return reach(ctx, c, q, (*replica.Replica).Prepare)
+}
+
+func (c client) Accept(ctx context.Context, q *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptResponse], error) {
+	return reach(ctx, c, q, (*replica.Replica).Accept)
+}
+
+func (c client) Learn(ctx context.Context, q *connect.Request[wire.LearnRequest]) (*connect.Response[wire.LearnResponse], error) {
+	return reach(ctx, c, q, (*replica.Replica).Learn)
+}
+
+func (c client) Recover(ctx context.Context, q *connect.Request[wire.RecoverRequest]) (*connect.Response[wire.RecoverResponse], error) {
+	return reach(ctx, c, q, (*replica.Replica).Recover)
+}
+
+func (c client) Read(ctx context.Context, q *connect.Request[wire.ReadRequest]) (*connect.Response[wire.ReadResponse], error) {
+	return reach(ctx, c, q, (*replica.Replica).Read)
+}
+
+func (c client) Fetch(ctx context.Context, q *connect.Request[wire.FetchRequest]) (*connect.Response[wire.FetchResponse], error) {
+	return reach(ctx, c, q, (*replica.Replica).Fetch)
+}
--- /dev/null
+++ b/internal/compat/compat_test.go
@@ -0,0 +1,46 @@
+package compat
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// fixture returns the bytes of a file below testdata.
+func fixture(t testing.TB, path ...string) string {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", filepath.Join(path...)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(data)
+}
+
+// lines returns the lines of a file below testdata.
+func lines(t testing.TB, path ...string) []string {
+	t.Helper()
+	return strings.Split(strings.TrimSuffix(fixture(t, path...), "\n"), "\n")
+}
+
+// sameAsFixture compares a text with a file below testdata, byte for byte.
+func sameAsFixture(t testing.TB, got string, path ...string) {
+	t.Helper()
+	want := fixture(t, path...)
+	if got == want {
+		return
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if line(gotLines, i) != line(wantLines, i) {
+			t.Fatalf("%s differs first at line %d:\n got: %s\nwant: %s", filepath.Join(path...), i+1, line(gotLines, i), line(wantLines, i))
+		}
+	}
+}
+
+func line(all []string, i int) string {
+	if i >= len(all) {
+		return "(no such line)"
+	}
+	return all[i]
+}
