--- /dev/null
+++ b/internal/compat/adapt_lists_test.go
@@ -0,0 +1,27 @@
+package compat
+
+import (
+	"fmt"
+	"strings"
+
+	"stepwick/internal/events"
+	"stepwick/internal/kernel"
+)
+
+// codeList returns one line for each result code.
+func codeList() string {
+	var out strings.Builder
+	for _, row := range kernel.Codes {
+		fmt.Fprintf(&out, "%d %s %d %s\n", row.Code, row.Name, row.Status, row.Retry)
+	}
+	return out.String()
+}
+
+// eventList returns one line for each event of the log.
+func eventList() string {
+	var out strings.Builder
+	for _, event := range events.Catalogue() {
+		fmt.Fprintf(&out, "%d %s %s\n", event.Number, event.Name, event.Level)
+	}
+	return out.String()
+}
