--- /dev/null
+++ b/internal/compat/adapt_settings_test.go
@@ -0,0 +1,80 @@
+package compat
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/spf13/pflag"
+
+	"stepwick/internal/settings"
+)
+
+// settingsTable returns one line for each setting.
+func settingsTable() string {
+	var out strings.Builder
+	for _, row := range settings.Table {
+		fmt.Fprintf(&out, "%s: %s, default %q, bounds %q, run-time %t, secret %t, former %q\n", row.Name, row.Type, row.Default,
+			row.Rule, row.Runtime, row.Secret, row.Former)
+	}
+	return out.String()
+}
+
+// settingNames returns the names of all settings.
+func settingNames() (names []string) {
+	for _, row := range settings.Table {
+		names = append(names, row.Name)
+	}
+	return names
+}
+
+// runtimeSettings returns the names that a sheet may set.
+func runtimeSettings() []string { return settings.RuntimeNames() }
+
+// runtimeRefusal tells why a sheet may not set a value, or nil.
+func runtimeRefusal(name, value string) error { return settings.CheckRuntime(name, value) }
+
+// formerNames returns the names that settings had before.
+func formerNames() (names []string) {
+	for _, row := range settings.Table {
+		if row.Former != "" {
+			names = append(names, row.Former)
+		}
+	}
+	return names
+}
+
+// refusal tells why a setting does not take a text, or nil.
+func refusal(name, text string) error {
+	row, known := settings.Lookup(name)
+	if !known {
+		return fmt.Errorf("no setting %s", name)
+	}
+	_, err := row.Parse(text)
+	return err
+}
+
+// load reads a settings file and flags. It returns one line for each setting
+// with its value and source, and one for each former name in the file.
+func load(t testing.TB, file string, args ...string) (values, former string) {
+	t.Helper()
+	flags := pflag.NewFlagSet("core", pflag.ContinueOnError)
+	settings.Register(flags)
+	if err := flags.Parse(args); err != nil {
+		t.Fatal(err)
+	}
+	loaded, err := settings.LoadRole(file, flags, "core")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out, renamed strings.Builder
+	for _, row := range settings.Table {
+		fmt.Fprintf(&out, "%s = %s (%s)\n", row.Name, loaded.Text(row.Name), loaded.Source(row.Name))
+	}
+	for _, name := range slices.Sorted(maps.Keys(loaded.Renamed())) {
+		fmt.Fprintf(&renamed, "%s is now %s\n", name, loaded.Renamed()[name])
+	}
+	return out.String(), renamed.String()
+}
