--- /dev/null
+++ b/internal/compat/adapt_calls_test.go
@@ -0,0 +1,157 @@
+package compat
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"stepwick/internal/adapter/clientapi"
+	"stepwick/internal/cli"
+	"stepwick/internal/core/sheet"
+	"stepwick/internal/core/tally"
+	"stepwick/internal/events"
+	"stepwick/internal/kernel"
+	"stepwick/internal/node"
+	"stepwick/internal/node/follow"
+	"stepwick/internal/node/front"
+	"stepwick/internal/node/replica"
+	"stepwick/internal/settings"
+	"stepwick/internal/wire"
+	"stepwick/sim/memnet"
+)
+
+const (
+	operatorKey  = "the operator's key"
+	callerKey    = "the caller's key"
+	coreAddress  = "127.0.2.1:7000"
+	frontAddress = "127.0.2.2:7000"
+)
+
+// keyHash returns the hash of a key as sheets and settings hold it.
+func keyHash(key string) string { return sheet.HashKey(key) }
+
+// site is a core and a front, a model server, a web server and a platform, on a
+// network in memory.
+type site struct {
+	net    *memnet.Network
+	ctx    context.Context
+	client *http.Client
+}
+
+// startSite starts a site that ends with the test; it needs a synctest bubble.
+func startSite(t testing.TB, ctx context.Context, servers http.Handler) *site {
+	t.Helper()
+	s := &site{net: memnet.New(ctx), ctx: ctx}
+	s.client = &http.Client{Transport: &http.Transport{DialContext: s.net.Dialer("127.0.4.1"), DisableKeepAlives: true}}
+	server := &http.Server{Handler: servers}
+	context.AfterFunc(ctx, func() { _ = server.Close() })
+	for _, address := range []string{"127.0.3.1:80", "127.0.3.2:80"} {
+		listener, err := s.net.Listen(address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		go func() { _ = server.Serve(listener) }()
+	}
+	s.run(t, "core", "n1", "127.0.2.1", "core.voters: 1\ncore.first: true\ndata: "+t.TempDir()+"\n")
+	s.run(t, "front", "n2", "127.0.2.2", "")
+	return s
+}
+
+func (s *site) run(t testing.TB, role, name, host, more string) {
+	t.Helper()
+	text := fmt.Sprintf("name: %s\nregion: lagos\nzone: a\nlisten: {caller: %s:7000, internal: %s:7001}\nseeds: 127.0.2.1:7001,127.0.2.2:7001\n"+
+		"platform.url: http://127.0.3.1:80/servers\nfleet.secret: a secret of the fleet\noperator.keys: ada:%s\ndrain.grace: 1s\n%s",
+		name, host, host, keyHash(operatorKey), more)
+	values, problems := settings.Read("site", []byte(text), nil, role)
+	if len(problems) > 0 {
+		t.Fatal(problems)
+	}
+	world := node.World{Clock: kernel.System(), Listen: s.net.Listen, Dial: s.net.Dialer(host)}
+	go func() { _ = node.RunIn(s.ctx, world, role, values, events.Discard) }()
+}
+
+// command runs a command line against the site and returns what it prints.
+func (s *site) command(args ...string) (output string, exit int) {
+	var out bytes.Buffer
+	env := map[string]string{"STEPWICK_OPERATOR_KEY": operatorKey, "STEPWICK_NODE": frontAddress}
+	app := &cli.App{Out: &out, Err: &out, In: strings.NewReader(""), Env: func(name string) string { return env[name] },
+		Clock: kernel.System(), NewID: func() string { return "made" }}
+	ctx := context.Background()
+	if s != nil {
+		app.Transport, ctx = s.client.Transport, s.ctx
+	}
+	exit = app.Main(ctx, args)
+	return out.String(), exit
+}
+
+// exitList returns one line for each result code with the exit code that the
+// command line gives for it.
+func exitList() string {
+	var out strings.Builder
+	for _, row := range kernel.Codes {
+		fmt.Fprintf(&out, "%d exits %d\n", row.Code, cli.Exit(row.Code))
+	}
+	return out.String()
+}
+
+// filledValues returns what programs read, with every field filled, by its name.
+func filledValues() map[string]any {
+	at := time.UnixMilli(orderedAtMS).UTC()
+	fault := kernel.Refuse(kernel.QuotaExceeded, "press has 24000 tokens in a window").After(8531 * kernel.Millisecond)
+	body := fault.Body("r-3")
+	body.Epoch = 17
+	plan := &wire.Plan{}
+	fillMessage(plan.ProtoReflect(), 0)
+	return map[string]any{
+		"error":       body,
+		"error least": kernel.Refuse(kernel.OperatorUnknown, "").Body(""),
+		"connect":     clientapi.Nearest{RequestID: "r-1", Service: "chat", Region: "lagos", Nodes: []clientapi.Node{{Name: "n1", Address: coreAddress, Region: "lagos", Zone: "a"}}},
+		"plan":        plan,
+		"tally": []tally.TenantView{{Tenant: "press", Limit: 12000, Blend: 5200.5, Recent: 5100, Own: 700, Share: 900, Reserved: 1,
+			Marked: true, Holder: "n1", Age: 120 * kernel.Millisecond}},
+		"explain": front.Explanation{RequestID: "r-1", Front: "n2", AtMS: at.UnixMilli(),
+			Admission: &front.Admission{Service: "chat", Tenant: "press", Region: "lagos", Home: "lagos", Epoch: 21, PlanTerm: 2, Plan: 44,
+				Tokens: 700, Passed: true, Blend: 5200, Prev: 6000, Cur: 2200, Recent: 5100, Limit: 12000, Marked: true, Fault: "2001 quota_exceeded"},
+			Routings: []*front.Routing{{Server: "m1", Region: "lagos", Fault: "2009 budget_spent", WaitedMS: 0.5,
+				Candidates: []front.Candidate{{Server: "m1", Score: 0.81, Excluded: "draining"}}}},
+			Attempts: []*front.Attempt{{Server: "m1", Ended: "whole", Detail: "said so", Events: 40, FirstEventMS: 310.25, TookMS: 900}},
+			Outcome:  &front.Outcome{Code: kernel.StreamCut, Name: "stream_cut", Detail: "the server went away", TookMS: 903.25}},
+		"node": follow.Status{Name: "n2", Locality: "lagos/a", Epoch: 21, SheetEpoch: 20, Ruling: true, By: "lease", Plan: 44, PlanTerm: 2,
+			PlanHolder: "n1", Servers: map[string]string{"m1": "ready"}, Roster: []string{"n1", "n2"}, Fronts: []string{"n1"}, FleetTimeMS: orderedAtMS},
+		"data": replica.Contents{Core: "a", Formation: "a-1", Voters: []string{"a"}, Standing: "voting", DiskLife: 1, Version: 2,
+			SheetVersion: 3, Revision: 4, Members: 5, Open: 6, Snapshot: 7, Segments: 8, Records: 9, TornSegment: "1.log", TornBytes: 10, BadSnapshot: "2.snap"},
+		"history": sheet.Record{Epoch: 1, SheetEpoch: 2, Operator: "ada", Verb: "put", OrderID: "first", Digest: "d", AtMS: orderedAtMS, Summary: "1 services"},
+		"member":  sheet.Member{Name: "n1", Region: "lagos", Zone: "a", Core: true, Front: true},
+		"duty":    sheet.Duty{Term: 1, Holder: "n1"},
+	}
+}
+
+// faultAnswer returns a refusal as it is written to a client.
+func faultAnswer(w http.ResponseWriter) {
+	kernel.ReplyFault(w, kernel.Refuse(kernel.QuotaExceeded, "the <allowance> is spent").After(8531*kernel.Millisecond), "r-3")
+}
+
+// sheetFile writes a sheet for the site and returns its path.
+func sheetFile(t testing.TB) string {
+	t.Helper()
+	data, err := json.Marshal(map[string]any{
+		"services": map[string]any{"chat": map[string]any{"kind": "model"}, "outage": map[string]any{"kind": "web"}},
+		"weights":  map[string]any{"chat": map[string]any{"lagos": 1}, "outage": map[string]any{"lagos": 1}},
+		"tenants":  map[string]any{"press": map[string]any{"rate": 1000, "burst": 4000, "keys": []string{keyHash(callerKey)}}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "sheet.json")
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
