--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -47,7 +47,7 @@
 }
 
 // startSite starts a site that ends with the test; it needs a synctest bubble.
-func startSite(t testing.TB, ctx context.Context, servers http.Handler) *site {
+func startSite(ctx context.Context, t testing.TB, servers http.Handler) *site {
 	t.Helper()
 	s := &site{net: memnet.New(ctx), ctx: ctx}
 	s.client = &http.Client{Transport: &http.Transport{DialContext: s.net.Dialer("127.0.4.1"), DisableKeepAlives: true}}
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -117,6 +117,12 @@
 	return paxos.EncodeRecord(record), nil
 }
 
+// recodeSnapshot decodes a log's snapshot and encodes it again.
+func recodeSnapshot(data []byte) ([]byte, error) {
+	state, err := ballot.Decode(data)
+	return state.Encode(), err
+}
+
 func digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return fmt.Sprintf("%d bytes %s", len(data), hex.EncodeToString(sum[:8]))
@@ -223,6 +229,26 @@
 	return replay.Snapshot, replay.Records, replay.CutBytes, add, end
 }
 
+// writeSnapshot appends records to a new log in a folder and takes a snapshot.
+func writeSnapshot(t testing.TB, folder string, records int, snapshot []byte) {
+	t.Helper()
+	log, _, err := disklog.Open(disklog.Config{Folder: folder, SegmentBytes: segmentBytes, ReserveBytes: reserveBytes})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range records {
+		if _, err := log.Append([][]byte{[]byte("record")}, false); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := <-log.Snapshot(snapshot); err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // fleet runs cores on data folders, joined by direct calls.
 type fleet struct {
 	root  string
--- a/internal/compat/calls_test.go
+++ b/internal/compat/calls_test.go
@@ -216,7 +216,7 @@
 	sheetPath := sheetFile(t)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := startSite(t, ctx, servers())
+		s := startSite(ctx, t, servers())
 		s.settle(t, "/v1/control/status", operatorKey, 200, `"confirmed":2`)
 		if text, exit := s.command("sheet", "import", sheetPath, "--base", "0"); exit != 0 {
 			t.Fatal(text)
--- a/internal/compat/stored_test.go
+++ b/internal/compat/stored_test.go
@@ -110,6 +110,66 @@
 	}
 }
 
+func TestStoredSnapshotsKeepTheirBytes(t *testing.T) {
+	for _, core := range []string{"a", "c"} {
+		snapshot, _, _, _, end := openLog(t, filepath.Join(copyOfCores(t), core))
+		end()
+		again, err := recodeSnapshot(snapshot)
+		if err != nil || !bytes.Equal(again, snapshot) {
+			t.Errorf("the snapshot of %s is written again as %x (%v)", core, again, err)
+		}
+	}
+}
+
+// TestLogWritesTheSameFiles appends the records of a stored folder to a log of
+// its own, so that a release before can read what this one writes.
+func TestLogWritesTheSameFiles(t *testing.T) {
+	stored := filepath.Join(copyOfCores(t), "b")
+	_, records, _, _, end := openLog(t, stored)
+	end()
+	written := t.TempDir()
+	_, _, _, add, end := openLog(t, written)
+	for _, record := range records {
+		add(record)
+	}
+	end()
+	if got, want := filesOf(t, written), filesOf(t, filepath.Join("testdata", "stored", "cores", "b")); !maps.Equal(got, want) {
+		t.Errorf("the log wrote %v, not %v", slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
+		for name, data := range want {
+			t.Logf("%s is %x, was %x", name, got[name], data)
+		}
+	}
+}
+
+func TestLogWritesTheSameSnapshot(t *testing.T) {
+	const name, before = "00000000000000000111.snap", 111
+	snapshot, _, _, _, end := openLog(t, filepath.Join(copyOfCores(t), "a"))
+	end()
+	folder := t.TempDir()
+	writeSnapshot(t, folder, before, snapshot)
+	if got, want := filesOf(t, folder)[name], fixture(t, "stored", "cores", "a", name); got != want {
+		t.Errorf("%s is written as %x, not %x", name, got, want)
+	}
+}
+
+// filesOf returns the content of a folder's files by their names.
+func filesOf(t testing.TB, folder string) map[string]string {
+	t.Helper()
+	entries, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string]string{}
+	for _, entry := range entries {
+		data, err := os.ReadFile(filepath.Join(folder, entry.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[entry.Name()] = string(data)
+	}
+	return files
+}
+
 func TestStoredOrdersKeepTheirBytes(t *testing.T) {
 	stored := lines(t, "stored", "commands.txt")
 	for _, command := range stored {
