--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -119,7 +119,7 @@
 
 // recodeSnapshot decodes a log's snapshot and encodes it again.
 func recodeSnapshot(data []byte) ([]byte, error) {
-	state, err := ballot.Decode(data)
+	state, err := paxos.Decode(data)
 	return state.Encode(), err
 }
 
