--- a/internal/decision/paxos/acceptor.go
+++ b/internal/decision/paxos/acceptor.go
@@ -3,153 +3,100 @@
 import (
 	"bytes"
 	"maps"
-	"slices"
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
-// fetchBytes bounds the commands of one answer to a Fetch.
-const fetchBytes = 4 << 20
+// slotAnswer is how a core answers about a slot in which it no longer takes
+// part in ballots, or may not vote.
+type slotAnswer struct {
+	code   apierror.Code
+	chosen bool
+	value  []byte // when chosen
+}
 
-// Prepare decides on a ballot's opening. A ballot is promised once: the same
-// one again is refused, so that a core that forgot its own unsynced ballot
-// in a crash cannot open it a second time.
-func (s State) Prepare(req *wire.PrepareRequest) ([]Record, *wire.PrepareResponse) {
-	resp := &wire.PrepareResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Lives)}
-	if code := s.votesIn(req.Formation); code != apierror.OK {
-		resp.Refusal = uint32(code)
-		return nil, resp
+// answerWithoutVote returns the answer about a slot in which this core can't
+// vote: it is not a voter of the formation now, or has learned the slot. The
+// code is VersionBehind when the value was already compacted.
+func (s State) answerWithoutVote(formation string, slot uint64) (answer slotAnswer, final bool) {
+	if code := s.checkVoting(formation); code != apierror.OK {
+		return slotAnswer{code: code}, true
 	}
-	if req.Slot <= s.Learned() {
-		resp.ChosenValue, resp.Chosen = s.Command(req.Slot)
-		if !resp.Chosen {
-			resp.Refusal = uint32(apierror.VersionBehind)
-		}
+	if slot > s.Learned() {
+		return slotAnswer{}, false
+	}
+	value, found := s.Command(slot)
+	if !found {
+		return slotAnswer{code: apierror.VersionBehind}, true
+	}
+	return slotAnswer{chosen: true, value: value}, true
+}
+
+// Prepare answers phase 1a of a ballot. A ballot is promised once: the same one
+// is refused the second time, so that a core that forgot its own unsynced
+// ballot in a crash can't open it twice.
+func (s State) Prepare(req *wire.PrepareRequest) ([]Record, *wire.PrepareResponse) {
+	resp := &wire.PrepareResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Incarnations)}
+	if answer, final := s.answerWithoutVote(req.Formation, req.Slot); final {
+		resp.Refusal = uint32(answer.code)
+		resp.Chosen = answer.chosen
+		resp.ChosenValue = answer.value
 		return nil, resp
 	}
-	vote, asked := s.Votes[req.Slot], Of(req.Ballot)
-	if !vote.Promised.Below(asked) {
-		resp.PromisedBallot = vote.Promised.Wire()
+	slot := s.OpenSlots[req.Slot]
+	ballot := BallotFromWire(req.Ballot)
+	if !slot.Promised.Less(ballot) {
+		resp.PromisedBallot = slot.Promised.ToWire()
 		return nil, resp
 	}
-	resp.Promised, resp.PromisedBallot = true, asked.Wire()
-	resp.AcceptedBallot, resp.AcceptedValue = vote.Accepted.Wire(), vote.Value
-	return []Record{Promised{Slot: req.Slot, Ballot: asked}}, resp
+	resp.Promised = true
+	resp.PromisedBallot = ballot.ToWire()
+	resp.AcceptedBallot = slot.Accepted.ToWire()
+	resp.AcceptedValue = slot.Value
+	return []Record{Promised{Slot: req.Slot, Ballot: ballot}}, resp
 }
 
-// Accept decides on a value. It is refused below the promise, and when it
-// rests on the promise of a core whose disk is known to be lost since.
+// Accept answers phase 2a of a ballot. The value is refused when a higher
+// ballot is promised, and when it rests on the promise of a core that is known
+// to have lost its disk since.
 func (s State) Accept(req *wire.AcceptRequest) ([]Record, *wire.AcceptResponse) {
-	resp := &wire.AcceptResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Lives)}
-	if code := s.votesIn(req.Formation); code != apierror.OK {
-		resp.Refusal = uint32(code)
+	resp := &wire.AcceptResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Incarnations)}
+	if answer, final := s.answerWithoutVote(req.Formation, req.Slot); final {
+		resp.Refusal = uint32(answer.code)
+		resp.Chosen = answer.chosen
+		resp.ChosenValue = answer.value
 		return nil, resp
 	}
-	if req.Slot <= s.Learned() {
-		resp.ChosenValue, resp.Chosen = s.Command(req.Slot)
-		if !resp.Chosen {
-			resp.Refusal = uint32(apierror.VersionBehind)
-		}
+	if s.outdated(req.PromisedLives) {
+		resp.Refusal = uint32(apierror.CoreAmnesiac)
 		return nil, resp
 	}
-	for core, life := range req.PromisedLives {
-		if s.Lives[core] > life {
-			resp.Refusal = uint32(apierror.CoreAmnesiac)
-			return nil, resp
-		}
-	}
-	vote, asked := s.Votes[req.Slot], Of(req.Ballot)
-	resp.PromisedBallot = vote.Promised.Wire()
+	slot := s.OpenSlots[req.Slot]
+	ballot := BallotFromWire(req.Ballot)
+	resp.PromisedBallot = slot.Promised.ToWire()
 	switch {
-	case asked.Below(vote.Promised):
+	case ballot.Less(slot.Promised):
 		return nil, resp
-	case asked == vote.Accepted && !bytes.Equal(vote.Value, req.Value):
+	case ballot == slot.Accepted && !bytes.Equal(slot.Value, req.Value):
 		resp.Refusal = uint32(apierror.Internal)
 		return nil, resp
-	case asked == vote.Accepted:
+	case ballot == slot.Accepted:
 		resp.Accepted = true
 		return nil, resp
 	}
-	resp.Accepted, resp.PromisedBallot = true, asked.Wire()
-	return []Record{Accepted{Slot: req.Slot, Ballot: asked, Value: req.Value}}, resp
-}
-
-// Learn takes chosen versions in. Behind tells that versions before them are
-// missing here, to be fetched from the sender.
-func (s State) Learn(req *wire.LearnRequest) (records []Record, resp *wire.LearnResponse, behind bool) {
-	if s.votesIn(req.Formation) != apierror.OK {
-		return nil, &wire.LearnResponse{Learned: s.Learned()}, false
-	}
-	next := s.Learned() + 1
-	for _, chosen := range req.Chosen {
-		switch {
-		case chosen.Epoch > next:
-			behind = true
-		case chosen.Epoch == next:
-			vote := s.Votes[next]
-			same := !vote.Accepted.Zero() && bytes.Equal(vote.Value, chosen.Command)
-			records = append(records, Learned{Slot: next, Command: chosen.Command, AsAccepted: same})
-			next++
-		}
-	}
-	return records, &wire.LearnResponse{Learned: next - 1}, behind
-}
-
-// Read tells how far the core has learned and accepted.
-func (s State) Read(req *wire.ReadRequest) *wire.ReadResponse {
-	resp := &wire.ReadResponse{Core: s.Self, Learned: s.Learned(), Highest: s.Highest(), Life: s.Lives[req.Core]}
-	if code := s.votesIn(req.Formation); code != apierror.OK {
-		resp.Refusal = uint32(code)
-	}
-	return resp
+	resp.Accepted = true
+	resp.PromisedBallot = ballot.ToWire()
+	return []Record{Accepted{Slot: req.Slot, Ballot: ballot, Value: req.Value}}, resp
 }
 
-// Fetch gives versions after a place, after a snapshot where those are no longer
-// kept singly. The answer is bounded; Learned above its last version says there
-// is more.
-func (s State) Fetch(req *wire.FetchRequest) (*wire.FetchResponse, *apierror.Error) {
-	if code := s.votesIn(req.Formation); code != apierror.OK {
-		return nil, apierror.Errorf(code, "core %s", s.Self)
-	}
-	resp := &wire.FetchResponse{Learned: s.Learned()}
-	after := req.After
-	if after < s.SnapshotSlot {
-		resp.SnapshotEpoch, resp.Snapshot = s.SnapshotSlot, s.Snapshot
-		after = s.SnapshotSlot
-	}
-	if after >= s.Learned() {
-		return resp, nil
-	}
-	size := 0
-	for _, chosen := range s.Chosen[after-s.SnapshotSlot:] {
-		if size += len(chosen.Command); size > fetchBytes && len(resp.Chosen) > 0 {
-			break
+// outdated reports whether one of the incarnations is earlier than the one
+// known here.
+func (s State) outdated(incarnations map[string]uint64) bool {
+	for core, incarnation := range incarnations {
+		if s.Incarnations[core] > incarnation {
+			return true
 		}
-		resp.Chosen = append(resp.Chosen, chosen)
-	}
-	return resp, nil
-}
-
-// Fetched turns a Fetch's answer into records.
-func (s State) Fetched(resp *wire.FetchResponse) []Record {
-	if s.Life() == 0 {
-		return nil
-	}
-	var records []Record
-	if resp.SnapshotEpoch > s.Learned() {
-		records = append(records, Installed{Slot: resp.SnapshotEpoch, Snapshot: resp.Snapshot})
-		s = records[0].Fold(s)
-	}
-	more, _, _ := s.Learn(&wire.LearnRequest{Formation: s.Formation, Chosen: resp.Chosen})
-	return append(records, more...)
-}
-
-// Found decides on an invitation into a first formation.
-func (s State) Found(req *wire.FoundRequest) ([]Record, *wire.FoundResponse) {
-	if s.Formation == "" && slices.Contains(req.Voters, s.Self) {
-		join := Joined{Formation: req.Formation, Voters: req.Voters}
-		return []Record{join}, &wire.FoundResponse{Joined: true, Formation: req.Formation, Standing: join.Fold(s).Standing()}
 	}
-	return nil, &wire.FoundResponse{Joined: s.Formation == req.Formation, Formation: s.Formation, Standing: s.Standing()}
+	return false
 }
--- a/internal/decision/paxos/ballot.go
+++ b/internal/decision/paxos/ballot.go
@@ -1,9 +1,3 @@
-// Package paxos holds the decisions of agreement among cores: an acceptor, a
-// proposer, first formation and recovery of a wiped disk. Each slot (a version)
-// is a single-decree Paxos instance. Everything here is a value: a decision
-// takes a State and a message and returns records and an answer; a record
-// folds into the next State, in the running core as in the replay of its log.
-// The answer may leave only once the records are synced.
 package paxos
 
 import (
@@ -12,67 +6,46 @@
 	"stepwick/internal/wire"
 )
 
-// Ballot orders the attempts in a slot, by number, then by core. The zero
-// Ballot is below all others and means none.
+// Ballot orders the attempts to have a value chosen in a slot, by number, then
+// by the name of the core that opened it. "The Part-Time Parliament" calls it a
+// ballot number, "Paxos Made Simple" a proposal number. The zero Ballot is less
+// than all others and means none.
 type Ballot struct {
 	Number uint64
 	Core   string
 }
 
-// Of returns the ballot of a message; nil is the zero Ballot.
-func Of(b *wire.Ballot) Ballot {
-	if b == nil {
+// BallotFromWire returns the ballot of a message; nil is the zero Ballot.
+func BallotFromWire(message *wire.Ballot) Ballot {
+	if message == nil {
 		return Ballot{}
 	}
-	return Ballot{Number: b.Number, Core: b.Core}
+	return Ballot{Number: message.Number, Core: message.Core}
 }
 
-// Wire returns the message form; the zero Ballot is nil.
-func (b Ballot) Wire() *wire.Ballot {
-	if b.Zero() {
+// ToWire returns the message form; the zero Ballot is nil.
+func (b Ballot) ToWire() *wire.Ballot {
+	if b.IsZero() {
 		return nil
 	}
 	return &wire.Ballot{Number: b.Number, Core: b.Core}
 }
 
-// Zero tells whether this is no ballot at all.
-func (b Ballot) Zero() bool { return b == Ballot{} }
+// IsZero reports whether b is the zero Ballot, which means none.
+func (b Ballot) IsZero() bool { return b == Ballot{} }
 
-// Compare is below zero when b is the lower one.
-func (b Ballot) Compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Core, o.Core))
+// Compare returns a negative number when b is less than other, zero when they
+// are equal, and a positive number otherwise.
+func (b Ballot) Compare(other Ballot) int {
+	return cmp.Or(cmp.Compare(b.Number, other.Number), cmp.Compare(b.Core, other.Core))
 }
 
-// Below tells whether b is lower than o.
-func (b Ballot) Below(o Ballot) bool { return b.Compare(o) < 0 }
+// Less reports whether b is less than other.
+func (b Ballot) Less(other Ballot) bool { return b.Compare(other) < 0 }
 
-func highest(a, b Ballot) Ballot {
-	if a.Below(b) {
+func maxBallot(a, b Ballot) Ballot {
+	if a.Less(b) {
 		return b
 	}
 	return a
 }
-
-// Vote is what an acceptor holds of an open slot.
-type Vote struct {
-	Promised Ballot
-	Accepted Ballot // zero when nothing is accepted
-	Value    []byte
-}
-
-func (v Vote) wire(slot uint64) *wire.SlotVote {
-	return &wire.SlotVote{Slot: slot, Promised: v.Promised.Wire(), Accepted: v.Accepted.Wire(), Value: v.Value}
-}
-
-func voteOf(v *wire.SlotVote) Vote {
-	return Vote{Promised: Of(v.Promised), Accepted: Of(v.Accepted), Value: v.Value}
-}
-
-// merge keeps the highest promise and the highest accepted value of both.
-func (v Vote) merge(o Vote) Vote {
-	if v.Accepted.Below(o.Accepted) {
-		v.Accepted, v.Value = o.Accepted, o.Value
-	}
-	v.Promised = highest(highest(v.Promised, o.Promised), v.Accepted)
-	return v
-}
--- a/internal/decision/paxos/proposer.go
+++ b/internal/decision/paxos/proposer.go
@@ -1,7 +1,6 @@
 package paxos
 
 import (
-	"encoding/binary"
 	"maps"
 	"slices"
 
@@ -12,156 +11,208 @@
 // Phase of a proposer.
 type Phase int
 
-// Phases.
+// Phases of a proposer, in their order.
 const (
-	Preparing Phase = iota
-	Accepting
+	Preparing Phase = iota // phase 1: collects promises
+	Accepting              // phase 2: collects acceptances
 	Ended
 )
 
-// Step tells the runtime what to do after an answer. At most one of its parts
-// is set; the zero Step is to wait for more answers.
-type Step struct {
-	Accept *wire.AcceptRequest // send it to every voter
-	Chosen bool                // Value is chosen in the slot
-	Value  []byte
-	Behind string // this core knows the slot as learned, but no longer its value: fetch from it
-	Lost   bool   // no majority in this ballot: try a higher one
-}
+// Action is what a proposer requires of its caller after an answer.
+type Action int
 
-type promise struct {
-	life     uint64
-	accepted Ballot
-	value    []byte
-}
+// Actions of a proposer.
+const (
+	AwaitAnswers Action = iota // nothing until the next answer
+	SendAccept                 // send Step.Accept to every voter
+	ValueChosen                // Step.Value is chosen in the slot
+	FetchChosen                // the slot's value is compacted at Step.LearnedBy: fetch a snapshot from there
+	BallotLost                 // no quorum is possible in this ballot: open a higher one
+)
 
-// Proposer is one ballot in one slot. It is a value: each answer gives the next
-// one. Answers of earlier phases still bring news of disk lives.
-type Proposer struct {
-	Formation string
-	Slot      uint64
-	Ballot    Ballot
-	Own       []byte // proposed if no accepted value is found
-	Voters    []string
-	Phase     Phase
-	Seen      Ballot // highest ballot met
-	Learned   uint64 // highest learned version met
-	Tip       string // the core that learned it
-
-	value    []byte
-	promises map[string]promise
-	accepts  map[string]uint64
-	answered map[string]bool // of the present phase, failures included
-	lives    map[string]uint64
+// Step is the result of an answer. The zero Step is to await more answers.
+type Step struct {
+	Action    Action
+	Accept    *wire.AcceptRequest // set with SendAccept
+	Value     []byte              // set with ValueChosen
+	LearnedBy string              // set with FetchChosen
 }
 
-// Propose opens a ballot in a slot and returns the request for every voter.
-func Propose(s State, slot, number uint64, own []byte) (Proposer, *wire.PrepareRequest) {
-	b := Ballot{Number: number, Core: s.Self}
-	p := Proposer{Formation: s.Formation, Slot: slot, Ballot: b, Own: own, Voters: s.Voters, Seen: b, lives: maps.Clone(s.Lives)}
-	return p, &wire.PrepareRequest{Formation: s.Formation, Slot: slot, Ballot: b.Wire(), From: s.Self}
+// countedPromise is a voter's promise, with what it had accepted before.
+type countedPromise struct {
+	incarnation uint64
+	accepted    Ballot
+	value       []byte
 }
 
-// Promise takes an answer to the Prepare.
-func (p Proposer) Promise(resp *wire.PrepareResponse) (Proposer, Step) {
-	p = p.heard(resp.Lives, Of(resp.PromisedBallot), resp.Learned, resp.Core)
+// Proposer runs one ballot in one slot. It is a value: each answer returns the
+// next one. Answers that come late, of an earlier phase, are still observed for
+// the disk incarnations, ballots and learned slots that they report.
+//
+// A promise or acceptance counts only while no other answer reports a later
+// incarnation of the core that gave it.
+type Proposer struct {
+	Formation        string
+	Slot             uint64
+	Ballot           Ballot
+	InitialValue     []byte // proposed when no voter has accepted a value
+	Voters           []string
+	Phase            Phase
+	HighestBallot    Ballot // the highest ballot observed
+	HighestLearned   uint64 // the highest learned slot observed
+	HighestLearnedBy string // the core that reported it
+
+	value        []byte                    // proposed in phase 2
+	promises     map[string]countedPromise // by core
+	acceptedBy   map[string]uint64         // incarnation by core
+	answered     map[string]bool           // by core, in the present phase; failures included
+	incarnations map[string]uint64         // the highest known, by core
+}
+
+// NewProposer opens a ballot in a slot and returns the request for every voter.
+func NewProposer(s State, slot, number uint64, initialValue []byte) (Proposer, *wire.PrepareRequest) {
+	ballot := Ballot{Number: number, Core: s.Self}
+	proposer := Proposer{
+		Formation:     s.Formation,
+		Slot:          slot,
+		Ballot:        ballot,
+		InitialValue:  initialValue,
+		Voters:        s.Voters,
+		HighestBallot: ballot,
+		incarnations:  maps.Clone(s.Incarnations),
+	}
+	request := &wire.PrepareRequest{Formation: s.Formation, Slot: slot, Ballot: ballot.ToWire(), From: s.Self}
+	return proposer, request
+}
+
+// HandlePrepare takes in an answer to the Prepare. With the last promise of a
+// quorum it proposes the value accepted in the highest ballot among them, or
+// InitialValue when there is none.
+func (p Proposer) HandlePrepare(resp *wire.PrepareResponse) (Proposer, Step) {
+	p = p.observe(resp.Lives, BallotFromWire(resp.PromisedBallot), resp.Learned, resp.Core)
 	if p.Phase == Ended {
 		return p, Step{}
 	}
-	if resp.Chosen {
-		return p.end(Step{Chosen: true, Value: resp.ChosenValue})
-	}
-	if apierror.Code(resp.Refusal) == apierror.VersionBehind {
-		return p.end(Step{Behind: resp.Core})
+	if step, final := learnedStep(resp.Chosen, resp.ChosenValue, resp.Refusal, resp.Core); final {
+		return p.end(step)
 	}
 	if p.Phase != Preparing {
 		return p, Step{}
 	}
-	p.answered = with(p.answered, resp.Core, true)
-	if resp.Promised && Of(resp.PromisedBallot) == p.Ballot && slices.Contains(p.Voters, resp.Core) {
-		p.promises = with(p.promises, resp.Core,
-			promise{life: resp.Lives[resp.Core], accepted: Of(resp.AcceptedBallot), value: resp.AcceptedValue})
-	}
-	counted := p.counted()
-	if len(counted) < p.majority() {
-		return p.hopeless(len(counted))
-	}
-	var best promise
-	promised := make(map[string]uint64, len(counted))
-	for core, given := range counted {
-		promised[core] = given.life
-		if best.accepted.Below(given.accepted) {
-			best = given
+	p.answered = withEntry(p.answered, resp.Core, true)
+	if resp.Promised && BallotFromWire(resp.PromisedBallot) == p.Ballot && slices.Contains(p.Voters, resp.Core) {
+		p.promises = withEntry(p.promises, resp.Core, countedPromise{
+			incarnation: resp.Lives[resp.Core],
+			accepted:    BallotFromWire(resp.AcceptedBallot),
+			value:       resp.AcceptedValue,
+		})
+	}
+	promises := p.validPromises()
+	if len(promises) < p.quorum() {
+		return p.awaitQuorum(len(promises))
+	}
+	return p.beginAccepting(promises)
+}
+
+// beginAccepting enters phase 2 on the promises of a quorum.
+func (p Proposer) beginAccepting(promises map[string]countedPromise) (Proposer, Step) {
+	var highest countedPromise
+	promised := make(map[string]uint64, len(promises))
+	for core, promise := range promises {
+		promised[core] = promise.incarnation
+		if highest.accepted.Less(promise.accepted) {
+			highest = promise
 		}
 	}
-	p.Phase, p.answered, p.value = Accepting, nil, p.Own
-	if !best.accepted.Zero() {
-		p.value = best.value
-	}
-	return p, Step{Accept: &wire.AcceptRequest{Formation: p.Formation, Slot: p.Slot, Ballot: p.Ballot.Wire(), Value: p.value,
-		From: p.Ballot.Core, PromisedLives: promised}}
-}
-
-// Accepted takes an answer to the Accept.
-func (p Proposer) Accepted(resp *wire.AcceptResponse) (Proposer, Step) {
-	p = p.heard(resp.Lives, Of(resp.PromisedBallot), resp.Learned, resp.Core)
+	p.Phase = Accepting
+	p.answered = nil
+	p.value = p.InitialValue
+	if !highest.accepted.IsZero() {
+		p.value = highest.value
+	}
+	return p, Step{Action: SendAccept, Accept: &wire.AcceptRequest{
+		Formation:     p.Formation,
+		Slot:          p.Slot,
+		Ballot:        p.Ballot.ToWire(),
+		Value:         p.value,
+		From:          p.Ballot.Core,
+		PromisedLives: promised,
+	}}
+}
+
+// HandleAccept takes in an answer to the Accept.
+func (p Proposer) HandleAccept(resp *wire.AcceptResponse) (Proposer, Step) {
+	p = p.observe(resp.Lives, BallotFromWire(resp.PromisedBallot), resp.Learned, resp.Core)
 	if p.Phase != Accepting {
 		return p, Step{}
 	}
-	if resp.Chosen {
-		return p.end(Step{Chosen: true, Value: resp.ChosenValue})
+	if step, final := learnedStep(resp.Chosen, resp.ChosenValue, resp.Refusal, resp.Core); final {
+		return p.end(step)
 	}
-	if apierror.Code(resp.Refusal) == apierror.VersionBehind {
-		return p.end(Step{Behind: resp.Core})
-	}
-	p.answered = with(p.answered, resp.Core, true)
+	p.answered = withEntry(p.answered, resp.Core, true)
 	if resp.Accepted && slices.Contains(p.Voters, resp.Core) {
-		p.accepts = with(p.accepts, resp.Core, resp.Lives[resp.Core])
+		p.acceptedBy = withEntry(p.acceptedBy, resp.Core, resp.Lives[resp.Core])
 	}
-	if counted := p.countedAccepts(); counted < p.majority() {
-		return p.hopeless(counted)
+	if accepts := p.validAccepts(); accepts < p.quorum() {
+		return p.awaitQuorum(accepts)
 	}
-	return p.end(Step{Chosen: true, Value: p.value})
+	return p.end(Step{Action: ValueChosen, Value: p.value})
 }
 
-// Failed takes note that a voter gave no answer in the present phase.
-func (p Proposer) Failed(core string) (Proposer, Step) {
+// HandleFailure records that a voter gave no answer in the present phase.
+func (p Proposer) HandleFailure(core string) (Proposer, Step) {
 	if p.Phase == Ended {
 		return p, Step{}
 	}
-	p.answered = with(p.answered, core, true)
+	p.answered = withEntry(p.answered, core, true)
 	if p.Phase == Preparing {
-		return p.hopeless(len(p.counted()))
+		return p.awaitQuorum(len(p.validPromises()))
+	}
+	return p.awaitQuorum(p.validAccepts())
+}
+
+// learnedStep returns the final step when the answering core has learned the
+// slot.
+func learnedStep(chosen bool, value []byte, refusal uint32, core string) (step Step, final bool) {
+	if chosen {
+		return Step{Action: ValueChosen, Value: value}, true
 	}
-	return p.hopeless(p.countedAccepts())
+	if apierror.Code(refusal) == apierror.VersionBehind {
+		return Step{Action: FetchChosen, LearnedBy: core}, true
+	}
+	return Step{}, false
 }
 
-func (p Proposer) countedAccepts() int {
-	counted := 0
-	for core, life := range p.accepts {
-		if life >= p.lives[core] {
-			counted++
+// validPromises returns the promises that no later incarnation invalidates.
+func (p Proposer) validPromises() map[string]countedPromise {
+	valid := make(map[string]countedPromise, len(p.promises))
+	for core, promise := range p.promises {
+		if promise.incarnation >= p.incarnations[core] {
+			valid[core] = promise
 		}
 	}
-	return counted
+	return valid
 }
 
-// counted returns the promises that no later disk life takes back.
-func (p Proposer) counted() map[string]promise {
-	counted := make(map[string]promise, len(p.promises))
-	for core, given := range p.promises {
-		if given.life >= p.lives[core] {
-			counted[core] = given
+// validAccepts counts the acceptances that no later incarnation invalidates.
+func (p Proposer) validAccepts() int {
+	valid := 0
+	for core, incarnation := range p.acceptedBy {
+		if incarnation >= p.incarnations[core] {
+			valid++
 		}
 	}
-	return counted
+	return valid
 }
 
-func (p Proposer) majority() int { return len(p.Voters)/2 + 1 }
+func (p Proposer) quorum() int { return quorumOf(len(p.Voters)) }
 
-func (p Proposer) hopeless(counted int) (Proposer, Step) {
-	if counted+len(p.Voters)-len(p.answered) < p.majority() {
-		return p.end(Step{Lost: true})
+// awaitQuorum awaits more answers, or ends the ballot when those outstanding
+// can't complete a quorum.
+func (p Proposer) awaitQuorum(valid int) (Proposer, Step) {
+	outstanding := len(p.Voters) - len(p.answered)
+	if valid+outstanding < p.quorum() {
+		return p.end(Step{Action: BallotLost})
 	}
 	return p, Step{}
 }
@@ -171,68 +222,24 @@
 	return p, step
 }
 
-func (p Proposer) heard(lives map[string]uint64, promised Ballot, learned uint64, core string) Proposer {
-	p.Seen = highest(p.Seen, promised)
-	if learned > p.Learned {
-		p.Learned, p.Tip = learned, core
+// observe takes in what every answer reports, whether or not it counts.
+func (p Proposer) observe(incarnations map[string]uint64, promised Ballot, learned uint64, core string) Proposer {
+	p.HighestBallot = maxBallot(p.HighestBallot, promised)
+	if learned > p.HighestLearned {
+		p.HighestLearned = learned
+		p.HighestLearnedBy = core
 	}
-	known := make(map[string]uint64, len(p.lives)+len(lives))
-	maps.Copy(known, p.lives)
-	raise(known, lives)
-	p.lives = known
+	known := make(map[string]uint64, len(p.incarnations)+len(incarnations))
+	maps.Copy(known, p.incarnations)
+	raiseIncarnations(known, incarnations)
+	p.incarnations = known
 	return p
 }
 
-func with[V any](m map[string]V, key string, value V) map[string]V {
-	next := make(map[string]V, len(m)+1)
-	maps.Copy(next, m)
+// withEntry returns a copy of the map with one entry set.
+func withEntry[V any](entries map[string]V, key string, value V) map[string]V {
+	next := make(map[string]V, len(entries)+1)
+	maps.Copy(next, entries)
 	next[key] = value
 	return next
 }
-
-// Key appends a canonical form of the proposer: two that behave alike from here
-// on have the same.
-func (p Proposer) Key(to []byte) []byte {
-	to = append(to, byte(p.Phase))
-	if p.Phase == Ended {
-		return to
-	}
-	to = append(p.Ballot.key(to), p.value...)
-	for _, core := range p.Voters {
-		given, promised := p.promises[core]
-		if promised {
-			to = append(given.accepted.key(append(to, 1, byte(given.life))), given.value...)
-		}
-		life, accepted := p.accepts[core]
-		if accepted {
-			to = append(to, 2, byte(life))
-		}
-		to = append(to, 3, byte(p.lives[core]))
-		if p.answered[core] {
-			to = append(to, 4)
-		}
-	}
-	return to
-}
-
-func (b Ballot) key(to []byte) []byte {
-	return append(append(binary.AppendUvarint(to, b.Number), b.Core...), 0)
-}
-
-// Key appends a canonical form of the state.
-func (s State) Key(to []byte) []byte {
-	to = append(to, s.Formation...)
-	for _, core := range s.Voters {
-		to = binary.AppendUvarint(to, s.Lives[core])
-	}
-	to = binary.AppendUvarint(binary.AppendUvarint(to, s.Announced), s.SnapshotSlot)
-	for _, chosen := range s.Chosen {
-		to = append(append(to, 5), chosen.Command...)
-	}
-	for _, slot := range slices.Sorted(maps.Keys(s.Votes)) {
-		vote := s.Votes[slot]
-		to = vote.Accepted.key(vote.Promised.key(binary.AppendUvarint(append(to, 6), slot)))
-		to = append(to, vote.Value...)
-	}
-	return to
-}
--- /dev/null
+++ b/internal/decision/paxos/record_test.go
@@ -0,0 +1,49 @@
+package paxos
+
+import (
+	"reflect"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+	"pgregory.net/rapid"
+
+	"stepwick/internal/wire"
+)
+
+func drawRecord(t *rapid.T) Record {
+	ballot := Ballot{rapid.Uint64().Draw(t, "number"), rapid.SampledFrom(voters).Draw(t, "core")}
+	slot, value := rapid.Uint64Range(1, 1<<40).Draw(t, "slot"), rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(t, "value")
+	incarnations := map[string]uint64{"a": rapid.Uint64().Draw(t, "life")}
+	return rapid.SampledFrom([]Record{
+		FormationJoined{Formation: "f", Voters: voters, SnapshotSlot: slot, Snapshot: value},
+		IncarnationRecorded{Core: "b", Incarnation: slot}, Promised{Slot: slot, Ballot: ballot}, Accepted{Slot: slot, Ballot: ballot, Value: value},
+		Learned{Slot: slot, Command: value}, Learned{Slot: slot, AsAccepted: true}, SnapshotInstalled{Slot: slot, Snapshot: value},
+		RecoveryCompleted{Incarnations: incarnations, SnapshotSlot: slot, Snapshot: value, Chosen: []*wire.Chosen{{Epoch: slot + 1, Command: value}},
+			OpenSlots: map[uint64]SlotState{slot + 2: {Promised: ballot, Accepted: ballot, Value: value}}},
+	}).Draw(t, "record")
+}
+
+func TestDecodedRecordsEqualEncoded(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		record := drawRecord(t)
+		data := EncodeRecord(record)
+		decodedRecord, err := DecodeRecord(data)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if again := EncodeRecord(decodedRecord); !reflect.DeepEqual(again, data) {
+			t.Fatalf("%#v was decoded as %#v", record, decodedRecord)
+		}
+		s := votingCore("a")
+		if !proto.Equal(record.Apply(s).recoverResponse(), decodedRecord.Apply(s).recoverResponse()) {
+			t.Fatalf("%#v applies otherwise when decoded", record)
+		}
+		decoded, err := DecodeState(record.Apply(s).Encode())
+		if err != nil || !proto.Equal(decoded.recoverResponse(), record.Apply(s).recoverResponse()) {
+			t.Fatalf("a state with %#v is not decoded: %v", record, err)
+		}
+		for length := range data {
+			_, _ = DecodeRecord(data[:length])
+		}
+	})
+}
--- /dev/null
+++ b/internal/decision/paxos/recordcodec.go
@@ -0,0 +1,181 @@
+package paxos
+
+import (
+	"github.com/pkg/errors"
+	"google.golang.org/protobuf/proto"
+
+	"stepwick/internal/wire"
+)
+
+// The first byte of an encoded record. They are stored: a number never changes
+// its meaning.
+const (
+	kindFormationJoined byte = 1 + iota
+	kindIncarnationRecorded
+	kindPromised
+	kindAccepted
+	kindLearned
+	kindSnapshotInstalled
+	kindRecoveryCompleted
+)
+
+// asAcceptedMark in a stored Learned record's From says that the value is the
+// one accepted last.
+const asAcceptedMark = "accepted"
+
+// EncodeRecord returns a record's bytes for the log: its kind, then a message in
+// deterministic protobuf. It panics when the record holds a string that is not
+// UTF-8, which no message can have brought here.
+func EncodeRecord(record Record) []byte {
+	kind, body := record.message()
+	data, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend([]byte{kind}, body)
+	if err != nil {
+		panic(errors.Wrap(err, "a record holds no value that cannot be encoded"))
+	}
+	return data
+}
+
+// DecodeRecord reads what EncodeRecord returned. Its errors are ErrEmptyRecord,
+// *UnknownKindError, *LearnedCountError, *SlotGapError or protobuf's.
+func DecodeRecord(data []byte) (Record, error) {
+	if len(data) == 0 {
+		return nil, ErrEmptyRecord
+	}
+	kind, body := data[0], data[1:]
+	switch kind {
+	case kindFormationJoined:
+		return decodeFormationJoined(body)
+	case kindIncarnationRecorded:
+		return decodeIncarnationRecorded(body)
+	case kindPromised:
+		return decodePromised(body)
+	case kindAccepted:
+		return decodeAccepted(body)
+	case kindLearned:
+		return decodeLearned(body)
+	case kindSnapshotInstalled:
+		return decodeSnapshotInstalled(body)
+	case kindRecoveryCompleted:
+		return decodeRecoveryCompleted(body)
+	}
+	return nil, &UnknownKindError{Kind: kind}
+}
+
+// Replay applies encoded records to a state, in their order.
+func Replay(s State, records [][]byte) (State, error) {
+	for i, data := range records {
+		record, err := DecodeRecord(data)
+		if err != nil {
+			return s, errors.Wrapf(err, "record %d of the replay", i)
+		}
+		s = record.Apply(s)
+	}
+	return s, nil
+}
+
+func unmarshal(kind byte, body []byte, message proto.Message) error {
+	return errors.Wrapf(proto.Unmarshal(body, message), "record of kind %d", kind)
+}
+
+func (r FormationJoined) message() (byte, proto.Message) {
+	return kindFormationJoined, &wire.RecoverResponse{
+		Formation:     r.Formation,
+		Voters:        r.Voters,
+		SnapshotEpoch: r.SnapshotSlot,
+		Snapshot:      r.Snapshot,
+	}
+}
+
+func decodeFormationJoined(body []byte) (Record, error) {
+	var message wire.RecoverResponse
+	err := unmarshal(kindFormationJoined, body, &message)
+	return FormationJoined{
+		Formation:    message.Formation,
+		Voters:       message.Voters,
+		SnapshotSlot: message.SnapshotEpoch,
+		Snapshot:     message.Snapshot,
+	}, err
+}
+
+func (r IncarnationRecorded) message() (byte, proto.Message) {
+	return kindIncarnationRecorded, &wire.RecoverRequest{Core: r.Core, Life: r.Incarnation}
+}
+
+func decodeIncarnationRecorded(body []byte) (Record, error) {
+	var message wire.RecoverRequest
+	err := unmarshal(kindIncarnationRecorded, body, &message)
+	return IncarnationRecorded{Core: message.Core, Incarnation: message.Life}, err
+}
+
+func (r Promised) message() (byte, proto.Message) {
+	return kindPromised, &wire.SlotVote{Slot: r.Slot, Promised: r.Ballot.ToWire()}
+}
+
+func decodePromised(body []byte) (Record, error) {
+	var message wire.SlotVote
+	err := unmarshal(kindPromised, body, &message)
+	return Promised{Slot: message.Slot, Ballot: BallotFromWire(message.Promised)}, err
+}
+
+func (r Accepted) message() (byte, proto.Message) {
+	return kindAccepted, &wire.SlotVote{Slot: r.Slot, Accepted: r.Ballot.ToWire(), Value: r.Value}
+}
+
+func decodeAccepted(body []byte) (Record, error) {
+	var message wire.SlotVote
+	err := unmarshal(kindAccepted, body, &message)
+	return Accepted{Slot: message.Slot, Ballot: BallotFromWire(message.Accepted), Value: message.Value}, err
+}
+
+func (r Learned) message() (byte, proto.Message) {
+	if r.AsAccepted {
+		return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Slot}}, From: asAcceptedMark}
+	}
+	return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Slot, Command: r.Command}}}
+}
+
+func decodeLearned(body []byte) (Record, error) {
+	var message wire.LearnRequest
+	if err := unmarshal(kindLearned, body, &message); err != nil {
+		return nil, err
+	}
+	if len(message.Chosen) != 1 {
+		return nil, &LearnedCountError{Count: len(message.Chosen)}
+	}
+	chosen := message.Chosen[0]
+	return Learned{Slot: chosen.Epoch, Command: chosen.Command, AsAccepted: message.From != ""}, nil
+}
+
+func (r SnapshotInstalled) message() (byte, proto.Message) {
+	return kindSnapshotInstalled, &wire.FetchResponse{SnapshotEpoch: r.Slot, Snapshot: r.Snapshot}
+}
+
+func decodeSnapshotInstalled(body []byte) (Record, error) {
+	var message wire.FetchResponse
+	err := unmarshal(kindSnapshotInstalled, body, &message)
+	return SnapshotInstalled{Slot: message.SnapshotEpoch, Snapshot: message.Snapshot}, err
+}
+
+func (r RecoveryCompleted) message() (byte, proto.Message) {
+	return kindRecoveryCompleted, &wire.RecoverResponse{
+		Lives:         r.Incarnations,
+		SnapshotEpoch: r.SnapshotSlot,
+		Snapshot:      r.Snapshot,
+		Chosen:        r.Chosen,
+		Votes:         openSlotsToWire(r.OpenSlots),
+	}
+}
+
+func decodeRecoveryCompleted(body []byte) (Record, error) {
+	var message wire.RecoverResponse
+	if err := unmarshal(kindRecoveryCompleted, body, &message); err != nil {
+		return nil, err
+	}
+	return RecoveryCompleted{
+		Incarnations: message.Lives,
+		SnapshotSlot: message.SnapshotEpoch,
+		Snapshot:     message.Snapshot,
+		Chosen:       message.Chosen,
+		OpenSlots:    openSlotsFromWire(message.Votes),
+	}, checkContiguous(message.SnapshotEpoch, message.Chosen)
+}
--- a/internal/decision/paxos/recovery.go
+++ b/internal/decision/paxos/recovery.go
@@ -11,95 +11,153 @@
 )
 
 const (
-	firstLife  = 1 // announced by a core that proves that it has never voted
-	secondLife = firstLife + 1
+	firstIncarnation  = 1 // announced by a core that proves that it has never voted
+	secondIncarnation = firstIncarnation + 1
 )
 
 // Recover answers a core that enters the formation with an empty disk. The new
-// life must be synced before the answer leaves. A core that has not entered
+// incarnation must be synced before the answer leaves. A core that doesn't vote
 // answers too if its disk proves that it never voted; one that lost its disk
 // refuses, and marks its answer to a probe with CoreAmnesiac.
 func (s State) Recover(req *wire.RecoverRequest) ([]Record, *wire.RecoverResponse) {
-	resp := &wire.RecoverResponse{Core: s.Self, Formation: s.Formation, Voters: s.Voters, Lives: s.lives(), Voting: s.Life() != 0}
-	refuse := func(code apierror.Code) ([]Record, *wire.RecoverResponse) {
+	if req.Probe && s.Formation != "" {
+		return nil, s.answerProbe()
+	}
+	if code := s.checkRecovery(req); code != apierror.OK {
+		resp := s.recoverSummary()
 		resp.Refusal = uint32(code)
 		return nil, resp
 	}
+	if s.Incarnations[req.Core] == req.Life {
+		return nil, s.recoverResponse()
+	}
+	recorded := IncarnationRecorded{Core: req.Core, Incarnation: req.Life}
+	return []Record{recorded}, recorded.Apply(s).recoverResponse()
+}
+
+func (s State) answerProbe() *wire.RecoverResponse {
+	resp := s.recoverSummary()
+	resp.Ok = true
+	if s.lostDisk() {
+		resp.Refusal = uint32(apierror.CoreAmnesiac)
+	}
+	return resp
+}
+
+// checkRecovery returns OK when a core may recover from this one, and otherwise
+// the code with which it is refused.
+func (s State) checkRecovery(req *wire.RecoverRequest) apierror.Code {
 	switch {
 	case s.Formation == "":
-		return refuse(apierror.CoreBlank)
-	case req.Probe:
-		resp.Ok = true
-		if s.lost() {
-			return refuse(apierror.CoreAmnesiac)
-		}
-		return nil, resp
+		return apierror.CoreBlank
 	case req.Formation != s.Formation:
-		return refuse(apierror.WrongFormation)
+		return apierror.WrongFormation
 	case req.Core == s.Self || !slices.Contains(s.Voters, req.Core):
-		return refuse(apierror.NotCore)
-	case req.Life < s.Lives[req.Core] || req.Life == 0:
-		return refuse(apierror.VersionBehind)
-	case s.Life() == 0 && s.Announced != firstLife:
-		return refuse(apierror.CoreAmnesiac)
+		return apierror.NotCore
+	case req.Life < s.Incarnations[req.Core] || req.Life == 0:
+		return apierror.VersionBehind
+	case s.Incarnation() == 0 && s.AnnouncedIncarnation != firstIncarnation:
+		return apierror.CoreAmnesiac
 	}
-	lived := Lived{Core: req.Core, Life: req.Life}
-	if s.Lives[req.Core] == req.Life {
-		return nil, s.message()
+	return apierror.OK
+}
+
+// recoverSummary is a response to a Recover without the agreed state.
+func (s State) recoverSummary() *wire.RecoverResponse {
+	return &wire.RecoverResponse{
+		Core:      s.Self,
+		Formation: s.Formation,
+		Voters:    s.Voters,
+		Lives:     s.reportedIncarnations(),
+		Voting:    s.Incarnation() != 0,
+	}
+}
+
+// reportedIncarnations returns the incarnations that the core reports to others,
+// with its own from when it is announced.
+func (s State) reportedIncarnations() map[string]uint64 {
+	reported := make(map[string]uint64, len(s.Incarnations)+1)
+	maps.Copy(reported, s.Incarnations)
+	if s.AnnouncedIncarnation > reported[s.Self] {
+		reported[s.Self] = s.AnnouncedIncarnation
 	}
-	return []Record{lived}, lived.Fold(s).message()
+	return reported
+}
+
+// lostDisk reports whether the core knows that its disk forgot an incarnation in
+// which it may have voted.
+func (s State) lostDisk() bool {
+	return s.Incarnation() == 0 && s.AnnouncedIncarnation >= secondIncarnation
+}
+
+// probeSummary is what the other voters' answers to a probe say together.
+type probeSummary struct {
+	highest    uint64 // incarnation of the probing core that any of them knows
+	missing    string // the first voter without an answer; empty when all answered
+	voting     int    // voters that vote
+	anyCertain bool   // one knows its own disk to be complete
+	anyLost    bool   // one has lost its disk
 }
 
-// NextLife returns the life with which to recover, from a probe of the other
-// voters; it is to be kept in a Lived record before it is announced. All of them
-// must answer, or a rebuild quorum if it knows that this core has had a life
-// before; else NextLife says whom it waits for. A first life, which proves that
-// this core never voted, needs the word of one that is sure of its own disk, once
-// any other core has lost its disk. Salt is the process's own, so that no two
-// processes that claim one name ever announce the same life: the votes of both
-// would count as one core's. It says nothing where it is zero.
-func (s State) NextLife(probes map[string]*wire.RecoverResponse, salt uint64) (life uint64, waiting string) {
-	sure, lost, voting := false, false, 0
+func (s State) summarize(probes map[string]*wire.RecoverResponse) probeSummary {
+	var summary probeSummary
 	for _, name := range s.Others() {
 		probe := probes[name]
-		if !s.answers(probe) {
-			waiting = cmp.Or(waiting, name)
+		if !s.inFormation(probe) {
+			summary.missing = cmp.Or(summary.missing, name)
 			continue
 		}
-		life = max(life, probe.Lives[s.Self])
-		sure = sure || probe.Refusal == 0 && probe.Lives[name] > 0
-		lost = lost || probe.Refusal != 0
+		summary.highest = max(summary.highest, probe.Lives[s.Self])
+		if probe.Refusal == 0 && probe.Lives[name] > 0 {
+			summary.anyCertain = true
+		}
+		if probe.Refusal != 0 {
+			summary.anyLost = true
+		}
 		if probe.Voting {
-			voting++
+			summary.voting++
 		}
 	}
+	return summary
+}
+
+// NextIncarnation returns the incarnation with which to recover, from a probe of
+// the other voters; it must be synced in an IncarnationRecorded before it is
+// announced. All of them must answer, or a recovery quorum if it knows an
+// earlier incarnation of this core; otherwise missing names the first that is
+// waited for.
+//
+// A first incarnation, which proves that this core never voted, needs the answer
+// of one that is certain of its own disk once any other core has lost its disk.
+//
+// Salt is random to the process, so that no two processes that use one name ever
+// announce the same incarnation: the votes of both would count as one core's.
+func (s State) NextIncarnation(probes map[string]*wire.RecoverResponse, salt uint64) (incarnation uint64, missing string) {
+	summary := s.summarize(probes)
 	switch {
-	case s.Announced > 0 && life <= s.Announced:
-		life = s.Announced
-	case life > 0:
-		life += 1 + salt
+	case s.AnnouncedIncarnation > 0 && summary.highest <= s.AnnouncedIncarnation:
+		incarnation = s.AnnouncedIncarnation
+	case summary.highest > 0:
+		incarnation = summary.highest + 1 + salt
 	default:
-		life = firstLife
+		incarnation = firstIncarnation
 	}
-	if waiting != "" && (life == firstLife || voting < s.RebuildQuorum()) {
-		return 0, waiting
+	if summary.missing != "" && (incarnation == firstIncarnation || summary.voting < s.RecoveryQuorum()) {
+		return 0, summary.missing
 	}
-	if life == firstLife && s.Announced == 0 && lost && !sure {
+	if incarnation == firstIncarnation && s.AnnouncedIncarnation == 0 && summary.anyLost && !summary.anyCertain {
 		return 0, "a core that has its disk"
 	}
-	return life, ""
+	return incarnation, ""
 }
 
-// lost tells whether the core knows that its disk forgot a life in which it may
-// have voted.
-func (s State) lost() bool { return s.Life() == 0 && s.Announced >= secondLife }
-
-// Sources returns the voters that a core asks to enter in a disk life, by their
-// answers to a probe, and how many answers are enough; zero is all. A first
-// life needs the answers of all others, also of those that have not entered
-// themselves: two cores that are the last to enter wait for each other's.
-func (s State) Sources(life uint64, probes map[string]*wire.RecoverResponse) (cores []string, enough int) {
-	if life < secondLife {
+// RecoverySources returns the voters from which a core recovers in an
+// incarnation, by their answers to a probe, and how many answers are enough;
+// zero is all. A first incarnation needs the answers of all others, also of
+// those that don't vote yet: two cores that are the last to enter need each
+// other's.
+func (s State) RecoverySources(incarnation uint64, probes map[string]*wire.RecoverResponse) (cores []string, enough int) {
+	if incarnation < secondIncarnation {
 		return s.Others(), 0
 	}
 	var voting []string
@@ -108,123 +166,97 @@
 			voting = append(voting, core)
 		}
 	}
-	if len(voting) < s.RebuildQuorum() {
+	if len(voting) < s.RecoveryQuorum() {
 		return s.Others(), 0
 	}
-	return voting, s.RebuildQuorum()
+	return voting, s.RecoveryQuorum()
 }
 
-// Enter merges the answers of other voters to a Recover into the one record by
-// which this core enters. It waits, and says for whom, until all of them have
-// answered or, in a later life than the first, a rebuild quorum of voting cores.
-// The answer of a core that lost its disk and has not itself recovered since
-// does not count.
-func (s State) Enter(life uint64, answers map[string]*wire.RecoverResponse) (record Record, waiting string) {
-	known := s.knownLives(answers)
-	if known[s.Self] > life {
+// CompleteRecovery merges the answers of other voters to a Recover into the
+// record by which this core enters the formation. Until all of them have
+// answered or, in a later incarnation than the first, a recovery quorum of
+// voting cores, there is no record and missing names the first that is waited
+// for. The answer of a core that has lost its disk since does not count.
+func (s State) CompleteRecovery(incarnation uint64, answers map[string]*wire.RecoverResponse) (record Record, missing string) {
+	known := s.knownIncarnations(answers)
+	if known[s.Self] > incarnation {
 		return nil, s.Self
 	}
-	counted, waiting := s.countedAnswers(life, answers, known)
-	if waiting != "" {
-		return nil, waiting
+	usable, missing := s.usableAnswers(incarnation, answers, known)
+	if missing != "" {
+		return nil, missing
+	}
+	completed := RecoveryCompleted{
+		SnapshotSlot: s.SnapshotSlot,
+		Snapshot:     s.Snapshot,
+		Chosen:       s.Chosen,
+		OpenSlots:    map[uint64]SlotState{},
 	}
-	entered := Entered{Lives: known, SnapshotSlot: s.SnapshotSlot, Snapshot: s.Snapshot, Chosen: s.Chosen, Votes: map[uint64]Vote{}}
 	learned := s.Learned()
-	for _, answer := range counted {
-		if top := answer.SnapshotEpoch + uint64(len(answer.Chosen)); top > learned {
-			learned = top
-			entered.SnapshotSlot, entered.Snapshot, entered.Chosen = answer.SnapshotEpoch, answer.Snapshot, answer.Chosen
+	for _, answer := range usable {
+		if theirs := answer.SnapshotEpoch + uint64(len(answer.Chosen)); theirs > learned {
+			learned = theirs
+			completed.SnapshotSlot = answer.SnapshotEpoch
+			completed.Snapshot = answer.Snapshot
+			completed.Chosen = answer.Chosen
 		}
 		for _, vote := range answer.Votes {
-			entered.Votes[vote.Slot] = entered.Votes[vote.Slot].merge(voteOf(vote))
+			completed.OpenSlots[vote.Slot] = completed.OpenSlots[vote.Slot].merge(slotStateFromWire(vote))
 		}
 	}
-	known[s.Self] = life
-	return entered, ""
+	known[s.Self] = incarnation
+	completed.Incarnations = known
+	return completed, ""
 }
 
-// countedAnswers returns the answers that a rebuild may rest on, or whom it
-// waits for.
-func (s State) countedAnswers(life uint64, answers map[string]*wire.RecoverResponse, known map[string]uint64) (counted []*wire.RecoverResponse, waiting string) {
+// usableAnswers returns the answers on which a recovery may rest, or the first
+// voter that is waited for.
+func (s State) usableAnswers(incarnation uint64, answers map[string]*wire.RecoverResponse, known map[string]uint64) (usable []*wire.RecoverResponse, missing string) {
 	voting := 0
 	for _, name := range s.Others() {
 		answer := answers[name]
-		switch {
-		case !s.answers(answer):
-			waiting = cmp.Or(waiting, name)
+		if !s.inFormation(answer) {
+			missing = cmp.Or(missing, name)
 			continue
-		case answer.Lives[name] < known[name]:
-			waiting = cmp.Or(waiting, fmt.Sprintf("%s (lost its disk too)", name))
+		}
+		if answer.Lives[name] < known[name] {
+			missing = cmp.Or(missing, fmt.Sprintf("%s (lost its disk too)", name))
 			continue
-		case answer.Voting:
+		}
+		if answer.Voting {
 			voting++
 		}
-		counted = append(counted, answer)
+		usable = append(usable, answer)
 	}
-	if waiting == "" || life >= secondLife && voting >= s.RebuildQuorum() {
-		return counted, ""
+	enoughVoting := incarnation >= secondIncarnation && voting >= s.RecoveryQuorum()
+	if missing == "" || enoughVoting {
+		return usable, ""
 	}
-	return nil, waiting
+	return nil, missing
 }
 
-// knownLives are the disk lives known here and to any of the answers.
-func (s State) knownLives(answers map[string]*wire.RecoverResponse) map[string]uint64 {
+// knownIncarnations returns the highest incarnations known here or to any of the
+// answers.
+func (s State) knownIncarnations(answers map[string]*wire.RecoverResponse) map[string]uint64 {
 	known := make(map[string]uint64, len(s.Voters))
-	maps.Copy(known, s.Lives)
+	maps.Copy(known, s.Incarnations)
 	for _, name := range s.Others() {
-		if answer := answers[name]; s.answers(answer) {
-			raise(known, answer.Lives)
+		if answer := answers[name]; s.inFormation(answer) {
+			raiseIncarnations(known, answer.Lives)
 		}
 	}
 	return known
 }
 
-// answers tells whether an answer is one of the core's own formation.
-func (s State) answers(answer *wire.RecoverResponse) bool {
+// inFormation reports whether there is an answer and it is of the core's own
+// formation.
+func (s State) inFormation(answer *wire.RecoverResponse) bool {
 	return answer != nil && answer.Ok && answer.Formation == s.Formation
 }
 
-// Rejoin decides whether a core that has not entered should join the formation
-// of a probe's answer: a blank core any that names it; one that waits in
-// another formation only if that one has been entered and its own has not, or,
-// with neither entered, if its id is the lower.
-func (s State) Rejoin(probe *wire.RecoverResponse) (Record, bool) {
-	if s.Life() != 0 || probe.Formation == "" || probe.Formation == s.Formation || !slices.Contains(probe.Voters, s.Self) {
-		return nil, false
-	}
-	if s.Formation != "" {
-		here, there := len(s.Lives) > 0, len(probe.Lives) > 0
-		if here || !there && probe.Formation > s.Formation {
-			return nil, false
-		}
-	}
-	return Joined{Formation: probe.Formation, Voters: probe.Voters}, true
-}
-
-// Establish decides on a first formation: of the given number of voters, all
-// present, all blank, and by the lowest name. Present holds the answers to a
-// probe of every other core that is known; a missing answer is nil. The
-// snapshot is the highest agreed state that anyone still holds, if any.
-func (s State) Establish(id string, count int, present map[string]*wire.RecoverResponse, version uint64, snapshot []byte) (Record, bool) {
-	if s.Formation != "" {
-		return nil, false
-	}
-	names := append(slices.Collect(maps.Keys(present)), s.Self)
-	slices.Sort(names)
-	if len(names) < count || names[0] != s.Self {
-		return nil, false
-	}
-	for _, answer := range present {
-		if answer == nil || apierror.Code(answer.Refusal) != apierror.CoreBlank {
-			return nil, false
-		}
-	}
-	return Joined{Formation: id, Voters: names[:count], SnapshotSlot: version, Snapshot: snapshot}, true
-}
-
-// raise keeps the higher life of each core.
-func raise(known, other map[string]uint64) {
-	for core, life := range other {
-		known[core] = max(known[core], life)
+// raiseIncarnations raises each core's known incarnation to the other one.
+func raiseIncarnations(known, other map[string]uint64) {
+	for core, incarnation := range other {
+		known[core] = max(known[core], incarnation)
 	}
 }
--- a/internal/decision/paxos/transcript_test.go
+++ b/internal/decision/paxos/transcript_test.go
@@ -12,173 +12,177 @@
 	"stepwick/internal/wire"
 )
 
-// stage plays an exchange among three cores and writes down what is said.
-type stage struct {
+// exchange runs the decisions of three cores on each other's messages and writes
+// a transcript.
+type exchange struct {
 	cores map[string]State
 	text  strings.Builder
 }
 
-func (g *stage) say(format string, args ...any) { fmt.Fprintf(&g.text, format+"\n", args...) }
+func (e *exchange) printf(format string, args ...any) { fmt.Fprintf(&e.text, format+"\n", args...) }
 
-func (g *stage) keep(name string, records []Record) {
+// sync applies the records that a core makes durable.
+func (e *exchange) sync(name string, records []Record) {
 	for _, record := range records {
-		g.cores[name] = record.Fold(g.cores[name])
-		g.say("    %s syncs %s", name, words(record))
+		e.cores[name] = record.Apply(e.cores[name])
+		e.printf("    %s syncs %s", name, describe(record))
 	}
 }
 
-func words(record Record) string {
+func describe(record Record) string {
 	switch r := record.(type) {
-	case Joined:
+	case FormationJoined:
 		return fmt.Sprintf("joined %s of %v", r.Formation, r.Voters)
-	case Lived:
-		return fmt.Sprintf("life %d of %s", r.Life, r.Core)
+	case IncarnationRecorded:
+		return fmt.Sprintf("life %d of %s", r.Incarnation, r.Core)
 	case Promised:
-		return fmt.Sprintf("slot %d promised to %s", r.Slot, name(r.Ballot))
+		return fmt.Sprintf("slot %d promised to %s", r.Slot, ballotName(r.Ballot))
 	case Accepted:
-		return fmt.Sprintf("slot %d accepted %q by %s", r.Slot, r.Value, name(r.Ballot))
+		return fmt.Sprintf("slot %d accepted %q by %s", r.Slot, r.Value, ballotName(r.Ballot))
 	case Learned:
 		return fmt.Sprintf("epoch %d learned: %q", r.Slot, r.Command)
-	case Entered:
-		text := fmt.Sprintf("entered: lives %v, learned %d", r.Lives, r.SnapshotSlot+uint64(len(r.Chosen)))
-		for _, vote := range (State{Votes: r.Votes}).openVotes() {
-			text += fmt.Sprintf(", slot %d promised to %s, accepted %q by %s", vote.Slot, name(Of(vote.Promised)), vote.Value, name(Of(vote.Accepted)))
+	case RecoveryCompleted:
+		text := fmt.Sprintf("entered: lives %v, learned %d", r.Incarnations, r.SnapshotSlot+uint64(len(r.Chosen)))
+		for _, vote := range openSlotsToWire(r.OpenSlots) {
+			text += fmt.Sprintf(", slot %d promised to %s, accepted %q by %s", vote.Slot, ballotName(BallotFromWire(vote.Promised)), vote.Value, ballotName(BallotFromWire(vote.Accepted)))
 		}
 		return text
 	}
 	return fmt.Sprintf("%T", record)
 }
 
-func name(b Ballot) string {
-	if b.Zero() {
+func ballotName(b Ballot) string {
+	if b.IsZero() {
 		return "none"
 	}
 	return fmt.Sprintf("%d.%s", b.Number, b.Core)
 }
 
-func (g *stage) enter(who string) {
-	s := g.cores[who]
+// recover has a core enter its formation from the other voters.
+func (e *exchange) recover(core string) {
+	s := e.cores[core]
 	probes, answers := map[string]*wire.RecoverResponse{}, map[string]*wire.RecoverResponse{}
 	for _, other := range s.Others() {
-		_, probes[other] = g.cores[other].Recover(&wire.RecoverRequest{Core: who, Probe: true})
-		g.say("%s probes %s: %s", who, other, code(probes[other].Refusal, "lives %v", probes[other].Lives))
+		_, probes[other] = e.cores[other].Recover(&wire.RecoverRequest{Core: core, Probe: true})
+		e.printf("%s probes %s: %s", core, other, refusalOr(probes[other].Refusal, "lives %v", probes[other].Lives))
 	}
-	life, waiting := s.NextLife(probes, 0)
-	if waiting != "" {
-		g.say("%s waits for %s", who, waiting)
+	incarnation, missing := s.NextIncarnation(probes, 0)
+	if missing != "" {
+		e.printf("%s waits for %s", core, missing)
 		return
 	}
-	g.keep(who, []Record{Lived{Core: who, Life: life}})
+	e.sync(core, []Record{IncarnationRecorded{Core: core, Incarnation: incarnation}})
 	for _, other := range s.Others() {
-		records, answer := g.cores[other].Recover(&wire.RecoverRequest{Formation: s.Formation, Core: who, Life: life})
-		g.say("%s announces life %d to %s: %s", who, life, other, code(answer.Refusal, "learned %d, %d open slots, lives %v", len(answer.Chosen), len(answer.Votes), answer.Lives))
-		g.keep(other, records)
+		records, answer := e.cores[other].Recover(&wire.RecoverRequest{Formation: s.Formation, Core: core, Life: incarnation})
+		e.printf("%s announces life %d to %s: %s", core, incarnation, other, refusalOr(answer.Refusal, "learned %d, %d open slots, lives %v", len(answer.Chosen), len(answer.Votes), answer.Lives))
+		e.sync(other, records)
 		answers[other] = answer
 	}
-	record, waiting := g.cores[who].Enter(life, answers)
-	if waiting != "" {
-		g.say("%s waits for %s", who, waiting)
+	record, missing := e.cores[core].CompleteRecovery(incarnation, answers)
+	if missing != "" {
+		e.printf("%s waits for %s", core, missing)
 		return
 	}
-	g.keep(who, []Record{record})
+	e.sync(core, []Record{record})
 }
 
-func code(refusal uint32, format string, args ...any) string {
+// refusalOr describes the refusal, or else formats the answer.
+func refusalOr(refusal uint32, format string, args ...any) string {
 	if refusal != 0 {
 		return "refuses, " + apierror.Code(refusal).String()
 	}
 	return fmt.Sprintf(format, args...)
 }
 
-// propose holds a ballot among those who hear it; silent ones stay out.
-func (g *stage) propose(who string, value string, silent ...string) {
-	s := g.cores[who]
+// propose runs a ballot among the cores that can be reached.
+func (e *exchange) propose(from string, value string, unreachable ...string) {
+	s := e.cores[from]
 	slot := s.Learned() + 1
-	p, prepare := Propose(s, slot, s.NextNumber(slot), []byte(value))
+	proposer, request := NewProposer(s, slot, s.NextBallotNumber(slot), []byte(value))
 	var step Step
 	for _, core := range voters {
-		if slices.Contains(silent, core) {
+		if slices.Contains(unreachable, core) {
 			continue
 		}
-		records, resp := g.cores[core].Prepare(prepare)
-		g.say("%s prepares %s in slot %d at %s: %s", who, name(p.Ballot), slot, core,
-			code(resp.Refusal, "promised %v, accepted %q by %s", resp.Promised, resp.AcceptedValue, name(Of(resp.AcceptedBallot))))
-		g.keep(core, records)
-		if p, step = p.Promise(resp); step.Accept != nil {
+		records, resp := e.cores[core].Prepare(request)
+		e.printf("%s prepares %s in slot %d at %s: %s", from, ballotName(proposer.Ballot), slot, core,
+			refusalOr(resp.Refusal, "promised %v, accepted %q by %s", resp.Promised, resp.AcceptedValue, ballotName(BallotFromWire(resp.AcceptedBallot))))
+		e.sync(core, records)
+		if proposer, step = proposer.HandlePrepare(resp); step.Action == SendAccept {
 			break
 		}
 	}
-	if step.Accept == nil {
-		g.say("%s has no majority", who)
+	if step.Action != SendAccept {
+		e.printf("%s has no majority", from)
 		return
 	}
 	accept := step.Accept
 	for _, core := range voters {
-		if slices.Contains(silent, core) || p.Phase == Ended {
+		if slices.Contains(unreachable, core) || proposer.Phase == Ended {
 			continue
 		}
-		records, resp := g.cores[core].Accept(accept)
-		g.say("%s asks %s to accept %q by %s on lives %v: %s", who, core, accept.Value, name(p.Ballot), accept.PromisedLives,
-			code(resp.Refusal, "accepted %v", resp.Accepted))
-		g.keep(core, records)
-		p, step = p.Accepted(resp)
-	}
-	if !step.Chosen {
-		g.say("%s has no majority", who)
+		records, resp := e.cores[core].Accept(accept)
+		e.printf("%s asks %s to accept %q by %s on lives %v: %s", from, core, accept.Value, ballotName(proposer.Ballot), accept.PromisedLives,
+			refusalOr(resp.Refusal, "accepted %v", resp.Accepted))
+		e.sync(core, records)
+		proposer, step = proposer.HandleAccept(resp)
+	}
+	if step.Action != ValueChosen {
+		e.printf("%s has no majority", from)
 		return
 	}
-	g.say("%s has %q chosen in slot %d", who, step.Value, slot)
+	e.printf("%s has %q chosen in slot %d", from, step.Value, slot)
 	for _, core := range voters {
-		if !slices.Contains(silent, core) {
-			records, _, _ := g.cores[core].Learn(&wire.LearnRequest{Formation: "f", Chosen: []*wire.Chosen{{Epoch: slot, Command: step.Value}}})
-			g.keep(core, records)
+		if !slices.Contains(unreachable, core) {
+			records, _, _ := e.cores[core].Learn(&wire.LearnRequest{Formation: "f", Chosen: []*wire.Chosen{{Epoch: slot, Command: step.Value}}})
+			e.sync(core, records)
 		}
 	}
 }
 
-func TestTranscript(t *testing.T) {
-	g := &stage{cores: map[string]State{"a": Blank("a"), "b": Blank("b"), "c": Blank("c")}}
-	g.say("# Three blank cores found a formation; all enter it")
+func TestExchangeMatchesTranscript(t *testing.T) {
+	e := &exchange{cores: map[string]State{"a": Blank("a"), "b": Blank("b"), "c": Blank("c")}}
+	e.printf("# Three blank cores found a formation; all enter it")
 	present := map[string]*wire.RecoverResponse{}
 	for _, other := range []string{"b", "c"} {
-		_, present[other] = g.cores[other].Recover(&wire.RecoverRequest{Core: "a", Probe: true})
+		_, present[other] = e.cores[other].Recover(&wire.RecoverRequest{Core: "a", Probe: true})
 	}
-	record, _ := g.cores["a"].Establish("f", 3, present, 0, nil)
-	g.keep("a", []Record{record})
+	record, _ := e.cores["a"].FoundFormation("f", 3, present, 0, nil)
+	e.sync("a", []Record{record})
 	for _, other := range []string{"b", "c"} {
-		records, _ := g.cores[other].Found(&wire.FoundRequest{Formation: "f", Voters: voters, Founder: "a"})
-		g.keep(other, records)
+		records, _ := e.cores[other].Found(&wire.FoundRequest{Formation: "f", Voters: voters, Founder: "a"})
+		e.sync(other, records)
 	}
 	for _, core := range []string{"a", "b", "a", "c", "a", "b"} {
-		if g.cores[core].Life() == 0 {
-			g.enter(core)
+		if e.cores[core].Incarnation() == 0 {
+			e.recover(core)
 		}
 	}
-	g.say("\n# c does not hear of the first epoch")
-	g.propose("a", "one", "c")
-	g.say("\n# a's value for the second reaches b alone; a's disk is wiped")
-	p, prepare := Propose(g.cores["a"], 2, 1, []byte("two"))
+	e.printf("\n# c does not hear of the first epoch")
+	e.propose("a", "one", "c")
+	e.printf("\n# a's value for the second reaches b alone; a's disk is wiped")
+	p, prepare := NewProposer(e.cores["a"], 2, 1, []byte("two"))
 	for _, core := range []string{"a", "b"} {
-		records, resp := g.cores[core].Prepare(prepare)
-		g.keep(core, records)
-		p, _ = p.Promise(resp)
-	}
-	records, _ := g.cores["b"].Accept(&wire.AcceptRequest{Formation: "f", Slot: 2, Ballot: p.Ballot.Wire(), Value: []byte("two")})
-	g.keep("b", records)
-	g.cores["a"] = Joined{Formation: "f", Voters: voters}.Fold(Blank("a"))
-	g.propose("c", "three", "b")
-	g.say("\n# a rebuilds from both others")
-	g.enter("a")
-	g.say("\n# and now it finishes what b accepted before it has its own way")
-	g.propose("a", "four", "c")
-	g.propose("a", "four", "c")
-	g.say("\n# the disks of b and c are lost at once: neither is rebuilt from the other")
+		records, resp := e.cores[core].Prepare(prepare)
+		e.sync(core, records)
+		p, _ = p.HandlePrepare(resp)
+	}
+	records, _ := e.cores["b"].Accept(&wire.AcceptRequest{Formation: "f", Slot: 2, Ballot: p.Ballot.ToWire(), Value: []byte("two")})
+	e.sync("b", records)
+	e.cores["a"] = FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("a"))
+	e.propose("c", "three", "b")
+	e.printf("\n# a rebuilds from both others")
+	e.recover("a")
+	e.printf("\n# and now it finishes what b accepted before it has its own way")
+	e.propose("a", "four", "c")
+	e.propose("a", "four", "c")
+	e.printf("\n# the disks of b and c are lost at once: neither is rebuilt from the other")
 	for _, core := range []string{"c", "b"} {
-		g.cores[core] = Joined{Formation: "f", Voters: voters}.Fold(Blank(core))
+		e.cores[core] = FormationJoined{Formation: "f", Voters: voters}.Apply(Blank(core))
 	}
-	g.enter("c")
-	g.enter("b")
-	g.enter("c")
-	g.propose("a", "five")
-	goldie.New(t).Assert(t, "exchange", []byte(g.text.String()))
+	e.recover("c")
+	e.recover("b")
+	e.recover("c")
+	e.propose("a", "five")
+	goldie.New(t).Assert(t, "exchange", []byte(e.text.String()))
 }
--- a/internal/node/replica/entry.go
+++ b/internal/node/replica/entry.go
@@ -25,12 +25,12 @@
 	others := state.Others()
 	probes := r.probe(ctx, others)
 	for _, resp := range probes {
-		if record, ok := state.Rejoin(resp); ok {
+		if record, ok := state.JoinProbed(resp); ok {
 			r.join(ctx, record, fmt.Sprintf("joins the formation %s", resp.Formation))
 			return
 		}
 	}
-	life, waiting := state.NextLife(probes, r.salt)
+	life, waiting := state.NextIncarnation(probes, r.salt)
 	event := events.FormationWaits
 	for _, resp := range probes {
 		if resp.Lives[r.cfg.Self] > 0 {
@@ -41,23 +41,23 @@
 		r.waits(ctx, event, fmt.Sprintf("the core enters its formation once enough others answer; it waits for %s", waiting))
 		return
 	}
-	if life != state.Announced && !r.join(ctx, paxos.Lived{Core: r.cfg.Self, Life: life}, "announces its disk life") {
+	if life != state.AnnouncedIncarnation && !r.join(ctx, paxos.IncarnationRecorded{Core: r.cfg.Self, Incarnation: life}, "announces its disk life") {
 		return
 	}
-	if life > 1 && life != state.Announced {
+	if life > 1 && life != state.AnnouncedIncarnation {
 		r.events.Emit(events.RecoveryBegun, "core", r.cfg.Self, "life", life)
 	}
 	req := &wire.RecoverRequest{Formation: state.Formation, Core: r.cfg.Self, Life: life}
-	sources, enough := state.Sources(life, probes)
+	sources, enough := state.RecoverySources(life, probes)
 	answers := gather(ctx, r, sources, r.cfg.EntryTimeout, enough, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
 		return call(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
 	})
 	entered, err := ask(ctx, r, func(o *owner, reply func(string, error)) {
-		if o.state.Formation != state.Formation || o.state.Life() != 0 {
+		if o.state.Formation != state.Formation || o.state.Incarnation() != 0 {
 			reply("", nil)
 			return
 		}
-		record, waiting := o.state.Enter(life, answers)
+		record, waiting := o.state.CompleteRecovery(life, answers)
 		if waiting != "" {
 			reply(waiting, nil)
 			return
--- a/internal/node/replica/formation.go
+++ b/internal/node/replica/formation.go
@@ -36,7 +36,7 @@
 	}
 	for core, resp := range r.probe(ctx, cores) {
 		present[core] = resp
-		if record, ok := state.Rejoin(resp); ok {
+		if record, ok := state.JoinProbed(resp); ok {
 			r.join(ctx, record, fmt.Sprintf("joins the formation %s", resp.Formation))
 			return
 		}
@@ -45,7 +45,7 @@
 			return
 		}
 	}
-	if _, ok := state.Establish("", r.cfg.Voters, present, 0, nil); !ok {
+	if _, ok := state.FoundFormation("", r.cfg.Voters, present, 0, nil); !ok {
 		r.waits(ctx, events.FormationWaits, fmt.Sprintf("a first formation of %d blank cores; %d others are known", r.cfg.Voters, len(cores)))
 		return
 	}
@@ -55,11 +55,11 @@
 		return
 	}
 	id := fmt.Sprintf("%s-%s", r.cfg.Self, r.formationID())
-	record, ok := state.Establish(id, r.cfg.Voters, present, version, snapshot)
+	record, ok := state.FoundFormation(id, r.cfg.Voters, present, version, snapshot)
 	if !ok || !r.join(ctx, record, "waits for the other cores to join") {
 		return
 	}
-	joined := record.(paxos.Joined)
+	joined := record.(paxos.FormationJoined)
 	r.events.Emit(events.FormationBegun, "formation", id, "voters", fmt.Sprint(joined.Voters), "epoch", version)
 	invite := &wire.FoundRequest{Formation: id, Voters: joined.Voters, Founder: r.cfg.Self}
 	gather(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.FoundResponse, error) {
@@ -118,7 +118,7 @@
 
 func (r *Replica) join(ctx context.Context, record paxos.Record, waiting string) bool {
 	joined, err := ask(ctx, r, func(o *owner, reply func(bool, error)) {
-		if o.state.Life() != 0 {
+		if o.state.Incarnation() != 0 {
 			reply(false, nil)
 			return
 		}
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -57,9 +57,9 @@
 	}
 	standing := strings.ToLower(strings.TrimPrefix(state.Standing().String(), "STANDING_"))
 	return Contents{
-		Core: state.Self, Formation: state.Formation, Voters: state.Voters, Standing: standing, DiskLife: state.Life(),
+		Core: state.Self, Formation: state.Formation, Voters: state.Voters, Standing: standing, DiskLife: state.Incarnation(),
 		Version: agreed.Version, SheetVersion: agreed.SheetVersion, Revision: agreed.Revision, Members: len(agreed.Roster),
-		Open: len(state.Votes), Snapshot: state.SnapshotSlot, Segments: replay.Segments, Records: len(replay.Records),
+		Open: len(state.OpenSlots), Snapshot: state.SnapshotSlot, Segments: replay.Segments, Records: len(replay.Records),
 		TornSegment: replay.CutSegment, TornBytes: replay.CutBytes, BadSnapshot: replay.BadSnapshot, Sheet: agreed.Sheet,
 	}, nil
 }
@@ -68,7 +68,7 @@
 func stateOf(replay Replay, name string) (paxos.State, error) {
 	state := paxos.Blank(name)
 	if replay.Snapshot != nil {
-		kept, err := paxos.Decode(replay.Snapshot)
+		kept, err := paxos.DecodeState(replay.Snapshot)
 		if err != nil {
 			return state, errors.Wrap(err, "the log's snapshot")
 		}
--- a/internal/node/replica/keep.go
+++ b/internal/node/replica/keep.go
@@ -42,12 +42,12 @@
 			r.enter(ctx, state)
 		default:
 			target, top, count, life := r.readAll(ctx, state)
-			if life > state.Life() && r.cfg.Replaced != nil {
-				r.replaced(fmt.Sprintf("another process has the name in disk life %d, later than %d here", life, state.Life()))
+			if life > state.Incarnation() && r.cfg.Replaced != nil {
+				r.replaced(fmt.Sprintf("another process has the name in disk life %d, later than %d here", life, state.Incarnation()))
 				return
 			}
-			r.reached.Store(count >= state.Majority())
-			if now := count >= state.Majority(); now != heard && (now || r.clock.Now().Sub(begun) >= startGrace) && ctx.Err() == nil {
+			r.reached.Store(count >= state.Quorum())
+			if now := count >= state.Quorum(); now != heard && (now || r.clock.Now().Sub(begun) >= startGrace) && ctx.Err() == nil {
 				heard = now
 				if heard {
 					r.events.Emit(events.MajorityRegained, "core", r.cfg.Self)
@@ -111,7 +111,7 @@
 // moment once a majority has answered.
 func (r *Replica) readAll(ctx context.Context, state paxos.State) (target uint64, top tip, heard int, life uint64) {
 	req := &wire.ReadRequest{Formation: state.Formation, Core: r.cfg.Self}
-	answers := gather(ctx, r, state.Voters, r.cfg.CallTimeout, state.Majority(), func(ctx context.Context, core string) (*wire.ReadResponse, error) {
+	answers := gather(ctx, r, state.Voters, r.cfg.CallTimeout, state.Quorum(), func(ctx context.Context, core string) (*wire.ReadResponse, error) {
 		return call(ctx, r, core, req, r.Read, wireconnect.PeerClient.Read)
 	})
 	for core, resp := range answers {
@@ -142,7 +142,7 @@
 			return err
 		}
 		learned, err := ask(ctx, r, func(o *owner, reply func(uint64, error)) {
-			records := o.state.Fetched(resp)
+			records := o.state.HandleFetch(resp)
 			err := o.commit(records, toLearn)
 			if err == nil && len(records) > 0 {
 				if resp.SnapshotEpoch > state.Learned() {
--- a/internal/node/replica/owner.go
+++ b/internal/node/replica/owner.go
@@ -207,7 +207,7 @@
 	o.lastAppend = o.r.clock.Now()
 	before := o.state
 	for i, record := range records {
-		o.state = record.Fold(o.state)
+		o.state = record.Apply(o.state)
 		o.records++
 		o.bytes += int64(len(encoded[i]))
 	}
@@ -223,10 +223,10 @@
 // follow brings the sheet's state to the ballot state's learned version.
 func (o *owner) follow(before paxos.State) error {
 	same := before.Learned() == o.state.Learned()
-	if same && before.Formation == o.state.Formation && before.Life() == o.state.Life() {
+	if same && before.Formation == o.state.Formation && before.Incarnation() == o.state.Incarnation() {
 		return nil
 	}
-	if !same && before.Formation == o.state.Formation && before.SnapshotSlot == o.state.SnapshotSlot && before.Life() == o.state.Life() {
+	if !same && before.Formation == o.state.Formation && before.SnapshotSlot == o.state.SnapshotSlot && before.Incarnation() == o.state.Incarnation() {
 		for _, chosen := range o.state.Chosen[o.sheet.Version-o.state.SnapshotSlot:] {
 			o.apply(chosen)
 		}
@@ -261,7 +261,7 @@
 }
 
 func (o *owner) view() view {
-	return view{state: o.sheet, recent: slices.Clip(o.recent), formation: o.state.Formation, voters: o.state.Voters, life: o.state.Life(), standing: o.state.Standing()}
+	return view{state: o.sheet, recent: slices.Clip(o.recent), formation: o.state.Formation, voters: o.state.Voters, life: o.state.Incarnation(), standing: o.state.Standing()}
 }
 
 // standing puts the present state of the disk into a view.
@@ -319,7 +319,7 @@
 // compact encodes the sheet's state off the owner, then has the whole state
 // written beside the log in the log's place.
 func (o *owner) compact() {
-	if o.compacting || o.records == 0 || o.state.Life() == 0 {
+	if o.compacting || o.records == 0 || o.state.Incarnation() == 0 {
 		return
 	}
 	o.compacting = true
--- a/internal/node/replica/propose.go
+++ b/internal/node/replica/propose.go
@@ -81,9 +81,9 @@
 		sent = true
 		begunAt := r.clock.Now()
 		timeout := r.cfg.CallTimeout << (2 * *silent)
-		ended, step, heard := r.ballot(ctx, state, slot, max(state.NextNumber(slot), seen+1), command, timeout)
+		ended, step, heard := r.ballot(ctx, state, slot, max(state.NextBallotNumber(slot), seen+1), command, timeout)
 		switch {
-		case step.Chosen:
+		case step.Action == paxos.ValueChosen:
 			if err := r.learn(ctx, alive, slot, step.Value); err != nil {
 				return outcome{err: err}
 			}
@@ -92,20 +92,20 @@
 				*silent = 0
 			}
 			continue
-		case step.Behind != "" || ended.Learned >= slot:
-			from := step.Behind
+		case step.LearnedBy != "" || ended.HighestLearned >= slot:
+			from := step.LearnedBy
 			if from == "" {
-				from = ended.Tip
+				from = ended.HighestLearnedBy
 			}
 			if r.catchUp(ctx, from) == nil {
 				losses, seen = 0, 0
 				continue
 			}
 		}
-		seen = max(seen, ended.Seen.Number)
+		seen = max(seen, ended.HighestBallot.Number)
 		code, detail = apierror.OutcomePending, "other cores' ballots came between"
 		wait := firstBackoff << min(losses, 6)
-		if heard < state.Majority() {
+		if heard < state.Quorum() {
 			code, detail = apierror.NoMajority, "no majority of the cores answers"
 			wait = max(wait, pauseUnheard)
 			if r.reached.Load() {
@@ -159,7 +159,7 @@
 // ballot holds one ballot. Heard counts the voters that answered its last phase. Voters are called at once and none is waited for
 // beyond a majority; late answers still reach the proposer while it runs.
 func (r *Replica) ballot(ctx context.Context, state paxos.State, slot, number uint64, own []byte, timeout time.Duration) (ended paxos.Proposer, step paxos.Step, heard int) {
-	p, prepare := paxos.Propose(state, slot, number, own)
+	p, prepare := paxos.NewProposer(state, slot, number, own)
 	answers := make(chan answer, 2*len(p.Voters))
 	for _, core := range p.Voters {
 		go func() {
@@ -181,12 +181,12 @@
 		switch {
 		case a.prepared != nil:
 			answered[a.core] = true
-			p, step = p.Promise(a.prepared)
+			p, step = p.HandlePrepare(a.prepared)
 		case a.accepted != nil:
 			answered[a.core] = true
-			p, step = p.Accepted(a.accepted)
+			p, step = p.HandleAccept(a.accepted)
 		case a.phase == p.Phase:
-			p, step = p.Failed(a.core)
+			p, step = p.HandleFailure(a.core)
 		}
 		if step.Accept != nil {
 			answered = map[string]bool{}
--- a/internal/node/replica/replica.go
+++ b/internal/node/replica/replica.go
@@ -228,7 +228,7 @@
 		return sheet.State{}, err
 	}
 	target, tip, heard, _ := r.readAll(ctx, state)
-	if heard < state.Majority() {
+	if heard < state.Quorum() {
 		return sheet.State{}, apierror.Errorf(apierror.NoMajority, "%d of %d cores answered", heard, len(state.Voters))
 	}
 	for {
--- a/internal/node/replica/votes.go
+++ b/internal/node/replica/votes.go
@@ -65,7 +65,7 @@
 func (r *Replica) Recover(ctx context.Context, req *wire.RecoverRequest) (*wire.RecoverResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.RecoverResponse, error)) {
 		records, resp := o.state.Recover(req)
-		if o.state.Life() != 0 && (req.Probe || !resp.Ok) {
+		if o.state.Incarnation() != 0 && (req.Probe || !resp.Ok) {
 			reply(resp, nil)
 			return
 		}
--- a/sim/paxos/random_protocol.go
+++ b/sim/paxos/random_protocol.go
@@ -42,17 +42,17 @@
 			if answers[name] == nil {
 				continue
 			}
-			if record, ok := c.state.Rejoin(answers[name]); ok {
+			if record, ok := c.state.JoinProbed(answers[name]); ok {
 				c.commit([]paxos.Record{record})
 				return
 			}
 		}
-		record, ok := c.state.Establish(fmt.Sprintf("%s-%d", c.state.Self, c.sim.now), len(c.sim.cores), answers, 0, nil)
+		record, ok := c.state.FoundFormation(fmt.Sprintf("%s-%d", c.state.Self, c.sim.now), len(c.sim.cores), answers, 0, nil)
 		if !ok {
 			return
 		}
 		c.commit([]paxos.Record{record})
-		joined := record.(paxos.Joined)
+		joined := record.(paxos.FormationJoined)
 		c.whenSynced(func() {
 			for _, other := range c.others() {
 				rpc(c, other, func(o *core) ([]paxos.Record, *wire.FoundResponse) {
@@ -79,17 +79,17 @@
 			if probes[name] == nil {
 				continue
 			}
-			if record, ok := c.state.Rejoin(probes[name]); ok {
+			if record, ok := c.state.JoinProbed(probes[name]); ok {
 				c.commit([]paxos.Record{record})
 				return
 			}
 		}
-		next, waiting := c.state.NextLife(probes, c.salt())
-		if waiting != "" || c.state.Life() != 0 {
+		next, waiting := c.state.NextIncarnation(probes, c.salt())
+		if waiting != "" || c.state.Incarnation() != 0 {
 			return
 		}
-		if next != c.state.Announced {
-			c.commit([]paxos.Record{paxos.Lived{Core: c.state.Self, Life: next}})
+		if next != c.state.AnnouncedIncarnation {
+			c.commit([]paxos.Record{paxos.IncarnationRecorded{Core: c.state.Self, Incarnation: next}})
 		}
 		c.whenSynced(func() { c.announce(next, probes) })
 	})
@@ -98,17 +98,17 @@
 // announce asks the voters that ballot names, by their answers to a probe, to
 // keep this core's life and to tell what they hold.
 func (c *core) announce(life uint64, probes map[string]*wire.RecoverResponse) {
-	sources, _ := c.state.Sources(life, probes)
-	formation, rebuildQuorum := c.state.Formation, c.state.RebuildQuorum()
+	sources, _ := c.state.RecoverySources(life, probes)
+	formation, rebuildQuorum := c.state.Formation, c.state.RecoveryQuorum()
 	c.round++
 	round := c.round
 	answers := map[string]*wire.RecoverResponse{}
 	take := once(func(name string, answer *wire.RecoverResponse) {
 		answers[name] = answer
-		if len(answers) < rebuildQuorum || c.round != round || c.state.Life() != 0 || c.state.Formation != formation {
+		if len(answers) < rebuildQuorum || c.round != round || c.state.Incarnation() != 0 || c.state.Formation != formation {
 			return
 		}
-		if record, waiting := c.state.Enter(life, answers); waiting == "" {
+		if record, waiting := c.state.CompleteRecovery(life, answers); waiting == "" {
 			c.commit([]paxos.Record{record})
 		}
 	})
@@ -151,7 +151,7 @@
 	rpc(c, other, func(o *core) ([]paxos.Record, *wire.ReadResponse) {
 		return nil, o.state.Read(&wire.ReadRequest{Formation: c.state.Formation, Core: c.state.Self})
 	}, func(resp *wire.ReadResponse) {
-		if resp.Life <= c.state.Life() || c.state.Life() == 0 {
+		if resp.Life <= c.state.Incarnation() || c.state.Incarnation() == 0 {
 			return
 		}
 		c.up = false
@@ -160,7 +160,7 @@
 			return
 		}
 		for _, other := range c.others() {
-			c.sim.outcome.Lost = c.sim.outcome.Lost || other.durable().Life() == 0
+			c.sim.outcome.Lost = c.sim.outcome.Lost || other.durable().Incarnation() == 0
 		}
 		c.base, c.log, c.synced = paxos.Blank(c.state.Self), nil, 0
 		c.sim.after(c.sim.between(1, 600), func() { c.sim.boot(c) })
@@ -177,7 +177,7 @@
 		return nil, resp
 	}, func(resp *wire.FetchResponse) {
 		if resp != nil {
-			c.commit(c.state.Fetched(resp))
+			c.commit(c.state.HandleFetch(resp))
 		}
 	})
 }
@@ -189,10 +189,10 @@
 	c.proposing = c.proposals
 	run := c.proposing
 	own := fmt.Appendf(nil, "%s/%d/%d", c.state.Self, c.life, run)
-	p, prepare := paxos.Propose(c.state, slot, max(c.state.NextNumber(slot), c.seen+1), own)
+	p, prepare := paxos.NewProposer(c.state, slot, max(c.state.NextBallotNumber(slot), c.seen+1), own)
 	life := c.life
 	end := func() {
-		c.seen = p.Seen.Number
+		c.seen = p.HighestBallot.Number
 		if c.proposing == run {
 			s.after(s.between(1, 120), func() {
 				if c.proposing == run && c.life == life {
@@ -212,7 +212,7 @@
 		if c.proposing != run {
 			return
 		}
-		p, step = p.Accepted(answer)
+		p, step = p.HandleAccept(answer)
 		proceed()
 	})
 	proceed = func() {
@@ -222,7 +222,7 @@
 			for _, to := range c.voters() {
 				rpc(c, to, func(o *core) ([]paxos.Record, *wire.AcceptResponse) { return o.state.Accept(accept) }, takeAccepted(to.state.Self))
 			}
-		case step.Chosen:
+		case step.Action == paxos.ValueChosen:
 			s.decide(c.state.Self, slot, step.Value)
 			c.seen = 0
 			c.proposing = 0
@@ -233,14 +233,14 @@
 					return records, resp
 				}, func(*wire.LearnResponse) {})
 			}
-		case step.Behind != "":
+		case step.LearnedBy != "":
 			for _, o := range c.voters() {
-				if o.state.Self == step.Behind {
+				if o.state.Self == step.LearnedBy {
 					c.fetch(o)
 				}
 			}
 			end()
-		case step.Lost:
+		case step.Action == paxos.BallotLost:
 			end()
 		}
 	}
@@ -248,7 +248,7 @@
 		if c.proposing != run {
 			return
 		}
-		p, step = p.Promise(answer)
+		p, step = p.HandlePrepare(answer)
 		proceed()
 	})
 	for _, to := range c.voters() {
