--- a/internal/decision/paxos/record_test.go
+++ b/internal/decision/paxos/record_test.go
@@ -1,9 +1,11 @@
 package paxos
 
 import (
+	"errors"
 	"reflect"
 	"testing"
 
+	. "github.com/smartystreets/goconvey/convey"
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
@@ -47,3 +49,25 @@
 		}
 	})
 }
+
+func TestDecodeErrorsAreTyped(t *testing.T) {
+	Convey("Records that can't be decoded are told apart by their errors", t, func() {
+		_, err := DecodeRecord(nil)
+		So(errors.Is(err, ErrEmptyRecord), ShouldBeTrue)
+
+		var unknown *UnknownKindError
+		_, err = Replay(Blank("a"), [][]byte{{99}})
+		So(errors.As(err, &unknown), ShouldBeTrue)
+		So(unknown.Kind, ShouldEqual, 99)
+
+		var count *LearnedCountError
+		_, err = DecodeRecord([]byte{kindLearned})
+		So(errors.As(err, &count), ShouldBeTrue)
+		So(count.Count, ShouldEqual, 0)
+
+		var gap *SlotGapError
+		_, err = DecodeState(State{Chosen: []*wire.Chosen{{Epoch: 1}, {Epoch: 3}}}.Encode())
+		So(errors.As(err, &gap), ShouldBeTrue)
+		So(*gap, ShouldResemble, SlotGapError{Slot: 3, Expected: 2})
+	})
+}
