--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -31,8 +31,8 @@
 	Snapshot    []byte // nil when there is none
 	Records     [][]byte
 	Segments    int
-	CutSegment  string // segment whose torn tail was cut, if any
-	CutBytes    int64
+	TornSegment  string // segment whose torn tail was cut, if any
+	TornBytes    int64
 	BadSnapshot string // a newer snapshot that fails its checksum and was passed over
 }
 
@@ -141,10 +141,10 @@
 	return l.place, nil
 }
 
-// Snapshot writes data aside as the state after all records appended so far,
+// WriteSnapshot writes data aside as the state after all records appended so far,
 // and puts it in their place once it is safe. Done delivers the outcome once;
 // a lack of room is apierror.DiskFull and leaves the log as it was.
-func (l *Log) Snapshot(data []byte) (done <-chan error) {
+func (l *Log) WriteSnapshot(data []byte) (done <-chan error) {
 	outcome := make(chan error, 1)
 	if err := l.Err(); err != nil {
 		outcome <- err
@@ -158,16 +158,16 @@
 	return outcome
 }
 
-// Place is the place of the last record appended.
-func (l *Log) Place() uint64 { return l.place }
+// LastIndex is the place of the last record appended.
+func (l *Log) LastIndex() uint64 { return l.place }
 
 // Synced delivers the highest place up to which all records are synced, each
 // time it rises; a value not yet taken is replaced by the next.
 func (l *Log) Synced() <-chan uint64 { return l.synced }
 
-// Dead is closed when a write or sync has failed. What was appended since the
+// Failed is closed when a write or sync has failed. What was appended since the
 // last synced place may or may not be on disk: open the folder again.
-func (l *Log) Dead() <-chan struct{} { return l.dead }
+func (l *Log) Failed() <-chan struct{} { return l.dead }
 
 // Err returns why the log is dead or closed, or nil.
 func (l *Log) Err() error {
--- a/internal/adapter/disklog/log_test.go
+++ b/internal/adapter/disklog/log_test.go
@@ -50,7 +50,7 @@
 			if synced >= place {
 				return
 			}
-		case <-l.Dead():
+		case <-l.Failed():
 			t.Fatal(l.Err())
 		}
 	}
@@ -117,21 +117,21 @@
 		So(len(files(cfg.Folder, segmentSuffix)), ShouldBeGreaterThan, 3)
 		l, replay = open(t, cfg)
 		So(holds(replay, 0, 60), ShouldBeEmpty)
-		So(l.Place(), ShouldEqual, 60)
-		So(<-l.Snapshot([]byte("sixty")), ShouldBeNil)
+		So(l.LastIndex(), ShouldEqual, 60)
+		So(<-l.WriteSnapshot([]byte("sixty")), ShouldBeNil)
 		put(t, l, 60, 70)
 		shutdown(l)
 		l, replay = open(t, cfg)
 		So(string(replay.Snapshot), ShouldEqual, "sixty")
 		So(holds(replay, 60, 70), ShouldBeEmpty)
-		So(<-l.Snapshot([]byte("seventy")), ShouldBeNil)
+		So(<-l.WriteSnapshot([]byte("seventy")), ShouldBeNil)
 		shutdown(l)
 		So(len(files(cfg.Folder, segmentSuffix)), ShouldEqual, 0)
 		So(len(files(cfg.Folder, snapshotSuffix)), ShouldEqual, 1)
 		l, replay = open(t, cfg)
 		So(string(replay.Snapshot), ShouldEqual, "seventy")
 		So(replay.Records, ShouldBeEmpty)
-		So(l.Place(), ShouldEqual, 70)
+		So(l.LastIndex(), ShouldEqual, 70)
 		So(l.Used(), ShouldEqual, snapshotHead+len("seventy"))
 		shutdown(l)
 	})
@@ -239,7 +239,7 @@
 		_, _, err := Open(Config{Folder: middle})
 		So(apierror.From(err).Code, ShouldEqual, apierror.BadRecord)
 		l, _ = open(t, cfg)
-		So(<-l.Snapshot([]byte("forty")), ShouldBeNil)
+		So(<-l.WriteSnapshot([]byte("forty")), ShouldBeNil)
 		put(t, l, 40, 45)
 		shutdown(l)
 		So(os.Remove(files(cfg.Folder, snapshotSuffix)[0]), ShouldBeNil)
@@ -267,11 +267,11 @@
 		place, err := l.Append([][]byte{record(kept)}, true)
 		So(err, ShouldBeNil)
 		await(t, l, place)
-		So(apierror.From(<-l.Snapshot(make([]byte, 1100))).Code, ShouldEqual, apierror.DiskFull)
+		So(apierror.From(<-l.WriteSnapshot(make([]byte, 1100))).Code, ShouldEqual, apierror.DiskFull)
 		shutdown(l)
 		l, replay := open(t, cfg)
 		So(holds(replay, 0, kept+1), ShouldBeEmpty)
-		So(<-l.Snapshot([]byte("small")), ShouldBeNil)
+		So(<-l.WriteSnapshot([]byte("small")), ShouldBeNil)
 		So(l.Full(), ShouldBeFalse)
 		put(t, l, 0, 10)
 		shutdown(l)
@@ -288,18 +288,18 @@
 			select {
 			case <-l.Synced():
 				kept++
-			case <-l.Dead():
+			case <-l.Failed():
 			}
 		}
 		So(apierror.From(l.Err()).Code, ShouldEqual, apierror.DiskFull)
 		shutdown(l)
 		l, replay := open(t, cfg)
 		So(holds(replay, 0, kept), ShouldBeEmpty)
-		So(replay.CutBytes, ShouldEqual, 0)
+		So(replay.TornBytes, ShouldEqual, 0)
 		So(l.Full(), ShouldBeTrue)
 		_, err := l.Append([][]byte{record(0)}, false)
 		So(apierror.From(err).Code, ShouldEqual, apierror.DiskFull)
-		So(<-l.Snapshot([]byte("with the reserve")), ShouldBeNil)
+		So(<-l.WriteSnapshot([]byte("with the reserve")), ShouldBeNil)
 		shutdown(l)
 		disk.left = 1 << 20
 		l, replay = open(t, cfg)
@@ -314,7 +314,7 @@
 		disk.failSync.Store(true)
 		_, err := l.Append([][]byte{record(3)}, false)
 		So(err, ShouldBeNil)
-		<-l.Dead()
+		<-l.Failed()
 		disk.failSync.Store(false)
 		_, err = l.Append([][]byte{record(4)}, false)
 		So(err, ShouldNotBeNil)
@@ -435,7 +435,7 @@
 		cfg := Config{Folder: t.TempDir(), SegmentBytes: 200, Disk: unsynced{System()}}
 		l, _ := open(t, cfg)
 		put(t, l, 0, 20)
-		if err := <-l.Snapshot([]byte("20")); err != nil {
+		if err := <-l.WriteSnapshot([]byte("20")); err != nil {
 			t.Fatal(err)
 		}
 		put(t, l, 20, 40)
@@ -444,7 +444,7 @@
 		cfg.Disk = disk
 		l, _ = open(t, cfg)
 		disk.before = step
-		if err := <-l.Snapshot([]byte("40")); err != nil {
+		if err := <-l.WriteSnapshot([]byte("40")); err != nil {
 			t.Fatal(err)
 		}
 		shutdown(l)
@@ -495,7 +495,7 @@
 		defer shutdown(l)
 		put(t, l, 0, 1)
 		for next := range 2000 {
-			So(<-l.Snapshot(fmt.Appendf(nil, "%d", next)), ShouldBeNil)
+			So(<-l.WriteSnapshot(fmt.Appendf(nil, "%d", next)), ShouldBeNil)
 		}
 	})
 }
@@ -516,7 +516,7 @@
 				put(t, l, next, next+count)
 				next += count
 			case "snapshot":
-				if err := <-l.Snapshot(fmt.Appendf(nil, "%d", next)); err != nil {
+				if err := <-l.WriteSnapshot(fmt.Appendf(nil, "%d", next)); err != nil {
 					r.Fatal(err)
 				}
 				base = next
@@ -551,7 +551,7 @@
 			data := make([]byte, 200)
 			synced := uint64(0)
 			for n := 0; n < b.N; {
-				for l.Place()-synced < uint64(writers) && n < b.N {
+				for l.LastIndex()-synced < uint64(writers) && n < b.N {
 					if _, err := l.Append([][]byte{data}, false); err != nil {
 						b.Fatal(err)
 					}
@@ -566,7 +566,7 @@
 }
 
 func awaitAll(l *Log, synced uint64) {
-	for synced < l.Place() {
+	for synced < l.LastIndex() {
 		synced = <-l.Synced()
 	}
 }
--- a/internal/adapter/disklog/recover.go
+++ b/internal/adapter/disklog/recover.go
@@ -125,7 +125,7 @@
 			}
 		}
 		if last && whole < len(data) {
-			replay.CutSegment, replay.CutBytes = segmentName(first), int64(len(data)-whole)
+			replay.TornSegment, replay.TornBytes = segmentName(first), int64(len(data)-whole)
 		}
 	}
 	replay.Segments = len(segments)
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -138,7 +138,7 @@
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "log: snapshot %s, %d segments, %d records, torn %q %d bytes, bad snapshot %q\n", digest(replay.Snapshot),
-		replay.Segments, len(replay.Records), replay.CutSegment, replay.CutBytes, replay.BadSnapshot)
+		replay.Segments, len(replay.Records), replay.TornSegment, replay.TornBytes, replay.BadSnapshot)
 	for i, record := range replay.Records {
 		fmt.Fprintf(&out, "record %d: kind %d, %s\n", i, record[0], digest(record))
 	}
@@ -216,7 +216,7 @@
 		for synced := uint64(0); synced < place; {
 			select {
 			case synced = <-log.Synced():
-			case <-log.Dead():
+			case <-log.Failed():
 				t.Fatal(log.Err())
 			}
 		}
@@ -226,7 +226,7 @@
 			t.Fatal(err)
 		}
 	}
-	return replay.Snapshot, replay.Records, replay.CutBytes, add, end
+	return replay.Snapshot, replay.Records, replay.TornBytes, add, end
 }
 
 // writeSnapshot appends records to a new log in a folder and takes a snapshot.
@@ -241,7 +241,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := <-log.Snapshot(snapshot); err != nil {
+	if err := <-log.WriteSnapshot(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	if err := log.Close(); err != nil {
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -112,7 +112,7 @@
 	}
 	p.replica = replica.New(replica.Config{
 		Self: p.base.Name, Voters: p.values.Int("core.voters"), FirstSheet: first,
-		SnapshotRecords: p.values.Int("snapshot.records"), Replaced: replaced,
+		SnapshotRecords: p.values.Int("snapshot.records"), OnReplaced: replaced,
 	}, replica.OnDisk(disk), p.directory, p.clock, p.log)
 	p.core = control.New(control.Config{
 		Self: p.base.Name, Incarnation: p.base.Incarnation, LeaseTTL: p.values.Duration("lease.ttl"),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -142,7 +142,7 @@
 	}
 	if p.replica != nil {
 		own.Standing, own.Formation, own.Voters = p.replica.Standing(), p.replica.Formation(), p.replica.Voters()
-		own.DiskLife = p.replica.Life()
+		own.DiskLife = p.replica.Incarnation()
 	}
 	if p.front != nil {
 		apiErr := p.ready()
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -11,90 +11,97 @@
 	"stepwick/internal/decision/sheet"
 )
 
-// Contents are what the data folder of a core holds. Sizes are in bytes.
+// Contents is what the data folder of a core holds. Sizes are in bytes.
 type Contents struct {
-	Core         string   `json:"core"`
-	Formation    string   `json:"formation"`
-	Voters       []string `json:"voters"`
-	Standing     string   `json:"standing"`
-	DiskLife     uint64   `json:"disk_life"`
-	Version      uint64   `json:"version"`       // the newest that is known to be agreed
-	SheetVersion uint64   `json:"sheet_version"` // at which the sheet changed last
-	Revision     uint64   `json:"revision"`      // the operators' own number of the sheet
-	Members      int      `json:"members"`
-	Open         int      `json:"open_slots"` // in which this core has voted and no outcome is known
-	Snapshot     uint64   `json:"snapshot_version"`
-	Segments     int      `json:"segments"`
-	Records      int      `json:"records"`
-	TornSegment  string   `json:"torn_segment,omitempty"` // whose end was not written whole; a start cuts it
-	TornBytes    int64    `json:"torn_bytes,omitempty"`
-	BadSnapshot  string   `json:"bad_snapshot,omitempty"` // a newer snapshot that fails its checksum; a start passes over it
+	Core            string   `json:"core"`
+	Formation       string   `json:"formation"`
+	Voters          []string `json:"voters"`
+	Standing        string   `json:"standing"`
+	DiskIncarnation uint64   `json:"disk_life"`
+	Version         uint64   `json:"version"`       // the newest that is known to be chosen
+	SheetVersion    uint64   `json:"sheet_version"` // at which the sheet was changed last
+	Revision        uint64   `json:"revision"`      // the operators' own number of the sheet
+	Members         int      `json:"members"`
+	OpenSlots       int      `json:"open_slots"` // in which this core has voted and no outcome is known
+	Snapshot        uint64   `json:"snapshot_version"`
+	Segments        int      `json:"segments"`
+	Records         int      `json:"records"`
+	TornSegment     string   `json:"torn_segment,omitempty"` // whose end was not written completely; a start truncates it
+	TornBytes       int64    `json:"torn_bytes,omitempty"`
+	BadSnapshot     string   `json:"bad_snapshot,omitempty"` // a newer snapshot that fails its checksum; a start skips it
 
 	// Sheet is the configuration at Version, or nil.
 	Sheet *sheet.Sheet `json:"-"`
 }
 
 // Inspect reads a core's data folder and changes nothing in it; the core must
-// not be running on it. Name is the core's, needed where the folder holds no
-// snapshot; one that differs from the snapshot's is a apierror.WrongFormation
-// fault. What does not read back is an error: an apierror.BadRecord error for a
-// record that fails its checksum.
+// not be running on it. Name is the core's, required where the folder has no
+// snapshot. It returns an error of the code WrongFormation when the snapshot is
+// another core's, BadRecord for a record or snapshot that fails its checksum,
+// and BadField when the name is required.
 func Inspect(folder, name string) (Contents, error) {
 	replay, err := disklog.Inspect(folder)
 	if err != nil {
 		return Contents{}, err
 	}
-	state, err := stateOf(replay, name)
+	state, err := decodeReplay(replay, name)
 	if err != nil {
 		return Contents{}, err
 	}
 	if state.Self == "" && state.Formation != "" {
 		return Contents{}, apierror.Errorf(apierror.BadField, "%s holds no snapshot, which would tell whose it is: the core's name is needed", folder)
 	}
-	agreed, err := agreedOf(state)
+	configuration, err := configurationOf(state)
 	if err != nil {
 		return Contents{}, err
 	}
-	standing := strings.ToLower(strings.TrimPrefix(state.Standing().String(), "STANDING_"))
 	return Contents{
-		Core: state.Self, Formation: state.Formation, Voters: state.Voters, Standing: standing, DiskLife: state.Incarnation(),
-		Version: agreed.Version, SheetVersion: agreed.SheetVersion, Revision: agreed.Revision, Members: len(agreed.Roster),
-		Open: len(state.OpenSlots), Snapshot: state.SnapshotSlot, Segments: replay.Segments, Records: len(replay.Records),
-		TornSegment: replay.CutSegment, TornBytes: replay.CutBytes, BadSnapshot: replay.BadSnapshot, Sheet: agreed.Sheet,
+		Core:            state.Self,
+		Formation:       state.Formation,
+		Voters:          state.Voters,
+		Standing:        strings.ToLower(strings.TrimPrefix(state.Standing().String(), "STANDING_")),
+		DiskIncarnation: state.Incarnation(),
+		Version:         configuration.Version,
+		SheetVersion:    configuration.SheetVersion,
+		Revision:        configuration.Revision,
+		Members:         len(configuration.Roster),
+		OpenSlots:       len(state.OpenSlots),
+		Snapshot:        state.SnapshotSlot,
+		Segments:        replay.Segments,
+		Records:         len(replay.Records),
+		TornSegment:     replay.TornSegment,
+		TornBytes:       replay.TornBytes,
+		BadSnapshot:     replay.BadSnapshot,
+		Sheet:           configuration.Sheet,
 	}, nil
 }
 
-// stateOf folds what a log held into the state of the agreement.
-func stateOf(replay Replay, name string) (paxos.State, error) {
+// decodeReplay returns the state of the agreement that a log holds. It returns
+// an error of the code WrongFormation when the snapshot is another core's; an
+// empty name accepts any.
+func decodeReplay(replay Replay, name string) (paxos.State, error) {
 	state := paxos.Blank(name)
 	if replay.Snapshot != nil {
-		kept, err := paxos.DecodeState(replay.Snapshot)
+		decoded, err := paxos.DecodeState(replay.Snapshot)
 		if err != nil {
 			return state, errors.Wrap(err, "the log's snapshot")
 		}
-		if name != "" && kept.Self != name {
-			return state, apierror.Errorf(apierror.WrongFormation, "the data folder is core %s's", kept.Self)
+		if name != "" && decoded.Self != name {
+			return state, apierror.Errorf(apierror.WrongFormation, "the data folder is core %s's", decoded.Self)
 		}
-		state = kept
+		state = decoded
 	}
 	return paxos.Replay(state, replay.Records)
 }
 
-// agreedOf works the sheet's state out from the snapshot and what follows it.
-func agreedOf(state paxos.State) (sheet.State, error) {
-	var agreed sheet.State
-	if state.SnapshotSlot > 0 {
-		kept, err := sheet.DecodeState(state.Snapshot)
-		if err != nil {
-			return agreed, errors.Wrapf(err, "the snapshot of epoch %d", state.SnapshotSlot)
-		}
-		if kept.Version != state.SnapshotSlot {
-			return agreed, errors.Errorf("a snapshot of epoch %d under %d", kept.Version, state.SnapshotSlot)
-		}
-		agreed = kept
+// configurationOf applies the learned commands to the snapshot.
+func configurationOf(state paxos.State) (sheet.State, error) {
+	configuration, err := snapshotSheet(state)
+	if err != nil {
+		return sheet.State{}, err
 	}
 	for _, chosen := range state.Chosen {
-		agreed, _ = agreed.Step(chosen.Epoch, chosen.Command)
+		configuration, _ = configuration.Step(chosen.Epoch, chosen.Command)
 	}
-	return agreed, nil
+	return configuration, nil
 }
--- /dev/null
+++ b/internal/node/replica/recovery.go
@@ -0,0 +1,134 @@
+package replica
+
+import (
+	"context"
+	"fmt"
+
+	"stepwick/internal/apierror"
+	"stepwick/internal/decision/paxos"
+	"stepwick/internal/events"
+	"stepwick/internal/wire"
+	"stepwick/internal/wire/wireconnect"
+)
+
+// firstIncarnation is announced by a core that has never voted; any later one
+// means that its disk was lost.
+const firstIncarnation = 1
+
+// probeCores asks cores for their formation and the incarnations they know.
+func (r *Replica) probeCores(ctx context.Context, cores []string) map[string]*wire.RecoverResponse {
+	req := &wire.RecoverRequest{Core: r.cfg.Self, Probe: true}
+	return callAll(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
+		return callVoter(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
+	})
+}
+
+// recoverState recovers the core from the other voters, or from those that can
+// be reached where they suffice: it finds its next disk incarnation, announces
+// it, and merges what each of them syncs and answers.
+func (r *Replica) recoverState(ctx context.Context, state paxos.State) {
+	probes := r.probeCores(ctx, state.Others())
+	for _, resp := range probes {
+		if record, ok := state.JoinProbed(resp); ok {
+			r.commitUnlessVoting(ctx, record, fmt.Sprintf("joins the formation %s", resp.Formation))
+			return
+		}
+	}
+	waitEvent := r.recoveryWaitEvent(probes)
+	incarnation, missing := state.NextIncarnation(probes, r.incarnationSalt)
+	if missing != "" {
+		r.reportMissing(ctx, waitEvent, missing)
+		return
+	}
+	if !r.recordIncarnation(ctx, state, incarnation) {
+		return
+	}
+	answers := r.announceIncarnation(ctx, state, incarnation, probes)
+	missing, err := r.completeRecovery(ctx, state, incarnation, answers)
+	if err != nil {
+		if apierror.From(err).Code == apierror.DiskFull {
+			r.reportWaiting(ctx, events.DiskFull, "the rebuilt state does not fit on the disk")
+		}
+		return
+	}
+	if missing != "" {
+		r.reportMissing(ctx, waitEvent, missing)
+		return
+	}
+	if incarnation > firstIncarnation {
+		r.events.Emit(events.RecoveryComplete, "core", r.cfg.Self, "life", incarnation)
+	} else {
+		r.events.Emit(events.FormationComplete, "core", r.cfg.Self, "formation", state.Formation)
+	}
+}
+
+// recoveryWaitEvent is the event under which a wait is logged: of a recovery
+// when another core knows an earlier incarnation of this one, and otherwise of a
+// first formation.
+func (r *Replica) recoveryWaitEvent(probes map[string]*wire.RecoverResponse) events.Event {
+	for _, resp := range probes {
+		if resp.Lives[r.cfg.Self] > 0 {
+			return events.RecoveryWaits
+		}
+	}
+	return events.FormationWaits
+}
+
+func (r *Replica) reportMissing(ctx context.Context, event events.Event, missing string) {
+	r.reportWaiting(ctx, event, fmt.Sprintf("the core enters its formation once enough others answer; it waits for %s", missing))
+}
+
+// recordIncarnation syncs the incarnation that is to be announced, and reports
+// whether it did.
+func (r *Replica) recordIncarnation(ctx context.Context, state paxos.State, incarnation uint64) bool {
+	if incarnation == state.AnnouncedIncarnation {
+		return true
+	}
+	record := paxos.IncarnationRecorded{Core: r.cfg.Self, Incarnation: incarnation}
+	if !r.commitUnlessVoting(ctx, record, "announces its disk life") {
+		return false
+	}
+	if incarnation > firstIncarnation {
+		r.events.Emit(events.RecoveryBegun, "core", r.cfg.Self, "life", incarnation)
+	}
+	return true
+}
+
+func (r *Replica) announceIncarnation(ctx context.Context, state paxos.State, incarnation uint64, probes map[string]*wire.RecoverResponse) map[string]*wire.RecoverResponse {
+	req := &wire.RecoverRequest{Formation: state.Formation, Core: r.cfg.Self, Life: incarnation}
+	sources, enough := state.RecoverySources(incarnation, probes)
+	return callAll(ctx, r, sources, r.cfg.RecoveryTimeout, enough, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
+		return callVoter(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
+	})
+}
+
+// completeRecovery commits the merged answers, or returns the first voter that
+// is waited for.
+func (r *Replica) completeRecovery(ctx context.Context, state paxos.State, incarnation uint64, answers map[string]*wire.RecoverResponse) (missing string, err error) {
+	return callOwner(ctx, r, func(o *owner, reply func(string, error)) {
+		if o.state.Formation != state.Formation || o.state.Incarnation() != 0 {
+			reply("", nil)
+			return
+		}
+		record, missing := o.state.CompleteRecovery(incarnation, answers)
+		if missing != "" {
+			reply(missing, nil)
+			return
+		}
+		commitAndReply(o, []paxos.Record{record}, forVote, "", nil, reply)
+	})
+}
+
+// commitUnlessVoting commits a record of a core that doesn't vote yet, and
+// reports whether it did. Waiting is what the core waits for from then on.
+func (r *Replica) commitUnlessVoting(ctx context.Context, record paxos.Record, waiting string) bool {
+	committed, err := callOwner(ctx, r, func(o *owner, reply func(bool, error)) {
+		if o.state.Incarnation() != 0 {
+			reply(false, nil)
+			return
+		}
+		o.waiting.reason = waiting
+		commitAndReply(o, []paxos.Record{record}, forVote, true, nil, reply)
+	})
+	return err == nil && committed
+}
--- /dev/null
+++ b/internal/node/replica/rpc.go
@@ -0,0 +1,112 @@
+package replica
+
+import (
+	"context"
+
+	"stepwick/internal/apierror"
+	"stepwick/internal/decision/paxos"
+	"stepwick/internal/events"
+	"stepwick/internal/wire"
+)
+
+// Found answers an invitation into a first formation.
+func (r *Replica) Found(ctx context.Context, req *wire.FoundRequest) (*wire.FoundResponse, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(*wire.FoundResponse, error)) {
+		records, resp := o.state.Found(req)
+		if len(records) > 0 {
+			o.waiting.reason = "joins the formation " + req.Formation
+		}
+		commitAndReply(o, records, forVote, resp, nil, reply)
+	})
+}
+
+// Prepare answers phase 1a of a ballot.
+func (r *Replica) Prepare(ctx context.Context, req *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(*wire.PrepareResponse, error)) {
+		records, resp := o.state.Prepare(req)
+		refusal := func(code apierror.Code) *wire.PrepareResponse {
+			return &wire.PrepareResponse{Core: resp.Core, Learned: resp.Learned, Lives: resp.Lives, Refusal: uint32(code)}
+		}
+		o.reportWrongFormation(req.From, resp.Refusal)
+		replyVote(o, records, resp.Promised, resp, refusal, reply)
+	})
+}
+
+// Accept answers phase 2a of a ballot.
+func (r *Replica) Accept(ctx context.Context, req *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(*wire.AcceptResponse, error)) {
+		records, resp := o.state.Accept(req)
+		refusal := func(code apierror.Code) *wire.AcceptResponse {
+			return &wire.AcceptResponse{Core: resp.Core, Learned: resp.Learned, Lives: resp.Lives, Refusal: uint32(code)}
+		}
+		o.reportWrongFormation(req.From, resp.Refusal)
+		replyVote(o, records, resp.Accepted, resp, refusal, reply)
+	})
+}
+
+// replyVote replies at once when there is no vote to be kept. A vote leaves only
+// when it is synced, or is refused when there is no room for it.
+func replyVote[T any](o *owner, records []paxos.Record, voted bool, resp T, refusal func(apierror.Code) T, reply func(T, error)) {
+	if !voted {
+		reply(resp, nil)
+		return
+	}
+	commitAndReply(o, records, forVote, resp, refusal, reply)
+}
+
+// Learn takes in chosen values.
+func (r *Replica) Learn(ctx context.Context, req *wire.LearnRequest) (*wire.LearnResponse, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(*wire.LearnResponse, error)) {
+		records, resp, behind := o.state.Learn(req)
+		if behind {
+			r.requestFetch(req.From)
+		}
+		learned := o.state.Learned()
+		refusal := func(apierror.Code) *wire.LearnResponse { return &wire.LearnResponse{Learned: learned} }
+		commitAndReply(o, records, forLearning, resp, refusal, reply)
+	})
+}
+
+// Recover answers a core that recovers from an empty disk.
+func (r *Replica) Recover(ctx context.Context, req *wire.RecoverRequest) (*wire.RecoverResponse, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(*wire.RecoverResponse, error)) {
+		records, resp := o.state.Recover(req)
+		if o.state.Incarnation() != 0 && (req.Probe || !resp.Ok) {
+			reply(resp, nil)
+			return
+		}
+		if len(records) > 0 {
+			r.events.Emit(events.LifeRaised, "core", req.Core, "life", req.Life)
+		}
+		refusal := func(code apierror.Code) *wire.RecoverResponse {
+			return &wire.RecoverResponse{Core: resp.Core, Formation: resp.Formation, Voters: resp.Voters, Refusal: uint32(code)}
+		}
+		commitAndReply(o, records, forIncarnation, resp, refusal, reply)
+	})
+}
+
+// Read returns the highest slots that the core has learned and accepted.
+func (r *Replica) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadResponse, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(*wire.ReadResponse, error)) {
+		reply(o.state.Read(req), nil)
+	})
+}
+
+// Fetch returns the chosen values after a slot, and a snapshot before them when
+// some of them are compacted.
+func (r *Replica) Fetch(ctx context.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(*wire.FetchResponse, error)) {
+		resp, apiErr := o.state.Fetch(req)
+		if apiErr != nil {
+			reply(nil, apiErr)
+			return
+		}
+		reply(resp, nil)
+	})
+}
+
+func (o *owner) reportWrongFormation(from string, refusal uint32) {
+	if apierror.Code(refusal) == apierror.WrongFormation {
+		o.replica.events.Emit(events.WrongFormation, "core", o.replica.cfg.Self, "from", from, "formation", o.state.Formation)
+	}
+}
