--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -35,6 +35,7 @@
 	Place
 	Core     bool
 	Settings map[string]string // over those that the fleet gives
+	Binary   string            // path of the node's program; empty for the fleet's
 }
 
 // Spec describes a deployment.
@@ -92,7 +93,6 @@
 	Models   []*standin.Model
 	Webs     []*standin.Web
 	Dir      string
-	Binary   string
 	spawn    chan spawnAsk
 	relays   map[string]*relay.Relay
 	base     int
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Spec: spec, Book: book, Links: relay.NewLinks(), Dir: dir, Binary: binary, base: base,
+	f := &Fleet{Spec: spec, Book: book, Links: relay.NewLinks(), Dir: dir, base: base,
 		spawn: make(chan spawnAsk), relays: map[string]*relay.Relay{}, places: map[string]Place{}}
 	ctx, stop := kernel.WithCancel(kernel.Background())
 	f.stop = stop
@@ -137,6 +137,9 @@
 		ip := f.ip(20, i+1)
 		sources[ip] = n.Name
 		f.places[n.Name] = n.Place
+		if n.Binary == "" {
+			n.Binary = binary
+		}
 		node := &Node{NodeSpec: n, fleet: f, Bind: ip, Caller: ip + ":7000", internal: ip + ":7001", advertised: f.ip(30, i+1) + ":7001",
 			data: filepath.Join(dir, n.Name), state: own.New(nodeState{})}
 		f.relays[n.Name] = relay.New(n.Name, node.advertised, node.internal, f.Links)
--- a/cmd/rig/fleet/node.go
+++ b/cmd/rig/fleet/node.go
@@ -109,7 +109,7 @@
 		if log, err = os.OpenFile(n.LogFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
 			return
 		}
-		cmd := exec.Command(n.fleet.Binary, args...)
+		cmd := exec.Command(n.Binary, args...)
 		cmd.Stdout, cmd.Stderr = log, log
 		if err = start(n.fleet.spawn, cmd); err != nil {
 			log.Close()
@@ -240,6 +240,23 @@
 	}
 }
 
+// UseBinary changes the path of the node's program from its next start on.
+func (n *Node) UseBinary(path string) { n.Binary = path }
+
+// RunsBinary reports whether the node's process runs and executes the file at a path.
+func (n *Node) RunsBinary(path string) bool {
+	pid, running := n.Running()
+	if !running {
+		return false
+	}
+	executed, err := os.Stat(filepath.Join("/proc", strconv.Itoa(pid), "exe"))
+	if err != nil {
+		return false
+	}
+	wanted, err := os.Stat(path)
+	return err == nil && os.SameFile(executed, wanted)
+}
+
 // Tear appends half a record to the newest file of the log; the process must not run.
 func (n *Node) Tear() error {
 	n.fleet.Book.Mark("torn tail "+n.Name, false)
