--- a/cmd/rig/prove/cases.go
+++ b/cmd/rig/prove/cases.go
@@ -60,6 +60,9 @@
 
 // Find returns a case by name.
 func Find(name string) (Case, bool) {
+	if name == RollingUpgrade.Name {
+		return RollingUpgrade, true
+	}
 	for _, c := range Cases {
 		if c.Name == name {
 			return c, true
--- a/cmd/rig/prove/faults.go
+++ b/cmd/rig/prove/faults.go
@@ -169,10 +169,7 @@
 // rolling restarts every node in turn; each must leave by itself with code 0.
 func (s *Stage) rolling(gap kernel.Duration) error {
 	for _, n := range s.Fleet.Nodes {
-		if !n.Term(15 * kernel.Second) {
-			return fmt.Errorf("%s did not leave cleanly within 15 s: exit code %d", n.Name, n.ExitCode())
-		}
-		if err := n.Start(); err != nil {
+		if err := restartGracefully(n); err != nil {
 			return err
 		}
 		if !s.Wait(gap) {
@@ -181,3 +178,12 @@
 	}
 	return nil
 }
+
+// restartGracefully stops a node, which must leave by itself with code 0, and
+// starts it again with its data kept.
+func restartGracefully(n *fleet.Node) error {
+	if !n.Term(gracefulStopTimeout) {
+		return fmt.Errorf("%s did not leave cleanly within %s: exit code %d", n.Name, gracefulStopTimeout, n.ExitCode())
+	}
+	return n.Start()
+}
--- a/cmd/rig/prove/finals.go
+++ b/cmd/rig/prove/finals.go
@@ -8,7 +8,6 @@
 	"stepwick/internal/kernel"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
 )
 
 // killHalf kills four nodes of nine; one core is among them at the most.
@@ -79,13 +78,7 @@
 		return err
 	}
 	l := s.Book.Copy()
-	cut := 0
-	for _, a := range l.Attempts {
-		if len(a.Events) > 0 && a.End != ledger.Served && a.End != ledger.GaveUp {
-			cut++
-		}
-	}
-	if cut > 0 {
+	if cut := cutStreams(&l); cut > 0 {
 		return errors.Errorf("%d streams were cut although every node left by itself", cut)
 	}
 	return nil
--- a/cmd/rig/prove/orders.go
+++ b/cmd/rig/prove/orders.go
@@ -78,13 +78,18 @@
 	return s.dayEnd(20 * kernel.Second)
 }
 
-// repaired waits until a restarted core serves again by the newest key.
+// repaired waits until a restarted core serves again by the newest key, and 2 s more.
 func (s *Stage) repaired(core *fleet.Node, within kernel.Duration) bool {
+	return s.serves(core, within) && s.Wait(2*kernel.Second)
+}
+
+// serves waits until a node serves by the newest key.
+func (s *Stage) serves(n *fleet.Node, within kernel.Duration) bool {
 	until := s.Book.Now() + within
 	for s.Book.Now() < until {
 		key, _ := s.Control.Newest()
-		if s.Control.Probe(core, key).Passed() {
-			return s.Wait(2 * kernel.Second)
+		if s.Control.Probe(n, key).Passed() {
+			return true
 		}
 		if !s.Wait(200 * kernel.Millisecond) {
 			return false
--- /dev/null
+++ b/cmd/rig/prove/rolling_upgrade.go
@@ -0,0 +1,276 @@
+package prove
+
+import (
+	"fmt"
+	"os"
+
+	"github.com/pkg/errors"
+
+	"stepwick/internal/kernel"
+
+	"stepwick/cmd/rig/fleet"
+	"stepwick/cmd/rig/ledger"
+)
+
+// RollingUpgrade is the case that replaces the previous build by the new one,
+// process by process, and then rolls back. It is not one of Cases because it
+// needs a second binary.
+var RollingUpgrade = Case{"roll", 8, "rolling upgrade from a previous build and rollback to it, an order after each process; needs --older", 40, startOnPreviousBinary, rollingUpgrade}
+
+// Limits of one step of a rolling upgrade or rollback.
+const (
+	gracefulStopTimeout = 15 * kernel.Second
+	restartTimeout      = 20 * kernel.Second
+	orderTimeout        = 15 * kernel.Second
+	inForceTimeout      = 10 * kernel.Second
+)
+
+// stepTenantPrefix begins the names of the tenants that the orders of a rolling
+// upgrade add. Each order adds one and none is removed, so the number of these
+// tenants in a sheet is the number of orders in force.
+const stepTenantPrefix = "rollstep"
+
+// rollingPhase is the direction in which processes are replaced.
+type rollingPhase string
+
+// Phases of the case, in the order in which they run.
+const (
+	phaseUpgrade  rollingPhase = "rollingUpgrade"
+	phaseRollback rollingPhase = "rollback"
+)
+
+// rollingStep replaces the binary of one node.
+type rollingStep struct {
+	phase  rollingPhase
+	node   *fleet.Node
+	binary string
+}
+
+// RollingStepResult is what was measured after one step.
+type RollingStepResult struct {
+	Phase string `json:"phase"`
+	Node  string `json:"node"`
+	// NodesOnNewBinary is the number of nodes whose process executes the new binary.
+	NodesOnNewBinary int `json:"nodes_on_new_binary"`
+	// OrdersInForce is the smallest number of the case's orders that any node
+	// showed in force.
+	OrdersInForce int `json:"orders_in_force"`
+	// NodesInForce is the number of nodes that accepted the key of this step's order.
+	NodesInForce int `json:"nodes_in_force"`
+	// Milliseconds is the duration of the step without the pause after it.
+	Milliseconds int64 `json:"milliseconds"`
+}
+
+// RollingSummary is the result of a rolling upgrade and rollback.
+type RollingSummary struct {
+	Planned    int                 `json:"planned"`
+	Upgraded   int                 `json:"upgraded"`
+	RolledBack int                 `json:"rolled_back"`
+	CutStreams int                 `json:"cut_streams"`
+	Steps      []RollingStepResult `json:"steps"`
+}
+
+// CheckPreviousBinary returns an error if one of the cases needs a previous
+// binary and the path does not name an executable file.
+func CheckPreviousBinary(cases []Case, path string) error {
+	for _, c := range cases {
+		if c.Name != RollingUpgrade.Name {
+			continue
+		}
+		if path == "" {
+			return errors.Errorf("case %q needs the binary of a previous build: --older PATH", c.Name)
+		}
+		info, err := os.Stat(path)
+		if err != nil {
+			return errors.Wrap(err, "--older")
+		}
+		if !info.Mode().IsRegular() || info.Mode().Perm()&0o111 == 0 {
+			return errors.Errorf("--older: %s is not an executable file", path)
+		}
+	}
+	return nil
+}
+
+// startOnPreviousBinary makes every node start on the previous binary.
+func startOnPreviousBinary(o *Options) {
+	for i := range o.Spec.Nodes {
+		o.Spec.Nodes[i].Binary = o.PreviousBinary
+	}
+}
+
+// rollingSteps returns the steps of the upgrade and of the rollback. Both
+// replace the fronts before the cores, so that new fronts work with previous
+// cores in the first phase, and previous fronts with new cores in the second.
+func rollingSteps(nodes []*fleet.Node, newBinary, previousBinary string) []rollingStep {
+	var fronts, cores []*fleet.Node
+	for _, n := range nodes {
+		if n.Core {
+			cores = append(cores, n)
+		} else {
+			fronts = append(fronts, n)
+		}
+	}
+	ordered := append(fronts, cores...)
+	var steps []rollingStep
+	for _, n := range ordered {
+		steps = append(steps, rollingStep{phaseUpgrade, n, newBinary})
+	}
+	for _, n := range ordered {
+		steps = append(steps, rollingStep{phaseRollback, n, previousBinary})
+	}
+	return steps
+}
+
+// rollingUpgrade runs all steps, spread over the length of the case, or longer
+// if the steps themselves take longer.
+func rollingUpgrade(s *Stage) error {
+	began := s.Book.Now()
+	steps := rollingSteps(s.Fleet.Nodes, s.Binary, s.PreviousBinary)
+	summary := &RollingSummary{Planned: len(steps)}
+	s.Rolling = summary
+	stored, err := newStoredDataCheck(s.Fleet.Nodes)
+	if err != nil {
+		return err
+	}
+	interval := kernel.Duration(s.Seconds) * kernel.Second / kernel.Duration(len(steps))
+	for i, step := range steps {
+		if err := s.runRollingStep(i, step, stored, summary); err != nil {
+			return errors.Wrapf(err, "step %d of %d, %s of %s", i+1, len(steps), step.phase, step.node.Name)
+		}
+		next := began + kernel.Duration(i+1)*interval
+		if pause := next - s.Book.Now(); pause > 0 && !s.Wait(pause) {
+			return nil
+		}
+	}
+	if err := s.dayEnd(restartTimeout); err != nil {
+		return err
+	}
+	for _, n := range s.Fleet.Nodes {
+		if err := stored.node(n); err != nil {
+			return err
+		}
+	}
+	l := s.Book.Copy()
+	summary.CutStreams = cutStreams(&l)
+	if summary.CutStreams > 0 {
+		return errors.Errorf("%d streams were cut although every node left by itself", summary.CutStreams)
+	}
+	return nil
+}
+
+// runRollingStep restarts one node on the binary of the step, submits an order
+// and waits until every node shows it in force.
+func (s *Stage) runRollingStep(index int, step rollingStep, stored *storedDataCheck, summary *RollingSummary) error {
+	began := s.Book.Now()
+	s.Book.Mark(fmt.Sprintf("%s %s", step.phase, step.node.Name), false)
+	step.node.UseBinary(step.binary)
+	if err := restartGracefully(step.node); err != nil {
+		return err
+	}
+	if !s.serves(step.node, restartTimeout) {
+		return errors.Errorf("%s did not serve within %s of its restart", step.node.Name, restartTimeout)
+	}
+	if step.phase == phaseUpgrade {
+		summary.Upgraded++
+	} else {
+		summary.RolledBack++
+	}
+	if err := s.submitStepOrder(index); err != nil {
+		return err
+	}
+	if err := stored.node(step.node); err != nil {
+		return err
+	}
+	result := RollingStepResult{Phase: string(step.phase), Node: step.node.Name}
+	result.NodesOnNewBinary = s.nodesOn(s.Binary)
+	result.NodesInForce = s.nodesInForce()
+	result.OrdersInForce = s.stepOrdersInForce(index+1, inForceTimeout)
+	result.Milliseconds = (s.Book.Now() - began).Milliseconds()
+	summary.Steps = append(summary.Steps, result)
+	if want := summary.Upgraded - summary.RolledBack; result.NodesOnNewBinary != want || s.nodesOn(s.PreviousBinary) != len(s.Fleet.Nodes)-want {
+		return errors.Errorf("%d nodes execute the new binary instead of %d", result.NodesOnNewBinary, want)
+	}
+	if result.NodesInForce != len(s.Fleet.Nodes) {
+		return errors.Errorf("the order is in force at %d of %d nodes", result.NodesInForce, len(s.Fleet.Nodes))
+	}
+	if result.OrdersInForce != index+1 {
+		return errors.Errorf("%d of %d orders are in force", result.OrdersInForce, index+1)
+	}
+	return nil
+}
+
+// submitStepOrder submits the order of a step, which adds one tenant, and waits
+// for its acknowledgement.
+func (s *Stage) submitStepOrder(index int) error {
+	_, base := s.Control.Newest()
+	name := fmt.Sprintf("%s%d", stepTenantPrefix, index)
+	tenant := map[string]any{"rate": 10, "keys": []string{fleet.Hash("key-of-" + name)}}
+	order := s.Control.Change("ade", base, map[string]any{"path": "tenants." + name, "value": tenant})
+	if acknowledged, _ := s.push(order, uint64(index), orderTimeout); !acknowledged {
+		return errors.Errorf("the order was not acknowledged within %s", orderTimeout)
+	}
+	return nil
+}
+
+// nodesOn returns the number of nodes whose process executes a binary.
+func (s *Stage) nodesOn(binary string) int {
+	count := 0
+	for _, n := range s.Fleet.Nodes {
+		if n.RunsBinary(binary) {
+			count++
+		}
+	}
+	return count
+}
+
+// nodesInForce returns the number of nodes at which the newest order is in force.
+func (s *Stage) nodesInForce() int {
+	_, newest := s.Control.Newest()
+	count := 0
+	for _, epoch := range s.Epochs(inForceTimeout) {
+		if epoch == newest {
+			count++
+		}
+	}
+	return count
+}
+
+// stepOrdersInForce reads the sheet through every node until each shows the
+// wanted number of step orders or the timeout has passed. It returns the
+// smallest number shown, which is zero if a node cannot be read.
+func (s *Stage) stepOrdersInForce(want int, timeout kernel.Duration) int {
+	deadline := s.Book.Now() + timeout
+	smallest := want
+	for _, n := range s.Fleet.Nodes {
+		shown := s.stepOrdersAt(n)
+		for shown != want && s.Book.Now() < deadline && s.Wait(200*kernel.Millisecond) {
+			shown = s.stepOrdersAt(n)
+		}
+		smallest = min(smallest, shown)
+	}
+	return smallest
+}
+
+// stepOrdersAt returns the number of step orders in the sheet read through a node.
+func (s *Stage) stepOrdersAt(n *fleet.Node) int {
+	_, sheet := s.Control.Read(n, false)
+	count := 0
+	for i := range 2 * len(s.Fleet.Nodes) {
+		if _, present := sheet.Tenants[fmt.Sprintf("%s%d", stepTenantPrefix, i)]; present {
+			count++
+		}
+	}
+	return count
+}
+
+// cutStreams returns the number of streams that ended before their final event
+// without the caller having left.
+func cutStreams(l *ledger.Ledger) int {
+	count := 0
+	for _, a := range l.Attempts {
+		if len(a.Events) > 0 && a.End != ledger.Served && a.End != ledger.GaveUp {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/cmd/rig/prove/rolling_upgrade_test.go
@@ -0,0 +1,77 @@
+package prove
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"stepwick/cmd/rig/fleet"
+	"stepwick/cmd/rig/ledger"
+)
+
+func TestRollingSteps(t *testing.T) {
+	Convey("Every node is upgraded once and then rolled back once, fronts before cores", t, func() {
+		var nodes []*fleet.Node
+		for _, spec := range fleet.First().Nodes {
+			nodes = append(nodes, &fleet.Node{NodeSpec: spec})
+		}
+		steps := rollingSteps(nodes, "new", "previous")
+		var upgraded, rolledBack []string
+		for i, step := range steps {
+			if i < len(nodes) {
+				So(step.phase, ShouldEqual, phaseUpgrade)
+				So(step.binary, ShouldEqual, "new")
+				upgraded = append(upgraded, step.node.Name)
+				continue
+			}
+			So(step.phase, ShouldEqual, phaseRollback)
+			So(step.binary, ShouldEqual, "previous")
+			rolledBack = append(rolledBack, step.node.Name)
+		}
+		want := []string{"front1", "front2", "front3", "front4", "front5", "front6", "core1", "core2", "core3"}
+		So(upgraded, ShouldResemble, want)
+		So(rolledBack, ShouldResemble, want)
+	})
+}
+
+func TestCheckPreviousBinary(t *testing.T) {
+	Convey("Only the rolling upgrade needs a previous binary, which must be executable", t, func() {
+		rolling := []Case{Mix, RollingUpgrade}
+		So(CheckPreviousBinary(append(Cases, Mix), ""), ShouldBeNil)
+		So(CheckPreviousBinary(rolling, "").Error(), ShouldContainSubstring, "--older PATH")
+		dir := t.TempDir()
+		So(CheckPreviousBinary(rolling, filepath.Join(dir, "missing")), ShouldNotBeNil)
+		So(CheckPreviousBinary(rolling, dir), ShouldNotBeNil)
+		file := filepath.Join(dir, "stepwick")
+		So(os.WriteFile(file, nil, 0o600), ShouldBeNil)
+		So(CheckPreviousBinary(rolling, file), ShouldNotBeNil)
+		So(os.Chmod(file, 0o700), ShouldBeNil)
+		So(CheckPreviousBinary(rolling, file), ShouldBeNil)
+	})
+}
+
+func TestStartOnPreviousBinary(t *testing.T) {
+	Convey("The whole fleet starts on the previous binary", t, func() {
+		o := Options{Spec: fleet.First(), Binary: "new", PreviousBinary: "previous"}
+		startOnPreviousBinary(&o)
+		for _, spec := range o.Spec.Nodes {
+			So(spec.Binary, ShouldEqual, "previous")
+		}
+	})
+}
+
+func TestCutStreams(t *testing.T) {
+	Convey("Streams count as cut if they began and neither ended nor were left by the caller", t, func() {
+		events := []ledger.Event{{}}
+		l := &ledger.Ledger{Attempts: []ledger.Attempt{
+			{Events: events, End: ledger.Served},
+			{Events: events, End: ledger.GaveUp},
+			{End: ledger.Refused},
+			{Events: events, End: ledger.CutAbort},
+			{Events: events, End: ledger.CutError},
+		}}
+		So(cutStreams(l), ShouldEqual, 2)
+	})
+}
--- a/cmd/rig/prove/stage.go
+++ b/cmd/rig/prove/stage.go
@@ -29,12 +29,14 @@
 	Spec    fleet.Spec
 	Tenants []load.Tenant
 	Binary  string
-	Seed    uint64
-	Seconds int
-	Keep    string // folder that gets the ledger and the nodes' logs; empty: none
-	Out     io.Writer
-	Table   bool              // a line each second
-	Sheet   map[string]string // run-time settings of the first sheet
+	// PreviousBinary is that of an earlier build; only a rolling upgrade uses it.
+	PreviousBinary string
+	Seed           uint64
+	Seconds        int
+	Keep           string // folder that gets the ledger and the nodes' logs; empty: none
+	Out            io.Writer
+	Table          bool              // a line each second
+	Sheet          map[string]string // run-time settings of the first sheet
 }
 
 // Stage is a fleet that serves, with callers and operators.
@@ -52,6 +54,9 @@
 	parts   int
 	dir     string
 	Began   ledger.At // traffic began
+
+	// Rolling is the result of a rolling upgrade; nil in other cases.
+	Rolling *RollingSummary
 }
 
 // Open starts a fleet, gives it a first sheet and lets callers in.
--- a/cmd/rig/prove_command.go
+++ b/cmd/rig/prove_command.go
@@ -28,6 +28,7 @@
 		keep    string
 		folder  string
 		binary  string
+		older   string
 		verbose bool
 	)
 	c := &cobra.Command{Use: "prove", Short: "Cause faults and judge from outside what came of them",
@@ -37,6 +38,8 @@
 				for _, p := range prove.Cases {
 					fmt.Printf("%d  %-16s %3ds  %s\n", p.Group, p.Name, p.Seconds, p.Help)
 				}
+				rolling := prove.RollingUpgrade
+				fmt.Printf("%d  %-16s %3ds  %s (not one of all)\n", rolling.Group, rolling.Name, rolling.Seconds, rolling.Help)
 				fmt.Printf("-  %-16s %3ds  %s (the one without --case)\n", prove.Mix.Name, prove.Mix.Seconds, prove.Mix.Help)
 				return nil
 			}
@@ -55,7 +58,10 @@
 					chosen = append(chosen, p)
 				}
 			}
-			return proveAll(cmd.Context(), chosen, seed, seeds, length, run{keep, folder, binary, verbose})
+			if err := prove.CheckPreviousBinary(chosen, older); err != nil {
+				return err
+			}
+			return proveAll(cmd.Context(), chosen, seed, seeds, length, run{keep, folder, binary, older, verbose})
 		}}
 	c.Flags().BoolVar(&list, "list", false, "list the cases")
 	c.Flags().StringSliceVar(&names, "case", nil, "cases to run (all for every one); without it the seed draws a mix")
@@ -65,14 +71,15 @@
 	c.Flags().StringVar(&keep, "keep", "", "folder for ledgers and the nodes' logs")
 	c.Flags().StringVar(&folder, "report", "", "folder for JSON lines and plots")
 	c.Flags().StringVar(&binary, "binary", "", "a stepwick program that is built already")
+	c.Flags().StringVar(&older, "older", "", "the stepwick program of a previous build, for the case roll")
 	c.Flags().BoolVar(&verbose, "table", false, "print a line each second")
 	return c
 }
 
 // run is what is kept and shown of each case.
 type run struct {
-	keep, folder, binary string
-	table                bool
+	keep, folder, binary, previousBinary string
+	table                                bool
 }
 
 type verdict struct {
@@ -85,6 +92,8 @@
 	Failed     int                `json:"failed"`
 	Orders     int                `json:"orders_won"`
 	Worst      map[string]float64 `json:"worst_span,omitempty"`
+
+	Rolling *prove.RollingSummary `json:"rolling,omitempty"`
 }
 
 func proveAll(ctx kernel.Context, chosen []prove.Case, seed uint64, seeds, length int, r run) error {
@@ -120,7 +129,7 @@
 // proveOne runs one case. A case that could not do its work, such as an order
 // that was never accepted, counts as a violation too.
 func proveOne(ctx kernel.Context, p prove.Case, seed uint64, length int, r run) verdict {
-	o := prove.Options{Spec: fleet.First(), Tenants: load.FirstTenants(), Binary: r.binary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, Table: r.table}
+	o := prove.Options{Spec: fleet.First(), Tenants: load.FirstTenants(), Binary: r.binary, PreviousBinary: r.previousBinary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, Table: r.table}
 	if length > 0 {
 		o.Seconds = length
 	}
@@ -148,6 +157,7 @@
 			fmt.Fprintln(os.Stderr, "rig:", err)
 		}
 	}
+	v.Rolling = s.Rolling
 	sum := prove.Sum(&l, s.Began)
 	v.Violations, v.Served, v.Refused, v.Failed, v.Orders = len(found), sum.Served, sum.Refused, sum.Failed, sum.Orders
 	if p.Group == 7 {
