--- a/cmd/rig/prove/rolling_upgrade.go
+++ b/cmd/rig/prove/rolling_upgrade.go
@@ -91,8 +91,13 @@
 	return nil
 }
 
+// snapshotRecords makes cores write a snapshot every few orders, so that each
+// build has to read snapshots of the other.
+const snapshotRecords = "8"
+
 // startOnPreviousBinary makes every node start on the previous binary.
 func startOnPreviousBinary(o *Options) {
+	o.Spec.Settings = map[string]string{"snapshot.records": snapshotRecords}
 	for i := range o.Spec.Nodes {
 		o.Spec.Nodes[i].Binary = o.PreviousBinary
 	}
