--- a/cmd/rig/prove/rolling_upgrade.go
+++ b/cmd/rig/prove/rolling_upgrade.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"os"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/ledger"
 )
@@ -19,10 +18,10 @@
 
 // Limits of one step of a rolling upgrade or rollback.
 const (
-	gracefulStopTimeout = 15 * kernel.Second
-	restartTimeout      = 20 * kernel.Second
-	orderTimeout        = 15 * kernel.Second
-	inForceTimeout      = 10 * kernel.Second
+	gracefulStopTimeout = 15 * time.Second
+	restartTimeout      = 20 * time.Second
+	orderTimeout        = 15 * time.Second
+	inForceTimeout      = 10 * time.Second
 )
 
 // stepTenantPrefix begins the names of the tenants that the orders of a rolling
@@ -137,12 +136,12 @@
 	if err != nil {
 		return err
 	}
-	interval := kernel.Duration(s.Seconds) * kernel.Second / kernel.Duration(len(steps))
+	interval := time.Duration(s.Seconds) * time.Second / time.Duration(len(steps))
 	for i, step := range steps {
 		if err := s.runRollingStep(i, step, stored, summary); err != nil {
 			return errors.Wrapf(err, "step %d of %d, %s of %s", i+1, len(steps), step.phase, step.node.Name)
 		}
-		next := began + kernel.Duration(i+1)*interval
+		next := began + time.Duration(i+1)*interval
 		if pause := next - s.Book.Now(); pause > 0 && !s.Wait(pause) {
 			return nil
 		}
@@ -243,12 +242,12 @@
 // stepOrdersInForce reads the sheet through every node until each shows the
 // wanted number of step orders or the timeout has passed. It returns the
 // smallest number shown, which is zero if a node cannot be read.
-func (s *Stage) stepOrdersInForce(want int, timeout kernel.Duration) int {
+func (s *Stage) stepOrdersInForce(want int, timeout time.Duration) int {
 	deadline := s.Book.Now() + timeout
 	smallest := want
 	for _, n := range s.Fleet.Nodes {
 		shown := s.stepOrdersAt(n)
-		for shown != want && s.Book.Now() < deadline && s.Wait(200*kernel.Millisecond) {
+		for shown != want && s.Book.Now() < deadline && s.Wait(200*time.Millisecond) {
 			shown = s.stepOrdersAt(n)
 		}
 		smallest = min(smallest, shown)
--- a/sim/fleet/faults.go
+++ b/sim/fleet/faults.go
@@ -2,8 +2,7 @@
 
 import (
 	"fmt"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 func (w *walk) fault() {
@@ -54,7 +53,7 @@
 				w.split[i] = w.random.IntN(2) == 0
 			}
 		}
-		w.heal = now.Add(kernel.Duration(3+w.random.IntN(25)) * kernel.Second)
+		w.heal = now.Add(time.Duration(3+w.random.IntN(25)) * time.Second)
 		w.fleet.Split(w.split, true)
 		w.note("split %v", w.split)
 	}
@@ -71,7 +70,7 @@
 }
 
 // leave looks after those that were asked to stop.
-func (w *walk) leave(now kernel.Time) {
+func (w *walk) leave(now time.Time) {
 	for i := range w.n {
 		if !w.leaving[i] {
 			continue
@@ -85,14 +84,14 @@
 		}
 		delete(w.leaving, i)
 		delete(w.took, i)
-		w.back[i] = now.Add(kernel.Duration(1+w.random.IntN(6)) * kernel.Second)
+		w.back[i] = now.Add(time.Duration(1+w.random.IntN(6)) * time.Second)
 		w.note("ended %d", i)
 	}
 }
 
 // replace takes the next node away for good and puts one of the same name and
 // without its disk in its place, once the one before is up again for 3 s.
-func (w *walk) replace(now kernel.Time) {
+func (w *walk) replace(now time.Time) {
 	if len(w.turns) == 0 || now.Before(w.turnAt) {
 		return
 	}
@@ -101,8 +100,8 @@
 	if !w.fleet.Running(i) {
 		return
 	}
-	w.lose(i, now.Add(2*kernel.Second), i < w.fleet.config.Cores && w.wipeable(i))
-	w.turnAt = now.Add(5 * kernel.Second)
+	w.lose(i, now.Add(2*time.Second), i < w.fleet.config.Cores && w.wipeable(i))
+	w.turnAt = now.Add(5 * time.Second)
 }
 
 // kill ends a node for a while; one core at a time may lose its disk, and only
@@ -111,11 +110,11 @@
 	if !w.fleet.Running(i) {
 		return
 	}
-	back := w.clock.Now().Add(kernel.Duration(1+w.random.IntN(12)) * kernel.Second)
+	back := w.clock.Now().Add(time.Duration(1+w.random.IntN(12)) * time.Second)
 	w.lose(i, back, i < w.fleet.config.Cores && w.random.IntN(3) == 0 && w.wipeable(i))
 }
 
-func (w *walk) lose(i int, back kernel.Time, wiped bool) {
+func (w *walk) lose(i int, back time.Time, wiped bool) {
 	w.fleet.Kill(i)
 	delete(w.took, i)
 	delete(w.leaving, i)
--- a/sim/fleet/walk.go
+++ b/sim/fleet/walk.go
@@ -1,11 +1,14 @@
 package fleet
 
 import (
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
+	"time"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 // Tally of one walk: what was done and what broke. Violations name the point
@@ -21,7 +24,7 @@
 }
 
 // Walk drives a fleet of the first deployment's size through faults; see WalkIn.
-func Walk(ctx kernel.Context, seed uint64, folder string, span kernel.Duration) (Tally, error) {
+func Walk(ctx context.Context, seed uint64, folder string, span time.Duration) (Tally, error) {
 	return WalkIn(ctx, small, seed, folder, span)
 }
 
@@ -30,7 +33,7 @@
 // and judges: no node takes an older key 2.5 s after a newer one was
 // acknowledged, none steps back, of a race one operator wins and the other's key
 // is never taken, and what was acknowledged is read back at the end.
-func WalkIn(ctx kernel.Context, config Config, seed uint64, folder string, span kernel.Duration) (t Tally, err error) {
+func WalkIn(ctx context.Context, config Config, seed uint64, folder string, span time.Duration) (t Tally, err error) {
 	t.Seed = seed
 	random := Draw(seed)
 	f, err := Start(ctx, config, folder)
@@ -38,7 +41,7 @@
 		return t, err
 	}
 	defer f.Close()
-	w := &walk{fleet: f, random: random, clock: kernel.System(), tally: &t, took: map[int]int{}, lost: map[int]bool{}, leaving: map[int]bool{}, n: config.Nodes}
+	w := &walk{fleet: f, random: random, clock: clock.System(), tally: &t, took: map[int]int{}, lost: map[int]bool{}, leaving: map[int]bool{}, n: config.Nodes}
 	w.start = w.clock.Now()
 	if !w.form() {
 		t.Violations = append(t.Violations, "no first sheet in force within 30 s")
@@ -55,8 +58,8 @@
 type walk struct {
 	fleet  *Fleet
 	random *rand.Rand
-	clock  kernel.Clock
-	start  kernel.Time
+	clock  clock.Clock
+	start  time.Time
 	tally  *Tally
 	n      int
 
@@ -68,11 +71,11 @@
 	lost    map[int]bool // keys of orders that lost a race
 	took    map[int]int  // newest key that each life of a node took
 	split   map[int]bool
-	heal    kernel.Time
-	back    map[int]kernel.Time
+	heal    time.Time
+	back    map[int]time.Time
 	leaving map[int]bool // asked to stop and still up
 	turns   []int        // nodes to be replaced, one after another
-	turnAt  kernel.Time
+	turnAt  time.Time
 }
 
 // sending is one operator's order and what became of it.
@@ -84,10 +87,10 @@
 
 type ack struct {
 	key int
-	at  kernel.Time
+	at  time.Time
 }
 
-func (w *walk) pause(d kernel.Duration) { <-w.clock.After(d) }
+func (w *walk) pause(d time.Duration) { <-w.clock.After(d) }
 
 func (w *walk) since() string {
 	return fmt.Sprintf("%.1fs", w.clock.Now().Sub(w.start).Seconds())
@@ -99,10 +102,10 @@
 		if a.Status == 200 && a.InForce {
 			w.base = a.SheetEpoch
 			w.acked = append(w.acked, ack{0, w.clock.Now()})
-			w.back = map[int]kernel.Time{}
+			w.back = map[int]time.Time{}
 			return true
 		}
-		w.pause(kernel.Second)
+		w.pause(time.Second)
 	}
 	return false
 }
@@ -110,7 +113,7 @@
 // step takes a tenth of a second: an order ends or begins, a fault may come or
 // heal, and one node is asked with the newest keys.
 func (w *walk) step() {
-	w.pause(100 * kernel.Millisecond)
+	w.pause(100 * time.Millisecond)
 	w.order()
 	w.fault()
 	w.probe()
@@ -173,7 +176,7 @@
 			w.tally.Acknowledged++
 			w.next = a.SheetEpoch
 			w.acked = append(w.acked, ack{s.key, w.clock.Now()})
-		case a.Status == http.StatusConflict && a.Code == kernel.BaseMoved:
+		case a.Status == http.StatusConflict && a.Code == apierror.BaseMoved:
 			s.outcome = a.Status
 			w.lost[s.key] = true
 		default:
@@ -198,7 +201,7 @@
 	go func() {
 		a := w.fleet.Change(i, s.key, base)
 		if a.Status != http.StatusOK {
-			<-w.clock.After(300 * kernel.Millisecond)
+			<-w.clock.After(300 * time.Millisecond)
 		}
 		answers <- a
 	}()
@@ -221,7 +224,7 @@
 	}
 	newest, older := -1, -1
 	for _, a := range w.acked {
-		if w.clock.Now().Sub(a.at) > 2500*kernel.Millisecond {
+		if w.clock.Now().Sub(a.at) > 2500*time.Millisecond {
 			newest, older = a.key, newest
 		}
 	}
@@ -258,7 +261,7 @@
 		w.fleet.Split(w.split, false)
 	}
 	for range 40 {
-		w.pause(500 * kernel.Millisecond)
+		w.pause(500 * time.Millisecond)
 		w.leave(w.clock.Now())
 		for i := range w.back {
 			if !w.fleet.Running(i) {
--- a/sim/route/events.go
+++ b/sim/route/events.go
@@ -1,11 +1,9 @@
 package route
 
-import (
-	"stepwick/internal/kernel"
-)
+import "time"
 
 type event struct {
-	at    kernel.Duration
+	at    time.Duration
 	order int
 	f     func()
 }
--- a/sim/tally/events.go
+++ b/sim/tally/events.go
@@ -1,11 +1,9 @@
 package tally
 
-import (
-	"stepwick/internal/kernel"
-)
+import "time"
 
 type event struct {
-	at    kernel.Duration
+	at    time.Duration
 	order int
 	do    func()
 }
--- a/sim/tally/fleet.go
+++ b/sim/tally/fleet.go
@@ -7,9 +7,9 @@
 	"container/heap"
 	"fmt"
 	"math/rand/v2"
+	"time"
 
 	"stepwick/internal/core/tally"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -18,37 +18,37 @@
 	Seed        uint64
 	Config      tally.Config
 	Terms       tally.Terms
-	Fronts      int             // 9
-	Split       int             // fronts of the first region; the others are in the second
-	Across      kernel.Duration // longest delay between regions, 150 ms
-	Loss        float64         // part of the messages that is lost
-	Size        float64         // mean tokens of a request, as part of the limit
-	Length      kernel.Duration
-	Random      bool                                                // requests come at random, not regularly
-	HoldFor     kernel.Duration                                     // 2.5 s
-	Demand      func(at kernel.Duration, front int) float64         // offered tokens a second at a front, as part of limit/window
-	Bursts      []Burst                                             // beside Demand
-	Down        func(at kernel.Duration, front int) bool            // the front's process is gone
-	Frozen      func(at kernel.Duration, front int) bool            // the front's process stands still; its callers go to the next one
-	Follows     bool                                                // fronts learn of refusals after 0.5 to 1 s and of silence after 1.5 to 2 s, and see all others silent for 0.2 s after a freeze of their own
-	Flushed     bool                                                // a front that goes down sends its counts first
-	Cut         func(at kernel.Duration) bool                       // the regions are cut from each other, in silence
-	Clock       func(at kernel.Duration, front int) kernel.Duration // how far off the front's fleet time is
-	Forgets     kernel.Duration                                     // after how long fronts leave a dead front out of the roster; zero: never
-	HolderFirst bool                                                // the first front holds the tenant's count
-	Unmarked    bool                                                // silent fronts are not told to the ledgers
+	Fronts      int           // 9
+	Split       int           // fronts of the first region; the others are in the second
+	Across      time.Duration // longest delay between regions, 150 ms
+	Loss        float64       // part of the messages that is lost
+	Size        float64       // mean tokens of a request, as part of the limit
+	Length      time.Duration
+	Random      bool                                            // requests come at random, not regularly
+	HoldFor     time.Duration                                   // 2.5 s
+	Demand      func(at time.Duration, front int) float64       // offered tokens a second at a front, as part of limit/window
+	Bursts      []Burst                                         // beside Demand
+	Down        func(at time.Duration, front int) bool          // the front's process is gone
+	Frozen      func(at time.Duration, front int) bool          // the front's process stands still; its callers go to the next one
+	Follows     bool                                            // fronts learn of refusals after 0.5 to 1 s and of silence after 1.5 to 2 s, and see all others silent for 0.2 s after a freeze of their own
+	Flushed     bool                                            // a front that goes down sends its counts first
+	Cut         func(at time.Duration) bool                     // the regions are cut from each other, in silence
+	Clock       func(at time.Duration, front int) time.Duration // how far off the front's fleet time is
+	Forgets     time.Duration                                   // after how long fronts leave a dead front out of the roster; zero: never
+	HolderFirst bool                                            // the first front holds the tenant's count
+	Unmarked    bool                                            // silent fronts are not told to the ledgers
 }
 
 // Burst is a batch of requests that come at one instant.
 type Burst struct {
-	At     kernel.Duration
+	At     time.Duration
 	Front  int
 	Tokens float64 // as part of the limit
 }
 
 // Request is one request as its caller sees it; Tokens as part of the limit.
 type Request struct {
-	At, Answered kernel.Duration
+	At, Answered time.Duration
 	Front        int
 	Tokens       float64
 	Decision     tally.Decision
@@ -67,19 +67,19 @@
 	holds       []held
 	due         float64
 	frozen      bool
-	thawed      kernel.Duration
+	thawed      time.Duration
 }
 
 type held struct {
 	request int
 	tokens  float64
-	until   kernel.Duration
+	until   time.Duration
 }
 
 type run struct {
 	Fleet
 	random    *rand.Rand
-	now       kernel.Duration
+	now       time.Duration
 	queue     queue
 	order     int
 	fronts    []*front
@@ -100,19 +100,19 @@
 		f.Split = 6
 	}
 	if f.Across == 0 {
-		f.Across = 150 * kernel.Millisecond
+		f.Across = 150 * time.Millisecond
 	}
 	if f.Size == 0 {
 		f.Size = 0.004
 	}
 	if f.HoldFor == 0 {
-		f.HoldFor = 2500 * kernel.Millisecond
+		f.HoldFor = 2500 * time.Millisecond
 	}
 	if f.Config.Window == 0 {
-		f.Config.Window = 8 * kernel.Second
+		f.Config.Window = 8 * time.Second
 	}
 	if f.Config.Interval == 0 {
-		f.Config.Interval = 200 * kernel.Millisecond
+		f.Config.Interval = 200 * time.Millisecond
 	}
 	if f.Terms == (tally.Terms{}) {
 		f.Terms = tally.Terms{Rate: 1000, Burst: 2000}
@@ -128,7 +128,7 @@
 	for i := range f.Fronts {
 		r.fronts = append(r.fronts, &front{name: r.names[i], down: true, due: r.random.Float64()})
 		r.start(i)
-		r.after(kernel.Duration(r.random.Int64N(int64(f.Config.Interval/10))), func() { r.pace(i, int(r.random.Int64N(10))) })
+		r.after(time.Duration(r.random.Int64N(int64(f.Config.Interval/10))), func() { r.pace(i, int(r.random.Int64N(10))) })
 		if f.Demand != nil {
 			r.after(0, func() { r.arrive(i) })
 		}
@@ -153,7 +153,7 @@
 	return r.requests
 }
 
-func (r *run) after(d kernel.Duration, do func()) {
+func (r *run) after(d time.Duration, do func()) {
 	r.order++
 	heap.Push(&r.queue, event{r.now + d, r.order, do})
 }
@@ -167,24 +167,24 @@
 	f.paced, f.flying, f.holds = map[string]bool{}, map[string]int{}, nil
 }
 
-func (r *run) clock(i int) kernel.Time {
-	t := kernel.UnixMicro(epoch + r.now.Microseconds())
+func (r *run) clock(i int) time.Time {
+	t := time.UnixMicro(epoch + r.now.Microseconds())
 	if r.Clock != nil {
 		t = t.Add(r.Clock(r.now, i))
 	}
 	return t
 }
 
-func (r *run) gone(at kernel.Duration, i int) bool { return r.Down != nil && r.Down(at, i) }
+func (r *run) gone(at time.Duration, i int) bool { return r.Down != nil && r.Down(at, i) }
 
-func (r *run) stands(at kernel.Duration, i int) bool { return r.Frozen != nil && r.Frozen(at, i) }
+func (r *run) stands(at time.Duration, i int) bool { return r.Frozen != nil && r.Frozen(at, i) }
 
 // reach tells which fronts i takes for live, and which of those for silent.
 func (r *run) reach(i int) (live, silent []string) {
-	skew := kernel.Duration(i) * 60 * kernel.Millisecond
-	forgets, notices := r.Forgets, 2*kernel.Second
+	skew := time.Duration(i) * 60 * time.Millisecond
+	forgets, notices := r.Forgets, 2*time.Second
 	if r.Follows {
-		forgets, notices = 500*kernel.Millisecond+skew, 1500*kernel.Millisecond+skew
+		forgets, notices = 500*time.Millisecond+skew, 1500*time.Millisecond+skew
 	}
 	for j, name := range r.names {
 		if forgets > 0 && r.gone(r.now, j) && r.gone(r.now-forgets, j) {
@@ -192,8 +192,8 @@
 		}
 		live = append(live, name)
 		away := r.Cut != nil && r.apart(i, j) && !r.gone(r.now, j) && r.Cut(r.now) && r.Cut(r.now-notices)
-		away = away || (r.stands(r.now-notices, j) && (r.stands(r.now, j) || r.now-r.fronts[j].thawed < 200*kernel.Millisecond))
-		away = away || (r.fronts[i].thawed > 0 && r.now-r.fronts[i].thawed < 200*kernel.Millisecond)
+		away = away || (r.stands(r.now-notices, j) && (r.stands(r.now, j) || r.now-r.fronts[j].thawed < 200*time.Millisecond))
+		away = away || (r.fronts[i].thawed > 0 && r.now-r.fronts[i].thawed < 200*time.Millisecond)
 		if away && i != j && !r.Unmarked {
 			silent = append(silent, name)
 		}
@@ -203,14 +203,14 @@
 
 func (r *run) apart(i, j int) bool { return (i < r.Split) != (j < r.Split) }
 
-func (r *run) delay(i, j int) kernel.Duration {
+func (r *run) delay(i, j int) time.Duration {
 	if i == j {
-		return 20 * kernel.Microsecond
+		return 20 * time.Microsecond
 	}
 	if r.apart(i, j) {
-		return r.Across/2 + kernel.Duration(r.random.Int64N(int64(r.Across/2)))
+		return r.Across/2 + time.Duration(r.random.Int64N(int64(r.Across/2)))
 	}
-	return kernel.Millisecond + kernel.Duration(r.random.Int64N(int64(2*kernel.Millisecond)))
+	return time.Millisecond + time.Duration(r.random.Int64N(int64(2*time.Millisecond)))
 }
 
 func (r *run) lost(i, j int) bool {
@@ -289,23 +289,23 @@
 			}
 		}
 		if r.lost(i, j) || r.fronts[j].down {
-			r.after(kernel.Second, landed)
+			r.after(time.Second, landed)
 			continue
 		}
 		req := &wire.AddRequest{Front: f.name, Incarnation: f.incarnation, Counts: counts}
 		r.after(r.delay(i, j), func() {
 			if r.fronts[j].down {
-				r.after(kernel.Second, landed)
+				r.after(time.Second, landed)
 				return
 			}
 			if r.stands(r.now, j) {
-				r.after(kernel.Second, landed)
+				r.after(time.Second, landed)
 				r.atThaw(j, func() { r.fronts[j].ledger.Add(req, r.clock(j)) })
 				return
 			}
 			resp := r.fronts[j].ledger.Add(req, r.clock(j))
 			if r.lost(j, i) {
-				r.after(kernel.Second, landed)
+				r.after(time.Second, landed)
 				return
 			}
 			r.after(r.delay(j, i), func() {
@@ -339,7 +339,7 @@
 
 func (r *run) size() float64 { return r.Size * (0.5 + r.random.Float64()) }
 
-const beat = 4 * kernel.Millisecond
+const beat = 4 * time.Millisecond
 
 // arrive offers a front's demand; fronts that are down or frozen pass theirs on to the
 // next one that is up.
--- a/sim/tally/judge.go
+++ b/sim/tally/judge.go
@@ -2,28 +2,29 @@
 
 import (
 	"sort"
+	"time"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 )
 
 // Finding is what a run came to; spans and tokens as part of the limit.
 type Finding struct {
-	High      float64         // most that passed in any span
-	HighAt    kernel.Duration // its start
-	Low       float64         // least that passed in a span of steady excess demand; -1 when there was none
-	LowAt     kernel.Duration
+	High      float64       // most that passed in any span
+	HighAt    time.Duration // its start
+	Low       float64       // least that passed in a span of steady excess demand; -1 when there was none
+	LowAt     time.Duration
 	Refused   float64 // part of the tokens refused although the offer was under 0.8
 	Offered   float64 // tokens so offered
-	Wait      kernel.Duration
+	Wait      time.Duration
 	ByRegion  [2]float64 // least of each region in a span of steady excess demand
 	Mean      float64    // passed in a span of steady excess demand, over the whole run
 	Exchanges int
 }
 
-const span = 8 * kernel.Second
+const span = 8 * time.Second
 
 type passed struct {
-	at     kernel.Duration
+	at     time.Duration
 	tokens float64
 	region int
 }
@@ -32,7 +33,7 @@
 // excess demand: only spans within it count for Low, ByRegion and Mean. Tokens
 // that were offered while the offer of the 8 s before and of the 8 s after was at
 // most 0.8 of the limit must not be refused.
-func Judge(requests []Request, split int, from, until kernel.Duration) Finding {
+func Judge(requests []Request, split int, from, until time.Duration) Finding {
 	var passes []passed
 	f := Finding{Low: -1, ByRegion: [2]float64{-1, -1}}
 	before, after, oldest, newest, refused := 0.0, 0.0, 0, 0, 0.0
@@ -86,7 +87,7 @@
 		}
 	}
 	f.Mean = total / ((until - from).Seconds() / span.Seconds())
-	for start := from; start+span <= until; start += 20 * kernel.Millisecond {
+	for start := from; start+span <= until; start += 20 * time.Millisecond {
 		var sums [2]float64
 		i := sort.Search(len(passes), func(i int) bool { return passes[i].at >= start })
 		for ; i < len(passes) && passes[i].at < start+span; i++ {
@@ -116,7 +117,7 @@
 			}
 		}
 		exact[i] = Request{At: r.At, Answered: r.At, Front: r.Front, Tokens: r.Tokens}
-		exact[i].Decision.Code = kernel.QuotaExceeded
+		exact[i].Decision.Code = apierror.QuotaExceeded
 		if sum+r.Tokens/2 <= 1 {
 			sum += r.Tokens
 			exact[i].Decision.Pass = true
--- a/sim/tally/scenario.go
+++ b/sim/tally/scenario.go
@@ -3,14 +3,13 @@
 import (
 	"fmt"
 	"math/rand/v2"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // Scenario is a kind of run with its requirement. A requirement of zero is none.
 type Scenario struct {
 	Name    string
-	Make    func(random *rand.Rand) (fleet Fleet, from, until kernel.Duration)
+	Make    func(random *rand.Rand) (fleet Fleet, from, until time.Duration)
 	High    float64 // most in any span
 	Low     float64 // least in a span of steady excess demand
 	Side    float64 // least of each region in such a span
@@ -42,17 +41,17 @@
 }
 
 const (
-	second = kernel.Second
+	second = time.Second
 	high   = 1.15
 	low    = 0.85
 )
 
-func evenly(multiple float64) func(kernel.Duration, int) float64 {
-	return func(kernel.Duration, int) float64 { return multiple / 9 }
+func evenly(multiple float64) func(time.Duration, int) float64 {
+	return func(time.Duration, int) float64 { return multiple / 9 }
 }
 
-func jump(at kernel.Duration, before, after float64) func(kernel.Duration, int) float64 {
-	return func(now kernel.Duration, _ int) float64 {
+func jump(at time.Duration, before, after float64) func(time.Duration, int) float64 {
+	return func(now time.Duration, _ int) float64 {
 		if now < at {
 			return before / 9
 		}
@@ -62,8 +61,8 @@
 
 // zones sends all of the demand to the three fronts of one zone, another one
 // every stay.
-func zones(multiple float64, stay kernel.Duration, first int) func(kernel.Duration, int) float64 {
-	return func(now kernel.Duration, front int) float64 {
+func zones(multiple float64, stay time.Duration, first int) func(time.Duration, int) float64 {
+	return func(now time.Duration, front int) float64 {
 		if (first+int(now/stay))%3 == front/3 {
 			return multiple / 3
 		}
@@ -73,8 +72,8 @@
 
 func between(random *rand.Rand, a, b float64) float64 { return a + random.Float64()*(b-a) }
 
-func some(random *rand.Rand, a, b kernel.Duration) kernel.Duration {
-	return a + kernel.Duration(random.Int64N(int64(b-a)))
+func some(random *rand.Rand, a, b time.Duration) time.Duration {
+	return a + time.Duration(random.Int64N(int64(b-a)))
 }
 
 // calm is a tenant under 0.75 of its limit, with requests of 2 to 10% of it, at
@@ -88,53 +87,53 @@
 		}
 	}
 	return Fleet{Size: between(random, 0.02, 0.1), Length: 60 * second, Follows: true, HolderFirst: true,
-		Demand: func(_ kernel.Duration, front int) float64 { return multiple * weights[front] / sum }}
+		Demand: func(_ time.Duration, front int) float64 { return multiple * weights[front] / sum }}
 }
 
 // Scenarios returns all kinds of runs.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{"steady excess", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"steady excess", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			return Fleet{Demand: evenly(between(random, 1.2, 5)), Length: 60 * second}, 0, 60 * second
 		}, high, low, 0, -1, 0},
-		{"steady excess after start", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"steady excess after start", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			return Fleet{Demand: evenly(between(random, 1.2, 5)), Length: 60 * second}, 17 * second, 60 * second
 		}, high, low, 0, -1, 0},
-		{"steady excess, at random", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"steady excess, at random", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			return Fleet{Demand: evenly(between(random, 1.2, 5)), Random: true, Length: 60 * second}, 17 * second, 60 * second
 		}, high, low, 0, -1, 0.1},
-		{"tenfold jump, at random", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"tenfold jump, at random", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			at, before := some(random, 16*second, 24*second), between(random, 0.12, 1)
 			return Fleet{Demand: jump(at, before, 10*before), Random: true, Length: 60 * second}, at, 60 * second
 		}, high, low, 0, 0, 0.1},
-		{"excess at one front", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"excess at one front", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			at, multiple := random.IntN(9), between(random, 1.2, 5)
-			return Fleet{Demand: func(_ kernel.Duration, front int) float64 {
+			return Fleet{Demand: func(_ time.Duration, front int) float64 {
 				if front == at {
 					return multiple
 				}
 				return 0
 			}, Length: 60 * second}, 0, 60 * second
 		}, high, low, 0, -1, 0},
-		{"excess, most of it at one front", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"excess, most of it at one front", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			at, multiple := random.IntN(9), between(random, 1.3, 5)
-			return Fleet{Demand: func(_ kernel.Duration, front int) float64 {
+			return Fleet{Demand: func(_ time.Duration, front int) float64 {
 				if front == at {
 					return 0.9 * multiple
 				}
 				return 0.1 / 8 * multiple
 			}, Length: 60 * second}, 0, 60 * second
 		}, high, low, 0, -1, 0},
-		{"tenfold jump", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"tenfold jump", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			at, before := some(random, 16*second, 24*second), between(random, 0.12, 1)
 			return Fleet{Demand: jump(at, before, 10*before), Length: 60 * second}, at, 60 * second
 		}, high, low, 0, 0, 0},
-		{"moving zones in excess", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"moving zones in excess", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			return Fleet{Demand: zones(between(random, 1.5, 5), some(random, 5*second, 15*second), random.IntN(3)), Length: 80 * second}, 0, 80 * second
 		}, high, low, 0, -1, 0},
-		{"tenfold jump in one zone that moves", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"tenfold jump in one zone that moves", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			before, stay, first := between(random, 0.12, 1), some(random, 10*second, 20*second), random.IntN(3)
-			return Fleet{Demand: func(now kernel.Duration, front int) float64 {
+			return Fleet{Demand: func(now time.Duration, front int) float64 {
 				multiple := before
 				if now >= stay {
 					multiple *= 10
@@ -142,9 +141,9 @@
 				return zones(multiple, stay, first)(now, front)
 			}, Length: 60 * second}, stay, 60 * second
 		}, high, low, 0, 0, 0},
-		{"late and early", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"late and early", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			late := between(random, 0.3, 1.5)
-			return Fleet{Demand: func(now kernel.Duration, _ int) float64 {
+			return Fleet{Demand: func(now time.Duration, _ int) float64 {
 				window, offset := now/(8*second), (now % (8 * second)).Seconds()
 				if (window%3 == 1 && offset > 8-late) || (window%3 == 2 && offset < late) {
 					return 1.5 * 8 / late / 9
@@ -152,14 +151,14 @@
 				return 0
 			}, Length: 100 * second}, 0, 0
 		}, high, 0, 0, 0, 0},
-		{"under, evenly", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"under, evenly", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			return Fleet{Demand: evenly(between(random, 0.3, 0.75)), Length: 80 * second}, 0, 0
 		}, high, 0, 0, 0, 0},
-		{"under, moving zones", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"under, moving zones", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			return Fleet{Demand: zones(between(random, 0.3, 0.75), some(random, 3*second, 15*second), random.IntN(3)), Length: 80 * second}, 0, 0
 		}, high, 0, 0, 0, 0},
-		{"under, early in windows", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
-			return Fleet{Demand: func(now kernel.Duration, _ int) float64 {
+		{"under, early in windows", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
+			return Fleet{Demand: func(now time.Duration, _ int) float64 {
 				window, offset := now/(8*second), (now % (8 * second)).Seconds()
 				if (window%2 == 0 && offset < 1) || (window%2 == 1 && offset > 0.5 && offset < 1.5) {
 					return 0.7 * 8 / 9
@@ -167,108 +166,108 @@
 				return 0
 			}, Length: 100 * second}, 0, 0
 		}, high, 0, 0, 0, 0},
-		{"under, at once at one front", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"under, at once at one front", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := Fleet{Length: 80 * second}
-			for at := some(random, 0, 8*second); at < 70*second; at += some(random, 8100*kernel.Millisecond, 12*second) {
+			for at := some(random, 0, 8*second); at < 70*second; at += some(random, 8100*time.Millisecond, 12*second) {
 				f.Bursts = append(f.Bursts, Burst{at, random.IntN(9), between(random, 0.3, 0.75)})
 			}
 			return f, 0, 0
 		}, high, 0, 0, 0, 0},
-		{"large requests", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"large requests", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			return Fleet{Demand: evenly(between(random, 1.5, 10)), Size: between(random, 0.02, 0.05), Length: 60 * second}, 0, 60 * second
 		}, high, low, 0, -1, 0.1},
-		{"losses", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"losses", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			at, before := some(random, 16*second, 24*second), between(random, 0.12, 1)
 			return Fleet{Demand: jump(at, before, 10*before), Loss: 0.05, Length: 60 * second}, at, 60 * second
 		}, high, low, 0, 0, 0},
-		{"holder killed", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"holder killed", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := Fleet{Demand: evenly(between(random, 1.5, 5)), Length: 60 * second, Forgets: 2 * second, HolderFirst: true}
 			at := some(random, 16*second, 24*second)
-			f.Down = func(now kernel.Duration, front int) bool { return now >= at && front == 0 }
+			f.Down = func(now time.Duration, front int) bool { return now >= at && front == 0 }
 			return f, 0, 60 * second
 		}, high, low, 0, -1, 0},
-		{"holder killed, under", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"holder killed, under", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := Fleet{Demand: evenly(between(random, 0.3, 0.75)), Length: 60 * second, Forgets: 2 * second, HolderFirst: true}
 			at := some(random, 16*second, 24*second)
-			f.Down = func(now kernel.Duration, front int) bool { return now >= at && front == 0 }
+			f.Down = func(now time.Duration, front int) bool { return now >= at && front == 0 }
 			return f, 0, 0
 		}, high, 0, 0, 0, 0},
-		{"under, holder frozen", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"under, holder frozen", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := calm(random)
 			at := some(random, 16*second, 20*second)
-			f.Frozen = func(now kernel.Duration, front int) bool {
+			f.Frozen = func(now time.Duration, front int) bool {
 				return front == 0 && now >= at && (now-at)%(17*second) < 5*second
 			}
 			return f, 0, 0
 		}, high, 0, 0, 0, 0},
-		{"under, holder killed with others", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"under, holder killed with others", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := calm(random)
 			at, more := some(random, 16*second, 24*second), 1+random.IntN(3)
-			f.Down = func(now kernel.Duration, front int) bool { return now >= at && front%2 == 0 && front/2 <= more }
+			f.Down = func(now time.Duration, front int) bool { return now >= at && front%2 == 0 && front/2 <= more }
 			return f, 0, 0
 		}, high, 0, 0, 0, 0},
-		{"under, holder frozen while two are killed", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"under, holder frozen while two are killed", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := calm(random)
 			at := some(random, 16*second, 24*second)
-			f.Frozen = func(now kernel.Duration, front int) bool { return front == 0 && now >= at && now < at+5*second }
-			f.Down = func(now kernel.Duration, front int) bool {
+			f.Frozen = func(now time.Duration, front int) bool { return front == 0 && now >= at && now < at+5*second }
+			f.Down = func(now time.Duration, front int) bool {
 				return (front == 3 || front == 7) && now >= at+2*second && now < at+9*second
 			}
 			return f, 0, 0
 		}, high, 0, 0, 0, 0},
-		{"holder frozen", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"holder frozen", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := Fleet{Demand: evenly(between(random, 1.5, 5)), Length: 60 * second, Follows: true, HolderFirst: true}
 			at := some(random, 16*second, 24*second)
-			f.Frozen = func(now kernel.Duration, front int) bool { return front == 0 && now >= at && now < at+5*second }
+			f.Frozen = func(now time.Duration, front int) bool { return front == 0 && now >= at && now < at+5*second }
 			return f, 0, 60 * second
 		}, high, low, 0, -1, 0},
-		{"under, jump in all while the holder is frozen", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"under, jump in all while the holder is frozen", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			at, before := some(random, 16*second, 24*second), between(random, 0.1, 0.75)
 			f := Fleet{Demand: jump(at+some(random, 0, 4*second), before, 10*before), Length: 50 * second, Follows: true, HolderFirst: true}
-			f.Frozen = func(now kernel.Duration, front int) bool { return front == 0 && now >= at && now < at+5*second }
+			f.Frozen = func(now time.Duration, front int) bool { return front == 0 && now >= at && now < at+5*second }
 			return f, 0, 0
 		}, high, 0, 0, -1, 0},
-		{"under, region cut, jump on both sides", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"under, region cut, jump on both sides", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			at, before := some(random, 16*second, 24*second), between(random, 0.1, 0.75)
 			f := Fleet{Split: 3 + random.IntN(4), Demand: jump(at+some(random, 0, 4*second), before, 10*before), Length: 60 * second, Follows: true}
-			f.Cut = func(now kernel.Duration) bool { return now >= at && now < at+25*second }
+			f.Cut = func(now time.Duration) bool { return now >= at && now < at+25*second }
 			return f, 0, 0
 		}, 1.3, 0, 0, -1, 0},
-		{"holder dark for long", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"holder dark for long", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := Fleet{Demand: evenly(between(random, 1.5, 5)), Length: 60 * second, HolderFirst: true}
 			at := some(random, 16*second, 24*second)
-			f.Down = func(now kernel.Duration, front int) bool { return now >= at && now < at+20*second && front == 0 }
+			f.Down = func(now time.Duration, front int) bool { return now >= at && now < at+20*second && front == 0 }
 			return f, 0, 60 * second
 		}, high, 0, 0, -1, 0},
-		{"restarts in turn", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"restarts in turn", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := Fleet{Demand: evenly(between(random, 1.5, 5)), Length: 80 * second, Flushed: random.IntN(2) == 0}
 			gap := some(random, 3*second, 6*second)
-			f.Down = func(now kernel.Duration, front int) bool {
-				begin := 12*second + kernel.Duration(front)*gap
-				return now >= begin && now < begin+1500*kernel.Millisecond
+			f.Down = func(now time.Duration, front int) bool {
+				begin := 12*second + time.Duration(front)*gap
+				return now >= begin && now < begin+1500*time.Millisecond
 			}
 			return f, 0, 80 * second
 		}, high, low, 0, -1, 0},
-		{"region cut", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"region cut", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			first, second2 := between(random, 1.5, 5), between(random, 1.5, 5)
 			f := Fleet{Split: 3 + random.IntN(4), Length: 70 * second}
 			split := f.Split
-			f.Demand = func(_ kernel.Duration, front int) float64 {
+			f.Demand = func(_ time.Duration, front int) float64 {
 				if front < split {
 					return first / float64(split)
 				}
 				return second2 / float64(9-split)
 			}
 			at := some(random, 16*second, 24*second)
-			f.Cut = func(now kernel.Duration) bool { return now >= at && now < at+25*second }
+			f.Cut = func(now time.Duration) bool { return now >= at && now < at+25*second }
 			return f, 8 * second, 70 * second
 		}, 1.3, low, 0.2, -1, 0},
-		{"region cut, load jumps where it was not", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"region cut, load jumps where it was not", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			multiple, before := between(random, 1.5, 5), random.IntN(2) == 0
 			f := Fleet{Split: 3 + random.IntN(4), Length: 70 * second}
 			split := f.Split
 			at := some(random, 16*second, 24*second)
-			f.Demand = func(now kernel.Duration, front int) float64 {
+			f.Demand = func(now time.Duration, front int) float64 {
 				if now < at+2*second && (front < split) != before {
 					return 0
 				}
@@ -277,13 +276,13 @@
 				}
 				return multiple / float64(9-split)
 			}
-			f.Cut = func(now kernel.Duration) bool { return now >= at && now < at+25*second }
+			f.Cut = func(now time.Duration) bool { return now >= at && now < at+25*second }
 			return f, at + 2*second, at + 25*second
 		}, 1.3, 0, 0.2, -1, 0},
-		{"clock step of one front", func(random *rand.Rand) (Fleet, kernel.Duration, kernel.Duration) {
+		{"clock step of one front", func(random *rand.Rand) (Fleet, time.Duration, time.Duration) {
 			f := Fleet{Demand: evenly(between(random, 1.5, 5)), Length: 60 * second}
-			at, front, step := some(random, 10*second, 20*second), random.IntN(9), kernel.Duration(between(random, -1, 1)*float64(second))
-			f.Clock = func(now kernel.Duration, i int) kernel.Duration {
+			at, front, step := some(random, 10*second, 20*second), random.IntN(9), time.Duration(between(random, -1, 1)*float64(second))
+			f.Clock = func(now time.Duration, i int) time.Duration {
 				if i == front && now >= at && now < at+20*second {
 					return step
 				}
