--- a/cmd/rig/prove/rolling_upgrade.go
+++ b/cmd/rig/faultcase/rolling_upgrade.go
@@ -1,4 +1,4 @@
-package prove
+package faultcase
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
+	"stepwick/cmd/rig/history"
 )
 
 // RollingUpgrade is the case that replaces the previous build by the new one,
@@ -269,10 +269,10 @@
 
 // cutStreams returns the number of streams that ended before their final event
 // without the caller having left.
-func cutStreams(l *ledger.Ledger) int {
+func cutStreams(l *history.Ledger) int {
 	count := 0
 	for _, a := range l.Attempts {
-		if len(a.Events) > 0 && a.End != ledger.Served && a.End != ledger.GaveUp {
+		if len(a.Events) > 0 && a.End != history.Served && a.End != history.GaveUp {
 			count++
 		}
 	}
--- a/cmd/rig/prove/rolling_upgrade_test.go
+++ b/cmd/rig/faultcase/rolling_upgrade_test.go
@@ -1,4 +1,4 @@
-package prove
+package faultcase
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
+	"stepwick/cmd/rig/history"
 )
 
 func TestRollingSteps(t *testing.T) {
@@ -64,13 +64,13 @@
 
 func TestCutStreams(t *testing.T) {
 	Convey("Streams count as cut if they began and neither ended nor were left by the caller", t, func() {
-		events := []ledger.Event{{}}
-		l := &ledger.Ledger{Attempts: []ledger.Attempt{
-			{Events: events, End: ledger.Served},
-			{Events: events, End: ledger.GaveUp},
-			{End: ledger.Refused},
-			{Events: events, End: ledger.CutAbort},
-			{Events: events, End: ledger.CutError},
+		events := []history.Event{{}}
+		l := &history.Ledger{Attempts: []history.Attempt{
+			{Events: events, End: history.Served},
+			{Events: events, End: history.GaveUp},
+			{End: history.Refused},
+			{Events: events, End: history.CutAbort},
+			{Events: events, End: history.CutError},
 		}}
 		So(cutStreams(l), ShouldEqual, 2)
 	})
--- a/sim/balance/front.go
+++ b/sim/balance/front.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"stepwick/internal/core/balance"
+	"stepwick/internal/decision/balance"
 	"stepwick/internal/wire"
 
 	"google.golang.org/protobuf/proto"
--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"stepwick/internal/core/balance"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/sim/balance/site.go
+++ b/sim/balance/site.go
@@ -1,4 +1,4 @@
-// Package balance plays the choices of internal/core/balance for many fronts
+// Package balance plays the choices of internal/decision/balance for many fronts
 // before emulated model servers, in virtual time. The choices are the product's
 // own code; servers, links, clients and the word of silent servers that fronts
 // pass on are modelled. It serves to try a policy under many seeds, at sizes
--- a/sim/ballots/events.go
+++ b/sim/paxos/events.go
@@ -1,4 +1,4 @@
-package ballots
+package paxos
 
 type event struct {
 	at, order int64
--- a/sim/ballots/letter.go
+++ b/sim/paxos/letter.go
@@ -1,4 +1,4 @@
-package ballots
+package paxos
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/wire"
 )
 
@@ -48,13 +48,13 @@
 		return head + fmt.Sprintf("prepare %d", l.prepare.Ballot.Number)
 	case l.prepared != nil:
 		m := l.prepared
-		return head + fmt.Sprintf("promised %v %v accepted %v %q chosen %v %q lives %v", m.Promised, ballot.Of(m.PromisedBallot),
-			ballot.Of(m.AcceptedBallot), m.AcceptedValue, m.Chosen, m.ChosenValue, m.Lives)
+		return head + fmt.Sprintf("promised %v %v accepted %v %q chosen %v %q lives %v", m.Promised, paxos.Of(m.PromisedBallot),
+			paxos.Of(m.AcceptedBallot), m.AcceptedValue, m.Chosen, m.ChosenValue, m.Lives)
 	case l.accept != nil:
 		return head + fmt.Sprintf("accept %d %q on lives %v", l.accept.Ballot.Number, l.accept.Value, l.accept.PromisedLives)
 	case l.accepted != nil:
 		m := l.accepted
-		return head + fmt.Sprintf("accepted %v of %v lives %v chosen %v %q", m.Accepted, ballot.Of(m.PromisedBallot), m.Lives, m.Chosen, m.ChosenValue)
+		return head + fmt.Sprintf("accepted %v of %v lives %v chosen %v %q", m.Accepted, paxos.Of(m.PromisedBallot), m.Lives, m.Chosen, m.ChosenValue)
 	case l.recover != nil:
 		return head + fmt.Sprintf("recover life %d", l.recover.Life)
 	}
--- a/sim/ballots/moves.go
+++ b/sim/paxos/moves.go
@@ -1,4 +1,4 @@
-package ballots
+package paxos
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/wire"
 )
 
@@ -16,7 +16,7 @@
 	if n.proposals == 0 || n.state.Life() == 0 || n.state.Learned() >= slot {
 		return false
 	}
-	p, req := ballot.Propose(n.state, slot, n.state.NextNumber(slot), fmt.Appendf(nil, "%s%d", names[i], n.run+1))
+	p, req := paxos.Propose(n.state, slot, n.state.NextNumber(slot), fmt.Appendf(nil, "%s%d", names[i], n.run+1))
 	n.proposer, n.proposals = &p, n.proposals-1
 	n.run++
 	w.cores[i] = n.hashed()
@@ -43,7 +43,7 @@
 	}
 	w.bounds.Rebuilds--
 	n.rebuild = &rebuild{life: life}
-	n.state = ballot.Lived{Core: names[i], Life: life}.Fold(n.state)
+	n.state = paxos.Lived{Core: names[i], Life: life}.Fold(n.state)
 	w.cores[i] = n.hashed()
 	for to := range w.cores {
 		if to != i {
@@ -62,9 +62,9 @@
 	}
 	w.bounds.Wipes--
 	n := w.cores[i]
-	state := ballot.Joined{Formation: "f", Voters: names}.Fold(ballot.Blank(names[i]))
+	state := paxos.Joined{Formation: "f", Voters: names}.Fold(paxos.Blank(names[i]))
 	if w.bounds.Flaw == RebuildWithout {
-		state = ballot.Entered{Lives: n.state.Lives}.Fold(state)
+		state = paxos.Entered{Lives: n.state.Lives}.Fold(state)
 	}
 	w.cores[i] = node{state: state, life: n.life + 1, run: n.run, proposals: n.proposals}.hashed()
 	return visit(step{what: "wipe", core: i}, w)
@@ -121,7 +121,7 @@
 func (w world) decide(l *letter) handed {
 	answer := &letter{from: l.to, to: l.from, life: l.life, run: l.run}
 	n := w.cores[l.to]
-	var records []ballot.Record
+	var records []paxos.Record
 	switch {
 	case l.prepare != nil:
 		records, answer.prepared = n.state.Prepare(l.prepare)
@@ -148,12 +148,12 @@
 	return given
 }
 
-func (w world) bendPrepared(s ballot.State, req *wire.PrepareRequest, resp *wire.PrepareResponse) {
+func (w world) bendPrepared(s paxos.State, req *wire.PrepareRequest, resp *wire.PrepareResponse) {
 	switch w.bounds.Flaw {
 	case LivesHidden:
 		resp.Lives = firstLives
 	case PromiseTwice:
-		if vote := s.Votes[req.Slot]; !resp.Promised && resp.Refusal == 0 && !resp.Chosen && vote.Promised == ballot.Of(req.Ballot) {
+		if vote := s.Votes[req.Slot]; !resp.Promised && resp.Refusal == 0 && !resp.Chosen && vote.Promised == paxos.Of(req.Ballot) {
 			resp.Promised, resp.AcceptedBallot, resp.AcceptedValue = true, vote.Accepted.Wire(), vote.Value
 		}
 	}
@@ -189,15 +189,15 @@
 }
 
 func (w world) proposed(n node, l *letter) taken {
-	var p ballot.Proposer
-	var next ballot.Step
+	var p paxos.Proposer
+	var next paxos.Step
 	if l.prepared != nil {
 		p, next = n.proposer.Promise(l.prepared)
 	} else {
 		p, next = n.proposer.Accepted(l.accepted)
 	}
 	n.proposer = &p
-	if p.Phase == ballot.Ended {
+	if p.Phase == paxos.Ended {
 		n.proposer = nil
 	}
 	got := taken{}
--- a/sim/ballots/random_core.go
+++ b/sim/paxos/random_core.go
@@ -1,11 +1,11 @@
-package ballots
+package paxos
 
 import (
 	"bytes"
 	"encoding/binary"
 	"slices"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/wire"
 )
 
@@ -16,10 +16,10 @@
 	index     int
 	up        bool
 	life      int
-	base      ballot.State
-	log       []ballot.Record
+	base      paxos.State
+	log       []paxos.Record
 	synced    int
-	state     ballot.State
+	state     paxos.State
 	waiting   []held
 	slow      int64
 	proposals int
@@ -41,7 +41,7 @@
 	return all
 }
 
-func (c *core) durable() ballot.State {
+func (c *core) durable() paxos.State {
 	state := c.base
 	for _, record := range c.log[:c.synced] {
 		state = record.Fold(state)
@@ -51,12 +51,12 @@
 
 func (s *sim) boot(c *core) {
 	if c.base.Self == "" {
-		c.base = ballot.Blank(s.names[c.index])
+		c.base = paxos.Blank(s.names[c.index])
 	}
 	c.up = true
 	c.state = c.base
 	for _, record := range c.log {
-		encoded, err := ballot.DecodeRecord(ballot.EncodeRecord(record))
+		encoded, err := paxos.DecodeRecord(paxos.EncodeRecord(record))
 		if err != nil {
 			s.violate("a record can't be read back: %v", err)
 			return
@@ -66,8 +66,8 @@
 	c.synced, c.waiting, c.proposing, c.entering, c.seen, c.slow = len(c.log), nil, 0, false, 0, 0
 	if s.faults.Flaw == RebuildWithout && c.state.Formation == "" && len(s.chosen) > 0 {
 		other := s.cores[(c.index+1)%len(s.cores)].state
-		joined := ballot.Joined{Formation: other.Formation, Voters: s.names}.Fold(c.state)
-		c.base = ballot.Entered{Lives: other.Lives}.Fold(joined)
+		joined := paxos.Joined{Formation: other.Formation, Voters: s.names}.Fold(c.state)
+		c.base = paxos.Entered{Lives: other.Lives}.Fold(joined)
 		c.state = c.base
 	}
 	c.tick(c.life)
@@ -92,7 +92,7 @@
 }
 
 // commit appends records and folds them; a sync follows.
-func (c *core) commit(records []ballot.Record) {
+func (c *core) commit(records []paxos.Record) {
 	if len(records) == 0 {
 		return
 	}
@@ -123,7 +123,7 @@
 		then()
 	}
 	if c.synced > 40 && c.waiting == nil || c.synced > 200 {
-		whole, err := ballot.Decode(c.state.Encode())
+		whole, err := paxos.Decode(c.state.Encode())
 		if err != nil {
 			c.sim.violate("a state can't be read back: %v", err)
 		}
@@ -142,7 +142,7 @@
 }
 
 // check judges what the core has newly learned.
-func (c *core) check(before ballot.State) {
+func (c *core) check(before paxos.State) {
 	if c.state.SnapshotEpoch > before.Learned() {
 		epoch := c.state.SnapshotEpoch
 		if epoch > uint64(len(c.sim.rolling)) || !bytes.Equal(c.state.Snapshot, binary.LittleEndian.AppendUint64(nil, c.sim.digest(epoch))) {
@@ -158,7 +158,7 @@
 
 // rpc calls one core: lost, doubled, late. The answer leaves when all that the
 // answerer has appended is synced, and is lost when the caller has crashed.
-func rpc[A any](from, to *core, handle func(*core) ([]ballot.Record, A), got func(A)) {
+func rpc[A any](from, to *core, handle func(*core) ([]paxos.Record, A), got func(A)) {
 	s, life := from.sim, from.life
 	named := to
 	deliver := func() {
--- a/sim/ballots/random_protocol.go
+++ b/sim/paxos/random_protocol.go
@@ -1,10 +1,10 @@
-package ballots
+package paxos
 
 import (
 	"fmt"
 	"slices"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/wire"
 )
 
@@ -30,7 +30,7 @@
 		c.sim.after(probeGrace, proceed)
 	}
 	for _, other := range c.others() {
-		rpc(c, other, func(o *core) ([]ballot.Record, *wire.RecoverResponse) {
+		rpc(c, other, func(o *core) ([]paxos.Record, *wire.RecoverResponse) {
 			return o.state.Recover(&wire.RecoverRequest{Core: c.state.Self, Probe: true})
 		}, take(other.state.Self))
 	}
@@ -43,7 +43,7 @@
 				continue
 			}
 			if record, ok := c.state.Rejoin(answers[name]); ok {
-				c.commit([]ballot.Record{record})
+				c.commit([]paxos.Record{record})
 				return
 			}
 		}
@@ -51,11 +51,11 @@
 		if !ok {
 			return
 		}
-		c.commit([]ballot.Record{record})
-		joined := record.(ballot.Joined)
+		c.commit([]paxos.Record{record})
+		joined := record.(paxos.Joined)
 		c.whenSynced(func() {
 			for _, other := range c.others() {
-				rpc(c, other, func(o *core) ([]ballot.Record, *wire.FoundResponse) {
+				rpc(c, other, func(o *core) ([]paxos.Record, *wire.FoundResponse) {
 					return o.state.Found(&wire.FoundRequest{Formation: joined.Formation, Voters: joined.Voters, Founder: c.state.Self})
 				}, func(*wire.FoundResponse) {})
 			}
@@ -80,7 +80,7 @@
 				continue
 			}
 			if record, ok := c.state.Rejoin(probes[name]); ok {
-				c.commit([]ballot.Record{record})
+				c.commit([]paxos.Record{record})
 				return
 			}
 		}
@@ -89,7 +89,7 @@
 			return
 		}
 		if next != c.state.Announced {
-			c.commit([]ballot.Record{ballot.Lived{Core: c.state.Self, Life: next}})
+			c.commit([]paxos.Record{paxos.Lived{Core: c.state.Self, Life: next}})
 		}
 		c.whenSynced(func() { c.announce(next, probes) })
 	})
@@ -109,14 +109,14 @@
 			return
 		}
 		if record, waiting := c.state.Enter(life, answers); waiting == "" {
-			c.commit([]ballot.Record{record})
+			c.commit([]paxos.Record{record})
 		}
 	})
 	for _, other := range c.others() {
 		if !slices.Contains(sources, other.state.Self) {
 			continue
 		}
-		rpc(c, other, func(o *core) ([]ballot.Record, *wire.RecoverResponse) {
+		rpc(c, other, func(o *core) ([]paxos.Record, *wire.RecoverResponse) {
 			records, answer := o.state.Recover(&wire.RecoverRequest{Formation: formation, Core: c.state.Self, Life: life})
 			if c.sim.faults.Flaw == LifeForgotten {
 				records = nil
@@ -148,7 +148,7 @@
 // process that another has replaced gives its disk up: one that left ends, the
 // others begin anew with a blank disk.
 func (c *core) stand(other *core) {
-	rpc(c, other, func(o *core) ([]ballot.Record, *wire.ReadResponse) {
+	rpc(c, other, func(o *core) ([]paxos.Record, *wire.ReadResponse) {
 		return nil, o.state.Read(&wire.ReadRequest{Formation: c.state.Formation, Core: c.state.Self})
 	}, func(resp *wire.ReadResponse) {
 		if resp.Life <= c.state.Life() || c.state.Life() == 0 {
@@ -162,14 +162,14 @@
 		for _, other := range c.others() {
 			c.sim.outcome.Lost = c.sim.outcome.Lost || other.durable().Life() == 0
 		}
-		c.base, c.log, c.synced = ballot.Blank(c.state.Self), nil, 0
+		c.base, c.log, c.synced = paxos.Blank(c.state.Self), nil, 0
 		c.sim.after(c.sim.between(1, 600), func() { c.sim.boot(c) })
 	})
 }
 
 func (c *core) fetch(from *core) {
 	req := &wire.FetchRequest{Formation: c.state.Formation, After: c.state.Learned()}
-	rpc(c, from, func(o *core) ([]ballot.Record, *wire.FetchResponse) {
+	rpc(c, from, func(o *core) ([]paxos.Record, *wire.FetchResponse) {
 		resp, apiErr := o.state.Fetch(req)
 		if apiErr != nil {
 			return nil, nil
@@ -189,7 +189,7 @@
 	c.proposing = c.proposals
 	run := c.proposing
 	own := fmt.Appendf(nil, "%s/%d/%d", c.state.Self, c.life, run)
-	p, prepare := ballot.Propose(c.state, slot, max(c.state.NextNumber(slot), c.seen+1), own)
+	p, prepare := paxos.Propose(c.state, slot, max(c.state.NextNumber(slot), c.seen+1), own)
 	life := c.life
 	end := func() {
 		c.seen = p.Seen.Number
@@ -206,7 +206,7 @@
 			end()
 		}
 	})
-	var step ballot.Step
+	var step paxos.Step
 	var proceed func()
 	takeAccepted := once(func(_ string, answer *wire.AcceptResponse) {
 		if c.proposing != run {
@@ -220,7 +220,7 @@
 		case step.Accept != nil:
 			accept := step.Accept
 			for _, to := range c.voters() {
-				rpc(c, to, func(o *core) ([]ballot.Record, *wire.AcceptResponse) { return o.state.Accept(accept) }, takeAccepted(to.state.Self))
+				rpc(c, to, func(o *core) ([]paxos.Record, *wire.AcceptResponse) { return o.state.Accept(accept) }, takeAccepted(to.state.Self))
 			}
 		case step.Chosen:
 			s.decide(c.state.Self, slot, step.Value)
@@ -228,7 +228,7 @@
 			c.proposing = 0
 			learn := &wire.LearnRequest{Formation: p.Formation, Chosen: []*wire.Chosen{{Epoch: slot, Command: step.Value}}}
 			for _, to := range c.voters() {
-				rpc(c, to, func(o *core) ([]ballot.Record, *wire.LearnResponse) {
+				rpc(c, to, func(o *core) ([]paxos.Record, *wire.LearnResponse) {
 					records, resp, _ := o.state.Learn(learn)
 					return records, resp
 				}, func(*wire.LearnResponse) {})
@@ -252,6 +252,6 @@
 		proceed()
 	})
 	for _, to := range c.voters() {
-		rpc(c, to, func(o *core) ([]ballot.Record, *wire.PrepareResponse) { return o.state.Prepare(prepare) }, takePrepared(to.state.Self))
+		rpc(c, to, func(o *core) ([]paxos.Record, *wire.PrepareResponse) { return o.state.Prepare(prepare) }, takePrepared(to.state.Self))
 	}
 }
--- a/sim/tally/fleet.go
+++ b/sim/quota/fleet.go
@@ -1,7 +1,7 @@
-// Package tally runs the fronts' books and the holders' ledgers, the same code
+// Package quota runs the fronts' books and the holders' ledgers, the same code
 // that decides in production, as a fleet in virtual time, and judges from what
 // callers asked for and got.
-package tally
+package quota
 
 import (
 	"container/heap"
@@ -9,15 +9,15 @@
 	"math/rand/v2"
 	"time"
 
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
 	"stepwick/internal/wire"
 )
 
 // Fleet describes one run. Times count from the run's start.
 type Fleet struct {
 	Seed        uint64
-	Config      tally.Config
-	Terms       tally.Terms
+	Config      quota.Config
+	Terms       quota.Terms
 	Fronts      int           // 9
 	Split       int           // fronts of the first region; the others are in the second
 	Across      time.Duration // longest delay between regions, 150 ms
@@ -51,15 +51,15 @@
 	At, Answered time.Duration
 	Front        int
 	Tokens       float64
-	Decision     tally.Decision
+	Decision     quota.Decision
 }
 
 const epoch = int64(1_800_000_000_000_000) // microseconds; a multiple of the window
 
 type front struct {
 	name        string
-	book        *tally.Book
-	ledger      *tally.Ledger
+	book        *quota.Book
+	ledger      *quota.Ledger
 	incarnation uint64
 	down        bool
 	paced       map[string]bool
@@ -114,15 +114,15 @@
 	if f.Config.Interval == 0 {
 		f.Config.Interval = 200 * time.Millisecond
 	}
-	if f.Terms == (tally.Terms{}) {
-		f.Terms = tally.Terms{Rate: 1000, Burst: 2000}
+	if f.Terms == (quota.Terms{}) {
+		f.Terms = quota.Terms{Rate: 1000, Burst: 2000}
 	}
 	r := &run{Fleet: f, random: rand.New(rand.NewPCG(f.Seed, 7)), limit: f.Terms.Limit(f.Config.Window)}
 	for i := range f.Fronts {
 		r.names = append(r.names, fmt.Sprintf("front-%d-%d", i, f.Seed))
 	}
 	if f.HolderFirst {
-		holder := r.index(tally.HolderOf(tenant, r.names))
+		holder := r.index(quota.HolderOf(tenant, r.names))
 		r.names[0], r.names[holder] = r.names[holder], r.names[0]
 	}
 	for i := range f.Fronts {
@@ -162,8 +162,8 @@
 	f := r.fronts[i]
 	f.down = false
 	f.incarnation++
-	f.book = tally.NewBook(f.name, r.Config)
-	f.ledger = tally.NewLedger(f.name, f.incarnation, r.Config)
+	f.book = quota.NewBook(f.name, r.Config)
+	f.ledger = quota.NewLedger(f.name, f.incarnation, r.Config)
 	f.paced, f.flying, f.holds = map[string]bool{}, map[string]int{}, nil
 }
 
@@ -258,8 +258,8 @@
 }
 
 func (r *run) holderOf(i int) func(string) string {
-	reached := tally.Reached(r.reach(i))
-	return func(tenant string) string { return tally.HolderOf(tenant, reached) }
+	reached := quota.Reached(r.reach(i))
+	return func(tenant string) string { return quota.HolderOf(tenant, reached) }
 }
 
 func (r *run) index(name string) int {
