--- a/cmd/rig/faultcase/rolling_upgrade.go
+++ b/cmd/rig/faultcase/rolling_upgrade.go
@@ -231,8 +231,8 @@
 func (s *Stage) nodesInForce() int {
 	_, newest := s.Control.Newest()
 	count := 0
-	for _, epoch := range s.Epochs(inForceTimeout) {
-		if epoch == newest {
+	for _, version := range s.Versions(inForceTimeout) {
+		if version == newest {
 			count++
 		}
 	}
--- a/sim/fleet/fleet.go
+++ b/sim/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet runs whole nodes, as the program runs them, over a network in
 // memory and in virtual time. It must be used inside a synctest bubble. What
-// it judges is seen from outside: which key a node takes tells the epoch that
+// it judges is seen from outside: which key a node takes tells the version that
 // it rules by.
 package fleet
 
@@ -268,12 +268,12 @@
 
 // Answer is what a caller or an operator got. Status 0 means none.
 type Answer struct {
-	Status     int
-	Code       apierror.Code `json:"code"`
-	Epoch      uint64        `json:"epoch"`
-	SheetEpoch uint64        `json:"sheet_epoch"`
-	InForce    bool          `json:"in_force"`
-	Sheet      *sheet.Sheet  `json:"sheet"`
+	Status       int
+	Code         apierror.Code `json:"code"`
+	Version      uint64        `json:"epoch"`
+	SheetVersion uint64        `json:"sheet_epoch"`
+	InForce      bool          `json:"in_force"`
+	Sheet        *sheet.Sheet  `json:"sheet"`
 }
 
 func (f *Fleet) call(i int, method, path, key string, body any, wait time.Duration) (answer Answer) {
--- a/sim/fleet/walk.go
+++ b/sim/fleet/walk.go
@@ -100,7 +100,7 @@
 	for range 30 {
 		a := w.fleet.First(w.random.IntN(w.n))
 		if a.Status == 200 && a.InForce {
-			w.base = a.SheetEpoch
+			w.base = a.SheetVersion
 			w.acked = append(w.acked, ack{0, w.clock.Now()})
 			w.back = map[int]time.Time{}
 			return true
@@ -174,7 +174,7 @@
 		case a.Status == http.StatusOK && a.InForce:
 			s.outcome = a.Status
 			w.tally.Acknowledged++
-			w.next = a.SheetEpoch
+			w.next = a.SheetVersion
 			w.acked = append(w.acked, ack{s.key, w.clock.Now()})
 		case a.Status == http.StatusConflict && a.Code == apierror.BaseMoved:
 			s.outcome = a.Status
@@ -280,7 +280,7 @@
 			return
 		}
 		if a.Status == 200 {
-			w.tally.Violations = append(w.tally.Violations, fmt.Sprintf("%s read back epoch %d without the acknowledged key %d", w.since(), a.Epoch, last))
+			w.tally.Violations = append(w.tally.Violations, fmt.Sprintf("%s read back epoch %d without the acknowledged key %d", w.since(), a.Version, last))
 			return
 		}
 	}
--- a/sim/quota/fleet.go
+++ b/sim/quota/fleet.go
@@ -54,7 +54,7 @@
 	Decision     quota.Decision
 }
 
-const epoch = int64(1_800_000_000_000_000) // microseconds; a multiple of the window
+const version = int64(1_800_000_000_000_000) // microseconds; a multiple of the window
 
 type front struct {
 	name        string
@@ -168,7 +168,7 @@
 }
 
 func (r *run) clock(i int) time.Time {
-	t := time.UnixMicro(epoch + r.now.Microseconds())
+	t := time.UnixMicro(version + r.now.Microseconds())
 	if r.Clock != nil {
 		t = t.Add(r.Clock(r.now, i))
 	}
