--- a/internal/decision/sheet/sheet.go
+++ b/internal/decision/sheet/sheet.go
@@ -88,7 +88,7 @@
 	Origin json.RawMessage `json:"origin,omitempty"`
 }
 
-// ZoneName names a zone of a region, such as lagos/a.
+// Zone names a zone of a region, such as lagos/a.
 func ZoneName(region, zone string) string { return region + "/" + zone }
 
 // ValidName says whether a name may stand in a sheet: 1 to MaxName bytes of
