--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -34,6 +34,7 @@
 	Place
 	Core     bool
 	Settings map[string]string // over those that the fleet gives
+	Binary   string            // path of the node's program; empty for the fleet's
 }
 
 // Spec describes a deployment.
@@ -91,7 +92,6 @@
 	Models   []*emulator.Model
 	Webs     []*emulator.Web
 	Dir      string
-	Binary   string
 	spawn    chan spawnAsk
 	relays   map[string]*faultproxy.Relay
 	base     int
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Spec: spec, Book: book, Links: faultproxy.NewLinks(), Dir: dir, Binary: binary, base: base,
+	f := &Fleet{Spec: spec, Book: book, Links: faultproxy.NewLinks(), Dir: dir, base: base,
 		spawn: make(chan spawnAsk), relays: map[string]*faultproxy.Relay{}, places: map[string]Place{}}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
@@ -136,6 +136,9 @@
 		ip := f.ip(20, i+1)
 		sources[ip] = n.Name
 		f.places[n.Name] = n.Place
+		if n.Binary == "" {
+			n.Binary = binary
+		}
 		node := &Node{NodeSpec: n, fleet: f, Bind: ip, Caller: ip + ":7000", internal: ip + ":7001", advertised: f.ip(30, i+1) + ":7001",
 			data: filepath.Join(dir, n.Name), state: owner.New(nodeState{})}
 		f.relays[n.Name] = faultproxy.New(n.Name, node.advertised, node.internal, f.Links)
