--- a/internal/node/control/core.go
+++ b/internal/node/control/core.go
@@ -120,7 +120,7 @@
 	listedAt atomic.Int64 // fleet time in ms at which a watcher last saw the platform's list
 
 	ctx       context.Context
-	ledger    *lease.Ledger
+	ledger    *lease.Table
 	opened    bool
 	state     sheet.State
 	feed      *feed
@@ -131,7 +131,7 @@
 	outboxes  map[string]*outbox
 	sights    map[string]sight
 	viewers   []*viewer
-	processes *lease.Sights
+	processes *lease.StatusTracker
 	untold    bool // something rides the feed that no waiter has been answered with
 	lastLook  time.Time
 	pinging   map[string]bool
@@ -157,11 +157,11 @@
 	return &Core{
 		config: config, agreement: agreement, peers: peers, clock: clock, log: log,
 		orders: make(chan struct{}, orderBound), inbox: make(chan func(), inboxBound),
-		begun: clock.Now(), ledger: lease.NewLedger(config.Self, config.LeaseTTL, clock.Now()),
+		begun: clock.Now(), ledger: lease.NewTable(config.Self, config.LeaseTTL, clock.Now()),
 		feed:    newFeed(config.Self, config.Incarnation, config.FeedBound),
 		reports: newReports(config.Self, config.Incarnation, config.Merge), outboxes: map[string]*outbox{}, sights: map[string]sight{},
 		pinging: map[string]bool{}, jobs: map[string]bool{}, since: map[string]time.Time{},
-		processes: lease.NewSights(), relays: map[string][]relayed{},
+		processes: lease.NewStatusTracker(), relays: map[string][]relayed{},
 	}
 }
 
--- a/internal/node/control/feed.go
+++ b/internal/node/control/feed.go
@@ -124,7 +124,7 @@
 	state := c.state
 	snapshot := &wire.Snapshot{Epoch: state.Version, Plan: c.plan, Reports: c.reports.snapshot()}
 	resp = &wire.FollowResponse{Feed: c.feed.id(), Place: c.feed.changes.Last(), Learned: state.Version, Snapshot: snapshot}
-	snapshot.Sights = c.processes.Told()
+	snapshot.Sights = c.processes.Published()
 	if state.Version == 0 || req.Epoch >= state.Version {
 		return &pulled{resp: resp}
 	}
--- a/internal/node/control/order.go
+++ b/internal/node/control/order.go
@@ -170,18 +170,18 @@
 	why, pace := "no core answered", c.config.AckPace/8
 	for {
 		state := c.agreement.Current()
-		question := lease.Question{Version: result.Version, Voters: len(c.agreement.Voters()), Roster: state.Roster, Prior: state.PriorRoster}
+		question := lease.ConfirmationCheck{Version: result.Version, Voters: len(c.agreement.Voters()), Roster: state.Roster, PriorRoster: state.PriorRoster}
 		met, reason := false, ""
 		question.Views = c.views(ctx, &wire.LeaseViewRequest{Epoch: result.Version}, func(views []*wire.LeaseViewResponse) bool {
 			question.Views = views
-			met, reason = lease.InForce(question)
+			met, reason = lease.VersionConfirmed(question)
 			return met
 		})
 		if !met {
-			met, reason = lease.InForce(question)
+			met, reason = lease.VersionConfirmed(question)
 		}
 		if met {
-			count := lease.Confirmations(question)
+			count := lease.CountConfirmations(question)
 			c.log.Emit(events.OrderAcknowledged, "order", id, "epoch", result.Version, "confirmed", count.Confirmed)
 			return answered(orderAnswer{Version: result.Version, SheetVersion: result.SheetVersion, InForce: true,
 				Confirmed: count.Confirmed, Roster: len(state.Roster), OrderID: id}, result.Version)
--- a/internal/node/control/planner.go
+++ b/internal/node/control/planner.go
@@ -55,8 +55,8 @@
 	heard, answered := c.sights[holder]
 	direct := answered && now.Sub(heard.at) < 3*c.config.PingEvery
 	var sights []election.Sight
-	if direct || c.ledger.Settled(now) {
-		sights = append(sights, election.Sight{Core: c.config.Self, Alive: direct || c.ledger.Live(holder, now)})
+	if direct || c.ledger.StartupGraceOver(now) {
+		sights = append(sights, election.Sight{Core: c.config.Self, Alive: direct || c.ledger.HasLease(holder, now)})
 	}
 	for core, s := range c.sights {
 		if core == c.config.Self || now.Sub(s.at) >= c.config.LeaseTTL || !s.view.Settled || (s.about != holder && core != holder) {
--- a/internal/node/control/relay.go
+++ b/internal/node/control/relay.go
@@ -116,7 +116,7 @@
 			one.answers <- relayedAnswer{resp: answer, ahead: time.UnixMicro(answer.TimeUs).Sub(middle)}
 			continue
 		}
-		record := c.ledger.Record(one.renewal.Name, one.renewal.Incarnation)
+		record := c.ledger.ProcessRecord(one.renewal.Name, one.renewal.Incarnation)
 		if one.again || record == nil {
 			one.answers <- relayedAnswer{}
 			continue
@@ -163,7 +163,7 @@
 		return nil, apierror.Errorf(apierror.BadField, "a batch of %d renewals, at most %d", len(req.Renewals), relayBound)
 	}
 	for _, renewal := range req.Renewals {
-		if renewal.Unconfirmed || lease.Renewing(renewal) == "" {
+		if renewal.Unconfirmed || lease.RenewedMember(renewal) == "" {
 			return nil, apierror.Errorf(apierror.BadField, "a batch holds renewals of members that are confirmed, by name")
 		}
 	}
--- a/internal/node/control/renew.go
+++ b/internal/node/control/renew.go
@@ -16,7 +16,7 @@
 // the member's former life may have ruled by it. A renewal with relay set is
 // answered with what the other cores say to it.
 func (c *Core) Renew(ctx context.Context, req *wire.RenewRequest) (*wire.RenewResponse, error) {
-	if lease.Renewing(req) == "" {
+	if lease.RenewedMember(req) == "" {
 		return nil, apierror.Errorf(apierror.MissingField, "name")
 	}
 	type answer struct {
@@ -74,7 +74,7 @@
 	if resp.Who {
 		return resp
 	}
-	name := lease.Renewing(req)
+	name := lease.RenewedMember(req)
 	if !resp.Granted {
 		c.log.Emit(events.LeaseRefused, "member", name, "code", apierror.Code(resp.Refusal), "epoch", req.Epoch, "learned", resp.Learned)
 	}
--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -21,7 +21,7 @@
 		return
 	}
 	c.lastPings = now
-	for _, quiet := range c.ledger.Quiet(c.state.Roster, c.config.QuietAfter, now) {
+	for _, quiet := range c.ledger.PingTargets(c.state.Roster, c.config.QuietAfter, now) {
 		p, known := c.peers.Process(quiet.Name)
 		if !known || quiet.Name == c.config.Self || c.pinging[quiet.Name] {
 			continue
@@ -45,12 +45,12 @@
 	now := c.clock.Now()
 	switch {
 	case err == nil && resp.Msg.Name == quiet.Name:
-		c.ledger.Heard(quiet.Name, resp.Msg.Incarnation, now)
+		c.ledger.RecordPingResponse(quiet.Name, resp.Msg.Incarnation, now)
 	case err != nil && port.Refused(err):
-		if quiet.Incarnation != 0 && c.ledger.Live(quiet.Name, now) {
+		if quiet.Incarnation != 0 && c.ledger.HasLease(quiet.Name, now) {
 			c.log.Emit(events.LeaseReleased, "member", quiet.Name, "by", "refusal")
 		}
-		c.ledger.Gone(quiet.Name, quiet.Incarnation, now)
+		c.ledger.RecordRefusal(quiet.Name, quiet.Incarnation, now)
 		c.look(quiet.Name, now)
 	}
 }
@@ -84,14 +84,14 @@
 		return
 	}
 	c.settleRoster(now)
-	newcomers := c.ledger.Newcomers(c.state.Roster, now)
+	newcomers := c.ledger.UnlistedMembers(c.state.Roster, now)
 	if !c.jobs["add"] && c.waited("add", len(newcomers) > 0 && c.state.Settled(), c.config.BatchFor+c.turn(), now) {
 		for _, member := range newcomers {
 			c.log.Emit(events.MemberJoined, "member", member.Name, "locality", sheet.ZoneName(member.Region, member.Zone))
 		}
 		c.propose("add", sheet.AddMembers{Members: newcomers, By: c.config.Self})
 	}
-	departed := c.ledger.Departed(c.state.Roster, c.config.RemoveAfter, now)
+	departed := c.ledger.RefusingMembers(c.state.Roster, c.config.RemoveAfter, now)
 	if c.waited("remove", len(departed) > 0 && c.state.Settled(), c.turn(), now) {
 		c.propose("remove", sheet.RemoveMembers{Names: departed, By: c.config.Self})
 	}
@@ -103,10 +103,10 @@
 		return
 	}
 	c.job("settle", jobTimeout, func(ctx context.Context) func() {
-		question, met := lease.Question{Version: state.RosterVersion, Voters: len(c.agreement.Voters()), Roster: state.Roster, Prior: state.PriorRoster}, false
+		question, met := lease.ConfirmationCheck{Version: state.RosterVersion, Voters: len(c.agreement.Voters()), Roster: state.Roster, PriorRoster: state.PriorRoster}, false
 		c.views(ctx, &wire.LeaseViewRequest{Epoch: state.RosterVersion}, func(views []*wire.LeaseViewResponse) bool {
 			question.Views = views
-			met, _ = lease.Settled(question)
+			met, _ = lease.RosterChangeConfirmed(question)
 			return met
 		})
 		if !met {
--- a/internal/node/control/sights.go
+++ b/internal/node/control/sights.go
@@ -10,7 +10,7 @@
 
 // look feeds what is new about one process.
 func (c *Core) look(name string, now time.Time) {
-	if sight := c.processes.Look(c.ledger, name, c.state.Roster, now); sight != nil {
+	if sight := c.processes.Update(c.ledger, name, c.state.Roster, now); sight != nil {
 		c.tell(sight)
 	}
 }
@@ -21,7 +21,7 @@
 func (c *Core) lookAll(now time.Time) {
 	if now.Sub(c.lastLook) >= lookEvery {
 		c.lastLook = now
-		for _, sight := range c.processes.LookAll(c.ledger, c.state.Roster, now) {
+		for _, sight := range c.processes.UpdateAll(c.ledger, c.state.Roster, now) {
 			c.tell(sight)
 		}
 	}
--- a/internal/node/control/views.go
+++ b/internal/node/control/views.go
@@ -23,7 +23,7 @@
 func (c *Core) LeaseView(ctx context.Context, req *wire.LeaseViewRequest) (*wire.LeaseViewResponse, error) {
 	if req.About != "" {
 		return ask(ctx, c, func() *wire.LeaseViewResponse {
-			return c.vouched(c.ledger.About(req.About, c.learned(), c.clock.Now()))
+			return c.vouched(c.ledger.MemberView(req.About, c.learned(), c.clock.Now()))
 		})
 	}
 	if req.WaitMs > 0 {
@@ -65,7 +65,7 @@
 			continue
 		}
 		if _, known := whole[v.version]; !known {
-			whole[v.version] = c.learned() >= v.version && c.ledger.Whole(v.version, c.state.Roster, now)
+			whole[v.version] = c.learned() >= v.version && c.ledger.ConfirmedAt(v.version, c.state.Roster, now)
 		}
 		if whole[v.version] {
 			v.reply <- c.view(v.version)
--- a/internal/node/follower/follow.go
+++ b/internal/node/follower/follow.go
@@ -82,7 +82,7 @@
 	fetching bool
 	feed     place
 	ruling   bool
-	ruledBy  lease.By
+	ruledBy  lease.Source
 	presence map[string]presence
 	lives    map[string]uint64
 	tell     map[string]bool // peers to be pinged again once the ping under way ends
