--- a/internal/decision/lease/holder.go
+++ b/internal/decision/lease/holder.go
@@ -1,291 +1,172 @@
-// Package lease decides who may rule: a front's side (Holder), a core's side
-// (Ledger), the rule by which an order is in force (VersionConfirmed) and the rules of
-// roster changes. Nothing here reads a clock, starts a goroutine or does I/O;
-// every method takes the instant it is asked at.
 package lease
 
 import (
-	"sort"
+	"slices"
 	"time"
 
 	"stepwick/internal/decision/sheet"
 )
 
-// Source names what a front rules by.
-type Source string
-
-// What a front rules by.
-const (
-	SourceNone   Source = "none"
-	SourceLease  Source = "lease"  // a majority of cores renewed within the TTL
-	SourceRoster Source = "roster" // more than half of the roster heard, none newer
-)
-
-// Authority tells whether a front may decide by its version. Until is the earliest
-// instant at which the verdict can lapse by itself, on the clock that the
-// Holder was fed with; RetryAfter is when a caller should come back.
-type Authority struct {
-	Granted     bool
-	Source         Source
-	RetryAfter time.Duration
-	Until      time.Time
-}
-
-type peer struct {
-	incarnation uint64
-	contact     time.Time
-	heard       time.Time
-	refused     time.Time
-}
-
-// Holder is a front's side of leases and confirmation. It has one owner.
+// Holder is a front's side of leases: it records the answers of cores and peers
+// and derives whether the front may serve by its version. It has one owner.
 type Holder struct {
-	self        string
-	ttl         time.Duration
-	version     uint64
-	newest      uint64
+	self string
+	ttl  time.Duration
+	// version is the highest version whose state this front holds; newest is the
+	// highest one it knows to exist.
+	version uint64
+	newest  uint64
+	// unconfirmed is true until a majority of cores has confirmed, since this
+	// start, that the version held is not outdated.
 	unconfirmed bool
 	cores       []string
-	renewed     map[string]time.Time
-	backed      map[string]uint64
-	rosters     []map[string]bool
-	peers       map[string]*peer
+	grants      map[string]coreGrant
+	// rosters holds the names of the fronts of the current roster and, while its
+	// last change is not settled, of the one before.
+	rosters []map[string]bool
+	peers   map[string]*peer
 }
 
-// NewHolder returns the side of a front that has just started: it is
-// unconfirmed and does not rule.
+// coreGrant is what a core granted last: when the newest granted request was
+// sent, and the highest version the core had learned.
+type coreGrant struct {
+	sentAt  time.Time
+	learned uint64
+}
+
+// NewHolder returns the side of a front that has just started: it is unconfirmed
+// and has no authority.
 func NewHolder(self string, ttl time.Duration) *Holder {
-	return &Holder{self: self, ttl: ttl, unconfirmed: true, renewed: map[string]time.Time{},
-		backed: map[string]uint64{}, peers: map[string]*peer{}}
+	return &Holder{
+		self:        self,
+		ttl:         ttl,
+		unconfirmed: true,
+		grants:      map[string]coreGrant{},
+		peers:       map[string]*peer{},
+	}
 }
 
-// SetRoster takes the roster of the state that the front rules by and, while
-// the last change of it is not settled, the one before (nil or empty
-// otherwise). Only members with a front count.
+// SetRoster sets the roster of the state that the front serves by and, while
+// its last change is not settled, the prior one (nil or empty otherwise). Only
+// members with a front count.
 func (h *Holder) SetRoster(current, prior map[string]sheet.Member) {
 	h.rosters = h.rosters[:0]
 	for _, roster := range []map[string]sheet.Member{current, prior} {
-		if names := fronts(roster); len(names) > 0 {
+		if names := frontNames(roster); len(names) > 0 {
 			h.rosters = append(h.rosters, names)
 		}
 	}
 }
 
-// SetCores takes the names of the cores that a majority is counted over.
+// SetCores sets the names of the cores that a majority is counted over.
 func (h *Holder) SetCores(cores []string) {
 	h.cores = append(h.cores[:0], cores...)
-	h.settle()
+	h.updateConfirmed()
 }
 
-// AdvanceTo takes up a version whose state the front holds. A lower one is
-// ignored: a front never steps back.
+// AdvanceTo records that the front holds the state of a version. A lower version
+// than the current one is ignored: a front never steps back.
 func (h *Holder) AdvanceTo(version uint64) {
 	h.version = max(h.version, version)
 	h.newest = max(h.newest, version)
-	h.settle()
+	h.updateConfirmed()
 }
 
-// Version returns the highest version taken up.
+// Version returns the highest version whose state the front holds.
 func (h *Holder) Version() uint64 { return h.version }
 
-// Unconfirmed tells whether, since its start, no majority of cores has yet
-// granted what this front holds. It then neither rules nor counts as heard.
+// Unconfirmed reports whether, since this start, no majority of cores has yet
+// granted a lease for what the front holds. Such a front has no authority, and
+// its peers don't count it towards their roster majority.
 func (h *Holder) Unconfirmed() bool { return h.unconfirmed }
 
-// RenewedAt returns when the newest renewal that a core granted was sent.
-func (h *Holder) RenewedAt(core string) time.Time { return h.renewed[core] }
+// RenewedAt returns when the newest renewal that a core granted was sent; the
+// zero time when there is none.
+func (h *Holder) RenewedAt(core string) time.Time { return h.grants[core].sentAt }
 
-// RecordGrant takes a core's granted answer: sentAt is when the request left,
-// asked the version it named, learned the core's own version in the answer. An
-// answer that knows a newer version than was asked gives no lease.
-func (h *Holder) RecordGrant(core string, sentAt time.Time, asked, learned uint64) {
-	h.newest = max(h.newest, learned)
-	if learned > asked || asked == 0 || asked > h.version {
+// RecordGrant records a core's granted renewal: sentAt is when the request was
+// sent, requested the version it named, learned the core's version in the
+// answer. An answer that knows a newer version than requested gives no lease.
+func (h *Holder) RecordGrant(core string, sentAt time.Time, requested, learned uint64) {
+	h.ObserveVersion(learned)
+	if learned > requested || requested == 0 || requested > h.version {
 		return
 	}
-	if sentAt.After(h.renewed[core]) {
-		h.renewed[core] = sentAt
+	grant := h.grants[core]
+	if sentAt.After(grant.sentAt) {
+		grant.sentAt = sentAt
 	}
-	h.backed[core] = max(h.backed[core], learned)
-	h.settle()
+	grant.learned = max(grant.learned, learned)
+	h.grants[core] = grant
+	h.updateConfirmed()
 }
 
-// RecordDenial takes a core's answer that granted nothing; it only tells of a newer
-// version.
-func (h *Holder) RecordDenial(core string, learned uint64) { h.newest = max(h.newest, learned) }
+// RecordDenial records a core's answer that granted no lease; it only makes the
+// core's version known.
+func (h *Holder) RecordDenial(_ string, learned uint64) { h.ObserveVersion(learned) }
 
-// ObserveVersion takes word of a version that exists, as from a peer's own ping. It is
-// never a ground to rule: such a message may have lain in a buffer.
+// ObserveVersion records that a version exists, as from a peer's own ping. It
+// never adds authority: such a message may have been delayed in a buffer.
 func (h *Holder) ObserveVersion(version uint64) { h.newest = max(h.newest, version) }
 
-// RecordPingResponse takes a peer's answer to a ping that left at sentAt: it proves what the
-// peer was at that instant or later. Answers to earlier pings than the last
-// one counted are dropped.
-func (h *Holder) RecordPingResponse(name string, incarnation uint64, sentAt time.Time, version uint64, unconfirmed bool) {
-	p := h.peer(name)
-	if sentAt.Before(p.contact) {
-		return
-	}
-	if incarnation != p.incarnation {
-		p.incarnation, p.heard = incarnation, time.Time{}
-	}
-	p.refused, p.contact = time.Time{}, sentAt
-	if unconfirmed {
-		p.heard = time.Time{}
-		return
-	}
-	h.newest = max(h.newest, version)
-	p.heard = sentAt
-}
-
-// RecordRefusal takes the refusal of a connection, at the instant it was seen. It
-// leaves the count only in unbroken contact: the peer was heard, or so
-// refused, within the last TTL.
-func (h *Holder) RecordRefusal(name string, at time.Time) {
-	p := h.peer(name)
-	p.heard = time.Time{}
-	if p.contact.IsZero() || at.Sub(p.contact) >= h.ttl {
-		p.refused = time.Time{}
-		return
-	}
-	p.refused, p.contact = at, at
-}
-
-// Granted tells whether the front may decide by its version at an instant. While a
-// lease stands for more than half of a TTL the roster isn't looked at, which takes
-// as long as it is large; it is again before the lease can lapse.
+// Authority returns whether the front may serve by its version at an instant.
+// While a lease has more than half of a TTL left the roster is not evaluated,
+// whose cost grows with its size; it is again before the lease can expire.
 func (h *Holder) Authority(now time.Time) Authority {
 	none := Authority{Source: SourceNone, RetryAfter: h.ttl / 2}
 	if h.unconfirmed || h.version == 0 {
 		return none
 	}
-	byLease := h.leaseUntil()
-	if byLease.Sub(now) > h.ttl/2 {
-		return Authority{Granted: true, Source: SourceLease, Until: byLease}
+	leaseExpiry := h.leaseExpiry()
+	if leaseExpiry.Sub(now) > h.ttl/2 {
+		return Authority{Granted: true, Source: SourceLease, Until: leaseExpiry}
 	}
-	byRoster := h.rosterUntil(now)
+	rosterExpiry := h.rosterExpiry(now)
 	switch {
-	case now.Before(byLease):
-		return Authority{Granted: true, Source: SourceLease, Until: later(byLease, byRoster)}
-	case now.Before(byRoster):
-		return Authority{Granted: true, Source: SourceRoster, Until: byRoster}
+	case now.Before(leaseExpiry):
+		return Authority{Granted: true, Source: SourceLease, Until: laterOf(leaseExpiry, rosterExpiry)}
+	case now.Before(rosterExpiry):
+		return Authority{Granted: true, Source: SourceRoster, Until: rosterExpiry}
 	}
 	return none
 }
 
-func (h *Holder) peer(name string) *peer {
-	p, ok := h.peers[name]
-	if !ok {
-		p = &peer{}
-		h.peers[name] = p
-	}
-	return p
-}
-
-func (h *Holder) settle() {
+// updateConfirmed ends the unconfirmed phase once a majority of cores has granted
+// a lease and none of these has learned more than the front holds.
+func (h *Holder) updateConfirmed() {
 	if !h.unconfirmed || h.version == 0 || len(h.cores) == 0 {
 		return
 	}
-	backed := 0
+	confirming := 0
 	for _, core := range h.cores {
-		if learned, ok := h.backed[core]; ok && learned <= h.version {
-			backed++
+		if grant, ok := h.grants[core]; ok && grant.learned <= h.version {
+			confirming++
 		}
 	}
-	h.unconfirmed = backed < Majority(len(h.cores))
+	h.unconfirmed = confirming < Majority(len(h.cores))
 }
 
-// leaseUntil returns when the lease of a majority of cores lapses.
-func (h *Holder) leaseUntil() time.Time {
+// leaseExpiry returns when the lease of a majority of cores expires; the zero
+// time when no majority has granted one.
+func (h *Holder) leaseExpiry() time.Time {
 	if len(h.cores) == 0 {
 		return time.Time{}
 	}
-	sent := make([]time.Time, 0, len(h.cores))
+	sentAt := make([]time.Time, 0, len(h.cores))
 	for _, core := range h.cores {
-		if at, ok := h.renewed[core]; ok {
-			sent = append(sent, at)
+		if grant, ok := h.grants[core]; ok && !grant.sentAt.IsZero() {
+			sentAt = append(sentAt, grant.sentAt)
 		}
 	}
-	need := Majority(len(h.cores))
-	if len(sent) < need {
+	majority := Majority(len(h.cores))
+	if len(sentAt) < majority {
 		return time.Time{}
 	}
-	sort.Slice(sent, func(i, j int) bool { return sent[i].After(sent[j]) })
-	return sent[need-1].Add(h.ttl)
-}
-
-// rosterUntil returns when the fallback lapses if nothing more is heard; the
-// zero time when it does not hold now.
-func (h *Holder) rosterUntil(now time.Time) time.Time {
-	if h.newest > h.version || len(h.rosters) == 0 {
-		return time.Time{}
-	}
-	until := time.Time{}
-	for i, roster := range h.rosters {
-		lapse := h.halfUntil(roster, now)
-		if lapse.IsZero() {
-			return lapse
-		}
-		if i == 0 || lapse.Before(until) {
-			until = lapse
-		}
-	}
-	return until
-}
-
-// halfUntil sweeps over the instants at which what was heard or refused
-// lapses, and returns the first at which no more than half is left.
-func (h *Holder) halfUntil(roster map[string]bool, now time.Time) time.Time {
-	type lapse struct {
-		at             time.Time
-		heard, refused int
-	}
-	var lapses []lapse
-	heard, refused := 0, 0
-	if roster[h.self] {
-		heard++
-	}
-	for name := range roster {
-		p, ok := h.peers[name]
-		if !ok || name == h.self {
-			continue
-		}
-		if at := p.heard.Add(h.ttl); !p.heard.IsZero() && now.Before(at) {
-			heard++
-			lapses = append(lapses, lapse{at: at, heard: 1})
-		}
-		if at := p.refused.Add(h.ttl); !p.refused.IsZero() && now.Before(at) {
-			refused++
-			lapses = append(lapses, lapse{at: at, refused: 1})
-		}
-	}
-	if heard*2 <= len(roster)-refused {
-		return time.Time{}
-	}
-	sort.Slice(lapses, func(i, j int) bool { return lapses[i].at.Before(lapses[j].at) })
-	for _, l := range lapses {
-		heard, refused = heard-l.heard, refused-l.refused
-		if heard*2 <= len(roster)-refused {
-			return l.at
-		}
-	}
-	return now.Add(h.ttl)
-}
-
-// Majority returns the least count that is more than half of n.
-func Majority(n int) int { return n/2 + 1 }
-
-func fronts(roster map[string]sheet.Member) map[string]bool {
-	names := make(map[string]bool, len(roster))
-	for name, member := range roster {
-		if member.Front {
-			names[name] = true
-		}
-	}
-	return names
+	slices.SortFunc(sentAt, func(a, b time.Time) int { return b.Compare(a) })
+	return sentAt[majority-1].Add(h.ttl)
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- /dev/null
+++ b/internal/decision/lease/status_tracker.go
@@ -0,0 +1,114 @@
+package lease
+
+import (
+	"slices"
+	"time"
+
+	"stepwick/internal/decision/sheet"
+	"stepwick/internal/wire"
+)
+
+// StatusTracker holds the status of each member that a core published last, so
+// that only changes are published. It has one owner.
+type StatusTracker struct {
+	published map[string]*wire.Sight
+}
+
+// NewStatusTracker returns a tracker of a core that has published nothing.
+func NewStatusTracker() *StatusTracker {
+	return &StatusTracker{published: map[string]*wire.Sight{}}
+}
+
+// Published returns the status that was published last of each member that is
+// still tracked, in no order.
+func (s *StatusTracker) Published() []*wire.Sight {
+	statuses := make([]*wire.Sight, 0, len(s.published))
+	for _, status := range s.published {
+		statuses = append(statuses, status)
+	}
+	return statuses
+}
+
+// Update returns the status of a member if it differs from the one published
+// last, and records it as published; nil otherwise.
+func (s *StatusTracker) Update(table *Table, name string, roster map[string]sheet.Member, now time.Time) *wire.Sight {
+	_, listed := roster[name]
+	current := table.memberStatus(name, listed, now)
+	if current == nil {
+		delete(s.published, name)
+		return nil
+	}
+	if last := s.published[name]; last != nil && sameStatus(last, current) {
+		return nil
+	}
+	s.published[name] = current
+	return current
+}
+
+// UpdateAll is Update for every member that renews, is on the roster or is
+// tracked.
+func (s *StatusTracker) UpdateAll(table *Table, roster map[string]sheet.Member, now time.Time) []*wire.Sight {
+	var changed []*wire.Sight
+	update := func(name string) {
+		if status := s.Update(table, name, roster, now); status != nil {
+			changed = append(changed, status)
+		}
+	}
+	for name := range table.leases {
+		update(name)
+	}
+	for name := range roster {
+		if _, done := table.leases[name]; !done {
+			update(name)
+		}
+	}
+	for name := range s.published {
+		if _, done := table.leases[name]; !done {
+			update(name)
+		}
+	}
+	return changed
+}
+
+// memberStatus returns the status of one member, nil when nothing is known of it:
+// a listed member without contact since the core started is unresponsive only
+// once the startup grace is over.
+func (t *Table) memberStatus(name string, listed bool, now time.Time) *wire.Sight {
+	if lease, ok := t.leases[name]; ok {
+		return &wire.Sight{Process: lease.process, Silent: now.Sub(lease.contactAt) >= t.ttl}
+	}
+	_, refuses := t.refusals[name]
+	_, released := t.releases[name]
+	switch {
+	case refuses || released:
+		return &wire.Sight{Process: &wire.Process{Name: name}, Gone: true}
+	case listed && t.StartupGraceOver(now):
+		return &wire.Sight{Process: &wire.Process{Name: name}, Silent: true}
+	}
+	return nil
+}
+
+func sameStatus(a, b *wire.Sight) bool {
+	return a.Gone == b.Gone && a.Silent == b.Silent && SameProcess(a.Process, b.Process)
+}
+
+// SameProcess reports whether two records of a process are equal but for the
+// counter, which only orders them.
+func SameProcess(a, b *wire.Process) bool {
+	if a == b {
+		return true
+	}
+	if a == nil || b == nil {
+		return false
+	}
+	return a.Name == b.Name && a.Incarnation == b.Incarnation && a.Ready == b.Ready && a.Leaving == b.Leaving &&
+		a.Address == b.Address && a.CallerAddress == b.CallerAddress && a.Region == b.Region && a.Zone == b.Zone &&
+		a.Core == b.Core && a.Front == b.Front && a.Standing == b.Standing && a.Formation == b.Formation &&
+		a.DiskLife == b.DiskLife && slices.Equal(a.Voters, b.Voters)
+}
+
+// olderRecord reports whether a record precedes another of the same process.
+func olderRecord(record, other *wire.Process) bool {
+	return other != nil && (record.Incarnation < other.Incarnation ||
+		(record.Incarnation == other.Incarnation && record.Counter < other.Counter))
+}
--- a/internal/node/control/leave_test.go
+++ b/internal/node/control/leave_test.go
@@ -29,7 +29,7 @@
 				for _, core := range f.cores {
 					view, err := core.LeaseView(f.ctx, &wire.LeaseViewRequest{})
 					So(err, ShouldBeNil)
-					So(view.Confirmed, ShouldNotContain, lease.MemberID("f6", 1))
+					So(view.Confirmed, ShouldNotContain, lease.MemberID{Name: "f6", Incarnation: 1}.String())
 				}
 			}
 			So(f.ruling(), ShouldEqual, 5)
--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -41,16 +41,16 @@
 	}
 }
 
-func (c *Core) pinged(quiet lease.Quiet, resp *connect.Response[wire.PingResponse], err error) {
+func (c *Core) pinged(quiet lease.MemberID, resp *connect.Response[wire.PingResponse], err error) {
 	now := c.clock.Now()
 	switch {
 	case err == nil && resp.Msg.Name == quiet.Name:
 		c.ledger.RecordPingResponse(quiet.Name, resp.Msg.Incarnation, now)
 	case err != nil && port.Refused(err):
-		if quiet.Incarnation != 0 && c.ledger.HasLease(quiet.Name, now) {
+		if quiet.HasIncarnation() && c.ledger.HasLease(quiet.Name, now) {
 			c.log.Emit(events.LeaseReleased, "member", quiet.Name, "by", "refusal")
 		}
-		c.ledger.RecordRefusal(quiet.Name, quiet.Incarnation, now)
+		c.ledger.RecordRefusal(quiet, now)
 		c.look(quiet.Name, now)
 	}
 }
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -127,7 +127,6 @@
 // listed tells whether any life of a member is among the ids of a view.
 func listed(ids []string, name string) bool {
 	return slices.ContainsFunc(ids, func(id string) bool {
-		known, _ := lease.ParseMemberID(id)
-		return known == name
+		return lease.ParseMemberID(id).Name == name
 	})
 }
--- a/sim/confirm/process.go
+++ b/sim/confirm/process.go
@@ -167,7 +167,7 @@
 			w.call(p, n, func(q *process) func() {
 				life := q.incarnation
 				return func() { ledger.RecordPingResponse(n.name, life, w.clock(p.node)) }
-			}, func() { ledger.RecordRefusal(n.name, quiet.Incarnation, w.clock(p.node)) })
+			}, func() { ledger.RecordRefusal(quiet, w.clock(p.node)) })
 		}
 	}
 }
