--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -16,12 +16,12 @@
 
 // pingQuiet pings members that have not been heard for a while. A refusal
 // releases their lease at once; silence never does.
-func (c *Core) pingQuiet(now time.Time) {
-	if now.Sub(c.lastPings) < c.config.PingEvery/2 {
+func (c *Controller) pingQuiet(now time.Time) {
+	if now.Sub(c.lastPings) < c.config.PingInterval/2 {
 		return
 	}
 	c.lastPings = now
-	for _, quiet := range c.ledger.PingTargets(c.state.Roster, c.config.QuietAfter, now) {
+	for _, quiet := range c.ledger.PingTargets(c.state.Roster, c.config.PingAfter, now) {
 		p, known := c.peers.Process(quiet.Name)
 		if !known || quiet.Name == c.config.Self || c.pinging[quiet.Name] {
 			continue
@@ -29,7 +29,7 @@
 		c.pinging[quiet.Name] = true
 		parent := c.ctx
 		go func() {
-			ctx, cancel := context.WithTimeout(parent, c.config.PingEvery)
+			ctx, cancel := context.WithTimeout(parent, c.config.PingInterval)
 			defer cancel()
 			resp, err := c.peers.Client(p.Address).Ping(ctx, connect.NewRequest(&wire.PingRequest{
 				From: c.config.Self, Incarnation: c.config.Incarnation, Unconfirmed: true}))
@@ -41,7 +41,7 @@
 	}
 }
 
-func (c *Core) pinged(quiet lease.MemberID, resp *connect.Response[wire.PingResponse], err error) {
+func (c *Controller) pinged(quiet lease.MemberID, resp *connect.Response[wire.PingResponse], err error) {
 	now := c.clock.Now()
 	switch {
 	case err == nil && resp.Msg.Name == quiet.Name:
@@ -57,8 +57,8 @@
 
 // askViews keeps a fresh view of what the other cores know of a duty's holder,
 // by which vacancy is judged.
-func (c *Core) askViews(now time.Time) {
-	if now.Sub(c.lastViews) < c.config.PingEvery {
+func (c *Controller) askViews(now time.Time) {
+	if now.Sub(c.lastViews) < c.config.PingInterval {
 		return
 	}
 	c.lastViews = now
@@ -79,13 +79,13 @@
 
 // keepRoster proposes what the roster needs: members that renew and are not on
 // it, members that refused for long, and the end of a change in force.
-func (c *Core) keepRoster(now time.Time) {
+func (c *Controller) keepRoster(now time.Time) {
 	if !c.mayPropose() {
 		return
 	}
 	c.settleRoster(now)
 	newcomers := c.ledger.UnlistedMembers(c.state.Roster, now)
-	if !c.jobs["add"] && c.waited("add", len(newcomers) > 0 && c.state.Settled(), c.config.BatchFor+c.turn(), now) {
+	if !c.jobs["add"] && c.waited("add", len(newcomers) > 0 && c.state.Settled(), c.config.JoinBatchWindow+c.turn(), now) {
 		for _, member := range newcomers {
 			c.log.Emit(events.MemberJoined, "member", member.Name, "locality", sheet.ZoneName(member.Region, member.Zone))
 		}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (c *Core) settleRoster(now time.Time) {
+func (c *Controller) settleRoster(now time.Time) {
 	state := c.state
 	if !c.waited("settle", !state.Settled(), c.turn(), now) {
 		return
@@ -111,7 +111,7 @@
 		})
 		if !met {
 			select {
-			case <-c.clock.After(2 * c.config.AckPace):
+			case <-c.clock.After(2 * c.config.ViewInterval):
 			case <-ctx.Done():
 			}
 			return nil
@@ -125,7 +125,7 @@
 
 // propose puts a command of the core's own to a ballot; what it asks for is
 // looked at anew afterwards, so a failure needs no other answer.
-func (c *Core) propose(name string, command sheet.Command) {
+func (c *Controller) propose(name string, command sheet.Command) {
 	c.job(name, jobTimeout, func(ctx context.Context) func() {
 		_, _, _ = c.agreement.Propose(ctx, sheet.Encode(command))
 		return func() { delete(c.since, name) }
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -57,7 +57,7 @@
 }
 
 // status tells how this core sees the fleet; it is no read-back.
-func (c *Core) status(ctx context.Context) (*wire.OrderResponse, error) {
+func (c *Controller) status(ctx context.Context) (*wire.OrderResponse, error) {
 	type owned struct {
 		state   sheet.State
 		plan    *wire.Plan
@@ -93,7 +93,7 @@
 	return answered(s, state.Version), nil
 }
 
-func (c *Core) coreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
+func (c *Controller) coreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
 	s := coreStatus{Name: voter, Standing: "unknown"}
 	if p, ok := c.peers.Process(voter); ok {
 		s.Standing = standingName(p.Standing)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -120,7 +120,7 @@
 	replaced  chan struct{}
 	watcher   *healthcheck.Watcher
 	replica   *replica.Replica
-	core      *control.Core
+	core      *control.Controller
 	peer      *peer
 	caller    net.Listener
 	internal  net.Listener
