--- a/internal/node/control/feed.go
+++ b/internal/node/control/feed.go
@@ -3,60 +3,75 @@
 import (
 	"context"
 	"fmt"
-	"time"
 
 	"stepwick/internal/decision/sheet"
 	"stepwick/internal/journal"
 	"stepwick/internal/wire"
 )
 
-const feedBatch = 512
+// maxFeedBatch bounds the changes in one answer.
+const maxFeedBatch = 512
 
-// feed is the numbered journal of changes and those who wait for more. Its id
-// changes whenever its numbers begin anew.
+// feed is the numbered log of changes that fronts follow. Its id changes whenever
+// the numbering restarts, so that a follower's offset is never taken for one of
+// another numbering. It belongs to the controller's owner.
 type feed struct {
 	self        string
 	incarnation uint64
-	life        int
-	bound       int
-	changes     *journal.Journal[*wire.Change]
-	waiters     []*waiter
+	// generation counts the restarts within this incarnation.
+	generation int
+	capacity   int
+	changes    *journal.Journal[*wire.Change]
+	waiters    []*feedWaiter
+	// unanswered is set while there are changes that no waiter was answered with;
+	// the next tick does it.
+	unanswered bool
+	// snapshot is the newest state that was encoded for followers, or nil.
+	snapshot *encodedState
 }
 
-type waiter struct {
+// feedWaiter is a follower whose request waits for the next change.
+type feedWaiter struct {
 	ctx   context.Context
 	req   *wire.FollowRequest
-	reply chan *pulled
+	reply chan *feedAnswer
 }
 
-// pulled is a part of the feed; one that needs a snapshot has the state to be
-// encoded outside the owner.
-type pulled struct {
-	resp  *wire.FollowResponse
-	state func() []byte
+// feedAnswer is an answer to a follower. Where it holds a snapshot that needs the
+// state, awaitState returns that once it is encoded; it must not be called by the
+// owner.
+type feedAnswer struct {
+	resp       *wire.FollowResponse
+	awaitState func() []byte
 }
 
-func newFeed(self string, incarnation uint64, bound int) *feed {
-	return &feed{self: self, incarnation: incarnation, bound: bound, changes: journal.New[*wire.Change](bound)}
+func newFeed(self string, incarnation uint64, capacity int) *feed {
+	return &feed{
+		self:        self,
+		incarnation: incarnation,
+		capacity:    capacity,
+		changes:     journal.New[*wire.Change](capacity),
+	}
 }
 
-func (f *feed) id() string { return fmt.Sprintf("%s/%d/%d", f.self, f.incarnation, f.life) }
+func (f *feed) id() string { return fmt.Sprintf("%s/%d/%d", f.self, f.incarnation, f.generation) }
 
+// restart drops all changes and begins a new numbering.
 func (f *feed) restart() {
-	f.life++
-	f.changes = journal.New[*wire.Change](f.bound)
+	f.generation++
+	f.changes = journal.New[*wire.Change](f.capacity)
 }
 
 func (f *feed) publish(change *wire.Change) { f.changes.Append(change) }
 
-// read returns what comes after the place of a request; ok is false when it
+// read returns what follows the offset of a request; ok is false when the follower
 // needs a snapshot.
 func (f *feed) read(req *wire.FollowRequest) (resp *wire.FollowResponse, ok bool) {
 	if req.Feed != f.id() {
 		return nil, false
 	}
-	entries, whole := f.changes.After(req.Place, feedBatch)
-	if !whole {
+	entries, complete := f.changes.After(req.Place, maxFeedBatch)
+	if !complete {
 		return nil, false
 	}
 	resp = &wire.FollowResponse{Feed: req.Feed, Place: req.Place}
@@ -67,109 +82,44 @@
 	return resp, true
 }
 
-// prune forgets those who no longer wait.
-func (f *feed) prune() {
-	kept := f.waiters[:0]
-	for _, w := range f.waiters {
-		if w.ctx.Err() == nil {
-			kept = append(kept, w)
-		}
-	}
-	clear(f.waiters[len(kept):])
-	f.waiters = kept
-}
-
-// Follow returns the changes after a place, or a snapshot where they are no
-// longer kept or the feed is another one. With nothing new it waits, at most
-// wait_ms.
-func (c *Controller) Follow(ctx context.Context, req *wire.FollowRequest) (*wire.FollowResponse, error) {
-	wait := max(min(time.Duration(req.WaitMs)*time.Millisecond, c.config.FeedWaitMax), tickEvery)
-	waiting, cancel := context.WithTimeout(ctx, wait)
-	defer cancel()
-	reply := make(chan *pulled, 1)
-	posted := c.post(ctx, func() {
-		if got := c.pull(req); got != nil {
-			reply <- got
-			return
-		}
-		c.feed.waiters = append(c.feed.waiters, &waiter{ctx: waiting, req: req, reply: reply})
-	})
-	if !posted {
-		return nil, ctx.Err()
-	}
-	select {
-	case got := <-reply:
-		if got.state != nil {
-			got.resp.Snapshot.State = got.state()
-		}
-		return got.resp, nil
-	case <-waiting.Done():
-		if ctx.Err() != nil {
-			return nil, ctx.Err()
-		}
-		return &wire.FollowResponse{Feed: req.Feed, Place: req.Place, Learned: c.agreement.Current().Version}, nil
-	}
+// dropEndedWaiters drops the followers that no longer wait.
+func (f *feed) dropEndedWaiters() {
+	f.retainWaiters(func(waiter *feedWaiter) bool { return waiter.ctx.Err() == nil })
 }
 
-// pull returns what a request may have now, nil when it has to wait.
-func (c *Controller) pull(req *wire.FollowRequest) *pulled {
-	resp, ok := c.feed.read(req)
-	if ok {
-		if len(resp.Changes) == 0 {
-			return nil
+// retainWaiters drops the waiters for which waits returns false.
+func (f *feed) retainWaiters(waits func(*feedWaiter) bool) {
+	remaining := f.waiters[:0]
+	for _, waiter := range f.waiters {
+		if waits(waiter) {
+			remaining = append(remaining, waiter)
 		}
-		resp.Learned = c.state.Version
-		return &pulled{resp: resp}
 	}
-	state := c.state
-	snapshot := &wire.Snapshot{Epoch: state.Version, Plan: c.plan, Reports: c.reports.snapshot()}
-	resp = &wire.FollowResponse{Feed: c.feed.id(), Place: c.feed.changes.LastSequence(), Learned: state.Version, Snapshot: snapshot}
-	snapshot.Sights = c.processes.Published()
-	if state.Version == 0 || req.Epoch >= state.Version {
-		return &pulled{resp: resp}
-	}
-	return &pulled{resp: resp, state: c.encodedOf(state)}
+	clear(f.waiters[len(remaining):])
+	f.waiters = remaining
 }
 
-// encodedState is a state encoded once for all who start from it.
+// encodedState is a state that is encoded once for all followers that need it.
 type encodedState struct {
 	version uint64
-	ready   chan struct{}
+	ready   chan struct{} // closed once data is set
 	data    []byte
 }
 
-// encodedOf begins to encode a state outside the owner, unless that is done or
-// under way, and returns what waits for it.
-func (c *Controller) encodedOf(state sheet.State) func() []byte {
-	held := c.encoded
-	if held == nil || held.version != state.Version {
-		held = &encodedState{version: state.Version, ready: make(chan struct{})}
-		c.encoded = held
+// encode starts to encode a state outside the owner, unless that is done or under
+// way, and returns the function that waits for the result.
+func (f *feed) encode(state sheet.State) (await func() []byte) {
+	snapshot := f.snapshot
+	if snapshot == nil || snapshot.version != state.Version {
+		snapshot = &encodedState{version: state.Version, ready: make(chan struct{})}
+		f.snapshot = snapshot
 		go func() {
-			held.data = state.Encode()
-			close(held.ready)
+			snapshot.data = state.Encode()
+			close(snapshot.ready)
 		}()
 	}
 	return func() []byte {
-		<-held.ready
-		return held.data
-	}
-}
-
-// answerWaiters answers those for whom there is something new.
-func (c *Controller) answerWaiters() {
-	c.untold = false
-	kept := c.feed.waiters[:0]
-	for _, w := range c.feed.waiters {
-		if w.ctx.Err() != nil {
-			continue
-		}
-		if got := c.pull(w.req); got != nil {
-			w.reply <- got
-			continue
-		}
-		kept = append(kept, w)
+		<-snapshot.ready
+		return snapshot.data
 	}
-	clear(c.feed.waiters[len(kept):])
-	c.feed.waiters = kept
 }
--- /dev/null
+++ b/internal/node/control/follow.go
@@ -0,0 +1,89 @@
+package control
+
+import (
+	"context"
+	"time"
+
+	"stepwick/internal/wire"
+)
+
+// Follow returns the changes after an offset of the feed, or a snapshot where they
+// are no longer retained or the offset is of another feed. Without a change it
+// waits, at most wait_ms, and then returns none. The error is the context's.
+func (c *Controller) Follow(ctx context.Context, req *wire.FollowRequest) (*wire.FollowResponse, error) {
+	wait := max(min(time.Duration(req.WaitMs)*time.Millisecond, c.config.FeedWaitMax), tickInterval)
+	waiting, cancel := context.WithTimeout(ctx, wait)
+	defer cancel()
+	reply := make(chan *feedAnswer, 1)
+	posted := c.post(ctx, func() {
+		if answer := c.feedAnswer(req); answer != nil {
+			reply <- answer
+			return
+		}
+		c.feed.waiters = append(c.feed.waiters, &feedWaiter{ctx: waiting, req: req, reply: reply})
+	})
+	if !posted {
+		return nil, ctx.Err()
+	}
+	select {
+	case answer := <-reply:
+		if answer.awaitState != nil {
+			answer.resp.Snapshot.State = answer.awaitState()
+		}
+		return answer.resp, nil
+	case <-waiting.Done():
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+		return &wire.FollowResponse{Feed: req.Feed, Place: req.Place, Learned: c.replica.Current().Version}, nil
+	}
+}
+
+// feedAnswer returns the answer to a request, nil when there is nothing new.
+func (c *Controller) feedAnswer(req *wire.FollowRequest) *feedAnswer {
+	resp, ok := c.feed.read(req)
+	if !ok {
+		return c.snapshotAnswer(req)
+	}
+	if len(resp.Changes) == 0 {
+		return nil
+	}
+	resp.Learned = c.state.Version
+	return &feedAnswer{resp: resp}
+}
+
+// snapshotAnswer returns a snapshot, with the state unless the follower has it.
+func (c *Controller) snapshotAnswer(req *wire.FollowRequest) *feedAnswer {
+	state := c.state
+	answer := &feedAnswer{resp: &wire.FollowResponse{
+		Feed:    c.feed.id(),
+		Place:   c.feed.changes.LastSequence(),
+		Learned: state.Version,
+		Snapshot: &wire.Snapshot{
+			Epoch:   state.Version,
+			Plan:    c.planner.current,
+			Reports: c.reports.snapshot(),
+			Sights:  c.statuses.tracker.Published(),
+		},
+	}}
+	if state.Version > 0 && req.Epoch < state.Version {
+		answer.awaitState = c.feed.encode(state)
+	}
+	return answer
+}
+
+// answerFollowers answers those for whom there is something new.
+func (c *Controller) answerFollowers() {
+	c.feed.unanswered = false
+	c.feed.retainWaiters(func(waiter *feedWaiter) bool {
+		if waiter.ctx.Err() != nil {
+			return false
+		}
+		answer := c.feedAnswer(waiter.req)
+		if answer == nil {
+			return true
+		}
+		waiter.reply <- answer
+		return false
+	})
+}
--- /dev/null
+++ b/internal/node/control/pings.go
@@ -0,0 +1,70 @@
+package control
+
+import (
+	"context"
+	"time"
+
+	"connectrpc.com/connect"
+
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/events"
+	"stepwick/internal/port"
+	"stepwick/internal/wire"
+)
+
+// pingRounds holds the pings in flight, by member.
+type pingRounds struct {
+	inFlight    map[string]bool
+	lastRoundAt time.Time
+}
+
+// pingIdleMembers pings members without recent contact. A refused connection ends
+// their lease at once; a time-out never does.
+func (c *Controller) pingIdleMembers(now time.Time) {
+	if now.Sub(c.pings.lastRoundAt) < c.config.PingInterval/2 {
+		return
+	}
+	c.pings.lastRoundAt = now
+	for _, target := range c.leases.PingTargets(c.state.Roster, c.config.PingAfter, now) {
+		process, known := c.peers.Process(target.Name)
+		if !known || target.Name == c.config.Self || c.pings.inFlight[target.Name] {
+			continue
+		}
+		c.ping(target, process.Address)
+	}
+}
+
+func (c *Controller) ping(target lease.MemberID, address string) {
+	c.pings.inFlight[target.Name] = true
+	parent := c.ctx
+	req := &wire.PingRequest{
+		From:        c.config.Self,
+		Incarnation: c.config.Incarnation,
+		Unconfirmed: true,
+	}
+	go func() {
+		ctx, cancel := context.WithTimeout(parent, c.config.PingInterval)
+		defer cancel()
+		resp, err := c.peers.Client(address).Ping(ctx, connect.NewRequest(req))
+		c.post(parent, func() {
+			delete(c.pings.inFlight, target.Name)
+			c.recordPing(target, resp, err)
+		})
+	}()
+}
+
+// recordPing records the outcome of a ping to a member as it was known when the
+// ping was sent.
+func (c *Controller) recordPing(target lease.MemberID, resp *connect.Response[wire.PingResponse], err error) {
+	now := c.clock.Now()
+	switch {
+	case err == nil && resp.Msg.Name == target.Name:
+		c.leases.RecordPingResponse(target.Name, resp.Msg.Incarnation, now)
+	case err != nil && port.Refused(err):
+		if target.HasIncarnation() && c.leases.HasLease(target.Name, now) {
+			c.log.Emit(events.LeaseReleased, "member", target.Name, "by", "refusal")
+		}
+		c.leases.RecordRefusal(target, now)
+		c.publishMemberStatus(target.Name, now)
+	}
+}
--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -4,130 +4,74 @@
 	"context"
 	"time"
 
-	"connectrpc.com/connect"
-
-	"stepwick/internal/decision/election"
 	"stepwick/internal/decision/lease"
 	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/port"
-	"stepwick/internal/wire"
 )
 
-// pingQuiet pings members that have not been heard for a while. A refusal
-// releases their lease at once; silence never does.
-func (c *Controller) pingQuiet(now time.Time) {
-	if now.Sub(c.lastPings) < c.config.PingInterval/2 {
+// maintainRoster proposes the roster changes that are due: to settle the last one
+// once it is confirmed, to add members that renew without being listed, and to
+// remove members that have refused connections for long. A new change waits until
+// the last one is settled.
+func (c *Controller) maintainRoster(now time.Time) {
+	if !c.mayPropose() {
 		return
 	}
-	c.lastPings = now
-	for _, quiet := range c.ledger.PingTargets(c.state.Roster, c.config.PingAfter, now) {
-		p, known := c.peers.Process(quiet.Name)
-		if !known || quiet.Name == c.config.Self || c.pinging[quiet.Name] {
-			continue
-		}
-		c.pinging[quiet.Name] = true
-		parent := c.ctx
-		go func() {
-			ctx, cancel := context.WithTimeout(parent, c.config.PingInterval)
-			defer cancel()
-			resp, err := c.peers.Client(p.Address).Ping(ctx, connect.NewRequest(&wire.PingRequest{
-				From: c.config.Self, Incarnation: c.config.Incarnation, Unconfirmed: true}))
-			c.post(parent, func() {
-				delete(c.pinging, quiet.Name)
-				c.pinged(quiet, resp, err)
-			})
-		}()
-	}
-}
-
-func (c *Controller) pinged(quiet lease.MemberID, resp *connect.Response[wire.PingResponse], err error) {
-	now := c.clock.Now()
-	switch {
-	case err == nil && resp.Msg.Name == quiet.Name:
-		c.ledger.RecordPingResponse(quiet.Name, resp.Msg.Incarnation, now)
-	case err != nil && port.Refused(err):
-		if quiet.HasIncarnation() && c.ledger.HasLease(quiet.Name, now) {
-			c.log.Emit(events.LeaseReleased, "member", quiet.Name, "by", "refusal")
-		}
-		c.ledger.RecordRefusal(quiet, now)
-		c.look(quiet.Name, now)
-	}
+	c.settleRoster(now)
+	c.addUnlistedMembers(now)
+	c.removeRefusingMembers(now)
 }
 
-// askViews keeps a fresh view of what the other cores know of a duty's holder,
-// by which vacancy is judged.
-func (c *Controller) askViews(now time.Time) {
-	if now.Sub(c.lastViews) < c.config.PingInterval {
+func (c *Controller) addUnlistedMembers(now time.Time) {
+	members := c.leases.UnlistedMembers(c.state.Roster, now)
+	due := len(members) > 0 && c.state.Settled()
+	if c.jobs[jobAddMembers] || !c.conditions.heldFor(conditionMembersUnlisted, due, c.config.JoinBatchWindow+c.proposalDelay(), now) {
 		return
 	}
-	c.lastViews = now
-	about := c.state.Duties[election.Planner].Holder
-	if about == "" {
-		about = c.config.Self
+	for _, member := range members {
+		c.log.Emit(events.MemberJoined, "member", member.Name, "locality", sheet.ZoneName(member.Region, member.Zone))
 	}
-	c.job("views", viewTimeout*2, func(ctx context.Context) func() {
-		views := c.views(ctx, &wire.LeaseViewRequest{About: about}, nil)
-		return func() {
-			at := c.clock.Now()
-			for _, view := range views {
-				c.sights[view.Core] = sight{at: at, about: about, view: view}
-			}
-		}
-	})
+	c.propose(jobAddMembers, conditionMembersUnlisted, sheet.AddMembers{Members: members, By: c.config.Self})
 }
 
-// keepRoster proposes what the roster needs: members that renew and are not on
-// it, members that refused for long, and the end of a change in force.
-func (c *Controller) keepRoster(now time.Time) {
-	if !c.mayPropose() {
-		return
-	}
-	c.settleRoster(now)
-	newcomers := c.ledger.UnlistedMembers(c.state.Roster, now)
-	if !c.jobs["add"] && c.waited("add", len(newcomers) > 0 && c.state.Settled(), c.config.JoinBatchWindow+c.turn(), now) {
-		for _, member := range newcomers {
-			c.log.Emit(events.MemberJoined, "member", member.Name, "locality", sheet.ZoneName(member.Region, member.Zone))
-		}
-		c.propose("add", sheet.AddMembers{Members: newcomers, By: c.config.Self})
-	}
-	departed := c.ledger.RefusingMembers(c.state.Roster, c.config.RemoveAfter, now)
-	if c.waited("remove", len(departed) > 0 && c.state.Settled(), c.turn(), now) {
-		c.propose("remove", sheet.RemoveMembers{Names: departed, By: c.config.Self})
+func (c *Controller) removeRefusingMembers(now time.Time) {
+	names := c.leases.RefusingMembers(c.state.Roster, c.config.RemoveAfter, now)
+	due := len(names) > 0 && c.state.Settled()
+	if c.conditions.heldFor(conditionMembersRefusing, due, c.proposalDelay(), now) {
+		c.propose(jobRemoveMembers, conditionMembersRefusing, sheet.RemoveMembers{Names: names, By: c.config.Self})
 	}
 }
 
+// settleRoster proposes to settle the last roster change once it is confirmed.
 func (c *Controller) settleRoster(now time.Time) {
 	state := c.state
-	if !c.waited("settle", !state.Settled(), c.turn(), now) {
+	if !c.conditions.heldFor(conditionRosterUnsettled, !state.Settled(), c.proposalDelay(), now) {
 		return
 	}
-	c.job("settle", jobTimeout, func(ctx context.Context) func() {
-		question, met := lease.ConfirmationCheck{Version: state.RosterVersion, Voters: len(c.agreement.Voters()), Roster: state.Roster, PriorRoster: state.PriorRoster}, false
-		c.views(ctx, &wire.LeaseViewRequest{Epoch: state.RosterVersion}, func(views []*wire.LeaseViewResponse) bool {
-			question.Views = views
-			met, _ = lease.RosterChangeConfirmed(question)
-			return met
-		})
-		if !met {
+	c.startJob(jobSettleRoster, jobTimeout, func(ctx context.Context) func() {
+		check := c.newConfirmationCheck(state.RosterVersion, state)
+		if confirmed, _ := c.runCheck(ctx, &check, lease.RosterChangeConfirmed); !confirmed {
+			// The job counts as running meanwhile, which spaces the rounds.
 			select {
 			case <-c.clock.After(2 * c.config.ViewInterval):
 			case <-ctx.Done():
 			}
 			return nil
 		}
-		if newest := c.agreement.Current(); newest.RosterVersion == state.RosterVersion && !newest.Settled() {
-			_, _, _ = c.agreement.Propose(ctx, sheet.Encode(sheet.SettleRoster{RosterVersion: state.RosterVersion}))
+		if newest := c.replica.Current(); newest.RosterVersion == state.RosterVersion && !newest.Settled() {
+			command := sheet.SettleRoster{RosterVersion: state.RosterVersion}
+			_, _, _ = c.replica.Propose(ctx, sheet.Encode(command))
 		}
 		return nil
 	})
 }
 
-// propose puts a command of the core's own to a ballot; what it asks for is
-// looked at anew afterwards, so a failure needs no other answer.
-func (c *Controller) propose(name string, command sheet.Command) {
-	c.job(name, jobTimeout, func(ctx context.Context) func() {
-		_, _, _ = c.agreement.Propose(ctx, sheet.Encode(command))
-		return func() { delete(c.since, name) }
+// propose proposes a command of the core's own, and restarts the span of the
+// condition that led to it: that is evaluated again afterwards, so a failure needs
+// no other treatment.
+func (c *Controller) propose(name job, cause condition, command sheet.Command) {
+	c.startJob(name, jobTimeout, func(ctx context.Context) func() {
+		_, _, _ = c.replica.Propose(ctx, sheet.Encode(command))
+		return func() { c.conditions.reset(cause) }
 	})
 }
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -3,13 +3,15 @@
 import (
 	"context"
 	"slices"
-	"sort"
+	"strings"
 
 	"stepwick/internal/decision/lease"
 	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
+// The body of an answer to "status". Its JSON form is fixed by docs/API.md.
+
 type coreStatus struct {
 	Name     string `json:"name"`
 	Standing string `json:"standing"`
@@ -25,8 +27,8 @@
 	Core      bool   `json:"core"`
 	Front     bool   `json:"front"`
 	Confirmed bool   `json:"confirmed"`
-	Granted   bool   `json:"granted"`
-	Gone      bool   `json:"gone"`
+	HasLease  bool   `json:"granted"`
+	Refuses   bool   `json:"gone"`
 }
 
 type planStatus struct {
@@ -43,11 +45,11 @@
 	Version       uint64                `json:"epoch"`
 	SheetVersion  uint64                `json:"sheet_epoch"`
 	InForce       bool                  `json:"in_force"`
-	Waiting       string                `json:"waiting,omitempty"`
+	Missing       string                `json:"waiting,omitempty"`
 	Confirmed     int                   `json:"confirmed"`
 	Roster        int                   `json:"roster"`
 	RosterVersion uint64                `json:"roster_epoch"`
-	RosterSettle  bool                  `json:"roster_settled"`
+	RosterSettled bool                  `json:"roster_settled"`
 	Evacuated     map[string]uint64     `json:"evacuated,omitempty"`
 	Cores         []coreStatus          `json:"cores"`
 	Members       []memberStatus        `json:"members"`
@@ -56,60 +58,86 @@
 	Servers       int                   `json:"servers"`
 }
 
-// status tells how this core sees the fleet; it is no read-back.
+// controllerState is what the owner contributes to a status.
+type controllerState struct {
+	state   sheet.State
+	plan    *wire.Plan
+	servers int
+}
+
+// status returns the fleet as this core sees it. Unlike a read it is not confirmed
+// by a majority.
 func (c *Controller) status(ctx context.Context) (*wire.OrderResponse, error) {
-	type owned struct {
-		state   sheet.State
-		plan    *wire.Plan
-		servers int
-	}
-	own, err := ask(ctx, c, func() owned { return owned{c.state, c.plan, len(c.reports.merged.Servers())} })
+	own, err := query(ctx, c, func() controllerState {
+		return controllerState{state: c.state, plan: c.planner.current, servers: len(c.reports.store.Servers())}
+	})
 	if err != nil {
 		return nil, err
 	}
+	views := c.collectViews(ctx, &wire.LeaseViewRequest{Epoch: own.state.Version}, nil)
+	check := c.newConfirmationCheck(own.state.Version, own.state)
+	check.Views = views
+	return okResponse(c.fleetStatus(own, check), own.state.Version), nil
+}
+
+func (c *Controller) fleetStatus(own controllerState, check lease.ConfirmationCheck) fleetStatus {
 	state := own.state
-	views := c.views(ctx, &wire.LeaseViewRequest{Epoch: state.Version}, nil)
-	voters := slices.Clone(c.agreement.Voters())
+	confirmed, missing := lease.VersionConfirmed(check)
+	return fleetStatus{
+		By:            c.config.Self,
+		Version:       state.Version,
+		SheetVersion:  state.SheetVersion,
+		InForce:       confirmed,
+		Missing:       missing,
+		Confirmed:     lease.CountConfirmations(check).Confirmed,
+		Roster:        len(state.Roster),
+		RosterVersion: state.RosterVersion,
+		RosterSettled: state.Settled(),
+		Evacuated:     state.Evacuated,
+		Duties:        state.Duties,
+		Plan:          newPlanStatus(own.plan),
+		Servers:       own.servers,
+		Cores:         c.coreStatuses(check.Views),
+		Members:       memberStatusList(state.Roster, check.Views),
+	}
+}
+
+// coreStatuses returns the status of each voter, sorted by name; never nil.
+func (c *Controller) coreStatuses(views []*wire.LeaseViewResponse) []coreStatus {
+	voters := slices.Clone(c.replica.Voters())
 	slices.Sort(voters)
-	question := lease.ConfirmationCheck{Version: state.Version, Voters: len(voters), Views: views, Roster: state.Roster, PriorRoster: state.PriorRoster}
-	met, why := lease.VersionConfirmed(question)
-	s := fleetStatus{By: c.config.Self, Version: state.Version, SheetVersion: state.SheetVersion, InForce: met, Waiting: why,
-		Confirmed: lease.CountConfirmations(question).Confirmed, Roster: len(state.Roster), RosterVersion: state.RosterVersion,
-		RosterSettle: state.Settled(), Evacuated: state.Evacuated, Duties: state.Duties,
-		Plan: planSummary(own.plan), Servers: own.servers, Cores: []coreStatus{}, Members: []memberStatus{}}
+	statuses := make([]coreStatus, 0, len(voters))
 	for _, voter := range voters {
-		s.Cores = append(s.Cores, c.coreStatus(voter, views))
-	}
-	for name, member := range state.Roster {
-		m := memberStatus{Name: name, Zone: sheet.ZoneName(member.Region, member.Zone), Core: member.Core, Front: member.Front}
-		for _, view := range views {
-			m.Confirmed = m.Confirmed || listed(view.Confirmed, name)
-			m.Granted = m.Granted || listed(view.Confirmed, name) || listed(view.Waiting, name)
-			m.Gone = m.Gone || slices.Contains(view.Gone, name)
-		}
-		s.Members = append(s.Members, m)
+		statuses = append(statuses, c.coreStatus(voter, views))
 	}
-	sort.Slice(s.Members, func(i, j int) bool { return s.Members[i].Name < s.Members[j].Name })
-	return answered(s, state.Version), nil
+	return statuses
 }
 
 func (c *Controller) coreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
-	s := coreStatus{Name: voter, Standing: "unknown"}
-	if p, ok := c.peers.Process(voter); ok {
-		s.Standing = standingName(p.Standing)
-	}
-	if voter == c.config.Self {
-		s.Standing = standingName(c.agreement.Standing())
-	}
+	status := coreStatus{Name: voter, Standing: c.standingOf(voter)}
 	for _, view := range views {
 		if view.Core == voter {
-			s.Answered, s.Learned, s.Settled = true, view.Learned, view.Settled
-			s.Leases = len(view.Confirmed) + len(view.Waiting)
+			status.Answered = true
+			status.Learned = view.Learned
+			status.Settled = view.Settled
+			status.Leases = len(view.Confirmed) + len(view.Waiting)
 		}
 	}
-	return s
+	return status
 }
 
+func (c *Controller) standingOf(voter string) string {
+	if voter == c.config.Self {
+		return standingName(c.replica.Standing())
+	}
+	if core, ok := c.peers.Process(voter); ok {
+		return standingName(core.Standing)
+	}
+	return standingUnknown
+}
+
+const standingUnknown = "unknown"
+
 func standingName(standing wire.Standing) string {
 	switch standing {
 	case wire.Standing_STANDING_BLANK:
@@ -121,12 +149,42 @@
 	case wire.Standing_STANDING_DISK_FULL:
 		return "disk_full"
 	}
-	return "unknown"
+	return standingUnknown
 }
 
-// listed tells whether any life of a member is among the ids of a view.
-func listed(ids []string, name string) bool {
-	return slices.ContainsFunc(ids, func(id string) bool {
-		return lease.ParseMemberID(id).Name == name
-	})
+// memberStatusList returns the status of each member of a roster, sorted by name;
+// never nil.
+func memberStatusList(roster map[string]sheet.Member, views []*wire.LeaseViewResponse) []memberStatus {
+	statuses := make([]memberStatus, 0, len(roster))
+	for name, member := range roster {
+		status := memberStatus{
+			Name:  name,
+			Zone:  sheet.ZoneName(member.Region, member.Zone),
+			Core:  member.Core,
+			Front: member.Front,
+		}
+		for _, view := range views {
+			confirmed := hasIncarnationOf(name, view.Confirmed)
+			status.Confirmed = status.Confirmed || confirmed
+			status.HasLease = status.HasLease || confirmed || hasIncarnationOf(name, view.Waiting)
+			status.Refuses = status.Refuses || slices.Contains(view.Gone, name)
+		}
+		statuses = append(statuses, status)
+	}
+	slices.SortFunc(statuses, func(a, b memberStatus) int { return strings.Compare(a.Name, b.Name) })
+	return statuses
+}
+
+func newPlanStatus(current *wire.Plan) *planStatus {
+	if current == nil {
+		return nil
+	}
+	return &planStatus{
+		Term:    current.Term,
+		Number:  current.Number,
+		Version: current.Epoch,
+		Holder:  current.Holder,
+		Cause:   current.Cause,
+		AtMS:    current.AtMs,
+	}
 }
