--- a/cmd/rig/faultcase/finals.go
+++ b/cmd/rig/faultcase/finals.go
@@ -7,7 +7,6 @@
 	"github.com/pkg/errors"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/history"
 )
 
 // killHalf kills four nodes of nine; one core is among them at the most.
@@ -78,13 +77,7 @@
 		return err
 	}
 	l := s.Book.Copy()
-	cut := 0
-	for _, a := range l.Attempts {
-		if len(a.Events) > 0 && a.End != history.Served && a.End != history.GaveUp {
-			cut++
-		}
-	}
-	if cut > 0 {
+	if cut := cutStreams(&l); cut > 0 {
 		return errors.Errorf("%d streams were cut although every node left by itself", cut)
 	}
 	return nil
