--- a/internal/node/control/controller.go
+++ b/internal/node/control/controller.go
@@ -77,7 +77,7 @@
 
 	leases      *lease.Table
 	statuses    memberStatuses
-	pings       pingRounds
+	pings       pingTracker
 	coreViews   coreViews
 	viewWaiters []*viewWaiter
 	relays      relayQueues
@@ -104,7 +104,7 @@
 		conditions: conditionTimers{},
 		leases:     lease.NewTable(config.Self, config.LeaseTTL, clock.Now()),
 		statuses:   memberStatuses{tracker: lease.NewStatusTracker()},
-		pings:      pingRounds{inFlight: map[string]bool{}},
+		pings:      pingTracker{inFlight: map[string]bool{}},
 		coreViews:  coreViews{byCore: map[string]coreView{}},
 		relays:     relayQueues{byCore: map[string][]relayedRenewal{}},
 		feed:       newFeed(config.Self, config.Incarnation, config.FeedCapacity),
--- a/internal/node/control/fleet_test.go
+++ b/internal/node/control/fleet_test.go
@@ -25,24 +25,24 @@
 )
 
 // fleet is three cores and some fronts in one bubble of virtual time, over a
-// network in memory and an atomic ballot.
+// network in memory. An atomic pointer stands in for the agreement.
 type fleet struct {
-	ctx       context.Context
-	agreed    atomic.Pointer[agreed]
-	names     []string
-	processes map[string]*wire.Process
-	records   map[string]*atomic.Pointer[wire.Process] // what each says of itself
-	cores     map[string]*control.Controller
-	fronts    map[string]*follower.Follower
-	stop      map[string]context.CancelFunc
-	silent    atomic.Pointer[map[string]bool]
-	dead      atomic.Pointer[map[string]bool]
-	told      sync.Map     // "from>to" -> epoch of the newest ping
-	asked     atomic.Int64 // lease views of whole cores asked for over the network
-	split     atomic.Bool  // no majority of cores reaches another
-	renewals  atomic.Int64 // calls that renew one lease
-	batches   atomic.Int64 // calls that renew many
-	slow      atomic.Int64 // how long a batch takes on its way, nanoseconds
+	ctx            context.Context
+	agreed         atomic.Pointer[agreed]
+	names          []string
+	processes      map[string]*wire.Process
+	records        map[string]*atomic.Pointer[wire.Process] // what each process reports of itself
+	cores          map[string]*control.Controller
+	fronts         map[string]*follower.Follower
+	stop           map[string]context.CancelFunc
+	partitioned    atomic.Pointer[map[string]bool]
+	stopped        atomic.Pointer[map[string]bool]
+	pingedVersions sync.Map     // "from>to" -> version in the newest ping
+	viewRequests   atomic.Int64 // requests for complete lease views over the network
+	majorityLost   atomic.Bool  // no majority of cores reaches another
+	renewals       atomic.Int64 // calls that renew one lease
+	batches        atomic.Int64 // calls that renew many
+	batchLatency   atomic.Int64 // latency of a batch, in ns
 }
 
 type agreed struct {
@@ -57,8 +57,8 @@
 	f := &fleet{ctx: ctx, processes: map[string]*wire.Process{}, records: map[string]*atomic.Pointer[wire.Process]{}, cores: map[string]*control.Controller{},
 		fronts: map[string]*follower.Follower{}, stop: map[string]context.CancelFunc{}}
 	f.agreed.Store(&agreed{changed: make(chan struct{})})
-	f.silent.Store(&map[string]bool{})
-	f.dead.Store(&map[string]bool{})
+	f.partitioned.Store(&map[string]bool{})
+	f.stopped.Store(&map[string]bool{})
 	for i := range fronts {
 		name := fmt.Sprintf("f%d", i+1)
 		if i < len(voters) {
@@ -90,16 +90,16 @@
 	own := f.processes[name]
 	f.records[name] = &atomic.Pointer[wire.Process]{}
 	f.records[name].Store(own)
-	peers := links{f, name}
+	peers := memoryPeers{f, name}
 	if own.Core {
-		f.cores[name] = control.New(control.Config{Self: name, Incarnation: own.Incarnation}, ballots{f}, peers, clock.System(), events.Discard)
+		f.cores[name] = control.New(control.Config{Self: name, Incarnation: own.Incarnation}, atomicReplica{f}, peers, clock.System(), events.Discard)
 	}
 	f.fronts[name] = follower.New(follower.Config{Self: f.records[name].Load, LeaseTTL: 2 * time.Second,
 		RenewEvery: 500 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second, CoreStaleFor: time.Second,
 		Sighted: func() []port.Sight { return nil }}, peers, clock.System(), events.Discard)
 }
 
-func (f *fleet) mark(set *atomic.Pointer[map[string]bool], on bool, names ...string) {
+func (f *fleet) setFlag(set *atomic.Pointer[map[string]bool], on bool, names ...string) {
 	next := map[string]bool{}
 	for name, was := range *set.Load() {
 		next[name] = was
@@ -112,34 +112,34 @@
 
 func (f *fleet) kill(name string) {
 	f.stop[name]()
-	f.mark(&f.dead, true, name)
+	f.setFlag(&f.stopped, true, name)
 }
 
-// says changes what a process says of itself.
-func (f *fleet) says(name string, change func(*wire.Process)) {
+// changeRecord changes what a process reports of itself.
+func (f *fleet) changeRecord(name string, change func(*wire.Process)) {
 	next := proto.Clone(f.records[name].Load()).(*wire.Process)
 	change(next)
 	next.Counter++
 	f.records[name].Store(next)
 }
 
-// pass lets virtual time go on.
-func (f *fleet) pass(d time.Duration) { <-time.After(d) }
+// advance lets virtual time pass.
+func (f *fleet) advance(d time.Duration) { <-time.After(d) }
 
-func (f *fleet) ruling() int {
+func (f *fleet) servingFronts() int {
 	count := 0
 	for _, name := range f.names {
-		if !(*f.dead.Load())[name] && f.fronts[name].Ruling() {
+		if !(*f.stopped.Load())[name] && f.fronts[name].Ruling() {
 			count++
 		}
 	}
 	return count
 }
 
-type ballots struct{ f *fleet }
+type atomicReplica struct{ f *fleet }
 
-func (b ballots) Propose(ctx context.Context, command []byte) (uint64, sheet.Result, error) {
-	if b.f.split.Load() {
+func (b atomicReplica) Propose(ctx context.Context, command []byte) (uint64, sheet.Result, error) {
+	if b.f.majorityLost.Load() {
 		<-ctx.Done()
 		return 0, sheet.Result{}, ctx.Err()
 	}
@@ -156,41 +156,41 @@
 	}
 }
 
-func (b ballots) ReadMajority(ctx context.Context) (sheet.State, error) {
-	if b.f.split.Load() {
+func (b atomicReplica) ReadMajority(ctx context.Context) (sheet.State, error) {
+	if b.f.majorityLost.Load() {
 		<-ctx.Done()
 		return sheet.State{}, apierror.Errorf(apierror.NoMajority, "1 of 3 cores answered")
 	}
 	return b.f.agreed.Load().state, nil
 }
 
-func (b ballots) Read(context.Context, *wire.ReadRequest) (*wire.ReadResponse, error) {
+func (b atomicReplica) Read(context.Context, *wire.ReadRequest) (*wire.ReadResponse, error) {
 	version := b.f.agreed.Load().state.Version
 	return &wire.ReadResponse{Learned: version, Highest: version}, nil
 }
 
-func (b ballots) Learned(after uint64) ([]*wire.Chosen, bool) {
+func (b atomicReplica) Learned(after uint64) ([]*wire.Chosen, bool) {
 	return b.f.agreed.Load().chosen[after:], true
 }
-func (b ballots) Current() sheet.State     { return b.f.agreed.Load().state }
-func (b ballots) Changed() <-chan struct{} { return b.f.agreed.Load().changed }
-func (b ballots) Standing() wire.Standing  { return wire.Standing_STANDING_VOTING }
-func (b ballots) Voters() []string         { return voters }
-func (b ballots) Formation() string        { return "formation" }
+func (b atomicReplica) Current() sheet.State     { return b.f.agreed.Load().state }
+func (b atomicReplica) Changed() <-chan struct{} { return b.f.agreed.Load().changed }
+func (b atomicReplica) Standing() wire.Standing  { return wire.Standing_STANDING_VOTING }
+func (b atomicReplica) Voters() []string         { return voters }
+func (b atomicReplica) Formation() string        { return "formation" }
 
-type links struct {
+type memoryPeers struct {
 	f    *fleet
 	from string
 }
 
-func (l links) Process(name string) (*wire.Process, bool) {
+func (l memoryPeers) Process(name string) (*wire.Process, bool) {
 	p, ok := l.f.processes[name]
 	return p, ok
 }
 
-func (l links) Cores() []*wire.Process { return port.CoresOf(l.Processes()) }
+func (l memoryPeers) Cores() []*wire.Process { return port.CoresOf(l.Processes()) }
 
-func (l links) Processes() []*wire.Process {
+func (l memoryPeers) Processes() []*wire.Process {
 	var all []*wire.Process
 	for _, p := range l.f.processes {
 		all = append(all, p)
@@ -199,24 +199,24 @@
 	return all
 }
 
-func (l links) Client(address string) wireconnect.PeerClient {
-	return client{links: l, to: address}
+func (l memoryPeers) Client(address string) wireconnect.PeerClient {
+	return client{memoryPeers: l, to: address}
 }
 
 type client struct {
 	wireconnect.PeerClient
-	links
+	memoryPeers
 	to string
 }
 
 func reach[Q, A any](ctx context.Context, c client, req *connect.Request[Q], method func(context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
-	silent := *c.f.silent.Load()
-	if silent[c.from] != silent[c.to] {
+	partitioned := *c.f.partitioned.Load()
+	if partitioned[c.from] != partitioned[c.to] {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	<-time.After(time.Millisecond)
-	if (*c.f.dead.Load())[c.to] {
+	if (*c.f.stopped.Load())[c.to] {
 		return nil, connect.NewError(connect.CodeUnavailable, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED})
 	}
 	resp, err := method(ctx, req.Msg)
@@ -227,7 +227,7 @@
 }
 
 func (c client) Ping(ctx context.Context, req *connect.Request[wire.PingRequest]) (*connect.Response[wire.PingResponse], error) {
-	c.f.told.Store(c.from+">"+c.to, req.Msg.Epoch)
+	c.f.pingedVersions.Store(c.from+">"+c.to, req.Msg.Epoch)
 	return reach(ctx, c, req, c.f.fronts[c.to].Ping)
 }
 
@@ -242,13 +242,13 @@
 
 func (c client) RenewBatch(ctx context.Context, req *connect.Request[wire.RenewBatchRequest]) (*connect.Response[wire.RenewBatchResponse], error) {
 	c.f.batches.Add(1)
-	<-time.After(time.Duration(c.f.slow.Load()))
+	<-time.After(time.Duration(c.f.batchLatency.Load()))
 	return reach(ctx, c, req, c.f.cores[c.to].RenewBatch)
 }
 
 func (c client) LeaseView(ctx context.Context, req *connect.Request[wire.LeaseViewRequest]) (*connect.Response[wire.LeaseViewResponse], error) {
 	if req.Msg.About == "" {
-		c.f.asked.Add(1)
+		c.f.viewRequests.Add(1)
 	}
 	return reach(ctx, c, req, c.f.cores[c.to].LeaseView)
 }
--- a/internal/node/control/jobs.go
+++ b/internal/node/control/jobs.go
@@ -13,13 +13,13 @@
 
 // Jobs.
 const (
-	jobCatchUp       job = "catch up"
-	jobCoreViews     job = "core views"
-	jobAddMembers    job = "add members"
-	jobRemoveMembers job = "remove members"
-	jobSettleRoster  job = "settle roster"
-	jobElection      job = "election"
-	jobPlan          job = "plan"
+	jobCatchUp              job = "catch up"
+	jobCoreViews            job = "core views"
+	jobAddMembers           job = "add members"
+	jobRemoveMembers        job = "remove members"
+	jobCompleteRosterChange job = "complete roster change"
+	jobElection             job = "election"
+	jobPlan                 job = "plan"
 )
 
 // runningJobs is the set of jobs that have not finished.
@@ -52,19 +52,19 @@
 
 // Conditions.
 const (
-	conditionMembersUnlisted condition = "members unlisted"
-	conditionMembersRefusing condition = "members refusing"
-	conditionRosterUnsettled condition = "roster unsettled"
-	conditionPlannerVacant   condition = "planner vacant"
-	conditionServersKnown    condition = "servers known"
+	conditionMembersUnlisted     condition = "members unlisted"
+	conditionMembersRefusing     condition = "members refusing"
+	conditionRosterChangePending condition = "roster change pending"
+	conditionPlannerVacant       condition = "planner vacant"
+	conditionServersReported     condition = "servers reported"
 )
 
 // conditionTimers records since when each condition has held.
 type conditionTimers map[condition]time.Time
 
-// heldFor reports whether a condition has held for a span, from the first call at
+// trueFor reports whether a condition has held for a span, from the first call at
 // which it held. A call at which it does not hold resets it.
-func (t conditionTimers) heldFor(name condition, holds bool, span time.Duration, now time.Time) bool {
+func (t conditionTimers) trueFor(name condition, holds bool, span time.Duration, now time.Time) bool {
 	if !holds {
 		t.reset(name)
 		return false
--- a/internal/node/control/lease_views.go
+++ b/internal/node/control/lease_views.go
@@ -32,7 +32,7 @@
 func (c *Controller) LeaseView(ctx context.Context, req *wire.LeaseViewRequest) (*wire.LeaseViewResponse, error) {
 	if req.About != "" {
 		return query(ctx, c, func() *wire.LeaseViewResponse {
-			return c.settledOnceCaughtUp(c.leases.MemberView(req.About, c.learned(), c.clock.Now()))
+			return c.unsettledUntilCaughtUp(c.leases.MemberView(req.About, c.learned(), c.clock.Now()))
 		})
 	}
 	if req.WaitMs > 0 {
@@ -63,12 +63,12 @@
 }
 
 func (c *Controller) leaseView(version uint64) *wire.LeaseViewResponse {
-	return c.settledOnceCaughtUp(c.leases.View(version, c.learned(), c.clock.Now()))
+	return c.unsettledUntilCaughtUp(c.leases.View(version, c.learned(), c.clock.Now()))
 }
 
-// settledOnceCaughtUp marks a view as not settled until the core has caught up
+// unsettledUntilCaughtUp marks a view as not settled until the core has caught up
 // since its start.
-func (c *Controller) settledOnceCaughtUp(view *wire.LeaseViewResponse) *wire.LeaseViewResponse {
+func (c *Controller) unsettledUntilCaughtUp(view *wire.LeaseViewResponse) *wire.LeaseViewResponse {
 	view.Settled = view.Settled && c.caughtUp
 	return view
 }
--- a/internal/node/control/orders.go
+++ b/internal/node/control/orders.go
@@ -109,7 +109,7 @@
 func (c *Controller) executeOrder(ctx context.Context, req *wire.OrderRequest, command sheet.Command) *wire.OrderResponse {
 	order, _ := sheet.OrderOf(command)
 	orderID := order.OrderID
-	if result, final := c.knownResult(ctx, command); final {
+	if result, final := c.finalResult(ctx, command); final {
 		if result.Code != apierror.OK {
 			return c.rejectOrder(req, result, orderID)
 		}
@@ -137,10 +137,10 @@
 	return errorResponse(apiErr, 0, orderID)
 }
 
-// knownResult returns the result of a command where it is final without a
+// finalResult returns the result of a command where it is final without a
 // proposal: the state here has executed it already, or the state of a majority
 // rejects it. So an order that can't succeed uses up no version.
-func (c *Controller) knownResult(ctx context.Context, command sheet.Command) (result sheet.Result, final bool) {
+func (c *Controller) finalResult(ctx context.Context, command sheet.Command) (result sheet.Result, final bool) {
 	state := c.replica.Current()
 	if result, final = state.Foresee(command); final {
 		return result, true
--- a/internal/node/control/orders_test.go
+++ b/internal/node/control/orders_test.go
@@ -19,11 +19,11 @@
 
 var instants = regexp.MustCompile(`"at_ms":\d+`)
 
-// script plays operators' calls and keeps what was said, with virtual time to
-// the next half second.
+// script makes operators' calls and records the exchange, with virtual time rounded
+// to half a second.
 type script struct {
 	*fleet
-	begun time.Time
+	startedAt time.Time
 	lines []string
 }
 
@@ -32,29 +32,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s = &script{fleet: newFleet(ctx, fronts)}
-		s.pass(6 * time.Second)
-		s.begun = time.Now()
+		s.advance(6 * time.Second)
+		s.startedAt = time.Now()
 		act(s)
 		cancel()
-		s.pass(10 * time.Second)
+		s.advance(10 * time.Second)
 	})
 	return strings.Join(s.lines, "\n") + "\n"
 }
 
-func (s *script) say(format string, args ...any) {
+func (s *script) logf(format string, args ...any) {
 	line := instants.ReplaceAllString(fmt.Sprintf(format, args...), `"at_ms":0`)
-	s.lines = append(s.lines, fmt.Sprintf("%4.1f s  ", time.Since(s.begun).Round(500*time.Millisecond).Seconds())+line)
+	s.lines = append(s.lines, fmt.Sprintf("%4.1f s  ", time.Since(s.startedAt).Round(500*time.Millisecond).Seconds())+line)
 }
 
 func (s *script) order(core, operator, verb, body string, wait time.Duration) *wire.OrderResponse {
-	s.say("%s asks %s: %s %s", operator, core, verb, body)
+	s.logf("%s asks %s: %s %s", operator, core, verb, body)
 	resp, err := s.cores[core].Order(s.ctx, &wire.OrderRequest{From: core, Operator: operator, Verb: verb, Body: []byte(body),
 		WaitMs: uint32(wait.Milliseconds())})
 	if err != nil {
-		s.say("%s fails: %v", core, err)
+		s.logf("%s fails: %v", core, err)
 		return nil
 	}
-	s.say("%s answers %s: %s %s", core, operator, apierror.Code(resp.Code), resp.Body)
+	s.logf("%s answers %s: %s %s", core, operator, apierror.Code(resp.Code), resp.Body)
 	return resp
 }
 
@@ -70,67 +70,67 @@
 	for name, act := range map[string]func(s *script){
 		"silent_member": func(s *script) {
 			s.order("c1", "ada", "put", put(0, "first"), 0)
-			s.say("f9 falls silent")
-			s.mark(&s.silent, true, "f9")
-			s.pass(500 * time.Millisecond)
+			s.logf("f9 falls silent")
+			s.setFlag(&s.partitioned, true, "f9")
+			s.advance(500 * time.Millisecond)
 			s.order("c2", "ada", "patch", patch(3, "second", "weights.chat.lagos", "2"), 0)
-			s.say("fronts that rule: %d", s.ruling())
+			s.logf("fronts that rule: %d", s.servingFronts())
 			s.order("c2", "ada", "get", "", 0)
 		},
 		"refusing_member": func(s *script) {
 			s.kill("f9")
-			s.say("f9 is killed")
-			s.pass(time.Second)
+			s.logf("f9 is killed")
+			s.advance(time.Second)
 			s.order("c1", "ada", "put", put(0, "first"), 0)
 		},
 		"race": func(s *script) {
 			s.order("c1", "ada", "put", put(0, "first"), 0)
 			lost := make(chan *wire.OrderResponse, 1)
 			go func() {
-				s.pass(time.Millisecond)
+				s.advance(time.Millisecond)
 				resp, _ := s.cores["c2"].Order(s.ctx, &wire.OrderRequest{Operator: "bola", Verb: "patch", Body: []byte(patch(3, "bola-1", "weights.chat.lagos", "3"))})
 				lost <- resp
 			}()
 			s.order("c1", "ada", "patch", patch(3, "ada-2", "weights.chat.lagos", "2"), 0)
 			resp := <-lost
-			s.say("c2 answers bola: %s %s", apierror.Code(resp.Code), resp.Body)
+			s.logf("c2 answers bola: %s %s", apierror.Code(resp.Code), resp.Body)
 			s.order("c3", "ada", "history", "", 0)
 		},
 		"resend": func(s *script) {
 			s.order("c1", "ada", "put", put(0, "first"), 0)
-			s.mark(&s.silent, true, "f9")
-			s.say("f9 falls silent; the patience of the next order is shorter than its lease")
+			s.setFlag(&s.partitioned, true, "f9")
+			s.logf("f9 falls silent; the patience of the next order is shorter than its lease")
 			s.order("c1", "ada", "patch", patch(3, "second", "weights.chat.lagos", "2"), 400*time.Millisecond)
-			s.say("the same order goes to another core")
+			s.logf("the same order goes to another core")
 			s.order("c2", "ada", "patch", patch(3, "second", "weights.chat.lagos", "2"), 0)
-			s.say("and once more, as if the answer had been lost")
+			s.logf("and once more, as if the answer had been lost")
 			s.order("c3", "ada", "patch", patch(3, "second", "weights.chat.lagos", "2"), 0)
-			s.say("another order under the same id")
+			s.logf("another order under the same id")
 			s.order("c3", "ada", "patch", patch(4, "second", "weights.chat.lagos", "9"), 0)
 			s.order("c3", "ada", "get", "", 0)
 		},
 		"two_cores_four_of_nine": func(s *script) {
 			s.order("c1", "ada", "put", put(0, "first"), 0)
-			s.mark(&s.silent, true, "c3", "f4", "f5", "f6", "f7")
-			s.say("c1 c2 f8 f9 | c3 f4 f5 f6 f7, cut in silence")
-			s.pass(5 * time.Second)
-			s.say("fronts that rule: %d", s.ruling())
+			s.setFlag(&s.partitioned, true, "c3", "f4", "f5", "f6", "f7")
+			s.logf("c1 c2 f8 f9 | c3 f4 f5 f6 f7, cut in silence")
+			s.advance(5 * time.Second)
+			s.logf("fronts that rule: %d", s.servingFronts())
 			s.order("c1", "ada", "patch", patch(3, "second", "weights.chat.lagos", "2"), 5*time.Second)
-			s.say("fronts that rule: %d", s.ruling())
-			s.mark(&s.silent, false, "c3", "f4", "f5", "f6", "f7")
-			s.say("healed")
-			s.pass(time.Second)
+			s.logf("fronts that rule: %d", s.servingFronts())
+			s.setFlag(&s.partitioned, false, "c3", "f4", "f5", "f6", "f7")
+			s.logf("healed")
+			s.advance(time.Second)
 			s.order("c1", "ada", "patch", patch(3, "second", "weights.chat.lagos", "2"), 0)
-			s.say("fronts that rule: %d", s.ruling())
+			s.logf("fronts that rule: %d", s.servingFronts())
 		},
 		"removed_by_name": func(s *script) {
 			s.order("c1", "ada", "put", put(0, "first"), 0)
-			s.mark(&s.silent, true, "f5", "f6", "f7", "f8", "f9")
+			s.setFlag(&s.partitioned, true, "f5", "f6", "f7", "f8", "f9")
 			for _, name := range []string{"f5", "f6", "f7", "f8", "f9"} {
 				s.stop[name]()
 			}
-			s.say("f5 to f9 lose their power: silence")
-			s.pass(5 * time.Second)
+			s.logf("f5 to f9 lose their power: silence")
+			s.advance(5 * time.Second)
 			s.order("c1", "ada", "patch", patch(3, "second", "weights.chat.lagos", "2"), 2*time.Second)
 			s.order("c1", "ada", "remove", `{"order_id":"off","names":["f5","f6","f7","f8","f9"]}`, 0)
 			s.order("c1", "ada", "patch", patch(3, "second", "weights.chat.lagos", "2"), 0)
@@ -149,12 +149,12 @@
 			s.order("c1", "ada", "evacuate", `{"locality":"a/b/c"}`, 0)
 			s.order("c1", "ada", "remove", `{"names":["f99"]}`, 0)
 			s.order("c1", "ada", "sing", `{}`, 0)
-			s.say("epochs used up: %d", s.agreed.Load().state.Version-before)
+			s.logf("epochs used up: %d", s.agreed.Load().state.Version-before)
 		},
 		"no_majority": func(s *script) {
 			s.order("c1", "ada", "put", put(0, "first"), 0)
-			s.split.Store(true)
-			s.say("no core reaches a majority")
+			s.majorityLost.Store(true)
+			s.logf("no core reaches a majority")
 			s.order("c1", "ada", "get", "", 500*time.Millisecond)
 			s.order("c1", "ada", "evacuate", `{"order_id":"out","locality":"lagos/a"}`, 500*time.Millisecond)
 		},
--- a/internal/node/control/pings.go
+++ b/internal/node/control/pings.go
@@ -12,19 +12,19 @@
 	"stepwick/internal/wire"
 )
 
-// pingRounds holds the pings in flight, by member.
-type pingRounds struct {
-	inFlight    map[string]bool
-	lastRoundAt time.Time
+// pingTracker holds the pings in flight, by member.
+type pingTracker struct {
+	inFlight   map[string]bool
+	lastSentAt time.Time
 }
 
 // pingIdleMembers pings members without recent contact. A refused connection ends
 // their lease at once; a time-out never does.
 func (c *Controller) pingIdleMembers(now time.Time) {
-	if now.Sub(c.pings.lastRoundAt) < c.config.PingInterval/2 {
+	if now.Sub(c.pings.lastSentAt) < c.config.PingInterval/2 {
 		return
 	}
-	c.pings.lastRoundAt = now
+	c.pings.lastSentAt = now
 	for _, target := range c.leases.PingTargets(c.state.Roster, c.config.PingAfter, now) {
 		process, known := c.peers.Process(target.Name)
 		if !known || target.Name == c.config.Self || c.pings.inFlight[target.Name] {
--- a/internal/node/control/planner_election.go
+++ b/internal/node/control/planner_election.go
@@ -16,16 +16,16 @@
 	if !c.mayPropose() {
 		return
 	}
-	duty := c.state.Duties[election.Planner]
-	delay, voter := c.candidateDelay(duty)
-	vacant := c.plannerVacant(duty, now)
-	if !voter || !c.conditions.heldFor(conditionPlannerVacant, vacant, delay, now) {
+	role := c.state.Duties[election.Planner]
+	delay, voter := c.candidateDelay(role)
+	vacant := c.plannerVacant(role, now)
+	if !voter || !c.conditions.trueFor(conditionPlannerVacant, vacant, delay, now) {
 		return
 	}
-	if duty.Holder != "" && !c.jobs[jobElection] {
-		c.log.Emit(events.DutyVacant, "duty", election.Planner, "term", duty.Term, "holder", duty.Holder)
+	if role.Holder != "" && !c.jobs[jobElection] {
+		c.log.Emit(events.DutyVacant, "duty", election.Planner, "term", role.Term, "holder", role.Holder)
 	}
-	command := sheet.TakeDuty{Duty: election.Planner, Term: duty.Term + 1, Holder: c.config.Self}
+	command := sheet.TakeDuty{Duty: election.Planner, Term: role.Term + 1, Holder: c.config.Self}
 	c.startJob(jobElection, jobTimeout, func(ctx context.Context) func() {
 		_, result, err := c.replica.Propose(ctx, sheet.Encode(command))
 		won := err == nil && result.Fault() == nil
@@ -42,16 +42,16 @@
 	c.log.Emit(events.DutyWon, "duty", election.Planner, "term", term)
 }
 
-func (c *Controller) plannerVacant(duty sheet.Duty, now time.Time) bool {
-	if duty.Holder == c.config.Self {
-		return !c.leads(duty)
+func (c *Controller) plannerVacant(role sheet.Duty, now time.Time) bool {
+	if role.Holder == c.config.Self {
+		return !c.leads(role)
 	}
-	return election.Vacant(duty, c.replica.Voters(), c.leaderObservations(duty.Holder, now))
+	return election.Vacant(role, c.replica.Voters(), c.leaderObservations(role.Holder, now))
 }
 
-func (c *Controller) candidateDelay(duty sheet.Duty) (delay time.Duration, voter bool) {
-	delay, voter = election.CandidateDelay(c.config.Self, duty, c.replica.Voters(), c.config.ProposalStagger)
-	if duty.Holder == c.config.Self {
+func (c *Controller) candidateDelay(role sheet.Duty) (delay time.Duration, voter bool) {
+	delay, voter = election.CandidateDelay(c.config.Self, role, c.replica.Voters(), c.config.ProposalStagger)
+	if role.Holder == c.config.Self {
 		return 0, voter
 	}
 	return delay, voter
--- a/internal/node/control/planning.go
+++ b/internal/node/control/planning.go
@@ -35,22 +35,22 @@
 
 // leads reports whether this incarnation is the leader in the newest term. A core
 // that restarted is not: it doesn't know which plans it has numbered.
-func (c *Controller) leads(duty sheet.Duty) bool {
-	return duty.Holder == c.config.Self && duty.Term == c.planner.wonTerm
+func (c *Controller) leads(role sheet.Duty) bool {
+	return role.Holder == c.config.Self && role.Term == c.planner.wonTerm
 }
 
 // updatePlan computes a new plan when this core is the leader and the period is
 // over, or the loss of a server forces one.
 func (c *Controller) updatePlan(now time.Time) {
-	duty := c.state.Duties[election.Planner]
-	if !c.leads(duty) || !c.caughtUp || c.state.Sheet == nil {
+	role := c.state.Duties[election.Planner]
+	if !c.leads(role) || !c.caughtUp || c.state.Sheet == nil {
 		return
 	}
-	serversKnown := len(c.reports.store.Servers()) > 0
-	if !c.conditions.heldFor(conditionServersKnown, serversKnown, firstPlanDelay, now) {
+	serversReported := len(c.reports.store.Servers()) > 0
+	if !c.conditions.trueFor(conditionServersReported, serversReported, firstPlanDelay, now) {
 		return
 	}
-	input := c.planInput(duty.Term)
+	input := c.planInput(role.Term)
 	cause, due := c.planCause(input)
 	if !due {
 		return
@@ -58,7 +58,7 @@
 	input.Cause = cause
 	c.startJob(jobPlan, jobTimeout, func(context.Context) func() {
 		next := plan.Compute(input)
-		return func() { c.publishOwnPlan(next, duty) }
+		return func() { c.publishComputedPlan(next, role) }
 	})
 }
 
@@ -95,10 +95,10 @@
 	}
 }
 
-// publishOwnPlan publishes a plan computed here, unless the leader changed since
+// publishComputedPlan publishes a plan computed here, unless the leader changed since
 // the computation began, and sends it to the other cores.
-func (c *Controller) publishOwnPlan(next *wire.Plan, duty sheet.Duty) {
-	if c.state.Duties[election.Planner] != duty || !c.adoptPlan(next) {
+func (c *Controller) publishComputedPlan(next *wire.Plan, role sheet.Duty) {
+	if c.state.Duties[election.Planner] != role || !c.adoptPlan(next) {
 		return
 	}
 	c.log.Emit(events.PlanMade, "term", next.Term, "number", next.Number, "cause", next.Cause, "epoch", next.Epoch)
--- a/internal/node/control/renewals_test.go
+++ b/internal/node/control/renewals_test.go
@@ -10,10 +10,10 @@
 	"stepwick/internal/wire"
 )
 
-func TestLeave(t *testing.T) {
-	inFleet(t, 6, func(t *testing.T, f *fleet) {
-		Convey("What a front released is not given again, neither by a renewal under way nor by a later one", t, func() {
-			So(f.ruling(), ShouldEqual, 6)
+func TestReleasedLeaseIsNotGrantedAgain(t *testing.T) {
+	withFleet(t, 6, func(t *testing.T, f *fleet) {
+		Convey("A released lease is not granted again, neither by a renewal in flight nor by a later one", t, func() {
+			So(f.servingFronts(), ShouldEqual, 6)
 			So(f.fronts["f6"].Leave(f.ctx), ShouldBeNil)
 			So(f.fronts["f6"].Ruling(), ShouldBeFalse)
 			for _, core := range f.cores {
@@ -25,24 +25,24 @@
 			So(err, ShouldBeNil)
 			So(resp.Granted, ShouldBeFalse)
 			for range 10 {
-				f.pass(100 * time.Millisecond)
+				f.advance(100 * time.Millisecond)
 				for _, core := range f.cores {
 					view, err := core.LeaseView(f.ctx, &wire.LeaseViewRequest{})
 					So(err, ShouldBeNil)
 					So(view.Confirmed, ShouldNotContain, lease.MemberID{Name: "f6", Incarnation: 1}.String())
 				}
 			}
-			So(f.ruling(), ShouldEqual, 5)
+			So(f.servingFronts(), ShouldEqual, 5)
 		})
-		Convey("Each front tells every peer of a new epoch at once, not at its next turn", t, func() {
+		Convey("Each front sends every peer a new version at once, not at its next interval", t, func() {
 			f.put(t)
 			version := f.agreed.Load().state.Version
-			f.pass(50 * time.Millisecond)
+			f.advance(50 * time.Millisecond)
 			for _, from := range f.names[:5] {
 				for _, to := range f.names[:5] {
 					if from != to {
-						told, _ := f.told.Load(from + ">" + to)
-						So(told, ShouldEqual, version)
+						sent, _ := f.pingedVersions.Load(from + ">" + to)
+						So(sent, ShouldEqual, version)
 					}
 				}
 			}
--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -17,7 +17,7 @@
 	if !c.mayPropose() {
 		return
 	}
-	c.settleRoster(now)
+	c.completeRosterChange(now)
 	c.addUnlistedMembers(now)
 	c.removeRefusingMembers(now)
 }
@@ -25,7 +25,7 @@
 func (c *Controller) addUnlistedMembers(now time.Time) {
 	members := c.leases.UnlistedMembers(c.state.Roster, now)
 	due := len(members) > 0 && c.state.Settled()
-	if c.jobs[jobAddMembers] || !c.conditions.heldFor(conditionMembersUnlisted, due, c.config.JoinBatchWindow+c.proposalDelay(), now) {
+	if c.jobs[jobAddMembers] || !c.conditions.trueFor(conditionMembersUnlisted, due, c.config.JoinBatchWindow+c.proposalDelay(), now) {
 		return
 	}
 	for _, member := range members {
@@ -37,18 +37,18 @@
 func (c *Controller) removeRefusingMembers(now time.Time) {
 	names := c.leases.RefusingMembers(c.state.Roster, c.config.RemoveAfter, now)
 	due := len(names) > 0 && c.state.Settled()
-	if c.conditions.heldFor(conditionMembersRefusing, due, c.proposalDelay(), now) {
+	if c.conditions.trueFor(conditionMembersRefusing, due, c.proposalDelay(), now) {
 		c.propose(jobRemoveMembers, conditionMembersRefusing, sheet.RemoveMembers{Names: names, By: c.config.Self})
 	}
 }
 
-// settleRoster proposes to settle the last roster change once it is confirmed.
-func (c *Controller) settleRoster(now time.Time) {
+// completeRosterChange proposes to settle the last roster change once it is confirmed.
+func (c *Controller) completeRosterChange(now time.Time) {
 	state := c.state
-	if !c.conditions.heldFor(conditionRosterUnsettled, !state.Settled(), c.proposalDelay(), now) {
+	if !c.conditions.trueFor(conditionRosterChangePending, !state.Settled(), c.proposalDelay(), now) {
 		return
 	}
-	c.startJob(jobSettleRoster, jobTimeout, func(ctx context.Context) func() {
+	c.startJob(jobCompleteRosterChange, jobTimeout, func(ctx context.Context) func() {
 		check := c.newConfirmationCheck(state.RosterVersion, state)
 		if confirmed, _ := c.runCheck(ctx, &check, lease.RosterChangeConfirmed); !confirmed {
 			// The job counts as running meanwhile, which spaces the rounds.
--- a/internal/node/control/server_reports.go
+++ b/internal/node/control/server_reports.go
@@ -138,7 +138,7 @@
 		case status == nil:
 			r.remove(server)
 		case last == nil || changedBeyondLoad(last.Status, status):
-			if scope.allWatchersReported || keepsRequestsAway(status) {
+			if scope.allWatchersReported || blocksRequests(status) {
 				report := r.publishStatus(status, now)
 				changes = append(changes, &wire.Change{What: &wire.Change_Report{Report: report}})
 			}
@@ -153,7 +153,7 @@
 	return changes
 }
 
-func keepsRequestsAway(status *wire.ServerStatus) bool {
+func blocksRequests(status *wire.ServerStatus) bool {
 	return serverstatus.Severity(status.State) >= serverstatus.Severity(wire.ServerState_SERVER_STATE_DRAINING)
 }
 
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -68,20 +68,20 @@
 // status returns the fleet as this core sees it. Unlike a read it is not confirmed
 // by a majority.
 func (c *Controller) status(ctx context.Context) (*wire.OrderResponse, error) {
-	own, err := query(ctx, c, func() controllerState {
+	current, err := query(ctx, c, func() controllerState {
 		return controllerState{state: c.state, plan: c.planner.current, servers: len(c.reports.store.Servers())}
 	})
 	if err != nil {
 		return nil, err
 	}
-	views := c.collectViews(ctx, &wire.LeaseViewRequest{Epoch: own.state.Version}, nil)
-	check := c.newConfirmationCheck(own.state.Version, own.state)
+	views := c.collectViews(ctx, &wire.LeaseViewRequest{Epoch: current.state.Version}, nil)
+	check := c.newConfirmationCheck(current.state.Version, current.state)
 	check.Views = views
-	return okResponse(c.fleetStatus(own, check), own.state.Version), nil
+	return okResponse(c.fleetStatus(current, check), current.state.Version), nil
 }
 
-func (c *Controller) fleetStatus(own controllerState, check lease.ConfirmationCheck) fleetStatus {
-	state := own.state
+func (c *Controller) fleetStatus(current controllerState, check lease.ConfirmationCheck) fleetStatus {
+	state := current.state
 	confirmed, missing := lease.VersionConfirmed(check)
 	return fleetStatus{
 		By:            c.config.Self,
@@ -95,8 +95,8 @@
 		RosterSettled: state.Settled(),
 		Evacuated:     state.Evacuated,
 		Duties:        state.Duties,
-		Plan:          newPlanStatus(own.plan),
-		Servers:       own.servers,
+		Plan:          newPlanStatus(current.plan),
+		Servers:       current.servers,
 		Cores:         c.coreStatuses(check.Views),
 		Members:       memberStatusList(state.Roster, check.Views),
 	}
@@ -175,16 +175,16 @@
 	return statuses
 }
 
-func newPlanStatus(current *wire.Plan) *planStatus {
-	if current == nil {
+func newPlanStatus(plan *wire.Plan) *planStatus {
+	if plan == nil {
 		return nil
 	}
 	return &planStatus{
-		Term:    current.Term,
-		Number:  current.Number,
-		Version: current.Epoch,
-		Holder:  current.Holder,
-		Cause:   current.Cause,
-		AtMS:    current.AtMs,
+		Term:    plan.Term,
+		Number:  plan.Number,
+		Version: plan.Epoch,
+		Holder:  plan.Holder,
+		Cause:   plan.Cause,
+		AtMS:    plan.AtMs,
 	}
 }
