--- a/internal/adapter/internalrpc/directory.go
+++ b/internal/adapter/internalrpc/directory.go
@@ -92,10 +92,10 @@
 // slice must not be changed.
 func (d *Directory) Cores() []*wire.Process { return d.table.Load().cores }
 
-// Sights returns all known processes with the time they were last seen, in the
+// KnownProcesses returns all known processes with the time they were last seen, in the
 // order of their names. The slice must not be changed; the same one is returned
 // until something is new.
-func (d *Directory) Sights() []port.Sight { return d.table.Load().sights }
+func (d *Directory) KnownProcesses() []port.KnownProcess { return d.table.Load().sights }
 
 // Client returns a client for an internal address.
 func (d *Directory) Client(address string) PeerClient { return d.pool.Client(address) }
@@ -237,7 +237,7 @@
 			d.news = now
 		}
 		if !ok || newer(r, have.Process) {
-			next.put(port.Sight{Process: proto.Clone(r).(*wire.Process), Seen: now})
+			next.put(port.KnownProcess{Process: proto.Clone(r).(*wire.Process), LastSeen: now})
 		}
 	}
 	d.table.Store(next.done())
@@ -246,15 +246,15 @@
 // forget drops processes that nobody has told of for long.
 func (d *Directory) forget(next *edit, own string, now time.Time) {
 	vouched := d.vouched.Load().names
-	next.forget(func(s port.Sight) bool {
-		return now.Sub(s.Seen) >= forgetAfter && s.Process.Name != own && !vouched[s.Process.Name]
+	next.forget(func(s port.KnownProcess) bool {
+		return now.Sub(s.LastSeen) >= forgetAfter && s.Process.Name != own && !vouched[s.Process.Name]
 	})
 }
 
-// Attest takes in all processes that a core's feed says are live: they are
+// ConfirmLive takes in all processes that a core's feed says are live: they are
 // known by these records and kept, whether hellos tell of them or not. It never
 // waits.
-func (d *Directory) Attest(live []*wire.Process) {
+func (d *Directory) ConfirmLive(live []*wire.Process) {
 	names := make(map[string]bool, len(live))
 	for _, p := range live {
 		names[p.Name] = true
--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -126,7 +126,7 @@
 			d := start(ctx, memnet.New(ctx), 0, "a fleet's secret")
 			synctest.Wait()
 			far := &wire.Process{Name: "far", Address: "127.0.1.99:1", Front: true, Incarnation: 1, Counter: 5}
-			d.Attest([]*wire.Process{far})
+			d.ConfirmLive([]*wire.Process{far})
 			synctest.Wait()
 			if got := names(d); got != "far n0" {
 				t.Errorf("knows %q", got)
@@ -135,7 +135,7 @@
 			if got := names(d); got != "far n0" {
 				t.Errorf("after 20 minutes knows %q", got)
 			}
-			d.Attest(nil)
+			d.ConfirmLive(nil)
 			<-time.After(20 * time.Minute)
 			if got := names(d); got != "n0" {
 				t.Errorf("after it was dropped knows %q", got)
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -124,7 +124,7 @@
 				Candidates: []front.Candidate{{Server: "m1", Score: 0.81, Excluded: "draining"}}}},
 			Attempts: []*front.Attempt{{Server: "m1", Ended: "whole", Detail: "said so", Events: 40, FirstEventMS: 310.25, TookMS: 900}},
 			Outcome:  &front.Outcome{Code: apierror.StreamCut, Name: "stream_cut", Detail: "the server went away", TookMS: 903.25}},
-		"node": follower.Status{Name: "n2", Zone: "lagos/a", Version: 21, SheetVersion: 20, Ruling: true, By: "lease", Plan: 44, PlanTerm: 2,
+		"node": follower.Status{Name: "n2", Zone: "lagos/a", Version: 21, SheetVersion: 20, HasAuthority: true, AuthoritySource: "lease", Plan: 44, PlanTerm: 2,
 			PlanHolder: "n1", Servers: map[string]string{"m1": "ready"}, Roster: []string{"n1", "n2"}, Fronts: []string{"n1"}, FleetTimeMS: orderedAtMS},
 		"data": replica.Contents{Core: "a", Formation: "a-1", Voters: []string{"a"}, Standing: "voting", DiskIncarnation: 1, Version: 2,
 			SheetVersion: 3, Revision: 4, Members: 5, OpenSlots: 6, Snapshot: 7, Segments: 8, Records: 9, TornSegment: "1.log", TornBytes: 10, BadSnapshot: "2.snap"},
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -42,9 +42,9 @@
 	p.pool = internalrpc.NewPool(world.Dial, p.base.Address, values.String("fleet.secret"))
 	p.directory = internalrpc.NewDirectory(p.pool, clock, log, values.Strings("seeds"), p.self)
 	p.follower = follower.New(follower.Config{
-		Self: p.self, LeaseTTL: values.Duration("lease.ttl"), RenewEvery: values.Duration("lease.renew"),
-		PingEvery: values.Duration("ping.interval"), FeedWait: values.Duration("feed.wait"),
-		Sighted: p.directory.Sights, CoreStaleFor: coreStaleFor, Attest: p.directory.Attest,
+		Self: p.self, LeaseTTL: values.Duration("lease.ttl"), RenewInterval: values.Duration("lease.renew"),
+		PingInterval: values.Duration("ping.interval"), FeedWait: values.Duration("feed.wait"),
+		KnownProcesses: p.directory.KnownProcesses, CoreStaleAfter: coreStaleFor, ConfirmLive: p.directory.ConfirmLive,
 	}, p.directory, clock, log)
 
 	registry := prometheus.NewRegistry()
@@ -52,7 +52,7 @@
 	var err error
 	p.spend, err = quotasync.New(quotasync.Config{
 		Self: p.base.Name, Incarnation: p.base.Incarnation, Metrics: registry, HoldFor: values.Duration("tally.hold"),
-		Silent: func() []string { return p.follower.View().Silent },
+		Silent: func() []string { return p.follower.View().Unresponsive },
 		Tally:  quota.Config{Window: values.Duration("quota_window"), Slices: values.Int("quota_slices"), Interval: values.Duration("tally.interval")},
 	}, p.directory, clock, p.follower.FleetNow, func() []string { return p.follower.View().Live }, log)
 	if err != nil {
--- a/internal/node/control/controller_test.go
+++ b/internal/node/control/controller_test.go
@@ -216,7 +216,7 @@
 			So(state.Roster, ShouldHaveLength, 5)
 			So(state.Roster, ShouldContainKey, "f5")
 			So(state.Settled(), ShouldBeTrue)
-			So(f.fronts["f5"].Ruling(), ShouldBeFalse)
+			So(f.fronts["f5"].HasAuthority(), ShouldBeFalse)
 		})
 	})
 }
--- a/internal/node/control/fleet_test.go
+++ b/internal/node/control/fleet_test.go
@@ -95,8 +95,8 @@
 		f.cores[name] = control.New(control.Config{Self: name, Incarnation: own.Incarnation}, atomicReplica{f}, peers, clock.System(), events.Discard)
 	}
 	f.fronts[name] = follower.New(follower.Config{Self: f.records[name].Load, LeaseTTL: 2 * time.Second,
-		RenewEvery: 500 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second, CoreStaleFor: time.Second,
-		Sighted: func() []port.Sight { return nil }}, peers, clock.System(), events.Discard)
+		RenewInterval: 500 * time.Millisecond, PingInterval: 500 * time.Millisecond, FeedWait: time.Second, CoreStaleAfter: time.Second,
+		KnownProcesses: func() []port.KnownProcess { return nil }}, peers, clock.System(), events.Discard)
 }
 
 func (f *fleet) setFlag(set *atomic.Pointer[map[string]bool], on bool, names ...string) {
@@ -129,7 +129,7 @@
 func (f *fleet) servingFronts() int {
 	count := 0
 	for _, name := range f.names {
-		if !(*f.stopped.Load())[name] && f.fronts[name].Ruling() {
+		if !(*f.stopped.Load())[name] && f.fronts[name].HasAuthority() {
 			count++
 		}
 	}
--- a/internal/node/control/member_statuses_test.go
+++ b/internal/node/control/member_statuses_test.go
@@ -60,13 +60,13 @@
 				names, _ := f.listedFronts(name)
 				So(names, ShouldNotContain, "f38")
 				So(f.fronts[name].View().Live, ShouldContain, "f38")
-				So(f.fronts[name].View().Silent, ShouldContain, "f38")
+				So(f.fronts[name].View().Unresponsive, ShouldContain, "f38")
 			}
 			f.setFlag(&f.partitioned, false, "f38")
 			f.advance(3 * time.Second)
 			names, _ := f.listedFronts("f20")
 			So(names, ShouldContain, "f38")
-			So(f.fronts["f20"].View().Silent, ShouldBeEmpty)
+			So(f.fronts["f20"].View().Unresponsive, ShouldBeEmpty)
 		})
 		Convey("One that released its lease is removed at once", t, func() {
 			So(f.fronts["f37"].Leave(f.ctx), ShouldBeNil)
@@ -97,7 +97,7 @@
 			}
 			f.advance(8 * time.Second)
 			view := f.fronts["f20"].View()
-			So(view.Verdict.Granted, ShouldBeTrue)
+			So(view.Authority.Granted, ShouldBeTrue)
 			So(slices.ContainsFunc(voters, func(core string) bool { return slices.Contains(view.Live, core) }), ShouldBeFalse)
 			So(view.Live, ShouldContain, "f10")
 		})
--- a/internal/node/control/renewal_relay_test.go
+++ b/internal/node/control/renewal_relay_test.go
@@ -76,13 +76,13 @@
 			for phase := range 8 {
 				f.setFlag(&f.partitioned, true, "f30")
 				cut := time.Now()
-				for f.fronts["f30"].Ruling() {
+				for f.fronts["f30"].HasAuthority() {
 					f.advance(5 * time.Millisecond)
 				}
 				So(time.Since(cut), ShouldBeLessThanOrEqualTo, 2*time.Second)
 				f.setFlag(&f.partitioned, false, "f30")
 				f.advance(8*time.Second + time.Duration(phase)*97*time.Millisecond)
-				So(f.fronts["f30"].Ruling(), ShouldBeTrue)
+				So(f.fronts["f30"].HasAuthority(), ShouldBeTrue)
 			}
 		})
 	})
--- a/internal/node/control/renewals_test.go
+++ b/internal/node/control/renewals_test.go
@@ -15,7 +15,7 @@
 		Convey("A released lease is not granted again, neither by a renewal in flight nor by a later one", t, func() {
 			So(f.servingFronts(), ShouldEqual, 6)
 			So(f.fronts["f6"].Leave(f.ctx), ShouldBeNil)
-			So(f.fronts["f6"].Ruling(), ShouldBeFalse)
+			So(f.fronts["f6"].HasAuthority(), ShouldBeFalse)
 			for _, core := range f.cores {
 				_, err := core.Release(f.ctx, &wire.ReleaseRequest{Name: "f6", Incarnation: 1})
 				So(err, ShouldBeNil)
--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -51,7 +51,7 @@
 // they were last known.
 func (b *behindEdge) lost() []*wire.Process {
 	var lost []*wire.Process
-	for _, name := range b.process.follower.View().Silent {
+	for _, name := range b.process.follower.View().Unresponsive {
 		if process, known := b.process.directory.Process(name); known {
 			lost = append(lost, process)
 		}
--- a/internal/node/follower/feed.go
+++ b/internal/node/follower/feed.go
@@ -2,11 +2,8 @@
 
 import (
 	"context"
-	"slices"
-	"time"
 
 	"connectrpc.com/connect"
-	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
 	"stepwick/internal/clock"
@@ -14,194 +11,185 @@
 	"stepwick/internal/wire"
 )
 
-// follow keeps one long poll of the feed open, at a core that answers.
-func (f *Follower) follow() {
+// feed is the state of the long poll by which a core's changes are received.
+type feed struct {
+	position   feedPosition
+	pollOpen   bool
+	failedCore string // the one whose poll failed last
+}
+
+// feedPosition is up to where a feed was received. Without a feed's name the core
+// answers with a snapshot.
+type feedPosition struct {
+	core   string // empty for none
+	feed   string // the name that the core gave its feed
+	offset uint64 // of the last change
+}
+
+// reset forgets the position but stays with its core, which then answers the next
+// poll with a snapshot.
+func (p *feedPosition) reset() { *p = feedPosition{core: p.core} }
+
+// feedChanges is which parts of the view an answer of the feed changed.
+type feedChanges struct {
+	servers bool // or the plan
+	members bool
+}
+
+// pollFeed keeps one poll of the feed open, at a core that answers.
+func (f *Follower) pollFeed() {
 	now := f.clock.Now()
-	if f.feed.open {
+	if f.feed.pollOpen {
 		return
 	}
-	core, ok := f.choose(now)
+	core, ok := f.chooseFeedCore(now)
 	if !ok {
 		return
 	}
-	f.feed.open = true
-	at := f.feed
-	req := &wire.FollowRequest{Who: f.name, Feed: at.feed, Place: at.number, WaitMs: uint32(f.config.FeedWait.Milliseconds()), Epoch: f.state.Version}
-	patience := f.config.FeedWait + f.config.CoreStaleFor
-	if !f.held {
-		patience = largeTimeout
+	f.feed.pollOpen = true
+	position := f.feed.position
+	req := &wire.FollowRequest{
+		Who:    f.name,
+		Feed:   position.feed,
+		Place:  position.offset,
+		WaitMs: uint32(f.config.FeedWait.Milliseconds()),
+		Epoch:  f.configuration.state.Version,
+	}
+	timeout := f.config.FeedWait + f.config.CoreStaleAfter
+	if !f.configuration.learned {
+		timeout = snapshotTimeout
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(f.ctx, patience)
+		ctx, cancel := context.WithTimeout(f.ctx, timeout)
 		defer cancel()
 		resp, err := f.peers.Client(core.Address).Follow(ctx, connect.NewRequest(req))
 		if err != nil {
-			wait, stop := clock.NewTimer(f.config.RenewEvery / 2)
-			select {
-			case <-wait:
-			case <-f.ctx.Done():
-				stop()
-			}
+			f.waitToRetryPoll()
+			f.post(func() { f.failPoll(core.Name, err) })
+			return
 		}
-		f.post(func() {
-			f.feed.open = false
-			if err != nil {
-				f.feed, f.unfed = place{}, core.Name
-				f.log.Emit(events.FeedBehind, "core", core.Name, "error", err)
-				return
-			}
-			if at.core != "" && at.core != core.Name {
-				f.log.Emit(events.FeedSwitched, "from", at.core, "to", core.Name)
-			}
-			f.takeFeed(core.Name, resp.Msg)
-		})
+		f.post(func() { f.completePoll(core.Name, position.core, resp.Msg) })
 	}()
 }
 
-// choose stays with the core that is followed; otherwise one of those that
-// renew, or at the start at least answer, comes next, in an order of this
-// front's own so that fronts spread. Cores of the own region go first, as the
-// feed's bytes are many, and the one whose feed has just failed goes last.
-func (f *Follower) choose(now time.Time) (*wire.Process, bool) {
-	if f.feed.core != "" {
-		if p, ok := f.peers.Process(f.feed.core); ok {
-			return p, true
-		}
-	}
-	others := slices.DeleteFunc(slices.Clone(f.peers.Cores()), func(core *wire.Process) bool { return core.Name == f.unfed })
-	near := f.near(others, now)
-	if core, ok := f.chooseOf(near, now); ok {
-		return core, true
-	}
-	if len(near) > 0 && now.Sub(f.begun) < nearFirst {
-		return nil, false
+// waitToRetryPoll delays the next poll after one that failed.
+func (f *Follower) waitToRetryPoll() {
+	elapsed, stop := clock.NewTimer(f.config.RenewInterval / 2)
+	defer stop()
+	select {
+	case <-elapsed:
+	case <-f.ctx.Done():
 	}
-	if core, ok := f.chooseOf(others, now); ok {
-		return core, true
-	}
-	return f.chooseOf(f.peers.Cores(), now)
 }
 
-// nearFirst is how long a process that starts waits for a core of its region.
-const nearFirst = 150 * time.Millisecond
-
-// near returns the cores of the own region, without those that have renewed
-// once but not of late; in a large fleet only those of the own zone where there are
-// some, through which the front renews too.
-func (f *Follower) near(cores []*wire.Process, now time.Time) []*wire.Process {
-	own := f.config.Self()
-	inRegion := slices.DeleteFunc(slices.Clone(cores), func(core *wire.Process) bool {
-		renewed := f.holder.RenewedAt(core.Name)
-		return core.Region != own.Region || !renewed.IsZero() && now.Sub(renewed) > f.config.CoreStaleFor
-	})
-	if !f.isLarge() {
-		return inRegion
-	}
-	inZone := slices.DeleteFunc(slices.Clone(inRegion), func(core *wire.Process) bool { return core.Zone != own.Zone })
-	if len(inZone) > 0 {
-		return inZone
-	}
-	return inRegion
+// failPoll takes that a poll of a core failed: the next may go to another core.
+func (f *Follower) failPoll(core string, err error) {
+	f.feed = feed{failedCore: core}
+	f.log.Emit(events.FeedBehind, "core", core, "error", err)
 }
 
-// chooseOf returns the core of some that renewed last or, while none has, one
-// that has answered.
-func (f *Follower) chooseOf(cores []*wire.Process, now time.Time) (*wire.Process, bool) {
-	if len(cores) == 0 {
-		return nil, false
-	}
-	best := -1
-	for i, core := range cores {
-		if f.holder.RenewedAt(core.Name).IsZero() {
-			continue
-		}
-		if best < 0 || f.holder.RenewedAt(core.Name).After(f.holder.RenewedAt(cores[best].Name)) {
-			best = i
-		}
-	}
-	if best < 0 {
-		answered := slices.DeleteFunc(slices.Clone(cores), func(core *wire.Process) bool {
-			_, ok := f.behind[core.Name]
-			return !ok
-		})
-		switch {
-		case len(answered) > 0:
-			cores = answered
-		case now.Sub(f.begun) < startByFeed:
-			return nil, false
-		}
-		best = int((xxhash.Sum64String(f.name) + uint64(now.UnixNano()/int64(f.config.RenewEvery))) % uint64(len(cores)))
+// completePoll takes the answer of a core to a poll.
+func (f *Follower) completePoll(core, previousCore string, resp *wire.FollowResponse) {
+	f.feed.pollOpen = false
+	if previousCore != "" && previousCore != core {
+		f.log.Emit(events.FeedSwitched, "from", previousCore, "to", core)
 	}
-	return cores[best], true
+	f.applyFeed(core, resp)
 }
 
-func (f *Follower) takeFeed(core string, resp *wire.FollowResponse) {
-	f.feed = place{core: core, feed: resp.Feed, number: resp.Place, heard: f.clock.Now()}
-	f.fedAt = f.clock.Now()
-	dirty, churn := false, false
-	if s := resp.Snapshot; s != nil {
-		f.takeSnapshot(s.Epoch, s.State)
-		dirty = f.takePlan(s.Plan) || dirty
-		for _, report := range s.Reports {
-			dirty = f.reports.Add(report, f.FleetNow()) || dirty
-		}
-		f.takeSights(s.Sights)
-		churn = true
+// applyFeed applies an answer of the feed and publishes what it changed.
+func (f *Follower) applyFeed(core string, resp *wire.FollowResponse) {
+	f.feed.position = feedPosition{core: core, feed: resp.Feed, offset: resp.Place}
+	f.membership.feedAnsweredAt = f.clock.Now()
+	var changed feedChanges
+	if resp.Snapshot != nil {
+		f.applyFeedSnapshot(resp.Snapshot, &changed)
 	}
 	for _, change := range resp.Changes {
-		switch what := change.What.(type) {
-		case *wire.Change_Chosen:
-			f.takeChosen(what.Chosen)
-		case *wire.Change_Sight:
-			f.takeSight(what.Sight)
-			churn = true
-		case *wire.Change_Plan:
-			dirty = f.takePlan(what.Plan) || dirty
-		case *wire.Change_Report:
-			dirty = f.reports.Add(what.Report, f.FleetNow()) || dirty
-		case *wire.Change_Load:
-			dirty = f.reports.AddLoad(what.Load) || dirty
-		}
+		f.applyFeedChange(change, &changed)
 	}
-	if churn {
-		f.attest()
+	if changed.members {
+		f.confirmReported()
 	}
-	if resp.Learned > f.state.Version {
-		if p, ok := f.peers.Process(core); ok {
-			f.fetch(p.Address)
+	if resp.Learned > f.configuration.state.Version {
+		if process, known := f.peers.Process(core); known {
+			f.fetch(process.Address)
 		}
 	}
 	switch {
-	case churn:
+	case changed.members:
 		f.publish()
-	case dirty:
+	case changed.servers:
 		f.publishServers()
 	}
 }
 
-// takePlan drops a plan of a lower (term, number). One that repeats another
-// than is held is asked for whole, by a snapshot.
-func (f *Follower) takePlan(plan *wire.Plan) bool {
+func (f *Follower) applyFeedSnapshot(snapshot *wire.Snapshot, changed *feedChanges) {
+	f.applySnapshot(snapshot.Epoch, snapshot.State)
+	if f.applyPlan(snapshot.Plan) {
+		changed.servers = true
+	}
+	for _, report := range snapshot.Reports {
+		if f.reports.Add(report, f.FleetNow()) {
+			changed.servers = true
+		}
+	}
+	f.membership.applySnapshot(snapshot.Sights, f.clock.Now())
+	changed.members = true
+}
+
+func (f *Follower) applyFeedChange(change *wire.Change, changed *feedChanges) {
+	serversChanged := false
+	switch what := change.What.(type) {
+	case *wire.Change_Chosen:
+		f.applyChosen(what.Chosen)
+	case *wire.Change_Sight:
+		f.membership.applyReport(what.Sight, f.clock.Now())
+		changed.members = true
+	case *wire.Change_Plan:
+		serversChanged = f.applyPlan(what.Plan)
+	case *wire.Change_Report:
+		serversChanged = f.reports.Add(what.Report, f.FleetNow())
+	case *wire.Change_Load:
+		serversChanged = f.reports.AddLoad(what.Load)
+	}
+	changed.servers = changed.servers || serversChanged
+}
+
+// applyPlan replaces the plan by one of a higher (term, number), and reports
+// whether it did. One that repeats the shares and caps of a plan which this front
+// doesn't have is ignored; the next poll then asks for a snapshot.
+func (f *Follower) applyPlan(plan *wire.Plan) bool {
 	if plan == nil {
 		return false
 	}
-	if f.plan != nil && (plan.Term < f.plan.Term || (plan.Term == f.plan.Term && plan.Number <= f.plan.Number)) {
+	if f.plan != nil && !isLaterPlan(plan, f.plan) {
 		return false
 	}
 	if plan.Repeats != 0 && len(plan.Shares)+len(plan.Caps) == 0 {
-		if f.plan == nil || f.plan.Term != plan.Term || firstOf(f.plan) != plan.Repeats {
-			f.feed = place{core: f.feed.core}
+		if f.plan == nil || f.plan.Term != plan.Term || originOf(f.plan) != plan.Repeats {
+			f.feed.position.reset()
 			return false
 		}
 		plan = proto.Clone(plan).(*wire.Plan)
-		plan.Shares, plan.Caps = f.plan.Shares, f.plan.Caps
+		plan.Shares = f.plan.Shares
+		plan.Caps = f.plan.Caps
 	}
 	f.plan = plan
 	return true
 }
 
-// firstOf returns the number of the plan whose shares and caps a plan has.
-func firstOf(plan *wire.Plan) uint64 {
+// isLaterPlan reports whether a plan has a higher (term, number) than another.
+func isLaterPlan(a, b *wire.Plan) bool {
+	if a.Term != b.Term {
+		return a.Term > b.Term
+	}
+	return a.Number > b.Number
+}
+
+// originOf returns the number of the plan that a plan's shares and caps were
+// first sent with.
+func originOf(plan *wire.Plan) uint64 {
 	if plan.Repeats != 0 {
 		return plan.Repeats
 	}
--- a/internal/node/follower/feed_test.go
+++ b/internal/node/follower/feed_test.go
@@ -18,40 +18,40 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// feeder is a core that answers renewals after a while and says who asked it
+// feedCore is a core that answers renewals after a delay and records the requests
 // for its feed.
-type feeder struct {
+type feedCore struct {
 	wireconnect.UnimplementedPeerHandler
 	name, region string
-	after        time.Duration
-	down         bool // answers nothing
-	unfed        bool // answers renewals only
-	asked        chan string
+	delay        time.Duration // of its answers to renewals
+	down         bool          // answers nothing
+	withoutFeed  bool          // answers renewals only
+	requested    chan string
 }
 
-func (c *feeder) Renew(context.Context, *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
-	<-time.After(c.after)
+func (c *feedCore) Renew(context.Context, *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
+	<-time.After(c.delay)
 	if c.down {
 		return nil, errors.New("down")
 	}
 	return connect.NewResponse(&wire.RenewResponse{Core: c.name, TimeUs: time.Now().UnixMicro()}), nil
 }
 
-func (c *feeder) Follow(ctx context.Context, req *connect.Request[wire.FollowRequest]) (*connect.Response[wire.FollowResponse], error) {
+func (c *feedCore) Follow(ctx context.Context, req *connect.Request[wire.FollowRequest]) (*connect.Response[wire.FollowResponse], error) {
 	select {
-	case c.asked <- c.name:
+	case c.requested <- c.name:
 	case <-ctx.Done():
 	}
-	if c.down || c.unfed {
+	if c.down || c.withoutFeed {
 		return nil, errors.New("no feed")
 	}
 	<-time.After(time.Duration(req.Msg.WaitMs) * time.Millisecond)
 	return connect.NewResponse(&wire.FollowResponse{Feed: "feed of " + c.name}), nil
 }
 
-type feeders []*feeder
+type feedCores []*feedCore
 
-func (c feeders) Process(name string) (*wire.Process, bool) {
+func (c feedCores) Process(name string) (*wire.Process, bool) {
 	for _, core := range c {
 		if core.name == name {
 			return &wire.Process{Name: name, Address: name, Region: core.region, Core: true, Voters: []string{"c1", "c2", "c3"}}, true
@@ -60,9 +60,9 @@
 	return nil, false
 }
 
-func (c feeders) Cores() []*wire.Process { return port.CoresOf(c.Processes()) }
+func (c feedCores) Cores() []*wire.Process { return port.CoresOf(c.Processes()) }
 
-func (c feeders) Processes() (all []*wire.Process) {
+func (c feedCores) Processes() (all []*wire.Process) {
 	for _, core := range c {
 		p, _ := c.Process(core.name)
 		all = append(all, p)
@@ -70,7 +70,7 @@
 	return all
 }
 
-func (c feeders) Client(address string) wireconnect.PeerClient {
+func (c feedCores) Client(address string) wireconnect.PeerClient {
 	for _, core := range c {
 		if core.name == address {
 			return core
@@ -79,22 +79,22 @@
 	return nil
 }
 
-// firstAsked returns the cores that a front of the north asked for their feed
-// first, as many as wanted, and after how long the last of them was.
-func firstAsked(t *testing.T, wanted int, change func(north *feeder)) (names []string, after time.Duration) {
+// firstRequested returns the cores that a front of the north requested the feed of
+// first, as many as wanted, and how long after its start the last request was.
+func firstRequested(t *testing.T, wanted int, change func(north *feedCore)) (names []string, after time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		asked := make(chan string)
-		cores := feeders{{name: "c1", region: "south", asked: asked}, {name: "c2", region: "north", after: 40 * time.Millisecond, asked: asked},
-			{name: "c3", region: "south", asked: asked}}
+		requested := make(chan string)
+		cores := feedCores{{name: "c1", region: "south", requested: requested}, {name: "c2", region: "north", delay: 40 * time.Millisecond, requested: requested},
+			{name: "c3", region: "south", requested: requested}}
 		change(cores[1])
 		f := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Region: "north", Front: true} },
-			LeaseTTL: 2 * time.Second, RenewEvery: 100 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second,
-			Sighted: func() []port.Sight { return nil }, CoreStaleFor: time.Second}, cores, clock.System(), events.Discard)
+			LeaseTTL: 2 * time.Second, RenewInterval: 100 * time.Millisecond, PingInterval: 500 * time.Millisecond, FeedWait: time.Second,
+			KnownProcesses: func() []port.KnownProcess { return nil }, CoreStaleAfter: time.Second}, cores, clock.System(), events.Discard)
 		begun := time.Now()
 		go f.Serve(ctx)
 		for range wanted {
-			names = append(names, <-asked)
+			names = append(names, <-requested)
 		}
 		after = time.Since(begun)
 		cancel()
@@ -104,16 +104,16 @@
 	return names, after
 }
 
-func TestFeedOfTheOwnRegionFirst(t *testing.T) {
+func TestFeedPrefersCoreOfOwnRegion(t *testing.T) {
 	Convey("A front follows a core of its region, though others answer sooner", t, func() {
-		names, _ := firstAsked(t, 2, func(*feeder) {})
+		names, _ := firstRequested(t, 2, func(*feedCore) {})
 		So(names, ShouldResemble, []string{"c2", "c2"})
 	})
 	Convey("It follows another where that one is down, soon, and where its feed fails", t, func() {
-		names, after := firstAsked(t, 1, func(north *feeder) { north.down = true })
+		names, after := firstRequested(t, 1, func(north *feedCore) { north.down = true })
 		So(names[0], ShouldNotEqual, "c2")
 		So(after, ShouldBeLessThan, 400*time.Millisecond)
-		names, _ = firstAsked(t, 3, func(north *feeder) { north.unfed = true })
+		names, _ = firstRequested(t, 3, func(north *feedCore) { north.withoutFeed = true })
 		So(names[0], ShouldEqual, "c2")
 		So(names[1:], ShouldNotContain, "c2")
 	})
--- a/internal/node/follower/time_test.go
+++ b/internal/node/follower/fleettime_test.go
@@ -16,20 +16,20 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// clocks plays three cores of which the first is far ahead; each answers after
-// a while of its own.
-type clocks struct {
+// coreClock is a core whose clock differs by step from this process's, and which
+// answers after a delay.
+type coreClock struct {
 	wireconnect.UnimplementedPeerHandler
-	step, after time.Duration
+	step, delay time.Duration
 	name        string
 }
 
-func (c clocks) Renew(ctx context.Context, _ *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
-	<-time.After(c.after)
+func (c coreClock) Renew(ctx context.Context, _ *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
+	<-time.After(c.delay)
 	return connect.NewResponse(&wire.RenewResponse{Core: c.name, TimeUs: time.Now().Add(c.step).UnixMicro()}), nil
 }
 
-type cores map[string]clocks
+type cores map[string]coreClock
 
 func (c cores) Process(name string) (*wire.Process, bool) {
 	return &wire.Process{Name: name, Address: name, Core: true, Voters: []string{"c1", "c2", "c3"}}, true
@@ -50,18 +50,18 @@
 func TestFleetTimeWaitsForEveryCoresClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		peers := cores{"c1": {name: "c1", step: time.Hour}, "c2": {name: "c2", after: 200 * time.Millisecond}, "c3": {name: "c3", after: 300 * time.Millisecond}}
+		peers := cores{"c1": {name: "c1", step: time.Hour}, "c2": {name: "c2", delay: 200 * time.Millisecond}, "c3": {name: "c3", delay: 300 * time.Millisecond}}
 		f := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
-			LeaseTTL: 2 * time.Second, RenewEvery: 500 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second,
-			Sighted: func() []port.Sight { return nil }, CoreStaleFor: time.Second}, peers, clock.System(), events.Discard)
+			LeaseTTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond, PingInterval: 500 * time.Millisecond, FeedWait: time.Second,
+			KnownProcesses: func() []port.KnownProcess { return nil }, CoreStaleAfter: time.Second}, peers, clock.System(), events.Discard)
 		go f.Serve(ctx)
 		<-time.After(100 * time.Millisecond)
-		if f.Timed() {
+		if f.FleetTimeReady() {
 			t.Error("one clock, which is wrong, is decided by")
 		}
 		<-time.After(300 * time.Millisecond)
-		if off := time.Until(f.FleetNow()); !f.Timed() || off > time.Second || off < -time.Second {
-			t.Errorf("with every clock known: timed %v, off by %s", f.Timed(), off)
+		if off := time.Until(f.FleetNow()); !f.FleetTimeReady() || off > time.Second || off < -time.Second {
+			t.Errorf("with every clock known: timed %v, off by %s", f.FleetTimeReady(), off)
 		}
 		cancel()
 		<-time.After(5 * time.Second)
--- /dev/null
+++ b/internal/node/follower/publication_test.go
@@ -0,0 +1,101 @@
+package follower
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"stepwick/internal/clock"
+	"stepwick/internal/decision/sheet"
+	"stepwick/internal/events"
+	"stepwick/internal/port"
+	"stepwick/internal/wire"
+	"stepwick/internal/wire/wireconnect"
+)
+
+// unreachablePeers are processes that no call reaches.
+type unreachablePeers []*wire.Process
+
+func (p unreachablePeers) Process(name string) (*wire.Process, bool) { return nil, false }
+func (p unreachablePeers) Processes() []*wire.Process                { return p }
+func (p unreachablePeers) Cores() []*wire.Process                    { return port.CoresOf(p) }
+func (p unreachablePeers) Client(string) wireconnect.PeerClient      { return nil }
+
+// largeFleet returns a follower to which the feed reported so many live members.
+func largeFleet(members int) *Follower {
+	clock := clock.System()
+	var known []port.KnownProcess
+	var processes unreachablePeers
+	state := sheet.State{Version: 7, Roster: map[string]sheet.Member{}}
+	for i := range members {
+		name := fmt.Sprintf("front-%03d", i)
+		process := &wire.Process{Name: name, Address: name, Front: true, Ready: true, Incarnation: 1, Counter: 1}
+		known = append(known, port.KnownProcess{Process: process, LastSeen: clock.Now()})
+		processes = append(processes, process)
+		state.Roster[name] = sheet.Member{Name: name, Front: true}
+	}
+	f := New(Config{Self: func() *wire.Process { return processes[0] }, LeaseTTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond,
+		PingInterval: 500 * time.Millisecond, KnownProcesses: func() []port.KnownProcess { return known }}, processes, clock, events.Discard)
+	f.configuration = configuration{state: state, learned: true}
+	f.membership.feedAnsweredAt = clock.Now()
+	for _, process := range processes {
+		f.membership.applyReport(&wire.Sight{Process: process}, f.clock.Now())
+	}
+	return f
+}
+
+func TestPublishSkipsUnchangedViews(t *testing.T) {
+	Convey("A view that equals the last is not published", t, func() {
+		f := largeFleet(300)
+		f.publish()
+		view, changed := f.View(), f.Changed()
+		So(view.Fronts, ShouldHaveLength, 300)
+		So(view.Live, ShouldHaveLength, 300)
+		f.publish()
+		So(f.View(), ShouldEqual, view)
+		So(f.Changed(), ShouldEqual, changed)
+
+		Convey("And comparing it allocates nothing for each member", func() {
+			few, many := largeFleet(40), f
+			few.publish()
+			cost := func(f *Follower) float64 { return testing.AllocsPerRun(20, f.publish) }
+			So(cost(many), ShouldEqual, cost(few))
+		})
+		Convey("One that lacks a front is, and notifies those who wait", func() {
+			f.membership.applyReport(&wire.Sight{Process: f.membership.reports["front-007"].process, Silent: true}, f.clock.Now())
+			f.publish()
+			So(f.View().Fronts, ShouldHaveLength, 299)
+			So(f.View().Unresponsive, ShouldResemble, []string{"front-007"})
+			<-changed
+		})
+		Convey("A record that differs in its counter only is no change", func() {
+			again := &wire.Process{Name: "front-007", Address: "front-007", Front: true, Ready: true, Incarnation: 1, Counter: 2}
+			f.membership.applyReport(&wire.Sight{Process: again}, f.clock.Now())
+			f.publish()
+			So(f.View(), ShouldEqual, view)
+		})
+		Convey("One that does not take traffic any more is", func() {
+			again := &wire.Process{Name: "front-007", Address: "front-007", Front: true, Incarnation: 1, Counter: 2}
+			f.membership.applyReport(&wire.Sight{Process: again}, f.clock.Now())
+			f.publish()
+			So(f.View().Fronts[7].Ready, ShouldBeFalse)
+		})
+		Convey("A server that is new is", func() {
+			f.reports.Add(&wire.Report{Watcher: "front-001/list", Server: "s", Incarnation: 1, Counter: 1, Status: &wire.ServerStatus{
+				Name: "s", Address: "s", Services: []string{"chat"}, State: wire.ServerState_SERVER_STATE_READY}}, f.FleetNow())
+			f.publish()
+			So(f.View().Servers, ShouldContainKey, "s")
+		})
+	})
+}
+
+func BenchmarkPublishUnchanged(b *testing.B) {
+	f := largeFleet(300)
+	f.publish()
+	b.ReportAllocs()
+	for b.Loop() {
+		f.publish()
+	}
+}
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -66,7 +66,7 @@
 type Views interface {
 	View() *follower.View
 	Changed() <-chan struct{}
-	Ruling() bool
+	HasAuthority() bool
 }
 
 // Admitter decides by the shared tally whether a tenant may spend tokens.
@@ -236,8 +236,8 @@
 	if f.leaving.Load() {
 		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(time.Second)
 	}
-	if !f.views.Ruling() {
-		wait := f.views.View().Verdict.RetryAfter
+	if !f.views.HasAuthority() {
+		wait := f.views.View().Authority.RetryAfter
 		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(max(wait, 100*time.Millisecond))
 	}
 	return nil
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -51,7 +51,7 @@
 
 func (v *fakeViews) View() *follower.View { return v.view.Load() }
 
-func (v *fakeViews) Ruling() bool {
+func (v *fakeViews) HasAuthority() bool {
 	if v.trap.CompareAndSwap(true, false) {
 		panic("a trap")
 	}
--- a/internal/node/front/keeper.go
+++ b/internal/node/front/keeper.go
@@ -85,7 +85,7 @@
 }
 
 func (k *keeper) judge(call *running) *apierror.Error {
-	if !k.views.Ruling() {
+	if !k.views.HasAuthority() {
 		if k.clock.Now().Sub(k.started)-time.Duration(k.ruled.Load()) < k.cutAfter {
 			return nil
 		}
@@ -137,7 +137,7 @@
 }
 
 func (k *keeper) checkAll() {
-	if k.views.Ruling() {
+	if k.views.HasAuthority() {
 		k.ruled.Store(int64(k.clock.Now().Sub(k.started)))
 	}
 	for call := range k.running {
--- a/internal/node/front/serve.go
+++ b/internal/node/front/serve.go
@@ -245,7 +245,7 @@
 
 // maySend tells whether the request may go to a server at this moment.
 func (c *call) maySend() *apierror.Error {
-	if !c.front.views.Ruling() {
+	if !c.front.views.HasAuthority() {
 		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(time.Second)
 	}
 	return c.front.keeper.stands(&c.running)
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -84,7 +84,7 @@
 type Views interface {
 	View() *follower.View
 	Changed() <-chan struct{}
-	Ruling() bool
+	HasAuthority() bool
 	FleetNow() time.Time
 }
 
@@ -176,7 +176,7 @@
 
 // rules tells whether this node may decide on a request now.
 func (g *Gateway) rules() *apierror.Error {
-	if !g.views.Ruling() {
+	if !g.views.HasAuthority() {
 		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(notRulingPause)
 	}
 	if g.views.View().State.Sheet == nil {
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -65,7 +65,7 @@
 
 func (v *fixedViews) View() *follower.View     { return v.view.Load() }
 func (v *fixedViews) Changed() <-chan struct{} { return *v.changed.Load() }
-func (v *fixedViews) Ruling() bool             { return v.ruling.Load() }
+func (v *fixedViews) HasAuthority() bool       { return v.ruling.Load() }
 func (v *fixedViews) FleetNow() time.Time      { return time.Now() }
 
 func (v *fixedViews) publish(change func(*follower.View)) {
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -45,7 +45,7 @@
 }
 
 func (p *peer) Add(ctx context.Context, req *connect.Request[wire.AddRequest]) (*connect.Response[wire.AddResponse], error) {
-	if !p.follower.Timed() {
+	if !p.follower.FleetTimeReady() {
 		return nil, apierror.Errorf(apierror.NotRuling, "this process does not know the fleet's time yet")
 	}
 	return answer(ctx, req, p.spend.Add)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -37,7 +37,7 @@
 
 func (p *process) status() processStatus {
 	s := processStatus{Role: p.role, Status: p.follower.View().Status(p.base.Name,
-		sheet.ZoneName(p.base.Region, p.base.Zone), p.follower.Ruling(), p.follower.FleetNow())}
+		sheet.ZoneName(p.base.Region, p.base.Zone), p.follower.HasAuthority(), p.follower.FleetNow())}
 	if apiErr := p.ready(); apiErr != nil {
 		s.Cause = apiErr.Error()
 	} else {
@@ -50,10 +50,10 @@
 	for _, live := range p.follower.View().Fronts {
 		ready[live.Name] = live.Ready
 	}
-	for _, sight := range p.directory.Sights() {
+	for _, sight := range p.directory.KnownProcesses() {
 		known := sight.Process
 		record := processRecord{Name: known.Name, Zone: sheet.ZoneName(known.Region, known.Zone), Address: known.Address,
-			Caller: known.CallerAddress, Core: known.Core, Ready: ready[known.Name], SeenMS: p.clock.Now().Sub(sight.Seen).Milliseconds()}
+			Caller: known.CallerAddress, Core: known.Core, Ready: ready[known.Name], SeenMS: p.clock.Now().Sub(sight.LastSeen).Milliseconds()}
 		if known.Core {
 			record.Standing = standingName(known.Standing)
 		}
--- a/internal/port/peers.go
+++ b/internal/port/peers.go
@@ -28,11 +28,11 @@
 	Client(address string) wireconnect.PeerClient
 }
 
-// Sight is a process and when it was last seen to live: by the local clock, the
+// KnownProcess is a process and when it was last seen to live: by the local clock, the
 // instant at which its counter rose here.
-type Sight struct {
-	Process *wire.Process
-	Seen    time.Time
+type KnownProcess struct {
+	Process  *wire.Process
+	LastSeen time.Time
 }
 
 // CoresOf returns those of some processes that have a disk.
