--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -69,14 +69,23 @@
 	if err := p.buildGateway(world, registry); err != nil {
 		return nil, err
 	}
-	p.watcher = healthcheck.New(healthcheck.Config{
-		Self: p.base.Name, Region: p.base.Region, Zone: p.base.Zone, Incarnation: p.base.Incarnation,
-		ListEvery: values.Duration("platform.interval"), StatusEvery: values.Duration("watch.interval"),
-		ListFronts: values.Int("platform.readers"), ListOnly: world.Edge != nil, DrainWithin: values.Duration("platform.drain_within"),
-	}, p.servers(world), p.directory, clock, func() healthcheck.View {
-		view := p.follower.View()
-		return healthcheck.View{Servers: view.Servers, Fronts: view.Fronts}
-	}, p.follower.Report, p.follower.FleetNow, log)
+	p.checker = healthcheck.New(healthcheck.Config{
+		Self:        p.base.Name,
+		Region:      p.base.Region,
+		Zone:        p.base.Zone,
+		Incarnation: p.base.Incarnation,
+		View: func() healthcheck.View {
+			view := p.follower.View()
+			return healthcheck.View{Servers: view.Servers, Fronts: view.Fronts}
+		},
+		Report:       p.follower.Report,
+		FleetNow:     p.follower.FleetNow,
+		ListInterval: values.Duration("platform.interval"),
+		PollInterval: values.Duration("watch.interval"),
+		ListReaders:  values.Int("platform.readers"),
+		ListOnly:     world.Edge != nil,
+		DrainWithin:  values.Duration("platform.drain_within"),
+	}, p.servers(world), p.directory, clock, log)
 	p.pool.Bind(p.peer)
 
 	if p.internal, err = world.Listen(values.String("listen.internal")); err != nil {
--- a/internal/node/healthcheck/watch_test.go
+++ b/internal/node/healthcheck/checker_test.go
@@ -31,25 +31,25 @@
 )
 
 // world is a platform, its servers, three cores and nine fronts. All of it
-// belongs to one channel: whoever holds the token may look or change.
+// is guarded by the token: whoever holds it may read or change.
 type world struct {
-	token   chan struct{}
-	servers map[string]*wire.ServerStatus
-	dark    map[string]platform.Reach
-	silent  bool
-	empty   bool
-	pages   int             // that the list has
-	down    map[string]bool // cores and fronts
-	asked   map[string]int
-	told    map[string]bool // events by name and server
-	reports map[string]int  // sent, by watcher
-	cores   map[string]*serverstatus.ReportStore
-	fronts  []*wire.Process
+	token     chan struct{}
+	servers   map[string]*wire.ServerStatus
+	reaches   map[string]platform.Reach // of servers that don't answer polls
+	listFails bool
+	listEmpty bool
+	pages     int             // that the list has
+	down      map[string]bool // cores and fronts
+	requests  map[string]int  // received, by server or kind
+	logged    map[string]bool // events by name and server
+	reports   map[string]int  // sent, by watcher
+	cores     map[string]*serverstatus.ReportStore
+	fronts    []*wire.Process
 }
 
 func newWorld() *world {
-	w := &world{token: make(chan struct{}, 1), servers: map[string]*wire.ServerStatus{}, dark: map[string]platform.Reach{},
-		down: map[string]bool{}, asked: map[string]int{}, told: map[string]bool{}, reports: map[string]int{}, cores: map[string]*serverstatus.ReportStore{}}
+	w := &world{token: make(chan struct{}, 1), servers: map[string]*wire.ServerStatus{}, reaches: map[string]platform.Reach{},
+		down: map[string]bool{}, requests: map[string]int{}, logged: map[string]bool{}, reports: map[string]int{}, cores: map[string]*serverstatus.ReportStore{}}
 	for i := range 6 {
 		region, zone := []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
 		name := fmt.Sprintf("m%d", i)
@@ -74,12 +74,12 @@
 
 func (w *world) List(context.Context) (listing platform.Listing, err error) {
 	w.with(func() {
-		w.asked["list"]++
-		if w.silent {
-			err = errors.New("silent")
+		w.requests["list"]++
+		if w.listFails {
+			err = errors.New("no list")
 			return
 		}
-		if w.empty {
+		if w.listEmpty {
 			return
 		}
 		listing.Calls = w.pages
@@ -92,9 +92,9 @@
 
 func (w *world) Status(_ context.Context, name, _ string) (status *wire.ServerStatus, reach platform.Reach, err error) {
 	w.with(func() {
-		w.asked[name]++
-		if reach = w.dark[name]; reach != platform.Answers {
-			err = errors.New("dark")
+		w.requests[name]++
+		if reach = w.reaches[name]; reach != platform.Answers {
+			err = errors.New("no answer")
 			return
 		}
 		status = &wire.ServerStatus{Name: name, State: ready, Reachable: true, Slots: 16, Answered: 100}
@@ -104,24 +104,24 @@
 
 type coreClient struct {
 	wireconnect.PeerClient
-	w    *world
-	name string
+	world *world
+	name  string
 }
 
 func (c coreClient) Submit(_ context.Context, req *connect.Request[wire.SubmitRequest]) (*connect.Response[wire.SubmitResponse], error) {
 	err := error(nil)
 	resp := &wire.SubmitResponse{}
-	c.w.with(func() {
-		if c.w.down[c.name] {
+	c.world.with(func() {
+		if c.world.down[c.name] {
 			err = errors.New("down")
 			return
 		}
 		for _, report := range req.Msg.Reports {
-			c.w.reports[report.Watcher]++
-			c.w.cores[c.name].Add(report, time.Now())
+			c.world.reports[report.Watcher]++
+			c.world.cores[c.name].Add(report, time.Now())
 		}
 		for _, unchanged := range req.Msg.Unchanged {
-			if _, known := c.w.cores[c.name].ConfirmUnchanged(unchanged, time.Now()); !known {
+			if _, known := c.world.cores[c.name].ConfirmUnchanged(unchanged, time.Now()); !known {
 				resp.Unknown = append(resp.Unknown, unchanged.Watcher)
 			}
 		}
@@ -129,32 +129,32 @@
 	return connect.NewResponse(resp), err
 }
 
-// Inspect tells when a core was last told of the list.
+// Inspect returns when a core last received a report of the list.
 func (c coreClient) Inspect(_ context.Context, req *connect.Request[wire.InspectRequest]) (*connect.Response[wire.InspectResponse], error) {
 	resp, err := &wire.InspectResponse{}, error(nil)
-	c.w.with(func() {
-		c.w.asked["inspect "+req.Msg.What]++
-		if c.w.down[c.name] {
+	c.world.with(func() {
+		c.world.requests["inspect "+req.Msg.What]++
+		if c.world.down[c.name] {
 			err = errors.New("down")
 			return
 		}
 		resp.Code = uint32(apierror.OK)
-		resp.Body, _ = json.Marshal(Listed{AtMS: c.w.cores[c.name].ListedAt().UnixMilli()})
+		resp.Body, _ = json.Marshal(Listed{AtMS: c.world.cores[c.name].ListedAt().UnixMilli()})
 	})
 	return connect.NewResponse(resp), err
 }
 
-type peers struct{ w *world }
+type peers struct{ world *world }
 
 func (p peers) Process(string) (*wire.Process, bool) { return nil, false }
 func (p peers) Cores() []*wire.Process               { return port.CoresOf(p.Processes()) }
 
-func (p peers) Processes() []*wire.Process { return p.w.fronts }
+func (p peers) Processes() []*wire.Process { return p.world.fronts }
 func (p peers) Client(address string) wireconnect.PeerClient {
-	return coreClient{w: p.w, name: address}
+	return coreClient{world: p.world, name: address}
 }
 
-// view is what a front sees: the folded servers of a core that is up, and the
+// view is what a front knows: the merged servers of a core that is up, and the
 // fronts that are up, known to be down only a second and a half after.
 func (w *world) view() (v View) {
 	w.with(func() {
@@ -178,16 +178,17 @@
 	return s
 }
 
-// Emit notes an event and the server that its first key names.
+// Emit records an event and the server that its first key names.
 func (w *world) Emit(event events.Event, keyvals ...any) {
 	if len(keyvals) > 1 {
-		w.with(func() { w.told[fmt.Sprint(event.Name, " ", keyvals[1])] = true })
+		w.with(func() { w.logged[fmt.Sprint(event.Name, " ", keyvals[1])] = true })
 	}
 }
 
-func (w *world) news() (told []string) {
-	w.with(func() { told = slices.Sorted(maps.Keys(w.told)); clear(w.told) })
-	return told
+// takeLogged returns the events that were logged since the last call.
+func (w *world) takeLogged() (logged []string) {
+	w.with(func() { logged = slices.Sorted(maps.Keys(w.logged)); clear(w.logged) })
+	return logged
 }
 
 type fleet struct {
@@ -198,11 +199,19 @@
 func launch(drainWithin time.Duration) fleet {
 	f := fleet{newWorld(), map[string]func(){}}
 	for i, p := range f.fronts {
-		watcher := New(Config{Self: p.Name, Region: p.Region, Zone: p.Zone, Incarnation: uint64(i + 1), DrainWithin: drainWithin}, f.world, peers{f.world},
-			clock.System(), f.view, func(*wire.Report) {}, time.Now, f.world)
+		checker := New(Config{
+			Self:        p.Name,
+			Region:      p.Region,
+			Zone:        p.Zone,
+			Incarnation: uint64(i + 1),
+			DrainWithin: drainWithin,
+			View:        f.view,
+			Report:      func(*wire.Report) {},
+			FleetNow:    time.Now,
+		}, f.world, peers{f.world}, clock.System(), f.world)
 		ctx, cancel := context.WithCancel(context.Background())
 		f.stop[p.Name] = cancel
-		go func() { _ = watcher.Serve(ctx) }()
+		go func() { _ = checker.Serve(ctx) }()
 	}
 	return f
 }
@@ -236,19 +245,19 @@
 	})
 }
 
-func bubble(t *testing.T, title string, f func(f fleet)) { bubbleWith(t, 0, title, f) }
+func checks(t *testing.T, title string, f func(f fleet)) { checksWith(t, 0, title, f) }
 
-func bubbleWith(t *testing.T, drainWithin time.Duration, title string, f func(f fleet)) {
+func checksWith(t *testing.T, drainWithin time.Duration, title string, f func(f fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := launch(drainWithin)
 		defer fleet.close()
 		pass(3 * time.Second)
-		Convey("Watchers "+title, t, func() { f(fleet) })
+		Convey("Checkers "+title, t, func() { f(fleet) })
 	})
 }
 
-func TestWatch(t *testing.T) {
-	bubble(t, "tell every core of every server, with few questions", func(f fleet) {
+func TestChecks(t *testing.T) {
+	checks(t, "report every server to every core, with few requests", func(f fleet) {
 		for _, core := range []string{"n0", "n1", "n2"} {
 			for name := range f.servers {
 				s := f.status(core, name)
@@ -257,16 +266,16 @@
 				So(s.Slots, ShouldEqual, 16)
 			}
 		}
-		f.with(func() { clear(f.asked) })
+		f.with(func() { clear(f.requests) })
 		pass(10 * time.Second)
-		asked := map[string]int{}
-		f.with(func() { asked = maps.Clone(f.asked) })
-		So(asked["list"], ShouldBeBetweenOrEqual, 6*18, 6*22)
+		requests := map[string]int{}
+		f.with(func() { requests = maps.Clone(f.requests) })
+		So(requests["list"], ShouldBeBetweenOrEqual, 6*18, 6*22)
 		for name := range f.servers {
-			So(asked[name], ShouldBeBetweenOrEqual, 2*18, 2*22)
+			So(requests[name], ShouldBeBetweenOrEqual, 2*18, 2*22)
 		}
 	})
-	bubble(t, "say of a list that stands only that it does, and tell it whole to a core that lost it", func(f fleet) {
+	checks(t, "confirm an unchanged list by a digest, and report it completely to a core that lost it", func(f fleet) {
 		f.with(func() { clear(f.reports) })
 		pass(10 * time.Second)
 		for i := range 9 {
@@ -278,7 +287,7 @@
 			So(f.status("n1", name).GetState(), ShouldEqual, ready)
 		}
 	})
-	bubble(t, "outlive by a list that stands the word of a watcher that died", func(f fleet) {
+	checks(t, "outlive by an unchanged list the report of a checker that died", func(f fleet) {
 		f.with(func() {
 			for _, core := range f.cores {
 				core.Add(&wire.Report{Watcher: "n99/list", Server: "m3", Incarnation: 1, Counter: 1, AtMs: time.Now().UnixMilli(),
@@ -289,17 +298,17 @@
 		pass(5 * time.Second)
 		So(f.status("n0", "m3").State, ShouldEqual, ready)
 	})
-	bubble(t, "make a drain known within a second", func(f fleet) {
-		f.news()
+	checks(t, "make a drain known within a second", func(f fleet) {
+		f.takeLogged()
 		f.set("m2", func(s *wire.ServerStatus) { s.State = draining })
 		pass(time.Second)
 		for _, core := range []string{"n0", "n1", "n2"} {
 			So(f.status(core, "m2").State, ShouldEqual, draining)
 		}
-		So(f.news(), ShouldResemble, []string{"server_draining m2"})
+		So(f.takeLogged(), ShouldResemble, []string{"server_draining m2"})
 	})
 	for seed := range 9 {
-		bubble(t, fmt.Sprintf("make a drain known in time after six fronts and two cores died at once, draw %d", seed), func(f fleet) {
+		checks(t, fmt.Sprintf("make a drain known in time after six fronts and two cores died at once, seed %d", seed), func(f fleet) {
 			core := fmt.Sprintf("n%d", seed%3)
 			var victims []string
 			for i := range 9 {
@@ -316,7 +325,7 @@
 			So(f.status(core, "m0").State, ShouldEqual, ready)
 		})
 	}
-	bubble(t, "send again what a core could not take", func(f fleet) {
+	checks(t, "send again what a core could not take", func(f fleet) {
 		f.with(func() { f.down["n1"] = true })
 		f.set("m2", func(s *wire.ServerStatus) { s.State = draining })
 		pass(time.Second)
@@ -325,49 +334,49 @@
 		pass(400 * time.Millisecond)
 		So(f.status("n1", "m2").State, ShouldEqual, draining)
 	})
-	bubble(t, "take a server as gone when two lists lack it, and not for an empty list", func(f fleet) {
-		f.with(func() { f.empty = true })
+	checks(t, "take a server as gone when two lists lack it, and not for an empty list", func(f fleet) {
+		f.with(func() { f.listEmpty = true })
 		pass(3 * time.Second)
 		So(f.status("n0", "m1").State, ShouldEqual, ready)
-		f.with(func() { f.empty = false; delete(f.servers, "m1") })
+		f.with(func() { f.listEmpty = false; delete(f.servers, "m1") })
 		pass(1500 * time.Millisecond)
 		So(f.status("n0", "m1").State, ShouldEqual, gone)
 		So(f.status("n0", "m2").State, ShouldEqual, ready)
 	})
-	bubble(t, "tell refusal from silence, and a platform's silence from both", func(f fleet) {
-		f.with(func() { f.dark["m0"], f.dark["m1"], f.silent = platform.Refuses, platform.Silent, true })
+	checks(t, "distinguish a refused connection from no answer, and both from a platform without one", func(f fleet) {
+		f.with(func() { f.reaches["m0"], f.reaches["m1"], f.listFails = platform.Refuses, platform.Silent, true })
 		pass(2 * time.Second)
 		So(f.status("n2", "m0").State, ShouldEqual, gone)
 		So(f.status("n2", "m1").State, ShouldEqual, ready)
 		So(f.status("n2", "m1").Reachable, ShouldBeFalse)
-		So(f.news(), ShouldContain, "server_gone m0")
-		So(f.news(), ShouldNotContain, "server_gone m1")
-		f.with(func() { clear(f.dark) })
+		So(f.takeLogged(), ShouldContain, "server_gone m0")
+		So(f.takeLogged(), ShouldNotContain, "server_gone m1")
+		f.with(func() { clear(f.reaches) })
 		pass(time.Second)
 		So(f.status("n2", "m0").State, ShouldEqual, ready)
 		So(f.status("n2", "m1").Reachable, ShouldBeTrue)
 	})
 }
 
-func TestStandby(t *testing.T) {
+func TestStandbyRegionReadsList(t *testing.T) {
 	const drainWithin = 5 * time.Second
 	lead := func(f fleet) string {
-		if leads("lagos", f.fronts) {
+		if isActiveRegion("lagos", f.fronts) {
 			return "lagos"
 		}
 		return "abeokuta"
 	}
 	listed := func(f fleet) (count int) {
-		f.with(func() { count = f.asked["list"] })
+		f.with(func() { count = f.requests["list"] })
 		return count
 	}
-	bubbleWith(t, drainWithin, "of one region read the list, and those of the other ask a core whether it was read", func(f fleet) {
+	checksWith(t, drainWithin, "of one region read the list, and those of the other ask a core whether it was read", func(f fleet) {
 		before := listed(f)
 		pass(10 * time.Second)
 		So(listed(f)-before, ShouldBeBetweenOrEqual, 3*18, 3*22)
-		So(f.asked["inspect "+InspectListed], ShouldBeGreaterThan, 3*18)
+		So(f.requests["inspect "+InspectListed], ShouldBeGreaterThan, 3*18)
 	})
-	bubbleWith(t, drainWithin, "read a list of many pages more seldom, and those of the other region still need not", func(f fleet) {
+	checksWith(t, drainWithin, "read a list of many pages more seldom, and those of the other region still need not", func(f fleet) {
 		f.with(func() {
 			f.pages = 10
 			for i := range 240 {
@@ -380,7 +389,7 @@
 		pass(14 * time.Second)
 		So(listed(f)-before, ShouldBeBetweenOrEqual, 3*9, 3*11)
 	})
-	bubbleWith(t, drainWithin, "take over a list of many pages before a drain binds", func(f fleet) {
+	checksWith(t, drainWithin, "take over a list of many pages before a drain binds", func(f fleet) {
 		f.with(func() { f.pages = 10 })
 		pass(5 * time.Second)
 		for _, p := range f.fronts {
@@ -394,7 +403,7 @@
 			So(core.Servers()["m1"].State, ShouldEqual, draining)
 		}
 	})
-	bubbleWith(t, drainWithin, "of the other region read it when nobody else does, before long", func(f fleet) {
+	checksWith(t, drainWithin, "of the other region read it when nobody else does, before long", func(f fleet) {
 		var readers []string
 		for _, p := range f.fronts {
 			if p.Region == lead(f) {
@@ -410,12 +419,12 @@
 			So(core.Servers()["m1"].State, ShouldEqual, draining)
 		}
 	})
-	bubbleWith(t, 4*time.Second, "of every region read it where a drain binds too soon for a standby", func(f fleet) {
+	checksWith(t, 4*time.Second, "of every region read it where a drain binds too soon for a standby", func(f fleet) {
 		before := listed(f)
 		pass(10 * time.Second)
 		So(listed(f)-before, ShouldBeBetweenOrEqual, 6*18, 6*22)
 	})
-	bubbleWith(t, drainWithin, "of the other region read it when no core answers", func(f fleet) {
+	checksWith(t, drainWithin, "of the other region read it when no core answers", func(f fleet) {
 		f.with(func() {
 			for core := range f.cores {
 				f.down[core] = true
@@ -427,23 +436,31 @@
 	})
 }
 
-func TestServersThatAreGoneAreForgotten(t *testing.T) {
-	Convey("A watcher that only lists keeps nothing of servers that come and go", t, func() {
+func TestForgetsServersThatAreGone(t *testing.T) {
+	Convey("A checker that only lists keeps nothing of servers that come and go", t, func() {
 		w := newWorld()
 		known := map[string]*wire.ServerStatus{}
-		watcher := New(Config{Self: "n0", Region: "lagos", Zone: "a", Incarnation: 1, ListOnly: true}, w, peers{w}, clock.System(),
-			func() View { return View{Servers: known} }, func(*wire.Report) {}, time.Now, w)
+		checker := New(Config{
+			Self:        "n0",
+			Region:      "lagos",
+			Zone:        "a",
+			Incarnation: 1,
+			ListOnly:    true,
+			View:        func() View { return View{Servers: known} },
+			Report:      func(*wire.Report) {},
+			FleetNow:    time.Now,
+		}, w, peers{w}, clock.System(), w)
 		for i := range 100 {
 			name := fmt.Sprintf("m%d", i)
 			known = map[string]*wire.ServerStatus{name: {Name: name, State: ready}}
-			watcher.takeList(platform.Listing{Servers: []*wire.ServerStatus{{Name: name, Address: name, State: ready}}}, nil, time.Now())
+			checker.applyListing(platform.Listing{Servers: []*wire.ServerStatus{{Name: name, Address: name, State: ready}}}, nil, time.Now())
 		}
-		So(len(watcher.sights), ShouldEqual, 1)
+		So(len(checker.observations), ShouldEqual, 1)
 	})
 }
 
-func TestRanks(t *testing.T) {
-	Convey("Rendezvous ranks", t, func() {
+func TestAssignmentByRendezvousHashing(t *testing.T) {
+	Convey("A subject is assigned to as many candidates as wanted, and to the same ones when another is lost", t, func() {
 		var names []string
 		for i := range 9 {
 			names = append(names, fmt.Sprintf("n%d", i))
@@ -451,14 +468,14 @@
 		for _, server := range []string{"m0", "m1", "m2", "m3"} {
 			var first []string
 			for _, name := range names {
-				if Ranks(name, server, names, 2) {
+				if isAmongFirst(name, server, names, 2) {
 					first = append(first, name)
 				}
 			}
 			So(len(first), ShouldEqual, 2)
 			left := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == first[0] })
-			So(Ranks(first[1], server, left, 2), ShouldBeTrue)
-			So(Ranks("newcomer", server, nil, 2), ShouldBeTrue)
+			So(isAmongFirst(first[1], server, left, 2), ShouldBeTrue)
+			So(isAmongFirst("newcomer", server, nil, 2), ShouldBeTrue)
 		}
 	})
 }
--- a/internal/node/healthcheck/standby.go
+++ b/internal/node/healthcheck/standby.go
@@ -13,89 +13,95 @@
 	"stepwick/internal/wire"
 )
 
-// InspectListed is what a core is asked for to learn when the platform's list was
-// last read; it answers with Listed.
+// InspectListed is the name of the inspection by which a core reports when the
+// platform's list was last read; its body is a Listed.
 const InspectListed = "listed"
 
-// Listed tells the fleet time, in ms, at which the platform's list was last read.
+// Listed is the JSON form of a core's report on the platform's list.
 type Listed struct {
-	AtMS int64 `json:"at_ms"`
+	AtMS int64 `json:"at_ms"` // fleet time of the last reading
 }
 
-// standbyShare is the part of DrainWithin after which a list that nobody read is
-// read by another region. Under standbyLeast, since a list that is read regularly
-// is told of each 1.4 s, every region reads for itself.
 const (
+	// standbyShare is the part of DrainWithin after which a list that nobody read is
+	// read by the fronts of another region.
 	standbyShare = 0.4
-	standbyLeast = 2 * time.Second
+	// minStandbyDelay is the least delay: a list that is read regularly is confirmed
+	// to the cores each 1.4 s. Under it every region reads for itself.
+	minStandbyDelay = 2 * time.Second
+	// listedTimeout bounds the request to a core for when the list was read.
+	listedTimeout = 300 * time.Millisecond
+	// listSubject is the subject for which regions are ranked.
+	listSubject = "the platform's list"
 )
 
-// standby returns after how long without a reading the fronts of regions that do
-// not lead read the list; zero where every region reads for itself.
-func (c Config) standby() time.Duration {
-	after := time.Duration(standbyShare * float64(c.DrainWithin))
-	if after < standbyLeast {
+var errNoCore = errors.New("no core is known")
+
+// standbyDelay returns after how long without a reading the fronts of standby
+// regions read the list; zero where every region reads for itself.
+func (c Config) standbyDelay() time.Duration {
+	delay := time.Duration(standbyShare * float64(c.DrainWithin))
+	if delay < minStandbyDelay {
 		return 0
 	}
-	return after
+	return delay
 }
 
-// listedTimeout bounds the question to a core.
-const listedTimeout = 300 * time.Millisecond
-
-// lookAtList reads the list or, where the fronts of another region do that, asks
-// whether it was read of late.
-func (w *Watcher) lookAtList(ctx context.Context, fronts []*wire.Process) {
-	standby := w.cfg.standby()
-	if standby == 0 || leads(w.cfg.Region, fronts) {
-		w.pollList(ctx)
+// discover reads the list. A front of a standby region does that only where the
+// cores report no recent reading, or don't answer.
+func (c *Checker) discover(ctx context.Context, fronts []*wire.Process) {
+	delay := c.config.standbyDelay()
+	if delay == 0 || isActiveRegion(c.config.Region, fronts) {
+		c.readList(ctx)
 		return
 	}
-	w.listing = true
-	asked := w.fleetNow()
-	w.work(ctx, func() func() {
-		listed, err := w.askListed(ctx)
+	c.discovery.inFlight = true
+	requestedAt := c.config.FleetNow()
+	c.runAsync(ctx, func() func() {
+		listedAt, err := c.fetchListedAt(ctx)
 		return func() {
-			w.listing = false
-			if err != nil || asked.Sub(listed) > standby {
-				w.pollList(ctx)
+			c.discovery.inFlight = false
+			if err != nil || requestedAt.Sub(listedAt) > delay {
+				c.readList(ctx)
 			}
 		}
 	})
 }
 
-// askListed asks the cores of the own region first.
-func (w *Watcher) askListed(ctx context.Context) (time.Time, error) {
-	core := w.nearCore()
+// fetchListedAt requests from a core the fleet time at which the list was last
+// read.
+func (c *Checker) fetchListedAt(ctx context.Context) (time.Time, error) {
+	core := c.votingCore()
 	if core == nil {
-		return time.Time{}, errors.New("no core is known")
+		return time.Time{}, errNoCore
 	}
-	bound, cancel := context.WithTimeout(ctx, listedTimeout)
+	ctx, cancel := context.WithTimeout(ctx, listedTimeout)
 	defer cancel()
-	resp, err := w.peers.Client(core.Address).Inspect(bound, connect.NewRequest(&wire.InspectRequest{What: InspectListed}))
+	resp, err := c.peers.Client(core.Address).Inspect(ctx, connect.NewRequest(&wire.InspectRequest{What: InspectListed}))
 	if err != nil {
 		return time.Time{}, err
 	}
-	var listed Listed
 	if apierror.Code(resp.Msg.Code) != apierror.OK {
 		return time.Time{}, errors.Errorf("core %s: code %d", core.Name, resp.Msg.Code)
 	}
+	var listed Listed
 	if err := json.Unmarshal(resp.Msg.Body, &listed); err != nil {
 		return time.Time{}, errors.Wrapf(err, "core %s", core.Name)
 	}
 	return time.UnixMilli(listed.AtMS), nil
 }
 
-// nearCore returns a core of the own region that votes, or any that does.
-func (w *Watcher) nearCore() *wire.Process {
+// votingCore returns a voting core, one of the own region where there is one, or
+// nil.
+func (c *Checker) votingCore() *wire.Process {
 	var near, far *wire.Process
-	for _, p := range w.peers.Cores() {
+	for _, core := range c.peers.Cores() {
 		switch {
-		case p.Standing != wire.Standing_STANDING_VOTING:
-		case p.Region == w.cfg.Region && near == nil:
-			near = p
+		case core.Standing != wire.Standing_STANDING_VOTING:
+		case core.Region == c.config.Region && near == nil:
+			near = core
 		case far == nil:
-			far = p
+			far = core
 		}
 	}
 	if near != nil {
@@ -104,17 +110,14 @@
 	return far
 }
 
-// leads tells whether a region's fronts are those that read the list: the highest
-// by rendezvous hash among the regions that have fronts.
-func leads(region string, fronts []*wire.Process) bool {
+// isActiveRegion reports whether a region's fronts are those that read the list:
+// the first by rendezvous hashing among the regions that have fronts.
+func isActiveRegion(region string, fronts []*wire.Process) bool {
 	var regions []string
-	for _, p := range fronts {
-		if p.Front && !p.Leaving && !slices.Contains(regions, p.Region) {
-			regions = append(regions, p.Region)
+	for _, front := range fronts {
+		if front.Front && !front.Leaving && !slices.Contains(regions, front.Region) {
+			regions = append(regions, front.Region)
 		}
 	}
-	return Ranks(region, listSubject, regions, 1)
+	return isAmongFirst(region, listSubject, regions, 1)
 }
-
-// listSubject is what regions are ranked for.
-const listSubject = "the platform's list"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -118,7 +118,7 @@
 	listen    func(address string) (net.Listener, error)
 	orders    *relay
 	replaced  chan struct{}
-	watcher   *healthcheck.Watcher
+	checker   *healthcheck.Checker
 	replica   *replica.Replica
 	core      *control.Controller
 	peer      *peer
@@ -178,7 +178,7 @@
 	supervisor.Add(service{"follower", p.follower.Serve})
 	supervisor.Add(service{"spend", p.spend.Serve})
 	if p.carries() {
-		supervisor.Add(service{"watcher", p.watcher.Serve})
+		supervisor.Add(service{"watcher", p.checker.Serve})
 	}
 	if p.core != nil {
 		supervisor.Add(service{"replica", p.replica.Serve})
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -44,7 +44,7 @@
 		Connections: p.values.Int("listen.connections"),
 		PlainTokens: p.values.Float("plain_tokens"), DeadlineMost: p.values.Duration("deadline.max"),
 		Quota:   gateway.Quota{Part: p.values.Float("tally.part"), Reserve: p.values.Float("tally.reserve")},
-		Observe: func(ctx context.Context, server string, reachable bool) { p.watcher.Observe(ctx, server, reachable) },
+		Observe: func(ctx context.Context, server string, reachable bool) { p.checker.Observe(ctx, server, reachable) },
 	}, world.Edge.Dialect(), p.follower, p.spend, p.clock, p.log, registry)
 	return err
 }
