--- a/internal/adapter/internalrpc/directory.go
+++ b/internal/adapter/internalrpc/directory.go
@@ -3,15 +3,12 @@
 import (
 	"context"
 	"math/rand/v2"
-	"slices"
 	"sync/atomic"
 	"time"
 
-	"connectrpc.com/connect"
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
@@ -19,268 +16,225 @@
 )
 
 const (
-	helloAlone    = 50 * time.Millisecond  // while nobody else is known
-	helloBusy     = 250 * time.Millisecond // while the table still grows
-	helloInterval = 15 * time.Second
-	helloSettle   = 2 * time.Second // without news after which the table counts as settled
-	helloTimeout  = 700 * time.Millisecond
-	helloSample   = 4
-	helloRecords  = 512
-	forgetAfter   = 10 * time.Minute
+	// forgetAfter is how long after it was last seen a process is forgotten.
+	forgetAfter = 10 * time.Minute
+
+	inboxCapacity = 64
 )
 
-// Directory knows the processes of the fleet. It begins with the seeds'
-// addresses and learns the rest by exchanging hellos of constant size: oneself,
-// every core and a sample of the others, often while there is news and seldom
-// after. What a core's feed and pings tell of processes is taken in as well.
-// One goroutine owns it; readers load an immutable table.
+// Directory knows the processes of the fleet. It starts from the addresses of the
+// seeds and discovers the others by gossip; see gossip.go. Processes that the feed
+// of a core reports as live are known as well.
+//
+// The goroutine of Serve owns it; readers load an immutable table.
 type Directory struct {
-	clock   clock.Clock
-	pool    *Pool
-	log     events.Log
-	seeds   []string
-	self    func() *wire.Process
-	counter uint64
-	random  *rand.Rand
-	news    time.Time // when a process or an incarnation was last new
-	hellos  chan []*wire.Process
-	table   atomic.Pointer[table]
-	vouched atomic.Pointer[attested]
-	wake    chan struct{}
-	reseed  chan []string
-}
+	clock clock.Clock
+	pool  *Pool
+	log   events.Log
+	self  func() *wire.Process
+	table atomic.Pointer[processTable]
 
-// SetSeeds names other seeds from now on.
-func (d *Directory) SetSeeds(ctx context.Context, seeds []string) {
-	select {
-	case d.reseed <- seeds:
-	case <-ctx.Done():
-	}
+	// live is what the feed of a core last reported.
+	live        atomic.Pointer[liveProcesses]
+	liveChanged chan struct{}
+	received    chan []*wire.Process // records by gossip
+	newSeeds    chan []string
+
+	// The fields from here on belong to the goroutine of Serve.
+	seeds      []string
+	counter    uint64 // of the process's own record
+	random     *rand.Rand
+	lastChange time.Time // when gossip last brought a process or an incarnation that was new
 }
 
-// attested is what the cores' feed says of who lives.
-type attested struct {
-	live  []*wire.Process
-	names map[string]bool
+// liveProcesses are the processes that the feed of a core reports as live.
+type liveProcesses struct {
+	records []*wire.Process
+	names   map[string]bool
 }
 
-// NewDirectory returns a directory. Self gives the process's own record at each
-// call, with a counter that rises, or none; seeds are internal addresses, ip:port.
+// NewDirectory returns a directory. Self returns the process's own record at each
+// call, with a counter that rises, or zero; seeds are internal addresses (ip:port).
 func NewDirectory(pool *Pool, clock clock.Clock, log events.Log, seeds []string, self func() *wire.Process) *Directory {
-	name := self().Name
+	seed := xxhash.Sum64String(self().Name)
 	d := &Directory{
-		clock: clock, pool: pool, log: log, seeds: seeds, self: self,
-		random: rand.New(rand.NewPCG(xxhash.Sum64String(name), 1)),
-		hellos: make(chan []*wire.Process, 64), wake: make(chan struct{}, 1), reseed: make(chan []string),
-	}
-	d.table.Store(newTable(nil))
-	d.vouched.Store(&attested{})
+		clock:       clock,
+		pool:        pool,
+		log:         log,
+		seeds:       seeds,
+		self:        self,
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		received:    make(chan []*wire.Process, inboxCapacity),
+		liveChanged: make(chan struct{}, 1),
+		newSeeds:    make(chan []string),
+	}
+	d.table.Store(newProcessTable(nil))
+	d.live.Store(&liveProcesses{})
 	return d
 }
 
 // Process returns what is known of a process by its name.
 func (d *Directory) Process(name string) (*wire.Process, bool) {
-	s, ok := d.table.Load().find(name)
-	return s.Process, ok
+	entry, found := d.table.Load().find(name)
+	return entry.Process, found
 }
 
 // Processes returns all known processes in the order of their names. The slice
 // must not be changed.
 func (d *Directory) Processes() []*wire.Process { return d.table.Load().processes }
 
-// Cores returns the known processes with a disk in the order of their names. The
-// slice must not be changed.
+// Cores returns the known cores in the order of their names. The slice must not be
+// changed.
 func (d *Directory) Cores() []*wire.Process { return d.table.Load().cores }
 
-// KnownProcesses returns all known processes with the time they were last seen, in the
-// order of their names. The slice must not be changed; the same one is returned
-// until something is new.
-func (d *Directory) KnownProcesses() []port.KnownProcess { return d.table.Load().sights }
+// KnownProcesses returns all known processes with the time at which they were last
+// seen, in the order of their names. The slice must not be changed; the same one is
+// returned until something is new.
+func (d *Directory) KnownProcesses() []port.KnownProcess { return d.table.Load().known }
 
-// Client returns a client for an internal address.
+// Client returns a client for an internal address (ip:port).
 func (d *Directory) Client(address string) PeerClient { return d.pool.Client(address) }
 
-// Hello takes in the caller's record and its sample and answers with the same.
-func (d *Directory) Hello(ctx context.Context, req *wire.HelloRequest) (*wire.HelloResponse, error) {
-	if len(req.Known) > helloRecords {
-		return nil, apierror.Errorf(apierror.BadField, "hello with %d records, at most %d", len(req.Known), helloRecords)
-	}
-	records := req.Known
-	if req.Self != nil {
-		records = append(records, req.Self)
-	}
+// SetSeeds replaces the seeds. It waits for the owner until the context ends.
+func (d *Directory) SetSeeds(ctx context.Context, seeds []string) {
 	select {
-	case d.hellos <- records:
-	default:
+	case d.newSeeds <- seeds:
+	case <-ctx.Done():
 	}
-	known := d.sample()
-	return &wire.HelloResponse{Self: d.self(), Known: known}, nil
 }
 
-func (d *Directory) sample() []*wire.Process {
-	known := d.table.Load()
-	some := slices.Clone(known.cores)
-	if len(known.others) <= helloSample {
-		return append(some, known.others...)
+// ConfirmLive takes all processes that the feed of a core reports as live. They are
+// known by these records and are not forgotten, whether gossip brings them or not.
+// It never waits.
+func (d *Directory) ConfirmLive(live []*wire.Process) {
+	names := make(map[string]bool, len(live))
+	for _, process := range live {
+		names[process.Name] = true
 	}
-	for _, i := range rand.Perm(len(known.others))[:helloSample] {
-		some = append(some, known.others[i])
+	d.live.Store(&liveProcesses{records: live, names: names})
+	select {
+	case d.liveChanged <- struct{}{}:
+	default:
 	}
-	return some
 }
 
-// Serve keeps the directory until the context ends.
+// Serve keeps the directory until the context ends, and returns its error.
 func (d *Directory) Serve(ctx context.Context) error {
-	d.news = d.clock.Now()
-	d.merge([]*wire.Process{d.ownRecord()}, true)
+	d.lastChange = d.clock.Now()
+	d.merge([]*wire.Process{d.selfRecord()}, fromGossip)
 	for {
-		wait := helloInterval
-		switch {
-		case len(d.table.Load().sights) < 2:
-			wait = helloAlone
-		case d.clock.Now().Sub(d.news) < helloSettle:
-			wait = helloBusy
+		interval := d.gossipInterval()
+		d.gossip(ctx)
+		if err := d.serveUntil(ctx, interval); err != nil {
+			return err
 		}
-		d.greet(ctx)
-		wake, stop := clock.NewTimer(wait)
-	waiting:
-		for {
-			select {
-			case <-ctx.Done():
-				stop()
-				return ctx.Err()
-			case records := <-d.hellos:
-				d.merge(records, true)
-			case seeds := <-d.reseed:
-				d.seeds = seeds
-			case <-d.wake:
-				d.merge(d.vouched.Load().live, false)
-			case <-wake:
-				break waiting
-			}
+		d.merge([]*wire.Process{d.selfRecord()}, fromGossip)
+	}
+}
+
+// serveUntil takes what arrives until an interval has passed. It returns the
+// context's error when that ends first.
+func (d *Directory) serveUntil(ctx context.Context, interval time.Duration) error {
+	elapsed, stop := clock.NewTimer(interval)
+	defer stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case records := <-d.received:
+			d.merge(records, fromGossip)
+		case seeds := <-d.newSeeds:
+			d.seeds = seeds
+		case <-d.liveChanged:
+			d.merge(d.live.Load().records, fromFeed)
+		case <-elapsed:
+			return nil
 		}
-		d.merge([]*wire.Process{d.ownRecord()}, true)
 	}
 }
 
-func (d *Directory) ownRecord() *wire.Process {
+// selfRecord returns the process's own record with a counter that rises.
+func (d *Directory) selfRecord() *wire.Process {
 	own := d.self()
 	d.counter = max(d.counter+1, own.Counter)
 	own.Counter = d.counter
 	return own
 }
 
-func (d *Directory) greet(ctx context.Context) {
-	own, _ := d.Process(d.self().Name)
-	targets := slices.Clone(d.seeds)
-	for _, p := range d.Processes() {
-		targets = append(targets, p.Address)
-	}
-	targets = slices.DeleteFunc(targets, func(address string) bool { return address == own.Address })
-	if len(targets) == 0 {
-		return
-	}
-	if len(d.table.Load().sights) >= 2 {
-		targets = targets[d.random.IntN(len(targets)):][:1]
-	}
-	known := d.sample()
-	for _, address := range targets {
-		go func() {
-			callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
-			defer cancel()
-			resp, err := d.pool.Client(address).Hello(callCtx, connect.NewRequest(&wire.HelloRequest{Self: own, Known: known}))
-			if err != nil {
-				d.failed(address, err)
-				return
-			}
-			records := resp.Msg.Known
-			if resp.Msg.Self != nil {
-				records = append(records, resp.Msg.Self)
-			}
-			select {
-			case d.hellos <- records:
-			case <-ctx.Done():
-			}
-		}()
-	}
-}
+// recordSource is where records of processes come from.
+type recordSource int
 
-// failed logs a hello that a stranger refused, and while nobody else is known
-// any that failed.
-func (d *Directory) failed(address string, err error) {
-	switch {
-	case connect.CodeOf(err) == connect.CodePermissionDenied:
-		d.log.Emit(events.SecretRefused, "address", address)
-	case len(d.table.Load().sights) < 2:
-		d.log.Emit(events.SeedsUnreachable, "address", address, "error", err)
-	}
-}
+const (
+	fromGossip recordSource = iota // or from this process itself
+	fromFeed
+)
 
-// merge keeps the record with the higher (incarnation, counter) of each name.
-// Gossip tells whether others learn of news only by hellos.
-func (d *Directory) merge(records []*wire.Process, gossip bool) {
-	now, own := d.clock.Now(), d.self()
+// merge takes records: of each name the newest is kept. Only what gossip brings
+// counts as a change, which others then learn sooner: all of them follow a feed.
+func (d *Directory) merge(records []*wire.Process, source recordSource) {
+	now := d.clock.Now()
+	self := d.self()
 	next := d.table.Load().edit()
-	d.forget(next, own.Name, now)
-	for _, r := range records {
-		if r.Name == "" || r.Address == "" {
+	d.forgetStale(next, self.Name, now)
+	for _, record := range records {
+		if record.Name == "" || record.Address == "" {
 			continue
 		}
-		if r.Name == own.Name && r.Incarnation != own.Incarnation {
-			if r.Incarnation > own.Incarnation && r.Address != own.Address {
-				d.log.Emit(events.NameTaken, "name", r.Name, "address", r.Address)
-			}
+		if record.Name == self.Name && record.Incarnation != self.Incarnation {
+			d.logNameTaken(record, self)
 			continue
 		}
-		have, ok := next.get(r.Name)
-		if gossip && (!ok || r.Incarnation > have.Process.Incarnation && newer(r, have.Process) || changed(r, have.Process)) {
-			d.news = now
+		known, found := next.find(record.Name)
+		if source == fromGossip && (!found || isNotable(record, known.Process)) {
+			d.lastChange = now
 		}
-		if !ok || newer(r, have.Process) {
-			next.put(port.KnownProcess{Process: proto.Clone(r).(*wire.Process), LastSeen: now})
+		if !found || isNewer(record, known.Process) {
+			next.put(port.KnownProcess{Process: proto.Clone(record).(*wire.Process), LastSeen: now})
 		}
 	}
-	d.table.Store(next.done())
+	d.table.Store(next.table())
 }
 
-// forget drops processes that nobody has told of for long.
-func (d *Directory) forget(next *edit, own string, now time.Time) {
-	vouched := d.vouched.Load().names
-	next.forget(func(s port.KnownProcess) bool {
-		return now.Sub(s.LastSeen) >= forgetAfter && s.Process.Name != own && !vouched[s.Process.Name]
+// forgetStale removes processes that nobody has reported for long.
+func (d *Directory) forgetStale(next *tableEdit, self string, now time.Time) {
+	live := d.live.Load().names
+	next.removeFunc(func(known port.KnownProcess) bool {
+		name := known.Process.Name
+		return now.Sub(known.LastSeen) >= forgetAfter && name != self && !live[name]
 	})
 }
 
-// ConfirmLive takes in all processes that a core's feed says are live: they are
-// known by these records and kept, whether hellos tell of them or not. It never
-// waits.
-func (d *Directory) ConfirmLive(live []*wire.Process) {
-	names := make(map[string]bool, len(live))
-	for _, p := range live {
-		names[p.Name] = true
-	}
-	d.vouched.Store(&attested{live: live, names: names})
-	select {
-	case d.wake <- struct{}{}:
-	default:
+// logNameTaken logs that a process which started later runs under the own name at
+// another address.
+func (d *Directory) logNameTaken(record, self *wire.Process) {
+	if record.Incarnation > self.Incarnation && record.Address != self.Address {
+		d.log.Emit(events.NameTaken, "name", record.Name, "address", record.Address)
 	}
 }
 
-// changed tells whether a newer record says something that others should know
-// soon.
-func changed(a, b *wire.Process) bool {
-	return newer(a, b) && (a.Address != b.Address || a.Standing != b.Standing || a.Formation != b.Formation ||
-		a.Ready != b.Ready || a.Leaving != b.Leaving)
+// isNotable reports whether a record tells of a restart, or of something else that
+// others should learn soon.
+func isNotable(record, known *wire.Process) bool {
+	if !isNewer(record, known) {
+		return false
+	}
+	return record.Incarnation > known.Incarnation ||
+		record.Address != known.Address ||
+		record.Standing != known.Standing ||
+		record.Formation != known.Formation ||
+		record.Ready != known.Ready ||
+		record.Leaving != known.Leaving
 }
 
-// newer tells whether a record replaces another of the same name. A process that
-// holds the name by an earlier disk life than is known was replaced.
-func newer(a, b *wire.Process) bool {
-	if a.DiskLife != b.DiskLife && a.DiskLife > 0 && b.DiskLife > 0 {
-		return a.DiskLife > b.DiskLife
+// isNewer reports whether a record replaces another of the same name. Of two
+// processes that run under one name with different disks, the one whose disk was
+// created later has replaced the other.
+func isNewer(record, known *wire.Process) bool {
+	if record.DiskLife != known.DiskLife && record.DiskLife > 0 && known.DiskLife > 0 {
+		return record.DiskLife > known.DiskLife
 	}
-	if a.Incarnation != b.Incarnation {
-		return a.Incarnation > b.Incarnation
+	if record.Incarnation != known.Incarnation {
+		return record.Incarnation > known.Incarnation
 	}
-	return a.Counter > b.Counter
+	return record.Counter > known.Counter
 }
--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -20,22 +20,24 @@
 	"stepwick/sim/memnet"
 )
 
-type helloOnly struct {
+// gossipPeer answers hellos only.
+type gossipPeer struct {
 	wireconnect.UnimplementedPeerHandler
 	directory *internalrpc.Directory
 }
 
-func (h helloOnly) Hello(ctx context.Context, req *connect.Request[wire.HelloRequest]) (*connect.Response[wire.HelloResponse], error) {
-	resp, err := h.directory.Hello(ctx, req.Msg)
+func (p gossipPeer) Hello(ctx context.Context, req *connect.Request[wire.HelloRequest]) (*connect.Response[wire.HelloResponse], error) {
+	resp, err := p.directory.Hello(ctx, req.Msg)
 	if err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(resp), nil
 }
 
-// start runs process i of a fleet on its own host; its seeds are the two
-// processes before it, so no one is told of all.
-func start(ctx context.Context, net *memnet.Network, i int, secret string) *internalrpc.Directory {
+// startProcess runs process i of a fleet on its own host. Its seeds are the two
+// processes before it, so that none is given all addresses.
+func startProcess(ctx context.Context, t *testing.T, net *memnet.Network, i int, secret string) *internalrpc.Directory {
+	t.Helper()
 	host := fmt.Sprintf("127.0.1.%d", i)
 	own := &wire.Process{Name: fmt.Sprintf("n%d", i), Address: host + ":1", Core: i < 3, Front: true, Incarnation: 1}
 	var seeds []string
@@ -48,9 +50,9 @@
 	})
 	listener, err := net.Listen(own.Address)
 	if err != nil {
-		panic(err)
+		t.Fatal(err)
 	}
-	server := internalrpc.Server(internalrpc.Handler(helloOnly{directory: directory}, secret))
+	server := internalrpc.Server(internalrpc.Handler(gossipPeer{directory: directory}, secret))
 	go server.Serve(listener)
 	go directory.Serve(ctx)
 	context.AfterFunc(ctx, func() { server.Close(); pool.CloseIdle() })
@@ -59,8 +61,8 @@
 
 func names(d *internalrpc.Directory) string {
 	var all []string
-	for _, p := range d.Processes() {
-		all = append(all, p.Name)
+	for _, process := range d.Processes() {
+		all = append(all, process.Name)
 	}
 	return strings.Join(all, " ")
 }
@@ -72,7 +74,7 @@
 			net := memnet.New(ctx)
 			var fleet []*internalrpc.Directory
 			for i := range 9 {
-				fleet = append(fleet, start(ctx, net, i, "a fleet's secret"))
+				fleet = append(fleet, startProcess(ctx, t, net, i, "a fleet's secret"))
 			}
 			<-time.After(8 * time.Second)
 			for _, d := range fleet {
@@ -90,7 +92,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			net := memnet.New(ctx)
-			start(ctx, net, 0, "a fleet's secret")
+			startProcess(ctx, t, net, 0, "a fleet's secret")
 			stranger := internalrpc.NewPool(net.Dialer("127.0.1.9"), "127.0.1.9:1", "another secret")
 			call := func() error {
 				callCtx, done := context.WithTimeout(ctx, time.Second)
@@ -119,11 +121,11 @@
 	})
 }
 
-func TestAttest(t *testing.T) {
-	Convey("What a core's feed attests is known at once and kept without hellos; what it drops is forgotten in time", t, func() {
+func TestConfirmedProcessesAreKept(t *testing.T) {
+	Convey("What a core's feed reports as live is known at once and kept without gossip; what it drops is forgotten in time", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			d := start(ctx, memnet.New(ctx), 0, "a fleet's secret")
+			d := startProcess(ctx, t, memnet.New(ctx), 0, "a fleet's secret")
 			synctest.Wait()
 			far := &wire.Process{Name: "far", Address: "127.0.1.99:1", Front: true, Incarnation: 1, Counter: 5}
 			d.ConfirmLive([]*wire.Process{far})
--- a/internal/adapter/internalrpc/pool_test.go
+++ b/internal/adapter/internalrpc/pool_test.go
@@ -16,17 +16,17 @@
 	"stepwick/sim/memnet"
 )
 
-// named answers pings with its name.
-type named struct {
+// namedPeer answers pings with its name.
+type namedPeer struct {
 	wireconnect.UnimplementedPeerHandler
 	name string
 }
 
-func (n named) Ping(context.Context, *connect.Request[wire.PingRequest]) (*connect.Response[wire.PingResponse], error) {
-	return connect.NewResponse(&wire.PingResponse{Name: n.name}), nil
+func (p namedPeer) Ping(context.Context, *connect.Request[wire.PingRequest]) (*connect.Response[wire.PingResponse], error) {
+	return connect.NewResponse(&wire.PingResponse{Name: p.name}), nil
 }
 
-func TestPool(t *testing.T) {
+func TestPoolReachesEachAddress(t *testing.T) {
 	Convey("One pool's calls reach the process at each address", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -39,7 +39,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				server := internalrpc.Server(internalrpc.Handler(named{name: address}, "a fleet's secret"))
+				server := internalrpc.Server(internalrpc.Handler(namedPeer{name: address}, "a fleet's secret"))
 				go server.Serve(listener)
 				context.AfterFunc(ctx, func() { server.Close() })
 			}
