--- a/cmd/rig/simnode/hollow.go
+++ b/cmd/rig/simnode/hollow.go
@@ -246,7 +246,7 @@
 		return errors.New(problems[0].String())
 	}
 	dialer := &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(values.String("bind"))}}
-	world := node.World{Clock: clock.System(),
+	world := node.Environment{Clock: clock.System(),
 		Listen: func(address string) (net.Listener, error) {
 			l, err := net.Listen("tcp", address)
 			return countedListener{l, &r.count}, err
--- a/internal/adapter/backend/call.go
+++ b/internal/adapter/backend/call.go
@@ -99,7 +99,9 @@
 	return response, record, nil
 }
 
-func refused(err error) bool { return port.Refused(errors.Cause(err)) || port.Refused(err) }
+func refused(err error) bool {
+	return port.IsConnectionRefused(errors.Cause(err)) || port.IsConnectionRefused(err)
+}
 
 func eventStream(response *http.Response) bool {
 	kind, _, _ := strings.Cut(response.Header.Get("Content-Type"), ";")
--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -100,17 +100,17 @@
 				_, err := stranger.Client("127.0.1.0:1").Hello(callCtx, connect.NewRequest(&wire.HelloRequest{}))
 				return err
 			}
-			if err := call(); err == nil || port.Refused(err) {
+			if err := call(); err == nil || port.IsConnectionRefused(err) {
 				t.Errorf("a wrong secret gave %v", err)
 			}
 			net.Cut("127.0.1.0", "127.0.1.9", true)
-			if err := call(); err == nil || port.Refused(err) {
+			if err := call(); err == nil || port.IsConnectionRefused(err) {
 				t.Errorf("silence gave %v", err)
 			}
 			net.Cut("127.0.1.0", "127.0.1.9", false)
 			net.Down("127.0.1.0")
 			synctest.Wait()
-			if err := call(); !port.Refused(err) {
+			if err := call(); !port.IsConnectionRefused(err) {
 				t.Errorf("a host that is down gave %v", err)
 			}
 			stranger.CloseIdle()
--- a/internal/adapter/platform/platform_test.go
+++ b/internal/adapter/platform/platform_test.go
@@ -12,11 +12,13 @@
 
 	"github.com/sebdah/goldie/v2"
 	. "github.com/smartystreets/goconvey/convey"
+
+	"stepwick/internal/port"
 )
 
 const goodEntry = `{"name":"m1","address":"127.0.0.1:9001","kind":"model","services":["digest","chat","chat"],"region":"lagos","zone":"a","state":"ready","leave_at_ms":0}`
 
-func TestLists(t *testing.T) {
+func TestParseList(t *testing.T) {
 	cases := []struct{ name, body string }{
 		{"one good entry", `{"servers":[` + goodEntry + `]}`},
 		{"no servers", `{"servers":[]}`},
@@ -44,7 +46,7 @@
 			fmt.Fprintf(&log, "  %s %s %s %v %s/%s %s\n", s.Name, s.Address, s.Kind, s.Services, s.Region, s.Zone, s.State)
 		}
 		for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7"} {
-			if why := listing.Bad[name]; why != "" {
+			if why := listing.Malformed[name]; why != "" {
 				fmt.Fprintf(&log, "  bad %s: %s\n", name, why)
 			}
 		}
@@ -52,7 +54,7 @@
 	goldie.New(t).Assert(t, "lists", []byte(log.String()))
 }
 
-func TestStatus(t *testing.T) {
+func TestPollStatus(t *testing.T) {
 	Convey("A server's status", t, func() {
 		body, code := "", http.StatusOK
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -64,48 +66,48 @@
 		client := New(Config{URL: server.URL, StatusLimit: 512, ListLimit: 512, Bind: "127.0.0.1"})
 		ctx := context.Background()
 		good := `{"server":"m1","incarnation":1790000000000000000,"state":"cold","slots":16,"running":3,"queued":1,"tokens_per_second":900.5,"prefill_per_second":4000,"kv_used":0.25,"answered":12}`
-		Convey("is read whole", func() {
+		Convey("is read completely", func() {
 			body = good
-			status, reach, err := client.Status(ctx, "m1", address)
+			status, outcome, err := client.Status(ctx, "m1", address)
 			So(err, ShouldBeNil)
-			So(reach, ShouldEqual, Answers)
+			So(outcome, ShouldEqual, port.PollAnswered)
 			So(status.Incarnation, ShouldEqual, uint64(1790000000000000000))
 			So(status.Slots, ShouldEqual, 16)
 			So(status.KvUsed, ShouldEqual, 0.25)
 			So(status.Reachable, ShouldBeTrue)
 		})
-		Convey("is not taken when it is not whole, not this server's, or out of bounds", func() {
+		Convey("is rejected when it is not complete, not this server's, or out of bounds", func() {
 			for _, bad := range []string{"", good[:50], good + good, strings.Replace(good, "m1", "m2", 1), strings.Replace(good, "0.25", "1.5", 1),
 				strings.Replace(good, `"running":3`, `"running":-3`, 1), strings.Replace(good, "cold", "warm", 1), good + strings.Repeat(" ", 600)} {
 				body = bad
-				status, reach, err := client.Status(ctx, "m1", address)
+				status, outcome, err := client.Status(ctx, "m1", address)
 				So(err, ShouldNotBeNil)
 				So(status, ShouldBeNil)
-				So(reach, ShouldEqual, Garbled)
+				So(outcome, ShouldEqual, port.PollMalformed)
 			}
 		})
 		Convey("may be missing: the server answers, without figures", func() {
 			code = http.StatusNotFound
-			status, reach, err := client.Status(ctx, "m1", address)
+			status, outcome, err := client.Status(ctx, "m1", address)
 			So(err, ShouldBeNil)
-			So(reach, ShouldEqual, Answers)
+			So(outcome, ShouldEqual, port.PollAnswered)
 			So(status.Slots, ShouldEqual, 0)
 			code = http.StatusInternalServerError
-			_, reach, _ = client.Status(ctx, "m1", address)
-			So(reach, ShouldEqual, Garbled)
+			_, outcome, _ = client.Status(ctx, "m1", address)
+			So(outcome, ShouldEqual, port.PollMalformed)
 		})
-		Convey("tells a refusal from silence", func() {
+		Convey("distinguishes a refused connection from no answer", func() {
 			closed, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
 			So(closed.Close(), ShouldBeNil)
-			_, reach, _ := client.Status(ctx, "m1", closed.Addr().String())
-			So(reach, ShouldEqual, Refuses)
+			_, outcome, _ := client.Status(ctx, "m1", closed.Addr().String())
+			So(outcome, ShouldEqual, port.PollRefused)
 			mute, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
 			defer mute.Close()
 			hasty := New(Config{URL: server.URL, Timeout: 50 * time.Millisecond})
-			_, reach, err = hasty.Status(ctx, "m1", mute.Addr().String())
-			So(reach, ShouldEqual, Silent)
+			_, outcome, err = hasty.Status(ctx, "m1", mute.Addr().String())
+			So(outcome, ShouldEqual, port.PollUnanswered)
 			So(err, ShouldNotBeNil)
 		})
 		Convey("and the list are bounded", func() {
@@ -123,7 +125,7 @@
 	})
 }
 
-func TestUnchangedList(t *testing.T) {
+func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	Convey("A list that the platform tags is sent again only when it changed, or when the last one was bad", t, func() {
 		body, tag, sent := `{"servers":[]}`, `"1"`, 0
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -113,7 +113,7 @@
 		if ctx.Err() != nil {
 			return nil, errors.New("interrupted")
 		}
-		failed.maybe = failed.maybe || !port.Refused(err)
+		failed.maybe = failed.maybe || !port.IsConnectionRefused(err)
 		failed.lines = append(failed.lines, fmt.Sprintf("node %d of %d (%s) unreachable: %s", at+1, len(nodes), nodes[at], reason(err)))
 	}
 	return nil, failed
@@ -122,7 +122,7 @@
 func reason(err error) string {
 	var timeout net.Error
 	switch {
-	case port.Refused(err):
+	case port.IsConnectionRefused(err):
 		return "refused"
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return "silent"
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -74,7 +74,7 @@
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	world := node.World{Clock: clock.System(), Listen: s.net.Listen, Dial: s.net.Dialer(host)}
+	world := node.Environment{Clock: clock.System(), Listen: s.net.Listen, Dial: s.net.Dialer(host)}
 	go func() { _ = node.RunIn(s.ctx, world, role, values, events.Discard) }()
 }
 
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -29,9 +29,9 @@
 	"stepwick/internal/wire"
 )
 
-func build(world World, role, name string, values *settings.Values, log events.Log) (*process, error) {
+func build(world Environment, role, name string, values *settings.Values, log events.Log) (*process, error) {
 	clock := clock.Monotonic(world.Clock)
-	p := &process{role: role, values: values, clock: clock, log: log, edge: world.Edge, listen: world.Listen, replaced: make(chan struct{}, 1)}
+	p := &process{role: role, values: values, clock: clock, log: log, edge: world.Platform, listen: world.Listen, replaced: make(chan struct{}, 1)}
 	p.base = &wire.Process{
 		Name: name, Region: values.String("region"), Zone: values.String("zone"),
 		Address:       or(values.String("advertise.internal"), values.String("listen.internal")),
@@ -83,7 +83,7 @@
 		ListInterval: values.Duration("platform.interval"),
 		PollInterval: values.Duration("watch.interval"),
 		ListReaders:  values.Int("platform.readers"),
-		ListOnly:     world.Edge != nil,
+		ListOnly:     world.Platform != nil,
 		DrainWithin:  values.Duration("platform.drain_within"),
 	}, p.servers(world), p.directory, clock, log)
 	p.pool.Bind(p.peer)
@@ -91,7 +91,7 @@
 	if p.internal, err = world.Listen(values.String("listen.internal")); err != nil {
 		return nil, errors.Wrap(err, "listen.internal")
 	}
-	if !p.carries() && world.Edge != nil {
+	if !p.carries() && world.Platform != nil {
 		return p, nil
 	}
 	if p.caller, err = world.Listen(values.String("listen.caller")); err != nil {
@@ -135,7 +135,7 @@
 	return plan.Policy{SlowStartCap: p.values.Int("route.ramp_start")}
 }
 
-func (p *process) buildFront(world World, registry *prometheus.Registry) error {
+func (p *process) buildFront(world Environment, registry *prometheus.Registry) error {
 	orders := &relay{name: p.base.Name, peers: p.directory}
 	p.orders = orders
 	inspect := &inspector{name: p.base.Name, peers: p.directory, own: map[string]func(string) (any, bool){
--- a/internal/node/control/pings.go
+++ b/internal/node/control/pings.go
@@ -60,7 +60,7 @@
 	switch {
 	case err == nil && resp.Msg.Name == target.Name:
 		c.leases.RecordPingResponse(target.Name, resp.Msg.Incarnation, now)
-	case err != nil && port.Refused(err):
+	case err != nil && port.IsConnectionRefused(err):
 		if target.HasIncarnation() && c.leases.HasLease(target.Name, now) {
 			c.log.Emit(events.LeaseReleased, "member", target.Name, "by", "refusal")
 		}
--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -11,10 +11,10 @@
 	"stepwick/internal/wire"
 )
 
-// Edge stands between a process and a platform that speaks in its own way. It
+// Platform stands between a process and a platform that speaks in its own way. It
 // opens the platform's listeners and translates; what is decided is decided by
 // the process behind it.
-type Edge interface {
+type PlatformAdapter interface {
 	// Dialect names the headers of requests that come by routes.
 	Dialect() port.Dialect
 	// Servers reads the platform's list of servers.
--- a/internal/node/follower/pinger.go
+++ b/internal/node/follower/pinger.go
@@ -181,7 +181,7 @@
 	switch {
 	case err == nil && resp.Name == name:
 		f.recordAnswer(peer, sentAt, resp)
-	case err != nil && port.Refused(err):
+	case err != nil && port.IsConnectionRefused(err):
 		f.recordRefusal(name)
 	case f.clock.Now().Sub(f.membership.unansweredSince[name]) >= pingFreshFor && pings.refusedAt.IsZero():
 		f.recordReachability(name, unresponsive, 0)
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -98,10 +98,10 @@
 		return q.failed(ctx, given.server, failure, &outcome)
 	}
 	defer answer.Close()
-	said := g.dialect.Said(answer.Status, answer.Header)
-	if said.NotExecuted || said.Elsewhere {
+	said := g.dialect.ReadResponse(answer.Status, answer.Header)
+	if said.NotExecuted || said.WrongServer {
 		g.metrics.attempts.WithLabelValues(q.service, "rejected").Inc()
-		outcome.Rejected, outcome.Replaced = !said.Elsewhere, said.Elsewhere
+		outcome.Rejected, outcome.Replaced = !said.WrongServer, said.WrongServer
 		_, _ = io.CopyN(io.Discard, answer, rejectionMost)
 		return q.rejected(given.server, said)
 	}
@@ -152,15 +152,15 @@
 func (q *request) outgoing(server upstream.Server, lastEventID string) *upstream.Request {
 	header := q.http.Header.Clone()
 	dropHopHeaders(header)
-	q.gateway.dialect.Dress(header, port.Sending{
-		Server: server.Name, Tenant: q.tenant, Left: q.deadline.Sub(q.gateway.clock.Now()),
+	q.gateway.dialect.SetAttemptHeaders(header, port.AttemptMetadata{
+		Server: server.Name, Tenant: q.tenant, TimeLeft: q.deadline.Sub(q.gateway.clock.Now()),
 		Priority: q.order.Urgency, LastEventID: lastEventID,
 	})
 	id := q.call.ID
 	return &upstream.Request{
 		Method: q.http.Method, Target: q.target(), Host: q.http.Host, Header: header, Body: q.body,
 		Matches: func(status int, header http.Header) bool {
-			return q.gateway.dialect.Said(status, header).RequestID == id
+			return q.gateway.dialect.ReadResponse(status, header).RequestID == id
 		},
 	}
 }
@@ -185,11 +185,11 @@
 }
 
 // rejected decides on an attempt that the server did not run.
-func (q *request) rejected(server upstream.Server, said port.Said) (apiErr *apierror.Error, again bool) {
+func (q *request) rejected(server upstream.Server, said port.ResponseMetadata) (apiErr *apierror.Error, again bool) {
 	q.exclude(server)
 	q.order.Repeat = true
 	why := "the server is full"
-	if said.Elsewhere {
+	if said.WrongServer {
 		why = "the server is gone; another one has its address"
 	}
 	return apierror.Errorf(apierror.NotRun, "%s", why).WithRetryAfter(rejectedPause), true
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -79,7 +79,7 @@
 // assign waits until a request has a server or is refused one.
 func (d *dispatcher) assign(ctx context.Context, request balance.Request, first bool) assignment {
 	t := &ticket{request: request, first: first, given: make(chan assignment, 1)}
-	if !d.asks.Offer(t) {
+	if !d.asks.TryPut(t) {
 		return assignment{apiErr: apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", askBound).WithRetryAfter(time.Second)}
 	}
 	select {
@@ -105,7 +105,7 @@
 
 func (d *dispatcher) move(m move) {
 	select {
-	case d.moves.In() <- m:
+	case d.moves.Input() <- m:
 	case <-d.over:
 	}
 }
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -105,7 +105,7 @@
 	dispatch *dispatcher
 	suspects *suspects
 	metrics  *metrics
-	bodies   *stage.Budget
+	bodies   *stage.ByteBudget
 
 	ruled    atomic.Bool  // has been seen to rule since its start
 	leaving  atomic.Bool  // not ready any more
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	g = &Gateway{config: config, dialect: dialect, views: views, admitter: admitter, clock: clock, log: log,
-		metrics: metrics, bodies: stage.NewBudget(config.BodiesMax), started: clock.Now()}
+		metrics: metrics, bodies: stage.NewByteBudget(config.BodiesMax), started: clock.Now()}
 	g.client = upstream.New(config.Upstream)
 	g.suspects = newSuspects(config.Observe, clock, g.client)
 	g.dispatch = newDispatcher(balance.New(config.Balance), views, clock, log, g.client, g.suspects, config.Balance.Off)
@@ -159,7 +159,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	err := server.Serve(listen.Bounded(listener, g.config.Connections))
+	err := server.Serve(listen.LimitConnections(listener, g.config.Connections))
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -30,10 +30,10 @@
 // plain is a dialect with short names.
 type plain struct{}
 
-func (plain) Read(r *http.Request) (port.Call, *apierror.Error) {
-	call := port.Call{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), LastEventID: r.Header.Get("Last")}
+func (plain) ReadRequest(r *http.Request) (port.ClientRequest, *apierror.Error) {
+	call := port.ClientRequest{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), LastEventID: r.Header.Get("Last")}
 	if _, err := fmt.Sscan(r.Header.Get("Tokens"), &call.TokensIn); err == nil {
-		call.Sized = true
+		call.DeclaresTokens = true
 	}
 	var ms int
 	if _, err := fmt.Sscan(r.Header.Get("Left"), &ms); err == nil {
@@ -42,18 +42,18 @@
 	return call, nil
 }
 
-func (plain) Dress(header http.Header, sending port.Sending) {
+func (plain) SetAttemptHeaders(header http.Header, sending port.AttemptMetadata) {
 	header.Del("Key")
 	header.Set("Tenant", sending.Tenant)
 	header.Set("To", sending.Server)
 	header.Set("Last", sending.LastEventID)
 }
 
-func (plain) Said(status int, header http.Header) port.Said {
-	return port.Said{RequestID: header.Get("Id"), NotExecuted: header.Get("Not-Run") != "", Elsewhere: status == http.StatusMisdirectedRequest}
+func (plain) ReadResponse(status int, header http.Header) port.ResponseMetadata {
+	return port.ResponseMetadata{RequestID: header.Get("Id"), NotExecuted: header.Get("Not-Run") != "", WrongServer: status == http.StatusMisdirectedRequest}
 }
 
-func (plain) Refuse(w http.ResponseWriter, id string, apiErr *apierror.Error) {
+func (plain) WriteError(w http.ResponseWriter, id string, apiErr *apierror.Error) {
 	apierror.WriteError(w, apiErr, id)
 }
 
@@ -517,7 +517,7 @@
 		route := &sheet.NamedRoute{Route: sheet.Route{Splits: []sheet.Split{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}}
 		counts := map[string]int{}
 		for i := range 5000 {
-			q := &request{route: route, call: port.Call{ID: fmt.Sprintf("%016x", i*2654435761)}}
+			q := &request{route: route, call: port.ClientRequest{ID: fmt.Sprintf("%016x", i*2654435761)}}
 			counts[q.split()]++
 		}
 		So(counts["b"], ShouldBeBetween, 420, 580)
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -34,7 +34,7 @@
 	gateway *Gateway
 	writer  http.ResponseWriter
 	http    *http.Request
-	call    port.Call
+	call    port.ClientRequest
 	arrived time.Time
 
 	index    *sheet.Index // the one that admitted it
@@ -56,7 +56,7 @@
 	g.inFlight.Add(1)
 	g.metrics.inFlight.Inc()
 	defer func() {
-		g.bodies.Give(q.held)
+		g.bodies.Release(q.held)
 		g.metrics.inFlight.Dec()
 		g.inFlight.Add(-1)
 	}()
@@ -91,7 +91,7 @@
 	}
 	q.gateway.log.Emit(events.RequestRefused, "request", q.call.ID, "service", q.service, "tenant", q.tenant,
 		"code", uint32(apiErr.Code), "detail", apiErr.Detail)
-	q.gateway.dialect.Refuse(q.writer, q.call.ID, apiErr)
+	q.gateway.dialect.WriteError(q.writer, q.call.ID, apiErr)
 }
 
 // admit decides by the sheet in force whether the request may be served, reads
@@ -102,7 +102,7 @@
 		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(notRulingPause)
 	}
 	var apiErr *apierror.Error
-	if q.call, apiErr = g.dialect.Read(q.http); apiErr != nil {
+	if q.call, apiErr = g.dialect.ReadRequest(q.http); apiErr != nil {
 		return apiErr
 	}
 	if apiErr = g.awaitRules(q.http.Context()); apiErr != nil {
@@ -241,7 +241,7 @@
 }
 
 func (q *request) hold(bytes int64) bool {
-	if !q.gateway.bodies.Take(bytes) {
+	if !q.gateway.bodies.TryReserve(bytes) {
 		return false
 	}
 	q.held += bytes
@@ -314,7 +314,7 @@
 // shared returns the digest and the size in tokens of what a prompt shares
 // with others: all parts but the last, which is the request's or its session's
 // own; a prompt of one part shares that.
-func shared(parts []port.Part) (digest uint64, tokens float64) {
+func shared(parts []port.PromptPart) (digest uint64, tokens float64) {
 	if len(parts) > 1 {
 		parts = parts[:len(parts)-1]
 	}
@@ -381,7 +381,7 @@
 
 func (q *request) tokens() float64 {
 	switch {
-	case q.call.Sized:
+	case q.call.DeclaresTokens:
 		return q.call.Tokens()
 	case q.terms.PlainTokens > 0:
 		return q.terms.PlainTokens
--- a/internal/node/healthcheck/checker_test.go
+++ b/internal/node/healthcheck/checker_test.go
@@ -14,7 +14,6 @@
 	"connectrpc.com/connect"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/adapter/platform"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 	"stepwick/internal/decision/serverstatus"
@@ -35,7 +34,7 @@
 type world struct {
 	token     chan struct{}
 	servers   map[string]*wire.ServerStatus
-	reaches   map[string]platform.Reach // of servers that don't answer polls
+	outcomes  map[string]port.PollOutcome // of servers that don't answer polls
 	listFails bool
 	listEmpty bool
 	pages     int             // that the list has
@@ -48,7 +47,7 @@
 }
 
 func newWorld() *world {
-	w := &world{token: make(chan struct{}, 1), servers: map[string]*wire.ServerStatus{}, reaches: map[string]platform.Reach{},
+	w := &world{token: make(chan struct{}, 1), servers: map[string]*wire.ServerStatus{}, outcomes: map[string]port.PollOutcome{},
 		down: map[string]bool{}, requests: map[string]int{}, logged: map[string]bool{}, reports: map[string]int{}, cores: map[string]*serverstatus.ReportStore{}}
 	for i := range 6 {
 		region, zone := []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
@@ -72,7 +71,7 @@
 	w.token <- struct{}{}
 }
 
-func (w *world) List(context.Context) (listing platform.Listing, err error) {
+func (w *world) List(context.Context) (listing port.Listing, err error) {
 	w.with(func() {
 		w.requests["list"]++
 		if w.listFails {
@@ -90,16 +89,16 @@
 	return listing, err
 }
 
-func (w *world) Status(_ context.Context, name, _ string) (status *wire.ServerStatus, reach platform.Reach, err error) {
+func (w *world) Status(_ context.Context, name, _ string) (status *wire.ServerStatus, outcome port.PollOutcome, err error) {
 	w.with(func() {
 		w.requests[name]++
-		if reach = w.reaches[name]; reach != platform.Answers {
+		if outcome = w.outcomes[name]; outcome != port.PollAnswered {
 			err = errors.New("no answer")
 			return
 		}
 		status = &wire.ServerStatus{Name: name, State: ready, Reachable: true, Slots: 16, Answered: 100}
 	})
-	return status, reach, err
+	return status, outcome, err
 }
 
 type coreClient struct {
@@ -344,14 +343,14 @@
 		So(f.status("n0", "m2").State, ShouldEqual, ready)
 	})
 	checks(t, "distinguish a refused connection from no answer, and both from a platform without one", func(f fleet) {
-		f.with(func() { f.reaches["m0"], f.reaches["m1"], f.listFails = platform.Refuses, platform.Silent, true })
+		f.with(func() { f.outcomes["m0"], f.outcomes["m1"], f.listFails = port.PollRefused, port.PollUnanswered, true })
 		pass(2 * time.Second)
 		So(f.status("n2", "m0").State, ShouldEqual, gone)
 		So(f.status("n2", "m1").State, ShouldEqual, ready)
 		So(f.status("n2", "m1").Reachable, ShouldBeFalse)
 		So(f.takeLogged(), ShouldContain, "server_gone m0")
 		So(f.takeLogged(), ShouldNotContain, "server_gone m1")
-		f.with(func() { clear(f.reaches) })
+		f.with(func() { clear(f.outcomes) })
 		pass(time.Second)
 		So(f.status("n2", "m0").State, ShouldEqual, ready)
 		So(f.status("n2", "m1").Reachable, ShouldBeTrue)
@@ -453,7 +452,7 @@
 		for i := range 100 {
 			name := fmt.Sprintf("m%d", i)
 			known = map[string]*wire.ServerStatus{name: {Name: name, State: ready}}
-			checker.applyListing(platform.Listing{Servers: []*wire.ServerStatus{{Name: name, Address: name, State: ready}}}, nil, time.Now())
+			checker.applyListing(port.Listing{Servers: []*wire.ServerStatus{{Name: name, Address: name, State: ready}}}, nil, time.Now())
 		}
 		So(len(checker.observations), ShouldEqual, 1)
 	})
--- a/internal/node/healthcheck/discovery.go
+++ b/internal/node/healthcheck/discovery.go
@@ -84,7 +84,7 @@
 	c.logListRead(listing)
 	listed := c.recordListed(listing, at)
 	for name, status := range known {
-		if !listed[name] && listing.Bad[name] == "" {
+		if !listed[name] && listing.Malformed[name] == "" {
 			c.recordAbsence(name, status, at)
 		}
 	}
@@ -112,8 +112,8 @@
 		c.discovery.failing = false
 		c.log.Emit(events.PlatformBack)
 	}
-	for _, name := range slices.Sorted(maps.Keys(listing.Bad)) {
-		c.log.Emit(events.PlatformBadList, "server", name, "why", listing.Bad[name])
+	for _, name := range slices.Sorted(maps.Keys(listing.Malformed)) {
+		c.log.Emit(events.PlatformBadList, "server", name, "why", listing.Malformed[name])
 	}
 }
 
@@ -123,7 +123,7 @@
 	for _, status := range listing.Servers {
 		listed[status.Name] = true
 		delete(c.discovery.absences, status.Name)
-		if left := listing.Cold[status.Name]; left > 0 {
+		if left := listing.ColdFor[status.Name]; left > 0 {
 			status.ColdUntilMs = at.Add(left).UnixMilli()
 		}
 		c.record(serverstatus.SourceList, status, at)
--- a/internal/node/healthcheck/polling.go
+++ b/internal/node/healthcheck/polling.go
@@ -27,9 +27,9 @@
 
 // poll is the state of the polls of one server.
 type poll struct {
-	isQueued   bool // or in flight
-	unanswered int  // successive polls without an answer
-	reach      port.Reach
+	isQueued   bool             // or in flight
+	unanswered int              // successive polls without an answer
+	outcome    port.PollOutcome // of the last poll
 }
 
 // reset forgets the polls that are queued or in flight.
@@ -99,24 +99,24 @@
 	c.polling.inFlight++
 	at := c.config.FleetNow()
 	c.runAsync(ctx, func() func() {
-		status, reach, err := c.source.Status(ctx, name, address)
+		status, outcome, err := c.source.Status(ctx, name, address)
 		return func() {
 			c.polling.inFlight--
 			if state := c.polling.polls[name]; state != nil {
 				state.isQueued = false
-				c.completePoll(state, name, status, reach, err, at)
+				c.completePoll(state, name, status, outcome, err, at)
 			}
 		}
 	})
 }
 
 // completePoll records the result of a poll that began at a fleet time.
-func (c *Checker) completePoll(state *poll, name string, status *wire.ServerStatus, reach port.Reach, err error, at time.Time) {
-	switch reach {
-	case port.Answers:
+func (c *Checker) completePoll(state *poll, name string, status *wire.ServerStatus, outcome port.PollOutcome, err error, at time.Time) {
+	switch outcome {
+	case port.PollAnswered:
 		state.unanswered = 0
 		c.record(serverstatus.SourceServer, status, at)
-	case port.Refuses:
+	case port.PollRefused:
 		state.unanswered = 0
 		c.record(serverstatus.SourceServer, &wire.ServerStatus{Name: name, State: wire.ServerState_SERVER_STATE_GONE}, at)
 	default:
@@ -126,16 +126,16 @@
 		}
 		c.record(serverstatus.SourceServer, &wire.ServerStatus{Name: name}, at)
 	}
-	if event, isLogged := reachEvents[reach]; isLogged && state.reach != reach {
+	if event, isLogged := outcomeEvents[outcome]; isLogged && state.outcome != outcome {
 		c.log.Emit(event, "server", name, "why", errorText(err))
 	}
-	state.reach = reach
+	state.outcome = outcome
 }
 
-// reachEvents are the events of polls that failed.
-var reachEvents = map[port.Reach]events.Event{
-	port.Silent:  events.ServerSilent,
-	port.Garbled: events.ServerBadStatus,
+// outcomeEvents are the events of polls that failed.
+var outcomeEvents = map[port.PollOutcome]events.Event{
+	port.PollUnanswered: events.ServerSilent,
+	port.PollMalformed:  events.ServerBadStatus,
 }
 
 // errorText returns the text of an error, empty for nil.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,12 +42,12 @@
 // Run runs a process of a role on this machine until the context ends; then it
 // hands over within its grace and returns nil.
 func Run(ctx context.Context, role string, values *settings.Values, log events.Log) error {
-	return RunAt(ctx, nil, role, values, log)
+	return RunOnPlatform(ctx, nil, role, values, log)
 }
 
-// RunAt is Run on a platform that an edge speaks to; without one the process
+// RunOnPlatform is Run on a platform that an edge speaks to; without one the process
 // has its own listeners.
-func RunAt(ctx context.Context, edge Edge, role string, values *settings.Values, log events.Log) error {
+func RunOnPlatform(ctx context.Context, edge PlatformAdapter, role string, values *settings.Values, log events.Log) error {
 	dialer := &net.Dialer{Timeout: 2 * time.Second}
 	if bind := values.String("bind"); bind != "" {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(bind)}
@@ -57,18 +57,18 @@
 		source = clock.Stepped(source, step)
 		log.Emit(events.ProofSetting, "setting", "clock.step", "value", step)
 	}
-	return RunIn(ctx, World{
-		Clock:  source,
-		Listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
-		Dial:   dialer.DialContext,
-		Edge:   edge,
+	return RunIn(ctx, Environment{
+		Clock:    source,
+		Listen:   func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
+		Dial:     dialer.DialContext,
+		Platform: edge,
 
 		DialServer: serverDialer(dialer).DialContext,
 	}, role, values, log)
 }
 
 // RunIn is Run in a given world.
-func RunIn(ctx context.Context, world World, role string, values *settings.Values, log events.Log) error {
+func RunIn(ctx context.Context, world Environment, role string, values *settings.Values, log events.Log) error {
 	for first := values.Bool("core.first"); ; first = false {
 		err := runOnce(ctx, world, role, first, values, log)
 		if !errors.Is(err, errReplaced) {
@@ -82,7 +82,7 @@
 
 // runOnce runs a process until it ends. At the fleet's first start a core with a
 // blank disk founds it, and looks for no place.
-func runOnce(ctx context.Context, world World, role string, first bool, values *settings.Values, log events.Log) error {
+func runOnce(ctx context.Context, world Environment, role string, first bool, values *settings.Values, log events.Log) error {
 	name := values.String("name")
 	if role == RoleCore && values.Bool("core.join") && !first {
 		var err error
@@ -114,7 +114,7 @@
 	spend     *quotasync.Spend
 	front     *front.Front
 	gateway   *gateway.Gateway
-	edge      Edge
+	edge      PlatformAdapter
 	listen    func(address string) (net.Listener, error)
 	orders    *relay
 	replaced  chan struct{}
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -82,7 +82,7 @@
 				last = got.resp
 			}
 			if got.err != nil {
-				reached = reached || !port.Refused(got.err)
+				reached = reached || !port.IsConnectionRefused(got.err)
 				met = append(met, got.core+" "+how(got.err))
 			}
 			send()
@@ -121,7 +121,7 @@
 // how says in a word what became of a call.
 func how(err error) string {
 	switch {
-	case port.Refused(err):
+	case port.IsConnectionRefused(err):
 		return "refused"
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return "silent"
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -53,7 +53,7 @@
 // takePlace returns the name under which a core is to run: the one that its
 // data folder holds, its own where it is the formation's or there is none yet,
 // or that of a core that is gone, for which it waits.
-func takePlace(ctx context.Context, world World, values *settings.Values, log events.Log) (string, error) {
+func takePlace(ctx context.Context, world Environment, values *settings.Values, log events.Log) (string, error) {
 	own, folder := values.String("name"), values.String("data")
 	if folder == "" {
 		return own, nil
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -16,15 +16,15 @@
 // carries tells whether the process carries traffic.
 func (p *process) carries() bool { return p.base.Front }
 
-func (p *process) servers(world World) port.ServerSource {
-	if world.Edge != nil {
-		return world.Edge.Servers(world.Dial)
+func (p *process) servers(world Environment) port.ServerSource {
+	if world.Platform != nil {
+		return world.Platform.Servers(world.Dial)
 	}
 	return platform.New(platform.Config{URL: p.values.String("platform.url"), Dial: world.Dial})
 }
 
-func (p *process) buildGateway(world World, registry *prometheus.Registry) error {
-	if world.Edge == nil {
+func (p *process) buildGateway(world Environment, registry *prometheus.Registry) error {
+	if world.Platform == nil {
 		return nil
 	}
 	off, err := balance.ParseOff(p.values.Strings("balance.off"))
@@ -45,7 +45,7 @@
 		PlainTokens: p.values.Float("plain_tokens"), DeadlineMost: p.values.Duration("deadline.max"),
 		Quota:   gateway.Quota{Part: p.values.Float("tally.part"), Reserve: p.values.Float("tally.reserve")},
 		Observe: func(ctx context.Context, server string, reachable bool) { p.checker.Observe(ctx, server, reachable) },
-	}, world.Edge.Dialect(), p.follower, p.spend, p.clock, p.log, registry)
+	}, world.Platform.Dialect(), p.follower, p.spend, p.clock, p.log, registry)
 	return err
 }
 
--- a/internal/node/world.go
+++ b/internal/node/world.go
@@ -11,18 +11,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// World is what a process touches outside itself.
-type World struct {
-	Clock  clock.Clock
-	Listen func(address string) (net.Listener, error)
-	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	Edge   Edge // nil for the process's own listeners
+// Environment is what a process touches outside itself.
+type Environment struct {
+	Clock    clock.Clock
+	Listen   func(address string) (net.Listener, error)
+	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
+	Platform PlatformAdapter // nil for the process's own listeners
 
 	// DialServer opens connections to the servers of routes; Dial when nil.
 	DialServer func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-func (w World) serverDial() func(ctx context.Context, network, address string) (net.Conn, error) {
+func (w Environment) serverDial() func(ctx context.Context, network, address string) (net.Conn, error) {
 	if w.DialServer != nil {
 		return w.DialServer
 	}
--- a/internal/port/ingress.go
+++ b/internal/port/ingress.go
@@ -9,67 +9,83 @@
 	"stepwick/internal/wire"
 )
 
-// Part is one part of a prompt that a server may keep for later requests.
-type Part struct {
-	ID     uint64
-	Tokens float64
+// ClientRequest is what the gateway needs to know of a client's request,
+// independent of the names of its headers.
+type ClientRequest struct {
+	ID string
+	// Key is the client's API key, empty for none.
+	Key string
+	// Deadline is how long the client waits, 0 where it doesn't say.
+	Deadline time.Duration
+	// DeclaresTokens reports whether the request declares TokensIn and TokensOut.
+	DeclaresTokens bool
+	TokensIn       float64 // of the prompt
+	TokensOut      float64 // at most
+	// Parts are the parts of the prompt in their order. The last is the request's or
+	// its session's own.
+	Parts []PromptPart
+	// LastEventID is that of the last event of a stream which the client resumes,
+	// empty for none.
+	LastEventID string
 }
 
-// Call is what the product needs to know of a client's request, whatever its
-// headers are named.
-type Call struct {
-	ID          string
-	Key         string        // the client's key; empty for none
-	Deadline    time.Duration // how long the client waits; 0 where it does not say
-	Sized       bool          // whether the request names its tokens
-	TokensIn    float64       // of the prompt
-	TokensOut   float64       // at most
-	Parts       []Part        // of the prompt, in their order; the last is the request's or its session's own
-	LastEventID string        // of a stream that the client takes up again
-}
+// Tokens returns the tokens that the request counts for.
+func (c ClientRequest) Tokens() float64 { return c.TokensIn + c.TokensOut }
 
-// Tokens returns what the request counts for in tokens.
-func (c Call) Tokens() float64 { return c.TokensIn + c.TokensOut }
+// PromptPart is a part of a prompt that a server may keep in its prefix cache for
+// later requests.
+type PromptPart struct {
+	ID     uint64
+	Tokens float64
+}
 
-// Sending is what a server is told with one attempt at a request.
-type Sending struct {
-	Server      string        // the name of the server that is meant; another one at its address must not run it
-	Tenant      string        // empty for none
-	Left        time.Duration // until the attempt's deadline
-	Priority    int           // 0 is the most urgent
-	LastEventID string        // where a stream is to go on; empty for its beginning
+// AttemptMetadata is what is sent to a server with one attempt at a request.
+type AttemptMetadata struct {
+	// Server is the name of the intended server; another one at its address must not
+	// execute the request.
+	Server string
+	// Tenant is empty for none.
+	Tenant string
+	// TimeLeft is the time until the attempt's deadline.
+	TimeLeft time.Duration
+	// Priority is 0 for the most urgent.
+	Priority int
+	// LastEventID is that of the event after which a stream resumes, empty for its
+	// beginning.
+	LastEventID string
 }
 
-// Said is what a server's answer says beside its content.
-type Said struct {
+// ResponseMetadata is what a server's response says beside its content.
+type ResponseMetadata struct {
 	RequestID   string
-	NotExecuted bool // the server did not run the request and will not
-	Elsewhere   bool // the server is not the one that was meant
+	NotExecuted bool // the server did not execute the request and will not
+	WrongServer bool // the server is not the intended one
 }
 
-// Dialect translates between the headers of an HTTP interface and the
-// product's own model. It decides nothing.
+// Dialect translates between the headers of an HTTP interface and the gateway's
+// own types. It decides nothing.
 type Dialect interface {
-	// Read tells what a client's request says.
-	Read(r *http.Request) (Call, *apierror.Error)
-	// Dress puts into the header of an attempt what its server is told, and
-	// takes out what the server must not see.
-	Dress(header http.Header, sending Sending)
-	// Said tells what a server's answer says.
-	Said(status int, header http.Header) Said
-	// Refuse writes a fault as the answer to a client.
-	Refuse(w http.ResponseWriter, id string, apiErr *apierror.Error)
+	// ReadRequest reads the headers of a client's request. Its error is what the
+	// client gets.
+	ReadRequest(r *http.Request) (ClientRequest, *apierror.Error)
+	// SetAttemptHeaders sets the headers of an attempt, and removes those that the
+	// server must not see.
+	SetAttemptHeaders(header http.Header, attempt AttemptMetadata)
+	// ReadResponse reads the status and headers of a server's response.
+	ReadResponse(status int, header http.Header) ResponseMetadata
+	// WriteError writes an error as the response to the client's request with an id.
+	WriteError(w http.ResponseWriter, id string, apiErr *apierror.Error)
 }
 
-// Node is what an Edge may ask of the process that it stands in front of.
+// Node is the part of a process that a platform's adapter uses.
 type Node interface {
-	// Ready tells whether the process takes traffic: nil, or why not.
+	// Ready returns nil where the process takes traffic, and else why not.
 	Ready() *apierror.Error
 	// Nearest returns where a client of a region is to send its requests: the
-	// addresses of at most so many fronts, in no order.
+	// addresses of at most so many fronts, in random order.
 	Nearest(region string, most int) []string
-	// Order hands an operator's call to a core; see wire.OrderRequest.
+	// Order forwards an operator's call to a core; see wire.OrderRequest.
 	Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error)
-	// SetSeeds names other seeds than the process was started with.
+	// SetSeeds replaces the seeds with which the process was started.
 	SetSeeds(ctx context.Context, seeds []string)
 }
--- a/sim/fleet/fleet.go
+++ b/sim/fleet/fleet.go
@@ -172,7 +172,7 @@
 	}
 	ctx, stop := context.WithCancel(f.ctx)
 	m.started, m.stop, m.ended = true, stop, make(chan error, 1)
-	world := node.World{Clock: clock.System(), Listen: f.Net.Listen, Dial: f.Net.Dialer(host(i))}
+	world := node.Environment{Clock: clock.System(), Listen: f.Net.Listen, Dial: f.Net.Dialer(host(i))}
 	go func() { m.ended <- node.RunIn(ctx, world, role, values, f.log(i)) }()
 	return nil
 }
