--- a/internal/adapter/clientapi/api.go
+++ b/internal/adapter/clientapi/api.go
@@ -45,14 +45,14 @@
 	clock  clock.Clock
 	mounts map[string]http.Handler
 	slots  chan struct{}
-	bodies *stage.Budget
+	bodies *stage.ByteBudget
 }
 
 // New returns the API in front of calls. Mounts answer whatever lies below
 // their path by their own rules.
 func New(limits Limits, calls Calls, clock clock.Clock, mounts map[string]http.Handler) *API {
 	limits = limits.withDefaults()
-	a := &API{calls: calls, clock: clock, mounts: mounts, slots: make(chan struct{}, limits.Requests), bodies: stage.NewBudget(limits.BodiesMax)}
+	a := &API{calls: calls, clock: clock, mounts: mounts, slots: make(chan struct{}, limits.Requests), bodies: stage.NewByteBudget(limits.BodiesMax)}
 	a.limits.Store(&limits)
 	return a
 }
@@ -86,7 +86,7 @@
 // Bounded returns a listener with no more connections open at once than the
 // limits allow; further ones wait to be accepted.
 func (a *API) Bounded(listener net.Listener) net.Listener {
-	return listen.Bounded(listener, a.limits.Load().Connections)
+	return listen.LimitConnections(listener, a.limits.Load().Connections)
 }
 
 type exchange struct {
@@ -113,7 +113,7 @@
 		}
 	}
 	x := &exchange{api: a, limits: a.limits.Load(), writer: w, r: r, head: Head{ID: id, Arrived: a.calls.Arrived()}}
-	defer func() { a.bodies.Give(x.held) }()
+	defer func() { a.bodies.Release(x.held) }()
 	defer x.recover()
 	if r.ContentLength != 0 {
 		_ = http.NewResponseController(w).SetReadDeadline(in(x.limits.BodyTimeout))
@@ -208,7 +208,7 @@
 // hold takes the bytes of a body, as they arrive, from the budget of all bodies.
 // They are given back when the exchange ends.
 func (x *exchange) hold(bytes int) *apierror.Error {
-	if !x.api.bodies.Take(int64(bytes)) {
+	if !x.api.bodies.TryReserve(int64(bytes)) {
 		return x.bodiesFull()
 	}
 	x.held += int64(bytes)
--- a/internal/adapter/clientapi/clientapi_test.go
+++ b/internal/adapter/clientapi/clientapi_test.go
@@ -354,14 +354,14 @@
 			half := listener.dial()
 			go io.WriteString(half, strings.TrimSuffix(request("POST", "/v1/prompt", keyed, whole[:110]), whole[100:110]))
 			synctest.Wait()
-			if left := api.bodies.Left(); left != bound-int64(len(whole))-100 {
+			if left := api.bodies.Available(); left != bound-int64(len(whole))-100 {
 				t.Errorf("%d bytes are left while bodies are held", left)
 			}
 			io.ReadAll(half)
 			first.Close()
 			<-calls.ended
 			synctest.Wait()
-			if left := api.bodies.Left(); left != bound {
+			if left := api.bodies.Available(); left != bound {
 				t.Errorf("%d bytes of %d are left once all have ended", left, bound)
 			}
 		})
--- a/internal/adapter/clientapi/parse.go
+++ b/internal/adapter/clientapi/parse.go
@@ -120,7 +120,7 @@
 	if r.ContentLength > l.BodyMax {
 		return nil, apierror.Errorf(apierror.BodyTooLarge, "a body has at most %d bytes", l.BodyMax)
 	}
-	if r.ContentLength > by.api.bodies.Left() {
+	if r.ContentLength > by.api.bodies.Available() {
 		return nil, by.bodiesFull()
 	}
 	body, err := io.ReadAll(heldBody{http.MaxBytesReader(w, r.Body, l.BodyMax), by})
--- a/internal/adapter/listen/listen.go
+++ b/internal/adapter/listen/listen.go
@@ -6,45 +6,55 @@
 	"sync"
 )
 
-// Bounded returns a listener with no more connections open at once than a
-// number; further ones wait to be accepted.
-func Bounded(listener net.Listener, connections int) net.Listener {
-	return &boundedListener{Listener: listener, free: make(chan struct{}, connections), closed: make(chan struct{})}
+// LimitConnections returns a listener that accepts at most so many simultaneous
+// connections; further ones wait in the operating system's backlog. Close also ends
+// an Accept that waits for a connection to end.
+func LimitConnections(listener net.Listener, connections int) net.Listener {
+	return &limitListener{
+		Listener: listener,
+		slots:    make(chan struct{}, connections),
+		closed:   make(chan struct{}),
+	}
 }
 
-type boundedListener struct {
+// limitListener holds a slot for each open connection.
+type limitListener struct {
 	net.Listener
-	free   chan struct{}
-	closed chan struct{}
-	once   sync.Once
+	slots     chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func (l *boundedListener) Accept() (net.Conn, error) {
+// Accept waits for a free slot and then for a connection.
+func (l *limitListener) Accept() (net.Conn, error) {
 	select {
-	case l.free <- struct{}{}:
+	case l.slots <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	conn, err := l.Listener.Accept()
 	if err != nil {
-		<-l.free
+		<-l.slots
 		return nil, err
 	}
-	return &boundedConn{Conn: conn, free: l.free}, nil
+	return &limitConn{Conn: conn, slots: l.slots}, nil
 }
 
-func (l *boundedListener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+// Close closes the listener. Connections stay open.
+func (l *limitListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-type boundedConn struct {
+// limitConn releases its slot when it is closed first.
+type limitConn struct {
 	net.Conn
-	free chan struct{}
-	once sync.Once
+	slots       chan struct{}
+	releaseOnce sync.Once
 }
 
-func (c *boundedConn) Close() error {
-	c.once.Do(func() { <-c.free })
+// Close closes the connection.
+func (c *limitConn) Close() error {
+	c.releaseOnce.Do(func() { <-c.slots })
 	return c.Conn.Close()
 }
--- a/internal/decision/rendezvous/rendezvous_test.go
+++ b/internal/decision/rendezvous/rendezvous_test.go
@@ -9,8 +9,8 @@
 	"stepwick/internal/decision/rendezvous"
 )
 
-func TestWeight(t *testing.T) {
-	Convey("A weight is that of name and subject together, and costs no memory", t, func() {
+func TestWeightDependsOnCandidateAndSubject(t *testing.T) {
+	Convey("A weight is the hash of candidate and subject, kept apart, and allocates nothing", t, func() {
 		So(rendezvous.Weight("front-1", "tenant"), ShouldEqual, xxhash.Sum64String("front-1\x00tenant"))
 		So(rendezvous.Weight("front-1t", "enant"), ShouldNotEqual, rendezvous.Weight("front-1", "tenant"))
 		So(testing.AllocsPerRun(100, func() { rendezvous.Weight("front-1", "tenant") }), ShouldEqual, 0)
--- a/internal/node/front/keeper.go
+++ b/internal/node/front/keeper.go
@@ -71,7 +71,7 @@
 
 func (k *keeper) move(m move) {
 	select {
-	case k.moves.In() <- m:
+	case k.moves.Input() <- m:
 	case <-k.ended:
 	}
 }
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -67,7 +67,7 @@
 	request.ID = strconv.FormatUint(r.numbers.Add(1), 36)
 	s := &seat{request: request, choice: make(chan route.Choice, 1)}
 	s.lost, s.lose = context.WithCancel(context.Background())
-	if !r.asks.Offer(s) {
+	if !r.asks.TryPut(s) {
 		return nil, apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", routerBound).WithRetryAfter(time.Second)
 	}
 	return s, nil
@@ -76,7 +76,7 @@
 // giveUp frees the seat, with what came of it.
 func (r *router) giveUp(s *seat, outcome route.Outcome) {
 	select {
-	case r.ends.In() <- ended{s, outcome}:
+	case r.ends.Input() <- ended{s, outcome}:
 	case <-r.ended:
 	}
 }
--- a/internal/node/front/scribe.go
+++ b/internal/node/front/scribe.go
@@ -29,7 +29,7 @@
 }
 
 func (s *scribe) note(entry Entry) {
-	if !s.entries.Offer(entry) {
+	if !s.entries.TryPut(entry) {
 		s.dropped.Add(1)
 	}
 }
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -1,4 +1,6 @@
-// Package stage joins the stages of a request's way by bounded queues.
+// Package stage connects the stages of processing a request by bounded queues, and
+// bounds the bytes that the requests between two stages hold. Where a bound is
+// reached the caller is refused or waits; nothing is dropped silently.
 package stage
 
 import (
@@ -7,20 +9,22 @@
 )
 
 // Queue is a bounded queue between one stage and the next. Any number of
-// goroutines may put and take; one of them, after its last Put, closes.
+// goroutines may put and receive; one of them, after the last Put, closes.
 type Queue[T any] struct {
 	items chan T
-	cause error
+	cause error // written before items is closed, read after
 }
 
-// NewQueue returns a queue that holds at most bound items.
-func NewQueue[T any](bound int) *Queue[T] {
-	return &Queue[T]{items: make(chan T, bound)}
+// NewQueue returns a queue that holds at most capacity items.
+func NewQueue[T any](capacity int) *Queue[T] {
+	return &Queue[T]{items: make(chan T, capacity)}
 }
 
-// Put adds an item and waits while the queue is full. It gives the context's
+// Put adds an item and waits while the queue is full. It returns the context's
 // error when that ends first; the item is then not in the queue.
 func (q *Queue[T]) Put(ctx context.Context, item T) error {
+	// A select picks either case when both are ready, so that an ended context has to
+	// be checked before.
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -32,8 +36,9 @@
 	}
 }
 
-// Offer adds an item unless the queue is full, and never waits.
-func (q *Queue[T]) Offer(item T) bool {
+// TryPut adds an item and returns true, or returns false where the queue is full. It
+// never waits.
+func (q *Queue[T]) TryPut(item T) bool {
 	select {
 	case q.items <- item:
 		return true
@@ -42,47 +47,49 @@
 	}
 }
 
-// Items returns the channel to receive from. It is closed by Close once all
-// items are taken.
+// Items returns the channel to receive from. After Close it is closed once all
+// items are received.
 func (q *Queue[T]) Items() <-chan T { return q.items }
 
-// In returns the channel to send to, for a select.
-func (q *Queue[T]) In() chan<- T { return q.items }
+// Input returns the channel to send to, for a select.
+func (q *Queue[T]) Input() chan<- T { return q.items }
 
-// Len returns how many items are in the queue.
+// Len returns the number of items in the queue.
 func (q *Queue[T]) Len() int { return len(q.items) }
 
-// Close ends the queue with a cause, nil for a good end.
+// Close ends the queue with the error that caused it, nil for a regular end. It
+// must be called once.
 func (q *Queue[T]) Close(cause error) {
 	q.cause = cause
 	close(q.items)
 }
 
-// Cause returns what Close was given. It may be asked only after Items was
-// seen closed.
+// Cause returns the error that Close was called with. It may be called only after
+// the channel of Items was seen closed.
 func (q *Queue[T]) Cause() error { return q.cause }
 
-// Budget bounds the sum of what the requests between two stages hold, in bytes.
-type Budget struct {
-	bound int64
-	held  atomic.Int64
+// ByteBudget bounds the sum of the bytes that the requests between two stages hold.
+// Its methods may be called concurrently.
+type ByteBudget struct {
+	limit    int64
+	reserved atomic.Int64
 }
 
-// NewBudget returns a budget of a number of bytes.
-func NewBudget(bound int64) *Budget { return &Budget{bound: bound} }
+// NewByteBudget returns a budget with a limit in bytes.
+func NewByteBudget(limit int64) *ByteBudget { return &ByteBudget{limit: limit} }
 
-// Take takes bytes, or none and false when they are over what is left. It
-// never waits.
-func (b *Budget) Take(bytes int64) bool {
-	if b.held.Add(bytes) <= b.bound {
+// TryReserve reserves bytes and returns true, or reserves none and returns false
+// where they exceed what is available. It never waits.
+func (b *ByteBudget) TryReserve(bytes int64) bool {
+	if b.reserved.Add(bytes) <= b.limit {
 		return true
 	}
-	b.held.Add(-bytes)
+	b.reserved.Add(-bytes)
 	return false
 }
 
-// Give gives bytes back that were taken.
-func (b *Budget) Give(bytes int64) { b.held.Add(-bytes) }
+// Release releases reserved bytes.
+func (b *ByteBudget) Release(bytes int64) { b.reserved.Add(-bytes) }
 
-// Left returns how many bytes could be taken now.
-func (b *Budget) Left() int64 { return b.bound - b.held.Load() }
+// Available returns the number of bytes that could be reserved now.
+func (b *ByteBudget) Available() int64 { return b.limit - b.reserved.Load() }
