--- a/sim/balance/front.go
+++ b/sim/balance/front.go
@@ -1,11 +1,11 @@
 package balance
 
 import (
+	"google.golang.org/protobuf/proto"
+
 	"stepwick/internal/core/balance"
 	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
-
-	"google.golang.org/protobuf/proto"
 )
 
 const (
--- a/sim/balance/paired.go
+++ b/sim/balance/paired.go
@@ -17,9 +17,6 @@
 	Each   []float64
 }
 
-// Real tells whether the interval leaves zero out.
-func (d Difference) Real() bool { return math.Abs(d.Mean) > d.Within && len(d.Each) > 1 }
-
 // confidence is of the intervals.
 const confidence = 0.95
 
--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -1,7 +1,6 @@
 package balance
 
 import (
-	"container/heap"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -11,6 +10,7 @@
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
+	"stepwick/sim/eventqueue"
 )
 
 const serviceName = "pool"
@@ -21,37 +21,13 @@
 	Off  balance.Off
 }
 
-// event is something that happens at an instant, in milliseconds.
-type event struct {
-	at    float64
-	order uint64
-	do    func()
-}
-
-type queue []event
-
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
-}
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*q = old[:len(old)-1]
-	return last
-}
-
 // run is one day in virtual time.
 type run struct {
 	site    Site
 	policy  Policy
 	random  *rand.Rand
 	now     float64
-	events  queue
-	count   uint64
+	events  eventqueue.Queue[float64] // by milliseconds
 	fronts  []*front
 	servers map[string]*server
 	view    balance.View
@@ -76,8 +52,7 @@
 }
 
 func (r *run) after(ms float64, do func()) {
-	r.count++
-	heap.Push(&r.events, event{at: r.now + ms, order: r.count, do: do})
+	r.events.Schedule(r.now+ms, do)
 }
 
 // Play plays a day of a site under a policy.
@@ -94,15 +69,19 @@
 	for _, f := range r.fronts {
 		r.after(r.random.Float64()*suspectEvery, f.suspect)
 	}
-	end := site.Seconds * 1000
-	for len(r.events) > 0 && r.events[0].at < end+drainMS {
-		next := heap.Pop(&r.events).(event)
-		r.now = next.at
-		next.do()
-	}
+	r.runEvents(site.Seconds*1000 + drainMS)
 	return r.result.finished(site)
 }
 
+// runEvents runs the events that are due before an instant, in milliseconds.
+func (r *run) runEvents(until float64) {
+	for at, ok := r.events.Next(); ok && at < until; at, ok = r.events.Next() {
+		instant, action := r.events.Pop()
+		r.now = instant
+		action()
+	}
+}
+
 // drainMS is how long after the last request a run goes on.
 const drainMS = 5000
 
--- a/sim/ballots/random.go
+++ b/sim/ballots/random.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"container/heap"
 	"encoding/binary"
 	"fmt"
 	"math/rand/v2"
@@ -11,6 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"stepwick/internal/core/ballot"
+	"stepwick/sim/eventqueue"
 )
 
 // Faults are the rates of a random run. Times are in virtual milliseconds.
@@ -64,15 +64,7 @@
 	}
 	s.after(faults.Calm+s.between(1, faults.Every), s.fault)
 	s.after(faults.Until, s.heal)
-	for s.outcome.Violation == "" && len(s.queue) > 0 && s.now < faults.Until+settleTime {
-		e := heap.Pop(&s.queue).(event)
-		s.now = e.at
-		s.outcome.Events++
-		e.do()
-		if s.now > faults.Until && s.agreed() {
-			break
-		}
-	}
+	s.runEvents()
 	s.outcome.Chosen = len(s.chosen)
 	if s.outcome.Violation == "" && !s.outcome.Lost && !s.agreed() {
 		s.violate("%d ms after the last fault the cores don't agree: %s", settleTime, s.summary())
@@ -80,6 +72,23 @@
 	return s.outcome
 }
 
+// runEvents runs until the processes agree after the last fault, a rule is
+// violated, or the time to come to an agreement is over.
+func (s *sim) runEvents() {
+	for s.outcome.Violation == "" && s.now < s.faults.Until+settleTime {
+		if _, ok := s.events.Next(); !ok {
+			return
+		}
+		instant, action := s.events.Pop()
+		s.now = instant
+		s.outcome.Events++
+		action()
+		if s.now > s.faults.Until && s.agreed() {
+			return
+		}
+	}
+}
+
 // fiveNames are the cores of the largest random run.
 var fiveNames = []string{"a", "b", "c", "d", "e"}
 
@@ -87,8 +96,7 @@
 	random  *rand.Rand
 	faults  Faults
 	now     int64
-	order   int64
-	queue   events
+	events  eventqueue.Queue[int64] // by milliseconds
 	names   []string
 	cores   []*core
 	old     []*core // the last process that had a name before another took it
@@ -107,8 +115,7 @@
 func (s *sim) chance(p float64) bool         { return s.random.Float64() < p }
 
 func (s *sim) after(ms int64, do func()) {
-	s.order++
-	heap.Push(&s.queue, event{at: s.now + ms, order: s.order, do: do})
+	s.events.Schedule(s.now+ms, do)
 }
 
 func (s *sim) violate(format string, args ...any) {
--- /dev/null
+++ b/sim/eventqueue/eventqueue_test.go
@@ -0,0 +1,26 @@
+package eventqueue
+
+import (
+	"slices"
+	"testing"
+)
+
+func TestEventsRunInOrderOfInstantThenOfScheduling(t *testing.T) {
+	var queue Queue[int]
+	var got []string
+	record := func(name string) func() { return func() { got = append(got, name) } }
+	queue.Schedule(2, record("late"))
+	queue.Schedule(1, record("first"))
+	queue.Schedule(1, record("second"))
+	queue.Schedule(0, record("early"))
+	for at, ok := queue.Next(); ok; at, ok = queue.Next() {
+		popped, action := queue.Pop()
+		if popped != at {
+			t.Errorf("popped an event of %d, %d was next", popped, at)
+		}
+		action()
+	}
+	if want := []string{"early", "first", "second", "late"}; !slices.Equal(got, want) {
+		t.Errorf("ran %v, want %v", got, want)
+	}
+}
--- a/sim/route/sim.go
+++ b/sim/route/sim.go
@@ -6,7 +6,6 @@
 
 import (
 	"cmp"
-	"container/heap"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -17,6 +16,7 @@
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
+	"stepwick/sim/eventqueue"
 )
 
 const (
@@ -128,8 +128,7 @@
 	cfg     Config
 	rng     *rand.Rand
 	now     kernel.Duration
-	order   int
-	events  events
+	events  eventqueue.Queue[kernel.Duration]
 	servers []*server
 	byName  map[string]*server
 	fronts  []*front
@@ -181,14 +180,7 @@
 		s.at(fault.At, func() { s.fault(fault) })
 	}
 	s.at(kernel.Second, func() { s.offer(0) })
-	for len(s.events) > 0 {
-		e := heap.Pop(&s.events).(event)
-		if e.at > cfg.Span+cfg.Deadline {
-			break
-		}
-		s.now = e.at
-		e.f()
-	}
+	s.runEvents(cfg.Span + cfg.Deadline)
 	slices.Sort(s.result.TTFT)
 	for _, v := range s.servers {
 		s.result.Hits += v.ledger.Hits
@@ -198,9 +190,17 @@
 	return s.result
 }
 
-func (s *sim) at(at kernel.Duration, f func()) {
-	s.order++
-	heap.Push(&s.events, event{max(at, s.now), s.order, f})
+// runEvents runs the events that are due until an instant, included.
+func (s *sim) runEvents(until kernel.Duration) {
+	for at, ok := s.events.Next(); ok && at <= until; at, ok = s.events.Next() {
+		instant, action := s.events.Pop()
+		s.now = instant
+		action()
+	}
+}
+
+func (s *sim) at(at kernel.Duration, action func()) {
+	s.events.Schedule(max(at, s.now), action)
 }
 
 func (s *sim) clock() kernel.Time { return epoch.Add(s.now) }
