--- /dev/null
+++ b/sim/tally/demand.go
@@ -0,0 +1,83 @@
+package tally
+
+import (
+	"math/rand/v2"
+
+	"stepwick/internal/kernel"
+)
+
+// Demand is the offered rate of tokens at a front, as a multiple of limit/window.
+type Demand func(at kernel.Duration, front int) float64
+
+const (
+	defaultFronts = 9
+	zoneFronts    = 3
+	window        = 8 * second
+)
+
+// evenly spreads a demand over all fronts.
+func evenly(multiple float64) Demand {
+	return func(kernel.Duration, int) float64 { return multiple / defaultFronts }
+}
+
+// jump changes an even demand at an instant.
+func jump(at kernel.Duration, before, after float64) Demand {
+	return func(now kernel.Duration, _ int) float64 {
+		if now < at {
+			return before / defaultFronts
+		}
+		return after / defaultFronts
+	}
+}
+
+// movingZone sends all of the demand to the three fronts of one zone, and to the
+// next zone after every stay.
+func movingZone(multiple float64, stay kernel.Duration, first int) Demand {
+	return func(now kernel.Duration, front int) float64 {
+		if (first+int(now/stay))%zoneFronts == front/zoneFronts {
+			return multiple / zoneFronts
+		}
+		return 0
+	}
+}
+
+// mostlyAt sends one share of the demand to one front, and the other to all others.
+func mostlyAt(hot int, hotShare, otherShare, multiple float64) Demand {
+	return func(_ kernel.Duration, front int) float64 {
+		if front == hot {
+			return hotShare * multiple
+		}
+		return otherShare / (defaultFronts - 1) * multiple
+	}
+}
+
+// byRegion spreads one demand over the fronts of each region.
+func byRegion(firstRegion int, first, other float64) Demand {
+	return func(_ kernel.Duration, front int) float64 {
+		if front < firstRegion {
+			return first / float64(firstRegion)
+		}
+		return other / float64(defaultFronts-firstRegion)
+	}
+}
+
+// inWindow returns the number of an instant's window and the seconds since its start.
+func inWindow(at kernel.Duration) (number kernel.Duration, offset float64) {
+	return at / window, (at % window).Seconds()
+}
+
+// largeRequests is a tenant under 0.75 of its limit, with requests of 2 to 10% of
+// the limit, at some of the fronts.
+func largeRequests(random *rand.Rand) Fleet {
+	multiple := between(random, 0.3, 0.75)
+	var weights [defaultFronts]float64
+	sum := 0.0
+	for i := range weights {
+		if i == 0 || random.IntN(3) > 0 {
+			weights[i] = between(random, 0.2, 1)
+			sum += weights[i]
+		}
+	}
+	return Fleet{RequestSize: between(random, 0.02, 0.1), Length: 60 * second, FollowFaults: true, OwnerFirst: true,
+		Demand: func(_ kernel.Duration, front int) float64 { return multiple * weights[front] / sum }}
+}
--- a/sim/tally/fleet_test.go
+++ b/sim/tally/fleet_test.go
@@ -15,32 +15,30 @@
 
 // The long run: go test ./sim/tally -run Scenarios -seeds 200 -report
 var (
-	seeds   = flag.Int("seeds", 2, "seeds of each scenario")
-	first   = flag.Uint64("first", 1, "first seed")
-	without = flag.Uint("without", 0, "exceptions left out, as a mask: 1 mark ends, 2 bound, 4 room, 8 share, 16 hold")
-	only    = flag.String("only", "", "part of the names of the scenarios to run")
-	report  = flag.Bool("report", false, "print the figures")
-	slices  = flag.Int("slices", 0, "slices of a window")
+	seeds        = flag.Int("seeds", 2, "seeds of each scenario")
+	first        = flag.Uint64("first", 1, "first seed")
+	without      = flag.Uint("without", 0, "exceptions left out, as a mask: 1 mark ends, 2 bound, 4 room, 8 share, 16 hold")
+	only         = flag.String("only", "", "part of the names of the scenarios to run")
+	report       = flag.Bool("report", false, "print the figures")
+	windowSlices = flag.Int("slices", 0, "slices of a window")
 )
 
-func play(scenario Scenario, seed uint64) (found, exact Finding) {
+func play(scenario Scenario, seed uint64) (result, exact Result) {
 	return playWithout(scenario, seed, tally.Exception(*without))
 }
 
-func playWithout(scenario Scenario, seed uint64, without tally.Exception) (found, exact Finding) {
-	fleet, from, until := scenario.Make(rand.New(rand.NewPCG(seed, 1)))
+func playWithout(scenario Scenario, seed uint64, without tally.Exception) (result, exact Result) {
+	setup := scenario.Draw(rand.New(rand.NewPCG(seed, 1)))
+	fleet := setup.Fleet
 	fleet.Seed = seed
-	fleet.Config = tally.Config{Without: without, Slices: *slices}
-	split := fleet.Split
-	if split == 0 {
-		split = 6
-	}
+	fleet.Config = tally.Config{Without: without, Slices: *windowSlices}
+	firstRegion := fleet.withDefaults().FirstRegion
 	requests := fleet.Run()
-	found = Judge(requests, split, from, until)
-	if scenario.Beside > 0 {
-		exact = Judge(Exact(requests), split, from, until)
+	result = Check(requests, firstRegion, setup.ExcessFrom, setup.ExcessUntil)
+	if scenario.Require.ExactMargin > 0 {
+		exact = Check(Exact(requests), firstRegion, setup.ExcessFrom, setup.ExcessUntil)
 	}
-	return found, exact
+	return result, exact
 }
 
 func TestScenarios(t *testing.T) {
@@ -48,36 +46,36 @@
 		if !strings.Contains(scenario.Name, *only) {
 			continue
 		}
-		worst := Finding{Low: 9, ByRegion: [2]float64{9, 9}}
+		worst := Result{Min: 9, MinByRegion: [regions]float64{9, 9}}
 		least, mean, runs := 9.0, 0.0, 0
 		for seed := *first; seed < *first+uint64(*seeds); seed++ {
-			found, exact := play(scenario, seed)
-			for _, broken := range scenario.Broken(found, exact) {
+			result, exact := play(scenario, seed)
+			for _, broken := range scenario.Broken(result, exact) {
 				t.Errorf("%s, seed %d: %s", scenario.Name, seed, broken)
 			}
-			worst.High, worst.Refused, worst.Wait = max(worst.High, found.High), max(worst.Refused, found.Refused), max(worst.Wait, found.Wait)
-			if found.Low >= 0 {
-				worst.Low, mean, runs = min(worst.Low, found.Low), mean+found.Mean, runs+1
-				worst.ByRegion[0], worst.ByRegion[1] = min(worst.ByRegion[0], found.ByRegion[0]), min(worst.ByRegion[1], found.ByRegion[1])
+			worst.Max, worst.Refused, worst.Wait = max(worst.Max, result.Max), max(worst.Refused, result.Refused), max(worst.Wait, result.Wait)
+			if result.Min >= 0 {
+				worst.Min, mean, runs = min(worst.Min, result.Min), mean+result.Mean, runs+1
+				worst.MinByRegion[0], worst.MinByRegion[1] = min(worst.MinByRegion[0], result.MinByRegion[0]), min(worst.MinByRegion[1], result.MinByRegion[1])
 			}
-			if scenario.Beside > 0 {
-				least = min(least, exact.Low)
+			if scenario.Require.ExactMargin > 0 {
+				least = min(least, exact.Min)
 			}
 		}
 		if !*report {
 			continue
 		}
-		line := fmt.Sprintf("%-42s most %.3f", scenario.Name, worst.High)
+		line := fmt.Sprintf("%-42s most %.3f", scenario.Name, worst.Max)
 		if runs > 0 {
-			line += fmt.Sprintf("  least %.3f  mean %.3f", worst.Low, mean/float64(runs))
+			line += fmt.Sprintf("  least %.3f  mean %.3f", worst.Min, mean/float64(runs))
 		}
-		if scenario.Side > 0 {
-			line += fmt.Sprintf("  sides %.2f %.2f", worst.ByRegion[0], worst.ByRegion[1])
+		if scenario.Require.MinByRegion > 0 {
+			line += fmt.Sprintf("  sides %.2f %.2f", worst.MinByRegion[0], worst.MinByRegion[1])
 		}
-		if scenario.Beside > 0 {
+		if scenario.Require.ExactMargin > 0 {
 			line += fmt.Sprintf("  least of one exact log %.3f", least)
 		}
-		if scenario.Refusal >= 0 {
+		if scenario.Require.MaxRefused >= 0 {
 			line += fmt.Sprintf("  refused %.5f", worst.Refused)
 		}
 		fmt.Printf("%s  longest hold %v\n", line, worst.Wait.Round(kernel.Millisecond))
@@ -85,7 +83,7 @@
 }
 
 // TestEachExceptionIsNeeded takes the tally's defences against crowds out one by
-// one, and looks whether the judge sees it in one of the scenarios. The bound on a
+// one, and looks whether the checker sees it in one of the scenarios. The bound on a
 // span is not among them: with shares in place no scenario needs it at this seed.
 func TestEachExceptionIsNeeded(t *testing.T) {
 	for name, exception := range map[string]tally.Exception{"the mark's early end": tally.MarkEnds,
@@ -100,8 +98,8 @@
 // without an exception.
 func firstBroken(without tally.Exception) []string {
 	for _, scenario := range Scenarios() {
-		found, exact := playWithout(scenario, 1, without)
-		if broken := scenario.Broken(found, exact); len(broken) > 0 {
+		result, exact := playWithout(scenario, 1, without)
+		if broken := scenario.Broken(result, exact); len(broken) > 0 {
 			return broken
 		}
 	}
@@ -116,7 +114,7 @@
 	})
 }
 
-func TestJudge(t *testing.T) {
+func TestChecker(t *testing.T) {
 	pass := func(at kernel.Duration, tokens float64) Request {
 		return Request{At: at, Answered: at, Tokens: tokens, Decision: tally.Decision{Pass: true}}
 	}
@@ -124,17 +122,17 @@
 	for at := kernel.Duration(0); at < 40*second; at += 80 * kernel.Millisecond {
 		even = append(even, pass(at, 0.01))
 	}
-	scenario := Scenario{High: high, Low: low, Refusal: 0}
-	Convey("The judge finds nothing in an even stream at the limit", t, func() {
-		So(scenario.Broken(Judge(even, 6, 0, 40*second), Finding{}), ShouldBeEmpty)
+	scenario := Scenario{Require: Requirements{Max: maxAdmitted, Min: minAdmitted, MaxRefused: 0}}
+	Convey("The checker finds nothing in an even stream at the limit", t, func() {
+		So(scenario.Broken(Check(even, 6, 0, 40*second), Result{}), ShouldBeEmpty)
 	})
 	Convey("It finds a span with too much, too little, a refusal below 0.8, and a starved side", t, func() {
 		much := append(append([]Request(nil), even...), pass(40*second, 0.3))
-		So(scenario.Broken(Judge(much, 6, 0, 0), Finding{}), ShouldHaveLength, 1)
+		So(scenario.Broken(Check(much, 6, 0, 0), Result{}), ShouldHaveLength, 1)
 		little := append(append([]Request(nil), even[:200]...), even[250:]...)
-		So(scenario.Broken(Judge(little, 6, 0, 40*second), Finding{}), ShouldHaveLength, 1)
+		So(scenario.Broken(Check(little, 6, 0, 40*second), Result{}), ShouldHaveLength, 1)
 		refused := []Request{pass(0, 0.1), {At: second, Answered: second, Tokens: 0.1, Decision: tally.Decision{Code: kernel.ShareExceeded}}}
-		So(scenario.Broken(Judge(refused, 6, 0, 0), Finding{}), ShouldHaveLength, 1)
-		So(Scenario{High: high, Side: 0.2, Refusal: -1}.Broken(Judge(even, 6, 0, 40*second), Finding{}), ShouldHaveLength, 1)
+		So(scenario.Broken(Check(refused, 6, 0, 0), Result{}), ShouldHaveLength, 1)
+		So(Scenario{Require: Requirements{Max: maxAdmitted, MinByRegion: 0.2, MaxRefused: refusalsAllowed}}.Broken(Check(even, 6, 0, 40*second), Result{}), ShouldHaveLength, 1)
 	})
 }
--- /dev/null
+++ b/sim/tally/network.go
@@ -0,0 +1,146 @@
+package tally
+
+import (
+	"stepwick/internal/core/tally"
+	"stepwick/internal/kernel"
+	"stepwick/internal/wire"
+)
+
+const exchangeTimeout = kernel.Second
+
+// reachability returns the fronts that front i takes for members, and which of
+// those it finds unresponsive.
+func (r *run) reachability(i int) (live, unresponsive []string) {
+	skew := kernel.Duration(i) * 60 * kernel.Millisecond
+	forgetAfter, detectAfter := r.ForgetAfter, 2*kernel.Second
+	if r.FollowFaults {
+		forgetAfter, detectAfter = 500*kernel.Millisecond+skew, 1500*kernel.Millisecond+skew
+	}
+	for j, name := range r.names {
+		if forgetAfter > 0 && r.isDown(r.now, j) && r.isDown(r.now-forgetAfter, j) {
+			continue
+		}
+		live = append(live, name)
+		if i != j && r.unresponsive(i, j, detectAfter) {
+			unresponsive = append(unresponsive, name)
+		}
+	}
+	return live, unresponsive
+}
+
+// unresponsive reports whether front i finds front j unresponsive: behind a
+// partition, frozen or just resumed, or all others after a freeze of its own.
+func (r *run) unresponsive(i, j int, detectAfter kernel.Duration) bool {
+	if r.partitioned(i, j, r.now) && r.partitioned(i, j, r.now-detectAfter) && !r.isDown(r.now, j) {
+		return true
+	}
+	if r.isFrozen(r.now-detectAfter, j) && (r.isFrozen(r.now, j) || r.now-r.fronts[j].resumedAt < resumeGrace) {
+		return true
+	}
+	own := r.fronts[i].resumedAt
+	return own > 0 && r.now-own < resumeGrace
+}
+
+func (r *run) partitioned(i, j int, at kernel.Duration) bool {
+	return r.Partitioned != nil && r.crossesRegions(i, j) && r.Partitioned(at)
+}
+
+func (r *run) crossesRegions(i, j int) bool { return (i < r.FirstRegion) != (j < r.FirstRegion) }
+
+func (r *run) delay(i, j int) kernel.Duration {
+	if i == j {
+		return 20 * kernel.Microsecond
+	}
+	if r.crossesRegions(i, j) {
+		return r.RegionDelay/2 + kernel.Duration(r.random.Int64N(int64(r.RegionDelay/2)))
+	}
+	return kernel.Millisecond + kernel.Duration(r.random.Int64N(int64(2*kernel.Millisecond)))
+}
+
+func (r *run) lost(i, j int) bool {
+	return i != j && (r.random.Float64() < r.Loss || r.partitioned(i, j, r.now))
+}
+
+// ownerOf returns front i's choice of a tenant's owner.
+func (r *run) ownerOf(i int) func(tenant string) string {
+	reached := tally.Reached(r.reachability(i))
+	return func(tenant string) string { return tally.HolderOf(tenant, reached) }
+}
+
+// exchange is one request with counts from a front to an owner, by index.
+type exchange struct {
+	run         *run
+	from, to    int
+	incarnation uint64 // of the sender
+	sentAt      kernel.Time
+	request     *wire.AddRequest
+}
+
+// send sends counts to their owners.
+func (r *run) send(i int, batches map[string][]*wire.Count) {
+	f := r.fronts[i]
+	for owner, counts := range batches {
+		f.sentTo[owner] = true
+		f.inFlight[owner]++
+		x := &exchange{run: r, from: i, to: r.index(owner), incarnation: f.incarnation, sentAt: r.clock(i),
+			request: &wire.AddRequest{Front: f.name, Incarnation: f.incarnation, Counts: counts}}
+		x.start()
+	}
+}
+
+func (x *exchange) start() {
+	r := x.run
+	if r.lost(x.from, x.to) || r.fronts[x.to].down {
+		x.timeOut()
+		return
+	}
+	r.after(r.delay(x.from, x.to), x.arrive)
+}
+
+// arrive delivers the request. A frozen owner handles it once it resumes, after
+// the sender has given up.
+func (x *exchange) arrive() {
+	r := x.run
+	if r.fronts[x.to].down {
+		x.timeOut()
+		return
+	}
+	if r.isFrozen(r.now, x.to) {
+		x.timeOut()
+		r.whenResumed(x.to, func() { x.handle() })
+		return
+	}
+	resp := x.handle()
+	if r.lost(x.to, x.from) {
+		x.timeOut()
+		return
+	}
+	r.after(r.delay(x.to, x.from), func() { x.respond(resp) })
+}
+
+func (x *exchange) handle() *wire.AddResponse {
+	return x.run.fronts[x.to].counter.Add(x.request, x.run.clock(x.to))
+}
+
+func (x *exchange) respond(resp *wire.AddResponse) {
+	x.done()
+	x.run.whenResumed(x.from, func() { x.run.learn(x.from, x.incarnation, resp, x.sentAt) })
+}
+
+func (x *exchange) timeOut() { x.run.after(exchangeTimeout, x.done) }
+
+func (x *exchange) done() {
+	f := x.run.fronts[x.from]
+	if f.incarnation == x.incarnation {
+		f.inFlight[x.run.names[x.to]]--
+	}
+}
+
+// whenResumed runs an action once front i isn't frozen, at once if it is not.
+func (r *run) whenResumed(i int, action func()) {
+	if !r.isFrozen(r.now, i) {
+		action()
+		return
+	}
+	r.after(arrivalStep, func() { r.whenResumed(i, action) })
+}
