--- a/sim/ballots/letter.go
+++ b/sim/ballots/message.go
@@ -10,11 +10,13 @@
 	"stepwick/internal/wire"
 )
 
-// letter is a message under way. Answers name the life and run that asked.
-type letter struct {
+// message is a request or an answer in flight. An answer names the incarnation
+// and run of the process that sent the request.
+type message struct {
 	hash          uint64
 	from, to      int
-	life, run     int
+	incarnation   int
+	run           int
 	prepare       *wire.PrepareRequest
 	prepared      *wire.PrepareResponse
 	accept        *wire.AcceptRequest
@@ -24,69 +26,69 @@
 	deliveredOnce bool
 }
 
-// refusal tells whether an answer gives its asker nothing to go on. A letter
-// that only brings one is never worth delivering: whatever can happen after it
-// can happen while it is still under way.
-func (l *letter) refusal() bool {
+// refusal reports whether an answer changes nothing at its receiver. Such an
+// answer need not be delivered: whatever can happen after it can happen while it
+// is in flight.
+func (msg *message) refusal() bool {
 	switch {
-	case l.prepared != nil:
-		return !l.prepared.Promised && !l.prepared.Chosen
-	case l.accepted != nil:
-		return !l.accepted.Accepted && !l.accepted.Chosen
+	case msg.prepared != nil:
+		return !msg.prepared.Promised && !msg.prepared.Chosen
+	case msg.accepted != nil:
+		return !msg.accepted.Accepted && !msg.accepted.Chosen
 	}
-	return !l.recovered.Ok
+	return !msg.recovered.Ok
 }
 
-func (l *letter) answer() bool {
-	return l.prepared != nil || l.accepted != nil || l.recovered != nil
+func (msg *message) answer() bool {
+	return msg.prepared != nil || msg.accepted != nil || msg.recovered != nil
 }
 
-func (l *letter) String() string {
-	head := fmt.Sprintf("%s to %s (life %d, run %d) ", names[l.from], names[l.to], l.life, l.run)
+func (msg *message) String() string {
+	head := fmt.Sprintf("%s to %s (life %d, run %d) ", names[msg.from], names[msg.to], msg.incarnation, msg.run)
 	switch {
-	case l.prepare != nil:
-		return head + fmt.Sprintf("prepare %d", l.prepare.Ballot.Number)
-	case l.prepared != nil:
-		m := l.prepared
+	case msg.prepare != nil:
+		return head + fmt.Sprintf("prepare %d", msg.prepare.Ballot.Number)
+	case msg.prepared != nil:
+		m := msg.prepared
 		return head + fmt.Sprintf("promised %v %v accepted %v %q chosen %v %q lives %v", m.Promised, ballot.Of(m.PromisedBallot),
 			ballot.Of(m.AcceptedBallot), m.AcceptedValue, m.Chosen, m.ChosenValue, m.Lives)
-	case l.accept != nil:
-		return head + fmt.Sprintf("accept %d %q on lives %v", l.accept.Ballot.Number, l.accept.Value, l.accept.PromisedLives)
-	case l.accepted != nil:
-		m := l.accepted
+	case msg.accept != nil:
+		return head + fmt.Sprintf("accept %d %q on lives %v", msg.accept.Ballot.Number, msg.accept.Value, msg.accept.PromisedLives)
+	case msg.accepted != nil:
+		m := msg.accepted
 		return head + fmt.Sprintf("accepted %v of %v lives %v chosen %v %q", m.Accepted, ballot.Of(m.PromisedBallot), m.Lives, m.Chosen, m.ChosenValue)
-	case l.recover != nil:
-		return head + fmt.Sprintf("recover life %d", l.recover.Life)
+	case msg.recover != nil:
+		return head + fmt.Sprintf("recover life %d", msg.recover.Life)
 	}
-	m := l.recovered
+	m := msg.recovered
 	return head + fmt.Sprintf("recovered %v votes %v chosen %v lives %v", m.Ok, m.Votes, m.Chosen, m.Lives)
 }
 
-func (l letter) summed() *letter {
-	l.hash = l.sum()
-	return &l
+func (msg message) summed() *message {
+	msg.hash = msg.sum()
+	return &msg
 }
 
-func (l *letter) sum() uint64 {
-	to := append(make([]byte, 0, 256), byte(l.from), byte(l.to), byte(l.life), byte(l.run))
+func (msg *message) sum() uint64 {
+	to := append(make([]byte, 0, 256), byte(msg.from), byte(msg.to), byte(msg.incarnation), byte(msg.run))
 	switch {
-	case l.prepare != nil:
-		to = binary.AppendUvarint(append(to, 1), l.prepare.Ballot.Number)
-	case l.prepared != nil:
-		m := l.prepared
+	case msg.prepare != nil:
+		to = binary.AppendUvarint(append(to, 1), msg.prepare.Ballot.Number)
+	case msg.prepared != nil:
+		m := msg.prepared
 		to = appendBallots(append(to, 2, bit(m.Promised), bit(m.Chosen), byte(m.Refusal)), m.PromisedBallot, m.AcceptedBallot)
 		to = appendLives(append(append(to, m.AcceptedValue...), m.ChosenValue...), m.Lives)
-	case l.accept != nil:
-		to = append(binary.AppendUvarint(append(to, 3), l.accept.Ballot.Number), l.accept.Value...)
-		to = appendLives(to, l.accept.PromisedLives)
-	case l.accepted != nil:
-		m := l.accepted
+	case msg.accept != nil:
+		to = append(binary.AppendUvarint(append(to, 3), msg.accept.Ballot.Number), msg.accept.Value...)
+		to = appendLives(to, msg.accept.PromisedLives)
+	case msg.accepted != nil:
+		m := msg.accepted
 		to = appendBallots(append(to, 4, bit(m.Accepted), bit(m.Chosen), byte(m.Refusal)), m.PromisedBallot)
 		to = appendLives(append(to, m.ChosenValue...), m.Lives)
-	case l.recover != nil:
-		to = append(to, 5, byte(l.recover.Life))
-	case l.recovered != nil:
-		to = appendRecovered(append(to, 6), l.recovered)
+	case msg.recover != nil:
+		to = append(to, 5, byte(msg.recover.Life))
+	case msg.recovered != nil:
+		to = appendRecovered(append(to, 6), msg.recovered)
 	}
 	return xxhash.Sum64(to)
 }
--- a/sim/ballots/model.go
+++ b/sim/ballots/model.go
@@ -19,22 +19,21 @@
 	"stepwick/internal/wire"
 )
 
-// Flaw is a rule left out on purpose, to show that the judge sees it.
+// Flaw is a rule left out on purpose, to show that the checker finds the violation.
 type Flaw int
 
 // Flaws.
 const (
-	Sound             Flaw = iota
-	LivesHidden            // answers never tell of a later disk life
-	LifeForgotten          // an answerer does not keep the life it was told
-	PromiseTwice           // a ballot may be promised to two openings
-	PartialRebuild         // a wiped core takes the first answer for all
-	RebuildWithout         // a wiped core votes at once
-	RebuildFromTooFew      // a wiped core takes one answer fewer than a rebuild quorum for enough
-	SharedLife             // two processes of one name may announce the same disk life
+	Sound          Flaw = iota
+	LivesHidden         // answers omit later disk lives
+	LifeForgotten       // an acceptor does not record the disk life it is notified of
+	PromiseTwice        // a ballot may be promised to two openings
+	PartialRebuild      // a wiped core takes the first answer for a complete rebuild quorum
+	RebuildWithout      // a wiped core votes without a rebuild
+	SharedLife          // two processes of one name may announce the same disk life
 )
 
-// Bounds of an exploration.
+// Bounds limit an exploration.
 type Bounds struct {
 	Ballots    []int  // by core, how many each may open
 	Wipes      int    // never of the last disk
@@ -42,12 +41,12 @@
 	Crashes    int
 	Rebuilds   int // attempts of wiped cores to recover; 0 is one for each wipe and crash
 	Duplicates int
-	Eager      bool // an answer is taken at once or lost; else it may come at any time
+	Eager      bool // an answer arrives at once or is lost; else it may arrive at any time
 	States     int  // stop after so many; 0 is none
 	Flaw       Flaw
 }
 
-// Report of an exploration. Trace leads to the violation, if there is one.
+// Report is the result of an exploration. Trace leads to the violation, if there is one.
 type Report struct {
 	States      int
 	Transitions int
@@ -61,69 +60,74 @@
 
 var names = []string{"a", "b", "c"}
 
-// world is one state of the model. It is a value: transitions copy it.
+// world is one state of the model. It is a value: transitions copy it, and share
+// the cache.
 type world struct {
 	cores   [3]node
-	network []*letter // sorted by hash
-	bounds  Bounds    // what is left of them
-	decided []byte    // the first value that any core took for chosen
-	memory  *memory
+	network []*message // sorted by hash
+	bounds  Bounds     // what is left of them
+	decided []byte     // the first value that any core took for chosen
+	cache   *handlerCache
 }
 
-// memory keeps what a node does with a letter: it recurs in many worlds.
-type memory struct {
-	handed map[[2]uint64]handed
-	taken  map[[2]uint64]taken
+// handling identifies the handling of a message by the hashes of the node and
+// the message.
+type handling struct{ node, message uint64 }
+
+// handlerCache keeps what a node does with a message, which recurs in many worlds.
+type handlerCache struct {
+	requests map[handling]requestResult
+	answers  map[handling]answerResult
 }
 
-type handed struct {
+type requestResult struct {
 	node    node
-	answer  *letter
+	answer  *message
 	changed bool
 }
 
-type taken struct {
-	node    node
-	letters []*letter
-	decided []byte
+type answerResult struct {
+	node     node
+	messages []*message
+	decided  []byte
 }
 
 type node struct {
-	state     ballot.State
-	life      int // incarnation of the process: answers to an earlier one are lost
-	run       int // of the proposer
-	proposer  *ballot.Proposer
-	rebuild   *rebuild
-	proposals int
-	hash      uint64
+	state       ballot.State
+	incarnation int // of the process: answers to an earlier one are lost
+	run         int // of the proposer
+	proposer    *ballot.Proposer
+	rebuild     *rebuild
+	proposals   int
+	hash        uint64
 }
 
 type rebuild struct {
-	life    uint64
-	answers map[string]*wire.RecoverResponse
+	diskLife uint64
+	answers  map[string]*wire.RecoverResponse
 }
 
-// step is one transition; it is put into words only when it is shown.
+// step is one transition; it is formatted only when it is printed.
 type step struct {
-	what   string
-	core   int
-	letter *letter
+	what    string
+	core    int
+	message *message
 }
 
 func (s step) String() string {
-	if s.letter != nil {
-		return strings.TrimSpace(s.letter.String() + " " + s.what)
+	if s.message != nil {
+		return strings.TrimSpace(s.message.String() + " " + s.what)
 	}
 	return s.what + " " + names[s.core]
 }
 
-// Explore walks every reachable state within the bounds, depth first, and
+// Explore visits every reachable state within the bounds, depth first, and
 // stops at the first violation.
 func Explore(b Bounds) Report {
 	if b.Rebuilds == 0 {
 		b.Rebuilds = b.Wipes + b.Crashes
 	}
-	w := world{bounds: b, memory: &memory{handed: map[[2]uint64]handed{}, taken: map[[2]uint64]taken{}}}
+	w := world{bounds: b, cache: &handlerCache{requests: map[handling]requestResult{}, answers: map[handling]answerResult{}}}
 	for i, name := range names {
 		state := ballot.Joined{Formation: "f", Voters: names}.Fold(ballot.Blank(name))
 		state = ballot.Entered{Lives: map[string]uint64{"a": 1, "b": 1, "c": 1}}.Fold(state)
@@ -131,7 +135,7 @@
 	}
 	e := explorer{limit: b.States, seen: map[uint64]struct{}{}}
 	e.report.Complete = true
-	e.walk(w, 0)
+	e.explore(w, 0)
 	return e.report
 }
 
@@ -143,7 +147,7 @@
 	buffer []byte
 }
 
-func (e *explorer) walk(w world, depth int) bool {
+func (e *explorer) explore(w world, depth int) bool {
 	e.buffer = w.key(e.buffer[:0])
 	hash := xxhash.Sum64(e.buffer)
 	if _, seen := e.seen[hash]; seen {
@@ -156,7 +160,7 @@
 	e.seen[hash] = struct{}{}
 	e.report.States++
 	e.report.Deepest = max(e.report.Deepest, depth)
-	if what := w.judge(); what != "" {
+	if what := w.check(); what != "" {
 		e.report.Violation, e.report.Complete = what, false
 		for _, step := range e.trace {
 			e.report.Trace = append(e.report.Trace, step.String())
@@ -166,15 +170,15 @@
 	return w.each(func(step step, next world) bool {
 		e.report.Transitions++
 		e.trace = append(e.trace, step)
-		found := e.walk(next, depth+1)
+		found := e.explore(next, depth+1)
 		e.trace = e.trace[:len(e.trace)-1]
 		return found
 	})
 }
 
-// judge finds a broken rule: a second value decided, or a decided value that a
+// check finds a broken rule: a second value decided, or a decided value that a
 // ballot opened now by some majority would not find.
-func (w world) judge() string {
+func (w world) check() string {
 	if w.decided == nil {
 		return ""
 	}
@@ -212,8 +216,8 @@
 
 // each calls visit with every next state until it returns true.
 func (w world) each(visit func(step, world) bool) bool {
-	for i, l := range w.network {
-		if w.deliver(i, l, visit) {
+	for i, msg := range w.network {
+		if w.deliver(i, msg, visit) {
 			return true
 		}
 	}
@@ -225,16 +229,17 @@
 	return false
 }
 
+// firstLives are the disk lives before any wipe.
 var firstLives = map[string]uint64{"a": 1, "b": 1, "c": 1}
 
 // hashed returns the node with the hash of all that makes a difference later.
 func (n node) hashed() node {
-	to := n.state.Key(append(append(make([]byte, 0, 512), n.state.Self...), byte(n.life), byte(n.run), byte(n.proposals)))
+	to := n.state.Key(append(append(make([]byte, 0, 512), n.state.Self...), byte(n.incarnation), byte(n.run), byte(n.proposals)))
 	if n.proposer != nil {
 		to = n.proposer.Key(append(to, 0xf0))
 	}
 	if n.rebuild != nil {
-		to = append(to, 0xf1, byte(n.rebuild.life))
+		to = append(to, 0xf1, byte(n.rebuild.diskLife))
 		for _, name := range names {
 			if answer := n.rebuild.answers[name]; answer != nil {
 				to = appendRecovered(append(to, name...), answer)
@@ -249,9 +254,9 @@
 	for _, n := range w.cores {
 		to = binary.LittleEndian.AppendUint64(to, n.hash)
 	}
-	for _, l := range w.network {
-		to = binary.LittleEndian.AppendUint64(to, l.hash)
-		if l.deliveredOnce {
+	for _, msg := range w.network {
+		to = binary.LittleEndian.AppendUint64(to, msg.hash)
+		if msg.deliveredOnce {
 			to = append(to, 0xf3)
 		}
 	}
--- a/sim/ballots/model_test.go
+++ b/sim/ballots/model_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestEachFlawIsFound(t *testing.T) {
-	Convey("A rule left out is seen by the judge", t, func() {
+	Convey("A rule left out is seen by the checker", t, func() {
 		for flaw, bounds := range map[Flaw]Bounds{
 			LivesHidden:    {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
 			LifeForgotten:  {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
--- a/sim/ballots/random_core.go
+++ b/sim/ballots/process.go
@@ -12,35 +12,37 @@
 // core is one process. Its state runs ahead of its disk: base and the first
 // synced records of log are what a crash leaves, and perhaps some more.
 type core struct {
-	sim       *sim
-	index     int
-	up        bool
-	life      int
-	base      ballot.State
-	log       []ballot.Record
-	synced    int
-	state     ballot.State
-	waiting   []held
-	slow      int64
-	proposals int
-	proposing int // number of the ballot under way, 0 is none
-	seen      uint64
-	entering  bool
-	round     int // of entering; answers to an earlier one come too late
+	sim         *sim
+	index       int
+	up          bool
+	incarnation int
+	base        ballot.State
+	log         []ballot.Record
+	synced      int
+	state       ballot.State
+	waiting     []syncWaiter // in the order of the log
+	slow        int64        // extra time of a sync, ms
+	proposals   int
+	proposing   int    // number of the current proposal, 0 is none
+	seen        uint64 // highest ballot number that an answer named
+	recovering  bool
+	round       int // of recovery; answers to an earlier one are ignored
 }
 
-type held struct {
-	place int
-	then  func()
+// syncWaiter is an action that waits until the log is synced up to a position.
+type syncWaiter struct {
+	position int
+	action   func()
 }
 
-// voters returns the cores as one of them calls them: itself for its own name.
+// voters returns the cores that a core calls: itself under its own name.
 func (c *core) voters() []*core {
 	all := slices.Clone(c.sim.cores)
 	all[c.index] = c
 	return all
 }
 
+// durable returns the state that a crash leaves.
 func (c *core) durable() ballot.State {
 	state := c.base
 	for _, record := range c.log[:c.synced] {
@@ -49,6 +51,7 @@
 	return state
 }
 
+// boot starts a process from its disk.
 func (s *sim) boot(c *core) {
 	if c.base.Self == "" {
 		c.base = ballot.Blank(s.names[c.index])
@@ -63,32 +66,33 @@
 		}
 		c.state = encoded.Fold(c.state)
 	}
-	c.synced, c.waiting, c.proposing, c.entering, c.seen, c.slow = len(c.log), nil, 0, false, 0, 0
+	c.synced, c.waiting, c.proposing, c.recovering, c.seen, c.slow = len(c.log), nil, 0, false, 0, 0
 	if s.faults.Flaw == RebuildWithout && c.state.Formation == "" && len(s.chosen) > 0 {
 		other := s.cores[(c.index+1)%len(s.cores)].state
 		joined := ballot.Joined{Formation: other.Formation, Voters: s.names}.Fold(c.state)
 		c.base = ballot.Entered{Lives: other.Lives}.Fold(joined)
 		c.state = c.base
 	}
-	c.tick(c.life)
+	c.tick(c.incarnation)
 }
 
-func (c *core) tick(life int) {
-	if c.life != life || !c.up {
+// tick is the periodic work of one incarnation.
+func (c *core) tick(incarnation int) {
+	if c.incarnation != incarnation || !c.up {
 		return
 	}
 	switch c.state.Standing() {
 	case wire.Standing_STANDING_BLANK:
-		c.seek()
+		c.joinOrEstablish()
 	case wire.Standing_STANDING_AMNESIAC:
-		c.enter()
+		c.recoverDisk()
 	default:
-		c.look()
+		c.catchUp()
 		if c.proposing == 0 {
 			c.propose()
 		}
 	}
-	c.sim.after(c.sim.between(40, 160), func() { c.tick(life) })
+	c.sim.after(c.sim.between(40, 160), func() { c.tick(incarnation) })
 }
 
 // commit appends records and folds them; a sync follows.
@@ -102,9 +106,9 @@
 		c.state = record.Fold(c.state)
 	}
 	c.check(before)
-	life := c.life
+	incarnation := c.incarnation
 	c.sim.after(c.sim.between(1, 8)+c.slow, func() {
-		if c.life == life {
+		if c.incarnation == incarnation {
 			c.sync()
 		}
 	})
@@ -115,33 +119,35 @@
 	}
 }
 
+// sync makes the log durable and runs the actions that wait for it.
 func (c *core) sync() {
 	c.synced = len(c.log)
-	for len(c.waiting) > 0 && c.waiting[0].place <= c.synced {
-		then := c.waiting[0].then
+	for len(c.waiting) > 0 && c.waiting[0].position <= c.synced {
+		action := c.waiting[0].action
 		c.waiting = c.waiting[1:]
-		then()
+		action()
 	}
-	if c.synced > 40 && c.waiting == nil || c.synced > 200 {
-		whole, err := ballot.Decode(c.state.Encode())
+	if c.synced > compactLog && c.waiting == nil || c.synced > compactBusyLog {
+		compacted, err := ballot.Decode(c.state.Encode())
 		if err != nil {
 			c.sim.violate("a state can't be read back: %v", err)
 		}
 		if c.state.Life() != 0 && len(c.waiting) == 0 {
-			c.base, c.log, c.synced = whole, nil, 0
+			c.base, c.log, c.synced = compacted, nil, 0
 		}
 	}
 }
 
-func (c *core) whenSynced(then func()) {
+// whenSynced runs an action once all that is in the log is synced.
+func (c *core) whenSynced(action func()) {
 	if len(c.log) <= c.synced {
-		then()
+		action()
 		return
 	}
-	c.waiting = append(c.waiting, held{place: len(c.log), then: then})
+	c.waiting = append(c.waiting, syncWaiter{position: len(c.log), action: action})
 }
 
-// check judges what the core has newly learned.
+// check checks what the core has learned since before.
 func (c *core) check(before ballot.State) {
 	if c.state.SnapshotEpoch > before.Learned() {
 		epoch := c.state.SnapshotEpoch
@@ -151,56 +157,7 @@
 	}
 	for _, chosen := range c.state.Chosen {
 		if chosen.Epoch > before.Learned() {
-			c.sim.decide(c.state.Self, chosen.Epoch, chosen.Command)
+			c.sim.checkChosen(c.state.Self, chosen.Epoch, chosen.Command)
 		}
 	}
 }
-
-// rpc calls one core: lost, doubled, late. The answer leaves when all that the
-// answerer has appended is synced, and is lost when the caller has crashed.
-func rpc[A any](from, to *core, handle func(*core) ([]ballot.Record, A), got func(A)) {
-	s, life := from.sim, from.life
-	named := to
-	deliver := func() {
-		to := s.reached(from, named)
-		if !to.up || s.cut[from.index][to.index] {
-			return
-		}
-		records, answer := handle(to)
-		to.commit(records)
-		to.whenSynced(func() {
-			if from != to && (s.chance(s.faults.Loss) && s.troubled() || s.cut[to.index][from.index]) {
-				return
-			}
-			s.after(s.latency(from, to), func() {
-				if from.life == life && from.up {
-					got(answer)
-				}
-			})
-		})
-	}
-	if from != to && s.chance(s.faults.Loss) && s.troubled() {
-		return
-	}
-	s.after(s.latency(from, to), deliver)
-	if from != to && s.chance(s.faults.Duplicate) {
-		s.after(s.latency(from, to)+s.between(0, 3000), deliver)
-	}
-}
-
-// once lets only the first of several answers of a core count.
-func once[A any](do func(string, A)) func(string) func(A) {
-	heard := map[string]bool{}
-	return func(name string) func(A) {
-		return func(answer A) {
-			if !heard[name] {
-				heard[name] = true
-				do(name, answer)
-			}
-		}
-	}
-}
-
-func (c *core) others() []*core {
-	return slices.DeleteFunc(c.voters(), func(o *core) bool { return o == c })
-}
--- /dev/null
+++ b/sim/ballots/proposal.go
@@ -0,0 +1,126 @@
+package ballots
+
+import (
+	"fmt"
+
+	"stepwick/internal/core/ballot"
+	"stepwick/internal/wire"
+)
+
+// proposal is one ballot that a core opens, from its prepare requests to its end.
+type proposal struct {
+	core        *core
+	incarnation int
+	number      int // of the core's proposals
+	slot        uint64
+	proposer    ballot.Proposer
+	onPrepared  func(core string) func(*wire.PrepareResponse)
+	onAccepted  func(core string) func(*wire.AcceptResponse)
+}
+
+// propose opens a ballot for the next slot.
+func (c *core) propose() {
+	c.proposals++
+	c.proposing = c.proposals
+	slot := c.state.Learned() + 1
+	command := fmt.Appendf(nil, "%s/%d/%d", c.state.Self, c.incarnation, c.proposing)
+	proposer, prepare := ballot.Propose(c.state, slot, max(c.state.NextNumber(slot), c.seen+1), command)
+	p := &proposal{core: c, incarnation: c.incarnation, number: c.proposing, slot: slot, proposer: proposer}
+	p.onPrepared = firstAnswer(p.prepared)
+	p.onAccepted = firstAnswer(p.accepted)
+	c.sim.after(c.sim.faults.ProposalTimeout+c.slow, p.timeOut)
+	for _, to := range c.voters() {
+		rpc(c, to, func(acceptor *core) ([]ballot.Record, *wire.PrepareResponse) {
+			return acceptor.state.Prepare(prepare)
+		}, p.onPrepared(to.state.Self))
+	}
+}
+
+// current reports whether the core still runs this proposal.
+func (p *proposal) current() bool {
+	return p.core.incarnation == p.incarnation && p.core.proposing == p.number
+}
+
+func (p *proposal) timeOut() {
+	if p.current() {
+		p.end()
+	}
+}
+
+// end lets the core propose again after a pause.
+func (p *proposal) end() {
+	p.core.seen = p.proposer.Seen.Number
+	if p.core.proposing != p.number {
+		return
+	}
+	p.core.sim.after(p.core.sim.between(1, 120), func() {
+		if p.current() {
+			p.core.proposing = 0
+		}
+	})
+}
+
+func (p *proposal) prepared(_ string, answer *wire.PrepareResponse) {
+	if p.core.proposing != p.number {
+		return
+	}
+	var step ballot.Step
+	p.proposer, step = p.proposer.Promise(answer)
+	p.proceed(step)
+}
+
+func (p *proposal) accepted(_ string, answer *wire.AcceptResponse) {
+	if p.core.proposing != p.number {
+		return
+	}
+	var step ballot.Step
+	p.proposer, step = p.proposer.Accepted(answer)
+	p.proceed(step)
+}
+
+// proceed takes the proposer's next step.
+func (p *proposal) proceed(step ballot.Step) {
+	switch {
+	case step.Accept != nil:
+		p.sendAccept(step.Accept)
+	case step.Chosen:
+		p.commit(step.Value)
+	case step.Behind != "":
+		p.fetchFrom(step.Behind)
+		p.end()
+	case step.Lost:
+		p.end()
+	}
+}
+
+func (p *proposal) sendAccept(accept *wire.AcceptRequest) {
+	for _, to := range p.core.voters() {
+		rpc(p.core, to, func(acceptor *core) ([]ballot.Record, *wire.AcceptResponse) {
+			return acceptor.state.Accept(accept)
+		}, p.onAccepted(to.state.Self))
+	}
+}
+
+// commit reports the chosen value to all voters.
+func (p *proposal) commit(value []byte) {
+	c := p.core
+	c.sim.checkChosen(c.state.Self, p.slot, value)
+	c.seen = 0
+	c.proposing = 0
+	learn := &wire.LearnRequest{Formation: p.proposer.Formation, Chosen: []*wire.Chosen{{Epoch: p.slot, Command: value}}}
+	for _, to := range c.voters() {
+		rpc(c, to, func(learner *core) ([]ballot.Record, *wire.LearnResponse) {
+			records, resp, _ := learner.state.Learn(learn)
+			return records, resp
+		}, func(*wire.LearnResponse) {})
+	}
+}
+
+// fetchFrom fetches what is missing here from the core that is ahead.
+func (p *proposal) fetchFrom(ahead string) {
+	for _, other := range p.core.voters() {
+		if other.state.Self == ahead {
+			p.core.fetch(other)
+		}
+	}
+}
--- a/sim/ballots/random.go
+++ b/sim/ballots/random.go
@@ -13,23 +13,24 @@
 	"stepwick/sim/eventqueue"
 )
 
-// Faults are the rates of a random run. Times are in virtual milliseconds.
+// Faults configures a random run. Times are in virtual milliseconds, rates are
+// probabilities.
 type Faults struct {
-	Cores     int     // 3 if zero
-	Calm      int64   // before the first fault or lost message, in which the cores may form
-	Until     int64   // when faults end and the cores must come to agree
-	Loss      float64 // of a message
-	Duplicate float64 // of a request
-	Every     int64   // between two faults: a crash, a wipe, a cut or a slow disk
-	Wipes     float64 // share of the crashes that lose the disk
-	Late      float64 // share of the messages that take up to 2 s
-	Patience  int64   // how long a proposer waits for answers
-	TwoWipes  bool    // a second disk may be lost while the first is being rebuilt
-	Replaced  bool    // in place of a wipe another process takes the name, and the old one goes on
-	Flaw      Flaw    // Sound, LifeForgotten, RebuildWithout or SharedLife
+	Cores           int     // 3 if zero
+	FaultsFrom      int64   // time before the first fault or lost message, for the cores to form
+	FaultsUntil     int64   // end of the faults, after which the cores must agree
+	Loss            float64 // of a message
+	Duplicate       float64 // of a request
+	FaultInterval   int64   // mean time between two faults: a crash, a wipe, a partition or a slow disk
+	Wipes           float64 // share of the crashes that lose the disk
+	Delayed         float64 // share of the messages that take up to 2 s
+	ProposalTimeout int64   // how long a proposer waits for answers
+	TwoWipes        bool    // a second disk may be lost while the first is being rebuilt
+	Replaced        bool    // instead of a wipe another process takes the name, and the old one continues
+	Flaw            Flaw    // Sound, LifeForgotten, RebuildWithout or SharedLife
 }
 
-// Outcome of a random run.
+// Outcome is the result of a random run.
 type Outcome struct {
 	Chosen    int // slots
 	Crashes   int
@@ -41,15 +42,17 @@
 }
 
 const (
-	compactEvery = 12
-	settleTime   = 20_000
-	entryTimeout = 600
-	probeGrace   = 80 // for which a rebuilding core waits for the other probes
+	compactEvery   = 12 // chosen slots
+	compactLog     = 40 // records, when no action waits for a sync
+	compactBusyLog = 200
+	settleTime     = 20_000 // ms to come to an agreement after the faults
+	entryTimeout   = 600    // ms
+	probeGrace     = 80     // ms that a rebuilding core waits for all probes
 )
 
-// Run plays one seed: cores found a formation and agree on commands
-// while messages are lost, doubled and overtaken, processes crash between an
-// append and its sync, disks are wiped and links are cut; then all heals.
+// Run simulates one seed: cores establish a formation and agree on commands while
+// messages are lost, duplicated and reordered, processes crash between an append
+// and its sync, disks are wiped and links are partitioned. Then all faults end.
 func Run(seed uint64, faults Faults) Outcome {
 	if faults.Cores == 0 {
 		faults.Cores = len(names)
@@ -62,8 +65,8 @@
 	for _, c := range s.cores {
 		s.boot(c)
 	}
-	s.after(faults.Calm+s.between(1, faults.Every), s.fault)
-	s.after(faults.Until, s.heal)
+	s.after(faults.FaultsFrom+s.between(1, faults.FaultInterval), s.fault)
+	s.after(faults.FaultsUntil, s.heal)
 	s.runEvents()
 	s.outcome.Chosen = len(s.chosen)
 	if s.outcome.Violation == "" && !s.outcome.Lost && !s.agreed() {
@@ -75,7 +78,7 @@
 // runEvents runs until the processes agree after the last fault, a rule is
 // violated, or the time to come to an agreement is over.
 func (s *sim) runEvents() {
-	for s.outcome.Violation == "" && s.now < s.faults.Until+settleTime {
+	for s.outcome.Violation == "" && s.now < s.faults.FaultsUntil+settleTime {
 		if _, ok := s.events.Next(); !ok {
 			return
 		}
@@ -83,7 +86,7 @@
 		s.now = instant
 		s.outcome.Events++
 		action()
-		if s.now > s.faults.Until && s.agreed() {
+		if s.now > s.faults.FaultsUntil && s.agreed() {
 			return
 		}
 	}
@@ -93,29 +96,29 @@
 var fiveNames = []string{"a", "b", "c", "d", "e"}
 
 type sim struct {
-	random  *rand.Rand
-	faults  Faults
-	now     int64
-	events  eventqueue.Queue[int64] // by milliseconds
-	names   []string
-	cores   []*core
-	old     []*core // the last process that had a name before another took it
-	cut     [5][5]bool
-	chosen  map[uint64][]byte
-	rolling []uint64 // digest of the first commands, by count
-	done    bool     // faults have ended
-	target  uint64   // all cores must learn this slot after the faults
-	outcome Outcome
+	random      *rand.Rand
+	faults      Faults
+	now         int64
+	events      eventqueue.Queue[int64] // by milliseconds
+	names       []string
+	cores       []*core
+	old         []*core // by index, the replaced process that still runs under the name
+	partitioned [5][5]bool
+	chosen      map[uint64][]byte
+	rolling     []uint64 // digest of the first commands, by count
+	done        bool     // faults have ended
+	target      uint64   // all cores must learn this slot after the faults
+	outcome     Outcome
 }
 
-// troubled tells whether messages may be lost and late now.
-func (s *sim) troubled() bool { return s.now >= s.faults.Calm && !s.done }
+// faultsActive reports whether messages may be lost or delayed now.
+func (s *sim) faultsActive() bool { return s.now >= s.faults.FaultsFrom && !s.done }
 
 func (s *sim) between(low, high int64) int64 { return low + s.random.Int64N(max(high-low, 1)) }
 func (s *sim) chance(p float64) bool         { return s.random.Float64() < p }
 
-func (s *sim) after(ms int64, do func()) {
-	s.events.Schedule(s.now+ms, do)
+func (s *sim) after(ms int64, action func()) {
+	s.events.Schedule(s.now+ms, action)
 }
 
 func (s *sim) violate(format string, args ...any) {
@@ -132,7 +135,7 @@
 	return text
 }
 
-// agreed tells whether all cores vote and have learned a slot chosen after the
+// agreed reports whether all cores vote and have learned a slot chosen after the
 // last fault.
 func (s *sim) agreed() bool {
 	if !s.done || s.target == 0 {
@@ -158,21 +161,21 @@
 		}
 	case 2:
 		from, to := s.random.IntN(len(s.cores)), s.random.IntN(len(s.cores))
-		s.cut[from][to] = true
+		s.partitioned[from][to] = true
 		if s.chance(0.5) {
-			s.cut[to][from] = true
+			s.partitioned[to][from] = true
 		}
-		s.after(s.between(1, 3000), func() { s.cut[from][to], s.cut[to][from] = false, false })
+		s.after(s.between(1, 3000), func() { s.partitioned[from][to], s.partitioned[to][from] = false, false })
 	case 3:
 		c.slow = s.between(0, 1500)
 		s.after(s.between(1, 3000), func() { c.slow = 0 })
 	}
-	s.after(s.between(1, 2*s.faults.Every), s.fault)
+	s.after(s.between(1, 2*s.faults.FaultInterval), s.fault)
 }
 
 func (s *sim) heal() {
 	s.done = true
-	s.cut = [5][5]bool{}
+	s.partitioned = [5][5]bool{}
 	for _, c := range s.cores {
 		c.slow = 0
 	}
@@ -186,11 +189,11 @@
 func (s *sim) crash(c *core) {
 	s.outcome.Crashes++
 	c.up = false
-	c.life++
-	if s.chance(s.faults.Wipes) && s.wipeable(c) {
+	c.incarnation++
+	if s.chance(s.faults.Wipes) && s.canWipe(c) {
 		s.outcome.Wipes++
 		if s.faults.Replaced {
-			s.leave(c)
+			s.detach(c)
 		}
 		c.base, c.log, c.synced = ballot.Blank(c.state.Self), nil, 0
 	} else {
@@ -199,13 +202,13 @@
 	s.after(s.between(1, 600), func() { s.boot(c) })
 }
 
-// leave lets the process that had a core's name go on, on its own disk, beside
+// detach keeps the process that had a core's name running on its own disk, beside
 // the one that takes the name with a blank disk.
-func (s *sim) leave(c *core) {
+func (s *sim) detach(c *core) {
 	kept := s.random.IntN(len(c.log)-c.synced+1) + c.synced
-	old := &core{sim: s, index: c.index, base: c.base, log: slices.Clone(c.log[:kept]), life: 1 << 20}
+	old := &core{sim: s, index: c.index, base: c.base, log: slices.Clone(c.log[:kept]), incarnation: 1 << 20}
 	if last := s.old[c.index]; last != nil {
-		last.up, old.life = false, last.life+1
+		last.up, old.incarnation = false, last.incarnation+1
 	}
 	s.old[c.index] = old
 	s.after(s.between(1, 600), func() {
@@ -215,8 +218,8 @@
 	})
 }
 
-// reached returns the process that a message to a name reaches: any that has it.
-func (s *sim) reached(from, to *core) *core {
+// receiver returns the process that a message to a name reaches: any that has it.
+func (s *sim) receiver(from, to *core) *core {
 	old := s.old[to.index]
 	if from.index == to.index || old == nil || !old.up || s.chance(0.5) {
 		return to
@@ -224,24 +227,25 @@
 	return old
 }
 
-// wipeable spares the last disk: with it, nothing would be left to judge by.
-func (s *sim) wipeable(c *core) bool {
+// canWipe reports whether a core may lose its disk: a majority must keep theirs,
+// unless TwoWipes is set.
+func (s *sim) canWipe(c *core) bool {
 	blank := 0
 	for _, other := range s.cores {
 		if other != c && (other.durable().Life() == 0) {
 			blank++
 		}
 	}
-	borne := len(s.cores) - ballot.State{Voters: s.names}.Majority()
-	if blank == borne && s.faults.TwoWipes && c.durable().Life() != 0 && len(s.chosen) > 0 {
+	tolerated := len(s.cores) - ballot.State{Voters: s.names}.Majority()
+	if blank == tolerated && s.faults.TwoWipes && c.durable().Life() != 0 && len(s.chosen) > 0 {
 		s.outcome.Lost = true
 		return true
 	}
-	return blank < borne
+	return blank < tolerated
 }
 
-// decide judges that a core takes a value for chosen.
-func (s *sim) decide(who string, slot uint64, value []byte) {
+// checkChosen checks that a slot has one chosen value.
+func (s *sim) checkChosen(who string, slot uint64, value []byte) {
 	if first, known := s.chosen[slot]; known {
 		if !bytes.Equal(first, value) {
 			s.violate("%s took %q for chosen in slot %d after %q", who, value, slot, first)
@@ -268,7 +272,7 @@
 	if from == to {
 		return 0
 	}
-	if s.chance(s.faults.Late) && s.troubled() {
+	if s.chance(s.faults.Delayed) && s.faultsActive() {
 		return s.between(1, 2000)
 	}
 	return s.between(1, 20)
--- a/sim/ballots/random_test.go
+++ b/sim/ballots/random_test.go
@@ -11,16 +11,16 @@
 )
 
 var mixes = map[string]Faults{
-	"calm":            {Until: 3_000, Every: 1 << 40, Patience: 300},
-	"lossy":           {Until: 8_000, Loss: 0.1, Duplicate: 0.05, Late: 0.1, Every: 4_000, Patience: 300},
-	"stormy":          {Until: 8_000, Loss: 0.05, Duplicate: 0.1, Late: 0.1, Every: 400, Wipes: 0.3, Patience: 300},
-	"wiped":           {Until: 8_000, Loss: 0.05, Duplicate: 0.1, Late: 0.1, Every: 500, Wipes: 1, Patience: 300},
-	"patient":         {Until: 8_000, Duplicate: 0.1, Late: 0.2, Every: 1_500, Wipes: 1, Patience: 1_500},
-	"replaced":        {Until: 8_000, Loss: 0.05, Duplicate: 0.1, Late: 0.1, Every: 500, Wipes: 1, Replaced: true, Patience: 300},
-	"five, two wiped": {Cores: 5, Calm: 1_000, Until: 8_000, Loss: 0.05, Duplicate: 0.1, Late: 0.1, Every: 250, Wipes: 1, Patience: 300},
-	"five, replaced":  {Cores: 5, Calm: 1_000, Until: 8_000, Loss: 0.05, Duplicate: 0.1, Late: 0.1, Every: 400, Wipes: 1, Replaced: true, Patience: 300},
-	"five, stormy":    {Cores: 5, Calm: 1_000, Until: 8_000, Loss: 0.05, Duplicate: 0.1, Late: 0.1, Every: 300, Wipes: 0.3, Patience: 300},
-	"wiped at once":   {Until: 8_000, Loss: 0.02, Duplicate: 0.1, Late: 0.1, Every: 800, Wipes: 1, TwoWipes: true, Patience: 300},
+	"calm":            {FaultsUntil: 3_000, FaultInterval: 1 << 40, ProposalTimeout: 300},
+	"lossy":           {FaultsUntil: 8_000, Loss: 0.1, Duplicate: 0.05, Delayed: 0.1, FaultInterval: 4_000, ProposalTimeout: 300},
+	"stormy":          {FaultsUntil: 8_000, Loss: 0.05, Duplicate: 0.1, Delayed: 0.1, FaultInterval: 400, Wipes: 0.3, ProposalTimeout: 300},
+	"wiped":           {FaultsUntil: 8_000, Loss: 0.05, Duplicate: 0.1, Delayed: 0.1, FaultInterval: 500, Wipes: 1, ProposalTimeout: 300},
+	"patient":         {FaultsUntil: 8_000, Duplicate: 0.1, Delayed: 0.2, FaultInterval: 1_500, Wipes: 1, ProposalTimeout: 1_500},
+	"replaced":        {FaultsUntil: 8_000, Loss: 0.05, Duplicate: 0.1, Delayed: 0.1, FaultInterval: 500, Wipes: 1, Replaced: true, ProposalTimeout: 300},
+	"five, two wiped": {Cores: 5, FaultsFrom: 1_000, FaultsUntil: 8_000, Loss: 0.05, Duplicate: 0.1, Delayed: 0.1, FaultInterval: 250, Wipes: 1, ProposalTimeout: 300},
+	"five, replaced":  {Cores: 5, FaultsFrom: 1_000, FaultsUntil: 8_000, Loss: 0.05, Duplicate: 0.1, Delayed: 0.1, FaultInterval: 400, Wipes: 1, Replaced: true, ProposalTimeout: 300},
+	"five, stormy":    {Cores: 5, FaultsFrom: 1_000, FaultsUntil: 8_000, Loss: 0.05, Duplicate: 0.1, Delayed: 0.1, FaultInterval: 300, Wipes: 0.3, ProposalTimeout: 300},
+	"wiped at once":   {FaultsUntil: 8_000, Loss: 0.02, Duplicate: 0.1, Delayed: 0.1, FaultInterval: 800, Wipes: 1, TwoWipes: true, ProposalTimeout: 300},
 }
 
 func TestRandom(t *testing.T) {
