--- a/sim/confirm/confirm_test.go
+++ b/sim/confirm/confirm_test.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	seeds   = flag.Uint64("seeds", 20, "how many seeds of each mix to walk")
+	seeds   = flag.Uint64("seeds", 20, "number of seeds of each mix")
 	first   = flag.Uint64("first", 1, "the first seed")
-	workers = flag.Int("workers", min(4, runtime.NumCPU()), "how many walks at once")
+	workers = flag.Int("workers", min(4, runtime.NumCPU()), "number of parallel runs")
 )
 
 func TestMain(m *testing.M) {
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// search walks seeds of one mix. It stops at the first violation when it is
+// search simulates seeds of one mix. It stops at the first violation when it is
 // asked for just one.
 func search(first, count uint64, config Config, one bool) (least *Violation, violations int, sum Outcome) {
 	found := make([]Outcome, count)
@@ -33,7 +33,7 @@
 	for range *workers {
 		group.Go(func() {
 			for i := next.Add(1) - 1; i < count && !(one && stop.Load()); i = next.Add(1) - 1 {
-				found[i] = Walk(first+i, config)
+				found[i] = Simulate(first+i, config)
 				if found[i].Violation != nil {
 					stop.Store(true)
 				}
--- a/sim/confirm/explore.go
+++ b/sim/confirm/explore.go
@@ -2,13 +2,22 @@
 
 import "fmt"
 
-// Event is a fault of a Schedule. Mask names the nodes on one side of a cut;
-// Span is how long it lasts, in ms.
+// EventKind is a kind of fault.
+type EventKind string
+
+// Kinds of faults.
+const (
+	partitionEvent EventKind = "cut"
+	freezeEvent    EventKind = "freeze"
+	killEvent      EventKind = "kill"
+)
+
+// Event is a fault of a Schedule.
 type Event struct {
-	Kind string // cut, freeze or kill
-	At   int64
-	Span int64
-	Mask uint
+	Kind EventKind
+	At   int64 // ms
+	Span int64 // ms, how long the fault lasts
+	Mask uint  // the nodes that fail, or those on one side of a partition
 }
 
 // Schedule is a course of faults in a small fleet: three cores and two more
@@ -27,34 +36,52 @@
 	exploreNodes = 5
 	exploreFrom  = 4000
 	exploreEnd   = 15000
+	faultsWithin = 3000 // ms from exploreFrom until the last fault
 )
 
-// Schedules returns every course of one cut and one freeze, and of one cut and
-// one kill, with the faults at each of some instants and of each of some spans.
-// Step is the distance of the instants in ms.
+// Schedules returns every course of one partition and one freeze, and of one
+// partition and one kill, with the faults at each of some instants and of each of
+// some lengths. Step is the distance of the instants in ms.
 func Schedules(step int64) []Schedule {
-	var all []Schedule
-	for cutAt := int64(exploreFrom); cutAt < exploreFrom+3000; cutAt += step {
+	var schedules []Schedule
+	for _, partition := range partitions(step) {
+		for _, fault := range nodeFaults(step) {
+			schedules = append(schedules, Schedule{partition, fault})
+		}
+	}
+	return schedules
+}
+
+// partitions returns every partition of the fleet at each of the instants.
+func partitions(step int64) []Event {
+	var events []Event
+	for at := int64(exploreFrom); at < exploreFrom+faultsWithin; at += step {
 		for mask := uint(1); mask < 1<<(exploreNodes-1); mask++ {
-			for _, cutSpan := range []int64{1200, 3600, forever} {
-				cut := Event{Kind: "cut", At: cutAt, Span: cutSpan, Mask: mask}
-				for at := int64(exploreFrom); at < exploreFrom+3000; at += step {
-					for node := range exploreNodes {
-						for _, span := range []int64{1000, 4000} {
-							all = append(all, Schedule{cut, {Kind: "freeze", At: at, Span: span, Mask: 1 << node}})
-						}
-						for _, span := range []int64{150, 2200} {
-							all = append(all, Schedule{cut, {Kind: "kill", At: at, Span: span, Mask: 1 << node}})
-						}
-					}
-				}
+			for _, span := range []int64{1200, 3600, forever} {
+				events = append(events, Event{Kind: partitionEvent, At: at, Span: span, Mask: mask})
+			}
+		}
+	}
+	return events
+}
+
+// nodeFaults returns every freeze and kill of a node at each of the instants.
+func nodeFaults(step int64) []Event {
+	var events []Event
+	for at := int64(exploreFrom); at < exploreFrom+faultsWithin; at += step {
+		for node := range exploreNodes {
+			for _, span := range []int64{1000, 4000} {
+				events = append(events, Event{Kind: freezeEvent, At: at, Span: span, Mask: 1 << node})
+			}
+			for _, span := range []int64{150, 2200} {
+				events = append(events, Event{Kind: killEvent, At: at, Span: span, Mask: 1 << node})
 			}
 		}
 	}
-	return all
+	return events
 }
 
-// Explore runs one schedule. Messages take one tick, clocks run true.
+// Explore simulates one schedule. Messages take one tick, clocks have no drift.
 func Explore(schedule Schedule, mutation Mutation) Outcome {
 	w := newWorld(1, Config{Name: schedule.String(), Nodes: exploreNodes, Cores: 3, Gossip: 0.5, Finish: 0.05, Exact: true, Mutation: mutation})
 	for w.now < exploreEnd && w.found == nil {
@@ -66,29 +93,30 @@
 				}
 			}
 			for _, e := range schedule {
-				w.happen(e)
+				w.apply(e)
 			}
 		})
 	}
 	return w.end()
 }
 
-func (w *world) happen(e Event) {
-	if e.Kind == "cut" && w.now == e.At+e.Span {
+// apply causes or ends a fault that is due now.
+func (w *world) apply(e Event) {
+	if e.Kind == partitionEvent && w.now == e.At+e.Span {
 		w.heal()
 	}
 	if w.now != e.At {
 		return
 	}
-	in := func(n *node) bool { return e.Mask>>n.id&1 == 1 }
-	if e.Kind == "cut" {
-		w.split(in)
+	affected := func(n *node) bool { return e.Mask>>n.id&1 == 1 }
+	if e.Kind == partitionEvent {
+		w.split(affected)
 		return
 	}
 	for _, n := range w.nodes {
 		switch {
-		case !in(n) || n.process == nil:
-		case e.Kind == "kill":
+		case !affected(n) || n.process == nil:
+		case e.Kind == killEvent:
 			w.kill(n, e.Span)
 		default:
 			n.process.frozenUntil = w.now + e.Span
--- a/sim/confirm/process.go
+++ b/sim/confirm/process.go
@@ -98,9 +98,9 @@
 		}
 		sent := w.clock(p.node)
 		w.call(p, n, func(q *process) func() {
-			epoch, unconfirmed, life := q.state.Epoch, q.holder.Unconfirmed(), q.incarnation
+			epoch, unconfirmed, incarnation := q.state.Epoch, q.holder.Unconfirmed(), q.incarnation
 			return func() {
-				p.holder.Heard(n.name, life, sent, epoch, unconfirmed)
+				p.holder.Heard(n.name, incarnation, sent, epoch, unconfirmed)
 				if epoch > p.state.Epoch && !unconfirmed {
 					w.fetch(p, n)
 				}
@@ -164,8 +164,8 @@
 				continue
 			}
 			w.call(p, n, func(q *process) func() {
-				life := q.incarnation
-				return func() { ledger.Heard(n.name, life, w.clock(p.node)) }
+				incarnation := q.incarnation
+				return func() { ledger.Heard(n.name, incarnation, w.clock(p.node)) }
 			}, func() { ledger.Gone(n.name, quiet.Incarnation, w.clock(p.node)) })
 		}
 	}
--- a/sim/confirm/scenario_test.go
+++ b/sim/confirm/scenario_test.go
@@ -36,7 +36,7 @@
 func only(w *world, id int, links ...int) {
 	for _, n := range w.nodes {
 		cut := n.id != id && !among(links...)(n)
-		w.cut[id][n.id], w.cut[n.id][id] = cut, cut
+		w.partitioned[id][n.id], w.partitioned[n.id][id] = cut, cut
 	}
 }
 
@@ -139,7 +139,7 @@
 
 func TestEachRuleIsNeeded(t *testing.T) {
 	for _, s := range scenarios {
-		Convey("Where "+string(s.mutation)+", the judge sees it; with the rule nothing is wrong", t, func() {
+		Convey("Where "+string(s.mutation)+", the checker sees it; with the rule nothing is wrong", t, func() {
 			seen, last := 0, (*Violation)(nil)
 			for seed := range uint64(20) {
 				sound := s.run(seed, None)
@@ -163,7 +163,7 @@
 		least, _, _ := search(1, 40, mix, false)
 		So(least, ShouldNotBeNil)
 		t.Log(least)
-		So(Walk(least.Seed, mix).Violation, ShouldResemble, least)
-		So(Walk(least.Seed, mix).Violation, ShouldResemble, least)
+		So(Simulate(least.Seed, mix).Violation, ShouldResemble, least)
+		So(Simulate(least.Seed, mix).Violation, ShouldResemble, least)
 	})
 }
--- a/sim/confirm/walk.go
+++ b/sim/confirm/simulate.go
@@ -8,8 +8,8 @@
 	"stepwick/internal/core/sheet"
 )
 
-// Walk runs one seed to its end or to the first violation.
-func Walk(seed uint64, config Config) Outcome {
+// Simulate runs one seed to its end or to the first violation.
+func Simulate(seed uint64, config Config) Outcome {
 	w := newWorld(seed, config)
 	for w.now < int64(config.Seconds)*1000 && w.found == nil {
 		w.step(w.fault)
@@ -34,7 +34,7 @@
 			w.start(n)
 		}
 		if w.running(n) && len(n.process.mailbox) > 0 {
-			w.judge(n)
+			w.check(n)
 			steps := n.process.mailbox
 			n.process.mailbox = nil
 			for _, step := range steps {
@@ -55,7 +55,7 @@
 	w.raise()
 	for _, n := range w.nodes {
 		if w.running(n) {
-			w.judge(n)
+			w.check(n)
 		}
 	}
 }
@@ -77,8 +77,8 @@
 	w.acked = kept
 }
 
-// judge looks from outside at what a node would do now.
-func (w *world) judge(n *node) {
+// check checks what a node would decide now, by its state alone.
+func (w *world) check(n *node) {
 	p := n.process
 	epoch, sample := p.state.Epoch, w.tick%10 == 0
 	if epoch == n.ruled && epoch >= w.strict.epoch && !sample {
@@ -120,16 +120,16 @@
 }
 
 func (w *world) heal() {
-	for _, row := range w.cut {
+	for _, row := range w.partitioned {
 		clear(row)
 	}
 }
 
-// split cuts every link between the sides, in silence.
+// split partitions the fleet: messages between the sides are dropped.
 func (w *world) split(side func(n *node) bool) {
 	for _, a := range w.nodes {
 		for _, b := range w.nodes {
-			w.cut[a.id][b.id] = side(a) != side(b)
+			w.partitioned[a.id][b.id] = side(a) != side(b)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 	case 5:
 		for range 1 + w.random.IntN(12) {
 			a, b := w.random.IntN(len(w.nodes)), w.random.IntN(len(w.nodes))
-			w.cut[a][b], w.cut[b][a] = true, true
+			w.partitioned[a][b], w.partitioned[b][a] = true, true
 		}
 		w.note("cut some links")
 	case 6:
--- a/sim/confirm/world.go
+++ b/sim/confirm/world.go
@@ -1,8 +1,8 @@
-// Package confirm walks the confirmation rule over random faults in virtual
+// Package confirm simulates the confirmation rule under random faults in virtual
 // time. Fronts and cores decide by the production packages (lease.Holder,
-// lease.Ledger, lease.InForce, sheet's commands); the ballot is atomic and the
-// network, the faults and the clocks are the model's. A walk is a function of
-// its seed alone.
+// lease.Ledger, lease.InForce, sheet's commands); a ballot is
+// atomic; network, faults and clocks are simulated. A run is a function of its seed
+// alone.
 package confirm
 
 import (
@@ -28,7 +28,7 @@
 	forever    = 1 << 40
 )
 
-// Mutation is a rule that is left out, to show that the walk can fail.
+// Mutation is a rule that is left out, to show that the checker can fail.
 type Mutation string
 
 // Mutations. None is the rule as designed.
@@ -46,12 +46,12 @@
 	SilenceIsDead Mutation = "silence counts as a refusal"
 )
 
-// Weights says how often each fault is drawn, against the others.
+// Weights are the relative frequencies of the faults.
 type Weights struct {
 	Kill, KillMany, Freeze, Split, Isolate, Links, Core, Remove int
 }
 
-// Config sets a walk up. Faults, Heals, Orders and Gossip are chances per tick.
+// Config configures a run. Faults, Heals, Orders and Gossip are chances per tick.
 type Config struct {
 	Name     string
 	Nodes    int // members at the start; the first Cores of them are cores
@@ -71,8 +71,8 @@
 	Mutation Mutation
 }
 
-// Mixes are the walks: a usual mix, about a fault in 4 s and a heal in 15 s;
-// quick restarts with cores that learn slowly; links cut one by one; and a
+// Mixes are the configurations: a usual mix, about a fault in 4 s and a heal in 15 s;
+// quick restarts with cores that learn slowly; links partitioned one by one; and a
 // small fleet that more than doubles at once.
 func Mixes() []Config {
 	usual := Config{Name: "usual", Nodes: 9, Spares: 2, JoinMS: 30000, Cores: 3, Seconds: 60, Faults: 0.0125, Heals: 0.0033,
@@ -90,7 +90,7 @@
 	return []Config{usual, restarts, links, growth}
 }
 
-// Violation is what the judge saw.
+// Violation is a broken rule, as the checker found it.
 type Violation struct {
 	Seed   uint64
 	AtMS   int64
@@ -109,7 +109,7 @@
 		v.Mix, v.Seed, v.AtMS, v.Node, v.Why, v.Epoch, v.Newer, v.AckMS, v.By, v.Faults)
 }
 
-// Outcome is a walk's result. Ruling is the share of samples in which a
+// Outcome is the result of a run. Ruling is the share of samples in which a
 // running front ruled.
 type Outcome struct {
 	Violation *Violation
@@ -121,14 +121,14 @@
 }
 
 type node struct {
-	id        int
-	name      string
-	process   *process
-	downUntil int64
-	ruled     uint64
-	offset    kernel.Duration
-	rate      float64
-	lives     uint64
+	id           int
+	name         string
+	process      *process
+	downUntil    int64
+	ruled        uint64
+	offset       kernel.Duration
+	rate         float64
+	incarnations uint64 // number of processes started
 }
 
 type process struct {
@@ -172,26 +172,26 @@
 }
 
 type world struct {
-	seed     uint64
-	config   Config
-	random   *rand.Rand
-	now      int64 // ms
-	tick     int64
-	nodes    []*node
-	voters   []string
-	cut      [][]bool
-	events   map[int64][]func()
-	log      []sheet.State // by epoch
-	accepted []uint64      // by core: highest accepted, durable
-	synced   []uint64      // by core: learned as of the last sync, durable
-	acked    []ack
-	floor    ack // highest acknowledged longer ago than allowed
-	strict   ack // highest acknowledged
-	faults   []string
-	found    *Violation
-	outcome  Outcome
-	ruling   int
-	samples  int
+	seed        uint64
+	config      Config
+	random      *rand.Rand
+	now         int64 // ms
+	tick        int64
+	nodes       []*node
+	voters      []string
+	partitioned [][]bool
+	events      map[int64][]func()
+	log         []sheet.State // by epoch
+	accepted    []uint64      // by core: highest accepted, durable
+	synced      []uint64      // by core: learned as of the last sync, durable
+	acked       []ack
+	floor       ack // highest acknowledged longer ago than allowed
+	strict      ack // highest acknowledged
+	faults      []string
+	found       *Violation
+	outcome     Outcome
+	ruling      int
+	samples     int
 }
 
 var origin = kernel.UnixMilli(1_700_000_000_000)
@@ -201,9 +201,9 @@
 		events: map[int64][]func(){}, accepted: make([]uint64, config.Cores), synced: make([]uint64, config.Cores)}
 	total := config.Nodes + config.Spares
 	joined := int64(5000 + w.random.IntN(20000))
-	w.cut = make([][]bool, total)
+	w.partitioned = make([][]bool, total)
 	for i := range total {
-		w.cut[i] = make([]bool, total)
+		w.partitioned[i] = make([]bool, total)
 		n := &node{id: i, name: fmt.Sprintf("n%02d", i), rate: 1 + config.Drift*(2*w.random.Float64()-1),
 			offset: kernel.Duration(w.random.IntN(1000)) * kernel.Second}
 		w.nodes = append(w.nodes, n)
@@ -228,14 +228,14 @@
 	return w
 }
 
-// clock is a process's own monotonic clock, which runs a little wrong.
+// clock returns the time of a process's own monotonic clock, which drifts.
 func (w *world) clock(n *node) kernel.Time {
 	return origin.Add(n.offset + kernel.Duration(float64(w.now)*n.rate*float64(kernel.Millisecond)))
 }
 
 func (w *world) start(n *node) {
-	n.lives++
-	p := &process{node: n, incarnation: n.lives, holder: lease.NewHolder(n.name, ttl),
+	n.incarnations++
+	p := &process{node: n, incarnation: n.incarnations, holder: lease.NewHolder(n.name, ttl),
 		renewAt: w.now + int64(w.random.IntN(500)), pingAt: w.now + int64(w.random.IntN(500))}
 	p.holder.SetCores(w.voters)
 	if n.id < w.config.Cores {
@@ -260,7 +260,7 @@
 	return n.process != nil && n.process.frozenUntil <= w.now
 }
 
-func (w *world) linked(a, b *node) bool { return a == b || !w.cut[a.id][b.id] }
+func (w *world) linked(a, b *node) bool { return a == b || !w.partitioned[a.id][b.id] }
 
 func (w *world) later(ticks int64, f func()) {
 	w.events[w.tick+ticks] = append(w.events[w.tick+ticks], f)
@@ -276,8 +276,7 @@
 	return int64(1 + w.random.IntN(2))
 }
 
-// deliver runs a step at a process, once it runs; what reaches a frozen one
-// lies in its buffers until it is thawed.
+// deliver runs a step at a process. A frozen process buffers it until it resumes.
 func (w *world) deliver(p *process, step func()) {
 	if p.node.process != p {
 		return
@@ -289,40 +288,57 @@
 	step()
 }
 
-// call carries a request to another node and its answer back. Refused is run
-// when nobody lives there; in a cut both ways are silent.
-func (w *world) call(p *process, to *node, serve func(q *process) (answer func()), refused func()) {
-	from := p.node
-	w.later(w.delay(), func() {
-		if !w.linked(from, to) {
-			if w.config.Mutation == SilenceIsDead && refused != nil {
-				w.deliver(p, refused)
-			}
-			return
+// call is a request from a process to a node and its answer.
+type call struct {
+	world   *world
+	caller  *process
+	to      *node
+	serve   func(callee *process) (answer func())
+	refused func() // may be nil
+}
+
+// call carries a request to another node and its answer back. Refused runs when
+// the node's process is down; a partition drops both directions silently.
+func (w *world) call(caller *process, to *node, serve func(callee *process) (answer func()), refused func()) {
+	c := &call{world: w, caller: caller, to: to, serve: serve, refused: refused}
+	w.later(w.delay(), c.arrive)
+}
+
+func (c *call) arrive() {
+	w := c.world
+	switch {
+	case !w.linked(c.caller.node, c.to):
+		if w.config.Mutation == SilenceIsDead && c.refused != nil {
+			w.deliver(c.caller, c.refused)
 		}
-		back := func(step func()) {
-			w.later(w.delay(), func() {
-				if w.linked(from, to) {
-					w.deliver(p, step)
-				}
-			})
+	case c.to.process == nil:
+		if c.refused != nil {
+			c.reply(c.refused)
 		}
-		if to.process == nil {
-			if refused != nil {
-				back(refused)
-			}
-			return
+	default:
+		callee := c.to.process
+		w.deliver(callee, func() { c.handle(callee) })
+	}
+}
+
+func (c *call) handle(callee *process) {
+	if answer := c.serve(callee); answer != nil {
+		c.reply(answer)
+	}
+}
+
+// reply runs a step at the caller, unless a partition drops it.
+func (c *call) reply(step func()) {
+	w := c.world
+	w.later(w.delay(), func() {
+		if w.linked(c.caller.node, c.to) {
+			w.deliver(c.caller, step)
 		}
-		q := to.process
-		w.deliver(q, func() {
-			if answer := serve(q); answer != nil {
-				back(answer)
-			}
-		})
 	})
 }
 
-// quorum tells whether a core reaches a majority of running cores.
+// quorum returns the running cores that a core reaches, or nil when they are not a
+// majority.
 func (w *world) quorum(n *node) []*node {
 	var reached []*node
 	for _, other := range w.nodes[:w.config.Cores] {
