--- a/sim/fleet/faults.go
+++ b/sim/fleet/faults.go
@@ -6,62 +6,89 @@
 	"stepwick/internal/kernel"
 )
 
-func (w *walk) fault() {
+// faultInterval is the mean number of steps between two faults.
+const faultInterval = 40
+
+// fault heals, restarts and replaces what is due, and now and then causes a fault.
+func (w *simulation) fault() {
 	now := w.clock.Now()
+	w.healDue(now)
+	w.restartDue(now)
+	w.leave(now)
+	w.replace(now)
+	if w.random.IntN(faultInterval) == 0 {
+		w.drawFault(now)
+	}
+}
+
+func (w *simulation) healDue(now kernel.Time) {
 	if w.split != nil && now.After(w.heal) {
 		w.fleet.Split(w.split, false)
 		w.split = nil
 		w.note("heal")
 	}
+}
+
+func (w *simulation) restartDue(now kernel.Time) {
 	for i, at := range w.back {
-		if now.After(at) {
-			delete(w.back, i)
-			if err := w.fleet.Up(i); err != nil {
-				w.tally.Violations = append(w.tally.Violations, fmt.Sprintf("node %d doesn't start: %v", i, err))
-			}
-			w.note("up %d", i)
+		if !now.After(at) {
+			continue
 		}
+		delete(w.back, i)
+		if err := w.fleet.Up(i); err != nil {
+			w.report.Violations = append(w.report.Violations, fmt.Sprintf("node %d doesn't start: %v", i, err))
+		}
+		w.note("up %d", i)
 	}
-	w.leave(now)
-	w.replace(now)
-	if w.random.IntN(40) != 0 {
-		return
-	}
+}
+
+func (w *simulation) drawFault(now kernel.Time) {
 	switch w.random.IntN(7) {
-	case 5:
-		w.terminate(w.random.IntN(w.n))
-	case 6:
-		if len(w.turns) == 0 {
-			i := w.random.IntN(w.n)
-			w.turns = []int{i, (i + 1 + w.random.IntN(w.n-1)) % w.n}
-			w.note("replace %v in turn", w.turns)
-		}
 	case 0, 1:
 		w.kill(w.random.IntN(w.n))
 	case 2:
 		for range 2 + w.random.IntN(3) {
 			w.kill(w.random.IntN(w.n))
 		}
-	default:
-		if w.split != nil {
-			return
-		}
-		w.split = map[int]bool{}
-		if w.random.IntN(2) == 0 {
-			w.split[w.random.IntN(w.n)] = true
-		} else {
-			for i := range w.n {
-				w.split[i] = w.random.IntN(2) == 0
-			}
+	case 3, 4:
+		w.partition(now)
+	case 5:
+		w.terminate(w.random.IntN(w.n))
+	case 6:
+		w.replaceTwo()
+	}
+}
+
+// replaceTwo has two nodes replaced, one after the other.
+func (w *simulation) replaceTwo() {
+	if len(w.turns) > 0 {
+		return
+	}
+	i := w.random.IntN(w.n)
+	w.turns = []int{i, (i + 1 + w.random.IntN(w.n-1)) % w.n}
+	w.note("replace %v in turn", w.turns)
+}
+
+// partition isolates one node or splits the fleet at random, for a while.
+func (w *simulation) partition(now kernel.Time) {
+	if w.split != nil {
+		return
+	}
+	w.split = map[int]bool{}
+	if w.random.IntN(2) == 0 {
+		w.split[w.random.IntN(w.n)] = true
+	} else {
+		for i := range w.n {
+			w.split[i] = w.random.IntN(2) == 0
 		}
-		w.heal = now.Add(kernel.Duration(3+w.random.IntN(25)) * kernel.Second)
-		w.fleet.Split(w.split, true)
-		w.note("split %v", w.split)
 	}
+	w.heal = now.Add(kernel.Duration(3+w.random.IntN(25)) * kernel.Second)
+	w.fleet.Split(w.split, true)
+	w.note("split %v", w.split)
 }
 
-// terminate asks a node to stop of itself.
-func (w *walk) terminate(i int) {
+// terminate requests a graceful shutdown of a node.
+func (w *simulation) terminate(i int) {
 	if !w.fleet.Running(i) || w.leaving[i] {
 		return
 	}
@@ -70,8 +97,8 @@
 	w.note("terminate %d", i)
 }
 
-// leave looks after those that were asked to stop.
-func (w *walk) leave(now kernel.Time) {
+// leave restarts later the nodes whose graceful shutdown has ended.
+func (w *simulation) leave(now kernel.Time) {
 	for i := range w.n {
 		if !w.leaving[i] {
 			continue
@@ -92,7 +119,7 @@
 
 // replace takes the next node away for good and puts one of the same name and
 // without its disk in its place, once the one before is up again for 3 s.
-func (w *walk) replace(now kernel.Time) {
+func (w *simulation) replace(now kernel.Time) {
 	if len(w.turns) == 0 || now.Before(w.turnAt) {
 		return
 	}
@@ -101,21 +128,21 @@
 	if !w.fleet.Running(i) {
 		return
 	}
-	w.lose(i, now.Add(2*kernel.Second), i < w.fleet.config.Cores && w.wipeable(i))
+	w.lose(i, now.Add(2*kernel.Second), i < w.fleet.config.Cores && w.canWipe(i))
 	w.turnAt = now.Add(5 * kernel.Second)
 }
 
 // kill ends a node for a while; one core at a time may lose its disk, and only
 // while the others are up.
-func (w *walk) kill(i int) {
+func (w *simulation) kill(i int) {
 	if !w.fleet.Running(i) {
 		return
 	}
 	back := w.clock.Now().Add(kernel.Duration(1+w.random.IntN(12)) * kernel.Second)
-	w.lose(i, back, i < w.fleet.config.Cores && w.random.IntN(3) == 0 && w.wipeable(i))
+	w.lose(i, back, i < w.fleet.config.Cores && w.random.IntN(3) == 0 && w.canWipe(i))
 }
 
-func (w *walk) lose(i int, back kernel.Time, wiped bool) {
+func (w *simulation) lose(i int, back kernel.Time, wiped bool) {
 	w.fleet.Kill(i)
 	delete(w.took, i)
 	delete(w.leaving, i)
@@ -131,8 +158,8 @@
 	w.note("kill %d wiped %v", i, wiped)
 }
 
-// wipeable tells whether the disks of all other cores are whole and voting.
-func (w *walk) wipeable(i int) bool {
+// canWipe reports whether all other cores are running and voting.
+func (w *simulation) canWipe(i int) bool {
 	for c := range w.fleet.config.Cores {
 		if c == i {
 			continue
--- a/sim/fleet/fleet.go
+++ b/sim/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet runs whole nodes, as the program runs them, over a network in
-// memory and in virtual time. It must be used inside a synctest bubble. What
-// it judges is seen from outside: which key a node takes tells the epoch that
-// it rules by.
+// Package fleet runs complete nodes, as the program runs them, over an in-memory
+// network and in virtual time. It must be used inside a synctest bubble. The checks
+// use the public API only: the key that a node accepts identifies the configuration
+// that it applies.
 package fleet
 
 import (
@@ -33,7 +33,7 @@
 	outside     = "127.0.4.1"
 )
 
-// Place of node i: three zones in two regions.
+// place returns the region and zone of node i: three zones in two regions.
 func place(i int) (region, zone string) {
 	return []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
 }
@@ -47,7 +47,7 @@
 	Nodes, Cores, Voters int
 	Join                 bool
 	Seeds                []int
-	// Log takes what each node tells; nothing is kept without it.
+	// Log receives the events of each node; nil discards them.
 	Log func(node int) events.Log
 }
 
@@ -69,11 +69,11 @@
 }
 
 type member struct {
-	index   int
-	stop    kernel.Cancel
-	ended   chan error
-	started bool // has been up before
-	dark    bool // without power
+	index      int
+	stop       kernel.Cancel
+	ended      chan error
+	started    bool // has been up before
+	poweredOff bool
 }
 
 func host(i int) string { return fmt.Sprintf("127.0.2.%d", i+1) }
@@ -100,8 +100,8 @@
 	platform := map[string]any{"servers": []map[string]any{{"name": "web1", "address": servers + ":80", "kind": "web",
 		"services": []string{"outage"}, "region": "lagos", "zone": "a", "state": "ready"}}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/servers", func(w http.ResponseWriter, r *http.Request) { kernel.Reply(w, http.StatusOK, platform) })
-	mux.HandleFunc("/v1/status", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("/servers", func(w http.ResponseWriter, _ *http.Request) { kernel.Reply(w, http.StatusOK, platform) })
+	mux.HandleFunc("/v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		kernel.Reply(w, http.StatusOK, map[string]any{"server": "web1", "incarnation": 1, "state": "ready", "slots": 64, "answered": 1000})
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
@@ -153,9 +153,9 @@
 // Up starts node i, which must be down.
 func (f *Fleet) Up(i int) error {
 	m := f.nodes[i]
-	if m.dark {
+	if m.poweredOff {
 		f.isolate(i, false)
-		m.dark = false
+		m.poweredOff = false
 	}
 	text, role := f.settings(i)
 	if role == node.RoleCore {
@@ -181,22 +181,21 @@
 	return f.config.Log(i)
 }
 
-// Kill ends node i as a lost process does: its connections break at once and
-// nothing that it does afterwards is heard.
+// Kill ends node i as a killed process does: its connections are reset at once and
+// nothing that it sends afterwards arrives.
 func (f *Fleet) Kill(i int) {
 	m := f.nodes[i]
 	f.Net.Down(host(i))
 	f.isolate(i, true)
 	m.stop()
-	<-m.ended
+	<-m.ended //nolint:errcheck // a killed process has nobody to report its error to
 	f.Net.Down(host(i))
 	f.isolate(i, false)
 	m.stop = nil
 }
 
-// PowerOff ends nodes at one moment as a loss of power does: whoever is
-// connected to them hears nothing more, and their disks are kept. Up brings them
-// back.
+// PowerOff ends nodes at one moment as a loss of power does: their peers receive
+// nothing more, and their disks are kept. Up restarts them.
 func (f *Fleet) PowerOff(lost ...int) {
 	for _, i := range lost {
 		f.isolate(i, true)
@@ -205,24 +204,24 @@
 		f.nodes[i].stop()
 	}
 	for _, i := range lost {
-		<-f.nodes[i].ended
-		f.nodes[i].stop, f.nodes[i].dark = nil, true
+		<-f.nodes[i].ended //nolint:errcheck // a process without power has nobody to report its error to
+		f.nodes[i].stop, f.nodes[i].poweredOff = nil, true
 	}
 }
 
-// isolate cuts a node from everything, in silence, or heals it.
-func (f *Fleet) isolate(i int, cut bool) {
+// isolate partitions a node from everything, or heals the partition.
+func (f *Fleet) isolate(i int, partitioned bool) {
 	for j := range f.nodes {
-		f.Net.Cut(host(i), host(j), cut)
+		f.Net.Cut(host(i), host(j), partitioned)
 	}
-	f.Net.Cut(host(i), servers, cut)
-	f.Net.Cut(host(i), outside, cut)
+	f.Net.Cut(host(i), servers, partitioned)
+	f.Net.Cut(host(i), outside, partitioned)
 }
 
-// Terminate asks node i to stop of itself, as SIGTERM does; it is up until Ended.
+// Terminate starts a graceful shutdown of node i, as SIGTERM does; it runs until Ended.
 func (f *Fleet) Terminate(i int) { f.nodes[i].stop() }
 
-// Ended tells whether node i, asked to stop, has; then it is down.
+// Ended reports whether the graceful shutdown of node i has ended, and its error.
 func (f *Fleet) Ended(i int) (bool, error) {
 	m := f.nodes[i]
 	select {
@@ -235,19 +234,19 @@
 	}
 }
 
-// Running tells whether node i is up.
+// Running reports whether node i is up.
 func (f *Fleet) Running(i int) bool { return f.nodes[i].stop != nil }
 
 // Wipe empties the disk of core i, which must be down.
 func (f *Fleet) Wipe(i int) error { return os.RemoveAll(f.disk(i)) }
 
-// Split cuts the nodes of one side from all others, in silence; callers and
-// operators reach both sides.
-func (f *Fleet) Split(side map[int]bool, cut bool) {
+// Split partitions the nodes of one side from all others, or heals the partition.
+// Callers and operators reach both sides.
+func (f *Fleet) Split(side map[int]bool, partitioned bool) {
 	for i := range f.nodes {
 		for j := range i {
 			if side[i] != side[j] {
-				f.Net.Cut(host(i), host(j), cut)
+				f.Net.Cut(host(i), host(j), partitioned)
 			}
 		}
 	}
@@ -263,7 +262,7 @@
 	f.Net.Close()
 }
 
-// Answer is what a caller or an operator got. Status 0 means none.
+// Answer is the response to a caller or an operator. Status 0 means none.
 type Answer struct {
 	Status     int
 	Code       kernel.Code  `json:"code"`
@@ -297,7 +296,7 @@
 	return answer
 }
 
-// Key k belongs to the sheets from order k on, until the next.
+// key returns the tenant's key in the sheets from order k on, until the next.
 func key(k int) string { return fmt.Sprintf("key %d", k) }
 
 // Ask sends a one-shot with key k to node i.
@@ -327,7 +326,7 @@
 	return f.call(i, http.MethodGet, "/v1/control/sheet", operatorKey, nil, 5*kernel.Second)
 }
 
-// Holds tells whether a sheet that was read back holds key k.
+// Holds reports whether a sheet that was read back has key k.
 func (a Answer) Holds(k int) bool {
 	return a.Sheet != nil && len(a.Sheet.Tenants["civic"].KeyHashes) == 1 && a.Sheet.Tenants["civic"].KeyHashes[0] == sheet.HashKey(key(k))
 }
--- a/sim/fleet/fleet_test.go
+++ b/sim/fleet/fleet_test.go
@@ -20,19 +20,19 @@
 	span  = flag.Duration("span", 30*time.Second, "virtual time of a walk")
 )
 
-// TestWalk walks whole nodes through faults in virtual time. A longer run:
+// TestWalk runs complete nodes through faults in virtual time. A longer run:
 // go test ./sim/fleet -run Walk -args -seeds 200 -span 60s
-func TestWalk(t *testing.T) { walk(t, fleet.Walk) }
+func TestWalk(t *testing.T) { walk(t, fleet.Simulate) }
 
-// TestWalkOfAFleetThatRelays walks a fleet large enough that its fronts renew
+// TestWalkOfAFleetThatRelays runs a fleet large enough that its fronts renew
 // their leases through one core.
 func TestWalkOfAFleetThatRelays(t *testing.T) {
-	walk(t, func(ctx kernel.Context, seed uint64, folder string, span kernel.Duration) (fleet.Tally, error) {
-		return fleet.WalkIn(ctx, fleet.Relayed, seed, folder, span)
+	walk(t, func(ctx kernel.Context, seed uint64, folder string, span kernel.Duration) (fleet.Report, error) {
+		return fleet.SimulateIn(ctx, fleet.Relayed, seed, folder, span)
 	})
 }
 
-func walk(t *testing.T, play func(kernel.Context, uint64, string, kernel.Duration) (fleet.Tally, error)) {
+func walk(t *testing.T, play func(kernel.Context, uint64, string, kernel.Duration) (fleet.Report, error)) {
 	for seed := *from; seed < *from+uint64(*seeds); seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
--- a/sim/fleet/losses.go
+++ b/sim/fleet/losses.go
@@ -17,39 +17,39 @@
 // configuration must be readable again.
 const recoverWithin = 10 * kernel.Second
 
-// Losses plays the end of a bad day: every core loses power at one moment and
+// Losses simulates large power failures: every core loses power at one moment and
 // comes back; then, around an order, all nodes lose power and two cores their
 // disks as well. The order, if it was acknowledged, must be read back. Which
 // cores lose their disks, which are seeds and when each machine is back is drawn.
-func Losses(ctx kernel.Context, seed uint64, folder string, log func(node int) events.Log) (t Tally, err error) {
-	t.Seed = seed
+func Losses(ctx kernel.Context, seed uint64, folder string, log func(node int) events.Log) (report Report, err error) {
+	report.Seed = seed
 	random := Draw(seed)
 	cores := random.Perm(6)
 	config := grown(cores[:3])
 	config.Log = log
 	f, err := Start(ctx, config, folder)
 	if err != nil {
-		return t, err
+		return report, err
 	}
 	defer f.Close()
-	w := &walk{fleet: f, random: random, clock: kernel.System(), tally: &t, n: config.Nodes}
+	w := &simulation{fleet: f, random: random, clock: kernel.System(), report: &report, n: config.Nodes}
 	w.start = w.clock.Now()
 	w.note("seeds %v", config.Seeds)
 	if !w.form() {
 		w.violate("no first sheet in force within 30 s")
-		return t, nil
+		return report, nil
 	}
 	w.pause(3 * kernel.Second)
 	if random.IntN(3) > 0 {
 		w.loseCores(config)
 	}
 	w.lastFault(config)
-	return t, nil
+	return report, nil
 }
 
 // loseCores takes the power of every core, for three seconds or a little more
 // each.
-func (w *walk) loseCores(config Config) {
+func (w *simulation) loseCores(config Config) {
 	lost := upTo(config.Cores)
 	w.fleet.PowerOff(lost...)
 	w.note("cores without power")
@@ -59,7 +59,7 @@
 
 // lastFault sends an order, takes the power of all nodes some milliseconds later
 // and the disks of two cores, and reads back.
-func (w *walk) lastFault(config Config) {
+func (w *simulation) lastFault(config Config) {
 	w.key++
 	s := &sending{key: w.key}
 	w.send(s)
@@ -82,8 +82,8 @@
 	w.readBack(acknowledged)
 }
 
-// readBack asks until the sheet is read, and judges it.
-func (w *walk) readBack(acknowledged bool) {
+// readBack retries until a sheet is read, and checks it.
+func (w *simulation) readBack(acknowledged bool) {
 	until := w.clock.Now().Add(recoverWithin)
 	for w.clock.Now().Before(until) {
 		a := w.fleet.Read(w.random.IntN(w.n))
@@ -104,7 +104,7 @@
 
 // bringBack starts nodes again, each after a least time and a random part of a
 // spread.
-func (w *walk) bringBack(nodes []int, least, spread kernel.Duration) {
+func (w *simulation) bringBack(nodes []int, least, spread kernel.Duration) {
 	w.pause(least)
 	delays := make(map[int]kernel.Duration, len(nodes))
 	for _, i := range nodes {
@@ -118,7 +118,7 @@
 
 const backStep = 10 * kernel.Millisecond
 
-func (w *walk) startDue(delays map[int]kernel.Duration, passed kernel.Duration) {
+func (w *simulation) startDue(delays map[int]kernel.Duration, passed kernel.Duration) {
 	for i := range w.n {
 		delay, waits := delays[i]
 		if !waits || delay > passed {
--- a/sim/fleet/walk.go
+++ b/sim/fleet/simulate.go
@@ -8,56 +8,57 @@
 	"stepwick/internal/kernel"
 )
 
-// Tally of one walk: what was done and what broke. Violations name the point
-// of the brief.
-type Tally struct {
+// Report counts what one run did, and lists its faults and violations.
+type Report struct {
 	Seed         uint64
 	Acknowledged int
 	Pending      int
 	Asked        int
-	Taken        int // asks that a node took, by any key
+	Taken        int // probes that a node accepted, with any key
 	Faults       []string
 	Violations   []string
 }
 
-// Walk drives a fleet of the first deployment's size through faults; see WalkIn.
-func Walk(ctx kernel.Context, seed uint64, folder string, span kernel.Duration) (Tally, error) {
-	return WalkIn(ctx, small, seed, folder, span)
+// Simulate drives a fleet of the first deployment's size through faults; see SimulateIn.
+func Simulate(ctx kernel.Context, seed uint64, folder string, span kernel.Duration) (Report, error) {
+	return SimulateIn(ctx, small, seed, folder, span)
 }
 
-// WalkIn drives a fleet through random faults for a span while operators
+// SimulateIn drives a fleet through random faults for a span while operators
 // replace the only key again and again, now and then two of them on one base,
-// and judges: no node takes an older key 2.5 s after a newer one was
+// and checks: no node takes an older key 2.5 s after a newer one was
 // acknowledged, none steps back, of a race one operator wins and the other's key
 // is never taken, and what was acknowledged is read back at the end.
-func WalkIn(ctx kernel.Context, config Config, seed uint64, folder string, span kernel.Duration) (t Tally, err error) {
-	t.Seed = seed
+func SimulateIn(ctx kernel.Context, config Config, seed uint64, folder string, span kernel.Duration) (report Report, err error) {
+	report.Seed = seed
 	random := Draw(seed)
 	f, err := Start(ctx, config, folder)
 	if err != nil {
-		return t, err
+		return report, err
 	}
 	defer f.Close()
-	w := &walk{fleet: f, random: random, clock: kernel.System(), tally: &t, took: map[int]int{}, lost: map[int]bool{}, leaving: map[int]bool{}, n: config.Nodes}
+	w := &simulation{fleet: f, random: random, clock: kernel.System(), report: &report, took: map[int]int{}, lost: map[int]bool{}, leaving: map[int]bool{}, n: config.Nodes}
 	w.start = w.clock.Now()
 	if !w.form() {
-		t.Violations = append(t.Violations, "no first sheet in force within 30 s")
-		return t, nil
+		report.Violations = append(report.Violations, "no first sheet in force within 30 s")
+		return report, nil
 	}
 	end := w.clock.Now().Add(span)
 	for w.clock.Now().Before(end) {
 		w.step()
 	}
 	w.finish()
-	return t, nil
+	return report, nil
 }
 
-type walk struct {
+// simulation is the state of one run: the fleet, its faults and the operators'
+// orders.
+type simulation struct {
 	fleet  *Fleet
 	random *rand.Rand
 	clock  kernel.Clock
 	start  kernel.Time
-	tally  *Tally
+	report *Report
 	n      int
 
 	race    []*sending // orders under way, all on one base
@@ -66,7 +67,7 @@
 	next    uint64 // base after the orders under way
 	acked   []ack
 	lost    map[int]bool // keys of orders that lost a race
-	took    map[int]int  // newest key that each life of a node took
+	took    map[int]int  // newest key that the incarnation of a node accepted
 	split   map[int]bool
 	heal    kernel.Time
 	back    map[int]kernel.Time
@@ -87,16 +88,16 @@
 	at  kernel.Time
 }
 
-func (w *walk) pause(d kernel.Duration) { <-w.clock.After(d) }
+func (w *simulation) pause(d kernel.Duration) { <-w.clock.After(d) }
 
-func (w *walk) since() string {
+func (w *simulation) since() string {
 	return fmt.Sprintf("%.1fs", w.clock.Now().Sub(w.start).Seconds())
 }
 
-func (w *walk) form() bool {
+func (w *simulation) form() bool {
 	for range 30 {
 		a := w.fleet.First(w.random.IntN(w.n))
-		if a.Status == 200 && a.InForce {
+		if a.Status == http.StatusOK && a.InForce {
 			w.base = a.SheetEpoch
 			w.acked = append(w.acked, ack{0, w.clock.Now()})
 			w.back = map[int]kernel.Time{}
@@ -109,14 +110,14 @@
 
 // step takes a tenth of a second: an order ends or begins, a fault may come or
 // heal, and one node is asked with the newest keys.
-func (w *walk) step() {
+func (w *simulation) step() {
 	w.pause(100 * kernel.Millisecond)
 	w.order()
 	w.fault()
 	w.probe()
 }
 
-func (w *walk) order() {
+func (w *simulation) order() {
 	if w.race == nil {
 		if w.random.IntN(6) == 0 {
 			w.begin()
@@ -149,7 +150,7 @@
 }
 
 // begin sends an order, or two that race on one base.
-func (w *walk) begin() {
+func (w *simulation) begin() {
 	n := 1
 	if w.random.IntN(5) == 0 {
 		n = 2
@@ -162,30 +163,30 @@
 	}
 }
 
-// answered takes the answer to an order, if there is one. What settles nothing
-// is sent again.
-func (w *walk) answered(s *sending) {
+// answered handles the answer to an order, if there is one. An order that neither
+// won nor lost is sent again.
+func (w *simulation) answered(s *sending) {
 	select {
 	case a := <-s.answers:
 		switch {
 		case a.Status == http.StatusOK && a.InForce:
 			s.outcome = a.Status
-			w.tally.Acknowledged++
+			w.report.Acknowledged++
 			w.next = a.SheetEpoch
 			w.acked = append(w.acked, ack{s.key, w.clock.Now()})
 		case a.Status == http.StatusConflict && a.Code == kernel.BaseMoved:
 			s.outcome = a.Status
 			w.lost[s.key] = true
 		default:
-			w.tally.Pending++
+			w.report.Pending++
 			w.send(s)
 		}
 	default:
 	}
 }
 
-// send sends an order, again if need be, through a node that is up.
-func (w *walk) send(s *sending) {
+// send sends an order, or sends it again, through a running node.
+func (w *simulation) send(s *sending) {
 	i := w.random.IntN(w.n)
 	for range w.n {
 		if w.fleet.Running(i) {
@@ -204,82 +205,96 @@
 	}()
 }
 
-func (w *walk) violate(format string, args ...any) {
-	w.tally.Violations = append(w.tally.Violations, w.since()+" "+fmt.Sprintf(format, args...))
+func (w *simulation) violate(format string, args ...any) {
+	w.report.Violations = append(w.report.Violations, w.since()+" "+fmt.Sprintf(format, args...))
 }
 
-func (w *walk) note(format string, args ...any) {
-	w.tally.Faults = append(w.tally.Faults, w.since()+" "+fmt.Sprintf(format, args...))
+func (w *simulation) note(format string, args ...any) {
+	w.report.Faults = append(w.report.Faults, w.since()+" "+fmt.Sprintf(format, args...))
 }
 
-// probe asks one node with the newest key and, 2.5 s after a newer one was
-// acknowledged, with an older one, which it must not take.
-func (w *walk) probe() {
+// ruleDelay is the time after an acknowledgement from which no node may accept an
+// older key.
+const ruleDelay = 2500 * kernel.Millisecond
+
+// probe sends one node the newest key and, 2.5 s after a newer one was
+// acknowledged, an older one, which it must refuse.
+func (w *simulation) probe() {
 	i := w.random.IntN(w.n)
 	if !w.fleet.Running(i) {
 		return
 	}
 	newest, older := -1, -1
 	for _, a := range w.acked {
-		if w.clock.Now().Sub(a.at) > 2500*kernel.Millisecond {
+		if w.clock.Now().Sub(a.at) > ruleDelay {
 			newest, older = a.key, newest
 		}
 	}
-	asked := []int{w.key, older}
+	keys := []int{w.key, older}
 	if len(w.race) == 2 || w.lost[w.key] {
-		asked = append(asked, w.key-1)
+		keys = append(keys, w.key-1)
 	}
-	for _, k := range asked {
-		if k < 0 {
-			continue
-		}
-		w.tally.Asked++
-		a := w.fleet.Ask(i, k)
-		if a.Status != 200 {
-			continue
-		}
-		w.tally.Taken++
-		if w.lost[k] {
-			w.violate("node %d took key %d of an order that lost", i, k)
-		}
-		if k < newest {
-			w.tally.Violations = append(w.tally.Violations, fmt.Sprintf("%s node %d took key %d although %d was acknowledged 2.5 s before", w.since(), i, k, newest))
-		}
-		if k < w.took[i] {
-			w.tally.Violations = append(w.tally.Violations, fmt.Sprintf("%s node %d stepped back from key %d to %d", w.since(), i, w.took[i], k))
+	for _, k := range keys {
+		if k >= 0 {
+			w.probeKey(i, k, newest)
 		}
-		w.took[i] = max(w.took[i], k)
 	}
 }
 
-// finish heals everything, and reads back what was acknowledged last.
-func (w *walk) finish() {
+// probeKey sends node i a key and checks what it accepts. newest is the newest key
+// that no node may be behind of.
+func (w *simulation) probeKey(i, k, newest int) {
+	w.report.Asked++
+	if w.fleet.Ask(i, k).Status != http.StatusOK {
+		return
+	}
+	w.report.Taken++
+	if w.lost[k] {
+		w.violate("node %d took key %d of an order that lost", i, k)
+	}
+	if k < newest {
+		w.violate("node %d took key %d although %d was acknowledged 2.5 s before", i, k, newest)
+	}
+	if k < w.took[i] {
+		w.violate("node %d stepped back from key %d to %d", i, w.took[i], k)
+	}
+	w.took[i] = max(w.took[i], k)
+}
+
+// finish ends all faults, and reads back what was acknowledged last.
+func (w *simulation) finish() {
 	if w.split != nil {
 		w.fleet.Split(w.split, false)
 	}
 	for range 40 {
 		w.pause(500 * kernel.Millisecond)
 		w.leave(w.clock.Now())
-		for i := range w.back {
-			if !w.fleet.Running(i) {
-				if err := w.fleet.Up(i); err != nil {
-					w.violate("node %d doesn't start: %v", i, err)
-				}
-			}
-		}
+		w.restartAll()
 		if w.race != nil {
 			w.order()
 			continue
 		}
 		last := w.acked[len(w.acked)-1].key
 		a := w.fleet.Read(w.random.IntN(w.n))
-		if a.Status == 200 && a.Holds(last) {
-			return
+		if a.Status != http.StatusOK {
+			continue
+		}
+		if !a.Holds(last) {
+			w.violate("read back epoch %d without the acknowledged key %d", a.Epoch, last)
+		}
+		return
+	}
+	w.report.Violations = append(w.report.Violations, fmt.Sprintf("20 s after the last fault: order under way %v, nothing can be read back", w.race != nil))
+}
+
+// restartAll restarts the nodes that are down.
+func (w *simulation) restartAll() {
+	for i := range w.back {
+		if w.fleet.Running(i) {
+			continue
 		}
-		if a.Status == 200 {
-			w.tally.Violations = append(w.tally.Violations, fmt.Sprintf("%s read back epoch %d without the acknowledged key %d", w.since(), a.Epoch, last))
-			return
+		if err := w.fleet.Up(i); err != nil {
+			w.violate("node %d doesn't start: %v", i, err)
 		}
 	}
-	w.tally.Violations = append(w.tally.Violations, fmt.Sprintf("20 s after the last fault: order under way %v, nothing can be read back", w.race != nil))
 }
