--- a/sim/balance/engine.go
+++ b/sim/balance/engine.go
@@ -4,22 +4,22 @@
 
 // job is one request at one server.
 type job struct {
-	number  uint64
-	chain   []piece
-	own     float64
-	left    float64 // tokens still to be read
-	context float64 // tokens of the prompt that are read or were kept
-	out     float64 // tokens still to be written
-	held    int     // tokens of an event that is not full yet
-	told    float64 // when the last event left
-	pause   float64 // the longest between two events
-	began   func()
-	ended   func()
-	found   bool // what is kept of the prompt was looked up
+	number      uint64
+	chain       []promptPart
+	own         float64
+	left        float64 // tokens still to be read
+	context     float64 // tokens of the prompt that are in the cache
+	out         float64 // tokens still to be written
+	unsent      int     // tokens of an event that is not full yet
+	lastEventAt float64
+	pause       float64 // the longest between two events
+	began       func()
+	ended       func()
+	found       bool // the cached prefix was looked up
 }
 
-// piece is one shared part of a prompt.
-type piece struct {
+// promptPart is one shared part of a prompt.
+type promptPart struct {
 	id     uint64
 	tokens float64
 }
@@ -33,13 +33,13 @@
 	writing []*job
 	waiting []*job // beyond the slots
 	busy    bool
-	kept    map[uint64]*list.Element
-	recent  *list.List // the latest used first
+	cached  map[uint64]*list.Element
+	recent  *list.List // the most recently used first
 	used    float64
 }
 
 func newEngine(sim *run, config Engine, name string) *engine {
-	return &engine{sim: sim, config: config, name: name, kept: map[uint64]*list.Element{}, recent: list.New()}
+	return &engine{sim: sim, config: config, name: name, cached: map[uint64]*list.Element{}, recent: list.New()}
 }
 
 // arrive takes a request; it is looked at after a while.
@@ -105,7 +105,7 @@
 			still = append(still, j)
 			continue
 		}
-		j.told = e.sim.now
+		j.lastEventAt = e.sim.now
 		j.began()
 		e.writing = append(e.writing, j)
 	}
@@ -116,16 +116,15 @@
 // write adds a token to the event in hand, which leaves when it is full or the
 // last.
 func (j *job) write(now float64, stride int) {
-	j.held++
-	if j.held < stride && j.out > 0 {
+	j.unsent++
+	if j.unsent < stride && j.out > 0 {
 		return
 	}
-	j.pause = max(j.pause, now-j.told)
-	j.held, j.told = 0, now
+	j.pause = max(j.pause, now-j.lastEventAt)
+	j.unsent, j.lastEventAt = 0, now
 }
 
-// lookUp finds what is kept of a prompt, from its beginning, and keeps the rest
-// from now on.
+// lookUp finds the cached prefix of a prompt, and caches the rest.
 func (e *engine) lookUp(j *job) {
 	j.found, j.left = true, j.own
 	held := true
@@ -140,26 +139,27 @@
 		}
 		e.keep(p)
 	}
-	e.keep(piece{id: j.number, tokens: j.own + j.out})
+	e.keep(promptPart{id: j.number, tokens: j.own + j.out})
 }
 
 func (e *engine) holds(id uint64) bool {
-	at := e.kept[id]
+	at := e.cached[id]
 	return at != nil
 }
 
-// keep makes a part the latest used; others make room.
-func (e *engine) keep(p piece) {
-	if at := e.kept[p.id]; at != nil {
+// keep makes a part the most recently used one, and evicts the least recently used
+// ones where the cache is full.
+func (e *engine) keep(p promptPart) {
+	if at := e.cached[p.id]; at != nil {
 		e.recent.MoveToFront(at)
 		return
 	}
-	e.kept[p.id] = e.recent.PushFront(p)
+	e.cached[p.id] = e.recent.PushFront(p)
 	e.used += p.tokens
 	for e.used > e.config.Memory && e.recent.Len() > 1 {
 		last := e.recent.Back()
-		gone := e.recent.Remove(last).(piece)
-		delete(e.kept, gone.id)
-		e.used -= gone.tokens
+		evicted := e.recent.Remove(last).(promptPart)
+		delete(e.cached, evicted.id)
+		e.used -= evicted.tokens
 	}
 }
--- a/sim/balance/front.go
+++ b/sim/balance/front.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	suspectEvery = 100.0  // ms
-	heardOfLate  = 400.0  // ms; see the gateway's dispatcher
-	tellDelay    = 80.0   // ms until what one front tells is known to all
-	reportFresh  = 3000.0 // ms
-	retryEvery   = 5.0    // ms between looks at a request that waits for room
-	waitPart     = 4      // of its objective a request waits for room
-	probeTimeout = 400.0  // ms
+	suspectEvery  = 100.0  // ms
+	recentlyHeard = 400.0  // ms; see the gateway's dispatcher
+	reportDelay   = 80.0   // ms until one front's report is known to all
+	reportFresh   = 3000.0 // ms
+	retryEvery    = 5.0    // ms between looks at a request that waits for room
+	waitPart      = 4      // of its objective a request waits for room
+	probeTimeout  = 400.0  // ms
 )
 
 // front is a node that carries traffic: the product's table, and connections.
@@ -24,11 +24,11 @@
 	name         string
 	region, zone int
 	table        *balance.Table
-	resting      map[string]int // connections that are kept, by server
+	idle         map[string]int // idle connections, by server
 	suspected    map[string]balance.Silence
 }
 
-// report is what a front told of a server.
+// report is what a front reported of a server.
 type report struct {
 	reachable bool
 	at        float64
@@ -38,7 +38,7 @@
 type request struct {
 	kind   Kind
 	came   float64
-	chain  []piece
+	chain  []promptPart
 	own    float64
 	out    float64
 	number uint64
@@ -54,7 +54,7 @@
 	return order
 }
 
-// take gives a request its server, now or once there is room.
+// take sends a request to a server, at once or when one has capacity.
 func (f *front) take(q *request) { f.try(q, f.order(q)) }
 
 func (f *front) try(q *request, order *balance.Request) {
@@ -76,8 +76,8 @@
 	attempt := f.table.Started(name, order, r.clock())
 	way := r.oneWay(f, s)
 	setUp := 0.0
-	if f.resting[name] > 0 {
-		f.resting[name]--
+	if f.idle[name] > 0 {
+		f.idle[name]--
 	} else {
 		r.result.Connections++
 		setUp = 2 * way
@@ -96,7 +96,7 @@
 	j.ended = func() {
 		r.after(way, func() {
 			f.table.Finished(attempt, balance.Outcome{OK: true}, r.clock())
-			f.resting[name]++
+			f.idle[name]++
 			answer.pause = j.pause
 			r.result.ended(q, answer)
 		})
@@ -104,8 +104,8 @@
 	r.after(setUp+way, func() { s.engine.arrive(j) })
 }
 
-// suspect tells of servers that are silent on what this front sent them, as the
-// gateway's dispatcher does.
+// suspect reports servers that are unresponsive to what this front sent them, as
+// the gateway's dispatcher does.
 func (f *front) suspect() {
 	r := f.run
 	r.after(suspectEvery, f.suspect)
@@ -113,7 +113,7 @@
 		return
 	}
 	now := r.clock()
-	since := now.Add(-kernel.Duration(heardOfLate * float64(kernel.Millisecond)))
+	since := now.Add(-kernel.Duration(recentlyHeard * float64(kernel.Millisecond)))
 	hung := f.table.Silences(now)
 	for name, one := range hung {
 		if f.suspected[name] == balance.Usual {
@@ -124,7 +124,7 @@
 			told = balance.Hanging
 		}
 		if one.Silence >= told && f.suspected[name] < told {
-			f.tell(name, false)
+			f.reportServer(name, false)
 		}
 		f.suspected[name] = max(f.suspected[name], one.Silence)
 	}
@@ -134,18 +134,18 @@
 		}
 		delete(f.suspected, name)
 		if f.table.HeardSince(name, since) {
-			f.tell(name, true)
+			f.reportServer(name, true)
 		}
 	}
 	for name, status := range r.view.Servers {
 		if _, mine := hung[name]; !status.Reachable && !mine && f.table.HeardSince(name, since) {
-			f.tell(name, true)
+			f.reportServer(name, true)
 		}
 	}
 }
 
-// tell passes the word of a server on to all fronts.
-func (f *front) tell(name string, reachable bool) {
+// reportServer reports a server as reachable or not to all fronts.
+func (f *front) reportServer(name string, reachable bool) {
 	r := f.run
 	if r.reports[name] == nil {
 		if reachable {
@@ -158,11 +158,11 @@
 		return
 	}
 	r.changed = true
-	r.after(tellDelay, r.fold)
+	r.after(reportDelay, r.applyReports)
 }
 
-// fold takes the newest word of all servers into every front's view.
-func (r *run) fold() {
+// applyReports applies the newest reports on all servers to every front's view.
+func (r *run) applyReports() {
 	r.changed = false
 	moved := false
 	servers := make(map[string]*wire.ServerStatus, len(r.view.Servers))
--- a/sim/balance/result.go
+++ b/sim/balance/result.go
@@ -10,7 +10,7 @@
 // windowMS is the length of the windows of which the worst count.
 const windowMS = 2000
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Worth       float64 // earned of what was owed
 	WorstWindow float64 // of the mean of the two worst windows of two seconds
@@ -47,7 +47,7 @@
 	paused bool
 }
 
-// outcome is what became of a request.
+// outcome is the end of a request.
 type outcome struct {
 	served bool
 	took   float64 // ms to the first token
@@ -72,7 +72,7 @@
 	r.asked = append(r.asked, one)
 }
 
-// finished works the figures out.
+// finished computes the figures.
 func (r Result) finished(site Site) Result {
 	r.weigh(site)
 	earned, owed := 0.0, 0.0
--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -31,15 +31,15 @@
 	fronts  []*front
 	servers map[string]*server
 	view    balance.View
-	things  map[string][][]piece
+	things  map[string][][]promptPart
 	last    map[uint64]float64 // when a shared part was last used anywhere
 	own     uint64
-	reports map[string]map[string]report // of servers, by the front that told
+	reports map[string]map[string]report // of servers, by the front that reported
 	changed bool
 	result  Result
 }
 
-// server is an engine at a place.
+// server is an engine in a region and zone.
 type server struct {
 	engine       *engine
 	region, zone int
@@ -55,10 +55,10 @@
 	r.events.Schedule(r.now+ms, do)
 }
 
-// Play plays a day of a site under a policy.
+// Play simulates a day of a site under a policy.
 func Play(site Site, policy Policy, seed uint64) Result {
 	r := &run{site: site, policy: policy, random: rand.New(rand.NewPCG(seed, 0x62616c)), servers: map[string]*server{},
-		things: map[string][][]piece{}, last: map[uint64]float64{}, reports: map[string]map[string]report{}}
+		things: map[string][][]promptPart{}, last: map[uint64]float64{}, reports: map[string]map[string]report{}}
 	r.build()
 	for _, kind := range site.Kinds {
 		r.things[kind.Name] = r.drawThings(kind)
@@ -104,7 +104,7 @@
 	for index, region := range r.site.Regions {
 		for i := range region.Fronts {
 			zone := i % r.site.Zones
-			f := &front{run: r, name: r.view.Fronts[at], region: index, zone: zone, resting: map[string]int{}, suspected: map[string]balance.Silence{}}
+			f := &front{run: r, name: r.view.Fronts[at], region: index, zone: zone, idle: map[string]int{}, suspected: map[string]balance.Silence{}}
 			f.table = balance.New(balance.Config{Self: f.name, Region: region.Name, Zone: zoneName(region.Name, zone), Off: r.policy.Off})
 			f.table.Update(r.view, r.clock())
 			r.fronts = append(r.fronts, f)
@@ -118,20 +118,20 @@
 // drawThings draws the chains of shared parts that requests of a kind have. The
 // last part of a chain is one of many, and each of those has its own parts before
 // it.
-func (r *run) drawThings(kind Kind) [][]piece {
+func (r *run) drawThings(kind Kind) [][]promptPart {
 	if len(kind.Shared) == 0 {
-		return [][]piece{nil}
+		return [][]promptPart{nil}
 	}
-	levels := make([][]piece, len(kind.Shared))
+	levels := make([][]promptPart, len(kind.Shared))
 	for level, shared := range kind.Shared {
 		for range shared.Things {
-			levels[level] = append(levels[level], piece{id: r.random.Uint64(), tokens: r.size(shared.Size)})
+			levels[level] = append(levels[level], promptPart{id: r.random.Uint64(), tokens: r.size(shared.Size)})
 		}
 	}
-	chains := make([][]piece, len(levels[len(levels)-1]))
+	chains := make([][]promptPart, len(levels[len(levels)-1]))
 	for i := range chains {
-		for _, pieces := range levels[:len(levels)-1] {
-			chains[i] = append(chains[i], pieces[i%len(pieces)])
+		for _, parts := range levels[:len(levels)-1] {
+			chains[i] = append(chains[i], parts[i%len(parts)])
 		}
 		chains[i] = append(chains[i], levels[len(levels)-1][i])
 	}
@@ -180,7 +180,7 @@
 	r.after(r.site.ToClient, func() { f.take(q) })
 }
 
-// bursts tells whether a kind of requests comes more often now.
+// bursts reports whether a kind of requests comes more often now.
 func (r *run) bursts(kind Kind) bool {
 	burst, at := r.site.Burst, r.now/1000
 	return burst.Kind == kind.Name && at >= burst.At && at < burst.At+burst.For
@@ -195,12 +195,12 @@
 	return min(int(float64(n)*math.Pow(r.random.Float64(), 1/(1-skew))), n-1)
 }
 
-// used notes that a shared part was found kept.
-func (r *run) used(p piece) { r.last[p.id] = r.now }
+// used records that a shared part was found in a cache.
+func (r *run) used(p promptPart) { r.last[p.id] = r.now }
 
-// readAnew notes that a shared part was read, and counts it if another server
-// has read it of late.
-func (r *run) readAnew(p piece) {
+// readAnew records that a shared part was read, and counts it if another server
+// has read it recently.
+func (r *run) readAnew(p promptPart) {
 	r.result.Read += p.tokens
 	if at, before := r.last[p.id]; before && r.now-at < r.site.Remembered*1000 {
 		r.result.ReadAgain += p.tokens
--- a/sim/balance/site.go
+++ b/sim/balance/site.go
@@ -1,8 +1,8 @@
-// Package balance plays the choices of internal/core/balance for many fronts
-// before emulated model servers, in virtual time. The choices are the product's
-// own code; servers, links, clients and the word of silent servers that fronts
-// pass on are modelled. It serves to try a policy under many seeds, at sizes
-// that no machine here can run as processes.
+// Package balance simulates the choices of internal/core/balance for many fronts in
+// front of emulated model servers, in virtual time. The choices are the product's
+// own code; servers, links, clients and the reports of unresponsive servers between
+// fronts are modelled. It compares policies under many seeds, at sizes that one
+// machine can't run as processes.
 //
 // Not modelled: faults, second attempts, tenants and cold servers.
 package balance
--- a/sim/memnet/memnet.go
+++ b/sim/memnet/memnet.go
@@ -1,7 +1,7 @@
-// Package memnet is a network inside one process for whole nodes in virtual
-// time. Links are directed pairs of hosts; each can be cut in silence, and a
-// host that is down refuses connections. Its state is owned by one goroutine;
-// connections read the cuts through atomic flags.
+// Package memnet is an in-memory network for complete nodes in virtual time. A link
+// is a directed pair of hosts. A partitioned link drops what is sent; a host that is
+// down refuses connections. One goroutine owns the state; connections read the
+// partitions through atomic flags.
 package memnet
 
 import (
@@ -25,7 +25,7 @@
 
 type state struct {
 	listeners map[string]*listener
-	cut       map[[2]string]*atomic.Bool
+	cut       map[[2]string]*atomic.Bool // by link
 	conns     map[*conn]struct{}
 }
 
@@ -46,6 +46,7 @@
 	return n
 }
 
+// do runs a call on the state and waits for it; it does nothing once the network ended.
 func (n *Network) do(call func(*state)) {
 	done := make(chan struct{})
 	select {
@@ -55,6 +56,7 @@
 	}
 }
 
+// flag returns whether a link is partitioned.
 func (s *state) flag(from, to string) *atomic.Bool {
 	key := [2]string{from, to}
 	f, ok := s.cut[key]
@@ -65,8 +67,8 @@
 	return f
 }
 
-// Cut makes both directions between two hosts silent, or heals them.
-// Connections that lived through a cut stay silent.
+// Cut partitions two hosts in both directions, or heals the partition. Connections
+// that existed during a partition stay silent.
 func (n *Network) Cut(a, b string, cut bool) {
 	n.do(func(s *state) {
 		s.flag(a, b).Store(cut)
@@ -134,34 +136,20 @@
 // Dialer returns a dial function for a host's connections.
 func (n *Network) Dialer(host string) func(ctx kernel.Context, network, address string) (net.Conn, error) {
 	return func(ctx kernel.Context, network, address string) (net.Conn, error) {
-		var l *listener
-		ended, cut := true, false
-		var near, far *conn
-		to := hostOf(address)
-		n.do(func(s *state) {
-			ended, cut = false, s.flag(host, to).Load()
-			if l = s.listeners[address]; l == nil || cut {
-				return
-			}
-			a, b := net.Pipe()
-			near = &conn{Conn: a, network: n, from: host, to: to, local: host + ":0", remote: address}
-			far = &conn{Conn: b, network: n, from: to, to: host, local: address, remote: host + ":0"}
-			near.other, far.other = far, near
-			s.conns[near], s.conns[far] = struct{}{}, struct{}{}
-		})
-		if ended {
+		d := &dial{network: n, from: host, to: hostOf(address), address: address, ended: true}
+		n.do(d.connect)
+		switch {
+		case d.ended:
 			return nil, &net.OpError{Op: "dial", Net: network, Err: net.ErrClosed}
-		}
-		if cut {
+		case d.partitioned:
 			return nil, n.unanswered(ctx, network)
-		}
-		if l == nil {
+		case d.listener == nil:
 			return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 		}
 		select {
-		case l.accepted <- far:
-			return near, nil
-		case <-l.closed:
+		case d.listener.accepted <- d.far:
+			return d.near, nil
+		case <-d.listener.closed:
 			return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 		case <-ctx.Done():
 			return nil, &net.OpError{Op: "dial", Net: network, Err: ctx.Err()}
@@ -169,7 +157,33 @@
 	}
 }
 
-// unanswered waits as long as a dial without an answer does.
+// dial is one attempt to connect, and what the network's state made of it.
+type dial struct {
+	network           *Network
+	from, to, address string
+	ended             bool // the network has ended
+	partitioned       bool
+	listener          *listener // nil if nobody listens
+	near, far         *conn
+}
+
+// connect creates both ends of the connection, if the address can be reached.
+func (d *dial) connect(s *state) {
+	d.ended = false
+	d.partitioned = s.flag(d.from, d.to).Load()
+	d.listener = s.listeners[d.address]
+	if d.listener == nil || d.partitioned {
+		return
+	}
+	near, far := net.Pipe()
+	local := d.from + ":0"
+	d.near = &conn{Conn: near, network: d.network, from: d.from, to: d.to, local: local, remote: d.address}
+	d.far = &conn{Conn: far, network: d.network, from: d.to, to: d.from, local: d.address, remote: local}
+	d.near.other, d.far.other = d.far, d.near
+	s.conns[d.near], s.conns[d.far] = struct{}{}, struct{}{}
+}
+
+// unanswered waits until a dial to an unreachable host times out.
 func (n *Network) unanswered(ctx kernel.Context, network string) error {
 	wait, stop := kernel.Timer(dialTimeout)
 	defer stop()
@@ -216,15 +230,15 @@
 
 func (l *listener) Addr() net.Addr { return address(l.address) }
 
-// conn swallows what is written once its link was cut, and holds back what was
-// on its way.
+// conn is one end of a connection. It drops what is written once its link has been
+// partitioned.
 type conn struct {
 	net.Conn
 	network       *Network
 	from, to      string
 	local, remote string
 	other         *conn
-	dead          atomic.Bool
+	dead          atomic.Bool // its link has been partitioned
 }
 
 func (c *conn) Write(p []byte) (int, error) {
--- a/sim/route/judge.go
+++ b/sim/route/checker.go
@@ -6,14 +6,15 @@
 	"stepwick/internal/kernel"
 )
 
-// Violation is a point that must never happen, with what was seen.
+// Violation describes a broken rule and what was measured.
 type Violation string
 
-// Judge looks at a run from outside: no server that had given fewer answers than
-// its slots had more in flight than the ramp's start and one for each answer;
-// none ever had more than mostPeak in flight; and from an instant on, each span
-// of three seconds served a quarter of the level before the first fault.
-func Judge(cfg Config, r Result, mostPeak int, from kernel.Duration) []Violation {
+// Check checks a run by its result alone. During slow start, until a server has
+// answered as many requests as it has slots, it has no more in flight than the slow
+// start's first bound and one for each answer; no server ever has more than mostPeak
+// in flight; and from an instant on, each span of three seconds serves at least a
+// quarter of the rate before the first fault.
+func Check(cfg Config, r Result, mostPeak int, from kernel.Duration) []Violation {
 	var found []Violation
 	for _, l := range r.Servers {
 		if l.Over > 0 {
--- a/sim/route/call.go
+++ b/sim/route/request.go
@@ -10,7 +10,7 @@
 	"stepwick/internal/kernel"
 )
 
-func (s *sim) offer(n int) {
+func (s *sim) arrive(n int) {
 	if s.now >= s.cfg.Span {
 		return
 	}
@@ -18,7 +18,7 @@
 	if s.cfg.Crowd > 0 && s.now >= s.cfg.CrowdFrom && s.now < s.cfg.CrowdTo {
 		rate *= s.cfg.Crowd
 	}
-	s.at(s.now+seconds(s.rng.ExpFloat64()/rate), func() { s.offer(n + 1) })
+	s.at(s.now+seconds(s.rng.ExpFloat64()/rate), func() { s.arrive(n + 1) })
 	which, _ := slices.BinarySearch(s.zipf, s.rng.Float64()*s.zipf[len(s.zipf)-1])
 	spread := func(mean int) int { return max(1, mean/2+s.rng.IntN(mean+1)) }
 	prefix := xxhash.Sum64String(fmt.Sprintf("prefix %d", which))
@@ -26,7 +26,7 @@
 		prefixTokens: s.cfg.PrefixTokens/2 + int(prefix%uint64(s.cfg.PrefixTokens+1)),
 		session:      spread(s.cfg.SessionTokens), output: spread(s.cfg.OutputTokens), born: s.now, deadline: s.now + s.cfg.Deadline}
 	s.result.Offered++
-	s.try(c)
+	s.route(c)
 }
 
 func (s *sim) pickFront() *front {
@@ -51,23 +51,23 @@
 	return route.Request{ID: c.id, Service: "chat", Prefix: c.prefix, Deadline: epoch.Add(c.deadline), Tried: c.tried}
 }
 
-func (s *sim) try(c *call) {
+func (s *sim) route(c *call) {
 	req := s.request(c)
 	choice := c.front.table.Choose(req, s.clock())
 	if choice.Queued {
 		if fault := c.front.table.Enqueue(req, s.clock()); fault != nil {
-			s.refused(c, fault)
+			s.reject(c, fault)
 			return
 		}
 		c.front.calls[c.id] = c
 		return
 	}
-	s.follow(c, choice)
+	s.startAttempt(c, choice)
 }
 
-func (s *sim) follow(c *call, choice route.Choice) {
+func (s *sim) startAttempt(c *call, choice route.Choice) {
 	if choice.Fault != nil {
-		s.refused(c, choice.Fault)
+		s.reject(c, choice.Fault)
 		return
 	}
 	c.front.table.Started(choice.Server)
@@ -78,13 +78,13 @@
 	attempt := c.attempt
 	s.at(c.deadline, func() {
 		if !c.over && c.attempt == attempt && v.cancel(c) {
-			s.back(c, attempt, late)
+			s.finishAttempt(c, attempt, late)
 		}
 	})
 	s.at(s.now+hop, func() { v.arrive(c) })
 }
 
-func (s *sim) refused(c *call, fault *kernel.Fault) {
+func (s *sim) reject(c *call, fault *kernel.Fault) {
 	c.over = true
 	s.result.Refused++
 	s.result.Codes[fault.Code.String()]++
@@ -98,8 +98,8 @@
 	}
 }
 
-// back brings the end of an attempt to the front.
-func (s *sim) back(c *call, attempt int, how ending) {
+// finishAttempt reports the end of an attempt to the front.
+func (s *sim) finishAttempt(c *call, attempt int, how ending) {
 	name := c.server
 	s.at(s.now+hop, func() {
 		f := c.front
@@ -124,15 +124,15 @@
 		case how == late:
 			c.over = true
 			s.result.Late++
-		case how == cut && c.begun:
+		case how == interrupted && c.begun:
 			c.over = true
 			s.result.Cut++
-		case len(c.tried)+1 >= mostTries:
+		case len(c.tried)+1 >= maxAttempts:
 			c.over = true
 			s.result.Rejected++
 		default:
 			c.tried = append(c.tried, name)
-			s.try(c)
+			s.route(c)
 		}
 	})
 }
--- a/sim/route/server.go
+++ b/sim/route/server.go
@@ -9,8 +9,8 @@
 )
 
 // server is a model server in virtual time: one prefill at a time, decode in a
-// batch, prefixes in a KV cache of bounded tokens, least recently used out
-// first.
+// batch, prefixes in a KV cache of bounded tokens, the least recently
+// used evicted first.
 type server struct {
 	name, region, zone string
 	cfg                ServerConfig
@@ -29,10 +29,10 @@
 	cached      int
 
 	inFlight map[*call]bool
-	ledger   Ledger
+	report   ServerReport
 }
 
-type held struct {
+type cachedPrefix struct {
 	prefix uint64
 	tokens int
 }
@@ -50,22 +50,20 @@
 	ColdPace        float64
 }
 
-// Ledger is what one server saw. Peak is the most requests in flight; Over the
-// number of arrivals beyond the ramp's start and one for each answer while it
-// had given fewer answers than its slots, and Excess the most by which.
-type Ledger struct {
+// ServerReport counts the requests of one server.
+type ServerReport struct {
 	Server       string
-	Peak         int
-	PeakCold     int
-	Over         int
-	Excess       int
+	Peak         int // most requests in flight
+	PeakCold     int // most in flight during slow start after a restart
+	Over         int // arrivals beyond the bound of slow start
+	Excess       int // most requests by which that bound was exceeded
 	Busy, Served int
 	Hits, Misses int
 }
 
 func newServer(s *sim, name, region, zone string, cfg ServerConfig) *server {
 	v := &server{name: name, region: region, zone: zone, cfg: cfg, sim: s, inFlight: map[*call]bool{}}
-	v.ledger.Server = name
+	v.report.Server = name
 	v.boot(0)
 	return v
 }
@@ -95,32 +93,34 @@
 
 func (v *server) arrive(c *call) {
 	if !v.up {
-		v.sim.back(c, c.attempt, refused)
+		v.sim.finishAttempt(c, c.attempt, refused)
 		return
 	}
 	if len(v.running) >= v.cfg.Slots && len(v.queue) >= v.cfg.Queue {
-		v.ledger.Busy++
-		v.sim.back(c, c.attempt, busy)
+		v.report.Busy++
+		v.sim.finishAttempt(c, c.attempt, busy)
 		return
 	}
 	v.inFlight[c] = true
-	v.note()
+	v.countInFlight()
 	v.queue = append(v.queue, c)
 	v.admit()
 }
 
-func (v *server) note() {
+// countInFlight compares the requests in flight to the bounds of slow start.
+func (v *server) countInFlight() {
 	n := len(v.inFlight)
-	v.ledger.Peak = max(v.ledger.Peak, n)
+	v.report.Peak = max(v.report.Peak, n)
 	if v.incarnation > 1 && v.answered < uint64(v.cfg.Slots) {
-		v.ledger.PeakCold = max(v.ledger.PeakCold, n)
+		v.report.PeakCold = max(v.report.PeakCold, n)
 	}
 	if allowed := rampStart + int(v.answered); v.answered < uint64(v.cfg.Slots) && n > allowed {
-		v.ledger.Over++
-		v.ledger.Excess = max(v.ledger.Excess, n-allowed)
+		v.report.Over++
+		v.report.Excess = max(v.report.Excess, n-allowed)
 	}
 }
 
+// admit starts queued requests while there are free slots.
 func (v *server) admit() {
 	for len(v.queue) > 0 && len(v.running) < v.cfg.Slots {
 		c := v.queue[0]
@@ -131,23 +131,23 @@
 			pace = v.cfg.ColdPace
 		}
 		work := float64(c.session)
-		if v.touch(c.prefix, c.prefixTokens) {
-			v.ledger.Hits++
+		if v.lookUpPrefix(c.prefix, c.prefixTokens) {
+			v.report.Hits++
 		} else {
-			v.ledger.Misses++
+			v.report.Misses++
 			work += float64(c.prefixTokens)
 		}
 		v.prefillFree = max(v.prefillFree, v.sim.now) + seconds(work/(v.cfg.Prefill*pace))
 		rate := min(v.cfg.PerCall, v.cfg.Decode/float64(len(v.running))) * pace
 		first := v.prefillFree + seconds(1/rate)
-		life, attempt := v.incarnation, c.attempt
+		incarnation, attempt := v.incarnation, c.attempt
 		v.sim.at(first, func() {
-			if v.up && v.incarnation == life {
+			if v.up && v.incarnation == incarnation {
 				v.sim.firstToken(c, attempt)
 			}
 		})
 		v.sim.at(first+seconds(float64(c.output)/rate), func() {
-			if v.up && v.incarnation == life {
+			if v.up && v.incarnation == incarnation {
 				v.finish(c, attempt)
 			}
 		})
@@ -172,12 +172,13 @@
 	delete(v.running, c)
 	delete(v.inFlight, c)
 	v.answered++
-	v.ledger.Served++
-	v.sim.back(c, attempt, answered)
+	v.report.Served++
+	v.sim.finishAttempt(c, attempt, answered)
 	v.admit()
 }
 
-func (v *server) touch(prefix uint64, tokens int) bool {
+// lookUpPrefix reports whether a prefix is cached, and caches it if not.
+func (v *server) lookUpPrefix(prefix uint64, tokens int) bool {
 	if e := v.cache[prefix]; e != nil {
 		v.recent.MoveToFront(e)
 		return true
@@ -185,20 +186,21 @@
 	for v.cached+tokens > v.cfg.KV && v.recent.Len() > 0 {
 		last := v.recent.Back()
 		v.recent.Remove(last)
-		out := last.Value.(held)
-		delete(v.cache, out.prefix)
-		v.cached -= out.tokens
+		evicted := last.Value.(cachedPrefix)
+		delete(v.cache, evicted.prefix)
+		v.cached -= evicted.tokens
 	}
-	v.cache[prefix] = v.recent.PushFront(held{prefix, tokens})
+	v.cache[prefix] = v.recent.PushFront(cachedPrefix{prefix, tokens})
 	v.cached += tokens
 	return false
 }
 
+// crash ends the process and interrupts all of its requests.
 func (v *server) crash() {
 	v.up = false
 	lost := v.inFlight
 	v.inFlight, v.running, v.queue = map[*call]bool{}, map[*call]bool{}, nil
 	for _, c := range v.sim.inOrder(lost) {
-		v.sim.back(c, c.attempt, cut)
+		v.sim.finishAttempt(c, c.attempt, interrupted)
 	}
 }
--- a/sim/route/sim.go
+++ b/sim/route/sim.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	rampStart  = 2
-	statusStep = 500 * kernel.Millisecond
-	statusLag  = 250 * kernel.Millisecond
-	planPeriod = 5 * kernel.Second
-	hop        = kernel.Millisecond
-	wakeStep   = 50 * kernel.Millisecond
-	mostTries  = 3
+	rampStart   = 2
+	statusStep  = 500 * kernel.Millisecond
+	statusLag   = 250 * kernel.Millisecond
+	planPeriod  = 5 * kernel.Second
+	hop         = kernel.Millisecond
+	drainStep   = 50 * kernel.Millisecond
+	maxAttempts = 3
 )
 
 // Config is one run. Rate is requests a second; Prefixes the number of shared
@@ -59,22 +59,33 @@
 	Policy        plan.Policy
 }
 
-// Fault happens to one server at an instant of the run.
+// Fault is a fault of one server at an instant of the run.
 type Fault struct {
 	At     kernel.Duration
 	Server int
-	What   string // crash, cold (comes back cold), drain, undrain
+	What   FaultKind
 }
 
-// Result is what callers and servers saw. Refused counts the answers that told
-// the caller to come back, Cut streams that ended early, Late those that the
-// deadline ended. TTFT are times to the first token, in order.
+// FaultKind is what happens to a server.
+type FaultKind string
+
+// Kinds of faults.
+const (
+	Crash       FaultKind = "crash"
+	RestartCold FaultKind = "cold" // the server runs again, with empty caches
+	Drain       FaultKind = "drain"
+	Undrain     FaultKind = "undrain"
+)
+
+// Result counts what callers and servers observed. Refused counts rejections with a
+// retry delay, Cut streams that were interrupted, Late requests that the deadline
+// ended. TTFT are the times to the first token, in order.
 type Result struct {
 	Offered, Served, Refused, Cut, Late, Rejected int
 	Codes                                         map[string]int
 	TTFT                                          []kernel.Duration
 	Hits, Misses                                  int
-	Servers                                       []Ledger
+	Servers                                       []ServerReport
 	PerSecond                                     []int
 }
 
@@ -101,7 +112,7 @@
 	answered ending = iota
 	refused
 	busy
-	cut
+	interrupted
 	late
 )
 
@@ -144,7 +155,7 @@
 
 func seconds(s float64) kernel.Duration { return kernel.Duration(s * float64(kernel.Second)) }
 
-// Run plays one configuration.
+// Run simulates one configuration.
 func Run(cfg Config) Result {
 	s := &sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), byName: map[string]*server{}, last: map[string]*wire.ServerStatus{}}
 	s.result.Codes = map[string]int{}
@@ -174,18 +185,18 @@
 				Policy: cfg.Policy, QueueBound: cmp.Or(cfg.Queued, 256)})})
 	}
 	s.drawZipf()
-	s.look(names)
-	s.wake()
+	s.publishStatus(names)
+	s.drainQueues()
 	for _, fault := range cfg.Faults {
 		s.at(fault.At, func() { s.fault(fault) })
 	}
-	s.at(kernel.Second, func() { s.offer(0) })
+	s.at(kernel.Second, func() { s.arrive(0) })
 	s.runEvents(cfg.Span + cfg.Deadline)
 	slices.Sort(s.result.TTFT)
 	for _, v := range s.servers {
-		s.result.Hits += v.ledger.Hits
-		s.result.Misses += v.ledger.Misses
-		s.result.Servers = append(s.result.Servers, v.ledger)
+		s.result.Hits += v.report.Hits
+		s.result.Misses += v.report.Misses
+		s.result.Servers = append(s.result.Servers, v.report)
 	}
 	return s.result
 }
@@ -216,20 +227,21 @@
 func (s *sim) fault(f Fault) {
 	v := s.servers[f.Server]
 	switch f.What {
-	case "crash":
+	case Crash:
 		v.crash()
-	case "cold":
+	case RestartCold:
 		v.boot(s.cfg.Server.ColdCalls)
-	case "drain":
+	case Drain:
 		v.draining = true
-	case "undrain":
+	case Undrain:
 		v.draining = false
 	}
 }
 
-// look is the watchers, the planner and the feed: each half second the servers'
-// status goes to all fronts, late by a lag, with a plan when one is due.
-func (s *sim) look(names []string) {
+// publishStatus acts as the health checks, the planner and the feed: each half
+// second it sends the servers' status to all fronts, delayed, and a plan when one
+// is due.
+func (s *sim) publishStatus(names []string) {
 	next := map[string]*wire.ServerStatus{}
 	for _, v := range s.servers {
 		next[v.name] = v.status()
@@ -249,16 +261,16 @@
 		})
 	}
 	if s.now < s.cfg.Span+s.cfg.Deadline {
-		s.at(s.now+statusStep, func() { s.look(names) })
+		s.at(s.now+statusStep, func() { s.publishStatus(names) })
 	}
 }
 
-func (s *sim) wake() {
+func (s *sim) drainQueues() {
 	for _, f := range s.fronts {
 		s.drain(f)
 	}
 	if s.now < s.cfg.Span+s.cfg.Deadline {
-		s.at(s.now+wakeStep, s.wake)
+		s.at(s.now+drainStep, s.drainQueues)
 	}
 }
 
@@ -270,7 +282,7 @@
 		}
 		c := f.calls[ready.Request.ID]
 		delete(f.calls, ready.Request.ID)
-		s.follow(c, ready.Choice)
+		s.startAttempt(c, ready.Choice)
 	}
 }
 
--- a/sim/route/sim_test.go
+++ b/sim/route/sim_test.go
@@ -35,8 +35,10 @@
 	return all
 }
 
-func crash(at int, server int) Fault { return Fault{time.Duration(at) * time.Second, server, "crash"} }
-func cold(at int, server int) Fault  { return Fault{time.Duration(at) * time.Second, server, "cold"} }
+func crash(at int, server int) Fault { return Fault{time.Duration(at) * time.Second, server, Crash} }
+func cold(at int, server int) Fault {
+	return Fault{time.Duration(at) * time.Second, server, RestartCold}
+}
 
 func TestFloods(t *testing.T) {
 	cases := []struct {
@@ -59,8 +61,8 @@
 		}, 37},
 		{"all replaced in turn", func(c *Config) {
 			for i := range 18 {
-				c.Faults = append(c.Faults, Fault{time.Duration(10+i*2) * time.Second, i, "drain"}, crash(13+i*2, i),
-					Fault{time.Duration(14+i*2) * time.Second, i, "undrain"}, cold(14+i*2, i))
+				c.Faults = append(c.Faults, Fault{time.Duration(10+i*2) * time.Second, i, Drain}, crash(13+i*2, i),
+					Fault{time.Duration(14+i*2) * time.Second, i, Undrain}, cold(14+i*2, i))
 			}
 		}, 57},
 		{"half lost at once and back cold", func(c *Config) {
@@ -83,7 +85,7 @@
 				peak = max(peak, l.Peak)
 			}
 			t.Logf("%s, seed %d: %v peak %d %v", c.name, seed, r, peak, r.Codes)
-			for _, v := range Judge(cfg, r, mostPeak, time.Duration(c.from)*time.Second) {
+			for _, v := range Check(cfg, r, mostPeak, time.Duration(c.from)*time.Second) {
 				t.Errorf("%s, seed %d: %s", c.name, seed, v)
 			}
 		}
@@ -99,7 +101,7 @@
 	for _, seed := range seeds(4) {
 		cfg := today(seed)
 		for i := range 6 {
-			cfg.Faults = append(cfg.Faults, crash(20+4*i, 3*i), Fault{time.Duration(20+4*i)*time.Second + 200*time.Millisecond, 3 * i, "cold"})
+			cfg.Faults = append(cfg.Faults, crash(20+4*i, 3*i), Fault{time.Duration(20+4*i)*time.Second + 200*time.Millisecond, 3 * i, RestartCold})
 		}
 		for _, l := range Run(cfg).Servers {
 			worst = max(worst, l.Excess)
@@ -111,25 +113,25 @@
 	t.Logf("at most %d beyond the ramp", worst)
 }
 
-func TestJudgeSeesFloods(t *testing.T) {
+func TestCheckerFindsFloods(t *testing.T) {
 	cfg := today(1)
 	cfg.Faults = []Fault{crash(20, 3), cold(22, 3)}
 	cfg.Policy = plan.Policy{RampStart: fullCap}
-	if len(Judge(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
+	if len(Check(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
 		t.Error("a server without a ramp was not seen to be flooded")
 	}
 	cfg = today(1)
 	cfg.Server.Queue = 10000
 	cfg.Crowd, cfg.CrowdFrom, cfg.CrowdTo = 10, 20*time.Second, 30*time.Second
 	cfg.Policy = plan.Policy{Slack: 10}
-	if len(Judge(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
+	if len(Check(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
 		t.Error("servers without a cap were not seen to be flooded")
 	}
 	cfg = today(1)
 	for i := range 18 {
 		cfg.Faults = append(cfg.Faults, crash(30, i))
 	}
-	if len(Judge(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
+	if len(Check(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
 		t.Error("a fleet without servers was not seen to serve nothing")
 	}
 }
