--- a/cmd/rig/demo.go
+++ b/cmd/rig/demo.go
@@ -1,16 +1,16 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"os"
 	"sync"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/judge"
 	"stepwick/cmd/rig/ledger"
@@ -30,7 +30,7 @@
 	return c
 }
 
-func demo(ctx kernel.Context, length int, seed uint64, keep, folder string) error {
+func demo(ctx context.Context, length int, seed uint64, keep, folder string) error {
 	binary, remove, err := built()
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 		return err
 	}
 	troubles := operate(s, length)
-	epochs := s.Epochs(5 * kernel.Second)
+	epochs := s.Epochs(5 * time.Second)
 	l := s.Close()
 	found := judge.Find(&l)
 	prove.Report(os.Stdout, "demo", found)
@@ -73,10 +73,10 @@
 // operate submits 30 changes in a row, one race and one order whose answer is
 // lost, while the fleet serves, and returns what did not go as it must.
 func operate(s *prove.Stage, length int) (troubles []string) {
-	until := s.Book.Now() + kernel.Duration(length)*kernel.Second
-	ctx, cancel := kernel.WithTimeout(s.Context(), kernel.Duration(length)*kernel.Second+20*kernel.Second)
+	until := s.Book.Now() + time.Duration(length)*time.Second
+	ctx, cancel := context.WithTimeout(s.Context(), time.Duration(length)*time.Second+20*time.Second)
 	defer cancel()
-	s.Wait(2 * kernel.Second)
+	s.Wait(2 * time.Second)
 	base, ok := s.Control.Base(ctx, s.Fleet.Nodes)
 	if !ok {
 		return []string{"no node gave the sheet"}
@@ -101,7 +101,7 @@
 	}
 	_, base = s.Control.Newest()
 	lost := s.Control.Change("bola", base)
-	s.Control.Send(lost, s.Fleet.Nodes[1], 5*kernel.Millisecond)
+	s.Control.Send(lost, s.Fleet.Nodes[1], 5*time.Millisecond)
 	first := s.Control.Push(ctx, lost, s.Fleet.From(2))
 	again := s.Control.Push(ctx, lost, s.Fleet.From(5))
 	if !first.Won() || !again.Won() || first.Epoch != again.Epoch {
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -3,6 +3,7 @@
 package fleet
 
 import (
+	"context"
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
@@ -15,8 +16,6 @@
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/own"
 	"stepwick/cmd/rig/relay"
@@ -97,7 +96,7 @@
 	relays   map[string]*relay.Relay
 	base     int
 	places   map[string]Place
-	stop     kernel.Cancel
+	stop     context.CancelFunc
 }
 
 // Build compiles the program into a folder and returns its path.
@@ -128,7 +127,7 @@
 	}
 	f := &Fleet{Spec: spec, Book: book, Links: relay.NewLinks(), Dir: dir, Binary: binary, base: base,
 		spawn: make(chan spawnAsk), relays: map[string]*relay.Relay{}, places: map[string]Place{}}
-	ctx, stop := kernel.WithCancel(kernel.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go spawner(ctx, f.spawn)
 	f.Platform = standin.NewPlatform(f.ip(1, 1)+":7900", book)
--- a/cmd/rig/fleet/node.go
+++ b/cmd/rig/fleet/node.go
@@ -8,13 +8,13 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
 	"go.yaml.in/yaml/v3"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/own"
+	"stepwick/internal/clock"
 )
 
 // Node returns a node by name, or nil.
@@ -136,7 +136,7 @@
 
 func (n *Node) open(exited chan struct{}) {
 	for {
-		c, err := net.DialTimeout("tcp4", n.internal, kernel.Second)
+		c, err := net.DialTimeout("tcp4", n.internal, time.Second)
 		if err == nil {
 			c.Close()
 			select {
@@ -146,7 +146,7 @@
 			}
 			return
 		}
-		t, _ := kernel.Timer(20 * kernel.Millisecond)
+		t, _ := clock.NewTimer(20 * time.Millisecond)
 		select {
 		case <-t:
 		case <-exited:
@@ -182,13 +182,13 @@
 
 // Term asks the process to leave and waits for its end, at most d, then kills it.
 // The process may be frozen.
-func (n *Node) Term(d kernel.Duration) (clean bool) {
+func (n *Node) Term(d time.Duration) (clean bool) {
 	n.fleet.Book.Mark("term "+n.Name, false)
 	exited := n.signal(term, false)
 	if exited == nil {
 		return true
 	}
-	t, stop := kernel.Timer(d)
+	t, stop := clock.NewTimer(d)
 	defer stop()
 	select {
 	case <-exited:
--- a/cmd/rig/fleet/spawn.go
+++ b/cmd/rig/fleet/spawn.go
@@ -1,12 +1,11 @@
 package fleet
 
 import (
+	"context"
 	"os"
 	"os/exec"
 	"runtime"
 	"syscall"
-
-	"stepwick/internal/kernel"
 )
 
 var (
@@ -23,7 +22,7 @@
 
 // spawner starts processes from one thread that lives as long as the fleet, so
 // that the kernel ends them should the rig die.
-func spawner(ctx kernel.Context, asks <-chan spawnAsk) {
+func spawner(ctx context.Context, asks <-chan spawnAsk) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
--- a/cmd/rig/hollow/herd.go
+++ b/cmd/rig/hollow/herd.go
@@ -1,31 +1,34 @@
 package hollow
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
+	"time"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
 const (
-	herdPoll  = 100 * kernel.Millisecond
-	herdBound = 90 * kernel.Second
+	herdPoll  = 100 * time.Millisecond
+	herdBound = 90 * time.Second
 )
 
 // herd stops every front, starts all of them anew at once, and measures until
 // the last one rules.
-func (r *run) herd(ctx kernel.Context, clock kernel.Clock, result *Result) error {
+func (r *run) herd(ctx context.Context, clock clock.Clock, result *Result) error {
 	r.lose()
 	for range r.options.Fronts {
 		select {
 		case <-r.ended:
-		case <-clock.After(15 * kernel.Second):
+		case <-clock.After(15 * time.Second):
 			return errors.New("a front did not stop")
 		}
 	}
-	fronts, lose := kernel.WithCancel(ctx)
+	fronts, lose := context.WithCancel(ctx)
 	r.lose = lose
 	begun, cpu := clock.Now(), r.coreCPU()
 	windowAt, windowCPU := begun, cpu
@@ -57,8 +60,8 @@
 
 // rules tells whether a front rules: it takes requests, or would if there were
 // a plan, which a fleet without servers has none of.
-func (r *run) rules(ctx kernel.Context, i int) bool {
-	ctx, cancel := kernel.WithTimeout(ctx, kernel.Second)
+func (r *run) rules(ctx context.Context, i int) bool {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address(100, i, 7000)+"/readyz", nil)
 	if err != nil {
@@ -69,9 +72,9 @@
 		return false
 	}
 	defer resp.Body.Close()
-	var fault kernel.FaultBody
+	var fault apierror.ErrorBody
 	if resp.StatusCode == http.StatusOK {
 		return true
 	}
-	return json.NewDecoder(resp.Body).Decode(&fault) == nil && fault.Code == kernel.NoPlan && r.options.Servers == 0
+	return json.NewDecoder(resp.Body).Decode(&fault) == nil && fault.Code == apierror.NoPlan && r.options.Servers == 0
 }
--- a/cmd/rig/hollow/hollow.go
+++ b/cmd/rig/hollow/hollow.go
@@ -4,6 +4,7 @@
 package hollow
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -14,14 +15,15 @@
 	"strings"
 	"sync/atomic"
 	"syscall"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/prometheus/procfs"
 	"go.yaml.in/yaml/v3"
 
 	"stepwick/cmd/rig/fleet"
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node"
 	"stepwick/internal/settings"
 )
@@ -40,8 +42,8 @@
 	Cores    int
 	Tenants  int // in the sheet
 	Servers  int // that the platform lists
-	Warm     kernel.Duration
-	Span     kernel.Duration
+	Warm     time.Duration
+	Span     time.Duration
 	Orders   int  // changes put in force one after another after the span
 	Herd     bool // last, all fronts are stopped and started anew at once
 	Settings map[string]string
@@ -110,8 +112,8 @@
 	count    counters // of the fleet's own messages
 	watching counters // of the platform's list and the servers' status
 	ended    chan error
-	stop     kernel.Cancel
-	lose     kernel.Cancel // ends the fronts alone
+	stop     context.CancelFunc
+	lose     context.CancelFunc // ends the fronts alone
 }
 
 func (r *run) address(group, i, port int) string {
@@ -150,11 +152,11 @@
 
 // Measure starts the cores and the fronts, waits, and measures. It ends what
 // it started.
-func Measure(ctx kernel.Context, options Options) (result Result, err error) {
+func Measure(ctx context.Context, options Options) (result Result, err error) {
 	r := &run{options: options, base: 10 + os.Getpid()%200, ended: make(chan error, options.Fronts)}
-	ctx, r.stop = kernel.WithCancel(ctx)
+	ctx, r.stop = context.WithCancel(ctx)
 	defer r.close()
-	clock := kernel.System()
+	clock := clock.System()
 	before := heap()
 	if options.Servers > 0 {
 		if err := r.startServers(ctx); err != nil {
@@ -167,7 +169,7 @@
 		}
 	}
 	started := 0
-	fronts, lose := kernel.WithCancel(ctx)
+	fronts, lose := context.WithCancel(ctx)
 	r.lose = lose
 	for i := range options.Fronts {
 		if err := r.startFront(fronts, i); err != nil {
@@ -175,7 +177,7 @@
 		}
 		started++
 		if i%20 == 19 {
-			<-clock.After(200 * kernel.Millisecond)
+			<-clock.After(200 * time.Millisecond)
 		}
 	}
 	caller := operator{r.address(100, 0, 7000)}
@@ -234,7 +236,7 @@
 	return nil
 }
 
-func (r *run) startFront(ctx kernel.Context, i int) error {
+func (r *run) startFront(ctx context.Context, i int) error {
 	text, err := yaml.Marshal(r.settingsOf(i, false))
 	if err != nil {
 		return err
@@ -243,13 +245,13 @@
 	if len(problems) > 0 {
 		return errors.New(problems[0].String())
 	}
-	dialer := &net.Dialer{Timeout: 2 * kernel.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(values.String("bind"))}}
-	world := node.World{Clock: kernel.System(),
+	dialer := &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(values.String("bind"))}}
+	world := node.World{Clock: clock.System(),
 		Listen: func(address string) (net.Listener, error) {
 			l, err := net.Listen("tcp", address)
 			return countedListener{l, &r.count}, err
 		},
-		Dial: func(ctx kernel.Context, network, address string) (net.Conn, error) {
+		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
@@ -268,7 +270,7 @@
 	for range r.options.Fronts {
 		select {
 		case <-r.ended:
-		case <-kernel.System().After(15 * kernel.Second):
+		case <-clock.System().After(15 * time.Second):
 		}
 	}
 	for _, p := range r.procs {
--- a/cmd/rig/hollow/orders.go
+++ b/cmd/rig/hollow/orders.go
@@ -2,35 +2,38 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"sort"
+	"time"
 
 	"github.com/pkg/errors"
 
 	"stepwick/cmd/rig/fleet"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 type operator struct{ base string }
 
 type orderAnswer struct {
-	Code    kernel.Code `json:"code"`
-	Epoch   uint64      `json:"epoch"`
-	InForce bool        `json:"in_force"`
-	Sheet   uint64      `json:"sheet_epoch"`
+	Code    apierror.Code `json:"code"`
+	Epoch   uint64        `json:"epoch"`
+	InForce bool          `json:"in_force"`
+	Sheet   uint64        `json:"sheet_epoch"`
 }
 
-func (o operator) call(ctx kernel.Context, method, path string, body any) (answer orderAnswer, err error) {
+func (o operator) call(ctx context.Context, method, path string, body any) (answer orderAnswer, err error) {
 	var data []byte
 	if body != nil {
 		if data, err = json.Marshal(body); err != nil {
 			return answer, err
 		}
 	}
-	ctx, cancel := kernel.WithTimeout(ctx, 15*kernel.Second)
+	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.base+path, bytes.NewReader(data))
 	if err != nil {
@@ -66,21 +69,21 @@
 }
 
 // firstSheet waits until the sheet is in force everywhere, 60 s at the most.
-func (r *run) firstSheet(ctx kernel.Context, clock kernel.Clock, o operator) error {
+func (r *run) firstSheet(ctx context.Context, clock clock.Clock, o operator) error {
 	var last orderAnswer
 	var err error
 	for range 60 {
 		last, err = o.call(ctx, http.MethodPut, "/v1/control/sheet", map[string]any{"order_id": "first", "base": 0, "sheet": r.sheetOf()})
-		if err == nil && last.Code == kernel.OK && last.InForce {
+		if err == nil && last.Code == apierror.OK && last.InForce {
 			return nil
 		}
-		<-clock.After(kernel.Second)
+		<-clock.After(time.Second)
 	}
 	return errors.Errorf("first sheet not in force: %+v, %v", last, err)
 }
 
 // orders puts changes in force one after another and notes how long each took.
-func (r *run) orders(ctx kernel.Context, clock kernel.Clock, o operator, result *Result) {
+func (r *run) orders(ctx context.Context, clock clock.Clock, o operator, result *Result) {
 	var took []float64
 	for i := range r.options.Orders {
 		current, err := o.call(ctx, http.MethodGet, "/v1/control/sheet", nil)
@@ -91,7 +94,7 @@
 		at := clock.Now()
 		answer, err := o.call(ctx, http.MethodPatch, "/v1/control/sheet", map[string]any{"order_id": fmt.Sprintf("change%d", i), "base": current.Sheet,
 			"changes": []map[string]any{{"path": "weights.model00.r00", "value": i + 2}}})
-		if err != nil || answer.Code != kernel.OK || !answer.InForce {
+		if err != nil || answer.Code != apierror.OK || !answer.InForce {
 			result.Unmet++
 			result.Why = fmt.Sprintf("on %+v: %+v %v", current, answer, err)
 			continue
@@ -106,7 +109,7 @@
 }
 
 // ruling counts the fronts that rule.
-func (r *run) ruling(ctx kernel.Context) (ruling int) {
+func (r *run) ruling(ctx context.Context) (ruling int) {
 	for i := range r.options.Fronts {
 		if r.rules(ctx, i) {
 			ruling++
--- a/cmd/rig/hollow/servers.go
+++ b/cmd/rig/hollow/servers.go
@@ -1,17 +1,19 @@
 package hollow
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"net/http"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 // startServers plays the platform and a number of servers that are listed,
 // answer for their status with a load that moves, and serve nothing. Each has
 // an address of its own.
-func (r *run) startServers(ctx kernel.Context) error {
+func (r *run) startServers(ctx context.Context) error {
 	type entry struct {
 		Name     string   `json:"name"`
 		Address  string   `json:"address"`
@@ -22,7 +24,7 @@
 		State    string   `json:"state"`
 	}
 	var list []entry
-	clock, start := kernel.System(), kernel.System().Now()
+	clock, start := clock.System(), clock.System().Now()
 	for i := range r.options.Servers {
 		address := r.address(120, i, 8000)
 		name := fmt.Sprintf("server%05d", i)
@@ -30,7 +32,7 @@
 			fmt.Sprintf("r%02d", i%r.zones()%r.regions()), fmt.Sprintf("z%02d", i%r.zones()), "ready"})
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			tick := int(clock.Now().Sub(start).Seconds()) + i
-			kernel.Reply(w, http.StatusOK, map[string]any{"server": name, "incarnation": 1, "state": "ready", "slots": 16, "running": tick % 13,
+			apierror.WriteJSON(w, http.StatusOK, map[string]any{"server": name, "incarnation": 1, "state": "ready", "slots": 16, "running": tick % 13,
 				"queued": tick % 3, "tokens_per_second": 2000, "prefill_per_second": 24000, "kv_used": float64(tick%97) / 100, "answered": 1000 + tick})
 		})
 		if err := r.serve(ctx, address, handler); err != nil {
@@ -44,19 +46,19 @@
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		kernel.Reply(w, http.StatusOK, map[string]any{"servers": list})
+		apierror.WriteJSON(w, http.StatusOK, map[string]any{"servers": list})
 	}))
 }
 
 func (r *run) platform() string { return r.address(89, 0, 8000) }
 
-func (r *run) serve(ctx kernel.Context, address string, handler http.Handler) error {
+func (r *run) serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	server := &http.Server{Handler: handler}
-	kernel.AfterFunc(ctx, func() { _ = server.Close() })
+	context.AfterFunc(ctx, func() { _ = server.Close() })
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
--- a/cmd/rig/hollow/slopes.go
+++ b/cmd/rig/hollow/slopes.go
@@ -3,14 +3,15 @@
 import (
 	"fmt"
 	"runtime"
+	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"stepwick/internal/clock"
 	"stepwick/internal/core/merge"
 	"stepwick/internal/core/plan"
 	"stepwick/internal/core/route"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -51,7 +52,7 @@
 }
 
 func timed(call func()) float64 {
-	clock := kernel.System()
+	clock := clock.System()
 	begun := clock.Now()
 	for range slopeRuns {
 		call()
@@ -72,7 +73,7 @@
 
 // ServerSlope measures the state that grows with the servers.
 func ServerSlope(n int) Slope {
-	now := kernel.UnixMilli(2000)
+	now := time.UnixMilli(2000)
 	s := Slope{Servers: n}
 	folds := merge.New(merge.Config{})
 	s.FoldsHeapKiB = grown(func() any {
@@ -100,7 +101,7 @@
 	s.LoadChangeSize = proto.Size(&wire.FollowResponse{Changes: []*wire.Change{{Place: 1 << 20, What: &wire.Change_Load{Load: &wire.Load{
 		Server: "server00001", Incarnation: 1, Running: 7, Queued: 2, Answered: 123456, KvUsed: 0.5, AtMs: 1796187138310}}}}})
 	run := &run{options: Options{Tenants: 5, Fronts: 410}}
-	in := plan.Input{State: sheet.State{Epoch: 1, SheetEpoch: 1, Sheet: run.sheetOf()}, Servers: folds.Servers(), Term: 1, Number: 1, Now: now, Period: 5 * kernel.Second}
+	in := plan.Input{State: sheet.State{Epoch: 1, SheetEpoch: 1, Sheet: run.sheetOf()}, Servers: folds.Servers(), Term: 1, Number: 1, Now: now, Period: 5 * time.Second}
 	made := plan.Compute(in)
 	s.PlanMS = timed(func() { made = plan.Compute(in) })
 	s.PlanBytes = proto.Size(made)
@@ -131,16 +132,16 @@
 	state := sheet.State{}
 	order := sheet.PutSheet{Order: sheet.Order{OrderID: "first", Operator: "ada"}, Sheet: run.sheetOf()}
 	state, result := state.Step(1, sheet.Encode(order))
-	if fault := result.Fault(); fault != nil {
-		return s, fault
+	if apiErr := result.Fault(); apiErr != nil {
+		return s, apiErr
 	}
 	encoded := state.Encode()
 	s.StateBytes = len(encoded)
 	s.StateHeapKiB = grown(func() any { held, _ := sheet.DecodeState(encoded); return held })
 	s.IndexHeapKiB = grown(func() any { return state.Index() })
-	change, fault := sheet.ParseChange("tenants.tenant00000.rate=1700")
-	if fault != nil {
-		return s, fault
+	change, apiErr := sheet.ParseChange("tenants.tenant00000.rate=1700")
+	if apiErr != nil {
+		return s, apiErr
 	}
 	patch := sheet.Encode(sheet.PatchSheet{Order: sheet.Order{OrderID: "p", Operator: "ada", Base: 1}, Changes: []sheet.Change{change}})
 	s.StepMS = timed(func() { state.Step(2, patch) })
--- a/cmd/rig/hollow_command.go
+++ b/cmd/rig/hollow_command.go
@@ -4,11 +4,11 @@
 	"encoding/json"
 	"fmt"
 	"os"
+	"time"
 
 	"github.com/spf13/cobra"
 
 	"stepwick/cmd/rig/hollow"
-	"stepwick/internal/kernel"
 )
 
 func hollowCommand() *cobra.Command {
@@ -32,7 +32,7 @@
 							return err
 						}
 						result, err := hollow.Measure(cmd.Context(), hollow.Options{Binary: binary, Dir: dir, Fronts: n, Cores: cores, Tenants: t, Servers: m,
-							Warm: kernel.Duration(warm) * kernel.Second, Span: kernel.Duration(span) * kernel.Second, Orders: orders, Settings: settings, Profile: profile, Herd: herd})
+							Warm: time.Duration(warm) * time.Second, Span: time.Duration(span) * time.Second, Orders: orders, Settings: settings, Profile: profile, Herd: herd})
 						os.RemoveAll(dir)
 						if err != nil {
 							return err
--- a/cmd/rig/judge/judge.go
+++ b/cmd/rig/judge/judge.go
@@ -5,10 +5,10 @@
 import (
 	"fmt"
 	"sort"
-
-	"stepwick/internal/kernel"
+	"time"
 
 	"stepwick/cmd/rig/ledger"
+	"stepwick/internal/apierror"
 )
 
 // Violation is one breach of a point of the brief.
@@ -45,19 +45,19 @@
 
 // Bounds that the points name or that stand for their words.
 const (
-	OldAfter      = 2500 * kernel.Millisecond
-	RevokedAfter  = 5 * kernel.Second
-	DrainAfter    = 3 * kernel.Second
-	EvacuateAfter = 5 * kernel.Second
-	LateAfter     = kernel.Second // for the caller's own scheduling
-	QuotaSpan     = 8 * kernel.Second
+	OldAfter      = 2500 * time.Millisecond
+	RevokedAfter  = 5 * time.Second
+	DrainAfter    = 3 * time.Second
+	EvacuateAfter = 5 * time.Second
+	LateAfter     = time.Second // for the caller's own scheduling
+	QuotaSpan     = 8 * time.Second
 	QuotaMost     = 1.15
 	QuotaMostCut  = 1.3
 	QuotaLeast    = 0.85
 	QuotaNever    = 0.8
 	ColdStart     = 4 // in flight at a cold server before it has answered
 	ColdGrowth    = 2 // more for each answer
-	ServiceAfter  = 12 * kernel.Second
+	ServiceAfter  = 12 * time.Second
 	ServiceShare  = 0.25
 )
 
@@ -127,7 +127,7 @@
 		if a.Kind == "stream" || a.Code == 0 {
 			continue
 		}
-		told := a.Code < 3000 || a.Code == int(kernel.NotRun) || a.Retry == string(kernel.RetryLater)
+		told := a.Code < 3000 || a.Code == int(apierror.NotRun) || a.Retry == string(apierror.RetryLater)
 		if runs := by[a.Token]; told && len(runs) > 0 {
 			say(&found, "%s %s through %s was told code %d (%s) at %s and ran as %s at %s, fault %q", a.Kind, a.Token, a.Front, a.Code, a.Retry, sec(a.Done), runs[0].ID, sec(runs[0].Arrived), runs[0].Fault)
 		}
--- a/cmd/rig/judge/judge_test.go
+++ b/cmd/rig/judge/judge_test.go
@@ -3,15 +3,15 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/ledger"
+	"stepwick/internal/apierror"
 )
 
-const second = kernel.Second
+const second = time.Second
 
 func good() *ledger.Ledger {
 	l := &ledger.Ledger{Seed: 7, End: 60 * second, Localities: map[string]string{"model1": "lagos/a", "web1": "lagos/b"},
@@ -20,7 +20,7 @@
 		{Token: "s1", Kind: "stream", Front: "front1", Sent: second, First: second, Done: second, Deadline: 5 * second, End: ledger.Served, AnswerID: "s1", Final: true, Count: 2,
 			Events: []ledger.Event{{ID: "s1", Token: "s1", Run: "r1"}, {ID: "s1", Seq: 1, Token: "s1", Run: "r1", Index: 1}}},
 		{Token: "g1", Kind: "get", Front: "front1", Sent: second, First: second, Done: second, Deadline: 5 * second, End: ledger.Served, AnswerID: "g1", Body: "g1", Whole: true},
-		{Token: "g2", Kind: "get", Front: "front1", Sent: second, Done: second, Deadline: 5 * second, End: ledger.Refused, Code: int(kernel.NoServer), Retry: "later"},
+		{Token: "g2", Kind: "get", Front: "front1", Sent: second, Done: second, Deadline: 5 * second, End: ledger.Refused, Code: int(apierror.NoServer), Retry: "later"},
 	}
 	l.Runs = []ledger.Run{
 		{ID: "r1", Server: "model1", Kind: "model", Token: "s1", Arrived: second, Ran: true, Sent: 2, Final: true, InFlight: 3, Slots: 16},
@@ -29,33 +29,33 @@
 	l.Orders = []ledger.Order{
 		{ID: "o1", Verb: "put", Base: 0, Told: 2 * second, Status: 200, Epoch: 3, Mark: "1"},
 		{ID: "o2", Verb: "patch", Base: 3, Sent: 10 * second, Told: 10 * second, Status: 200, Epoch: 4, Mark: "2"},
-		{ID: "o3", Verb: "patch", Base: 3, Sent: 10 * second, Told: 10 * second, Status: 409, Code: int(kernel.BaseMoved), Mark: "3"},
+		{ID: "o3", Verb: "patch", Base: 3, Sent: 10 * second, Told: 10 * second, Status: 409, Code: int(apierror.BaseMoved), Mark: "3"},
 		{ID: "o4", Verb: "evacuate", Target: "lagos/a", Sent: 20 * second, Told: 20 * second, Status: 200, Epoch: 5},
 	}
 	l.KeyMarks = []ledger.KeyMark{{Key: 1, Sent: second, Acked: 2 * second, Epoch: 3}, {Key: 2, Sent: 10 * second, Acked: 10 * second, Epoch: 4}}
 	l.Probes = []ledger.Probe{
 		{Front: "front1", Key: 1, Sent: 11 * second, Done: 11 * second, Status: 200},
 		{Front: "front1", Key: 2, Sent: 12 * second, Done: 12 * second, Status: 200},
-		{Front: "front1", Key: 1, Sent: 20 * second, Done: 20 * second, Status: 403, Code: int(kernel.UnknownKey)},
-		{Front: "front2", Key: 2, Sent: 20 * second, Done: 20 * second, Status: 503, Code: int(kernel.NotRuling)},
+		{Front: "front1", Key: 1, Sent: 20 * second, Done: 20 * second, Status: 403, Code: int(apierror.UnknownKey)},
+		{Front: "front2", Key: 2, Sent: 20 * second, Done: 20 * second, Status: 503, Code: int(apierror.NotRuling)},
 	}
 	l.ReadBacks = []ledger.ReadBack{{Front: "front1", Sent: 30 * second, Status: 200, Epoch: 4, Mark: "2"}}
 	l.Shows = []ledger.Show{{At: 0, Server: "model1", State: "ready"}, {At: 30 * second, Server: "model1", State: "draining"}}
 	return l
 }
 
-func steady(l *ledger.Ledger, tenant string, perSecond float64, until kernel.Duration, end func(i int) ledger.Attempt) {
+func steady(l *ledger.Ledger, tenant string, perSecond float64, until time.Duration, end func(i int) ledger.Attempt) {
 	for i := range int(until.Seconds() * 10) {
 		a := end(i)
 		a.Token, a.Tenant, a.Kind = fmt.Sprint(tenant, i), tenant, "post"
-		a.Sent = kernel.Duration(i) * second / 10
+		a.Sent = time.Duration(i) * second / 10
 		a.First, a.Done, a.Deadline, a.Tokens = a.Sent, a.Sent, a.Sent+second, perSecond/10
 		a.Body, a.Whole = a.Token, true
 		l.Attempts = append(l.Attempts, a)
 	}
 }
 
-var quota = ledger.Attempt{End: ledger.Refused, Status: 429, Code: int(kernel.QuotaExceeded)}
+var quota = ledger.Attempt{End: ledger.Refused, Status: 429, Code: int(apierror.QuotaExceeded)}
 
 func TestJudges(t *testing.T) {
 	Convey("A ledger without a breach gives no violation", t, func() {
@@ -73,7 +73,7 @@
 			l.Runs = append(l.Runs, ledger.Run{ID: "w3", Server: "web1", Kind: "web", Token: "g2", Arrived: 3 * second, Ran: true})
 		}},
 		{"not_run", "a deadline fault that says it is safe to send again", func(l *ledger.Ledger) {
-			l.Attempts[1].End, l.Attempts[1].Code, l.Attempts[1].Retry = ledger.CutError, int(kernel.BadAnswer), "later"
+			l.Attempts[1].End, l.Attempts[1].Code, l.Attempts[1].Retry = ledger.CutError, int(apierror.BadAnswer), "later"
 		}},
 		{"stream", "a gap", func(l *ledger.Ledger) { l.Attempts[0].Events[1].Seq = 2 }},
 		{"stream", "a gap behind renumbered frames", func(l *ledger.Ledger) { l.Attempts[0].Events[1].Index = 2 }},
@@ -94,38 +94,38 @@
 		{"lost_sheet", "another sheet under the acknowledged epoch", func(l *ledger.Ledger) { l.ReadBacks[0].Mark = "1" }},
 		{"old_sheet", "a superseded key that passes", func(l *ledger.Ledger) { l.Probes[0].Sent, l.Probes[0].Done = 13*second, 13*second }},
 		{"old_sheet", "a key of the newest sheet that is unknown", func(l *ledger.Ledger) {
-			l.Probes[1].Sent, l.Probes[1].Status, l.Probes[1].Code = 13*second, 403, int(kernel.UnknownKey)
+			l.Probes[1].Sent, l.Probes[1].Status, l.Probes[1].Code = 13*second, 403, int(apierror.UnknownKey)
 		}},
 		{"step_back", "a node that rules by the older sheet again", func(l *ledger.Ledger) {
-			l.Probes = append(l.Probes, ledger.Probe{Front: "front1", Key: 1, Sent: 12100 * kernel.Millisecond, Done: 12200 * kernel.Millisecond, Status: 200})
+			l.Probes = append(l.Probes, ledger.Probe{Front: "front1", Key: 1, Sent: 12100 * time.Millisecond, Done: 12200 * time.Millisecond, Status: 200})
 		}},
 		{"invalid_sheet", "an invalid sheet that was taken", func(l *ledger.Ledger) { l.Orders[1].Invalid = true }},
 		{"race", "two winners", func(l *ledger.Ledger) { l.Orders[2].Status, l.Orders[2].Code, l.Orders[2].Epoch = 200, 0, 6 }},
 		{"race", "no winner", func(l *ledger.Ledger) {
-			l.Orders = append(l.Orders, ledger.Order{ID: "x1", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(kernel.BaseMoved)},
-				ledger.Order{ID: "x2", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(kernel.BaseMoved)})
+			l.Orders = append(l.Orders, ledger.Order{ID: "x1", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(apierror.BaseMoved)},
+				ledger.Order{ID: "x2", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(apierror.BaseMoved)})
 		}},
 		{"resent", "an order accepted twice", func(l *ledger.Ledger) {
 			l.Orders = append(l.Orders, ledger.Order{ID: "o2", Verb: "patch", Base: 3, Status: 200, Epoch: 9, Mark: "2"})
 		}},
 		{"resent", "an accepted order that is refused when sent again", func(l *ledger.Ledger) {
-			l.Orders = append(l.Orders, ledger.Order{ID: "o2", Verb: "patch", Base: 3, Status: 409, Code: int(kernel.BaseMoved)})
+			l.Orders = append(l.Orders, ledger.Order{ID: "o2", Verb: "patch", Base: 3, Status: 409, Code: int(apierror.BaseMoved)})
 		}},
 		{"resent", "a refused order that was applied", func(l *ledger.Ledger) { l.Orders[2].Mark = "2" }},
 		{"revoked", "a revoked key that works", func(l *ledger.Ledger) { l.Probes[0].Sent, l.Probes[0].Done = 16*second, 16*second }},
 		{"drain", "a request to a draining server", func(l *ledger.Ledger) {
-			l.Runs = append(l.Runs, ledger.Run{ID: "r5", Server: "model1", Kind: "model", Arrived: 33100 * kernel.Millisecond})
+			l.Runs = append(l.Runs, ledger.Run{ID: "r5", Server: "model1", Kind: "model", Arrived: 33100 * time.Millisecond})
 		}},
 		{"drain", "a request to a server that went from draining to leaving", func(l *ledger.Ledger) {
 			l.Shows = append(l.Shows, ledger.Show{At: 32 * second, Server: "model1", State: "leaving"})
-			l.Runs = append(l.Runs, ledger.Run{ID: "r5", Server: "model1", Kind: "model", Arrived: 33100 * kernel.Millisecond})
+			l.Runs = append(l.Runs, ledger.Run{ID: "r5", Server: "model1", Kind: "model", Arrived: 33100 * time.Millisecond})
 		}},
 		{"evacuation", "a request to an evacuated locality", func(l *ledger.Ledger) {
-			l.Runs = append(l.Runs, ledger.Run{ID: "r5", Server: "model1", Kind: "model", Arrived: 25100 * kernel.Millisecond, Slots: 16, InFlight: 1})
+			l.Runs = append(l.Runs, ledger.Run{ID: "r5", Server: "model1", Kind: "model", Arrived: 25100 * time.Millisecond, Slots: 16, InFlight: 1})
 		}},
 		{"evacuation", "a request to an evacuated region", func(l *ledger.Ledger) {
 			l.Orders[3].Target = "lagos"
-			l.Runs = append(l.Runs, ledger.Run{ID: "r5", Server: "web1", Kind: "web", Arrived: 25100 * kernel.Millisecond})
+			l.Runs = append(l.Runs, ledger.Run{ID: "r5", Server: "web1", Kind: "web", Arrived: 25100 * time.Millisecond})
 		}},
 		{"flood", "a cold server with too many requests", func(l *ledger.Ledger) { l.Runs[0].Cold, l.Runs[0].InFlight = true, 12 }},
 		{"flood", "a survivor with too many requests", func(l *ledger.Ledger) { l.Runs[0].InFlight = 33 }},
--- a/cmd/rig/judge/orders.go
+++ b/cmd/rig/judge/orders.go
@@ -4,9 +4,8 @@
 	"fmt"
 	"sort"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/ledger"
+	"stepwick/internal/apierror"
 )
 
 func isSheet(o ledger.Order) bool { return o.Verb == "put" || o.Verb == "patch" }
@@ -151,8 +150,8 @@
 			if lost[o.Race] == nil {
 				lost[o.Race] = map[string]bool{}
 			}
-			if _, ok := lost[o.Race][o.ID]; !ok || o.Code == int(kernel.BaseMoved) && !o.Lost {
-				lost[o.Race][o.ID] = o.Code == int(kernel.BaseMoved) && !o.Lost
+			if _, ok := lost[o.Race][o.ID]; !ok || o.Code == int(apierror.BaseMoved) && !o.Lost {
+				lost[o.Race][o.ID] = o.Code == int(apierror.BaseMoved) && !o.Lost
 			}
 		}
 	}
--- a/cmd/rig/judge/quota.go
+++ b/cmd/rig/judge/quota.go
@@ -2,10 +2,10 @@
 
 import (
 	"sort"
-
-	"stepwick/internal/kernel"
+	"time"
 
 	"stepwick/cmd/rig/ledger"
+	"stepwick/internal/apierror"
 )
 
 // got tells whether a tenant got what an attempt asked for, in whole or in part.
@@ -14,7 +14,7 @@
 }
 
 func quotaRefusal(a ledger.Attempt) bool {
-	return a.End == ledger.Refused && (a.Code == int(kernel.QuotaExceeded) || a.Code == int(kernel.ShareExceeded))
+	return a.End == ledger.Refused && (a.Code == int(apierror.QuotaExceeded) || a.Code == int(apierror.ShareExceeded))
 }
 
 func byTenant(l *ledger.Ledger) map[string][]ledger.Attempt {
@@ -103,7 +103,7 @@
 	for _, tenant := range tenants(l) {
 		list, most := by[tenant], limit(l.Allowances[tenant])
 		for _, a := range list {
-			if !quotaRefusal(a) || a.Code == int(kernel.ShareExceeded) && cutNear(l, a.Sent-2*QuotaSpan, a.Sent) {
+			if !quotaRefusal(a) || a.Code == int(apierror.ShareExceeded) && cutNear(l, a.Sent-2*QuotaSpan, a.Sent) {
 				continue
 			}
 			low, peak := true, 0.0
@@ -126,10 +126,10 @@
 	by := byTenant(l)
 	for _, tenant := range tenants(l) {
 		list, most := by[tenant], limit(l.Allowances[tenant])
-		for to := 3 * QuotaSpan; to <= l.End; to += kernel.Second {
+		for to := 3 * QuotaSpan; to <= l.End; to += time.Second {
 			steady := true
-			for at := to - 2*QuotaSpan; at < to && steady; at += kernel.Second {
-				asked, _, _ := demand(list, at, at+kernel.Second)
+			for at := to - 2*QuotaSpan; at < to && steady; at += time.Second {
+				asked, _, _ := demand(list, at, at+time.Second)
 				steady = asked >= 1.2*most/QuotaSpan.Seconds()
 			}
 			if !steady || cutNear(l, to-2*QuotaSpan, to) {
@@ -160,12 +160,12 @@
 		if !m.Final {
 			continue
 		}
-		to := min(l.End, m.At+ServiceAfter+4*kernel.Second)
-		if to < m.At+ServiceAfter+kernel.Second {
+		to := min(l.End, m.At+ServiceAfter+4*time.Second)
+		if to < m.At+ServiceAfter+time.Second {
 			say(&found, "the run ended %s after the final fault (%s): too early to judge", sec(l.End-m.At), m.What)
 			continue
 		}
-		before := Level(l, m.At-6*kernel.Second, m.At)
+		before := Level(l, m.At-6*time.Second, m.At)
 		if after := Level(l, m.At+ServiceAfter, to); after < ServiceShare*before {
 			say(&found, "%s at %s: %.1f served a second before, %.1f from 12 s after", m.What, sec(m.At), before, after)
 		}
--- a/cmd/rig/ledger/ledger.go
+++ b/cmd/rig/ledger/ledger.go
@@ -7,14 +7,15 @@
 import (
 	"maps"
 	"slices"
-
-	"stepwick/internal/kernel"
+	"time"
 
 	"stepwick/cmd/rig/own"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 // At is a span since the book was opened.
-type At = kernel.Duration
+type At = time.Duration
 
 // Event is one event of a stream as a caller saw it. Token, Run and Index come
 // from the text that the server wrote; ID and Seq from the event's frame.
@@ -134,10 +135,10 @@
 }
 
 // Passed tells whether the key was accepted.
-func (p Probe) Passed() bool { return p.Status/100 == 2 || p.Code == int(kernel.QuotaExceeded) }
+func (p Probe) Passed() bool { return p.Status/100 == 2 || p.Code == int(apierror.QuotaExceeded) }
 
 // Unknown tells whether the key was refused as belonging to no tenant.
-func (p Probe) Unknown() bool { return p.Code == int(kernel.UnknownKey) }
+func (p Probe) Unknown() bool { return p.Code == int(apierror.UnknownKey) }
 
 // KeyMark is the acknowledged instant from which key number Key is the only one.
 type KeyMark struct {
@@ -206,14 +207,14 @@
 
 // Book writes a ledger from many goroutines.
 type Book struct {
-	clock kernel.Clock
-	begin kernel.Time
+	clock clock.Clock
+	begin time.Time
 	owner *own.Owner[pages]
 }
 
 // Open starts an empty book.
 func Open(seed int64) *Book {
-	clock := kernel.System()
+	clock := clock.System()
 	return &Book{clock: clock, begin: clock.Now(), owner: own.New(pages{
 		Ledger: Ledger{Seed: seed, Allowances: map[string]Allowance{}, Localities: map[string]string{}},
 		runs:   map[string]int{}})}
--- a/cmd/rig/load/call.go
+++ b/cmd/rig/load/call.go
@@ -3,21 +3,23 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/own"
 	"stepwick/cmd/rig/standin"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 // Call is one wish of a caller; it may take several attempts.
@@ -31,7 +33,7 @@
 }
 
 // Call makes attempts until one ran or may have run.
-func (c *Crowd) Call(ctx kernel.Context, call Call) ledger.Attempt {
+func (c *Crowd) Call(ctx context.Context, call Call) ledger.Attempt {
 	tried := map[string]bool{}
 	until := c.Book.Now() + call.Tenant.Deadline
 	for try := 0; ; try++ {
@@ -45,12 +47,12 @@
 		again := false
 		switch {
 		case a.End == ledger.Unsent:
-			c.shun(address, 2*kernel.Second)
+			c.shun(address, 2*time.Second)
 			again = true
 		case a.End == ledger.TimedOut, a.End == ledger.CutAbort:
-			c.shun(address, kernel.Second)
-		case a.Code == int(kernel.NotRuling), a.Code == int(kernel.FrontLeaving):
-			c.shun(address, kernel.Second)
+			c.shun(address, time.Second)
+		case a.Code == int(apierror.NotRuling), a.Code == int(apierror.FrontLeaving):
+			c.shun(address, time.Second)
 			again = true
 		}
 		if !again || try >= c.Mood.Retries || call.Front != "" || ctx.Err() != nil {
@@ -87,7 +89,7 @@
 	token := fmt.Sprintf("t%d-%d", c.seed, c.serial.Add(1))
 	a := ledger.Attempt{Token: token, Kind: t.Kind, Tenant: t.Name, Service: t.Service, Front: c.nodeAt(address), Region: call.Place.Region,
 		Tokens: t.Tokens(), Sent: c.Book.Now(), Deadline: until}
-	left := max(until-a.Sent, 50*kernel.Millisecond)
+	left := max(until-a.Sent, 50*time.Millisecond)
 	var req *http.Request
 	switch t.Kind {
 	case "stream":
@@ -108,7 +110,7 @@
 	req.Header.Set("Authorization", "Bearer "+t.Key)
 	req.Header.Set("Stepwick-Request-Id", token)
 	req.Header.Set("Stepwick-Deadline-Ms", strconv.FormatInt(left.Milliseconds(), 10))
-	c.perform(&a, req, address, left+1500*kernel.Millisecond, call.Draw)
+	c.perform(&a, req, address, left+1500*time.Millisecond, call.Draw)
 	a.Done = c.Book.Now()
 	return a
 }
@@ -131,7 +133,7 @@
 	return a
 }
 
-func (c *Crowd) perform(a *ledger.Attempt, req *http.Request, address string, most kernel.Duration, draw float64) {
+func (c *Crowd) perform(a *ledger.Attempt, req *http.Request, address string, most time.Duration, draw float64) {
 	l, err := c.lines.take(address)
 	if err != nil {
 		a.End = ledger.Unsent
@@ -145,7 +147,7 @@
 			l.conn.Close()
 		}
 	}()
-	resp, err := l.send(req, kernel.System().Now().Add(most))
+	resp, err := l.send(req, clock.System().Now().Add(most))
 	if err != nil {
 		a.End = ledger.CutAbort
 		if timedOut(err) {
@@ -174,10 +176,10 @@
 		a.Body, a.Whole = standin.CheckBody(string(data))
 		return
 	}
-	var body kernel.FaultBody
+	var body apierror.ErrorBody
 	_ = json.Unmarshal(data, &body)
 	a.Code, a.Retry, a.End = int(body.Code), string(body.Retry), ledger.Refused
-	if body.Code == kernel.OutcomeUnknown || body.Code == kernel.BadAnswer {
+	if body.Code == apierror.OutcomeUnknown || body.Code == apierror.BadAnswer {
 		a.End = ledger.CutError
 	}
 	if a.Code == 0 {
@@ -204,7 +206,7 @@
 			a.First = c.Book.Now()
 		}
 		if isError {
-			var body kernel.FaultBody
+			var body apierror.ErrorBody
 			_ = json.Unmarshal([]byte(data), &body)
 			a.Code, a.Retry, a.End = int(body.Code), string(body.Retry), ledger.CutError
 			continue
@@ -232,7 +234,7 @@
 			return false
 		}
 		if draw > 1-c.Mood.SlowOdds {
-			own.Wait(kernel.Background(), 60*kernel.Millisecond)
+			own.Wait(context.Background(), 60*time.Millisecond)
 		}
 	}
 	switch err := scan.Err(); {
@@ -252,7 +254,7 @@
 }
 
 // Ask sends one request on a connection of its own and reads the whole answer.
-func Ask(req *http.Request, address string, most kernel.Duration) (int, []byte, error) {
+func Ask(req *http.Request, address string, most time.Duration) (int, []byte, error) {
 	l := &lines{own.New(map[string][]*line{}), 0}
 	defer l.idle.End()
 	c, err := l.take(address)
@@ -260,7 +262,7 @@
 		return 0, nil, err
 	}
 	defer c.conn.Close()
-	resp, err := c.send(req, kernel.System().Now().Add(most))
+	resp, err := c.send(req, clock.System().Now().Add(most))
 	if err != nil {
 		return 0, nil, errors.Wrap(err, "read answer")
 	}
--- a/cmd/rig/load/caller.go
+++ b/cmd/rig/load/caller.go
@@ -1,12 +1,12 @@
 package load
 
 import (
+	"context"
 	"encoding/json"
 	"math/rand/v2"
 	"net/http"
 	"sync/atomic"
-
-	"stepwick/internal/kernel"
+	"time"
 
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/ledger"
@@ -24,7 +24,7 @@
 	PrefixTokens  int
 	SessionTokens int
 	MaxTokens     int
-	Deadline      kernel.Duration
+	Deadline      time.Duration
 	Home          string
 	ledger.Allowance
 }
@@ -40,11 +40,11 @@
 // FirstTenants are the five tenants of the first deployment: about 170 requests a second.
 func FirstTenants() []Tenant {
 	return []Tenant{
-		{Name: "press", Key: "key-of-press", Service: "digest", Kind: "stream", PerSecond: 45, Prefixes: 30, PrefixTokens: 2000, SessionTokens: 150, MaxTokens: 48, Deadline: 8 * kernel.Second, Allowance: ledger.Allowance{Rate: 160000, Burst: 200000}},
-		{Name: "helpdesk", Key: "key-of-helpdesk", Service: "helpline", Kind: "stream", PerSecond: 45, Prefixes: 20, PrefixTokens: 1200, SessionTokens: 200, MaxTokens: 40, Deadline: 8 * kernel.Second, Home: "lagos", Allowance: ledger.Allowance{Rate: 110000, Burst: 150000}},
-		{Name: "desk", Key: "key-of-desk", Service: "headline", Kind: "stream", PerSecond: 40, Prefixes: 10, PrefixTokens: 600, SessionTokens: 60, MaxTokens: 12, Deadline: 6 * kernel.Second, Allowance: ledger.Allowance{Rate: 50000, Burst: 60000}},
-		{Name: "grid", Key: "key-of-grid", Service: "outage", Kind: "get", PerSecond: 25, Deadline: 3 * kernel.Second, Allowance: ledger.Allowance{Rate: 2500, Burst: 4000}},
-		{Name: "crews", Key: "key-of-crews", Service: "repairs", Kind: "post", PerSecond: 15, Deadline: 3 * kernel.Second, Allowance: ledger.Allowance{Rate: 1500, Burst: 3000}},
+		{Name: "press", Key: "key-of-press", Service: "digest", Kind: "stream", PerSecond: 45, Prefixes: 30, PrefixTokens: 2000, SessionTokens: 150, MaxTokens: 48, Deadline: 8 * time.Second, Allowance: ledger.Allowance{Rate: 160000, Burst: 200000}},
+		{Name: "helpdesk", Key: "key-of-helpdesk", Service: "helpline", Kind: "stream", PerSecond: 45, Prefixes: 20, PrefixTokens: 1200, SessionTokens: 200, MaxTokens: 40, Deadline: 8 * time.Second, Home: "lagos", Allowance: ledger.Allowance{Rate: 110000, Burst: 150000}},
+		{Name: "desk", Key: "key-of-desk", Service: "headline", Kind: "stream", PerSecond: 40, Prefixes: 10, PrefixTokens: 600, SessionTokens: 60, MaxTokens: 12, Deadline: 6 * time.Second, Allowance: ledger.Allowance{Rate: 50000, Burst: 60000}},
+		{Name: "grid", Key: "key-of-grid", Service: "outage", Kind: "get", PerSecond: 25, Deadline: 3 * time.Second, Allowance: ledger.Allowance{Rate: 2500, Burst: 4000}},
+		{Name: "crews", Key: "key-of-crews", Service: "repairs", Kind: "post", PerSecond: 15, Deadline: 3 * time.Second, Allowance: ledger.Allowance{Rate: 1500, Burst: 3000}},
 	}
 }
 
@@ -128,7 +128,7 @@
 func (c *Crowd) Tally() (t Tally) { c.tally.Ask(func(all *Tally) { t = *all }); return }
 
 // Run sends load until ctx ends, then waits for what is open.
-func (c *Crowd) Run(ctx kernel.Context) {
+func (c *Crowd) Run(ctx context.Context) {
 	stopped := make(chan struct{}, len(c.Tenants)+len(c.places))
 	for i := range c.Tenants {
 		go func() { c.tenant(ctx, i); stopped <- struct{}{} }()
@@ -140,27 +140,27 @@
 		<-stopped
 	}
 	for i := 0; i < 300 && c.inflight.Load() > 0; i++ {
-		own.Wait(kernel.Background(), 50*kernel.Millisecond)
+		own.Wait(context.Background(), 50*time.Millisecond)
 	}
 }
 
 // Close drops the callers' connections.
 func (c *Crowd) Close() { c.lines.close(); c.bad.End(); c.near.End(); c.tally.End() }
 
-func (c *Crowd) tenant(ctx kernel.Context, i int) {
+func (c *Crowd) tenant(ctx context.Context, i int) {
 	random := rand.New(rand.NewPCG(c.seed, uint64(i)+1000))
 	t := c.Tenants[i]
 	next := c.Book.Now()
 	for {
 		rate := t.PerSecond * float64(c.factors[i].Load()) / 1000
 		if rate <= 0 {
-			if !own.Wait(ctx, 50*kernel.Millisecond) {
+			if !own.Wait(ctx, 50*time.Millisecond) {
 				return
 			}
 			next = c.Book.Now()
 			continue
 		}
-		next += kernel.Duration(random.ExpFloat64() / rate * float64(kernel.Second))
+		next += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 		if wait := next - c.Book.Now(); wait > 0 && !own.Wait(ctx, wait) {
 			return
 		}
@@ -196,7 +196,7 @@
 }
 
 // connect keeps asking where callers of one place should connect.
-func (c *Crowd) connect(ctx kernel.Context, place fleet.Place) {
+func (c *Crowd) connect(ctx context.Context, place fleet.Place) {
 	random := rand.New(rand.NewPCG(c.seed, uint64(len(place.Locality()))))
 	for {
 		node := c.Fleet.Nodes[random.IntN(len(c.Fleet.Nodes))]
@@ -205,8 +205,8 @@
 		var body struct {
 			Nodes []struct{ Name, Address, Region, Zone string }
 		}
-		wait := kernel.Second
-		if status, data, err := Ask(req, node.Caller, 2*kernel.Second); err == nil && status == http.StatusOK && json.Unmarshal(data, &body) == nil && len(body.Nodes) > 0 {
+		wait := time.Second
+		if status, data, err := Ask(req, node.Caller, 2*time.Second); err == nil && status == http.StatusOK && json.Unmarshal(data, &body) == nil && len(body.Nodes) > 0 {
 			var list []string
 			for _, n := range body.Nodes {
 				if n.Region == place.Region && n.Zone == place.Zone {
@@ -220,7 +220,7 @@
 			}
 			c.near.Ask(func(all *map[string][]string) { (*all)[place.Locality()] = list })
 		} else {
-			wait = 200 * kernel.Millisecond
+			wait = 200 * time.Millisecond
 		}
 		if !own.Wait(ctx, wait) {
 			return
@@ -257,7 +257,7 @@
 	return chosen
 }
 
-func (c *Crowd) shun(address string, d kernel.Duration) {
+func (c *Crowd) shun(address string, d time.Duration) {
 	until := c.Book.Now() + d
 	c.bad.Tell(func(bad *map[string]ledger.At) { (*bad)[address] = until })
 }
--- a/cmd/rig/load/line.go
+++ b/cmd/rig/load/line.go
@@ -7,11 +7,10 @@
 	"bufio"
 	"net"
 	"net/http"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/own"
 )
 
@@ -42,7 +41,7 @@
 	if taken != nil {
 		return taken, nil
 	}
-	conn, err := net.DialTimeout("tcp4", address, kernel.Second)
+	conn, err := net.DialTimeout("tcp4", address, time.Second)
 	if err != nil {
 		return nil, errors.Wrap(errUnsent, err.Error())
 	}
@@ -74,7 +73,7 @@
 }
 
 // send writes a request and reads the head of its answer by a wall-clock instant.
-func (c *line) send(req *http.Request, until kernel.Time) (*http.Response, error) {
+func (c *line) send(req *http.Request, until time.Time) (*http.Response, error) {
 	if err := c.conn.SetDeadline(until); err != nil {
 		return nil, err
 	}
--- a/cmd/rig/load/operator.go
+++ b/cmd/rig/load/operator.go
@@ -2,12 +2,12 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"sync/atomic"
-
-	"stepwick/internal/kernel"
+	"time"
 
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/ledger"
@@ -66,12 +66,12 @@
 	key    atomic.Int64
 	newest atomic.Int64 // newest probe key acknowledged
 	epoch  atomic.Uint64
-	Wait   kernel.Duration // for one answer; 0 means 8 s
+	Wait   time.Duration // for one answer; 0 means 8 s
 }
 
 // NewControl returns operators of a fleet.
 func NewControl(f *fleet.Fleet, seed uint64) *Control {
-	return &Control{Fleet: f, Book: f.Book, prefix: fmt.Sprintf("o%d", seed), Wait: 8 * kernel.Second}
+	return &Control{Fleet: f, Book: f.Book, prefix: fmt.Sprintf("o%d", seed), Wait: 8 * time.Second}
 }
 
 // Settings makes an order that sets run-time settings.
@@ -141,7 +141,7 @@
 
 // Send sends an order once through a node. With lose set the operator breaks
 // the connection after that span and sees no answer.
-func (c *Control) Send(o *Order, node *fleet.Node, lose kernel.Duration) ledger.Order {
+func (c *Control) Send(o *Order, node *fleet.Node, lose time.Duration) ledger.Order {
 	text, _ := json.Marshal(o.Body)
 	route := routes[o.Verb]
 	req, _ := http.NewRequest(route[0], "http://"+node.Caller+route[1], bytes.NewReader(text))
@@ -211,10 +211,10 @@
 }
 
 // Push sends an order through one node after another until it is settled.
-func (c *Control) Push(ctx kernel.Context, o *Order, nodes []*fleet.Node) (last ledger.Order) {
+func (c *Control) Push(ctx context.Context, o *Order, nodes []*fleet.Node) (last ledger.Order) {
 	for i := 0; ctx.Err() == nil; i++ {
 		last = c.Send(o, nodes[i%len(nodes)], 0)
-		if Settled(last) || !own.Wait(ctx, 200*kernel.Millisecond) {
+		if Settled(last) || !own.Wait(ctx, 200*time.Millisecond) {
 			return last
 		}
 	}
@@ -251,12 +251,12 @@
 }
 
 // Base asks through one node after another for the sheet's epoch.
-func (c *Control) Base(ctx kernel.Context, nodes []*fleet.Node) (uint64, bool) {
+func (c *Control) Base(ctx context.Context, nodes []*fleet.Node) (uint64, bool) {
 	for i := 0; ctx.Err() == nil; i++ {
 		if back, _ := c.Read(nodes[i%len(nodes)], false); back.Status == http.StatusOK {
 			return back.Epoch, true
 		}
-		own.Wait(ctx, 200*kernel.Millisecond)
+		own.Wait(ctx, 200*time.Millisecond)
 	}
 	return 0, false
 }
--- a/cmd/rig/load/probe.go
+++ b/cmd/rig/load/probe.go
@@ -1,22 +1,24 @@
 package load
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
-
-	"stepwick/internal/kernel"
+	"time"
 
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/own"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 // Probes ask each node, over connections that stay open, with the keys of the
 // newest acknowledged sheet and of the one before. What passes is the outside
 // sign of the sheet that a node rules by.
-func (c *Control) Probes(ctx kernel.Context, every kernel.Duration) {
+func (c *Control) Probes(ctx context.Context, every time.Duration) {
 	done := make(chan struct{}, len(c.Fleet.Nodes))
 	for _, n := range c.Fleet.Nodes {
 		go func() {
@@ -55,7 +57,7 @@
 		req, _ := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/call/%s/probe?token=p%d-%s", n.Caller, c.Fleet.Spec.Services.Web[0], c.serial.Add(1), c.prefix), nil)
 		req.Header.Set("Authorization", "Bearer "+ProbeKey(key))
 		req.Header.Set("Stepwick-Deadline-Ms", "2000")
-		resp, err := conn.send(req, kernel.System().Now().Add(2500*kernel.Millisecond))
+		resp, err := conn.send(req, clock.System().Now().Add(2500*time.Millisecond))
 		var data []byte
 		if err == nil {
 			data, err = io.ReadAll(io.LimitReader(resp.Body, 1<<20))
@@ -63,7 +65,7 @@
 		if err == nil {
 			p.Status = resp.StatusCode
 			if resp.Header.Get("Stepwick-Code") != "" || resp.StatusCode/100 != 2 {
-				var body kernel.FaultBody
+				var body apierror.ErrorBody
 				_ = json.Unmarshal(data, &body)
 				p.Code, p.Detail = int(body.Code), body.Detail
 			}
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -4,18 +4,17 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"os/signal"
 	"syscall"
 
 	"github.com/spf13/cobra"
-
-	"stepwick/internal/kernel"
 )
 
 func main() {
-	ctx, stop := signal.NotifyContext(kernel.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := &cobra.Command{Use: "rig", Short: "Prove stepwick from outside", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(demoCommand(), proveCommand(), routeCommand(), costCommand(), scenarioCommand(), standinsCommand(), pagesCommand(), hollowCommand(), slopesCommand(), experimentCommand(), upCommand())
--- a/cmd/rig/measure.go
+++ b/cmd/rig/measure.go
@@ -4,13 +4,12 @@
 	"encoding/json"
 	"fmt"
 	"os"
+	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/judge"
 	"stepwick/cmd/rig/ledger"
@@ -22,8 +21,8 @@
 func longPrompts() []load.Tenant {
 	plenty := ledger.Allowance{Rate: 1e7, Burst: 1e7}
 	return []load.Tenant{
-		{Name: "press", Key: "key-of-press", Service: "digest", Kind: "stream", PerSecond: 60, Prefixes: 60, PrefixTokens: 3000, SessionTokens: 150, MaxTokens: 48, Deadline: 8 * kernel.Second, Allowance: plenty},
-		{Name: "helpdesk", Key: "key-of-helpdesk", Service: "helpline", Kind: "stream", PerSecond: 50, Prefixes: 40, PrefixTokens: 2000, SessionTokens: 200, MaxTokens: 40, Deadline: 8 * kernel.Second, Allowance: plenty},
+		{Name: "press", Key: "key-of-press", Service: "digest", Kind: "stream", PerSecond: 60, Prefixes: 60, PrefixTokens: 3000, SessionTokens: 150, MaxTokens: 48, Deadline: 8 * time.Second, Allowance: plenty},
+		{Name: "helpdesk", Key: "key-of-helpdesk", Service: "helpline", Kind: "stream", PerSecond: 50, Prefixes: 40, PrefixTokens: 2000, SessionTokens: 200, MaxTokens: 40, Deadline: 8 * time.Second, Allowance: plenty},
 	}
 }
 
@@ -56,9 +55,9 @@
 					return err
 				}
 				s.Crowd.Scale("", factor)
-				s.Wait(5 * kernel.Second)
+				s.Wait(5 * time.Second)
 				from := s.Book.Now()
-				s.Wait(kernel.Duration(length) * kernel.Second)
+				s.Wait(time.Duration(length) * time.Second)
 				l := s.Close()
 				found := judge.Find(&l)
 				prove.Report(os.Stdout, strategy, found)
@@ -93,7 +92,7 @@
 				return err
 			}
 			s.Crowd.Scale("", 0)
-			s.Wait(6 * kernel.Second)
+			s.Wait(6 * time.Second)
 			for _, t := range load.FirstTenants() {
 				if t.Kind == "post" {
 					continue
--- a/cmd/rig/own/own.go
+++ b/cmd/rig/own/own.go
@@ -3,19 +3,22 @@
 package own
 
 import (
-	"stepwick/internal/kernel"
+	"context"
+	"time"
+
+	"stepwick/internal/clock"
 )
 
 // Owner holds a state that only its goroutine touches.
 type Owner[S any] struct {
 	ask  chan func(*S)
 	done chan struct{}
-	halt kernel.Cancel
+	halt context.CancelFunc
 }
 
 // New starts the owner of a state.
 func New[S any](state S) *Owner[S] {
-	ctx, halt := kernel.WithCancel(kernel.Background())
+	ctx, halt := context.WithCancel(context.Background())
 	o := &Owner[S]{ask: make(chan func(*S), 1024), done: make(chan struct{}), halt: halt}
 	go func() {
 		defer close(o.done)
@@ -64,8 +67,8 @@
 }
 
 // Wait returns after d or when ctx ends; it tells whether d passed.
-func Wait(ctx kernel.Context, d kernel.Duration) bool {
-	c, stop := kernel.Timer(d)
+func Wait(ctx context.Context, d time.Duration) bool {
+	c, stop := clock.NewTimer(d)
 	defer stop()
 	select {
 	case <-c:
--- a/cmd/rig/pages.go
+++ b/cmd/rig/pages.go
@@ -1,17 +1,17 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
-
-	"stepwick/internal/kernel"
 )
 
 func pagesCommand() *cobra.Command {
@@ -27,7 +27,7 @@
 // pages runs the page's blocks under a shell that stops at the first command
 // that fails. The shell works on a copy of the checkout's build in a folder of
 // its own; what it leaves running ends with its process group.
-func pages(ctx kernel.Context, page, keep string, length int) error {
+func pages(ctx context.Context, page, keep string, length int) error {
 	text, err := os.ReadFile(page)
 	if err != nil {
 		return err
@@ -55,7 +55,7 @@
 	for _, block := range blocks {
 		fmt.Fprintf(&script, "cat <<'STEPWICK-BLOCK'\n---\n%sSTEPWICK-BLOCK\n%s", block, block)
 	}
-	ctx, cancel := kernel.WithTimeout(ctx, kernel.Duration(length)*kernel.Second)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(length)*time.Second)
 	defer cancel()
 	shell := exec.Command("bash", "-c", script.String())
 	shell.Dir, shell.Stdout, shell.Stderr = dir, os.Stdout, os.Stderr
@@ -64,7 +64,7 @@
 		return err
 	}
 	group := shell.Process.Pid
-	stop := kernel.AfterFunc(ctx, func() { _ = syscall.Kill(-group, syscall.SIGKILL) })
+	stop := context.AfterFunc(ctx, func() { _ = syscall.Kill(-group, syscall.SIGKILL) })
 	err = shell.Wait()
 	stop()
 	_ = syscall.Kill(-group, syscall.SIGKILL)
--- a/cmd/rig/prove/cases.go
+++ b/cmd/rig/prove/cases.go
@@ -1,16 +1,18 @@
 package prove
 
 import (
-	"github.com/pkg/errors"
+	"context"
+	"time"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/own"
+	"stepwick/internal/clock"
 )
 
-func wait(ctx kernel.Context, d kernel.Duration) bool { return own.Wait(ctx, d) }
+func wait(ctx context.Context, d time.Duration) bool { return own.Wait(ctx, d) }
 
 // Case causes one kind of trouble.
 type Case struct {
@@ -69,13 +71,13 @@
 }
 
 func (s *Stage) rest(began ledger.At) {
-	if left := began + kernel.Duration(s.Seconds)*kernel.Second - s.Book.Now(); left > 0 {
+	if left := began + time.Duration(s.Seconds)*time.Second - s.Book.Now(); left > 0 {
 		s.Wait(left)
 	}
 }
 
 func (s *Stage) left(began ledger.At) bool {
-	return s.ctx.Err() == nil && s.Book.Now() < began+kernel.Duration(s.Seconds)*kernel.Second
+	return s.ctx.Err() == nil && s.Book.Now() < began+time.Duration(s.Seconds)*time.Second
 }
 
 func drains(s *Stage) error {
@@ -87,22 +89,22 @@
 		s.Fleet.Platform.State(drained.Name, "draining", 0)
 		s.Fleet.Platform.State(web.Name, "draining", 0)
 		if leaving != drained {
-			s.Fleet.Platform.State(leaving.Name, "leaving", kernel.System().Now().Add(4*kernel.Second).UnixMilli())
+			s.Fleet.Platform.State(leaving.Name, "leaving", clock.System().Now().Add(4*time.Second).UnixMilli())
 		}
 		core, front := s.core(), s.frontOnly()
 		core.Kill()
 		front.Kill()
-		s.Wait(6 * kernel.Second)
+		s.Wait(6 * time.Second)
 		for _, n := range []*fleet.Node{core, front} {
 			if err := n.Start(); err != nil {
 				return err
 			}
 		}
-		s.Wait(2 * kernel.Second)
+		s.Wait(2 * time.Second)
 		for _, name := range []string{drained.Name, leaving.Name, web.Name} {
 			s.Fleet.Platform.State(name, "ready", 0)
 		}
-		s.Wait(2 * kernel.Second)
+		s.Wait(2 * time.Second)
 	}
 	return nil
 }
@@ -112,26 +114,26 @@
 	for i := uint64(0); s.left(began); i++ {
 		locality := []string{"lagos/a", "lagos/b", "abeokuta/a"}[s.Random.IntN(3)]
 		core, front := s.core(), s.frontOnly()
-		kills := s.beside(func(ctx kernel.Context) {
+		kills := s.beside(func(ctx context.Context) {
 			wait(ctx, seconds(s.Random.Float64()*0.3))
 			core.Kill()
 			front.Kill()
 		})
-		if won, _ := s.push(s.Control.Evacuate("ade", locality), i, 15*kernel.Second); !won {
+		if won, _ := s.push(s.Control.Evacuate("ade", locality), i, 15*time.Second); !won {
 			return errors.Errorf("the evacuation of %s was not acknowledged within 15 s", locality)
 		}
-		s.Wait(7 * kernel.Second)
+		s.Wait(7 * time.Second)
 		kills()
 		for _, n := range []*fleet.Node{core, front} {
 			if err := n.Start(); err != nil {
 				return err
 			}
 		}
-		s.Wait(2 * kernel.Second)
-		if won, _ := s.push(s.Control.Restore("bola", locality), i, 15*kernel.Second); !won {
+		s.Wait(2 * time.Second)
+		if won, _ := s.push(s.Control.Restore("bola", locality), i, 15*time.Second); !won {
 			return errors.Errorf("the restore of %s was not acknowledged within 15 s", locality)
 		}
-		s.Wait(3 * kernel.Second)
+		s.Wait(3 * time.Second)
 	}
 	return nil
 }
@@ -149,7 +151,7 @@
 	for s.left(began) {
 		first, second := s.model(), s.model()
 		s.Fleet.CrashModel(first.Name)
-		s.Wait(3 * kernel.Second)
+		s.Wait(3 * time.Second)
 		if err := s.Fleet.ReturnModel(first.Name); err != nil {
 			return err
 		}
@@ -157,11 +159,11 @@
 		if second != first {
 			s.Fleet.CrashModel(second.Name)
 		}
-		s.Wait(5 * kernel.Second)
+		s.Wait(5 * time.Second)
 		if err := s.Fleet.ReturnModel(second.Name); err != nil {
 			return err
 		}
-		s.Wait(4 * kernel.Second)
+		s.Wait(4 * time.Second)
 	}
 	return nil
 }
@@ -176,15 +178,15 @@
 				continue
 			}
 			s.Fleet.Platform.State(name, "draining", 0)
-			s.Wait(3 * kernel.Second)
+			s.Wait(3 * time.Second)
 			s.Fleet.CrashModel(name)
 			s.Fleet.Platform.Drop(name)
-			s.Wait(kernel.Second)
+			s.Wait(time.Second)
 			if err := s.Fleet.ReturnModel(name); err != nil {
 				return err
 			}
 			s.Fleet.List(name, "cold")
-			s.Wait(2 * kernel.Second)
+			s.Wait(2 * time.Second)
 			s.Fleet.Platform.State(name, "ready", 0)
 		}
 	}
@@ -192,17 +194,17 @@
 }
 
 func crowd(s *Stage) error {
-	s.Wait(6 * kernel.Second)
+	s.Wait(6 * time.Second)
 	s.Book.Mark("crowd tenfold", false)
 	s.Crowd.Scale("desk", 10)
 	s.Crowd.Scale("grid", 10)
-	s.Wait(8 * kernel.Second)
+	s.Wait(8 * time.Second)
 	s.Crowd.Scale("", 1)
 	s.Book.Mark("long answers", false)
 	s.Crowd.Scale("press", 0.2)
 	s.Crowd.Scale("helpdesk", 2)
-	s.Wait(8 * kernel.Second)
+	s.Wait(8 * time.Second)
 	s.Crowd.Scale("", 1)
-	s.Wait(6 * kernel.Second)
+	s.Wait(6 * time.Second)
 	return nil
 }
--- a/cmd/rig/prove/faults.go
+++ b/cmd/rig/prove/faults.go
@@ -1,9 +1,9 @@
 package prove
 
 import (
+	"context"
 	"fmt"
-
-	"stepwick/internal/kernel"
+	"time"
 
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/load"
@@ -12,8 +12,8 @@
 
 // part of a case's work that runs beside its faults; wait for it with the
 // function returned, which may be called again.
-func (s *Stage) beside(f func(ctx kernel.Context)) (end func()) {
-	ctx, cancel := kernel.WithCancel(s.ctx)
+func (s *Stage) beside(f func(ctx context.Context)) (end func()) {
+	ctx, cancel := context.WithCancel(s.ctx)
 	done := make(chan struct{})
 	go func() { f(ctx); close(done) }()
 	return func() { cancel(); <-done }
@@ -55,7 +55,7 @@
 // changing submits one change after another through changing nodes, loses
 // every fifth answer, and sends each order until it is settled. The order that
 // is open when ctx ends is left as it is.
-func (s *Stage) changing(ctx kernel.Context, every kernel.Duration, more func(i uint64) []map[string]any) {
+func (s *Stage) changing(ctx context.Context, every time.Duration, more func(i uint64) []map[string]any) {
 	_, base := s.Control.Newest()
 	for i := uint64(0); ctx.Err() == nil; i++ {
 		var extra []map[string]any
@@ -65,7 +65,7 @@
 		o := s.Control.Change([]string{"ade", "bola"}[i%2], base, extra...)
 		nodes := s.shuffled(i)
 		if i%5 == 4 {
-			s.Control.Send(o, nodes[0], kernel.Duration(1+i%40)*kernel.Millisecond)
+			s.Control.Send(o, nodes[0], time.Duration(1+i%40)*time.Millisecond)
 			nodes = nodes[1:]
 		}
 		told := s.Control.Push(ctx, o, nodes)
@@ -84,8 +84,8 @@
 }
 
 // pushAfter settles an order within a span and returns what was told last.
-func (s *Stage) push(o *load.Order, from uint64, within kernel.Duration) (won bool, epoch uint64) {
-	ctx, cancel := kernel.WithTimeout(s.ctx, within)
+func (s *Stage) push(o *load.Order, from uint64, within time.Duration) (won bool, epoch uint64) {
+	ctx, cancel := context.WithTimeout(s.ctx, within)
 	defer cancel()
 	told := s.Control.Push(ctx, o, s.shuffled(from))
 	return told.Won(), told.Epoch
@@ -93,7 +93,7 @@
 
 // dayEnd reads the sheet back through every running node, and again until a
 // read succeeds through at least one.
-func (s *Stage) dayEnd(within kernel.Duration) error {
+func (s *Stage) dayEnd(within time.Duration) error {
 	until := s.Book.Now() + within
 	for {
 		read := 0
@@ -105,13 +105,13 @@
 		if read > 0 {
 			return nil
 		}
-		if s.Book.Now() > until || !s.Wait(500*kernel.Millisecond) {
+		if s.Book.Now() > until || !s.Wait(500*time.Millisecond) {
 			return fmt.Errorf("no node gave the sheet at day's end within %s", within)
 		}
 	}
 }
 
-func (s *Stage) bounce(n *fleet.Node, down kernel.Duration) error {
+func (s *Stage) bounce(n *fleet.Node, down time.Duration) error {
 	n.Kill()
 	s.Wait(down)
 	return n.Start()
@@ -163,13 +163,13 @@
 // be judged.
 func (s *Stage) final(what string) {
 	s.Book.Mark(what, true)
-	s.Wait(17 * kernel.Second)
+	s.Wait(17 * time.Second)
 }
 
 // rolling restarts every node in turn; each must leave by itself with code 0.
-func (s *Stage) rolling(gap kernel.Duration) error {
+func (s *Stage) rolling(gap time.Duration) error {
 	for _, n := range s.Fleet.Nodes {
-		if !n.Term(15 * kernel.Second) {
+		if !n.Term(15 * time.Second) {
 			return fmt.Errorf("%s did not leave cleanly within 15 s: exit code %d", n.Name, n.ExitCode())
 		}
 		if err := n.Start(); err != nil {
--- a/cmd/rig/prove/finals.go
+++ b/cmd/rig/prove/finals.go
@@ -2,11 +2,10 @@
 
 import (
 	"sync"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/ledger"
 )
@@ -36,28 +35,28 @@
 }
 
 func finalNodes(s *Stage) error {
-	s.Wait(8 * kernel.Second)
+	s.Wait(8 * time.Second)
 	killHalf(s)
 	s.final("four of nine nodes killed at once")
 	return nil
 }
 
 func finalCores(s *Stage) error {
-	s.Wait(8 * kernel.Second)
+	s.Wait(8 * time.Second)
 	kill(s.Fleet.Cores()[:2])
 	s.final("two of three cores killed")
 	return nil
 }
 
 func finalAllCores(s *Stage) error {
-	s.Wait(8 * kernel.Second)
+	s.Wait(8 * time.Second)
 	kill(s.Fleet.Cores())
 	s.final("all cores killed")
 	return nil
 }
 
 func finalZone(s *Stage) error {
-	s.Wait(8 * kernel.Second)
+	s.Wait(8 * time.Second)
 	nodes, servers := s.zone(fleet.Place{Region: "lagos", Zone: "a"})
 	kill(nodes)
 	for _, name := range servers {
@@ -68,14 +67,14 @@
 }
 
 func finalRegion(s *Stage) error {
-	s.Wait(8 * kernel.Second)
+	s.Wait(8 * time.Second)
 	s.Cut(s.region("abeokuta"), s.region("lagos"))
 	s.final("regions cut off from each other")
 	return nil
 }
 
 func rollingRestart(s *Stage) error {
-	if err := s.rolling(3 * kernel.Second); err != nil {
+	if err := s.rolling(3 * time.Second); err != nil {
 		return err
 	}
 	l := s.Book.Copy()
@@ -92,10 +91,10 @@
 }
 
 func finalRolling(s *Stage) error {
-	if err := s.rolling(2 * kernel.Second); err != nil {
+	if err := s.rolling(2 * time.Second); err != nil {
 		return err
 	}
-	s.Wait(7 * kernel.Second)
+	s.Wait(7 * time.Second)
 	killHalf(s)
 	s.final("four of nine nodes killed after a rolling restart")
 	return nil
--- a/cmd/rig/prove/force.go
+++ b/cmd/rig/prove/force.go
@@ -1,26 +1,26 @@
 package prove
 
 import (
+	"context"
 	"fmt"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // force cuts a group off for most of the run while the others change keys.
 func force(s *Stage, group []string) error {
 	began := s.Book.Now()
-	end := s.beside(func(ctx kernel.Context) { s.changing(ctx, 700*kernel.Millisecond, nil) })
-	s.Wait(3 * kernel.Second)
+	end := s.beside(func(ctx context.Context) { s.changing(ctx, 700*time.Millisecond, nil) })
+	s.Wait(3 * time.Second)
 	s.Cut(group, s.Others(group))
-	s.Wait(max(20*kernel.Second, kernel.Duration(s.Seconds-12)*kernel.Second))
-	if err := s.acknowledged(fmt.Sprintf("%v was cut off", group), 10*kernel.Second); err != nil && !s.majorityCut(group) {
+	s.Wait(max(20*time.Second, time.Duration(s.Seconds-12)*time.Second))
+	if err := s.acknowledged(fmt.Sprintf("%v was cut off", group), 10*time.Second); err != nil && !s.majorityCut(group) {
 		return err
 	}
 	s.Heal()
 	s.rest(began)
-	s.Wait(3 * kernel.Second)
+	s.Wait(3 * time.Second)
 	end()
-	return s.dayEnd(20 * kernel.Second)
+	return s.dayEnd(20 * time.Second)
 }
 
 // majorityCut tells whether a cut leaves neither side with most cores and most
@@ -55,7 +55,7 @@
 
 func forceFreeze(s *Stage) error {
 	began := s.Book.Now()
-	end := s.beside(func(ctx kernel.Context) { s.changing(ctx, 500*kernel.Millisecond, nil) })
+	end := s.beside(func(ctx context.Context) { s.changing(ctx, 500*time.Millisecond, nil) })
 	for s.left(began) {
 		a, b := s.node(), s.frontOnly()
 		a.Freeze()
@@ -66,11 +66,11 @@
 		if err := b.Start(); err != nil {
 			return err
 		}
-		s.Wait(4 * kernel.Second)
+		s.Wait(4 * time.Second)
 		s.Heal()
-		s.Wait(2 * kernel.Second)
+		s.Wait(2 * time.Second)
 	}
-	s.Wait(2 * kernel.Second)
+	s.Wait(2 * time.Second)
 	end()
-	return s.dayEnd(20 * kernel.Second)
+	return s.dayEnd(20 * time.Second)
 }
--- a/cmd/rig/prove/mix.go
+++ b/cmd/rig/prove/mix.go
@@ -1,9 +1,9 @@
 package prove
 
 import (
+	"context"
 	"fmt"
-
-	"stepwick/internal/kernel"
+	"time"
 
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/standin"
@@ -28,7 +28,7 @@
 			return b.Start()
 		}
 	}},
-	{"stop and restart a node", func(s *Stage) func() error { n := s.node(); n.Term(12 * kernel.Second); return n.Start }},
+	{"stop and restart a node", func(s *Stage) func() error { n := s.node(); n.Term(12 * time.Second); return n.Start }},
 	{"freeze a node", func(s *Stage) func() error { n := s.node(); n.Freeze(); return func() error { n.Thaw(); return nil } }},
 	{"isolate a node", func(s *Stage) func() error {
 		group := []string{s.node().Name}
@@ -74,9 +74,9 @@
 	}},
 	{"evacuate a zone", func(s *Stage) func() error {
 		locality := []string{"lagos/a", "lagos/b"}[s.Random.IntN(2)]
-		s.push(s.Control.Evacuate("ade", locality), s.Random.Uint64()%9, 10*kernel.Second)
+		s.push(s.Control.Evacuate("ade", locality), s.Random.Uint64()%9, 10*time.Second)
 		return func() error {
-			s.push(s.Control.Restore("bola", locality), s.Random.Uint64()%9, 10*kernel.Second)
+			s.push(s.Control.Restore("bola", locality), s.Random.Uint64()%9, 10*time.Second)
 			return nil
 		}
 	}},
@@ -95,10 +95,10 @@
 // fault follows.
 func mix(s *Stage) error {
 	began := s.Book.Now()
-	end := s.beside(func(ctx kernel.Context) { s.changing(ctx, 400*kernel.Millisecond, nil) })
+	end := s.beside(func(ctx context.Context) { s.changing(ctx, 400*time.Millisecond, nil) })
 	type open struct {
 		name  string
-		until kernel.Duration
+		until time.Duration
 		mend  func() error
 	}
 	var standing []open
@@ -118,7 +118,7 @@
 		standing = kept
 		return failed
 	}
-	busy := began + kernel.Duration(max(10, s.Seconds-22))*kernel.Second
+	busy := began + time.Duration(max(10, s.Seconds-22))*time.Second
 	for s.Book.Now() < busy && s.ctx.Err() == nil {
 		if len(standing) < 3 {
 			t := troubles[s.Random.IntN(len(troubles))]
@@ -134,12 +134,12 @@
 	if err := mend(true); err != nil {
 		return err
 	}
-	s.Wait(4 * kernel.Second)
+	s.Wait(4 * time.Second)
 	end()
-	if err := s.dayEnd(15 * kernel.Second); err != nil {
+	if err := s.dayEnd(15 * time.Second); err != nil {
 		return err
 	}
-	s.Wait(2 * kernel.Second)
+	s.Wait(2 * time.Second)
 	killHalf(s)
 	s.final("four of nine nodes killed at the end of the mix")
 	return nil
--- a/cmd/rig/prove/orders.go
+++ b/cmd/rig/prove/orders.go
@@ -1,21 +1,21 @@
 package prove
 
 import (
+	"context"
 	"fmt"
 	"strings"
 	"sync"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/load"
 )
 
 func ordersKills(s *Stage) error {
 	began := s.Book.Now()
-	end := s.beside(func(ctx kernel.Context) { s.changing(ctx, 10*kernel.Millisecond, nil) })
+	end := s.beside(func(ctx context.Context) { s.changing(ctx, 10*time.Millisecond, nil) })
 	for i := 0; s.left(began); i++ {
 		core := s.Fleet.Cores()[i%3]
 		core.Kill()
@@ -36,7 +36,7 @@
 		}
 		s.Wait(seconds(1 + s.Random.Float64()*2))
 	}
-	s.Wait(4 * kernel.Second)
+	s.Wait(4 * time.Second)
 	end()
 	for _, core := range s.Fleet.Cores() {
 		core.Kill()
@@ -46,15 +46,15 @@
 			return err
 		}
 	}
-	s.Wait(5 * kernel.Second)
-	return s.dayEnd(20 * kernel.Second)
+	s.Wait(5 * time.Second)
+	return s.dayEnd(20 * time.Second)
 }
 
 func ordersWipe(s *Stage) error {
 	began := s.Book.Now()
 	_, base := s.Control.Newest()
 	for i := uint64(0); s.left(began); i++ {
-		won, epoch := s.push(s.Control.Change("ade", base), i, 15*kernel.Second)
+		won, epoch := s.push(s.Control.Change("ade", base), i, 15*time.Second)
 		if !won {
 			return errors.Errorf("round %d: the order was not accepted within 15 s", i)
 		}
@@ -68,25 +68,25 @@
 		if err := core.Start(); err != nil {
 			return err
 		}
-		if !s.repaired(core, 20*kernel.Second) {
+		if !s.repaired(core, 20*time.Second) {
 			return errors.Errorf("round %d: %s was not repaired within 20 s", i, core.Name)
 		}
 		if _, err := s.readAll(); err != nil {
 			return err
 		}
 	}
-	return s.dayEnd(20 * kernel.Second)
+	return s.dayEnd(20 * time.Second)
 }
 
 // repaired waits until a restarted core serves again by the newest key.
-func (s *Stage) repaired(core *fleet.Node, within kernel.Duration) bool {
+func (s *Stage) repaired(core *fleet.Node, within time.Duration) bool {
 	until := s.Book.Now() + within
 	for s.Book.Now() < until {
 		key, _ := s.Control.Newest()
 		if s.Control.Probe(core, key).Passed() {
-			return s.Wait(2 * kernel.Second)
+			return s.Wait(2 * time.Second)
 		}
-		if !s.Wait(200 * kernel.Millisecond) {
+		if !s.Wait(200 * time.Millisecond) {
 			return false
 		}
 	}
@@ -113,41 +113,41 @@
 // ordersDisk lets core1 fill its disk, then gives it room and slows core2's
 // disk. Two cores with good disks are left at each time, so orders must go on.
 func ordersDisk(s *Stage) error {
-	end := s.beside(func(ctx kernel.Context) { s.changing(ctx, 20*kernel.Millisecond, s.fat) })
+	end := s.beside(func(ctx context.Context) { s.changing(ctx, 20*time.Millisecond, s.fat) })
 	defer end()
-	s.Wait(14 * kernel.Second)
-	if err := s.acknowledged("core1's disk was full", 5*kernel.Second); err != nil {
+	s.Wait(14 * time.Second)
+	if err := s.acknowledged("core1's disk was full", 5*time.Second); err != nil {
 		return err
 	}
 	if err := s.restartWith(s.Fleet.Cores()[0], "disk.quota", ""); err != nil {
 		return err
 	}
-	s.Wait(4 * kernel.Second)
+	s.Wait(4 * time.Second)
 	if err := s.restartWith(s.Fleet.Cores()[1], "disk.sync_delay", "2s"); err != nil {
 		return err
 	}
-	s.Wait(14 * kernel.Second)
-	if err := s.acknowledged("core2's disk was slow", 8*kernel.Second); err != nil {
+	s.Wait(14 * time.Second)
+	if err := s.acknowledged("core2's disk was slow", 8*time.Second); err != nil {
 		return err
 	}
 	end()
-	return s.dayEnd(20 * kernel.Second)
+	return s.dayEnd(20 * time.Second)
 }
 
 // ordersDisks has one disk full and one slow at once.
 func ordersDisks(s *Stage) error {
-	end := s.beside(func(ctx kernel.Context) { s.changing(ctx, 20*kernel.Millisecond, s.fat) })
+	end := s.beside(func(ctx context.Context) { s.changing(ctx, 20*time.Millisecond, s.fat) })
 	defer end()
-	s.Wait(12 * kernel.Second)
+	s.Wait(12 * time.Second)
 	if err := s.restartWith(s.Fleet.Cores()[1], "disk.sync_delay", "2s"); err != nil {
 		return err
 	}
-	s.Wait(26 * kernel.Second)
-	if err := s.acknowledged("core1's disk was full and core2's slow", 20*kernel.Second); err != nil {
+	s.Wait(26 * time.Second)
+	if err := s.acknowledged("core1's disk was full and core2's slow", 20*time.Second); err != nil {
 		return err
 	}
 	end()
-	return s.dayEnd(20 * kernel.Second)
+	return s.dayEnd(20 * time.Second)
 }
 
 // restartWith ends a core, tears the tail of its log and starts it with a
@@ -162,7 +162,7 @@
 }
 
 // acknowledged wants at least one order to have been acknowledged lately.
-func (s *Stage) acknowledged(while string, lately kernel.Duration) error {
+func (s *Stage) acknowledged(while string, lately time.Duration) error {
 	l := s.Book.Copy()
 	for _, o := range l.Orders {
 		if o.Won() && o.Told > s.Book.Now()-lately {
@@ -191,7 +191,7 @@
 			cut := []string{s.core().Name}
 			s.Cut(cut, s.Others(cut))
 		}
-		ctx, cancel := kernel.WithTimeout(s.ctx, 15*kernel.Second)
+		ctx, cancel := context.WithTimeout(s.ctx, 15*time.Second)
 		var all sync.WaitGroup
 		for j := range 3 {
 			o := s.Control.Change([]string{"ade", "bola"}[j%2], base)
@@ -200,7 +200,7 @@
 			lose := s.Random.IntN(3) == 0
 			all.Go(func() {
 				if lose {
-					s.Control.Send(o, nodes[0], 3*kernel.Millisecond)
+					s.Control.Send(o, nodes[0], 3*time.Millisecond)
 				}
 				s.Control.Push(ctx, o, nodes)
 			})
@@ -214,9 +214,9 @@
 		if ok {
 			base = next
 		}
-		s.Wait(200 * kernel.Millisecond)
+		s.Wait(200 * time.Millisecond)
 	}
-	return s.dayEnd(20 * kernel.Second)
+	return s.dayEnd(20 * time.Second)
 }
 
 func ordersInvalid(s *Stage) error {
@@ -250,12 +250,12 @@
 		for j := range 3000 {
 			big.Tenants[fmt.Sprintf("town%d", j)] = load.SheetTenant{Rate: float64(i + 1), Burst: 10, Keys: []string{fleet.Hash(fmt.Sprint("town", j))}}
 		}
-		won, epoch := s.push(s.Control.Put("ade", base, big, large), i, 15*kernel.Second)
+		won, epoch := s.push(s.Control.Put("ade", base, big, large), i, 15*time.Second)
 		if !won {
 			return errors.Errorf("round %d: a sheet of 3,000 tenants was not accepted within 15 s", i)
 		}
 		base = epoch
-		s.Wait(500 * kernel.Millisecond)
+		s.Wait(500 * time.Millisecond)
 	}
-	return s.dayEnd(20 * kernel.Second)
+	return s.dayEnd(20 * time.Second)
 }
--- a/cmd/rig/prove/scenario.go
+++ b/cmd/rig/prove/scenario.go
@@ -5,14 +5,14 @@
 	"fmt"
 	"sort"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
 	"go.yaml.in/yaml/v3"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/standin"
+	"stepwick/internal/clock"
 )
 
 // Scenario is an experiment as a file says it. Times are seconds after traffic
@@ -95,7 +95,7 @@
 }
 
 type step struct {
-	at kernel.Duration
+	at time.Duration
 	do func() error
 }
 
@@ -169,9 +169,9 @@
 	}
 	switch {
 	case f.What == "evacuate" && mend:
-		s.push(s.Control.Restore("ade", name), 0, 15*kernel.Second)
+		s.push(s.Control.Restore("ade", name), 0, 15*time.Second)
 	case f.What == "evacuate":
-		s.push(s.Control.Evacuate("ade", name), 0, 15*kernel.Second)
+		s.push(s.Control.Evacuate("ade", name), 0, 15*time.Second)
 	case node != nil && f.What == "freeze" && mend:
 		node.Thaw()
 	case node != nil && f.What == "freeze":
@@ -179,7 +179,7 @@
 	case node != nil && mend:
 		return node.Start()
 	case node != nil && f.What == "stop":
-		node.Term(12 * kernel.Second)
+		node.Term(12 * time.Second)
 	case node != nil && f.What == "wipe":
 		node.Kill()
 		return node.Wipe()
@@ -190,7 +190,7 @@
 	case (model != nil || web != nil) && f.What == "crash":
 		s.crash(name)
 	case (model != nil || web != nil) && (f.What == "drain" || f.What == "leave"):
-		s.Fleet.Platform.State(name, state, kernel.System().Now().Add(5*kernel.Second).UnixMilli())
+		s.Fleet.Platform.State(name, state, clock.System().Now().Add(5*time.Second).UnixMilli())
 	case model != nil && f.What == "dark":
 		model.Dark(!mend)
 	case model != nil && f.Odds > 0:
--- a/cmd/rig/prove/shots.go
+++ b/cmd/rig/prove/shots.go
@@ -1,7 +1,7 @@
 package prove
 
 import (
-	"stepwick/internal/kernel"
+	"time"
 
 	"stepwick/cmd/rig/standin"
 )
@@ -30,12 +30,12 @@
 		if frozen != killed {
 			frozen.Freeze()
 		}
-		s.Wait(5 * kernel.Second)
+		s.Wait(5 * time.Second)
 		frozen.Thaw()
 		if err := killed.Start(); err != nil {
 			return err
 		}
-		s.Wait(2 * kernel.Second)
+		s.Wait(2 * time.Second)
 	}
 	return nil
 }
@@ -48,20 +48,20 @@
 		for _, w := range s.Fleet.Webs {
 			w.Dark(true)
 		}
-		s.Wait(4 * kernel.Second)
+		s.Wait(4 * time.Second)
 		for _, w := range s.Fleet.Webs {
 			w.Dark(false)
 		}
 		s.webOdds(standin.Odds{standin.Slow: .6})
-		s.Wait(3 * kernel.Second)
+		s.Wait(3 * time.Second)
 		s.webOdds(nil)
 		name := s.Fleet.Webs[s.Random.IntN(3)].Name
 		s.crash(name)
-		s.Wait(2 * kernel.Second)
+		s.Wait(2 * time.Second)
 		if err := s.back(name); err != nil {
 			return err
 		}
-		s.Wait(kernel.Second)
+		s.Wait(time.Second)
 	}
 	return nil
 }
@@ -81,9 +81,9 @@
 		s.Fleet.CrashModel(crashed.Name)
 		s.Book.Mark("dark "+dark.Name, false)
 		dark.Dark(true)
-		s.Wait(2 * kernel.Second)
+		s.Wait(2 * time.Second)
 		killed.Kill()
-		s.Wait(2 * kernel.Second)
+		s.Wait(2 * time.Second)
 		dark.Dark(false)
 		if err := s.Fleet.ReturnModel(crashed.Name); err != nil {
 			return err
@@ -91,7 +91,7 @@
 		if err := killed.Start(); err != nil {
 			return err
 		}
-		s.Wait(2 * kernel.Second)
+		s.Wait(2 * time.Second)
 	}
 	return nil
 }
--- a/cmd/rig/prove/stage.go
+++ b/cmd/rig/prove/stage.go
@@ -3,6 +3,7 @@
 package prove
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -10,18 +11,19 @@
 	"os"
 	"path/filepath"
 	"sort"
+	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/judge"
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/load"
 	"stepwick/cmd/rig/own"
 	"stepwick/cmd/rig/relay"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 // Options of a run.
@@ -46,8 +48,8 @@
 	Control *load.Control
 	Random  *rand.Rand
 
-	ctx     kernel.Context
-	cancel  kernel.Cancel
+	ctx     context.Context
+	cancel  context.CancelFunc
 	running chan struct{}
 	parts   int
 	dir     string
@@ -55,13 +57,13 @@
 }
 
 // Open starts a fleet, gives it a first sheet and lets callers in.
-func Open(ctx kernel.Context, o Options) (*Stage, error) {
+func Open(ctx context.Context, o Options) (*Stage, error) {
 	dir, err := os.MkdirTemp("", "stepwick-rig-")
 	if err != nil {
 		return nil, errors.Wrap(err, "temp folder")
 	}
 	s := &Stage{Options: o, dir: dir, Book: ledger.Open(int64(o.Seed)), Random: rand.New(rand.NewPCG(o.Seed, 5)), running: make(chan struct{}, 8)}
-	s.ctx, s.cancel = kernel.WithCancel(ctx)
+	s.ctx, s.cancel = context.WithCancel(ctx)
 	if s.Fleet, err = fleet.New(o.Spec, o.Binary, dir, s.Book, o.Seed); err != nil {
 		os.RemoveAll(dir)
 		return nil, err
@@ -78,7 +80,7 @@
 	}
 	s.Began = s.Book.Now()
 	s.part(func() { s.Crowd.Run(s.ctx) })
-	s.part(func() { s.Control.Probes(s.ctx, 300*kernel.Millisecond) })
+	s.part(func() { s.Control.Probes(s.ctx, 300*time.Millisecond) })
 	if o.Table {
 		s.part(s.table)
 	}
@@ -92,7 +94,7 @@
 
 // first submits the first sheet and waits until every node is ready.
 func (s *Stage) first() error {
-	ctx, cancel := kernel.WithTimeout(s.ctx, 40*kernel.Second)
+	ctx, cancel := context.WithTimeout(s.ctx, 40*time.Second)
 	defer cancel()
 	key := s.Control.NextKey()
 	sheet := load.FirstSheet(s.Fleet, s.Tenants, key)
@@ -105,7 +107,7 @@
 		for {
 			if p := s.Control.Probe(n, key); p.Passed() {
 				break
-			} else if !own.Wait(ctx, 100*kernel.Millisecond) {
+			} else if !own.Wait(ctx, 100*time.Millisecond) {
 				return errors.Errorf("node %s did not serve within 40 s: probe status %d code %d %s; node logs:\n%s", n.Name, p.Status, p.Code, p.Detail, s.tails())
 			}
 		}
@@ -142,13 +144,13 @@
 }
 
 // Wait lets time pass; false when the run is cut short.
-func (s *Stage) Wait(d kernel.Duration) bool { return own.Wait(s.ctx, d) }
+func (s *Stage) Wait(d time.Duration) bool { return own.Wait(s.ctx, d) }
 
 // Seconds as a span.
-func seconds(x float64) kernel.Duration { return kernel.Duration(x * float64(kernel.Second)) }
+func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
 // Context ends with the stage.
-func (s *Stage) Context() kernel.Context { return s.ctx }
+func (s *Stage) Context() context.Context { return s.ctx }
 
 // Cut cuts both directions between two groups in silence.
 func (s *Stage) Cut(left, right []string) {
@@ -179,7 +181,7 @@
 }
 
 func (s *Stage) table() {
-	ticker := kernel.System().Ticker(kernel.Second)
+	ticker := clock.System().Ticker(time.Second)
 	defer ticker.Stop()
 	var last load.Tally
 	fmt.Fprintf(s.Out, "%6s %8s %9s %8s %8s %7s %8s\n", "second", "served", "refused", "failed", "unsent", "epoch", "skipped")
@@ -198,7 +200,7 @@
 
 // Epochs tells, by probes from outside, the newest sheet epoch that each
 // running node rules by; 0 for one that does not serve.
-func (s *Stage) Epochs(within kernel.Duration) map[string]uint64 {
+func (s *Stage) Epochs(within time.Duration) map[string]uint64 {
 	out := map[string]uint64{}
 	key, epoch := s.Control.Newest()
 	until := s.Book.Now() + within
@@ -212,7 +214,7 @@
 				out[n.Name] = epoch
 				break
 			}
-			if s.Book.Now() > until || !s.Wait(200*kernel.Millisecond) {
+			if s.Book.Now() > until || !s.Wait(200*time.Millisecond) {
 				break
 			}
 		}
@@ -226,7 +228,7 @@
 	for range s.parts {
 		<-s.running
 	}
-	own.Wait(kernel.Background(), kernel.Second)
+	own.Wait(context.Background(), time.Second)
 	l := s.Book.Copy()
 	s.keep()
 	if s.Keep != "" {
@@ -280,7 +282,7 @@
 			s.Failed++
 		}
 		if a.Code != 0 {
-			s.ByCode[kernel.Code(a.Code).String()]++
+			s.ByCode[apierror.Code(a.Code).String()]++
 		} else if a.End != ledger.Served {
 			s.ByCode[a.End]++
 		}
--- a/cmd/rig/prove/tallies.go
+++ b/cmd/rig/prove/tallies.go
@@ -1,17 +1,15 @@
 package prove
 
-import (
-	"stepwick/internal/kernel"
-)
+import "time"
 
 func tallyTenfold(s *Stage) error {
 	began := s.Book.Now()
-	s.Wait(5 * kernel.Second)
+	s.Wait(5 * time.Second)
 	s.Book.Mark("crews and grid ask tenfold", false)
 	s.Crowd.Scale("crews", 10)
 	s.Crowd.Scale("grid", 6)
 	for i := 0; s.left(began); i++ {
-		s.Wait(12 * kernel.Second)
+		s.Wait(12 * time.Second)
 		home := []string{"lagos/a", "abeokuta/a", "lagos/b"}[i%3]
 		s.Book.Mark("callers move to "+home, false)
 		s.Crowd.From(map[string]float64{home: 1})
@@ -31,7 +29,7 @@
 	began := s.Book.Now()
 	s.Crowd.Scale("crews", 6)
 	s.Crowd.Scale("grid", 4)
-	s.Wait(18 * kernel.Second)
+	s.Wait(18 * time.Second)
 	for i := 0; s.left(began); i++ {
 		n := s.Fleet.Nodes[(i*2)%9]
 		if i%2 == 0 {
@@ -39,12 +37,12 @@
 				return err
 			}
 		} else {
-			n.Term(12 * kernel.Second)
+			n.Term(12 * time.Second)
 			if err := n.Start(); err != nil {
 				return err
 			}
 		}
-		s.Wait(4 * kernel.Second)
+		s.Wait(4 * time.Second)
 	}
 	return nil
 }
@@ -53,9 +51,9 @@
 	began := s.Book.Now()
 	s.Crowd.Scale("crews", 6)
 	s.Crowd.Scale("grid", 4)
-	s.Wait(18 * kernel.Second)
+	s.Wait(18 * time.Second)
 	s.Cut(s.region("abeokuta"), s.region("lagos"))
-	s.Wait(16 * kernel.Second)
+	s.Wait(16 * time.Second)
 	s.Heal()
 	s.rest(began)
 	return nil
--- a/cmd/rig/prove_command.go
+++ b/cmd/rig/prove_command.go
@@ -1,16 +1,16 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/judge"
 	"stepwick/cmd/rig/load"
@@ -87,7 +87,7 @@
 	Worst      map[string]float64 `json:"worst_span,omitempty"`
 }
 
-func proveAll(ctx kernel.Context, chosen []prove.Case, seed uint64, seeds, length int, r run) error {
+func proveAll(ctx context.Context, chosen []prove.Case, seed uint64, seeds, length int, r run) error {
 	if r.binary == "" {
 		binary, remove, err := built()
 		if err != nil {
@@ -119,7 +119,7 @@
 
 // proveOne runs one case. A case that could not do its work, such as an order
 // that was never accepted, counts as a violation too.
-func proveOne(ctx kernel.Context, p prove.Case, seed uint64, length int, r run) verdict {
+func proveOne(ctx context.Context, p prove.Case, seed uint64, length int, r run) verdict {
 	o := prove.Options{Spec: fleet.First(), Tenants: load.FirstTenants(), Binary: r.binary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, Table: r.table}
 	if length > 0 {
 		o.Seconds = length
@@ -137,7 +137,7 @@
 		fmt.Printf("TROUBLE case %s seed %d: %v\n", p.Name, seed, err)
 		return v
 	}
-	s.Wait(2 * kernel.Second)
+	s.Wait(2 * time.Second)
 	err = p.Run(s)
 	l := s.Close()
 	found := judge.Find(&l)
--- a/cmd/rig/relay/relay.go
+++ b/cmd/rig/relay/relay.go
@@ -4,22 +4,22 @@
 package relay
 
 import (
+	"context"
 	"net"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/own"
 )
 
 // Mode is how a directed link behaves.
 type Mode struct {
-	Silent bool            // bytes wait until the link heals; new connections hang
-	Reset  bool            // connections are reset
-	Delay  kernel.Duration // each piece of data waits this long
+	Silent bool          // bytes wait until the link heals; new connections hang
+	Reset  bool          // connections are reset
+	Delay  time.Duration // each piece of data waits this long
 }
 
 // Links says how each directed link (from, to: names) behaves. Published as a
@@ -115,7 +115,7 @@
 
 type state struct {
 	listener net.Listener
-	cancel   kernel.Cancel
+	cancel   context.CancelFunc
 	carried  *sync.WaitGroup // the connections that stand, and the accepting of more
 }
 
@@ -135,7 +135,7 @@
 		if l, err = net.Listen("tcp4", r.Address); err != nil {
 			return
 		}
-		ctx, cancel := kernel.WithCancel(kernel.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		s.listener, s.cancel, s.carried = l, cancel, &sync.WaitGroup{}
 		carried := s.carried
 		carried.Go(func() { r.accept(ctx, l, carried) })
@@ -163,7 +163,7 @@
 // Close shuts the relay for good.
 func (r *Relay) Close() { r.Shut(); r.state.End() }
 
-func (r *Relay) accept(ctx kernel.Context, l net.Listener, carried *sync.WaitGroup) {
+func (r *Relay) accept(ctx context.Context, l net.Listener, carried *sync.WaitGroup) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -179,7 +179,7 @@
 }
 
 // pass waits until data may go; false when the connection must be reset.
-func (r *Relay) pass(ctx kernel.Context, from, to string) bool {
+func (r *Relay) pass(ctx context.Context, from, to string) bool {
 	for {
 		mode, changed := r.links.look(from, to)
 		if mode.Reset {
@@ -197,8 +197,8 @@
 	}
 }
 
-func (r *Relay) carry(outer kernel.Context, near *net.TCPConn) {
-	ctx, cancel := kernel.WithCancel(outer)
+func (r *Relay) carry(outer context.Context, near *net.TCPConn) {
+	ctx, cancel := context.WithCancel(outer)
 	defer cancel()
 	from := r.links.source(near.RemoteAddr())
 	if !r.pass(ctx, from, r.Name) {
@@ -211,7 +211,7 @@
 		return
 	}
 	far := c.(*net.TCPConn)
-	stop := kernel.AfterFunc(ctx, func() { reset(near); reset(far) })
+	stop := context.AfterFunc(ctx, func() { reset(near); reset(far) })
 	defer stop()
 	ends := make(chan bool, 2)
 	go r.pump(ctx, near, far, from, r.Name, ends)
@@ -231,7 +231,7 @@
 }
 
 // pump copies one direction and sends whether it ended cleanly.
-func (r *Relay) pump(ctx kernel.Context, in, out *net.TCPConn, from, to string, ends chan<- bool) {
+func (r *Relay) pump(ctx context.Context, in, out *net.TCPConn, from, to string, ends chan<- bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := in.Read(buf)
--- a/cmd/rig/report/report.go
+++ b/cmd/rig/report/report.go
@@ -11,6 +11,7 @@
 	"os"
 	"path/filepath"
 	"sort"
+	"time"
 
 	"github.com/pkg/errors"
 	"gonum.org/v1/plot"
@@ -18,8 +19,6 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/judge"
 	"stepwick/cmd/rig/ledger"
 )
@@ -158,7 +157,7 @@
 		p.Add(bound)
 	}
 	labels := plotter.XYLabels{}
-	last := kernel.Duration(-kernel.Hour)
+	last := time.Duration(-time.Hour)
 	for _, m := range marks {
 		x := m.At.Seconds()
 		bar, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: top}})
@@ -167,7 +166,7 @@
 		}
 		bar.Color, bar.Width = color.Gray{170}, vg.Points(0.5)
 		p.Add(bar)
-		if m.At-last > 700*kernel.Millisecond {
+		if m.At-last > 700*time.Millisecond {
 			labels.XYs, labels.Labels = append(labels.XYs, plotter.XY{X: x, Y: top}), append(labels.Labels, m.What)
 			last = m.At
 		}
--- a/cmd/rig/standin/generate.go
+++ b/cmd/rig/standin/generate.go
@@ -8,9 +8,8 @@
 	"net/http"
 	"strings"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/ledger"
+	"stepwick/internal/apierror"
 )
 
 type generateBody struct {
@@ -134,5 +133,5 @@
 		<-r.Context().Done()
 		return
 	}
-	kernel.Reply(w, http.StatusOK, body)
+	apierror.WriteJSON(w, http.StatusOK, body)
 }
--- a/cmd/rig/standin/model.go
+++ b/cmd/rig/standin/model.go
@@ -3,16 +3,17 @@
 package standin
 
 import (
+	"context"
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/own"
+	"stepwick/internal/clock"
 )
 
 // Faults of a server, drawn for each request by their odds.
@@ -43,12 +44,12 @@
 	KV         int     // tokens that the cache holds
 	WarmAfter  int     // answers until it is warm
 	ColdFactor float64 // prefill while cold, as a share
-	Tick       kernel.Duration
+	Tick       time.Duration
 }
 
 // Typical is a model server of the first deployment.
 func Typical() Shape {
-	return Shape{Slots: 16, Queue: 48, Prefill: 24000, Decode: 50, EventSize: 4, KV: 40000, WarmAfter: 24, ColdFactor: 0.25, Tick: 10 * kernel.Millisecond}
+	return Shape{Slots: 16, Queue: 48, Prefill: 24000, Decode: 50, EventSize: 4, KV: 40000, WarmAfter: 24, ColdFactor: 0.25, Tick: 10 * time.Millisecond}
 }
 
 // Odds says how often each fault befalls a request, 0..1.
@@ -96,7 +97,7 @@
 	peak        int
 	listener    net.Listener
 	server      *http.Server
-	cancel      kernel.Cancel
+	cancel      context.CancelFunc
 	serial      int
 }
 
@@ -128,14 +129,14 @@
 			err = errors.Wrap(lerr, m.Name)
 			return
 		}
-		ctx, cancel := kernel.WithCancel(kernel.Background())
-		s.incarnation = uint64(kernel.System().Now().UnixNano())
+		ctx, cancel := context.WithCancel(context.Background())
+		s.incarnation = uint64(clock.System().Now().UnixNano())
 		s.answered, s.queue, s.running, s.dark = 0, nil, nil, false
 		s.cache, s.tokens = map[string]cached{}, map[string]bool{}
 		mux := http.NewServeMux()
 		mux.HandleFunc("POST /v1/generate", m.generate)
 		mux.HandleFunc("GET /v1/status", m.status)
-		s.listener, s.cancel, s.server = l, cancel, &http.Server{Handler: mux, ReadHeaderTimeout: 10 * kernel.Second}
+		s.listener, s.cancel, s.server = l, cancel, &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 		go s.server.Serve(l)
 		go m.ticks(ctx)
 	})
@@ -179,8 +180,8 @@
 	return
 }
 
-func (m *Model) ticks(ctx kernel.Context) {
-	ticker := kernel.System().Ticker(m.shape.Tick)
+func (m *Model) ticks(ctx context.Context) {
+	ticker := clock.System().Ticker(m.shape.Tick)
 	defer ticker.Stop()
 	for {
 		select {
--- a/cmd/rig/standin/platform.go
+++ b/cmd/rig/standin/platform.go
@@ -1,17 +1,19 @@
 package standin
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"slices"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/own"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 // Listed is a server as the platform lists it.
@@ -37,7 +39,7 @@
 	book    *ledger.Book
 	state   *own.Owner[platformState]
 	server  *http.Server
-	cancel  kernel.Cancel
+	cancel  context.CancelFunc
 }
 
 // NewPlatform returns a platform that is down.
@@ -114,10 +116,10 @@
 			}
 		})
 		slices.SortFunc(list, func(a, b Listed) int { return strings.Compare(a.Name, b.Name) })
-		kernel.Reply(w, http.StatusOK, map[string]any{"servers": list})
+		apierror.WriteJSON(w, http.StatusOK, map[string]any{"servers": list})
 	})
-	p.server = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * kernel.Second}
-	ctx, cancel := kernel.WithCancel(kernel.Background())
+	p.server = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
+	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	go p.server.Serve(l)
 	go p.check(ctx)
@@ -133,9 +135,9 @@
 	p.state.End()
 }
 
-func (p *Platform) check(ctx kernel.Context) {
-	client := &http.Client{Timeout: 900 * kernel.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
-	ticker := kernel.System().Ticker(kernel.Second)
+func (p *Platform) check(ctx context.Context) {
+	client := &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
+	ticker := clock.System().Ticker(time.Second)
 	defer ticker.Stop()
 	for {
 		select {
--- a/cmd/rig/standin/web.go
+++ b/cmd/rig/standin/web.go
@@ -8,14 +8,15 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/own"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 type webState struct {
@@ -59,8 +60,8 @@
 			err = errors.Wrap(lerr, w.Name)
 			return
 		}
-		s.incarnation, s.answered, s.running = uint64(kernel.System().Now().UnixNano()), 0, 0
-		s.listener, s.server = l, &http.Server{Handler: http.HandlerFunc(w.handle), ReadHeaderTimeout: 10 * kernel.Second}
+		s.incarnation, s.answered, s.running = uint64(clock.System().Now().UnixNano()), 0, 0
+		s.listener, s.server = l, &http.Server{Handler: http.HandlerFunc(w.handle), ReadHeaderTimeout: 10 * time.Second}
 		go s.server.Serve(l)
 	})
 	return err
@@ -156,7 +157,7 @@
 	case WrongID:
 		id = "x" + id
 	case Slow:
-		own.Wait(r.Context(), 2*kernel.Second)
+		own.Wait(r.Context(), 2*time.Second)
 	case CrossBody:
 		body = Body(previous, pad)
 		id = "x" + id
@@ -210,5 +211,5 @@
 		<-r.Context().Done()
 		return
 	}
-	kernel.Reply(out, http.StatusOK, body)
+	apierror.WriteJSON(out, http.StatusOK, body)
 }
--- a/cmd/rig/standins.go
+++ b/cmd/rig/standins.go
@@ -1,12 +1,11 @@
 package main
 
 import (
+	"context"
 	"fmt"
 
 	"github.com/spf13/cobra"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/standin"
 )
@@ -26,7 +25,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return standIns(cmd.Context()) }}
 }
 
-func standIns(ctx kernel.Context) error {
+func standIns(ctx context.Context) error {
 	book := ledger.Open(1)
 	defer book.Close()
 	platform := standin.NewPlatform(tourPlatform, book)
--- a/cmd/rig/up.go
+++ b/cmd/rig/up.go
@@ -1,14 +1,14 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
-	"stepwick/internal/kernel"
-
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/ledger"
 	"stepwick/cmd/rig/load"
@@ -39,7 +39,7 @@
 			}
 			control := load.NewControl(f, 1)
 			key := control.NextKey()
-			ctx, cancel := kernel.WithTimeout(cmd.Context(), 40*kernel.Second)
+			ctx, cancel := context.WithTimeout(cmd.Context(), 40*time.Second)
 			defer cancel()
 			told := control.Push(ctx, control.Put("ade", 0, load.FirstSheet(f, load.FirstTenants(), key), key), f.Nodes)
 			fmt.Printf("program %s\nfolder %s\noperator key %s\ntenant key key-of-press\nfirst sheet: status %d code %d epoch %d\n", binary, dir, fleet.Operators["ade"], told.Status, told.Code, told.Epoch)
@@ -47,7 +47,7 @@
 				pid, _ := n.Running()
 				fmt.Printf("%-8s %-12s %s pid %d\n", n.Name, n.Locality(), n.Caller, pid)
 			}
-			own.Wait(cmd.Context(), kernel.Duration(length)*kernel.Second)
+			own.Wait(cmd.Context(), time.Duration(length)*time.Second)
 			return nil
 		}}
 	c.Flags().IntVar(&length, "seconds", length, "how long to run")
--- a/cmd/stepwick/main.go
+++ b/cmd/stepwick/main.go
@@ -5,13 +5,13 @@
 	"os"
 
 	"stepwick/internal/cli"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node"
+	"stepwick/internal/signals"
 	"stepwick/platform"
 )
 
 func main() {
-	ctx, cancel := kernel.Signalled()
+	ctx, cancel := signals.NotifyContext()
 	app := cli.New(node.Run)
 	app.Processes = append(app.Processes, platform.Command(app.Serve))
 	code := app.Main(ctx, os.Args[1:])
--- a/internal/adapter/backend/backend.go
+++ b/internal/adapter/backend/backend.go
@@ -7,13 +7,15 @@
 package backend
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"sync/atomic"
+	"time"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
 // HeaderRequestID carries the request's id to a server, which echoes it.
@@ -24,21 +26,21 @@
 
 // Config holds a client's bounds. Zero values take the defaults named.
 type Config struct {
-	Bind           string          // source address of dials; "" for any
-	ConnectTimeout kernel.Duration // default 1s
-	FirstEvent     kernel.Duration // until a stream's first event; default 10s
-	EventGap       kernel.Duration // between two events; default 5s
-	HeaderMax      int64           // bytes; default 32 KiB
-	BodyMax        int64           // bytes of a whole answer; default 4 MiB
-	EventMax       int             // bytes of one event; default 64 KiB
+	Bind           string        // source address of dials; "" for any
+	ConnectTimeout time.Duration // default 1s
+	FirstEvent     time.Duration // until a stream's first event; default 10s
+	EventGap       time.Duration // between two events; default 5s
+	HeaderMax      int64         // bytes; default 32 KiB
+	BodyMax        int64         // bytes of a whole answer; default 4 MiB
+	EventMax       int           // bytes of one event; default 64 KiB
 
-	Dial func(ctx kernel.Context, network, address string) (net.Conn, error) // nil dials from Bind
+	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil dials from Bind
 }
 
 func (c Config) withDefaults() (Config, error) {
-	or(&c.ConnectTimeout, kernel.Second)
-	or(&c.FirstEvent, 10*kernel.Second)
-	or(&c.EventGap, 5*kernel.Second)
+	or(&c.ConnectTimeout, time.Second)
+	or(&c.FirstEvent, 10*time.Second)
+	or(&c.EventGap, 5*time.Second)
 	or(&c.HeaderMax, 32<<10)
 	or(&c.BodyMax, 4<<20)
 	or(&c.EventMax, 64<<10)
@@ -57,7 +59,7 @@
 	return c, nil
 }
 
-func or[T int | int64 | kernel.Duration](value *T, fallback T) {
+func or[T int | int64 | time.Duration](value *T, fallback T) {
 	if *value <= 0 {
 		*value = fallback
 	}
@@ -85,7 +87,7 @@
 type Failure struct {
 	Kind   Kind
 	Detail string
-	Cause  *kernel.Fault // why the request was barred or given up, where known
+	Cause  *apierror.Error // why the request was barred or given up, where known
 }
 
 func (f *Failure) Error() string { return string(f.Kind) + ": " + f.Detail }
@@ -100,11 +102,11 @@
 	ID       string
 	Server   string
 	Address  string // ip:port
-	Deadline kernel.Time
-	Now      func() kernel.Time
-	Allow    func() *kernel.Fault // asked at the moment of the first write; may be nil
+	Deadline time.Time
+	Now      func() time.Time
+	Allow    func() *apierror.Error // asked at the moment of the first write; may be nil
 
-	FirstEvent kernel.Duration // until a stream's first event, where shorter than the client's bound; 0 for that
+	FirstEvent time.Duration // until a stream's first event, where shorter than the client's bound; 0 for that
 }
 
 // Client speaks to servers.
@@ -136,12 +138,12 @@
 	return protocols
 }
 
-func (c *Client) dial(ctx kernel.Context, network, address string) (net.Conn, error) {
+func (c *Client) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	record, ok := ctx.Value(ledgerKey{}).(*ledger)
 	if !ok {
 		return nil, errors.New("a dial without an attempt")
 	}
-	ctx, cancel := kernel.WithTimeout(ctx, c.config.ConnectTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.config.ConnectTimeout)
 	defer cancel()
 	conn, err := c.config.Dial(ctx, network, address)
 	if err != nil {
@@ -163,16 +165,16 @@
 // a writer wakes.
 type ledger struct {
 	state  atomic.Uint32
-	allow  func() *kernel.Fault
-	barred atomic.Pointer[kernel.Fault]
+	allow  func() *apierror.Error
+	barred atomic.Pointer[apierror.Error]
 }
 
 func (l *ledger) mayWrite() bool {
 	if state := l.state.Load(); state != open {
 		return state == written
 	}
-	if fault := l.asked(); fault != nil {
-		l.barred.Store(fault)
+	if apiErr := l.asked(); apiErr != nil {
+		l.barred.Store(apiErr)
 		l.state.CompareAndSwap(open, sealed)
 		return false
 	}
@@ -181,10 +183,10 @@
 
 // asked runs on a goroutine of the transport's, where a panic would end the
 // process.
-func (l *ledger) asked() (fault *kernel.Fault) {
+func (l *ledger) asked() (apiErr *apierror.Error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			fault = kernel.Refuse(kernel.Internal, "a panic before the request was sent: %v", panicked)
+			apiErr = apierror.Errorf(apierror.Internal, "a panic before the request was sent: %v", panicked)
 		}
 	}()
 	return l.allow()
@@ -210,9 +212,9 @@
 }
 
 func (a *Attempt) ledger() *ledger {
-	return &ledger{allow: func() *kernel.Fault {
+	return &ledger{allow: func() *apierror.Error {
 		if !a.Now().Before(a.Deadline) {
-			return kernel.Refuse(kernel.DeadlinePassed, "the deadline passed before the request was sent")
+			return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed before the request was sent")
 		}
 		if a.Allow != nil {
 			return a.Allow()
@@ -221,10 +223,10 @@
 	}}
 }
 
-func (l *ledger) failure(ctx kernel.Context, err error) *Failure {
+func (l *ledger) failure(ctx context.Context, err error) *Failure {
 	if l.seal() {
-		if fault := l.barred.Load(); fault != nil {
-			return &Failure{Kind: Barred, Detail: fault.Detail, Cause: fault}
+		if apiErr := l.barred.Load(); apiErr != nil {
+			return &Failure{Kind: Barred, Detail: apiErr.Detail, Cause: apiErr}
 		}
 		if ctx.Err() != nil {
 			return &Failure{Kind: Withdrawn, Detail: cause(ctx, err)}
@@ -240,9 +242,9 @@
 	return &Failure{Kind: Broken, Detail: cause(ctx, err)}
 }
 
-func cause(ctx kernel.Context, err error) string {
+func cause(ctx context.Context, err error) string {
 	switch {
-	case errors.Is(ctx.Err(), kernel.DeadlineExceeded):
+	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return "the deadline passed"
 	case ctx.Err() != nil:
 		return "given up"
--- a/internal/adapter/backend/backend_test.go
+++ b/internal/adapter/backend/backend_test.go
@@ -14,7 +14,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/stage"
 )
 
@@ -127,10 +127,10 @@
 			Convey("that was barred meanwhile leaves the server without a byte", func() {
 				server := newStandIn(t, reset)
 				attempt := attemptAt(server.address)
-				attempt.Allow = func() *kernel.Fault { return kernel.Refuse(kernel.KeyRevoked, "revoked") }
+				attempt.Allow = func() *apierror.Error { return apierror.Errorf(apierror.KeyRevoked, "revoked") }
 				_, failure := client.Call(context.Background(), attempt, shot)
 				So(failure.Kind, ShouldEqual, Barred)
-				So(failure.Cause.Code, ShouldEqual, kernel.KeyRevoked)
+				So(failure.Cause.Code, ShouldEqual, apierror.KeyRevoked)
 				So(server.got.Load(), ShouldEqual, 0)
 			})
 		})
--- a/internal/adapter/backend/call.go
+++ b/internal/adapter/backend/call.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"io"
 	"net/http"
 	"net/url"
@@ -10,7 +11,6 @@
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 )
 
@@ -33,7 +33,7 @@
 // Call sends a one-shot call to one server, at most once. A failure that is
 // Unsent means that the call has not run and will not; after any other it may
 // have run.
-func (c *Client) Call(ctx kernel.Context, attempt *Attempt, shot *Shot) (*Answer, *Failure) {
+func (c *Client) Call(ctx context.Context, attempt *Attempt, shot *Shot) (*Answer, *Failure) {
 	target, err := url.Parse("http://" + attempt.Address + shot.Path)
 	if err != nil {
 		return nil, &Failure{Kind: Unsent, Detail: err.Error()}
@@ -73,7 +73,7 @@
 		len(response.TransferEncoding) > 0 && response.TransferEncoding[len(response.TransferEncoding)-1] == "chunked"
 }
 
-func (c *Client) send(ctx kernel.Context, attempt *Attempt, method string, target *url.URL, header http.Header, body []byte) (*http.Response, *ledger, *Failure) {
+func (c *Client) send(ctx context.Context, attempt *Attempt, method string, target *url.URL, header http.Header, body []byte) (*http.Response, *ledger, *Failure) {
 	record := attempt.ledger()
 	left := attempt.Deadline.Sub(attempt.Now())
 	if left <= 0 {
@@ -92,7 +92,7 @@
 	if request.Header.Get("User-Agent") == "" {
 		request.Header["User-Agent"] = nil
 	}
-	response, err := c.transport.RoundTrip(request.WithContext(kernel.WithValue(ctx, ledgerKey{}, record)))
+	response, err := c.transport.RoundTrip(request.WithContext(context.WithValue(ctx, ledgerKey{}, record)))
 	if err != nil {
 		return nil, record, record.failure(ctx, err)
 	}
--- a/internal/adapter/backend/stream.go
+++ b/internal/adapter/backend/stream.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -10,10 +11,10 @@
 	"net/url"
 	"strconv"
 	"sync/atomic"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/stage"
 )
 
@@ -49,7 +50,7 @@
 // into the queue, the final event last; only checked ones get there, in their
 // order. It returns after the final event, or with a failure at the first
 // event that doesn't belong there. It closes the queue with what it returns.
-func (c *Client) Generate(ctx kernel.Context, attempt *Attempt, prompt *Prompt, events *stage.Queue[Event]) {
+func (c *Client) Generate(ctx context.Context, attempt *Attempt, prompt *Prompt, events *stage.Queue[Event]) {
 	var failure *Failure
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -64,8 +65,8 @@
 	failure = c.generate(ctx, attempt, prompt, events)
 }
 
-func (c *Client) generate(ctx kernel.Context, attempt *Attempt, prompt *Prompt, events *stage.Queue[Event]) *Failure {
-	ctx, cancel := kernel.WithCancel(ctx)
+func (c *Client) generate(ctx context.Context, attempt *Attempt, prompt *Prompt, events *stage.Queue[Event]) *Failure {
+	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	bound := c.config.FirstEvent
 	if attempt.FirstEvent > 0 {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-func (c *Client) follow(ctx kernel.Context, id string, record *ledger, body io.Reader, events *stage.Queue[Event], watch *watch) *Failure {
+func (c *Client) follow(ctx context.Context, id string, record *ledger, body io.Reader, events *stage.Queue[Event], watch *watch) *Failure {
 	reader := bufio.NewReaderSize(body, 4<<10)
 	for next := 0; ; next++ {
 		data, err := readEvent(reader, c.config.EventMax)
@@ -212,17 +213,17 @@
 
 // watch ends an attempt whose server is silent for too long.
 type watch struct {
-	timer  kernel.Alarm
+	timer  *time.Timer
 	struck atomic.Bool
 }
 
-func newWatch(bound kernel.Duration, cancel kernel.Cancel) *watch {
+func newWatch(bound time.Duration, cancel context.CancelFunc) *watch {
 	w := &watch{}
-	w.timer = kernel.NewAlarm(bound, func() { w.struck.Store(true); cancel() })
+	w.timer = time.AfterFunc(bound, func() { w.struck.Store(true); cancel() })
 	return w
 }
 
-func (w *watch) start(bound kernel.Duration) { w.timer.Reset(bound) }
+func (w *watch) start(bound time.Duration) { w.timer.Reset(bound) }
 
 func (w *watch) stop() { w.timer.Stop() }
 
--- a/internal/adapter/clientapi/api.go
+++ b/internal/adapter/clientapi/api.go
@@ -1,6 +1,7 @@
 package clientapi
 
 import (
+	"context"
 	"io"
 	"log"
 	"net"
@@ -9,9 +10,11 @@
 	"strconv"
 	"strings"
 	"sync/atomic"
+	"time"
 
 	"stepwick/internal/adapter/listen"
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/stage"
 )
 
@@ -21,7 +24,7 @@
 	Path   string
 	Keyed  bool // needs a tenant's key
 	Help   string
-	serve  func(*exchange) *kernel.Fault
+	serve  func(*exchange) *apierror.Error
 }
 
 // Routes returns the caller API's calls, each beside its handler.
@@ -39,7 +42,7 @@
 type API struct {
 	limits atomic.Pointer[Limits]
 	calls  Calls
-	clock  kernel.Clock
+	clock  clock.Clock
 	mounts map[string]http.Handler
 	slots  chan struct{}
 	bodies *stage.Budget
@@ -47,7 +50,7 @@
 
 // New returns the API in front of calls. Mounts answer whatever lies below
 // their path by their own rules.
-func New(limits Limits, calls Calls, clock kernel.Clock, mounts map[string]http.Handler) *API {
+func New(limits Limits, calls Calls, clock clock.Clock, mounts map[string]http.Handler) *API {
 	limits = limits.withDefaults()
 	a := &API{calls: calls, clock: clock, mounts: mounts, slots: make(chan struct{}, limits.Requests), bodies: stage.NewBudget(limits.BodiesMax)}
 	a.limits.Store(&limits)
@@ -56,7 +59,7 @@
 
 // Tune sets the bounds of deadlines for requests read from now on. Zero
 // leaves a bound as it is. It has one caller at a time.
-func (a *API) Tune(deadlineMax, deadlineDefault kernel.Duration) {
+func (a *API) Tune(deadlineMax, deadlineDefault time.Duration) {
 	next := *a.limits.Load()
 	if deadlineMax > 0 {
 		next.DeadlineMax = deadlineMax
@@ -100,9 +103,9 @@
 
 // ServeHTTP answers one request.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	id, fault := requestID(r.Header)
+	id, apiErr := requestID(r.Header)
 	w.Header().Set(HeaderRequestID, id)
-	_ = http.NewResponseController(w).SetWriteDeadline(kernel.Time{})
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 	for path, handler := range a.mounts {
 		if r.URL.Path == path || strings.HasSuffix(path, "/") && strings.HasPrefix(r.URL.Path, path) {
 			handler.ServeHTTP(w, r)
@@ -115,21 +118,21 @@
 	if r.ContentLength != 0 {
 		_ = http.NewResponseController(w).SetReadDeadline(in(x.limits.BodyTimeout))
 	}
-	if fault == nil {
-		fault = x.answer()
+	if apiErr == nil {
+		apiErr = x.answer()
 	}
-	if fault != nil {
-		x.refuse(fault)
+	if apiErr != nil {
+		x.refuse(apiErr)
 	}
 }
 
-func (x *exchange) answer() *kernel.Fault {
+func (x *exchange) answer() *apierror.Error {
 	if size := headerSize(x.r); size > x.limits.HeaderMax {
-		return kernel.Refuse(kernel.HeaderTooLarge, "the header has %d bytes of at most %d", size, x.limits.HeaderMax)
+		return apierror.Errorf(apierror.HeaderTooLarge, "the header has %d bytes of at most %d", size, x.limits.HeaderMax)
 	}
-	route, fault := find(x.r.Method, x.r.URL.Path)
-	if fault != nil {
-		return fault
+	route, apiErr := find(x.r.Method, x.r.URL.Path)
+	if apiErr != nil {
+		return apiErr
 	}
 	if !route.Keyed {
 		x.taken = true
@@ -139,26 +142,26 @@
 	case x.api.slots <- struct{}{}:
 		defer func() { <-x.api.slots }()
 	default:
-		return kernel.Refuse(kernel.QueueFull, "the node serves %d requests", x.limits.Requests).After(kernel.Second)
+		return apierror.Errorf(apierror.QueueFull, "the node serves %d requests", x.limits.Requests).WithRetryAfter(time.Second)
 	}
-	span, given, fault := x.limits.headerDeadline(x.r.Header)
-	if fault != nil {
-		return fault
+	span, given, apiErr := x.limits.headerDeadline(x.r.Header)
+	if apiErr != nil {
+		return apiErr
 	}
 	x.head.Deadline, x.head.bounded = x.head.Arrived.Add(span), given
 	if !x.api.clock.Now().Before(x.head.Deadline) {
-		return kernel.Refuse(kernel.DeadlinePassed, "the deadline passed while the node stood still").After(100 * kernel.Millisecond)
+		return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed while the node stood still").WithRetryAfter(100 * time.Millisecond)
 	}
-	if x.head.Key, fault = bearerKey(x.r.Header); fault != nil {
-		return fault
+	if x.head.Key, apiErr = bearerKey(x.r.Header); apiErr != nil {
+		return apiErr
 	}
-	if fault = x.api.calls.Knows(&x.head); fault != nil {
-		return fault
+	if apiErr = x.api.calls.Knows(&x.head); apiErr != nil {
+		return apiErr
 	}
 	return route.serve(x)
 }
 
-func find(method, path string) (Route, *kernel.Fault) {
+func find(method, path string) (Route, *apierror.Error) {
 	known := false
 	for _, route := range routes {
 		if route.Path != path && !(strings.HasSuffix(route.Path, "/") && strings.HasPrefix(path, route.Path)) {
@@ -170,41 +173,41 @@
 		}
 	}
 	if known {
-		return Route{}, kernel.Refuse(kernel.BadMethod, "%s", method)
+		return Route{}, apierror.Errorf(apierror.BadMethod, "%s", method)
 	}
-	return Route{}, kernel.Refuse(kernel.UnknownPath, "see docs/API.md for the calls")
+	return Route{}, apierror.Errorf(apierror.UnknownPath, "see docs/API.md for the calls")
 }
 
 var routes = Routes()
 
-func (x *exchange) refuse(fault *kernel.Fault) {
+func (x *exchange) refuse(apiErr *apierror.Error) {
 	if !x.taken {
-		x.api.calls.Refused(fault)
+		x.api.calls.Refused(apiErr)
 	}
 	if x.stream != nil && x.stream.begun {
-		x.stream.cut(fault)
+		x.stream.cut(apiErr)
 	}
-	if !x.read && x.r.ContentLength != 0 || fault.Code == kernel.FrontLeaving {
+	if !x.read && x.r.ContentLength != 0 || apiErr.Code == apierror.FrontLeaving {
 		x.writer.Header().Set("Connection", "close")
 	}
-	x.writer.Header().Set(HeaderCode, strconv.FormatUint(uint64(fault.Code), 10))
+	x.writer.Header().Set(HeaderCode, strconv.FormatUint(uint64(apiErr.Code), 10))
 	x.bound()
-	kernel.ReplyFault(x.writer, fault, x.head.ID)
+	apierror.WriteError(x.writer, apiErr, x.head.ID)
 }
 
 func (x *exchange) bound() {
 	_ = http.NewResponseController(x.writer).SetWriteDeadline(in(x.limits.WriteTimeout))
 }
 
-func (x *exchange) body() ([]byte, *kernel.Fault) {
-	body, fault := x.limits.readBody(x.writer, x.r, x)
-	x.read = fault == nil
-	return body, fault
+func (x *exchange) body() ([]byte, *apierror.Error) {
+	body, apiErr := x.limits.readBody(x.writer, x.r, x)
+	x.read = apiErr == nil
+	return body, apiErr
 }
 
 // hold takes the bytes of a body, as they arrive, from the budget of all bodies.
 // They are given back when the exchange ends.
-func (x *exchange) hold(bytes int) *kernel.Fault {
+func (x *exchange) hold(bytes int) *apierror.Error {
 	if !x.api.bodies.Take(int64(bytes)) {
 		return x.bodiesFull()
 	}
@@ -212,12 +215,12 @@
 	return nil
 }
 
-func (x *exchange) bodiesFull() *kernel.Fault {
-	return kernel.Refuse(kernel.QueueFull, "the bodies that the node holds are at their bound of %d bytes", x.limits.BodiesMax).After(kernel.Second)
+func (x *exchange) bodiesFull() *apierror.Error {
+	return apierror.Errorf(apierror.QueueFull, "the bodies that the node holds are at their bound of %d bytes", x.limits.BodiesMax).WithRetryAfter(time.Second)
 }
 
-func (x *exchange) context(deadline kernel.Time) (kernel.Context, kernel.Cancel) {
-	return kernel.WithTimeout(x.r.Context(), deadline.Sub(x.api.clock.Now()))
+func (x *exchange) context(deadline time.Time) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(x.r.Context(), deadline.Sub(x.api.clock.Now()))
 }
 
 func (x *exchange) recover() {
@@ -229,18 +232,18 @@
 		panic(panicked)
 	}
 	x.api.calls.Broke(x.head.ID, panicked)
-	x.refuse(kernel.Refuse(kernel.Internal, "see the log event of request %s", x.head.ID))
+	x.refuse(apierror.Errorf(apierror.Internal, "see the log event of request %s", x.head.ID))
 }
 
-func serveConnect(x *exchange) *kernel.Fault {
+func serveConnect(x *exchange) *apierror.Error {
 	query, err := url.ParseQuery(x.r.URL.RawQuery)
 	if err != nil {
-		return kernel.Refuse(kernel.BadField, "the query is malformed")
+		return apierror.Errorf(apierror.BadField, "the query is malformed")
 	}
 	ask := &Connect{Head: x.head}
 	for name, values := range query {
 		if len(values) != 1 || len(values[0]) > nameMax {
-			return kernel.Refuse(kernel.BadField, "%s is given more than once or over %d bytes", name, nameMax)
+			return apierror.Errorf(apierror.BadField, "%s is given more than once or over %d bytes", name, nameMax)
 		}
 		switch name {
 		case "service":
@@ -250,64 +253,64 @@
 		case "zone":
 			ask.Zone = values[0]
 		default:
-			return kernel.Refuse(kernel.UnknownField, "%s", name)
+			return apierror.Errorf(apierror.UnknownField, "%s", name)
 		}
 	}
 	ctx, cancel := x.context(x.head.Deadline)
 	defer cancel()
-	nearest, fault := x.api.calls.Connect(ctx, ask)
-	if fault != nil {
-		return fault
+	nearest, apiErr := x.api.calls.Connect(ctx, ask)
+	if apiErr != nil {
+		return apiErr
 	}
 	x.bound()
-	kernel.Reply(x.writer, http.StatusOK, nearest)
+	apierror.WriteJSON(x.writer, http.StatusOK, nearest)
 	return nil
 }
 
-func servePrompt(x *exchange) *kernel.Fault {
+func servePrompt(x *exchange) *apierror.Error {
 	if !x.r.ProtoAtLeast(1, 1) {
-		return kernel.Refuse(kernel.BadField, "a stream needs HTTP/1.1, in which a cut can be told from an end")
+		return apierror.Errorf(apierror.BadField, "a stream needs HTTP/1.1, in which a cut can be told from an end")
 	}
-	data, fault := x.body()
-	if fault != nil {
-		return fault
+	data, apiErr := x.body()
+	if apiErr != nil {
+		return apiErr
 	}
-	prompt, fault := x.limits.parsePrompt(x.head, data)
-	if fault != nil {
-		return fault
+	prompt, apiErr := x.limits.parsePrompt(x.head, data)
+	if apiErr != nil {
+		return apiErr
 	}
 	ctx, cancel := x.context(prompt.Deadline)
 	defer cancel()
 	x.stream = &Stream{writer: x.writer, control: http.NewResponseController(x.writer), id: x.head.ID, bound: x.limits.WriteTimeout}
 	x.taken = true
-	fault = x.api.calls.Prompt(ctx, prompt, x.stream)
-	if fault == nil && !x.stream.begun {
-		return kernel.Refuse(kernel.Internal, "the stream ended without an event")
+	apiErr = x.api.calls.Prompt(ctx, prompt, x.stream)
+	if apiErr == nil && !x.stream.begun {
+		return apierror.Errorf(apierror.Internal, "the stream ended without an event")
 	}
-	return fault
+	return apiErr
 }
 
-func serveOneShot(x *exchange) *kernel.Fault {
+func serveOneShot(x *exchange) *apierror.Error {
 	if x.r.Method == http.MethodConnect || x.r.Method == http.MethodTrace {
-		return kernel.Refuse(kernel.BadMethod, "%s", x.r.Method)
+		return apierror.Errorf(apierror.BadMethod, "%s", x.r.Method)
 	}
 	below := strings.TrimPrefix(x.r.URL.EscapedPath(), "/v1/call/")
 	service, path, _ := strings.Cut(below, "/")
 	service, err := url.PathUnescape(service)
 	if err != nil || service == "" || len(service) > nameMax {
-		return kernel.Refuse(kernel.MissingField, "the path names no service")
+		return apierror.Errorf(apierror.MissingField, "the path names no service")
 	}
-	body, fault := x.body()
-	if fault != nil {
-		return fault
+	body, apiErr := x.body()
+	if apiErr != nil {
+		return apiErr
 	}
 	ctx, cancel := x.context(x.head.Deadline)
 	defer cancel()
 	x.taken = true
-	answer, fault := x.api.calls.OneShot(ctx, &OneShot{Head: x.head, Service: service, Method: x.r.Method, Path: "/" + path,
+	answer, apiErr := x.api.calls.OneShot(ctx, &OneShot{Head: x.head, Service: service, Method: x.r.Method, Path: "/" + path,
 		Query: x.r.URL.RawQuery, Header: EndToEnd(x.r.Header), Body: body})
-	if fault != nil {
-		return fault
+	if apiErr != nil {
+		return apiErr
 	}
 	x.pass(answer)
 	return nil
@@ -342,16 +345,16 @@
 	Standing string `json:"standing,omitempty"`
 }
 
-func serveReady(x *exchange) *kernel.Fault {
-	if fault := x.api.calls.Ready(); fault != nil {
-		return fault
+func serveReady(x *exchange) *apierror.Error {
+	if apiErr := x.api.calls.Ready(); apiErr != nil {
+		return apiErr
 	}
-	kernel.Reply(x.writer, http.StatusOK, readyBody{Ready: true, Standing: x.api.calls.Standing()})
+	apierror.WriteJSON(x.writer, http.StatusOK, readyBody{Ready: true, Standing: x.api.calls.Standing()})
 	return nil
 }
 
-func serveHealth(x *exchange) *kernel.Fault {
-	kernel.Reply(x.writer, http.StatusOK, map[string]bool{"up": true})
+func serveHealth(x *exchange) *apierror.Error {
+	apierror.WriteJSON(x.writer, http.StatusOK, map[string]bool{"up": true})
 	return nil
 }
 
--- a/internal/adapter/clientapi/clientapi.go
+++ b/internal/adapter/clientapi/clientapi.go
@@ -4,9 +4,12 @@
 package clientapi
 
 import (
+	"context"
 	"net/http"
+	"time"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 // Headers of the caller API.
@@ -19,30 +22,30 @@
 
 // Limits bounds what one caller can cost. Zero values take the defaults named.
 type Limits struct {
-	BodyMax         int64           // bytes; default 1 MiB
-	BodiesMax       int64           // bytes of all bodies held at once; default 64 MiB, at least four bodies
-	HeaderMax       int             // bytes of all header fields together; default 16 KiB
-	BodyTimeout     kernel.Duration // for a whole body; default 5s
-	HeaderTimeout   kernel.Duration // for a whole header; default 5s
-	IdleTimeout     kernel.Duration // of a kept-alive connection; default 60s
-	WriteTimeout    kernel.Duration // for a caller to take one event or one answer; default 5s
-	DeadlineMax     kernel.Duration // default 120s
-	DeadlineDefault kernel.Duration // default 30s
-	Connections     int             // open at once; default 4096
-	Requests        int             // being served at once; default 1024
-	TokensMax       float64         // of one prompt; default 1,000,000
+	BodyMax         int64         // bytes; default 1 MiB
+	BodiesMax       int64         // bytes of all bodies held at once; default 64 MiB, at least four bodies
+	HeaderMax       int           // bytes of all header fields together; default 16 KiB
+	BodyTimeout     time.Duration // for a whole body; default 5s
+	HeaderTimeout   time.Duration // for a whole header; default 5s
+	IdleTimeout     time.Duration // of a kept-alive connection; default 60s
+	WriteTimeout    time.Duration // for a caller to take one event or one answer; default 5s
+	DeadlineMax     time.Duration // default 120s
+	DeadlineDefault time.Duration // default 30s
+	Connections     int           // open at once; default 4096
+	Requests        int           // being served at once; default 1024
+	TokensMax       float64       // of one prompt; default 1,000,000
 }
 
 func (l Limits) withDefaults() Limits {
 	or(&l.BodyMax, 1<<20)
 	or(&l.BodiesMax, max(64<<20, 4*l.BodyMax))
 	or(&l.HeaderMax, 16<<10)
-	or(&l.BodyTimeout, 5*kernel.Second)
-	or(&l.HeaderTimeout, 5*kernel.Second)
-	or(&l.IdleTimeout, kernel.Minute)
-	or(&l.WriteTimeout, 5*kernel.Second)
-	or(&l.DeadlineMax, 120*kernel.Second)
-	or(&l.DeadlineDefault, 30*kernel.Second)
+	or(&l.BodyTimeout, 5*time.Second)
+	or(&l.HeaderTimeout, 5*time.Second)
+	or(&l.IdleTimeout, time.Minute)
+	or(&l.WriteTimeout, 5*time.Second)
+	or(&l.DeadlineMax, 120*time.Second)
+	or(&l.DeadlineDefault, 30*time.Second)
 	or(&l.Connections, 4096)
 	or(&l.Requests, 1024)
 	or(&l.TokensMax, 1e6)
@@ -51,9 +54,9 @@
 
 // in returns an instant by the machine's own clock, which connections go by
 // also where the node's clock is stepped.
-func in(d kernel.Duration) kernel.Time { return kernel.System().Now().Add(d) }
+func in(d time.Duration) time.Time { return clock.System().Now().Add(d) }
 
-func or[T int | int64 | float64 | kernel.Duration](value *T, fallback T) {
+func or[T int | int64 | float64 | time.Duration](value *T, fallback T) {
 	if *value <= 0 {
 		*value = fallback
 	}
@@ -61,10 +64,10 @@
 
 // Head is what every call carries.
 type Head struct {
-	ID       string      // request id, given by the caller or made
-	Key      string      // the caller's
-	Arrived  kernel.Time // the earliest moment at which it may have reached the node
-	Deadline kernel.Time
+	ID       string    // request id, given by the caller or made
+	Key      string    // the caller's
+	Arrived  time.Time // the earliest moment at which it may have reached the node
+	Deadline time.Time
 
 	bounded bool // the caller gave the deadline in the header
 }
@@ -135,21 +138,21 @@
 type Calls interface {
 	// Arrived returns the earliest moment at which a request that is read now
 	// may have reached the node.
-	Arrived() kernel.Time
+	Arrived() time.Time
 	// Knows tells, before a body is read, whether a call may be made at all.
-	Knows(head *Head) *kernel.Fault
-	Connect(ctx kernel.Context, ask *Connect) (*Nearest, *kernel.Fault)
+	Knows(head *Head) *apierror.Error
+	Connect(ctx context.Context, ask *Connect) (*Nearest, *apierror.Error)
 	// Prompt passes events on to the stream. A fault before the first event
 	// becomes the answer, one after it cuts the stream.
-	Prompt(ctx kernel.Context, prompt *Prompt, stream *Stream) *kernel.Fault
-	OneShot(ctx kernel.Context, shot *OneShot) (*Answer, *kernel.Fault)
+	Prompt(ctx context.Context, prompt *Prompt, stream *Stream) *apierror.Error
+	OneShot(ctx context.Context, shot *OneShot) (*Answer, *apierror.Error)
 	// Ready tells whether the node takes traffic.
-	Ready() *kernel.Fault
+	Ready() *apierror.Error
 	// Standing names the standing of the core beside this front, "" on a plain
 	// front. It rides the answer to the readiness check and doesn't decide it.
 	Standing() string
 	// Refused hears of each request that never became a call.
-	Refused(fault *kernel.Fault)
+	Refused(apiErr *apierror.Error)
 	// Broke hears of a panic while a request was served.
 	Broke(id string, panicked any)
 }
--- a/internal/adapter/clientapi/clientapi_test.go
+++ b/internal/adapter/clientapi/clientapi_test.go
@@ -13,10 +13,11 @@
 	"testing/synctest"
 	"time"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
+
 	"github.com/sebdah/goldie/v2"
 	. "github.com/smartystreets/goconvey/convey"
-
-	"stepwick/internal/kernel"
 )
 
 // pipeListener hands out the far ends of pipes.
@@ -50,10 +51,10 @@
 // fakeCalls answers as the fields say.
 type fakeCalls struct {
 	standing string
-	knows    *kernel.Fault
-	ready    *kernel.Fault
+	knows    *apierror.Error
+	ready    *apierror.Error
 	events   []string
-	fault    *kernel.Fault
+	apiErr   *apierror.Error
 	panics   any
 	answer   *Answer
 	shots    []*OneShot
@@ -62,25 +63,25 @@
 	ended    chan error
 }
 
-func (f *fakeCalls) Arrived() kernel.Time      { return time.Now() }
-func (f *fakeCalls) Knows(*Head) *kernel.Fault { return f.knows }
-func (f *fakeCalls) Ready() *kernel.Fault      { return f.ready }
-func (f *fakeCalls) Standing() string          { return f.standing }
-func (f *fakeCalls) Refused(*kernel.Fault)     {}
-func (f *fakeCalls) Broke(string, any)         { f.broke++ }
+func (f *fakeCalls) Arrived() time.Time          { return time.Now() }
+func (f *fakeCalls) Knows(*Head) *apierror.Error { return f.knows }
+func (f *fakeCalls) Ready() *apierror.Error      { return f.ready }
+func (f *fakeCalls) Standing() string            { return f.standing }
+func (f *fakeCalls) Refused(*apierror.Error)     {}
+func (f *fakeCalls) Broke(string, any)           { f.broke++ }
 
-func (f *fakeCalls) Connect(_ kernel.Context, ask *Connect) (*Nearest, *kernel.Fault) {
+func (f *fakeCalls) Connect(_ context.Context, ask *Connect) (*Nearest, *apierror.Error) {
 	return &Nearest{RequestID: ask.ID, Service: ask.Service, Region: ask.Region, Nodes: []Node{{"n1", "127.0.0.1:1", "lagos", "a"}}}, nil
 }
 
-func (f *fakeCalls) Prompt(ctx kernel.Context, prompt *Prompt, stream *Stream) *kernel.Fault {
+func (f *fakeCalls) Prompt(ctx context.Context, prompt *Prompt, stream *Stream) *apierror.Error {
 	f.asked = append(f.asked, prompt)
 	for _, event := range f.events {
 		if err := stream.Event([]byte(event)); err != nil {
 			if f.ended != nil {
 				f.ended <- err
 			}
-			return kernel.Refuse(kernel.CallerGone, "")
+			return apierror.Errorf(apierror.CallerGone, "")
 		}
 	}
 	if f.panics != nil {
@@ -90,15 +91,15 @@
 		<-ctx.Done()
 		f.ended <- ctx.Err()
 	}
-	return f.fault
+	return f.apiErr
 }
 
-func (f *fakeCalls) OneShot(_ kernel.Context, shot *OneShot) (*Answer, *kernel.Fault) {
+func (f *fakeCalls) OneShot(_ context.Context, shot *OneShot) (*Answer, *apierror.Error) {
 	f.shots = append(f.shots, shot)
 	if f.panics != nil {
 		panic(f.panics)
 	}
-	return f.answer, f.fault
+	return f.answer, f.apiErr
 }
 
 var masked = regexp.MustCompile(`(?m)^Date: .*\r\n|sw-[0-9a-f]{24}`)
@@ -117,7 +118,7 @@
 func exchangeRaw(t *testing.T, limits Limits, calls Calls, request string) (answer string) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := newPipeListener()
-		server := New(limits, calls, kernel.System(), nil).Server()
+		server := New(limits, calls, clock.System(), nil).Server()
 		go server.Serve(listener)
 		defer server.Close()
 		conn := listener.dial()
@@ -145,21 +146,21 @@
 	event, end := `{"id":"r1","seq":0,"text":"t"}`, `{"id":"r1","final":true,"count":1}`
 	web := &Answer{Server: "w1", Status: 200, Body: []byte("map"), Header: http.Header{"Content-Type": {"text/plain"}, "Etag": {"e"},
 		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "Content-Length": {"3"}, "Stepwick-Request-Id": {"r1"}, "Transfer-Encoding": {"chunked"}}}
-	cut := kernel.Refuse(kernel.StreamCut, "the server went away").After(100 * time.Millisecond)
-	later := kernel.Refuse(kernel.NotRuling, "ask another node").After(1200 * time.Millisecond)
+	cut := apierror.Errorf(apierror.StreamCut, "the server went away").WithRetryAfter(100 * time.Millisecond)
+	later := apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(1200 * time.Millisecond)
 	rows := []struct {
 		name    string
 		calls   *fakeCalls
 		request string
 	}{
 		{"prompt", &fakeCalls{events: []string{event, end}}, request("POST", "/v1/prompt", keyed, whole)},
-		{"prompt cut", &fakeCalls{events: []string{event}, fault: cut}, request("POST", "/v1/prompt", keyed, whole)},
+		{"prompt cut", &fakeCalls{events: []string{event}, apiErr: cut}, request("POST", "/v1/prompt", keyed, whole)},
 		{"prompt that breaks midway", &fakeCalls{events: []string{event}, panics: "oh"}, request("POST", "/v1/prompt", keyed, whole)},
 		{"prompt that breaks at once", &fakeCalls{panics: "oh"}, request("POST", "/v1/prompt", keyed, whole)},
-		{"prompt refused", &fakeCalls{fault: later}, request("POST", "/v1/prompt", keyed, whole)},
+		{"prompt refused", &fakeCalls{apiErr: later}, request("POST", "/v1/prompt", keyed, whole)},
 		{"one-shot", &fakeCalls{answer: web}, request("GET", "/v1/call/outages/map/a%2Fb?x=1&y=%20", keyed, "")},
 		{"one-shot by HEAD", &fakeCalls{answer: web}, request("HEAD", "/v1/call/outages/map", keyed, "")},
-		{"one-shot of unknown outcome", &fakeCalls{fault: kernel.Refuse(kernel.OutcomeUnknown, "reset")}, request("POST", "/v1/call/orders", keyed, "{}")},
+		{"one-shot of unknown outcome", &fakeCalls{apiErr: apierror.Errorf(apierror.OutcomeUnknown, "reset")}, request("POST", "/v1/call/orders", keyed, "{}")},
 		{"one-shot that breaks", &fakeCalls{panics: "oh"}, request("POST", "/v1/call/orders", keyed, "{}")},
 		{"connect", &fakeCalls{}, request("GET", "/v1/connect?service=chat&region=lagos", keyed, "")},
 		{"ready", &fakeCalls{}, request("GET", "/readyz", "", "")},
@@ -179,53 +180,53 @@
 	get := func(target, headers string) string { return request("GET", target, headers, "") }
 	rows := []struct {
 		name, request string
-		code          kernel.Code
+		code          apierror.Code
 	}{
-		{"no JSON", post(`what`), kernel.BadJSON},
-		{"nothing", post(``), kernel.BadJSON},
-		{"an array", post(`[]`), kernel.BadJSON},
-		{"half an object", post(`{"service":"chat"`), kernel.BadJSON},
-		{"two objects", post(whole + `{}`), kernel.BadJSON},
-		{"an unknown field", post(`{"service":"chat","max_tokens":1,"colour":1}`), kernel.UnknownField},
-		{"a field of another type", post(`{"service":"chat","max_tokens":"1"}`), kernel.BadField},
-		{"a number beyond all", post(`{"service":"chat","max_tokens":1e99}`), kernel.BadField},
-		{"half a token", post(`{"service":"chat","max_tokens":1.5}`), kernel.BadField},
-		{"negative tokens", post(`{"service":"chat","max_tokens":1,"prefix_tokens":-1}`), kernel.BadField},
-		{"too many tokens", post(`{"service":"chat","max_tokens":1,"prefix_tokens":1000000}`), kernel.BadField},
-		{"a long name", post(`{"service":"` + strings.Repeat("x", 200) + `","max_tokens":1}`), kernel.BadField},
-		{"no service", post(`{"max_tokens":1}`), kernel.MissingField},
-		{"null", post(`null`), kernel.MissingField},
-		{"no max_tokens", post(`{"service":"chat"}`), kernel.MissingField},
-		{"a deadline of zero", post(`{"service":"chat","max_tokens":1,"deadline_ms":0}`), kernel.BadDeadline},
-		{"a negative deadline", post(`{"service":"chat","max_tokens":1,"deadline_ms":-5}`), kernel.BadDeadline},
-		{"an absurd deadline", post(`{"service":"chat","max_tokens":1,"deadline_ms":1e18}`), kernel.BadDeadline},
-		{"a deadline beyond all", post(`{"service":"chat","max_tokens":1,"deadline_ms":1e999}`), kernel.BadDeadline},
-		{"a deadline in words", post(`{"service":"chat","max_tokens":1,"deadline_ms":"soon"}`), kernel.BadDeadline},
-		{"a deadline header in words", get("/v1/call/s/", keyed+"Stepwick-Deadline-Ms: soon\n"), kernel.BadDeadline},
-		{"a negative deadline header", get("/v1/call/s/", keyed+"Stepwick-Deadline-Ms: -1\n"), kernel.BadDeadline},
-		{"an absurd deadline header", get("/v1/call/s/", keyed+"Stepwick-Deadline-Ms: 99999999999999999999\n"), kernel.BadDeadline},
-		{"two deadline headers", get("/v1/call/s/", keyed+"Stepwick-Deadline-Ms: 5\nStepwick-Deadline-Ms: 5\n"), kernel.BadDeadline},
-		{"no key", get("/v1/connect", ""), kernel.MissingKey},
-		{"an empty key", get("/v1/connect", "Authorization: Bearer \n"), kernel.MissingKey},
-		{"another scheme", get("/v1/connect", "Authorization: Basic abc\n"), kernel.MissingKey},
-		{"two keys", get("/v1/connect", "Authorization: Bearer a\nAuthorization: Bearer b\n"), kernel.MissingKey},
-		{"a bad request id", get("/v1/connect", "Authorization: Bearer k\nStepwick-Request-Id: a b\n"), kernel.BadField},
-		{"a long request id", get("/v1/connect", "Stepwick-Request-Id: "+strings.Repeat("x", 200)+"\n"), kernel.BadField},
-		{"an unknown path", get("/v2/else", keyed), kernel.UnknownPath},
-		{"a protocol that ends by closing", strings.Replace(post(whole), "HTTP/1.1", "HTTP/1.0", 1), kernel.BadField},
-		{"a climbing path", get("/v1/../../etc", keyed), kernel.UnknownPath},
-		{"another method", request("DELETE", "/v1/prompt", keyed, ""), kernel.BadMethod},
-		{"a trace", request("TRACE", "/v1/call/s/", keyed, ""), kernel.BadMethod},
-		{"no service in the path", get("/v1/call/", keyed), kernel.MissingField},
-		{"an unknown query field", get("/v1/connect?colour=1", keyed), kernel.UnknownField},
-		{"a query field twice", get("/v1/connect?region=a&region=b", keyed), kernel.BadField},
-		{"a large header", get("/v1/connect", keyed+"X: "+strings.Repeat("x", 1500)+"\n"), kernel.HeaderTooLarge},
-		{"a large target", get("/v1/connect?service="+strings.Repeat("x", 1500), keyed), kernel.HeaderTooLarge},
-		{"a large body", post(`{"prefix":"` + strings.Repeat("x", 5000) + `"}`), kernel.BodyTooLarge},
+		{"no JSON", post(`what`), apierror.BadJSON},
+		{"nothing", post(``), apierror.BadJSON},
+		{"an array", post(`[]`), apierror.BadJSON},
+		{"half an object", post(`{"service":"chat"`), apierror.BadJSON},
+		{"two objects", post(whole + `{}`), apierror.BadJSON},
+		{"an unknown field", post(`{"service":"chat","max_tokens":1,"colour":1}`), apierror.UnknownField},
+		{"a field of another type", post(`{"service":"chat","max_tokens":"1"}`), apierror.BadField},
+		{"a number beyond all", post(`{"service":"chat","max_tokens":1e99}`), apierror.BadField},
+		{"half a token", post(`{"service":"chat","max_tokens":1.5}`), apierror.BadField},
+		{"negative tokens", post(`{"service":"chat","max_tokens":1,"prefix_tokens":-1}`), apierror.BadField},
+		{"too many tokens", post(`{"service":"chat","max_tokens":1,"prefix_tokens":1000000}`), apierror.BadField},
+		{"a long name", post(`{"service":"` + strings.Repeat("x", 200) + `","max_tokens":1}`), apierror.BadField},
+		{"no service", post(`{"max_tokens":1}`), apierror.MissingField},
+		{"null", post(`null`), apierror.MissingField},
+		{"no max_tokens", post(`{"service":"chat"}`), apierror.MissingField},
+		{"a deadline of zero", post(`{"service":"chat","max_tokens":1,"deadline_ms":0}`), apierror.BadDeadline},
+		{"a negative deadline", post(`{"service":"chat","max_tokens":1,"deadline_ms":-5}`), apierror.BadDeadline},
+		{"an absurd deadline", post(`{"service":"chat","max_tokens":1,"deadline_ms":1e18}`), apierror.BadDeadline},
+		{"a deadline beyond all", post(`{"service":"chat","max_tokens":1,"deadline_ms":1e999}`), apierror.BadDeadline},
+		{"a deadline in words", post(`{"service":"chat","max_tokens":1,"deadline_ms":"soon"}`), apierror.BadDeadline},
+		{"a deadline header in words", get("/v1/call/s/", keyed+"Stepwick-Deadline-Ms: soon\n"), apierror.BadDeadline},
+		{"a negative deadline header", get("/v1/call/s/", keyed+"Stepwick-Deadline-Ms: -1\n"), apierror.BadDeadline},
+		{"an absurd deadline header", get("/v1/call/s/", keyed+"Stepwick-Deadline-Ms: 99999999999999999999\n"), apierror.BadDeadline},
+		{"two deadline headers", get("/v1/call/s/", keyed+"Stepwick-Deadline-Ms: 5\nStepwick-Deadline-Ms: 5\n"), apierror.BadDeadline},
+		{"no key", get("/v1/connect", ""), apierror.MissingKey},
+		{"an empty key", get("/v1/connect", "Authorization: Bearer \n"), apierror.MissingKey},
+		{"another scheme", get("/v1/connect", "Authorization: Basic abc\n"), apierror.MissingKey},
+		{"two keys", get("/v1/connect", "Authorization: Bearer a\nAuthorization: Bearer b\n"), apierror.MissingKey},
+		{"a bad request id", get("/v1/connect", "Authorization: Bearer k\nStepwick-Request-Id: a b\n"), apierror.BadField},
+		{"a long request id", get("/v1/connect", "Stepwick-Request-Id: "+strings.Repeat("x", 200)+"\n"), apierror.BadField},
+		{"an unknown path", get("/v2/else", keyed), apierror.UnknownPath},
+		{"a protocol that ends by closing", strings.Replace(post(whole), "HTTP/1.1", "HTTP/1.0", 1), apierror.BadField},
+		{"a climbing path", get("/v1/../../etc", keyed), apierror.UnknownPath},
+		{"another method", request("DELETE", "/v1/prompt", keyed, ""), apierror.BadMethod},
+		{"a trace", request("TRACE", "/v1/call/s/", keyed, ""), apierror.BadMethod},
+		{"no service in the path", get("/v1/call/", keyed), apierror.MissingField},
+		{"an unknown query field", get("/v1/connect?colour=1", keyed), apierror.UnknownField},
+		{"a query field twice", get("/v1/connect?region=a&region=b", keyed), apierror.BadField},
+		{"a large header", get("/v1/connect", keyed+"X: "+strings.Repeat("x", 1500)+"\n"), apierror.HeaderTooLarge},
+		{"a large target", get("/v1/connect?service="+strings.Repeat("x", 1500), keyed), apierror.HeaderTooLarge},
+		{"a large body", post(`{"prefix":"` + strings.Repeat("x", 5000) + `"}`), apierror.BodyTooLarge},
 		{"a large chunked body", strings.ReplaceAll("POST /v1/prompt HTTP/1.1\nHost: n\nConnection: close\n"+keyed+"Transfer-Encoding: chunked\n\n2000\n", "\n", "\r\n") +
-			strings.Repeat("x", 0x2000) + "\r\n0\r\n\r\n", kernel.BodyTooLarge},
-		{"a slow body", strings.TrimSuffix(post(whole), "}"), kernel.SlowBody},
-		{"no body yet, and never one", strings.ReplaceAll("POST /v1/call/s/ HTTP/1.1\nHost: n\n"+keyed+"Content-Length: 10\n\n", "\n", "\r\n"), kernel.SlowBody},
+			strings.Repeat("x", 0x2000) + "\r\n0\r\n\r\n", apierror.BodyTooLarge},
+		{"a slow body", strings.TrimSuffix(post(whole), "}"), apierror.SlowBody},
+		{"no body yet, and never one", strings.ReplaceAll("POST /v1/call/s/ HTTP/1.1\nHost: n\n"+keyed+"Content-Length: 10\n\n", "\n", "\r\n"), apierror.SlowBody},
 	}
 	for _, row := range rows {
 		Convey("A request with "+row.name+" is refused by number and reaches no call", t, func() {
@@ -267,7 +268,7 @@
 	Convey("A header that doesn't end costs its connection after the bound", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			listener := newPipeListener()
-			server := New(Limits{HeaderTimeout: 3 * time.Second}, &fakeCalls{}, kernel.System(), nil).Server()
+			server := New(Limits{HeaderTimeout: 3 * time.Second}, &fakeCalls{}, clock.System(), nil).Server()
 			go server.Serve(listener)
 			defer server.Close()
 			began, conn := time.Now(), listener.dial()
@@ -281,7 +282,7 @@
 	Convey("A refusal isn't held back by a body that doesn't come, which costs its connection after the bound", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			listener := newPipeListener()
-			server := New(Limits{BodyTimeout: 3 * time.Second}, &fakeCalls{}, kernel.System(), nil).Server()
+			server := New(Limits{BodyTimeout: 3 * time.Second}, &fakeCalls{}, clock.System(), nil).Server()
 			go server.Serve(listener)
 			defer server.Close()
 			for _, head := range []string{"POST /v1/prompt HTTP/1.1\r\nContent-Length: 10", "POST /v1/prompt HTTP/1.1\r\nContent-Length: 9999999",
@@ -304,7 +305,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			calls := &fakeCalls{events: []string{`{"seq":0}`, `{"seq":1}`}, ended: make(chan error, 1)}
 			listener := newPipeListener()
-			server := New(Limits{WriteTimeout: 3 * time.Second}, calls, kernel.System(), nil).Server()
+			server := New(Limits{WriteTimeout: 3 * time.Second}, calls, clock.System(), nil).Server()
 			go server.Serve(listener)
 			defer server.Close()
 			slow := listener.dial()
@@ -331,7 +332,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			calls := &fakeCalls{events: []string{`{"seq":0}`}, ended: make(chan error, 1)}
 			listener, bound := newPipeListener(), int64(2*len(whole)-1)
-			api := New(Limits{BodyMax: 1000, BodiesMax: bound}, calls, kernel.System(), nil)
+			api := New(Limits{BodyMax: 1000, BodiesMax: bound}, calls, clock.System(), nil)
 			server := api.Server()
 			go server.Serve(listener)
 			defer server.Close()
@@ -370,7 +371,7 @@
 			calls := &fakeCalls{events: []string{`{"seq":0}`}, ended: make(chan error, 1)}
 			listener := newPipeListener()
 			mounts := map[string]http.Handler{"/metrics": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "up 1") })}
-			api := New(Limits{Requests: 1, Connections: 2}, calls, kernel.System(), mounts)
+			api := New(Limits{Requests: 1, Connections: 2}, calls, clock.System(), mounts)
 			server := api.Server()
 			go server.Serve(api.Bounded(listener))
 			defer server.Close()
--- a/internal/adapter/clientapi/parse.go
+++ b/internal/adapter/clientapi/parse.go
@@ -11,10 +11,11 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
 const (
@@ -29,13 +30,13 @@
 	return "sw-" + hex.EncodeToString(raw[:])
 }
 
-func requestID(header http.Header) (string, *kernel.Fault) {
+func requestID(header http.Header) (string, *apierror.Error) {
 	given := header.Values(HeaderRequestID)
 	switch {
 	case len(given) == 0:
 		return newID(), nil
 	case len(given) > 1 || !wellFormedID(given[0]):
-		return newID(), kernel.Refuse(kernel.BadField, "%s is not one id of 1 to %d letters, digits or ._:-", HeaderRequestID, idMax)
+		return newID(), apierror.Errorf(apierror.BadField, "%s is not one id of 1 to %d letters, digits or ._:-", HeaderRequestID, idMax)
 	}
 	return given[0], nil
 }
@@ -65,37 +66,37 @@
 	return size
 }
 
-func bearerKey(header http.Header) (string, *kernel.Fault) {
+func bearerKey(header http.Header) (string, *apierror.Error) {
 	given := header.Values("Authorization")
 	if len(given) != 1 || !strings.HasPrefix(given[0], bearerMark) {
-		return "", kernel.Refuse(kernel.MissingKey, "send one Authorization: Bearer KEY")
+		return "", apierror.Errorf(apierror.MissingKey, "send one Authorization: Bearer KEY")
 	}
 	key := strings.TrimSpace(given[0][len(bearerMark):])
 	if key == "" {
-		return "", kernel.Refuse(kernel.MissingKey, "the key is empty")
+		return "", apierror.Errorf(apierror.MissingKey, "the key is empty")
 	}
 	return key, nil
 }
 
-func (l Limits) deadlineOf(milliseconds float64) (kernel.Duration, *kernel.Fault) {
+func (l Limits) deadlineOf(milliseconds float64) (time.Duration, *apierror.Error) {
 	if math.IsNaN(milliseconds) || milliseconds < 1 || milliseconds > float64(l.DeadlineMax.Milliseconds()) || milliseconds != math.Trunc(milliseconds) {
-		return 0, kernel.Refuse(kernel.BadDeadline, "a deadline is a whole number of milliseconds from 1 to %d", l.DeadlineMax.Milliseconds())
+		return 0, apierror.Errorf(apierror.BadDeadline, "a deadline is a whole number of milliseconds from 1 to %d", l.DeadlineMax.Milliseconds())
 	}
-	return kernel.Duration(milliseconds) * kernel.Millisecond, nil
+	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-func (l Limits) headerDeadline(header http.Header) (span kernel.Duration, given bool, fault *kernel.Fault) {
+func (l Limits) headerDeadline(header http.Header) (span time.Duration, given bool, apiErr *apierror.Error) {
 	values := header.Values(HeaderDeadline)
 	if len(values) == 0 {
 		return l.DeadlineDefault, false, nil
 	}
 	milliseconds, err := strconv.ParseUint(values[0], 10, 63)
 	if err != nil || len(values) > 1 {
-		span, fault = l.deadlineOf(math.NaN())
-		return span, true, fault
+		span, apiErr = l.deadlineOf(math.NaN())
+		return span, true, apiErr
 	}
-	span, fault = l.deadlineOf(float64(milliseconds))
-	return span, true, fault
+	span, apiErr = l.deadlineOf(float64(milliseconds))
+	return span, true, apiErr
 }
 
 // heldBody reads a body whose bytes are held by an exchange.
@@ -106,38 +107,38 @@
 
 func (b heldBody) Read(into []byte) (int, error) {
 	n, err := b.Reader.Read(into)
-	if fault := b.by.hold(n); fault != nil {
-		return 0, fault
+	if apiErr := b.by.hold(n); apiErr != nil {
+		return 0, apiErr
 	}
 	return n, err
 }
 
-func (l Limits) readBody(w http.ResponseWriter, r *http.Request, by *exchange) ([]byte, *kernel.Fault) {
+func (l Limits) readBody(w http.ResponseWriter, r *http.Request, by *exchange) ([]byte, *apierror.Error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
 	if r.ContentLength > l.BodyMax {
-		return nil, kernel.Refuse(kernel.BodyTooLarge, "a body has at most %d bytes", l.BodyMax)
+		return nil, apierror.Errorf(apierror.BodyTooLarge, "a body has at most %d bytes", l.BodyMax)
 	}
 	if r.ContentLength > by.api.bodies.Left() {
 		return nil, by.bodiesFull()
 	}
 	body, err := io.ReadAll(heldBody{http.MaxBytesReader(w, r.Body, l.BodyMax), by})
 	if err == nil {
-		return body, kernel.AsFault(errors.Wrap(http.NewResponseController(w).SetReadDeadline(kernel.Time{}), "lift the body's bound of time"))
+		return body, apierror.From(errors.Wrap(http.NewResponseController(w).SetReadDeadline(time.Time{}), "lift the body's bound of time"))
 	}
 	var tooLarge *http.MaxBytesError
 	var network net.Error
-	var full *kernel.Fault
+	var full *apierror.Error
 	switch {
 	case errors.As(err, &full):
 		return nil, full
 	case errors.As(err, &tooLarge):
-		return nil, kernel.Refuse(kernel.BodyTooLarge, "a body has at most %d bytes", l.BodyMax)
+		return nil, apierror.Errorf(apierror.BodyTooLarge, "a body has at most %d bytes", l.BodyMax)
 	case errors.As(err, &network) && network.Timeout():
-		return nil, kernel.Refuse(kernel.SlowBody, "the body did not arrive within %s", l.BodyTimeout)
+		return nil, apierror.Errorf(apierror.SlowBody, "the body did not arrive within %s", l.BodyTimeout)
 	}
-	return nil, kernel.Refuse(kernel.BadJSON, "the body is not whole")
+	return nil, apierror.Errorf(apierror.BadJSON, "the body is not whole")
 }
 
 type promptBody struct {
@@ -152,32 +153,32 @@
 	Home          string   `json:"home"`
 }
 
-func (l Limits) parsePrompt(head Head, data []byte) (*Prompt, *kernel.Fault) {
+func (l Limits) parsePrompt(head Head, data []byte) (*Prompt, *apierror.Error) {
 	var body promptBody
-	if fault := strictJSON(data, &body); fault != nil {
-		return nil, fault
+	if apiErr := strictJSON(data, &body); apiErr != nil {
+		return nil, apiErr
 	}
 	switch {
 	case body.Service == nil || *body.Service == "":
-		return nil, kernel.Refuse(kernel.MissingField, "service")
+		return nil, apierror.Errorf(apierror.MissingField, "service")
 	case body.MaxTokens == nil:
-		return nil, kernel.Refuse(kernel.MissingField, "max_tokens")
+		return nil, apierror.Errorf(apierror.MissingField, "max_tokens")
 	case *body.MaxTokens < 1:
-		return nil, kernel.Refuse(kernel.BadField, "max_tokens is below 1")
+		return nil, apierror.Errorf(apierror.BadField, "max_tokens is below 1")
 	case body.PrefixTokens < 0 || body.SessionTokens < 0:
-		return nil, kernel.Refuse(kernel.BadField, "tokens are below 0")
+		return nil, apierror.Errorf(apierror.BadField, "tokens are below 0")
 	case len(*body.Service) > nameMax || len(body.Region) > nameMax || len(body.Home) > nameMax:
-		return nil, kernel.Refuse(kernel.BadField, "a name has over %d bytes", nameMax)
+		return nil, apierror.Errorf(apierror.BadField, "a name has over %d bytes", nameMax)
 	}
 	prompt := &Prompt{Head: head, Service: *body.Service, Prefix: body.Prefix, Session: body.Session, PrefixTokens: body.PrefixTokens,
 		SessionTokens: body.SessionTokens, MaxTokens: *body.MaxTokens, Region: body.Region, Home: body.Home}
 	if prompt.Tokens() > l.TokensMax {
-		return nil, kernel.Refuse(kernel.BadField, "a prompt has at most %.0f tokens", l.TokensMax)
+		return nil, apierror.Errorf(apierror.BadField, "a prompt has at most %.0f tokens", l.TokensMax)
 	}
 	if body.DeadlineMS != nil {
-		span, fault := l.deadlineOf(*body.DeadlineMS)
-		if fault != nil {
-			return nil, fault
+		span, apiErr := l.deadlineOf(*body.DeadlineMS)
+		if apiErr != nil {
+			return nil, apiErr
 		}
 		if deadline := head.Arrived.Add(span); !head.bounded || deadline.Before(head.Deadline) {
 			prompt.Deadline = deadline
@@ -186,24 +187,24 @@
 	return prompt, nil
 }
 
-func strictJSON(data []byte, into any) *kernel.Fault {
+func strictJSON(data []byte, into any) *apierror.Error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
 		var mistyped *json.UnmarshalTypeError
 		if errors.As(err, &mistyped) && mistyped.Field == "deadline_ms" {
-			return kernel.Refuse(kernel.BadDeadline, "deadline_ms is no number of milliseconds")
+			return apierror.Errorf(apierror.BadDeadline, "deadline_ms is no number of milliseconds")
 		}
 		if errors.As(err, &mistyped) && mistyped.Field != "" {
-			return kernel.Refuse(kernel.BadField, "%s is no %s", mistyped.Field, mistyped.Type)
+			return apierror.Errorf(apierror.BadField, "%s is no %s", mistyped.Field, mistyped.Type)
 		}
 		if name, unknown := strings.CutPrefix(err.Error(), "json: unknown field "); unknown {
-			return kernel.Refuse(kernel.UnknownField, "%s", name)
+			return apierror.Errorf(apierror.UnknownField, "%s", name)
 		}
-		return kernel.Refuse(kernel.BadJSON, "the body is not one JSON object")
+		return apierror.Errorf(apierror.BadJSON, "the body is not one JSON object")
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return kernel.Refuse(kernel.BadJSON, "something follows the JSON object")
+		return apierror.Errorf(apierror.BadJSON, "something follows the JSON object")
 	}
 	return nil
 }
--- a/internal/adapter/clientapi/stream.go
+++ b/internal/adapter/clientapi/stream.go
@@ -3,8 +3,9 @@
 import (
 	"encoding/json"
 	"net/http"
+	"time"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 )
 
 // Stream passes events on to one caller as server-sent events.
@@ -12,7 +13,7 @@
 	writer  http.ResponseWriter
 	control *http.ResponseController
 	id      string
-	bound   kernel.Duration
+	bound   time.Duration
 	begun   bool
 	buffer  []byte
 }
@@ -49,8 +50,8 @@
 	return s.control.Flush()
 }
 
-func (s *Stream) cut(fault *kernel.Fault) {
-	if body, err := json.Marshal(fault.Body(s.id)); err == nil {
+func (s *Stream) cut(apiErr *apierror.Error) {
+	if body, err := json.Marshal(apiErr.Body(s.id)); err == nil {
 		_ = s.send("error", body)
 	}
 	panic(http.ErrAbortHandler)
--- a/internal/adapter/controlapi/api.go
+++ b/internal/adapter/controlapi/api.go
@@ -1,6 +1,7 @@
 package controlapi
 
 import (
+	"context"
 	"crypto/rand"
 	"crypto/sha256"
 	"crypto/subtle"
@@ -11,22 +12,24 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 // Orders carries operators' orders and reads to a core.
 type Orders interface {
-	Order(ctx kernel.Context, req *wire.OrderRequest) (*wire.OrderResponse, error)
+	Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error)
 }
 
 // Inspector answers questions from what this process holds, with a JSON body.
 type Inspector interface {
-	Inspect(ctx kernel.Context, what, argument string) (kernel.Code, []byte)
+	Inspect(ctx context.Context, what, argument string) (apierror.Code, []byte)
 }
 
 // Config of the API. Operators are NAME:SHA256HEX each. SheetMax bounds the body
@@ -37,8 +40,8 @@
 	From        string
 	Operators   []string
 	SheetMax    int64
-	BodyTimeout kernel.Duration
-	OrderWait   kernel.Duration
+	BodyTimeout time.Duration
+	OrderWait   time.Duration
 	OrdersMax   int
 	ReadsMax    int
 	Setting     func(name, value string) error
@@ -51,7 +54,7 @@
 	operators []operator
 	orders    Orders
 	inspector Inspector
-	clock     kernel.Clock
+	clock     clock.Clock
 	log       events.Log
 	ordering  chan struct{}
 	reading   chan struct{}
@@ -64,10 +67,10 @@
 
 // New returns the API. It panics on an entry of the operators that the settings
 // should have refused.
-func New(config Config, orders Orders, inspector Inspector, clock kernel.Clock, log events.Log) *API {
+func New(config Config, orders Orders, inspector Inspector, clock clock.Clock, log events.Log) *API {
 	config.SheetMax = or(config.SheetMax, 16<<20)
-	config.BodyTimeout = or(config.BodyTimeout, 5*kernel.Second)
-	config.OrderWait = or(config.OrderWait, 8*kernel.Second)
+	config.BodyTimeout = or(config.BodyTimeout, 5*time.Second)
+	config.OrderWait = or(config.OrderWait, 8*time.Second)
 	config.OrdersMax = or(config.OrdersMax, 16)
 	config.ReadsMax = or(config.ReadsMax, 64)
 	if config.NewID == nil {
@@ -81,7 +84,7 @@
 	return a
 }
 
-func or[T int | int64 | kernel.Duration](value, fallback T) T {
+func or[T int | int64 | time.Duration](value, fallback T) T {
 	if value <= 0 {
 		return fallback
 	}
@@ -117,8 +120,8 @@
 
 // answer is a result code and its JSON body.
 type answer struct {
-	code       kernel.Code
-	retryAfter kernel.Duration
+	code       apierror.Code
+	retryAfter time.Duration
 	body       []byte
 }
 
@@ -126,33 +129,33 @@
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{api: a, w: w, r: r, control: http.NewResponseController(w)}
 	_ = x.control.SetWriteDeadline(in(a.config.BodyTimeout + a.config.OrderWait + a.config.BodyTimeout))
-	result, fault := x.serve()
-	if fault != nil {
+	result, apiErr := x.serve()
+	if apiErr != nil {
 		if r.ContentLength != 0 {
 			w.Header().Set("Connection", "close")
 		}
-		result = refused(fault, "")
+		result = refused(apiErr, "")
 	}
 	x.write(result)
 }
 
-func (x *exchange) serve() (answer, *kernel.Fault) {
+func (x *exchange) serve() (answer, *apierror.Error) {
 	if x.r.ContentLength != 0 {
 		_ = x.control.SetReadDeadline(in(x.api.config.BodyTimeout))
 	}
-	call, argument, fault := find(x.r.Method, x.r.URL.Path)
-	if fault != nil {
-		if fault.Code == kernel.BadMethod {
+	call, argument, apiErr := find(x.r.Method, x.r.URL.Path)
+	if apiErr != nil {
+		if apiErr.Code == apierror.BadMethod {
 			x.w.Header().Set("Allow", argument)
 		}
-		return answer{}, fault
+		return answer{}, apiErr
 	}
 	x.call, x.argument = call, argument
-	if fault := x.authorize(); fault != nil {
-		return answer{}, fault
+	if apiErr := x.authorize(); apiErr != nil {
+		return answer{}, apiErr
 	}
-	if fault := x.query(); fault != nil {
-		return answer{}, fault
+	if apiErr := x.query(); apiErr != nil {
+		return answer{}, apiErr
 	}
 	slots := x.api.reading
 	if call.Body != NoBody {
@@ -162,24 +165,24 @@
 	case slots <- struct{}{}:
 		defer func() { <-slots }()
 	default:
-		return answer{}, kernel.Refuse(kernel.QueueFull, "%d calls are under way", cap(slots)).After(kernel.Second)
+		return answer{}, apierror.Errorf(apierror.QueueFull, "%d calls are under way", cap(slots)).WithRetryAfter(time.Second)
 	}
-	if fault := x.readBody(); fault != nil {
-		return answer{}, fault
+	if apiErr := x.readBody(); apiErr != nil {
+		return answer{}, apiErr
 	}
 	return call.handle(x), nil
 }
 
 // authorize finds the operator by a key, comparing it with every one's in
 // constant time.
-func (x *exchange) authorize() *kernel.Fault {
+func (x *exchange) authorize() *apierror.Error {
 	given := x.r.Header.Values("Authorization")
 	key, bearer := "", false
 	if len(given) == 1 {
 		key, bearer = strings.CutPrefix(given[0], "Bearer ")
 	}
 	if key = strings.TrimSpace(key); !bearer || key == "" {
-		return kernel.Refuse(kernel.MissingKey, "send one Authorization: Bearer OPERATOR-KEY")
+		return apierror.Errorf(apierror.MissingKey, "send one Authorization: Bearer OPERATOR-KEY")
 	}
 	hash := sha256.Sum256([]byte(key))
 	for _, o := range x.api.operators {
@@ -189,15 +192,15 @@
 	}
 	if x.operator == "" {
 		x.api.log.Emit(events.OperatorRefused, "from", x.r.RemoteAddr, "path", x.call.Path)
-		return kernel.Refuse(kernel.OperatorUnknown, "")
+		return apierror.Errorf(apierror.OperatorUnknown, "")
 	}
 	return nil
 }
 
-func (x *exchange) query() *kernel.Fault {
+func (x *exchange) query() *apierror.Error {
 	for name, values := range x.r.URL.Query() {
 		if name != x.call.Query || len(values) != 1 {
-			return kernel.Refuse(kernel.BadField, "the query's %.40q is unknown or given twice", name)
+			return apierror.Errorf(apierror.BadField, "the query's %.40q is unknown or given twice", name)
 		}
 		x.argument = values[0]
 	}
@@ -205,76 +208,76 @@
 }
 
 // readBody reads at most the call's bound within the bound of time.
-func (x *exchange) readBody() *kernel.Fault {
+func (x *exchange) readBody() *apierror.Error {
 	if x.call.Body == NoBody {
 		if x.r.ContentLength != 0 {
-			return kernel.Refuse(kernel.BadField, "the call takes no body")
+			return apierror.Errorf(apierror.BadField, "the call takes no body")
 		}
 		return nil
 	}
-	bound, tooLarge := int64(smallBody), kernel.BodyTooLarge
+	bound, tooLarge := int64(smallBody), apierror.BodyTooLarge
 	if x.call.Body == SheetBody {
-		bound, tooLarge = x.api.config.SheetMax, kernel.SheetTooLarge
+		bound, tooLarge = x.api.config.SheetMax, apierror.SheetTooLarge
 	}
 	if x.r.ContentLength > bound {
-		return kernel.Refuse(tooLarge, "%d bytes; the bound is %d", x.r.ContentLength, bound)
+		return apierror.Errorf(tooLarge, "%d bytes; the bound is %d", x.r.ContentLength, bound)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, bound))
 	var over *http.MaxBytesError
 	var network net.Error
 	switch {
 	case errors.As(err, &over):
-		return kernel.Refuse(tooLarge, "the bound is %d bytes", bound)
+		return apierror.Errorf(tooLarge, "the bound is %d bytes", bound)
 	case errors.As(err, &network) && network.Timeout():
-		return kernel.Refuse(kernel.SlowBody, "the body did not arrive within %s", x.api.config.BodyTimeout)
+		return apierror.Errorf(apierror.SlowBody, "the body did not arrive within %s", x.api.config.BodyTimeout)
 	case err != nil:
-		return kernel.Refuse(kernel.BadJSON, "the body is not whole")
+		return apierror.Errorf(apierror.BadJSON, "the body is not whole")
 	}
 	x.body = body
-	_ = x.control.SetReadDeadline(kernel.Time{})
+	_ = x.control.SetReadDeadline(time.Time{})
 	return nil
 }
 
-func (x *exchange) relayed(id string, code kernel.Code, took kernel.Duration) {
+func (x *exchange) relayed(id string, code apierror.Code, took time.Duration) {
 	x.api.log.Emit(events.OrderRelayed, "order", id, "verb", x.call.Verb, "operator", x.operator, "code", code, "took", took)
 }
 
 func (x *exchange) write(a answer) {
 	if a.retryAfter > 0 {
-		x.w.Header().Set("Retry-After", strconv.FormatInt(int64((a.retryAfter+kernel.Second-1)/kernel.Second), 10))
+		x.w.Header().Set("Retry-After", strconv.FormatInt(int64((a.retryAfter+time.Second-1)/time.Second), 10))
 	}
-	kernel.Reply(x.w, a.code.Row().Status, json.RawMessage(a.body))
+	apierror.WriteJSON(x.w, a.code.Info().Status, json.RawMessage(a.body))
 	_ = x.control.Flush()
-	_ = x.control.SetWriteDeadline(kernel.Time{})
+	_ = x.control.SetWriteDeadline(time.Time{})
 }
 
 // refused is the answer of a fault, with the order's id where there is one, so
 // that the order can be sent again under it.
-func refused(fault *kernel.Fault, id string) answer {
+func refused(apiErr *apierror.Error, id string) answer {
 	body := struct {
-		kernel.FaultBody
+		apierror.ErrorBody
 		OrderID string `json:"order_id,omitempty"`
-	}{fault.Body(""), id}
+	}{apiErr.Body(""), id}
 	data, err := json.Marshal(body)
 	if err != nil {
 		data = []byte("null")
 	}
-	return answer{code: fault.Code, retryAfter: fault.RetryAfter, body: data}
+	return answer{code: apiErr.Code, retryAfter: apiErr.RetryAfter, body: data}
 }
 
 // answered is the answer that a core gave. A core's JSON is passed on whole,
 // with the code in front where it gave none.
 func answered(resp *wire.OrderResponse, id string) answer {
-	code := kernel.Code(resp.Code)
-	if code != kernel.OK {
-		var told kernel.FaultBody
+	code := apierror.Code(resp.Code)
+	if code != apierror.OK {
+		var told apierror.ErrorBody
 		if json.Unmarshal(resp.Body, &told) != nil || told.Code != code {
-			return refused(&kernel.Fault{Code: code}, id)
+			return refused(&apierror.Error{Code: code}, id)
 		}
-		return answer{code: code, retryAfter: kernel.Duration(told.RetryAfterMS) * kernel.Millisecond, body: resp.Body}
+		return answer{code: code, retryAfter: time.Duration(told.RetryAfterMS) * time.Millisecond, body: resp.Body}
 	}
 	if len(resp.Body) < 2 || resp.Body[0] != '{' {
-		return refused(kernel.Refuse(kernel.Internal, "the core's answer has no body"), id)
+		return refused(apierror.Errorf(apierror.Internal, "the core's answer has no body"), id)
 	}
 	body := append([]byte(`{"code":0`), resp.Body[1:]...)
 	if resp.Body[1] != '}' {
@@ -284,10 +287,10 @@
 }
 
 // withID returns an order's body with its id in it.
-func withID(body []byte, id string) ([]byte, *kernel.Fault) {
+func withID(body []byte, id string) ([]byte, *apierror.Error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return nil, kernel.Refuse(kernel.BadJSON, "%v", err)
+		return nil, apierror.Errorf(apierror.BadJSON, "%v", err)
 	}
 	var given string
 	if json.Unmarshal(fields["order_id"], &given) == nil && given == id {
@@ -295,14 +298,14 @@
 	}
 	quoted, err := json.Marshal(id)
 	if err != nil {
-		return nil, kernel.AsFault(err)
+		return nil, apierror.From(err)
 	}
 	fields["order_id"] = quoted
 	data, err := json.Marshal(fields)
 	if err != nil {
-		return nil, kernel.AsFault(err)
+		return nil, apierror.From(err)
 	}
 	return data, nil
 }
 
-func in(d kernel.Duration) kernel.Time { return kernel.System().Now().Add(d) }
+func in(d time.Duration) time.Time { return clock.System().Now().Add(d) }
--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -16,9 +16,10 @@
 	"github.com/sebdah/goldie/v2"
 	. "github.com/smartystreets/goconvey/convey"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -38,41 +39,41 @@
 	}
 	switch req.Verb {
 	case "get":
-		return told(kernel.OK, map[string]any{"epoch": c.state.Epoch, "sheet_epoch": c.state.SheetEpoch, "sheet": c.state.Sheet}), nil
+		return told(apierror.OK, map[string]any{"epoch": c.state.Epoch, "sheet_epoch": c.state.SheetEpoch, "sheet": c.state.Sheet}), nil
 	case "history":
-		return nil, kernel.Refuse(kernel.NoMajority, "1 of 3 cores answered").After(1500 * kernel.Millisecond)
+		return nil, apierror.Errorf(apierror.NoMajority, "1 of 3 cores answered").WithRetryAfter(1500 * time.Millisecond)
 	case "status":
-		return told(kernel.OK, map[string]any{"epoch": c.state.Epoch, "in_force": true}), nil
+		return told(apierror.OK, map[string]any{"epoch": c.state.Epoch, "in_force": true}), nil
 	}
-	command, fault := sheet.ParseOrder(req.Verb, req.Operator, req.Body, sheet.Limits{Bytes: 1 << 20}, 1790000000000)
-	if fault != nil {
-		return told(fault.Code, fault.Body("")), nil
+	command, apiErr := sheet.ParseOrder(req.Verb, req.Operator, req.Body, sheet.Limits{Bytes: 1 << 20}, 1790000000000)
+	if apiErr != nil {
+		return told(apiErr.Code, apiErr.Body("")), nil
 	}
 	order, _ := sheet.OrderOf(command)
 	result, sure := c.state.Foresee(command)
 	if !sure {
 		c.state, result = c.state.Step(c.state.Epoch+1, sheet.Encode(command))
 	}
-	if fault := result.Fault(); fault != nil {
-		body := fault.Body("")
+	if apiErr := result.Fault(); apiErr != nil {
+		body := apiErr.Body("")
 		body.Epoch = result.Epoch
-		return told(fault.Code, body), nil
+		return told(apiErr.Code, body), nil
 	}
 	if c.pending {
 		c.pending = false
-		return nil, kernel.Refuse(kernel.OutcomePending, "waiting for front-4").After(kernel.Second)
+		return nil, apierror.Errorf(apierror.OutcomePending, "waiting for front-4").WithRetryAfter(time.Second)
 	}
-	return told(kernel.OK, map[string]any{"epoch": result.Epoch, "sheet_epoch": result.SheetEpoch, "in_force": true, "order_id": order.OrderID}), nil
+	return told(apierror.OK, map[string]any{"epoch": result.Epoch, "sheet_epoch": result.SheetEpoch, "in_force": true, "order_id": order.OrderID}), nil
 }
 
-func (c *cores) Inspect(_ context.Context, what, argument string) (kernel.Code, []byte) {
+func (c *cores) Inspect(_ context.Context, what, argument string) (apierror.Code, []byte) {
 	if argument == "nobody" {
-		return kernel.NotFound, nil
+		return apierror.NotFound, nil
 	}
-	return kernel.OK, []byte(fmt.Sprintf(`{"asked":%q,"argument":%q}`, what, argument))
+	return apierror.OK, []byte(fmt.Sprintf(`{"asked":%q,"argument":%q}`, what, argument))
 }
 
-func told(code kernel.Code, body any) *wire.OrderResponse {
+func told(code apierror.Code, body any) *wire.OrderResponse {
 	data, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
@@ -90,7 +91,7 @@
 		}
 		return nil
 	}
-	server := httptest.NewServer(New(config, c, c, kernel.System(), events.Discard))
+	server := httptest.NewServer(New(config, c, c, clock.System(), events.Discard))
 	t.Cleanup(server.Close)
 	return server
 }
@@ -221,7 +222,7 @@
 	})
 	Convey("Orders over the bound are told to come back", t, func() {
 		c := &cores{silent: true}
-		api := New(Config{Operators: []string{"ada:" + sheet.HashKey("ada's key")}, OrdersMax: 1}, c, c, kernel.System(), events.Discard)
+		api := New(Config{Operators: []string{"ada:" + sheet.HashKey("ada's key")}, OrdersMax: 1}, c, c, clock.System(), events.Discard)
 		api.ordering <- struct{}{}
 		server := httptest.NewServer(api)
 		defer server.Close()
@@ -230,6 +231,6 @@
 		So(resp.Header.Get("Retry-After"), ShouldEqual, "1")
 	})
 	Convey("An operator's entry that the settings should have refused stops the start", t, func() {
-		So(func() { New(Config{Operators: []string{"ada:abc"}}, nil, nil, kernel.System(), events.Discard) }, ShouldPanic)
+		So(func() { New(Config{Operators: []string{"ada:abc"}}, nil, nil, clock.System(), events.Discard) }, ShouldPanic)
 	})
 }
--- a/internal/adapter/controlapi/calls.go
+++ b/internal/adapter/controlapi/calls.go
@@ -5,19 +5,21 @@
 package controlapi
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
 	"strings"
+	"time"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 const (
 	smallBody = 64 << 10
 	prefix    = "/v1/control/"
-	viewWait  = 3 * kernel.Second
+	viewWait  = 3 * time.Second
 )
 
 // Body says what body a call takes.
@@ -73,7 +75,7 @@
 }
 
 // find returns the call of a method and path, and the name in its braces.
-func find(method, path string) (*Call, string, *kernel.Fault) {
+func find(method, path string) (*Call, string, *apierror.Error) {
 	var others []string
 	for i := range calls {
 		call := &calls[i]
@@ -93,27 +95,27 @@
 		others = append(others, call.Method)
 	}
 	if len(others) > 0 {
-		return nil, strings.Join(others, ", "), kernel.Refuse(kernel.BadMethod, "it takes %s", strings.Join(others, ", "))
+		return nil, strings.Join(others, ", "), apierror.Errorf(apierror.BadMethod, "it takes %s", strings.Join(others, ", "))
 	}
-	return nil, "", kernel.Refuse(kernel.UnknownPath, "")
+	return nil, "", apierror.Errorf(apierror.UnknownPath, "")
 }
 
 // order checks an order and hands it on under its id; one without an id gets
 // one, so that a relay may hand it to two cores.
 func (x *exchange) order() answer {
-	command, fault := sheet.ParseOrder(x.call.Verb, x.operator, x.body,
+	command, apiErr := sheet.ParseOrder(x.call.Verb, x.operator, x.body,
 		sheet.Limits{Bytes: len(x.body), Setting: x.api.config.Setting}, 0)
-	if fault != nil {
-		return refused(fault, "")
+	if apiErr != nil {
+		return refused(apiErr, "")
 	}
 	order, _ := sheet.OrderOf(command)
 	id := order.OrderID
 	if id == "" {
 		id = x.api.config.NewID()
 	}
-	body, fault := withID(x.body, id)
-	if fault != nil {
-		return refused(fault, "")
+	body, apiErr := withID(x.body, id)
+	if apiErr != nil {
+		return refused(apiErr, "")
 	}
 	return x.relay(body, id, x.api.config.OrderWait)
 }
@@ -125,51 +127,51 @@
 // a little, as it is asked most when cores are out of reach.
 func (x *exchange) status() answer {
 	code, own := x.api.inspector.Inspect(x.r.Context(), "status", "")
-	if code != kernel.OK {
-		return refused(kernel.Refuse(code, "status"), "")
+	if code != apierror.OK {
+		return refused(apierror.Errorf(code, "status"), "")
 	}
 	fleet := x.relay(nil, "", min(viewWait, x.api.config.OrderWait))
 	body := struct {
-		Code       kernel.Code     `json:"code"`
+		Code       apierror.Code   `json:"code"`
 		Node       json.RawMessage `json:"node"`
 		Fleet      json.RawMessage `json:"fleet,omitempty"`
 		FleetFault json.RawMessage `json:"fleet_fault,omitempty"`
 	}{Node: own, Fleet: fleet.body}
-	if fleet.code != kernel.OK {
+	if fleet.code != apierror.OK {
 		body.Fleet, body.FleetFault = nil, fleet.body
 	}
 	data, err := json.Marshal(body)
 	if err != nil {
-		return refused(kernel.AsFault(err), "")
+		return refused(apierror.From(err), "")
 	}
-	return answer{code: kernel.OK, body: data}
+	return answer{code: apierror.OK, body: data}
 }
 
 // inspect asks the node itself.
 func (x *exchange) inspect() answer {
 	code, body := x.api.inspector.Inspect(x.r.Context(), x.call.Verb, x.argument)
-	if code != kernel.OK {
-		return refused(kernel.Refuse(code, "%s %s", x.call.Verb, x.argument), "")
+	if code != apierror.OK {
+		return refused(apierror.Errorf(code, "%s %s", x.call.Verb, x.argument), "")
 	}
 	return answer{code: code, body: body}
 }
 
-func (x *exchange) relay(body []byte, id string, wait kernel.Duration) answer {
-	ctx, cancel := kernel.WithTimeout(x.r.Context(), wait)
+func (x *exchange) relay(body []byte, id string, wait time.Duration) answer {
+	ctx, cancel := context.WithTimeout(x.r.Context(), wait)
 	defer cancel()
 	began := x.api.clock.Now()
 	resp, err := x.api.orders.Order(ctx, &wire.OrderRequest{From: x.api.config.From, Operator: x.operator,
 		Verb: x.call.Verb, Body: body, WaitMs: uint32((wait - wait/16).Milliseconds())})
 	if err != nil {
-		fault := kernel.AsFault(err)
-		if ctx.Err() != nil && fault.Code == kernel.Internal {
-			fault = kernel.Refuse(kernel.NoMajority, "no core answered in time").After(kernel.Second)
+		apiErr := apierror.From(err)
+		if ctx.Err() != nil && apiErr.Code == apierror.Internal {
+			apiErr = apierror.Errorf(apierror.NoMajority, "no core answered in time").WithRetryAfter(time.Second)
 			if x.call.Body != NoBody {
-				fault = kernel.Refuse(kernel.OutcomePending, "no core answered in time; send the order again with its id").After(kernel.Second)
+				apiErr = apierror.Errorf(apierror.OutcomePending, "no core answered in time; send the order again with its id").WithRetryAfter(time.Second)
 			}
 		}
-		return refused(fault, id)
+		return refused(apiErr, id)
 	}
-	x.relayed(id, kernel.Code(resp.Code), x.api.clock.Now().Sub(began))
+	x.relayed(id, apierror.Code(resp.Code), x.api.clock.Now().Sub(began))
 	return answered(resp, id)
 }
--- a/internal/adapter/disklog/disk.go
+++ b/internal/adapter/disklog/disk.go
@@ -5,10 +5,11 @@
 	"os"
 	"path/filepath"
 	"syscall"
+	"time"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
 // File is an open file of the log.
@@ -103,14 +104,14 @@
 }
 
 // Slow returns a disk on which every sync takes longer by the delay.
-func Slow(base Disk, clock kernel.Clock, delay kernel.Duration) Disk {
+func Slow(base Disk, clock clock.Clock, delay time.Duration) Disk {
 	return slow{Disk: base, clock: clock, delay: delay}
 }
 
 type slow struct {
 	Disk
-	clock kernel.Clock
-	delay kernel.Duration
+	clock clock.Clock
+	delay time.Duration
 }
 
 type slowFile struct {
--- a/internal/adapter/disklog/format.go
+++ b/internal/adapter/disklog/format.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"strings"
 
+	"stepwick/internal/apierror"
+
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
-
-	"stepwick/internal/kernel"
 )
 
 const (
@@ -103,7 +103,7 @@
 }
 
 func badRecord(path string, offset int, what string) error {
-	return &kernel.Fault{Code: kernel.BadRecord, Detail: fmt.Sprintf("%s in %s at offset %d", what, filepath.Base(path), offset)}
+	return &apierror.Error{Code: apierror.BadRecord, Detail: fmt.Sprintf("%s in %s at offset %d", what, filepath.Base(path), offset)}
 }
 
 // readSegment returns a segment's records. Whole is the number of bytes up to
--- a/internal/adapter/disklog/inspect.go
+++ b/internal/adapter/disklog/inspect.go
@@ -8,7 +8,7 @@
 
 // Inspect reads a log's folder as Open does, and changes nothing in it. What
 // Open would cut or pass over is named in the Replay; a bad record is a
-// kernel.BadRecord fault that names segment and offset.
+// apierror.BadRecord error that names segment and offset.
 func Inspect(folder string) (Replay, error) {
 	w := &writer{Log: &Log{cfg: Config{Folder: folder}, disk: untouched{System()}}}
 	return w.recover()
--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -6,21 +6,23 @@
 import (
 	"path/filepath"
 	"sync/atomic"
+	"time"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
 // Config of a log. Sizes are in bytes.
 type Config struct {
 	Folder       string
-	SegmentBytes int64           // a new segment is begun beyond this size; 0 is 4 MiB
-	ReserveBytes int64           // kept free for snapshots and new disk lives; 0 is 1 MiB, under a quota at most a quarter of it
-	Quota        int64           // bound of all files together; 0 is none
-	SyncDelay    kernel.Duration // added to every sync, for proving
-	Disk         Disk            // nil is the machine's
-	Clock        kernel.Clock    // nil is the machine's
+	SegmentBytes int64         // a new segment is begun beyond this size; 0 is 4 MiB
+	ReserveBytes int64         // kept free for snapshots and new disk lives; 0 is 1 MiB, under a quota at most a quarter of it
+	Quota        int64         // bound of all files together; 0 is none
+	SyncDelay    time.Duration // added to every sync, for proving
+	Disk         Disk          // nil is the machine's
+	Clock        clock.Clock   // nil is the machine's
 }
 
 // Replay is what the disk held when the log was opened. Records follow the
@@ -64,11 +66,11 @@
 	maxWaiting   = 128 << 20
 	batchBytes   = 1 << 20
 	trialBytes   = 256 << 10
-	roomInterval = kernel.Second
+	roomInterval = time.Second
 )
 
 // Open reads the folder, cuts a torn tail at the last whole record and starts
-// the writer. A bad record before the last batch is a kernel.BadRecord fault
+// the writer. A bad record before the last batch is an apierror.BadRecord error
 // that names segment and offset; nothing is changed then.
 func Open(cfg Config) (*Log, Replay, error) {
 	if cfg.SegmentBytes <= 0 {
@@ -84,7 +86,7 @@
 		cfg.Disk = System()
 	}
 	if cfg.Clock == nil {
-		cfg.Clock = kernel.System()
+		cfg.Clock = clock.System()
 	}
 	if cfg.SyncDelay > 0 {
 		cfg.Disk = Slow(cfg.Disk, cfg.Clock, cfg.SyncDelay)
@@ -104,7 +106,7 @@
 
 // Append takes records to be written and synced, in order, and returns the
 // place of the last one without waiting; Synced tells when they are safe. They
-// are refused as a whole, with kernel.DiskFull, when only the reserve is left;
+// are refused as a whole, with apierror.DiskFull, when only the reserve is left;
 // urgent ones may use the reserve.
 func (l *Log) Append(records [][]byte, urgent bool) (uint64, error) {
 	if err := l.Err(); err != nil {
@@ -119,19 +121,19 @@
 	}
 	waiting := l.waiting.Load()
 	if waiting > 0 && waiting+size > maxWaiting {
-		return 0, kernel.Refuse(kernel.CoreUnreachable, "the disk is too slow: %d bytes wait for it", waiting)
+		return 0, apierror.Errorf(apierror.CoreUnreachable, "the disk is too slow: %d bytes wait for it", waiting)
 	}
 	bound := l.cfg.Quota - l.cfg.ReserveBytes
 	if urgent {
 		bound = l.cfg.Quota
 	}
 	if l.full.Load() && !urgent || l.cfg.Quota > 0 && l.used.Load()+size > bound {
-		return 0, kernel.Refuse(kernel.DiskFull, "%d bytes used", l.used.Load())
+		return 0, apierror.Errorf(apierror.DiskFull, "%d bytes used", l.used.Load())
 	}
 	select {
 	case l.in <- entry{records: records, first: l.place + 1, urgent: urgent}:
 	default:
-		return 0, kernel.Refuse(kernel.CoreUnreachable, "the disk is too slow: %d appends wait for it", maxEntries)
+		return 0, apierror.Errorf(apierror.CoreUnreachable, "the disk is too slow: %d appends wait for it", maxEntries)
 	}
 	l.place += uint64(len(records))
 	l.waiting.Add(size)
@@ -141,7 +143,7 @@
 
 // Snapshot writes data aside as the state after all records appended so far,
 // and puts it in their place once it is safe. Done delivers the outcome once;
-// a lack of room is kernel.DiskFull and leaves the log as it was.
+// a lack of room is apierror.DiskFull and leaves the log as it was.
 func (l *Log) Snapshot(data []byte) (done <-chan error) {
 	outcome := make(chan error, 1)
 	if err := l.Err(); err != nil {
@@ -151,7 +153,7 @@
 	select {
 	case l.in <- entry{snapshot: data, first: l.place, done: outcome}:
 	default:
-		outcome <- kernel.Refuse(kernel.CoreUnreachable, "the disk is too slow: %d appends wait for it", maxEntries)
+		outcome <- apierror.Errorf(apierror.CoreUnreachable, "the disk is too slow: %d appends wait for it", maxEntries)
 	}
 	return outcome
 }
@@ -185,7 +187,7 @@
 func (l *Log) Used() int64 { return l.used.Load() }
 
 // LastSync is how long the last sync took.
-func (l *Log) LastSync() kernel.Duration { return kernel.Duration(l.last.Load()) }
+func (l *Log) LastSync() time.Duration { return time.Duration(l.last.Load()) }
 
 // Close stops the writer and closes its files. What was not synced may be lost.
 func (l *Log) Close() error {
--- a/internal/adapter/disklog/log_test.go
+++ b/internal/adapter/disklog/log_test.go
@@ -13,10 +13,10 @@
 	"testing/synctest"
 	"time"
 
+	"stepwick/internal/apierror"
+
 	. "github.com/smartystreets/goconvey/convey"
 	"pgregory.net/rapid"
-
-	"stepwick/internal/kernel"
 )
 
 func record(n int) []byte { return fmt.Appendf(nil, "record %d %s", n, strings.Repeat("x", n%37)) }
@@ -201,7 +201,7 @@
 		}
 		l, replay, err := Open(Config{Folder: folder, Disk: unsynced{System()}})
 		if at < batch {
-			if kernel.AsFault(err) == nil || kernel.AsFault(err).Code != kernel.BadRecord {
+			if apierror.From(err) == nil || apierror.From(err).Code != apierror.BadRecord {
 				t.Fatalf("byte %d of a record before the last batch: %v", at, err)
 			}
 			left, _ := os.ReadFile(filepath.Join(folder, segmentName(1)))
@@ -237,14 +237,14 @@
 		middle := copyFolder(t, cfg.Folder)
 		So(os.Remove(files(middle, segmentSuffix)[2]), ShouldBeNil)
 		_, _, err := Open(Config{Folder: middle})
-		So(kernel.AsFault(err).Code, ShouldEqual, kernel.BadRecord)
+		So(apierror.From(err).Code, ShouldEqual, apierror.BadRecord)
 		l, _ = open(t, cfg)
 		So(<-l.Snapshot([]byte("forty")), ShouldBeNil)
 		put(t, l, 40, 45)
 		shutdown(l)
 		So(os.Remove(files(cfg.Folder, snapshotSuffix)[0]), ShouldBeNil)
 		_, _, err = Open(cfg)
-		So(kernel.AsFault(err).Code, ShouldEqual, kernel.BadRecord)
+		So(apierror.From(err).Code, ShouldEqual, apierror.BadRecord)
 	})
 }
 
@@ -261,13 +261,13 @@
 				kept++
 			}
 		}
-		So(kernel.AsFault(err).Code, ShouldEqual, kernel.DiskFull)
+		So(apierror.From(err).Code, ShouldEqual, apierror.DiskFull)
 		So(l.Full(), ShouldBeTrue)
 		So(l.Used(), ShouldBeLessThanOrEqualTo, 3000)
 		place, err := l.Append([][]byte{record(kept)}, true)
 		So(err, ShouldBeNil)
 		await(t, l, place)
-		So(kernel.AsFault(<-l.Snapshot(make([]byte, 1100))).Code, ShouldEqual, kernel.DiskFull)
+		So(apierror.From(<-l.Snapshot(make([]byte, 1100))).Code, ShouldEqual, apierror.DiskFull)
 		shutdown(l)
 		l, replay := open(t, cfg)
 		So(holds(replay, 0, kept+1), ShouldBeEmpty)
@@ -291,14 +291,14 @@
 			case <-l.Dead():
 			}
 		}
-		So(kernel.AsFault(l.Err()).Code, ShouldEqual, kernel.DiskFull)
+		So(apierror.From(l.Err()).Code, ShouldEqual, apierror.DiskFull)
 		shutdown(l)
 		l, replay := open(t, cfg)
 		So(holds(replay, 0, kept), ShouldBeEmpty)
 		So(replay.CutBytes, ShouldEqual, 0)
 		So(l.Full(), ShouldBeTrue)
 		_, err := l.Append([][]byte{record(0)}, false)
-		So(kernel.AsFault(err).Code, ShouldEqual, kernel.DiskFull)
+		So(apierror.From(err).Code, ShouldEqual, apierror.DiskFull)
 		So(<-l.Snapshot([]byte("with the reserve")), ShouldBeNil)
 		shutdown(l)
 		disk.left = 1 << 20
--- a/internal/adapter/disklog/writer.go
+++ b/internal/adapter/disklog/writer.go
@@ -4,9 +4,9 @@
 	"io/fs"
 	"slices"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
 type segment struct {
@@ -79,7 +79,7 @@
 			default:
 			}
 			if snapping {
-				marker.done <- kernel.Refuse(kernel.CoreUnreachable, "another snapshot is being written")
+				marker.done <- apierror.Errorf(apierror.CoreUnreachable, "another snapshot is being written")
 				continue
 			}
 			if err := w.begin(*marker); err != nil {
@@ -152,7 +152,7 @@
 		if cut := w.current.Truncate(w.open.size); cut != nil {
 			err = errors.Wrap(cut, "cut a half-written batch")
 		}
-		return errors.Wrap(&kernel.Fault{Code: kernel.DiskFull, Detail: err.Error()}, "append")
+		return errors.Wrap(&apierror.Error{Code: apierror.DiskFull, Detail: err.Error()}, "append")
 	}
 	if err != nil {
 		return errors.Wrap(err, "append")
@@ -182,7 +182,7 @@
 		_ = f.Close()
 		if noRoom(err) {
 			w.full.Store(true)
-			return errors.Wrap(&kernel.Fault{Code: kernel.DiskFull, Detail: err.Error()}, "new segment")
+			return errors.Wrap(&apierror.Error{Code: apierror.DiskFull, Detail: err.Error()}, "new segment")
 		}
 		return errors.Wrap(err, "new segment")
 	}
@@ -213,7 +213,7 @@
 	if w.cfg.Quota > 0 && w.used.Load()+size > w.cfg.Quota {
 		w.snapping <- covered{segments: w.closed, snapshots: w.kept}
 		w.closed = nil
-		marker.done <- kernel.Refuse(kernel.DiskFull, "a snapshot of %d bytes beside %d bytes used", size, w.used.Load())
+		marker.done <- apierror.Errorf(apierror.DiskFull, "a snapshot of %d bytes beside %d bytes used", size, w.used.Load())
 		return nil
 	}
 	if w.full.Load() {
@@ -237,7 +237,7 @@
 		w.used.Add(-made.size)
 		_ = w.disk.Remove(final + asideSuffix)
 		if noRoom(err) {
-			return before, &kernel.Fault{Code: kernel.DiskFull, Detail: err.Error()}
+			return before, &apierror.Error{Code: apierror.DiskFull, Detail: err.Error()}
 		}
 		return before, errors.Wrap(err, "snapshot")
 	}
--- a/internal/adapter/internalrpc/directory.go
+++ b/internal/adapter/internalrpc/directory.go
@@ -1,29 +1,32 @@
 package internalrpc
 
 import (
+	"context"
 	"math/rand/v2"
 	"slices"
 	"sync/atomic"
+	"time"
 
 	"connectrpc.com/connect"
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
 
 const (
-	helloAlone    = 50 * kernel.Millisecond  // while nobody else is known
-	helloBusy     = 250 * kernel.Millisecond // while the table still grows
-	helloInterval = 15 * kernel.Second
-	helloSettle   = 2 * kernel.Second // without news after which the table counts as settled
-	helloTimeout  = 700 * kernel.Millisecond
+	helloAlone    = 50 * time.Millisecond  // while nobody else is known
+	helloBusy     = 250 * time.Millisecond // while the table still grows
+	helloInterval = 15 * time.Second
+	helloSettle   = 2 * time.Second // without news after which the table counts as settled
+	helloTimeout  = 700 * time.Millisecond
 	helloSample   = 4
 	helloRecords  = 512
-	forgetAfter   = 10 * kernel.Minute
+	forgetAfter   = 10 * time.Minute
 )
 
 // Directory knows the processes of the fleet. It begins with the seeds'
@@ -32,14 +35,14 @@
 // after. What a core's feed and pings tell of processes is taken in as well.
 // One goroutine owns it; readers load an immutable table.
 type Directory struct {
-	clock   kernel.Clock
+	clock   clock.Clock
 	pool    *Pool
 	log     events.Log
 	seeds   []string
 	self    func() *wire.Process
 	counter uint64
 	random  *rand.Rand
-	news    kernel.Time // when a process or an incarnation was last new
+	news    time.Time // when a process or an incarnation was last new
 	hellos  chan []*wire.Process
 	table   atomic.Pointer[table]
 	vouched atomic.Pointer[attested]
@@ -48,7 +51,7 @@
 }
 
 // SetSeeds names other seeds from now on.
-func (d *Directory) SetSeeds(ctx kernel.Context, seeds []string) {
+func (d *Directory) SetSeeds(ctx context.Context, seeds []string) {
 	select {
 	case d.reseed <- seeds:
 	case <-ctx.Done():
@@ -63,7 +66,7 @@
 
 // NewDirectory returns a directory. Self gives the process's own record at each
 // call, with a counter that rises, or none; seeds are internal addresses, ip:port.
-func NewDirectory(pool *Pool, clock kernel.Clock, log events.Log, seeds []string, self func() *wire.Process) *Directory {
+func NewDirectory(pool *Pool, clock clock.Clock, log events.Log, seeds []string, self func() *wire.Process) *Directory {
 	name := self().Name
 	d := &Directory{
 		clock: clock, pool: pool, log: log, seeds: seeds, self: self,
@@ -98,9 +101,9 @@
 func (d *Directory) Client(address string) PeerClient { return d.pool.Client(address) }
 
 // Hello takes in the caller's record and its sample and answers with the same.
-func (d *Directory) Hello(ctx kernel.Context, req *wire.HelloRequest) (*wire.HelloResponse, error) {
+func (d *Directory) Hello(ctx context.Context, req *wire.HelloRequest) (*wire.HelloResponse, error) {
 	if len(req.Known) > helloRecords {
-		return nil, kernel.Refuse(kernel.BadField, "hello with %d records, at most %d", len(req.Known), helloRecords)
+		return nil, apierror.Errorf(apierror.BadField, "hello with %d records, at most %d", len(req.Known), helloRecords)
 	}
 	records := req.Known
 	if req.Self != nil {
@@ -127,7 +130,7 @@
 }
 
 // Serve keeps the directory until the context ends.
-func (d *Directory) Serve(ctx kernel.Context) error {
+func (d *Directory) Serve(ctx context.Context) error {
 	d.news = d.clock.Now()
 	d.merge([]*wire.Process{d.ownRecord()}, true)
 	for {
@@ -139,7 +142,7 @@
 			wait = helloBusy
 		}
 		d.greet(ctx)
-		wake, stop := kernel.Timer(wait)
+		wake, stop := clock.NewTimer(wait)
 	waiting:
 		for {
 			select {
@@ -167,7 +170,7 @@
 	return own
 }
 
-func (d *Directory) greet(ctx kernel.Context) {
+func (d *Directory) greet(ctx context.Context) {
 	own, _ := d.Process(d.self().Name)
 	targets := slices.Clone(d.seeds)
 	for _, p := range d.Processes() {
@@ -183,7 +186,7 @@
 	known := d.sample()
 	for _, address := range targets {
 		go func() {
-			callCtx, cancel := kernel.WithTimeout(ctx, helloTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 			defer cancel()
 			resp, err := d.pool.Client(address).Hello(callCtx, connect.NewRequest(&wire.HelloRequest{Self: own, Known: known}))
 			if err != nil {
@@ -241,7 +244,7 @@
 }
 
 // forget drops processes that nobody has told of for long.
-func (d *Directory) forget(next *edit, own string, now kernel.Time) {
+func (d *Directory) forget(next *edit, own string, now time.Time) {
 	vouched := d.vouched.Load().names
 	next.forget(func(s port.Sight) bool {
 		return now.Sub(s.Seen) >= forgetAfter && s.Process.Name != own && !vouched[s.Process.Name]
--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -12,8 +12,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/adapter/internalrpc"
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -43,7 +43,7 @@
 		seeds = append(seeds, fmt.Sprintf("127.0.1.%d:1", j))
 	}
 	pool := internalrpc.NewPool(net.Dialer(host), own.Address, secret)
-	directory := internalrpc.NewDirectory(pool, kernel.System(), events.Discard, seeds, func() *wire.Process {
+	directory := internalrpc.NewDirectory(pool, clock.System(), events.Discard, seeds, func() *wire.Process {
 		return &wire.Process{Name: own.Name, Address: own.Address, Core: own.Core, Front: true, Incarnation: 1}
 	})
 	listener, err := net.Listen(own.Address)
--- a/internal/adapter/internalrpc/pool.go
+++ b/internal/adapter/internalrpc/pool.go
@@ -4,16 +4,18 @@
 
 import (
 	"compress/gzip"
+	"context"
 	"crypto/sha256"
 	"crypto/subtle"
 	"io"
 	"net"
 	"net/http"
 	"sync/atomic"
+	"time"
 
 	"connectrpc.com/connect"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire/wireconnect"
 )
 
@@ -25,10 +27,10 @@
 	messageBound = 64 << 20
 	compressFrom = 16 << 10
 	headerBound  = 16 << 10
-	idleClient   = 3 * kernel.Second        // keeps the calls to cores on one connection, not those to seldom peers
-	pingAfter    = 700 * kernel.Millisecond // without a byte from the far side while calls are open
-	pingWait     = 700 * kernel.Millisecond
-	idleServer   = 20 * kernel.Second
+	idleClient   = 3 * time.Second        // keeps the calls to cores on one connection, not those to seldom peers
+	pingAfter    = 700 * time.Millisecond // without a byte from the far side while calls are open
+	pingWait     = 700 * time.Millisecond
+	idleServer   = 20 * time.Second
 )
 
 // Pool hands out clients by address. Calls to the process's own address stay
@@ -41,7 +43,7 @@
 }
 
 // Dial opens a connection, as net.Dialer's DialContext does.
-type Dial = func(ctx kernel.Context, network, address string) (net.Conn, error)
+type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewPool returns a pool that dials by dial; own is the advertised internal
 // address of this process.
@@ -88,7 +90,7 @@
 
 func secretInterceptor(secret string) connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
-		return func(ctx kernel.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
+		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			req.Header().Set(secretHeader, secret)
 			return next(ctx, req)
 		}
@@ -96,7 +98,7 @@
 }
 
 // Handler serves the peer protocol to callers that know the fleet's secret;
-// others get kernel.BadSecret before their body is read.
+// others get apierror.BadSecret before their body is read.
 func Handler(peer wireconnect.PeerHandler, secret string) http.Handler {
 	path, inner := wireconnect.NewPeerHandler(peer, connect.WithReadMaxBytes(messageBound),
 		connect.WithCompressMinBytes(compressFrom), fastGzip(), connect.WithInterceptors(faultInterceptor()))
@@ -105,7 +107,7 @@
 	mux.Handle(path, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got := sha256.Sum256([]byte(r.Header.Get(secretHeader)))
 		if subtle.ConstantTimeCompare(want[:], got[:]) != 1 {
-			kernel.ReplyFault(w, kernel.Refuse(kernel.BadSecret, "the fleet's secret does not match"), "")
+			apierror.WriteError(w, apierror.Errorf(apierror.BadSecret, "the fleet's secret does not match"), "")
 			return
 		}
 		inner.ServeHTTP(w, r)
@@ -128,7 +130,7 @@
 // number.
 func faultInterceptor() connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
-		return func(ctx kernel.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
+		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			resp, err := next(ctx, req)
 			if err == nil {
 				return resp, nil
@@ -136,7 +138,7 @@
 			if connect.CodeOf(err) != connect.CodeUnknown {
 				return nil, err
 			}
-			return nil, connect.NewError(connect.CodeUnavailable, kernel.AsFault(err))
+			return nil, connect.NewError(connect.CodeUnavailable, apierror.From(err))
 		}
 	})
 }
@@ -147,6 +149,6 @@
 	return &http.Server{
 		Protocols: protocols(true),
 		Handler:   handler, MaxHeaderBytes: headerBound,
-		ReadHeaderTimeout: 5 * kernel.Second, ReadTimeout: 30 * kernel.Second, IdleTimeout: idleServer,
+		ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: idleServer,
 	}
 }
--- a/internal/adapter/platform/platform.go
+++ b/internal/adapter/platform/platform.go
@@ -5,6 +5,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"io"
 	"math"
@@ -13,10 +14,10 @@
 	"net/netip"
 	"slices"
 	"sync/atomic"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -27,8 +28,8 @@
 type Config struct {
 	URL         string
 	Bind        string
-	Dial        func(ctx kernel.Context, network, address string) (net.Conn, error)
-	Timeout     kernel.Duration
+	Dial        func(ctx context.Context, network, address string) (net.Conn, error)
+	Timeout     time.Duration
 	ListLimit   int64
 	StatusLimit int64
 }
@@ -43,7 +44,7 @@
 // New returns a client. It dials nothing.
 func New(cfg Config) *Client {
 	if cfg.Timeout <= 0 {
-		cfg.Timeout = kernel.Second
+		cfg.Timeout = time.Second
 	}
 	if cfg.ListLimit <= 0 {
 		cfg.ListLimit = 8 << 20
@@ -59,7 +60,7 @@
 		cfg.Dial = dialer.DialContext
 	}
 	transport := &http.Transport{DialContext: cfg.Dial, MaxIdleConnsPerHost: 1,
-		IdleConnTimeout: 30 * kernel.Second, MaxResponseHeaderBytes: 16 << 10, DisableCompression: true}
+		IdleConnTimeout: 30 * time.Second, MaxResponseHeaderBytes: 16 << 10, DisableCompression: true}
 	return &Client{cfg: cfg, http: &http.Client{Transport: transport, CheckRedirect: noRedirect}}
 }
 
@@ -85,7 +86,7 @@
 
 // List reads the platform's list. Where the platform tags its content (ETag), an
 // unchanged list is not sent again; what is returned must not be changed.
-func (c *Client) List(ctx kernel.Context) (Listing, error) {
+func (c *Client) List(ctx context.Context) (Listing, error) {
 	held := c.held.Load()
 	etag := ""
 	if held != nil {
@@ -205,7 +206,7 @@
 // Status asks a server for its own status, which comes without its place. A
 // server that has no such call answers, with no figures. The error explains a
 // reach other than Answers, and figures that can't be read.
-func (c *Client) Status(ctx kernel.Context, name, address string) (*wire.ServerStatus, Reach, error) {
+func (c *Client) Status(ctx context.Context, name, address string) (*wire.ServerStatus, Reach, error) {
 	data, answer, err := c.get(ctx, "http://"+address+"/v1/status", c.cfg.StatusLimit, "")
 	status := 0
 	if answer != nil {
@@ -265,8 +266,8 @@
 
 var errTooLong = errors.New("the body is too long")
 
-func (c *Client) get(ctx kernel.Context, url string, limit int64, etag string) ([]byte, *http.Response, error) {
-	ctx, cancel := kernel.WithTimeout(ctx, c.cfg.Timeout)
+func (c *Client) get(ctx context.Context, url string, limit int64, etag string) ([]byte, *http.Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/adapter/upstream/answer.go
+++ b/internal/adapter/upstream/answer.go
@@ -1,17 +1,17 @@
 package upstream
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"strconv"
 	"strings"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // restMargin is kept free before the instant at which a server closes a
 // connection that rests.
-const restMargin = 300 * kernel.Millisecond
+const restMargin = 300 * time.Millisecond
 
 // Answer is a server's answer, whose body is still to be read. It must be
 // closed.
@@ -24,7 +24,7 @@
 	exchange *exchange
 	place    *endpoint
 	client   *Client
-	ctx      kernel.Context
+	ctx      context.Context
 	stop     func() bool
 	whole    bool
 	closed   bool
@@ -78,14 +78,14 @@
 }
 
 // rests returns how long a connection may rest after an answer.
-func (c *Client) rests(header http.Header) kernel.Duration {
+func (c *Client) rests(header http.Header) time.Duration {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		seconds, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !found {
 			continue
 		}
 		if n, err := strconv.Atoi(seconds); err == nil && n > 0 {
-			return kernel.Duration(n)*kernel.Second - restMargin
+			return time.Duration(n)*time.Second - restMargin
 		}
 	}
 	return c.config.IdleFor
--- a/internal/adapter/upstream/conn.go
+++ b/internal/adapter/upstream/conn.go
@@ -3,16 +3,16 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"io"
 	"net"
 	"net/http"
 	"strconv"
 	"sync"
 	"syscall"
+	"time"
 
 	"github.com/pkg/errors"
-
-	"stepwick/internal/kernel"
 )
 
 const (
@@ -41,7 +41,7 @@
 	gone       chan struct{} // closed when the reader has ended
 	silent     func()        // told when the far machine stopped to acknowledge at rest
 	once       sync.Once
-	restsUntil kernel.Time
+	restsUntil time.Time
 }
 
 // exchange is one request on a connection and the answer to it.
@@ -156,7 +156,7 @@
 }
 
 // await waits for the answer to an exchange.
-func (c *conn) await(ctx kernel.Context, ex *exchange) (*http.Response, *Failure) {
+func (c *conn) await(ctx context.Context, ex *exchange) (*http.Response, *Failure) {
 	var got result
 	select {
 	case got = <-ex.result:
