--- a/internal/adapter/upstream/upstream.go
+++ b/internal/adapter/upstream/upstream.go
@@ -8,26 +8,28 @@
 package upstream
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"sync/atomic"
 	"syscall"
+	"time"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
 // Config holds a client's bounds. Zero values take the defaults named.
 type Config struct {
-	Dial           func(ctx kernel.Context, network, address string) (net.Conn, error)
-	ConnectTimeout kernel.Duration // default 1s
-	HeaderMax      int64           // bytes of an answer's header; default 64 KiB
-	IdleMost       int             // connections kept idle for one server; default 64
+	Dial           func(ctx context.Context, network, address string) (net.Conn, error)
+	ConnectTimeout time.Duration // default 1s
+	HeaderMax      int64         // bytes of an answer's header; default 64 KiB
+	IdleMost       int           // connections kept idle for one server; default 64
 	// IdleFor is how long a connection may rest and be used again where the
 	// server did not say; default 400ms.
-	IdleFor kernel.Duration
-	Clock   kernel.Clock // default the machine's
+	IdleFor time.Duration
+	Clock   clock.Clock // default the machine's
 	// Silent is told the name of a server whose machine stopped to acknowledge
 	// while a connection to it rested; may be nil.
 	Silent func(server string)
@@ -38,7 +40,7 @@
 		c.Dial = (&net.Dialer{}).DialContext
 	}
 	if c.ConnectTimeout <= 0 {
-		c.ConnectTimeout = kernel.Second
+		c.ConnectTimeout = time.Second
 	}
 	if c.HeaderMax <= 0 {
 		c.HeaderMax = 64 << 10
@@ -47,10 +49,10 @@
 		c.IdleMost = 64
 	}
 	if c.IdleFor <= 0 {
-		c.IdleFor = 400 * kernel.Millisecond
+		c.IdleFor = 400 * time.Millisecond
 	}
 	if c.Clock == nil {
-		c.Clock = kernel.System()
+		c.Clock = clock.System()
 	}
 	return c
 }
@@ -121,7 +123,7 @@
 
 // Send sends a request to a server and returns its answer once the header is
 // there. The context bounds the attempt until the answer is closed.
-func (c *Client) Send(ctx kernel.Context, server Server, request *Request) (*Answer, *Failure) {
+func (c *Client) Send(ctx context.Context, server Server, request *Request) (*Answer, *Failure) {
 	place := c.endpoint(server)
 	for {
 		held := place.rested(c.config.Clock.Now())
@@ -183,7 +185,7 @@
 }
 
 // rested returns a connection that may be used again, or nil.
-func (e *endpoint) rested(now kernel.Time) *conn {
+func (e *endpoint) rested(now time.Time) *conn {
 	for {
 		select {
 		case held := <-e.idle:
@@ -217,8 +219,8 @@
 	}
 }
 
-func (c *Client) connect(ctx kernel.Context, server Server) (*conn, *Failure) {
-	bound, cancel := kernel.WithTimeout(ctx, c.config.ConnectTimeout)
+func (c *Client) connect(ctx context.Context, server Server) (*conn, *Failure) {
+	bound, cancel := context.WithTimeout(ctx, c.config.ConnectTimeout)
 	defer cancel()
 	raw, err := c.config.Dial(bound, "tcp", server.Address)
 	switch {
@@ -239,7 +241,7 @@
 }
 
 // Warm opens a connection to a server and keeps it for a request to come.
-func (c *Client) Warm(ctx kernel.Context, server Server) *Failure {
+func (c *Client) Warm(ctx context.Context, server Server) *Failure {
 	fresh, failure := c.connect(ctx, server)
 	if failure != nil {
 		return failure
@@ -251,7 +253,7 @@
 
 // attempt sends a request over a connection. Unsent means that the connection
 // had ended before anything was written.
-func (c *Client) attempt(ctx kernel.Context, place *endpoint, held *conn, request *Request) (*Answer, *Failure) {
+func (c *Client) attempt(ctx context.Context, place *endpoint, held *conn, request *Request) (*Answer, *Failure) {
 	if ctx.Err() != nil {
 		held.close()
 		return nil, &Failure{Kind: Withdrawn, Cause: ctx.Err()}
@@ -262,7 +264,7 @@
 		held.close()
 		return nil, &Failure{Kind: Unsent, Cause: errors.New("the connection has ended")}
 	}
-	stop := kernel.AfterFunc(ctx, held.close)
+	stop := context.AfterFunc(ctx, held.close)
 	if err := held.write(request); err != nil {
 		stop()
 		held.close()
@@ -279,7 +281,7 @@
 }
 
 // sent returns the failure of an attempt of which something was written.
-func sent(ctx kernel.Context, kind Kind, err error) *Failure {
+func sent(ctx context.Context, kind Kind, err error) *Failure {
 	switch {
 	case ctx.Err() != nil:
 		return &Failure{Kind: Withdrawn, Sent: true, Cause: ctx.Err()}
--- a/internal/adapter/upstream/upstream_test.go
+++ b/internal/adapter/upstream/upstream_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"io"
 	"net"
 	"net/http"
@@ -9,9 +10,9 @@
 	"testing"
 	"time"
 
-	. "github.com/smartystreets/goconvey/convey"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	. "github.com/smartystreets/goconvey/convey"
 )
 
 // scripted is a server that answers each connection by a script.
@@ -67,8 +68,8 @@
 		Matches: func(_ int, header http.Header) bool { return header.Get("Id") == id }}
 }
 
-func ctx(t *testing.T) kernel.Context {
-	c, cancel := kernel.WithTimeout(kernel.Background(), 10*kernel.Second)
+func ctx(t *testing.T) context.Context {
+	c, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	return c
 }
@@ -126,7 +127,7 @@
 		So(failure.Sent, ShouldBeFalse)
 	})
 	Convey("A machine that does not answer a dial is silent, and nothing was sent", t, func() {
-		c := New(Config{ConnectTimeout: kernel.Millisecond, Dial: func(ctx kernel.Context, _, _ string) (net.Conn, error) {
+		c := New(Config{ConnectTimeout: time.Millisecond, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}})
@@ -242,7 +243,7 @@
 			_, _ = in.Peek(1)
 			close(stopped)
 		})
-		giving, cancel := kernel.WithCancel(ctx(t))
+		giving, cancel := context.WithCancel(ctx(t))
 		go func() {
 			<-s.opened
 			cancel()
@@ -255,19 +256,19 @@
 
 // handClock is a clock that moves by hand.
 type handClock struct {
-	kernel.Clock
-	now kernel.Time
+	clock.Clock
+	now time.Time
 }
 
-func (c *handClock) Now() kernel.Time { return c.now }
+func (c *handClock) Now() time.Time { return c.now }
 
 func TestRest(t *testing.T) {
 	Convey("A connection rests as long as its server said, less a margin, and is not used after", t, func() {
 		s := serve(t, echo("Keep-Alive: timeout=2\r\n"))
-		clock := &handClock{kernel.System(), time.Unix(1000, 0)}
+		clock := &handClock{clock.System(), time.Unix(1000, 0)}
 		c := New(Config{Clock: clock})
 		defer c.Close()
-		for i, pause := range []kernel.Duration{0, 1600 * kernel.Millisecond, 1700 * kernel.Millisecond} {
+		for i, pause := range []time.Duration{0, 1600 * time.Millisecond, 1700 * time.Millisecond} {
 			clock.now = clock.now.Add(pause)
 			_, err := fetch(t, c, s.server(), "1")
 			So(err, ShouldBeNil)
--- a/internal/kernel/code.go
+++ b/internal/apierror/codes.go
@@ -1,11 +1,8 @@
-package kernel
+// Package apierror defines the result codes that clients and operators receive
+// and the error type that carries one.
+package apierror
 
-import (
-	"fmt"
-	"net/http"
-
-	"github.com/pkg/errors"
-)
+import "net/http"
 
 // Code numbers a result. Numbers never change meaning; docs/CODES.md is
 // written from Codes.
@@ -78,28 +75,28 @@
 	NotFound        Code = 5101
 )
 
-// Retry tells a client what to do after a result.
-type Retry string
+// RetryAdvice tells a client what to do after a result.
+type RetryAdvice string
 
 // Retry advice.
 const (
-	RetryNo    Retry = "no"    // the same request will get the same answer
-	RetryLater Retry = "later" // safe to send again, not before retry_after_ms
-	RetrySame  Retry = "same"  // send the same order id again: it is accepted once
-	RetryCheck Retry = "check" // the call may have run: find out before sending again
+	RetryNo    RetryAdvice = "no"    // the same request will get the same answer
+	RetryLater RetryAdvice = "later" // safe to send again, not before retry_after_ms
+	RetrySame  RetryAdvice = "same"  // send the same order id again: it is accepted once
+	RetryCheck RetryAdvice = "check" // the call may have run: find out before sending again
 )
 
-// CodeRow describes one result code.
-type CodeRow struct {
+// CodeInfo describes one result code.
+type CodeInfo struct {
 	Code   Code
 	Name   string
 	Status int // HTTP status
-	Retry  Retry
+	Retry  RetryAdvice
 	Help   string
 }
 
 // Codes is the table of result codes, in the order of their numbers.
-var Codes = []CodeRow{
+var Codes = []CodeInfo{
 	{OK, "ok", http.StatusOK, RetryNo, "The request was met."},
 	{BadJSON, "bad_json", http.StatusBadRequest, RetryNo, "The body is not one JSON value of the expected shape."},
 	{UnknownField, "unknown_field", http.StatusBadRequest, RetryNo, "The body has a field that the call does not know."},
@@ -159,55 +156,20 @@
 	{NotFound, "not_found", http.StatusNotFound, RetryNo, "Nothing is kept under this name."},
 }
 
-var codeRows = func() map[Code]CodeRow {
-	rows := make(map[Code]CodeRow, len(Codes))
-	for _, row := range Codes {
-		rows[row.Code] = row
+var infoByCode = func() map[Code]CodeInfo {
+	byCode := make(map[Code]CodeInfo, len(Codes))
+	for _, info := range Codes {
+		byCode[info.Code] = info
 	}
-	return rows
+	return byCode
 }()
 
-// Row returns the table's row of a code; an unknown code gives Internal's.
-func (c Code) Row() CodeRow {
-	if row, ok := codeRows[c]; ok {
-		return row
-	}
-	return codeRows[Internal]
-}
-
-func (c Code) String() string { return c.Row().Name }
-
-// Fault is an error with a result code. RetryAfter is how long the client
-// should wait before it asks again; zero where the advice is not to.
-type Fault struct {
-	Code       Code
-	Detail     string
-	RetryAfter Duration
-}
-
-func (f *Fault) Error() string {
-	if f.Detail == "" {
-		return fmt.Sprintf("%d %s", f.Code, f.Code)
+// Info returns the table's row of a code; that of Internal for an unknown one.
+func (c Code) Info() CodeInfo {
+	if info, ok := infoByCode[c]; ok {
+		return info
 	}
-	return fmt.Sprintf("%d %s: %s", f.Code, f.Code, f.Detail)
-}
-
-// Refuse returns a fault with a formatted detail.
-func Refuse(code Code, format string, args ...any) *Fault {
-	return &Fault{Code: code, Detail: fmt.Sprintf(format, args...)}
+	return infoByCode[Internal]
 }
 
-// After sets when to come back and returns the fault.
-func (f *Fault) After(d Duration) *Fault { f.RetryAfter = d; return f }
-
-// AsFault returns the fault in an error's chain; any other error becomes Internal.
-func AsFault(err error) *Fault {
-	if err == nil {
-		return nil
-	}
-	var f *Fault
-	if errors.As(err, &f) {
-		return f
-	}
-	return &Fault{Code: Internal, Detail: err.Error()}
-}
+func (c Code) String() string { return c.Info().Name }
--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -2,6 +2,7 @@
 package cli
 
 import (
+	"context"
 	"crypto/rand"
 	"encoding/hex"
 	"fmt"
@@ -13,8 +14,9 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/settings"
 )
 
@@ -28,18 +30,18 @@
 	Out       io.Writer
 	Err       io.Writer
 	Env       func(name string) string
-	Clock     kernel.Clock
+	Clock     clock.Clock
 	NewID     func() string
 	Transport http.RoundTripper
 	// Node runs a process of a role until its context ends.
-	Node func(ctx kernel.Context, role string, values *settings.Values, log events.Log) error
+	Node func(ctx context.Context, role string, values *settings.Values, log events.Log) error
 	// Processes are further commands that run a process.
 	Processes []*cobra.Command
 }
 
 // New returns an app on the machine's own input, output, environment and clock.
-func New(node func(kernel.Context, string, *settings.Values, events.Log) error) *App {
-	return &App{In: os.Stdin, Out: os.Stdout, Err: os.Stderr, Env: os.Getenv, Clock: kernel.System(),
+func New(node func(context.Context, string, *settings.Values, events.Log) error) *App {
+	return &App{In: os.Stdin, Out: os.Stdout, Err: os.Stderr, Env: os.Getenv, Clock: clock.System(),
 		NewID: newID, Transport: transport(), Node: node}
 }
 
@@ -50,31 +52,31 @@
 }
 
 // Main runs one command line and returns the exit code; see Exit.
-func (a *App) Main(ctx kernel.Context, args []string) int {
+func (a *App) Main(ctx context.Context, args []string) int {
 	root := a.root()
 	root.SetArgs(args)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
 		return 0
 	}
-	var fault *kernel.Fault
-	if !errors.As(err, &fault) {
+	var apiErr *apierror.Error
+	if !errors.As(err, &apiErr) {
 		fmt.Fprintf(a.Err, "stepwick: %s\n", err)
 		return ExitUsage
 	}
-	text := " " + told(fault)
+	text := " " + told(apiErr)
 	if strings.Contains(text, "\n") {
-		text = "\n  " + strings.ReplaceAll(told(fault), "\n", "\n  ")
+		text = "\n  " + strings.ReplaceAll(told(apiErr), "\n", "\n  ")
 	}
-	fmt.Fprintf(a.Err, "stepwick: %s (%d):%s\n", fault.Code, fault.Code, text)
-	return Exit(fault.Code)
+	fmt.Fprintf(a.Err, "stepwick: %s (%d):%s\n", apiErr.Code, apiErr.Code, text)
+	return Exit(apiErr.Code)
 }
 
-func told(fault *kernel.Fault) string {
-	if fault.Detail == "" {
-		return fault.Code.Row().Help
+func told(apiErr *apierror.Error) string {
+	if apiErr.Detail == "" {
+		return apiErr.Code.Info().Help
 	}
-	return fault.Detail
+	return apiErr.Detail
 }
 
 // Exit codes. They follow the advice on retries in the table of codes.
@@ -88,21 +90,21 @@
 )
 
 // Exit returns the exit code of a result code.
-func Exit(code kernel.Code) int {
+func Exit(code apierror.Code) int {
 	switch code {
-	case kernel.OK:
+	case apierror.OK:
 		return 0
-	case kernel.BadSetting:
+	case apierror.BadSetting:
 		return ExitUsage
-	case kernel.BaseMoved:
+	case apierror.BaseMoved:
 		return ExitMoved
 	}
-	switch code.Row().Retry {
-	case kernel.RetryNo:
+	switch code.Info().Retry {
+	case apierror.RetryNo:
 		return ExitNo
-	case kernel.RetryLater:
+	case apierror.RetryLater:
 		return ExitLater
-	case kernel.RetrySame:
+	case apierror.RetrySame:
 		return ExitSame
 	default:
 		return ExitInternal
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -13,8 +13,9 @@
 
 	"stepwick/internal/adapter/clientapi"
 	"stepwick/internal/adapter/controlapi"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/settings"
 )
 
@@ -142,8 +143,8 @@
 		write(t, "front.yaml", `{name: n1, region: lagos, zone: a, listen: {caller: "127.0.0.1:1", internal: "127.0.0.1:2"},
 seeds: ["127.0.0.1:3"], fleet.secret: 0123456789abcdef, disk.sync_delay: 5ms}`)
 		ctx, cancel := context.WithCancel(context.Background())
-		s.app.Clock = kernel.System()
-		s.app.Node = func(ctx kernel.Context, role string, values *settings.Values, log events.Log) error {
+		s.app.Clock = clock.System()
+		s.app.Node = func(ctx context.Context, role string, values *settings.Values, log events.Log) error {
 			So(role, ShouldEqual, "front")
 			So(values.String("name"), ShouldEqual, "n1")
 			cancel()
@@ -155,8 +156,8 @@
 		So(s.transcript.String(), ShouldContainSubstring, "event_name=process_stopped")
 		So(s.transcript.String(), ShouldContainSubstring, "event_name=proof_setting setting=disk.sync_delay value=5ms")
 
-		s.app.Node = func(kernel.Context, string, *settings.Values, events.Log) error {
-			return kernel.Refuse(kernel.BadRecord, "data/log-3 at 4096")
+		s.app.Node = func(context.Context, string, *settings.Values, events.Log) error {
+			return apierror.Errorf(apierror.BadRecord, "data/log-3 at 4096")
 		}
 		So(s.app.Main(ctx, []string{"front", "--config", "front.yaml"}), ShouldEqual, ExitNo)
 		So(s.transcript.String(), ShouldEndWith, "stepwick: bad_record (5007): data/log-3 at 4096\n")
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -10,21 +11,22 @@
 	"net/url"
 	"os"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/spf13/pflag"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/port"
 )
 
 const (
 	answerMax   = 64 << 20
-	resendAfter = 200 * kernel.Millisecond
+	resendAfter = 200 * time.Millisecond
 )
 
 func transport() http.RoundTripper {
-	return &http.Transport{DialContext: (&net.Dialer{Timeout: 2 * kernel.Second}).DialContext, DisableKeepAlives: true}
+	return &http.Transport{DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext, DisableKeepAlives: true}
 }
 
 // link is how an operator's command reaches the fleet.
@@ -32,13 +34,13 @@
 	app     *App
 	nodes   []string
 	keyFile string
-	timeout kernel.Duration
+	timeout time.Duration
 }
 
 func (l *link) register(flags *pflag.FlagSet) {
 	flags.StringSliceVar(&l.nodes, "node", nil, "caller addresses of nodes, tried in turn (default $STEPWICK_NODE)")
 	flags.StringVar(&l.keyFile, "key-file", "", "a file with the operator's key (default $STEPWICK_OPERATOR_KEY)")
-	flags.DurationVar(&l.timeout, "timeout", 10*kernel.Second, "how long one node may take to answer")
+	flags.DurationVar(&l.timeout, "timeout", 10*time.Second, "how long one node may take to answer")
 }
 
 func (l *link) addresses() ([]string, error) {
@@ -74,7 +76,7 @@
 	node   string
 	status int
 	body   []byte
-	fault  *kernel.Fault
+	apiErr *apierror.Error
 }
 
 // unreachable says why no node answered; maybe is set when one may have got the
@@ -86,13 +88,13 @@
 
 func (u *unreachable) Error() string { return strings.Join(u.lines, "\n") }
 
-func (u *unreachable) fault() *kernel.Fault {
-	return &kernel.Fault{Code: kernel.CoreUnreachable, Detail: u.Error()}
+func (u *unreachable) fault() *apierror.Error {
+	return &apierror.Error{Code: apierror.CoreUnreachable, Detail: u.Error()}
 }
 
 // ask sends one call to the nodes in turn, from the one numbered first on, and
 // returns the first answer.
-func (l *link) ask(ctx kernel.Context, first int, method, path string, body []byte) (*answer, error) {
+func (l *link) ask(ctx context.Context, first int, method, path string, body []byte) (*answer, error) {
 	nodes, err := l.addresses()
 	if err != nil {
 		return nil, err
@@ -132,8 +134,8 @@
 	return err.Error()
 }
 
-func (l *link) send(ctx kernel.Context, node, key, method, path string, body []byte) (*answer, error) {
-	ctx, cancel := kernel.WithTimeout(ctx, l.timeout)
+func (l *link) send(ctx context.Context, node, key, method, path string, body []byte) (*answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, bytes.NewReader(body))
 	if err != nil {
@@ -156,21 +158,21 @@
 	if resp.StatusCode == http.StatusOK {
 		return got, nil
 	}
-	var told kernel.FaultBody
-	if err := json.Unmarshal(data, &told); err != nil || told.Code == kernel.OK {
+	var told apierror.ErrorBody
+	if err := json.Unmarshal(data, &told); err != nil || told.Code == apierror.OK {
 		return nil, errors.Errorf("answered %s without a result code", resp.Status)
 	}
-	got.fault = &kernel.Fault{Code: told.Code, Detail: told.Detail, RetryAfter: kernel.Duration(told.RetryAfterMS) * kernel.Millisecond}
+	got.apiErr = &apierror.Error{Code: told.Code, Detail: told.Detail, RetryAfter: time.Duration(told.RetryAfterMS) * time.Millisecond}
 	return got, nil
 }
 
 // get asks for something that changes nothing.
-func (l *link) get(ctx kernel.Context, path string, into any) ([]byte, error) {
+func (l *link) get(ctx context.Context, path string, into any) ([]byte, error) {
 	nodes, err := l.addresses()
 	if err != nil {
 		return nil, err
 	}
-	var last *kernel.Fault
+	var last *apierror.Error
 	for i := range nodes {
 		got, err := l.ask(ctx, i, http.MethodGet, path, nil)
 		if failed, ok := err.(*unreachable); ok {
@@ -179,16 +181,16 @@
 		if err != nil {
 			return nil, err
 		}
-		if got.fault == nil {
+		if got.apiErr == nil {
 			if into != nil {
 				if err := json.Unmarshal(got.body, into); err != nil {
-					return nil, kernel.Refuse(kernel.BadAnswer, "%s: %v", got.node, err)
+					return nil, apierror.Errorf(apierror.BadAnswer, "%s: %v", got.node, err)
 				}
 			}
 			return got.body, nil
 		}
-		last = got.fault
-		if advice := last.Code.Row().Retry; advice == kernel.RetryNo {
+		last = got.apiErr
+		if advice := last.Code.Info().Retry; advice == apierror.RetryNo {
 			break
 		}
 	}
@@ -207,7 +209,7 @@
 
 // order sends an order and, while its outcome is pending, sends it again with
 // the same id, to the next node each time, until the wait ends.
-func (l *link) order(ctx kernel.Context, method, path, orderID string, body any, wait kernel.Duration) (*outcome, error) {
+func (l *link) order(ctx context.Context, method, path, orderID string, body any, wait time.Duration) (*outcome, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
@@ -217,46 +219,46 @@
 	for attempt := 0; ; attempt++ {
 		got, err := l.ask(ctx, attempt, method, path, data)
 		if ctx.Err() != nil {
-			return nil, kernel.Refuse(kernel.OutcomePending, "interrupted\nsend it again with --order-id %s", orderID)
+			return nil, apierror.Errorf(apierror.OutcomePending, "interrupted\nsend it again with --order-id %s", orderID)
 		}
 		failed, missed := err.(*unreachable)
 		if err != nil && !missed {
 			return nil, err
 		}
-		var fault *kernel.Fault
+		var apiErr *apierror.Error
 		pause := resendAfter
 		switch {
 		case missed:
 			reached = reached || failed.maybe
-			fault = failed.fault()
+			apiErr = failed.fault()
 			if !reached {
-				return nil, fault
+				return nil, apiErr
 			}
-		case got.fault == nil:
+		case got.apiErr == nil:
 			var done outcome
 			if err := json.Unmarshal(got.body, &done); err != nil {
-				return nil, kernel.Refuse(kernel.BadAnswer, "%s: %v", got.node, err)
+				return nil, apierror.Errorf(apierror.BadAnswer, "%s: %v", got.node, err)
 			}
 			return &done, nil
 		default:
-			fault = got.fault
-			if fault.Code.Row().Retry != kernel.RetrySame {
-				return nil, fault
+			apiErr = got.apiErr
+			if apiErr.Code.Info().Retry != apierror.RetrySame {
+				return nil, apiErr
 			}
-			reached = reached || fault.Code == kernel.OutcomePending
-			pause = max(pause, min(fault.RetryAfter, kernel.Second))
+			reached = reached || apiErr.Code == apierror.OutcomePending
+			pause = max(pause, min(apiErr.RetryAfter, time.Second))
 		}
 		if l.app.Clock.Now().Add(pause).After(until) {
 			if !reached {
-				return nil, fault
+				return nil, apiErr
 			}
-			return nil, kernel.Refuse(kernel.OutcomePending, "%s\nsend it again with --order-id %s", told(fault), orderID)
+			return nil, apierror.Errorf(apierror.OutcomePending, "%s\nsend it again with --order-id %s", told(apiErr), orderID)
 		}
-		fmt.Fprintf(l.app.Err, "pending: %s; sending order %s again\n", strings.ReplaceAll(told(fault), "\n", "; "), orderID)
+		fmt.Fprintf(l.app.Err, "pending: %s; sending order %s again\n", strings.ReplaceAll(told(apiErr), "\n", "; "), orderID)
 		select {
 		case <-l.app.Clock.After(pause):
 		case <-ctx.Done():
-			return nil, kernel.Refuse(kernel.OutcomePending, "interrupted\nsend it again with --order-id %s", orderID)
+			return nil, apierror.Errorf(apierror.OutcomePending, "interrupted\nsend it again with --order-id %s", orderID)
 		}
 	}
 }
--- a/internal/cli/data.go
+++ b/internal/cli/data.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/node/replica"
 )
 
@@ -69,7 +69,7 @@
 			}
 			switch {
 			case withSheet && found.Sheet == nil:
-				return kernel.Refuse(kernel.NoSheet, "%s holds no sheet", args[0])
+				return apierror.Errorf(apierror.NoSheet, "%s holds no sheet", args[0])
 			case withSheet:
 				return a.printJSON(found.Sheet)
 			case form == "json":
--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -14,9 +14,9 @@
 // three, a sheet, and a vote without an outcome.
 func keep(t *testing.T, folder string) {
 	t.Helper()
-	first, fault := sheet.ParseSheet([]byte(firstSheet), 1<<20)
-	if fault != nil {
-		t.Fatal(fault)
+	first, apiErr := sheet.ParseSheet([]byte(firstSheet), 1<<20)
+	if apiErr != nil {
+		t.Fatal(apiErr)
 	}
 	put := sheet.Encode(sheet.PutSheet{Order: sheet.Order{OrderID: "first", Operator: "ada", AtMS: 1}, Sheet: first})
 	records := []ballot.Record{
--- a/internal/cli/docs.go
+++ b/internal/cli/docs.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/settings"
 )
 
@@ -93,7 +93,7 @@
 | Code | Name | HTTP | Retry | Exit | Meaning |
 |---|---|---|---|---|---|
 `)
-	for _, row := range kernel.Codes {
+	for _, row := range apierror.Codes {
 		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %d | %s |\n", row.Code, row.Name, row.Status, row.Retry, Exit(row.Code), row.Help)
 	}
 	return b.String()
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -5,10 +5,12 @@
 	"fmt"
 	"net/url"
 	"strings"
+	"time"
 
-	"github.com/spf13/cobra"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	"github.com/spf13/cobra"
 )
 
 // explanation is why a request went where it went, as the front that handled
@@ -54,10 +56,10 @@
 		TookMS       float64 `json:"took_ms"`
 	} `json:"attempts"`
 	Outcome *struct {
-		Code   kernel.Code `json:"code"`
-		Name   string      `json:"name"`
-		Detail string      `json:"detail"`
-		TookMS float64     `json:"took_ms"`
+		Code   apierror.Code `json:"code"`
+		Name   string        `json:"name"`
+		Detail string        `json:"detail"`
+		TookMS float64       `json:"took_ms"`
 	} `json:"outcome"`
 }
 
@@ -84,7 +86,7 @@
 			}
 			var e explanation
 			if err := json.Unmarshal(body, &e); err != nil {
-				return kernel.Refuse(kernel.BadAnswer, "%v", err)
+				return apierror.Errorf(apierror.BadAnswer, "%v", err)
 			}
 			return a.printExplanation(&e)
 		},
@@ -95,7 +97,7 @@
 }
 
 func (a *App) printExplanation(e *explanation) error {
-	fmt.Fprintf(a.Out, "request %s, at front %s, %s\n", e.RequestID, e.Front, kernel.UnixMilli(e.AtMS).UTC().Format(kernel.RFC3339Milli))
+	fmt.Fprintf(a.Out, "request %s, at front %s, %s\n", e.RequestID, e.Front, time.UnixMilli(e.AtMS).UTC().Format(clock.RFC3339Milli))
 	if d := e.Admission; d != nil {
 		fmt.Fprintf(a.Out, "\nadmission\n  service %s, tenant %s, from region %s\n  epoch %d, plan %d of term %d\n",
 			d.Service, dash(d.Tenant), dash(d.Region), d.Epoch, d.Plan, d.PlanTerm)
--- a/internal/cli/locality.go
+++ b/internal/cli/locality.go
@@ -1,13 +1,14 @@
 package cli
 
 import (
+	"context"
 	"net/http"
 	"slices"
 	"strings"
 
-	"github.com/spf13/cobra"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	"github.com/spf13/cobra"
 )
 
 func (a *App) locality() *cobra.Command {
@@ -49,7 +50,7 @@
 
 // known says whether a node stands in a locality or region, so that a slip of
 // the pen isn't taken for an evacuation. What can't be asked is not in the way.
-func (l *link) known(ctx kernel.Context, locality string) error {
+func (l *link) known(ctx context.Context, locality string) error {
 	var s status
 	if _, err := l.get(ctx, controlPath+"status", &s); err != nil || s.Node == nil {
 		return nil
@@ -69,6 +70,6 @@
 		}
 	}
 	slices.Sort(localities)
-	return kernel.Refuse(kernel.UnknownLocality, "no node stands in %s; there are nodes in %s\n--force sends the order all the same",
+	return apierror.Errorf(apierror.UnknownLocality, "no node stands in %s; there are nodes in %s\n--force sends the order all the same",
 		locality, strings.Join(slices.Compact(localities), ", "))
 }
--- a/internal/cli/lookup.go
+++ b/internal/cli/lookup.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 )
 
 func (a *App) codes() *cobra.Command {
@@ -20,7 +20,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			t := a.table("CODE", "NAME", "HTTP", "RETRY", "EXIT", "HELP")
 			found := false
-			for _, row := range kernel.Codes {
+			for _, row := range apierror.Codes {
 				if len(args) == 0 || args[0] == row.Name || args[0] == strconv.Itoa(int(row.Code)) {
 					t.row(uint32(row.Code), row.Name, row.Status, row.Retry, Exit(row.Code), row.Help)
 					found = true
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -4,10 +4,11 @@
 	"encoding/json"
 	"fmt"
 	"strings"
+	"time"
 
 	"github.com/spf13/cobra"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -32,7 +33,7 @@
 			}
 			var plan wire.Plan
 			if err := json.Unmarshal(body, &plan); err != nil {
-				return kernel.Refuse(kernel.BadAnswer, "%v", err)
+				return apierror.Errorf(apierror.BadAnswer, "%v", err)
 			}
 			return a.printPlan(&plan)
 		},
@@ -44,7 +45,7 @@
 
 func (a *App) printPlan(plan *wire.Plan) error {
 	fmt.Fprintf(a.Out, "plan %d of term %d by %s, for epoch %d; made at %s for %s; cause: %s\n\n", plan.Number, plan.Term, plan.Holder, plan.Epoch,
-		kernel.UnixMilli(plan.AtMs).UTC().Format("2006-01-02T15:04:05Z"), kernel.Duration(plan.PeriodMs)*kernel.Millisecond, plan.Cause)
+		time.UnixMilli(plan.AtMs).UTC().Format("2006-01-02T15:04:05Z"), time.Duration(plan.PeriodMs)*time.Millisecond, plan.Cause)
 	t := a.table("SERVICE", "FROM", "SHARES")
 	for at := 0; at < len(plan.Shares); {
 		first := plan.Shares[at]
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -1,13 +1,13 @@
 package cli
 
 import (
+	"context"
 	"runtime/debug"
 
 	"github.com/go-kit/log"
 	"github.com/spf13/cobra"
 
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/settings"
 )
 
@@ -45,13 +45,13 @@
 }
 
 // Serve runs a process of a role, with a log on the app's standard error.
-func (a *App) Serve(ctx kernel.Context, role string, values *settings.Values,
-	node func(kernel.Context, string, *settings.Values, events.Log) error) error {
+func (a *App) Serve(ctx context.Context, role string, values *settings.Values,
+	node func(context.Context, string, *settings.Values, events.Log) error) error {
 	debug.SetGCPercent(values.Int("memory.gc"))
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(a.Err)), "node", values.String("name"))
 	stream := events.New(logger, a.Clock)
 	stream.SetLevel(events.Level(values.String("log.level")))
-	logging, stop := kernel.WithCancel(kernel.Background())
+	logging, stop := context.WithCancel(context.Background())
 	written := make(chan error, 1)
 	go func() { written <- stream.Serve(logging) }()
 	defer func() {
--- a/internal/cli/sheet.go
+++ b/internal/cli/sheet.go
@@ -2,18 +2,20 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"os"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 const controlPath = "/v1/control/"
@@ -26,7 +28,7 @@
 	Evacuated  map[string]uint64 `json:"evacuated,omitempty"`
 }
 
-func (l *link) sheet(ctx kernel.Context) (*held, error) {
+func (l *link) sheet(ctx context.Context) (*held, error) {
 	var got held
 	if _, err := l.get(ctx, controlPath+"sheet", &got); err != nil {
 		return nil, err
@@ -37,14 +39,14 @@
 type ordering struct {
 	base    uint64
 	orderID string
-	wait    kernel.Duration
+	wait    time.Duration
 	dryRun  bool
 	quiet   bool
 }
 
 func (o *ordering) register(flags *pflag.FlagSet, sheets bool) {
 	flags.StringVar(&o.orderID, "order-id", "", "the order's id; a random one when empty. The same id is accepted once")
-	flags.DurationVar(&o.wait, "wait", 15*kernel.Second, "how long to send the order again while its outcome is pending")
+	flags.DurationVar(&o.wait, "wait", 15*time.Second, "how long to send the order again while its outcome is pending")
 	if sheets {
 		flags.Uint64Var(&o.base, "base", 0, "the sheet epoch that the change builds on (default: that of the file if it has one, else the newest)")
 		flags.BoolVar(&o.dryRun, "dry-run", false, "show the difference and stop")
@@ -134,24 +136,24 @@
 		return nil, 0, err
 	}
 	if strings.HasSuffix(name, ".csv") || bytes.HasPrefix(bytes.TrimPrefix(data, []byte("\ufeff")), []byte("cell,value")) {
-		next, fault := sheet.ImportCSV(data, sheet.MaxBytes)
-		return next, 0, nilable(fault)
+		next, apiErr := sheet.ImportCSV(data, sheet.MaxBytes)
+		return next, 0, nilable(apiErr)
 	}
 	var around struct {
 		SheetEpoch uint64          `json:"sheet_epoch"`
 		Sheet      json.RawMessage `json:"sheet"`
 	}
 	if json.Unmarshal(data, &around) == nil && len(around.Sheet) > 0 {
-		next, fault := sheet.ParseSheet(around.Sheet, sheet.MaxBytes)
-		return next, around.SheetEpoch, nilable(fault)
+		next, apiErr := sheet.ParseSheet(around.Sheet, sheet.MaxBytes)
+		return next, around.SheetEpoch, nilable(apiErr)
 	}
-	next, fault := sheet.ParseSheet(data, sheet.MaxBytes)
-	return next, 0, nilable(fault)
+	next, apiErr := sheet.ParseSheet(data, sheet.MaxBytes)
+	return next, 0, nilable(apiErr)
 }
 
-func nilable(fault *kernel.Fault) error {
-	if fault == nil {
+func nilable(apiErr *apierror.Error) error {
+	if apiErr == nil {
 		return nil
 	}
-	return fault
+	return apiErr
 }
--- a/internal/cli/sheethistory.go
+++ b/internal/cli/sheethistory.go
@@ -6,12 +6,12 @@
 	"net/url"
 	"os"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 func (a *App) sheetHistory(l *link) *cobra.Command {
@@ -42,7 +42,7 @@
 			}
 			t := a.table("EPOCH", "TIME", "OPERATOR", "ORDER", "WHAT", "ORDER ID")
 			for _, r := range orders {
-				t.row(r.Epoch, kernel.UnixMilli(r.AtMS).UTC().Format("2006-01-02T15:04:05Z"), r.Operator, r.Verb, r.Summary, r.OrderID)
+				t.row(r.Epoch, time.UnixMilli(r.AtMS).UTC().Format("2006-01-02T15:04:05Z"), r.Operator, r.Verb, r.Summary, r.OrderID)
 			}
 			return t.print()
 		},
--- a/internal/cli/sheetput.go
+++ b/internal/cli/sheetput.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/settings"
 )
 
@@ -108,12 +108,12 @@
 			var changes []sheet.Change
 			var problems []string
 			for _, text := range sets {
-				change, fault := sheet.ParseChange(text)
-				if fault == nil {
-					fault = checkSetting(change)
+				change, apiErr := sheet.ParseChange(text)
+				if apiErr == nil {
+					apiErr = checkSetting(change)
 				}
-				if fault != nil {
-					problems = append(problems, fault.Detail)
+				if apiErr != nil {
+					problems = append(problems, apiErr.Detail)
 				}
 				changes = append(changes, change)
 			}
@@ -121,7 +121,7 @@
 				changes = append(changes, sheet.Change{Path: path, Delete: true})
 			}
 			if len(problems) > 0 {
-				return kernel.Refuse(kernel.InvalidChange, "%s", strings.Join(problems, "\n"))
+				return apierror.Errorf(apierror.InvalidChange, "%s", strings.Join(problems, "\n"))
 			}
 			if len(changes) == 0 {
 				return errors.New("no change given: --set CELL=VALUE or --delete CELL")
@@ -135,17 +135,17 @@
 	return command
 }
 
-func checkSetting(change sheet.Change) *kernel.Fault {
+func checkSetting(change sheet.Change) *apierror.Error {
 	name, ok := strings.CutPrefix(change.Path, "settings.")
 	if !ok {
 		return nil
 	}
 	var value string
 	if err := json.Unmarshal(change.Value, &value); err != nil {
-		return kernel.Refuse(kernel.InvalidChange, "%s: %v", change.Path, err)
+		return apierror.Errorf(apierror.InvalidChange, "%s: %v", change.Path, err)
 	}
 	if err := settings.CheckRuntime(name, value); err != nil {
-		return kernel.Refuse(kernel.InvalidChange, "%s: %v", change.Path, err)
+		return apierror.Errorf(apierror.InvalidChange, "%s: %v", change.Path, err)
 	}
 	return nil
 }
@@ -161,9 +161,9 @@
 			o.base = current.SheetEpoch
 		}
 		if o.base == current.SheetEpoch {
-			next, fault := current.Sheet.Patch(changes)
-			if fault != nil {
-				return fault
+			next, apiErr := current.Sheet.Patch(changes)
+			if apiErr != nil {
+				return apiErr
 			}
 			a.showDiff(o, current.Sheet, next)
 		}
--- a/internal/cli/standin_test.go
+++ b/internal/cli/standin_test.go
@@ -12,8 +12,9 @@
 	"testing"
 	"time"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 const operatorKey = "ada's key"
@@ -30,9 +31,9 @@
 
 func newStandIn(t *testing.T, first string) *standIn {
 	s := &standIn{bodies: map[string]string{}}
-	parsed, fault := sheet.ParseSheet([]byte(first), 1<<20)
-	if fault != nil {
-		t.Fatal(fault)
+	parsed, apiErr := sheet.ParseSheet([]byte(first), 1<<20)
+	if apiErr != nil {
+		t.Fatal(apiErr)
 	}
 	s.state.Sheet, s.state.SheetEpoch, s.state.Epoch = parsed, 17, 17
 	return s
@@ -40,7 +41,7 @@
 
 func (s *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Authorization") != "Bearer "+operatorKey {
-		kernel.ReplyFault(w, kernel.Refuse(kernel.OperatorUnknown, ""), "")
+		apierror.WriteError(w, apierror.Errorf(apierror.OperatorUnknown, ""), "")
 		return
 	}
 	path := strings.TrimPrefix(r.URL.Path, controlPath)
@@ -52,11 +53,11 @@
 		"POST restore": sheet.VerbRestore, "POST members/remove": sheet.VerbRemove}[r.Method+" "+path]
 	switch {
 	case path == "sheet" && r.Method == http.MethodGet:
-		kernel.Reply(w, http.StatusOK, held{s.state.Epoch, s.state.SheetEpoch, s.state.Sheet, s.state.Evacuated})
+		apierror.WriteJSON(w, http.StatusOK, held{s.state.Epoch, s.state.SheetEpoch, s.state.Sheet, s.state.Evacuated})
 	case path == "history":
-		kernel.Reply(w, http.StatusOK, map[string]any{"history": s.state.History})
+		apierror.WriteJSON(w, http.StatusOK, map[string]any{"history": s.state.History})
 	case verb == "":
-		kernel.ReplyFault(w, kernel.Refuse(kernel.NotFound, "%s", path), "")
+		apierror.WriteError(w, apierror.Errorf(apierror.NotFound, "%s", path), "")
 	default:
 		s.order(w, r, verb)
 	}
@@ -64,9 +65,9 @@
 
 func (s *standIn) order(w http.ResponseWriter, r *http.Request, verb string) {
 	body, _ := io.ReadAll(r.Body)
-	command, fault := sheet.ParseOrder(verb, "ada", body, sheet.Limits{Bytes: 1 << 20}, 1790000000000)
-	if fault != nil {
-		kernel.ReplyFault(w, fault, "")
+	command, apiErr := sheet.ParseOrder(verb, "ada", body, sheet.Limits{Bytes: 1 << 20}, 1790000000000)
+	if apiErr != nil {
+		apierror.WriteError(w, apiErr, "")
 		return
 	}
 	order, _ := sheet.OrderOf(command)
@@ -78,21 +79,21 @@
 	}
 	switch {
 	case result.Fault() != nil:
-		kernel.ReplyFault(w, result.Fault(), "")
+		apierror.WriteError(w, result.Fault(), "")
 	case s.lost > 0:
 		s.lost--
 		panic(http.ErrAbortHandler)
 	case s.pending > 0:
 		s.pending--
-		kernel.ReplyFault(w, kernel.Refuse(kernel.OutcomePending, "waiting for front-4").After(300*kernel.Millisecond), "")
+		apierror.WriteError(w, apierror.Errorf(apierror.OutcomePending, "waiting for front-4").WithRetryAfter(300*time.Millisecond), "")
 	default:
-		kernel.Reply(w, http.StatusOK, outcome{result.Epoch, result.SheetEpoch, true, 9, 9, order.OrderID})
+		apierror.WriteJSON(w, http.StatusOK, outcome{result.Epoch, result.SheetEpoch, true, 9, 9, order.OrderID})
 	}
 }
 
 // quick is a clock whose waits end at once and move it on.
 type quick struct {
-	kernel.Clock
+	clock.Clock
 	now time.Time
 }
 
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -6,19 +6,20 @@
 	"maps"
 	"slices"
 	"strings"
+	"time"
 
 	"github.com/spf13/cobra"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 // status is the fleet as a core sees it, and the asked node as it sees itself.
 // Fleet is nil where no core answered; Fault then says why.
 type status struct {
-	Fleet *fleetStatus      `json:"fleet"`
-	Fault *kernel.FaultBody `json:"fleet_fault"`
-	Node  *nodeStatus       `json:"node"`
+	Fleet *fleetStatus        `json:"fleet"`
+	Fault *apierror.ErrorBody `json:"fleet_fault"`
+	Node  *nodeStatus         `json:"node"`
 	// Tenants are those that the asked node serves.
 	Tenants []tenantView `json:"-"`
 }
@@ -93,7 +94,7 @@
 func (a *App) status() *cobra.Command {
 	l := &link{app: a}
 	var format string
-	var wait kernel.Duration
+	var wait time.Duration
 	command := &cobra.Command{
 		Use:   "status",
 		Short: "Show nodes, epochs, leases, roster, servers, plan, evacuations and tenants",
@@ -138,7 +139,7 @@
 					err = a.printStatus(&s)
 				}
 				if err == nil && wait > 0 && lacks != "" {
-					return kernel.Refuse(kernel.NotRuling, "after %s: %s", wait, lacks)
+					return apierror.Errorf(apierror.NotRuling, "after %s: %s", wait, lacks)
 				}
 				return err
 			}
@@ -214,7 +215,7 @@
 func (a *App) printStatusJSON(body, tenants []byte) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return kernel.Refuse(kernel.BadAnswer, "%v", err)
+		return apierror.Errorf(apierror.BadAnswer, "%v", err)
 	}
 	if len(tenants) > 0 {
 		fields["tenants"] = tenants
--- a/internal/cli/tally.go
+++ b/internal/cli/tally.go
@@ -4,10 +4,11 @@
 	"encoding/json"
 	"fmt"
 	"slices"
+	"time"
 
-	"github.com/spf13/cobra"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	"github.com/spf13/cobra"
 )
 
 // tenantView is what a front knows of one tenant's spend, in tokens. Age is in
@@ -22,7 +23,7 @@
 	Reserved float64
 	Marked   bool
 	Holder   string
-	Age      kernel.Duration
+	Age      time.Duration
 }
 
 func (a *App) tally() *cobra.Command {
@@ -52,7 +53,7 @@
 			}
 			var views []tenantView
 			if err := json.Unmarshal(body, &views); err != nil {
-				return kernel.Refuse(kernel.BadAnswer, "%v", err)
+				return apierror.Errorf(apierror.BadAnswer, "%v", err)
 			}
 			if wanted != "" {
 				views = slices.DeleteFunc(views, func(v tenantView) bool { return v.Tenant != wanted })
@@ -70,7 +71,7 @@
 	for _, v := range views {
 		age := "never"
 		if v.Age >= 0 {
-			age = v.Age.Round(kernel.Millisecond).String()
+			age = v.Age.Round(time.Millisecond).String()
 		}
 		t.row(v.Tenant, round(v.Limit), round(v.Blend), round(v.Recent), round(v.Own), round(v.Share), yes(v.Marked), v.Holder, age)
 	}
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -13,11 +13,12 @@
 	"time"
 
 	"stepwick/internal/adapter/clientapi"
+	"stepwick/internal/apierror"
 	"stepwick/internal/cli"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/node/front"
@@ -73,7 +74,7 @@
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	world := node.World{Clock: kernel.System(), Listen: s.net.Listen, Dial: s.net.Dialer(host)}
+	world := node.World{Clock: clock.System(), Listen: s.net.Listen, Dial: s.net.Dialer(host)}
 	go func() { _ = node.RunIn(s.ctx, world, role, values, events.Discard) }()
 }
 
@@ -82,7 +83,7 @@
 	var out bytes.Buffer
 	env := map[string]string{"STEPWICK_OPERATOR_KEY": operatorKey, "STEPWICK_NODE": frontAddress}
 	app := &cli.App{Out: &out, Err: &out, In: strings.NewReader(""), Env: func(name string) string { return env[name] },
-		Clock: kernel.System(), NewID: func() string { return "made" }}
+		Clock: clock.System(), NewID: func() string { return "made" }}
 	ctx := context.Background()
 	if s != nil {
 		app.Transport, ctx = s.client.Transport, s.ctx
@@ -95,7 +96,7 @@
 // command line gives for it.
 func exitList() string {
 	var out strings.Builder
-	for _, row := range kernel.Codes {
+	for _, row := range apierror.Codes {
 		fmt.Fprintf(&out, "%d exits %d\n", row.Code, cli.Exit(row.Code))
 	}
 	return out.String()
@@ -104,25 +105,25 @@
 // filledValues returns what programs read, with every field filled, by its name.
 func filledValues() map[string]any {
 	at := time.UnixMilli(orderedAtMS).UTC()
-	fault := kernel.Refuse(kernel.QuotaExceeded, "press has 24000 tokens in a window").After(8531 * kernel.Millisecond)
-	body := fault.Body("r-3")
+	apiErr := apierror.Errorf(apierror.QuotaExceeded, "press has 24000 tokens in a window").WithRetryAfter(8531 * time.Millisecond)
+	body := apiErr.Body("r-3")
 	body.Epoch = 17
 	plan := &wire.Plan{}
 	fillMessage(plan.ProtoReflect(), 0)
 	return map[string]any{
 		"error":       body,
-		"error least": kernel.Refuse(kernel.OperatorUnknown, "").Body(""),
+		"error least": apierror.Errorf(apierror.OperatorUnknown, "").Body(""),
 		"connect":     clientapi.Nearest{RequestID: "r-1", Service: "chat", Region: "lagos", Nodes: []clientapi.Node{{Name: "n1", Address: coreAddress, Region: "lagos", Zone: "a"}}},
 		"plan":        plan,
 		"tally": []tally.TenantView{{Tenant: "press", Limit: 12000, Blend: 5200.5, Recent: 5100, Own: 700, Share: 900, Reserved: 1,
-			Marked: true, Holder: "n1", Age: 120 * kernel.Millisecond}},
+			Marked: true, Holder: "n1", Age: 120 * time.Millisecond}},
 		"explain": front.Explanation{RequestID: "r-1", Front: "n2", AtMS: at.UnixMilli(),
 			Admission: &front.Admission{Service: "chat", Tenant: "press", Region: "lagos", Home: "lagos", Epoch: 21, PlanTerm: 2, Plan: 44,
 				Tokens: 700, Passed: true, Blend: 5200, Prev: 6000, Cur: 2200, Recent: 5100, Limit: 12000, Marked: true, Fault: "2001 quota_exceeded"},
 			Routings: []*front.Routing{{Server: "m1", Region: "lagos", Fault: "2009 budget_spent", WaitedMS: 0.5,
 				Candidates: []front.Candidate{{Server: "m1", Score: 0.81, Excluded: "draining"}}}},
 			Attempts: []*front.Attempt{{Server: "m1", Ended: "whole", Detail: "said so", Events: 40, FirstEventMS: 310.25, TookMS: 900}},
-			Outcome:  &front.Outcome{Code: kernel.StreamCut, Name: "stream_cut", Detail: "the server went away", TookMS: 903.25}},
+			Outcome:  &front.Outcome{Code: apierror.StreamCut, Name: "stream_cut", Detail: "the server went away", TookMS: 903.25}},
 		"node": follow.Status{Name: "n2", Locality: "lagos/a", Epoch: 21, SheetEpoch: 20, Ruling: true, By: "lease", Plan: 44, PlanTerm: 2,
 			PlanHolder: "n1", Servers: map[string]string{"m1": "ready"}, Roster: []string{"n1", "n2"}, Fronts: []string{"n1"}, FleetTimeMS: orderedAtMS},
 		"data": replica.Contents{Core: "a", Formation: "a-1", Voters: []string{"a"}, Standing: "voting", DiskLife: 1, Version: 2,
@@ -135,7 +136,7 @@
 
 // faultAnswer returns a refusal as it is written to a client.
 func faultAnswer(w http.ResponseWriter) {
-	kernel.ReplyFault(w, kernel.Refuse(kernel.QuotaExceeded, "the <allowance> is spent").After(8531*kernel.Millisecond), "r-3")
+	apierror.WriteError(w, apierror.Errorf(apierror.QuotaExceeded, "the <allowance> is spent").WithRetryAfter(8531*time.Millisecond), "r-3")
 }
 
 // sheetFile writes a sheet for the site and returns its path.
--- a/internal/compat/adapt_lists_test.go
+++ b/internal/compat/adapt_lists_test.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"strings"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 )
 
 // codeList returns one line for each result code.
 func codeList() string {
 	var out strings.Builder
-	for _, row := range kernel.Codes {
+	for _, row := range apierror.Codes {
 		fmt.Fprintf(&out, "%d %s %d %s\n", row.Code, row.Name, row.Status, row.Retry)
 	}
 	return out.String()
--- a/internal/compat/adapt_log_test.go
+++ b/internal/compat/adapt_log_test.go
@@ -7,21 +7,22 @@
 
 	"github.com/go-kit/log"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 )
 
 // logEvents writes two events of the log, the second of them more often than
 // its bound; it needs a synctest bubble.
 func logEvents(out io.Writer) {
-	stream := events.New(log.NewLogfmtLogger(out), kernel.System())
+	stream := events.New(log.NewLogfmtLogger(out), clock.System())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = stream.Serve(ctx)
 	}()
-	stream.Emit(events.OrderChosen, "order", "first", "epoch", 7, "code", kernel.BaseMoved, "took", 1500*time.Millisecond, "text", `two "words"`)
+	stream.Emit(events.OrderChosen, "order", "first", "epoch", 7, "code", apierror.BaseMoved, "took", 1500*time.Millisecond, "text", `two "words"`)
 	for range 30 {
 		stream.Emit(events.PeerSilent, "peer", "n2")
 	}
--- a/internal/compat/adapt_metrics_test.go
+++ b/internal/compat/adapt_metrics_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/front"
 	"stepwick/internal/node/gateway"
 	"stepwick/internal/node/spend"
@@ -24,11 +24,11 @@
 	var err error
 	switch part {
 	case "front":
-		_, err = front.New(front.Config{Name: "n1"}, nil, nil, kernel.System(), events.Discard, registry)
+		_, err = front.New(front.Config{Name: "n1"}, nil, nil, clock.System(), events.Discard, registry)
 	case "gateway":
-		_, err = gateway.New(gateway.Config{}, nil, nil, nil, kernel.System(), events.Discard, registry)
+		_, err = gateway.New(gateway.Config{}, nil, nil, nil, clock.System(), events.Discard, registry)
 	case "spend":
-		_, err = spend.New(spend.Config{Self: "n1", Metrics: registry}, nil, kernel.System(), nil, nil, events.Discard)
+		_, err = spend.New(spend.Config{Self: "n1", Metrics: registry}, nil, clock.System(), nil, nil, events.Discard)
 	default:
 		t.Fatalf("no part %s", part)
 	}
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -18,10 +18,10 @@
 	"connectrpc.com/connect"
 
 	"stepwick/internal/adapter/disklog"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/ballot"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/replica"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -37,9 +37,9 @@
 
 // encodeBody returns the stored bytes of an operator's order.
 func encodeBody(verb, operator, body string) (string, error) {
-	command, fault := sheet.ParseOrder(verb, operator, []byte(body), sheet.Limits{Bytes: 1 << 20}, orderedAtMS)
-	if fault != nil {
-		return "", fault
+	command, apiErr := sheet.ParseOrder(verb, operator, []byte(body), sheet.Limits{Bytes: 1 << 20}, orderedAtMS)
+	if apiErr != nil {
+		return "", apiErr
 	}
 	return string(sheet.Encode(command)), nil
 }
@@ -55,9 +55,9 @@
 
 // recodeSheet reads a sheet as an operator writes it and returns its JSON.
 func recodeSheet(text string) (string, error) {
-	parsed, fault := sheet.ParseSheet([]byte(text), 1<<20)
-	if fault != nil {
-		return "", fault
+	parsed, apiErr := sheet.ParseSheet([]byte(text), 1<<20)
+	if apiErr != nil {
+		return "", apiErr
 	}
 	data, err := json.Marshal(parsed)
 	return string(data), err
@@ -242,7 +242,7 @@
 	for _, name := range names {
 		disk := disklog.Config{Folder: filepath.Join(f.root, name), SegmentBytes: segmentBytes, ReserveBytes: reserveBytes}
 		core := replica.New(replica.Config{Self: name, SnapshotRecords: snapshotRecords, Seed: 7}, replica.OnDisk(disk),
-			peers{f, name}, kernel.System(), events.Discard)
+			peers{f, name}, clock.System(), events.Discard)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -350,7 +350,7 @@
 }
 
 func reach[Q, A any](ctx context.Context, c client, req *connect.Request[Q],
-	handler func(*replica.Replica, kernel.Context, *Q) (*A, error)) (*connect.Response[A], error) {
+	handler func(*replica.Replica, context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
 	to := c.fleet.cores[c.to].Load()
 	if to == nil {
 		return nil, syscall.ECONNREFUSED
--- a/internal/core/balance/cost.go
+++ b/internal/core/balance/cost.go
@@ -1,9 +1,9 @@
 package balance
 
 import (
-	"github.com/cespare/xxhash/v2"
+	"time"
 
-	"stepwick/internal/kernel"
+	"github.com/cespare/xxhash/v2"
 )
 
 // Costs in milliseconds of a client's waiting.
@@ -26,7 +26,7 @@
 )
 
 // cost is what it takes to have a request served by a server.
-func (t *Table) cost(s *server, request *Request, holder *server, now kernel.Time) float64 {
+func (t *Table) cost(s *server, request *Request, holder *server, now time.Time) float64 {
 	perToken := t.speed(request.Service).perToken()
 	cost := s.backlog*perToken + float64(s.inFlight)*perRequestCost
 	if !t.config.Off[ReadAgain] {
@@ -70,7 +70,7 @@
 // holder returns the server on which all nodes agree for a shared prompt: the
 // highest by rendezvous hash among those that may serve it, whether it has room
 // or not.
-func (t *Table) holder(request *Request, now kernel.Time) *server {
+func (t *Table) holder(request *Request, now time.Time) *server {
 	if request.Affinity == 0 || t.config.Off[Affinity] {
 		return nil
 	}
@@ -102,8 +102,8 @@
 }
 
 // note takes in how long an answer took to begin.
-func (s *speed) note(took kernel.Duration) {
-	ms := float64(took) / float64(kernel.Millisecond)
+func (s *speed) note(took time.Duration) {
+	ms := float64(took) / float64(time.Millisecond)
 	if s.typical == 0 {
 		s.typical = ms
 		return
@@ -113,12 +113,12 @@
 
 // expected returns how long an answer takes to begin at a server that has so
 // many tokens to read.
-func (s *speed) expected(tokens float64) kernel.Duration {
+func (s *speed) expected(tokens float64) time.Duration {
 	typical := s.typical
 	if typical == 0 {
 		typical = typicalDefault
 	}
-	return kernel.Duration((typical + tokens*s.perToken()) * float64(kernel.Millisecond))
+	return time.Duration((typical + tokens*s.perToken()) * float64(time.Millisecond))
 }
 
 const (
@@ -132,11 +132,11 @@
 	speedHigh    = 1.0
 )
 
-func (s *speed) learn(tokens float64, took kernel.Duration) {
+func (s *speed) learn(tokens float64, took time.Duration) {
 	if tokens <= 0 {
 		return
 	}
-	ms := float64(took) / float64(kernel.Millisecond)
+	ms := float64(took) / float64(time.Millisecond)
 	for _, sum := range []*float64{&s.weight, &s.tokens, &s.time, &s.square, &s.product} {
 		*sum *= speedFade
 	}
--- a/internal/core/balance/holders.go
+++ b/internal/core/balance/holders.go
@@ -1,11 +1,11 @@
 package balance
 
-import "stepwick/internal/kernel"
+import "time"
 
 const (
 	// heldFor is how long after its last use a shared prompt is taken to be kept
 	// by a server that this node sent it to.
-	heldFor = 8 * kernel.Second
+	heldFor = 8 * time.Second
 	// holdersMost bounds the shared prompts that are remembered, and placesMost
 	// the servers of each.
 	holdersMost = 8192
@@ -19,12 +19,12 @@
 
 type place struct {
 	server string
-	used   kernel.Time
+	used   time.Time
 }
 
 func newHolders() holders { return holders{places: map[uint64][]place{}} }
 
-func (h *holders) holds(key uint64, server string, now kernel.Time) bool {
+func (h *holders) holds(key uint64, server string, now time.Time) bool {
 	for _, p := range h.places[key] {
 		if p.server == server {
 			return now.Sub(p.used) < heldFor
@@ -33,7 +33,7 @@
 	return false
 }
 
-func (h *holders) note(key uint64, server string, now kernel.Time) {
+func (h *holders) note(key uint64, server string, now time.Time) {
 	if key == 0 {
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 // sweep drops what was not used of late, or everything where that is not enough.
-func (h *holders) sweep(now kernel.Time) {
+func (h *holders) sweep(now time.Time) {
 	for key, places := range h.places {
 		if now.Sub(places[0].used) >= heldFor {
 			delete(h.places, key)
@@ -65,7 +65,7 @@
 // missing is how many tokens of a request's shared prompt a server is expected
 // to read anew: none at the server on which all nodes agree for the prompt, and
 // at those that this node sent it to of late.
-func (t *Table) missing(s *server, request *Request, holder *server, now kernel.Time) float64 {
+func (t *Table) missing(s *server, request *Request, holder *server, now time.Time) float64 {
 	if request.Affinity == 0 || s == holder || t.holders.holds(request.Affinity, s.name, now) {
 		return 0
 	}
--- a/internal/core/balance/isolation.go
+++ b/internal/core/balance/isolation.go
@@ -4,8 +4,7 @@
 	"cmp"
 	"math"
 	"slices"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // Isolation keeps long answers to short prompts, whose readers notice each
@@ -40,16 +39,16 @@
 	// least for overloadedFor. It is overloaded when it rejects a request, and when an
 	// answer takes overloadedWait times as long to begin as expected and overloadedLeast
 	// more.
-	overloadedFor   = 3 * kernel.Second
+	overloadedFor   = 3 * time.Second
 	overloadedWait  = 2
-	overloadedLeast = 250 * kernel.Millisecond
+	overloadedLeast = 250 * time.Millisecond
 	// misplacedCost keeps long prompts from servers that are set aside, and decode
 	// routes from the others, in milliseconds.
 	misplacedCost = 200
 	// workFades is the span in which what is known of the work of routes fades.
-	workFades = 30 * kernel.Second
+	workFades = 30 * time.Second
 	// isolateEvery is how often the servers are parted anew.
-	isolateEvery = kernel.Second
+	isolateEvery = time.Second
 	// routesMost bounds the routes that are known.
 	routesMost = 4096
 	// sampleShare is the weight of a new sample in what is known of a route.
@@ -59,20 +58,20 @@
 // routeLoad is what one node knows of the requests of one route.
 type routeLoad struct {
 	service  string
-	pause    kernel.Duration // that its answers bear
-	regions  []string        // that may serve it; empty for all
-	prompt   float64         // mean tokens of a prompt
-	answer   float64         // mean tokens of an answer, at most
-	samples  float64         // requests seen at all
-	requests float64         // requests of late, as of faded
-	work     float64         // tokens read of late, as of faded
-	running  float64         // seconds that requests ran of late, as of faded
-	faded    kernel.Time
-	begun    kernel.Time // when the first request was seen
+	pause    time.Duration // that its answers bear
+	regions  []string      // that may serve it; empty for all
+	prompt   float64       // mean tokens of a prompt
+	answer   float64       // mean tokens of an answer, at most
+	samples  float64       // requests seen at all
+	requests float64       // requests of late, as of faded
+	work     float64       // tokens read of late, as of faded
+	running  float64       // seconds that requests ran of late, as of faded
+	faded    time.Time
+	begun    time.Time // when the first request was seen
 }
 
 // route returns what is known of a request's route.
-func (t *Table) route(request *Request, now kernel.Time) *routeLoad {
+func (t *Table) route(request *Request, now time.Time) *routeLoad {
 	load := t.routes[request.Route]
 	if load == nil {
 		if len(t.loads) >= routesMost {
@@ -88,7 +87,7 @@
 }
 
 // fade lets what was of late fade until now.
-func (r *routeLoad) fade(now kernel.Time) {
+func (r *routeLoad) fade(now time.Time) {
 	left := math.Exp(-now.Sub(r.faded).Seconds() / workFades.Seconds())
 	r.requests *= left
 	r.work *= left
@@ -98,7 +97,7 @@
 
 // sent notes that a request of the route was sent, of which so many tokens are
 // to be read.
-func (r *routeLoad) sent(request *Request, reads float64, now kernel.Time) {
+func (r *routeLoad) sent(request *Request, reads float64, now time.Time) {
 	r.fade(now)
 	r.requests++
 	r.work += reads
@@ -109,14 +108,14 @@
 }
 
 // ran notes how long a request of the route was at its server.
-func (r *routeLoad) ran(took kernel.Duration, now kernel.Time) {
+func (r *routeLoad) ran(took time.Duration, now time.Time) {
 	r.fade(now)
 	r.running += took.Seconds()
 }
 
 // atOnce is how many requests of the route this node has at servers, in the
 // mean of late.
-func (r *routeLoad) atOnce(now kernel.Time) float64 {
+func (r *routeLoad) atOnce(now time.Time) float64 {
 	span := workFades.Seconds() * (1 - math.Exp(-now.Sub(r.begun).Seconds()/workFades.Seconds()))
 	return r.running / max(span, 1)
 }
@@ -150,7 +149,7 @@
 }
 
 // isolate works out which servers of each service are set aside for decode-heavy routes.
-func (t *Table) isolate(now kernel.Time) {
+func (t *Table) isolate(now time.Time) {
 	clear(t.isolated)
 	if t.config.Off[Isolation] {
 		return
@@ -168,7 +167,7 @@
 
 // decodeNeed is the part of the servers of each region that decode-heavy routes need, and
 // the regions that may serve them.
-func (t *Table) decodeNeed(service string, regions map[string][]*server, now kernel.Time) (need float64, open map[string]bool) {
+func (t *Table) decodeNeed(service string, regions map[string][]*server, now time.Time) (need float64, open map[string]bool) {
 	decode, all, streams, running := 0.0, 0.0, 0.0, 0.0
 	open = map[string]bool{}
 	for _, load := range t.loads {
@@ -239,7 +238,7 @@
 }
 
 // warm returns the servers that are not cold: cold ones can't take a crowd.
-func warm(servers []*server, now kernel.Time) []*server {
+func warm(servers []*server, now time.Time) []*server {
 	return slices.DeleteFunc(slices.Clone(servers), func(s *server) bool { return now.Before(s.cold.until) })
 }
 
@@ -253,7 +252,7 @@
 
 // misplaced tells whether a server is not one for a request's route: set aside for
 // decode-heavy routes, or not.
-func (t *Table) misplaced(s *server, request *Request, now kernel.Time) bool {
+func (t *Table) misplaced(s *server, request *Request, now time.Time) bool {
 	switch {
 	case len(t.isolated) == 0:
 		return false
@@ -264,14 +263,14 @@
 }
 
 // overloaded notes that a server has more requests than it can begin at once.
-func (t *Table) overloaded(s *server, now kernel.Time) {
+func (t *Table) overloaded(s *server, now time.Time) {
 	if t.isolated[s.name] {
 		t.overloadedUntil = now.Add(overloadedFor)
 	}
 }
 
 // slow tells whether an answer took far longer to begin than expected.
-func (t *Table) slow(a *Attempt, now kernel.Time) bool {
+func (t *Table) slow(a *Attempt, now time.Time) bool {
 	expected := t.speed(a.service).expected(a.reads)
 	return now.Sub(a.began) >= overloadedWait*expected+overloadedLeast
 }
--- a/internal/core/balance/limits.go
+++ b/internal/core/balance/limits.go
@@ -1,12 +1,12 @@
 package balance
 
-import "stepwick/internal/kernel"
+import "time"
 
 // budget bounds the repeated sends of this node to one service, within any
 // window, to a share of its requests in that window and a fixed part.
 type budget struct {
 	ratio   float64
-	window  kernel.Duration
+	window  time.Duration
 	buckets [budgetBuckets]bucket
 }
 
@@ -20,11 +20,11 @@
 	requests, resent float64
 }
 
-func newBudget(ratio float64, window kernel.Duration) *budget {
+func newBudget(ratio float64, window time.Duration) *budget {
 	return &budget{ratio: ratio, window: window}
 }
 
-func (b *budget) at(now kernel.Time) *bucket {
+func (b *budget) at(now time.Time) *bucket {
 	number := b.number(now)
 	found := &b.buckets[number%budgetBuckets]
 	if found.number != number {
@@ -33,14 +33,14 @@
 	return found
 }
 
-func (b *budget) number(now kernel.Time) int64 {
+func (b *budget) number(now time.Time) int64 {
 	return now.UnixNano() / int64(b.window/(budgetBuckets-1))
 }
 
-func (b *budget) count(now kernel.Time) { b.at(now).requests++ }
-func (b *budget) spend(now kernel.Time) { b.at(now).resent++ }
+func (b *budget) count(now time.Time) { b.at(now).requests++ }
+func (b *budget) spend(now time.Time) { b.at(now).resent++ }
 
-func (b *budget) allows(now kernel.Time, share float64) bool {
+func (b *budget) allows(now time.Time, share float64) bool {
 	current := b.number(now)
 	requests, resent := 0.0, 0.0
 	for _, one := range b.buckets {
@@ -58,12 +58,12 @@
 // coldLimit holds this node to its part of what a cold server bears: one
 // request at once, and further ones at an even pace.
 type coldLimit struct {
-	until kernel.Time // cold until then; zero: not cold
-	next  kernel.Time // no request before
-	gap   kernel.Duration
+	until time.Time // cold until then; zero: not cold
+	next  time.Time // no request before
+	gap   time.Duration
 }
 
-func (c *coldLimit) take(now kernel.Time) {
+func (c *coldLimit) take(now time.Time) {
 	if c.gap > 0 {
 		c.next = now.Add(c.gap)
 	}
@@ -72,7 +72,7 @@
 // coldOpen tells whether a server is warm, or its next request of this node is
 // due. Of the nodes, only so many send to a cold server at all that one request
 // of each at once and their common pace stay within what it bears.
-func (t *Table) coldOpen(s *server, now kernel.Time) bool {
+func (t *Table) coldOpen(s *server, now time.Time) bool {
 	rate := t.coldRate(s)
 	if rate <= 0 || !now.Before(s.cold.until) {
 		s.cold.gap = 0
@@ -83,7 +83,7 @@
 	if t.frontRank(s) >= senders {
 		return false
 	}
-	s.cold.gap = kernel.Duration(float64(senders) / rate * float64(kernel.Second))
+	s.cold.gap = time.Duration(float64(senders) / rate * float64(time.Second))
 	return !now.Before(s.cold.next)
 }
 
@@ -115,16 +115,16 @@
 
 // Waits returns how long it takes at most until a server that has no room now
 // may have some, for the next look at the requests that wait.
-func (t *Table) Waits(now kernel.Time) kernel.Duration {
+func (t *Table) Waits(now time.Time) time.Duration {
 	wait := longestWait
 	for _, s := range t.servers {
-		for _, at := range []kernel.Time{s.cold.next, s.until} {
+		for _, at := range []time.Time{s.cold.next, s.until} {
 			if left := at.Sub(now); left > 0 {
 				wait = min(wait, left)
 			}
 		}
 	}
-	return max(wait, kernel.Millisecond)
+	return max(wait, time.Millisecond)
 }
 
-const longestWait = 50 * kernel.Millisecond
+const longestWait = 50 * time.Millisecond
--- a/internal/core/balance/server.go
+++ b/internal/core/balance/server.go
@@ -2,11 +2,11 @@
 
 import (
 	"slices"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
 	"stepwick/internal/core/plan"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -15,7 +15,7 @@
 	failuresToEject = 2
 	// A server that failed a request costs more for doubtFor, and as much longer
 	// for each further one; an answer takes doubtHeals of one failure back.
-	doubtFor   = 2 * kernel.Second
+	doubtFor   = 2 * time.Second
 	doubtMost  = 5
 	doubtHeals = 0.25
 )
@@ -33,14 +33,14 @@
 	inFlight int
 	waiting  []*Attempt // whose answers have not begun, the oldest first
 	backlog  float64    // prompt tokens of those
-	heard    kernel.Time
+	heard    time.Time
 
 	doubts    float64 // failures of late
-	doubted   kernel.Time
+	doubted   time.Time
 	failures  int
 	ejections int
-	until     kernel.Time // rests until then
-	probing   bool        // one request finds out whether it is back
+	until     time.Time // rests until then
+	probing   bool      // one request finds out whether it is back
 }
 
 // Attempt is one request at one server.
@@ -48,7 +48,7 @@
 	server  *server
 	service string
 	route   *routeLoad
-	began   kernel.Time
+	began   time.Time
 	reads   float64 // prompt tokens that the server is expected to read
 	alone   bool    // nothing else of this node was there when it began
 	begun   bool
@@ -60,20 +60,20 @@
 
 func newServer(name string) *server { return &server{name: name, hash: xxhash.Sum64String(name)} }
 
-func (t *Table) learn(s *server, status *wire.ServerStatus, now kernel.Time) {
+func (t *Table) learn(s *server, status *wire.ServerStatus, now time.Time) {
 	s.status = status
 	s.excluded = plan.Excluded(t.view.State, status)
 	if s.replaced {
 		s.excluded = plan.Gone
 	}
-	s.cold.until = now.Add(kernel.UnixMilli(status.ColdUntilMs).Sub(t.view.FleetNow))
+	s.cold.until = now.Add(time.UnixMilli(status.ColdUntilMs).Sub(t.view.FleetNow))
 	if status.ColdUntilMs == 0 {
-		s.cold.until = kernel.Time{}
+		s.cold.until = time.Time{}
 	}
 }
 
 // open tells whether a server may get one more request of this node now.
-func (t *Table) open(s *server, now kernel.Time) bool {
+func (t *Table) open(s *server, now time.Time) bool {
 	switch {
 	case now.Before(s.until), s.probing:
 		return false
@@ -99,7 +99,7 @@
 
 const unbounded = 1 << 20
 
-func (s *server) started(a *Attempt, now kernel.Time) {
+func (s *server) started(a *Attempt, now time.Time) {
 	s.inFlight++
 	s.waiting = append(s.waiting, a)
 	s.backlog += a.reads
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *server) begun(a *Attempt, now kernel.Time) {
+func (s *server) begun(a *Attempt, now time.Time) {
 	s.heard = now
 	s.leaveWaiting(a)
 }
@@ -126,7 +126,7 @@
 	}
 }
 
-func (s *server) finished(a *Attempt, outcome Outcome, now kernel.Time, config Config) {
+func (s *server) finished(a *Attempt, outcome Outcome, now time.Time, config Config) {
 	s.inFlight--
 	s.leaveWaiting(a)
 	s.probing = false
@@ -137,12 +137,12 @@
 		s.heard = now
 		s.doubt(now)
 		s.failures, s.ejections = 0, 0
-		s.until = kernel.Time{}
+		s.until = time.Time{}
 	case outcome.OK, outcome.Rejected:
 		s.heard = now
 		s.doubts = max(0, s.doubts-doubtHeals)
 		s.failures, s.ejections = 0, 0
-		s.until = kernel.Time{}
+		s.until = time.Time{}
 	case outcome.Refused, outcome.Silent:
 		s.eject(now, config)
 	case outcome.Failed:
@@ -154,7 +154,7 @@
 	}
 }
 
-func (s *server) eject(now kernel.Time, config Config) {
+func (s *server) eject(now time.Time, config Config) {
 	if config.Off[Ejection] || now.Before(s.until) {
 		return
 	}
@@ -164,9 +164,9 @@
 }
 
 // doubt notes that a server failed a request.
-func (s *server) doubt(now kernel.Time) {
+func (s *server) doubt(now time.Time) {
 	s.doubts = min(s.doubts+1, doubtMost)
-	s.doubted = now.Add(kernel.Duration(s.doubts * float64(doubtFor)))
+	s.doubted = now.Add(time.Duration(s.doubts * float64(doubtFor)))
 }
 
 // Silence is how long a server has been silent on what it was sent, against
@@ -191,15 +191,15 @@
 var silences = []struct {
 	silence Silence
 	factor  float64
-	least   kernel.Duration
+	least   time.Duration
 }{
-	{Mute, 3, 600 * kernel.Millisecond},
-	{Hanging, 2, 250 * kernel.Millisecond},
-	{Long, 1.5, 150 * kernel.Millisecond},
+	{Mute, 3, 600 * time.Millisecond},
+	{Hanging, 2, 250 * time.Millisecond},
+	{Long, 1.5, 150 * time.Millisecond},
 }
 
 // silence returns how long a server has been silent on what this node sent it.
-func (t *Table) silence(s *server, now kernel.Time) Silence {
+func (t *Table) silence(s *server, now time.Time) Silence {
 	if len(s.waiting) == 0 {
 		return Usual
 	}
@@ -210,7 +210,7 @@
 	expected := float64(t.speed(oldest.service).expected(s.backlog))
 	waited := now.Sub(oldest.began)
 	for _, bound := range silences {
-		if waited >= kernel.Duration(bound.factor*expected)+bound.least {
+		if waited >= time.Duration(bound.factor*expected)+bound.least {
 			return bound.silence
 		}
 	}
--- a/internal/core/balance/table.go
+++ b/internal/core/balance/table.go
@@ -14,11 +14,12 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -29,7 +30,7 @@
 	// RetryRatio bounds repeated sends to a service within RetryWindow to a
 	// share of its requests, plus RetrySlack over all nodes; 0.1, 10 s and 0.
 	RetryRatio  float64
-	RetryWindow kernel.Duration
+	RetryWindow time.Duration
 	RetrySlack  float64
 	// ColdOverage and ColdSlack widen what a cold server bears a second:
 	// rate × overage + slack over all nodes; 1 and 0.
@@ -37,18 +38,18 @@
 	ColdSlack   float64
 	// EjectFor is the first rest of a server that failed, doubled up to
 	// EjectMost; 1 s and 5 s.
-	EjectFor  kernel.Duration
-	EjectMost kernel.Duration
+	EjectFor  time.Duration
+	EjectMost time.Duration
 	// Off are the mechanisms that are switched off.
 	Off Off
 }
 
 func (c Config) orDefaults() Config {
 	c.RetryRatio = cmp.Or(c.RetryRatio, 0.1)
-	c.RetryWindow = cmp.Or(c.RetryWindow, 10*kernel.Second)
+	c.RetryWindow = cmp.Or(c.RetryWindow, 10*time.Second)
 	c.ColdOverage = cmp.Or(c.ColdOverage, 1)
-	c.EjectFor = cmp.Or(c.EjectFor, kernel.Second)
-	c.EjectMost = cmp.Or(c.EjectMost, 5*kernel.Second)
+	c.EjectFor = cmp.Or(c.EjectFor, time.Second)
+	c.EjectMost = cmp.Or(c.EjectMost, 5*time.Second)
 	return c
 }
 
@@ -63,24 +64,24 @@
 	// Members are the names of all nodes on the roster, on which all nodes agree,
 	// whether they are known to carry traffic now or not.
 	Members  []string
-	FleetNow kernel.Time
+	FleetNow time.Time
 }
 
 // Request is what a choice depends on.
 type Request struct {
 	ID       string
 	Service  string
-	Route    string          // whose requests resemble each other
-	Pause    kernel.Duration // the longest between two events of an answer in time; 0 where it has none
-	Regions  []string        // that may serve it; empty for all
-	Affinity uint64          // digest of the shared prompt; 0 for none
-	Shared   float64         // tokens of the prompt that a server may hold already
-	Own      float64         // the prompt's other tokens
-	Out      float64         // tokens of the answer at most; 0 where that is not known
-	Urgency  int             // 0 is the most urgent
-	Until    kernel.Time     // how long it may wait for room
-	Tried    []string        // servers that are out of the question, as it was tried there
-	Repeat   bool            // a server got it before, so that sending it again spends from the retry budget
+	Route    string        // whose requests resemble each other
+	Pause    time.Duration // the longest between two events of an answer in time; 0 where it has none
+	Regions  []string      // that may serve it; empty for all
+	Affinity uint64        // digest of the shared prompt; 0 for none
+	Shared   float64       // tokens of the prompt that a server may hold already
+	Own      float64       // the prompt's other tokens
+	Out      float64       // tokens of the answer at most; 0 where that is not known
+	Urgency  int           // 0 is the most urgent
+	Until    time.Time     // how long it may wait for room
+	Tried    []string      // servers that are out of the question, as it was tried there
+	Repeat   bool          // a server got it before, so that sending it again spends from the retry budget
 }
 
 // tokens is the size of the whole prompt.
@@ -91,7 +92,7 @@
 	Server  string
 	Address string
 	Wait    bool
-	Fault   *kernel.Fault
+	Fault   *apierror.Error
 }
 
 // Outcome is how an attempt ended.
@@ -122,9 +123,9 @@
 	loads      []*routeLoad          // the same in the order in which they were met
 	// isolated are the servers that are set aside for decode-heavy routes, as of isolatedAt.
 	isolated   map[string]bool
-	isolatedAt kernel.Time
+	isolatedAt time.Time
 	// overloadedUntil is until when decode-heavy routes are not held to those servers.
-	overloadedUntil kernel.Time
+	overloadedUntil time.Time
 	random          uint64
 }
 
@@ -145,14 +146,14 @@
 // Choose decides where a request goes now. A request that is a
 // Repeat spends from the retry budget of its service. The caller calls Started
 // when it follows the choice, before it asks again.
-func (t *Table) Choose(request *Request, now kernel.Time) Choice {
+func (t *Table) Choose(request *Request, now time.Time) Choice {
 	if now.Sub(t.isolatedAt) >= isolateEvery {
 		t.isolate(now)
 		t.isolatedAt = now
 	}
 	budget := t.budget(request.Service)
 	if request.Repeat && !budget.allows(now, t.retryShare()) {
-		return Choice{Fault: kernel.Refuse(kernel.BudgetSpent, "repeated sends are bound to a share of the requests").After(retryPause)}
+		return Choice{Fault: apierror.Errorf(apierror.BudgetSpent, "repeated sends are bound to a share of the requests").WithRetryAfter(retryPause)}
 	}
 	chosen, waits := t.pick(request, now)
 	switch {
@@ -161,24 +162,24 @@
 	case waits && now.Before(request.Until):
 		return Choice{Wait: true}
 	case waits:
-		return Choice{Fault: kernel.Refuse(kernel.QueueFull, "the servers of %s have no room", request.Service).After(fullPause)}
+		return Choice{Fault: apierror.Errorf(apierror.QueueFull, "the servers of %s have no room", request.Service).WithRetryAfter(fullPause)}
 	}
-	return Choice{Fault: kernel.Refuse(kernel.NoServer, "no server of %s can take requests", request.Service).After(emptyPause)}
+	return Choice{Fault: apierror.Errorf(apierror.NoServer, "no server of %s can take requests", request.Service).WithRetryAfter(emptyPause)}
 }
 
 // Count counts a client's request for a service, by which its retry budget grows.
-func (t *Table) Count(service string, now kernel.Time) { t.budget(service).count(now) }
+func (t *Table) Count(service string, now time.Time) { t.budget(service).count(now) }
 
 // When a client is told to come back.
 const (
-	retryPause = 300 * kernel.Millisecond
-	fullPause  = 200 * kernel.Millisecond
-	emptyPause = 500 * kernel.Millisecond
+	retryPause = 300 * time.Millisecond
+	fullPause  = 200 * time.Millisecond
+	emptyPause = 500 * time.Millisecond
 )
 
 // pick returns the server with the least cost among those that may take the
 // request now; waits tells that there are others that may take it later.
-func (t *Table) pick(request *Request, now kernel.Time) (chosen *server, waits bool) {
+func (t *Table) pick(request *Request, now time.Time) (chosen *server, waits bool) {
 	best := 0.0
 	holder := t.holder(request, now)
 	for _, s := range t.pools[request.Service] {
@@ -207,7 +208,7 @@
 }
 
 // Started counts a request that was sent on to its server.
-func (t *Table) Started(name string, request *Request, now kernel.Time) *Attempt {
+func (t *Table) Started(name string, request *Request, now time.Time) *Attempt {
 	s := t.servers[name]
 	if s == nil {
 		return nil
@@ -226,7 +227,7 @@
 }
 
 // Began tells that the answer to an attempt has begun: its prompt is read.
-func (t *Table) Began(a *Attempt, now kernel.Time) {
+func (t *Table) Began(a *Attempt, now time.Time) {
 	if a == nil || a.begun {
 		return
 	}
@@ -242,14 +243,14 @@
 }
 
 // Unacknowledged rests a server whose machine no longer acknowledges what is sent.
-func (t *Table) Unacknowledged(name string, now kernel.Time) {
+func (t *Table) Unacknowledged(name string, now time.Time) {
 	if s := t.servers[name]; s != nil {
 		s.eject(now, t.config)
 	}
 }
 
 // Resting tells whether a server rests after it failed.
-func (t *Table) Resting(name string, now kernel.Time) bool {
+func (t *Table) Resting(name string, now time.Time) bool {
 	s := t.servers[name]
 	return s != nil && now.Before(s.until)
 }
@@ -262,7 +263,7 @@
 }
 
 // Silences returns the silent servers by name.
-func (t *Table) Silences(now kernel.Time) map[string]Silent {
+func (t *Table) Silences(now time.Time) map[string]Silent {
 	var silent map[string]Silent
 	for name, s := range t.servers {
 		if s.excluded != "" || len(s.waiting) == 0 {
@@ -279,13 +280,13 @@
 }
 
 // HeardSince tells whether a server has answered this node after an instant.
-func (t *Table) HeardSince(name string, since kernel.Time) bool {
+func (t *Table) HeardSince(name string, since time.Time) bool {
 	s := t.servers[name]
 	return s != nil && s.heard.After(since)
 }
 
 // Finished ends an attempt.
-func (t *Table) Finished(a *Attempt, outcome Outcome, now kernel.Time) {
+func (t *Table) Finished(a *Attempt, outcome Outcome, now time.Time) {
 	if a == nil || a.ended {
 		return
 	}
--- a/internal/core/balance/table_test.go
+++ b/internal/core/balance/table_test.go
@@ -9,14 +9,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"google.golang.org/protobuf/proto"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 var start = time.Unix(1_000_000, 0)
 
-func at(ms int) kernel.Time { return start.Add(kernel.Duration(ms) * kernel.Millisecond) }
+func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 // fleet is a view of n servers of the service pool, by turns in two regions.
 func fleet(n int, service sheet.Service, fronts ...string) View {
@@ -101,7 +101,7 @@
 		}
 		request := ask("x", 0)
 		request.Regions = []string{"west"}
-		So(tab.Choose(request, start).Fault.Code, ShouldEqual, kernel.NoServer)
+		So(tab.Choose(request, start).Fault.Code, ShouldEqual, apierror.NoServer)
 	})
 	Convey("Draining, evacuated and unreachable servers get nothing", t, func() {
 		view := fleet(4, sheet.Service{})
@@ -117,7 +117,7 @@
 }
 
 func TestFailures(t *testing.T) {
-	send := func(tab *Table, id string, now kernel.Time) *Attempt {
+	send := func(tab *Table, id string, now time.Time) *Attempt {
 		request := ask(id, 0)
 		choice := tab.Choose(request, now)
 		So(choice.Fault, ShouldBeNil)
@@ -159,9 +159,9 @@
 		view := fleet(1, sheet.Service{})
 		tab := table(view, Config{})
 		tab.Finished(send(tab, "a", start), Outcome{Replaced: true}, start)
-		So(tab.Choose(ask("b", 0), at(1)).Fault.Code, ShouldEqual, kernel.NoServer)
+		So(tab.Choose(ask("b", 0), at(1)).Fault.Code, ShouldEqual, apierror.NoServer)
 		tab.Update(view, at(10_000))
-		So(tab.Choose(ask("c", 0), at(10_000)).Fault.Code, ShouldEqual, kernel.NoServer)
+		So(tab.Choose(ask("c", 0), at(10_000)).Fault.Code, ShouldEqual, apierror.NoServer)
 	})
 	Convey("A server tried before is out of the question", t, func() {
 		tab := table(fleet(2, sheet.Service{}), Config{RetrySlack: 100})
@@ -182,7 +182,7 @@
 		So(tab.Choose(ask("more", 0), start).Wait, ShouldBeTrue)
 		late := ask("late", 0)
 		late.Until = start
-		So(tab.Choose(late, start).Fault.Code, ShouldEqual, kernel.QueueFull)
+		So(tab.Choose(late, start).Fault.Code, ShouldEqual, apierror.QueueFull)
 	})
 	Convey("All nodes together stay within what a cold server bears in any second", t, func() {
 		for _, nodes := range []int{1, 3, 9, 40} {
@@ -262,7 +262,7 @@
 		}
 	})
 	Convey("Repeats stay within their share of any window's requests and the node's part of the slack", t, func() {
-		tab := table(fleet(3, sheet.Service{}, "f0", "f1"), Config{RetryRatio: 0.2, RetrySlack: 10, RetryWindow: 10 * kernel.Second})
+		tab := table(fleet(3, sheet.Service{}, "f0", "f1"), Config{RetryRatio: 0.2, RetrySlack: 10, RetryWindow: 10 * time.Second})
 		repeats := 0
 		for i := range 100 {
 			now := at(i * 50)
@@ -271,7 +271,7 @@
 			request.Tried, request.Repeat = []string{"s0"}, true
 			choice := tab.Choose(request, now)
 			if choice.Fault != nil {
-				So(choice.Fault.Code, ShouldEqual, kernel.BudgetSpent)
+				So(choice.Fault.Code, ShouldEqual, apierror.BudgetSpent)
 				So(choice.Fault.RetryAfter, ShouldBeGreaterThan, 0)
 				continue
 			}
@@ -287,7 +287,7 @@
 		var s speed
 		for i := range 200 {
 			tokens := float64(500 + 37*i)
-			s.learn(tokens, kernel.Duration((50+0.02*tokens)*float64(kernel.Millisecond)))
+			s.learn(tokens, time.Duration((50+0.02*tokens)*float64(time.Millisecond)))
 		}
 		So(s.perToken(), ShouldAlmostEqual, 0.02, 0.0005)
 	})
@@ -330,7 +330,7 @@
 		request.Route, request.Pause, request.Own, request.Out = "reply", 400*time.Millisecond, 2000, 300
 		return request
 	}
-	serve := func(tab *Table, request *Request, now kernel.Time) string {
+	serve := func(tab *Table, request *Request, now time.Time) string {
 		choice := tab.Choose(request, now)
 		attempt := tab.Started(choice.Server, request, now)
 		tab.Began(attempt, now)
--- a/internal/core/balance/update.go
+++ b/internal/core/balance/update.go
@@ -3,14 +3,14 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"stepwick/internal/core/plan"
-	"stepwick/internal/kernel"
 )
 
 // Update takes a new view in. Drains, evacuations and lost servers bite at once. A
 // server of which the view says what the last one did costs a comparison.
-func (t *Table) Update(view View, now kernel.Time) {
+func (t *Table) Update(view View, now time.Time) {
 	sameState := t.view.State.Epoch == view.State.Epoch && t.view.Servers != nil
 	sameFronts := slices.Equal(t.view.Fronts, view.Fronts) && slices.Equal(t.view.Members, view.Members)
 	t.view = view
@@ -60,7 +60,7 @@
 	excluded, region string
 	services         []string
 	slots            uint32
-	cold             kernel.Time
+	cold             time.Time
 }
 
 func placeOf(s *server) serverPlace {
--- a/internal/core/ballot/acceptor.go
+++ b/internal/core/ballot/acceptor.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -17,14 +17,14 @@
 // in a crash cannot open it a second time.
 func (s State) Prepare(req *wire.PrepareRequest) ([]Record, *wire.PrepareResponse) {
 	resp := &wire.PrepareResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Lives)}
-	if code := s.votesIn(req.Formation); code != kernel.OK {
+	if code := s.votesIn(req.Formation); code != apierror.OK {
 		resp.Refusal = uint32(code)
 		return nil, resp
 	}
 	if req.Slot <= s.Learned() {
 		resp.ChosenValue, resp.Chosen = s.Command(req.Slot)
 		if !resp.Chosen {
-			resp.Refusal = uint32(kernel.EpochBehind)
+			resp.Refusal = uint32(apierror.EpochBehind)
 		}
 		return nil, resp
 	}
@@ -42,20 +42,20 @@
 // rests on the promise of a core whose disk is known to be lost since.
 func (s State) Accept(req *wire.AcceptRequest) ([]Record, *wire.AcceptResponse) {
 	resp := &wire.AcceptResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Lives)}
-	if code := s.votesIn(req.Formation); code != kernel.OK {
+	if code := s.votesIn(req.Formation); code != apierror.OK {
 		resp.Refusal = uint32(code)
 		return nil, resp
 	}
 	if req.Slot <= s.Learned() {
 		resp.ChosenValue, resp.Chosen = s.Command(req.Slot)
 		if !resp.Chosen {
-			resp.Refusal = uint32(kernel.EpochBehind)
+			resp.Refusal = uint32(apierror.EpochBehind)
 		}
 		return nil, resp
 	}
 	for core, life := range req.PromisedLives {
 		if s.Lives[core] > life {
-			resp.Refusal = uint32(kernel.CoreAmnesiac)
+			resp.Refusal = uint32(apierror.CoreAmnesiac)
 			return nil, resp
 		}
 	}
@@ -65,7 +65,7 @@
 	case asked.Below(vote.Promised):
 		return nil, resp
 	case asked == vote.Accepted && !bytes.Equal(vote.Value, req.Value):
-		resp.Refusal = uint32(kernel.Internal)
+		resp.Refusal = uint32(apierror.Internal)
 		return nil, resp
 	case asked == vote.Accepted:
 		resp.Accepted = true
@@ -78,7 +78,7 @@
 // Learn takes chosen epochs in. Behind tells that epochs before them are
 // missing here, to be fetched from the sender.
 func (s State) Learn(req *wire.LearnRequest) (records []Record, resp *wire.LearnResponse, behind bool) {
-	if s.votesIn(req.Formation) != kernel.OK {
+	if s.votesIn(req.Formation) != apierror.OK {
 		return nil, &wire.LearnResponse{Learned: s.Learned()}, false
 	}
 	next := s.Learned() + 1
@@ -99,7 +99,7 @@
 // Read tells how far the core has learned and accepted.
 func (s State) Read(req *wire.ReadRequest) *wire.ReadResponse {
 	resp := &wire.ReadResponse{Core: s.Self, Learned: s.Learned(), Highest: s.Highest(), Life: s.Lives[req.Core]}
-	if code := s.votesIn(req.Formation); code != kernel.OK {
+	if code := s.votesIn(req.Formation); code != apierror.OK {
 		resp.Refusal = uint32(code)
 	}
 	return resp
@@ -108,9 +108,9 @@
 // Fetch gives epochs after a place, after a snapshot where those are no longer
 // kept singly. The answer is bounded; Learned above its last epoch says there
 // is more.
-func (s State) Fetch(req *wire.FetchRequest) (*wire.FetchResponse, *kernel.Fault) {
-	if code := s.votesIn(req.Formation); code != kernel.OK {
-		return nil, kernel.Refuse(code, "core %s", s.Self)
+func (s State) Fetch(req *wire.FetchRequest) (*wire.FetchResponse, *apierror.Error) {
+	if code := s.votesIn(req.Formation); code != apierror.OK {
+		return nil, apierror.Errorf(code, "core %s", s.Self)
 	}
 	resp := &wire.FetchResponse{Learned: s.Learned()}
 	after := req.After
--- a/internal/core/ballot/ballot_test.go
+++ b/internal/core/ballot/ballot_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -53,7 +53,7 @@
 		_, again := accept(s, 1, 5, "b", "y", nil)
 		So(again.Accepted, ShouldBeTrue)
 		_, other := accept(s, 1, 5, "b", "z", nil)
-		So(kernel.Code(other.Refusal), ShouldEqual, kernel.Internal)
+		So(apierror.Code(other.Refusal), ShouldEqual, apierror.Internal)
 		_, resp = prepare(s, 1, 6, "c")
 		So(Of(resp.AcceptedBallot), ShouldResemble, Ballot{5, "b"})
 		So(string(resp.AcceptedValue), ShouldEqual, "y")
@@ -61,7 +61,7 @@
 	Convey("A value that rests on the promise of a lost disk is refused", t, func() {
 		s := Lived{Core: "c", Life: 2}.Fold(entered("a"))
 		_, resp := accept(s, 1, 5, "b", "y", map[string]uint64{"a": 1, "c": 1})
-		So(kernel.Code(resp.Refusal), ShouldEqual, kernel.CoreAmnesiac)
+		So(apierror.Code(resp.Refusal), ShouldEqual, apierror.CoreAmnesiac)
 		_, resp = accept(s, 1, 5, "b", "y", map[string]uint64{"a": 1, "c": 2})
 		So(resp.Accepted, ShouldBeTrue)
 	})
@@ -69,12 +69,12 @@
 		joined := Joined{Formation: "f", Voters: voters}.Fold(Blank("a"))
 		strange := entered("a")
 		strange.Formation = "g"
-		for code, s := range map[kernel.Code]State{kernel.CoreBlank: Blank("a"), kernel.CoreAmnesiac: joined, kernel.WrongFormation: strange} {
+		for code, s := range map[apierror.Code]State{apierror.CoreBlank: Blank("a"), apierror.CoreAmnesiac: joined, apierror.WrongFormation: strange} {
 			_, p := prepare(s, 1, 1, "b")
-			So(kernel.Code(p.Refusal), ShouldEqual, code)
+			So(apierror.Code(p.Refusal), ShouldEqual, code)
 			_, a := accept(s, 1, 1, "b", "x", nil)
-			So(kernel.Code(a.Refusal), ShouldEqual, code)
-			So(kernel.Code(s.Read(&wire.ReadRequest{Formation: "f"}).Refusal), ShouldEqual, code)
+			So(apierror.Code(a.Refusal), ShouldEqual, code)
+			So(apierror.Code(s.Read(&wire.ReadRequest{Formation: "f"}).Refusal), ShouldEqual, code)
 		}
 	})
 	Convey("A learned slot answers with its value, a compacted one says it is behind", t, func() {
@@ -87,9 +87,9 @@
 		So(string(p.ChosenValue), ShouldEqual, "two")
 		s = s.Compacted(2, []byte("both"))
 		_, p = prepare(s, 2, 9, "b")
-		So(kernel.Code(p.Refusal), ShouldEqual, kernel.EpochBehind)
-		fetched, fault := s.Fetch(&wire.FetchRequest{Formation: "f", After: 0})
-		So(fault, ShouldBeNil)
+		So(apierror.Code(p.Refusal), ShouldEqual, apierror.EpochBehind)
+		fetched, apiErr := s.Fetch(&wire.FetchRequest{Formation: "f", After: 0})
+		So(apiErr, ShouldBeNil)
 		other := fold(entered("b"), entered("b").Fetched(fetched))
 		So(other.Learned(), ShouldEqual, 2)
 		So(string(other.Snapshot), ShouldEqual, "both")
@@ -114,7 +114,7 @@
 		So(step.Lost, ShouldBeTrue)
 		_, step = p.Promise(&wire.PrepareResponse{Core: "c", Chosen: true, ChosenValue: []byte("x"), Learned: 1})
 		So(step.Chosen, ShouldBeTrue)
-		_, step = p.Promise(&wire.PrepareResponse{Core: "c", Refusal: uint32(kernel.EpochBehind), Learned: 9})
+		_, step = p.Promise(&wire.PrepareResponse{Core: "c", Refusal: uint32(apierror.EpochBehind), Learned: 9})
 		So(step.Behind, ShouldEqual, "c")
 	})
 }
@@ -147,12 +147,12 @@
 		So(s.Life(), ShouldEqual, 2)
 		So(s.Votes[1], ShouldResemble, Vote{Promised: Ballot{5, "c"}, Accepted: Ballot{3, "b"}, Value: []byte("three")})
 		_, late := announce(b, 1)
-		So(kernel.Code(late.Refusal), ShouldEqual, kernel.EpochBehind)
+		So(apierror.Code(late.Refusal), ShouldEqual, apierror.EpochBehind)
 	})
 	Convey("Nobody is rebuilt from a core that lost its disk, nor proved new by it alone", t, func() {
 		lost := Lived{Core: "c", Life: 2}.Fold(Joined{Formation: "f", Voters: voters}.Fold(Blank("c")))
 		_, resp := announce(lost, 2)
-		So(kernel.Code(resp.Refusal), ShouldEqual, kernel.CoreAmnesiac)
+		So(apierror.Code(resp.Refusal), ShouldEqual, apierror.CoreAmnesiac)
 		unsure := Joined{Formation: "f", Voters: voters}.Fold(Blank("b"))
 		_, waiting := wiped.NextLife(map[string]*wire.RecoverResponse{"b": probe(unsure), "c": probe(lost)}, 0)
 		So(waiting, ShouldNotBeEmpty)
@@ -164,7 +164,7 @@
 		So(waiting, ShouldStartWith, "c")
 	})
 	Convey("A first formation needs every core, blank, and the lowest name", t, func() {
-		blank := &wire.RecoverResponse{Refusal: uint32(kernel.CoreBlank)}
+		blank := &wire.RecoverResponse{Refusal: uint32(apierror.CoreBlank)}
 		record, ok := Blank("a").Establish("id", 3, map[string]*wire.RecoverResponse{"b": blank, "c": blank}, 0, nil)
 		So(ok, ShouldBeTrue)
 		So(record.(Joined).Voters, ShouldResemble, voters)
@@ -300,8 +300,8 @@
 		}
 		other, rounds := entered("b"), 0
 		for ; other.Learned() < 6; rounds++ {
-			resp, fault := s.Fetch(&wire.FetchRequest{Formation: "f", After: other.Learned()})
-			So(fault, ShouldBeNil)
+			resp, apiErr := s.Fetch(&wire.FetchRequest{Formation: "f", After: other.Learned()})
+			So(apiErr, ShouldBeNil)
 			So(len(resp.Chosen), ShouldBeBetween, 0, 3)
 			other = fold(other, other.Fetched(resp))
 		}
--- a/internal/core/ballot/proposer.go
+++ b/internal/core/ballot/proposer.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -71,7 +71,7 @@
 	if resp.Chosen {
 		return p.end(Step{Chosen: true, Value: resp.ChosenValue})
 	}
-	if kernel.Code(resp.Refusal) == kernel.EpochBehind {
+	if apierror.Code(resp.Refusal) == apierror.EpochBehind {
 		return p.end(Step{Behind: resp.Core})
 	}
 	if p.Phase != Preparing {
@@ -111,7 +111,7 @@
 	if resp.Chosen {
 		return p.end(Step{Chosen: true, Value: resp.ChosenValue})
 	}
-	if kernel.Code(resp.Refusal) == kernel.EpochBehind {
+	if apierror.Code(resp.Refusal) == apierror.EpochBehind {
 		return p.end(Step{Behind: resp.Core})
 	}
 	p.answered = with(p.answered, resp.Core, true)
--- a/internal/core/ballot/recovery.go
+++ b/internal/core/ballot/recovery.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -21,27 +21,27 @@
 // refuses, and marks its answer to a probe with CoreAmnesiac.
 func (s State) Recover(req *wire.RecoverRequest) ([]Record, *wire.RecoverResponse) {
 	resp := &wire.RecoverResponse{Core: s.Self, Formation: s.Formation, Voters: s.Voters, Lives: s.lives(), Voting: s.Life() != 0}
-	refuse := func(code kernel.Code) ([]Record, *wire.RecoverResponse) {
+	refuse := func(code apierror.Code) ([]Record, *wire.RecoverResponse) {
 		resp.Refusal = uint32(code)
 		return nil, resp
 	}
 	switch {
 	case s.Formation == "":
-		return refuse(kernel.CoreBlank)
+		return refuse(apierror.CoreBlank)
 	case req.Probe:
 		resp.Ok = true
 		if s.lost() {
-			return refuse(kernel.CoreAmnesiac)
+			return refuse(apierror.CoreAmnesiac)
 		}
 		return nil, resp
 	case req.Formation != s.Formation:
-		return refuse(kernel.WrongFormation)
+		return refuse(apierror.WrongFormation)
 	case req.Core == s.Self || !slices.Contains(s.Voters, req.Core):
-		return refuse(kernel.NotCore)
+		return refuse(apierror.NotCore)
 	case req.Life < s.Lives[req.Core] || req.Life == 0:
-		return refuse(kernel.EpochBehind)
+		return refuse(apierror.EpochBehind)
 	case s.Life() == 0 && s.Announced != firstLife:
-		return refuse(kernel.CoreAmnesiac)
+		return refuse(apierror.CoreAmnesiac)
 	}
 	lived := Lived{Core: req.Core, Life: req.Life}
 	if s.Lives[req.Core] == req.Life {
@@ -215,7 +215,7 @@
 		return nil, false
 	}
 	for _, answer := range present {
-		if answer == nil || kernel.Code(answer.Refusal) != kernel.CoreBlank {
+		if answer == nil || apierror.Code(answer.Refusal) != apierror.CoreBlank {
 			return nil, false
 		}
 	}
--- a/internal/core/ballot/state.go
+++ b/internal/core/ballot/state.go
@@ -8,7 +8,7 @@
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -182,14 +182,14 @@
 }
 
 // votesIn returns OK when the core may vote in the formation.
-func (s State) votesIn(formation string) kernel.Code {
+func (s State) votesIn(formation string) apierror.Code {
 	switch {
 	case s.Formation == "":
-		return kernel.CoreBlank
+		return apierror.CoreBlank
 	case formation != s.Formation:
-		return kernel.WrongFormation
+		return apierror.WrongFormation
 	case s.Life() == 0:
-		return kernel.CoreAmnesiac
+		return apierror.CoreAmnesiac
 	}
-	return kernel.OK
+	return apierror.OK
 }
--- a/internal/core/ballot/transcript_test.go
+++ b/internal/core/ballot/transcript_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/sebdah/goldie/v2"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -85,7 +85,7 @@
 
 func code(refusal uint32, format string, args ...any) string {
 	if refusal != 0 {
-		return "refuses, " + kernel.Code(refusal).String()
+		return "refuses, " + apierror.Code(refusal).String()
 	}
 	return fmt.Sprintf(format, args...)
 }
--- a/internal/core/duty/duty.go
+++ b/internal/core/duty/duty.go
@@ -5,9 +5,9 @@
 
 import (
 	"sort"
+	"time"
 
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 // Planner is the duty of working out the period plan.
@@ -44,7 +44,7 @@
 // Turn returns how long a core waits, from when it found the duty vacant,
 // before it tries: its place among the voters times the step. The holder of
 // the vacant term comes last. A core that is no voter never tries: ok is false.
-func Turn(self string, duty sheet.Duty, voters []string, step kernel.Duration) (wait kernel.Duration, ok bool) {
+func Turn(self string, duty sheet.Duty, voters []string, step time.Duration) (wait time.Duration, ok bool) {
 	order := append([]string(nil), voters...)
 	sort.Slice(order, func(i, j int) bool {
 		if (order[i] == duty.Holder) != (order[j] == duty.Holder) {
@@ -54,7 +54,7 @@
 	})
 	for i, voter := range order {
 		if voter == self {
-			return kernel.Duration(i) * step, true
+			return time.Duration(i) * step, true
 		}
 	}
 	return 0, false
--- a/internal/core/lease/holder.go
+++ b/internal/core/lease/holder.go
@@ -6,9 +6,9 @@
 
 import (
 	"sort"
+	"time"
 
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 // By names what a front rules by.
@@ -27,26 +27,26 @@
 type Verdict struct {
 	Ruling     bool
 	By         By
-	RetryAfter kernel.Duration
-	Until      kernel.Time
+	RetryAfter time.Duration
+	Until      time.Time
 }
 
 type peer struct {
 	incarnation uint64
-	contact     kernel.Time
-	heard       kernel.Time
-	refused     kernel.Time
+	contact     time.Time
+	heard       time.Time
+	refused     time.Time
 }
 
 // Holder is a front's side of leases and confirmation. It has one owner.
 type Holder struct {
 	self        string
-	ttl         kernel.Duration
+	ttl         time.Duration
 	epoch       uint64
 	newest      uint64
 	unconfirmed bool
 	cores       []string
-	renewed     map[string]kernel.Time
+	renewed     map[string]time.Time
 	backed      map[string]uint64
 	rosters     []map[string]bool
 	peers       map[string]*peer
@@ -54,8 +54,8 @@
 
 // NewHolder returns the side of a front that has just started: it is
 // unconfirmed and does not rule.
-func NewHolder(self string, ttl kernel.Duration) *Holder {
-	return &Holder{self: self, ttl: ttl, unconfirmed: true, renewed: map[string]kernel.Time{},
+func NewHolder(self string, ttl time.Duration) *Holder {
+	return &Holder{self: self, ttl: ttl, unconfirmed: true, renewed: map[string]time.Time{},
 		backed: map[string]uint64{}, peers: map[string]*peer{}}
 }
 
@@ -93,12 +93,12 @@
 func (h *Holder) Unconfirmed() bool { return h.unconfirmed }
 
 // RenewedAt returns when the newest renewal that a core granted was sent.
-func (h *Holder) RenewedAt(core string) kernel.Time { return h.renewed[core] }
+func (h *Holder) RenewedAt(core string) time.Time { return h.renewed[core] }
 
 // Renewed takes a core's granted answer: sentAt is when the request left,
 // asked the epoch it named, learned the core's own epoch in the answer. An
 // answer that knows a newer epoch than was asked gives no lease.
-func (h *Holder) Renewed(core string, sentAt kernel.Time, asked, learned uint64) {
+func (h *Holder) Renewed(core string, sentAt time.Time, asked, learned uint64) {
 	h.newest = max(h.newest, learned)
 	if learned > asked || asked == 0 || asked > h.epoch {
 		return
@@ -121,17 +121,17 @@
 // Heard takes a peer's answer to a ping that left at sentAt: it proves what the
 // peer was at that instant or later. Answers to earlier pings than the last
 // one counted are dropped.
-func (h *Holder) Heard(name string, incarnation uint64, sentAt kernel.Time, epoch uint64, unconfirmed bool) {
+func (h *Holder) Heard(name string, incarnation uint64, sentAt time.Time, epoch uint64, unconfirmed bool) {
 	p := h.peer(name)
 	if sentAt.Before(p.contact) {
 		return
 	}
 	if incarnation != p.incarnation {
-		p.incarnation, p.heard = incarnation, kernel.Time{}
+		p.incarnation, p.heard = incarnation, time.Time{}
 	}
-	p.refused, p.contact = kernel.Time{}, sentAt
+	p.refused, p.contact = time.Time{}, sentAt
 	if unconfirmed {
-		p.heard = kernel.Time{}
+		p.heard = time.Time{}
 		return
 	}
 	h.newest = max(h.newest, epoch)
@@ -141,11 +141,11 @@
 // Refused takes the refusal of a connection, at the instant it was seen. It
 // leaves the count only in unbroken contact: the peer was heard, or so
 // refused, within the last TTL.
-func (h *Holder) Refused(name string, at kernel.Time) {
+func (h *Holder) Refused(name string, at time.Time) {
 	p := h.peer(name)
-	p.heard = kernel.Time{}
+	p.heard = time.Time{}
 	if p.contact.IsZero() || at.Sub(p.contact) >= h.ttl {
-		p.refused = kernel.Time{}
+		p.refused = time.Time{}
 		return
 	}
 	p.refused, p.contact = at, at
@@ -154,7 +154,7 @@
 // Ruling tells whether the front may decide by its epoch at an instant. While a
 // lease stands for more than half of a TTL the roster isn't looked at, which takes
 // as long as it is large; it is again before the lease can lapse.
-func (h *Holder) Ruling(now kernel.Time) Verdict {
+func (h *Holder) Ruling(now time.Time) Verdict {
 	none := Verdict{By: ByNone, RetryAfter: h.ttl / 2}
 	if h.unconfirmed || h.epoch == 0 {
 		return none
@@ -196,11 +196,11 @@
 }
 
 // leaseUntil returns when the lease of a majority of cores lapses.
-func (h *Holder) leaseUntil() kernel.Time {
+func (h *Holder) leaseUntil() time.Time {
 	if len(h.cores) == 0 {
-		return kernel.Time{}
+		return time.Time{}
 	}
-	sent := make([]kernel.Time, 0, len(h.cores))
+	sent := make([]time.Time, 0, len(h.cores))
 	for _, core := range h.cores {
 		if at, ok := h.renewed[core]; ok {
 			sent = append(sent, at)
@@ -208,7 +208,7 @@
 	}
 	need := Majority(len(h.cores))
 	if len(sent) < need {
-		return kernel.Time{}
+		return time.Time{}
 	}
 	sort.Slice(sent, func(i, j int) bool { return sent[i].After(sent[j]) })
 	return sent[need-1].Add(h.ttl)
@@ -216,11 +216,11 @@
 
 // rosterUntil returns when the fallback lapses if nothing more is heard; the
 // zero time when it does not hold now.
-func (h *Holder) rosterUntil(now kernel.Time) kernel.Time {
+func (h *Holder) rosterUntil(now time.Time) time.Time {
 	if h.newest > h.epoch || len(h.rosters) == 0 {
-		return kernel.Time{}
+		return time.Time{}
 	}
-	until := kernel.Time{}
+	until := time.Time{}
 	for i, roster := range h.rosters {
 		lapse := h.halfUntil(roster, now)
 		if lapse.IsZero() {
@@ -235,9 +235,9 @@
 
 // halfUntil sweeps over the instants at which what was heard or refused
 // lapses, and returns the first at which no more than half is left.
-func (h *Holder) halfUntil(roster map[string]bool, now kernel.Time) kernel.Time {
+func (h *Holder) halfUntil(roster map[string]bool, now time.Time) time.Time {
 	type lapse struct {
-		at             kernel.Time
+		at             time.Time
 		heard, refused int
 	}
 	var lapses []lapse
@@ -260,7 +260,7 @@
 		}
 	}
 	if heard*2 <= len(roster)-refused {
-		return kernel.Time{}
+		return time.Time{}
 	}
 	sort.Slice(lapses, func(i, j int) bool { return lapses[i].at.Before(lapses[j].at) })
 	for _, l := range lapses {
@@ -285,7 +285,7 @@
 	return names
 }
 
-func later(a, b kernel.Time) kernel.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/core/lease/ledger.go
+++ b/internal/core/lease/ledger.go
@@ -4,9 +4,10 @@
 	"sort"
 	"strconv"
 	"strings"
+	"time"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -15,12 +16,12 @@
 	process     *wire.Process
 	incarnation uint64
 	epoch       uint64
-	until       kernel.Time
-	heard       kernel.Time
+	until       time.Time
+	heard       time.Time
 }
 
 type refusal struct {
-	since, last kernel.Time
+	since, last time.Time
 }
 
 // Ledger is a core's side of leases. It lives in memory alone: a core that
@@ -28,8 +29,8 @@
 // life granted has lapsed. It has one owner.
 type Ledger struct {
 	core    string
-	ttl     kernel.Duration
-	begun   kernel.Time
+	ttl     time.Duration
+	begun   time.Time
 	members map[string]*entry
 	gone    map[string]refusal
 	left    map[string]release
@@ -37,10 +38,10 @@
 
 type release struct {
 	incarnation uint64
-	at          kernel.Time
+	at          time.Time
 }
 
-const leftFor = kernel.Minute // how long a renewal that was under way at a release is looked out for
+const leftFor = time.Minute // how long a renewal that was under way at a release is looked out for
 
 // Quiet is a member to be pinged: what it was last known as. Incarnation is
 // zero for one that has not renewed since the core started.
@@ -50,7 +51,7 @@
 }
 
 // NewLedger returns an empty ledger of a core that starts now.
-func NewLedger(core string, ttl kernel.Duration, now kernel.Time) *Ledger {
+func NewLedger(core string, ttl time.Duration, now time.Time) *Ledger {
 	return &Ledger{core: core, ttl: ttl, begun: now, members: map[string]*entry{}, gone: map[string]refusal{}, left: map[string]release{}}
 }
 
@@ -58,7 +59,7 @@
 // other it answers EpochBehind with its learned epoch. A request without a
 // record that comes from a life unknown here is asked for it. It must only be asked
 // when the core has caught up with a majority since its own start.
-func (l *Ledger) Renew(req *wire.RenewRequest, learned uint64, now kernel.Time) *wire.RenewResponse {
+func (l *Ledger) Renew(req *wire.RenewRequest, learned uint64, now time.Time) *wire.RenewResponse {
 	resp := &wire.RenewResponse{Core: l.core, Learned: learned, TtlMs: uint32(l.ttl.Milliseconds()), TimeUs: now.UnixMicro()}
 	self := l.record(req)
 	if self == nil {
@@ -67,7 +68,7 @@
 	name := self.GetName()
 	e, ok := l.members[name]
 	if r, gone := l.left[name]; (gone && self.GetIncarnation() <= r.incarnation) || (ok && self.GetIncarnation() < e.incarnation) {
-		resp.Refusal = uint32(kernel.EpochBehind)
+		resp.Refusal = uint32(apierror.EpochBehind)
 		return resp
 	}
 	if !ok || self.GetIncarnation() > e.incarnation {
@@ -82,7 +83,7 @@
 	delete(l.gone, name)
 	e.epoch = max(e.epoch, req.Epoch)
 	if req.Epoch == 0 || req.Epoch < learned {
-		resp.Refusal = uint32(kernel.EpochBehind)
+		resp.Refusal = uint32(apierror.EpochBehind)
 		return resp
 	}
 	e.until = now.Add(l.ttl)
@@ -116,7 +117,7 @@
 
 // Release ends the lease of a member that stops of itself. A renewal of that
 // life which comes in later gives no lease.
-func (l *Ledger) Release(name string, incarnation uint64, now kernel.Time) {
+func (l *Ledger) Release(name string, incarnation uint64, now time.Time) {
 	if e, ok := l.members[name]; ok && e.incarnation <= incarnation {
 		delete(l.members, name)
 	}
@@ -127,7 +128,7 @@
 
 // Heard takes a member's answer to the core's own ping. A later life ends the
 // lease of the one before.
-func (l *Ledger) Heard(name string, incarnation uint64, now kernel.Time) {
+func (l *Ledger) Heard(name string, incarnation uint64, now time.Time) {
 	delete(l.gone, name)
 	e, ok := l.members[name]
 	switch {
@@ -142,7 +143,7 @@
 // Gone takes a refusal of a connection: no process lives there, so what it
 // held is released at once. Incarnation is the one that was known when the
 // connection was tried; a member that renewed as another since stays.
-func (l *Ledger) Gone(name string, incarnation uint64, now kernel.Time) {
+func (l *Ledger) Gone(name string, incarnation uint64, now time.Time) {
 	if e, ok := l.members[name]; ok {
 		if e.incarnation != incarnation {
 			return
@@ -159,7 +160,7 @@
 
 // Quiet returns the members, of the roster or holding a lease, that the core
 // has not heard for a span: these it pings. Sorted by name.
-func (l *Ledger) Quiet(roster map[string]sheet.Member, span kernel.Duration, now kernel.Time) []Quiet {
+func (l *Ledger) Quiet(roster map[string]sheet.Member, span time.Duration, now time.Time) []Quiet {
 	var quiet []Quiet
 	for name, e := range l.members {
 		if now.Sub(e.heard) >= span {
@@ -177,7 +178,7 @@
 
 // Expire forgets members whose lease lapsed and that have been quiet for a
 // TTL and more.
-func (l *Ledger) Expire(now kernel.Time) {
+func (l *Ledger) Expire(now time.Time) {
 	for name, e := range l.members {
 		if !now.Before(e.until) && now.Sub(e.heard) >= 2*l.ttl {
 			delete(l.members, name)
@@ -196,17 +197,17 @@
 }
 
 // Live tells whether a member's lease stands here.
-func (l *Ledger) Live(name string, now kernel.Time) bool {
+func (l *Ledger) Live(name string, now time.Time) bool {
 	e, ok := l.members[name]
 	return ok && now.Before(e.until)
 }
 
 // Settled tells whether the core has been up for longer than a TTL.
-func (l *Ledger) Settled(now kernel.Time) bool { return now.Sub(l.begun) > l.ttl }
+func (l *Ledger) Settled(now time.Time) bool { return now.Sub(l.begun) > l.ttl }
 
 // View answers what the core knows of the question whether an epoch is in
 // force. Members are named with their incarnation, as MemberID writes them.
-func (l *Ledger) View(epoch, learned uint64, now kernel.Time) *wire.LeaseViewResponse {
+func (l *Ledger) View(epoch, learned uint64, now time.Time) *wire.LeaseViewResponse {
 	view := &wire.LeaseViewResponse{Core: l.core, Learned: learned, Settled: l.Settled(now)}
 	for name, e := range l.members {
 		switch {
@@ -229,7 +230,7 @@
 }
 
 // About is View reduced to the lease of one member.
-func (l *Ledger) About(name string, learned uint64, now kernel.Time) *wire.LeaseViewResponse {
+func (l *Ledger) About(name string, learned uint64, now time.Time) *wire.LeaseViewResponse {
 	view := &wire.LeaseViewResponse{Core: l.core, Learned: learned, Settled: l.Settled(now)}
 	if e, ok := l.members[name]; ok && l.Live(name, now) {
 		view.Confirmed = []string{MemberID(name, e.incarnation)}
@@ -240,7 +241,7 @@
 // Whole tells whether every lease that stands is confirmed at an epoch, and
 // they are more than half of a roster of which some refuse connections. It is
 // this core's part of InForce, worked out without a view.
-func (l *Ledger) Whole(epoch uint64, roster map[string]sheet.Member, now kernel.Time) bool {
+func (l *Ledger) Whole(epoch uint64, roster map[string]sheet.Member, now time.Time) bool {
 	confirmed := 0
 	for _, e := range l.members {
 		if !now.Before(e.until) {
@@ -262,7 +263,7 @@
 
 // Newcomers returns the processes that renew here but are not on the roster.
 // Sorted by name.
-func (l *Ledger) Newcomers(roster map[string]sheet.Member, now kernel.Time) []sheet.Member {
+func (l *Ledger) Newcomers(roster map[string]sheet.Member, now time.Time) []sheet.Member {
 	var members []sheet.Member
 	for name, e := range l.members {
 		if _, known := roster[name]; !known && name != "" && now.Sub(e.heard) < l.ttl {
@@ -275,7 +276,7 @@
 
 // Departed returns the members of the roster that have refused connections
 // without a break for a span. Sorted.
-func (l *Ledger) Departed(roster map[string]sheet.Member, span kernel.Duration, now kernel.Time) []string {
+func (l *Ledger) Departed(roster map[string]sheet.Member, span time.Duration, now time.Time) []string {
 	var names []string
 	for name, r := range l.gone {
 		if _, ok := roster[name]; ok && now.Sub(r.last) < l.ttl && r.last.Sub(r.since) >= span {
--- a/internal/core/merge/folded_test.go
+++ b/internal/core/merge/folded_test.go
@@ -2,15 +2,15 @@
 
 import (
 	"testing"
+	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 func TestFoldsFromTheFeed(t *testing.T) {
-	now := kernel.UnixMilli(100_000)
+	now := time.UnixMilli(100_000)
 	report := func(watcher string, counter uint64, at int64, state wire.ServerState, running uint32) *wire.Report {
 		return &wire.Report{Watcher: watcher, Server: "m1", Incarnation: 1, Counter: counter, AtMs: at,
 			Status: &wire.ServerStatus{Name: "m1", Address: "127.0.0.1:1", State: state, Reachable: true, Running: running, Incarnation: 7}}
--- a/internal/core/merge/merge.go
+++ b/internal/core/merge/merge.go
@@ -21,8 +21,8 @@
 	"maps"
 	"slices"
 	"strings"
+	"time"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -58,28 +58,28 @@
 // zero). Skew: how far ahead of this process a watcher's fleet time is believed
 // (500 ms when zero).
 type Config struct {
-	Fresh, Keep, Skew kernel.Duration
+	Fresh, Keep, Skew time.Duration
 }
 
 // KeepAlive returns how often a watcher repeats an unchanged sight, or says that
 // what it reported of the platform's list still stands, when the fleet has n
 // servers: each second, and more seldom beyond 100 servers, so that repeats stay
 // at some hundreds a second. Changes are reported at once whatever the size.
-func KeepAlive(n int) kernel.Duration {
-	return max(kernel.Second, kernel.Duration(n)*10*kernel.Millisecond)
+func KeepAlive(n int) time.Duration {
+	return max(time.Second, time.Duration(n)*10*time.Millisecond)
 }
 
 func (c Config) fresh(n int) int64 { return max(c.Fresh, 3*KeepAlive(n)).Milliseconds() }
 
 func (c Config) orDefaults() Config {
 	if c.Fresh <= 0 {
-		c.Fresh = 3 * kernel.Second
+		c.Fresh = 3 * time.Second
 	}
 	if c.Keep <= 0 {
-		c.Keep = 30 * kernel.Second
+		c.Keep = 30 * time.Second
 	}
 	if c.Skew <= 0 {
-		c.Skew = 500 * kernel.Millisecond
+		c.Skew = 500 * time.Millisecond
 	}
 	return c
 }
@@ -118,7 +118,7 @@
 // Merge takes a report in and tells whether it was newer than what was held,
 // so that it is worth passing on. The report must not be changed afterwards.
 // now is fleet time; a report from the future counts as of now.
-func (r *Reports) Merge(report *wire.Report, now kernel.Time) bool {
+func (r *Reports) Merge(report *wire.Report, now time.Time) bool {
 	if report.GetServer() == "" || report.GetWatcher() == "" || report.GetStatus() == nil {
 		return false
 	}
@@ -218,17 +218,17 @@
 
 // ListedAt returns the newest instant of fleet time at which a watcher saw the
 // platform's list; the zero time before the first.
-func (r *Reports) ListedAt() kernel.Time {
+func (r *Reports) ListedAt() time.Time {
 	if r.listedAt == 0 {
-		return kernel.Time{}
+		return time.Time{}
 	}
-	return kernel.UnixMilli(r.listedAt)
+	return time.UnixMilli(r.listedAt)
 }
 
 // Expire drops reports that newer ones of the same kind have outlived by Keep,
 // and servers that have been gone for Keep. The last word on a server that is
 // not gone stays for good. now is fleet time.
-func (r *Reports) Expire(now kernel.Time) {
+func (r *Reports) Expire(now time.Time) {
 	keep := r.cfg.Keep.Milliseconds()
 	r.Servers()
 	for name, e := range r.servers {
--- a/internal/core/merge/unchanged.go
+++ b/internal/core/merge/unchanged.go
@@ -2,10 +2,10 @@
 
 import (
 	"encoding/binary"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -25,7 +25,7 @@
 // Refresh takes the word of a watcher that its reports still stand, and returns
 // their servers. It is not known, and changes nothing, where other reports of
 // the watcher are held than those it means.
-func (r *Reports) Refresh(unchanged *wire.Unchanged, now kernel.Time) (servers []string, known bool) {
+func (r *Reports) Refresh(unchanged *wire.Unchanged, now time.Time) (servers []string, known bool) {
 	var held Digest
 	for server, e := range r.servers {
 		if s, found := e.sightings[unchanged.GetWatcher()]; found && stands(s.report, unchanged) {
@@ -55,7 +55,7 @@
 }
 
 // believed bounds a watcher's fleet time, which may be ahead of this process's.
-func (r *Reports) believed(at int64, now kernel.Time) int64 {
+func (r *Reports) believed(at int64, now time.Time) int64 {
 	if nowMS := now.UnixMilli(); at > nowMS+r.cfg.Skew.Milliseconds() {
 		return nowMS
 	}
--- a/internal/core/merge/unchanged_test.go
+++ b/internal/core/merge/unchanged_test.go
@@ -2,15 +2,15 @@
 
 import (
 	"testing"
+	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 func TestReportsThatStand(t *testing.T) {
-	now := kernel.UnixMilli(100_000)
+	now := time.UnixMilli(100_000)
 	report := func(server string, counter uint64, state wire.ServerState) *wire.Report {
 		return &wire.Report{Watcher: "n1/list", Server: server, Incarnation: 3, Counter: counter, AtMs: 90_000,
 			Status: &wire.ServerStatus{Name: server, Address: server, State: state}}
--- a/internal/core/plan/plan.go
+++ b/internal/core/plan/plan.go
@@ -9,9 +9,9 @@
 	"math"
 	"slices"
 	"strconv"
+	"time"
 
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -25,8 +25,8 @@
 	Term    uint64
 	Number  uint64
 	Holder  string
-	Now     kernel.Time
-	Period  kernel.Duration
+	Now     time.Time
+	Period  time.Duration
 	Cause   string
 	Policy  Policy
 }
@@ -75,7 +75,7 @@
 }
 
 // Due tells whether the plan's period has ended. now is fleet time.
-func Due(prior *wire.Plan, now kernel.Time) bool {
+func Due(prior *wire.Plan, now time.Time) bool {
 	return prior == nil || now.UnixMilli() >= prior.AtMs+int64(prior.PeriodMs)
 }
 
--- a/internal/core/route/choose.go
+++ b/internal/core/route/choose.go
@@ -3,19 +3,20 @@
 import (
 	"maps"
 	"slices"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/plan"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 const (
-	comeBack     = kernel.Second
-	leastBack    = 100 * kernel.Millisecond
-	mostBack     = 5 * kernel.Second
+	comeBack     = time.Second
+	leastBack    = 100 * time.Millisecond
+	mostBack     = 5 * time.Second
 	wheelPhase   = 1024
 	leastCredits = 2
 	mostCredits  = 20
@@ -24,11 +25,11 @@
 // Choose decides where a request goes now. A retry (with Tried) spends from the
 // retry budget, a first attempt adds to it. The caller calls Started when it
 // follows the choice, before it asks again.
-func (t *Table) Choose(req Request, now kernel.Time) Choice {
+func (t *Table) Choose(req Request, now time.Time) Choice {
 	if len(req.Tried) == 0 {
 		t.budget.add()
 	} else if !t.budget.has() {
-		return Choice{Fault: kernel.Refuse(kernel.BudgetSpent, "retries are bound to a share of the requests").After(comeBack)}
+		return Choice{Fault: apierror.Errorf(apierror.BudgetSpent, "retries are bound to a share of the requests").WithRetryAfter(comeBack)}
 	}
 	if req.Prefix != 0 {
 		t.popular.add(req.Prefix)
@@ -42,17 +43,17 @@
 
 // choose also tells whether some server has room, though not for this request,
 // which has waited since an instant.
-func (t *Table) choose(req *Request, since, now kernel.Time, fresh bool) (c Choice, room bool) {
+func (t *Table) choose(req *Request, since, now time.Time, fresh bool) (c Choice, room bool) {
 	switch {
 	case t.view.Plan == nil || t.view.State.Sheet == nil:
-		c.Fault = kernel.Refuse(kernel.NoPlan, "no plan has arrived").After(comeBack)
+		c.Fault = apierror.Errorf(apierror.NoPlan, "no plan has arrived").WithRetryAfter(comeBack)
 		return c, false
 	case !now.Before(req.Deadline):
-		c.Fault = kernel.Refuse(kernel.DeadlinePassed, "the deadline has passed").After(leastBack)
+		c.Fault = apierror.Errorf(apierror.DeadlinePassed, "the deadline has passed").WithRetryAfter(leastBack)
 		return c, false
 	}
 	if _, known := t.view.State.Sheet.Services[req.Service]; !known {
-		c.Fault = kernel.Refuse(kernel.UnknownService, "no service %q", req.Service)
+		c.Fault = apierror.Errorf(apierror.UnknownService, "no service %q", req.Service)
 		return c, false
 	}
 	if fresh && t.queue.unserved && len(t.queue.line) > 0 {
@@ -98,7 +99,7 @@
 		c.Queued = true
 		return c, found == elsewhere
 	}
-	c.Fault = kernel.Refuse(kernel.NoServer, "no server of %s can take requests%s", req.Service, t.homeNote(req.Home)).After(comeBack)
+	c.Fault = apierror.Errorf(apierror.NoServer, "no server of %s can take requests%s", req.Service, t.homeNote(req.Home)).WithRetryAfter(comeBack)
 	return c, false
 }
 
--- a/internal/core/route/pool.go
+++ b/internal/core/route/pool.go
@@ -5,8 +5,7 @@
 	"math"
 	"math/bits"
 	"slices"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 const (
@@ -19,7 +18,7 @@
 	freeRein   = 2.0 / 3
 	idleBelow  = 0.3
 	idleMost   = 0.8
-	idleWait   = kernel.Second
+	idleWait   = time.Second
 	zoneWorth  = 0.25
 	kvFull     = 0.95
 	kvWorth    = 0.1
@@ -71,7 +70,7 @@
 )
 
 // pick returns the server for a key within one pool, or nil.
-func (t *Table) pick(p *pool, req *Request, key uint64, waited kernel.Duration, now kernel.Time, c *Choice) (chosen *server, found fit) {
+func (t *Table) pick(p *pool, req *Request, key uint64, waited time.Duration, now time.Time, c *Choice) (chosen *server, found fit) {
 	switch t.cfg.Strategy {
 	case RoundRobin:
 		return t.pickInTurn(p, req, now, c)
@@ -101,7 +100,7 @@
 // this front may use, else to any server that is mostly idle. In a crowd the request rather waits for its
 // holders: a prefix spread over all servers would push the others' out of their
 // caches, and the misses would keep the crowd going.
-func (t *Table) pickRanked(p *pool, group []*server, req *Request, key uint64, waited kernel.Duration, now kernel.Time, c *Choice) (*server, fit) {
+func (t *Table) pickRanked(p *pool, group []*server, req *Request, key uint64, waited time.Duration, now time.Time, c *Choice) (*server, fit) {
 	if req.Prefix == 0 {
 		return t.pickLeast(group, req, key, true, now, c)
 	}
@@ -156,7 +155,7 @@
 	return s, fits
 }
 
-func idle(waited kernel.Duration) float64 {
+func idle(waited time.Duration) float64 {
 	return idleBelow + (idleMost-idleBelow)*min(1, float64(waited)/float64(idleWait))
 }
 
@@ -164,7 +163,7 @@
 	return max(float64(s.cap)*freeRein, math.Ceil(overMean*mean*float64(s.cap))+1)
 }
 
-func (t *Table) pickLeast(group []*server, req *Request, key uint64, local bool, now kernel.Time, c *Choice) (chosen *server, found fit) {
+func (t *Table) pickLeast(group []*server, req *Request, key uint64, local bool, now time.Time, c *Choice) (chosen *server, found fit) {
 	best, tie := math.Inf(1), uint64(0)
 	for _, s := range group {
 		switch why := t.unfit(s, req, now); why {
@@ -199,7 +198,7 @@
 	return chosen, fits
 }
 
-func (t *Table) pickInTurn(p *pool, req *Request, now kernel.Time, c *Choice) (*server, fit) {
+func (t *Table) pickInTurn(p *pool, req *Request, now time.Time, c *Choice) (*server, fit) {
 	found := none
 	for range p.size {
 		at := p.cursor % p.size
@@ -227,7 +226,7 @@
 	return nil
 }
 
-func (t *Table) unfit(s *server, req *Request, now kernel.Time) string {
+func (t *Table) unfit(s *server, req *Request, now time.Time) string {
 	if len(req.Tried) > 0 && slices.Contains(req.Tried, s.name) {
 		return Tried
 	}
--- a/internal/core/route/queue.go
+++ b/internal/core/route/queue.go
@@ -4,14 +4,15 @@
 	"cmp"
 	"math"
 	"slices"
+	"time"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
 const (
-	rateSpan   = 5 * kernel.Second
-	rateWarmUp = 2 * kernel.Second
+	rateSpan   = 5 * time.Second
+	rateWarmUp = 2 * time.Second
 	mostHope   = 4.0
 	lookAhead  = 64
 	// startMargin is how many mean durations must be left after the wait for a
@@ -19,9 +20,9 @@
 	// time.
 	startMargin = 1.5
 	tookWeight  = 0.05
-	wakeStep    = 50 * kernel.Millisecond
+	wakeStep    = 50 * time.Millisecond
 
-	firstLeast  = kernel.Second
+	firstLeast  = time.Second
 	firstMeans  = 5
 	firstTwice  = 2
 	coldPrefill = 4
@@ -34,7 +35,7 @@
 
 type waiter struct {
 	req   Request
-	since kernel.Time
+	since time.Time
 	order uint64
 }
 
@@ -58,7 +59,7 @@
 	return at
 }
 
-func (p *waitQueue) add(req Request, now kernel.Time) {
+func (p *waitQueue) add(req Request, now time.Time) {
 	p.order++
 	w := &waiter{req, now, p.order}
 	p.line = slices.Insert(p.line, p.place(w), w)
@@ -71,8 +72,8 @@
 	delete(p.byID, w.req.ID)
 }
 
-func (p *waitQueue) ahead(deadline kernel.Time) int {
-	at, _ := slices.BinarySearchFunc(p.line, deadline, func(w *waiter, deadline kernel.Time) int {
+func (p *waitQueue) ahead(deadline time.Time) int {
+	at, _ := slices.BinarySearchFunc(p.line, deadline, func(w *waiter, deadline time.Time) int {
 		if w.req.Deadline.After(deadline) {
 			return 1
 		}
@@ -90,14 +91,14 @@
 
 // wait turns a choice into the word to wait, or into a fault when the pending
 // requests are at their bound or the wait would outlast the deadline.
-func (t *Table) wait(req *Request, now kernel.Time, c Choice) Choice {
+func (t *Table) wait(req *Request, now time.Time, c Choice) Choice {
 	ahead := t.queue.ahead(req.Deadline)
 	c.Wait = t.estimate(req, ahead+1, now)
 	left := req.Deadline.Sub(now)
 	switch {
 	case len(t.queue.byID) >= t.cfg.QueueBound:
 		whole := t.estimate(req, len(t.queue.byID)/2, now)
-		c.Fault = kernel.Refuse(kernel.QueueFull, "%d requests are queued", len(t.queue.byID)).After(back(whole))
+		c.Fault = apierror.Errorf(apierror.QueueFull, "%d requests are queued", len(t.queue.byID)).WithRetryAfter(back(whole))
 	case c.Wait+t.lasts(req, startMargin) >= left:
 		c.Fault = t.tooShort(req, c.Wait, left)
 	default:
@@ -106,10 +107,10 @@
 	return c
 }
 
-func (t *Table) tooShort(req *Request, wait, left kernel.Duration) *kernel.Fault {
+func (t *Table) tooShort(req *Request, wait, left time.Duration) *apierror.Error {
 	takes := t.lasts(req, 1)
-	return kernel.Refuse(kernel.DeadlineTooShort, "the wait is about %s and the answer takes %s, the deadline is in %s",
-		wait.Round(kernel.Millisecond), takes.Round(kernel.Millisecond), left.Round(kernel.Millisecond)).After(back(wait + takes - left))
+	return apierror.Errorf(apierror.DeadlineTooShort, "the wait is about %s and the answer takes %s, the deadline is in %s",
+		wait.Round(time.Millisecond), takes.Round(time.Millisecond), left.Round(time.Millisecond)).WithRetryAfter(back(wait + takes - left))
 }
 
 // mean is an exponentially weighted mean of durations.
@@ -125,7 +126,7 @@
 	}
 }
 
-func learn(means map[string]*mean, service string, d kernel.Duration) {
+func learn(means map[string]*mean, service string, d time.Duration) {
 	m := means[service]
 	if m == nil {
 		m = &mean{float64(d)}
@@ -137,7 +138,7 @@
 // firstEvent bounds the time to a first event: several times the mean, and
 // twice what it takes the server to prefill all that it may have in flight as if
 // each request were like this one and none in its cache, and to free a slot.
-func (t *Table) firstEvent(s *server, req *Request) kernel.Duration {
+func (t *Table) firstEvent(s *server, req *Request) time.Duration {
 	if s.status.PrefillPerSecond <= 0 || req.Tokens <= 0 {
 		return 0
 	}
@@ -146,30 +147,30 @@
 	if s.status.State == wire.ServerState_SERVER_STATE_COLD {
 		seconds *= coldPrefill
 	}
-	explained := firstTwice * seconds * float64(kernel.Second)
+	explained := firstTwice * seconds * float64(time.Second)
 	if ahead > int(s.status.Slots) {
 		explained += float64(t.lasts(req, firstTwice))
 	}
 	if m := t.first[req.Service]; m != nil {
 		explained = max(explained, firstMeans*m.value)
 	}
-	return max(firstLeast, kernel.Duration(min(explained, float64(kernel.Minute))))
+	return max(firstLeast, time.Duration(min(explained, float64(time.Minute))))
 }
 
 // lasts returns what a request takes once started, times a margin; 0 when
 // nothing is known.
-func (t *Table) lasts(req *Request, margin float64) kernel.Duration {
+func (t *Table) lasts(req *Request, margin float64) time.Duration {
 	if m := t.took[req.Service]; m != nil {
-		return kernel.Duration(m.value * margin)
+		return time.Duration(m.value * margin)
 	}
 	return 0
 }
 
-func back(d kernel.Duration) kernel.Duration { return min(max(d, leastBack), mostBack) }
+func back(d time.Duration) time.Duration { return min(max(d, leastBack), mostBack) }
 
 // estimate tells how long it takes until n more requests have been answered by
 // the servers that could take this one; 0 while too little has been seen.
-func (t *Table) estimate(req *Request, n int, now kernel.Time) kernel.Duration {
+func (t *Table) estimate(req *Request, n int, now time.Time) time.Duration {
 	perSecond := 0.0
 	count := func(p *pool) {
 		if p == nil {
@@ -197,14 +198,14 @@
 	if perSecond <= 0 {
 		return 0
 	}
-	return kernel.Duration(min(float64(n)/perSecond, 3600) * float64(kernel.Second))
+	return time.Duration(min(float64(n)/perSecond, 3600) * float64(time.Second))
 }
 
 // Enqueue puts a request in the queue, as Choose said. It refuses a
 // request whose id already waits, and any beyond the bound.
-func (t *Table) Enqueue(req Request, now kernel.Time) *kernel.Fault {
+func (t *Table) Enqueue(req Request, now time.Time) *apierror.Error {
 	if t.queue.byID[req.ID] != nil {
-		return kernel.Refuse(kernel.BadField, "a request with this id is queued")
+		return apierror.Errorf(apierror.BadField, "a request with this id is queued")
 	}
 	if len(t.queue.byID) >= t.cfg.QueueBound {
 		return t.wait(&req, now, Choice{}).Fault
@@ -218,7 +219,7 @@
 // deadline: in a crowd, work on requests that end too late would starve those
 // that could still be met. The caller calls Started for a choice and then Next again, after each Finished,
 // each Update and at Wake.
-func (t *Table) Next(now kernel.Time) (Ready, bool) {
+func (t *Table) Next(now time.Time) (Ready, bool) {
 	var held [8]class
 	passed := held[:0]
 	for i, w := range t.queue.line {
@@ -265,9 +266,9 @@
 // Wake returns when Next should be called even if nothing happens: at the
 // earliest deadline, and each 50 ms while anything is queued, since ejections
 // end by time alone.
-func (t *Table) Wake(now kernel.Time) (kernel.Time, bool) {
+func (t *Table) Wake(now time.Time) (time.Time, bool) {
 	if len(t.queue.line) == 0 {
-		return kernel.Time{}, false
+		return time.Time{}, false
 	}
 	soon := now.Add(wakeStep)
 	if first := t.queue.line[0].req.Deadline; first.Before(soon) {
@@ -279,10 +280,10 @@
 // rate is an exponentially weighted count of events a second.
 type rate struct {
 	value       float64
-	first, last kernel.Time
+	first, last time.Time
 }
 
-func (r *rate) hit(now kernel.Time) {
+func (r *rate) hit(now time.Time) {
 	if r.first.IsZero() {
 		r.first, r.last = now, now
 	}
@@ -290,14 +291,14 @@
 	r.value += 1 / rateSpan.Seconds()
 }
 
-func (r *rate) decay(now kernel.Time) {
+func (r *rate) decay(now time.Time) {
 	if dt := now.Sub(r.last); dt > 0 {
 		r.value *= math.Exp(-dt.Seconds() / rateSpan.Seconds())
 		r.last = now
 	}
 }
 
-func (r *rate) perSecond(now kernel.Time) float64 {
+func (r *rate) perSecond(now time.Time) float64 {
 	if r.first.IsZero() || now.Sub(r.first) < rateWarmUp {
 		return 0
 	}
--- a/internal/core/route/queue_test.go
+++ b/internal/core/route/queue_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"pgregory.net/rapid"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -53,15 +53,15 @@
 			So(table.Enqueue(ask(102), start), ShouldBeNil)
 			c := table.Choose(ask(103), start)
 			So(c.Queued, ShouldBeFalse)
-			So(c.Fault.Code, ShouldEqual, kernel.QueueFull)
+			So(c.Fault.Code, ShouldEqual, apierror.QueueFull)
 			So(c.Fault.RetryAfter, ShouldBeGreaterThan, 0)
-			So(table.Enqueue(ask(103), start).Code, ShouldEqual, kernel.QueueFull)
+			So(table.Enqueue(ask(103), start).Code, ShouldEqual, apierror.QueueFull)
 		})
 		Convey("end with their deadline", func() {
 			ready, ok := table.Next(start.Add(10 * time.Second))
 			So(ok, ShouldBeTrue)
 			So(ready.Request.ID, ShouldEqual, soon.ID)
-			So(ready.Choice.Fault.Code, ShouldEqual, kernel.DeadlinePassed)
+			So(ready.Choice.Fault.Code, ShouldEqual, apierror.DeadlinePassed)
 			wake, ok := table.Wake(late.Deadline.Add(-time.Millisecond))
 			So(ok, ShouldBeTrue)
 			So(wake, ShouldEqual, late.Deadline)
@@ -70,7 +70,7 @@
 			table.Update(viewOf(map[string]*wire.ServerStatus{}), start)
 			ready, ok := table.Next(start)
 			So(ok, ShouldBeTrue)
-			So(ready.Choice.Fault.Code, ShouldEqual, kernel.NoServer)
+			So(ready.Choice.Fault.Code, ShouldEqual, apierror.NoServer)
 		})
 		Convey("forget a caller that is gone", func() {
 			So(table.Cancel(soon.ID), ShouldBeTrue)
@@ -90,7 +90,7 @@
 			}
 			hasty := ask(400)
 			hasty.Deadline = now.Add(50 * time.Millisecond)
-			So(table.Choose(hasty, now).Fault.Code, ShouldEqual, kernel.DeadlineTooShort)
+			So(table.Choose(hasty, now).Fault.Code, ShouldEqual, apierror.DeadlineTooShort)
 			calm := ask(401)
 			c := table.Choose(calm, now)
 			So(c.Queued, ShouldBeTrue)
@@ -102,7 +102,7 @@
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := crowded(64)
-		waiting := map[string]kernel.Time{}
+		waiting := map[string]time.Time{}
 		last := map[string]bool{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -8,9 +8,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/plan"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -57,7 +57,7 @@
 	return Request{ID: fmt.Sprintf("r%d", i), Service: "chat", FromRegion: "lagos", Deadline: start.Add(30 * time.Second)}
 }
 
-func (t *Table) serve(req Request, now kernel.Time) Choice {
+func (t *Table) serve(req Request, now time.Time) Choice {
 	c := t.Choose(req, now)
 	if c.Server != "" {
 		t.Started(c.Server)
@@ -94,7 +94,7 @@
 			v := viewOf(fleet(4))
 			v.State.Epoch, v.State.Evacuated = 8, map[string]uint64{"abeokuta": 8}
 			table.Update(v, start)
-			So(table.Choose(req, start).Fault.Code, ShouldEqual, kernel.NoServer)
+			So(table.Choose(req, start).Fault.Code, ShouldEqual, apierror.NoServer)
 			So(table.Choose(ask(2), start).Region, ShouldEqual, "lagos")
 		})
 		Convey("goes where servers are when the plan names none of their regions", func() {
@@ -151,15 +151,15 @@
 			}
 		})
 		Convey("refuses with when to come back while it knows no plan, service or server", func() {
-			So(New(Config{Self: "n1"}).Choose(ask(1), start).Fault.Code, ShouldEqual, kernel.NoPlan)
+			So(New(Config{Self: "n1"}).Choose(ask(1), start).Fault.Code, ShouldEqual, apierror.NoPlan)
 			req := ask(1)
 			req.Service = "none"
-			So(table.Choose(req, start).Fault.Code, ShouldEqual, kernel.UnknownService)
+			So(table.Choose(req, start).Fault.Code, ShouldEqual, apierror.UnknownService)
 			v.Servers = map[string]*wire.ServerStatus{}
 			table.Update(v, start)
-			fault := table.Choose(ask(1), start).Fault
-			So(fault.Code, ShouldEqual, kernel.NoServer)
-			So(fault.RetryAfter, ShouldBeGreaterThan, 0)
+			apiErr := table.Choose(ask(1), start).Fault
+			So(apiErr.Code, ShouldEqual, apierror.NoServer)
+			So(apiErr.RetryAfter, ShouldBeGreaterThan, 0)
 		})
 		Convey("ejects a server that refuses and probes it with one request", func() {
 			req := ask(1)
@@ -209,7 +209,7 @@
 				spent++
 				So(spent, ShouldBeLessThan, 100)
 			}
-			So(table.Choose(retry, start).Fault.Code, ShouldEqual, kernel.BudgetSpent)
+			So(table.Choose(retry, start).Fault.Code, ShouldEqual, apierror.BudgetSpent)
 			for i := range 10 {
 				table.Choose(ask(i), start)
 			}
@@ -217,7 +217,7 @@
 			So(c.Server, ShouldNotEqual, "m0")
 			So(c.Server, ShouldNotEqual, "")
 			table.Tune(Knobs{Strategy: Affinity, QueueBound: 1, RampStart: 2})
-			So(table.Choose(retry, start).Fault.Code, ShouldEqual, kernel.BudgetSpent)
+			So(table.Choose(retry, start).Fault.Code, ShouldEqual, apierror.BudgetSpent)
 		})
 		Convey("follows the knobs, the plan's caps with the start of the ramp", func() {
 			servers := with(map[string]*wire.ServerStatus{"m0": model("m0", "lagos", "a")}, "m0", func(s *wire.ServerStatus) { s.Answered = 0 })
@@ -233,7 +233,7 @@
 					So(table.Choose(ask(i), start).Server, ShouldEqual, "m0")
 					table.Started("m0")
 				}
-				So(table.Choose(ask(9), start).Fault.Code, ShouldEqual, kernel.QueueFull)
+				So(table.Choose(ask(9), start).Fault.Code, ShouldEqual, apierror.QueueFull)
 			}
 		})
 	})
--- a/internal/core/route/server.go
+++ b/internal/core/route/server.go
@@ -3,11 +3,11 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
 	"stepwick/internal/core/plan"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -24,9 +24,9 @@
 )
 
 const (
-	busyFor       = 200 * kernel.Millisecond
+	busyFor       = 200 * time.Millisecond
 	timeoutsToEnd = 3
-	timeoutsFor   = kernel.Second
+	timeoutsFor   = time.Second
 )
 
 type server struct {
@@ -52,14 +52,14 @@
 	rankGen, rank int
 
 	timeouts  int
-	timeoutAt kernel.Time
+	timeoutAt time.Time
 	ejections int
 	ejected   bool
-	until     kernel.Time
+	until     time.Time
 	probing   bool
 	healing   bool
 	healed    int
-	busyUntil kernel.Time
+	busyUntil time.Time
 }
 
 func newServer(name string) *server {
@@ -67,7 +67,7 @@
 }
 
 // learn takes a status in and tells whether the server's place in the pools moved.
-func (t *Table) learn(s *server, status *wire.ServerStatus, now kernel.Time) bool {
+func (t *Table) learn(s *server, status *wire.ServerStatus, now time.Time) bool {
 	old, before := s.status, s.excluded
 	s.status = status
 	s.excluded = plan.Excluded(t.view.State, status)
@@ -178,7 +178,7 @@
 }
 
 // closed returns why the server has no room for this front, or "".
-func (t *Table) closed(s *server, now kernel.Time) string {
+func (t *Table) closed(s *server, now time.Time) string {
 	if s.ejected {
 		if now.Before(s.until) {
 			return Ejected
@@ -224,7 +224,7 @@
 // ramping server. A refusal ejects the server until one request has probed it;
 // so do three timeouts in a row over a second, unless the server is known to
 // have answered others meanwhile: then it is slow, not dead.
-func (t *Table) Finished(name string, o Outcome, now kernel.Time) {
+func (t *Table) Finished(name string, o Outcome, now time.Time) {
 	s := t.servers[name]
 	if s == nil {
 		return
@@ -266,7 +266,7 @@
 	}
 }
 
-func (t *Table) eject(s *server, now kernel.Time) {
+func (t *Table) eject(s *server, now time.Time) {
 	if s.ejected && now.Before(s.until) {
 		return
 	}
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -13,12 +13,13 @@
 	"cmp"
 	"reflect"
 	"slices"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/plan"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -43,8 +44,8 @@
 	Policy             plan.Policy
 	QueueBound         int
 	RetryBudget        float64
-	EjectFor           kernel.Duration
-	EjectMost          kernel.Duration
+	EjectFor           time.Duration
+	EjectMost          time.Duration
 }
 
 func (c Config) orDefaults() Config {
@@ -52,8 +53,8 @@
 	c.Policy = c.Policy.OrDefaults()
 	c.QueueBound = cmp.Or(c.QueueBound, 256)
 	c.RetryBudget = cmp.Or(c.RetryBudget, 0.1)
-	c.EjectFor = cmp.Or(c.EjectFor, kernel.Second)
-	c.EjectMost = cmp.Or(c.EjectMost, 5*kernel.Second)
+	c.EjectFor = cmp.Or(c.EjectFor, time.Second)
+	c.EjectMost = cmp.Or(c.EjectMost, 5*time.Second)
 	return c
 }
 
@@ -100,7 +101,7 @@
 	FromRegion string
 	Home       string
 	Prefix     uint64
-	Deadline   kernel.Time
+	Deadline   time.Time
 	Tokens     float64
 	Tried      []string
 }
@@ -120,10 +121,10 @@
 	Server     string
 	Address    string
 	Region     string
-	Fault      *kernel.Fault
+	Fault      *apierror.Error
 	Queued     bool
-	Wait       kernel.Duration
-	FirstEvent kernel.Duration
+	Wait       time.Duration
+	FirstEvent time.Duration
 	Candidates []Candidate
 }
 
@@ -139,9 +140,9 @@
 	Refused        bool
 	Timeout        bool
 	Busy           bool
-	FirstToken     kernel.Duration
+	FirstToken     time.Duration
 	Service        string
-	Took           kernel.Duration
+	Took           time.Duration
 }
 
 type poolKey struct{ service, region string }
@@ -202,7 +203,7 @@
 
 // Update takes a new view in. Drains, evacuations and servers that are gone
 // bite at once, whatever the plan says.
-func (t *Table) Update(v View, now kernel.Time) {
+func (t *Table) Update(v View, now time.Time) {
 	fronts := t.frontHashes(v.Fronts)
 	if !slices.Equal(fronts, t.fronts) {
 		t.fronts = fronts
@@ -249,7 +250,7 @@
 	return slices.Compact(hashes)
 }
 
-func (t *Table) learnAll(v View, now kernel.Time, recheck bool) {
+func (t *Table) learnAll(v View, now time.Time, recheck bool) {
 	moved := false
 	for name, status := range v.Servers {
 		s := t.servers[name]
--- a/internal/core/sheet/cells.go
+++ b/internal/core/sheet/cells.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 )
 
 // Cell is one cell of a sheet as text. Path is as in Change; the hashes of a
@@ -134,15 +134,15 @@
 
 // ImportCSV reads what ExportCSV wrote, from at most limit bytes, and checks
 // it. Rows may stand in any order; an empty value leaves the cell unset.
-func ImportCSV(data []byte, limit int) (*Sheet, *kernel.Fault) {
+func ImportCSV(data []byte, limit int) (*Sheet, *apierror.Error) {
 	if len(data) > limit {
-		return nil, kernel.Refuse(kernel.SheetTooLarge, "%d bytes; the bound is %d", len(data), limit)
+		return nil, apierror.Errorf(apierror.SheetTooLarge, "%d bytes; the bound is %d", len(data), limit)
 	}
 	r := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(data, []byte("\ufeff"))))
 	r.FieldsPerRecord = len(csvHead)
 	head, err := r.Read()
 	if err != nil || !slices.Equal(head, csvHead) {
-		return nil, kernel.Refuse(kernel.InvalidSheet, "the first row must be cell,value")
+		return nil, apierror.Errorf(apierror.InvalidSheet, "the first row must be cell,value")
 	}
 	e := importer{sheet: Sheet{Services: map[string]Service{}, Weights: map[string]map[string]float64{},
 		Tenants: map[string]Tenant{}, Settings: map[string]string{}, Routes: map[string]Route{}}, seen: map[string]bool{}}
@@ -153,18 +153,18 @@
 			break
 		}
 		if err != nil {
-			return nil, kernel.Refuse(kernel.InvalidSheet, "%v", err)
+			return nil, apierror.Errorf(apierror.InvalidSheet, "%v", err)
 		}
 		if why := e.set(strings.TrimSpace(row[0]), strings.TrimSpace(row[1])); why != "" {
 			line, _ := r.FieldPos(0)
 			broken.add("line %d: %s: %s", line, clip(row[0]), why)
 		}
 	}
-	if fault := broken.fault(kernel.InvalidSheet); fault != nil {
-		return nil, fault
+	if apiErr := broken.fault(apierror.InvalidSheet); apiErr != nil {
+		return nil, apiErr
 	}
-	if fault := e.sheet.Check(); fault != nil {
-		return nil, fault
+	if apiErr := e.sheet.Check(); apiErr != nil {
+		return nil, apiErr
 	}
 	return &e.sheet, nil
 }
@@ -175,8 +175,8 @@
 }
 
 func (e *importer) set(path, value string) (why string) {
-	c, fault := splitPath(path)
-	if fault != nil {
+	c, apiErr := splitPath(path)
+	if apiErr != nil {
 		return "no such cell"
 	}
 	if e.seen[path] {
--- a/internal/core/sheet/command.go
+++ b/internal/core/sheet/command.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 )
 
 // Result is the outcome of a command, the same wherever it is applied. Epoch is
@@ -14,18 +14,18 @@
 // for BaseMoved the one that won on its base. SheetEpoch is the sheet's epoch
 // after the command.
 type Result struct {
-	Code       kernel.Code
+	Code       apierror.Code
 	Epoch      uint64
 	SheetEpoch uint64
 	Detail     string
 }
 
 // Fault returns the result as a fault, or nil for OK.
-func (r Result) Fault() *kernel.Fault {
-	if r.Code == kernel.OK {
+func (r Result) Fault() *apierror.Error {
+	if r.Code == apierror.OK {
 		return nil
 	}
-	return &kernel.Fault{Code: r.Code, Detail: r.Detail}
+	return &apierror.Error{Code: r.Code, Detail: r.Detail}
 }
 
 // Command is one entry of the log of agreed commands.
@@ -126,8 +126,8 @@
 	if result, done := s.before(order, true); done {
 		return s, result
 	}
-	if fault := c.Sheet.Check(); fault != nil {
-		return s, s.refused(fault)
+	if apiErr := c.Sheet.Check(); apiErr != nil {
+		return s, s.refused(apiErr)
 	}
 	summary := fmt.Sprintf("%d services, %d tenants", len(c.Sheet.Services), len(c.Sheet.Tenants))
 	return s.install(c.Sheet, order).accept(order, VerbPut, summary)
@@ -140,9 +140,9 @@
 	if result, done := s.before(order, true); done {
 		return s, result
 	}
-	patched, fault := s.Sheet.Patch(c.Changes)
-	if fault != nil {
-		return s, s.refused(fault)
+	patched, apiErr := s.Sheet.Patch(c.Changes)
+	if apiErr != nil {
+		return s, s.refused(apiErr)
 	}
 	return s.install(patched, order).accept(order, VerbPatch, summarize(c.Changes))
 }
@@ -155,8 +155,8 @@
 		return s, result
 	}
 	merged := s.Sheet.Merged(c.Upsert, c.Remove)
-	if fault := merged.Check(); fault != nil {
-		return s, s.refused(fault)
+	if apiErr := merged.Check(); apiErr != nil {
+		return s, s.refused(apiErr)
 	}
 	summary := fmt.Sprintf("%d routes, %d services, %d tenants", len(merged.Routes), len(merged.Services), len(merged.Tenants))
 	return s.install(merged, order).accept(order, VerbMerge, summary)
@@ -170,7 +170,7 @@
 		return s, result
 	}
 	if !ValidLocality(c.Locality) {
-		return s, s.result(kernel.UnknownLocality, "%s is neither a region nor region/zone", strconv.Quote(clip(c.Locality)))
+		return s, s.result(apierror.UnknownLocality, "%s is neither a region nor region/zone", strconv.Quote(clip(c.Locality)))
 	}
 	if _, empty := s.Evacuated[c.Locality]; !empty {
 		s.Evacuated = cloned(s.Evacuated)
@@ -187,7 +187,7 @@
 		return s, result
 	}
 	if !ValidLocality(c.Locality) {
-		return s, s.result(kernel.UnknownLocality, "%s is neither a region nor region/zone", strconv.Quote(clip(c.Locality)))
+		return s, s.result(apierror.UnknownLocality, "%s is neither a region nor region/zone", strconv.Quote(clip(c.Locality)))
 	}
 	if _, empty := s.Evacuated[c.Locality]; empty {
 		s.Evacuated = cloned(s.Evacuated)
@@ -230,7 +230,7 @@
 		return s.change(roster)
 	}
 	if len(roster) == len(s.Roster) && len(prior) == len(s.PriorRoster) {
-		return s, s.result(kernel.UnknownMember, "none of %s is on the roster", clip(strings.Join(c.Names, ", ")))
+		return s, s.result(apierror.UnknownMember, "none of %s is on the roster", clip(strings.Join(c.Names, ", ")))
 	}
 	if sameNames(roster, prior) {
 		prior = nil
@@ -245,7 +245,7 @@
 	if c.RosterEpoch == s.RosterEpoch {
 		s.PriorRoster = nil
 	}
-	return s, s.result(kernel.OK, "")
+	return s, s.result(apierror.OK, "")
 }
 
 // Apply gives the duty to the holder if the term is the next one.
@@ -253,37 +253,37 @@
 	s.Epoch = epoch
 	current := s.Duties[c.Duty]
 	if current == (Duty{Term: c.Term, Holder: c.Holder}) {
-		return s, s.result(kernel.OK, "")
+		return s, s.result(apierror.OK, "")
 	}
 	if c.Term != current.Term+1 || c.Duty == "" || c.Holder == "" {
-		return s, s.result(kernel.BaseMoved, "term %d of %s is %s's", current.Term, c.Duty, current.Holder)
+		return s, s.result(apierror.BaseMoved, "term %d of %s is %s's", current.Term, c.Duty, current.Holder)
 	}
 	s.Duties = cloned(s.Duties)
 	s.Duties[c.Duty] = Duty{Term: c.Term, Holder: c.Holder}
-	return s, s.result(kernel.OK, "")
+	return s, s.result(apierror.OK, "")
 }
 
 // Apply changes nothing but the epoch.
 func (Noop) Apply(s State, epoch uint64) (State, Result) {
 	s.Epoch = epoch
-	return s, s.result(kernel.OK, "")
+	return s, s.result(apierror.OK, "")
 }
 
-func (s State) result(code kernel.Code, format string, args ...any) Result {
+func (s State) result(code apierror.Code, format string, args ...any) Result {
 	return Result{Code: code, Epoch: s.Epoch, SheetEpoch: s.SheetEpoch, Detail: fmt.Sprintf(format, args...)}
 }
 
-func (s State) refused(fault *kernel.Fault) Result {
-	return Result{Code: fault.Code, Epoch: s.Epoch, SheetEpoch: s.SheetEpoch, Detail: fault.Detail}
+func (s State) refused(apiErr *apierror.Error) Result {
+	return Result{Code: apiErr.Code, Epoch: s.Epoch, SheetEpoch: s.SheetEpoch, Detail: apiErr.Detail}
 }
 
 func (s State) before(order Order, onBase bool) (Result, bool) {
 	if order.OrderID != "" {
 		if earlier, known := s.Applied(order.OrderID); known {
 			if earlier.Digest != order.Digest {
-				return s.result(kernel.OrderIDReused, "order %s was sent before to %s, and accepted at epoch %d", clip(order.OrderID), earlier.Verb, earlier.Epoch), true
+				return s.result(apierror.OrderIDReused, "order %s was sent before to %s, and accepted at epoch %d", clip(order.OrderID), earlier.Verb, earlier.Epoch), true
 			}
-			return Result{Code: kernel.OK, Epoch: earlier.Epoch, SheetEpoch: earlier.SheetEpoch}, true
+			return Result{Code: apierror.OK, Epoch: earlier.Epoch, SheetEpoch: earlier.SheetEpoch}, true
 		}
 	}
 	if onBase && order.Revision > 0 {
@@ -291,9 +291,9 @@
 	}
 	if onBase && order.Base != s.SheetEpoch {
 		won := s.winner(order.Base)
-		moved := s.result(kernel.BaseMoved, "base %d was taken by epoch %d; the sheet is at %d", order.Base, won, s.SheetEpoch)
+		moved := s.result(apierror.BaseMoved, "base %d was taken by epoch %d; the sheet is at %d", order.Base, won, s.SheetEpoch)
 		if order.Base > s.SheetEpoch {
-			moved = s.result(kernel.BaseMoved, "base %d is not the sheet's; it is at %d", order.Base, s.SheetEpoch)
+			moved = s.result(apierror.BaseMoved, "base %d is not the sheet's; it is at %d", order.Base, s.SheetEpoch)
 		}
 		moved.Epoch = won
 		return moved, true
@@ -305,9 +305,9 @@
 func (s State) beforeRevision(order Order) (Result, bool) {
 	switch {
 	case order.BaseRevision != s.Revision:
-		return s.result(kernel.BaseMoved, "base revision %d is not the sheet's; it is at %d", order.BaseRevision, s.Revision), true
+		return s.result(apierror.BaseMoved, "base revision %d is not the sheet's; it is at %d", order.BaseRevision, s.Revision), true
 	case order.Revision <= s.Revision:
-		return s.result(kernel.InvalidSheet, "revision %d is not above the sheet's, %d", order.Revision, s.Revision), true
+		return s.result(apierror.InvalidSheet, "revision %d is not above the sheet's, %d", order.Revision, s.Revision), true
 	}
 	return Result{}, false
 }
@@ -324,18 +324,18 @@
 func (s State) accept(order Order, verb, summary string) (State, Result) {
 	s = s.remember(Record{Epoch: s.Epoch, SheetEpoch: s.SheetEpoch, Operator: order.Operator, Verb: verb,
 		OrderID: order.OrderID, Digest: order.Digest, AtMS: order.AtMS, Summary: summary})
-	return s, s.result(kernel.OK, "")
+	return s, s.result(apierror.OK, "")
 }
 
 func (s State) change(roster map[string]Member) (State, Result) {
 	if len(roster) == len(s.Roster) {
-		return s, s.result(kernel.OK, "")
+		return s, s.result(apierror.OK, "")
 	}
 	if !s.Settled() {
-		return s, s.result(kernel.EpochBehind, "the roster's change of epoch %d is not settled", s.RosterEpoch)
+		return s, s.result(apierror.EpochBehind, "the roster's change of epoch %d is not settled", s.RosterEpoch)
 	}
 	s.PriorRoster, s.Roster, s.RosterEpoch = s.Roster, roster, s.Epoch
-	return s, s.result(kernel.OK, "")
+	return s, s.result(apierror.OK, "")
 }
 
 func without(roster map[string]Member, names []string) map[string]Member {
--- a/internal/core/sheet/order.go
+++ b/internal/core/sheet/order.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"unicode/utf8"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 )
 
 // MaxOrderID bounds an order's id in bytes.
@@ -18,7 +18,7 @@
 }
 
 var (
-	changesShape = &shape{kind: isList, code: kernel.InvalidChange, each: &shape{kind: isRecord,
+	changesShape = &shape{kind: isList, code: apierror.InvalidChange, each: &shape{kind: isRecord,
 		fields: map[string]*shape{"path": text, "value": whole, "delete": truth}}}
 
 	removalShape = &shape{kind: isRecord, fields: map[string]*shape{"routes": texts, "services": texts, "tenants": texts}}
@@ -61,43 +61,43 @@
 // base and content, which is the same for any spelling of the same content. A
 // put or merge may number its sheet: "revision":9,"base_revision":7 in place of
 // the base.
-func ParseOrder(verb, operator string, body []byte, limits Limits, atMS int64) (Command, *kernel.Fault) {
+func ParseOrder(verb, operator string, body []byte, limits Limits, atMS int64) (Command, *apierror.Error) {
 	want, known := orderShapes[verb]
 	if !known {
-		return nil, kernel.Refuse(kernel.UnknownPath, "no order %s", strconv.Quote(clip(verb)))
+		return nil, apierror.Errorf(apierror.UnknownPath, "no order %s", strconv.Quote(clip(verb)))
 	}
 	if len(body) > limits.Bytes {
-		return nil, kernel.Refuse(kernel.SheetTooLarge, "%d bytes; the bound is %d", len(body), limits.Bytes)
+		return nil, apierror.Errorf(apierror.SheetTooLarge, "%d bytes; the bound is %d", len(body), limits.Bytes)
 	}
 	var b orderBody
-	if fault := parse(body, want, kernel.BadField, &b); fault != nil {
-		return nil, fault
+	if apiErr := parse(body, want, apierror.BadField, &b); apiErr != nil {
+		return nil, apiErr
 	}
 	if len(b.OrderID) > MaxOrderID || !utf8.ValidString(b.OrderID) {
-		return nil, kernel.Refuse(kernel.BadField, "order_id: over %d bytes", MaxOrderID)
+		return nil, apierror.Errorf(apierror.BadField, "order_id: over %d bytes", MaxOrderID)
 	}
 	order := Order{OrderID: b.OrderID, Operator: operator, AtMS: atMS}
 	order.Revision, order.BaseRevision = b.Revision, b.OnRev
 	if (verb == VerbPut || verb == VerbPatch || verb == VerbMerge) && b.Revision == 0 {
 		if b.Base == nil {
-			return nil, kernel.Refuse(kernel.MissingField, "base: the sheet's epoch that the order is built on")
+			return nil, apierror.Errorf(apierror.MissingField, "base: the sheet's epoch that the order is built on")
 		}
 		order.Base = *b.Base
 	}
 	return b.command(verb, order, limits)
 }
 
-func (b orderBody) command(verb string, order Order, limits Limits) (Command, *kernel.Fault) {
+func (b orderBody) command(verb string, order Order, limits Limits) (Command, *apierror.Error) {
 	switch verb {
 	case VerbPut:
 		if b.Sheet == nil {
-			return nil, kernel.Refuse(kernel.MissingField, "sheet")
+			return nil, apierror.Errorf(apierror.MissingField, "sheet")
 		}
-		if fault := b.Sheet.Check(); fault != nil {
-			return nil, fault
+		if apiErr := b.Sheet.Check(); apiErr != nil {
+			return nil, apiErr
 		}
-		if fault := b.Sheet.checkRunTime(limits); fault != nil {
-			return nil, fault
+		if apiErr := b.Sheet.checkRunTime(limits); apiErr != nil {
+			return nil, apiErr
 		}
 		c := PutSheet{Order: order, Sheet: b.Sheet}
 		c.Order = c.seal()
@@ -105,35 +105,35 @@
 	case VerbMerge:
 		c := MergeSheet{Order: order, Upsert: b.Upsert, Remove: b.Remove}
 		if b.Upsert != nil {
-			if fault := b.Upsert.checkRunTime(limits); fault != nil {
-				return nil, fault
+			if apiErr := b.Upsert.checkRunTime(limits); apiErr != nil {
+				return nil, apiErr
 			}
 		}
 		c.Order = c.seal()
 		return c, nil
 	case VerbPatch:
 		if len(b.Changes) == 0 {
-			return nil, kernel.Refuse(kernel.MissingField, "changes")
+			return nil, apierror.Errorf(apierror.MissingField, "changes")
 		}
-		if fault := checkChanges(b.Changes, limits); fault != nil {
-			return nil, fault
+		if apiErr := checkChanges(b.Changes, limits); apiErr != nil {
+			return nil, apiErr
 		}
 		c := PatchSheet{Order: order, Changes: b.Changes}
 		c.Order = c.seal()
 		return c, nil
 	case VerbRemove:
 		if len(b.Names) == 0 {
-			return nil, kernel.Refuse(kernel.MissingField, "names")
+			return nil, apierror.Errorf(apierror.MissingField, "names")
 		}
 		c := RemoveMembers{Order: order, Names: b.Names, By: order.Operator}
 		c.Order = c.seal()
 		return c, nil
 	}
 	if b.Locality == "" {
-		return nil, kernel.Refuse(kernel.MissingField, "locality")
+		return nil, apierror.Errorf(apierror.MissingField, "locality")
 	}
 	if !ValidLocality(b.Locality) {
-		return nil, kernel.Refuse(kernel.UnknownLocality, "%s is neither a region nor region/zone", strconv.Quote(clip(b.Locality)))
+		return nil, apierror.Errorf(apierror.UnknownLocality, "%s is neither a region nor region/zone", strconv.Quote(clip(b.Locality)))
 	}
 	if verb == VerbEvacuate {
 		c := Evacuate{Order: order, Locality: b.Locality}
@@ -145,7 +145,7 @@
 	return c, nil
 }
 
-func (s *Sheet) checkRunTime(limits Limits) *kernel.Fault {
+func (s *Sheet) checkRunTime(limits Limits) *apierror.Error {
 	if limits.Setting == nil {
 		return nil
 	}
@@ -155,18 +155,18 @@
 			broken.add("settings.%s: %v", name, err)
 		}
 	}
-	return broken.fault(kernel.InvalidSheet)
+	return broken.fault(apierror.InvalidSheet)
 }
 
-func checkChanges(changes []Change, limits Limits) *kernel.Fault {
+func checkChanges(changes []Change, limits Limits) *apierror.Error {
 	if len(changes) > MaxChanges {
-		return kernel.Refuse(kernel.InvalidChange, "%d changes; the bound is %d", len(changes), MaxChanges)
+		return apierror.Errorf(apierror.InvalidChange, "%d changes; the bound is %d", len(changes), MaxChanges)
 	}
 	var broken rules
 	for _, change := range changes {
-		c, fault := splitPath(change.Path)
-		if fault != nil {
-			broken.add("%s", fault.Detail)
+		c, apiErr := splitPath(change.Path)
+		if apiErr != nil {
+			broken.add("%s", apiErr.Detail)
 			continue
 		}
 		if change.Delete != (len(change.Value) == 0) {
@@ -187,5 +187,5 @@
 			broken.add("%s: %s", clip(change.Path), why)
 		}
 	}
-	return broken.fault(kernel.InvalidChange)
+	return broken.fault(apierror.InvalidChange)
 }
--- a/internal/core/sheet/parse.go
+++ b/internal/core/sheet/parse.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"strings"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
 type kind int
@@ -32,7 +32,7 @@
 	kind   kind
 	each   *shape
 	fields map[string]*shape
-	code   kernel.Code
+	code   apierror.Code
 }
 
 var (
@@ -52,7 +52,7 @@
 		"tenants": {kind: isRecord, fields: map[string]*shape{"rate": number, "burst": number, "home": text, "keys": texts,
 			"priority": number, "unit": text, "plain_tokens": number, "homes": texts, "origin": opaque}},
 	}
-	sheetShape = &shape{kind: isRecord, code: kernel.InvalidSheet, fields: map[string]*shape{
+	sheetShape = &shape{kind: isRecord, code: apierror.InvalidSheet, fields: map[string]*shape{
 		"services": {kind: isTable, each: rowShapes["services"]},
 		"weights":  {kind: isTable, each: rowShapes["weights"]},
 		"tenants":  {kind: isTable, each: rowShapes["tenants"]},
@@ -65,45 +65,45 @@
 
 // ParseSheet reads a sheet from at most limit bytes of JSON and checks it.
 // Unknown or repeated names, nulls, wrong types and trailing data are refused.
-func ParseSheet(data []byte, limit int) (*Sheet, *kernel.Fault) {
+func ParseSheet(data []byte, limit int) (*Sheet, *apierror.Error) {
 	if len(data) > limit {
-		return nil, kernel.Refuse(kernel.SheetTooLarge, "%d bytes; the bound is %d", len(data), limit)
+		return nil, apierror.Errorf(apierror.SheetTooLarge, "%d bytes; the bound is %d", len(data), limit)
 	}
 	var s Sheet
-	if fault := parse(data, sheetShape, kernel.InvalidSheet, &s); fault != nil {
-		return nil, fault
+	if apiErr := parse(data, sheetShape, apierror.InvalidSheet, &s); apiErr != nil {
+		return nil, apiErr
 	}
-	if fault := s.Check(); fault != nil {
-		return nil, fault
+	if apiErr := s.Check(); apiErr != nil {
+		return nil, apiErr
 	}
 	return &s, nil
 }
 
-func parse(data []byte, want *shape, code kernel.Code, into any) *kernel.Fault {
-	if fault := scan(data, want, code); fault != nil {
-		return fault
+func parse(data []byte, want *shape, code apierror.Code, into any) *apierror.Error {
+	if apiErr := scan(data, want, code); apiErr != nil {
+		return apiErr
 	}
 	if err := json.Unmarshal(data, into); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) {
-			return kernel.Refuse(code, "%s: %s is out of bounds", wrong.Field, clip(wrong.Value))
+			return apierror.Errorf(code, "%s: %s is out of bounds", wrong.Field, clip(wrong.Value))
 		}
-		return kernel.Refuse(kernel.BadJSON, "%v", err)
+		return apierror.Errorf(apierror.BadJSON, "%v", err)
 	}
 	return nil
 }
 
 // scan checks that data is one JSON value of the wanted shape, with no name
 // unknown or given twice.
-func scan(data []byte, want *shape, code kernel.Code) *kernel.Fault {
+func scan(data []byte, want *shape, code apierror.Code) *apierror.Error {
 	if !json.Valid(data) {
 		var raw json.RawMessage
 		err := json.Unmarshal(data, &raw)
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
-			return kernel.Refuse(kernel.BadJSON, "at byte %d: %v", syntax.Offset, err)
+			return apierror.Errorf(apierror.BadJSON, "at byte %d: %v", syntax.Offset, err)
 		}
-		return kernel.Refuse(kernel.BadJSON, "%v", err)
+		return apierror.Errorf(apierror.BadJSON, "%v", err)
 	}
 	s := scanner{data: data}
 	return s.value(want, code, nil, 0)
@@ -153,21 +153,21 @@
 	return name
 }
 
-func (s *scanner) value(want *shape, code kernel.Code, path *place, depth int) *kernel.Fault {
+func (s *scanner) value(want *shape, code apierror.Code, path *place, depth int) *apierror.Error {
 	first := s.next()
 	if want.kind == isOpaque {
 		return s.pass()
 	}
-	if want.code != kernel.OK {
+	if want.code != apierror.OK {
 		code = want.code
 	}
 	if depth > maxDepth {
-		return kernel.Refuse(code, "%sit is nested too deep", path)
+		return apierror.Errorf(code, "%sit is nested too deep", path)
 	}
 	got, known := kindOf(first)
 	fits := known && (got == want.kind || want.kind == isRecord && got == isTable || want.kind == isAny)
 	if !fits {
-		return kernel.Refuse(code, "%swant %s, not %s", path, kindNames[want.kind], s.describe(got, known))
+		return apierror.Errorf(code, "%swant %s, not %s", path, kindNames[want.kind], s.describe(got, known))
 	}
 	switch got {
 	case isTable:
@@ -180,51 +180,51 @@
 }
 
 // pass goes over one value that is known to be valid.
-func (s *scanner) pass() *kernel.Fault {
+func (s *scanner) pass() *apierror.Error {
 	decoder := json.NewDecoder(bytes.NewReader(s.data[s.at:]))
 	var raw json.RawMessage
 	if err := decoder.Decode(&raw); err != nil {
-		return kernel.Refuse(kernel.BadJSON, "%v", err)
+		return apierror.Errorf(apierror.BadJSON, "%v", err)
 	}
 	s.at += int(decoder.InputOffset())
 	return nil
 }
 
-func (s *scanner) list(want *shape, code kernel.Code, path *place, depth int) *kernel.Fault {
+func (s *scanner) list(want *shape, code apierror.Code, path *place, depth int) *apierror.Error {
 	each := want.each
 	if want.kind == isAny {
 		each = whole
 	}
 	s.at++
 	for i := 0; s.next() != ']'; i++ {
-		if fault := s.value(each, code, &place{in: path, number: i}, depth+1); fault != nil {
-			return fault
+		if apiErr := s.value(each, code, &place{in: path, number: i}, depth+1); apiErr != nil {
+			return apiErr
 		}
 	}
 	s.at++
 	return nil
 }
 
-func (s *scanner) object(want *shape, code kernel.Code, path *place, depth int) *kernel.Fault {
+func (s *scanner) object(want *shape, code apierror.Code, path *place, depth int) *apierror.Error {
 	seen := make(map[string]struct{})
 	s.at++
 	for s.next() != '}' {
 		here := place{in: path, name: s.name(), named: true}
 		if _, twice := seen[here.name]; twice {
-			return kernel.Refuse(code, "%sgiven twice", &here)
+			return apierror.Errorf(code, "%sgiven twice", &here)
 		}
 		seen[here.name] = struct{}{}
 		inner := want.each
 		switch want.kind {
 		case isRecord:
 			if inner = want.fields[here.name]; inner == nil {
-				return kernel.Refuse(kernel.UnknownField, "%sno such field", &here)
+				return apierror.Errorf(apierror.UnknownField, "%sno such field", &here)
 			}
 		case isAny:
 			inner = whole
 		}
-		if fault := s.value(inner, code, &here, depth+1); fault != nil {
-			return fault
+		if apiErr := s.value(inner, code, &here, depth+1); apiErr != nil {
+			return apiErr
 		}
 	}
 	s.at++
--- a/internal/core/sheet/patch.go
+++ b/internal/core/sheet/patch.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 )
 
 // MaxChanges bounds the changes of one patch.
@@ -45,32 +45,32 @@
 
 // ParseChange reads path=value, path+=value or path-=value, with the value
 // typed as its cell asks: weights.chat.lagos=30, tenants.press.keys+=HASH.
-func ParseChange(text string) (Change, *kernel.Fault) {
+func ParseChange(text string) (Change, *apierror.Error) {
 	path, value, ok := strings.Cut(text, "=")
 	if !ok || path == "" {
-		return Change{}, kernel.Refuse(kernel.InvalidChange, "%s is not path=value", strconv.Quote(clip(text)))
+		return Change{}, apierror.Errorf(apierror.InvalidChange, "%s is not path=value", strconv.Quote(clip(text)))
 	}
 	return TextChange(strings.TrimSpace(path), strings.TrimSpace(value))
 }
 
 // TextChange returns the change that sets a cell to a value written as text, as
 // spreadsheets hold it: hashes of keys are parted by spaces or commas.
-func TextChange(path, value string) (Change, *kernel.Fault) {
-	c, fault := splitPath(path)
-	if fault != nil {
-		return Change{}, fault
+func TextChange(path, value string) (Change, *apierror.Error) {
+	c, apiErr := splitPath(path)
+	if apiErr != nil {
+		return Change{}, apiErr
 	}
 	var typed any = value
 	switch {
 	case c.row != "" && c.column == "" && c.table != "settings":
 		if !json.Valid([]byte(value)) {
-			return Change{}, kernel.Refuse(kernel.InvalidChange, "%s: a whole row is written as JSON", path)
+			return Change{}, apierror.Errorf(apierror.InvalidChange, "%s: a whole row is written as JSON", path)
 		}
 		return Change{Path: path, Value: json.RawMessage(value)}, nil
 	case c.numeric():
 		number, err := strconv.ParseFloat(value, 64)
 		if err != nil || !validNumber(number) {
-			return Change{}, kernel.Refuse(kernel.InvalidChange, "%s: %s is no number from 0 to %g", path, strconv.Quote(clip(value)), float64(MaxNumber))
+			return Change{}, apierror.Errorf(apierror.InvalidChange, "%s: %s is no number from 0 to %g", path, strconv.Quote(clip(value)), float64(MaxNumber))
 		}
 		typed = number
 	case c.column == "keys":
@@ -78,7 +78,7 @@
 	}
 	data, err := json.Marshal(typed)
 	if err != nil {
-		return Change{}, kernel.Refuse(kernel.InvalidChange, "%s: %v", path, err)
+		return Change{}, apierror.Errorf(apierror.InvalidChange, "%s: %v", path, err)
 	}
 	return Change{Path: path, Value: data}, nil
 }
@@ -94,9 +94,9 @@
 	"tenants":  {"rate", "burst", "home", "keys", "keys+", "keys-"},
 }
 
-func splitPath(path string) (cellPath, *kernel.Fault) {
-	bad := func(why string) (cellPath, *kernel.Fault) {
-		return cellPath{}, kernel.Refuse(kernel.InvalidChange, "%s: %s", strconv.Quote(clip(path)), why)
+func splitPath(path string) (cellPath, *apierror.Error) {
+	bad := func(why string) (cellPath, *apierror.Error) {
+		return cellPath{}, apierror.Errorf(apierror.InvalidChange, "%s: %s", strconv.Quote(clip(path)), why)
 	}
 	table, rest, ok := strings.Cut(path, ".")
 	if !ok || rest == "" {
@@ -131,12 +131,12 @@
 // Patch returns a sound sheet with the changes made in their order, and
 // checked. It copies the tables and rows that change, each once, and shares the
 // rest; tenants that don't change aren't checked anew. A nil sheet is empty.
-func (s *Sheet) Patch(changes []Change) (*Sheet, *kernel.Fault) {
+func (s *Sheet) Patch(changes []Change) (*Sheet, *apierror.Error) {
 	if len(changes) == 0 {
-		return nil, kernel.Refuse(kernel.InvalidChange, "no changes")
+		return nil, apierror.Errorf(apierror.InvalidChange, "no changes")
 	}
 	if len(changes) > MaxChanges {
-		return nil, kernel.Refuse(kernel.InvalidChange, "%d changes; the bound is %d", len(changes), MaxChanges)
+		return nil, apierror.Errorf(apierror.InvalidChange, "%d changes; the bound is %d", len(changes), MaxChanges)
 	}
 	e := editor{rows: make(map[string]bool), tenants: make(map[string]bool), seen: make(map[string]bool, len(changes))}
 	if s != nil {
@@ -148,11 +148,11 @@
 			broken.add("%s: %s", clip(change.Path), why)
 		}
 	}
-	if fault := broken.fault(kernel.InvalidChange); fault != nil {
-		return nil, fault
+	if apiErr := broken.fault(apierror.InvalidChange); apiErr != nil {
+		return nil, apiErr
 	}
-	if fault := e.sheet.check(sortedNames(e.tenants)); fault != nil {
-		return nil, fault
+	if apiErr := e.sheet.check(sortedNames(e.tenants)); apiErr != nil {
+		return nil, apiErr
 	}
 	return &e.sheet, nil
 }
@@ -167,9 +167,9 @@
 }
 
 func (e *editor) make(change Change) (why string) {
-	c, fault := splitPath(change.Path)
-	if fault != nil {
-		return strings.TrimPrefix(fault.Detail, strconv.Quote(clip(change.Path))+": ")
+	c, apiErr := splitPath(change.Path)
+	if apiErr != nil {
+		return strings.TrimPrefix(apiErr.Detail, strconv.Quote(clip(change.Path))+": ")
 	}
 	step := c.column == "keys+" || c.column == "keys-"
 	if e.seen[change.Path] && !step {
@@ -381,8 +381,8 @@
 }
 
 func typed(value json.RawMessage, want *shape, into any) string {
-	if fault := scan(value, want, kernel.InvalidChange); fault != nil {
-		return fault.Detail
+	if apiErr := scan(value, want, apierror.InvalidChange); apiErr != nil {
+		return apiErr.Detail
 	}
 	if err := json.NewDecoder(bytes.NewReader(value)).Decode(into); err != nil {
 		return "its value is out of bounds"
--- a/internal/core/sheet/routes_test.go
+++ b/internal/core/sheet/routes_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
-	. "github.com/smartystreets/goconvey/convey"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	. "github.com/smartystreets/goconvey/convey"
 )
 
 func routed() *Sheet {
@@ -51,10 +51,10 @@
 			"routes.map.homes":           withRoute(func(r *Route) { r.Homes = []string{"a/b"} }),
 			"has the same host and pref": withRoute(func(r *Route) { r.Prefix, r.Host = "/", "NEWS.example" }),
 		} {
-			fault := s.Check()
-			So(fault, ShouldNotBeNil)
-			So(fault.Code, ShouldEqual, kernel.InvalidSheet)
-			So(fault.Detail, ShouldContainSubstring, cell)
+			apiErr := s.Check()
+			So(apiErr, ShouldNotBeNil)
+			So(apiErr.Code, ShouldEqual, apierror.InvalidSheet)
+			So(apiErr.Detail, ShouldContainSubstring, cell)
 		}
 	})
 	Convey("The longest prefix of a host wins, whatever the case of the host", t, func() {
@@ -76,8 +76,8 @@
 	Convey("What an adapter keeps beside a row reads back as it came, whatever is in it", t, func() {
 		origin := `{"n":3.0,"deep":[{"x":null}]}`
 		data := strings.Replace(encoded(routed()), `"host":"news.example","prefix":"/",`, `"origin":`+origin+`,"host":"news.example","prefix":"/",`, 1)
-		s, fault := ParseSheet([]byte(data), MaxBytes)
-		So(fault, ShouldBeNil)
+		s, apiErr := ParseSheet([]byte(data), MaxBytes)
+		So(apiErr, ShouldBeNil)
 		So(string(s.Routes["digest"].Origin), ShouldEqual, origin)
 	})
 }
@@ -92,26 +92,26 @@
 		So(first.Revision, ShouldEqual, 5)
 		for _, c := range []struct {
 			revision, base uint64
-			code           kernel.Code
-		}{{9, 5, kernel.OK}, {9, 4, kernel.BaseMoved}, {9, 6, kernel.BaseMoved}, {5, 5, kernel.InvalidSheet}, {4, 5, kernel.InvalidSheet}} {
+			code           apierror.Code
+		}{{9, 5, apierror.OK}, {9, 4, apierror.BaseMoved}, {9, 6, apierror.BaseMoved}, {5, 5, apierror.InvalidSheet}, {4, 5, apierror.InvalidSheet}} {
 			next, result := MergeSheet{Order: numbered(c.revision, c.base)}.Apply(first, 2)
 			So(result.Code, ShouldEqual, c.code)
-			So(next.Revision == 9, ShouldEqual, c.code == kernel.OK)
+			So(next.Revision == 9, ShouldEqual, c.code == apierror.OK)
 		}
 	})
 	Convey("The same order sent again gets the same answer; one of the same number with other content lost the race", t, func() {
 		again, result := PutSheet{Order: numbered(5, 0), Sheet: routed()}.Apply(first, 2)
-		So(result.Code, ShouldEqual, kernel.OK)
+		So(result.Code, ShouldEqual, apierror.OK)
 		So(again.SheetEpoch, ShouldEqual, 1)
 		other := routed()
 		delete(other.Routes, "map")
 		_, result = PutSheet{Order: numbered(5, 0), Sheet: other}.Apply(first, 2)
-		So(result.Code, ShouldEqual, kernel.BaseMoved)
+		So(result.Code, ShouldEqual, apierror.BaseMoved)
 	})
 	Convey("A merge replaces rows by name after it removed others, and leaves the rest", t, func() {
 		upsert := &Sheet{Routes: map[string]Route{"digest": {Host: "news.example", Prefix: "/d/", Kind: RouteSafe, TimeoutMS: 5, Splits: []Split{{"desk", 1}}}}}
 		next, result := MergeSheet{Order: numbered(7, 5), Upsert: upsert, Remove: Removal{Routes: []string{"map", "gone"}}}.Apply(first, 2)
-		So(result.Code, ShouldEqual, kernel.OK)
+		So(result.Code, ShouldEqual, apierror.OK)
 		So(next.Sheet.Routes, ShouldHaveLength, 1)
 		So(next.Sheet.Routes["digest"].Prefix, ShouldEqual, "/d/")
 		So(next.Sheet.Tenants, ShouldResemble, first.Sheet.Tenants)
@@ -119,7 +119,7 @@
 	})
 	Convey("A merge that leaves an unsound sheet changes nothing", t, func() {
 		next, result := MergeSheet{Order: numbered(7, 5), Remove: Removal{Services: []string{"desk"}}}.Apply(first, 2)
-		So(result.Code, ShouldEqual, kernel.InvalidSheet)
+		So(result.Code, ShouldEqual, apierror.InvalidSheet)
 		So(next.Revision, ShouldEqual, 5)
 		So(next.Sheet.Services, ShouldHaveLength, 2)
 	})
@@ -128,7 +128,7 @@
 		decoded, err := Decode(Encode(order))
 		So(err, ShouldBeNil)
 		next, result := decoded.Apply(first, 2)
-		So(result.Code, ShouldEqual, kernel.OK)
+		So(result.Code, ShouldEqual, apierror.OK)
 		kept, err := DecodeState(next.Encode())
 		So(err, ShouldBeNil)
 		So(kept.Revision, ShouldEqual, 7)
@@ -137,12 +137,12 @@
 	Convey("A body may number its sheet in place of the base", t, func() {
 		body, err := json.Marshal(map[string]any{"revision": 5, "base_revision": 0, "sheet": routed()})
 		So(err, ShouldBeNil)
-		command, fault := ParseOrder(VerbPut, "desk", body, Limits{Bytes: MaxBytes}, 0)
-		So(fault, ShouldBeNil)
+		command, apiErr := ParseOrder(VerbPut, "desk", body, Limits{Bytes: MaxBytes}, 0)
+		So(apiErr, ShouldBeNil)
 		_, result := command.Apply(State{}, 1)
-		So(result.Code, ShouldEqual, kernel.OK)
-		_, fault = ParseOrder(VerbMerge, "desk", []byte(`{"upsert":{}}`), Limits{Bytes: MaxBytes}, 0)
-		So(fault.Code, ShouldEqual, kernel.MissingField)
+		So(result.Code, ShouldEqual, apierror.OK)
+		_, apiErr = ParseOrder(VerbMerge, "desk", []byte(`{"upsert":{}}`), Limits{Bytes: MaxBytes}, 0)
+		So(apiErr.Code, ShouldEqual, apierror.MissingField)
 	})
 	Convey("An order on a number that is behind is settled without a ballot, one that is ahead is not", t, func() {
 		second, _ := MergeSheet{Order: numbered(7, 5)}.Apply(first, 2)
@@ -161,8 +161,8 @@
 	full.Tenants["city"] = Tenant{Rate: 5, KeyHashes: []string{hash("three")}}
 	full.Settings = map[string]string{"route.strategy": "affinity"}
 	Convey("A sheet of routes is whole after a way through CSV", t, func() {
-		back, fault := ImportCSV(full.ExportCSV(), MaxBytes)
-		So(fault, ShouldBeNil)
+		back, apiErr := ImportCSV(full.ExportCSV(), MaxBytes)
+		So(apiErr, ShouldBeNil)
 		So(encoded(back), ShouldEqual, encoded(full))
 	})
 	Convey("A difference names the route", t, func() {
@@ -172,17 +172,17 @@
 		So(Diff(full, &other)[0], ShouldStartWith, "- routes.map = {")
 	})
 	Convey("Routes and limits are set and deleted as whole rows", t, func() {
-		set, fault := ParseChange(`routes.new={"host":"h","prefix":"/n/","kind":"safe","timeout_ms":5,"splits":[{"service":"desk","weight":1}]}`)
-		So(fault, ShouldBeNil)
-		patched, fault := full.Patch([]Change{set, {Path: "routes.map", Delete: true}, {Path: limitsCell, Delete: true}})
-		So(fault, ShouldBeNil)
+		set, apiErr := ParseChange(`routes.new={"host":"h","prefix":"/n/","kind":"safe","timeout_ms":5,"splits":[{"service":"desk","weight":1}]}`)
+		So(apiErr, ShouldBeNil)
+		patched, apiErr := full.Patch([]Change{set, {Path: "routes.map", Delete: true}, {Path: limitsCell, Delete: true}})
+		So(apiErr, ShouldBeNil)
 		So(patched.Routes["new"].Prefix, ShouldEqual, "/n/")
 		So(patched.Routes, ShouldNotContainKey, "map")
 		So(patched.Limits, ShouldBeNil)
 		So(full.Routes, ShouldContainKey, "map")
 		for _, path := range []string{"routes.none", "limits.other", "routes.map.host"} {
-			_, fault = full.Patch([]Change{{Path: path, Delete: true}})
-			So(fault, ShouldNotBeNil)
+			_, apiErr = full.Patch([]Change{{Path: path, Delete: true}})
+			So(apiErr, ShouldNotBeNil)
 		}
 	})
 }
--- a/internal/core/sheet/sheet.go
+++ b/internal/core/sheet/sheet.go
@@ -13,7 +13,7 @@
 	"unicode"
 	"unicode/utf8"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 )
 
 // Epoch is a slot number in the log of agreed commands.
@@ -152,21 +152,21 @@
 // Check returns nil for a sound sheet, or a fault whose detail names the first
 // broken rules in the order of the cells. The code is SheetTooLarge where a
 // bound on size is passed and InvalidSheet otherwise.
-func (s *Sheet) Check() *kernel.Fault {
+func (s *Sheet) Check() *apierror.Error {
 	if s == nil {
-		return kernel.Refuse(kernel.InvalidSheet, "no sheet")
+		return apierror.Errorf(apierror.InvalidSheet, "no sheet")
 	}
 	return s.check(sortedNames(s.Tenants))
 }
 
 // check is Check for a sheet whose tenants other than those named are known to
 // be sound among themselves.
-func (s *Sheet) check(tenants []string) *kernel.Fault {
+func (s *Sheet) check(tenants []string) *apierror.Error {
 	if size := s.Size(); size > MaxBytes {
-		return kernel.Refuse(kernel.SheetTooLarge, "about %d bytes; the bound is %d", size, MaxBytes)
+		return apierror.Errorf(apierror.SheetTooLarge, "about %d bytes; the bound is %d", size, MaxBytes)
 	}
 	if len(s.Tenants) > MaxTenants || len(s.Services) > MaxServices || len(s.Settings) > MaxSettings {
-		return kernel.Refuse(kernel.SheetTooLarge, "%d tenants, %d services, %d settings; the bounds are %d, %d and %d",
+		return apierror.Errorf(apierror.SheetTooLarge, "%d tenants, %d services, %d settings; the bounds are %d, %d and %d",
 			len(s.Tenants), len(s.Services), len(s.Settings), MaxTenants, MaxServices, MaxSettings)
 	}
 	var broken rules
@@ -176,7 +176,7 @@
 	s.checkSettings(&broken)
 	s.checkRoutes(&broken)
 	s.checkLimits(&broken)
-	return broken.fault(kernel.InvalidSheet)
+	return broken.fault(apierror.InvalidSheet)
 }
 
 func (s *Sheet) checkServices(broken *rules) {
@@ -337,7 +337,7 @@
 	r.first = append(r.first, fmt.Sprintf(format, args...))
 }
 
-func (r *rules) fault(code kernel.Code) *kernel.Fault {
+func (r *rules) fault(code apierror.Code) *apierror.Error {
 	if len(r.first) == 0 {
 		return nil
 	}
@@ -345,5 +345,5 @@
 	if r.more > 0 {
 		detail += fmt.Sprintf("; and %d more", r.more)
 	}
-	return &kernel.Fault{Code: code, Detail: detail}
+	return &apierror.Error{Code: code, Detail: detail}
 }
--- a/internal/core/sheet/sheet_test.go
+++ b/internal/core/sheet/sheet_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	. "github.com/smartystreets/goconvey/convey"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	. "github.com/smartystreets/goconvey/convey"
 )
 
 func hash(key string) string { return HashKey(key) }
@@ -47,95 +47,95 @@
 	Convey("Each broken rule has its number and names its cell", t, func() {
 		for _, c := range []struct {
 			cell string
-			code kernel.Code
+			code apierror.Code
 			s    *Sheet
 		}{
-			{"no sheet", kernel.InvalidSheet, nil},
-			{"services: there is none", kernel.InvalidSheet, &Sheet{}},
-			{"services.chat.kind", kernel.InvalidSheet, with(func(s *Sheet) { s.Services["chat"] = Service{Kind: "gpu"} })},
-			{"services.map.plain_tokens", kernel.InvalidSheet, with(func(s *Sheet) { s.Services["map"] = Service{Kind: KindWeb, PlainTokens: -1} })},
-			{"services: \"a.b\"", kernel.InvalidSheet, with(func(s *Sheet) { s.Services["a.b"] = Service{Kind: KindWeb} })},
-			{"weights.chat.lagos: NaN", kernel.InvalidSheet, with(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.NaN() })},
-			{"weights.chat.lagos: +Inf", kernel.InvalidSheet, with(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.Inf(1) })},
-			{"weights.chat.lagos: -1", kernel.InvalidSheet, with(func(s *Sheet) { s.Weights["chat"]["lagos"] = -1 })},
-			{"weights.map: no region", kernel.InvalidSheet, with(func(s *Sheet) { s.Weights["map"]["lagos"] = 0 })},
-			{"weights.map: no region", kernel.InvalidSheet, with(func(s *Sheet) { delete(s.Weights, "map") })},
-			{"weights: no service \"tags\"", kernel.InvalidSheet, with(func(s *Sheet) { s.Weights["tags"] = map[string]float64{"lagos": 1} })},
-			{"tenants.press.rate", kernel.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{Rate: math.NaN()} })},
-			{"tenants.press.burst", kernel.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{Burst: -5} })},
-			{"tenants.press.home", kernel.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{Home: "lagos/a"} })},
-			{"tenants.press.keys: \"zz\"", kernel.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{"zz"}} })},
-			{"tenants.press.keys", kernel.InvalidSheet, with(func(s *Sheet) {
+			{"no sheet", apierror.InvalidSheet, nil},
+			{"services: there is none", apierror.InvalidSheet, &Sheet{}},
+			{"services.chat.kind", apierror.InvalidSheet, with(func(s *Sheet) { s.Services["chat"] = Service{Kind: "gpu"} })},
+			{"services.map.plain_tokens", apierror.InvalidSheet, with(func(s *Sheet) { s.Services["map"] = Service{Kind: KindWeb, PlainTokens: -1} })},
+			{"services: \"a.b\"", apierror.InvalidSheet, with(func(s *Sheet) { s.Services["a.b"] = Service{Kind: KindWeb} })},
+			{"weights.chat.lagos: NaN", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.NaN() })},
+			{"weights.chat.lagos: +Inf", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.Inf(1) })},
+			{"weights.chat.lagos: -1", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["chat"]["lagos"] = -1 })},
+			{"weights.map: no region", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["map"]["lagos"] = 0 })},
+			{"weights.map: no region", apierror.InvalidSheet, with(func(s *Sheet) { delete(s.Weights, "map") })},
+			{"weights: no service \"tags\"", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["tags"] = map[string]float64{"lagos": 1} })},
+			{"tenants.press.rate", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{Rate: math.NaN()} })},
+			{"tenants.press.burst", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{Burst: -5} })},
+			{"tenants.press.home", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{Home: "lagos/a"} })},
+			{"tenants.press.keys: \"zz\"", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{"zz"}} })},
+			{"tenants.press.keys", apierror.InvalidSheet, with(func(s *Sheet) {
 				s.Tenants["press"] = Tenant{KeyHashes: []string{strings.ToUpper(hash("press-1"))}}
 			})},
-			{"already a key of city", kernel.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{hash("city-1")}} })},
-			{"settings", kernel.InvalidSheet, with(func(s *Sheet) { s.Settings["route..x"] = "" })},
-			{"the bounds are", kernel.SheetTooLarge, with(func(s *Sheet) {
+			{"already a key of city", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{hash("city-1")}} })},
+			{"settings", apierror.InvalidSheet, with(func(s *Sheet) { s.Settings["route..x"] = "" })},
+			{"the bounds are", apierror.SheetTooLarge, with(func(s *Sheet) {
 				for i := range MaxSettings {
 					s.Settings[fmt.Sprintf("x%d", i)] = ""
 				}
 			})},
-			{"the bound is", kernel.SheetTooLarge, with(func(s *Sheet) { s.Settings["x"] = strings.Repeat("y", MaxBytes) })},
+			{"the bound is", apierror.SheetTooLarge, with(func(s *Sheet) { s.Settings["x"] = strings.Repeat("y", MaxBytes) })},
 		} {
-			fault := c.s.Check()
-			So(fault, ShouldNotBeNil)
-			So(fault.Code, ShouldEqual, c.code)
-			So(fault.Detail, ShouldContainSubstring, c.cell)
+			apiErr := c.s.Check()
+			So(apiErr, ShouldNotBeNil)
+			So(apiErr.Code, ShouldEqual, c.code)
+			So(apiErr.Detail, ShouldContainSubstring, c.cell)
 		}
 	})
 	Convey("A detail stays short however much is broken", t, func() {
-		fault := with(func(s *Sheet) {
+		apiErr := with(func(s *Sheet) {
 			for i := range 5000 {
 				s.Tenants[fmt.Sprintf("bad%04d", i)] = Tenant{Rate: -1}
 			}
 		}).Check()
-		So(fault.Detail, ShouldStartWith, "tenants.bad0000.rate")
-		So(fault.Detail, ShouldEndWith, "; and 4992 more")
+		So(apiErr.Detail, ShouldStartWith, "tenants.bad0000.rate")
+		So(apiErr.Detail, ShouldEndWith, "; and 4992 more")
 	})
 }
 
 func TestParseSheet(t *testing.T) {
 	good := encoded(small())
 	Convey("What is written is read back", t, func() {
-		s, fault := ParseSheet([]byte(good), len(good))
-		So(fault, ShouldBeNil)
+		s, apiErr := ParseSheet([]byte(good), len(good))
+		So(apiErr, ShouldBeNil)
 		So(encoded(s), ShouldEqual, good)
 	})
 	Convey("Malformed and oversize bodies are refused by number and place", t, func() {
 		for _, c := range []struct {
 			body   string
-			code   kernel.Code
+			code   apierror.Code
 			detail string
 		}{
-			{"", kernel.BadJSON, "unexpected end of JSON input"},
-			{"null", kernel.InvalidSheet, "want an object, not null"},
-			{"[]", kernel.InvalidSheet, "want an object, not a list"},
-			{good[:len(good)-1], kernel.BadJSON, "unexpected end of JSON input"},
-			{good + "{}", kernel.BadJSON, "after top-level value"},
-			{good + " ", kernel.SheetTooLarge, "the bound is"},
-			{strings.Replace(good, `"rate":1000`, `"rate":1e999`, 1), kernel.InvalidSheet, "out of bounds"},
-			{strings.Replace(good, `"rate":1000`, `"rate":NaN`, 1), kernel.BadJSON, "invalid character"},
-			{strings.Replace(good, `"rate":1000`, `"rate":"1"`, 1), kernel.InvalidSheet, "tenants.press.rate: want a number"},
-			{strings.Replace(good, `"rate":1000`, `"rate":null`, 1), kernel.InvalidSheet, "tenants.press.rate: want a number, not null"},
-			{strings.Replace(good, `"rate":1000`, `"Rate":1`, 1), kernel.UnknownField, "tenants.press.Rate: no such field"},
-			{strings.Replace(good, `"rate":1000`, `"x":1`, 1), kernel.UnknownField, "tenants.press.x: no such field"},
-			{strings.Replace(good, `"lagos":60`, `"abeokuta":6`, 1), kernel.InvalidSheet, "weights.chat.abeokuta: given twice"},
-			{strings.Replace(good, `"lagos":60`, `"lagos":-60`, 1), kernel.InvalidSheet, "weights.chat.lagos: -60"},
-			{strings.Replace(good, `"lagos":60`, `"lagos":[60]`, 1), kernel.InvalidSheet, "weights.chat.lagos: want a number, not a list"},
-			{strings.Replace(good, `"kind"`, `"kin\u0064"`, 1), kernel.OK, ""},
+			{"", apierror.BadJSON, "unexpected end of JSON input"},
+			{"null", apierror.InvalidSheet, "want an object, not null"},
+			{"[]", apierror.InvalidSheet, "want an object, not a list"},
+			{good[:len(good)-1], apierror.BadJSON, "unexpected end of JSON input"},
+			{good + "{}", apierror.BadJSON, "after top-level value"},
+			{good + " ", apierror.SheetTooLarge, "the bound is"},
+			{strings.Replace(good, `"rate":1000`, `"rate":1e999`, 1), apierror.InvalidSheet, "out of bounds"},
+			{strings.Replace(good, `"rate":1000`, `"rate":NaN`, 1), apierror.BadJSON, "invalid character"},
+			{strings.Replace(good, `"rate":1000`, `"rate":"1"`, 1), apierror.InvalidSheet, "tenants.press.rate: want a number"},
+			{strings.Replace(good, `"rate":1000`, `"rate":null`, 1), apierror.InvalidSheet, "tenants.press.rate: want a number, not null"},
+			{strings.Replace(good, `"rate":1000`, `"Rate":1`, 1), apierror.UnknownField, "tenants.press.Rate: no such field"},
+			{strings.Replace(good, `"rate":1000`, `"x":1`, 1), apierror.UnknownField, "tenants.press.x: no such field"},
+			{strings.Replace(good, `"lagos":60`, `"abeokuta":6`, 1), apierror.InvalidSheet, "weights.chat.abeokuta: given twice"},
+			{strings.Replace(good, `"lagos":60`, `"lagos":-60`, 1), apierror.InvalidSheet, "weights.chat.lagos: -60"},
+			{strings.Replace(good, `"lagos":60`, `"lagos":[60]`, 1), apierror.InvalidSheet, "weights.chat.lagos: want a number, not a list"},
+			{strings.Replace(good, `"kind"`, `"kin\u0064"`, 1), apierror.OK, ""},
 		} {
 			limit := max(len(good), len(c.body))
-			if c.code == kernel.SheetTooLarge {
+			if c.code == apierror.SheetTooLarge {
 				limit = len(good)
 			}
-			_, fault := ParseSheet([]byte(c.body), limit)
-			if c.code == kernel.OK {
-				So(fault, ShouldBeNil)
+			_, apiErr := ParseSheet([]byte(c.body), limit)
+			if c.code == apierror.OK {
+				So(apiErr, ShouldBeNil)
 				continue
 			}
-			So(fault, ShouldNotBeNil)
-			So(fault.Detail, ShouldContainSubstring, c.detail)
-			So(fault.Code, ShouldEqual, c.code)
+			So(apiErr, ShouldNotBeNil)
+			So(apiErr.Detail, ShouldContainSubstring, c.detail)
+			So(apiErr.Code, ShouldEqual, c.code)
 		}
 	})
 }
@@ -147,14 +147,14 @@
 			"tenants.press.keys+=" + hash("press-3"), "tenants.press.keys-=" + hash("press-1"),
 			`tenants.tram={"rate":10,"keys":["` + hash("tram-1") + `"]}`, "settings.route.strategy=least_loaded",
 			"services.map.plain_tokens=25", "tenants.city.home=abeokuta"} {
-			change, fault := ParseChange(line)
-			So(fault, ShouldBeNil)
+			change, apiErr := ParseChange(line)
+			So(apiErr, ShouldBeNil)
 			changes = append(changes, change)
 		}
 		base := small()
 		before := encoded(base)
-		patched, fault := base.Patch(append(changes, Change{Path: "weights.chat.abeokuta", Delete: true}))
-		So(fault, ShouldBeNil)
+		patched, apiErr := base.Patch(append(changes, Change{Path: "weights.chat.abeokuta", Delete: true}))
+		So(apiErr, ShouldBeNil)
 		So(encoded(base), ShouldEqual, before)
 		So(Diff(base, patched), ShouldResemble, []string{
 			"~ services.map.plain_tokens: 20 -> 25",
@@ -190,15 +190,15 @@
 		} {
 			base := small()
 			before := encoded(base)
-			_, fault := base.Patch([]Change{{Path: c.path, Value: json.RawMessage(c.value)}, {Path: "weights.map.lagos", Value: json.RawMessage("7")}})
-			So(fault, ShouldNotBeNil)
-			So(fault.Detail, ShouldContainSubstring, c.detail)
+			_, apiErr := base.Patch([]Change{{Path: c.path, Value: json.RawMessage(c.value)}, {Path: "weights.map.lagos", Value: json.RawMessage("7")}})
+			So(apiErr, ShouldNotBeNil)
+			So(apiErr.Detail, ShouldContainSubstring, c.detail)
 			So(encoded(base), ShouldEqual, before)
 		}
-		_, fault := small().Patch([]Change{{Path: "weights.chat.lagos", Value: json.RawMessage("1")}, {Path: "weights.chat.lagos", Value: json.RawMessage("2")}})
-		So(fault.Detail, ShouldContainSubstring, "given twice")
-		_, fault = small().Patch([]Change{{Path: "tenants.press.rate", Delete: true}})
-		So(fault.Code, ShouldEqual, kernel.InvalidChange)
+		_, apiErr := small().Patch([]Change{{Path: "weights.chat.lagos", Value: json.RawMessage("1")}, {Path: "weights.chat.lagos", Value: json.RawMessage("2")}})
+		So(apiErr.Detail, ShouldContainSubstring, "given twice")
+		_, apiErr = small().Patch([]Change{{Path: "tenants.press.rate", Delete: true}})
+		So(apiErr.Code, ShouldEqual, apierror.InvalidChange)
 	})
 }
 
@@ -208,18 +208,18 @@
 		for i, j := 1, len(rows)-1; i < j; i, j = i+1, j-1 {
 			rows[i], rows[j] = rows[j], rows[i]
 		}
-		s, fault := ImportCSV([]byte("\ufeff"+strings.Join(rows, "\r\n")+"\r\n"), 1<<20)
-		So(fault, ShouldBeNil)
+		s, apiErr := ImportCSV([]byte("\ufeff"+strings.Join(rows, "\r\n")+"\r\n"), 1<<20)
+		So(apiErr, ShouldBeNil)
 		So(encoded(s), ShouldEqual, encoded(small()))
 	})
 	Convey("Bad rows are named by line, all at once", t, func() {
-		_, fault := ImportCSV([]byte("cell,value\nservices.chat.kind,model\nweights.chat.lagos,NaN\nweights.chat.lagos,1\ntenants,1\n"), 1<<20)
-		So(fault.Code, ShouldEqual, kernel.InvalidSheet)
-		So(fault.Detail, ShouldEqual, `line 3: weights.chat.lagos: "NaN" is no number from 0 to 1e12; line 4: weights.chat.lagos: given twice; line 5: tenants: no such cell`)
-		_, fault = ImportCSV([]byte("a;b\n"), 1<<20)
-		So(fault.Detail, ShouldEqual, "the first row must be cell,value")
-		_, fault = ImportCSV([]byte("cell,value\n"), 3)
-		So(fault.Code, ShouldEqual, kernel.SheetTooLarge)
+		_, apiErr := ImportCSV([]byte("cell,value\nservices.chat.kind,model\nweights.chat.lagos,NaN\nweights.chat.lagos,1\ntenants,1\n"), 1<<20)
+		So(apiErr.Code, ShouldEqual, apierror.InvalidSheet)
+		So(apiErr.Detail, ShouldEqual, `line 3: weights.chat.lagos: "NaN" is no number from 0 to 1e12; line 4: weights.chat.lagos: given twice; line 5: tenants: no such cell`)
+		_, apiErr = ImportCSV([]byte("a;b\n"), 1<<20)
+		So(apiErr.Detail, ShouldEqual, "the first row must be cell,value")
+		_, apiErr = ImportCSV([]byte("cell,value\n"), 3)
+		So(apiErr.Code, ShouldEqual, apierror.SheetTooLarge)
 	})
 }
 
@@ -235,7 +235,7 @@
 		So(ok, ShouldBeFalse)
 		revoke, _ := TextChange("tenants.press.keys-", hash("press-1"))
 		next, result := PatchSheet{Order: Order{Base: 1}, Changes: []Change{revoke}}.Apply(s, 2)
-		So(result.Code, ShouldEqual, kernel.OK)
+		So(result.Code, ShouldEqual, apierror.OK)
 		So(x.For(s), ShouldEqual, x)
 		_, _, ok = x.For(next).Tenant("press-1")
 		So(ok, ShouldBeFalse)
--- a/internal/core/sheet/state.go
+++ b/internal/core/sheet/state.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"slices"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
 // MaxHistory bounds how many accepted orders a state remembers; an order sent
@@ -115,12 +115,12 @@
 // that are no command use up their epoch and give Internal.
 func (s State) Step(epoch uint64, command []byte) (State, Result) {
 	if epoch != s.Epoch+1 {
-		return s, s.result(kernel.EpochBehind, "the state is at %d; epoch %d is not the next", s.Epoch, epoch)
+		return s, s.result(apierror.EpochBehind, "the state is at %d; epoch %d is not the next", s.Epoch, epoch)
 	}
 	decoded, err := Decode(command)
 	if err != nil {
 		next, _ := Noop{}.Apply(s, epoch)
-		return next, next.result(kernel.Internal, "%v", err)
+		return next, next.result(apierror.Internal, "%v", err)
 	}
 	return decoded.Apply(s, epoch)
 }
@@ -134,19 +134,19 @@
 		return Result{}, false
 	}
 	_, result := command.Apply(s, s.Epoch+1)
-	if result.Code != kernel.OK && result.Code != kernel.BaseMoved {
+	if result.Code != apierror.OK && result.Code != apierror.BaseMoved {
 		result.Epoch = s.Epoch
 	}
 	switch result.Code {
-	case kernel.OK:
+	case apierror.OK:
 		_, known := s.Applied(order.OrderID)
 		return result, known && order.OrderID != ""
-	case kernel.BaseMoved:
+	case apierror.BaseMoved:
 		if order.Revision > 0 {
 			return result, order.BaseRevision < s.Revision
 		}
 		return result, order.Base < s.SheetEpoch
-	case kernel.UnknownMember:
+	case apierror.UnknownMember:
 		return Result{}, false
 	}
 	return result, true
