--- a/internal/core/sheet/state_test.go
+++ b/internal/core/sheet/state_test.go
@@ -8,11 +8,11 @@
 	"strings"
 	"testing"
 
+	"stepwick/internal/apierror"
+
 	"github.com/sebdah/goldie/v2"
 	. "github.com/smartystreets/goconvey/convey"
 	"pgregory.net/rapid"
-
-	"stepwick/internal/kernel"
 )
 
 func drawSheet(t *rapid.T) *Sheet {
@@ -94,7 +94,7 @@
 			if next.Epoch != base.Epoch+1 || next.SheetEpoch < base.SheetEpoch || next.RosterEpoch < base.RosterEpoch {
 				t.Fatalf("%s: an epoch went back", command.Verb())
 			}
-			if result.Code != kernel.OK && unmoved(next) != unmoved(base) {
+			if result.Code != apierror.OK && unmoved(next) != unmoved(base) {
 				t.Fatalf("%s was refused with %v and left a trace", command.Verb(), result.Code)
 			}
 			if next.Sheet != base.Sheet && next.Sheet.Check() != nil {
@@ -103,7 +103,7 @@
 			if !base.Settled() && !next.Settled() && next.RosterEpoch != base.RosterEpoch && command.Verb() != VerbRemove {
 				t.Fatalf("%s: a change of the roster overtook one that is not settled", command.Verb())
 			}
-			if order, ok := OrderOf(command); ok && order.OrderID != "" && result.Code == kernel.OK {
+			if order, ok := OrderOf(command); ok && order.OrderID != "" && result.Code == apierror.OK {
 				if first, known := results[order.OrderID+order.Digest]; known && first != result {
 					t.Fatalf("order %s was answered %v, then %v", order.OrderID, first, result)
 				}
@@ -140,9 +140,9 @@
 			}
 			var result Result
 			s, result = s.Step(s.Epoch+1, Encode(command))
-			if result.Code == kernel.OK {
+			if result.Code == apierror.OK {
 				won = append(won, result.Epoch)
-			} else if result.Code != kernel.BaseMoved || result.Epoch != won[0] {
+			} else if result.Code != apierror.BaseMoved || result.Epoch != won[0] {
 				t.Fatalf("a loser was told %+v", result)
 			}
 		}
@@ -157,16 +157,16 @@
 		s, _ := PutSheet{Sheet: drawSheet(t)}.Apply(State{}, 1)
 		changes := rapid.SliceOfN(rapid.Custom(drawChange), 1, 4).Draw(t, "changes")
 		patched, result := PatchSheet{Order: Order{Base: 1}, Changes: changes}.Apply(s, 2)
-		if result.Code != kernel.OK {
+		if result.Code != apierror.OK {
 			return
 		}
 		put, result := PutSheet{Order: Order{Base: 1}, Sheet: patched.Sheet}.Apply(s, 2)
-		if result.Code != kernel.OK || encoded(put.Sheet) != encoded(patched.Sheet) {
+		if result.Code != apierror.OK || encoded(put.Sheet) != encoded(patched.Sheet) {
 			t.Fatalf("put of the patched sheet gave %+v", result)
 		}
-		back, fault := ImportCSV(patched.Sheet.ExportCSV(), 1<<20)
-		if fault != nil || len(Diff(patched.Sheet, back)) != 0 {
-			t.Fatalf("the spreadsheet lost cells: %v %v", fault, Diff(patched.Sheet, back))
+		back, apiErr := ImportCSV(patched.Sheet.ExportCSV(), 1<<20)
+		if apiErr != nil || len(Diff(patched.Sheet, back)) != 0 {
+			t.Fatalf("the spreadsheet lost cells: %v %v", apiErr, Diff(patched.Sheet, back))
 		}
 	})
 }
@@ -181,11 +181,11 @@
 			at := rapid.IntRange(0, len(data)).Draw(t, "at")
 			data = append(append(bytes.Clone(data[:at]), rapid.SliceOfN(rapid.Byte(), 0, 3).Draw(t, "junk")...), data[min(len(data), at+1):]...)
 		}
-		if s, fault := ParseSheet(data, 1<<20); fault == nil && s.Check() != nil {
+		if s, apiErr := ParseSheet(data, 1<<20); apiErr == nil && s.Check() != nil {
 			t.Fatal("an unsound sheet was read")
 		}
 		for verb := range orderShapes {
-			if command, fault := ParseOrder(verb, "ada", data, Limits{Bytes: 1 << 20}, 1); fault == nil {
+			if command, apiErr := ParseOrder(verb, "ada", data, Limits{Bytes: 1 << 20}, 1); apiErr == nil {
 				if _, err := Decode(Encode(command)); err != nil {
 					t.Fatal(err)
 				}
@@ -193,7 +193,7 @@
 		}
 		before := State{Epoch: 4, SheetEpoch: 2}
 		after, result := before.Step(5, data)
-		if result.Code != kernel.Internal || unmoved(after) != unmoved(before) || after.Epoch != 5 {
+		if result.Code != apierror.Internal || unmoved(after) != unmoved(before) || after.Epoch != 5 {
 			t.Fatalf("bytes that are no command gave %+v", result)
 		}
 	})
@@ -204,7 +204,7 @@
 		s := State{Epoch: 4}
 		for _, epoch := range []uint64{0, 3, 4, 6} {
 			next, result := s.Step(epoch, Encode(Noop{}))
-			So(result.Code, ShouldEqual, kernel.EpochBehind)
+			So(result.Code, ShouldEqual, apierror.EpochBehind)
 			So(next.Epoch, ShouldEqual, 4)
 		}
 	})
@@ -240,12 +240,12 @@
 		So(len(s.PriorRoster), ShouldEqual, 3)
 		So(len(s.Roster), ShouldEqual, 5)
 		s, result := RemoveMembers{Names: []string{"n1"}, By: "n2"}.Apply(s, 3)
-		So(result.Code, ShouldEqual, kernel.EpochBehind)
+		So(result.Code, ShouldEqual, apierror.EpochBehind)
 		s, result = add("n5").Apply(s, 4)
-		So(result.Code, ShouldEqual, kernel.OK)
+		So(result.Code, ShouldEqual, apierror.OK)
 		So(s.RosterEpoch, ShouldEqual, 2)
 		s, result = RemoveMembers{Order: Order{Operator: "ada"}, Names: []string{"n1", "n4"}}.Apply(s, 5)
-		So(result.Code, ShouldEqual, kernel.OK)
+		So(result.Code, ShouldEqual, apierror.OK)
 		So(sortedNames(s.Roster), ShouldResemble, []string{"n2", "n3", "n5"})
 		So(sortedNames(s.PriorRoster), ShouldResemble, []string{"n2", "n3"})
 		s, _ = SettleRoster{RosterEpoch: 2}.Apply(s, 6)
@@ -253,19 +253,19 @@
 		s, _ = SettleRoster{RosterEpoch: 5}.Apply(s, 7)
 		So(s.Settled(), ShouldBeTrue)
 		_, result = RemoveMembers{Order: Order{Operator: "ada"}, Names: []string{"n9"}}.Apply(s, 8)
-		So(result.Code, ShouldEqual, kernel.UnknownMember)
+		So(result.Code, ShouldEqual, apierror.UnknownMember)
 	})
 	Convey("A term of a duty has one holder, who may ask again", t, func() {
 		s, first := TakeDuty{"planner", 1, "n1"}.Apply(State{}, 1)
-		So(first.Code, ShouldEqual, kernel.OK)
+		So(first.Code, ShouldEqual, apierror.OK)
 		s, again := TakeDuty{"planner", 1, "n1"}.Apply(s, 2)
-		So(again.Code, ShouldEqual, kernel.OK)
+		So(again.Code, ShouldEqual, apierror.OK)
 		s, late := TakeDuty{"planner", 1, "n2"}.Apply(s, 3)
-		So(late.Code, ShouldEqual, kernel.BaseMoved)
+		So(late.Code, ShouldEqual, apierror.BaseMoved)
 		s, early := TakeDuty{"planner", 3, "n2"}.Apply(s, 4)
-		So(early.Code, ShouldEqual, kernel.BaseMoved)
+		So(early.Code, ShouldEqual, apierror.BaseMoved)
 		s, next := TakeDuty{"planner", 2, "n2"}.Apply(s, 5)
-		So(next.Code, ShouldEqual, kernel.OK)
+		So(next.Code, ShouldEqual, apierror.OK)
 		So(s.Duties["planner"], ShouldResemble, Duty{Term: 2, Holder: "n2"})
 	})
 }
@@ -286,9 +286,9 @@
 		operator, rest, _ := strings.Cut(line, " ")
 		verb, body, _ := strings.Cut(rest, " ")
 		fmt.Fprintf(&out, "> %s\n", line)
-		command, fault := ParseOrder(verb, operator, []byte(body), Limits{Bytes: 2000}, 1790000000000+int64(s.Epoch))
-		if fault != nil {
-			fmt.Fprintf(&out, "< %v, before any ballot\n", fault)
+		command, apiErr := ParseOrder(verb, operator, []byte(body), Limits{Bytes: 2000}, 1790000000000+int64(s.Epoch))
+		if apiErr != nil {
+			fmt.Fprintf(&out, "< %v, before any ballot\n", apiErr)
 			continue
 		}
 		result, sure := s.Foresee(command)
@@ -312,7 +312,7 @@
 		s.Tenants[name] = Tenant{Rate: 100, Burst: 50, Home: "lagos", KeyHashes: []string{hash(name)}}
 	}
 	state, result := PutSheet{Sheet: s}.Apply(State{}, 1)
-	if result.Code != kernel.OK {
+	if result.Code != apierror.OK {
 		panic(result.Detail)
 	}
 	return state
@@ -360,8 +360,8 @@
 			twice += e.make(change)
 		}
 		sound := twice == "" && e.sheet.Check() == nil
-		if _, fault := base.Patch(changes); (fault == nil) != sound {
-			t.Fatalf("a patch gave %v; the whole sheet's check gave %v", fault, e.sheet.Check())
+		if _, apiErr := base.Patch(changes); (apiErr == nil) != sound {
+			t.Fatalf("a patch gave %v; the whole sheet's check gave %v", apiErr, e.sheet.Check())
 		}
 	})
 }
--- a/internal/core/tally/blend.go
+++ b/internal/core/tally/blend.go
@@ -2,8 +2,7 @@
 
 import (
 	"math"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // account is what one front knows of one tenant.
@@ -13,21 +12,21 @@
 	all    ring // every front's, the others' as far as learned
 
 	terms    Terms
-	used     kernel.Time // last request
-	wanted   float64     // tokens asked of this front, fading over half a second
-	wantedAt kernel.Time
-	sent     kernel.Time // last ask
-	asOf     kernel.Time // when the totals learned last were asked for; zero: never
-	asked    kernel.Time // first ask that has no answer yet; zero: none
-	share    float64     // this front's part of the room
-	kept     float64     // part of the limit kept for silent fronts
-	met      float64     // tokens of it that they are known to have spent
-	left     bool        // the holder was told that the tenant is not active here
-	even     float64     // one front's even part
-	turn     float64     // where this front stands in the order of rounding, 0..1
-	unsent   float64     // own adds since the last ask
+	used     time.Time // last request
+	wanted   float64   // tokens asked of this front, fading over half a second
+	wantedAt time.Time
+	sent     time.Time // last ask
+	asOf     time.Time // when the totals learned last were asked for; zero: never
+	asked    time.Time // first ask that has no answer yet; zero: none
+	share    float64   // this front's part of the room
+	kept     float64   // part of the limit kept for silent fronts
+	met      float64   // tokens of it that they are known to have spent
+	left     bool      // the holder was told that the tenant is not active here
+	even     float64   // one front's even part
+	turn     float64   // where this front stands in the order of rounding, 0..1
+	unsent   float64   // own adds since the last ask
 	urgent   bool
-	marked   kernel.Time // the mark's end
+	marked   time.Time // the mark's end
 	from     source
 }
 
@@ -37,7 +36,7 @@
 }
 
 // want counts what is asked of this front; it fades over half a second.
-func (a *account) want(tokens float64, now kernel.Time) {
+func (a *account) want(tokens float64, now time.Time) {
 	if passed := now.Sub(a.wantedAt); passed > 0 {
 		a.wanted *= math.Exp(-2 * passed.Seconds())
 		a.wantedAt = now
@@ -54,7 +53,7 @@
 	budget                          float64 // bound of since
 }
 
-func (a *account) at(c *Config, g grid, now kernel.Time) estimate {
+func (a *account) at(c *Config, g grid, now time.Time) estimate {
 	slice, passed := g.at(now)
 	first := g.window(slice) * g.slices
 	oldest := slice - g.slices
@@ -122,8 +121,8 @@
 }
 
 // opens returns how long it takes until tokens may pass if nobody spends.
-func (a *account) opens(c *Config, g grid, now kernel.Time, tokens float64) kernel.Duration {
-	low, high := kernel.Duration(0), 2*c.Window
+func (a *account) opens(c *Config, g grid, now time.Time, tokens float64) time.Duration {
+	low, high := time.Duration(0), 2*c.Window
 	for high-low > c.Window/256 {
 		middle := (low + high) / 2
 		if a.judge(c, a.at(c, g, now.Add(middle)), tokens) == passes {
--- a/internal/core/tally/book.go
+++ b/internal/core/tally/book.go
@@ -2,9 +2,10 @@
 
 import (
 	"sort"
+	"time"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/rendezvous"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -36,7 +37,7 @@
 	accounts map[string]*account
 	urgent   []*account
 	holders  map[string]holderSight
-	newest   kernel.Time
+	newest   time.Time
 }
 
 type holderSight struct {
@@ -75,7 +76,7 @@
 
 // steady keeps time from running backwards over a small step of fleet time; a
 // step of more than a window starts the Book anew.
-func (b *Book) steady(now kernel.Time) kernel.Time {
+func (b *Book) steady(now time.Time) time.Time {
 	switch {
 	case !now.Before(b.newest):
 		if now.Sub(b.newest) > activeFor*b.config.Interval {
@@ -92,7 +93,7 @@
 
 // wake begins the asks anew that this process stood still in: their age says
 // nothing of the holder.
-func (b *Book) wake(now kernel.Time) {
+func (b *Book) wake(now time.Time) {
 	for _, a := range b.accounts {
 		if !a.asked.IsZero() {
 			a.asked = now
@@ -100,7 +101,7 @@
 	}
 }
 
-func (b *Book) open(tenant string, now kernel.Time) *account {
+func (b *Book) open(tenant string, now time.Time) *account {
 	a := b.accounts[tenant]
 	if a == nil {
 		a = &account{tenant: tenant, own: newRing(b.grid), all: newRing(b.grid),
@@ -110,7 +111,7 @@
 	if a.left {
 		a.left = false
 		if !a.asked.IsZero() && a.used.Sub(a.asked) <= silentAfter*b.config.Interval {
-			a.asked = kernel.Time{}
+			a.asked = time.Time{}
 		}
 	}
 	a.used = now
@@ -119,7 +120,7 @@
 
 // Admit decides one request of so many tokens at fleet time now. A passed
 // request's tokens are added at once; a refused one adds nothing.
-func (b *Book) Admit(tenant string, tokens float64, terms Terms, now kernel.Time) Decision {
+func (b *Book) Admit(tenant string, tokens float64, terms Terms, now time.Time) Decision {
 	now = b.steady(now)
 	a := b.open(tenant, now)
 	a.want(tokens, now)
@@ -127,12 +128,12 @@
 }
 
 // Again decides a request that was held before.
-func (b *Book) Again(tenant string, tokens float64, terms Terms, now kernel.Time) Decision {
+func (b *Book) Again(tenant string, tokens float64, terms Terms, now time.Time) Decision {
 	now = b.steady(now)
 	return b.decide(b.open(tenant, now), tokens, terms, now)
 }
 
-func (b *Book) decide(a *account, tokens float64, terms Terms, now kernel.Time) Decision {
+func (b *Book) decide(a *account, tokens float64, terms Terms, now time.Time) Decision {
 	a.terms = terms
 	e := a.at(&b.config, b.grid, now)
 	d := Decision{Blend: e.blend, Prev: e.prev, Cur: e.cur, Limit: e.limit, Recent: e.recent}
@@ -156,13 +157,13 @@
 			ruling = overShare
 		}
 	}
-	d.Code = kernel.QuotaExceeded
+	d.Code = apierror.QuotaExceeded
 	silent := a.silent(&b.config, now)
 	if ruling == overLimit {
 		d.Marked = true
 		a.marked = b.windowEnd(now)
 	} else if silent || a.asOf.IsZero() || e.kept > 0 {
-		d.Code = kernel.ShareExceeded
+		d.Code = apierror.ShareExceeded
 	}
 	calm := e.prev < holdBelow*e.limit && !a.unanswered(&b.config, now, calmFor)
 	if ruling == overShare && (!silent || calm) {
@@ -180,9 +181,9 @@
 	return d
 }
 
-func (b *Book) windowEnd(now kernel.Time) kernel.Time {
+func (b *Book) windowEnd(now time.Time) time.Time {
 	window := b.config.Window.Microseconds()
-	return kernel.UnixMicro((now.UnixMicro()/window + 1) * window)
+	return time.UnixMicro((now.UnixMicro()/window + 1) * window)
 }
 
 func (b *Book) hurry(a *account, urgent bool) {
@@ -192,18 +193,18 @@
 	}
 }
 
-func (a *account) silent(c *Config, now kernel.Time) bool {
+func (a *account) silent(c *Config, now time.Time) bool {
 	return a.unanswered(c, now, silentAfter)
 }
 
-func (a *account) unanswered(c *Config, now kernel.Time, intervals kernel.Duration) bool {
+func (a *account) unanswered(c *Config, now time.Time, intervals time.Duration) bool {
 	return !a.asked.IsZero() && now.Sub(a.asked) > intervals*c.Interval
 }
 
 // Outgoing returns the counts to send, by holder, of all tenants that were just
 // active or have adds to tell, and drops tenants that were idle for two windows. Counts are
 // cumulative: sending one twice, late or to another holder is harmless.
-func (b *Book) Outgoing(now kernel.Time, holderOf func(tenant string) string) map[string][]*wire.Count {
+func (b *Book) Outgoing(now time.Time, holderOf func(tenant string) string) map[string][]*wire.Count {
 	now = b.steady(now)
 	batches := map[string][]*wire.Count{}
 	for tenant, a := range b.accounts {
@@ -236,7 +237,7 @@
 }
 
 // quiet tells that a tenant far below its limit was asked for just before.
-func (b *Book) quiet(a *account, now kernel.Time) bool {
+func (b *Book) quiet(a *account, now time.Time) bool {
 	if now.Sub(a.sent) >= (quietFor-1)*b.config.Interval+b.config.Interval/2 {
 		return false
 	}
@@ -249,7 +250,7 @@
 
 // Urgent returns the counts that should not wait for the next interval, by
 // holder, for which ready holds; the others stay urgent.
-func (b *Book) Urgent(now kernel.Time, holderOf func(tenant string) string, ready func(holder string) bool) map[string][]*wire.Count {
+func (b *Book) Urgent(now time.Time, holderOf func(tenant string) string, ready func(holder string) bool) map[string][]*wire.Count {
 	if len(b.urgent) == 0 {
 		return nil
 	}
@@ -268,7 +269,7 @@
 	return batches
 }
 
-func (b *Book) pack(batches map[string][]*wire.Count, a *account, now kernel.Time, holderOf func(string) string) {
+func (b *Book) pack(batches map[string][]*wire.Count, a *account, now time.Time, holderOf func(string) string) {
 	holder := holderOf(a.tenant)
 	if holder == "" {
 		return
@@ -302,7 +303,7 @@
 
 // Learn takes a holder's answer to counts that left at fleet time sentAt.
 // Answers may come late, twice or out of order.
-func (b *Book) Learn(resp *wire.AddResponse, sentAt, now kernel.Time) {
+func (b *Book) Learn(resp *wire.AddResponse, sentAt, now time.Time) {
 	now = b.steady(now)
 	if sentAt.After(now) {
 		sentAt = now
@@ -333,8 +334,8 @@
 	}
 }
 
-func (b *Book) learned(a *account, from source, sentAt kernel.Time) {
-	a.asked = kernel.Time{}
+func (b *Book) learned(a *account, from source, sentAt time.Time) {
+	a.asked = time.Time{}
 	a.from = from
 	if sentAt.Before(a.asOf) {
 		return
@@ -343,7 +344,7 @@
 }
 
 // Inspect returns what the Book knows, in the order of the tenants' names.
-func (b *Book) Inspect(now kernel.Time) []TenantView {
+func (b *Book) Inspect(now time.Time) []TenantView {
 	now = b.steady(now)
 	views := make([]TenantView, 0, len(b.accounts))
 	for tenant, a := range b.accounts {
--- a/internal/core/tally/book_test.go
+++ b/internal/core/tally/book_test.go
@@ -6,27 +6,28 @@
 	"slices"
 	"strconv"
 	"testing"
+	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
-const second = kernel.Second
+const second = time.Second
 
-var start = kernel.UnixMicro(1_800_000_000_000_000)
+var start = time.UnixMicro(1_800_000_000_000_000)
 
-func after(seconds float64) kernel.Time {
-	return start.Add(kernel.Duration(seconds * float64(second)))
+func after(seconds float64) time.Time {
+	return start.Add(time.Duration(seconds * float64(second)))
 }
 
 func one(string) string { return "a" }
 
 // exchange sends a Book's counts to a Ledger and takes the answer back at once.
-func exchange(b *Book, l *Ledger, now kernel.Time) {
+func exchange(b *Book, l *Ledger, now time.Time) {
 	for _, counts := range b.Outgoing(now, one) {
 		b.Learn(l.Add(&wire.AddRequest{Front: b.self, Incarnation: 1, Counts: counts}, now), now, now)
 	}
@@ -47,7 +48,7 @@
 			d := b.Admit("t", 1, terms, after(10))
 			So(d.Pass, ShouldBeFalse)
 			So(d.Marked, ShouldBeTrue)
-			So(d.Code, ShouldEqual, kernel.QuotaExceeded)
+			So(d.Code, ShouldEqual, apierror.QuotaExceeded)
 			So(b.Admit("t", 1, terms, after(15.9)).Pass, ShouldBeFalse)
 			So(b.Admit("t", 1, terms, after(16)).Pass, ShouldBeTrue)
 		})
@@ -114,7 +115,7 @@
 	Convey("With a silent holder a front spends its share and no more, and says that it is not the quota", t, func() {
 		b := NewBook("b", Config{})
 		b.SetRoster(roster)
-		passed, code := 0.0, kernel.OK
+		passed, code := 0.0, apierror.OK
 		for at := 0.0; at < 30; at += 0.01 {
 			d := b.Admit("t", 5, terms, after(at))
 			if d.Pass && at > 16 && at <= 24 {
@@ -125,7 +126,7 @@
 			}
 			b.Outgoing(after(at), one)
 		}
-		So(code, ShouldEqual, kernel.ShareExceeded)
+		So(code, ShouldEqual, apierror.ShareExceeded)
 		So(passed, ShouldBeBetween, 0.85*250, 1.15*250)
 	})
 	Convey("A tenant idle for two windows is dropped", t, func() {
--- a/internal/core/tally/ledger.go
+++ b/internal/core/tally/ledger.go
@@ -2,8 +2,8 @@
 
 import (
 	"slices"
+	"time"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -14,14 +14,14 @@
 	incarnation uint64
 	config      Config
 	grid        grid
-	began       kernel.Time
+	began       time.Time
 	roster      []string
 	rostered    map[string]bool
-	reached     []string               // the roster without the silent ones: a tenant's holder is among them
-	silent      map[string]kernel.Time // when last told so
-	seen        kernel.Time            // last call
-	thawed      kernel.Time            // when calls came first, or again after a long gap
-	cut         kernel.Time            // when so many fronts fell silent that there may be another side; zero: there is none
+	reached     []string             // the roster without the silent ones: a tenant's holder is among them
+	silent      map[string]time.Time // when last told so
+	seen        time.Time            // last call
+	thawed      time.Time            // when calls came first, or again after a long gap
+	cut         time.Time            // when so many fronts fell silent that there may be another side; zero: there is none
 	tenants     map[string]*held
 }
 
@@ -29,23 +29,23 @@
 	fronts  map[source]*contribution
 	sum     ring
 	learned ring
-	touched kernel.Time
-	weighed kernel.Time
-	late    kernel.Time // when last something was added to a window that had passed
-	guest   bool        // another front that can be reached is the holder
-	since   kernel.Time // when it was opened, or became a guest
-	taught  bool        // a front told what it had learned elsewhere
-	active  int         // fronts where the tenant is active
-	demand  float64     // theirs, the newest
-	kept    float64     // part of the limit kept for silent fronts
-	met     float64     // what is known of their spend
+	touched time.Time
+	weighed time.Time
+	late    time.Time // when last something was added to a window that had passed
+	guest   bool      // another front that can be reached is the holder
+	since   time.Time // when it was opened, or became a guest
+	taught  bool      // a front told what it had learned elsewhere
+	active  int       // fronts where the tenant is active
+	demand  float64   // theirs, the newest
+	kept    float64   // part of the limit kept for silent fronts
+	met     float64   // what is known of their spend
 }
 
 type contribution struct {
 	own   sparse
-	heard kernel.Time
-	prior kernel.Time // when the front was last told the window before the current one
-	left  bool        // the front said that the tenant is not active there
+	heard time.Time
+	prior time.Time // when the front was last told the window before the current one
+	left  bool      // the front said that the tenant is not active there
 	share float64
 	told  [8]demand // oldest first
 }
@@ -56,14 +56,14 @@
 	tokens float64
 }
 
-func (c *contribution) tell(tokens float64, at kernel.Time, apart kernel.Duration) {
+func (c *contribution) tell(tokens float64, at time.Time, apart time.Duration) {
 	if at.UnixMicro()-c.told[len(c.told)-1].at >= apart.Microseconds() {
 		copy(c.told[:], c.told[1:])
 		c.told[len(c.told)-1] = demand{at.UnixMicro(), tokens}
 	}
 }
 
-func (c *contribution) demandAt(t kernel.Time) float64 {
+func (c *contribution) demandAt(t time.Time) float64 {
 	for i := len(c.told) - 1; i >= 0; i-- {
 		if c.told[i].at <= t.UnixMicro() {
 			return c.told[i].tokens
@@ -75,13 +75,13 @@
 // NewLedger returns an empty Ledger of the front named self.
 func NewLedger(self string, incarnation uint64, config Config) *Ledger {
 	config = config.withDefaults()
-	return &Ledger{self: self, incarnation: incarnation, config: config, grid: gridOf(config), silent: map[string]kernel.Time{}, tenants: map[string]*held{}}
+	return &Ledger{self: self, incarnation: incarnation, config: config, grid: gridOf(config), silent: map[string]time.Time{}, tenants: map[string]*held{}}
 }
 
 // wake notices that this process has just started or stood still: its totals are from before, so
 // the fronts are asked for theirs, and whom it takes for silent itself is not
 // believed before it had time to hear them.
-func (l *Ledger) wake(now kernel.Time) {
+func (l *Ledger) wake(now time.Time) {
 	if l.seen.IsZero() || now.Sub(l.seen) > activeFor*l.config.Interval {
 		l.began, l.thawed = now, now
 		clear(l.silent)
@@ -94,7 +94,7 @@
 
 // SetReach tells the roster, and which of its fronts are silent without being
 // known to be gone: what they may be spending on their own is kept for them.
-func (l *Ledger) SetReach(roster, silent []string, now kernel.Time) {
+func (l *Ledger) SetReach(roster, silent []string, now time.Time) {
 	l.wake(now)
 	if !slices.Equal(roster, l.roster) {
 		l.roster, l.rostered = roster, make(map[string]bool, len(roster))
@@ -114,7 +114,7 @@
 		}
 	}
 	if float64(len(silent)) < cutPart*float64(len(roster)) {
-		l.cut = kernel.Time{}
+		l.cut = time.Time{}
 	} else if l.cut.IsZero() {
 		l.cut = now
 	}
@@ -139,13 +139,13 @@
 // Add takes a front's counts and answers with the totals over all fronts. Each
 // slice of a front keeps the highest count seen, so an Add may be sent again,
 // late or out of order.
-func (l *Ledger) Add(req *wire.AddRequest, now kernel.Time) *wire.AddResponse {
+func (l *Ledger) Add(req *wire.AddRequest, now time.Time) *wire.AddResponse {
 	if l.began.IsZero() {
 		l.began = now
 	}
 	l.wake(now)
 	resp := &wire.AddResponse{Holder: l.self, Incarnation: l.incarnation,
-		Fresh: now.Sub(l.began) < 2*kernel.Duration(silentAfter)*l.config.Interval}
+		Fresh: now.Sub(l.began) < 2*time.Duration(silentAfter)*l.config.Interval}
 	front := source{req.Front, req.Incarnation}
 	slice, _ := l.grid.at(now)
 	current := l.grid.window(slice)
@@ -155,16 +155,16 @@
 		c := t.fronts[front]
 		if c == nil {
 			c = &contribution{}
-			t.fronts[front], t.weighed = c, kernel.Time{}
+			t.fronts[front], t.weighed = c, time.Time{}
 			newcomer = c
 		}
 		if c.left {
-			c.told, t.weighed = [8]demand{}, kernel.Time{}
+			c.told, t.weighed = [8]demand{}, time.Time{}
 		}
 		c.heard, c.left = now, false
 		if count.Window == standingKey {
 			c.left = count.Own == 0
-			if at := kernel.UnixMicro(int64(count.Learned)); !at.After(now) {
+			if at := time.UnixMicro(int64(count.Learned)); !at.After(now) {
 				c.tell(count.Own, at, l.config.Interval/4)
 			} else {
 				c.tell(count.Own, now, l.config.Interval/4)
@@ -192,7 +192,7 @@
 
 // take adds what is new in a count, and nothing that lies in the future: a front
 // with a wrong clock must not push the others' slices out.
-func (l *Ledger) take(t *held, c *contribution, count *wire.Count, now kernel.Time) {
+func (l *Ledger) take(t *held, c *contribution, count *wire.Count, now time.Time) {
 	first, bound := count.Window*l.grid.slices, l.grid.bound(now)
 	for k, tokens := range count.Slices[:min(len(count.Slices), int(l.grid.slices))] {
 		if slice := first + int64(k); slice >= 0 && slice <= bound {
@@ -214,13 +214,13 @@
 
 // notice keeps when a window rose that had passed: fronts that no longer ask
 // for it are told it once more.
-func (t *held) notice(g grid, slice int64, now kernel.Time) {
+func (t *held) notice(g grid, slice int64, now time.Time) {
 	if newest, _ := g.at(now); g.window(slice) < g.window(newest) {
 		t.late = now
 	}
 }
 
-func (l *Ledger) open(tenant string, now kernel.Time) *held {
+func (l *Ledger) open(tenant string, now time.Time) *held {
 	t := l.tenants[tenant]
 	if t == nil {
 		t = &held{fronts: map[source]*contribution{}, sum: newRing(l.grid), learned: newRing(l.grid), guest: l.isGuest(tenant), since: now}
@@ -254,7 +254,7 @@
 // standing tells a front where it stands beside the others: its share of the
 // room by demand, the part of the limit kept for silent fronts, and how much of that they
 // are known to have spent.
-func (l *Ledger) standing(t *held, c *contribution, tenant string, now kernel.Time) *wire.Total {
+func (l *Ledger) standing(t *held, c *contribution, tenant string, now time.Time) *wire.Total {
 	if now.Sub(t.weighed) > l.config.Interval/4 || now.Before(t.weighed) {
 		l.weigh(t, now)
 	}
@@ -271,7 +271,7 @@
 // weigh looks at all fronts at once, among those where the tenant is active. A
 // front's own demand counts as it was when every front's is known, beside the
 // newest of all, so that the shares never sum to more than one for long.
-func (l *Ledger) weigh(t *held, now kernel.Time) {
+func (l *Ledger) weigh(t *held, now time.Time) {
 	t.weighed, t.active, t.demand = now, 0, 0
 	for _, c := range t.fronts {
 		if !c.left && now.Sub(c.heard) <= missedFor*l.config.Interval {
@@ -289,7 +289,7 @@
 // One that left the roster spends nothing. On a side of a cut where nobody knows
 // what the other has spent, the whole limit is kept first, and that runs out. What the silent ones are known to
 // have spent counts towards what is kept.
-func (l *Ledger) keep(t *held, now kernel.Time) {
+func (l *Ledger) keep(t *held, now time.Time) {
 	t.kept, t.met = 0, 0
 	met := make(map[string]bool, len(t.fronts))
 	slice, _ := l.grid.at(now)
@@ -337,7 +337,7 @@
 	t.kept = max(t.kept, 1-over*over)
 }
 
-func (l *Ledger) toldSilent(front string, now kernel.Time) bool {
+func (l *Ledger) toldSilent(front string, now time.Time) bool {
 	last, told := l.silent[front]
 	return told && now.Sub(last) <= silentAfter*l.config.Interval
 }
@@ -352,7 +352,7 @@
 }
 
 // Expire drops tenants and fronts' counts that were idle for two windows.
-func (l *Ledger) Expire(now kernel.Time) {
+func (l *Ledger) Expire(now time.Time) {
 	horizon := now.Add(-2 * l.config.Window)
 	for tenant, t := range l.tenants {
 		if t.touched.Before(horizon) {
--- a/internal/core/tally/ring.go
+++ b/internal/core/tally/ring.go
@@ -3,8 +3,7 @@
 import (
 	"slices"
 	"sort"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // grid cuts time into slices and windows, both numbered since the unix epoch.
@@ -17,14 +16,14 @@
 	return grid{slice: c.Window.Microseconds() / int64(c.Slices), slices: int64(c.Slices)}
 }
 
-func (g grid) at(t kernel.Time) (slice int64, passed float64) {
+func (g grid) at(t time.Time) (slice int64, passed float64) {
 	us := max(0, t.UnixMicro())
 	slice = us / g.slice
 	return slice, float64(us%g.slice) / float64(g.slice)
 }
 
 // bound is the newest slice that another process's clock may be ahead to.
-func (g grid) bound(now kernel.Time) int64 {
+func (g grid) bound(now time.Time) int64 {
 	slice, _ := g.at(now)
 	return slice + g.slices/4
 }
--- a/internal/core/tally/tally.go
+++ b/internal/core/tally/tally.go
@@ -6,9 +6,10 @@
 
 import (
 	"slices"
+	"time"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/rendezvous"
-	"stepwick/internal/kernel"
 )
 
 // Exception is a departure from the ordinary path of the design: the blend of
@@ -30,28 +31,28 @@
 // Config sets the tally's measures; the zero value of each field stands for
 // its default.
 type Config struct {
-	Window   kernel.Duration // 8 s
-	Slices   int             // slices of a window, 50
-	Interval kernel.Duration // between two exchanges with a holder, 200 ms
-	Lag      kernel.Duration // how far a holder's totals may be behind the other fronts' adds, 300 ms
-	Band     float64         // part of the limit by which the spend of the last window's span may pass it while the blend is below, 0.08
-	Floor    float64         // part of the room that is shared evenly, whatever the demand, 0.5
-	Slack    float64         // part of the limit that all fronts together may overspend, 0.07
-	Without  Exception       // exceptions left out, for measurement
+	Window   time.Duration // 8 s
+	Slices   int           // slices of a window, 50
+	Interval time.Duration // between two exchanges with a holder, 200 ms
+	Lag      time.Duration // how far a holder's totals may be behind the other fronts' adds, 300 ms
+	Band     float64       // part of the limit by which the spend of the last window's span may pass it while the blend is below, 0.08
+	Floor    float64       // part of the room that is shared evenly, whatever the demand, 0.5
+	Slack    float64       // part of the limit that all fronts together may overspend, 0.07
+	Without  Exception     // exceptions left out, for measurement
 }
 
 func (c Config) withDefaults() Config {
 	if c.Window <= 0 {
-		c.Window = 8 * kernel.Second
+		c.Window = 8 * time.Second
 	}
 	if c.Slices <= 0 {
 		c.Slices = 50
 	}
 	if c.Interval <= 0 {
-		c.Interval = 200 * kernel.Millisecond
+		c.Interval = 200 * time.Millisecond
 	}
 	if c.Lag <= 0 {
-		c.Lag = 300 * kernel.Millisecond
+		c.Lag = 300 * time.Millisecond
 	}
 	if c.Band <= 0 {
 		c.Band = 0.08
@@ -71,7 +72,7 @@
 type Terms struct{ Rate, Burst float64 }
 
 // Limit returns the tokens of one window: Rate times the window plus Burst.
-func (t Terms) Limit(window kernel.Duration) float64 {
+func (t Terms) Limit(window time.Duration) float64 {
 	return t.Rate*window.Seconds() + t.Burst
 }
 
@@ -80,31 +81,31 @@
 // the last window's span.
 type Decision struct {
 	Pass       bool
-	Code       kernel.Code     // OK, QuotaExceeded, or ShareExceeded when the holder is out of reach
-	Blend      float64         // estimate before this request
-	Prev       float64         // previous window's total
-	Cur        float64         // current window's total
-	Limit      float64         // of one window
-	Recent     float64         // spend of the last window's span
-	Marked     bool            // the tenant's limit is crossed on this node
-	RetryAfter kernel.Duration // when there will be room, if nobody spends until then
-	Hold       bool            // not passed, but may be after the next exchange with the holder
-	Send       bool            // own adds should go to the holder at once
+	Code       apierror.Code // OK, QuotaExceeded, or ShareExceeded when the holder is out of reach
+	Blend      float64       // estimate before this request
+	Prev       float64       // previous window's total
+	Cur        float64       // current window's total
+	Limit      float64       // of one window
+	Recent     float64       // spend of the last window's span
+	Marked     bool          // the tenant's limit is crossed on this node
+	RetryAfter time.Duration // when there will be room, if nobody spends until then
+	Hold       bool          // not passed, but may be after the next exchange with the holder
+	Send       bool          // own adds should go to the holder at once
 }
 
 // TenantView is what a Book knows of one tenant; tokens, and Age the time since
 // the holder's totals were asked for (negative when it never answered).
 type TenantView struct {
-	Tenant   string          `json:"tenant"`
-	Limit    float64         `json:"limit"`
-	Blend    float64         `json:"blend"`
-	Recent   float64         `json:"recent"`
-	Own      float64         `json:"own"`      // own part of Recent
-	Share    float64         `json:"share"`    // this node's part of the room
-	Reserved float64         `json:"reserved"` // part of the limit kept for fronts that are silent
-	Marked   bool            `json:"marked"`
-	Holder   string          `json:"holder"`
-	Age      kernel.Duration `json:"age"`
+	Tenant   string        `json:"tenant"`
+	Limit    float64       `json:"limit"`
+	Blend    float64       `json:"blend"`
+	Recent   float64       `json:"recent"`
+	Own      float64       `json:"own"`      // own part of Recent
+	Share    float64       `json:"share"`    // this node's part of the room
+	Reserved float64       `json:"reserved"` // part of the limit kept for fronts that are silent
+	Marked   bool          `json:"marked"`
+	Holder   string        `json:"holder"`
+	Age      time.Duration `json:"age"`
 }
 
 // HolderOf returns the front that holds a tenant's count: the highest of the
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
+	"stepwick/internal/clock"
+
 	"github.com/go-kit/log"
 	. "github.com/smartystreets/goconvey/convey"
-
-	"stepwick/internal/kernel"
 )
 
 func TestCatalogue(t *testing.T) {
@@ -34,7 +34,7 @@
 func TestStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		stream := New(log.NewLogfmtLogger(&out), kernel.System())
+		stream := New(log.NewLogfmtLogger(&out), clock.System())
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- stream.Serve(ctx) }()
@@ -67,7 +67,7 @@
 	})
 	Convey("Emit never blocks, and what found no room is counted", t, func() {
 		var out bytes.Buffer
-		stream := New(log.NewLogfmtLogger(&out), kernel.System())
+		stream := New(log.NewLogfmtLogger(&out), clock.System())
 		for range backlog + 7 {
 			stream.Emit(PeerSilent)
 		}
--- a/internal/events/stream.go
+++ b/internal/events/stream.go
@@ -1,11 +1,13 @@
 package events
 
 import (
+	"context"
 	"sync/atomic"
+	"time"
 
-	"github.com/go-kit/log"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	"github.com/go-kit/log"
 )
 
 // Bounds of a Stream.
@@ -21,7 +23,7 @@
 // the rate of each. Events emitted before Serve runs wait for it.
 type Stream struct {
 	logger  log.Logger
-	clock   kernel.Clock
+	clock   clock.Clock
 	lowest  atomic.Int32
 	waiting chan entry
 	lost    atomic.Uint64
@@ -29,12 +31,12 @@
 
 type entry struct {
 	event   Event
-	at      kernel.Time
+	at      time.Time
 	keyvals []any
 }
 
 // New returns a stream at level Info. Its owner must run Serve.
-func New(logger log.Logger, clock kernel.Clock) *Stream {
+func New(logger log.Logger, clock clock.Clock) *Stream {
 	s := &Stream{logger: logger, clock: clock, waiting: make(chan entry, backlog)}
 	s.SetLevel(Info)
 	return s
@@ -57,9 +59,9 @@
 
 // Serve writes events until the context ends; then it writes what waits, with
 // the counts of what was left out, and returns nil.
-func (s *Stream) Serve(ctx kernel.Context) error {
+func (s *Stream) Serve(ctx context.Context) error {
 	bounds := bounds{}
-	ticker := s.clock.Ticker(kernel.Second)
+	ticker := s.clock.Ticker(time.Second)
 	defer ticker.Stop()
 	for {
 		select {
@@ -99,7 +101,7 @@
 }
 
 func (s *Stream) print(e entry) {
-	line := append([]any{"ts", e.at.Format(kernel.RFC3339Milli), "level", string(e.event.Level),
+	line := append([]any{"ts", e.at.Format(clock.RFC3339Milli), "level", string(e.event.Level),
 		"event", e.event.Number, "event_name", e.event.Name}, e.keyvals...)
 	_ = s.logger.Log(line...)
 }
@@ -107,13 +109,13 @@
 type bound struct {
 	event  Event
 	tokens float64
-	at     kernel.Time
+	at     time.Time
 	left   uint64
 }
 
 type bounds map[int]*bound
 
-func (b bounds) pass(event Event, now kernel.Time) bool {
+func (b bounds) pass(event Event, now time.Time) bool {
 	one, ok := b[event.Number]
 	if !ok {
 		one = &bound{event: event, tokens: Burst, at: now}
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -13,12 +13,12 @@
 	"stepwick/internal/adapter/controlapi"
 	"stepwick/internal/adapter/disklog"
 	"stepwick/internal/adapter/internalrpc"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/plan"
 	"stepwick/internal/core/route"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/core"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/node/front"
@@ -30,7 +30,7 @@
 )
 
 func build(world World, role, name string, values *settings.Values, log events.Log) (*process, error) {
-	clock := kernel.Steady(world.Clock)
+	clock := clock.Monotonic(world.Clock)
 	p := &process{role: role, values: values, clock: clock, log: log, edge: world.Edge, listen: world.Listen, replaced: make(chan struct{}, 1)}
 	p.base = &wire.Process{
 		Name: name, Region: values.String("region"), Zone: values.String("zone"),
@@ -98,8 +98,8 @@
 		if first, err = os.ReadFile(file); err != nil {
 			return errors.Wrap(err, "first_sheet")
 		}
-		if _, fault := sheet.ParseSheet(first, p.values.Int("sheet.max")); fault != nil {
-			return errors.Wrap(fault, "first_sheet")
+		if _, apiErr := sheet.ParseSheet(first, p.values.Int("sheet.max")); apiErr != nil {
+			return errors.Wrap(apiErr, "first_sheet")
 		}
 	}
 	var replaced func()
--- a/internal/node/core/core.go
+++ b/internal/node/core/core.go
@@ -5,16 +5,19 @@
 package core
 
 import (
+	"context"
 	"slices"
 	"sync/atomic"
+	"time"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/duty"
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/merge"
 	"stepwick/internal/core/plan"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -23,44 +26,44 @@
 type Config struct {
 	Self        string
 	Incarnation uint64
-	LeaseTTL    kernel.Duration // 2 s
-	PingEvery   kernel.Duration // 500 ms: pace of pings and of the cores' views
-	QuietAfter  kernel.Duration // 700 ms: silence after which a member is pinged
-	BatchFor    kernel.Duration // 300 ms: how long new members are gathered
-	RemoveAfter kernel.Duration // 60 s of unbroken refusal
-	TurnStep    kernel.Duration // 500 ms: stagger between cores that would propose the same
-	PlanPeriod  kernel.Duration // 5 s
-	LoadEvery   kernel.Duration // 1 s: pace at which mere load rides the feed
-	AckPace     kernel.Duration // 50 ms: slowest pace at which views are asked for an order
-	OrderWait   kernel.Duration // 10 s: patience of an order that names none
-	FeedWait    kernel.Duration // 5 s: longest poll
-	FeedBound   int             // 4096 changes
-	SheetMax    int             // 16 MiB
+	LeaseTTL    time.Duration // 2 s
+	PingEvery   time.Duration // 500 ms: pace of pings and of the cores' views
+	QuietAfter  time.Duration // 700 ms: silence after which a member is pinged
+	BatchFor    time.Duration // 300 ms: how long new members are gathered
+	RemoveAfter time.Duration // 60 s of unbroken refusal
+	TurnStep    time.Duration // 500 ms: stagger between cores that would propose the same
+	PlanPeriod  time.Duration // 5 s
+	LoadEvery   time.Duration // 1 s: pace at which mere load rides the feed
+	AckPace     time.Duration // 50 ms: slowest pace at which views are asked for an order
+	OrderWait   time.Duration // 10 s: patience of an order that names none
+	FeedWait    time.Duration // 5 s: longest poll
+	FeedBound   int           // 4096 changes
+	SheetMax    int           // 16 MiB
 	Merge       merge.Config
 	Policy      plan.Policy
 	// Setting checks a run-time setting of a sheet; nil lets all pass.
 	Setting func(name, value string) error
 	// FleetNow gives fleet time; the clock's own when nil.
-	FleetNow func() kernel.Time
+	FleetNow func() time.Time
 }
 
-func (c Config) orDefaults(clock kernel.Clock) Config {
-	span := func(d *kernel.Duration, fallback kernel.Duration) {
+func (c Config) orDefaults(clock clock.Clock) Config {
+	span := func(d *time.Duration, fallback time.Duration) {
 		if *d <= 0 {
 			*d = fallback
 		}
 	}
-	span(&c.LeaseTTL, 2*kernel.Second)
-	span(&c.PingEvery, 500*kernel.Millisecond)
-	span(&c.QuietAfter, 700*kernel.Millisecond)
-	span(&c.BatchFor, 300*kernel.Millisecond)
-	span(&c.RemoveAfter, kernel.Minute)
-	span(&c.TurnStep, 500*kernel.Millisecond)
-	span(&c.PlanPeriod, 5*kernel.Second)
-	span(&c.LoadEvery, kernel.Second)
-	span(&c.AckPace, 50*kernel.Millisecond)
-	span(&c.OrderWait, 10*kernel.Second)
-	span(&c.FeedWait, 5*kernel.Second)
+	span(&c.LeaseTTL, 2*time.Second)
+	span(&c.PingEvery, 500*time.Millisecond)
+	span(&c.QuietAfter, 700*time.Millisecond)
+	span(&c.BatchFor, 300*time.Millisecond)
+	span(&c.RemoveAfter, time.Minute)
+	span(&c.TurnStep, 500*time.Millisecond)
+	span(&c.PlanPeriod, 5*time.Second)
+	span(&c.LoadEvery, time.Second)
+	span(&c.AckPace, 50*time.Millisecond)
+	span(&c.OrderWait, 10*time.Second)
+	span(&c.FeedWait, 5*time.Second)
 	if c.FeedBound <= 0 {
 		c.FeedBound = 4096
 	}
@@ -76,9 +79,9 @@
 // Agreement is what a core needs of its replica.
 type Agreement interface {
 	// Propose returns once the command is chosen and applied here.
-	Propose(ctx kernel.Context, command []byte) (epoch uint64, result sheet.Result, err error)
+	Propose(ctx context.Context, command []byte) (epoch uint64, result sheet.Result, err error)
 	// ReadMajority returns a state that holds whatever was chosen before the call.
-	ReadMajority(ctx kernel.Context) (sheet.State, error)
+	ReadMajority(ctx context.Context) (sheet.State, error)
 	// Current returns the newest state applied here.
 	Current() sheet.State
 	// Learned returns the commands applied here after an epoch, oldest first;
@@ -87,18 +90,18 @@
 	// Changed returns a channel that is closed when a newer state is applied.
 	Changed() <-chan struct{}
 	// Read tells how far this core has learned and accepted.
-	Read(ctx kernel.Context, req *wire.ReadRequest) (*wire.ReadResponse, error)
+	Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadResponse, error)
 	Standing() wire.Standing
 	Voters() []string
 	Formation() string
 }
 
 const (
-	tickEvery   = 50 * kernel.Millisecond
-	viewTimeout = 400 * kernel.Millisecond
-	viewWait    = 250 * kernel.Millisecond
-	jobTimeout  = 3 * kernel.Second
-	gatherFor   = 1500 * kernel.Millisecond
+	tickEvery   = 50 * time.Millisecond
+	viewTimeout = 400 * time.Millisecond
+	viewWait    = 250 * time.Millisecond
+	jobTimeout  = 3 * time.Second
+	gatherFor   = 1500 * time.Millisecond
 	inboxBound  = 1024
 	orderBound  = 64
 )
@@ -109,47 +112,47 @@
 	config    Config
 	agreement Agreement
 	peers     port.Peers
-	clock     kernel.Clock
+	clock     clock.Clock
 	log       events.Log
 	orders    chan struct{}
 	inbox     chan func()
 
 	listedAt atomic.Int64 // fleet time in ms at which a watcher last saw the platform's list
 
-	ctx       kernel.Context
+	ctx       context.Context
 	ledger    *lease.Ledger
 	opened    bool
 	state     sheet.State
 	feed      *feed
 	encoded   *encodedState
 	reports   *reports
-	begun     kernel.Time
+	begun     time.Time
 	plan      *wire.Plan
 	outboxes  map[string]*outbox
 	sights    map[string]sight
 	viewers   []*viewer
 	processes *lease.Sights
 	untold    bool // something rides the feed that no waiter has been answered with
-	lastLook  kernel.Time
+	lastLook  time.Time
 	pinging   map[string]bool
 	jobs      map[string]bool
 	wonTerm   uint64 // of the planner's duty, by this life of the process
-	since     map[string]kernel.Time
-	lastViews kernel.Time
-	lastPings kernel.Time
+	since     map[string]time.Time
+	lastViews time.Time
+	lastPings time.Time
 	relays    map[string][]relayed // renewals that wait for a core, by its name
-	lastRelay kernel.Time
+	lastRelay time.Time
 }
 
 // sight is a core's view of one member's lease.
 type sight struct {
-	at    kernel.Time
+	at    time.Time
 	about string
 	view  *wire.LeaseViewResponse
 }
 
 // New returns a core whose leases begin now.
-func New(config Config, agreement Agreement, peers port.Peers, clock kernel.Clock, log events.Log) *Core {
+func New(config Config, agreement Agreement, peers port.Peers, clock clock.Clock, log events.Log) *Core {
 	config = config.orDefaults(clock)
 	return &Core{
 		config: config, agreement: agreement, peers: peers, clock: clock, log: log,
@@ -157,13 +160,13 @@
 		begun: clock.Now(), ledger: lease.NewLedger(config.Self, config.LeaseTTL, clock.Now()),
 		feed:    newFeed(config.Self, config.Incarnation, config.FeedBound),
 		reports: newReports(config.Self, config.Incarnation, config.Merge), outboxes: map[string]*outbox{}, sights: map[string]sight{},
-		pinging: map[string]bool{}, jobs: map[string]bool{}, since: map[string]kernel.Time{},
+		pinging: map[string]bool{}, jobs: map[string]bool{}, since: map[string]time.Time{},
 		processes: lease.NewSights(), relays: map[string][]relayed{},
 	}
 }
 
 // Serve runs the owner until the context ends.
-func (c *Core) Serve(ctx kernel.Context) error {
+func (c *Core) Serve(ctx context.Context) error {
 	c.ctx = ctx
 	clear(c.pinging)
 	clear(c.jobs)
@@ -187,7 +190,7 @@
 	}
 }
 
-func (c *Core) tick(now kernel.Time) {
+func (c *Core) tick(now time.Time) {
 	c.open(now)
 	c.ledger.Expire(now)
 	c.feed.prune()
@@ -204,7 +207,7 @@
 }
 
 // post hands a step to the owner.
-func (c *Core) post(ctx kernel.Context, step func()) bool {
+func (c *Core) post(ctx context.Context, step func()) bool {
 	select {
 	case c.inbox <- step:
 		return true
@@ -214,7 +217,7 @@
 }
 
 // ask runs a question at the owner and waits for its answer.
-func ask[T any](ctx kernel.Context, c *Core, question func() T) (T, error) {
+func ask[T any](ctx context.Context, c *Core, question func() T) (T, error) {
 	reply := make(chan T, 1)
 	var none T
 	if !c.post(ctx, func() { reply <- question() }) {
@@ -230,14 +233,14 @@
 
 // job runs work outside the owner, one at a time of a name, and then at the
 // owner what it returns.
-func (c *Core) job(name string, timeout kernel.Duration, work func(ctx kernel.Context) func()) {
+func (c *Core) job(name string, timeout time.Duration, work func(ctx context.Context) func()) {
 	if c.jobs[name] {
 		return
 	}
 	c.jobs[name] = true
 	parent := c.ctx
 	go func() {
-		ctx, cancel := kernel.WithTimeout(parent, timeout)
+		ctx, cancel := context.WithTimeout(parent, timeout)
 		defer cancel()
 		done := work(ctx)
 		c.post(parent, func() {
@@ -251,7 +254,7 @@
 
 // waited tells whether a condition has held since it was first asked about,
 // for a span; ending it forgets.
-func (c *Core) waited(name string, holds bool, span kernel.Duration, now kernel.Time) bool {
+func (c *Core) waited(name string, holds bool, span time.Duration, now time.Time) bool {
 	if !holds {
 		delete(c.since, name)
 		return false
@@ -315,14 +318,14 @@
 // open lets leases begin once the core holds whatever a majority had chosen
 // when it started: what its former life learned and vouched for may not have
 // been synced.
-func (c *Core) open(now kernel.Time) {
+func (c *Core) open(now time.Time) {
 	if c.opened || c.agreement.Standing() != wire.Standing_STANDING_VOTING {
 		return
 	}
 	if !c.waited("open", true, 0, now) {
 		return
 	}
-	c.job("open", jobTimeout, func(ctx kernel.Context) func() {
+	c.job("open", jobTimeout, func(ctx context.Context) func() {
 		state, err := c.agreement.ReadMajority(ctx)
 		if err != nil {
 			return nil
@@ -331,15 +334,15 @@
 	})
 }
 
-func (c *Core) closedFault() *kernel.Fault {
+func (c *Core) closedFault() *apierror.Error {
 	switch c.agreement.Standing() {
 	case wire.Standing_STANDING_BLANK, wire.Standing_STANDING_UNSPECIFIED:
-		return kernel.Refuse(kernel.CoreBlank, "the cores have not formed yet")
+		return apierror.Errorf(apierror.CoreBlank, "the cores have not formed yet")
 	case wire.Standing_STANDING_AMNESIAC:
-		return kernel.Refuse(kernel.CoreAmnesiac, "the core rebuilds its state")
+		return apierror.Errorf(apierror.CoreAmnesiac, "the core rebuilds its state")
 	}
 	if !c.opened {
-		return kernel.Refuse(kernel.NoMajority, "the core has not caught up since its start")
+		return apierror.Errorf(apierror.NoMajority, "the core has not caught up since its start")
 	}
 	return nil
 }
@@ -367,9 +370,9 @@
 	return place, place >= 0
 }
 
-func (c *Core) turn() kernel.Duration {
+func (c *Core) turn() time.Duration {
 	place, _ := c.rank()
-	return kernel.Duration(max(place, 0)) * c.config.TurnStep
+	return time.Duration(max(place, 0)) * c.config.TurnStep
 }
 
 func (c *Core) mayPropose() bool {
--- a/internal/node/core/core_test.go
+++ b/internal/node/core/core_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/sebdah/goldie/v2"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -54,7 +54,7 @@
 		s.say("%s fails: %v", core, err)
 		return nil
 	}
-	s.say("%s answers %s: %s %s", core, operator, kernel.Code(resp.Code), resp.Body)
+	s.say("%s answers %s: %s %s", core, operator, apierror.Code(resp.Code), resp.Body)
 	return resp
 }
 
@@ -93,7 +93,7 @@
 			}()
 			s.order("c1", "ada", "patch", patch(3, "ada-2", "weights.chat.lagos", "2"), 0)
 			resp := <-lost
-			s.say("c2 answers bola: %s %s", kernel.Code(resp.Code), resp.Body)
+			s.say("c2 answers bola: %s %s", apierror.Code(resp.Code), resp.Body)
 			s.order("c3", "ada", "history", "", 0)
 		},
 		"resend": func(s *script) {
--- a/internal/node/core/feed.go
+++ b/internal/node/core/feed.go
@@ -1,11 +1,12 @@
 package core
 
 import (
+	"context"
 	"fmt"
+	"time"
 
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/journal"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -23,7 +24,7 @@
 }
 
 type waiter struct {
-	ctx   kernel.Context
+	ctx   context.Context
 	req   *wire.FollowRequest
 	reply chan *pulled
 }
@@ -81,9 +82,9 @@
 // Follow returns the changes after a place, or a snapshot where they are no
 // longer kept or the feed is another one. With nothing new it waits, at most
 // wait_ms.
-func (c *Core) Follow(ctx kernel.Context, req *wire.FollowRequest) (*wire.FollowResponse, error) {
-	wait := max(min(kernel.Duration(req.WaitMs)*kernel.Millisecond, c.config.FeedWait), tickEvery)
-	waiting, cancel := kernel.WithTimeout(ctx, wait)
+func (c *Core) Follow(ctx context.Context, req *wire.FollowRequest) (*wire.FollowResponse, error) {
+	wait := max(min(time.Duration(req.WaitMs)*time.Millisecond, c.config.FeedWait), tickEvery)
+	waiting, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	reply := make(chan *pulled, 1)
 	posted := c.post(ctx, func() {
--- a/internal/node/core/fleet_test.go
+++ b/internal/node/core/fleet_test.go
@@ -13,9 +13,10 @@
 	"connectrpc.com/connect"
 	"google.golang.org/protobuf/proto"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/core"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/port"
@@ -91,11 +92,11 @@
 	f.records[name].Store(own)
 	peers := links{f, name}
 	if own.Core {
-		f.cores[name] = core.New(core.Config{Self: name, Incarnation: own.Incarnation}, ballots{f}, peers, kernel.System(), events.Discard)
+		f.cores[name] = core.New(core.Config{Self: name, Incarnation: own.Incarnation}, ballots{f}, peers, clock.System(), events.Discard)
 	}
 	f.fronts[name] = follow.New(follow.Config{Self: f.records[name].Load, LeaseTTL: 2 * time.Second,
 		RenewEvery: 500 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second, CoreStaleFor: time.Second,
-		Sighted: func() []port.Sight { return nil }}, peers, kernel.System(), events.Discard)
+		Sighted: func() []port.Sight { return nil }}, peers, clock.System(), events.Discard)
 }
 
 func (f *fleet) mark(set *atomic.Pointer[map[string]bool], on bool, names ...string) {
@@ -158,7 +159,7 @@
 func (b ballots) ReadMajority(ctx context.Context) (sheet.State, error) {
 	if b.f.split.Load() {
 		<-ctx.Done()
-		return sheet.State{}, kernel.Refuse(kernel.NoMajority, "1 of 3 cores answered")
+		return sheet.State{}, apierror.Errorf(apierror.NoMajority, "1 of 3 cores answered")
 	}
 	return b.f.agreed.Load().state, nil
 }
--- a/internal/node/core/order.go
+++ b/internal/node/core/order.go
@@ -1,12 +1,14 @@
 package core
 
 import (
+	"context"
 	"encoding/json"
+	"time"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -17,7 +19,7 @@
 	verbStatus  = "status"
 )
 
-const comeBack = kernel.Second
+const comeBack = time.Second
 
 type orderAnswer struct {
 	Epoch      uint64 `json:"epoch"`
@@ -29,7 +31,7 @@
 }
 
 type faultAnswer struct {
-	kernel.FaultBody
+	apierror.ErrorBody
 	OrderID string `json:"order_id,omitempty"`
 }
 
@@ -51,18 +53,18 @@
 // in force; if that can't be had in time the answer is OutcomePending, and the
 // same order sent again to any core gets the same result. Reads are answered
 // by a majority or not at all. Faults come as an answer, not as an error.
-func (c *Core) Order(ctx kernel.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
+func (c *Core) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
 	wait := c.config.OrderWait
 	if req.WaitMs > 0 {
-		wait = min(kernel.Duration(req.WaitMs)*kernel.Millisecond, 3*c.config.OrderWait)
+		wait = min(time.Duration(req.WaitMs)*time.Millisecond, 3*c.config.OrderWait)
 	}
-	ctx, cancel := kernel.WithTimeout(ctx, wait)
+	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	select {
 	case c.orders <- struct{}{}:
 		defer func() { <-c.orders }()
 	default:
-		return faulty(kernel.Refuse(kernel.QueueFull, "%d orders are under way", orderBound).After(comeBack), 0, ""), nil
+		return faulty(apierror.Errorf(apierror.QueueFull, "%d orders are under way", orderBound).WithRetryAfter(comeBack), 0, ""), nil
 	}
 	switch req.Verb {
 	case verbGet, verbHistory:
@@ -70,19 +72,19 @@
 	case verbStatus:
 		return c.status(ctx)
 	}
-	command, fault := sheet.ParseOrder(req.Verb, req.Operator, req.Body,
+	command, apiErr := sheet.ParseOrder(req.Verb, req.Operator, req.Body,
 		sheet.Limits{Bytes: c.config.SheetMax, Setting: c.config.Setting}, c.config.FleetNow().UnixMilli())
 	if req.Operator == "" {
-		fault = kernel.Refuse(kernel.OperatorUnknown, "the order names no operator")
+		apiErr = apierror.Errorf(apierror.OperatorUnknown, "the order names no operator")
 	}
-	if fault != nil {
-		c.log.Emit(events.OrderRefused, "verb", req.Verb, "operator", req.Operator, "code", fault.Code)
-		return faulty(fault, c.agreement.Current().Epoch, ""), nil
+	if apiErr != nil {
+		c.log.Emit(events.OrderRefused, "verb", req.Verb, "operator", req.Operator, "code", apiErr.Code)
+		return faulty(apiErr, c.agreement.Current().Epoch, ""), nil
 	}
 	return c.carry(ctx, req, command), nil
 }
 
-func (c *Core) read(ctx kernel.Context, verb string) *wire.OrderResponse {
+func (c *Core) read(ctx context.Context, verb string) *wire.OrderResponse {
 	state, err := c.agreement.ReadMajority(ctx)
 	if err != nil {
 		return faulty(unread(err), 0, "")
@@ -95,20 +97,20 @@
 
 // unread says that a majority could not be asked; a fault of this core's own
 // keeps its code.
-func unread(err error) *kernel.Fault {
-	fault := kernel.AsFault(err)
-	switch fault.Code {
-	case kernel.CoreBlank, kernel.CoreAmnesiac, kernel.DiskFull, kernel.NoMajority, kernel.OutcomePending:
-		return fault.After(comeBack)
+func unread(err error) *apierror.Error {
+	apiErr := apierror.From(err)
+	switch apiErr.Code {
+	case apierror.CoreBlank, apierror.CoreAmnesiac, apierror.DiskFull, apierror.NoMajority, apierror.OutcomePending:
+		return apiErr.WithRetryAfter(comeBack)
 	}
-	return kernel.Refuse(kernel.NoMajority, "no majority of the cores answered in time").After(comeBack)
+	return apierror.Errorf(apierror.NoMajority, "no majority of the cores answered in time").WithRetryAfter(comeBack)
 }
 
 // carry brings a command through its ballot and waits until it is in force.
-func (c *Core) carry(ctx kernel.Context, req *wire.OrderRequest, command sheet.Command) *wire.OrderResponse {
+func (c *Core) carry(ctx context.Context, req *wire.OrderRequest, command sheet.Command) *wire.OrderResponse {
 	order, _ := sheet.OrderOf(command)
 	id := order.OrderID
-	if result, sure := c.foretell(ctx, command); sure && result.Code == kernel.OK {
+	if result, sure := c.foretell(ctx, command); sure && result.Code == apierror.OK {
 		c.log.Emit(events.OrderRepeated, "order", id, "epoch", result.Epoch)
 		return c.await(ctx, result, id)
 	} else if sure {
@@ -117,14 +119,14 @@
 	c.log.Emit(events.OrderTaken, "order", id, "verb", req.Verb, "operator", req.Operator)
 	_, result, err := c.agreement.Propose(ctx, sheet.Encode(command))
 	if err != nil {
-		fault := unread(err)
+		apiErr := unread(err)
 		if ctx.Err() != nil {
-			fault = kernel.Refuse(kernel.OutcomePending, "the ballot has not ended; send the order again with its id").After(comeBack)
+			apiErr = apierror.Errorf(apierror.OutcomePending, "the ballot has not ended; send the order again with its id").WithRetryAfter(comeBack)
 		}
-		c.log.Emit(events.OrderPending, "order", id, "waiting", fault.Detail)
-		return faulty(fault, 0, id)
+		c.log.Emit(events.OrderPending, "order", id, "waiting", apiErr.Detail)
+		return faulty(apiErr, 0, id)
 	}
-	if result.Code != kernel.OK {
+	if result.Code != apierror.OK {
 		return c.refused(req, result, id)
 	}
 	c.log.Emit(events.OrderChosen, "order", id, "epoch", result.Epoch)
@@ -134,12 +136,12 @@
 // foretell returns the result that needs no ballot: what the learned state
 // settles, and what a state read from a majority refuses. What can't be
 // accepted leaves nothing behind.
-func (c *Core) foretell(ctx kernel.Context, command sheet.Command) (result sheet.Result, sure bool) {
+func (c *Core) foretell(ctx context.Context, command sheet.Command) (result sheet.Result, sure bool) {
 	state := c.agreement.Current()
 	if result, sure = state.Foresee(command); sure {
 		return result, true
 	}
-	if _, result = command.Apply(state, state.Epoch+1); result.Code == kernel.OK {
+	if _, result = command.Apply(state, state.Epoch+1); result.Code == apierror.OK {
 		return result, false
 	}
 	state, err := c.agreement.ReadMajority(ctx)
@@ -147,15 +149,15 @@
 		return sheet.Result{}, false
 	}
 	_, result = command.Apply(state, state.Epoch+1)
-	if result.Code != kernel.BaseMoved {
+	if result.Code != apierror.BaseMoved {
 		result.Epoch = state.Epoch
 	}
-	return result, result.Code != kernel.OK
+	return result, result.Code != apierror.OK
 }
 
 func (c *Core) refused(req *wire.OrderRequest, result sheet.Result, id string) *wire.OrderResponse {
 	event := events.OrderRefused
-	if result.Code == kernel.BaseMoved {
+	if result.Code == apierror.BaseMoved {
 		event = events.OrderLost
 	}
 	c.log.Emit(event, "order", id, "verb", req.Verb, "operator", req.Operator, "code", result.Code, "epoch", result.Epoch)
@@ -164,7 +166,7 @@
 
 // await asks all cores for their lease views until the epoch is in force. They
 // answer when their part of it is met, so a fleet in good health is asked once.
-func (c *Core) await(ctx kernel.Context, result sheet.Result, id string) *wire.OrderResponse {
+func (c *Core) await(ctx context.Context, result sheet.Result, id string) *wire.OrderResponse {
 	why, pace := "no core answered", c.config.AckPace/8
 	for {
 		state := c.agreement.Current()
@@ -190,8 +192,8 @@
 		select {
 		case <-ctx.Done():
 			c.log.Emit(events.OrderPending, "order", id, "epoch", result.Epoch, "waiting", why)
-			fault := kernel.Refuse(kernel.OutcomePending, "agreed at epoch %d and not known to be in force: %s; send the order again with its id", result.Epoch, why)
-			return faulty(fault.After(comeBack), result.Epoch, id)
+			apiErr := apierror.Errorf(apierror.OutcomePending, "agreed at epoch %d and not known to be in force: %s; send the order again with its id", result.Epoch, why)
+			return faulty(apiErr.WithRetryAfter(comeBack), result.Epoch, id)
 		case <-c.clock.After(pace):
 			pace = min(2*pace, c.config.AckPace)
 		}
@@ -201,17 +203,17 @@
 func answered(body any, epoch uint64) *wire.OrderResponse {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return faulty(kernel.Refuse(kernel.Internal, "%v", err), epoch, "")
+		return faulty(apierror.Errorf(apierror.Internal, "%v", err), epoch, "")
 	}
-	return &wire.OrderResponse{Code: uint32(kernel.OK), Body: data, Epoch: epoch}
+	return &wire.OrderResponse{Code: uint32(apierror.OK), Body: data, Epoch: epoch}
 }
 
-func faulty(fault *kernel.Fault, epoch uint64, id string) *wire.OrderResponse {
-	body := faultAnswer{FaultBody: fault.Body(""), OrderID: id}
+func faulty(apiErr *apierror.Error, epoch uint64, id string) *wire.OrderResponse {
+	body := faultAnswer{ErrorBody: apiErr.Body(""), OrderID: id}
 	body.Epoch = epoch
 	data, err := json.Marshal(body)
 	if err != nil {
 		data = nil
 	}
-	return &wire.OrderResponse{Code: uint32(fault.Code), Body: data, Epoch: epoch}
+	return &wire.OrderResponse{Code: uint32(apiErr.Code), Body: data, Epoch: epoch}
 }
--- a/internal/node/core/planner.go
+++ b/internal/node/core/planner.go
@@ -1,20 +1,21 @@
 package core
 
 import (
+	"context"
 	"slices"
+	"time"
 
 	"stepwick/internal/core/duty"
 	"stepwick/internal/core/plan"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 // keepDuty tries for the planner's duty when it is vacant and this core's turn
 // has come. A holder that restarted takes a new term, as it no longer knows
 // which plans it numbered.
-func (c *Core) keepDuty(now kernel.Time) {
+func (c *Core) keepDuty(now time.Time) {
 	if !c.mayPropose() {
 		return
 	}
@@ -33,7 +34,7 @@
 		c.log.Emit(events.DutyVacant, "duty", duty.Planner, "term", held.Term, "holder", held.Holder)
 	}
 	next := sheet.TakeDuty{Duty: duty.Planner, Term: held.Term + 1, Holder: c.config.Self}
-	c.job(duty.Planner, jobTimeout, func(ctx kernel.Context) func() {
+	c.job(duty.Planner, jobTimeout, func(ctx context.Context) func() {
 		_, result, err := c.agreement.Propose(ctx, sheet.Encode(next))
 		return func() {
 			delete(c.since, duty.Planner)
@@ -47,7 +48,7 @@
 
 // sightsOf tells what each core knows of a holder. A core that is not settled
 // or was not heard within a TTL says nothing.
-func (c *Core) sightsOf(holder string, now kernel.Time) []duty.Sight {
+func (c *Core) sightsOf(holder string, now time.Time) []duty.Sight {
 	if holder == "" {
 		return nil
 	}
@@ -69,7 +70,7 @@
 // keepPlan makes a plan when this core holds the duty and the period is over
 // or something forces one. After it began it first hears of the servers: a plan
 // of some of them would take the others' caps away.
-func (c *Core) keepPlan(now kernel.Time) {
+func (c *Core) keepPlan(now time.Time) {
 	held := c.state.Duties[duty.Planner]
 	if held.Holder != c.config.Self || held.Term != c.wonTerm || !c.opened || c.state.Sheet == nil {
 		return
@@ -89,7 +90,7 @@
 	default:
 		return
 	}
-	c.job("plan", jobTimeout, func(kernel.Context) func() {
+	c.job("plan", jobTimeout, func(context.Context) func() {
 		next := plan.Compute(in)
 		return func() {
 			if c.state.Duties[duty.Planner] != held || !c.takePlan(next) {
--- a/internal/node/core/relay.go
+++ b/internal/node/core/relay.go
@@ -1,10 +1,14 @@
 package core
 
 import (
+	"context"
+	"time"
+
 	"connectrpc.com/connect"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/lease"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -14,9 +18,9 @@
 // what a relay takes is lost to the front, never won.
 const (
 	// relayEvery is how long renewals are gathered for the other cores.
-	relayEvery = 100 * kernel.Millisecond
+	relayEvery = 100 * time.Millisecond
 	// relayWait is how long a relayed renewal waits for the others' answers.
-	relayWait = 350 * kernel.Millisecond
+	relayWait = 350 * time.Millisecond
 	// relayBound is how many renewals wait for one core, and how many a batch
 	// may hold.
 	relayBound = 4096
@@ -33,7 +37,7 @@
 type relayedAnswer struct {
 	resp *wire.RenewResponse
 	// ahead is by how much the core's clock is ahead of this one's.
-	ahead kernel.Duration
+	ahead time.Duration
 }
 
 // relay queues a renewal for the other cores and returns how many are to answer.
@@ -52,7 +56,7 @@
 // flushRelays sends each other core the renewals that wait for it. Batches may be
 // under way at once, as the way between regions may take longer than relayEvery;
 // relayWait bounds how many.
-func (c *Core) flushRelays(now kernel.Time) {
+func (c *Core) flushRelays(now time.Time) {
 	if now.Sub(c.lastRelay) < relayEvery {
 		return
 	}
@@ -86,7 +90,7 @@
 	}
 	parent, sent := c.ctx, c.clock.Now()
 	go func() {
-		ctx, cancel := kernel.WithTimeout(parent, relayWait)
+		ctx, cancel := context.WithTimeout(parent, relayWait)
 		defer cancel()
 		resp, err := c.peers.Client(p.Address).RenewBatch(ctx, connect.NewRequest(req))
 		back := c.clock.Now()
@@ -104,12 +108,12 @@
 
 // takeRelayed hands on what a core answered, as of the middle of the call. A
 // member of which it holds no record is told to it at once.
-func (c *Core) takeRelayed(p *wire.Process, batch []relayed, answers []*wire.RenewResponse, middle kernel.Time) {
+func (c *Core) takeRelayed(p *wire.Process, batch []relayed, answers []*wire.RenewResponse, middle time.Time) {
 	told := false
 	for i, one := range batch {
 		answer := answers[i]
 		if !answer.Who {
-			one.answers <- relayedAnswer{resp: answer, ahead: kernel.UnixMicro(answer.TimeUs).Sub(middle)}
+			one.answers <- relayedAnswer{resp: answer, ahead: time.UnixMicro(answer.TimeUs).Sub(middle)}
 			continue
 		}
 		record := c.ledger.Record(one.renewal.Name, one.renewal.Incarnation)
@@ -128,8 +132,8 @@
 
 // awaitRelayed waits for the answers of the other cores to a relayed renewal, and
 // returns those that came with their clocks as of now.
-func (c *Core) awaitRelayed(ctx kernel.Context, asked int, answers <-chan relayedAnswer) []*wire.RenewResponse {
-	over, stop := kernel.Timer(relayWait)
+func (c *Core) awaitRelayed(ctx context.Context, asked int, answers <-chan relayedAnswer) []*wire.RenewResponse {
+	over, stop := clock.NewTimer(relayWait)
 	defer stop()
 	var came []relayedAnswer
 	for range asked {
@@ -154,22 +158,22 @@
 }
 
 // RenewBatch renews the leases of members that renewed at another core.
-func (c *Core) RenewBatch(ctx kernel.Context, req *wire.RenewBatchRequest) (*wire.RenewBatchResponse, error) {
+func (c *Core) RenewBatch(ctx context.Context, req *wire.RenewBatchRequest) (*wire.RenewBatchResponse, error) {
 	if len(req.Renewals) > relayBound {
-		return nil, kernel.Refuse(kernel.BadField, "a batch of %d renewals, at most %d", len(req.Renewals), relayBound)
+		return nil, apierror.Errorf(apierror.BadField, "a batch of %d renewals, at most %d", len(req.Renewals), relayBound)
 	}
 	for _, renewal := range req.Renewals {
 		if renewal.Unconfirmed || lease.Renewing(renewal) == "" {
-			return nil, kernel.Refuse(kernel.BadField, "a batch holds renewals of members that are confirmed, by name")
+			return nil, apierror.Errorf(apierror.BadField, "a batch holds renewals of members that are confirmed, by name")
 		}
 	}
 	type outcome struct {
-		resp  *wire.RenewBatchResponse
-		fault *kernel.Fault
+		resp   *wire.RenewBatchResponse
+		apiErr *apierror.Error
 	}
 	got, err := ask(ctx, c, func() outcome {
-		if fault := c.closedFault(); fault != nil {
-			return outcome{fault: fault}
+		if apiErr := c.closedFault(); apiErr != nil {
+			return outcome{apiErr: apiErr}
 		}
 		resp := &wire.RenewBatchResponse{}
 		for _, renewal := range req.Renewals {
@@ -181,8 +185,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if got.fault != nil {
-		return nil, got.fault
+	if got.apiErr != nil {
+		return nil, got.apiErr
 	}
 	return got.resp, nil
 }
--- a/internal/node/core/renew.go
+++ b/internal/node/core/renew.go
@@ -1,9 +1,11 @@
 package core
 
 import (
+	"context"
+
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/lease"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -13,14 +15,14 @@
 // this core has accepted a value that it has not learned: it may be chosen, and
 // the member's former life may have ruled by it. A renewal with relay set is
 // answered with what the other cores say to it.
-func (c *Core) Renew(ctx kernel.Context, req *wire.RenewRequest) (*wire.RenewResponse, error) {
+func (c *Core) Renew(ctx context.Context, req *wire.RenewRequest) (*wire.RenewResponse, error) {
 	if lease.Renewing(req) == "" {
-		return nil, kernel.Refuse(kernel.MissingField, "name")
+		return nil, apierror.Errorf(apierror.MissingField, "name")
 	}
 	type answer struct {
-		resp  *wire.RenewResponse
-		asked int // other cores that are to answer as well
-		fault *kernel.Fault
+		resp   *wire.RenewResponse
+		asked  int // other cores that are to answer as well
+		apiErr *apierror.Error
 	}
 	accepted := uint64(0)
 	if req.Unconfirmed {
@@ -32,11 +34,11 @@
 	}
 	came, answers := c.clock.Now(), make(chan relayedAnswer, relayAnswers)
 	got, err := ask(ctx, c, func() answer {
-		if fault := c.closedFault(); fault != nil {
-			return answer{fault: fault}
+		if apiErr := c.closedFault(); apiErr != nil {
+			return answer{apiErr: apiErr}
 		}
 		if accepted > c.learned() {
-			return answer{fault: kernel.Refuse(kernel.NoMajority, "the ballot of epoch %d is open", accepted)}
+			return answer{apiErr: apierror.Errorf(apierror.NoMajority, "the ballot of epoch %d is open", accepted)}
 		}
 		resp := c.renew(req)
 		if resp.Who {
@@ -51,8 +53,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if got.fault != nil {
-		return nil, got.fault
+	if got.apiErr != nil {
+		return nil, got.apiErr
 	}
 	if got.asked > 0 {
 		got.resp.Others = c.awaitRelayed(ctx, got.asked, answers)
@@ -74,14 +76,14 @@
 	}
 	name := lease.Renewing(req)
 	if !resp.Granted {
-		c.log.Emit(events.LeaseRefused, "member", name, "code", kernel.Code(resp.Refusal), "epoch", req.Epoch, "learned", resp.Learned)
+		c.log.Emit(events.LeaseRefused, "member", name, "code", apierror.Code(resp.Refusal), "epoch", req.Epoch, "learned", resp.Learned)
 	}
 	c.look(name, now)
 	return resp
 }
 
 // Release ends the lease of a member that stops of itself.
-func (c *Core) Release(ctx kernel.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
+func (c *Core) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
 	_, err := ask(ctx, c, func() bool {
 		c.ledger.Release(req.Name, req.Incarnation, c.clock.Now())
 		c.look(req.Name, c.clock.Now())
--- a/internal/node/core/reports.go
+++ b/internal/node/core/reports.go
@@ -2,8 +2,10 @@
 
 import (
 	"cmp"
+	"context"
 	"maps"
 	"slices"
+	"time"
 
 	"connectrpc.com/connect"
 	"google.golang.org/protobuf/proto"
@@ -12,7 +14,6 @@
 	"stepwick/internal/core/merge"
 	"stepwick/internal/core/plan"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -30,7 +31,7 @@
 	unfed       map[string]bool                    // servers with news that was not fed
 	fed         map[string]*wire.Report            // the newest fold that was fed
 	loads       map[string]*wire.Load              // newer load that was fed
-	loadAt      kernel.Time
+	loadAt      time.Time
 }
 
 // loadBudget bounds the servers whose mere load is fed at one turn.
@@ -50,7 +51,7 @@
 	row[report.Watcher] = report
 }
 
-func (r *reports) merge(report *wire.Report, now kernel.Time) bool {
+func (r *reports) merge(report *wire.Report, now time.Time) bool {
 	if !r.merged.Merge(report, now) {
 		return false
 	}
@@ -61,7 +62,7 @@
 
 // refresh takes the word of a watcher that its reports stand; it is false where
 // others are held.
-func (r *reports) refresh(unchanged *wire.Unchanged, now kernel.Time) bool {
+func (r *reports) refresh(unchanged *wire.Unchanged, now time.Time) bool {
 	servers, known := r.merged.Refresh(unchanged, now)
 	for _, server := range servers {
 		r.unfed[server] = true
@@ -88,7 +89,7 @@
 // due takes the changes that ride the feed now. Until a core that has just
 // begun has heard of every watcher, it tells only what keeps requests away: its
 // fold may lack the one sight that says so.
-func (r *reports) due(load, whole bool, now kernel.Time) []*wire.Change {
+func (r *reports) due(load, whole bool, now time.Time) []*wire.Change {
 	var out []*wire.Change
 	servers, budget := r.merged.Servers(), loadBudget
 	for server := range r.unfed {
@@ -119,7 +120,7 @@
 	delete(r.latest, server)
 }
 
-func (r *reports) fold(status *wire.ServerStatus, now kernel.Time) *wire.Report {
+func (r *reports) fold(status *wire.ServerStatus, now time.Time) *wire.Report {
 	r.counter++
 	report := &wire.Report{Watcher: merge.Watcher(r.self, merge.Folded), Server: status.Name, Incarnation: r.incarnation,
 		Counter: r.counter, Status: status, AtMs: now.UnixMilli()}
@@ -130,7 +131,7 @@
 }
 
 // load returns the load to feed, or nil when it is what was fed last.
-func (r *reports) load(last, status *wire.ServerStatus, now kernel.Time) *wire.Load {
+func (r *reports) load(last, status *wire.ServerStatus, now time.Time) *wire.Load {
 	next := &wire.Load{Server: status.Name, Incarnation: status.Incarnation, Running: status.Running, Queued: status.Queued,
 		Answered: status.Answered, KvUsed: float32(status.KvUsed), AtMs: now.UnixMilli()}
 	if held := r.loads[status.Name]; held != nil {
@@ -189,7 +190,7 @@
 // Submit takes reports and a plan, and the word that earlier reports stand.
 // What came from a watcher goes on to the other cores; what another core relayed
 // goes no further.
-func (c *Core) Submit(ctx kernel.Context, req *wire.SubmitRequest) (*wire.SubmitResponse, error) {
+func (c *Core) Submit(ctx context.Context, req *wire.SubmitRequest) (*wire.SubmitResponse, error) {
 	unknown, err := ask(ctx, c, func() []string { return c.submit(req) })
 	return &wire.SubmitResponse{Unknown: unknown}, err
 }
@@ -234,7 +235,7 @@
 }
 
 // foldReports lets old reports go and feeds mere load at its pace.
-func (c *Core) foldReports(now kernel.Time) {
+func (c *Core) foldReports(now time.Time) {
 	load := now.Sub(c.reports.loadAt) >= c.config.LoadEvery
 	if load {
 		c.reports.merged.Expire(c.config.FleetNow())
@@ -318,7 +319,7 @@
 	box.reports, box.plan, box.busy = map[string]map[string]*wire.Report{}, nil, true
 	parent := c.ctx
 	go func() {
-		ctx, cancel := kernel.WithTimeout(parent, 2*viewTimeout)
+		ctx, cancel := context.WithTimeout(parent, 2*viewTimeout)
 		defer cancel()
 		resp, err := c.peers.Client(p.Address).Submit(ctx, connect.NewRequest(req))
 		c.post(parent, func() {
--- a/internal/node/core/roster.go
+++ b/internal/node/core/roster.go
@@ -1,20 +1,22 @@
 package core
 
 import (
+	"context"
+	"time"
+
 	"connectrpc.com/connect"
 
 	"stepwick/internal/core/duty"
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
 
 // pingQuiet pings members that have not been heard for a while. A refusal
 // releases their lease at once; silence never does.
-func (c *Core) pingQuiet(now kernel.Time) {
+func (c *Core) pingQuiet(now time.Time) {
 	if now.Sub(c.lastPings) < c.config.PingEvery/2 {
 		return
 	}
@@ -27,7 +29,7 @@
 		c.pinging[quiet.Name] = true
 		parent := c.ctx
 		go func() {
-			ctx, cancel := kernel.WithTimeout(parent, c.config.PingEvery)
+			ctx, cancel := context.WithTimeout(parent, c.config.PingEvery)
 			defer cancel()
 			resp, err := c.peers.Client(p.Address).Ping(ctx, connect.NewRequest(&wire.PingRequest{
 				From: c.config.Self, Incarnation: c.config.Incarnation, Unconfirmed: true}))
@@ -55,7 +57,7 @@
 
 // askViews keeps a fresh view of what the other cores know of a duty's holder,
 // by which vacancy is judged.
-func (c *Core) askViews(now kernel.Time) {
+func (c *Core) askViews(now time.Time) {
 	if now.Sub(c.lastViews) < c.config.PingEvery {
 		return
 	}
@@ -64,7 +66,7 @@
 	if about == "" {
 		about = c.config.Self
 	}
-	c.job("views", viewTimeout*2, func(ctx kernel.Context) func() {
+	c.job("views", viewTimeout*2, func(ctx context.Context) func() {
 		views := c.views(ctx, &wire.LeaseViewRequest{About: about}, nil)
 		return func() {
 			at := c.clock.Now()
@@ -77,7 +79,7 @@
 
 // keepRoster proposes what the roster needs: members that renew and are not on
 // it, members that refused for long, and the end of a change in force.
-func (c *Core) keepRoster(now kernel.Time) {
+func (c *Core) keepRoster(now time.Time) {
 	if !c.mayPropose() {
 		return
 	}
@@ -95,12 +97,12 @@
 	}
 }
 
-func (c *Core) settleRoster(now kernel.Time) {
+func (c *Core) settleRoster(now time.Time) {
 	state := c.state
 	if !c.waited("settle", !state.Settled(), c.turn(), now) {
 		return
 	}
-	c.job("settle", jobTimeout, func(ctx kernel.Context) func() {
+	c.job("settle", jobTimeout, func(ctx context.Context) func() {
 		question, met := lease.Question{Epoch: state.RosterEpoch, Voters: len(c.agreement.Voters()), Roster: state.Roster, Prior: state.PriorRoster}, false
 		c.views(ctx, &wire.LeaseViewRequest{Epoch: state.RosterEpoch}, func(views []*wire.LeaseViewResponse) bool {
 			question.Views = views
@@ -124,7 +126,7 @@
 // propose puts a command of the core's own to a ballot; what it asks for is
 // looked at anew afterwards, so a failure needs no other answer.
 func (c *Core) propose(name string, command sheet.Command) {
-	c.job(name, jobTimeout, func(ctx kernel.Context) func() {
+	c.job(name, jobTimeout, func(ctx context.Context) func() {
 		_, _, _ = c.agreement.Propose(ctx, sheet.Encode(command))
 		return func() { delete(c.since, name) }
 	})
--- a/internal/node/core/runtime_test.go
+++ b/internal/node/core/runtime_test.go
@@ -8,11 +8,12 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/duty"
 	"stepwick/internal/core/merge"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/core"
 	"stepwick/internal/wire"
 )
@@ -53,7 +54,7 @@
 func (f *fleet) put(t *testing.T) {
 	resp, err := f.cores["c1"].Order(f.ctx, &wire.OrderRequest{Operator: "ada", Verb: "put", Body: []byte(put(0, "first"))})
 	So(err, ShouldBeNil)
-	So(kernel.Code(resp.Code), ShouldEqual, kernel.OK)
+	So(apierror.Code(resp.Code), ShouldEqual, apierror.OK)
 }
 
 func TestFeed(t *testing.T) {
@@ -229,12 +230,12 @@
 			f.split.Store(true)
 			f.stop["c1"]()
 			f.pass(time.Second)
-			again := core.New(core.Config{Self: "c1", Incarnation: 2}, ballots{f}, links{f, "c1"}, kernel.System(), events.Discard)
+			again := core.New(core.Config{Self: "c1", Incarnation: 2}, ballots{f}, links{f, "c1"}, clock.System(), events.Discard)
 			go again.Serve(ctx)
 			f.pass(time.Second)
 			req := &wire.RenewRequest{Self: f.processes["c2"], Epoch: f.agreed.Load().state.Epoch}
 			_, err := again.Renew(ctx, req)
-			So(kernel.AsFault(err).Code, ShouldEqual, kernel.NoMajority)
+			So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
 			f.split.Store(false)
 			f.pass(4 * time.Second)
 			req.Epoch = f.agreed.Load().state.Epoch
--- a/internal/node/core/sights.go
+++ b/internal/node/core/sights.go
@@ -1,14 +1,15 @@
 package core
 
 import (
-	"stepwick/internal/kernel"
+	"time"
+
 	"stepwick/internal/wire"
 )
 
-const lookEvery = 200 * kernel.Millisecond
+const lookEvery = 200 * time.Millisecond
 
 // look feeds what is new about one process.
-func (c *Core) look(name string, now kernel.Time) {
+func (c *Core) look(name string, now time.Time) {
 	if sight := c.processes.Look(c.ledger, name, c.state.Roster, now); sight != nil {
 		c.tell(sight)
 	}
@@ -17,7 +18,7 @@
 // lookAll feeds what the passing of time alone tells, and answers with all
 // that came up since the last tick: many processes that change at once cost
 // those who wait one answer, not one each.
-func (c *Core) lookAll(now kernel.Time) {
+func (c *Core) lookAll(now time.Time) {
 	if now.Sub(c.lastLook) >= lookEvery {
 		c.lastLook = now
 		for _, sight := range c.processes.LookAll(c.ledger, c.state.Roster, now) {
--- a/internal/node/core/sights_test.go
+++ b/internal/node/core/sights_test.go
@@ -7,7 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -118,7 +118,7 @@
 			resp, err := f.cores["c1"].Order(f.ctx, &wire.OrderRequest{Operator: "ada", Verb: "evacuate",
 				Body: []byte(`{"order_id":"second","locality":"lagos/a"}`)})
 			So(err, ShouldBeNil)
-			So(kernel.Code(resp.Code), ShouldEqual, kernel.OK)
+			So(apierror.Code(resp.Code), ShouldEqual, apierror.OK)
 			So(time.Since(begun), ShouldBeBetween, 900*time.Millisecond, 2100*time.Millisecond)
 			So(f.asked.Load()-before, ShouldBeLessThan, 20)
 		})
--- a/internal/node/core/status.go
+++ b/internal/node/core/status.go
@@ -1,12 +1,12 @@
 package core
 
 import (
+	"context"
 	"slices"
 	"sort"
 
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -57,7 +57,7 @@
 }
 
 // status tells how this core sees the fleet; it is no read-back.
-func (c *Core) status(ctx kernel.Context) (*wire.OrderResponse, error) {
+func (c *Core) status(ctx context.Context) (*wire.OrderResponse, error) {
 	type owned struct {
 		state   sheet.State
 		plan    *wire.Plan
--- a/internal/node/core/views.go
+++ b/internal/node/core/views.go
@@ -1,16 +1,18 @@
 package core
 
 import (
+	"context"
+	"time"
+
 	"connectrpc.com/connect"
 
 	"stepwick/internal/core/lease"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 // viewer waits for this core's part of the rule at an epoch.
 type viewer struct {
-	ctx   kernel.Context
+	ctx   context.Context
 	epoch uint64
 	reply chan *wire.LeaseViewResponse
 }
@@ -18,14 +20,14 @@
 // LeaseView answers a core's question whether an epoch is in force. With a
 // wait it answers once this core's part is met, or as it stands when the wait
 // is over.
-func (c *Core) LeaseView(ctx kernel.Context, req *wire.LeaseViewRequest) (*wire.LeaseViewResponse, error) {
+func (c *Core) LeaseView(ctx context.Context, req *wire.LeaseViewRequest) (*wire.LeaseViewResponse, error) {
 	if req.About != "" {
 		return ask(ctx, c, func() *wire.LeaseViewResponse {
 			return c.vouched(c.ledger.About(req.About, c.learned(), c.clock.Now()))
 		})
 	}
 	if req.WaitMs > 0 {
-		waiting, cancel := kernel.WithTimeout(ctx, min(kernel.Duration(req.WaitMs)*kernel.Millisecond, viewTimeout))
+		waiting, cancel := context.WithTimeout(ctx, min(time.Duration(req.WaitMs)*time.Millisecond, viewTimeout))
 		defer cancel()
 		v := &viewer{ctx: waiting, epoch: req.Epoch, reply: make(chan *wire.LeaseViewResponse, 1)}
 		c.post(waiting, func() {
@@ -78,8 +80,8 @@
 // views asks all cores, this one included, for one round of lease views. Cores
 // that don't answer in time are left out. With enough given, the cores wait for
 // their part of the rule, and the round ends as soon as what came is enough.
-func (c *Core) views(ctx kernel.Context, req *wire.LeaseViewRequest, enough func([]*wire.LeaseViewResponse) bool) []*wire.LeaseViewResponse {
-	ctx, cancel := kernel.WithTimeout(ctx, viewTimeout)
+func (c *Core) views(ctx context.Context, req *wire.LeaseViewRequest, enough func([]*wire.LeaseViewResponse) bool) []*wire.LeaseViewResponse {
+	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	if enough != nil {
 		req.WaitMs = uint32(viewWait.Milliseconds())
--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -1,10 +1,12 @@
 package node
 
 import (
+	"context"
 	"math/rand/v2"
 	"net"
+	"time"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -16,14 +18,14 @@
 	// Dialect names the headers of requests that come by routes.
 	Dialect() port.Dialect
 	// Servers reads the platform's list of servers.
-	Servers(dial func(ctx kernel.Context, network, address string) (net.Conn, error)) port.ServerSource
+	Servers(dial func(ctx context.Context, network, address string) (net.Conn, error)) port.ServerSource
 	// Serve answers the platform's own calls until the context ends.
-	Serve(ctx kernel.Context, node port.Node, listen func(address string) (net.Listener, error)) error
+	Serve(ctx context.Context, node port.Node, listen func(address string) (net.Listener, error)) error
 }
 
 // orderPatience is how long an order that came through an edge is pursued, also
 // when its caller has left meanwhile: it is sent again and then known.
-const orderPatience = 8 * kernel.Second
+const orderPatience = 8 * time.Second
 
 // behindEdge is what an edge may ask of a process.
 type behindEdge struct {
@@ -32,14 +34,14 @@
 }
 
 // Ready tells whether the process takes traffic by routes.
-func (b *behindEdge) Ready() *kernel.Fault { return b.process.gateway.Ready() }
+func (b *behindEdge) Ready() *apierror.Error { return b.process.gateway.Ready() }
 
 // Nearest names the ready fronts of the client's region, or all where it has
 // none. A node that may not rule is most likely on the lesser side of a cut that
 // clients can reach across: it names the fronts that have fallen silent to it.
 func (b *behindEdge) Nearest(region string, most int) []string {
 	fronts := b.process.follower.View().Fronts
-	if fault := b.Ready(); fault != nil && fault.Code == kernel.NotRuling {
+	if apiErr := b.Ready(); apiErr != nil && apiErr.Code == apierror.NotRuling {
 		fronts = b.lost()
 	}
 	return nearest(fronts, region, most)
@@ -78,19 +80,19 @@
 }
 
 // SetSeeds names other seeds than the process was started with.
-func (b *behindEdge) SetSeeds(ctx kernel.Context, seeds []string) {
+func (b *behindEdge) SetSeeds(ctx context.Context, seeds []string) {
 	b.process.directory.SetSeeds(ctx, seeds)
 }
 
 // Order hands an order to a core and pursues it, whether the caller waits or
 // not.
-func (b *behindEdge) Order(ctx kernel.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
+func (b *behindEdge) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
 	type outcome struct {
 		resp *wire.OrderResponse
 		err  error
 	}
 	done := make(chan outcome, 1)
-	pursued, cancel := kernel.WithTimeout(kernel.Background(), orderPatience)
+	pursued, cancel := context.WithTimeout(context.Background(), orderPatience)
 	go func() {
 		defer cancel()
 		resp, err := b.orders.Order(pursued, req)
--- a/internal/node/follow/feed.go
+++ b/internal/node/follow/feed.go
@@ -1,14 +1,16 @@
 package follow
 
 import (
+	"context"
 	"slices"
+	"time"
 
 	"connectrpc.com/connect"
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -30,11 +32,11 @@
 		patience = largeTimeout
 	}
 	go func() {
-		ctx, cancel := kernel.WithTimeout(f.ctx, patience)
+		ctx, cancel := context.WithTimeout(f.ctx, patience)
 		defer cancel()
 		resp, err := f.peers.Client(core.Address).Follow(ctx, connect.NewRequest(req))
 		if err != nil {
-			wait, stop := kernel.Timer(f.config.RenewEvery / 2)
+			wait, stop := clock.NewTimer(f.config.RenewEvery / 2)
 			select {
 			case <-wait:
 			case <-f.ctx.Done():
@@ -60,7 +62,7 @@
 // renew, or at the start at least answer, comes next, in an order of this
 // front's own so that fronts spread. Cores of the own region go first, as the
 // feed's bytes are many, and the one whose feed has just failed goes last.
-func (f *Follower) choose(now kernel.Time) (*wire.Process, bool) {
+func (f *Follower) choose(now time.Time) (*wire.Process, bool) {
 	if f.feed.core != "" {
 		if p, ok := f.peers.Process(f.feed.core); ok {
 			return p, true
@@ -81,12 +83,12 @@
 }
 
 // nearFirst is how long a process that starts waits for a core of its region.
-const nearFirst = 150 * kernel.Millisecond
+const nearFirst = 150 * time.Millisecond
 
 // near returns the cores of the own region, without those that have renewed
 // once but not of late; in a large fleet only those of the own zone where there are
 // some, through which the front renews too.
-func (f *Follower) near(cores []*wire.Process, now kernel.Time) []*wire.Process {
+func (f *Follower) near(cores []*wire.Process, now time.Time) []*wire.Process {
 	own := f.config.Self()
 	inRegion := slices.DeleteFunc(slices.Clone(cores), func(core *wire.Process) bool {
 		renewed := f.holder.RenewedAt(core.Name)
@@ -104,7 +106,7 @@
 
 // chooseOf returns the core of some that renewed last or, while none has, one
 // that has answered.
-func (f *Follower) chooseOf(cores []*wire.Process, now kernel.Time) (*wire.Process, bool) {
+func (f *Follower) chooseOf(cores []*wire.Process, now time.Time) (*wire.Process, bool) {
 	if len(cores) == 0 {
 		return nil, false
 	}
--- a/internal/node/follow/feed_test.go
+++ b/internal/node/follow/feed_test.go
@@ -10,8 +10,8 @@
 	"connectrpc.com/connect"
 	. "github.com/smartystreets/goconvey/convey"
 
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -90,7 +90,7 @@
 		change(cores[1])
 		f := follow.New(follow.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Region: "north", Front: true} },
 			LeaseTTL: 2 * time.Second, RenewEvery: 100 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second,
-			Sighted: func() []port.Sight { return nil }, CoreStaleFor: time.Second}, cores, kernel.System(), events.Discard)
+			Sighted: func() []port.Sight { return nil }, CoreStaleFor: time.Second}, cores, clock.System(), events.Discard)
 		begun := time.Now()
 		go f.Serve(ctx)
 		for range wanted {
--- a/internal/node/follow/fleettime.go
+++ b/internal/node/follow/fleettime.go
@@ -2,18 +2,17 @@
 
 import (
 	"sort"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // FleetNow returns the time agreed from the cores' clocks. It is proof against
 // steps of this machine's clock.
-func (f *Follower) FleetNow() kernel.Time {
-	return f.clock.Now().Add(kernel.Duration(f.offset.Load()))
+func (f *Follower) FleetNow() time.Time {
+	return f.clock.Now().Add(time.Duration(f.offset.Load()))
 }
 
 func (f *Follower) setOffset() {
-	all := make([]kernel.Duration, 0, len(f.offsets))
+	all := make([]time.Duration, 0, len(f.offsets))
 	for _, offset := range f.offsets {
 		all = append(all, offset)
 	}
--- a/internal/node/follow/follow.go
+++ b/internal/node/follow/follow.go
@@ -1,13 +1,15 @@
 package follow
 
 import (
+	"context"
 	"sync/atomic"
+	"time"
 
+	"stepwick/internal/clock"
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/merge"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -15,12 +17,12 @@
 // Config holds a follower's settings. Durations are in the clock's time.
 type Config struct {
 	Self         func() *wire.Process // own record, a fresh one at each call
-	LeaseTTL     kernel.Duration
-	RenewEvery   kernel.Duration
-	PingEvery    kernel.Duration
-	FeedWait     kernel.Duration
+	LeaseTTL     time.Duration
+	RenewEvery   time.Duration
+	PingEvery    time.Duration
+	FeedWait     time.Duration
 	Sighted      func() []port.Sight // processes known to the directory, by name
-	CoreStaleFor kernel.Duration     // silence after which another core is followed
+	CoreStaleFor time.Duration       // silence after which another core is followed
 	// Attest takes every process that the feed says is live, after each change;
 	// nil lets it be.
 	Attest func(live []*wire.Process)
@@ -29,8 +31,8 @@
 // How long a front counts as live after its last sign, which is a ping for a
 // member of the roster and a directory's sight for one that isn't on it yet.
 const (
-	pingFresh  = 1500 * kernel.Millisecond
-	sightFresh = 90 * kernel.Second
+	pingFresh  = 1500 * time.Millisecond
+	sightFresh = 90 * time.Second
 )
 
 // Follower owns a front's control state. All fields below inbox belong to the
@@ -39,39 +41,39 @@
 	config Config
 	name   string
 	peers  port.Peers
-	clock  kernel.Clock
+	clock  clock.Clock
 	log    events.Log
 
 	view    atomic.Pointer[View]
 	changed atomic.Pointer[chan struct{}]
-	lapse   atomic.Pointer[kernel.Time] // until when the node rules; zero time when it does not
-	offset  atomic.Int64                // fleet time less the clock, nanoseconds
-	timed   atomic.Bool                 // fleet time may be decided by
+	lapse   atomic.Pointer[time.Time] // until when the node rules; zero time when it does not
+	offset  atomic.Int64              // fleet time less the clock, nanoseconds
+	timed   atomic.Bool               // fleet time may be decided by
 	pinged  atomic.Pointer[standing]
 
 	inbox   chan func()
-	serving atomic.Pointer[kernel.Context] // of the newest Serve
-	ctx     kernel.Context
-	begun   kernel.Time
+	serving atomic.Pointer[context.Context] // of the newest Serve
+	ctx     context.Context
+	begun   time.Time
 
 	holder   *lease.Holder
 	state    sheet.State
 	held     bool
 	reports  *merge.Reports
 	plan     *wire.Plan
-	offsets  map[string]kernel.Duration
+	offsets  map[string]time.Duration
 	renewing map[string]bool
 	pinging  map[string]bool
-	contact  map[string]kernel.Time // last answer of each peer
-	asked    map[string]kernel.Time // first ping of each peer that is still unanswered
-	refused  map[string]kernel.Time // peers whose last answer was a refused connection, and when
-	told     map[string]told        // what the feed says of processes
-	fedAt    kernel.Time            // when a core last answered with the feed
-	words    map[string]word        // what each peer last said of itself
+	contact  map[string]time.Time // last answer of each peer
+	asked    map[string]time.Time // first ping of each peer that is still unanswered
+	refused  map[string]time.Time // peers whose last answer was a refused connection, and when
+	told     map[string]told      // what the feed says of processes
+	fedAt    time.Time            // when a core last answered with the feed
+	words    map[string]word      // what each peer last said of itself
 	turn     int
-	rested   int         // intervals in which a large roster was not pinged as a whole
-	wave     []string    // peers still to be pinged at this pace
-	waved    kernel.Time // when the whole of a large roster was last begun
+	rested   int       // intervals in which a large roster was not pinged as a whole
+	wave     []string  // peers still to be pinged at this pace
+	waved    time.Time // when the whole of a large roster was last begun
 	failing  map[string]bool
 	again    map[string]bool
 	recorded map[string]*wire.Process // own record as each core last answered it
@@ -86,9 +88,9 @@
 	tell     map[string]bool // peers to be pinged again once the ping under way ends
 	left     bool
 	// directUntil is until when renewals go to every core instead of through one.
-	directUntil kernel.Time
+	directUntil time.Time
 	found       found
-	expired     kernel.Time // when old reports were last let go
+	expired     time.Time // when old reports were last let go
 	// published tells that a view was handed out, so that the first is, whatever it says.
 	published bool
 }
@@ -97,7 +99,7 @@
 	core   string
 	feed   string
 	number uint64
-	heard  kernel.Time
+	heard  time.Time
 	open   bool
 }
 
@@ -106,7 +108,7 @@
 type word struct {
 	incarnation    uint64
 	ready, leaving bool
-	at             kernel.Time
+	at             time.Time
 }
 
 type standing struct {
@@ -117,23 +119,23 @@
 // A node that starts takes its first state from the feed. While that may be on
 // its way nothing else is asked for the same, and large ones are given time.
 const (
-	startByFeed  = 2 * kernel.Second
-	largeTimeout = 5 * kernel.Second
+	startByFeed  = 2 * time.Second
+	largeTimeout = 5 * time.Second
 )
 
 // New returns a follower that knows nothing yet.
-func New(config Config, peers port.Peers, clock kernel.Clock, log events.Log) *Follower {
+func New(config Config, peers port.Peers, clock clock.Clock, log events.Log) *Follower {
 	f := &Follower{
 		config: config, name: config.Self().Name, peers: peers, clock: clock, log: log,
 		inbox: make(chan func(), 256), holder: lease.NewHolder(config.Self().Name, config.LeaseTTL),
-		reports: merge.New(merge.Config{}), offsets: map[string]kernel.Duration{},
-		renewing: map[string]bool{}, pinging: map[string]bool{}, contact: map[string]kernel.Time{}, asked: map[string]kernel.Time{}, refused: map[string]kernel.Time{}, told: map[string]told{}, words: map[string]word{}, presence: map[string]presence{}, lives: map[string]uint64{}, again: map[string]bool{}, failing: map[string]bool{}, recorded: map[string]*wire.Process{}, tell: map[string]bool{}, behind: map[string]uint64{},
+		reports: merge.New(merge.Config{}), offsets: map[string]time.Duration{},
+		renewing: map[string]bool{}, pinging: map[string]bool{}, contact: map[string]time.Time{}, asked: map[string]time.Time{}, refused: map[string]time.Time{}, told: map[string]told{}, words: map[string]word{}, presence: map[string]presence{}, lives: map[string]uint64{}, again: map[string]bool{}, failing: map[string]bool{}, recorded: map[string]*wire.Process{}, tell: map[string]bool{}, behind: map[string]uint64{},
 	}
 	first := make(chan struct{})
 	f.changed.Store(&first)
-	idle := kernel.Background()
+	idle := context.Background()
 	f.serving.Store(&idle)
-	f.lapse.Store(&kernel.Time{})
+	f.lapse.Store(&time.Time{})
 	f.pinged.Store(&standing{unconfirmed: true})
 	f.view.Store(&View{Index: sheet.State{}.Index(), Servers: map[string]*wire.ServerStatus{}})
 	return f
@@ -160,7 +162,7 @@
 
 // Leave ends the ruling and the renewals of a front that stops: what it
 // releases afterwards is not given again.
-func (f *Follower) Leave(ctx kernel.Context) error {
+func (f *Follower) Leave(ctx context.Context) error {
 	done := make(chan struct{})
 	f.post(func() {
 		f.left = true
@@ -190,7 +192,7 @@
 }
 
 // Serve runs the owner until the context ends.
-func (f *Follower) Serve(ctx kernel.Context) error {
+func (f *Follower) Serve(ctx context.Context) error {
 	f.ctx, f.begun = ctx, f.clock.Now()
 	f.serving.Store(&ctx)
 	hasten := f.clock.Ticker(hastenEvery)
@@ -225,7 +227,7 @@
 }
 
 // expire lets old reports go, which is no matter of moments.
-func (f *Follower) expire(now kernel.Time) {
+func (f *Follower) expire(now time.Time) {
 	if now.Sub(f.expired) < expireEvery {
 		return
 	}
@@ -233,15 +235,15 @@
 	f.reports.Expire(f.FleetNow())
 }
 
-const expireEvery = 2 * kernel.Second
+const expireEvery = 2 * time.Second
 
 // hastenEvery is the pace of renewals of a process that is not confirmed yet:
 // after a start each moment counts in which it may not rule.
-const hastenEvery = 50 * kernel.Millisecond
+const hastenEvery = 50 * time.Millisecond
 
 // hastenFor is how long after a start renewals are hastened.
-const hastenFor = 5 * kernel.Second
+const hastenFor = 5 * time.Second
 
 // clockPatience is how long after its start a front waits for every core's
 // clock: one clock alone, or two that differ, can't out-vote a wrong one.
-const clockPatience = 1500 * kernel.Millisecond
+const clockPatience = 1500 * time.Millisecond
--- a/internal/node/follow/members.go
+++ b/internal/node/follow/members.go
@@ -1,22 +1,23 @@
 package follow
 
 import (
+	"time"
+
 	"stepwick/internal/core/lease"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 // fedFresh is how long the feed's word on processes stands when no core
 // answers; then only pings and the directory's sights tell who lives.
-const fedFresh = 4 * kernel.Second
+const fedFresh = 4 * time.Second
 
-const goneFor = 10 * kernel.Minute // how long one that left the roster is remembered as gone
+const goneFor = 10 * time.Minute // how long one that left the roster is remembered as gone
 
 // told is what the feed says of a process, and when that came.
 type told struct {
 	process      *wire.Process
 	gone, silent bool
-	at           kernel.Time
+	at           time.Time
 }
 
 func (f *Follower) takeSight(sight *wire.Sight) {
@@ -64,7 +65,7 @@
 }
 
 // said returns the feed's word on a process while a core answers.
-func (f *Follower) said(name string, now kernel.Time) (told, bool) {
+func (f *Follower) said(name string, now time.Time) (told, bool) {
 	t, ok := f.told[name]
 	return t, ok && now.Sub(f.fedAt) < fedFresh
 }
@@ -81,7 +82,7 @@
 // before the feed's word, unless that is newer; and a peer that refused stays
 // gone until it answers or another life of it is told of, as the core may not
 // have noticed yet.
-func (f *Follower) fate(name string, now kernel.Time) fate {
+func (f *Follower) fate(name string, now time.Time) fate {
 	if name == f.name {
 		return lives
 	}
--- a/internal/node/follow/ping.go
+++ b/internal/node/follow/ping.go
@@ -1,10 +1,12 @@
 package follow
 
 import (
+	"context"
+	"time"
+
 	"connectrpc.com/connect"
 
 	"stepwick/internal/core/lease"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -22,7 +24,7 @@
 )
 
 // Ping answers a peer with the epoch that this front has confirmed.
-func (f *Follower) Ping(ctx kernel.Context, req *wire.PingRequest) (*wire.PingResponse, error) {
+func (f *Follower) Ping(ctx context.Context, req *wire.PingRequest) (*wire.PingResponse, error) {
 	if !req.Unconfirmed {
 		f.post(func() { f.holder.Known(req.Epoch); f.judge() })
 	}
@@ -79,7 +81,7 @@
 
 // wavering tells whether the lease is half way to its lapse and a majority of
 // the cores failed to answer; those that are merely late set off no wave.
-func (f *Follower) wavering(now kernel.Time) bool {
+func (f *Follower) wavering(now time.Time) bool {
 	verdict := f.holder.Ruling(now)
 	if verdict.Ruling && verdict.By == lease.ByLease && verdict.Until.Sub(now) >= f.config.LeaseTTL/2 {
 		return false
@@ -104,7 +106,7 @@
 		f.asked[name] = sent
 	}
 	go func() {
-		ctx, cancel := kernel.WithTimeout(f.ctx, f.config.PingEvery)
+		ctx, cancel := context.WithTimeout(f.ctx, f.config.PingEvery)
 		defer cancel()
 		resp, err := f.peers.Client(peer.Address).Ping(ctx, connect.NewRequest(&wire.PingRequest{
 			From: own.Name, Incarnation: own.Incarnation, Epoch: s.epoch, Unconfirmed: s.unconfirmed}))
@@ -119,7 +121,7 @@
 				f.heard(peer, sent, resp.Msg)
 			case err != nil && port.Refused(err):
 				delete(f.contact, name)
-				f.asked[name], f.refused[name] = kernel.Time{}, f.clock.Now()
+				f.asked[name], f.refused[name] = time.Time{}, f.clock.Now()
 				f.noticePeer(name, refuses, 0)
 				f.holder.Refused(name, f.clock.Now())
 			case f.clock.Now().Sub(f.asked[name]) >= pingFresh && f.refused[name].IsZero():
@@ -135,7 +137,7 @@
 	}()
 }
 
-func (f *Follower) heard(peer *wire.Process, sent kernel.Time, resp *wire.PingResponse) {
+func (f *Follower) heard(peer *wire.Process, sent time.Time, resp *wire.PingResponse) {
 	f.holder.Heard(resp.Name, resp.Incarnation, sent, resp.Epoch, resp.Unconfirmed)
 	f.words[resp.Name] = word{incarnation: resp.Incarnation, ready: resp.Ready, leaving: resp.Leaving, at: f.clock.Now()}
 	if resp.Epoch > f.state.Epoch && !resp.Unconfirmed {
--- a/internal/node/follow/publish.go
+++ b/internal/node/follow/publish.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 	"strings"
+	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"stepwick/internal/core/lease"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -128,7 +128,7 @@
 
 // findFront takes a process among the live fronts if it is one. Seen is when it
 // was last known to live.
-func (f *Follower) findFront(p *wire.Process, seen, now kernel.Time) {
+func (f *Follower) findFront(p *wire.Process, seen, now time.Time) {
 	word, said := f.said(p.Name, now)
 	if said && later(word.process, p) {
 		p = word.process
--- a/internal/node/follow/publish_test.go
+++ b/internal/node/follow/publish_test.go
@@ -7,9 +7,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -25,7 +25,7 @@
 
 // large returns a follower that was told of so many members by the feed.
 func large(members int) *Follower {
-	clock := kernel.System()
+	clock := clock.System()
 	var sights []port.Sight
 	var processes known
 	state := sheet.State{Epoch: 7, Roster: map[string]sheet.Member{}}
--- a/internal/node/follow/relay.go
+++ b/internal/node/follow/relay.go
@@ -2,10 +2,10 @@
 
 import (
 	"slices"
+	"time"
 
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/rendezvous"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -16,10 +16,10 @@
 	relayFrom = 33
 	// relayTimeout bounds a relayed renewal. The lease that stands covers it, the
 	// renewal at every core that follows when it fails, and one more.
-	relayTimeout = 700 * kernel.Millisecond
+	relayTimeout = 700 * time.Millisecond
 	// directFor is how long renewals go to every core after a relayed one brought no
 	// majority.
-	directFor = 3 * kernel.Second
+	directFor = 3 * time.Second
 )
 
 // renewAll renews the lease at all cores, through one of them where that is due.
@@ -49,7 +49,7 @@
 
 // relay returns the core that this front's renewals go through; none while the
 // front is unconfirmed, in a small fleet, or of late in vain.
-func (f *Follower) relay(now kernel.Time) (*wire.Process, bool) {
+func (f *Follower) relay(now time.Time) (*wire.Process, bool) {
 	if f.left || !f.held || f.holder.Unconfirmed() || now.Before(f.directUntil) || !f.isLarge() {
 		return nil, false
 	}
@@ -58,7 +58,7 @@
 
 // nearest returns a voting core of the own zone, else of the own region, that has
 // renewed of late. Fronts whose own zone has none spread over the others.
-func (f *Follower) nearest(now kernel.Time) (*wire.Process, bool) {
+func (f *Follower) nearest(now time.Time) (*wire.Process, bool) {
 	own, voters := f.config.Self(), f.voters()
 	var best *wire.Process
 	rank := func(core *wire.Process) (sameZone bool, weight uint64) {
@@ -110,7 +110,7 @@
 	if call.resp.Who {
 		return false
 	}
-	travelled := call.back.Sub(call.sent) - kernel.Duration(call.resp.HeldUs)*kernel.Microsecond
+	travelled := call.back.Sub(call.sent) - time.Duration(call.resp.HeldUs)*time.Microsecond
 	answered := call.back.Add(-max(travelled, 0) / 2)
 	granted, behind := 0, false
 	for _, answer := range append(call.resp.Others, call.resp) {
--- a/internal/node/follow/renew.go
+++ b/internal/node/follow/renew.go
@@ -1,10 +1,12 @@
 package follow
 
 import (
+	"context"
+	"time"
+
 	"connectrpc.com/connect"
 
 	"stepwick/internal/core/lease"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -53,13 +55,13 @@
 	req        *wire.RenewRequest
 	resp       *wire.RenewResponse // nil where the call failed
 	err        error
-	sent, back kernel.Time
-	timeout    kernel.Duration
+	sent, back time.Time
+	timeout    time.Duration
 }
 
 // beginRenewal prepares a call, unless one is under way at the core or the front
 // has left.
-func (f *Follower) beginRenewal(core *wire.Process, timeout kernel.Duration, relay bool) (*renewal, bool) {
+func (f *Follower) beginRenewal(core *wire.Process, timeout time.Duration, relay bool) (*renewal, bool) {
 	if f.left {
 		return nil, false
 	}
@@ -82,7 +84,7 @@
 // then.
 func (f *Follower) send(call *renewal, then func()) {
 	go func() {
-		ctx, cancel := kernel.WithTimeout(f.ctx, call.timeout)
+		ctx, cancel := context.WithTimeout(f.ctx, call.timeout)
 		defer cancel()
 		resp, err := f.peers.Client(call.core.Address).Renew(ctx, connect.NewRequest(call.req))
 		call.back, call.err = f.clock.Now(), err
@@ -123,8 +125,8 @@
 
 // renewed takes a core's answer to a call, which the core gave at the instant
 // answered by this process's clock.
-func (f *Follower) renewed(core *wire.Process, call *renewal, answered kernel.Time, resp *wire.RenewResponse) {
-	f.offsets[core.Name] = kernel.UnixMicro(resp.TimeUs).Sub(answered)
+func (f *Follower) renewed(core *wire.Process, call *renewal, answered time.Time, resp *wire.RenewResponse) {
+	f.offsets[core.Name] = time.UnixMicro(resp.TimeUs).Sub(answered)
 	f.setOffset()
 	f.behind[core.Name] = resp.Learned
 	if f.held && resp.Learned > f.state.Epoch || !f.held && call.back.Sub(f.begun) >= startByFeed {
--- a/internal/node/follow/state.go
+++ b/internal/node/follow/state.go
@@ -1,17 +1,19 @@
 package follow
 
 import (
+	"context"
+	"time"
+
 	"connectrpc.com/connect"
 
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 // Fetch answers a process that is behind with the whole state.
-func (f *Follower) Fetch(ctx kernel.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
+func (f *Follower) Fetch(ctx context.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
 	state := f.View().State
 	if state.Epoch <= req.After {
 		return &wire.FetchResponse{Learned: state.Epoch}, nil
@@ -26,7 +28,7 @@
 	if f.left || !f.timed.Load() {
 		verdict = lease.Verdict{By: f.ruledBy}
 	}
-	until := kernel.Time{}
+	until := time.Time{}
 	if verdict.Ruling {
 		until = verdict.Until
 	}
@@ -50,7 +52,7 @@
 		after = 0
 	}
 	go func() {
-		ctx, cancel := kernel.WithTimeout(f.ctx, largeTimeout)
+		ctx, cancel := context.WithTimeout(f.ctx, largeTimeout)
 		defer cancel()
 		resp, err := f.peers.Client(address).Fetch(ctx, connect.NewRequest(&wire.FetchRequest{After: after}))
 		f.post(func() {
--- a/internal/node/follow/time_test.go
+++ b/internal/node/follow/time_test.go
@@ -8,8 +8,8 @@
 
 	"connectrpc.com/connect"
 
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -53,7 +53,7 @@
 		peers := cores{"c1": {name: "c1", step: time.Hour}, "c2": {name: "c2", after: 200 * time.Millisecond}, "c3": {name: "c3", after: 300 * time.Millisecond}}
 		f := follow.New(follow.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
 			LeaseTTL: 2 * time.Second, RenewEvery: 500 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second,
-			Sighted: func() []port.Sight { return nil }, CoreStaleFor: time.Second}, peers, kernel.System(), events.Discard)
+			Sighted: func() []port.Sight { return nil }, CoreStaleFor: time.Second}, peers, clock.System(), events.Discard)
 		go f.Serve(ctx)
 		<-time.After(100 * time.Millisecond)
 		if f.Timed() {
--- a/internal/node/follow/view.go
+++ b/internal/node/follow/view.go
@@ -6,10 +6,10 @@
 import (
 	"slices"
 	"sort"
+	"time"
 
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -47,7 +47,7 @@
 }
 
 // Status describes the view at fleet time now.
-func (v *View) Status(name, locality string, ruling bool, now kernel.Time) Status {
+func (v *View) Status(name, locality string, ruling bool, now time.Time) Status {
 	s := Status{Name: name, Locality: locality, Epoch: v.State.Epoch, SheetEpoch: v.State.SheetEpoch,
 		Ruling: ruling, By: string(v.Verdict.By), Servers: map[string]string{}, Roster: v.Roster, FleetTimeMS: now.UnixMilli()}
 	if v.Plan != nil {
--- a/internal/node/front/attempts.go
+++ b/internal/node/front/attempts.go
@@ -1,10 +1,11 @@
 package front
 
 import (
+	"time"
+
 	"stepwick/internal/adapter/backend"
 	"stepwick/internal/core/route"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 )
 
 func (c *call) attempt(choice route.Choice) *backend.Attempt {
@@ -29,7 +30,7 @@
 }
 
 // giveUp frees the seat of an attempt, and tells the table what came of it.
-func (c *call) giveUp(s *seat, failure *backend.Failure, began kernel.Time, first kernel.Duration) {
+func (c *call) giveUp(s *seat, failure *backend.Failure, began time.Time, first time.Duration) {
 	outcome := outcomeOf(failure)
 	outcome.Service, outcome.FirstToken, outcome.Took = c.request.Service, first, c.front.clock.Now().Sub(began)
 	c.front.router.giveUp(s, outcome)
@@ -54,7 +55,7 @@
 	return outcome
 }
 
-func attemptOf(server string, failure *backend.Failure, took kernel.Duration) *Attempt {
+func attemptOf(server string, failure *backend.Failure, took time.Duration) *Attempt {
 	a := &Attempt{Server: server, Ended: "whole", TookMS: inMS(took)}
 	if failure != nil {
 		a.Ended, a.Detail = string(failure.Kind), failure.Detail
--- a/internal/node/front/bench_test.go
+++ b/internal/node/front/bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"stepwick/internal/adapter/clientapi"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/node/spend"
 	"stepwick/internal/port"
@@ -60,11 +60,11 @@
 	views.changed.Store(&never)
 	views.ruling.Store(true)
 	registry := prometheus.NewRegistry()
-	purse, err := spend.New(spend.Config{Self: "n1", Incarnation: 1, Metrics: registry}, nobody{}, kernel.System(), time.Now, func() []string { return []string{"n1"} }, events.Discard)
+	purse, err := spend.New(spend.Config{Self: "n1", Incarnation: 1, Metrics: registry}, nobody{}, clock.System(), time.Now, func() []string { return []string{"n1"} }, events.Discard)
 	if err != nil {
 		b.Fatal(err)
 	}
-	front, err := New(Config{Name: "n1", Region: "lagos", Zone: "a"}, views, purse, kernel.System(), events.Discard, registry)
+	front, err := New(Config{Name: "n1", Region: "lagos", Zone: "a"}, views, purse, clock.System(), events.Discard, registry)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -89,13 +89,13 @@
 				for prefix := uint64(1); pb.Next(); prefix++ {
 					c := front.newCall(&head, "chat", "", "")
 					c.request.Prefix = prefix%400 + 1
-					if fault := c.admit(ctx, sheet.KindModel, 100); fault != nil {
-						b.Error(fault)
+					if apiErr := c.admit(ctx, sheet.KindModel, 100); apiErr != nil {
+						b.Error(apiErr)
 						return
 					}
-					s, _, fault := c.seat(ctx)
-					if fault != nil {
-						b.Error(fault)
+					s, _, apiErr := c.seat(ctx)
+					if apiErr != nil {
+						b.Error(apiErr)
 						return
 					}
 					front.router.giveUp(s, outcomeOf(nil))
--- a/internal/node/front/connect.go
+++ b/internal/node/front/connect.go
@@ -1,23 +1,24 @@
 package front
 
 import (
+	"context"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
 
 	"stepwick/internal/adapter/clientapi"
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/plan"
-	"stepwick/internal/kernel"
 )
 
 // Connect tells which nodes a caller should talk to: those of its own
 // locality first, then of its region, then all others; evacuated ones last.
 // Equally near ones come in an order that differs from request to request.
-func (f *Front) Connect(_ kernel.Context, ask *clientapi.Connect) (*clientapi.Nearest, *kernel.Fault) {
+func (f *Front) Connect(_ context.Context, ask *clientapi.Connect) (*clientapi.Nearest, *apierror.Error) {
 	view := f.views.View()
 	if ask.Service != "" && view.State.Sheet != nil {
 		if _, known := view.State.Sheet.Services[ask.Service]; !known {
-			return nil, kernel.Refuse(kernel.UnknownService, "the sheet in force has no service %q", ask.Service)
+			return nil, apierror.Errorf(apierror.UnknownService, "the sheet in force has no service %q", ask.Service)
 		}
 	}
 	region, zone := ask.Region, ask.Zone
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -1,9 +1,12 @@
 package front
 
 import (
+	"context"
+	"time"
+
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/route"
 	"stepwick/internal/core/tally"
-	"stepwick/internal/kernel"
 )
 
 const (
@@ -15,7 +18,7 @@
 // pointers is set.
 type Entry struct {
 	ID        string
-	At        kernel.Time
+	At        time.Time
 	Admission *Admission
 	Routing   *Routing
 	Attempt   *Attempt
@@ -71,10 +74,10 @@
 
 // Outcome is the answer that the caller got.
 type Outcome struct {
-	Code   kernel.Code `json:"code"`
-	Name   string      `json:"name"`
-	Detail string      `json:"detail,omitempty"`
-	TookMS float64     `json:"took_ms"`
+	Code   apierror.Code `json:"code"`
+	Name   string        `json:"name"`
+	Detail string        `json:"detail,omitempty"`
+	TookMS float64       `json:"took_ms"`
 }
 
 // Explanation is a request's whole way, folded from the journal.
@@ -95,7 +98,7 @@
 	if what != "explain" {
 		return nil, false
 	}
-	ctx, cancel := kernel.WithTimeout(kernel.Background(), kernel.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	entries, err := f.scribe.tell(ctx, argument)
 	if err != nil {
@@ -130,7 +133,7 @@
 	a.Blend, a.Prev, a.Cur, a.Recent, a.Limit = decision.Blend, decision.Prev, decision.Cur, decision.Recent, decision.Limit
 }
 
-func routingOf(choice route.Choice, waited kernel.Duration) *Routing {
+func routingOf(choice route.Choice, waited time.Duration) *Routing {
 	r := &Routing{Server: choice.Server, Region: choice.Region, WaitedMS: inMS(waited)}
 	if choice.Fault != nil {
 		r.Fault = choice.Fault.Error()
@@ -141,4 +144,4 @@
 	return r
 }
 
-func inMS(d kernel.Duration) float64 { return float64(d) / float64(kernel.Millisecond) }
+func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -6,12 +6,14 @@
 package front
 
 import (
+	"context"
 	"fmt"
 	"maps"
 	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/prometheus/client_golang/prometheus"
@@ -19,11 +21,12 @@
 
 	"stepwick/internal/adapter/backend"
 	"stepwick/internal/adapter/clientapi"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/route"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 )
 
@@ -36,10 +39,10 @@
 
 	Limits      clientapi.Limits
 	Backend     backend.Config
-	Route       route.Config    // its place is taken from the fields above
-	PlainTokens float64         // of a one-shot whose service names none; default 50
-	Events      int             // events buffered between a server and a slow caller; default 64
-	CutAfter    kernel.Duration // from the loss of ruling to the cut of running calls; default 2s
+	Route       route.Config  // its place is taken from the fields above
+	PlainTokens float64       // of a one-shot whose service names none; default 50
+	Events      int           // events buffered between a server and a slow caller; default 64
+	CutAfter    time.Duration // from the loss of ruling to the cut of running calls; default 2s
 
 	// Tune reads what a sheet sets at run time; nil for nothing. It is asked
 	// when they change.
@@ -55,8 +58,8 @@
 // Tuned is what a sheet can set at run time. Zero or nil leaves a value as it is.
 type Tuned struct {
 	Route           *route.Knobs
-	DeadlineMax     kernel.Duration
-	DeadlineDefault kernel.Duration
+	DeadlineMax     time.Duration
+	DeadlineDefault time.Duration
 }
 
 // Views is where a front reads the control state that it decides by.
@@ -68,7 +71,7 @@
 
 // Admitter decides by the shared tally whether a tenant may spend tokens.
 type Admitter interface {
-	Admit(ctx kernel.Context, tenant string, tokens float64, terms tally.Terms, patience kernel.Duration) tally.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, terms tally.Terms, patience time.Duration) tally.Decision
 }
 
 // Front serves callers.
@@ -76,7 +79,7 @@
 	config  Config
 	views   Views
 	admit   Admitter
-	clock   kernel.Clock
+	clock   clock.Clock
 	log     events.Log
 	api     *clientapi.API
 	client  *backend.Client
@@ -92,7 +95,7 @@
 }
 
 // New returns a front. It takes no traffic before Serve runs.
-func New(config Config, views Views, admit Admitter, clock kernel.Clock, log events.Log, registry prometheus.Registerer) (*Front, error) {
+func New(config Config, views Views, admit Admitter, clock clock.Clock, log events.Log, registry prometheus.Registerer) (*Front, error) {
 	if config.PlainTokens <= 0 {
 		config.PlainTokens = 50
 	}
@@ -100,7 +103,7 @@
 		config.Events = 64
 	}
 	if config.CutAfter <= 0 {
-		config.CutAfter = 2 * kernel.Second
+		config.CutAfter = 2 * time.Second
 	}
 	config.Route.Self, config.Route.Region, config.Route.Zone = config.Name, config.Region, config.Zone
 	client, err := backend.New(config.Backend)
@@ -130,7 +133,7 @@
 
 // Serve runs the front's owners until the context ends; after that the front
 // is of no more use.
-func (f *Front) Serve(ctx kernel.Context) error {
+func (f *Front) Serve(ctx context.Context) error {
 	defer func() {
 		if ctx.Err() != nil {
 			f.once.Do(func() { close(f.ended) })
@@ -174,12 +177,12 @@
 // Listen answers callers on a listener until the context ends; then it lets
 // answers that are being written go out, for a second at most, and closes what
 // is still open. Drain comes before.
-func (f *Front) Listen(ctx kernel.Context, listener net.Listener) error {
+func (f *Front) Listen(ctx context.Context, listener net.Listener) error {
 	server := f.api.Server()
 	closed := make(chan struct{})
-	stop := kernel.AfterFunc(ctx, func() {
+	stop := context.AfterFunc(ctx, func() {
 		defer close(closed)
-		last, cancel := kernel.WithTimeout(kernel.Background(), kernel.Second)
+		last, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_ = server.Shutdown(last)
 		_ = server.Close()
@@ -193,12 +196,12 @@
 }
 
 // Ready tells whether the node takes traffic: nil, or why not.
-func (f *Front) Ready() *kernel.Fault {
-	if fault := f.rules(); fault != nil {
-		return fault
+func (f *Front) Ready() *apierror.Error {
+	if apiErr := f.rules(); apiErr != nil {
+		return apiErr
 	}
 	if f.views.View().Plan == nil {
-		return kernel.Refuse(kernel.NoPlan, "").After(kernel.Second)
+		return apierror.Errorf(apierror.NoPlan, "").WithRetryAfter(time.Second)
 	}
 	return nil
 }
@@ -213,7 +216,7 @@
 
 // Drain lets no new request in and waits until the running ones have ended.
 // When the context ends first, the rest is cut, and Drain gives its error.
-func (f *Front) Drain(ctx kernel.Context) error {
+func (f *Front) Drain(ctx context.Context) error {
 	f.leaving.Store(true)
 	return f.keeper.drain(ctx)
 }
@@ -221,7 +224,7 @@
 // Arrived returns the earliest moment at which a request that is read now may
 // have reached this machine. A process that was frozen finds requests that
 // waited on their connections, and counts their deadlines from before.
-func (f *Front) Arrived() kernel.Time { return f.pulse.arrived() }
+func (f *Front) Arrived() time.Time { return f.pulse.arrived() }
 
 // Broke logs a panic while a request was served.
 func (f *Front) Broke(id string, panicked any) {
@@ -229,13 +232,13 @@
 }
 
 // rules tells whether this node may decide on a new request now.
-func (f *Front) rules() *kernel.Fault {
+func (f *Front) rules() *apierror.Error {
 	if f.leaving.Load() {
-		return kernel.Refuse(kernel.FrontLeaving, "ask another node").After(kernel.Second)
+		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(time.Second)
 	}
 	if !f.views.Ruling() {
 		wait := f.views.View().Verdict.RetryAfter
-		return kernel.Refuse(kernel.NotRuling, "ask another node").After(max(wait, 100*kernel.Millisecond))
+		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(max(wait, 100*time.Millisecond))
 	}
 	return nil
 }
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -23,11 +23,12 @@
 
 	"stepwick/internal/adapter/backend"
 	"stepwick/internal/adapter/clientapi"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/route"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/wire"
 )
@@ -35,7 +36,7 @@
 // jumpClock is the machine's clock with a step that also moves the readings'
 // differences, as a process sees it that was frozen before its timers fire.
 type jumpClock struct {
-	kernel.Clock
+	clock.Clock
 	by atomic.Int64
 }
 
@@ -134,7 +135,7 @@
 }
 
 func newFleet(t *testing.T, kind string, slots int, servers ...*server) *fleet {
-	f := &fleet{t: t, views: &fakeViews{}, clock: &jumpClock{Clock: kernel.System()}, tally: &fakeTally{}, servers: map[string]*server{}, callers: make(chan net.Conn)}
+	f := &fleet{t: t, views: &fakeViews{}, clock: &jumpClock{Clock: clock.System()}, tally: &fakeTally{}, servers: map[string]*server{}, callers: make(chan net.Conn)}
 	service := map[string]string{"model": "chat", "web": "orders"}[kind]
 	view := &follow.View{Plan: &wire.Plan{Term: 1, Number: 7, Shares: []*wire.Share{{Service: service, FromRegion: "lagos", ToRegion: "lagos", Share: 1}}},
 		Servers: map[string]*wire.ServerStatus{}}
@@ -227,7 +228,7 @@
 // answer is what a caller got: all of it, and whether the end was a clean one.
 type answer struct {
 	status int
-	code   kernel.Code
+	code   apierror.Code
 	body   string
 	clean  bool
 }
@@ -240,7 +241,7 @@
 	body, err := io.ReadAll(response.Body)
 	got := answer{status: response.StatusCode, body: string(body), clean: err == nil}
 	for _, line := range strings.Split(got.body, "\n") {
-		var fault kernel.FaultBody
+		var fault apierror.ErrorBody
 		if json.Unmarshal([]byte(strings.TrimPrefix(line, "data: ")), &fault) == nil && fault.Code != 0 {
 			got.code = fault.Code
 		}
@@ -353,7 +354,7 @@
 				caller := f.call()
 				caller.prompt("r1", time.Minute)
 				got := caller.answer()
-				f.expect("status and code", []any{got.status, got.code, got.clean}, []any{200, kernel.StreamCut, false})
+				f.expect("status and code", []any{got.status, got.code, got.clean}, []any{200, apierror.StreamCut, false})
 				f.expect("events passed on", strings.Count(got.body, `"seq"`), 1)
 				f.expect("an end", strings.Contains(got.body, `"final":true`), false)
 				f.expect("runs", f.runs("r1"), 1)
@@ -372,7 +373,7 @@
 			caller, began := f.call(), time.Now()
 			caller.prompt("r1", time.Minute)
 			got := caller.answer()
-			f.expect("code", []any{got.code, got.clean, time.Since(began)}, []any{kernel.StreamCut, false, 5 * time.Second})
+			f.expect("code", []any{got.code, got.clean, time.Since(began)}, []any{apierror.StreamCut, false, 5 * time.Second})
 		})
 	})
 	Convey("When every server fails, the prompt is refused with when to come back", t, func() {
@@ -382,7 +383,7 @@
 			caller := f.call()
 			caller.prompt("r1", time.Minute)
 			got := caller.answer()
-			f.expect("answer", []any{got.status, got.code, got.clean, strings.Contains(got.body, "retry_after_ms")}, []any{503, kernel.StreamNotBegun, true, true})
+			f.expect("answer", []any{got.status, got.code, got.clean, strings.Contains(got.body, "retry_after_ms")}, []any{503, apierror.StreamNotBegun, true, true})
 		})
 	})
 }
@@ -393,7 +394,7 @@
 		name, kind string
 		prefill    float64
 		seen       time.Duration
-		code       kernel.Code
+		code       apierror.Code
 		after      time.Duration
 		runs       int
 	}{
@@ -401,7 +402,7 @@
 		{"a prompt goes elsewhere once the server's load explains its silence no more", "model", 100, 30 * second, 0, second, 2},
 		{"a prompt of a busy server waits for what prefills before it", "model", 6, 30 * second, 0, 3 * second, 2},
 		{"a prompt goes elsewhere after the flat bound where the server tells no load", "model", 0, 30 * second, 0, 10 * second, 2},
-		{"a one-shot has an unknown outcome as soon as its watchers say so, and is not sent again", "web", 0, 2 * second, kernel.OutcomeUnknown, 2 * second, 1},
+		{"a one-shot has an unknown outcome as soon as its watchers say so, and is not sent again", "web", 0, 2 * second, apierror.OutcomeUnknown, 2 * second, 1},
 	}
 	for _, row := range rows {
 		Convey("When a server goes dark before it answers, "+row.name, t, func() {
@@ -454,20 +455,20 @@
 		name   string
 		first  func() *server
 		status int
-		code   kernel.Code
+		code   apierror.Code
 		runs   int
 	}{
 		{"answers whole", func() *server { return saying(id + "Content-Length: 2\n\nok") }, 200, 0, 1},
 		{"answers with an error of its own", func() *server {
 			return saying("HTTP/1.1 503 No\nStepwick-Request-Id: ID\nContent-Length: 2\n\nno")
 		}, 503, 0, 1},
-		{"resets after it read", func() *server { return saying("") }, 502, kernel.OutcomeUnknown, 1},
-		{"sends too little", func() *server { return saying(id + "Content-Length: 9\n\nok") }, 502, kernel.OutcomeUnknown, 1},
-		{"cuts a chunk", func() *server { return saying(id + "Transfer-Encoding: chunked\n\n9\nok") }, 502, kernel.OutcomeUnknown, 1},
+		{"resets after it read", func() *server { return saying("") }, 502, apierror.OutcomeUnknown, 1},
+		{"sends too little", func() *server { return saying(id + "Content-Length: 9\n\nok") }, 502, apierror.OutcomeUnknown, 1},
+		{"cuts a chunk", func() *server { return saying(id + "Transfer-Encoding: chunked\n\n9\nok") }, 502, apierror.OutcomeUnknown, 1},
 		{"answers for another", func() *server {
 			return saying("HTTP/1.1 200 OK\nStepwick-Request-Id: r9\nContent-Length: 2\n\nok")
-		}, 502, kernel.OutcomeUnknown, 1},
-		{"refuses", func() *server { return &server{refuse: true} }, 503, kernel.NotRun, 0},
+		}, 502, apierror.OutcomeUnknown, 1},
+		{"refuses", func() *server { return &server{refuse: true} }, 503, apierror.NotRun, 0},
 	}
 	for _, row := range rows {
 		for _, method := range []string{"GET", "POST"} {
@@ -515,9 +516,9 @@
 			caller, began := f.call(), time.Now()
 			caller.send("GET", "/v1/call/orders/x", "timer", "Stepwick-Deadline-Ms: 2000\r\n", "")
 			got := caller.answer()
-			f.expect("answer", []any{got.code, time.Since(began)}, []any{kernel.OutcomeUnknown, 2 * time.Second})
+			f.expect("answer", []any{got.code, time.Since(began)}, []any{apierror.OutcomeUnknown, 2 * time.Second})
 			caller.send("GET", "/v1/call/orders/x", "late", "Stepwick-Deadline-Ms: 2000\r\n", "")
-			f.expect("answer", caller.answer().code, kernel.OutcomeUnknown)
+			f.expect("answer", caller.answer().code, apierror.OutcomeUnknown)
 		})
 	})
 }
@@ -542,7 +543,7 @@
 			waits, began := f.call(), time.Now()
 			waits.prompt("w1", 2*time.Second)
 			got := waits.answer()
-			f.expect("answer", []any{got.code, time.Since(began), f.runs("w1")}, []any{kernel.DeadlinePassed, 2 * time.Second, 0})
+			f.expect("answer", []any{got.code, time.Since(began), f.runs("w1")}, []any{apierror.DeadlinePassed, 2 * time.Second, 0})
 			waits.prompt("w2", 50*time.Second)
 			synctest.Wait()
 			f.expect("runs before a slot is free", f.runs("w2"), 0)
@@ -585,7 +586,7 @@
 			f.tally.decide = func(string, float64, tally.Terms) tally.Decision { panic("oh") }
 			caller := f.call()
 			caller.prompt("r1", time.Minute)
-			f.expect("code", caller.answer().code, kernel.Internal)
+			f.expect("code", caller.answer().code, apierror.Internal)
 			f.tally.decide = nil
 			caller.prompt("r2", time.Minute)
 			f.expect("answer", caller.answer().status, 200)
@@ -649,25 +650,25 @@
 			spent := []any{}
 			f.tally.decide = func(tenant string, tokens float64, terms tally.Terms) tally.Decision {
 				spent = append(spent, tenant, tokens, terms)
-				return tally.Decision{Code: kernel.QuotaExceeded, RetryAfter: 3 * time.Second}
+				return tally.Decision{Code: apierror.QuotaExceeded, RetryAfter: 3 * time.Second}
 			}
-			ask := func(target, body string) kernel.Code {
+			ask := func(target, body string) apierror.Code {
 				caller := f.call()
 				defer caller.conn.Close()
 				caller.send("POST", target, "r1", "", body)
 				return caller.answer().code
 			}
-			f.expect("service", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), kernel.UnknownService)
-			f.expect("kind", ask("/v1/prompt", `{"service":"orders","max_tokens":1}`), kernel.WrongServiceKind)
-			f.expect("kind", ask("/v1/call/chat/", ``), kernel.WrongServiceKind)
+			f.expect("service", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownService)
+			f.expect("kind", ask("/v1/prompt", `{"service":"orders","max_tokens":1}`), apierror.WrongServiceKind)
+			f.expect("kind", ask("/v1/call/chat/", ``), apierror.WrongServiceKind)
 			f.expect("nothing spent so far", spent, []any{})
-			f.expect("quota", ask("/v1/prompt", `{"service":"chat","prefix_tokens":1,"session_tokens":2,"max_tokens":4}`), kernel.QuotaExceeded)
-			f.expect("quota", ask("/v1/call/orders/", ``), kernel.QuotaExceeded)
+			f.expect("quota", ask("/v1/prompt", `{"service":"chat","prefix_tokens":1,"session_tokens":2,"max_tokens":4}`), apierror.QuotaExceeded)
+			f.expect("quota", ask("/v1/call/orders/", ``), apierror.QuotaExceeded)
 			f.expect("spent", spent, []any{"press", 7, tally.Terms{Rate: 100, Burst: 10}, "press", 5, tally.Terms{Rate: 100, Burst: 10}})
 			f.views.publish(withKeys("other"))
-			f.expect("key", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), kernel.UnknownKey)
+			f.expect("key", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownKey)
 			f.views.ruling.Store(false)
-			f.expect("ruling", ask("/v1/prompt", `{}`), kernel.NotRuling)
+			f.expect("ruling", ask("/v1/prompt", `{}`), apierror.NotRuling)
 		})
 	})
 }
@@ -706,13 +707,13 @@
 				}
 				if kind == "model" {
 					f.expect("its own home", ask(`,"home":"abeokuta"`).status, 200)
-					f.expect("another home", ask(`,"home":"lagos"`).code, kernel.BadField)
+					f.expect("another home", ask(`,"home":"lagos"`).code, apierror.BadField)
 				}
 				f.views.publish(func(v *follow.View) { v.State.Epoch, v.State.Evacuated = 3, map[string]uint64{"abeokuta": 3} })
 				synctest.Wait()
 				before, began := near.runs("r1")+far.runs("r1"), time.Now()
 				got := ask("")
-				f.expect("evacuated", []any{got.code, strings.Contains(got.body, "retry_after_ms"), time.Since(began)}, []any{kernel.NoServer, true, 0 * time.Second})
+				f.expect("evacuated", []any{got.code, strings.Contains(got.body, "retry_after_ms"), time.Since(began)}, []any{apierror.NoServer, true, 0 * time.Second})
 				f.expect("runs", near.runs("r1")+far.runs("r1"), before)
 				f.expect("capacity is told of too early", f.told("plan_short"), false)
 				<-time.After(2 * time.Second)
@@ -737,10 +738,10 @@
 			f.expect("running after an epoch that keeps the key", f.inFlight("s0"), 1)
 			f.views.publish(withKeys("other"))
 			got := silent.answer()
-			f.expect("stream", []any{got.code, got.clean, time.Since(began)}, []any{kernel.KeyRevoked, false, time.Duration(0)})
+			f.expect("stream", []any{got.code, got.clean, time.Since(began)}, []any{apierror.KeyRevoked, false, time.Duration(0)})
 			f.expect("in flight", f.inFlight("s0"), 0)
 			idle.prompt("r3", time.Minute)
-			f.expect("next request", idle.answer().code, kernel.UnknownKey)
+			f.expect("next request", idle.answer().code, apierror.UnknownKey)
 		})
 	})
 	Convey("A node that stops ruling refuses at once, lets its streams run on for 2 s and then cuts them", t, func() {
@@ -755,10 +756,10 @@
 				<-time.After(d)
 			}
 			lose(time.Second)
-			f.expect("ready", f.front.Ready().Code, kernel.NotRuling)
+			f.expect("ready", f.front.Ready().Code, apierror.NotRuling)
 			other := f.call()
 			other.prompt("r2", time.Minute)
-			f.expect("new request", other.answer().code, kernel.NotRuling)
+			f.expect("new request", other.answer().code, apierror.NotRuling)
 			f.views.publish(func(*follow.View) { f.views.ruling.Store(true) })
 			for range 10 {
 				caller.event()
@@ -809,18 +810,18 @@
 			f := newFleet(t, "web", 8, saying("HTTP/1.1 200 OK\nStepwick-Request-Id: ID\nContent-Length: 2\n\nok"))
 			defer f.stop()
 			caller := f.call()
-			ask := func(id, deadline string) kernel.Code {
+			ask := func(id, deadline string) apierror.Code {
 				caller.send("GET", "/v1/call/orders/", id, "Stepwick-Deadline-Ms: "+deadline+"\r\n", "")
 				return caller.answer().code
 			}
-			f.expect("before", ask("r1", "2000"), kernel.OK)
+			f.expect("before", ask("r1", "2000"), apierror.OK)
 			f.clock.by.Add(int64(5 * time.Second))
-			f.expect("read before the first beat", ask("r2", "2000"), kernel.DeadlinePassed)
+			f.expect("read before the first beat", ask("r2", "2000"), apierror.DeadlinePassed)
 			<-time.After(100 * time.Millisecond)
-			f.expect("read after it", ask("r3", "2000"), kernel.DeadlinePassed)
-			f.expect("with time left all the same", ask("r4", "9000"), kernel.OK)
+			f.expect("read after it", ask("r3", "2000"), apierror.DeadlinePassed)
+			f.expect("with time left all the same", ask("r4", "9000"), apierror.OK)
 			<-time.After(time.Second)
-			f.expect("later", ask("r5", "2000"), kernel.OK)
+			f.expect("later", ask("r5", "2000"), apierror.OK)
 			f.expect("runs", []int{f.runs("r2"), f.runs("r3"), f.runs("r4"), f.runs("r5")}, []int{0, 0, 1, 1})
 		})
 	})
@@ -840,10 +841,10 @@
 			defer cancel()
 			go func() { drained <- f.front.Drain(ctx) }()
 			synctest.Wait()
-			f.expect("ready", f.front.Ready().Code, kernel.FrontLeaving)
+			f.expect("ready", f.front.Ready().Code, apierror.FrontLeaving)
 			other := f.call()
 			other.prompt("r2", time.Minute)
-			f.expect("new request", other.answer().code, kernel.FrontLeaving)
+			f.expect("new request", other.answer().code, apierror.FrontLeaving)
 			for line := ""; !strings.Contains(line, "final"); line = caller.event() {
 			}
 			f.expect("drained", <-drained, nil)
@@ -934,16 +935,16 @@
 			})
 			synctest.Wait()
 			caller.prompt("r2", time.Minute)
-			f.expect("after", caller.answer().code, kernel.BadDeadline)
+			f.expect("after", caller.answer().code, apierror.BadDeadline)
 			<-time.After(10 * time.Second)
-			codes := map[kernel.Code]bool{}
+			codes := map[apierror.Code]bool{}
 			for range 4 {
 				caller.prompt("r3", time.Second)
 				codes[caller.answer().code] = true
 				told, _ := f.front.Inspect("explain", "r3")
 				f.expect("attempts without a budget of retries", len(told.(*Explanation).Attempts), 1)
 			}
-			f.expect("in turn, without retries", codes, map[kernel.Code]bool{0: true, kernel.StreamNotBegun: true})
+			f.expect("in turn, without retries", codes, map[apierror.Code]bool{0: true, apierror.StreamNotBegun: true})
 		})
 	})
 	Convey("A request's way is told from the journal, the newest of an id", t, func() {
--- a/internal/node/front/keeper.go
+++ b/internal/node/front/keeper.go
@@ -1,15 +1,18 @@
 package front
 
 import (
+	"context"
 	"sync/atomic"
+	"time"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/stage"
 )
 
 const (
-	keeperEvery = 200 * kernel.Millisecond
+	keeperEvery = 200 * time.Millisecond
 	keeperBound = 1024
 )
 
@@ -18,9 +21,9 @@
 // is left at the end of a drain.
 type keeper struct {
 	views    Views
-	clock    kernel.Clock
-	cutAfter kernel.Duration
-	started  kernel.Time
+	clock    clock.Clock
+	cutAfter time.Duration
+	started  time.Time
 	ruled    atomic.Int64 // when ruling was last seen, since started
 	moves    *stage.Queue[move]
 	drains   chan drain
@@ -45,18 +48,18 @@
 	key    string
 	tenant string
 	index  atomic.Pointer[sheet.Index] // the one that last knew the key
-	cancel kernel.Cancel
-	fault  atomic.Pointer[kernel.Fault]
+	cancel context.CancelFunc
+	fault  atomic.Pointer[apierror.Error]
 }
 
-func newKeeper(views Views, clock kernel.Clock, cutAfter kernel.Duration, over chan struct{}) *keeper {
+func newKeeper(views Views, clock clock.Clock, cutAfter time.Duration, over chan struct{}) *keeper {
 	return &keeper{views: views, clock: clock, cutAfter: cutAfter, started: clock.Now(), moves: stage.NewQueue[move](keeperBound),
 		drains: make(chan drain), ended: over, running: map[*running]struct{}{}}
 }
 
 // enter lets a call run under a context that ends when the call is cut.
-func (k *keeper) enter(ctx kernel.Context, call *running) kernel.Context {
-	ctx, call.cancel = kernel.WithCancel(ctx)
+func (k *keeper) enter(ctx context.Context, call *running) context.Context {
+	ctx, call.cancel = context.WithCancel(ctx)
 	k.move(move{call, true})
 	return ctx
 }
@@ -74,19 +77,19 @@
 }
 
 // stands tells whether a call may go on at this moment; nil if so.
-func (k *keeper) stands(call *running) *kernel.Fault {
-	if fault := call.fault.Load(); fault != nil {
-		return fault
+func (k *keeper) stands(call *running) *apierror.Error {
+	if apiErr := call.fault.Load(); apiErr != nil {
+		return apiErr
 	}
 	return k.judge(call)
 }
 
-func (k *keeper) judge(call *running) *kernel.Fault {
+func (k *keeper) judge(call *running) *apierror.Error {
 	if !k.views.Ruling() {
-		if k.clock.Now().Sub(k.started)-kernel.Duration(k.ruled.Load()) < k.cutAfter {
+		if k.clock.Now().Sub(k.started)-time.Duration(k.ruled.Load()) < k.cutAfter {
 			return nil
 		}
-		return kernel.Refuse(kernel.NotRuling, "the node lost touch while the call ran").After(kernel.Second)
+		return apierror.Errorf(apierror.NotRuling, "the node lost touch while the call ran").WithRetryAfter(time.Second)
 	}
 	k.ruled.Store(int64(k.clock.Now().Sub(k.started)))
 	index := k.views.View().Index
@@ -94,14 +97,14 @@
 		return nil
 	}
 	if tenant, _, known := tenantOf(index, call.key); !known || tenant != call.tenant {
-		return kernel.Refuse(kernel.KeyRevoked, "the sheet in force no longer has the key")
+		return apierror.Errorf(apierror.KeyRevoked, "the sheet in force no longer has the key")
 	}
 	call.index.Store(index)
 	return nil
 }
 
 // Serve owns the running calls until the context ends.
-func (k *keeper) Serve(ctx kernel.Context) error {
+func (k *keeper) Serve(ctx context.Context) error {
 	ticker := k.clock.Ticker(keeperEvery)
 	defer ticker.Stop()
 	for {
@@ -143,13 +146,13 @@
 }
 
 func (k *keeper) check(call *running) {
-	if fault := k.judge(call); fault != nil {
-		k.cut(call, fault)
+	if apiErr := k.judge(call); apiErr != nil {
+		k.cut(call, apiErr)
 	}
 }
 
-func (k *keeper) cut(call *running, fault *kernel.Fault) {
-	if call.fault.CompareAndSwap(nil, fault) {
+func (k *keeper) cut(call *running, apiErr *apierror.Error) {
+	if call.fault.CompareAndSwap(nil, apiErr) {
 		call.cancel()
 	}
 }
@@ -164,7 +167,7 @@
 		select {
 		case <-ask.cut:
 			for call := range k.running {
-				k.cut(call, kernel.Refuse(kernel.FrontLeaving, "the node is being taken away").After(kernel.Second))
+				k.cut(call, apierror.Errorf(apierror.FrontLeaving, "the node is being taken away").WithRetryAfter(time.Second))
 			}
 		default:
 		}
@@ -173,7 +176,7 @@
 	k.waiting = kept
 }
 
-func (k *keeper) drain(ctx kernel.Context) error {
+func (k *keeper) drain(ctx context.Context) error {
 	cut := make(chan struct{})
 	ask := drain{empty: make(chan struct{}), cut: cut}
 	select {
--- a/internal/node/front/metrics.go
+++ b/internal/node/front/metrics.go
@@ -3,9 +3,9 @@
 import (
 	"strconv"
 
-	"github.com/prometheus/client_golang/prometheus"
+	"stepwick/internal/apierror"
 
-	"stepwick/internal/kernel"
+	"github.com/prometheus/client_golang/prometheus"
 )
 
 type metrics struct {
@@ -48,15 +48,15 @@
 	return m, nil
 }
 
-func (m *metrics) ended(service string, fault *kernel.Fault) {
-	code := kernel.OK
-	if fault != nil {
-		code = fault.Code
+func (m *metrics) ended(service string, apiErr *apierror.Error) {
+	code := apierror.OK
+	if apiErr != nil {
+		code = apiErr.Code
 	}
 	switch code {
-	case kernel.QuotaExceeded:
+	case apierror.QuotaExceeded:
 		m.quota.Inc()
-	case kernel.ShareExceeded:
+	case apierror.ShareExceeded:
 		m.store.Inc()
 	}
 	m.requests.WithLabelValues(service, strconv.FormatUint(uint64(code), 10)).Inc()
--- a/internal/node/front/oneshot.go
+++ b/internal/node/front/oneshot.go
@@ -1,19 +1,22 @@
 package front
 
 import (
+	"context"
+	"time"
+
 	"stepwick/internal/adapter/backend"
 	"stepwick/internal/adapter/clientapi"
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 )
 
-func (c *call) oneShot(ctx kernel.Context, shot *clientapi.OneShot) (*clientapi.Answer, *kernel.Fault) {
+func (c *call) oneShot(ctx context.Context, shot *clientapi.OneShot) (*clientapi.Answer, *apierror.Error) {
 	for {
-		answer, server, fault := c.shoot(ctx, shot)
-		if fault == nil {
+		answer, server, apiErr := c.shoot(ctx, shot)
+		if apiErr == nil {
 			return answer, nil
 		}
-		if server == "" || fault.Code != kernel.NotRun {
-			return nil, fault
+		if server == "" || apiErr.Code != apierror.NotRun {
+			return nil, apiErr
 		}
 		c.retried(server)
 	}
@@ -21,18 +24,18 @@
 
 // shoot makes one attempt. NotRun with a server's name means that nothing was
 // written to that server, so another may be tried.
-func (c *call) shoot(ctx kernel.Context, shot *clientapi.OneShot) (*clientapi.Answer, string, *kernel.Fault) {
+func (c *call) shoot(ctx context.Context, shot *clientapi.OneShot) (*clientapi.Answer, string, *apierror.Error) {
 	f := c.front
-	s, choice, fault := c.seat(ctx)
-	if fault != nil {
-		return nil, "", c.notRun(fault)
+	s, choice, apiErr := c.seat(ctx)
+	if apiErr != nil {
+		return nil, "", c.notRun(apiErr)
 	}
 	var failure = &backend.Failure{Kind: backend.Broken, Detail: "a fault of the program"}
 	began := f.clock.Now()
 	defer func() { c.giveUp(s, failure, began, 0) }()
-	calling, cancel := kernel.WithCancel(ctx)
+	calling, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer kernel.AfterFunc(s.lost, cancel)()
+	defer context.AfterFunc(s.lost, cancel)()
 	var got *backend.Answer
 	got, failure = f.client.Call(calling, c.attempt(choice), &backend.Shot{Method: shot.Method, Path: shot.Path, Query: shot.Query, Header: shot.Header, Body: shot.Body})
 	if failure != nil && s.lost.Err() != nil && ctx.Err() == nil {
@@ -42,8 +45,8 @@
 	c.reportAnswer(failure)
 	switch {
 	case failure == nil:
-		if fault := c.late(); fault != nil {
-			return nil, "", unknown(fault.Detail)
+		if apiErr := c.late(); apiErr != nil {
+			return nil, "", unknown(apiErr.Detail)
 		}
 		return &clientapi.Answer{Server: choice.Server, Status: got.Status, Header: got.Header, Body: got.Body}, "", nil
 	case failure.Kind == backend.Barred:
@@ -53,26 +56,26 @@
 	case ctx.Err() != nil:
 		return nil, "", c.notRun(c.ended(ctx, "the deadline passed before the call was sent"))
 	}
-	return nil, choice.Server, kernel.Refuse(kernel.NotRun, "%s", failure.Detail)
+	return nil, choice.Server, apierror.Errorf(apierror.NotRun, "%s", failure.Detail)
 }
 
 // late tells whether an answer that has arrived may no longer be passed on.
-func (c *call) late() *kernel.Fault {
+func (c *call) late() *apierror.Error {
 	if !c.front.clock.Now().Before(c.request.Deadline) {
-		return kernel.Refuse(kernel.DeadlinePassed, "the answer came after the deadline")
+		return apierror.Errorf(apierror.DeadlinePassed, "the answer came after the deadline")
 	}
 	return c.front.keeper.stands(&c.running)
 }
 
-func unknown(detail string) *kernel.Fault {
-	return kernel.Refuse(kernel.OutcomeUnknown, "%s", detail)
+func unknown(detail string) *apierror.Error {
+	return apierror.Errorf(apierror.OutcomeUnknown, "%s", detail)
 }
 
 // notRun says of a one-shot of which nothing was sent that it has not run. A
 // first refusal keeps its own code, which says so too.
-func (c *call) notRun(fault *kernel.Fault) *kernel.Fault {
-	if len(c.request.Tried) == 0 && fault.Code != kernel.DeadlinePassed {
-		return fault
+func (c *call) notRun(apiErr *apierror.Error) *apierror.Error {
+	if len(c.request.Tried) == 0 && apiErr.Code != apierror.DeadlinePassed {
+		return apiErr
 	}
-	return kernel.Refuse(kernel.NotRun, "%s", fault.Error()).After(max(fault.RetryAfter, 100*kernel.Millisecond))
+	return apierror.Errorf(apierror.NotRun, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, 100*time.Millisecond))
 }
--- a/internal/node/front/prompt.go
+++ b/internal/node/front/prompt.go
@@ -1,21 +1,23 @@
 package front
 
 import (
+	"context"
 	"fmt"
+	"time"
 
 	"github.com/pkg/errors"
 
 	"stepwick/internal/adapter/backend"
 	"stepwick/internal/adapter/clientapi"
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/stage"
 )
 
-func (c *call) prompt(ctx kernel.Context, prompt *clientapi.Prompt, stream *clientapi.Stream) *kernel.Fault {
+func (c *call) prompt(ctx context.Context, prompt *clientapi.Prompt, stream *clientapi.Stream) *apierror.Error {
 	for {
-		server, fault := c.stream(ctx, prompt, stream)
-		if fault == nil || server == "" {
-			return fault
+		server, apiErr := c.stream(ctx, prompt, stream)
+		if apiErr == nil || server == "" {
+			return apiErr
 		}
 		c.retried(server)
 	}
@@ -23,13 +25,13 @@
 
 // stream makes one attempt. A server's name with the fault means that nothing
 // has reached the caller, so another server may be tried.
-func (c *call) stream(ctx kernel.Context, prompt *clientapi.Prompt, out *clientapi.Stream) (string, *kernel.Fault) {
+func (c *call) stream(ctx context.Context, prompt *clientapi.Prompt, out *clientapi.Stream) (string, *apierror.Error) {
 	f := c.front
-	s, choice, fault := c.seat(ctx)
-	if fault != nil {
-		return "", c.notBegun(fault)
+	s, choice, apiErr := c.seat(ctx)
+	if apiErr != nil {
+		return "", c.notBegun(apiErr)
 	}
-	calling, cancel := kernel.WithCancel(ctx)
+	calling, cancel := context.WithCancel(ctx)
 	defer cancel()
 	began := f.clock.Now()
 	failure := &backend.Failure{Kind: backend.Gone, Detail: "given up"}
@@ -51,8 +53,8 @@
 				break
 			}
 			gone = nil
-			if fault := passed.on(event, began); fault != nil {
-				return "", fault
+			if apiErr := passed.on(event, began); apiErr != nil {
+				return "", apiErr
 			}
 		case <-gone:
 			failure = lost(failure)
@@ -68,26 +70,26 @@
 }
 
 // broken says what a failure means to the caller.
-func (c *call) broken(ctx kernel.Context, server string, failure *backend.Failure, begun bool) (string, *kernel.Fault) {
+func (c *call) broken(ctx context.Context, server string, failure *backend.Failure, begun bool) (string, *apierror.Error) {
 	switch {
 	case failure.Kind == backend.Barred && !begun:
 		return "", c.notBegun(failure.Cause)
-	case ctx.Err() != nil && begun && c.fault.Load() == nil && errors.Is(ctx.Err(), kernel.DeadlineExceeded):
-		return "", kernel.Refuse(kernel.StreamCut, "the deadline passed while the stream ran").After(100 * kernel.Millisecond)
+	case ctx.Err() != nil && begun && c.fault.Load() == nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
+		return "", apierror.Errorf(apierror.StreamCut, "the deadline passed while the stream ran").WithRetryAfter(100 * time.Millisecond)
 	case ctx.Err() != nil:
 		return "", c.ended(ctx, "no event came before the deadline")
 	case begun:
-		return "", kernel.Refuse(kernel.StreamCut, "%s", failure.Detail).After(100 * kernel.Millisecond)
+		return "", apierror.Errorf(apierror.StreamCut, "%s", failure.Detail).WithRetryAfter(100 * time.Millisecond)
 	}
-	return server, kernel.Refuse(kernel.StreamNotBegun, "%s", failure.Detail)
+	return server, apierror.Errorf(apierror.StreamNotBegun, "%s", failure.Detail)
 }
 
 // notBegun says of a prompt that was tried before that no server began it.
-func (c *call) notBegun(fault *kernel.Fault) *kernel.Fault {
-	if len(c.request.Tried) == 0 || fault.Code == kernel.CallerGone || fault.Code == kernel.KeyRevoked {
-		return fault
+func (c *call) notBegun(apiErr *apierror.Error) *apierror.Error {
+	if len(c.request.Tried) == 0 || apiErr.Code == apierror.CallerGone || apiErr.Code == apierror.KeyRevoked {
+		return apiErr
 	}
-	return kernel.Refuse(kernel.StreamNotBegun, "%s", fault.Error()).After(max(fault.RetryAfter, 100*kernel.Millisecond))
+	return apierror.Errorf(apierror.StreamNotBegun, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, 100*time.Millisecond))
 }
 
 // passage passes a stream's events on to its caller.
@@ -95,24 +97,24 @@
 	call   *call
 	out    *clientapi.Stream
 	events int
-	first  kernel.Duration
-	last   kernel.Time
+	first  time.Duration
+	last   time.Time
 }
 
-func (p *passage) on(event backend.Event, began kernel.Time) *kernel.Fault {
+func (p *passage) on(event backend.Event, began time.Time) *apierror.Error {
 	c := p.call
-	if fault := c.front.keeper.stands(&c.running); fault != nil {
-		return fault
+	if apiErr := c.front.keeper.stands(&c.running); apiErr != nil {
+		return apiErr
 	}
 	now := c.front.clock.Now()
 	if !now.Before(c.request.Deadline) {
 		if !p.out.Begun() {
-			return kernel.Refuse(kernel.DeadlinePassed, "the first event came after the deadline").After(100 * kernel.Millisecond)
+			return apierror.Errorf(apierror.DeadlinePassed, "the first event came after the deadline").WithRetryAfter(100 * time.Millisecond)
 		}
-		return kernel.Refuse(kernel.StreamCut, "the deadline passed while the stream ran").After(100 * kernel.Millisecond)
+		return apierror.Errorf(apierror.StreamCut, "the deadline passed while the stream ran").WithRetryAfter(100 * time.Millisecond)
 	}
 	if err := p.out.Event(event.Data); err != nil {
-		return kernel.Refuse(kernel.CallerGone, "the caller takes no events: %s", err)
+		return apierror.Errorf(apierror.CallerGone, "the caller takes no events: %s", err)
 	}
 	if p.events == 0 {
 		p.first = now.Sub(began)
--- a/internal/node/front/pulse_test.go
+++ b/internal/node/front/pulse_test.go
@@ -4,17 +4,17 @@
 	"testing"
 	"time"
 
-	. "github.com/smartystreets/goconvey/convey"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	. "github.com/smartystreets/goconvey/convey"
 )
 
 type handClock struct {
-	kernel.Clock
-	now kernel.Time
+	clock.Clock
+	now time.Time
 }
 
-func (c *handClock) Now() kernel.Time { return c.now }
+func (c *handClock) Now() time.Time { return c.now }
 
 func TestStandStillsThatFollowClosely(t *testing.T) {
 	clock := &handClock{now: time.Unix(1000, 0)}
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -1,20 +1,23 @@
 package front
 
 import (
+	"context"
 	"strconv"
 	"sync/atomic"
+	"time"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/route"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/stage"
 )
 
 const (
 	routerBound   = 1024
-	routerTickMin = kernel.Millisecond
+	routerTickMin = time.Millisecond
 )
 
 // router owns the routing table and the queued requests.
@@ -22,7 +25,7 @@
 	table   *route.Table
 	self    string
 	views   Views
-	clock   kernel.Clock
+	clock   clock.Clock
 	log     events.Log
 	asks    *stage.Queue[*seat]
 	ends    *stage.Queue[ended]
@@ -43,8 +46,8 @@
 	choice  chan route.Choice
 	server  string
 	gone    bool
-	lost    kernel.Context // ends when the server is known to be lost
-	lose    kernel.Cancel
+	lost    context.Context // ends when the server is known to be lost
+	lose    context.CancelFunc
 }
 
 type ended struct {
@@ -52,7 +55,7 @@
 	outcome route.Outcome
 }
 
-func newRouter(table *route.Table, self string, views Views, clock kernel.Clock, log events.Log, over chan struct{}) *router {
+func newRouter(table *route.Table, self string, views Views, clock clock.Clock, log events.Log, over chan struct{}) *router {
 	return &router{table: table, self: self, views: views, clock: clock, log: log, ended: over, asks: stage.NewQueue[*seat](routerBound),
 		ends: stage.NewQueue[ended](routerBound), queued: map[string]*seat{}, seated: map[string]map[*seat]struct{}{}}
 }
@@ -60,12 +63,12 @@
 // ask hands a request to the router, unless its queue is full. The choice
 // comes on the seat's channel, and each seat that was asked for is to be given
 // up once, whatever came.
-func (r *router) ask(request route.Request) (*seat, *kernel.Fault) {
+func (r *router) ask(request route.Request) (*seat, *apierror.Error) {
 	request.ID = strconv.FormatUint(r.numbers.Add(1), 36)
 	s := &seat{request: request, choice: make(chan route.Choice, 1)}
-	s.lost, s.lose = kernel.WithCancel(kernel.Background())
+	s.lost, s.lose = context.WithCancel(context.Background())
 	if !r.asks.Offer(s) {
-		return nil, kernel.Refuse(kernel.QueueFull, "%d requests wait to be routed", routerBound).After(kernel.Second)
+		return nil, apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", routerBound).WithRetryAfter(time.Second)
 	}
 	return s, nil
 }
@@ -79,8 +82,8 @@
 }
 
 // Serve owns the table until the context ends.
-func (r *router) Serve(ctx kernel.Context) error {
-	wake, stop := kernel.Timer(kernel.Hour)
+func (r *router) Serve(ctx context.Context) error {
+	wake, stop := clock.NewTimer(time.Hour)
 	defer func() { stop() }()
 	for {
 		changed := r.views.Changed()
@@ -99,7 +102,7 @@
 		r.guarded(nil, r.advance)
 		r.guarded(nil, func() { r.survey.look(r.table, r.seen.Plan, r.clock.Now(), r.log) })
 		stop()
-		wake, stop = kernel.Timer(r.rest())
+		wake, stop = clock.NewTimer(r.rest())
 	}
 }
 
@@ -113,13 +116,13 @@
 		}
 		r.log.Emit(events.RouteBroke, "panic", panicked)
 		if s != nil {
-			r.deliver(s, route.Choice{Fault: kernel.Refuse(kernel.NoServer, "a fault of the program; see the log").After(kernel.Second)})
+			r.deliver(s, route.Choice{Fault: apierror.Errorf(apierror.NoServer, "a fault of the program; see the log").WithRetryAfter(time.Second)})
 		}
 	}()
 	decide()
 }
 
-func (r *router) rest() kernel.Duration {
+func (r *router) rest() time.Duration {
 	now := r.clock.Now()
 	if at, ok := r.table.Wake(now); ok {
 		return max(at.Sub(now), routerTickMin)
--- a/internal/node/front/scribe.go
+++ b/internal/node/front/scribe.go
@@ -1,10 +1,10 @@
 package front
 
 import (
+	"context"
 	"sync/atomic"
 
 	"stepwick/internal/journal"
-	"stepwick/internal/kernel"
 	"stepwick/internal/stage"
 )
 
@@ -35,7 +35,7 @@
 }
 
 // tell returns the entries of a request id, oldest first.
-func (s *scribe) tell(ctx kernel.Context, id string) ([]Entry, error) {
+func (s *scribe) tell(ctx context.Context, id string) ([]Entry, error) {
 	ask := telling{id: id, told: make(chan []Entry, 1)}
 	select {
 	case s.asks <- ask:
@@ -46,7 +46,7 @@
 }
 
 // Serve owns the journal until the context ends.
-func (s *scribe) Serve(ctx kernel.Context) error {
+func (s *scribe) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/node/front/serve.go
+++ b/internal/node/front/serve.go
@@ -1,18 +1,20 @@
 package front
 
 import (
+	"context"
 	"fmt"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
 
 	"stepwick/internal/adapter/backend"
 	"stepwick/internal/adapter/clientapi"
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/route"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 )
 
 const unknownService = "unknown"
@@ -23,27 +25,27 @@
 	front   *Front
 	id      string
 	service string // as metrics name it
-	arrived kernel.Time
+	arrived time.Time
 	server  string // the last one tried
 	request route.Request
 }
 
 // Knows tells whether the node rules and the key is a tenant's.
-func (f *Front) Knows(head *clientapi.Head) *kernel.Fault {
-	if fault := f.rules(); fault != nil {
-		return fault
+func (f *Front) Knows(head *clientapi.Head) *apierror.Error {
+	if apiErr := f.rules(); apiErr != nil {
+		return apiErr
 	}
 	if _, _, known := tenantOf(f.views.View().Index, head.Key); !known {
-		return kernel.Refuse(kernel.UnknownKey, "the sheet in force has no such key")
+		return apierror.Errorf(apierror.UnknownKey, "the sheet in force has no such key")
 	}
 	return nil
 }
 
 // Refused counts a request that never became a call.
-func (f *Front) Refused(fault *kernel.Fault) {
-	f.metrics.ended(unknownService, fault)
-	if fault.Code == kernel.SlowBody {
-		f.log.Emit(events.SlowCaller, "detail", fault.Detail)
+func (f *Front) Refused(apiErr *apierror.Error) {
+	f.metrics.ended(unknownService, apiErr)
+	if apiErr.Code == apierror.SlowBody {
+		f.log.Emit(events.SlowCaller, "detail", apiErr.Detail)
 	}
 }
 
@@ -55,25 +57,25 @@
 }
 
 // Prompt serves one streamed prompt.
-func (f *Front) Prompt(ctx kernel.Context, prompt *clientapi.Prompt, stream *clientapi.Stream) *kernel.Fault {
+func (f *Front) Prompt(ctx context.Context, prompt *clientapi.Prompt, stream *clientapi.Stream) *apierror.Error {
 	c := f.newCall(&prompt.Head, prompt.Service, prompt.Region, prompt.Home)
 	if prompt.Prefix != "" {
 		c.request.Prefix = max(xxhash.Sum64String(prompt.Service+"\x00"+prompt.Prefix), 1)
 	}
-	return c.serve(ctx, sheet.KindModel, prompt.Tokens(), func(ctx kernel.Context) *kernel.Fault {
+	return c.serve(ctx, sheet.KindModel, prompt.Tokens(), func(ctx context.Context) *apierror.Error {
 		return c.prompt(ctx, prompt, stream)
 	})
 }
 
 // OneShot serves one call that is never run twice.
-func (f *Front) OneShot(ctx kernel.Context, shot *clientapi.OneShot) (*clientapi.Answer, *kernel.Fault) {
+func (f *Front) OneShot(ctx context.Context, shot *clientapi.OneShot) (*clientapi.Answer, *apierror.Error) {
 	c := f.newCall(&shot.Head, shot.Service, shot.Region, "")
 	var answer *clientapi.Answer
-	fault := c.serve(ctx, sheet.KindWeb, 0, func(ctx kernel.Context) (fault *kernel.Fault) {
-		answer, fault = c.oneShot(ctx, shot)
-		return fault
+	apiErr := c.serve(ctx, sheet.KindWeb, 0, func(ctx context.Context) (apiErr *apierror.Error) {
+		answer, apiErr = c.oneShot(ctx, shot)
+		return apiErr
 	})
-	return answer, fault
+	return answer, apiErr
 }
 
 func (f *Front) newCall(head *clientapi.Head, service, region, home string) *call {
@@ -85,39 +87,39 @@
 }
 
 // serve takes a call through admission and run, and records its end.
-func (c *call) serve(ctx kernel.Context, kind string, tokens float64, run func(kernel.Context) *kernel.Fault) *kernel.Fault {
-	fault := c.admit(ctx, kind, tokens)
-	if fault == nil {
+func (c *call) serve(ctx context.Context, kind string, tokens float64, run func(context.Context) *apierror.Error) *apierror.Error {
+	apiErr := c.admit(ctx, kind, tokens)
+	if apiErr == nil {
 		ctx = c.front.keeper.enter(ctx, &c.running)
 		defer c.front.keeper.leave(&c.running)
 		c.front.metrics.inFlight.Inc()
 		defer c.front.metrics.inFlight.Dec()
-		fault = run(ctx)
+		apiErr = run(ctx)
 	}
-	c.note(Entry{Outcome: c.outcome(fault)})
-	c.front.metrics.ended(c.service, fault)
-	c.report(fault)
-	return fault
+	c.note(Entry{Outcome: c.outcome(apiErr)})
+	c.front.metrics.ended(c.service, apiErr)
+	c.report(apiErr)
+	return apiErr
 }
 
-var reports = map[kernel.Code]events.Event{
-	kernel.OutcomeUnknown: events.OutcomeUnknown,
-	kernel.StreamCut:      events.StreamCut,
-	kernel.KeyRevoked:     events.StreamKeyRevoked,
-	kernel.QueueFull:      events.QueueFull,
-	kernel.DeadlinePassed: events.DeadlineRanOut,
-	kernel.CallerGone:     events.CallerGone,
+var reports = map[apierror.Code]events.Event{
+	apierror.OutcomeUnknown: events.OutcomeUnknown,
+	apierror.StreamCut:      events.StreamCut,
+	apierror.KeyRevoked:     events.StreamKeyRevoked,
+	apierror.QueueFull:      events.QueueFull,
+	apierror.DeadlinePassed: events.DeadlineRanOut,
+	apierror.CallerGone:     events.CallerGone,
 }
 
-func (c *call) report(fault *kernel.Fault) {
-	if fault == nil {
+func (c *call) report(apiErr *apierror.Error) {
+	if apiErr == nil {
 		return
 	}
-	event, own := reports[fault.Code]
+	event, own := reports[apiErr.Code]
 	if !own {
 		event = events.RequestRefused
 	}
-	c.front.log.Emit(event, "request", c.id, "service", c.service, "tenant", c.tenant, "server", c.server, "code", uint32(fault.Code), "detail", fault.Detail)
+	c.front.log.Emit(event, "request", c.id, "service", c.service, "tenant", c.tenant, "server", c.server, "code", uint32(apiErr.Code), "detail", apiErr.Detail)
 }
 
 var answerReports = map[backend.Kind]events.Event{
@@ -135,10 +137,10 @@
 	}
 }
 
-func (c *call) outcome(fault *kernel.Fault) *Outcome {
-	o := &Outcome{Name: kernel.OK.String(), TookMS: inMS(c.front.clock.Now().Sub(c.arrived))}
-	if fault != nil {
-		o.Code, o.Name, o.Detail = fault.Code, fault.Code.String(), fault.Detail
+func (c *call) outcome(apiErr *apierror.Error) *Outcome {
+	o := &Outcome{Name: apierror.OK.String(), TookMS: inMS(c.front.clock.Now().Sub(c.arrived))}
+	if apiErr != nil {
+		o.Code, o.Name, o.Detail = apiErr.Code, apiErr.Code.String(), apiErr.Detail
 	}
 	return o
 }
@@ -151,7 +153,7 @@
 // admit decides by the view in force: ruling, then the key, the service and
 // the tenant's allowance. The tally comes before the route, so a request that
 // finds no server has been counted.
-func (c *call) admit(ctx kernel.Context, kind string, tokens float64) (fault *kernel.Fault) {
+func (c *call) admit(ctx context.Context, kind string, tokens float64) (apiErr *apierror.Error) {
 	f := c.front
 	view := f.views.View()
 	a := &Admission{Service: c.request.Service, Region: c.request.FromRegion, Epoch: view.State.Epoch}
@@ -159,31 +161,31 @@
 		a.Plan, a.PlanTerm = view.Plan.Number, view.Plan.Term
 	}
 	defer func() {
-		if fault != nil {
-			a.Fault = fault.Error()
+		if apiErr != nil {
+			a.Fault = apiErr.Error()
 		}
 		c.note(Entry{Admission: a})
 	}()
-	if fault = f.rules(); fault != nil {
-		return fault
+	if apiErr = f.rules(); apiErr != nil {
+		return apiErr
 	}
 	tenant, row, known := tenantOf(view.Index, c.key)
 	if !known {
-		return kernel.Refuse(kernel.UnknownKey, "the sheet in force has no such key")
+		return apierror.Errorf(apierror.UnknownKey, "the sheet in force has no such key")
 	}
 	c.tenant, a.Tenant = tenant, tenant
 	c.index.Store(view.Index)
 	service, known := view.Index.Sheet().Services[c.request.Service]
 	if !known {
-		return kernel.Refuse(kernel.UnknownService, "the sheet in force has no service %q", c.request.Service)
+		return apierror.Errorf(apierror.UnknownService, "the sheet in force has no service %q", c.request.Service)
 	}
 	c.service = c.request.Service
-	if fault = c.bind(tenant, row.Home); fault != nil {
-		return fault
+	if apiErr = c.bind(tenant, row.Home); apiErr != nil {
+		return apiErr
 	}
 	a.Home = c.request.Home
 	if service.Kind != kind {
-		return kernel.Refuse(kernel.WrongServiceKind, "%s is a %s service", c.request.Service, service.Kind)
+		return apierror.Errorf(apierror.WrongServiceKind, "%s is a %s service", c.request.Service, service.Kind)
 	}
 	if tokens == 0 {
 		if tokens = service.PlainTokens; tokens == 0 {
@@ -194,32 +196,32 @@
 	decision := f.admit.Admit(ctx, tenant, tokens, tally.Terms{Rate: row.Rate, Burst: row.Burst}, 0)
 	a.tally(decision)
 	if !decision.Pass {
-		return (&kernel.Fault{Code: decision.Code, Detail: fmt.Sprintf("%s has %.0f tokens in a window", tenant, decision.Limit)}).After(decision.RetryAfter)
+		return (&apierror.Error{Code: decision.Code, Detail: fmt.Sprintf("%s has %.0f tokens in a window", tenant, decision.Limit)}).WithRetryAfter(decision.RetryAfter)
 	}
 	return nil
 }
 
 // bind holds the request to its home: the tenant's in the sheet in force, else
 // the one that the request names. They may not contradict each other.
-func (c *call) bind(tenant, home string) *kernel.Fault {
+func (c *call) bind(tenant, home string) *apierror.Error {
 	switch named := c.request.Home; {
 	case home == "" || home == named:
 	case named == "":
 		c.request.Home = home
 	default:
-		return kernel.Refuse(kernel.BadField, "home is %q, but %s is bound to %q", named, tenant, home)
+		return apierror.Errorf(apierror.BadField, "home is %q, but %s is bound to %q", named, tenant, home)
 	}
 	return nil
 }
 
 // seat gets the request a server. A fault says why none was given; nothing has
 // been sent then.
-func (c *call) seat(ctx kernel.Context) (*seat, route.Choice, *kernel.Fault) {
+func (c *call) seat(ctx context.Context) (*seat, route.Choice, *apierror.Error) {
 	f := c.front
 	asked := f.clock.Now()
-	s, fault := f.router.ask(c.request)
-	if fault != nil {
-		return nil, route.Choice{}, fault
+	s, apiErr := f.router.ask(c.request)
+	if apiErr != nil {
+		return nil, route.Choice{}, apiErr
 	}
 	var choice route.Choice
 	select {
@@ -228,7 +230,7 @@
 		choice.Fault = c.ended(ctx, "the deadline passed while the request was queued")
 	}
 	c.note(Entry{Routing: routingOf(choice, f.clock.Now().Sub(asked))})
-	if choice.Fault != nil && choice.Fault.Code == kernel.BudgetSpent {
+	if choice.Fault != nil && choice.Fault.Code == apierror.BudgetSpent {
 		f.log.Emit(events.BudgetSpent, "request", c.id, "service", c.service, "tried", len(c.request.Tried))
 	}
 	if choice.Fault == nil {
@@ -242,20 +244,20 @@
 }
 
 // maySend tells whether the request may go to a server at this moment.
-func (c *call) maySend() *kernel.Fault {
+func (c *call) maySend() *apierror.Error {
 	if !c.front.views.Ruling() {
-		return kernel.Refuse(kernel.NotRuling, "ask another node").After(kernel.Second)
+		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(time.Second)
 	}
 	return c.front.keeper.stands(&c.running)
 }
 
 // ended says why a call's context has ended.
-func (c *call) ended(ctx kernel.Context, late string) *kernel.Fault {
+func (c *call) ended(ctx context.Context, late string) *apierror.Error {
 	switch {
 	case c.fault.Load() != nil:
 		return c.fault.Load()
-	case errors.Is(ctx.Err(), kernel.DeadlineExceeded):
-		return kernel.Refuse(kernel.DeadlinePassed, "%s", late).After(100 * kernel.Millisecond)
+	case errors.Is(ctx.Err(), context.DeadlineExceeded):
+		return apierror.Errorf(apierror.DeadlinePassed, "%s", late).WithRetryAfter(100 * time.Millisecond)
 	}
-	return kernel.Refuse(kernel.CallerGone, "the caller closed the connection")
+	return apierror.Errorf(apierror.CallerGone, "the caller closed the connection")
 }
--- a/internal/node/front/survey.go
+++ b/internal/node/front/survey.go
@@ -4,25 +4,25 @@
 	"maps"
 	"slices"
 	"strings"
+	"time"
 
 	"stepwick/internal/core/route"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
-const surveyEvery = kernel.Second
+const surveyEvery = time.Second
 
 // survey tells the log, about once a second, what the routing table has come to.
 type survey struct {
-	at      kernel.Time
+	at      time.Time
 	plan    *wire.Plan
-	planAt  kernel.Time
+	planAt  time.Time
 	ejected map[string]bool
 	short   map[string]bool
 }
 
-func (s *survey) look(table *route.Table, plan *wire.Plan, now kernel.Time, log events.Log) {
+func (s *survey) look(table *route.Table, plan *wire.Plan, now time.Time, log events.Log) {
 	if plan != s.plan {
 		s.plan, s.planAt = plan, now
 		log.Emit(events.PlanTaken, "plan", plan.GetNumber(), "term", plan.GetTerm(), "cause", plan.GetCause())
@@ -31,7 +31,7 @@
 		return
 	}
 	s.at = now
-	if age := now.Sub(s.planAt); plan != nil && age > 2*kernel.Duration(plan.PeriodMs)*kernel.Millisecond {
+	if age := now.Sub(s.planAt); plan != nil && age > 2*time.Duration(plan.PeriodMs)*time.Millisecond {
 		log.Emit(events.PlanStale, "plan", plan.Number, "term", plan.Term, "holder", plan.Holder, "age", age)
 	}
 	ejected, short := map[string]bool{}, map[string]bool{}
--- a/internal/node/gateway/answer.go
+++ b/internal/node/gateway/answer.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"strconv"
@@ -9,37 +10,37 @@
 	"github.com/pkg/errors"
 
 	"stepwick/internal/adapter/upstream"
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/balance"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 // passage passes answers on to the client: the whole of one, or a stream that
 // servers may carry one after the other.
 type passage struct {
 	request    *request
-	ctx        kernel.Context // ends when the client leaves or the time is over
-	begun      bool           // something was written to the client
-	last       string         // id of the last event that was passed on
+	ctx        context.Context // ends when the client leaves or the time is over
+	begun      bool            // something was written to the client
+	last       string          // id of the last event that was passed on
 	clientGone bool
 }
 
 // pass passes an answer on. again tells that the request may be sent to
 // another server, where that is allowed at all.
-func (p *passage) pass(answer *upstream.Answer, attempt *balance.Attempt) (fault *kernel.Fault, again bool) {
+func (p *passage) pass(answer *upstream.Answer, attempt *balance.Attempt) (apiErr *apierror.Error, again bool) {
 	succeeded := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	if p.request.route.Kind == sheet.RouteStream && succeeded {
 		return p.stream(answer, attempt)
 	}
 	if p.begun {
-		return kernel.Refuse(kernel.StreamCut, "a server answered %d to a stream that was to go on", answer.Status), true
+		return apierror.Errorf(apierror.StreamCut, "a server answered %d to a stream that was to go on", answer.Status), true
 	}
 	return p.whole(answer, attempt)
 }
 
 // whole passes on an answer of which the greatest part fits into memory, once
 // it is known to be complete.
-func (p *passage) whole(answer *upstream.Answer, attempt *balance.Attempt) (fault *kernel.Fault, again bool) {
+func (p *passage) whole(answer *upstream.Answer, attempt *balance.Attempt) (apiErr *apierror.Error, again bool) {
 	body := make([]byte, 0, max(min(answer.Length(), wholeMost), 0))
 	body, err := readUpTo(answer, body, wholeMost)
 	p.request.gateway.dispatch.began(attempt)
@@ -101,7 +102,7 @@
 
 // stream passes events on as they come, whole ones only, so that another server
 // may go on after the last of them.
-func (p *passage) stream(answer *upstream.Answer, attempt *balance.Attempt) (fault *kernel.Fault, again bool) {
+func (p *passage) stream(answer *upstream.Answer, attempt *balance.Attempt) (apiErr *apierror.Error, again bool) {
 	var events splitter
 	var chunk [8 << 10]byte
 	control := http.NewResponseController(p.writer())
@@ -115,15 +116,15 @@
 				p.request.gateway.dispatch.began(attempt)
 				first = false
 			}
-			if fault := p.events(answer, &events, chunk[:n], control); fault != nil {
-				return fault, false
+			if apiErr := p.events(answer, &events, chunk[:n], control); apiErr != nil {
+				return apiErr, false
 			}
 		}
 		switch {
 		case err == io.EOF && (answer.Framed() || len(events.rest()) == 0):
 			return p.finish(answer, events.rest()), false
 		case err == io.EOF:
-			return kernel.Refuse(kernel.StreamCut, "the stream ended inside an event"), true
+			return apierror.Errorf(apierror.StreamCut, "the stream ended inside an event"), true
 		case err != nil:
 			return p.cut(err), true
 		}
@@ -132,7 +133,7 @@
 
 // finish ends a stream that came whole, with what its server sent after the
 // last event.
-func (p *passage) finish(answer *upstream.Answer, rest []byte) *kernel.Fault {
+func (p *passage) finish(answer *upstream.Answer, rest []byte) *apierror.Error {
 	p.open(answer)
 	if _, err := p.writer().Write(rest); err != nil {
 		return p.gone(err)
@@ -140,7 +141,7 @@
 	return nil
 }
 
-func (p *passage) events(answer *upstream.Answer, events *splitter, data []byte, control *http.ResponseController) *kernel.Fault {
+func (p *passage) events(answer *upstream.Answer, events *splitter, data []byte, control *http.ResponseController) *apierror.Error {
 	whole := events.add(data)
 	if len(whole) == 0 {
 		return nil
@@ -187,18 +188,18 @@
 
 func (p *passage) writer() http.ResponseWriter { return p.request.writer }
 
-func (p *passage) gone(err error) *kernel.Fault {
+func (p *passage) gone(err error) *apierror.Error {
 	p.clientGone = true
-	return kernel.Refuse(kernel.CallerGone, "the client takes no answer: %s", err)
+	return apierror.Errorf(apierror.CallerGone, "the client takes no answer: %s", err)
 }
 
 // cut says of an answer that its server broke off.
-func (p *passage) cut(err error) *kernel.Fault {
-	var fault *kernel.Fault
-	if errors.As(err, &fault) {
-		return fault
+func (p *passage) cut(err error) *apierror.Error {
+	var apiErr *apierror.Error
+	if errors.As(err, &apiErr) {
+		return apiErr
 	}
-	return p.request.ended(p.ctx, kernel.Refuse(kernel.BadAnswer, "%s", err))
+	return p.request.ended(p.ctx, apierror.Errorf(apierror.BadAnswer, "%s", err))
 }
 
 func splitList(value string) []string {
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -1,15 +1,17 @@
 package gateway
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"slices"
+	"time"
 
 	"github.com/pkg/errors"
 
 	"stepwick/internal/adapter/upstream"
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/balance"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 )
 
@@ -19,71 +21,71 @@
 
 // run sends the request to servers until one has answered it, or it may not be
 // sent any more. A nil fault means that the client got an answer.
-func (q *request) run() *kernel.Fault {
-	ctx, cancel := kernel.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
+func (q *request) run() *apierror.Error {
+	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
 	defer cancel()
 	p := &passage{request: q, ctx: ctx, last: q.call.LastEventID}
-	var earlier *kernel.Fault
+	var earlier *apierror.Error
 	for first := true; ; first = false {
-		fault, again := q.attempt(ctx, p, first)
-		if fault == nil {
+		apiErr, again := q.attempt(ctx, p, first)
+		if apiErr == nil {
 			return nil
 		}
 		if !again {
-			return q.final(p, fault, earlier)
+			return q.final(p, apiErr, earlier)
 		}
-		earlier = fault
+		earlier = apiErr
 	}
 }
 
 // final returns the answer to a request that is given up. What is known of an
 // earlier attempt goes before the reason why there is no further one.
-func (q *request) final(p *passage, fault, earlier *kernel.Fault) *kernel.Fault {
+func (q *request) final(p *passage, apiErr, earlier *apierror.Error) *apierror.Error {
 	if q.http.Context().Err() != nil {
-		fault = kernel.Refuse(kernel.CallerGone, "the client closed the connection")
+		apiErr = apierror.Errorf(apierror.CallerGone, "the client closed the connection")
 	}
 	if p.begun {
 		panic(http.ErrAbortHandler)
 	}
-	if fault.Code == kernel.CallerGone {
-		return fault
+	if apiErr.Code == apierror.CallerGone {
+		return apiErr
 	}
 	if q.runs > 0 {
-		if earlier != nil && fault.Code != kernel.DeadlinePassed {
-			fault = earlier
+		if earlier != nil && apiErr.Code != apierror.DeadlinePassed {
+			apiErr = earlier
 		}
-		return q.unknown(fault)
+		return q.unknown(apiErr)
 	}
-	if fault.Code == kernel.DeadlinePassed {
-		return kernel.Refuse(kernel.NotRun, "%s", fault.Detail).After(leastPause)
+	if apiErr.Code == apierror.DeadlinePassed {
+		return apierror.Errorf(apierror.NotRun, "%s", apiErr.Detail).WithRetryAfter(leastPause)
 	}
-	return fault
+	return apiErr
 }
 
 // unknown holds a fault to what is known of a request that a server may have
 // run: it makes no promise.
-func (q *request) unknown(fault *kernel.Fault) *kernel.Fault {
-	switch fault.Code {
-	case kernel.DeadlinePassed, kernel.OutcomeUnknown, kernel.BadAnswer:
-		return fault
+func (q *request) unknown(apiErr *apierror.Error) *apierror.Error {
+	switch apiErr.Code {
+	case apierror.DeadlinePassed, apierror.OutcomeUnknown, apierror.BadAnswer:
+		return apiErr
 	}
-	return kernel.Refuse(kernel.OutcomeUnknown, "%s", fault.Detail)
+	return apierror.Errorf(apierror.OutcomeUnknown, "%s", apiErr.Detail)
 }
 
 // attempt sends the request to one server. again tells that another may be
 // tried.
-func (q *request) attempt(ctx kernel.Context, p *passage, first bool) (fault *kernel.Fault, again bool) {
+func (q *request) attempt(ctx context.Context, p *passage, first bool) (apiErr *apierror.Error, again bool) {
 	g := q.gateway
 	given := g.dispatch.assign(ctx, q.order, first)
-	if given.fault != nil {
-		return q.ended(ctx, given.fault), false
+	if given.apiErr != nil {
+		return q.ended(ctx, given.apiErr), false
 	}
 	outcome := balance.Outcome{}
 	defer func() { g.dispatch.ended(given.attempt, outcome) }()
-	if fault := q.stands(); fault != nil {
-		return fault, false
+	if apiErr := q.stands(); apiErr != nil {
+		return apiErr, false
 	}
-	sending, cancel := kernel.WithCancel(ctx)
+	sending, cancel := context.WithCancel(ctx)
 	defer cancel()
 	watch := q.watchStall(q.runs+1, cancel)
 	answer, failure := g.client.Send(sending, given.server, q.outgoing(given.server, p.last))
@@ -104,14 +106,14 @@
 		return q.rejected(given.server, said)
 	}
 	q.runs++
-	fault, again = p.pass(answer, given.attempt)
-	outcome.OK, outcome.Failed = fault == nil, fault != nil && ctx.Err() == nil && !p.clientGone
+	apiErr, again = p.pass(answer, given.attempt)
+	outcome.OK, outcome.Failed = apiErr == nil, apiErr != nil && ctx.Err() == nil && !p.clientGone
 	outcome.Erred = outcome.OK && answer.Status >= http.StatusInternalServerError
 	if again {
 		q.exclude(given.server)
 		again = q.mayRepeat()
 	}
-	return fault, again
+	return apiErr, again
 }
 
 // errStalled is the cause of an attempt that was given up because nothing came.
@@ -121,24 +123,24 @@
 	// A server may be silent on a repeatable request, before its answer or within
 	// a stream, for twice the route's objective or pause until another is tried.
 	stallFactor = 2
-	stallLeast  = 700 * kernel.Millisecond
-	stallNever  = kernel.Hour
+	stallLeast  = 700 * time.Millisecond
+	stallNever  = time.Hour
 )
 
 // stallAfter returns how long a server may be silent until another is tried,
 // when so many servers were sent the request; very long where no further one
 // may be.
-func (q *request) stallAfter(sent int) kernel.Duration {
+func (q *request) stallAfter(sent int) time.Duration {
 	if !q.route.Repeatable() || sent >= max(q.route.Attempts, 1) || q.gateway.config.Balance.Off[balance.SecondAttempts] {
 		return stallNever
 	}
 	span := max(q.route.ObjectiveMS, q.route.GapMS)
-	return max(stallFactor*kernel.Duration(span)*kernel.Millisecond, stallLeast)
+	return max(stallFactor*time.Duration(span)*time.Millisecond, stallLeast)
 }
 
 // watchStall calls stop unless something comes in time.
-func (q *request) watchStall(sent int, stop func()) kernel.Alarm {
-	return kernel.NewAlarm(q.stallAfter(sent), stop)
+func (q *request) watchStall(sent int, stop func()) *time.Timer {
+	return time.AfterFunc(q.stallAfter(sent), stop)
 }
 
 // rejectionMost bounds what is read of an answer that says that the request was
@@ -164,7 +166,7 @@
 }
 
 // failed decides on an attempt without an answer.
-func (q *request) failed(ctx kernel.Context, server upstream.Server, failure *upstream.Failure, outcome *balance.Outcome) (fault *kernel.Fault, again bool) {
+func (q *request) failed(ctx context.Context, server upstream.Server, failure *upstream.Failure, outcome *balance.Outcome) (apiErr *apierror.Error, again bool) {
 	outcome.Refused = failure.Kind == upstream.Refused
 	outcome.Silent = failure.Kind == upstream.Silent
 	outcome.Failed = failure.Kind == upstream.Unsent || failure.Kind == upstream.Lost || failure.Kind == upstream.Garbled
@@ -177,33 +179,33 @@
 	}
 	q.exclude(server)
 	if !failure.Sent {
-		return kernel.Refuse(kernel.NotRun, "%s", failure).After(leastPause), true
+		return apierror.Errorf(apierror.NotRun, "%s", failure).WithRetryAfter(leastPause), true
 	}
-	return kernel.Refuse(kernel.OutcomeUnknown, "%s", failure), q.mayRepeat()
+	return apierror.Errorf(apierror.OutcomeUnknown, "%s", failure), q.mayRepeat()
 }
 
 // rejected decides on an attempt that the server did not run.
-func (q *request) rejected(server upstream.Server, said port.Said) (fault *kernel.Fault, again bool) {
+func (q *request) rejected(server upstream.Server, said port.Said) (apiErr *apierror.Error, again bool) {
 	q.exclude(server)
 	q.order.Repeat = true
 	why := "the server is full"
 	if said.Elsewhere {
 		why = "the server is gone; another one has its address"
 	}
-	return kernel.Refuse(kernel.NotRun, "%s", why).After(rejectedPause), true
+	return apierror.Errorf(apierror.NotRun, "%s", why).WithRetryAfter(rejectedPause), true
 }
 
-const rejectedPause = 150 * kernel.Millisecond
+const rejectedPause = 150 * time.Millisecond
 
 // ended says why a context has ended, or keeps the fault where it has not.
-func (q *request) ended(ctx kernel.Context, fault *kernel.Fault) *kernel.Fault {
+func (q *request) ended(ctx context.Context, apiErr *apierror.Error) *apierror.Error {
 	switch {
 	case q.http.Context().Err() != nil:
-		return kernel.Refuse(kernel.CallerGone, "the client closed the connection")
-	case errors.Is(ctx.Err(), kernel.DeadlineExceeded) || fault == nil:
-		return kernel.Refuse(kernel.DeadlinePassed, "the deadline passed before an answer")
+		return apierror.Errorf(apierror.CallerGone, "the client closed the connection")
+	case errors.Is(ctx.Err(), context.DeadlineExceeded) || apiErr == nil:
+		return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed before an answer")
 	}
-	return fault
+	return apiErr
 }
 
 func (q *request) exclude(server upstream.Server) {
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -2,12 +2,15 @@
 
 import (
 	"cmp"
+	"context"
 	"slices"
+	"time"
 
 	"stepwick/internal/adapter/upstream"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/balance"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/stage"
 )
@@ -22,7 +25,7 @@
 type dispatcher struct {
 	table  *balance.Table
 	views  Views
-	clock  kernel.Clock
+	clock  clock.Clock
 	log    events.Log
 	client *upstream.Client
 	asks   *stage.Queue[*ticket]
@@ -55,7 +58,7 @@
 type assignment struct {
 	server  upstream.Server
 	attempt *balance.Attempt
-	fault   *kernel.Fault
+	apiErr  *apierror.Error
 }
 
 // move is the progress of an attempt, or the end of a ticket whose request did
@@ -68,16 +71,16 @@
 	silent  string // a server whose machine stopped to acknowledge
 }
 
-func newDispatcher(table *balance.Table, views Views, clock kernel.Clock, log events.Log, client *upstream.Client, suspects *suspects, off balance.Off) *dispatcher {
+func newDispatcher(table *balance.Table, views Views, clock clock.Clock, log events.Log, client *upstream.Client, suspects *suspects, off balance.Off) *dispatcher {
 	return &dispatcher{suspects: suspects, off: off, suspected: map[string]balance.Silence{}, table: table, views: views, clock: clock, log: log, client: client,
 		asks: stage.NewQueue[*ticket](askBound), moves: stage.NewQueue[move](moveBound), over: make(chan struct{})}
 }
 
 // assign waits until a request has a server or is refused one.
-func (d *dispatcher) assign(ctx kernel.Context, request balance.Request, first bool) assignment {
+func (d *dispatcher) assign(ctx context.Context, request balance.Request, first bool) assignment {
 	t := &ticket{request: request, first: first, given: make(chan assignment, 1)}
 	if !d.asks.Offer(t) {
-		return assignment{fault: kernel.Refuse(kernel.QueueFull, "%d requests wait to be routed", askBound).After(kernel.Second)}
+		return assignment{apiErr: apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", askBound).WithRetryAfter(time.Second)}
 	}
 	select {
 	case got := <-t.given:
@@ -86,7 +89,7 @@
 	case <-d.over:
 	}
 	d.move(move{leaves: t})
-	return assignment{fault: kernel.Refuse(kernel.DeadlinePassed, "the request was given up while it waited for a server")}
+	return assignment{apiErr: apierror.Errorf(apierror.DeadlinePassed, "the request was given up while it waited for a server")}
 }
 
 // began tells that the answer to an attempt has begun.
@@ -108,7 +111,7 @@
 }
 
 // Serve owns the table until the context ends.
-func (d *dispatcher) Serve(ctx kernel.Context) error {
+func (d *dispatcher) Serve(ctx context.Context) error {
 	defer func() {
 		if ctx.Err() != nil {
 			close(d.over)
@@ -148,11 +151,11 @@
 
 // rest returns what wakes the owner for the requests that wait; nothing where
 // there are none.
-func (d *dispatcher) rest() (<-chan kernel.Time, func() bool) {
+func (d *dispatcher) rest() (<-chan time.Time, func() bool) {
 	if len(d.waiting) == 0 {
 		return nil, func() bool { return true }
 	}
-	return kernel.Timer(d.table.Waits(d.clock.Now()))
+	return clock.NewTimer(d.table.Waits(d.clock.Now()))
 }
 
 // look takes the newest view in, so that no choice goes by an older one.
@@ -179,10 +182,10 @@
 }
 
 const (
-	suspectEvery = 100 * kernel.Millisecond
+	suspectEvery = 100 * time.Millisecond
 	// heardOfLate is how recent an answer must be to stand against another node's
 	// word that its server is silent.
-	heardOfLate = 400 * kernel.Millisecond
+	heardOfLate = 400 * time.Millisecond
 )
 
 // suspect tells of servers that have become silent on what this node sent them,
@@ -242,7 +245,7 @@
 		return
 	}
 	if len(d.waiting) >= waitBound {
-		t.given <- assignment{fault: kernel.Refuse(kernel.QueueFull, "%d requests wait for room", waitBound).After(kernel.Second)}
+		t.given <- assignment{apiErr: apierror.Errorf(apierror.QueueFull, "%d requests wait for room", waitBound).WithRetryAfter(time.Second)}
 		return
 	}
 	d.count++
@@ -254,13 +257,13 @@
 }
 
 // try gives a ticket its server or its fault; false when it has to wait.
-func (d *dispatcher) try(t *ticket, now kernel.Time) bool {
+func (d *dispatcher) try(t *ticket, now time.Time) bool {
 	choice := d.table.Choose(&t.request, now)
 	if choice.Wait {
 		return false
 	}
 	if choice.Fault != nil {
-		t.given <- assignment{fault: choice.Fault}
+		t.given <- assignment{apiErr: choice.Fault}
 		return true
 	}
 	t.attempt = d.table.Started(choice.Server, &t.request, now)
@@ -308,7 +311,7 @@
 }
 
 // silenced rests a server whose machine stopped to acknowledge, and tells so.
-func (d *dispatcher) silenced(server string, now kernel.Time) {
+func (d *dispatcher) silenced(server string, now time.Time) {
 	d.table.Unacknowledged(server, now)
 	d.drop(server)
 	if status := d.seen.Servers[server]; status != nil && d.suspected[server] < balance.Mute {
@@ -324,7 +327,7 @@
 
 // leave takes a ticket out whose request did not wait for its server. It may not
 // have been looked at yet.
-func (d *dispatcher) leave(t *ticket, now kernel.Time) {
+func (d *dispatcher) leave(t *ticket, now time.Time) {
 	t.left = true
 	if at := slices.Index(d.waiting, t); at >= 0 {
 		d.waiting = slices.Delete(d.waiting, at, at+1)
