--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -5,21 +5,24 @@
 package gateway
 
 import (
+	"context"
 	"io"
 	"log"
 	"net"
 	"net/http"
 	"sync/atomic"
+	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/thejerf/suture/v4"
 
 	"stepwick/internal/adapter/listen"
 	"stepwick/internal/adapter/upstream"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/balance"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/port"
 	"stepwick/internal/stage"
@@ -30,48 +33,48 @@
 type Config struct {
 	Balance       balance.Config
 	Upstream      upstream.Config
-	BodyMax       int64           // bytes of a request's body, where the sheet says nothing; 4 MiB
-	BodiesMax     int64           // bytes of all bodies held at once; 64 MiB
-	HeaderMax     int             // bytes of a request's header; 16 KiB
-	HeaderTimeout kernel.Duration // for a header to arrive; 5 s
-	BodyTimeout   kernel.Duration // for a body to arrive; 5 s
-	IdleTimeout   kernel.Duration // of a client's connection; 60 s
-	PlainTokens   float64         // of a request that names no tokens; 50
-	DeadlineMost  kernel.Duration // of a request that names none; 120 s
+	BodyMax       int64         // bytes of a request's body, where the sheet says nothing; 4 MiB
+	BodiesMax     int64         // bytes of all bodies held at once; 64 MiB
+	HeaderMax     int           // bytes of a request's header; 16 KiB
+	HeaderTimeout time.Duration // for a header to arrive; 5 s
+	BodyTimeout   time.Duration // for a body to arrive; 5 s
+	IdleTimeout   time.Duration // of a client's connection; 60 s
+	PlainTokens   float64       // of a request that names no tokens; 50
+	DeadlineMost  time.Duration // of a request that names none; 120 s
 	Quota         Quota
 	Linger        Linger
 	// Observe takes what requests show of a server: that it answers, or that it
 	// is silent; may be nil.
-	Observe     func(ctx kernel.Context, server string, reachable bool)
+	Observe     func(ctx context.Context, server string, reachable bool)
 	Connections int // from clients at once; 4096
 }
 
 // Linger is how a gateway that is taken away goes on for a while, since
 // clients come until they have learned of other nodes.
 type Linger struct {
-	Least kernel.Duration // new requests are served at least so long; 3 s
-	Most  kernel.Duration // and at most so long; 5 s
-	Quiet kernel.Duration // between the two it ends when none came for so long; 1 s
+	Least time.Duration // new requests are served at least so long; 3 s
+	Most  time.Duration // and at most so long; 5 s
+	Quiet time.Duration // between the two it ends when none came for so long; 1 s
 }
 
 func (c Config) withDefaults() Config {
 	or(&c.BodyMax, 4<<20)
 	or(&c.BodiesMax, 64<<20)
 	or(&c.HeaderMax, 16<<10)
-	or(&c.HeaderTimeout, 5*kernel.Second)
-	or(&c.BodyTimeout, 5*kernel.Second)
-	or(&c.IdleTimeout, kernel.Minute)
+	or(&c.HeaderTimeout, 5*time.Second)
+	or(&c.BodyTimeout, 5*time.Second)
+	or(&c.IdleTimeout, time.Minute)
 	or(&c.PlainTokens, 50)
-	or(&c.DeadlineMost, 120*kernel.Second)
+	or(&c.DeadlineMost, 120*time.Second)
 	or(&c.Quota.Part, 1)
-	or(&c.Linger.Least, 3*kernel.Second)
-	or(&c.Linger.Most, 5*kernel.Second)
-	or(&c.Linger.Quiet, kernel.Second)
+	or(&c.Linger.Least, 3*time.Second)
+	or(&c.Linger.Most, 5*time.Second)
+	or(&c.Linger.Quiet, time.Second)
 	or(&c.Connections, 4096)
 	return c
 }
 
-func or[T int | int64 | float64 | kernel.Duration](value *T, fallback T) {
+func or[T int | int64 | float64 | time.Duration](value *T, fallback T) {
 	if *value <= 0 {
 		*value = fallback
 	}
@@ -82,12 +85,12 @@
 	View() *follow.View
 	Changed() <-chan struct{}
 	Ruling() bool
-	FleetNow() kernel.Time
+	FleetNow() time.Time
 }
 
 // Admitter decides by the shared tally whether a tenant may spend tokens.
 type Admitter interface {
-	Admit(ctx kernel.Context, tenant string, tokens float64, terms tally.Terms, patience kernel.Duration) tally.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, terms tally.Terms, patience time.Duration) tally.Decision
 }
 
 // Gateway serves requests by routes. It is an http.Handler.
@@ -96,7 +99,7 @@
 	dialect  port.Dialect
 	views    Views
 	admitter Admitter
-	clock    kernel.Clock
+	clock    clock.Clock
 	log      events.Log
 	client   *upstream.Client
 	dispatch *dispatcher
@@ -109,11 +112,11 @@
 	closed   atomic.Bool  // takes no new request any more
 	inFlight atomic.Int64 // requests that are being served
 	newest   atomic.Int64 // when the newest request came, nanoseconds since started
-	started  kernel.Time
+	started  time.Time
 }
 
 // New returns a gateway. It takes no traffic before Serve runs.
-func New(config Config, dialect port.Dialect, views Views, admitter Admitter, clock kernel.Clock, log events.Log, registry prometheus.Registerer) (*Gateway, error) {
+func New(config Config, dialect port.Dialect, views Views, admitter Admitter, clock clock.Clock, log events.Log, registry prometheus.Registerer) (*Gateway, error) {
 	config = config.withDefaults()
 	config.Upstream.Clock = clock
 	var g *Gateway
@@ -131,7 +134,7 @@
 }
 
 // Serve runs the gateway's owners until the context ends.
-func (g *Gateway) Serve(ctx kernel.Context) error {
+func (g *Gateway) Serve(ctx context.Context) error {
 	supervisor := suture.New("gateway", suture.Spec{EventHook: func(event suture.Event) {
 		if failed, ok := event.(suture.EventServicePanic); ok {
 			g.log.Emit(events.OwnerBroke, "owner", failed.ServiceName, "panic", failed.PanicMsg)
@@ -146,7 +149,7 @@
 func (g *Gateway) String() string { return "gateway" }
 
 // Listen answers clients on a listener until the context ends.
-func (g *Gateway) Listen(ctx kernel.Context, listener net.Listener) error {
+func (g *Gateway) Listen(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler:           g,
 		ReadHeaderTimeout: g.config.HeaderTimeout,
@@ -154,7 +157,7 @@
 		MaxHeaderBytes:    g.config.HeaderMax,
 		ErrorLog:          log.New(io.Discard, "", 0),
 	}
-	stop := kernel.AfterFunc(ctx, func() { _ = server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	err := server.Serve(listen.Bounded(listener, g.config.Connections))
 	if ctx.Err() != nil {
@@ -164,63 +167,63 @@
 }
 
 // Ready tells whether the node takes traffic by routes: nil, or why not.
-func (g *Gateway) Ready() *kernel.Fault {
+func (g *Gateway) Ready() *apierror.Error {
 	if g.leaving.Load() {
-		return kernel.Refuse(kernel.FrontLeaving, "ask another node").After(kernel.Second)
+		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(time.Second)
 	}
 	return g.rules()
 }
 
 // rules tells whether this node may decide on a request now.
-func (g *Gateway) rules() *kernel.Fault {
+func (g *Gateway) rules() *apierror.Error {
 	if !g.views.Ruling() {
-		return kernel.Refuse(kernel.NotRuling, "ask another node").After(notRulingPause)
+		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(notRulingPause)
 	}
 	if g.views.View().State.Sheet == nil {
-		return kernel.Refuse(kernel.NoSheet, "").After(notRulingPause)
+		return apierror.Errorf(apierror.NoSheet, "").WithRetryAfter(notRulingPause)
 	}
 	return nil
 }
 
 // startHold is how long a request may wait for a node that has just started to
 // learn that it may rule, which takes it some tenths of a second.
-const startHold = 400 * kernel.Millisecond
+const startHold = 400 * time.Millisecond
 
 // awaitRules holds a request at a node that has not ruled since its start, and
 // then tells whether it may decide. A node that ruled before says so at once.
-func (g *Gateway) awaitRules(ctx kernel.Context) *kernel.Fault {
-	fault := g.rules()
-	if fault == nil {
+func (g *Gateway) awaitRules(ctx context.Context) *apierror.Error {
+	apiErr := g.rules()
+	if apiErr == nil {
 		g.ruled.Store(true)
 		return nil
 	}
 	if g.ruled.Load() {
-		return fault
+		return apiErr
 	}
 	over := g.clock.After(startHold)
-	for fault != nil {
+	for apiErr != nil {
 		look := g.clock.After(startLook)
 		select {
 		case <-look:
-			fault = g.rules()
+			apiErr = g.rules()
 		case <-over:
-			return fault
+			return apiErr
 		case <-ctx.Done():
-			return fault
+			return apiErr
 		}
 	}
 	g.ruled.Store(true)
 	return nil
 }
 
-const startLook = 10 * kernel.Millisecond
+const startLook = 10 * time.Millisecond
 
-const notRulingPause = 200 * kernel.Millisecond
+const notRulingPause = 200 * time.Millisecond
 
 // Drain makes the node not ready, serves the clients that still come for a
 // while, and waits until the running requests have ended. When the context
 // ends first it gives the context's error.
-func (g *Gateway) Drain(ctx kernel.Context) error {
+func (g *Gateway) Drain(ctx context.Context) error {
 	g.leaving.Store(true)
 	began := g.clock.Now()
 	for !g.lingered(began) {
@@ -237,17 +240,17 @@
 	return nil
 }
 
-func (g *Gateway) lingered(began kernel.Time) bool {
+func (g *Gateway) lingered(began time.Time) bool {
 	now := g.clock.Now()
 	served := now.Sub(began)
-	quiet := now.Sub(g.started.Add(kernel.Duration(g.newest.Load())))
+	quiet := now.Sub(g.started.Add(time.Duration(g.newest.Load())))
 	return served >= g.config.Linger.Most || served >= g.config.Linger.Least && quiet >= g.config.Linger.Quiet
 }
 
-const drainLook = 50 * kernel.Millisecond
+const drainLook = 50 * time.Millisecond
 
 // pause waits for the next look of a drain; false when the context has ended.
-func (g *Gateway) pause(ctx kernel.Context) bool {
+func (g *Gateway) pause(ctx context.Context) bool {
 	select {
 	case <-g.clock.After(drainLook):
 		return true
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -15,11 +16,12 @@
 	"github.com/prometheus/client_golang/prometheus"
 	. "github.com/smartystreets/goconvey/convey"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/balance"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -28,14 +30,14 @@
 // plain is a dialect with short names.
 type plain struct{}
 
-func (plain) Read(r *http.Request) (port.Call, *kernel.Fault) {
+func (plain) Read(r *http.Request) (port.Call, *apierror.Error) {
 	call := port.Call{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), LastEventID: r.Header.Get("Last")}
 	if _, err := fmt.Sscan(r.Header.Get("Tokens"), &call.TokensIn); err == nil {
 		call.Sized = true
 	}
 	var ms int
 	if _, err := fmt.Sscan(r.Header.Get("Left"), &ms); err == nil {
-		call.Deadline = kernel.Duration(ms) * kernel.Millisecond
+		call.Deadline = time.Duration(ms) * time.Millisecond
 	}
 	return call, nil
 }
@@ -51,8 +53,8 @@
 	return port.Said{RequestID: header.Get("Id"), NotExecuted: header.Get("Not-Run") != "", Elsewhere: status == http.StatusMisdirectedRequest}
 }
 
-func (plain) Refuse(w http.ResponseWriter, id string, fault *kernel.Fault) {
-	kernel.ReplyFault(w, fault, id)
+func (plain) Refuse(w http.ResponseWriter, id string, apiErr *apierror.Error) {
+	apierror.WriteError(w, apiErr, id)
 }
 
 type fixedViews struct {
@@ -64,7 +66,7 @@
 func (v *fixedViews) View() *follow.View       { return v.view.Load() }
 func (v *fixedViews) Changed() <-chan struct{} { return *v.changed.Load() }
 func (v *fixedViews) Ruling() bool             { return v.ruling.Load() }
-func (v *fixedViews) FleetNow() kernel.Time    { return time.Now() }
+func (v *fixedViews) FleetNow() time.Time      { return time.Now() }
 
 func (v *fixedViews) publish(change func(*follow.View)) {
 	next := *v.view.Load()
@@ -81,10 +83,10 @@
 	patience atomic.Int64 // of the last request, nanoseconds
 }
 
-func (a *admitter) Admit(_ kernel.Context, _ string, _ float64, _ tally.Terms, patience kernel.Duration) tally.Decision {
+func (a *admitter) Admit(_ context.Context, _ string, _ float64, _ tally.Terms, patience time.Duration) tally.Decision {
 	a.patience.Store(int64(patience))
 	if a.refused.Load() {
-		return tally.Decision{Code: kernel.QuotaExceeded, RetryAfter: 700 * kernel.Millisecond}
+		return tally.Decision{Code: apierror.QuotaExceeded, RetryAfter: 700 * time.Millisecond}
 	}
 	return tally.Decision{Pass: true}
 }
@@ -97,13 +99,13 @@
 	gateway *Gateway
 	address string
 	servers map[string]*wire.ServerStatus
-	clock   kernel.Clock // the machine's when nil
+	clock   clock.Clock // the machine's when nil
 }
 
 // patientClock is the machine's clock on which the hold of a start never ends.
-type patientClock struct{ kernel.Clock }
+type patientClock struct{ clock.Clock }
 
-func (c patientClock) After(d kernel.Duration) <-chan kernel.Time {
+func (c patientClock) After(d time.Duration) <-chan time.Time {
 	if d == startHold {
 		return nil
 	}
@@ -170,7 +172,7 @@
 func (s *stand) run() *stand {
 	var err error
 	if s.clock == nil {
-		s.clock = kernel.System()
+		s.clock = clock.System()
 	}
 	s.gateway, err = New(Config{Balance: balance.Config{Self: "f", Region: "north", Zone: "z", RetrySlack: 100}},
 		plain{}, s.views, s.tally, s.clock, events.Discard, prometheus.NewRegistry())
@@ -183,7 +185,7 @@
 		s.t.Fatal(err)
 	}
 	s.address = listener.Addr().String()
-	ctx, cancel := kernel.WithCancel(kernel.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	s.t.Cleanup(cancel)
 	go func() { _ = s.gateway.Serve(ctx) }()
 	go func() { _ = s.gateway.Listen(ctx, listener) }()
@@ -323,7 +325,7 @@
 		s := open(t)
 		s.add("s0", whole("ok"))
 		s.views.ruling.Store(false)
-		s.clock = patientClock{kernel.System()}
+		s.clock = patientClock{clock.System()}
 		s.run()
 		answers := make(chan result, 1)
 		go func() { answers <- s.ask("/safe/", "") }()
@@ -562,13 +564,13 @@
 		s := open(t)
 		s.add("s0", whole("ok"))
 		s.run()
-		s.gateway.config.Linger = Linger{Least: 100 * kernel.Millisecond, Most: 300 * kernel.Millisecond, Quiet: 50 * kernel.Millisecond}
+		s.gateway.config.Linger = Linger{Least: 100 * time.Millisecond, Most: 300 * time.Millisecond, Quiet: 50 * time.Millisecond}
 		drained := make(chan error, 1)
-		go func() { drained <- s.gateway.Drain(kernel.Background()) }()
+		go func() { drained <- s.gateway.Drain(context.Background()) }()
 		for s.gateway.Ready() == nil {
 			_ = s.ask("/safe/", "")
 		}
-		So(s.gateway.Ready().Code, ShouldEqual, kernel.FrontLeaving)
+		So(s.gateway.Ready().Code, ShouldEqual, apierror.FrontLeaving)
 		So(<-drained, ShouldBeNil)
 		So(s.ask("/safe/", "").status, ShouldEqual, http.StatusServiceUnavailable)
 	})
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -3,10 +3,10 @@
 import (
 	"strconv"
 
+	"stepwick/internal/apierror"
+
 	"github.com/pkg/errors"
 	"github.com/prometheus/client_golang/prometheus"
-
-	"stepwick/internal/kernel"
 )
 
 type metrics struct {
@@ -32,10 +32,10 @@
 	return m, nil
 }
 
-func (m *metrics) ended(service string, fault *kernel.Fault) {
-	code := kernel.OK
-	if fault != nil {
-		code = fault.Code
+func (m *metrics) ended(service string, apiErr *apierror.Error) {
+	code := apierror.OK
+	if apiErr != nil {
+		code = apiErr.Code
 	}
 	m.requests.WithLabelValues(service, strconv.FormatUint(uint64(code), 10)).Inc()
 }
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -1,19 +1,21 @@
 package gateway
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"slices"
 	"strings"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/balance"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 )
 
@@ -22,9 +24,9 @@
 	leastUrgent     = 9
 	routeUrgencies  = 3
 	waitPart        = 4 // a request waits for room at most this part of its objective
-	waitMost        = kernel.Second
-	writeMargin     = kernel.Second // for the last bytes to a client after the deadline
-	noSheetServices = "(none)"      // the metric's service of a request that no route took
+	waitMost        = time.Second
+	writeMargin     = time.Second // for the last bytes to a client after the deadline
+	noSheetServices = "(none)"    // the metric's service of a request that no route took
 )
 
 // request is one client's request on its way.
@@ -33,7 +35,7 @@
 	writer  http.ResponseWriter
 	http    *http.Request
 	call    port.Call
-	arrived kernel.Time
+	arrived time.Time
 
 	index    *sheet.Index // the one that admitted it
 	route    *sheet.NamedRoute
@@ -42,7 +44,7 @@
 	service  string
 	body     []byte
 	held     int64
-	deadline kernel.Time
+	deadline time.Time
 	order    balance.Request
 	runs     int // servers that may have run it
 }
@@ -62,13 +64,13 @@
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	fault := q.admit()
-	if fault == nil {
-		fault = q.run()
+	apiErr := q.admit()
+	if apiErr == nil {
+		apiErr = q.run()
 	}
-	g.metrics.ended(q.service, fault)
-	if fault != nil {
-		q.refuse(fault)
+	g.metrics.ended(q.service, apiErr)
+	if apiErr != nil {
+		q.refuse(apiErr)
 	}
 }
 
@@ -83,48 +85,48 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (q *request) refuse(fault *kernel.Fault) {
-	if fault.Code == kernel.CallerGone {
+func (q *request) refuse(apiErr *apierror.Error) {
+	if apiErr.Code == apierror.CallerGone {
 		panic(http.ErrAbortHandler)
 	}
 	q.gateway.log.Emit(events.RequestRefused, "request", q.call.ID, "service", q.service, "tenant", q.tenant,
-		"code", uint32(fault.Code), "detail", fault.Detail)
-	q.gateway.dialect.Refuse(q.writer, q.call.ID, fault)
+		"code", uint32(apiErr.Code), "detail", apiErr.Detail)
+	q.gateway.dialect.Refuse(q.writer, q.call.ID, apiErr)
 }
 
 // admit decides by the sheet in force whether the request may be served, reads
 // its body, and spends from its tenant's allowance.
-func (q *request) admit() *kernel.Fault {
+func (q *request) admit() *apierror.Error {
 	g := q.gateway
 	if g.closed.Load() {
-		return kernel.Refuse(kernel.FrontLeaving, "ask another node").After(notRulingPause)
+		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(notRulingPause)
 	}
-	var fault *kernel.Fault
-	if q.call, fault = g.dialect.Read(q.http); fault != nil {
-		return fault
+	var apiErr *apierror.Error
+	if q.call, apiErr = g.dialect.Read(q.http); apiErr != nil {
+		return apiErr
 	}
-	if fault = g.awaitRules(q.http.Context()); fault != nil {
-		return fault
+	if apiErr = g.awaitRules(q.http.Context()); apiErr != nil {
+		return apiErr
 	}
-	if fault = q.match(g.views.View().Index); fault != nil {
-		return fault
+	if apiErr = q.match(g.views.View().Index); apiErr != nil {
+		return apiErr
 	}
 	q.bound()
-	if fault = q.readBody(); fault != nil {
-		return fault
+	if apiErr = q.readBody(); apiErr != nil {
+		return apiErr
 	}
-	if fault = q.place(); fault != nil {
-		return fault
+	if apiErr = q.place(); apiErr != nil {
+		return apiErr
 	}
 	return q.spend()
 }
 
 // match finds the route and the tenant of the request in a sheet.
-func (q *request) match(index *sheet.Index) *kernel.Fault {
+func (q *request) match(index *sheet.Index) *apierror.Error {
 	path, _, _ := strings.Cut(q.target(), "?")
 	route, found := index.Route(q.http.Host, path)
 	if !found {
-		return kernel.Refuse(kernel.UnknownRoute, "no route for %s%s", q.http.Host, path)
+		return apierror.Errorf(apierror.UnknownRoute, "no route for %s%s", q.http.Host, path)
 	}
 	q.index, q.route = index, route
 	if len(index.Sheet().Tenants) == 0 {
@@ -139,29 +141,29 @@
 		q.tenant, q.terms = name, tenant
 	case route.Public:
 	case q.call.Key == "":
-		return kernel.Refuse(kernel.MissingKey, "")
+		return apierror.Errorf(apierror.MissingKey, "")
 	default:
-		return kernel.Refuse(kernel.UnknownKey, "the sheet in force has no such key")
+		return apierror.Errorf(apierror.UnknownKey, "the sheet in force has no such key")
 	}
 	return nil
 }
 
 // stands tells whether the sheet in force still lets the request run as it was
 // admitted.
-func (q *request) stands() *kernel.Fault {
-	if fault := q.gateway.rules(); fault != nil {
-		return fault
+func (q *request) stands() *apierror.Error {
+	if apiErr := q.gateway.rules(); apiErr != nil {
+		return apiErr
 	}
 	index := q.gateway.views.View().Index
 	if index == q.index {
 		return nil
 	}
 	tenant, service := q.tenant, q.service
-	if fault := q.match(index); fault != nil {
-		return fault
+	if apiErr := q.match(index); apiErr != nil {
+		return apiErr
 	}
 	if q.tenant != tenant || !slices.ContainsFunc(q.route.Splits, func(s sheet.Split) bool { return s.Service == service && s.Weight > 0 }) {
-		return kernel.Refuse(kernel.NotRun, "the route has changed").After(notRulingPause)
+		return apierror.Errorf(apierror.NotRun, "the route has changed").WithRetryAfter(notRulingPause)
 	}
 	return nil
 }
@@ -175,7 +177,7 @@
 }
 
 func (q *request) bound() {
-	timeout := kernel.Duration(q.route.TimeoutMS) * kernel.Millisecond
+	timeout := time.Duration(q.route.TimeoutMS) * time.Millisecond
 	if q.call.Deadline > 0 {
 		timeout = min(timeout, q.call.Deadline)
 	}
@@ -184,7 +186,7 @@
 	_ = control.SetWriteDeadline(q.deadline.Add(writeMargin))
 }
 
-func (q *request) readBody() *kernel.Fault {
+func (q *request) readBody() *apierror.Error {
 	r := q.http
 	if r.ContentLength == 0 {
 		return nil
@@ -194,22 +196,22 @@
 		most = int64(limits.BodyBytes)
 	}
 	if r.ContentLength > most {
-		return kernel.Refuse(kernel.BodyTooLarge, "%d bytes of at most %d", r.ContentLength, most)
+		return apierror.Errorf(apierror.BodyTooLarge, "%d bytes of at most %d", r.ContentLength, most)
 	}
 	control := http.NewResponseController(q.writer)
 	_ = control.SetReadDeadline(q.gateway.clock.Now().Add(q.gateway.config.BodyTimeout))
-	body, fault := q.readAll(most)
-	if fault != nil {
-		return fault
+	body, apiErr := q.readAll(most)
+	if apiErr != nil {
+		return apiErr
 	}
-	_ = control.SetReadDeadline(kernel.Time{})
+	_ = control.SetReadDeadline(time.Time{})
 	q.body = body
 	return nil
 }
 
 // readAll reads a body of at most so many bytes, and counts them against the
 // bodies that the node holds.
-func (q *request) readAll(most int64) ([]byte, *kernel.Fault) {
+func (q *request) readAll(most int64) ([]byte, *apierror.Error) {
 	claimed := max(q.http.ContentLength, 0)
 	if !q.hold(claimed) {
 		return nil, q.bodiesFull()
@@ -227,7 +229,7 @@
 		body = append(body, chunk[:n]...)
 		switch {
 		case int64(len(body)) > most:
-			return nil, kernel.Refuse(kernel.BodyTooLarge, "more than %d bytes", most)
+			return nil, apierror.Errorf(apierror.BodyTooLarge, "more than %d bytes", most)
 		case !q.hold(int64(n)):
 			return nil, q.bodiesFull()
 		case err == io.EOF:
@@ -246,31 +248,31 @@
 	return true
 }
 
-func (q *request) bodiesFull() *kernel.Fault {
-	return kernel.Refuse(kernel.QueueFull, "the bodies that the node holds are at their bound").After(kernel.Second)
+func (q *request) bodiesFull() *apierror.Error {
+	return apierror.Errorf(apierror.QueueFull, "the bodies that the node holds are at their bound").WithRetryAfter(time.Second)
 }
 
-func (q *request) unread(err error) *kernel.Fault {
+func (q *request) unread(err error) *apierror.Error {
 	if q.http.Context().Err() != nil {
-		return kernel.Refuse(kernel.CallerGone, "%v", err)
+		return apierror.Errorf(apierror.CallerGone, "%v", err)
 	}
 	var slow interface{ Timeout() bool }
 	if errors.As(err, &slow) && slow.Timeout() {
-		return kernel.Refuse(kernel.SlowBody, "the body did not arrive in time")
+		return apierror.Errorf(apierror.SlowBody, "the body did not arrive in time")
 	}
-	return kernel.Refuse(kernel.BadField, "the body is malformed")
+	return apierror.Errorf(apierror.BadField, "the body is malformed")
 }
 
 // place works out what the choice of a server depends on.
-func (q *request) place() *kernel.Fault {
+func (q *request) place() *apierror.Error {
 	regions, possible := homes(q.route.Homes, q.terms)
 	if !possible {
-		return kernel.Refuse(kernel.NoServer, "the homes of the route and of the tenant have no region in common").After(kernel.Second)
+		return apierror.Errorf(apierror.NoServer, "the homes of the route and of the tenant have no region in common").WithRetryAfter(time.Second)
 	}
-	objective := kernel.Duration(q.route.ObjectiveMS) * kernel.Millisecond
+	objective := time.Duration(q.route.ObjectiveMS) * time.Millisecond
 	q.order = balance.Request{
 		ID: q.call.ID, Regions: regions, Urgency: urgency(q.terms.Priority, q.route.Priority),
-		Route: q.route.Name, Pause: kernel.Duration(q.route.GapMS) * kernel.Millisecond,
+		Route: q.route.Name, Pause: time.Duration(q.route.GapMS) * time.Millisecond,
 		Own: q.call.TokensIn, Out: q.call.TokensOut, Until: q.arrived.Add(min(objective/waitPart, waitMost)),
 	}
 	if q.route.Affinity {
@@ -346,7 +348,7 @@
 }
 
 // spend asks the shared tally for the request's tokens.
-func (q *request) spend() *kernel.Fault {
+func (q *request) spend() *apierror.Error {
 	if q.terms.Rate <= 0 {
 		return nil
 	}
@@ -354,15 +356,15 @@
 	if q.terms.Unit != sheet.UnitRequests {
 		units = q.tokens()
 	}
-	ctx, cancel := kernel.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
+	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
 	defer cancel()
 	part := q.gateway.config.Quota.part(units, q.terms, q.route.Priority)
 	decision := q.gateway.admitter.Admit(ctx, q.tenant, units, tally.Terms{Rate: q.terms.Rate * part, Burst: q.terms.Burst * part}, q.patience())
 	if decision.Pass {
 		return nil
 	}
-	fault := kernel.Refuse(decision.Code, "%s has %.0f in a window", q.tenant, decision.Limit)
-	return fault.After(max(decision.RetryAfter, leastPause))
+	apiErr := apierror.Errorf(decision.Code, "%s has %.0f in a window", q.tenant, decision.Limit)
+	return apiErr.WithRetryAfter(max(decision.RetryAfter, leastPause))
 }
 
 // holdPart is the part of its objective that a request may be held for the holder
@@ -371,11 +373,11 @@
 
 // patience returns how long the request may be held; 0 where its route has no
 // objective.
-func (q *request) patience() kernel.Duration {
-	return kernel.Duration(holdPart * float64(q.route.ObjectiveMS) * float64(kernel.Millisecond))
+func (q *request) patience() time.Duration {
+	return time.Duration(holdPart * float64(q.route.ObjectiveMS) * float64(time.Millisecond))
 }
 
-const leastPause = 50 * kernel.Millisecond
+const leastPause = 50 * time.Millisecond
 
 func (q *request) tokens() float64 {
 	switch {
--- a/internal/node/gateway/suspects.go
+++ b/internal/node/gateway/suspects.go
@@ -1,15 +1,18 @@
 package gateway
 
 import (
+	"context"
+	"time"
+
 	"stepwick/internal/adapter/upstream"
-	"stepwick/internal/kernel"
+	"stepwick/internal/clock"
 )
 
 const (
 	// probeEvery is how often a server that was found silent is tried with a new
 	// connection, by the nodes that found it so and by no other.
-	probeEvery   = 500 * kernel.Millisecond
-	probeTimeout = 400 * kernel.Millisecond
+	probeEvery   = 500 * time.Millisecond
+	probeTimeout = 400 * time.Millisecond
 	noticeBound  = 256
 )
 
@@ -26,8 +29,8 @@
 // expected is probed first: one that takes connections has much to do and is
 // none of the fleet's business.
 type suspects struct {
-	observe func(ctx kernel.Context, server string, reachable bool)
-	clock   kernel.Clock
+	observe func(ctx context.Context, server string, reachable bool)
+	clock   clock.Clock
 	client  *upstream.Client
 	notices chan notice
 	probed  chan notice
@@ -35,9 +38,9 @@
 	probing map[string]bool
 }
 
-func newSuspects(observe func(kernel.Context, string, bool), clock kernel.Clock, client *upstream.Client) *suspects {
+func newSuspects(observe func(context.Context, string, bool), clock clock.Clock, client *upstream.Client) *suspects {
 	if observe == nil {
-		observe = func(kernel.Context, string, bool) {}
+		observe = func(context.Context, string, bool) {}
 	}
 	return &suspects{observe: observe, clock: clock, client: client, notices: make(chan notice, noticeBound),
 		probed: make(chan notice, noticeBound), silent: map[string]string{}, probing: map[string]bool{}}
@@ -67,7 +70,7 @@
 }
 
 // Serve owns the suspects until the context ends.
-func (s *suspects) Serve(ctx kernel.Context) error {
+func (s *suspects) Serve(ctx context.Context) error {
 	ticker := s.clock.Ticker(probeEvery)
 	defer ticker.Stop()
 	clear(s.probing)
@@ -88,7 +91,7 @@
 
 func (s *suspects) String() string { return "suspects" }
 
-func (s *suspects) take(ctx kernel.Context, got notice) {
+func (s *suspects) take(ctx context.Context, got notice) {
 	switch {
 	case got.doubt && got.reachable && s.silent[got.server.Name] == "":
 		return
@@ -105,13 +108,13 @@
 
 // takeProbe takes the outcome of a probe in. That a server which was only
 // doubted is there is no news.
-func (s *suspects) takeProbe(ctx kernel.Context, got notice) {
+func (s *suspects) takeProbe(ctx context.Context, got notice) {
 	got.doubt = got.doubt && got.reachable
 	s.take(ctx, got)
 }
 
 // probeAll probes each silent server.
-func (s *suspects) probeAll(ctx kernel.Context) {
+func (s *suspects) probeAll(ctx context.Context) {
 	for name, address := range s.silent {
 		s.probe(ctx, upstream.Server{Name: name, Address: address}, false)
 	}
@@ -119,13 +122,13 @@
 
 // probe opens a connection to a server. A refusal is an answer too: the machine
 // is there, and requests find out by themselves.
-func (s *suspects) probe(ctx kernel.Context, server upstream.Server, doubt bool) {
+func (s *suspects) probe(ctx context.Context, server upstream.Server, doubt bool) {
 	if s.probing[server.Name] {
 		return
 	}
 	s.probing[server.Name] = true
 	go func() {
-		bound, cancel := kernel.WithTimeout(ctx, probeTimeout)
+		bound, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 		failure := s.client.Warm(bound, server)
 		got := notice{server: server, reachable: failure == nil || failure.Kind == upstream.Refused, doubt: doubt}
--- a/internal/node/gateway/suspects_test.go
+++ b/internal/node/gateway/suspects_test.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"context"
 	"net"
 	"testing"
 	"testing/synctest"
@@ -10,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/adapter/upstream"
-	"stepwick/internal/kernel"
+	"stepwick/internal/clock"
 )
 
 type told struct {
@@ -22,21 +23,21 @@
 func TestSuspects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A silent server is told of at once and probed until it is back, which is told too", t, func() {
-			ctx, cancel := kernel.WithCancel(kernel.Background())
+			ctx, cancel := context.WithCancel(context.Background())
 			begun := time.Now()
 			back := begun.Add(1700 * time.Millisecond)
-			client := upstream.New(upstream.Config{Dial: func(ctx kernel.Context, _, _ string) (net.Conn, error) {
+			client := upstream.New(upstream.Config{Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				if time.Now().Before(back) {
 					return nil, errors.New("no answer")
 				}
 				near, far := net.Pipe()
-				kernel.AfterFunc(ctx, func() { _ = far.Close() })
+				context.AfterFunc(ctx, func() { _ = far.Close() })
 				return near, nil
 			}})
 			words := make(chan told, 100)
-			s := newSuspects(func(_ kernel.Context, server string, reachable bool) {
+			s := newSuspects(func(_ context.Context, server string, reachable bool) {
 				words <- told{server, reachable, time.Since(begun)}
-			}, kernel.System(), client)
+			}, clock.System(), client)
 			ended := make(chan error, 1)
 			go func() { ended <- s.Serve(ctx) }()
 			s.note(upstream.Server{Name: "s0", Address: "a"}, false)
@@ -45,7 +46,7 @@
 				So(<-words, ShouldResemble, told{"s0", false, after * time.Millisecond})
 			}
 			So(<-words, ShouldResemble, told{"s0", true, 2 * time.Second})
-			<-kernel.System().After(3 * kernel.Second)
+			<-clock.System().After(3 * time.Second)
 			So(len(words), ShouldEqual, 0)
 			cancel()
 			<-ended
@@ -61,21 +62,21 @@
 		end      func()
 	}
 	start := func(answers func() bool) fixture {
-		ctx, cancel := kernel.WithCancel(kernel.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		begun := time.Now()
-		client := upstream.New(upstream.Config{Dial: func(ctx kernel.Context, _, _ string) (net.Conn, error) {
+		client := upstream.New(upstream.Config{Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			if !answers() {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
 			near, far := net.Pipe()
-			kernel.AfterFunc(ctx, func() { _ = far.Close() })
+			context.AfterFunc(ctx, func() { _ = far.Close() })
 			return near, nil
 		}})
 		words := make(chan told, 100)
-		s := newSuspects(func(_ kernel.Context, server string, reachable bool) {
+		s := newSuspects(func(_ context.Context, server string, reachable bool) {
 			words <- told{server, reachable, time.Since(begun)}
-		}, kernel.System(), client)
+		}, clock.System(), client)
 		ended := make(chan error, 1)
 		go func() { ended <- s.Serve(ctx) }()
 		return fixture{s, words, func() {
@@ -89,9 +90,9 @@
 		Convey("A server that is slower than expected and takes connections is not told of, nor that it answers again", t, func() {
 			f := start(func() bool { return true })
 			f.suspects.doubt(server)
-			<-kernel.System().After(kernel.Second)
+			<-clock.System().After(time.Second)
 			f.suspects.back(server)
-			<-kernel.System().After(kernel.Second)
+			<-clock.System().After(time.Second)
 			So(len(f.words), ShouldEqual, 0)
 			f.end()
 		})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -3,20 +3,23 @@
 package node
 
 import (
+	"context"
 	"fmt"
 	"maps"
 	"net"
 	"net/http"
 	"slices"
+	"time"
 
 	"connectrpc.com/connect"
 	"github.com/pkg/errors"
 	"github.com/thejerf/suture/v4"
 
 	"stepwick/internal/adapter/internalrpc"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/core"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/node/front"
@@ -34,28 +37,28 @@
 	RoleCore  = "core"
 )
 
-const coreStaleFor = kernel.Second
+const coreStaleFor = time.Second
 
 // Run runs a process of a role on this machine until the context ends; then it
 // hands over within its grace and returns nil.
-func Run(ctx kernel.Context, role string, values *settings.Values, log events.Log) error {
+func Run(ctx context.Context, role string, values *settings.Values, log events.Log) error {
 	return RunAt(ctx, nil, role, values, log)
 }
 
 // RunAt is Run on a platform that an edge speaks to; without one the process
 // has its own listeners.
-func RunAt(ctx kernel.Context, edge Edge, role string, values *settings.Values, log events.Log) error {
-	dialer := &net.Dialer{Timeout: 2 * kernel.Second}
+func RunAt(ctx context.Context, edge Edge, role string, values *settings.Values, log events.Log) error {
+	dialer := &net.Dialer{Timeout: 2 * time.Second}
 	if bind := values.String("bind"); bind != "" {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(bind)}
 	}
-	clock := kernel.System()
+	source := clock.System()
 	if step := values.Duration("clock.step"); step != 0 {
-		clock = kernel.Stepped(clock, step)
+		source = clock.Stepped(source, step)
 		log.Emit(events.ProofSetting, "setting", "clock.step", "value", step)
 	}
 	return RunIn(ctx, World{
-		Clock:  clock,
+		Clock:  source,
 		Listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 		Dial:   dialer.DialContext,
 		Edge:   edge,
@@ -65,7 +68,7 @@
 }
 
 // RunIn is Run in a given world.
-func RunIn(ctx kernel.Context, world World, role string, values *settings.Values, log events.Log) error {
+func RunIn(ctx context.Context, world World, role string, values *settings.Values, log events.Log) error {
 	for first := values.Bool("core.first"); ; first = false {
 		err := runOnce(ctx, world, role, first, values, log)
 		if !errors.Is(err, errReplaced) {
@@ -79,7 +82,7 @@
 
 // runOnce runs a process until it ends. At the fleet's first start a core with a
 // blank disk founds it, and looks for no place.
-func runOnce(ctx kernel.Context, world World, role string, first bool, values *settings.Values, log events.Log) error {
+func runOnce(ctx context.Context, world World, role string, first bool, values *settings.Values, log events.Log) error {
 	name := values.String("name")
 	if role == RoleCore && values.Bool("core.join") && !first {
 		var err error
@@ -101,7 +104,7 @@
 type process struct {
 	role   string
 	values *settings.Values
-	clock  kernel.Clock
+	clock  clock.Clock
 	log    events.Log
 	base   *wire.Process
 
@@ -135,22 +138,22 @@
 	own := &wire.Process{
 		Name: p.base.Name, Address: p.base.Address, CallerAddress: p.base.CallerAddress,
 		Region: p.base.Region, Zone: p.base.Zone, Core: p.base.Core, Front: p.base.Front, Incarnation: p.base.Incarnation,
-		Counter: 1 + uint64(max(p.clock.Now().UnixNano()-int64(p.base.Incarnation), 0))/uint64(kernel.Millisecond),
+		Counter: 1 + uint64(max(p.clock.Now().UnixNano()-int64(p.base.Incarnation), 0))/uint64(time.Millisecond),
 	}
 	if p.replica != nil {
 		own.Standing, own.Formation, own.Voters = p.replica.Standing(), p.replica.Formation(), p.replica.Voters()
 		own.DiskLife = p.replica.Life()
 	}
 	if p.front != nil {
-		fault := p.ready()
-		own.Ready = fault == nil
-		own.Leaving = fault != nil && fault.Code == kernel.FrontLeaving
+		apiErr := p.ready()
+		own.Ready = apiErr == nil
+		own.Leaving = apiErr != nil && apiErr.Code == apierror.FrontLeaving
 	}
 	return own
 }
 
 // ready tells whether the process takes traffic, by whichever way it comes.
-func (p *process) ready() *kernel.Fault {
+func (p *process) ready() *apierror.Error {
 	if p.gateway != nil {
 		return p.gateway.Ready()
 	}
@@ -160,13 +163,13 @@
 // run serves until the context ends, then hands over: new requests are
 // refused, running ones finish within the grace, the spend is sent on, the
 // leases are released.
-func (p *process) run(ctx kernel.Context) error {
-	serving, stop := kernel.WithCancel(kernel.Background())
+func (p *process) run(ctx context.Context) error {
+	serving, stop := context.WithCancel(context.Background())
 	defer stop()
-	supervisor := suture.New(p.base.Name, suture.Spec{EventHook: p.failed, FailureBackoff: kernel.Second, Timeout: 2 * kernel.Second})
+	supervisor := suture.New(p.base.Name, suture.Spec{EventHook: p.failed, FailureBackoff: time.Second, Timeout: 2 * time.Second})
 	internal := internalrpc.Server(internalrpc.Handler(p.peer, p.values.String("fleet.secret")))
-	supervisor.Add(service{"internal listener", func(ctx kernel.Context) error {
-		undo := kernel.AfterFunc(ctx, func() { _ = internal.Close() })
+	supervisor.Add(service{"internal listener", func(ctx context.Context) error {
+		undo := context.AfterFunc(ctx, func() { _ = internal.Close() })
 		defer undo()
 		return ended(internal.Serve(p.internal))
 	}})
@@ -213,14 +216,14 @@
 func (p *process) handOver() {
 	grace := p.values.Duration("drain.grace")
 	p.log.Emit(events.ProcessStopping, "name", p.base.Name, "grace", grace)
-	ctx, cancel := kernel.WithTimeout(kernel.Background(), grace)
+	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	if err := p.drain(ctx); err != nil {
 		p.log.Emit(events.GraceOver, "error", err)
 	} else {
 		p.log.Emit(events.DrainFinished)
 	}
 	cancel()
-	ctx, cancel = kernel.WithTimeout(kernel.Background(), kernel.Second)
+	ctx, cancel = context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = p.spend.Flush(ctx)
 	_ = p.follower.Leave(ctx)
@@ -251,11 +254,11 @@
 // service names a part for the supervisor.
 type service struct {
 	name  string
-	serve func(kernel.Context) error
+	serve func(context.Context) error
 }
 
-func (s service) Serve(ctx kernel.Context) error { return s.serve(ctx) }
-func (s service) String() string                 { return s.name }
+func (s service) Serve(ctx context.Context) error { return s.serve(ctx) }
+func (s service) String() string                  { return s.name }
 
 func ended(err error) error {
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -1,22 +1,25 @@
 package node
 
 import (
+	"context"
 	"encoding/json"
 	"slices"
 	"sort"
 	"strings"
+	"time"
 
 	"connectrpc.com/connect"
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
 
 const (
-	hedgeAfter  = 1500 * kernel.Millisecond
-	orderMargin = 500 * kernel.Millisecond
+	hedgeAfter  = 1500 * time.Millisecond
+	orderMargin = 500 * time.Millisecond
 )
 
 // relay hands operators' calls to a core. An order has an id and is accepted
@@ -36,10 +39,10 @@
 // the connection, after a while when it is silent. The first answer that
 // settles the call is passed on. If none comes although the call may have
 // reached a core, the outcome is pending.
-func (r *relay) Order(ctx kernel.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
+func (r *relay) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
 	cores := r.cores()
 	if len(cores) == 0 {
-		return nil, kernel.Refuse(kernel.CoreUnreachable, "no core is known yet").After(kernel.Second)
+		return nil, apierror.Errorf(apierror.CoreUnreachable, "no core is known yet").WithRetryAfter(time.Second)
 	}
 	answers := make(chan relayed, len(cores))
 	ask := func(core *wire.Process) {
@@ -62,7 +65,7 @@
 	send()
 	var last *wire.OrderResponse
 	for open > 0 {
-		hedge, stop := kernel.Timer(hedgeAfter)
+		hedge, stop := clock.NewTimer(hedgeAfter)
 		select {
 		case <-ctx.Done():
 			stop()
@@ -72,7 +75,7 @@
 		case got := <-answers:
 			stop()
 			open--
-			if got.err == nil && settles(kernel.Code(got.resp.Code)) {
+			if got.err == nil && settles(apierror.Code(got.resp.Code)) {
 				return got.resp, nil
 			}
 			if got.err == nil {
@@ -86,16 +89,16 @@
 		}
 	}
 	if last == nil && !reached {
-		return nil, kernel.Refuse(kernel.CoreUnreachable, "no core of %d could be reached: %s", len(cores), strings.Join(met, ", ")).After(kernel.Second)
+		return nil, apierror.Errorf(apierror.CoreUnreachable, "no core of %d could be reached: %s", len(cores), strings.Join(met, ", ")).WithRetryAfter(time.Second)
 	}
 	return pending(req, last, met)
 }
 
 // settles tells whether a core's answer ends the call; other cores may do
 // better than one that cannot vote.
-func settles(code kernel.Code) bool {
+func settles(code apierror.Code) bool {
 	switch code {
-	case kernel.CoreAmnesiac, kernel.CoreBlank, kernel.DiskFull, kernel.NoMajority, kernel.NotCore, kernel.CoreUnreachable:
+	case apierror.CoreAmnesiac, apierror.CoreBlank, apierror.DiskFull, apierror.NoMajority, apierror.NotCore, apierror.CoreUnreachable:
 		return false
 	}
 	return true
@@ -110,9 +113,9 @@
 		why += ": " + strings.Join(met, ", ")
 	}
 	if readOnly(req.Verb) {
-		return nil, kernel.Refuse(kernel.NoMajority, "%s", why).After(kernel.Second)
+		return nil, apierror.Errorf(apierror.NoMajority, "%s", why).WithRetryAfter(time.Second)
 	}
-	return nil, kernel.Refuse(kernel.OutcomePending, "%s; send the order again with its id", why).After(kernel.Second)
+	return nil, apierror.Errorf(apierror.OutcomePending, "%s; send the order again with its id", why).WithRetryAfter(time.Second)
 }
 
 // how says in a word what became of a call.
@@ -120,7 +123,7 @@
 	switch {
 	case port.Refused(err):
 		return "refused"
-	case errors.Is(err, kernel.DeadlineExceeded), errors.Is(err, kernel.Canceled):
+	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return "silent"
 	}
 	return err.Error()
@@ -153,34 +156,34 @@
 }
 
 // local answers from this process alone.
-func (i *inspector) local(ctx kernel.Context, req *wire.InspectRequest) (*wire.InspectResponse, error) {
+func (i *inspector) local(ctx context.Context, req *wire.InspectRequest) (*wire.InspectResponse, error) {
 	ask, ok := i.own[req.What]
 	if !ok {
-		return &wire.InspectResponse{Code: uint32(kernel.UnknownPath)}, nil
+		return &wire.InspectResponse{Code: uint32(apierror.UnknownPath)}, nil
 	}
 	found, ok := ask(req.Argument)
 	if !ok {
-		return &wire.InspectResponse{Code: uint32(kernel.NotFound)}, nil
+		return &wire.InspectResponse{Code: uint32(apierror.NotFound)}, nil
 	}
 	body, err := json.Marshal(found)
 	if err != nil {
 		return nil, err
 	}
-	return &wire.InspectResponse{Code: uint32(kernel.OK), Body: body}, nil
+	return &wire.InspectResponse{Code: uint32(apierror.OK), Body: body}, nil
 }
 
 // Inspect answers from this process or, where it keeps nothing under the
 // name, from the first other one that does.
-func (i *inspector) Inspect(ctx kernel.Context, what, argument string) (kernel.Code, []byte) {
+func (i *inspector) Inspect(ctx context.Context, what, argument string) (apierror.Code, []byte) {
 	req := &wire.InspectRequest{What: what, Argument: argument}
 	own, err := i.local(ctx, req)
 	if err != nil {
-		return kernel.Internal, nil
+		return apierror.Internal, nil
 	}
-	if code := kernel.Code(own.Code); code != kernel.NotFound || what != "explain" {
+	if code := apierror.Code(own.Code); code != apierror.NotFound || what != "explain" {
 		return code, own.Body
 	}
-	ctx, cancel := kernel.WithTimeout(ctx, kernel.Second)
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	var others []*wire.Process
 	for _, p := range i.peers.Processes() {
@@ -192,7 +195,7 @@
 	for _, p := range others {
 		go func() {
 			resp, err := i.peers.Client(p.Address).Inspect(ctx, connect.NewRequest(req))
-			if err != nil || kernel.Code(resp.Msg.Code) != kernel.OK {
+			if err != nil || apierror.Code(resp.Msg.Code) != apierror.OK {
 				found <- nil
 				return
 			}
@@ -201,8 +204,8 @@
 	}
 	for range others {
 		if body := <-found; body != nil {
-			return kernel.OK, body
+			return apierror.OK, body
 		}
 	}
-	return kernel.NotFound, nil
+	return apierror.NotFound, nil
 }
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -2,19 +2,21 @@
 
 import (
 	"cmp"
+	"context"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
+	"time"
 
 	"connectrpc.com/connect"
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
 
 	"stepwick/internal/adapter/internalrpc"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/ballot"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/settings"
 	"stepwick/internal/wire"
 )
@@ -27,10 +29,10 @@
 
 const (
 	placeFile  = "place" // in the data folder: the name that this core took
-	placeLook  = 100 * kernel.Millisecond
-	placeRest  = 500 * kernel.Millisecond // between two looks while every core of the formation answers
-	placeCall  = 400 * kernel.Millisecond
-	placeAlone = 2 * kernel.Second // without a word of a formation after which a core starts under its own name
+	placeLook  = 100 * time.Millisecond
+	placeRest  = 500 * time.Millisecond // between two looks while every core of the formation answers
+	placeCall  = 400 * time.Millisecond
+	placeAlone = 2 * time.Second // without a word of a formation after which a core starts under its own name
 )
 
 // errReplaced ends a process whose place another one has taken.
@@ -41,17 +43,17 @@
 	own       string
 	address   string
 	seeds     []string
-	goneAfter kernel.Duration
+	goneAfter time.Duration
 	pool      *internalrpc.Pool
-	clock     kernel.Clock
+	clock     clock.Clock
 	log       events.Log
-	silent    map[string]kernel.Time // since when a core of the formation has not answered
+	silent    map[string]time.Time // since when a core of the formation has not answered
 }
 
 // takePlace returns the name under which a core is to run: the one that its
 // data folder holds, its own where it is the formation's or there is none yet,
 // or that of a core that is gone, for which it waits.
-func takePlace(ctx kernel.Context, world World, values *settings.Values, log events.Log) (string, error) {
+func takePlace(ctx context.Context, world World, values *settings.Values, log events.Log) (string, error) {
 	own, folder := values.String("name"), values.String("data")
 	if folder == "" {
 		return own, nil
@@ -66,7 +68,7 @@
 		own: own, address: or(values.String("advertise.internal"), values.String("listen.internal")),
 		seeds: values.Strings("seeds"), goneAfter: values.Duration("core.gone_after"),
 		pool:  internalrpc.NewPool(world.Dial, "", values.String("fleet.secret")),
-		clock: kernel.Steady(world.Clock), log: log, silent: map[string]kernel.Time{},
+		clock: clock.Monotonic(world.Clock), log: log, silent: map[string]time.Time{},
 	}
 	defer c.pool.CloseIdle()
 	name, err := c.wait(ctx)
@@ -78,7 +80,7 @@
 }
 
 // wait looks at the formation until there is a place for this core.
-func (c *candidate) wait(ctx kernel.Context) (string, error) {
+func (c *candidate) wait(ctx context.Context) (string, error) {
 	begun, told := c.clock.Now(), false
 	for {
 		cores := c.survey(ctx)
@@ -110,7 +112,7 @@
 
 // survey asks the seeds, and the cores that they name, and returns what is
 // known of each core, with those that answered themselves.
-func (c *candidate) survey(ctx kernel.Context) map[string]*sighting {
+func (c *candidate) survey(ctx context.Context) map[string]*sighting {
 	known := map[string]*sighting{}
 	asked := map[string]bool{c.address: true}
 	queue := slices.Clone(c.seeds)
@@ -156,11 +158,11 @@
 	}
 }
 
-func (c *candidate) greet(ctx kernel.Context, addresses []string) []*wire.HelloResponse {
+func (c *candidate) greet(ctx context.Context, addresses []string) []*wire.HelloResponse {
 	answers := make(chan *wire.HelloResponse, len(addresses))
 	for _, address := range addresses {
 		go func() {
-			bound, cancel := kernel.WithTimeout(ctx, placeCall)
+			bound, cancel := context.WithTimeout(ctx, placeCall)
 			defer cancel()
 			resp, err := c.pool.Client(address).Hello(bound, connect.NewRequest(&wire.HelloRequest{}))
 			if err != nil {
--- a/internal/node/place_test.go
+++ b/internal/node/place_test.go
@@ -6,17 +6,17 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/clock"
 	"stepwick/internal/wire"
 )
 
 // handClock stands where the test puts it.
 type handClock struct {
-	kernel.Clock
-	now kernel.Time
+	clock.Clock
+	now time.Time
 }
 
-func (c *handClock) Now() kernel.Time { return c.now }
+func (c *handClock) Now() time.Time { return c.now }
 
 func TestVacantPlaces(t *testing.T) {
 	voters := []string{"a", "b", "c", "d", "e"}
@@ -30,7 +30,7 @@
 	start := time.Unix(1_000, 0)
 	newcomer := func(own string) (*candidate, *handClock) {
 		clock := &handClock{now: start}
-		return &candidate{own: own, goneAfter: time.Second, clock: clock, silent: map[string]kernel.Time{}}, clock
+		return &candidate{own: own, goneAfter: time.Second, clock: clock, silent: map[string]time.Time{}}, clock
 	}
 	Convey("Two of five cores that are gone are replaced by two newcomers, each by another", t, func() {
 		taken := map[string]bool{}
--- a/internal/node/replica/calls.go
+++ b/internal/node/replica/calls.go
@@ -1,15 +1,18 @@
 package replica
 
 import (
+	"context"
+	"time"
+
 	"connectrpc.com/connect"
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire/wireconnect"
 )
 
 // ask puts a question to the owner and waits for the answer.
-func ask[T any](ctx kernel.Context, r *Replica, question func(o *owner, reply func(T, error))) (T, error) {
+func ask[T any](ctx context.Context, r *Replica, question func(o *owner, reply func(T, error))) (T, error) {
 	type answer struct {
 		value T
 		err   error
@@ -17,14 +20,14 @@
 	var none T
 	o := r.owner.Load()
 	if o == nil {
-		return none, kernel.Refuse(kernel.CoreUnreachable, "the core's log is closed")
+		return none, apierror.Errorf(apierror.CoreUnreachable, "the core's log is closed")
 	}
 	answers := make(chan answer, 1)
 	asked := func(o *owner) { question(o, func(value T, err error) { answers <- answer{value, err} }) }
 	select {
 	case o.inbox <- asked:
 	case <-o.gone:
-		return none, kernel.Refuse(kernel.CoreUnreachable, "the core's log is closed")
+		return none, apierror.Errorf(apierror.CoreUnreachable, "the core's log is closed")
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
@@ -32,15 +35,15 @@
 	case a := <-answers:
 		return a.value, a.err
 	case <-o.gone:
-		return none, kernel.Refuse(kernel.CoreUnreachable, "the core's log is closed")
+		return none, apierror.Errorf(apierror.CoreUnreachable, "the core's log is closed")
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 }
 
 // call reaches a voter: this core directly, others through the peers.
-func call[Q, A any](ctx kernel.Context, r *Replica, to string, req *Q, local func(kernel.Context, *Q) (*A, error),
-	far func(wireconnect.PeerClient, kernel.Context, *connect.Request[Q]) (*connect.Response[A], error)) (*A, error) {
+func call[Q, A any](ctx context.Context, r *Replica, to string, req *Q, local func(context.Context, *Q) (*A, error),
+	far func(wireconnect.PeerClient, context.Context, *connect.Request[Q]) (*connect.Response[A], error)) (*A, error) {
 	if to == r.cfg.Self {
 		return local(ctx, req)
 	}
@@ -57,12 +60,12 @@
 
 // gather calls several cores at once. Enough answers end the wait early, after
 // a grace in which the others may still come; enough of zero waits for all.
-func gather[T any](ctx kernel.Context, r *Replica, cores []string, timeout kernel.Duration, enough int, ask func(kernel.Context, string) (*T, error)) map[string]*T {
+func gather[T any](ctx context.Context, r *Replica, cores []string, timeout time.Duration, enough int, ask func(context.Context, string) (*T, error)) map[string]*T {
 	type reply struct {
 		core string
 		resp *T
 	}
-	bound, cancel := kernel.WithTimeout(ctx, timeout)
+	bound, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	replies := make(chan reply, len(cores))
 	for _, core := range cores {
@@ -75,7 +78,7 @@
 		}()
 	}
 	answers := make(map[string]*T, len(cores))
-	var grace <-chan kernel.Time
+	var grace <-chan time.Time
 	for range cores {
 		select {
 		case a := <-replies:
--- a/internal/node/replica/entry.go
+++ b/internal/node/replica/entry.go
@@ -1,18 +1,19 @@
 package replica
 
 import (
+	"context"
 	"fmt"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/ballot"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
 )
 
-func (r *Replica) probe(ctx kernel.Context, cores []string) map[string]*wire.RecoverResponse {
+func (r *Replica) probe(ctx context.Context, cores []string) map[string]*wire.RecoverResponse {
 	req := &wire.RecoverRequest{Core: r.cfg.Self, Probe: true}
-	return gather(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx kernel.Context, core string) (*wire.RecoverResponse, error) {
+	return gather(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
 		return call(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
 	})
 }
@@ -20,7 +21,7 @@
 // enter rebuilds the core from the other voters, or from those that can be
 // reached where they suffice: it learns which disk life is next, announces it,
 // and merges what each of them syncs and answers.
-func (r *Replica) enter(ctx kernel.Context, state ballot.State) {
+func (r *Replica) enter(ctx context.Context, state ballot.State) {
 	others := state.Others()
 	probes := r.probe(ctx, others)
 	for _, resp := range probes {
@@ -48,7 +49,7 @@
 	}
 	req := &wire.RecoverRequest{Formation: state.Formation, Core: r.cfg.Self, Life: life}
 	sources, enough := state.Sources(life, probes)
-	answers := gather(ctx, r, sources, r.cfg.EntryTimeout, enough, func(ctx kernel.Context, core string) (*wire.RecoverResponse, error) {
+	answers := gather(ctx, r, sources, r.cfg.EntryTimeout, enough, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
 		return call(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
 	})
 	entered, err := ask(ctx, r, func(o *owner, reply func(string, error)) {
@@ -64,7 +65,7 @@
 		decided(o, []ballot.Record{record}, toVote, "", nil, reply)
 	})
 	switch {
-	case err != nil && kernel.AsFault(err).Code == kernel.DiskFull:
+	case err != nil && apierror.From(err).Code == apierror.DiskFull:
 		r.waits(ctx, events.DiskFull, "the rebuilt state does not fit on the disk")
 	case err != nil:
 	case entered != "":
--- a/internal/node/replica/formation.go
+++ b/internal/node/replica/formation.go
@@ -1,30 +1,31 @@
 package replica
 
 import (
+	"context"
 	"encoding/hex"
 	"fmt"
 	"slices"
+	"time"
 
 	"stepwick/internal/core/ballot"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
 )
 
 const (
-	soon       = 100 * kernel.Millisecond
-	fetchLimit = 1500 * kernel.Millisecond
+	soon       = 100 * time.Millisecond
+	fetchLimit = 1500 * time.Millisecond
 	staleLooks = 4
 
 	foundingGap = 1000
-	patience    = 2 * kernel.Second
+	patience    = 2 * time.Second
 )
 
 // seekFormation joins the formation that other cores are in or, with all
 // present and blank, founds the first one.
-func (r *Replica) seekFormation(ctx kernel.Context, state ballot.State) {
+func (r *Replica) seekFormation(ctx context.Context, state ballot.State) {
 	present := map[string]*wire.RecoverResponse{}
 	var cores []string
 	for _, process := range r.peers.Cores() {
@@ -61,7 +62,7 @@
 	joined := record.(ballot.Joined)
 	r.events.Emit(events.FormationBegun, "formation", id, "voters", fmt.Sprint(joined.Voters), "epoch", epoch)
 	invite := &wire.FoundRequest{Formation: id, Voters: joined.Voters, Founder: r.cfg.Self}
-	gather(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx kernel.Context, core string) (*wire.FoundResponse, error) {
+	gather(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.FoundResponse, error) {
 		return call(ctx, r, core, invite, r.Found, wireconnect.PeerClient.Found)
 	})
 }
@@ -77,14 +78,14 @@
 // new formation leaves a gap of epochs, so that none of the old one, which a
 // process out of reach may hold though it never was acknowledged, is given out
 // again with another content.
-func (r *Replica) survivors(ctx kernel.Context) (epoch uint64, snapshot []byte, missing string) {
+func (r *Replica) survivors(ctx context.Context) (epoch uint64, snapshot []byte, missing string) {
 	var names []string
 	for _, process := range r.peers.Processes() {
 		if process.Front && process.Name != r.cfg.Self {
 			names = append(names, process.Name)
 		}
 	}
-	answers := gather(ctx, r, names, r.cfg.CallTimeout, 0, func(ctx kernel.Context, name string) (*wire.FetchResponse, error) {
+	answers := gather(ctx, r, names, r.cfg.CallTimeout, 0, func(ctx context.Context, name string) (*wire.FetchResponse, error) {
 		return call(ctx, r, name, &wire.FetchRequest{}, r.Fetch, wireconnect.PeerClient.Fetch)
 	})
 	var highest sheet.State
@@ -115,7 +116,7 @@
 	return highest.Epoch, highest.Encode(), ""
 }
 
-func (r *Replica) join(ctx kernel.Context, record ballot.Record, waiting string) bool {
+func (r *Replica) join(ctx context.Context, record ballot.Record, waiting string) bool {
 	joined, err := ask(ctx, r, func(o *owner, reply func(bool, error)) {
 		if o.state.Life() != 0 {
 			reply(false, nil)
@@ -128,7 +129,7 @@
 }
 
 // waits keeps what the core waits for; when it takes long, it is logged.
-func (r *Replica) waits(ctx kernel.Context, event events.Event, what string) {
+func (r *Replica) waits(ctx context.Context, event events.Event, what string) {
 	tell, err := ask(ctx, r, func(o *owner, reply func(bool, error)) {
 		if o.waiting != what {
 			o.waiting = what
@@ -150,7 +151,7 @@
 
 // offerFirstSheet proposes the configured sheet to a formation that never had
 // one; it tells whether the offer is settled, either way.
-func (r *Replica) offerFirstSheet(ctx kernel.Context) bool {
+func (r *Replica) offerFirstSheet(ctx context.Context) bool {
 	now, err := r.sheetNow(ctx)
 	if err != nil {
 		return false
@@ -158,13 +159,13 @@
 	if now.SheetEpoch > 0 {
 		return true
 	}
-	first, fault := sheet.ParseSheet(r.cfg.FirstSheet, r.cfg.SheetMax)
-	if fault != nil {
-		r.events.Emit(events.OrderRefused, "order", firstSheet, "code", fault.Code, "detail", fault.Detail)
+	first, apiErr := sheet.ParseSheet(r.cfg.FirstSheet, r.cfg.SheetMax)
+	if apiErr != nil {
+		r.events.Emit(events.OrderRefused, "order", firstSheet, "code", apiErr.Code, "detail", apiErr.Detail)
 		return true
 	}
 	order := sheet.Order{OrderID: firstSheet, Operator: firstSheet, AtMS: r.clock.Now().UnixMilli()}
-	bound, cancel := kernel.WithTimeout(ctx, 5*kernel.Second)
+	bound, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	_, result, err := r.Propose(bound, sheet.Encode(sheet.PutSheet{Order: order, Sheet: first}))
 	if err != nil {
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -6,9 +6,9 @@
 	"github.com/pkg/errors"
 
 	"stepwick/internal/adapter/disklog"
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/ballot"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 // Contents are what the data folder of a core holds. Sizes are in bytes.
@@ -36,8 +36,8 @@
 
 // Inspect reads a core's data folder and changes nothing in it; the core must
 // not be running on it. Name is the core's, needed where the folder holds no
-// snapshot; one that differs from the snapshot's is a kernel.WrongFormation
-// fault. What does not read back is an error: a kernel.BadRecord fault for a
+// snapshot; one that differs from the snapshot's is a apierror.WrongFormation
+// fault. What does not read back is an error: an apierror.BadRecord error for a
 // record that fails its checksum.
 func Inspect(folder, name string) (Contents, error) {
 	replay, err := disklog.Inspect(folder)
@@ -49,7 +49,7 @@
 		return Contents{}, err
 	}
 	if state.Self == "" && state.Formation != "" {
-		return Contents{}, kernel.Refuse(kernel.BadField, "%s holds no snapshot, which would tell whose it is: the core's name is needed", folder)
+		return Contents{}, apierror.Errorf(apierror.BadField, "%s holds no snapshot, which would tell whose it is: the core's name is needed", folder)
 	}
 	agreed, err := agreedOf(state)
 	if err != nil {
@@ -73,7 +73,7 @@
 			return state, errors.Wrap(err, "the log's snapshot")
 		}
 		if name != "" && kept.Self != name {
-			return state, kernel.Refuse(kernel.WrongFormation, "the data folder is core %s's", kept.Self)
+			return state, apierror.Errorf(apierror.WrongFormation, "the data folder is core %s's", kept.Self)
 		}
 		state = kept
 	}
--- a/internal/node/replica/keep.go
+++ b/internal/node/replica/keep.go
@@ -1,11 +1,13 @@
 package replica
 
 import (
+	"context"
 	"fmt"
+	"time"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/ballot"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
 )
@@ -18,11 +20,11 @@
 
 // startGrace is how long after its start a core looks for a majority before it
 // says that there is none.
-const startGrace = 2 * kernel.Second
+const startGrace = 2 * time.Second
 
 // keep brings the core into its formation, and afterwards looks at the others
 // regularly: it fetches what it missed and finishes what was left open.
-func (r *Replica) keep(ctx kernel.Context) {
+func (r *Replica) keep(ctx context.Context) {
 	var watch openSlot
 	offered, heard, begun := false, true, r.clock.Now()
 	for {
@@ -88,11 +90,11 @@
 	return s.looks%staleLooks == 0
 }
 
-func (r *Replica) finishLater(ctx kernel.Context, target uint64) {
-	bound, cancel := kernel.WithTimeout(ctx, 2*kernel.Second)
+func (r *Replica) finishLater(ctx context.Context, target uint64) {
+	bound, cancel := context.WithTimeout(ctx, 2*time.Second)
 	select {
 	case r.proposals <- proposal{ctx: bound, target: target, done: make(chan outcome, 1)}:
-		kernel.AfterFunc(bound, cancel)
+		context.AfterFunc(bound, cancel)
 	default:
 		cancel()
 	}
@@ -107,9 +109,9 @@
 // readAll asks every voter how far it is, and which disk life of this core it
 // knows. It waits for all of them or the calls' timeout, but no longer than a
 // moment once a majority has answered.
-func (r *Replica) readAll(ctx kernel.Context, state ballot.State) (target uint64, top tip, heard int, life uint64) {
+func (r *Replica) readAll(ctx context.Context, state ballot.State) (target uint64, top tip, heard int, life uint64) {
 	req := &wire.ReadRequest{Formation: state.Formation, Core: r.cfg.Self}
-	answers := gather(ctx, r, state.Voters, r.cfg.CallTimeout, state.Majority(), func(ctx kernel.Context, core string) (*wire.ReadResponse, error) {
+	answers := gather(ctx, r, state.Voters, r.cfg.CallTimeout, state.Majority(), func(ctx context.Context, core string) (*wire.ReadResponse, error) {
 		return call(ctx, r, core, req, r.Read, wireconnect.PeerClient.Read)
 	})
 	for core, resp := range answers {
@@ -127,13 +129,13 @@
 }
 
 // catchUp fetches from a core until nothing is missing that it has learned.
-func (r *Replica) catchUp(ctx kernel.Context, from string) error {
+func (r *Replica) catchUp(ctx context.Context, from string) error {
 	for {
 		state, err := r.stateNow(ctx)
 		if err != nil {
 			return err
 		}
-		bound, cancel := kernel.WithTimeout(ctx, fetchLimit)
+		bound, cancel := context.WithTimeout(ctx, fetchLimit)
 		resp, err := call(bound, r, from, &wire.FetchRequest{Formation: state.Formation, After: state.Learned()}, r.Fetch, wireconnect.PeerClient.Fetch)
 		cancel()
 		if err != nil {
@@ -157,7 +159,7 @@
 			return nil
 		}
 		if learned == state.Learned() {
-			return kernel.Refuse(kernel.EpochBehind, "core %s gave nothing after epoch %d", from, learned)
+			return apierror.Errorf(apierror.EpochBehind, "core %s gave nothing after epoch %d", from, learned)
 		}
 	}
 }
--- a/internal/node/replica/loopback_test.go
+++ b/internal/node/replica/loopback_test.go
@@ -12,8 +12,8 @@
 	"connectrpc.com/connect"
 
 	"stepwick/internal/adapter/disklog"
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -36,7 +36,7 @@
 	*Replica
 }
 
-func serve[Q, A any](ctx context.Context, req *connect.Request[Q], handler func(kernel.Context, *Q) (*A, error)) (*connect.Response[A], error) {
+func serve[Q, A any](ctx context.Context, req *connect.Request[Q], handler func(context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
 	resp, err := handler(ctx, req.Msg)
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 		}
 		known[name] = &wire.Process{Name: name, Address: listener.Addr().String(), Core: true}
 		cfg := disklog.Config{Folder: filepath.Join(b.TempDir(), name)}
-		r := New(Config{Self: name}, OnDisk(cfg), known, kernel.System(), events.Discard)
+		r := New(Config{Self: name}, OnDisk(cfg), known, clock.System(), events.Discard)
 		cores[name] = r
 		mux := http.NewServeMux()
 		mux.Handle(wireconnect.NewPeerHandler(server{Replica: r}))
--- a/internal/node/replica/owner.go
+++ b/internal/node/replica/owner.go
@@ -1,14 +1,16 @@
 package replica
 
 import (
+	"context"
 	"slices"
+	"time"
 
 	"github.com/pkg/errors"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/ballot"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -16,7 +18,7 @@
 	inboxBound   = 256
 	recentEpochs = 256
 	recentBytes  = 32 << 20
-	slowSync     = 500 * kernel.Millisecond
+	slowSync     = 500 * time.Millisecond
 )
 
 // owner holds the core's state and answers for it. Its state may be ahead of
@@ -36,13 +38,13 @@
 	stuck   bool   // no room for an epoch that was chosen
 	waiting string // for what, while the core does not vote
 
-	waitingSince kernel.Time
+	waitingSince time.Time
 	told         string
 
 	records      int // since the last snapshot
 	bytes        int64
 	compacting   bool
-	lastAppend   kernel.Time
+	lastAppend   time.Time
 	slowReported bool
 }
 
@@ -106,7 +108,7 @@
 
 func (o *owner) apply(chosen *wire.Chosen) {
 	next, result := o.sheet.Step(chosen.Epoch, chosen.Command)
-	if result.Code == kernel.Internal {
+	if result.Code == apierror.Internal {
 		o.r.events.Emit(events.CommandBad, "epoch", chosen.Epoch, "detail", result.Detail)
 	}
 	o.sheet = next
@@ -133,7 +135,7 @@
 	return o.results[uint64(len(o.results))-1-back], true
 }
 
-func (o *owner) run(ctx kernel.Context) error {
+func (o *owner) run(ctx context.Context) error {
 	ticker := o.r.clock.Ticker(o.r.cfg.Interval)
 	defer ticker.Stop()
 	for {
@@ -158,13 +160,13 @@
 
 // decided commits records and answers once they are synced; without room for
 // them, or any other reason not to keep them, it refuses.
-func decided[T any](o *owner, records []ballot.Record, use use, resp T, refuse func(kernel.Code) T, reply func(T, error)) {
+func decided[T any](o *owner, records []ballot.Record, use use, resp T, refuse func(apierror.Code) T, reply func(T, error)) {
 	if err := o.commit(records, use); err != nil {
 		if refuse == nil {
 			reply(resp, err)
 			return
 		}
-		reply(refuse(kernel.AsFault(err).Code), nil)
+		reply(refuse(apierror.From(err).Code), nil)
 		return
 	}
 	o.whenSynced(func(err error) { reply(resp, err) })
@@ -186,14 +188,14 @@
 		return nil
 	}
 	if use == toVote && (o.full || o.stuck) {
-		return kernel.Refuse(kernel.DiskFull, "only the reserve is left")
+		return apierror.Errorf(apierror.DiskFull, "only the reserve is left")
 	}
 	encoded := make([][]byte, len(records))
 	for i, record := range records {
 		encoded[i] = ballot.EncodeRecord(record)
 	}
 	if _, err := o.log.Append(encoded, use == toLive); err != nil {
-		if kernel.AsFault(err).Code == kernel.DiskFull {
+		if apierror.From(err).Code == apierror.DiskFull {
 			o.room(use == toLearn)
 			o.compact()
 		}
@@ -362,7 +364,7 @@
 }
 
 func (o *owner) noteFormation(from string, refusal uint32) {
-	if kernel.Code(refusal) == kernel.WrongFormation {
+	if apierror.Code(refusal) == apierror.WrongFormation {
 		o.r.events.Emit(events.WrongFormation, "core", o.r.cfg.Self, "from", from, "formation", o.state.Formation)
 	}
 }
--- a/internal/node/replica/propose.go
+++ b/internal/node/replica/propose.go
@@ -1,27 +1,29 @@
 package replica
 
 import (
+	"context"
 	"math/rand/v2"
+	"time"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/ballot"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
 )
 
 const (
-	firstBackoff = 10 * kernel.Millisecond
-	lastBackoff  = kernel.Second
-	pauseUnheard = 50 * kernel.Millisecond
+	firstBackoff = 10 * time.Millisecond
+	lastBackoff  = time.Second
+	pauseUnheard = 50 * time.Millisecond
 	mostPatience = 2 // fourfold steps of the calls' timeout while a majority is slow
 )
 
 // proposal is a command to be agreed or, without one, a target up to which all
 // slots are to be finished.
 type proposal struct {
-	ctx     kernel.Context
+	ctx     context.Context
 	command []byte
 	match   func([]byte) bool
 	target  uint64
@@ -36,15 +38,15 @@
 
 // conduct runs this core's proposals one after another, so that they do not
 // contend with each other.
-func (r *Replica) conduct(ctx kernel.Context) {
+func (r *Replica) conduct(ctx context.Context) {
 	random, silent := r.random(1), 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case p := <-r.proposals:
-			bound, cancel := kernel.WithCancel(p.ctx)
-			stop := kernel.AfterFunc(ctx, cancel)
+			bound, cancel := context.WithCancel(p.ctx)
+			stop := context.AfterFunc(ctx, cancel)
 			p.done <- r.agree(bound, ctx, p, random, &silent)
 			stop()
 			cancel()
@@ -55,10 +57,10 @@
 // agree tries slot after slot until the proposal's end is met. Silent counts
 // the ballots in a row that a reachable majority was too slow for; the calls'
 // timeout grows with it.
-func (r *Replica) agree(ctx, alive kernel.Context, p proposal, random *rand.Rand, silent *int) outcome {
+func (r *Replica) agree(ctx, alive context.Context, p proposal, random *rand.Rand, silent *int) outcome {
 	var begun, seen uint64
 	first, sent, losses := true, false, 0
-	code, detail := kernel.NoMajority, "no ballot was held"
+	code, detail := apierror.NoMajority, "no ballot was held"
 	for ctx.Err() == nil {
 		state, err := r.whole(ctx)
 		if err != nil {
@@ -101,10 +103,10 @@
 			}
 		}
 		seen = max(seen, ended.Seen.Number)
-		code, detail = kernel.OutcomePending, "other cores' ballots came between"
+		code, detail = apierror.OutcomePending, "other cores' ballots came between"
 		wait := firstBackoff << min(losses, 6)
 		if heard < state.Majority() {
-			code, detail = kernel.NoMajority, "no majority of the cores answers"
+			code, detail = apierror.NoMajority, "no majority of the cores answers"
 			wait = max(wait, pauseUnheard)
 			if r.reached.Load() {
 				*silent = min(*silent+1, mostPatience)
@@ -115,19 +117,19 @@
 		losses++
 		wait = min(wait, lastBackoff)
 		select {
-		case <-r.clock.After(wait/4 + kernel.Duration(random.Int64N(int64(wait)))):
+		case <-r.clock.After(wait/4 + time.Duration(random.Int64N(int64(wait)))):
 		case <-ctx.Done():
 		}
 	}
 	if !sent {
-		return outcome{err: kernel.Refuse(kernel.NoMajority, "no ballot was held")}
+		return outcome{err: apierror.Errorf(apierror.NoMajority, "no ballot was held")}
 	}
-	return outcome{err: kernel.Refuse(code, "%s", detail)}
+	return outcome{err: apierror.Errorf(code, "%s", detail)}
 }
 
 // met tells whether a proposal has come to its end by what was learned since it
 // began.
-func (r *Replica) met(ctx kernel.Context, p proposal, begun, learned uint64) (outcome, bool) {
+func (r *Replica) met(ctx context.Context, p proposal, begun, learned uint64) (outcome, bool) {
 	if p.command == nil {
 		return outcome{epoch: learned}, learned >= p.target
 	}
@@ -156,12 +158,12 @@
 
 // ballot holds one ballot. Heard counts the voters that answered its last phase. Voters are called at once and none is waited for
 // beyond a majority; late answers still reach the proposer while it runs.
-func (r *Replica) ballot(ctx kernel.Context, state ballot.State, slot, number uint64, own []byte, timeout kernel.Duration) (ended ballot.Proposer, step ballot.Step, heard int) {
+func (r *Replica) ballot(ctx context.Context, state ballot.State, slot, number uint64, own []byte, timeout time.Duration) (ended ballot.Proposer, step ballot.Step, heard int) {
 	p, prepare := ballot.Propose(state, slot, number, own)
 	answers := make(chan answer, 2*len(p.Voters))
 	for _, core := range p.Voters {
 		go func() {
-			callCtx, cancel := kernel.WithTimeout(ctx, timeout)
+			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
 			resp, _ := call(callCtx, r, core, prepare, r.Prepare, wireconnect.PeerClient.Prepare)
 			answers <- answer{core: core, phase: ballot.Preparing, prepared: resp}
@@ -196,10 +198,10 @@
 	}
 }
 
-func (r *Replica) sendAccept(ctx kernel.Context, voters []string, req *wire.AcceptRequest, timeout kernel.Duration, answers chan<- answer) {
+func (r *Replica) sendAccept(ctx context.Context, voters []string, req *wire.AcceptRequest, timeout time.Duration, answers chan<- answer) {
 	for _, core := range voters {
 		go func() {
-			callCtx, cancel := kernel.WithTimeout(ctx, timeout)
+			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
 			resp, _ := call(callCtx, r, core, req, r.Accept, wireconnect.PeerClient.Accept)
 			answers <- answer{core: core, phase: ballot.Accepting, accepted: resp}
@@ -209,7 +211,7 @@
 
 // learn takes a chosen value in here and tells the other voters, for which the
 // replica stays alive longer than the proposal.
-func (r *Replica) learn(ctx, alive kernel.Context, slot uint64, value []byte) error {
+func (r *Replica) learn(ctx, alive context.Context, slot uint64, value []byte) error {
 	chosen := []*wire.Chosen{{Epoch: slot, Command: value}}
 	state, err := ask(ctx, r, func(o *owner, reply func(ballot.State, error)) {
 		records, _, _ := o.state.Learn(&wire.LearnRequest{Formation: o.state.Formation, Chosen: chosen})
@@ -222,10 +224,10 @@
 	return err
 }
 
-func (r *Replica) tellAll(alive kernel.Context, state ballot.State, req *wire.LearnRequest) {
+func (r *Replica) tellAll(alive context.Context, state ballot.State, req *wire.LearnRequest) {
 	for _, core := range state.Others() {
 		go func() {
-			ctx, cancel := kernel.WithTimeout(alive, r.cfg.EntryTimeout)
+			ctx, cancel := context.WithTimeout(alive, r.cfg.EntryTimeout)
 			defer cancel()
 			_, _ = call(ctx, r, core, req, r.Learn, wireconnect.PeerClient.Learn)
 		}()
@@ -233,12 +235,12 @@
 }
 
 // finish has every slot up to the target chosen, by the values found accepted.
-func (r *Replica) finish(ctx kernel.Context, target uint64) error {
+func (r *Replica) finish(ctx context.Context, target uint64) error {
 	done := make(chan outcome, 1)
 	select {
 	case r.proposals <- proposal{ctx: ctx, target: target, done: done}:
 	case <-ctx.Done():
-		return kernel.Refuse(kernel.NoMajority, "proposals wait for a majority")
+		return apierror.Errorf(apierror.NoMajority, "proposals wait for a majority")
 	}
 	select {
 	case out := <-done:
@@ -247,26 +249,26 @@
 		}
 		return out.err
 	case <-ctx.Done():
-		return kernel.Refuse(kernel.NoMajority, "slot %d could not be finished in time", target)
+		return apierror.Errorf(apierror.NoMajority, "slot %d could not be finished in time", target)
 	}
 }
 
 // whole returns the core's state, ahead of the disk, if it votes.
-func (r *Replica) whole(ctx kernel.Context) (ballot.State, error) {
+func (r *Replica) whole(ctx context.Context) (ballot.State, error) {
 	return ask(ctx, r, func(o *owner, reply func(ballot.State, error)) {
 		v := o.standing(view{standing: o.state.Standing()})
-		if code := standingCode(v.standing); code != kernel.OK {
-			reply(ballot.State{}, kernel.Refuse(code, "core %s: %s", o.r.cfg.Self, v.waiting))
+		if code := standingCode(v.standing); code != apierror.OK {
+			reply(ballot.State{}, apierror.Errorf(code, "core %s: %s", o.r.cfg.Self, v.waiting))
 			return
 		}
 		reply(o.state, nil)
 	})
 }
 
-func (r *Replica) stateNow(ctx kernel.Context) (ballot.State, error) {
+func (r *Replica) stateNow(ctx context.Context) (ballot.State, error) {
 	return ask(ctx, r, func(o *owner, reply func(ballot.State, error)) { reply(o.state, nil) })
 }
 
-func (r *Replica) sheetNow(ctx kernel.Context) (sheet.State, error) {
+func (r *Replica) sheetNow(ctx context.Context) (sheet.State, error) {
 	return ask(ctx, r, func(o *owner, reply func(sheet.State, error)) { reply(o.sheet, nil) })
 }
--- a/internal/node/replica/replica.go
+++ b/internal/node/replica/replica.go
@@ -5,15 +5,18 @@
 
 import (
 	"bytes"
+	"context"
 	"math/rand/v2"
 	"sync/atomic"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
 	"stepwick/internal/adapter/disklog"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -21,15 +24,15 @@
 // Config of a replica; zero fields take the defaults named.
 type Config struct {
 	Self            string
-	Voters          int             // cores of a first formation; 3
-	FirstSheet      []byte          // JSON of a sheet to offer to a formation that has none, or nil
-	SheetMax        int             // bound of FirstSheet in bytes; 16 MiB
-	SnapshotRecords int             // records between snapshots; 1024
-	SnapshotBytes   int64           // bytes of records between snapshots; 16 MiB
-	CallTimeout     kernel.Duration // of one call in a ballot; 300ms
-	EntryTimeout    kernel.Duration // of one call in a recovery, which waits for slow disks; 10s
-	Interval        kernel.Duration // between two looks at the other cores; 500ms
-	Seed            uint64          // of the random waits; 0 is drawn from the name
+	Voters          int           // cores of a first formation; 3
+	FirstSheet      []byte        // JSON of a sheet to offer to a formation that has none, or nil
+	SheetMax        int           // bound of FirstSheet in bytes; 16 MiB
+	SnapshotRecords int           // records between snapshots; 1024
+	SnapshotBytes   int64         // bytes of records between snapshots; 16 MiB
+	CallTimeout     time.Duration // of one call in a ballot; 300ms
+	EntryTimeout    time.Duration // of one call in a recovery, which waits for slow disks; 10s
+	Interval        time.Duration // between two looks at the other cores; 500ms
+	Seed            uint64        // of the random waits; 0 is drawn from the name
 	// Replaced is told, perhaps more than once, that another process holds this
 	// core's name in a later disk life, or that the formation has no place for
 	// it; may be nil.
@@ -37,14 +40,14 @@
 }
 
 func (c Config) withDefaults() Config {
-	def := func(value *kernel.Duration, or kernel.Duration) {
+	def := func(value *time.Duration, or time.Duration) {
 		if *value <= 0 {
 			*value = or
 		}
 	}
-	def(&c.CallTimeout, 300*kernel.Millisecond)
-	def(&c.EntryTimeout, 10*kernel.Second)
-	def(&c.Interval, 500*kernel.Millisecond)
+	def(&c.CallTimeout, 300*time.Millisecond)
+	def(&c.EntryTimeout, 10*time.Second)
+	def(&c.Interval, 500*time.Millisecond)
 	if c.Voters <= 0 {
 		c.Voters = 3
 	}
@@ -97,7 +100,7 @@
 	cfg       Config
 	open      Open
 	peers     port.Peers
-	clock     kernel.Clock
+	clock     clock.Clock
 	events    events.Log
 	owner     atomic.Pointer[owner]
 	view      atomic.Pointer[view]
@@ -111,7 +114,7 @@
 const saltBound = 1 << 32
 
 // New returns a replica that begins its work in Serve.
-func New(cfg Config, open Open, peers port.Peers, clock kernel.Clock, log events.Log) *Replica {
+func New(cfg Config, open Open, peers port.Peers, clock clock.Clock, log events.Log) *Replica {
 	r := &Replica{cfg: cfg.withDefaults(), open: open, peers: peers, clock: clock, events: log,
 		proposals: make(chan proposal, 64), behind: make(chan string, 1), salt: uint64(rand.Int64N(saltBound))}
 	r.view.Store(&view{standing: wire.Standing_STANDING_BLANK, changed: make(chan struct{})})
@@ -120,14 +123,14 @@
 
 // Serve opens the log and works until the context ends or the log fails; then
 // it may be called again.
-func (r *Replica) Serve(ctx kernel.Context) error {
+func (r *Replica) Serve(ctx context.Context) error {
 	o, err := r.start()
 	if err != nil {
 		r.events.Emit(r.failureEvent(err), "core", r.cfg.Self, "error", err)
 		r.stopped(err)
 		return err
 	}
-	ctx, cancel := kernel.WithCancel(ctx)
+	ctx, cancel := context.WithCancel(ctx)
 	r.owner.Store(o)
 	room := make(chan struct{}, 2)
 	go func() { r.conduct(ctx); room <- struct{}{} }()
@@ -147,10 +150,10 @@
 }
 
 func (r *Replica) failureEvent(err error) events.Event {
-	switch kernel.AsFault(err).Code {
-	case kernel.BadRecord:
+	switch apierror.From(err).Code {
+	case apierror.BadRecord:
 		return events.BadRecord
-	case kernel.DiskFull:
+	case apierror.DiskFull:
 		return events.DiskFull
 	}
 	return events.DiskFailed
@@ -162,7 +165,7 @@
 	next.standing, next.waiting = wire.Standing_STANDING_UNSPECIFIED, "the log is closed"
 	if err != nil {
 		next.waiting = err.Error()
-		if kernel.AsFault(err).Code == kernel.DiskFull {
+		if apierror.From(err).Code == apierror.DiskFull {
 			next.standing = wire.Standing_STANDING_DISK_FULL
 		}
 	}
@@ -173,18 +176,18 @@
 // proposed through another core, is chosen; Current holds it then, unless this
 // core's disk is slow. Until then it tries slot after slot. When the context ends first, the fault's code says
 // whether the command may yet be chosen; in each case it may be sent again.
-func (r *Replica) Propose(ctx kernel.Context, command []byte) (epoch uint64, result sheet.Result, err error) {
+func (r *Replica) Propose(ctx context.Context, command []byte) (epoch uint64, result sheet.Result, err error) {
 	return r.ProposeMatching(ctx, command, func(chosen []byte) bool { return bytes.Equal(chosen, command) })
 }
 
 // ProposeMatching is Propose for a command that other bytes may stand for:
 // match tells whether a chosen command is the same order.
-func (r *Replica) ProposeMatching(ctx kernel.Context, command []byte, match func(chosen []byte) bool) (epoch uint64, result sheet.Result, err error) {
+func (r *Replica) ProposeMatching(ctx context.Context, command []byte, match func(chosen []byte) bool) (epoch uint64, result sheet.Result, err error) {
 	done := make(chan outcome, 1)
 	select {
 	case r.proposals <- proposal{ctx: ctx, command: command, match: match, done: done}:
 	case <-ctx.Done():
-		return 0, sheet.Result{}, kernel.Refuse(kernel.NoMajority, "other proposals wait for a majority")
+		return 0, sheet.Result{}, apierror.Errorf(apierror.NoMajority, "other proposals wait for a majority")
 	}
 	select {
 	case out := <-done:
@@ -193,13 +196,13 @@
 		}
 		return out.epoch, out.result, out.err
 	case <-ctx.Done():
-		return 0, sheet.Result{}, kernel.Refuse(kernel.OutcomePending, "the ballot is not over")
+		return 0, sheet.Result{}, apierror.Errorf(apierror.OutcomePending, "the ballot is not over")
 	}
 }
 
 // awaitPublished lets Current catch up with what was agreed, unless the disk
 // here is slow.
-func (r *Replica) awaitPublished(ctx kernel.Context, epoch uint64) {
+func (r *Replica) awaitPublished(ctx context.Context, epoch uint64) {
 	patience := r.clock.After(r.cfg.CallTimeout)
 	for {
 		changed := r.Changed()
@@ -219,14 +222,14 @@
 // ReadMajority returns a state that holds whatever was chosen before the call.
 // It asks a majority of the voters and finishes what it finds accepted; without
 // a majority it says so.
-func (r *Replica) ReadMajority(ctx kernel.Context) (sheet.State, error) {
+func (r *Replica) ReadMajority(ctx context.Context) (sheet.State, error) {
 	state, err := r.whole(ctx)
 	if err != nil {
 		return sheet.State{}, err
 	}
 	target, tip, heard, _ := r.readAll(ctx, state)
 	if heard < state.Majority() {
-		return sheet.State{}, kernel.Refuse(kernel.NoMajority, "%d of %d cores answered", heard, len(state.Voters))
+		return sheet.State{}, apierror.Errorf(apierror.NoMajority, "%d of %d cores answered", heard, len(state.Voters))
 	}
 	for {
 		now, err := r.sheetNow(ctx)
--- a/internal/node/replica/replica_test.go
+++ b/internal/node/replica/replica_test.go
@@ -17,9 +17,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/adapter/disklog"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -53,7 +54,7 @@
 	for _, name := range names {
 		cfg := f.cfg
 		cfg.Self = name
-		r := New(cfg, OnDisk(f.disk[name]), peers{f, name}, kernel.System(), events.Discard)
+		r := New(cfg, OnDisk(f.disk[name]), peers{f, name}, clock.System(), events.Discard)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { _ = r.Serve(ctx); close(done) }()
@@ -145,7 +146,7 @@
 	from, to string
 }
 
-func reach[Q, A any](ctx context.Context, c client, req *connect.Request[Q], handler func(*Replica) func(kernel.Context, *Q) (*A, error)) (*connect.Response[A], error) {
+func reach[Q, A any](ctx context.Context, c client, req *connect.Request[Q], handler func(*Replica) func(context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
 	if c.f.cut[c.from].Load() || c.f.cut[c.to].Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -162,34 +163,40 @@
 }
 
 func (c client) Found(ctx context.Context, q *connect.Request[wire.FoundRequest]) (*connect.Response[wire.FoundResponse], error) {
-	return reach(ctx, c, q, func(r *Replica) func(kernel.Context, *wire.FoundRequest) (*wire.FoundResponse, error) { return r.Found })
+	return reach(ctx, c, q, func(r *Replica) func(context.Context, *wire.FoundRequest) (*wire.FoundResponse, error) {
+		return r.Found
+	})
 }
 func (c client) Prepare(ctx context.Context, q *connect.Request[wire.PrepareRequest]) (*connect.Response[wire.PrepareResponse], error) {
-	return reach(ctx, c, q, func(r *Replica) func(kernel.Context, *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+	return reach(ctx, c, q, func(r *Replica) func(context.Context, *wire.PrepareRequest) (*wire.PrepareResponse, error) {
 		return r.Prepare
 	})
 }
 func (c client) Accept(ctx context.Context, q *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptResponse], error) {
-	return reach(ctx, c, q, func(r *Replica) func(kernel.Context, *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+	return reach(ctx, c, q, func(r *Replica) func(context.Context, *wire.AcceptRequest) (*wire.AcceptResponse, error) {
 		return r.Accept
 	})
 }
 func (c client) Learn(ctx context.Context, q *connect.Request[wire.LearnRequest]) (*connect.Response[wire.LearnResponse], error) {
-	return reach(ctx, c, q, func(r *Replica) func(kernel.Context, *wire.LearnRequest) (*wire.LearnResponse, error) { return r.Learn })
+	return reach(ctx, c, q, func(r *Replica) func(context.Context, *wire.LearnRequest) (*wire.LearnResponse, error) {
+		return r.Learn
+	})
 }
 func (c client) Recover(ctx context.Context, q *connect.Request[wire.RecoverRequest]) (*connect.Response[wire.RecoverResponse], error) {
-	return reach(ctx, c, q, func(r *Replica) func(kernel.Context, *wire.RecoverRequest) (*wire.RecoverResponse, error) {
+	return reach(ctx, c, q, func(r *Replica) func(context.Context, *wire.RecoverRequest) (*wire.RecoverResponse, error) {
 		return r.Recover
 	})
 }
 func (c client) Read(ctx context.Context, q *connect.Request[wire.ReadRequest]) (*connect.Response[wire.ReadResponse], error) {
-	return reach(ctx, c, q, func(r *Replica) func(kernel.Context, *wire.ReadRequest) (*wire.ReadResponse, error) { return r.Read })
+	return reach(ctx, c, q, func(r *Replica) func(context.Context, *wire.ReadRequest) (*wire.ReadResponse, error) { return r.Read })
 }
 func (c client) Fetch(ctx context.Context, q *connect.Request[wire.FetchRequest]) (*connect.Response[wire.FetchResponse], error) {
 	if c.to == "front" {
 		return connect.NewResponse(c.f.front), nil
 	}
-	return reach(ctx, c, q, func(r *Replica) func(kernel.Context, *wire.FetchRequest) (*wire.FetchResponse, error) { return r.Fetch })
+	return reach(ctx, c, q, func(r *Replica) func(context.Context, *wire.FetchRequest) (*wire.FetchResponse, error) {
+		return r.Fetch
+	})
 }
 
 func evacuate(id string) []byte {
@@ -232,7 +239,7 @@
 		epoch, result, err := f.core("b").Propose(within(time.Second), evacuate("one"))
 		So(err, ShouldBeNil)
 		So(epoch, ShouldEqual, 1)
-		So(result.Code, ShouldEqual, kernel.OK)
+		So(result.Code, ShouldEqual, apierror.OK)
 		state, err := f.core("c").ReadMajority(within(time.Second))
 		So(err, ShouldBeNil)
 		So(state.Epoch, ShouldEqual, 1)
@@ -248,13 +255,13 @@
 			go func() {
 				_, result, err := f.core(name).Propose(within(5*time.Second), evacuate("two"))
 				if err != nil {
-					result.Code = kernel.AsFault(err).Code
+					result.Code = apierror.From(err).Code
 				}
 				results <- result
 			}()
 		}
 		first := <-results
-		So(first.Code, ShouldEqual, kernel.OK)
+		So(first.Code, ShouldEqual, apierror.OK)
 		So(<-results, ShouldResemble, first)
 		So(<-results, ShouldResemble, first)
 	})
@@ -262,9 +269,9 @@
 		f.form()
 		f.cut["a"].Store(true)
 		_, _, err := f.core("a").Propose(within(time.Second), evacuate("three"))
-		So(kernel.AsFault(err).Code, ShouldBeIn, kernel.NoMajority, kernel.OutcomePending)
+		So(apierror.From(err).Code, ShouldBeIn, apierror.NoMajority, apierror.OutcomePending)
 		_, err = f.core("a").ReadMajority(within(time.Second))
-		So(kernel.AsFault(err).Code, ShouldEqual, kernel.NoMajority)
+		So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
 		epoch, _, err := f.core("b").Propose(within(time.Second), evacuate("four"))
 		So(err, ShouldBeNil)
 		f.cut["a"].Store(false)
@@ -284,7 +291,7 @@
 	for n := range count {
 		_, result, err := f.core(through).Propose(within(5*time.Second), evacuate(fmt.Sprint(from+n)))
 		So(err, ShouldBeNil)
-		So(result.Code, ShouldEqual, kernel.OK)
+		So(result.Code, ShouldEqual, apierror.OK)
 	}
 	return from + count
 }
@@ -322,9 +329,9 @@
 		f.wipe("b")
 		f.start("a", "b")
 		So(f.until(5*time.Second, func() bool { return f.voting("a")() || f.voting("b")() }), ShouldBeFalse)
-		So(f.core("a").Ready().Code, ShouldEqual, kernel.CoreAmnesiac)
+		So(f.core("a").Ready().Code, ShouldEqual, apierror.CoreAmnesiac)
 		_, err = f.core("c").ReadMajority(within(time.Second))
-		So(kernel.AsFault(err).Code, ShouldEqual, kernel.NoMajority)
+		So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
 	})
 }
 
@@ -335,7 +342,7 @@
 }
 
 func (d *dying) Dead() <-chan struct{} { return d.dead }
-func (d *dying) Err() error            { return kernel.Refuse(kernel.DiskFull, "no room") }
+func (d *dying) Err() error            { return apierror.Errorf(apierror.DiskFull, "no room") }
 
 func TestSlowAndFullDisks(t *testing.T) {
 	inBubble(t, "A slow disk delays nobody else", func(f *fleet) {
@@ -376,7 +383,7 @@
 		f.form()
 		_, result, err := f.core("a").Propose(within(30*time.Second), evacuate("one"))
 		So(err, ShouldBeNil)
-		So(result.Code, ShouldEqual, kernel.OK)
+		So(result.Code, ShouldEqual, apierror.OK)
 	})
 	inBubble(t, "A log that dies stops the vote, and a new start goes on from the disk", func(f *fleet) {
 		f.form()
@@ -389,16 +396,16 @@
 			opened, replay, err := OnDisk(f.disk["b"])()
 			log.Log = opened
 			return log, replay, err
-		}, peers{f, "b"}, kernel.System(), events.Discard)
+		}, peers{f, "b"}, clock.System(), events.Discard)
 		served := make(chan error)
 		go func() { served <- b.Serve(context.Background()) }()
 		f.cores["b"].Store(b)
 		So(f.until(5*time.Second, f.voting("b")), ShouldBeTrue)
 		close(log.dead)
-		So(kernel.AsFault(<-served).Code, ShouldEqual, kernel.DiskFull)
-		So(b.Ready().Code, ShouldEqual, kernel.DiskFull)
+		So(apierror.From(<-served).Code, ShouldEqual, apierror.DiskFull)
+		So(b.Ready().Code, ShouldEqual, apierror.DiskFull)
 		_, err := b.Prepare(within(time.Second), &wire.PrepareRequest{Formation: f.core("a").Formation(), Slot: 9})
-		So(kernel.AsFault(err).Code, ShouldEqual, kernel.CoreUnreachable)
+		So(apierror.From(err).Code, ShouldEqual, apierror.CoreUnreachable)
 		count = f.orders("a", count, 3)
 		f.start("b")
 		So(f.until(5*time.Second, f.at(uint64(count), "b")), ShouldBeTrue)
@@ -409,8 +416,8 @@
 		f.disk["b"] = small
 		f.cfg.SnapshotRecords = 1 << 30
 		f.form()
-		whole, fault := sheet.ParseSheet([]byte(firstSheetJSON), 1<<20)
-		So(fault, ShouldBeNil)
+		whole, apiErr := sheet.ParseSheet([]byte(firstSheetJSON), 1<<20)
+		So(apiErr, ShouldBeNil)
 		whole.Tenants = map[string]sheet.Tenant{}
 		for n := range 250 {
 			whole.Tenants[fmt.Sprint("tenant-", n)] = sheet.Tenant{Rate: 1, Burst: 1, KeyHashes: []string{fmt.Sprintf("%064x", n)}}
@@ -422,14 +429,14 @@
 		for i := range 8 {
 			_, result, err := f.core("a").Propose(within(5*time.Second), large(i))
 			So(err, ShouldBeNil)
-			So(result.Code, ShouldEqual, kernel.OK)
+			So(result.Code, ShouldEqual, apierror.OK)
 		}
 		So(f.until(time.Second, f.at(8, "a", "c")), ShouldBeTrue)
 		So(f.until(time.Second, func() bool { return f.core("b").Standing() == wire.Standing_STANDING_DISK_FULL }), ShouldBeTrue)
 		So(f.core("b").Current().Epoch, ShouldBeLessThan, 8)
 		f.stop["c"]()
 		_, _, err := f.core("a").Propose(within(time.Second), large(8))
-		So(kernel.AsFault(err).Code, ShouldBeIn, kernel.NoMajority, kernel.OutcomePending)
+		So(apierror.From(err).Code, ShouldBeIn, apierror.NoMajority, apierror.OutcomePending)
 	})
 }
 
@@ -512,7 +519,7 @@
 					}
 					_, result, err := core.Propose(within(2*time.Second), evacuate(id))
 					if err == nil {
-						So(result.Code, ShouldEqual, kernel.OK)
+						So(result.Code, ShouldEqual, apierror.OK)
 						answered[id] = result
 						break
 					}
--- a/internal/node/replica/view.go
+++ b/internal/node/replica/view.go
@@ -1,9 +1,9 @@
 package replica
 
 import (
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -69,24 +69,24 @@
 
 // Ready returns nil when the core votes, and else why it does not, as a fault
 // with CoreBlank, CoreAmnesiac, DiskFull or Internal.
-func (r *Replica) Ready() *kernel.Fault {
+func (r *Replica) Ready() *apierror.Error {
 	v := r.view.Load()
 	if v.standing == wire.Standing_STANDING_VOTING {
 		return nil
 	}
-	return kernel.Refuse(standingCode(v.standing), "%s", v.waiting)
+	return apierror.Errorf(standingCode(v.standing), "%s", v.waiting)
 }
 
-func standingCode(standing wire.Standing) kernel.Code {
+func standingCode(standing wire.Standing) apierror.Code {
 	switch standing {
 	case wire.Standing_STANDING_VOTING:
-		return kernel.OK
+		return apierror.OK
 	case wire.Standing_STANDING_BLANK:
-		return kernel.CoreBlank
+		return apierror.CoreBlank
 	case wire.Standing_STANDING_AMNESIAC:
-		return kernel.CoreAmnesiac
+		return apierror.CoreAmnesiac
 	case wire.Standing_STANDING_DISK_FULL:
-		return kernel.DiskFull
+		return apierror.DiskFull
 	}
-	return kernel.Internal
+	return apierror.Internal
 }
--- a/internal/node/replica/votes.go
+++ b/internal/node/replica/votes.go
@@ -1,13 +1,15 @@
 package replica
 
 import (
+	"context"
+
+	"stepwick/internal/apierror"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 // Found answers an invitation into a first formation.
-func (r *Replica) Found(ctx kernel.Context, req *wire.FoundRequest) (*wire.FoundResponse, error) {
+func (r *Replica) Found(ctx context.Context, req *wire.FoundRequest) (*wire.FoundResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.FoundResponse, error)) {
 		records, resp := o.state.Found(req)
 		if len(records) > 0 {
@@ -18,7 +20,7 @@
 }
 
 // Prepare answers the opening of a ballot.
-func (r *Replica) Prepare(ctx kernel.Context, req *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+func (r *Replica) Prepare(ctx context.Context, req *wire.PrepareRequest) (*wire.PrepareResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.PrepareResponse, error)) {
 		records, resp := o.state.Prepare(req)
 		o.noteFormation(req.From, resp.Refusal)
@@ -26,14 +28,14 @@
 			reply(resp, nil)
 			return
 		}
-		decided(o, records, toVote, resp, func(code kernel.Code) *wire.PrepareResponse {
+		decided(o, records, toVote, resp, func(code apierror.Code) *wire.PrepareResponse {
 			return &wire.PrepareResponse{Core: resp.Core, Learned: resp.Learned, Lives: resp.Lives, Refusal: uint32(code)}
 		}, reply)
 	})
 }
 
 // Accept answers a ballot's value.
-func (r *Replica) Accept(ctx kernel.Context, req *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+func (r *Replica) Accept(ctx context.Context, req *wire.AcceptRequest) (*wire.AcceptResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.AcceptResponse, error)) {
 		records, resp := o.state.Accept(req)
 		o.noteFormation(req.From, resp.Refusal)
@@ -41,26 +43,26 @@
 			reply(resp, nil)
 			return
 		}
-		decided(o, records, toVote, resp, func(code kernel.Code) *wire.AcceptResponse {
+		decided(o, records, toVote, resp, func(code apierror.Code) *wire.AcceptResponse {
 			return &wire.AcceptResponse{Core: resp.Core, Learned: resp.Learned, Lives: resp.Lives, Refusal: uint32(code)}
 		}, reply)
 	})
 }
 
 // Learn takes chosen epochs in.
-func (r *Replica) Learn(ctx kernel.Context, req *wire.LearnRequest) (*wire.LearnResponse, error) {
+func (r *Replica) Learn(ctx context.Context, req *wire.LearnRequest) (*wire.LearnResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.LearnResponse, error)) {
 		records, resp, behind := o.state.Learn(req)
 		if behind {
 			r.fallenBehind(req.From)
 		}
 		before := o.state.Learned()
-		decided(o, records, toLearn, resp, func(kernel.Code) *wire.LearnResponse { return &wire.LearnResponse{Learned: before} }, reply)
+		decided(o, records, toLearn, resp, func(apierror.Code) *wire.LearnResponse { return &wire.LearnResponse{Learned: before} }, reply)
 	})
 }
 
 // Recover answers a core that rebuilds from an empty disk.
-func (r *Replica) Recover(ctx kernel.Context, req *wire.RecoverRequest) (*wire.RecoverResponse, error) {
+func (r *Replica) Recover(ctx context.Context, req *wire.RecoverRequest) (*wire.RecoverResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.RecoverResponse, error)) {
 		records, resp := o.state.Recover(req)
 		if o.state.Life() != 0 && (req.Probe || !resp.Ok) {
@@ -70,24 +72,24 @@
 		if len(records) > 0 {
 			r.events.Emit(events.LifeRaised, "core", req.Core, "life", req.Life)
 		}
-		decided(o, records, toLive, resp, func(code kernel.Code) *wire.RecoverResponse {
+		decided(o, records, toLive, resp, func(code apierror.Code) *wire.RecoverResponse {
 			return &wire.RecoverResponse{Core: resp.Core, Formation: resp.Formation, Voters: resp.Voters, Refusal: uint32(code)}
 		}, reply)
 	})
 }
 
 // Read tells how far the core has learned and accepted.
-func (r *Replica) Read(ctx kernel.Context, req *wire.ReadRequest) (*wire.ReadResponse, error) {
+func (r *Replica) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.ReadResponse, error)) { reply(o.state.Read(req), nil) })
 }
 
 // Fetch gives the epochs after a place, after a snapshot where those are no
 // longer kept.
-func (r *Replica) Fetch(ctx kernel.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
+func (r *Replica) Fetch(ctx context.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.FetchResponse, error)) {
-		resp, fault := o.state.Fetch(req)
-		if fault != nil {
-			reply(nil, fault)
+		resp, apiErr := o.state.Fetch(req)
+		if apiErr != nil {
+			reply(nil, apiErr)
 			return
 		}
 		reply(resp, nil)
--- a/internal/node/spend/keeper.go
+++ b/internal/node/spend/keeper.go
@@ -1,10 +1,12 @@
 package spend
 
 import (
+	"context"
+
 	"github.com/prometheus/client_golang/prometheus"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/tally"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -27,7 +29,7 @@
 func (k *keeper) String() string { return "spend-ledger" }
 
 // Serve runs the owner until the context ends.
-func (k *keeper) Serve(ctx kernel.Context) error {
+func (k *keeper) Serve(ctx context.Context) error {
 	ticker := k.spend.clock.Ticker(k.spend.config.Tally.Interval)
 	defer ticker.Stop()
 	for tick := 0; ; {
@@ -46,7 +48,7 @@
 	}
 }
 
-func (k *keeper) add(ctx kernel.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
+func (k *keeper) add(ctx context.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
 	a := add{req, make(chan *wire.AddResponse, 1)}
 	select {
 	case k.adds <- a:
@@ -99,7 +101,7 @@
 	switch {
 	case d.Pass:
 		m.passed.Inc()
-	case d.Code == kernel.ShareExceeded:
+	case d.Code == apierror.ShareExceeded:
 		m.share.Inc()
 	default:
 		m.quota.Inc()
--- a/internal/node/spend/shard.go
+++ b/internal/node/spend/shard.go
@@ -1,13 +1,14 @@
 package spend
 
 import (
+	"context"
 	"slices"
 	"strconv"
 	"sync"
+	"time"
 
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -24,7 +25,7 @@
 	tokens float64
 	terms  tally.Terms
 	// patience is how long it may be held.
-	patience kernel.Duration
+	patience time.Duration
 	answer   chan tally.Decision
 }
 
@@ -34,13 +35,13 @@
 
 type hold struct {
 	*ask
-	until kernel.Time
+	until time.Time
 	last  tally.Decision
 }
 
 type learned struct {
 	holder string
-	sentAt kernel.Time // fleet time
+	sentAt time.Time // fleet time
 	resp   *wire.AddResponse
 	err    error
 }
@@ -56,13 +57,13 @@
 	answers  chan learned
 
 	roster  []string
-	reached []string           // without the silent ones
-	holders map[string]string  // tenant -> holder
-	flying  map[string]int     // holder -> exchanges
-	paced   map[string]bool    // holders that were sent to on this pace
-	pacedAt kernel.Time        // when this pace began
-	paces   <-chan kernel.Time // wakes at each pace while something hurries, nil else
-	rest    func()             // ends that
+	reached []string          // without the silent ones
+	holders map[string]string // tenant -> holder
+	flying  map[string]int    // holder -> exchanges
+	paced   map[string]bool   // holders that were sent to on this pace
+	pacedAt time.Time         // when this pace began
+	paces   <-chan time.Time  // wakes at each pace while something hurries, nil else
+	rest    func()            // ends that
 	silent  map[string]bool
 	holds   []hold
 	flush   []flush
@@ -83,7 +84,7 @@
 func (o *shard) String() string { return o.name }
 
 // Serve runs the owner until the context ends.
-func (o *shard) Serve(ctx kernel.Context) error {
+func (o *shard) Serve(ctx context.Context) error {
 	ticker := o.spend.clock.Ticker(o.spend.config.Tally.Interval)
 	defer ticker.Stop()
 	defer func() { o.rest() }()
@@ -150,7 +151,7 @@
 
 // hurryIfPaced sends urgent counts at once, where fronts are many and the last pace
 // is over: none may be under way that would.
-func (o *shard) hurryIfPaced(ctx kernel.Context) {
+func (o *shard) hurryIfPaced(ctx context.Context) {
 	if !o.many() || !o.book.Hurries() || o.spend.clock.Now().Sub(o.pacedAt) < o.spend.paceEvery() {
 		return
 	}
@@ -194,7 +195,7 @@
 // patience returns how long a request may be held. In a small fleet a front has a
 // share by demand of nearly each tenant, and holding for longer lets more pass in a
 // jump than there is room for.
-func (o *shard) patience(ask *ask) kernel.Duration {
+func (o *shard) patience(ask *ask) time.Duration {
 	if !o.many() {
 		return o.spend.config.HoldFor
 	}
@@ -203,7 +204,7 @@
 
 // holdMost is how long a request may be held at most where fronts are many: until
 // its share by demand counts, and a way to another region and back.
-const holdMost = 400 * kernel.Millisecond
+const holdMost = 400 * time.Millisecond
 
 func (o *shard) retry() {
 	if len(o.holds) == 0 {
@@ -228,13 +229,13 @@
 	o.holds = kept
 }
 
-func (o *shard) hurry(ctx kernel.Context) {
+func (o *shard) hurry(ctx context.Context) {
 	o.send(ctx, o.book.Urgent(o.spend.fleetNow(), o.holderOf, func(holder string) bool {
 		return !o.paced[holder] && o.flying[holder] < inFlight
 	}))
 }
 
-func (o *shard) send(ctx kernel.Context, batches map[string][]*wire.Count) int {
+func (o *shard) send(ctx context.Context, batches map[string][]*wire.Count) int {
 	sent := 0
 	for holder, counts := range batches {
 		if o.flying[holder] >= inFlight {
--- a/internal/node/spend/spend.go
+++ b/internal/node/spend/spend.go
@@ -4,9 +4,11 @@
 package spend
 
 import (
+	"context"
 	"runtime"
 	"slices"
 	"sync"
+	"time"
 
 	"connectrpc.com/connect"
 	"github.com/cespare/xxhash/v2"
@@ -14,9 +16,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/thejerf/suture/v4"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -27,8 +30,8 @@
 	Incarnation uint64
 	Tally       tally.Config
 	Shards      int             // owners of the Book; one for each processor, 4 at most
-	Timeout     kernel.Duration // of one exchange, 1 s
-	HoldFor     kernel.Duration // longest hold of a request for an exchange, 2.5 s
+	Timeout     time.Duration   // of one exchange, 1 s
+	HoldFor     time.Duration   // longest hold of a request for an exchange, 2.5 s
 	HoldMost    int             // requests held by one owner, 256
 	Silent      func() []string // fronts on the roster that are silent without being known to be gone; may be nil
 	Metrics     prometheus.Registerer
@@ -40,8 +43,8 @@
 type Spend struct {
 	config   Config
 	peers    port.Peers
-	clock    kernel.Clock
-	fleetNow func() kernel.Time
+	clock    clock.Clock
+	fleetNow func() time.Time
 	roster   func() []string
 	log      events.Log
 	metrics  *metrics
@@ -52,21 +55,21 @@
 
 // New returns the tally's runtime; it decides nothing before Serve runs.
 // fleetNow tells the time that the fleet agrees on, roster the fronts' names.
-func New(config Config, peers port.Peers, clock kernel.Clock, fleetNow func() kernel.Time, roster func() []string, log events.Log) (*Spend, error) {
+func New(config Config, peers port.Peers, clock clock.Clock, fleetNow func() time.Time, roster func() []string, log events.Log) (*Spend, error) {
 	if config.Shards <= 0 {
 		config.Shards = min(mostShards, runtime.GOMAXPROCS(0))
 	}
 	if config.Timeout <= 0 {
-		config.Timeout = kernel.Second
+		config.Timeout = time.Second
 	}
 	if config.HoldFor <= 0 {
-		config.HoldFor = 2500 * kernel.Millisecond
+		config.HoldFor = 2500 * time.Millisecond
 	}
 	if config.HoldMost <= 0 {
 		config.HoldMost = 256
 	}
 	if config.Tally.Interval <= 0 {
-		config.Tally.Interval = 200 * kernel.Millisecond
+		config.Tally.Interval = 200 * time.Millisecond
 	}
 	if config.Silent == nil {
 		config.Silent = func() []string { return nil }
@@ -84,7 +87,7 @@
 }
 
 // Serve runs the owners until the context ends.
-func (s *Spend) Serve(ctx kernel.Context) error {
+func (s *Spend) Serve(ctx context.Context) error {
 	supervisor := suture.New("spend", suture.Spec{EventHook: func(event suture.Event) {
 		if failed, ok := event.(suture.EventServicePanic); ok {
 			s.log.Emit(events.ServiceFailed, "service", failed.ServiceName, "panic", failed.PanicMsg)
@@ -100,7 +103,7 @@
 func (s *Spend) String() string { return "spend" }
 
 // paceEvery is the least time between two sends of urgent counts to a holder.
-func (s *Spend) paceEvery() kernel.Duration { return s.config.Tally.Interval / pacesPerInterval }
+func (s *Spend) paceEvery() time.Duration { return s.config.Tally.Interval / pacesPerInterval }
 
 func (s *Spend) shardOf(tenant string) *shard {
 	return s.shards[xxhash.Sum64String(tenant)%uint64(len(s.shards))]
@@ -110,7 +113,7 @@
 // well below its limit for an exchange with the holder, HoldFor at the longest or,
 // where fronts are many, for patience. When ctx ends first the request is refused and
 // adds nothing.
-func (s *Spend) Admit(ctx kernel.Context, tenant string, tokens float64, terms tally.Terms, patience kernel.Duration) tally.Decision {
+func (s *Spend) Admit(ctx context.Context, tenant string, tokens float64, terms tally.Terms, patience time.Duration) tally.Decision {
 	ask := s.asks.Get().(*ask)
 	ask.ended, ask.tenant, ask.tokens, ask.terms = ctx.Done(), tenant, tokens, terms
 	ask.patience = patience
@@ -130,15 +133,15 @@
 	}
 }
 
-func (s *Spend) ended(ctx kernel.Context) tally.Decision {
-	if errors.Is(ctx.Err(), kernel.DeadlineExceeded) {
-		return tally.Decision{Code: kernel.DeadlinePassed}
+func (s *Spend) ended(ctx context.Context) tally.Decision {
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
+		return tally.Decision{Code: apierror.DeadlinePassed}
 	}
-	return tally.Decision{Code: kernel.CallerGone}
+	return tally.Decision{Code: apierror.CallerGone}
 }
 
 // Add answers another front's counts for tenants whose count is held here.
-func (s *Spend) Add(ctx kernel.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
+func (s *Spend) Add(ctx context.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
 	wire.UnpackCounts(req.Counts)
 	resp, err := s.keeper.add(ctx, req)
 	if err == nil {
@@ -149,7 +152,7 @@
 
 // Inspect returns what this front knows of its active tenants, by owner and
 // name; with a tenant's name given, of that one alone.
-func (s *Spend) Inspect(ctx kernel.Context, tenant string) ([]tally.TenantView, error) {
+func (s *Spend) Inspect(ctx context.Context, tenant string) ([]tally.TenantView, error) {
 	var views []tally.TenantView
 	for _, owner := range s.shards {
 		answer := make(chan []tally.TenantView, 1)
@@ -179,7 +182,7 @@
 
 // Flush sends every count to its holder and waits for the answers, so that what
 // was spent here stays counted when the process ends.
-func (s *Spend) Flush(ctx kernel.Context) error {
+func (s *Spend) Flush(ctx context.Context) error {
 	for _, owner := range s.shards {
 		done := make(chan error, 1)
 		select {
@@ -200,8 +203,8 @@
 }
 
 // exchange sends one batch to a holder and returns its answer.
-func (s *Spend) exchange(ctx kernel.Context, holder string, counts []*wire.Count) (*wire.AddResponse, error) {
-	ctx, cancel := kernel.WithTimeout(ctx, s.config.Timeout)
+func (s *Spend) exchange(ctx context.Context, holder string, counts []*wire.Count) (*wire.AddResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.config.Timeout)
 	defer cancel()
 	req := &wire.AddRequest{Front: s.config.Self, Incarnation: s.config.Incarnation, Counts: counts}
 	if holder == s.config.Self {
--- a/internal/node/spend/spend_test.go
+++ b/internal/node/spend/spend_test.go
@@ -13,9 +13,10 @@
 	"github.com/pkg/errors"
 	. "github.com/smartystreets/goconvey/convey"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/tally"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -64,14 +65,14 @@
 	return connect.NewResponse(resp), nil
 }
 
-func start(t testing.TB, ctx kernel.Context, names ...string) *fleet {
+func start(t testing.TB, ctx context.Context, names ...string) *fleet {
 	return startHolding(t, ctx, 0, names...)
 }
 
-func startHolding(t testing.TB, ctx kernel.Context, hold time.Duration, names ...string) *fleet {
+func startHolding(t testing.TB, ctx context.Context, hold time.Duration, names ...string) *fleet {
 	f := &fleet{spends: map[string]*Spend{}}
 	for _, name := range names {
-		s, err := New(Config{Self: name, Incarnation: 1, Silent: f.silent, HoldFor: hold}, f, kernel.System(), time.Now, func() []string { return names }, events.Discard)
+		s, err := New(Config{Self: name, Incarnation: 1, Silent: f.silent, HoldFor: hold}, f, clock.System(), time.Now, func() []string { return names }, events.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,12 +86,12 @@
 
 func TestSpend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := kernel.WithCancel(kernel.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		names := []string{"a", "b", "c"}
 		f := start(t, ctx, names...)
 		terms := tally.Terms{Rate: 100, Burst: 200}
 		<-time.After(time.Second)
-		offer := func(name string, requests int, tokens float64) (passed float64, last kernel.Code) {
+		offer := func(name string, requests int, tokens float64) (passed float64, last apierror.Code) {
 			for range requests {
 				<-time.After(5 * time.Millisecond)
 				if d := f.spends[name].Admit(ctx, "press", tokens, terms, 0); d.Pass {
@@ -107,8 +108,8 @@
 				for _, name := range names {
 					passed, code := offer(name, 60, 10)
 					total += passed
-					if code != kernel.OK {
-						So(code, ShouldEqual, kernel.QuotaExceeded)
+					if code != apierror.OK {
+						So(code, ShouldEqual, apierror.QuotaExceeded)
 					}
 				}
 			}
@@ -132,14 +133,14 @@
 			if other == holder {
 				other = names[1]
 			}
-			total, code := 0.0, kernel.OK
+			total, code := 0.0, apierror.OK
 			for range 16 {
 				passed, last := offer(other, 100, 10)
-				if total += passed; last != kernel.OK {
+				if total += passed; last != apierror.OK {
 					code = last
 				}
 			}
-			So(code, ShouldEqual, kernel.ShareExceeded)
+			So(code, ShouldEqual, apierror.ShareExceeded)
 			So(total, ShouldBeBetween, 100, 450)
 			f.away.Store(nil)
 		})
@@ -149,15 +150,15 @@
 			others := tally.Reached(names, []string{holder})
 			for _, name := range others {
 				_, code := offer(name, 1, 1)
-				So(code, ShouldEqual, kernel.OK)
+				So(code, ShouldEqual, apierror.OK)
 			}
 			<-time.After(time.Second)
 			f.away.Store(&holder)
 			f.known.Store(true)
 			first, code := offer(others[0], 5, 50)
-			So(code, ShouldEqual, kernel.OK)
+			So(code, ShouldEqual, apierror.OK)
 			second, code := offer(others[1], 5, 50)
-			So(code, ShouldEqual, kernel.OK)
+			So(code, ShouldEqual, apierror.OK)
 			So(first+second, ShouldEqual, 500)
 			<-time.After(time.Second)
 			So(f.spends[others[0]].Admit(ctx, "press", 1, terms, 0).Pass, ShouldBeTrue)
@@ -185,7 +186,7 @@
 			So(views[0].Recent, ShouldAlmostEqual, 8, 0.01)
 		})
 		Convey("A caller whose deadline passed is refused as such", t, func() {
-			gone, stop := kernel.WithCancel(ctx)
+			gone, stop := context.WithCancel(ctx)
 			stop()
 			So(f.spends["a"].Admit(gone, "press", 1e9, terms, 0).Pass, ShouldBeFalse)
 		})
@@ -196,7 +197,7 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, tenants := range []int{5, 100, 1000, 14000} {
 		b.Run("tenants="+strconv.Itoa(tenants), func(b *testing.B) {
-			ctx, cancel := kernel.WithCancel(kernel.Background())
+			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			f := start(b, ctx, "a")
 			names := make([]string, tenants)
@@ -213,7 +214,7 @@
 
 func TestPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := kernel.WithCancel(kernel.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		var names []string
 		for i := range 40 {
 			names = append(names, "f"+strconv.Itoa(i))
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -1,10 +1,11 @@
 package node
 
 import (
+	"context"
 	"strings"
+	"time"
 
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/follow"
 	"stepwick/internal/wire"
 )
@@ -37,8 +38,8 @@
 func (p *process) status() processStatus {
 	s := processStatus{Role: p.role, Status: p.follower.View().Status(p.base.Name,
 		sheet.Locality(p.base.Region, p.base.Zone), p.follower.Ruling(), p.follower.FleetNow())}
-	if fault := p.ready(); fault != nil {
-		s.Cause = fault.Error()
+	if apiErr := p.ready(); apiErr != nil {
+		s.Cause = apiErr.Error()
 	} else {
 		s.Ready = true
 	}
@@ -62,7 +63,7 @@
 }
 
 func (p *process) tally(tenant string) (any, bool) {
-	ctx, cancel := kernel.WithTimeout(kernel.Background(), kernel.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	views, err := p.spend.Inspect(ctx, tenant)
 	return views, err == nil
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -1,13 +1,14 @@
 package node
 
 import (
+	"context"
+
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/thejerf/suture/v4"
 
 	"stepwick/internal/adapter/platform"
 	"stepwick/internal/adapter/upstream"
 	"stepwick/internal/core/balance"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node/gateway"
 	"stepwick/internal/port"
 )
@@ -43,7 +44,7 @@
 		Connections: p.values.Int("listen.connections"),
 		PlainTokens: p.values.Float("plain_tokens"), DeadlineMost: p.values.Duration("deadline.max"),
 		Quota:   gateway.Quota{Part: p.values.Float("tally.part"), Reserve: p.values.Float("tally.reserve")},
-		Observe: func(ctx kernel.Context, server string, reachable bool) { p.watcher.Observe(ctx, server, reachable) },
+		Observe: func(ctx context.Context, server string, reachable bool) { p.watcher.Observe(ctx, server, reachable) },
 	}, world.Edge.Dialect(), p.follower, p.spend, p.clock, p.log, registry)
 	return err
 }
@@ -60,20 +61,20 @@
 // comes through an edge.
 func (p *process) addTraffic(supervisor *suture.Supervisor) {
 	if p.edge == nil {
-		supervisor.Add(service{"caller listener", func(ctx kernel.Context) error { return ended(p.front.Listen(ctx, p.caller)) }})
+		supervisor.Add(service{"caller listener", func(ctx context.Context) error { return ended(p.front.Listen(ctx, p.caller)) }})
 		supervisor.Add(service{"front", p.front.Serve})
 		return
 	}
 	behind := &behindEdge{process: p, orders: p.orders}
-	supervisor.Add(service{"edge", func(ctx kernel.Context) error { return p.edge.Serve(ctx, behind, p.listen) }})
+	supervisor.Add(service{"edge", func(ctx context.Context) error { return p.edge.Serve(ctx, behind, p.listen) }})
 	supervisor.Add(service{"gateway", p.gateway.Serve})
 	if p.caller != nil {
-		supervisor.Add(service{"caller listener", func(ctx kernel.Context) error { return ended(p.gateway.Listen(ctx, p.caller)) }})
+		supervisor.Add(service{"caller listener", func(ctx context.Context) error { return ended(p.gateway.Listen(ctx, p.caller)) }})
 	}
 }
 
 // drain lets running requests finish until the context ends.
-func (p *process) drain(ctx kernel.Context) error {
+func (p *process) drain(ctx context.Context) error {
 	switch {
 	case p.gateway == nil:
 		return p.front.Drain(ctx)
--- a/internal/node/watch/list.go
+++ b/internal/node/watch/list.go
@@ -1,33 +1,34 @@
 package watch
 
 import (
+	"context"
 	"maps"
 	"slices"
+	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"stepwick/internal/core/merge"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
 
 // callCost is how long a list that takes many calls is not read again for each of
 // them: the platform bounds the calls of all nodes, and charges for them.
-const callCost = 140 * kernel.Millisecond
+const callCost = 140 * time.Millisecond
 
 // listShare is the part of DrainWithin that may pass between two readings.
 const listShare = 0.28
 
 // listEvery returns how often the list is read: more seldom where it is long, as
 // far as drains are still noticed in time.
-func (w *Watcher) listEvery() kernel.Duration {
-	most := kernel.Duration(listShare * float64(w.cfg.DrainWithin))
-	return max(w.cfg.ListEvery, min(kernel.Duration(w.calls)*callCost, most))
+func (w *Watcher) listEvery() time.Duration {
+	most := time.Duration(listShare * float64(w.cfg.DrainWithin))
+	return max(w.cfg.ListEvery, min(time.Duration(w.calls)*callCost, most))
 }
 
-func (w *Watcher) pollList(ctx kernel.Context) {
+func (w *Watcher) pollList(ctx context.Context) {
 	w.listing = true
 	at := w.fleetNow()
 	w.work(ctx, func() func() {
@@ -39,7 +40,7 @@
 	})
 }
 
-func (w *Watcher) takeList(listing port.Listing, err error, at kernel.Time) {
+func (w *Watcher) takeList(listing port.Listing, err error, at time.Time) {
 	known := w.view().Servers
 	if err == nil && len(listing.Servers) == 0 && len(known) > 0 {
 		w.failed("the list is empty although servers are known")
@@ -93,10 +94,10 @@
 // standEvery is how often the cores are told that what was reported of the list
 // still stands. It is one message whatever the number of servers, and fronts that
 // stand by for those who read the list go by it.
-const standEvery = kernel.Second
+const standEvery = time.Second
 
 // stand tells the cores that what was reported of the list still stands.
-func (w *Watcher) stand(at kernel.Time) {
+func (w *Watcher) stand(at time.Time) {
 	now := w.clock.Now()
 	if now.Sub(w.stoodAt) < standEvery {
 		return
@@ -129,7 +130,7 @@
 
 // unlisted takes a server as gone once two lists in a row lack it, and says so
 // for a while only, so that every process can forget it.
-func (w *Watcher) unlisted(name string, status *wire.ServerStatus, at kernel.Time) {
+func (w *Watcher) unlisted(name string, status *wire.ServerStatus, at time.Time) {
 	w.missing[name]++
 	if w.missing[name] < 2 {
 		return
--- a/internal/node/watch/outbox.go
+++ b/internal/node/watch/outbox.go
@@ -1,12 +1,13 @@
 package watch
 
 import (
+	"context"
 	"maps"
 	"slices"
+	"time"
 
 	"connectrpc.com/connect"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -14,7 +15,7 @@
 	reports   map[string]*wire.Report
 	unchanged *wire.Unchanged // to say once no report waits any more
 	sending   bool
-	retryAt   kernel.Time
+	retryAt   time.Time
 }
 
 // waitingKey names a report among those that wait for a core.
@@ -31,7 +32,7 @@
 
 // send hands what waits to every core, one batch under way at each. What was
 // not taken waits on, unless something newer has replaced it.
-func (w *Watcher) send(ctx kernel.Context, now kernel.Time) {
+func (w *Watcher) send(ctx context.Context, now time.Time) {
 	for _, p := range w.peers.Cores() {
 		box := w.box(p.Name)
 		if box.sending || len(box.reports) == 0 && box.unchanged == nil || now.Before(box.retryAt) {
@@ -73,12 +74,12 @@
 }
 
 type submitter interface {
-	Submit(kernel.Context, *connect.Request[wire.SubmitRequest]) (*connect.Response[wire.SubmitResponse], error)
+	Submit(context.Context, *connect.Request[wire.SubmitRequest]) (*connect.Response[wire.SubmitResponse], error)
 }
 
 // submit returns the names of watchers whose unchanged reports the core asks for.
-func (w *Watcher) submit(ctx kernel.Context, client submitter, batch map[string]*wire.Report, unchanged *wire.Unchanged) (unknown []string, err error) {
-	ctx, cancel := kernel.WithTimeout(ctx, w.cfg.SendTimeout)
+func (w *Watcher) submit(ctx context.Context, client submitter, batch map[string]*wire.Report, unchanged *wire.Unchanged) (unknown []string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, w.cfg.SendTimeout)
 	defer cancel()
 	request := &wire.SubmitRequest{From: w.cfg.Self}
 	for _, key := range slices.Sorted(maps.Keys(batch)) {
--- a/internal/node/watch/polls.go
+++ b/internal/node/watch/polls.go
@@ -1,12 +1,13 @@
 package watch
 
 import (
+	"context"
 	"maps"
 	"slices"
+	"time"
 
 	"stepwick/internal/core/merge"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -14,7 +15,7 @@
 // pollCost is the least time between two polls of a front, so that the bytes
 // it spends on them stay bounded when it watches many servers. Drains come by
 // the list, and servers that fail show in the calls that they are sent.
-const pollCost = 50 * kernel.Millisecond
+const pollCost = 50 * time.Millisecond
 
 type poll struct {
 	running bool
@@ -52,7 +53,7 @@
 	}
 }
 
-func (w *Watcher) pollServer(ctx kernel.Context, name, address string) {
+func (w *Watcher) pollServer(ctx context.Context, name, address string) {
 	w.busy++
 	at := w.fleetNow()
 	w.work(ctx, func() func() {
@@ -67,7 +68,7 @@
 	})
 }
 
-func (w *Watcher) takeStatus(p *poll, name string, status *wire.ServerStatus, reach port.Reach, err error, at kernel.Time) {
+func (w *Watcher) takeStatus(p *poll, name string, status *wire.ServerStatus, reach port.Reach, err error, at time.Time) {
 	switch reach {
 	case port.Answers:
 		p.silent = 0
--- a/internal/node/watch/sights.go
+++ b/internal/node/watch/sights.go
@@ -2,10 +2,10 @@
 
 import (
 	"slices"
+	"time"
 
 	"stepwick/internal/core/merge"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -16,8 +16,8 @@
 
 type sight struct {
 	report *wire.Report
-	sent   kernel.Time
-	since  kernel.Time
+	sent   time.Time
+	since  time.Time
 }
 
 // status is what was reported last, or nil.
@@ -54,7 +54,7 @@
 
 // see reports a sight that changed, or whose keep-alive is due. at is the fleet
 // time at which the question was asked.
-func (w *Watcher) see(kind merge.Sight, status *wire.ServerStatus, at kernel.Time) {
+func (w *Watcher) see(kind merge.Sight, status *wire.ServerStatus, at time.Time) {
 	key, now := sightKey{status.Name, kind}, w.clock.Now()
 	s := w.sights[key]
 	if s == nil {
--- a/internal/node/watch/standby.go
+++ b/internal/node/watch/standby.go
@@ -1,13 +1,15 @@
 package watch
 
 import (
+	"context"
 	"encoding/json"
 	"slices"
+	"time"
 
 	"connectrpc.com/connect"
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
 )
 
@@ -25,13 +27,13 @@
 // is told of each 1.4 s, every region reads for itself.
 const (
 	standbyShare = 0.4
-	standbyLeast = 2 * kernel.Second
+	standbyLeast = 2 * time.Second
 )
 
 // standby returns after how long without a reading the fronts of regions that do
 // not lead read the list; zero where every region reads for itself.
-func (c Config) standby() kernel.Duration {
-	after := kernel.Duration(standbyShare * float64(c.DrainWithin))
+func (c Config) standby() time.Duration {
+	after := time.Duration(standbyShare * float64(c.DrainWithin))
 	if after < standbyLeast {
 		return 0
 	}
@@ -39,11 +41,11 @@
 }
 
 // listedTimeout bounds the question to a core.
-const listedTimeout = 300 * kernel.Millisecond
+const listedTimeout = 300 * time.Millisecond
 
 // lookAtList reads the list or, where the fronts of another region do that, asks
 // whether it was read of late.
-func (w *Watcher) lookAtList(ctx kernel.Context, fronts []*wire.Process) {
+func (w *Watcher) lookAtList(ctx context.Context, fronts []*wire.Process) {
 	standby := w.cfg.standby()
 	if standby == 0 || leads(w.cfg.Region, fronts) {
 		w.pollList(ctx)
@@ -63,25 +65,25 @@
 }
 
 // askListed asks the cores of the own region first.
-func (w *Watcher) askListed(ctx kernel.Context) (kernel.Time, error) {
+func (w *Watcher) askListed(ctx context.Context) (time.Time, error) {
 	core := w.nearCore()
 	if core == nil {
-		return kernel.Time{}, errors.New("no core is known")
+		return time.Time{}, errors.New("no core is known")
 	}
-	bound, cancel := kernel.WithTimeout(ctx, listedTimeout)
+	bound, cancel := context.WithTimeout(ctx, listedTimeout)
 	defer cancel()
 	resp, err := w.peers.Client(core.Address).Inspect(bound, connect.NewRequest(&wire.InspectRequest{What: InspectListed}))
 	if err != nil {
-		return kernel.Time{}, err
+		return time.Time{}, err
 	}
 	var listed Listed
-	if kernel.Code(resp.Msg.Code) != kernel.OK {
-		return kernel.Time{}, errors.Errorf("core %s: code %d", core.Name, resp.Msg.Code)
+	if apierror.Code(resp.Msg.Code) != apierror.OK {
+		return time.Time{}, errors.Errorf("core %s: code %d", core.Name, resp.Msg.Code)
 	}
 	if err := json.Unmarshal(resp.Msg.Body, &listed); err != nil {
-		return kernel.Time{}, errors.Wrapf(err, "core %s", core.Name)
+		return time.Time{}, errors.Wrapf(err, "core %s", core.Name)
 	}
-	return kernel.UnixMilli(listed.AtMS), nil
+	return time.UnixMilli(listed.AtMS), nil
 }
 
 // nearCore returns a core of the own region that votes, or any that does.
--- a/internal/node/watch/watch.go
+++ b/internal/node/watch/watch.go
@@ -10,10 +10,12 @@
 
 import (
 	"cmp"
+	"context"
+	"time"
 
+	"stepwick/internal/clock"
 	"stepwick/internal/core/merge"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -26,9 +28,9 @@
 	Self         string
 	Region, Zone string
 	Incarnation  uint64
-	ListEvery    kernel.Duration
-	StatusEvery  kernel.Duration
-	SendTimeout  kernel.Duration
+	ListEvery    time.Duration
+	StatusEvery  time.Duration
+	SendTimeout  time.Duration
 	ListFronts   int
 	ServerFronts int
 	SilentAfter  int
@@ -38,13 +40,13 @@
 	ListOnly bool
 	// DrainWithin is how soon after the list shows that a server drains it must get
 	// nothing more; zero where that is not known. See standby.
-	DrainWithin kernel.Duration
+	DrainWithin time.Duration
 }
 
 func (c Config) orDefaults() Config {
-	c.ListEvery = cmp.Or(c.ListEvery, 500*kernel.Millisecond)
-	c.StatusEvery = cmp.Or(c.StatusEvery, 500*kernel.Millisecond)
-	c.SendTimeout = cmp.Or(c.SendTimeout, kernel.Second)
+	c.ListEvery = cmp.Or(c.ListEvery, 500*time.Millisecond)
+	c.StatusEvery = cmp.Or(c.StatusEvery, 500*time.Millisecond)
+	c.SendTimeout = cmp.Or(c.SendTimeout, time.Second)
 	c.ListFronts = cmp.Or(c.ListFronts, 3)
 	c.ServerFronts = cmp.Or(c.ServerFronts, 2)
 	c.SilentAfter = cmp.Or(c.SilentAfter, 2)
@@ -64,10 +66,10 @@
 	cfg      Config
 	source   port.ServerSource
 	peers    port.Peers
-	clock    kernel.Clock
+	clock    clock.Clock
 	view     func() View
 	report   func(*wire.Report)
-	fleetNow func() kernel.Time
+	fleetNow func() time.Time
 	log      events.Log
 
 	counter uint64
@@ -84,24 +86,24 @@
 	polls    map[string]*poll
 	waiting  []string
 	outbox   map[string]*outbox
-	listAt   kernel.Time
-	listedAt kernel.Time // fleet time of the list that they were last told of
-	stoodAt  kernel.Time // when the cores were last told that the listed sights stand
-	pollAt   kernel.Time
+	listAt   time.Time
+	listedAt time.Time // fleet time of the list that they were last told of
+	stoodAt  time.Time // when the cores were last told that the listed sights stand
+	pollAt   time.Time
 	size     int
 }
 
 const (
-	tick       = 100 * kernel.Millisecond
-	goneFor    = 10 * kernel.Second
-	retryAfter = 200 * kernel.Millisecond
+	tick       = 100 * time.Millisecond
+	goneFor    = 10 * time.Second
+	retryAfter = 200 * time.Millisecond
 	batchSize  = 512
 	rampSeen   = 64
 )
 
 // New returns a watcher. view gives the newest view, report takes a sight into
 // the front's own view, fleetNow is fleet time.
-func New(cfg Config, source port.ServerSource, peers port.Peers, clock kernel.Clock, view func() View, report func(*wire.Report), fleetNow func() kernel.Time, log events.Log) *Watcher {
+func New(cfg Config, source port.ServerSource, peers port.Peers, clock clock.Clock, view func() View, report func(*wire.Report), fleetNow func() time.Time, log events.Log) *Watcher {
 	cfg = cfg.orDefaults()
 	return &Watcher{cfg: cfg, source: source, peers: peers, clock: clock, view: view, report: report, fleetNow: fleetNow,
 		log: log, results: make(chan func(), cfg.Workers+8), observed: make(chan func(), 64), missing: map[string]int{},
@@ -109,8 +111,8 @@
 }
 
 // Serve watches until ctx ends.
-func (w *Watcher) Serve(ctx kernel.Context) error {
-	ctx, cancel := kernel.WithCancel(ctx)
+func (w *Watcher) Serve(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w.busy, w.listing, w.waiting = 0, false, nil
 	for _, p := range w.polls {
@@ -139,7 +141,7 @@
 // Observe reports what this node's own requests show of a server: that it
 // answers, or that it is silent. It waits for the owner, but not longer than
 // the context.
-func (w *Watcher) Observe(ctx kernel.Context, server string, reachable bool) {
+func (w *Watcher) Observe(ctx context.Context, server string, reachable bool) {
 	at := w.fleetNow()
 	step := func() { w.see(merge.Own, &wire.ServerStatus{Name: server, Reachable: reachable}, at) }
 	select {
@@ -151,7 +153,7 @@
 // String names the service for its supervisor.
 func (w *Watcher) String() string { return "watch" }
 
-func (w *Watcher) step(ctx kernel.Context) {
+func (w *Watcher) step(ctx context.Context) {
 	now, v := w.clock.Now(), w.view()
 	w.size = len(v.Servers)
 	if !w.listing && !now.Before(w.listAt) && w.readsList(v.Fronts) {
@@ -160,7 +162,7 @@
 	}
 	if !w.cfg.ListOnly && !now.Before(w.pollAt) {
 		w.duePolls(v)
-		w.pollAt = now.Add(max(w.cfg.StatusEvery, kernel.Duration(len(w.polls))*pollCost))
+		w.pollAt = now.Add(max(w.cfg.StatusEvery, time.Duration(len(w.polls))*pollCost))
 	}
 	for len(w.waiting) > 0 && w.busy < w.cfg.Workers {
 		name := w.waiting[0]
@@ -175,7 +177,7 @@
 }
 
 // work runs f off the owner and its result on it.
-func (w *Watcher) work(ctx kernel.Context, f func() func()) {
+func (w *Watcher) work(ctx context.Context, f func() func()) {
 	results := w.results
 	go func() {
 		done := f()
--- a/internal/node/watch/watch_test.go
+++ b/internal/node/watch/watch_test.go
@@ -15,9 +15,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/adapter/platform"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/merge"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -71,7 +72,7 @@
 	w.token <- struct{}{}
 }
 
-func (w *world) List(kernel.Context) (listing platform.Listing, err error) {
+func (w *world) List(context.Context) (listing platform.Listing, err error) {
 	w.with(func() {
 		w.asked["list"]++
 		if w.silent {
@@ -89,7 +90,7 @@
 	return listing, err
 }
 
-func (w *world) Status(_ kernel.Context, name, _ string) (status *wire.ServerStatus, reach platform.Reach, err error) {
+func (w *world) Status(_ context.Context, name, _ string) (status *wire.ServerStatus, reach platform.Reach, err error) {
 	w.with(func() {
 		w.asked[name]++
 		if reach = w.dark[name]; reach != platform.Answers {
@@ -137,7 +138,7 @@
 			err = errors.New("down")
 			return
 		}
-		resp.Code = uint32(kernel.OK)
+		resp.Code = uint32(apierror.OK)
 		resp.Body, _ = json.Marshal(Listed{AtMS: c.w.cores[c.name].ListedAt().UnixMilli()})
 	})
 	return connect.NewResponse(resp), err
@@ -198,7 +199,7 @@
 	f := fleet{newWorld(), map[string]func(){}}
 	for i, p := range f.fronts {
 		watcher := New(Config{Self: p.Name, Region: p.Region, Zone: p.Zone, Incarnation: uint64(i + 1), DrainWithin: drainWithin}, f.world, peers{f.world},
-			kernel.System(), f.view, func(*wire.Report) {}, time.Now, f.world)
+			clock.System(), f.view, func(*wire.Report) {}, time.Now, f.world)
 		ctx, cancel := context.WithCancel(context.Background())
 		f.stop[p.Name] = cancel
 		go func() { _ = watcher.Serve(ctx) }()
@@ -430,7 +431,7 @@
 	Convey("A watcher that only lists keeps nothing of servers that come and go", t, func() {
 		w := newWorld()
 		known := map[string]*wire.ServerStatus{}
-		watcher := New(Config{Self: "n0", Region: "lagos", Zone: "a", Incarnation: 1, ListOnly: true}, w, peers{w}, kernel.System(),
+		watcher := New(Config{Self: "n0", Region: "lagos", Zone: "a", Incarnation: 1, ListOnly: true}, w, peers{w}, clock.System(),
 			func() View { return View{Servers: known} }, func(*wire.Report) {}, time.Now, w)
 		for i := range 100 {
 			name := fmt.Sprintf("m%d", i)
--- a/internal/node/world.go
+++ b/internal/node/world.go
@@ -1,26 +1,28 @@
 package node
 
 import (
+	"context"
 	"net"
 	"syscall"
+	"time"
 
-	"golang.org/x/sys/unix"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	"golang.org/x/sys/unix"
 )
 
 // World is what a process touches outside itself.
 type World struct {
-	Clock  kernel.Clock
+	Clock  clock.Clock
 	Listen func(address string) (net.Listener, error)
-	Dial   func(ctx kernel.Context, network, address string) (net.Conn, error)
+	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	Edge   Edge // nil for the process's own listeners
 
 	// DialServer opens connections to the servers of routes; Dial when nil.
-	DialServer func(ctx kernel.Context, network, address string) (net.Conn, error)
+	DialServer func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-func (w World) serverDial() func(ctx kernel.Context, network, address string) (net.Conn, error) {
+func (w World) serverDial() func(ctx context.Context, network, address string) (net.Conn, error) {
 	if w.DialServer != nil {
 		return w.DialServer
 	}
@@ -30,8 +32,8 @@
 const (
 	// serverSilence is how long the machine of a server may leave bytes or a probe
 	// of a resting connection without acknowledgement.
-	serverSilence = 1200 * kernel.Millisecond
-	serverProbes  = kernel.Second // between two probes of a connection that rests
+	serverSilence = 1200 * time.Millisecond
+	serverProbes  = time.Second // between two probes of a connection that rests
 )
 
 // serverDialer dials like another dialer, but finds out soon when the machine
--- a/internal/port/peers.go
+++ b/internal/port/peers.go
@@ -5,10 +5,10 @@
 	"net"
 	"slices"
 	"syscall"
+	"time"
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
 )
@@ -32,7 +32,7 @@
 // instant at which its counter rose here.
 type Sight struct {
 	Process *wire.Process
-	Seen    kernel.Time
+	Seen    time.Time
 }
 
 // CoresOf returns those of some processes that have a disk.
--- a/internal/port/servers.go
+++ b/internal/port/servers.go
@@ -1,16 +1,18 @@
 package port
 
 import (
-	"stepwick/internal/kernel"
+	"context"
+	"time"
+
 	"stepwick/internal/wire"
 )
 
 // ServerSource reads which servers there are and what they say of themselves.
 type ServerSource interface {
 	// List reads the whole list. What is returned must not be changed.
-	List(ctx kernel.Context) (Listing, error)
+	List(ctx context.Context) (Listing, error)
 	// Status asks a server for its own status.
-	Status(ctx kernel.Context, name, address string) (*wire.ServerStatus, Reach, error)
+	Status(ctx context.Context, name, address string) (*wire.ServerStatus, Reach, error)
 }
 
 // Listing is a list of servers. Bad names the entries that could not be read
@@ -19,7 +21,7 @@
 type Listing struct {
 	Servers []*wire.ServerStatus
 	Bad     map[string]string
-	Cold    map[string]kernel.Duration
+	Cold    map[string]time.Duration
 	Calls   int // that it took to read the list; 0 counts as one
 }
 
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -8,13 +8,13 @@
 	"net/url"
 	"sort"
 	"strings"
+	"time"
 	"unicode"
 
 	"github.com/pkg/errors"
 
 	"stepwick/internal/core/balance"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 )
 
 func checkName(value any) error {
@@ -159,9 +159,9 @@
 	}
 }
 
-func within(low, high kernel.Duration) func(any) error {
+func within(low, high time.Duration) func(any) error {
 	return func(value any) error {
-		if d := value.(kernel.Duration); d < low || d > high {
+		if d := value.(time.Duration); d < low || d > high {
 			return errors.Errorf("%s is not within %s to %s", d, low, high)
 		}
 		return nil
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -6,13 +6,13 @@
 	"sort"
 	"strings"
 
+	"stepwick/internal/apierror"
+
 	"github.com/knadh/koanf/providers/posflag"
 	"github.com/knadh/koanf/v2"
 	"github.com/pkg/errors"
 	"github.com/spf13/pflag"
 	"go.yaml.in/yaml/v3"
-
-	"stepwick/internal/kernel"
 )
 
 // Roles of a process.
@@ -99,7 +99,7 @@
 	if file != "" {
 		var err error
 		if data, err = os.ReadFile(file); err != nil {
-			return nil, kernel.Refuse(kernel.BadSetting, "%v", errors.Cause(err))
+			return nil, apierror.Errorf(apierror.BadSetting, "%v", errors.Cause(err))
 		}
 	}
 	values, problems := Read(file, data, flags, role)
@@ -108,7 +108,7 @@
 		for i, problem := range problems {
 			lines[i] = problem.String()
 		}
-		return nil, &kernel.Fault{Code: kernel.BadSetting, Detail: strings.Join(lines, "\n")}
+		return nil, &apierror.Error{Code: apierror.BadSetting, Detail: strings.Join(lines, "\n")}
 	}
 	return values, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
+	"stepwick/internal/apierror"
+
 	. "github.com/smartystreets/goconvey/convey"
 	"github.com/spf13/pflag"
-
-	"stepwick/internal/kernel"
 )
 
 func flagsOf(args ...string) *pflag.FlagSet {
@@ -141,7 +141,7 @@
 		_, problems = Read("s.yaml", []byte("a: [\n"), nil, "")
 		So(problems, ShouldHaveLength, 1)
 		_, err := Load(filepath.Join(t.TempDir(), "none.yaml"), nil)
-		So(kernel.AsFault(err).Code, ShouldEqual, kernel.BadSetting)
+		So(apierror.From(err).Code, ShouldEqual, apierror.BadSetting)
 	})
 
 	Convey("A region that no sheet could name is refused", t, func() {
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -4,10 +4,9 @@
 	"fmt"
 	"sort"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
-
-	"stepwick/internal/kernel"
 )
 
 func get[T any](v *Values, name string) T {
@@ -29,7 +28,7 @@
 func (v *Values) Float(name string) float64 { return get[float64](v, name) }
 
 // Duration returns a setting of type duration.
-func (v *Values) Duration(name string) kernel.Duration { return get[kernel.Duration](v, name) }
+func (v *Values) Duration(name string) time.Duration { return get[time.Duration](v, name) }
 
 // Bool returns a setting of type bool.
 func (v *Values) Bool(name string) bool { return get[bool](v, name) }
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -2,9 +2,8 @@
 package stage
 
 import (
+	"context"
 	"sync/atomic"
-
-	"stepwick/internal/kernel"
 )
 
 // Queue is a bounded queue between one stage and the next. Any number of
@@ -21,7 +20,7 @@
 
 // Put adds an item and waits while the queue is full. It gives the context's
 // error when that ends first; the item is then not in the queue.
-func (q *Queue[T]) Put(ctx kernel.Context, item T) error {
+func (q *Queue[T]) Put(ctx context.Context, item T) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
--- a/sim/balance/front.go
+++ b/sim/balance/front.go
@@ -1,10 +1,11 @@
 package balance
 
 import (
+	"time"
+
 	"google.golang.org/protobuf/proto"
 
 	"stepwick/internal/core/balance"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -45,8 +46,8 @@
 }
 
 func (f *front) order(q *request) *balance.Request {
-	order := &balance.Request{ID: string(rune(q.number)), Service: serviceName, Route: q.kind.Name, Pause: kernel.Duration(q.kind.Pause * float64(kernel.Millisecond)), Regions: q.kind.Homes, Own: q.own, Out: q.out,
-		Until: start.Add(kernel.Duration((q.came + q.kind.Objective/waitPart) * float64(kernel.Millisecond)))}
+	order := &balance.Request{ID: string(rune(q.number)), Service: serviceName, Route: q.kind.Name, Pause: time.Duration(q.kind.Pause * float64(time.Millisecond)), Regions: q.kind.Homes, Own: q.own, Out: q.out,
+		Until: start.Add(time.Duration((q.came + q.kind.Objective/waitPart) * float64(time.Millisecond)))}
 	for _, p := range q.chain {
 		order.Affinity = p.id
 		order.Shared += p.tokens
@@ -113,7 +114,7 @@
 		return
 	}
 	now := r.clock()
-	since := now.Add(-kernel.Duration(recentlyHeard * float64(kernel.Millisecond)))
+	since := now.Add(-time.Duration(recentlyHeard * float64(time.Millisecond)))
 	hung := f.table.Silences(now)
 	for name, one := range hung {
 		if f.suspected[name] == balance.Usual {
--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -8,7 +8,6 @@
 
 	"stepwick/internal/core/balance"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 	"stepwick/sim/eventqueue"
 )
@@ -47,8 +46,8 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func (r *run) clock() kernel.Time {
-	return start.Add(kernel.Duration(r.now * float64(kernel.Millisecond)))
+func (r *run) clock() time.Time {
+	return start.Add(time.Duration(r.now * float64(time.Millisecond)))
 }
 
 func (r *run) after(ms float64, do func()) {
--- a/sim/ballots/protocol.go
+++ b/sim/ballots/protocol.go
@@ -177,8 +177,8 @@
 func (c *core) fetch(from *core) {
 	req := &wire.FetchRequest{Formation: c.state.Formation, After: c.state.Learned()}
 	rpc(c, from, func(o *core) ([]ballot.Record, *wire.FetchResponse) {
-		resp, fault := o.state.Fetch(req)
-		if fault != nil {
+		resp, apiErr := o.state.Fetch(req)
+		if apiErr != nil {
 			return nil, nil
 		}
 		return nil, resp
--- a/sim/confirm/process.go
+++ b/sim/confirm/process.go
@@ -1,9 +1,10 @@
 package confirm
 
 import (
+	"time"
+
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -45,7 +46,7 @@
 	}, nil)
 }
 
-func (w *world) renewed(p *process, n *node, sent kernel.Time, req *wire.RenewRequest, resp *wire.RenewResponse) {
+func (w *world) renewed(p *process, n *node, sent time.Time, req *wire.RenewRequest, resp *wire.RenewResponse) {
 	if w.config.Mutation == ArrivalTime {
 		sent = w.clock(p.node)
 	}
@@ -85,7 +86,7 @@
 	p.holder.Confirm(state.Epoch)
 	if w.config.Mutation == Hearsay && p.holder.Unconfirmed() {
 		for _, voter := range w.voters {
-			p.holder.Renewed(voter, kernel.Time{}, state.Epoch, 0)
+			p.holder.Renewed(voter, time.Time{}, state.Epoch, 0)
 		}
 	}
 	w.renewAll(p)
@@ -158,7 +159,7 @@
 func (w *world) pingQuiet(p *process) {
 	ledger := p.core.ledger
 	ledger.Expire(w.clock(p.node))
-	for _, quiet := range ledger.Quiet(w.log[p.core.learned].Roster, 700*kernel.Millisecond, w.clock(p.node)) {
+	for _, quiet := range ledger.Quiet(w.log[p.core.learned].Roster, 700*time.Millisecond, w.clock(p.node)) {
 		for _, n := range w.nodes {
 			if n.name != quiet.Name || n == p.node {
 				continue
@@ -181,7 +182,7 @@
 		w.propose(p.node, sheet.AddMembers{Members: members, By: p.node.name})
 		return
 	}
-	if names := c.ledger.Departed(state.Roster, 6*kernel.Second, now); len(names) > 0 {
+	if names := c.ledger.Departed(state.Roster, 6*time.Second, now); len(names) > 0 {
 		w.propose(p.node, sheet.RemoveMembers{Names: names, By: p.node.name})
 	}
 }
--- a/sim/confirm/world.go
+++ b/sim/confirm/world.go
@@ -8,10 +8,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"time"
 
 	"stepwick/internal/core/lease"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 	orderTicks = 160
 	allowed    = 2500 // ms from an acknowledgement after which no older epoch may rule
 	slack      = 100  // ms from an acknowledgement after which none may rule by a lease
-	ttl        = 2 * kernel.Second
+	ttl        = 2 * time.Second
 	forever    = 1 << 40
 )
 
@@ -126,7 +126,7 @@
 	process      *process
 	downUntil    int64
 	ruled        uint64
-	offset       kernel.Duration
+	offset       time.Duration
 	rate         float64
 	incarnations uint64 // number of processes started
 }
@@ -194,7 +194,7 @@
 	samples     int
 }
 
-var origin = kernel.UnixMilli(1_700_000_000_000)
+var origin = time.UnixMilli(1_700_000_000_000)
 
 func newWorld(seed uint64, config Config) *world {
 	w := &world{seed: seed, config: config, random: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
@@ -205,7 +205,7 @@
 	for i := range total {
 		w.partitioned[i] = make([]bool, total)
 		n := &node{id: i, name: fmt.Sprintf("n%02d", i), rate: 1 + config.Drift*(2*w.random.Float64()-1),
-			offset: kernel.Duration(w.random.IntN(1000)) * kernel.Second}
+			offset: time.Duration(w.random.IntN(1000)) * time.Second}
 		w.nodes = append(w.nodes, n)
 		if i < config.Cores {
 			w.voters = append(w.voters, n.name)
@@ -229,8 +229,8 @@
 }
 
 // clock returns the time of a process's own monotonic clock, which drifts.
-func (w *world) clock(n *node) kernel.Time {
-	return origin.Add(n.offset + kernel.Duration(float64(w.now)*n.rate*float64(kernel.Millisecond)))
+func (w *world) clock(n *node) time.Time {
+	return origin.Add(n.offset + time.Duration(float64(w.now)*n.rate*float64(time.Millisecond)))
 }
 
 func (w *world) start(n *node) {
@@ -242,7 +242,7 @@
 		p.core = &core{ledger: lease.NewLedger(n.name, ttl, w.clock(n)), learned: w.synced[n.id],
 			opened: w.config.Mutation == NoOpening}
 		if w.config.Mutation == Unsettled {
-			p.core.ledger = lease.NewLedger(n.name, ttl, w.clock(n).Add(-kernel.Minute))
+			p.core.ledger = lease.NewLedger(n.name, ttl, w.clock(n).Add(-time.Minute))
 		}
 	}
 	n.process = p
--- a/sim/fleet/faults.go
+++ b/sim/fleet/faults.go
@@ -2,8 +2,7 @@
 
 import (
 	"fmt"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // faultInterval is the mean number of steps between two faults.
@@ -21,7 +20,7 @@
 	}
 }
 
-func (w *simulation) healDue(now kernel.Time) {
+func (w *simulation) healDue(now time.Time) {
 	if w.split != nil && now.After(w.heal) {
 		w.fleet.Split(w.split, false)
 		w.split = nil
@@ -29,7 +28,7 @@
 	}
 }
 
-func (w *simulation) restartDue(now kernel.Time) {
+func (w *simulation) restartDue(now time.Time) {
 	for i, at := range w.back {
 		if !now.After(at) {
 			continue
@@ -42,7 +41,7 @@
 	}
 }
 
-func (w *simulation) drawFault(now kernel.Time) {
+func (w *simulation) drawFault(now time.Time) {
 	switch w.random.IntN(7) {
 	case 0, 1:
 		w.kill(w.random.IntN(w.n))
@@ -70,7 +69,7 @@
 }
 
 // partition isolates one node or splits the fleet at random, for a while.
-func (w *simulation) partition(now kernel.Time) {
+func (w *simulation) partition(now time.Time) {
 	if w.split != nil {
 		return
 	}
@@ -82,7 +81,7 @@
 			w.split[i] = w.random.IntN(2) == 0
 		}
 	}
-	w.heal = now.Add(kernel.Duration(3+w.random.IntN(25)) * kernel.Second)
+	w.heal = now.Add(time.Duration(3+w.random.IntN(25)) * time.Second)
 	w.fleet.Split(w.split, true)
 	w.note("split %v", w.split)
 }
@@ -98,7 +97,7 @@
 }
 
 // leave restarts later the nodes whose graceful shutdown has ended.
-func (w *simulation) leave(now kernel.Time) {
+func (w *simulation) leave(now time.Time) {
 	for i := range w.n {
 		if !w.leaving[i] {
 			continue
@@ -112,14 +111,14 @@
 		}
 		delete(w.leaving, i)
 		delete(w.took, i)
-		w.back[i] = now.Add(kernel.Duration(1+w.random.IntN(6)) * kernel.Second)
+		w.back[i] = now.Add(time.Duration(1+w.random.IntN(6)) * time.Second)
 		w.note("ended %d", i)
 	}
 }
 
 // replace takes the next node away for good and puts one of the same name and
 // without its disk in its place, once the one before is up again for 3 s.
-func (w *simulation) replace(now kernel.Time) {
+func (w *simulation) replace(now time.Time) {
 	if len(w.turns) == 0 || now.Before(w.turnAt) {
 		return
 	}
@@ -128,8 +127,8 @@
 	if !w.fleet.Running(i) {
 		return
 	}
-	w.lose(i, now.Add(2*kernel.Second), i < w.fleet.config.Cores && w.canWipe(i))
-	w.turnAt = now.Add(5 * kernel.Second)
+	w.lose(i, now.Add(2*time.Second), i < w.fleet.config.Cores && w.canWipe(i))
+	w.turnAt = now.Add(5 * time.Second)
 }
 
 // kill ends a node for a while; one core at a time may lose its disk, and only
@@ -138,11 +137,11 @@
 	if !w.fleet.Running(i) {
 		return
 	}
-	back := w.clock.Now().Add(kernel.Duration(1+w.random.IntN(12)) * kernel.Second)
+	back := w.clock.Now().Add(time.Duration(1+w.random.IntN(12)) * time.Second)
 	w.lose(i, back, i < w.fleet.config.Cores && w.random.IntN(3) == 0 && w.canWipe(i))
 }
 
-func (w *simulation) lose(i int, back kernel.Time, wiped bool) {
+func (w *simulation) lose(i int, back time.Time, wiped bool) {
 	w.fleet.Kill(i)
 	delete(w.took, i)
 	delete(w.leaving, i)
--- a/sim/fleet/fleet.go
+++ b/sim/fleet/fleet.go
@@ -6,6 +6,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -15,13 +16,15 @@
 	"path/filepath"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/pkg/errors"
 	"go.yaml.in/yaml/v3"
 
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 	"stepwick/internal/core/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/internal/node"
 	"stepwick/internal/settings"
 	"stepwick/sim/memnet"
@@ -61,7 +64,7 @@
 // Fleet is a number of nodes with one web server and a platform beside them.
 type Fleet struct {
 	Net    *memnet.Network
-	ctx    kernel.Context
+	ctx    context.Context
 	config Config
 	folder string
 	nodes  []*member
@@ -70,7 +73,7 @@
 
 type member struct {
 	index      int
-	stop       kernel.Cancel
+	stop       context.CancelFunc
 	ended      chan error
 	started    bool // has been up before
 	poweredOff bool
@@ -79,7 +82,7 @@
 func host(i int) string { return fmt.Sprintf("127.0.2.%d", i+1) }
 
 // Start starts a fleet; its cores' disks lie in folder. It ends with the context.
-func Start(ctx kernel.Context, config Config, folder string) (*Fleet, error) {
+func Start(ctx context.Context, config Config, folder string) (*Fleet, error) {
 	f := &Fleet{Net: memnet.New(ctx), ctx: ctx, config: config, folder: folder}
 	f.client = &http.Client{Transport: &http.Transport{DialContext: f.Net.Dialer(outside), DisableKeepAlives: true}}
 	if err := f.standIns(); err != nil {
@@ -100,20 +103,20 @@
 	platform := map[string]any{"servers": []map[string]any{{"name": "web1", "address": servers + ":80", "kind": "web",
 		"services": []string{"outage"}, "region": "lagos", "zone": "a", "state": "ready"}}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/servers", func(w http.ResponseWriter, _ *http.Request) { kernel.Reply(w, http.StatusOK, platform) })
+	mux.HandleFunc("/servers", func(w http.ResponseWriter, _ *http.Request) { apierror.WriteJSON(w, http.StatusOK, platform) })
 	mux.HandleFunc("/v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		kernel.Reply(w, http.StatusOK, map[string]any{"server": "web1", "incarnation": 1, "state": "ready", "slots": 64, "answered": 1000})
+		apierror.WriteJSON(w, http.StatusOK, map[string]any{"server": "web1", "incarnation": 1, "state": "ready", "slots": 64, "answered": 1000})
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Stepwick-Request-Id", r.Header.Get("Stepwick-Request-Id"))
-		kernel.Reply(w, http.StatusOK, map[string]any{"ran": r.Header.Get("Stepwick-Request-Id")})
+		apierror.WriteJSON(w, http.StatusOK, map[string]any{"ran": r.Header.Get("Stepwick-Request-Id")})
 	})
 	listener, err := f.Net.Listen(servers + ":80")
 	if err != nil {
 		return err
 	}
 	server := &http.Server{Handler: mux}
-	kernel.AfterFunc(f.ctx, func() { _ = server.Close() })
+	context.AfterFunc(f.ctx, func() { _ = server.Close() })
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
@@ -167,9 +170,9 @@
 	if len(problems) > 0 {
 		return errors.New(problems[0].String())
 	}
-	ctx, stop := kernel.WithCancel(f.ctx)
+	ctx, stop := context.WithCancel(f.ctx)
 	m.started, m.stop, m.ended = true, stop, make(chan error, 1)
-	world := node.World{Clock: kernel.System(), Listen: f.Net.Listen, Dial: f.Net.Dialer(host(i))}
+	world := node.World{Clock: clock.System(), Listen: f.Net.Listen, Dial: f.Net.Dialer(host(i))}
 	go func() { m.ended <- node.RunIn(ctx, world, role, values, f.log(i)) }()
 	return nil
 }
@@ -265,20 +268,20 @@
 // Answer is the response to a caller or an operator. Status 0 means none.
 type Answer struct {
 	Status     int
-	Code       kernel.Code  `json:"code"`
-	Epoch      uint64       `json:"epoch"`
-	SheetEpoch uint64       `json:"sheet_epoch"`
-	InForce    bool         `json:"in_force"`
-	Sheet      *sheet.Sheet `json:"sheet"`
+	Code       apierror.Code `json:"code"`
+	Epoch      uint64        `json:"epoch"`
+	SheetEpoch uint64        `json:"sheet_epoch"`
+	InForce    bool          `json:"in_force"`
+	Sheet      *sheet.Sheet  `json:"sheet"`
 }
 
-func (f *Fleet) call(i int, method, path, key string, body any, wait kernel.Duration) (answer Answer) {
+func (f *Fleet) call(i int, method, path, key string, body any, wait time.Duration) (answer Answer) {
 	var data io.Reader
 	if body != nil {
 		text, _ := json.Marshal(body)
 		data = bytes.NewReader(text)
 	}
-	ctx, cancel := kernel.WithTimeout(f.ctx, wait)
+	ctx, cancel := context.WithTimeout(f.ctx, wait)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+host(i)+":7000"+path, data)
 	if err != nil {
@@ -301,12 +304,12 @@
 
 // Ask sends a one-shot with key k to node i.
 func (f *Fleet) Ask(i, k int) Answer {
-	return f.call(i, http.MethodGet, "/v1/call/outage/map", key(k), nil, kernel.Second)
+	return f.call(i, http.MethodGet, "/v1/call/outage/map", key(k), nil, time.Second)
 }
 
 // First puts the first sheet, with key 0, in force.
 func (f *Fleet) First(i int) Answer {
-	return f.call(i, http.MethodPut, "/v1/control/sheet", operatorKey, map[string]any{"order_id": "first", "base": 0, "sheet": sheetOf()}, 10*kernel.Second)
+	return f.call(i, http.MethodPut, "/v1/control/sheet", operatorKey, map[string]any{"order_id": "first", "base": 0, "sheet": sheetOf()}, 10*time.Second)
 }
 
 func sheetOf() *sheet.Sheet {
@@ -318,12 +321,12 @@
 // Change puts key k in the place of the one before, on a base, through node i.
 func (f *Fleet) Change(i, k int, base uint64) Answer {
 	return f.call(i, http.MethodPatch, "/v1/control/sheet", operatorKey, map[string]any{"order_id": fmt.Sprintf("order %d", k), "base": base,
-		"changes": []map[string]any{{"path": "tenants.civic.keys", "value": []string{sheet.HashKey(key(k))}}}}, 10*kernel.Second)
+		"changes": []map[string]any{{"path": "tenants.civic.keys", "value": []string{sheet.HashKey(key(k))}}}}, 10*time.Second)
 }
 
 // Read reads the sheet back through node i.
 func (f *Fleet) Read(i int) Answer {
-	return f.call(i, http.MethodGet, "/v1/control/sheet", operatorKey, nil, 5*kernel.Second)
+	return f.call(i, http.MethodGet, "/v1/control/sheet", operatorKey, nil, 5*time.Second)
 }
 
 // Holds reports whether a sheet that was read back has key k.
@@ -336,7 +339,7 @@
 
 // standing asks core i for its standing.
 func (f *Fleet) standing(i int) string {
-	ctx, cancel := kernel.WithTimeout(f.ctx, 2*kernel.Second)
+	ctx, cancel := context.WithTimeout(f.ctx, 2*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host(i)+":7000/v1/control/status", nil)
 	if err != nil {
--- a/sim/fleet/fleet_test.go
+++ b/sim/fleet/fleet_test.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 	"stepwick/sim/fleet"
 )
 
@@ -27,12 +26,12 @@
 // TestWalkOfAFleetThatRelays runs a fleet large enough that its fronts renew
 // their leases through one core.
 func TestWalkOfAFleetThatRelays(t *testing.T) {
-	walk(t, func(ctx kernel.Context, seed uint64, folder string, span kernel.Duration) (fleet.Report, error) {
+	walk(t, func(ctx context.Context, seed uint64, folder string, span time.Duration) (fleet.Report, error) {
 		return fleet.SimulateIn(ctx, fleet.Relayed, seed, folder, span)
 	})
 }
 
-func walk(t *testing.T, play func(kernel.Context, uint64, string, kernel.Duration) (fleet.Report, error)) {
+func walk(t *testing.T, play func(context.Context, uint64, string, time.Duration) (fleet.Report, error)) {
 	for seed := *from; seed < *from+uint64(*seeds); seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
--- a/sim/fleet/losses.go
+++ b/sim/fleet/losses.go
@@ -1,10 +1,12 @@
 package fleet
 
 import (
+	"context"
 	"net/http"
+	"time"
 
+	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/kernel"
 )
 
 // grown is the fleet of the grown deployments: six machines with a disk, of
@@ -15,13 +17,13 @@
 
 // recoverWithin is how soon after the last machine is back an acknowledged
 // configuration must be readable again.
-const recoverWithin = 10 * kernel.Second
+const recoverWithin = 10 * time.Second
 
 // Losses simulates large power failures: every core loses power at one moment and
 // comes back; then, around an order, all nodes lose power and two cores their
 // disks as well. The order, if it was acknowledged, must be read back. Which
 // cores lose their disks, which are seeds and when each machine is back is drawn.
-func Losses(ctx kernel.Context, seed uint64, folder string, log func(node int) events.Log) (report Report, err error) {
+func Losses(ctx context.Context, seed uint64, folder string, log func(node int) events.Log) (report Report, err error) {
 	report.Seed = seed
 	random := Draw(seed)
 	cores := random.Perm(6)
@@ -32,14 +34,14 @@
 		return report, err
 	}
 	defer f.Close()
-	w := &simulation{fleet: f, random: random, clock: kernel.System(), report: &report, n: config.Nodes}
+	w := &simulation{fleet: f, random: random, clock: clock.System(), report: &report, n: config.Nodes}
 	w.start = w.clock.Now()
 	w.note("seeds %v", config.Seeds)
 	if !w.form() {
 		w.violate("no first sheet in force within 30 s")
 		return report, nil
 	}
-	w.pause(3 * kernel.Second)
+	w.pause(3 * time.Second)
 	if random.IntN(3) > 0 {
 		w.loseCores(config)
 	}
@@ -53,8 +55,8 @@
 	lost := upTo(config.Cores)
 	w.fleet.PowerOff(lost...)
 	w.note("cores without power")
-	w.bringBack(lost, 3*kernel.Second, 2*kernel.Second)
-	w.pause(8 * kernel.Second)
+	w.bringBack(lost, 3*time.Second, 2*time.Second)
+	w.pause(8 * time.Second)
 }
 
 // lastFault sends an order, takes the power of all nodes some milliseconds later
@@ -63,7 +65,7 @@
 	w.key++
 	s := &sending{key: w.key}
 	w.send(s)
-	w.pause(kernel.Duration(5+w.random.IntN(400)) * kernel.Millisecond)
+	w.pause(time.Duration(5+w.random.IntN(400)) * time.Millisecond)
 	w.fleet.PowerOff(upTo(config.Nodes)...)
 	wiped := w.random.Perm(config.Cores)[:2]
 	w.note("all without power, disks lost of %v", wiped)
@@ -72,7 +74,7 @@
 			w.violate("%v", err)
 		}
 	}
-	w.bringBack(upTo(config.Nodes), 300*kernel.Millisecond, kernel.Second)
+	w.bringBack(upTo(config.Nodes), 300*time.Millisecond, time.Second)
 	acknowledged := false
 	select {
 	case a := <-s.answers:
@@ -88,7 +90,7 @@
 	for w.clock.Now().Before(until) {
 		a := w.fleet.Read(w.random.IntN(w.n))
 		if a.Status != http.StatusOK {
-			w.pause(200 * kernel.Millisecond)
+			w.pause(200 * time.Millisecond)
 			continue
 		}
 		if acknowledged && !a.Holds(w.key) {
@@ -104,21 +106,21 @@
 
 // bringBack starts nodes again, each after a least time and a random part of a
 // spread.
-func (w *simulation) bringBack(nodes []int, least, spread kernel.Duration) {
+func (w *simulation) bringBack(nodes []int, least, spread time.Duration) {
 	w.pause(least)
-	delays := make(map[int]kernel.Duration, len(nodes))
+	delays := make(map[int]time.Duration, len(nodes))
 	for _, i := range nodes {
-		delays[i] = kernel.Duration(w.random.Int64N(int64(spread)))
+		delays[i] = time.Duration(w.random.Int64N(int64(spread)))
 	}
-	for passed := kernel.Duration(0); len(delays) > 0; passed += backStep {
+	for passed := time.Duration(0); len(delays) > 0; passed += backStep {
 		w.startDue(delays, passed)
 		w.pause(backStep)
 	}
 }
 
-const backStep = 10 * kernel.Millisecond
+const backStep = 10 * time.Millisecond
 
-func (w *simulation) startDue(delays map[int]kernel.Duration, passed kernel.Duration) {
+func (w *simulation) startDue(delays map[int]time.Duration, passed time.Duration) {
 	for i := range w.n {
 		delay, waits := delays[i]
 		if !waits || delay > passed {
--- a/sim/fleet/simulate.go
+++ b/sim/fleet/simulate.go
@@ -1,11 +1,14 @@
 package fleet
 
 import (
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
+	"time"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
 )
 
 // Report counts what one run did, and lists its faults and violations.
@@ -20,7 +23,7 @@
 }
 
 // Simulate drives a fleet of the first deployment's size through faults; see SimulateIn.
-func Simulate(ctx kernel.Context, seed uint64, folder string, span kernel.Duration) (Report, error) {
+func Simulate(ctx context.Context, seed uint64, folder string, span time.Duration) (Report, error) {
 	return SimulateIn(ctx, small, seed, folder, span)
 }
 
@@ -29,7 +32,7 @@
 // and checks: no node takes an older key 2.5 s after a newer one was
 // acknowledged, none steps back, of a race one operator wins and the other's key
 // is never taken, and what was acknowledged is read back at the end.
-func SimulateIn(ctx kernel.Context, config Config, seed uint64, folder string, span kernel.Duration) (report Report, err error) {
+func SimulateIn(ctx context.Context, config Config, seed uint64, folder string, span time.Duration) (report Report, err error) {
 	report.Seed = seed
 	random := Draw(seed)
 	f, err := Start(ctx, config, folder)
@@ -37,7 +40,7 @@
 		return report, err
 	}
 	defer f.Close()
-	w := &simulation{fleet: f, random: random, clock: kernel.System(), report: &report, took: map[int]int{}, lost: map[int]bool{}, leaving: map[int]bool{}, n: config.Nodes}
+	w := &simulation{fleet: f, random: random, clock: clock.System(), report: &report, took: map[int]int{}, lost: map[int]bool{}, leaving: map[int]bool{}, n: config.Nodes}
 	w.start = w.clock.Now()
 	if !w.form() {
 		report.Violations = append(report.Violations, "no first sheet in force within 30 s")
@@ -56,8 +59,8 @@
 type simulation struct {
 	fleet  *Fleet
 	random *rand.Rand
-	clock  kernel.Clock
-	start  kernel.Time
+	clock  clock.Clock
+	start  time.Time
 	report *Report
 	n      int
 
@@ -69,11 +72,11 @@
 	lost    map[int]bool // keys of orders that lost a race
 	took    map[int]int  // newest key that the incarnation of a node accepted
 	split   map[int]bool
-	heal    kernel.Time
-	back    map[int]kernel.Time
+	heal    time.Time
+	back    map[int]time.Time
 	leaving map[int]bool // asked to stop and still up
 	turns   []int        // nodes to be replaced, one after another
-	turnAt  kernel.Time
+	turnAt  time.Time
 }
 
 // sending is one operator's order and what became of it.
@@ -85,10 +88,10 @@
 
 type ack struct {
 	key int
-	at  kernel.Time
+	at  time.Time
 }
 
-func (w *simulation) pause(d kernel.Duration) { <-w.clock.After(d) }
+func (w *simulation) pause(d time.Duration) { <-w.clock.After(d) }
 
 func (w *simulation) since() string {
 	return fmt.Sprintf("%.1fs", w.clock.Now().Sub(w.start).Seconds())
@@ -100,10 +103,10 @@
 		if a.Status == http.StatusOK && a.InForce {
 			w.base = a.SheetEpoch
 			w.acked = append(w.acked, ack{0, w.clock.Now()})
-			w.back = map[int]kernel.Time{}
+			w.back = map[int]time.Time{}
 			return true
 		}
-		w.pause(kernel.Second)
+		w.pause(time.Second)
 	}
 	return false
 }
@@ -111,7 +114,7 @@
 // step takes a tenth of a second: an order ends or begins, a fault may come or
 // heal, and one node is asked with the newest keys.
 func (w *simulation) step() {
-	w.pause(100 * kernel.Millisecond)
+	w.pause(100 * time.Millisecond)
 	w.order()
 	w.fault()
 	w.probe()
@@ -174,7 +177,7 @@
 			w.report.Acknowledged++
 			w.next = a.SheetEpoch
 			w.acked = append(w.acked, ack{s.key, w.clock.Now()})
-		case a.Status == http.StatusConflict && a.Code == kernel.BaseMoved:
+		case a.Status == http.StatusConflict && a.Code == apierror.BaseMoved:
 			s.outcome = a.Status
 			w.lost[s.key] = true
 		default:
@@ -199,7 +202,7 @@
 	go func() {
 		a := w.fleet.Change(i, s.key, base)
 		if a.Status != http.StatusOK {
-			<-w.clock.After(300 * kernel.Millisecond)
+			<-w.clock.After(300 * time.Millisecond)
 		}
 		answers <- a
 	}()
@@ -215,7 +218,7 @@
 
 // ruleDelay is the time after an acknowledgement from which no node may accept an
 // older key.
-const ruleDelay = 2500 * kernel.Millisecond
+const ruleDelay = 2500 * time.Millisecond
 
 // probe sends one node the newest key and, 2.5 s after a newer one was
 // acknowledged, an older one, which it must refuse.
@@ -267,7 +270,7 @@
 		w.fleet.Split(w.split, false)
 	}
 	for range 40 {
-		w.pause(500 * kernel.Millisecond)
+		w.pause(500 * time.Millisecond)
 		w.leave(w.clock.Now())
 		w.restartAll()
 		if w.race != nil {
--- a/sim/memnet/memnet.go
+++ b/sim/memnet/memnet.go
@@ -5,17 +5,19 @@
 package memnet
 
 import (
+	"context"
 	"net"
 	"os"
 	"sync/atomic"
 	"syscall"
+	"time"
 
-	"github.com/pkg/errors"
+	"stepwick/internal/clock"
 
-	"stepwick/internal/kernel"
+	"github.com/pkg/errors"
 )
 
-const dialTimeout = 2 * kernel.Second
+const dialTimeout = 2 * time.Second
 
 // Network connects hosts named by their IP numbers.
 type Network struct {
@@ -30,7 +32,7 @@
 }
 
 // New returns a network; it lives until the context ends.
-func New(ctx kernel.Context) *Network {
+func New(ctx context.Context) *Network {
 	n := &Network{calls: make(chan func(*state)), ended: ctx.Done()}
 	go func() {
 		s := &state{listeners: map[string]*listener{}, cut: map[[2]string]*atomic.Bool{}, conns: map[*conn]struct{}{}}
@@ -134,8 +136,8 @@
 }
 
 // Dialer returns a dial function for a host's connections.
-func (n *Network) Dialer(host string) func(ctx kernel.Context, network, address string) (net.Conn, error) {
-	return func(ctx kernel.Context, network, address string) (net.Conn, error) {
+func (n *Network) Dialer(host string) func(ctx context.Context, network, address string) (net.Conn, error) {
+	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		d := &dial{network: n, from: host, to: hostOf(address), address: address, ended: true}
 		n.do(d.connect)
 		switch {
@@ -184,8 +186,8 @@
 }
 
 // unanswered waits until a dial to an unreachable host times out.
-func (n *Network) unanswered(ctx kernel.Context, network string) error {
-	wait, stop := kernel.Timer(dialTimeout)
+func (n *Network) unanswered(ctx context.Context, network string) error {
+	wait, stop := clock.NewTimer(dialTimeout)
 	defer stop()
 	select {
 	case <-ctx.Done():
@@ -251,7 +253,7 @@
 func (c *conn) Close() error {
 	c.network.do(func(s *state) { delete(s.conns, c) })
 	if c.dead.Load() {
-		_ = c.Conn.SetDeadline(kernel.UnixMilli(1))
+		_ = c.Conn.SetDeadline(time.UnixMilli(1))
 		return nil
 	}
 	return c.Conn.Close()
--- a/sim/route/checker.go
+++ b/sim/route/checker.go
@@ -2,8 +2,7 @@
 
 import (
 	"fmt"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // Violation describes a broken rule and what was measured.
@@ -14,7 +13,7 @@
 // start's first bound and one for each answer; no server ever has more than mostPeak
 // in flight; and from an instant on, each span of three seconds serves at least a
 // quarter of the rate before the first fault.
-func Check(cfg Config, r Result, mostPeak int, from kernel.Duration) []Violation {
+func Check(cfg Config, r Result, mostPeak int, from time.Duration) []Violation {
 	var found []Violation
 	for _, l := range r.Servers {
 		if l.Over > 0 {
@@ -28,17 +27,17 @@
 	for _, f := range cfg.Faults {
 		first = min(first, f.At)
 	}
-	level := r.perSecond(first-3*kernel.Second, first)
-	for at := from; at+3*kernel.Second <= cfg.Span; at += kernel.Second {
-		if now := r.perSecond(at, at+3*kernel.Second); now < level/4 {
+	level := r.perSecond(first-3*time.Second, first)
+	for at := from; at+3*time.Second <= cfg.Span; at += time.Second {
+		if now := r.perSecond(at, at+3*time.Second); now < level/4 {
 			found = append(found, Violation(fmt.Sprintf("served %.0f a second at %s, %.0f before the first fault", now, at, level)))
 		}
 	}
 	return found
 }
 
-func (r Result) perSecond(from, to kernel.Duration) float64 {
-	sum, first, last := 0, int(from/kernel.Second), int(to/kernel.Second)
+func (r Result) perSecond(from, to time.Duration) float64 {
+	sum, first, last := 0, int(from/time.Second), int(to/time.Second)
 	for _, n := range r.PerSecond[max(0, first):last] {
 		sum += n
 	}
--- a/sim/route/request.go
+++ b/sim/route/request.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"slices"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/route"
-	"stepwick/internal/kernel"
 )
 
 func (s *sim) arrive(n int) {
@@ -55,8 +56,8 @@
 	req := s.request(c)
 	choice := c.front.table.Choose(req, s.clock())
 	if choice.Queued {
-		if fault := c.front.table.Enqueue(req, s.clock()); fault != nil {
-			s.reject(c, fault)
+		if apiErr := c.front.table.Enqueue(req, s.clock()); apiErr != nil {
+			s.reject(c, apiErr)
 			return
 		}
 		c.front.calls[c.id] = c
@@ -84,10 +85,10 @@
 	s.at(s.now+hop, func() { v.arrive(c) })
 }
 
-func (s *sim) reject(c *call, fault *kernel.Fault) {
+func (s *sim) reject(c *call, apiErr *apierror.Error) {
 	c.over = true
 	s.result.Refused++
-	s.result.Codes[fault.Code.String()]++
+	s.result.Codes[apiErr.Code.String()]++
 }
 
 func (s *sim) firstToken(c *call, attempt int) {
@@ -118,7 +119,7 @@
 				return
 			}
 			s.result.Served++
-			if at := int(s.now / kernel.Second); at < len(s.result.PerSecond) {
+			if at := int(s.now / time.Second); at < len(s.result.PerSecond) {
 				s.result.PerSecond[at]++
 			}
 		case how == late:
--- a/sim/route/server.go
+++ b/sim/route/server.go
@@ -3,8 +3,8 @@
 import (
 	"container/list"
 	"slices"
+	"time"
 
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
@@ -23,7 +23,7 @@
 	draining    bool
 	running     map[*call]bool
 	queue       []*call
-	prefillFree kernel.Duration
+	prefillFree time.Duration
 	cache       map[uint64]*list.Element
 	recent      *list.List
 	cached      int
--- a/sim/route/sim.go
+++ b/sim/route/sim.go
@@ -10,22 +10,22 @@
 	"math"
 	"math/rand/v2"
 	"slices"
+	"time"
 
 	"stepwick/internal/core/plan"
 	"stepwick/internal/core/route"
 	"stepwick/internal/core/sheet"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 	"stepwick/sim/eventqueue"
 )
 
 const (
 	rampStart   = 2
-	statusStep  = 500 * kernel.Millisecond
-	statusLag   = 250 * kernel.Millisecond
-	planPeriod  = 5 * kernel.Second
-	hop         = kernel.Millisecond
-	drainStep   = 50 * kernel.Millisecond
+	statusStep  = 500 * time.Millisecond
+	statusLag   = 250 * time.Millisecond
+	planPeriod  = 5 * time.Second
+	hop         = time.Millisecond
+	drainStep   = 50 * time.Millisecond
 	maxAttempts = 3
 )
 
@@ -41,19 +41,19 @@
 	Fronts        int
 	Servers       int
 	Server        ServerConfig
-	Span          kernel.Duration
+	Span          time.Duration
 	Rate          float64
 	Prefixes      int
 	Skew          float64
 	PrefixTokens  int
 	SessionTokens int
 	OutputTokens  int
-	Deadline      kernel.Duration
+	Deadline      time.Duration
 	FrontWeights  []float64
 	Queued        int
 	Crowd         float64
-	CrowdFrom     kernel.Duration
-	CrowdTo       kernel.Duration
+	CrowdFrom     time.Duration
+	CrowdTo       time.Duration
 	Faults        []Fault
 	Warm          bool
 	Policy        plan.Policy
@@ -61,7 +61,7 @@
 
 // Fault is a fault of one server at an instant of the run.
 type Fault struct {
-	At     kernel.Duration
+	At     time.Duration
 	Server int
 	What   FaultKind
 }
@@ -83,14 +83,14 @@
 type Result struct {
 	Offered, Served, Refused, Cut, Late, Rejected int
 	Codes                                         map[string]int
-	TTFT                                          []kernel.Duration
+	TTFT                                          []time.Duration
 	Hits, Misses                                  int
 	Servers                                       []ServerReport
 	PerSecond                                     []int
 }
 
 // Quantile returns a quantile of the time to the first token.
-func (r Result) Quantile(q float64) kernel.Duration {
+func (r Result) Quantile(q float64) time.Duration {
 	if len(r.TTFT) == 0 {
 		return 0
 	}
@@ -121,12 +121,12 @@
 	front                         *front
 	prefix                        uint64
 	prefixTokens, session, output int
-	born, deadline                kernel.Duration
+	born, deadline                time.Duration
 	attempt                       int
 	server                        string
 	tried                         []string
 	begun, over                   bool
-	started, first                kernel.Duration
+	started, first                time.Duration
 }
 
 type front struct {
@@ -138,8 +138,8 @@
 type sim struct {
 	cfg     Config
 	rng     *rand.Rand
-	now     kernel.Duration
-	events  eventqueue.Queue[kernel.Duration]
+	now     time.Duration
+	events  eventqueue.Queue[time.Duration]
 	servers []*server
 	byName  map[string]*server
 	fronts  []*front
@@ -151,15 +151,15 @@
 	result  Result
 }
 
-var epoch = kernel.UnixMilli(1_000_000)
+var epoch = time.UnixMilli(1_000_000)
 
-func seconds(s float64) kernel.Duration { return kernel.Duration(s * float64(kernel.Second)) }
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Run simulates one configuration.
 func Run(cfg Config) Result {
 	s := &sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), byName: map[string]*server{}, last: map[string]*wire.ServerStatus{}}
 	s.result.Codes = map[string]int{}
-	s.result.PerSecond = make([]int, int(cfg.Span/kernel.Second)+1)
+	s.result.PerSecond = make([]int, int(cfg.Span/time.Second)+1)
 	s.state = sheet.State{Epoch: 1, SheetEpoch: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{"chat": {Kind: sheet.KindModel}},
 		Weights: map[string]map[string]float64{"chat": {"lagos": 10, "abeokuta": 8}}}}
 	for i := range cfg.Servers {
@@ -190,7 +190,7 @@
 	for _, fault := range cfg.Faults {
 		s.at(fault.At, func() { s.fault(fault) })
 	}
-	s.at(kernel.Second, func() { s.arrive(0) })
+	s.at(time.Second, func() { s.arrive(0) })
 	s.runEvents(cfg.Span + cfg.Deadline)
 	slices.Sort(s.result.TTFT)
 	for _, v := range s.servers {
@@ -202,7 +202,7 @@
 }
 
 // runEvents runs the events that are due until an instant, included.
-func (s *sim) runEvents(until kernel.Duration) {
+func (s *sim) runEvents(until time.Duration) {
 	for at, ok := s.events.Next(); ok && at <= until; at, ok = s.events.Next() {
 		instant, action := s.events.Pop()
 		s.now = instant
@@ -210,11 +210,11 @@
 	}
 }
 
-func (s *sim) at(at kernel.Duration, action func()) {
+func (s *sim) at(at time.Duration, action func()) {
 	s.events.Schedule(max(at, s.now), action)
 }
 
-func (s *sim) clock() kernel.Time { return epoch.Add(s.now) }
+func (s *sim) clock() time.Time { return epoch.Add(s.now) }
 
 func (s *sim) drawZipf() {
 	sum := 0.0
@@ -255,7 +255,7 @@
 	}
 	view := route.View{State: s.state, Plan: s.plan, Servers: next, Fronts: names}
 	for _, f := range s.fronts {
-		s.at(s.now+statusLag+kernel.Duration(s.rng.IntN(100))*kernel.Millisecond, func() {
+		s.at(s.now+statusLag+time.Duration(s.rng.IntN(100))*time.Millisecond, func() {
 			f.table.Update(view, s.clock())
 			s.drain(f)
 		})
--- a/sim/tally/checker.go
+++ b/sim/tally/checker.go
@@ -2,13 +2,14 @@
 
 import (
 	"sort"
+	"time"
 
-	"stepwick/internal/kernel"
+	"stepwick/internal/apierror"
 )
 
 const (
-	span           = 8 * kernel.Second // length of the spans that are checked
-	spanStep       = 20 * kernel.Millisecond
+	span           = 8 * time.Second // length of the spans that are checked
+	spanStep       = 20 * time.Millisecond
 	underLimit     = 0.8 // offers of at most this part of the limit must not be refused
 	regions        = 2
 	notMeasured    = -1.0
@@ -17,20 +18,20 @@
 
 // Result measures a run. Tokens are fractions of the tenant's limit.
 type Result struct {
-	Max         float64         // most tokens admitted in any span
-	MaxAt       kernel.Duration // start of that span
-	Min         float64         // least tokens admitted in a span of steady excess demand; -1 when there was none
-	MinAt       kernel.Duration // start of that span
-	Refused     float64         // refused share of the tokens offered while the offer was under the limit
-	Offered     float64         // tokens so offered
-	Wait        kernel.Duration // longest time until an admitted request was answered
+	Max         float64       // most tokens admitted in any span
+	MaxAt       time.Duration // start of that span
+	Min         float64       // least tokens admitted in a span of steady excess demand; -1 when there was none
+	MinAt       time.Duration // start of that span
+	Refused     float64       // refused share of the tokens offered while the offer was under the limit
+	Offered     float64       // tokens so offered
+	Wait        time.Duration // longest time until an admitted request was answered
 	MinByRegion [regions]float64
 	Mean        float64 // tokens admitted in a span of steady excess demand, over the whole run
 }
 
 // admission is an admitted request at the instant of its answer.
 type admission struct {
-	at     kernel.Duration
+	at     time.Duration
 	tokens float64
 	region int
 }
@@ -39,7 +40,7 @@
 // from one instant until another, count for Min, MinByRegion and Mean. Tokens
 // offered while the offer of the 8 s before and of the 8 s after was at most 0.8
 // of the limit count for Refused.
-func Check(requests []Request, firstRegion int, from, until kernel.Duration) Result {
+func Check(requests []Request, firstRegion int, from, until time.Duration) Result {
 	result := Result{Min: notMeasured, MinByRegion: [regions]float64{notMeasured, notMeasured}}
 	admissions := admitted(requests, firstRegion)
 	for _, r := range requests {
@@ -115,7 +116,7 @@
 }
 
 // measureExcess looks at the spans of steady excess demand.
-func (result *Result) measureExcess(admissions []admission, from, until kernel.Duration) {
+func (result *Result) measureExcess(admissions []admission, from, until time.Duration) {
 	total := 0.0
 	for _, a := range admissions {
 		if a.at >= from && a.at < until {
@@ -137,7 +138,7 @@
 }
 
 // sumByRegion returns the tokens admitted in the span from start on.
-func sumByRegion(admissions []admission, start kernel.Duration) (sums [regions]float64) {
+func sumByRegion(admissions []admission, start time.Duration) (sums [regions]float64) {
 	first := sort.Search(len(admissions), func(i int) bool { return admissions[i].at >= start })
 	for _, a := range admissions[first:] {
 		if a.at >= start+span {
@@ -160,7 +161,7 @@
 			}
 		}
 		exact[i] = Request{At: r.At, Answered: r.At, Front: r.Front, Tokens: r.Tokens}
-		exact[i].Decision.Code = kernel.QuotaExceeded
+		exact[i].Decision.Code = apierror.QuotaExceeded
 		if sum+exactTolerance*r.Tokens <= 1 {
 			sum += r.Tokens
 			exact[i].Decision.Pass = true
--- a/sim/tally/demand.go
+++ b/sim/tally/demand.go
@@ -2,12 +2,11 @@
 
 import (
 	"math/rand/v2"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // Demand is the offered rate of tokens at a front, as a multiple of limit/window.
-type Demand func(at kernel.Duration, front int) float64
+type Demand func(at time.Duration, front int) float64
 
 const (
 	defaultFronts = 9
@@ -17,12 +16,12 @@
 
 // evenly spreads a demand over all fronts.
 func evenly(multiple float64) Demand {
-	return func(kernel.Duration, int) float64 { return multiple / defaultFronts }
+	return func(time.Duration, int) float64 { return multiple / defaultFronts }
 }
 
 // jump changes an even demand at an instant.
-func jump(at kernel.Duration, before, after float64) Demand {
-	return func(now kernel.Duration, _ int) float64 {
+func jump(at time.Duration, before, after float64) Demand {
+	return func(now time.Duration, _ int) float64 {
 		if now < at {
 			return before / defaultFronts
 		}
@@ -32,8 +31,8 @@
 
 // movingZone sends all of the demand to the three fronts of one zone, and to the
 // next zone after every stay.
-func movingZone(multiple float64, stay kernel.Duration, first int) Demand {
-	return func(now kernel.Duration, front int) float64 {
+func movingZone(multiple float64, stay time.Duration, first int) Demand {
+	return func(now time.Duration, front int) float64 {
 		if (first+int(now/stay))%zoneFronts == front/zoneFronts {
 			return multiple / zoneFronts
 		}
@@ -43,7 +42,7 @@
 
 // mostlyAt sends one share of the demand to one front, and the other to all others.
 func mostlyAt(hot int, hotShare, otherShare, multiple float64) Demand {
-	return func(_ kernel.Duration, front int) float64 {
+	return func(_ time.Duration, front int) float64 {
 		if front == hot {
 			return hotShare * multiple
 		}
@@ -53,7 +52,7 @@
 
 // byRegion spreads one demand over the fronts of each region.
 func byRegion(firstRegion int, first, other float64) Demand {
-	return func(_ kernel.Duration, front int) float64 {
+	return func(_ time.Duration, front int) float64 {
 		if front < firstRegion {
 			return first / float64(firstRegion)
 		}
@@ -62,7 +61,7 @@
 }
 
 // inWindow returns the number of an instant's window and the seconds since its start.
-func inWindow(at kernel.Duration) (number kernel.Duration, offset float64) {
+func inWindow(at time.Duration) (number time.Duration, offset float64) {
 	return at / window, (at % window).Seconds()
 }
 
@@ -79,5 +78,5 @@
 		}
 	}
 	return Fleet{RequestSize: between(random, 0.02, 0.1), Length: 60 * second, FollowFaults: true, OwnerFirst: true,
-		Demand: func(_ kernel.Duration, front int) float64 { return multiple * weights[front] / sum }}
+		Demand: func(_ time.Duration, front int) float64 { return multiple * weights[front] / sum }}
 }
--- a/sim/tally/fleet.go
+++ b/sim/tally/fleet.go
@@ -8,9 +8,9 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"time"
 
 	"stepwick/internal/core/tally"
-	"stepwick/internal/kernel"
 	"stepwick/sim/eventqueue"
 )
 
@@ -20,23 +20,23 @@
 	Seed         uint64
 	Config       tally.Config
 	Terms        tally.Terms
-	Fronts       int             // defaults to 9
-	FirstRegion  int             // number of fronts in the first region, the others are in the second; defaults to 6
-	RegionDelay  kernel.Duration // longest delay between regions; defaults to 150 ms
-	Loss         float64         // probability that a message is lost
-	RequestSize  float64         // mean tokens of a request; defaults to 0.004
-	Length       kernel.Duration
-	Poisson      bool                                                // requests arrive at random instead of at regular intervals
-	QueueTimeout kernel.Duration                                     // longest time that a front queues a request; defaults to 2.5 s
-	Demand       func(at kernel.Duration, front int) float64         // tokens offered at a front, as a multiple of limit/window
-	Bursts       []Burst                                             // in addition to Demand
-	Down         func(at kernel.Duration, front int) bool            // the front's process is not running
-	Frozen       func(at kernel.Duration, front int) bool            // the front's process is suspended; its callers go to the next one
-	Partitioned  func(at kernel.Duration) bool                       // messages between the regions are dropped
-	ClockOffset  func(at kernel.Duration, front int) kernel.Duration // error of the front's clock
-	ForgetAfter  kernel.Duration                                     // time after which fronts remove a dead front from the roster; zero: never
-	FlushOnStop  bool                                                // a front sends its counts before it stops
-	OwnerFirst   bool                                                // the first front owns the tenant's counter
+	Fronts       int           // defaults to 9
+	FirstRegion  int           // number of fronts in the first region, the others are in the second; defaults to 6
+	RegionDelay  time.Duration // longest delay between regions; defaults to 150 ms
+	Loss         float64       // probability that a message is lost
+	RequestSize  float64       // mean tokens of a request; defaults to 0.004
+	Length       time.Duration
+	Poisson      bool                                            // requests arrive at random instead of at regular intervals
+	QueueTimeout time.Duration                                   // longest time that a front queues a request; defaults to 2.5 s
+	Demand       func(at time.Duration, front int) float64       // tokens offered at a front, as a multiple of limit/window
+	Bursts       []Burst                                         // in addition to Demand
+	Down         func(at time.Duration, front int) bool          // the front's process is not running
+	Frozen       func(at time.Duration, front int) bool          // the front's process is suspended; its callers go to the next one
+	Partitioned  func(at time.Duration) bool                     // messages between the regions are dropped
+	ClockOffset  func(at time.Duration, front int) time.Duration // error of the front's clock
+	ForgetAfter  time.Duration                                   // time after which fronts remove a dead front from the roster; zero: never
+	FlushOnStop  bool                                            // a front sends its counts before it stops
+	OwnerFirst   bool                                            // the first front owns the tenant's counter
 
 	// FollowFaults makes fronts learn of refused connections after 0.5 to 1 s
 	// and of time-outs after 1.5 to 2 s. For 0.2 s after a freeze of its own a
@@ -46,14 +46,14 @@
 
 // Burst is a batch of requests that arrive at the same instant.
 type Burst struct {
-	At     kernel.Duration
+	At     time.Duration
 	Front  int
 	Tokens float64
 }
 
 // Request is one request as its caller sees it.
 type Request struct {
-	At, Answered kernel.Duration
+	At, Answered time.Duration
 	Front        int
 	Tokens       float64
 	Decision     tally.Decision
@@ -65,16 +65,16 @@
 
 	paceDivisor   = 10 // ticks of a front in an exchange interval
 	expireTicks   = 100
-	arrivalStep   = 4 * kernel.Millisecond
-	defaultWindow = 8 * kernel.Second
+	arrivalStep   = 4 * time.Millisecond
+	defaultWindow = 8 * time.Second
 )
 
 // run is the state of one simulation.
 type run struct {
 	Fleet
 	random   *rand.Rand
-	now      kernel.Duration
-	events   eventqueue.Queue[kernel.Duration]
+	now      time.Duration
+	events   eventqueue.Queue[time.Duration]
 	fronts   []*front
 	names    []string
 	limit    float64
@@ -101,11 +101,11 @@
 func (f Fleet) withDefaults() Fleet {
 	f.Fronts = cmp.Or(f.Fronts, 9)
 	f.FirstRegion = cmp.Or(f.FirstRegion, 6)
-	f.RegionDelay = cmp.Or(f.RegionDelay, 150*kernel.Millisecond)
+	f.RegionDelay = cmp.Or(f.RegionDelay, 150*time.Millisecond)
 	f.RequestSize = cmp.Or(f.RequestSize, 0.004)
-	f.QueueTimeout = cmp.Or(f.QueueTimeout, 2500*kernel.Millisecond)
+	f.QueueTimeout = cmp.Or(f.QueueTimeout, 2500*time.Millisecond)
 	f.Config.Window = cmp.Or(f.Config.Window, defaultWindow)
-	f.Config.Interval = cmp.Or(f.Config.Interval, 200*kernel.Millisecond)
+	f.Config.Interval = cmp.Or(f.Config.Interval, 200*time.Millisecond)
 	f.Terms = cmp.Or(f.Terms, tally.Terms{Rate: 1000, Burst: 2000})
 	return f
 }
@@ -129,29 +129,29 @@
 func (r *run) startFront(i int) {
 	r.fronts[i].untilNext = r.random.Float64()
 	r.boot(i)
-	firstTick := kernel.Duration(r.random.Int64N(int64(r.tickInterval())))
+	firstTick := time.Duration(r.random.Int64N(int64(r.tickInterval())))
 	r.after(firstTick, func() { r.tick(i, int(r.random.Int64N(paceDivisor))) })
 	if r.Demand != nil {
 		r.after(0, func() { r.arrive(i) })
 	}
 }
 
-func (r *run) tickInterval() kernel.Duration { return r.Config.Interval / paceDivisor }
+func (r *run) tickInterval() time.Duration { return r.Config.Interval / paceDivisor }
 
-func (r *run) after(delay kernel.Duration, action func()) { r.events.Schedule(r.now+delay, action) }
+func (r *run) after(delay time.Duration, action func()) { r.events.Schedule(r.now+delay, action) }
 
 // clock returns the time that front i reads from its clock.
-func (r *run) clock(i int) kernel.Time {
-	now := kernel.UnixMicro(originMicro + r.now.Microseconds())
+func (r *run) clock(i int) time.Time {
+	now := time.UnixMicro(originMicro + r.now.Microseconds())
 	if r.ClockOffset != nil {
 		now = now.Add(r.ClockOffset(r.now, i))
 	}
 	return now
 }
 
-func (r *run) isDown(at kernel.Duration, i int) bool { return r.Down != nil && r.Down(at, i) }
+func (r *run) isDown(at time.Duration, i int) bool { return r.Down != nil && r.Down(at, i) }
 
-func (r *run) isFrozen(at kernel.Duration, i int) bool { return r.Frozen != nil && r.Frozen(at, i) }
+func (r *run) isFrozen(at time.Duration, i int) bool { return r.Frozen != nil && r.Frozen(at, i) }
 
 func (r *run) index(name string) int { return max(0, slices.Index(r.names, name)) }
 
--- a/sim/tally/fleet_test.go
+++ b/sim/tally/fleet_test.go
@@ -6,11 +6,12 @@
 	"math/rand/v2"
 	"strings"
 	"testing"
+	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"stepwick/internal/apierror"
 	"stepwick/internal/core/tally"
-	"stepwick/internal/kernel"
 )
 
 // The long run: go test ./sim/tally -run Scenarios -seeds 200 -report
@@ -78,7 +79,7 @@
 		if scenario.Require.MaxRefused >= 0 {
 			line += fmt.Sprintf("  refused %.5f", worst.Refused)
 		}
-		fmt.Printf("%s  longest hold %v\n", line, worst.Wait.Round(kernel.Millisecond))
+		fmt.Printf("%s  longest hold %v\n", line, worst.Wait.Round(time.Millisecond))
 	}
 }
 
@@ -115,11 +116,11 @@
 }
 
 func TestChecker(t *testing.T) {
-	pass := func(at kernel.Duration, tokens float64) Request {
+	pass := func(at time.Duration, tokens float64) Request {
 		return Request{At: at, Answered: at, Tokens: tokens, Decision: tally.Decision{Pass: true}}
 	}
 	var even []Request
-	for at := kernel.Duration(0); at < 40*second; at += 80 * kernel.Millisecond {
+	for at := time.Duration(0); at < 40*second; at += 80 * time.Millisecond {
 		even = append(even, pass(at, 0.01))
 	}
 	scenario := Scenario{Require: Requirements{Max: maxAdmitted, Min: minAdmitted, MaxRefused: 0}}
@@ -131,7 +132,7 @@
 		So(scenario.Broken(Check(much, 6, 0, 0), Result{}), ShouldHaveLength, 1)
 		little := append(append([]Request(nil), even[:200]...), even[250:]...)
 		So(scenario.Broken(Check(little, 6, 0, 40*second), Result{}), ShouldHaveLength, 1)
-		refused := []Request{pass(0, 0.1), {At: second, Answered: second, Tokens: 0.1, Decision: tally.Decision{Code: kernel.ShareExceeded}}}
+		refused := []Request{pass(0, 0.1), {At: second, Answered: second, Tokens: 0.1, Decision: tally.Decision{Code: apierror.ShareExceeded}}}
 		So(scenario.Broken(Check(refused, 6, 0, 0), Result{}), ShouldHaveLength, 1)
 		So(Scenario{Require: Requirements{Max: maxAdmitted, MinByRegion: 0.2, MaxRefused: refusalsAllowed}}.Broken(Check(even, 6, 0, 40*second), Result{}), ShouldHaveLength, 1)
 	})
--- a/sim/tally/front.go
+++ b/sim/tally/front.go
@@ -1,15 +1,16 @@
 package tally
 
 import (
+	"time"
+
 	"stepwick/internal/core/tally"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
 const (
 	maxPending  = 256 // requests that a front queues
 	maxInFlight = 8   // exchanges of a front with one owner
-	resumeGrace = 200 * kernel.Millisecond
+	resumeGrace = 200 * time.Millisecond
 )
 
 // front is one front of the fleet with its limiter and, for the tenants that it
@@ -21,7 +22,7 @@
 	incarnation uint64
 	down        bool
 	frozen      bool
-	resumedAt   kernel.Duration // end of the last freeze; zero: none
+	resumedAt   time.Duration   // end of the last freeze; zero: none
 	sentTo      map[string]bool // owners that an exchange was sent to since the last tick
 	inFlight    map[string]int  // exchanges by owner
 	pending     []pendingRequest
@@ -32,7 +33,7 @@
 type pendingRequest struct {
 	request  int
 	tokens   float64
-	deadline kernel.Duration
+	deadline time.Duration
 }
 
 // boot starts a new incarnation of front i without the state of the last.
@@ -149,7 +150,7 @@
 }
 
 // learn applies an owner's response at front i.
-func (r *run) learn(i int, incarnation uint64, resp *wire.AddResponse, sentAt kernel.Time) {
+func (r *run) learn(i int, incarnation uint64, resp *wire.AddResponse, sentAt time.Time) {
 	f := r.fronts[i]
 	if f.down || f.incarnation != incarnation {
 		return
