--- a/sim/tally/network.go
+++ b/sim/tally/network.go
@@ -1,20 +1,21 @@
 package tally
 
 import (
+	"time"
+
 	"stepwick/internal/core/tally"
-	"stepwick/internal/kernel"
 	"stepwick/internal/wire"
 )
 
-const exchangeTimeout = kernel.Second
+const exchangeTimeout = time.Second
 
 // reachability returns the fronts that front i takes for members, and which of
 // those it finds unresponsive.
 func (r *run) reachability(i int) (live, unresponsive []string) {
-	skew := kernel.Duration(i) * 60 * kernel.Millisecond
-	forgetAfter, detectAfter := r.ForgetAfter, 2*kernel.Second
+	skew := time.Duration(i) * 60 * time.Millisecond
+	forgetAfter, detectAfter := r.ForgetAfter, 2*time.Second
 	if r.FollowFaults {
-		forgetAfter, detectAfter = 500*kernel.Millisecond+skew, 1500*kernel.Millisecond+skew
+		forgetAfter, detectAfter = 500*time.Millisecond+skew, 1500*time.Millisecond+skew
 	}
 	for j, name := range r.names {
 		if forgetAfter > 0 && r.isDown(r.now, j) && r.isDown(r.now-forgetAfter, j) {
@@ -30,7 +31,7 @@
 
 // unresponsive reports whether front i finds front j unresponsive: behind a
 // partition, frozen or just resumed, or all others after a freeze of its own.
-func (r *run) unresponsive(i, j int, detectAfter kernel.Duration) bool {
+func (r *run) unresponsive(i, j int, detectAfter time.Duration) bool {
 	if r.partitioned(i, j, r.now) && r.partitioned(i, j, r.now-detectAfter) && !r.isDown(r.now, j) {
 		return true
 	}
@@ -41,20 +42,20 @@
 	return own > 0 && r.now-own < resumeGrace
 }
 
-func (r *run) partitioned(i, j int, at kernel.Duration) bool {
+func (r *run) partitioned(i, j int, at time.Duration) bool {
 	return r.Partitioned != nil && r.crossesRegions(i, j) && r.Partitioned(at)
 }
 
 func (r *run) crossesRegions(i, j int) bool { return (i < r.FirstRegion) != (j < r.FirstRegion) }
 
-func (r *run) delay(i, j int) kernel.Duration {
+func (r *run) delay(i, j int) time.Duration {
 	if i == j {
-		return 20 * kernel.Microsecond
+		return 20 * time.Microsecond
 	}
 	if r.crossesRegions(i, j) {
-		return r.RegionDelay/2 + kernel.Duration(r.random.Int64N(int64(r.RegionDelay/2)))
+		return r.RegionDelay/2 + time.Duration(r.random.Int64N(int64(r.RegionDelay/2)))
 	}
-	return kernel.Millisecond + kernel.Duration(r.random.Int64N(int64(2*kernel.Millisecond)))
+	return time.Millisecond + time.Duration(r.random.Int64N(int64(2*time.Millisecond)))
 }
 
 func (r *run) lost(i, j int) bool {
@@ -72,7 +73,7 @@
 	run         *run
 	from, to    int
 	incarnation uint64 // of the sender
-	sentAt      kernel.Time
+	sentAt      time.Time
 	request     *wire.AddRequest
 }
 
--- a/sim/tally/scenarios.go
+++ b/sim/tally/scenarios.go
@@ -4,8 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // Scenario is a kind of run with its requirements.
@@ -19,7 +18,7 @@
 // ExcessFrom until ExcessUntil; both are zero when it isn't.
 type Setup struct {
 	Fleet                   Fleet
-	ExcessFrom, ExcessUntil kernel.Duration
+	ExcessFrom, ExcessUntil time.Duration
 }
 
 // Requirements bound the result of a run. A bound of zero isn't checked, unless
@@ -59,7 +58,7 @@
 }
 
 const (
-	second = kernel.Second
+	second = time.Second
 
 	maxAdmitted            = 1.15
 	minAdmitted            = 0.85
@@ -86,11 +85,11 @@
 func between(random *rand.Rand, low, high float64) float64 { return low + random.Float64()*(high-low) }
 
 // durationBetween draws a duration.
-func durationBetween(random *rand.Rand, low, high kernel.Duration) kernel.Duration {
-	return low + kernel.Duration(random.Int64N(int64(high-low)))
+func durationBetween(random *rand.Rand, low, high time.Duration) time.Duration {
+	return low + time.Duration(random.Int64N(int64(high-low)))
 }
 
 // faultStart draws the instant of a scenario's fault or jump.
-func faultStart(random *rand.Rand) kernel.Duration {
+func faultStart(random *rand.Rand) time.Duration {
 	return durationBetween(random, 16*second, 24*second)
 }
--- a/sim/tally/scenarios_demand.go
+++ b/sim/tally/scenarios_demand.go
@@ -2,8 +2,7 @@
 
 import (
 	"math/rand/v2"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // excessScenarios are shapes of demand over the limit, without faults.
@@ -73,7 +72,7 @@
 
 func tenfoldJumpInMovingZone(random *rand.Rand) Setup {
 	before, stay, first := between(random, 0.12, 1), durationBetween(random, 10*second, 20*second), random.IntN(zoneFronts)
-	demand := func(now kernel.Duration, front int) float64 {
+	demand := func(now time.Duration, front int) float64 {
 		multiple := before
 		if now >= stay {
 			multiple *= 10
@@ -87,7 +86,7 @@
 // the start of the next.
 func lateAndEarly(random *rand.Rand) Setup {
 	length := between(random, 0.3, 1.5)
-	demand := func(now kernel.Duration, _ int) float64 {
+	demand := func(now time.Duration, _ int) float64 {
 		number, offset := inWindow(now)
 		if (number%3 == 1 && offset > 8-length) || (number%3 == 2 && offset < length) {
 			return 1.5 * 8 / length / defaultFronts
@@ -112,7 +111,7 @@
 }
 
 func underEarlyInWindows(*rand.Rand) Setup {
-	demand := func(now kernel.Duration, _ int) float64 {
+	demand := func(now time.Duration, _ int) float64 {
 		number, offset := inWindow(now)
 		if (number%2 == 0 && offset < 1) || (number%2 == 1 && offset > 0.5 && offset < 1.5) {
 			return 0.7 * 8 / defaultFronts
@@ -127,7 +126,7 @@
 	at := durationBetween(random, 0, window)
 	for at < 70*second {
 		fleet.Bursts = append(fleet.Bursts, Burst{At: at, Front: random.IntN(defaultFronts), Tokens: between(random, 0.3, 0.75)})
-		at += durationBetween(random, 8100*kernel.Millisecond, 12*second)
+		at += durationBetween(random, 8100*time.Millisecond, 12*second)
 	}
 	return Setup{Fleet: fleet}
 }
--- a/sim/tally/scenarios_faults.go
+++ b/sim/tally/scenarios_faults.go
@@ -2,8 +2,7 @@
 
 import (
 	"math/rand/v2"
-
-	"stepwick/internal/kernel"
+	"time"
 )
 
 // networkScenarios lose messages or partition the regions.
@@ -36,7 +35,7 @@
 	owner          = 0 // the front that owns the counter where OwnerFirst is set
 	freezeLength   = 5 * second
 	partitionTime  = 25 * second
-	restartTime    = 1500 * kernel.Millisecond
+	restartTime    = 1500 * time.Millisecond
 	rosterExpiry   = 2 * second
 	minFirstRegion = 3
 )
@@ -48,19 +47,19 @@
 }
 
 // during returns whether an instant is in a span.
-func during(from, length kernel.Duration) func(now kernel.Duration) bool {
-	return func(now kernel.Duration) bool { return now >= from && now < from+length }
+func during(from, length time.Duration) func(now time.Duration) bool {
+	return func(now time.Duration) bool { return now >= from && now < from+length }
 }
 
 // downFrom stops the owner for good.
-func downFrom(at kernel.Duration) func(kernel.Duration, int) bool {
-	return func(now kernel.Duration, front int) bool { return now >= at && front == owner }
+func downFrom(at time.Duration) func(time.Duration, int) bool {
+	return func(now time.Duration, front int) bool { return now >= at && front == owner }
 }
 
 // frozenFrom freezes the owner once.
-func frozenFrom(at kernel.Duration) func(kernel.Duration, int) bool {
+func frozenFrom(at time.Duration) func(time.Duration, int) bool {
 	frozen := during(at, freezeLength)
-	return func(now kernel.Duration, front int) bool { return front == owner && frozen(now) }
+	return func(now time.Duration, front int) bool { return front == owner && frozen(now) }
 }
 
 func drawFirstRegion(random *rand.Rand) int { return minFirstRegion + random.IntN(4) }
@@ -88,7 +87,7 @@
 	firstRegion := drawFirstRegion(random)
 	at := faultStart(random)
 	both := byRegion(firstRegion, multiple, multiple)
-	demand := func(now kernel.Duration, front int) float64 {
+	demand := func(now time.Duration, front int) float64 {
 		if now < at+2*second && (front < firstRegion) != firstBefore {
 			return 0
 		}
@@ -113,7 +112,7 @@
 func ownerFrozenRepeatedly(random *rand.Rand) Setup {
 	fleet := largeRequests(random)
 	at := durationBetween(random, 16*second, 20*second)
-	fleet.Frozen = func(now kernel.Duration, front int) bool {
+	fleet.Frozen = func(now time.Duration, front int) bool {
 		return front == owner && now >= at && (now-at)%(17*second) < freezeLength
 	}
 	return Setup{Fleet: fleet}
@@ -122,7 +121,7 @@
 func ownerKilledWithOthers(random *rand.Rand) Setup {
 	fleet := largeRequests(random)
 	at, others := faultStart(random), 1+random.IntN(3)
-	fleet.Down = func(now kernel.Duration, front int) bool { return now >= at && front%2 == 0 && front/2 <= others }
+	fleet.Down = func(now time.Duration, front int) bool { return now >= at && front%2 == 0 && front/2 <= others }
 	return Setup{Fleet: fleet}
 }
 
@@ -131,7 +130,7 @@
 	at := faultStart(random)
 	fleet.Frozen = frozenFrom(at)
 	down := during(at+2*second, 7*second)
-	fleet.Down = func(now kernel.Duration, front int) bool { return (front == 3 || front == 7) && down(now) }
+	fleet.Down = func(now time.Duration, front int) bool { return (front == 3 || front == 7) && down(now) }
 	return Setup{Fleet: fleet}
 }
 
@@ -151,15 +150,15 @@
 func ownerDownForLong(random *rand.Rand) Setup {
 	fleet := Fleet{Demand: evenly(between(random, 1.5, 5)), Length: 60 * second, OwnerFirst: true}
 	down := during(faultStart(random), 20*second)
-	fleet.Down = func(now kernel.Duration, front int) bool { return front == owner && down(now) }
+	fleet.Down = func(now time.Duration, front int) bool { return front == owner && down(now) }
 	return Setup{Fleet: fleet, ExcessUntil: 60 * second}
 }
 
 func rollingRestart(random *rand.Rand) Setup {
 	fleet := Fleet{Demand: evenly(between(random, 1.5, 5)), Length: 80 * second, FlushOnStop: random.IntN(2) == 0}
 	gap := durationBetween(random, 3*second, 6*second)
-	fleet.Down = func(now kernel.Duration, front int) bool {
-		return during(12*second+kernel.Duration(front)*gap, restartTime)(now)
+	fleet.Down = func(now time.Duration, front int) bool {
+		return during(12*second+time.Duration(front)*gap, restartTime)(now)
 	}
 	return Setup{Fleet: fleet, ExcessUntil: 80 * second}
 }
@@ -167,8 +166,8 @@
 func clockStep(random *rand.Rand) Setup {
 	fleet := Fleet{Demand: evenly(between(random, 1.5, 5)), Length: 60 * second}
 	stepped := during(durationBetween(random, 10*second, 20*second), 20*second)
-	front, step := random.IntN(defaultFronts), kernel.Duration(between(random, -1, 1)*float64(second))
-	fleet.ClockOffset = func(now kernel.Duration, i int) kernel.Duration {
+	front, step := random.IntN(defaultFronts), time.Duration(between(random, -1, 1)*float64(second))
+	fleet.ClockOffset = func(now time.Duration, i int) time.Duration {
 		if i == front && stepped(now) {
 			return step
 		}
