--- a/cmd/rig/judge/judge.go
+++ b/cmd/rig/checker/judge.go
@@ -1,13 +1,13 @@
-// Package judge finds violations of the brief in a ledger. It sees only what an
+// Package checker finds violations of the brief in a ledger. It sees only what an
 // outside observer can see and never asks the product.
-package judge
+package checker
 
 import (
 	"fmt"
 	"sort"
 	"time"
 
-	"stepwick/cmd/rig/ledger"
+	"stepwick/cmd/rig/history"
 	"stepwick/internal/apierror"
 )
 
@@ -23,7 +23,7 @@
 type Judge struct {
 	Name  string
 	Point string
-	find  func(l *ledger.Ledger) []string
+	find  func(l *history.Ledger) []string
 }
 
 // Points of the brief, word for word.
@@ -85,7 +85,7 @@
 }
 
 // Find runs every judge on a ledger.
-func Find(l *ledger.Ledger) []Violation {
+func Find(l *history.Ledger) []Violation {
 	var out []Violation
 	for _, j := range All {
 		for _, evidence := range j.find(l) {
@@ -99,10 +99,10 @@
 	*found = append(*found, fmt.Sprintf(format, args...))
 }
 
-func sec(at ledger.At) string { return fmt.Sprintf("%.3fs", at.Seconds()) }
+func sec(at history.At) string { return fmt.Sprintf("%.3fs", at.Seconds()) }
 
-func ranBy(l *ledger.Ledger) map[string][]ledger.Run {
-	by := map[string][]ledger.Run{}
+func ranBy(l *history.Ledger) map[string][]history.Run {
+	by := map[string][]history.Run{}
 	for _, r := range l.Runs {
 		if r.Kind == "web" && r.Ran && r.Token != "" {
 			by[r.Token] = append(by[r.Token], r)
@@ -111,7 +111,7 @@
 	return by
 }
 
-func runsOnce(l *ledger.Ledger) (found []string) {
+func runsOnce(l *history.Ledger) (found []string) {
 	for token, runs := range ranBy(l) {
 		if len(runs) > 1 {
 			say(&found, "call %s ran %d times: %s at %s and %s at %s", token, len(runs), runs[0].ID, sec(runs[0].Arrived), runs[1].ID, sec(runs[1].Arrived))
@@ -121,7 +121,7 @@
 	return found
 }
 
-func toldNotRun(l *ledger.Ledger) (found []string) {
+func toldNotRun(l *history.Ledger) (found []string) {
 	by := ranBy(l)
 	for _, a := range l.Attempts {
 		if a.Kind == "stream" || a.Code == 0 {
@@ -135,8 +135,8 @@
 	return found
 }
 
-func streams(l *ledger.Ledger) (found []string) {
-	runs := map[string]ledger.Run{}
+func streams(l *history.Ledger) (found []string) {
+	runs := map[string]history.Run{}
 	for _, r := range l.Runs {
 		if r.Kind == "model" {
 			runs[r.ID] = r
@@ -164,11 +164,11 @@
 			}
 		}
 		switch {
-		case a.End == ledger.CleanEnd:
+		case a.End == history.CleanEnd:
 			say(&found, "stream %s through %s ended cleanly after %d events without a final one", a.Token, a.Front, len(a.Events))
-		case a.End == ledger.Served && a.Count != len(a.Events):
+		case a.End == history.Served && a.Count != len(a.Events):
 			say(&found, "stream %s through %s: final event counts %d, %d came", a.Token, a.Front, a.Count, len(a.Events))
-		case a.End == ledger.Served && len(a.Events) > 0:
+		case a.End == history.Served && len(a.Events) > 0:
 			if r := runs[a.Events[0].Run]; !r.Final || r.Sent != len(a.Events) {
 				say(&found, "stream %s through %s looks complete with %d events; its server %s sent %d, final %v", a.Token, a.Front, len(a.Events), r.Server, r.Sent, r.Final)
 			}
@@ -177,13 +177,13 @@
 	return found
 }
 
-func bodies(l *ledger.Ledger) (found []string) {
+func bodies(l *history.Ledger) (found []string) {
 	for _, a := range l.Attempts {
 		if a.AnswerID != "" && a.AnswerID != a.Token {
 			say(&found, "%s %s through %s was answered under id %s", a.Kind, a.Token, a.Front, a.AnswerID)
 			continue
 		}
-		if a.Kind == "stream" || a.End != ledger.Served {
+		if a.Kind == "stream" || a.End != history.Served {
 			continue
 		}
 		if !a.Whole {
@@ -195,23 +195,23 @@
 	return found
 }
 
-func late(l *ledger.Ledger) (found []string) {
+func late(l *history.Ledger) (found []string) {
 	for _, a := range l.Attempts {
-		if (a.End == ledger.Served || len(a.Events) > 0) && a.First > a.Deadline+LateAfter {
+		if (a.End == history.Served || len(a.Events) > 0) && a.First > a.Deadline+LateAfter {
 			say(&found, "%s %s through %s: first of the answer at %s, deadline %s", a.Kind, a.Token, a.Front, sec(a.First), sec(a.Deadline))
 		}
 	}
 	return found
 }
 
-func drain(l *ledger.Ledger) (found []string) {
-	since := map[string][]ledger.Show{}
+func drain(l *history.Ledger) (found []string) {
+	since := map[string][]history.Show{}
 	for _, s := range l.Shows {
 		since[s.Server] = append(since[s.Server], s)
 	}
 	told := map[string]bool{}
 	for _, r := range l.Runs {
-		var last ledger.Show
+		var last history.Show
 		for _, s := range since[r.Server] {
 			if s.At > r.Arrived {
 				break
@@ -229,7 +229,7 @@
 	return found
 }
 
-func evacuation(l *ledger.Ledger) (found []string) {
+func evacuation(l *history.Ledger) (found []string) {
 	for _, o := range l.Orders {
 		if o.Verb != "evacuate" || !o.Won() {
 			continue
@@ -252,7 +252,7 @@
 	return found
 }
 
-func flood(l *ledger.Ledger) (found []string) {
+func flood(l *history.Ledger) (found []string) {
 	told := map[string]bool{}
 	for _, r := range l.Runs {
 		if r.Kind != "model" {
--- a/cmd/rig/judge/orders.go
+++ b/cmd/rig/checker/orders.go
@@ -1,16 +1,16 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"sort"
 
-	"stepwick/cmd/rig/ledger"
+	"stepwick/cmd/rig/history"
 	"stepwick/internal/apierror"
 )
 
-func isSheet(o ledger.Order) bool { return o.Verb == "put" || o.Verb == "patch" }
+func isSheet(o history.Order) bool { return o.Verb == "put" || o.Verb == "patch" }
 
-func lostSheet(l *ledger.Ledger) (found []string) {
+func lostSheet(l *history.Ledger) (found []string) {
 	epochs := map[string]uint64{}
 	for _, o := range l.Orders {
 		if o.Won() && isSheet(o) && o.Mark != "" {
@@ -21,7 +21,7 @@
 		if back.Status != 200 {
 			continue
 		}
-		var best ledger.Order
+		var best history.Order
 		for _, o := range l.Orders {
 			if o.Won() && isSheet(o) && o.Told < back.Sent && o.Epoch > best.Epoch {
 				best = o
@@ -41,8 +41,8 @@
 }
 
 // marks are the keys of acknowledged sheets.
-func marks(l *ledger.Ledger) map[int]ledger.KeyMark {
-	out := map[int]ledger.KeyMark{}
+func marks(l *history.Ledger) map[int]history.KeyMark {
+	out := map[int]history.KeyMark{}
 	for _, m := range l.KeyMarks {
 		if m.Acked > 0 {
 			out[m.Key] = m
@@ -53,7 +53,7 @@
 
 // outdated is the earliest instant at which a sheet newer than that of a key
 // was acknowledged.
-func outdated(l *ledger.Ledger, own ledger.KeyMark) (at ledger.At, by ledger.KeyMark, ok bool) {
+func outdated(l *history.Ledger, own history.KeyMark) (at history.At, by history.KeyMark, ok bool) {
 	for _, m := range l.KeyMarks {
 		if m.Acked > 0 && m.Epoch > own.Epoch && (!ok || m.Acked < at) {
 			at, by, ok = m.Acked, m, true
@@ -62,9 +62,9 @@
 	return
 }
 
-func oldSheet(l *ledger.Ledger) (found []string) {
+func oldSheet(l *history.Ledger) (found []string) {
 	acked := marks(l)
-	ends := map[int]ledger.At{}
+	ends := map[int]history.At{}
 	for key, m := range acked {
 		if at, _, ok := outdated(l, m); ok {
 			ends[key] = at
@@ -86,7 +86,7 @@
 }
 
 // laterSent tells whether any other sheet that may be newer was sent by an instant.
-func laterSent(l *ledger.Ledger, m ledger.KeyMark, by ledger.At) bool {
+func laterSent(l *history.Ledger, m history.KeyMark, by history.At) bool {
 	for _, other := range l.KeyMarks {
 		if other.Key != m.Key && other.Sent <= by && (other.Acked == 0 || other.Epoch > m.Epoch) {
 			return true
@@ -95,14 +95,14 @@
 	return false
 }
 
-func stepBack(l *ledger.Ledger) (found []string) {
+func stepBack(l *history.Ledger) (found []string) {
 	acked := marks(l)
 	type seen struct {
 		epoch uint64
-		done  ledger.At
+		done  history.At
 	}
 	highest := map[string][]seen{}
-	probes := append([]ledger.Probe(nil), l.Probes...)
+	probes := append([]history.Probe(nil), l.Probes...)
 	sort.Slice(probes, func(i, j int) bool { return probes[i].Sent < probes[j].Sent })
 	for _, p := range probes {
 		m, ok := acked[p.Key]
@@ -122,7 +122,7 @@
 	return found
 }
 
-func invalidSheet(l *ledger.Ledger) (found []string) {
+func invalidSheet(l *history.Ledger) (found []string) {
 	for _, o := range l.Orders {
 		if o.Invalid && o.Won() {
 			say(&found, "order %s has an invalid sheet and was acknowledged at %s as epoch %d", o.ID, sec(o.Told), o.Epoch)
@@ -131,8 +131,8 @@
 	return found
 }
 
-func race(l *ledger.Ledger) (found []string) {
-	winner := map[string]ledger.Order{}
+func race(l *history.Ledger) (found []string) {
+	winner := map[string]history.Order{}
 	lost := map[string]map[string]bool{}
 	for _, o := range l.Orders {
 		if !isSheet(o) {
@@ -168,8 +168,8 @@
 	return found
 }
 
-func resent(l *ledger.Ledger) (found []string) {
-	won := map[string]ledger.Order{}
+func resent(l *history.Ledger) (found []string) {
+	won := map[string]history.Order{}
 	for _, o := range l.Orders {
 		if o.Won() {
 			if first, ok := won[o.ID]; ok && first.Epoch != o.Epoch {
@@ -197,7 +197,7 @@
 	return found
 }
 
-func revoked(l *ledger.Ledger) (found []string) {
+func revoked(l *history.Ledger) (found []string) {
 	acked := marks(l)
 	for _, p := range l.Probes {
 		m, ok := acked[p.Key]
--- a/cmd/rig/judge/quota.go
+++ b/cmd/rig/checker/quota.go
@@ -1,24 +1,24 @@
-package judge
+package checker
 
 import (
 	"sort"
 	"time"
 
-	"stepwick/cmd/rig/ledger"
+	"stepwick/cmd/rig/history"
 	"stepwick/internal/apierror"
 )
 
 // got tells whether a tenant got what an attempt asked for, in whole or in part.
-func got(a ledger.Attempt) bool {
-	return a.End == ledger.Served || a.End == ledger.GaveUp || len(a.Events) > 0
+func got(a history.Attempt) bool {
+	return a.End == history.Served || a.End == history.GaveUp || len(a.Events) > 0
 }
 
-func quotaRefusal(a ledger.Attempt) bool {
-	return a.End == ledger.Refused && (a.Code == int(apierror.QuotaExceeded) || a.Code == int(apierror.ShareExceeded))
+func quotaRefusal(a history.Attempt) bool {
+	return a.End == history.Refused && (a.Code == int(apierror.QuotaExceeded) || a.Code == int(apierror.ShareExceeded))
 }
 
-func byTenant(l *ledger.Ledger) map[string][]ledger.Attempt {
-	by := map[string][]ledger.Attempt{}
+func byTenant(l *history.Ledger) map[string][]history.Attempt {
+	by := map[string][]history.Attempt{}
 	for _, a := range l.Attempts {
 		if _, ok := l.Allowances[a.Tenant]; ok {
 			by[a.Tenant] = append(by[a.Tenant], a)
@@ -30,9 +30,9 @@
 	return by
 }
 
-func limit(a ledger.Allowance) float64 { return a.Rate*QuotaSpan.Seconds() + a.Burst }
+func limit(a history.Allowance) float64 { return a.Rate*QuotaSpan.Seconds() + a.Burst }
 
-func cutNear(l *ledger.Ledger, from, to ledger.At) bool {
+func cutNear(l *history.Ledger, from, to history.At) bool {
 	for _, c := range l.Cuts {
 		if c.From <= to && (c.To == 0 || c.To+2*QuotaSpan >= from) {
 			return true
@@ -41,7 +41,7 @@
 	return false
 }
 
-func tenants(l *ledger.Ledger) []string {
+func tenants(l *history.Ledger) []string {
 	var names []string
 	for name := range l.Allowances {
 		names = append(names, name)
@@ -52,7 +52,7 @@
 
 // Worst is the most that a tenant got in any span, as a share of its limit, and
 // the span's end.
-func Worst(l *ledger.Ledger, tenant string) (share float64, at ledger.At) {
+func Worst(l *history.Ledger, tenant string) (share float64, at history.At) {
 	list, first, sum := byTenant(l)[tenant], 0, 0.0
 	for i, a := range list {
 		if got(a) {
@@ -70,7 +70,7 @@
 	return share, at
 }
 
-func overQuota(l *ledger.Ledger) (found []string) {
+func overQuota(l *history.Ledger) (found []string) {
 	for _, tenant := range tenants(l) {
 		most := QuotaMost
 		share, at := Worst(l, tenant)
@@ -85,7 +85,7 @@
 }
 
 // demand is what was asked for in (from, to].
-func demand(list []ledger.Attempt, from, to ledger.At) (asked, passed float64, others int) {
+func demand(list []history.Attempt, from, to history.At) (asked, passed float64, others int) {
 	i := sort.Search(len(list), func(i int) bool { return list[i].Sent > from })
 	for ; i < len(list) && list[i].Sent <= to; i++ {
 		asked += list[i].Tokens
@@ -98,7 +98,7 @@
 	return
 }
 
-func underQuota(l *ledger.Ledger) (found []string) {
+func underQuota(l *history.Ledger) (found []string) {
 	by := byTenant(l)
 	for _, tenant := range tenants(l) {
 		list, most := by[tenant], limit(l.Allowances[tenant])
@@ -107,7 +107,7 @@
 				continue
 			}
 			low, peak := true, 0.0
-			for back := ledger.At(0); back <= QuotaSpan && low; back += QuotaSpan / 4 {
+			for back := history.At(0); back <= QuotaSpan && low; back += QuotaSpan / 4 {
 				asked, _, _ := demand(list, a.Sent-back-QuotaSpan, a.Sent-back)
 				low, peak = asked < QuotaNever*most, max(peak, asked)
 			}
@@ -122,7 +122,7 @@
 
 // starved looks at spans of steady excess demand in which nothing but quota
 // refused: a tenant must get its allowance.
-func starved(l *ledger.Ledger) (found []string) {
+func starved(l *history.Ledger) (found []string) {
 	by := byTenant(l)
 	for _, tenant := range tenants(l) {
 		list, most := by[tenant], limit(l.Allowances[tenant])
@@ -145,17 +145,17 @@
 }
 
 // Level is the attempts served a second in a span.
-func Level(l *ledger.Ledger, from, to ledger.At) float64 {
+func Level(l *history.Ledger, from, to history.At) float64 {
 	n := 0
 	for _, a := range l.Attempts {
-		if a.End == ledger.Served && a.Done >= from && a.Done < to {
+		if a.End == history.Served && a.Done >= from && a.Done < to {
 			n++
 		}
 	}
 	return float64(n) / (to - from).Seconds()
 }
 
-func service(l *ledger.Ledger) (found []string) {
+func service(l *history.Ledger) (found []string) {
 	for _, m := range l.Marks {
 		if !m.Final {
 			continue
--- a/cmd/rig/demo.go
+++ b/cmd/rig/demo.go
@@ -11,11 +11,11 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
+	"stepwick/cmd/rig/checker"
+	"stepwick/cmd/rig/faultcase"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/judge"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/load"
-	"stepwick/cmd/rig/prove"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/loadgen"
 	"stepwick/cmd/rig/report"
 )
 
@@ -36,15 +36,15 @@
 		return err
 	}
 	defer remove()
-	s, err := prove.Open(ctx, prove.Options{Spec: fleet.First(), Tenants: load.FirstTenants(), Binary: binary, Seed: seed, Seconds: length, Keep: keep, Out: os.Stdout, Table: true})
+	s, err := faultcase.Open(ctx, faultcase.Options{Spec: fleet.First(), Tenants: loadgen.FirstTenants(), Binary: binary, Seed: seed, Seconds: length, Keep: keep, Out: os.Stdout, Table: true})
 	if err != nil {
 		return err
 	}
 	troubles := operate(s, length)
 	epochs := s.Epochs(5 * time.Second)
 	l := s.Close()
-	found := judge.Find(&l)
-	prove.Report(os.Stdout, "demo", found)
+	found := checker.Find(&l)
+	faultcase.Report(os.Stdout, "demo", found)
 	if folder != "" {
 		if err := report.Write(folder, "demo", &l, found); err != nil {
 			return err
@@ -60,7 +60,7 @@
 			fmt.Printf("TROUBLE node %s is not at the newest sheet epoch %d\n", node, newest)
 		}
 	}
-	sum := prove.Sum(&l, s.Began)
+	sum := faultcase.Sum(&l, s.Began)
 	sum.Violations, sum.Epochs = len(found)+len(troubles), epochs
 	line, _ := json.Marshal(sum)
 	fmt.Println(string(line))
@@ -72,7 +72,7 @@
 
 // operate submits 30 changes in a row, one race and one order whose answer is
 // lost, while the fleet serves, and returns what did not go as it must.
-func operate(s *prove.Stage, length int) (troubles []string) {
+func operate(s *faultcase.Stage, length int) (troubles []string) {
 	until := s.Book.Now() + time.Duration(length)*time.Second
 	ctx, cancel := context.WithTimeout(s.Context(), time.Duration(length)*time.Second+20*time.Second)
 	defer cancel()
@@ -88,8 +88,8 @@
 		}
 		base = told.Epoch
 	}
-	racers := []*load.Order{s.Control.Change("ade", base), s.Control.Change("bola", base)}
-	told := make([]ledger.Order, 2)
+	racers := []*loadgen.Order{s.Control.Change("ade", base), s.Control.Change("bola", base)}
+	told := make([]history.Order, 2)
 	var both sync.WaitGroup
 	for i, o := range racers {
 		o.Race = "demo"
--- a/cmd/rig/standin/generate.go
+++ b/cmd/rig/emulator/generate.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"net/http"
 	"strings"
 
-	"stepwick/cmd/rig/ledger"
+	"stepwick/cmd/rig/history"
 	"stepwick/internal/apierror"
 )
 
@@ -63,7 +63,7 @@
 	m.state.Ask(func(s *modelState) {
 		s.serial++
 		j.fault, j.faultAt = s.draw(), s.random.IntN(events)
-		j.run = ledger.Run{ID: fmt.Sprintf("%s-%d-%d", m.Name, s.incarnation%1e9, s.serial), Server: m.Name, Kind: "model",
+		j.run = history.Run{ID: fmt.Sprintf("%s-%d-%d", m.Name, s.incarnation%1e9, s.serial), Server: m.Name, Kind: "model",
 			Token: Token(body.Session), Request: id, Arrived: m.book.Now(), InFlight: len(s.running) + len(s.queue) + 1,
 			Answered: s.answered, Cold: m.cold(s), Slots: m.shape.Slots, Fault: j.fault}
 		s.peak = max(s.peak, j.run.InFlight)
--- a/cmd/rig/standin/model.go
+++ b/cmd/rig/emulator/model.go
@@ -1,6 +1,6 @@
-// Package standin plays the platform, the model servers and the web servers.
+// Package emulator plays the platform, the model servers and the web servers.
 // Each server writes every request that it takes into the ledger.
-package standin
+package emulator
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/pkg/errors"
 
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
 	"stepwick/internal/clock"
 )
 
@@ -56,14 +56,14 @@
 type Odds map[string]float64
 
 type frame struct {
-	event ledger.Event
+	event history.Event
 	final bool
 	count int
 	end   string
 }
 
 type job struct {
-	run     ledger.Run
+	run     history.Run
 	request string
 	prefix  string
 	weight  int
@@ -79,7 +79,7 @@
 
 type cached struct {
 	tokens int
-	used   ledger.At
+	used   history.At
 }
 
 type modelState struct {
@@ -107,14 +107,14 @@
 	Address  string
 	Services []string
 	shape    Shape
-	book     *ledger.Book
-	state    *own.Owner[modelState]
+	book     *history.Book
+	state    *owner.Owner[modelState]
 }
 
 // NewModel returns a model server that is down.
-func NewModel(name, address string, services []string, shape Shape, book *ledger.Book, seed uint64) *Model {
+func NewModel(name, address string, services []string, shape Shape, book *history.Book, seed uint64) *Model {
 	return &Model{Name: name, Address: address, Services: services, shape: shape, book: book,
-		state: own.New(modelState{odds: Odds{}, random: rand.New(rand.NewPCG(seed, 17))})}
+		state: owner.New(modelState{odds: Odds{}, random: rand.New(rand.NewPCG(seed, 17))})}
 }
 
 // Start brings the server up, cold and with an empty cache.
@@ -260,7 +260,7 @@
 	}
 	s.cache[j.prefix] = cached{j.weight, m.book.Now()}
 	for used := m.used(s); used > m.shape.KV && len(s.cache) > 1; {
-		oldest, at := "", ledger.At(1<<62)
+		oldest, at := "", history.At(1<<62)
 		for k, c := range s.cache {
 			if c.used < at {
 				oldest, at = k, c.used
@@ -282,7 +282,7 @@
 // emit sends the next event; false when the job has ended.
 func (m *Model) emit(s *modelState, j *job) bool {
 	mark := j.sent == j.faultAt
-	event := ledger.Event{ID: j.request, Seq: j.sent, Token: j.run.Token, Run: j.run.ID, Index: j.sent}
+	event := history.Event{ID: j.request, Seq: j.sent, Token: j.run.Token, Run: j.run.ID, Index: j.sent}
 	switch {
 	case j.fault == WrongID:
 		event.ID = "x" + j.request
@@ -298,7 +298,7 @@
 	case j.fault == Cross && mark:
 		for _, other := range s.running {
 			if other != j {
-				event = ledger.Event{ID: other.request, Seq: j.sent, Token: other.run.Token, Run: other.run.ID, Index: other.sent}
+				event = history.Event{ID: other.request, Seq: j.sent, Token: other.run.Token, Run: other.run.ID, Index: other.sent}
 				break
 			}
 		}
@@ -315,7 +315,7 @@
 	if j.left > 0 {
 		return true
 	}
-	m.finish(s, j, frame{final: true, count: j.sent, event: ledger.Event{ID: event.ID}})
+	m.finish(s, j, frame{final: true, count: j.sent, event: history.Event{ID: event.ID}})
 	return false
 }
 
--- a/cmd/rig/standin/platform.go
+++ b/cmd/rig/emulator/platform.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"github.com/pkg/errors"
 
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 )
@@ -36,15 +36,15 @@
 // Platform lists servers and checks the nodes' readiness once a second.
 type Platform struct {
 	Address string
-	book    *ledger.Book
-	state   *own.Owner[platformState]
+	book    *history.Book
+	state   *owner.Owner[platformState]
 	server  *http.Server
 	cancel  context.CancelFunc
 }
 
 // NewPlatform returns a platform that is down.
-func NewPlatform(address string, book *ledger.Book) *Platform {
-	return &Platform{Address: address, book: book, state: own.New(platformState{map[string]Listed{}, map[string]string{}})}
+func NewPlatform(address string, book *history.Book) *Platform {
+	return &Platform{Address: address, book: book, state: owner.New(platformState{map[string]Listed{}, map[string]string{}})}
 }
 
 // Show lists a server or changes what is listed of it.
@@ -60,8 +60,8 @@
 
 func (p *Platform) show(s Listed, state string) {
 	at, locality := p.book.Now(), s.Region+"/"+s.Zone
-	p.book.Write(func(l *ledger.Ledger) {
-		l.Shows = append(l.Shows, ledger.Show{At: at, Server: s.Name, State: state, Locality: locality})
+	p.book.Write(func(l *history.Ledger) {
+		l.Shows = append(l.Shows, history.Show{At: at, Server: s.Name, State: state, Locality: locality})
 		l.Localities[s.Name] = locality
 	})
 }
@@ -159,7 +159,7 @@
 					status = resp.StatusCode
 					resp.Body.Close()
 				}
-				p.book.Write(func(l *ledger.Ledger) { l.Ready = append(l.Ready, ledger.Ready{At: at, Node: node, Status: status}) })
+				p.book.Write(func(l *history.Ledger) { l.Ready = append(l.Ready, history.Ready{At: at, Node: node, Status: status}) })
 			}()
 		}
 	}
--- a/cmd/rig/standin/web.go
+++ b/cmd/rig/emulator/web.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
 
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 )
@@ -38,14 +38,14 @@
 	Name     string
 	Address  string
 	Services []string
-	book     *ledger.Book
-	state    *own.Owner[webState]
+	book     *history.Book
+	state    *owner.Owner[webState]
 }
 
 // NewWeb returns a web server that is down.
-func NewWeb(name, address string, services []string, book *ledger.Book, seed uint64) *Web {
+func NewWeb(name, address string, services []string, book *history.Book, seed uint64) *Web {
 	return &Web{Name: name, Address: address, Services: services, book: book,
-		state: own.New(webState{odds: Odds{}, random: rand.New(rand.NewPCG(seed, 23))})}
+		state: owner.New(webState{odds: Odds{}, random: rand.New(rand.NewPCG(seed, 23))})}
 }
 
 // Start brings the server up.
@@ -131,7 +131,7 @@
 		return
 	}
 	id := r.Header.Get("Stepwick-Request-Id")
-	run := ledger.Run{Server: w.Name, Kind: "web", Token: token, Request: id, Arrived: w.book.Now(), Fault: fault}
+	run := history.Run{Server: w.Name, Kind: "web", Token: token, Request: id, Arrived: w.book.Now(), Fault: fault}
 	previous := ""
 	w.state.Ask(func(s *webState) {
 		s.serial++
@@ -157,7 +157,7 @@
 	case WrongID:
 		id = "x" + id
 	case Slow:
-		own.Wait(r.Context(), 2*time.Second)
+		owner.Wait(r.Context(), 2*time.Second)
 	case CrossBody:
 		body = Body(previous, pad)
 		id = "x" + id
--- a/cmd/rig/experiment_command.go
+++ b/cmd/rig/experiment_command.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"stepwick/internal/core/balance"
+	"stepwick/internal/decision/balance"
 
 	model "stepwick/sim/balance"
 )
--- a/cmd/rig/prove/cases.go
+++ b/cmd/rig/faultcase/cases.go
@@ -1,4 +1,4 @@
-package prove
+package faultcase
 
 import (
 	"context"
@@ -7,12 +7,12 @@
 	"github.com/pkg/errors"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
 	"stepwick/internal/clock"
 )
 
-func wait(ctx context.Context, d time.Duration) bool { return own.Wait(ctx, d) }
+func wait(ctx context.Context, d time.Duration) bool { return owner.Wait(ctx, d) }
 
 // Case causes one kind of trouble.
 type Case struct {
@@ -70,13 +70,13 @@
 	return Case{}, false
 }
 
-func (s *Stage) rest(began ledger.At) {
+func (s *Stage) rest(began history.At) {
 	if left := began + time.Duration(s.Seconds)*time.Second - s.Book.Now(); left > 0 {
 		s.Wait(left)
 	}
 }
 
-func (s *Stage) left(began ledger.At) bool {
+func (s *Stage) left(began history.At) bool {
 	return s.ctx.Err() == nil && s.Book.Now() < began+time.Duration(s.Seconds)*time.Second
 }
 
--- a/cmd/rig/prove/faults.go
+++ b/cmd/rig/faultcase/faults.go
@@ -1,13 +1,13 @@
-package prove
+package faultcase
 
 import (
 	"context"
 	"fmt"
 	"time"
 
+	"stepwick/cmd/rig/emulator"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/load"
-	"stepwick/cmd/rig/standin"
+	"stepwick/cmd/rig/loadgen"
 )
 
 // part of a case's work that runs beside its faults; wait for it with the
@@ -35,7 +35,7 @@
 	}
 }
 
-func (s *Stage) model() *standin.Model { return s.Fleet.Models[s.Random.IntN(len(s.Fleet.Models))] }
+func (s *Stage) model() *emulator.Model { return s.Fleet.Models[s.Random.IntN(len(s.Fleet.Models))] }
 
 // shuffled returns all nodes in an order that the number decides.
 func (s *Stage) shuffled(i uint64) []*fleet.Node {
@@ -84,7 +84,7 @@
 }
 
 // pushAfter settles an order within a span and returns what was told last.
-func (s *Stage) push(o *load.Order, from uint64, within time.Duration) (won bool, epoch uint64) {
+func (s *Stage) push(o *loadgen.Order, from uint64, within time.Duration) (won bool, epoch uint64) {
 	ctx, cancel := context.WithTimeout(s.ctx, within)
 	defer cancel()
 	told := s.Control.Push(ctx, o, s.shuffled(from))
@@ -117,13 +117,13 @@
 	return n.Start()
 }
 
-func (s *Stage) webOdds(odds standin.Odds) {
+func (s *Stage) webOdds(odds emulator.Odds) {
 	for _, w := range s.Fleet.Webs {
 		w.Odds(odds)
 	}
 }
 
-func (s *Stage) modelOdds(odds standin.Odds) {
+func (s *Stage) modelOdds(odds emulator.Odds) {
 	for _, m := range s.Fleet.Models {
 		m.Odds(odds)
 	}
--- a/cmd/rig/prove/finals.go
+++ b/cmd/rig/faultcase/finals.go
@@ -1,4 +1,4 @@
-package prove
+package faultcase
 
 import (
 	"sync"
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
+	"stepwick/cmd/rig/history"
 )
 
 // killHalf kills four nodes of nine; one core is among them at the most.
@@ -80,7 +80,7 @@
 	l := s.Book.Copy()
 	cut := 0
 	for _, a := range l.Attempts {
-		if len(a.Events) > 0 && a.End != ledger.Served && a.End != ledger.GaveUp {
+		if len(a.Events) > 0 && a.End != history.Served && a.End != history.GaveUp {
 			cut++
 		}
 	}
--- a/cmd/rig/prove/mix.go
+++ b/cmd/rig/faultcase/mix.go
@@ -1,12 +1,12 @@
-package prove
+package faultcase
 
 import (
 	"context"
 	"fmt"
 	"time"
 
+	"stepwick/cmd/rig/emulator"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/standin"
 )
 
 // trouble is one fault that a mix may draw; it returns what mends it.
@@ -57,11 +57,11 @@
 		return func() error { s.Fleet.Platform.State(name, "ready", 0); return nil }
 	}},
 	{"faulty streams", func(s *Stage) func() error {
-		s.modelOdds(standin.Odds{standin.EarlyEnd: .02, standin.TooLittle: .02, standin.Repeat: .02, standin.Cross: .02, standin.WrongID: .01, standin.Abort: .03, standin.Busy: .03})
+		s.modelOdds(emulator.Odds{emulator.EarlyEnd: .02, emulator.TooLittle: .02, emulator.Repeat: .02, emulator.Cross: .02, emulator.WrongID: .01, emulator.Abort: .03, emulator.Busy: .03})
 		return func() error { s.modelOdds(nil); return nil }
 	}},
 	{"faulty web servers", func(s *Stage) func() error {
-		s.webOdds(standin.Odds{standin.ResetEarly: .03, standin.ResetRead: .03, standin.ResetRan: .05, standin.Truncated: .02, standin.WrongID: .02, standin.CrossBody: .02, standin.Slow: .05})
+		s.webOdds(emulator.Odds{emulator.ResetEarly: .03, emulator.ResetRead: .03, emulator.ResetRan: .05, emulator.Truncated: .02, emulator.WrongID: .02, emulator.CrossBody: .02, emulator.Slow: .05})
 		return func() error { s.webOdds(nil); return nil }
 	}},
 	{"one tenant asks sixfold", func(s *Stage) func() error {
--- a/cmd/rig/prove/orders.go
+++ b/cmd/rig/faultcase/orders.go
@@ -1,4 +1,4 @@
-package prove
+package faultcase
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/load"
+	"stepwick/cmd/rig/loadgen"
 )
 
 func ordersKills(s *Stage) error {
@@ -224,7 +224,7 @@
 	_, base := s.Control.Newest()
 	for i := uint64(0); s.left(began); i++ {
 		key := s.Control.NextKey()
-		sheet := load.FirstSheet(s.Fleet, s.Tenants, key)
+		sheet := loadgen.FirstSheet(s.Fleet, s.Tenants, key)
 		bad := s.Control.Put("bola", base, sheet, key)
 		bad.Invalid = true
 		switch i % 6 {
@@ -235,20 +235,20 @@
 		case 2:
 			bad.Body["sheet"] = map[string]any{"services": sheet.Services, "weights": sheet.Weights, "tenants": sheet.Tenants, "colour": "red"}
 		case 3:
-			sheet.Tenants["press"] = load.SheetTenant{Rate: -5, Keys: []string{fleet.Hash("key-of-press")}}
+			sheet.Tenants["press"] = loadgen.SheetTenant{Rate: -5, Keys: []string{fleet.Hash("key-of-press")}}
 		case 4:
 			sheet.Weights["nosuch"] = map[string]float64{"lagos": 1}
 		case 5:
-			sheet.Tenants["huge"] = load.SheetTenant{Rate: 1, Home: strings.Repeat("x", 17<<20)}
+			sheet.Tenants["huge"] = loadgen.SheetTenant{Rate: 1, Home: strings.Repeat("x", 17<<20)}
 		}
 		told := s.Control.Send(bad, s.node(), 0)
 		if told.Status == 0 && i%6 != 5 {
 			return errors.Errorf("an invalid sheet got no answer: %s", told.Detail)
 		}
 		large := s.Control.NextKey()
-		big := load.FirstSheet(s.Fleet, s.Tenants, large)
+		big := loadgen.FirstSheet(s.Fleet, s.Tenants, large)
 		for j := range 3000 {
-			big.Tenants[fmt.Sprintf("town%d", j)] = load.SheetTenant{Rate: float64(i + 1), Burst: 10, Keys: []string{fleet.Hash(fmt.Sprint("town", j))}}
+			big.Tenants[fmt.Sprintf("town%d", j)] = loadgen.SheetTenant{Rate: float64(i + 1), Burst: 10, Keys: []string{fleet.Hash(fmt.Sprint("town", j))}}
 		}
 		won, epoch := s.push(s.Control.Put("ade", base, big, large), i, 15*time.Second)
 		if !won {
--- a/cmd/rig/prove/scenario.go
+++ b/cmd/rig/faultcase/scenario.go
@@ -1,4 +1,4 @@
-package prove
+package faultcase
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 	"go.yaml.in/yaml/v3"
 
+	"stepwick/cmd/rig/emulator"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/standin"
 	"stepwick/internal/clock"
 )
 
@@ -53,7 +53,7 @@
 var scenarioFaults = map[string]string{
 	"kill": "nodes", "stop": "nodes", "freeze": "nodes", "wipe": "cores", "cut": "nodes and servers, cut from all others in silence",
 	"crash": "servers", "dark": "model servers", "drain": "servers", "leave": "servers", "evacuate": "localities", "final": "nothing: service is judged from here on",
-	standin.EarlyEnd: "model servers", standin.Repeat: "model servers", standin.Abort: "model servers", standin.ResetRan: "web servers", standin.ResetRead: "web servers",
+	emulator.EarlyEnd: "model servers", emulator.Repeat: "model servers", emulator.Abort: "model servers", emulator.ResetRan: "web servers", emulator.ResetRead: "web servers",
 }
 
 // ParseScenario reads a scenario strictly.
@@ -159,7 +159,7 @@
 
 func (s *Stage) causeOne(f Fault, name string, mend bool) error {
 	node, model, web := s.Fleet.Node(name), s.Fleet.Model(name), s.Fleet.Web(name)
-	odds := standin.Odds{f.What: f.Odds}
+	odds := emulator.Odds{f.What: f.Odds}
 	if mend {
 		odds = nil
 	}
--- a/cmd/rig/prove/shots.go
+++ b/cmd/rig/faultcase/shots.go
@@ -1,15 +1,15 @@
-package prove
+package faultcase
 
 import (
 	"time"
 
-	"stepwick/cmd/rig/standin"
+	"stepwick/cmd/rig/emulator"
 )
 
 func shotsReset(s *Stage) error {
 	s.shotLoad()
-	s.webOdds(standin.Odds{standin.ResetEarly: .05, standin.ResetRead: .05, standin.ResetRan: .05, standin.Truncated: .03, standin.WrongID: .03,
-		standin.CrossBody: .03, standin.Busy: .05, standin.Slow: .02})
+	s.webOdds(emulator.Odds{emulator.ResetEarly: .05, emulator.ResetRead: .05, emulator.ResetRan: .05, emulator.Truncated: .03, emulator.WrongID: .03,
+		emulator.CrossBody: .03, emulator.Busy: .05, emulator.Slow: .02})
 	s.rest(s.Book.Now())
 	return nil
 }
@@ -23,7 +23,7 @@
 func shotsFronts(s *Stage) error {
 	began := s.Book.Now()
 	s.shotLoad()
-	s.webOdds(standin.Odds{standin.Slow: .2, standin.ResetRan: .02, standin.ResetRead: .02})
+	s.webOdds(emulator.Odds{emulator.Slow: .2, emulator.ResetRan: .02, emulator.ResetRead: .02})
 	for s.left(began) {
 		killed, frozen := s.frontOnly(), s.node()
 		killed.Kill()
@@ -52,7 +52,7 @@
 		for _, w := range s.Fleet.Webs {
 			w.Dark(false)
 		}
-		s.webOdds(standin.Odds{standin.Slow: .6})
+		s.webOdds(emulator.Odds{emulator.Slow: .6})
 		s.Wait(3 * time.Second)
 		s.webOdds(nil)
 		name := s.Fleet.Webs[s.Random.IntN(3)].Name
@@ -68,7 +68,7 @@
 
 func streamsFaults(s *Stage) error {
 	s.Crowd.Mood.GoneOdds, s.Crowd.Mood.SlowOdds = .03, .05
-	s.modelOdds(standin.Odds{standin.EarlyEnd: .02, standin.TooLittle: .02, standin.Repeat: .02, standin.Cross: .03, standin.WrongID: .02, standin.Abort: .02, standin.Busy: .05, standin.Stall: .01})
+	s.modelOdds(emulator.Odds{emulator.EarlyEnd: .02, emulator.TooLittle: .02, emulator.Repeat: .02, emulator.Cross: .03, emulator.WrongID: .02, emulator.Abort: .02, emulator.Busy: .05, emulator.Stall: .01})
 	s.rest(s.Book.Now())
 	return nil
 }
--- a/cmd/rig/prove/stage.go
+++ b/cmd/rig/faultcase/stage.go
@@ -1,6 +1,6 @@
-// Package prove causes the faults of the brief on a running fleet and has what
+// Package faultcase causes the faults of the brief on a running fleet and has what
 // came of it judged from outside.
-package prove
+package faultcase
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/pkg/errors"
 
+	"stepwick/cmd/rig/checker"
+	"stepwick/cmd/rig/faultproxy"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/judge"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/load"
-	"stepwick/cmd/rig/own"
-	"stepwick/cmd/rig/relay"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/loadgen"
+	"stepwick/cmd/rig/owner"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 )
@@ -29,7 +29,7 @@
 // Options of a run.
 type Options struct {
 	Spec    fleet.Spec
-	Tenants []load.Tenant
+	Tenants []loadgen.Tenant
 	Binary  string
 	Seed    uint64
 	Seconds int
@@ -43,9 +43,9 @@
 type Stage struct {
 	Options
 	Fleet   *fleet.Fleet
-	Book    *ledger.Book
-	Crowd   *load.Crowd
-	Control *load.Control
+	Book    *history.Book
+	Crowd   *loadgen.Crowd
+	Control *loadgen.Control
 	Random  *rand.Rand
 
 	ctx     context.Context
@@ -53,7 +53,7 @@
 	running chan struct{}
 	parts   int
 	dir     string
-	Began   ledger.At // traffic began
+	Began   history.At // traffic began
 }
 
 // Open starts a fleet, gives it a first sheet and lets callers in.
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "temp folder")
 	}
-	s := &Stage{Options: o, dir: dir, Book: ledger.Open(int64(o.Seed)), Random: rand.New(rand.NewPCG(o.Seed, 5)), running: make(chan struct{}, 8)}
+	s := &Stage{Options: o, dir: dir, Book: history.Open(int64(o.Seed)), Random: rand.New(rand.NewPCG(o.Seed, 5)), running: make(chan struct{}, 8)}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	if s.Fleet, err = fleet.New(o.Spec, o.Binary, dir, s.Book, o.Seed); err != nil {
 		os.RemoveAll(dir)
@@ -72,8 +72,8 @@
 		s.abort()
 		return nil, err
 	}
-	s.Control = load.NewControl(s.Fleet, o.Seed)
-	s.Crowd = load.NewCrowd(s.Fleet, o.Tenants, o.Seed)
+	s.Control = loadgen.NewControl(s.Fleet, o.Seed)
+	s.Crowd = loadgen.NewCrowd(s.Fleet, o.Tenants, o.Seed)
 	if err := s.first(); err != nil {
 		s.abort()
 		return nil, err
@@ -97,7 +97,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, 40*time.Second)
 	defer cancel()
 	key := s.Control.NextKey()
-	sheet := load.FirstSheet(s.Fleet, s.Tenants, key)
+	sheet := loadgen.FirstSheet(s.Fleet, s.Tenants, key)
 	sheet.Settings = s.Sheet
 	order := s.Control.Put("ade", 0, sheet, key)
 	if told := s.Control.Push(ctx, order, s.Fleet.Nodes); !told.Won() {
@@ -107,7 +107,7 @@
 		for {
 			if p := s.Control.Probe(n, key); p.Passed() {
 				break
-			} else if !own.Wait(ctx, 100*time.Millisecond) {
+			} else if !owner.Wait(ctx, 100*time.Millisecond) {
 				return errors.Errorf("node %s did not serve within 40 s: probe status %d code %d %s; node logs:\n%s", n.Name, p.Status, p.Code, p.Detail, s.tails())
 			}
 		}
@@ -144,7 +144,7 @@
 }
 
 // Wait lets time pass; false when the run is cut short.
-func (s *Stage) Wait(d time.Duration) bool { return own.Wait(s.ctx, d) }
+func (s *Stage) Wait(d time.Duration) bool { return owner.Wait(s.ctx, d) }
 
 // Seconds as a span.
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
@@ -156,7 +156,7 @@
 func (s *Stage) Cut(left, right []string) {
 	s.Book.Mark(fmt.Sprintf("cut %v from the rest", left), false)
 	s.Book.Cut(true)
-	s.Fleet.Links.Between(left, right, relay.Mode{Silent: true})
+	s.Fleet.Links.Between(left, right, faultproxy.Mode{Silent: true})
 }
 
 // Heal lets all links pass again.
@@ -183,7 +183,7 @@
 func (s *Stage) table() {
 	ticker := clock.System().Ticker(time.Second)
 	defer ticker.Stop()
-	var last load.Tally
+	var last loadgen.Tally
 	fmt.Fprintf(s.Out, "%6s %8s %9s %8s %8s %7s %8s\n", "second", "served", "refused", "failed", "unsent", "epoch", "skipped")
 	for i := 1; ; i++ {
 		select {
@@ -223,12 +223,12 @@
 }
 
 // Close ends the load, waits for late runs, ends the fleet and returns the ledger.
-func (s *Stage) Close() ledger.Ledger {
+func (s *Stage) Close() history.Ledger {
 	s.cancel()
 	for range s.parts {
 		<-s.running
 	}
-	own.Wait(context.Background(), time.Second)
+	owner.Wait(context.Background(), time.Second)
 	l := s.Book.Copy()
 	s.keep()
 	if s.Keep != "" {
@@ -262,7 +262,7 @@
 }
 
 // Sum sums a ledger up, from an instant on.
-func Sum(l *ledger.Ledger, from ledger.At) Summary {
+func Sum(l *history.Ledger, from history.At) Summary {
 	s := Summary{ByCode: map[string]int{}}
 	first, shot := hdrhistogram.New(1, 120_000_000, 3), hdrhistogram.New(1, 120_000_000, 3)
 	last := from
@@ -272,21 +272,21 @@
 		}
 		last = max(last, a.Sent)
 		switch a.End {
-		case ledger.Served, ledger.GaveUp:
+		case history.Served, history.GaveUp:
 			s.Served++
-		case ledger.Refused:
+		case history.Refused:
 			s.Refused++
-		case ledger.Unsent:
+		case history.Unsent:
 			s.Unsent++
 		default:
 			s.Failed++
 		}
 		if a.Code != 0 {
 			s.ByCode[apierror.Code(a.Code).String()]++
-		} else if a.End != ledger.Served {
+		} else if a.End != history.Served {
 			s.ByCode[a.End]++
 		}
-		if a.First > 0 && a.End == ledger.Served {
+		if a.First > 0 && a.End == history.Served {
 			histogram := shot
 			if a.Kind == "stream" {
 				histogram = first
@@ -328,7 +328,7 @@
 }
 
 // Report writes violations, at most a few of each judge in full.
-func Report(out io.Writer, name string, found []judge.Violation) {
+func Report(out io.Writer, name string, found []checker.Violation) {
 	by := map[string]int{}
 	for _, v := range found {
 		by[v.Judge]++
--- a/cmd/rig/prove/tallies.go
+++ b/cmd/rig/faultcase/tallies.go
@@ -1,4 +1,4 @@
-package prove
+package faultcase
 
 import "time"
 
--- a/cmd/rig/relay/relay.go
+++ b/cmd/rig/faultproxy/relay.go
@@ -1,7 +1,7 @@
-// Package relay carries every link between processes, so that any directed
+// Package faultproxy carries every link between processes, so that any directed
 // link can be cut, slowed or reset. The dialler is known by the address it
 // binds.
-package relay
+package faultproxy
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/pkg/errors"
 
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/owner"
 )
 
 // Mode is how a directed link behaves.
@@ -26,7 +26,7 @@
 // whole, read without waiting.
 type Links struct {
 	table   atomic.Pointer[table]
-	owner   *own.Owner[map[[2]string]Mode]
+	owner   *owner.Owner[map[[2]string]Mode]
 	sources atomic.Pointer[map[string]string] // ip -> name
 }
 
@@ -37,7 +37,7 @@
 
 // NewLinks returns links that all pass.
 func NewLinks() *Links {
-	l := &Links{owner: own.New(map[[2]string]Mode{})}
+	l := &Links{owner: owner.New(map[[2]string]Mode{})}
 	l.table.Store(&table{modes: map[[2]string]Mode{}, changed: make(chan struct{})})
 	l.sources.Store(&map[string]string{})
 	return l
@@ -110,7 +110,7 @@
 	Address string
 	target  string
 	links   *Links
-	state   *own.Owner[state]
+	state   *owner.Owner[state]
 }
 
 type state struct {
@@ -121,7 +121,7 @@
 
 // New returns a relay that is shut.
 func New(name, address, target string, links *Links) *Relay {
-	return &Relay{Name: name, Address: address, target: target, links: links, state: own.New(state{})}
+	return &Relay{Name: name, Address: address, target: target, links: links, state: owner.New(state{})}
 }
 
 // Open begins to listen.
@@ -193,7 +193,7 @@
 				return false
 			}
 		}
-		return mode.Delay == 0 || own.Wait(ctx, mode.Delay)
+		return mode.Delay == 0 || owner.Wait(ctx, mode.Delay)
 	}
 }
 
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -16,10 +16,10 @@
 
 	"github.com/pkg/errors"
 
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/own"
-	"stepwick/cmd/rig/relay"
-	"stepwick/cmd/rig/standin"
+	"stepwick/cmd/rig/emulator"
+	"stepwick/cmd/rig/faultproxy"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
 )
 
 // Place is where a machine stands.
@@ -41,7 +41,7 @@
 	Nodes    []NodeSpec
 	Models   []Place
 	Webs     []Place
-	Shape    standin.Shape
+	Shape    emulator.Shape
 	Services struct{ Model, Web []string }
 	Settings map[string]string // of all nodes
 	Warm     bool              // servers begin warm
@@ -51,7 +51,7 @@
 // model and 3 web servers.
 func First() Spec {
 	zones := []Place{{"lagos", "a"}, {"lagos", "b"}, {"abeokuta", "a"}}
-	s := Spec{Shape: standin.Typical(), Warm: true}
+	s := Spec{Shape: emulator.Typical(), Warm: true}
 	for i, z := range zones {
 		s.Nodes = append(s.Nodes, NodeSpec{Name: fmt.Sprintf("core%d", i+1), Place: z, Core: true})
 	}
@@ -84,16 +84,16 @@
 // Fleet is a running deployment.
 type Fleet struct {
 	Spec     Spec
-	Book     *ledger.Book
-	Links    *relay.Links
-	Platform *standin.Platform
+	Book     *history.Book
+	Links    *faultproxy.Links
+	Platform *emulator.Platform
 	Nodes    []*Node
-	Models   []*standin.Model
-	Webs     []*standin.Web
+	Models   []*emulator.Model
+	Webs     []*emulator.Web
 	Dir      string
 	Binary   string
 	spawn    chan spawnAsk
-	relays   map[string]*relay.Relay
+	relays   map[string]*faultproxy.Relay
 	base     int
 	places   map[string]Place
 	stop     context.CancelFunc
@@ -120,40 +120,40 @@
 
 // New lays a deployment out without starting it. The binary is that of Build,
 // the folder is the caller's to remove.
-func New(spec Spec, binary, dir string, book *ledger.Book, seed uint64) (*Fleet, error) {
+func New(spec Spec, binary, dir string, book *history.Book, seed uint64) (*Fleet, error) {
 	base, err := freeBase()
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Spec: spec, Book: book, Links: relay.NewLinks(), Dir: dir, Binary: binary, base: base,
-		spawn: make(chan spawnAsk), relays: map[string]*relay.Relay{}, places: map[string]Place{}}
+	f := &Fleet{Spec: spec, Book: book, Links: faultproxy.NewLinks(), Dir: dir, Binary: binary, base: base,
+		spawn: make(chan spawnAsk), relays: map[string]*faultproxy.Relay{}, places: map[string]Place{}}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go spawner(ctx, f.spawn)
-	f.Platform = standin.NewPlatform(f.ip(1, 1)+":7900", book)
+	f.Platform = emulator.NewPlatform(f.ip(1, 1)+":7900", book)
 	sources := map[string]string{}
 	for i, n := range spec.Nodes {
 		ip := f.ip(20, i+1)
 		sources[ip] = n.Name
 		f.places[n.Name] = n.Place
 		node := &Node{NodeSpec: n, fleet: f, Bind: ip, Caller: ip + ":7000", internal: ip + ":7001", advertised: f.ip(30, i+1) + ":7001",
-			data: filepath.Join(dir, n.Name), state: own.New(nodeState{})}
-		f.relays[n.Name] = relay.New(n.Name, node.advertised, node.internal, f.Links)
+			data: filepath.Join(dir, n.Name), state: owner.New(nodeState{})}
+		f.relays[n.Name] = faultproxy.New(n.Name, node.advertised, node.internal, f.Links)
 		f.Nodes = append(f.Nodes, node)
 	}
 	for i, place := range spec.Models {
 		name := fmt.Sprintf("model%d", i+1)
-		m := standin.NewModel(name, f.ip(50, i+1)+":8000", spec.Services.Model, spec.Shape, book, seed+uint64(i))
+		m := emulator.NewModel(name, f.ip(50, i+1)+":8000", spec.Services.Model, spec.Shape, book, seed+uint64(i))
 		f.Models = append(f.Models, m)
 		f.places[name] = place
-		f.relays[name] = relay.New(name, f.ip(40, i+1)+":8000", m.Address, f.Links)
+		f.relays[name] = faultproxy.New(name, f.ip(40, i+1)+":8000", m.Address, f.Links)
 	}
 	for i, place := range spec.Webs {
 		name := fmt.Sprintf("web%d", i+1)
-		w := standin.NewWeb(name, f.ip(51, i+1)+":8000", spec.Services.Web, book, seed+100+uint64(i))
+		w := emulator.NewWeb(name, f.ip(51, i+1)+":8000", spec.Services.Web, book, seed+100+uint64(i))
 		f.Webs = append(f.Webs, w)
 		f.places[name] = place
-		f.relays[name] = relay.New(name, f.ip(41, i+1)+":8000", w.Address, f.Links)
+		f.relays[name] = faultproxy.New(name, f.ip(41, i+1)+":8000", w.Address, f.Links)
 	}
 	f.Links.Names(sources)
 	return f, nil
@@ -206,7 +206,7 @@
 		kind, services = "web", f.Spec.Services.Web
 	}
 	place := f.places[name]
-	f.Platform.Show(standin.Listed{Name: name, Address: f.relays[name].Address, Kind: kind, Services: services,
+	f.Platform.Show(emulator.Listed{Name: name, Address: f.relays[name].Address, Kind: kind, Services: services,
 		Region: place.Region, Zone: place.Zone, State: state})
 }
 
@@ -217,7 +217,7 @@
 func (f *Fleet) Place(name string) Place { return f.places[name] }
 
 // Model returns a model server by name, or nil.
-func (f *Fleet) Model(name string) *standin.Model {
+func (f *Fleet) Model(name string) *emulator.Model {
 	for _, m := range f.Models {
 		if m.Name == name {
 			return m
@@ -250,7 +250,7 @@
 }
 
 // Web returns a web server by name, or nil.
-func (f *Fleet) Web(name string) *standin.Web {
+func (f *Fleet) Web(name string) *emulator.Web {
 	for _, w := range f.Webs {
 		if w.Name == name {
 			return w
--- a/cmd/rig/fleet/node.go
+++ b/cmd/rig/fleet/node.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 	"go.yaml.in/yaml/v3"
 
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/owner"
 	"stepwick/internal/clock"
 )
 
@@ -36,7 +36,7 @@
 	advertised string
 	data       string
 	fleet      *Fleet
-	state      *own.Owner[nodeState]
+	state      *owner.Owner[nodeState]
 }
 
 type nodeState struct {
--- a/cmd/rig/ledger/ledger.go
+++ b/cmd/rig/history/ledger.go
@@ -1,15 +1,15 @@
-// Package ledger keeps what an outside observer of a fleet can know: what
+// Package history keeps what an outside observer of a fleet can know: what
 // callers sent and got, what servers ran, what operators were told and what the
 // platform showed. All instants are spans since the book was opened, by one
 // monotonic clock.
-package ledger
+package history
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/owner"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 )
@@ -209,13 +209,13 @@
 type Book struct {
 	clock clock.Clock
 	begin time.Time
-	owner *own.Owner[pages]
+	owner *owner.Owner[pages]
 }
 
 // Open starts an empty book.
 func Open(seed int64) *Book {
 	clock := clock.System()
-	return &Book{clock: clock, begin: clock.Now(), owner: own.New(pages{
+	return &Book{clock: clock, begin: clock.Now(), owner: owner.New(pages{
 		Ledger: Ledger{Seed: seed, Allowances: map[string]Allowance{}, Localities: map[string]string{}},
 		runs:   map[string]int{}})}
 }
--- a/cmd/rig/hollow_command.go
+++ b/cmd/rig/hollow_command.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"stepwick/cmd/rig/hollow"
+	"stepwick/cmd/rig/simnode"
 )
 
 func hollowCommand() *cobra.Command {
@@ -31,7 +31,7 @@
 						if err != nil {
 							return err
 						}
-						result, err := hollow.Measure(cmd.Context(), hollow.Options{Binary: binary, Dir: dir, Fronts: n, Cores: cores, Tenants: t, Servers: m,
+						result, err := simnode.Measure(cmd.Context(), simnode.Options{Binary: binary, Dir: dir, Fronts: n, Cores: cores, Tenants: t, Servers: m,
 							Warm: time.Duration(warm) * time.Second, Span: time.Duration(span) * time.Second, Orders: orders, Settings: settings, Profile: profile, Herd: herd})
 						os.RemoveAll(dir)
 						if err != nil {
--- a/cmd/rig/load/call.go
+++ b/cmd/rig/loadgen/call.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
@@ -14,10 +14,10 @@
 
 	"github.com/pkg/errors"
 
+	"stepwick/cmd/rig/emulator"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/own"
-	"stepwick/cmd/rig/standin"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 )
@@ -33,7 +33,7 @@
 }
 
 // Call makes attempts until one ran or may have run.
-func (c *Crowd) Call(ctx context.Context, call Call) ledger.Attempt {
+func (c *Crowd) Call(ctx context.Context, call Call) history.Attempt {
 	tried := map[string]bool{}
 	until := c.Book.Now() + call.Tenant.Deadline
 	for try := 0; ; try++ {
@@ -46,10 +46,10 @@
 		c.tally.Tell(func(t *Tally) { t.count(a) })
 		again := false
 		switch {
-		case a.End == ledger.Unsent:
+		case a.End == history.Unsent:
 			c.shun(address, 2*time.Second)
 			again = true
-		case a.End == ledger.TimedOut, a.End == ledger.CutAbort:
+		case a.End == history.TimedOut, a.End == history.CutAbort:
 			c.shun(address, time.Second)
 		case a.Code == int(apierror.NotRuling), a.Code == int(apierror.FrontLeaving):
 			c.shun(address, time.Second)
@@ -62,13 +62,13 @@
 	}
 }
 
-func (t *Tally) count(a ledger.Attempt) {
+func (t *Tally) count(a history.Attempt) {
 	switch a.End {
-	case ledger.Served, ledger.GaveUp:
+	case history.Served, history.GaveUp:
 		t.Served++
-	case ledger.Refused:
+	case history.Refused:
 		t.Refused++
-	case ledger.Unsent:
+	case history.Unsent:
 		t.Unsent++
 	default:
 		t.Failed++
@@ -84,10 +84,10 @@
 	return address
 }
 
-func (c *Crowd) attempt(call Call, address string, until ledger.At) ledger.Attempt {
+func (c *Crowd) attempt(call Call, address string, until history.At) history.Attempt {
 	t := call.Tenant
 	token := fmt.Sprintf("t%d-%d", c.seed, c.serial.Add(1))
-	a := ledger.Attempt{Token: token, Kind: t.Kind, Tenant: t.Name, Service: t.Service, Front: c.nodeAt(address), Region: call.Place.Region,
+	a := history.Attempt{Token: token, Kind: t.Kind, Tenant: t.Name, Service: t.Service, Front: c.nodeAt(address), Region: call.Place.Region,
 		Tokens: t.Tokens(), Sent: c.Book.Now(), Deadline: until}
 	left := max(until-a.Sent, 50*time.Millisecond)
 	var req *http.Request
@@ -117,9 +117,9 @@
 
 // Direct sends a call to a server itself, by the servers' protocol and over
 // kept-alive connections, and leaves it out of the ledger's attempts.
-func (c *Crowd) Direct(call Call, address string) ledger.Attempt {
+func (c *Crowd) Direct(call Call, address string) history.Attempt {
 	t := call.Tenant
-	a := ledger.Attempt{Token: fmt.Sprintf("d%d-%d", c.seed, c.serial.Add(1)), Kind: t.Kind, Tenant: t.Name, Service: t.Service, Sent: c.Book.Now()}
+	a := history.Attempt{Token: fmt.Sprintf("d%d-%d", c.seed, c.serial.Add(1)), Kind: t.Kind, Tenant: t.Name, Service: t.Service, Sent: c.Book.Now()}
 	a.Deadline = a.Sent + t.Deadline
 	req, _ := http.NewRequest(http.MethodGet, "http://"+address+"/map?token="+a.Token, nil)
 	if t.Kind == "stream" {
@@ -133,10 +133,10 @@
 	return a
 }
 
-func (c *Crowd) perform(a *ledger.Attempt, req *http.Request, address string, most time.Duration, draw float64) {
+func (c *Crowd) perform(a *history.Attempt, req *http.Request, address string, most time.Duration, draw float64) {
 	l, err := c.lines.take(address)
 	if err != nil {
-		a.End = ledger.Unsent
+		a.End = history.Unsent
 		return
 	}
 	clean := false
@@ -149,9 +149,9 @@
 	}()
 	resp, err := l.send(req, clock.System().Now().Add(most))
 	if err != nil {
-		a.End = ledger.CutAbort
+		a.End = history.CutAbort
 		if timedOut(err) {
-			a.End = ledger.TimedOut
+			a.End = history.TimedOut
 		}
 		return
 	}
@@ -163,32 +163,32 @@
 	data, err := io.ReadAll(io.LimitReader(resp.Body, 8<<20))
 	a.First = c.Book.Now()
 	if err != nil {
-		a.End = ledger.CutAbort
+		a.End = history.CutAbort
 		if timedOut(err) {
-			a.End = ledger.TimedOut
+			a.End = history.TimedOut
 		}
 		return
 	}
 	clean = !resp.Close
 	fault := resp.Header.Get("Stepwick-Code")
 	if a.Kind != "stream" && fault == "" && resp.StatusCode/100 == 2 {
-		a.End = ledger.Served
-		a.Body, a.Whole = standin.CheckBody(string(data))
+		a.End = history.Served
+		a.Body, a.Whole = emulator.CheckBody(string(data))
 		return
 	}
 	var body apierror.ErrorBody
 	_ = json.Unmarshal(data, &body)
-	a.Code, a.Retry, a.End = int(body.Code), string(body.Retry), ledger.Refused
+	a.Code, a.Retry, a.End = int(body.Code), string(body.Retry), history.Refused
 	if body.Code == apierror.OutcomeUnknown || body.Code == apierror.BadAnswer {
-		a.End = ledger.CutError
+		a.End = history.CutError
 	}
 	if a.Code == 0 {
-		a.End = ledger.Malformed
+		a.End = history.Malformed
 	}
 }
 
 // stream reads events; true when the connection may be used again.
-func (c *Crowd) stream(a *ledger.Attempt, in io.Reader, draw float64) bool {
+func (c *Crowd) stream(a *history.Attempt, in io.Reader, draw float64) bool {
 	scan := bufio.NewScanner(in)
 	scan.Buffer(make([]byte, 4096), 1<<20)
 	isError := false
@@ -208,7 +208,7 @@
 		if isError {
 			var body apierror.ErrorBody
 			_ = json.Unmarshal([]byte(data), &body)
-			a.Code, a.Retry, a.End = int(body.Code), string(body.Retry), ledger.CutError
+			a.Code, a.Retry, a.End = int(body.Code), string(body.Retry), history.CutError
 			continue
 		}
 		var event struct {
@@ -219,43 +219,43 @@
 			Count int    `json:"count"`
 		}
 		if json.Unmarshal([]byte(data), &event) != nil {
-			a.End = ledger.Malformed
+			a.End = history.Malformed
 			return false
 		}
 		if event.Final {
 			a.Final, a.Count = true, event.Count
 			continue
 		}
-		e := ledger.Event{ID: event.ID, Seq: event.Seq}
+		e := history.Event{ID: event.ID, Seq: event.Seq}
 		_, _ = fmt.Sscanf(event.Text, "%s %s %d", &e.Token, &e.Run, &e.Index)
 		a.Events = append(a.Events, e)
 		if draw < c.Mood.GoneOdds {
-			a.End = ledger.GaveUp
+			a.End = history.GaveUp
 			return false
 		}
 		if draw > 1-c.Mood.SlowOdds {
-			own.Wait(context.Background(), 60*time.Millisecond)
+			owner.Wait(context.Background(), 60*time.Millisecond)
 		}
 	}
 	switch err := scan.Err(); {
-	case a.End == ledger.CutError:
+	case a.End == history.CutError:
 		return false
 	case err != nil && timedOut(err):
-		a.End = ledger.TimedOut
+		a.End = history.TimedOut
 	case err != nil:
-		a.End = ledger.CutAbort
+		a.End = history.CutAbort
 	case a.Final:
-		a.End = ledger.Served
+		a.End = history.Served
 		return true
 	default:
-		a.End = ledger.CleanEnd
+		a.End = history.CleanEnd
 	}
 	return false
 }
 
 // Ask sends one request on a connection of its own and reads the whole answer.
 func Ask(req *http.Request, address string, most time.Duration) (int, []byte, error) {
-	l := &lines{own.New(map[string][]*line{}), 0}
+	l := &lines{owner.New(map[string][]*line{}), 0}
 	defer l.idle.End()
 	c, err := l.take(address)
 	if err != nil {
--- a/cmd/rig/load/caller.go
+++ b/cmd/rig/loadgen/caller.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
 )
 
 // Tenant is one tenant's load and allowance.
@@ -26,7 +26,7 @@
 	MaxTokens     int
 	Deadline      time.Duration
 	Home          string
-	ledger.Allowance
+	history.Allowance
 }
 
 // Tokens is what one request costs.
@@ -40,18 +40,18 @@
 // FirstTenants are the five tenants of the first deployment: about 170 requests a second.
 func FirstTenants() []Tenant {
 	return []Tenant{
-		{Name: "press", Key: "key-of-press", Service: "digest", Kind: "stream", PerSecond: 45, Prefixes: 30, PrefixTokens: 2000, SessionTokens: 150, MaxTokens: 48, Deadline: 8 * time.Second, Allowance: ledger.Allowance{Rate: 160000, Burst: 200000}},
-		{Name: "helpdesk", Key: "key-of-helpdesk", Service: "helpline", Kind: "stream", PerSecond: 45, Prefixes: 20, PrefixTokens: 1200, SessionTokens: 200, MaxTokens: 40, Deadline: 8 * time.Second, Home: "lagos", Allowance: ledger.Allowance{Rate: 110000, Burst: 150000}},
-		{Name: "desk", Key: "key-of-desk", Service: "headline", Kind: "stream", PerSecond: 40, Prefixes: 10, PrefixTokens: 600, SessionTokens: 60, MaxTokens: 12, Deadline: 6 * time.Second, Allowance: ledger.Allowance{Rate: 50000, Burst: 60000}},
-		{Name: "grid", Key: "key-of-grid", Service: "outage", Kind: "get", PerSecond: 25, Deadline: 3 * time.Second, Allowance: ledger.Allowance{Rate: 2500, Burst: 4000}},
-		{Name: "crews", Key: "key-of-crews", Service: "repairs", Kind: "post", PerSecond: 15, Deadline: 3 * time.Second, Allowance: ledger.Allowance{Rate: 1500, Burst: 3000}},
+		{Name: "press", Key: "key-of-press", Service: "digest", Kind: "stream", PerSecond: 45, Prefixes: 30, PrefixTokens: 2000, SessionTokens: 150, MaxTokens: 48, Deadline: 8 * time.Second, Allowance: history.Allowance{Rate: 160000, Burst: 200000}},
+		{Name: "helpdesk", Key: "key-of-helpdesk", Service: "helpline", Kind: "stream", PerSecond: 45, Prefixes: 20, PrefixTokens: 1200, SessionTokens: 200, MaxTokens: 40, Deadline: 8 * time.Second, Home: "lagos", Allowance: history.Allowance{Rate: 110000, Burst: 150000}},
+		{Name: "desk", Key: "key-of-desk", Service: "headline", Kind: "stream", PerSecond: 40, Prefixes: 10, PrefixTokens: 600, SessionTokens: 60, MaxTokens: 12, Deadline: 6 * time.Second, Allowance: history.Allowance{Rate: 50000, Burst: 60000}},
+		{Name: "grid", Key: "key-of-grid", Service: "outage", Kind: "get", PerSecond: 25, Deadline: 3 * time.Second, Allowance: history.Allowance{Rate: 2500, Burst: 4000}},
+		{Name: "crews", Key: "key-of-crews", Service: "repairs", Kind: "post", PerSecond: 15, Deadline: 3 * time.Second, Allowance: history.Allowance{Rate: 1500, Burst: 3000}},
 	}
 }
 
 // Crowd is the callers of all tenants.
 type Crowd struct {
 	Fleet   *fleet.Fleet
-	Book    *ledger.Book
+	Book    *history.Book
 	Tenants []Tenant
 	Mood    Mood
 
@@ -61,11 +61,11 @@
 	serial   atomic.Int64
 	inflight atomic.Int64
 	Skipped  atomic.Int64 // not sent since too many were open
-	bad      *own.Owner[map[string]ledger.At]
-	near     *own.Owner[map[string][]string]
+	bad      *owner.Owner[map[string]history.At]
+	near     *owner.Owner[map[string][]string]
 	seed     uint64
 	places   []fleet.Place
-	tally    *own.Owner[Tally]
+	tally    *owner.Owner[Tally]
 }
 
 // Mood is how callers behave.
@@ -83,7 +83,7 @@
 // NewCrowd returns callers that are silent until Run.
 func NewCrowd(f *fleet.Fleet, tenants []Tenant, seed uint64) *Crowd {
 	c := &Crowd{Fleet: f, Book: f.Book, Tenants: tenants, Mood: Mood{Retries: 2}, lines: newLines(64), factors: make([]atomic.Uint64, len(tenants)),
-		bad: own.New(map[string]ledger.At{}), near: own.New(map[string][]string{}), seed: seed, tally: own.New(Tally{})}
+		bad: owner.New(map[string]history.At{}), near: owner.New(map[string][]string{}), seed: seed, tally: owner.New(Tally{})}
 	seen := map[fleet.Place]bool{}
 	for _, n := range f.Nodes {
 		if !seen[n.Place] {
@@ -94,11 +94,11 @@
 	for i := range c.factors {
 		c.factors[i].Store(1000)
 	}
-	allowances := map[string]ledger.Allowance{}
+	allowances := map[string]history.Allowance{}
 	for _, t := range tenants {
 		allowances[t.Name] = t.Allowance
 	}
-	f.Book.Write(func(l *ledger.Ledger) {
+	f.Book.Write(func(l *history.Ledger) {
 		for name, a := range allowances {
 			l.Allowances[name] = a
 		}
@@ -140,7 +140,7 @@
 		<-stopped
 	}
 	for i := 0; i < 300 && c.inflight.Load() > 0; i++ {
-		own.Wait(context.Background(), 50*time.Millisecond)
+		owner.Wait(context.Background(), 50*time.Millisecond)
 	}
 }
 
@@ -154,14 +154,14 @@
 	for {
 		rate := t.PerSecond * float64(c.factors[i].Load()) / 1000
 		if rate <= 0 {
-			if !own.Wait(ctx, 50*time.Millisecond) {
+			if !owner.Wait(ctx, 50*time.Millisecond) {
 				return
 			}
 			next = c.Book.Now()
 			continue
 		}
 		next += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-		if wait := next - c.Book.Now(); wait > 0 && !own.Wait(ctx, wait) {
+		if wait := next - c.Book.Now(); wait > 0 && !owner.Wait(ctx, wait) {
 			return
 		}
 		select {
@@ -222,7 +222,7 @@
 		} else {
 			wait = 200 * time.Millisecond
 		}
-		if !own.Wait(ctx, wait) {
+		if !owner.Wait(ctx, wait) {
 			return
 		}
 	}
@@ -237,7 +237,7 @@
 		every = append(every, n.Caller)
 	}
 	now, chosen := c.Book.Now(), ""
-	c.bad.Ask(func(bad *map[string]ledger.At) {
+	c.bad.Ask(func(bad *map[string]history.At) {
 		for _, group := range [][]string{list, every} {
 			var good []string
 			for _, address := range group {
@@ -259,5 +259,5 @@
 
 func (c *Crowd) shun(address string, d time.Duration) {
 	until := c.Book.Now() + d
-	c.bad.Tell(func(bad *map[string]ledger.At) { (*bad)[address] = until })
+	c.bad.Tell(func(bad *map[string]history.At) { (*bad)[address] = until })
 }
--- a/cmd/rig/load/line.go
+++ b/cmd/rig/loadgen/line.go
@@ -1,7 +1,7 @@
-// Package load plays callers and operators. Its HTTP client never sends a
+// Package loadgen plays callers and operators. Its HTTP client never sends a
 // request twice and keeps connections open, so that what a ledger shows is what
 // the fleet did.
-package load
+package loadgen
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 
 	"github.com/pkg/errors"
 
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/owner"
 )
 
 // line is one connection to a front.
@@ -23,13 +23,13 @@
 
 // lines keeps idle connections by address.
 type lines struct {
-	idle *own.Owner[map[string][]*line]
+	idle *owner.Owner[map[string][]*line]
 	keep int
 }
 
 var errUnsent = errors.New("nothing was written")
 
-func newLines(keep int) *lines { return &lines{own.New(map[string][]*line{}), keep} }
+func newLines(keep int) *lines { return &lines{owner.New(map[string][]*line{}), keep} }
 
 func (l *lines) take(address string) (taken *line, err error) {
 	l.idle.Ask(func(all *map[string][]*line) {
--- a/cmd/rig/load/load_test.go
+++ b/cmd/rig/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -13,14 +13,14 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"stepwick/cmd/rig/checker"
+	"stepwick/cmd/rig/emulator"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/judge"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/standin"
+	"stepwick/cmd/rig/history"
 )
 
 // careless is a front that passes on whatever its servers say.
-func careless(model *standin.Model, web *standin.Web) http.Handler {
+func careless(model *emulator.Model, web *emulator.Web) http.Handler {
 	mux := http.NewServeMux()
 	pass := func(w http.ResponseWriter, r *http.Request, url string, body io.Reader) {
 		req, _ := http.NewRequest(r.Method, url, body)
@@ -53,20 +53,20 @@
 }
 
 type scene struct {
-	book  *ledger.Book
+	book  *history.Book
 	crowd *Crowd
-	model *standin.Model
-	web   *standin.Web
+	model *emulator.Model
+	web   *emulator.Web
 	front *httptest.Server
 }
 
 func set() *scene {
-	book := ledger.Open(3)
-	spec := fleet.Spec{Nodes: []fleet.NodeSpec{{Name: "front1", Place: fleet.Place{Region: "lagos", Zone: "a"}}}, Shape: standin.Typical()}
+	book := history.Open(3)
+	spec := fleet.Spec{Nodes: []fleet.NodeSpec{{Name: "front1", Place: fleet.Place{Region: "lagos", Zone: "a"}}}, Shape: emulator.Typical()}
 	spec.Shape.Tick = time.Millisecond
 	f, err := fleet.New(spec, "", "", book, 3)
 	So(err, ShouldBeNil)
-	s := &scene{book: book, model: standin.NewModel("model1", "127.0.0.1:0", nil, spec.Shape, book, 3), web: standin.NewWeb("web1", "127.0.0.1:0", nil, book, 3)}
+	s := &scene{book: book, model: emulator.NewModel("model1", "127.0.0.1:0", nil, spec.Shape, book, 3), web: emulator.NewWeb("web1", "127.0.0.1:0", nil, book, 3)}
 	s.model.Address, s.web.Address = free(), free()
 	So(s.model.Start(), ShouldBeNil)
 	So(s.web.Start(), ShouldBeNil)
@@ -89,20 +89,20 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func (s *scene) call(tenant string) ledger.Attempt {
+func (s *scene) call(tenant string) history.Attempt {
 	for _, t := range FirstTenants() {
 		if t.Name == tenant {
 			t.Deadline = 3 * time.Second
 			return s.crowd.Call(context.Background(), Call{Tenant: t, Place: fleet.Place{Region: "lagos", Zone: "a"}, Draw: 0.5})
 		}
 	}
-	return ledger.Attempt{}
+	return history.Attempt{}
 }
 
 func (s *scene) judges() map[string]bool {
 	names := map[string]bool{}
 	l := s.book.Copy()
-	for _, v := range judge.Find(&l) {
+	for _, v := range checker.Find(&l) {
 		names[v.Judge] = true
 	}
 	return names
@@ -113,61 +113,61 @@
 		s := set()
 		Convey("honest servers give whole answers and no violation", func() {
 			for _, tenant := range []string{"press", "press", "grid", "crews"} {
-				So(s.call(tenant).End, ShouldEqual, ledger.Served)
+				So(s.call(tenant).End, ShouldEqual, history.Served)
 			}
 			So(s.judges(), ShouldBeEmpty)
 			hits, asked, _ := s.model.Counts()
 			So([]int{hits, asked}, ShouldResemble, []int{1, 2})
 		})
-		for fault, judge := range map[string]string{standin.EarlyEnd: "stream", standin.TooLittle: "stream", standin.Repeat: "stream", standin.WrongID: "stream"} {
+		for fault, judge := range map[string]string{emulator.EarlyEnd: "stream", emulator.TooLittle: "stream", emulator.Repeat: "stream", emulator.WrongID: "stream"} {
 			Convey("a model server's "+fault+" is seen by the judges", func() {
-				s.model.Odds(standin.Odds{fault: 1})
+				s.model.Odds(emulator.Odds{fault: 1})
 				s.call("press")
 				So(s.judges()[judge], ShouldBeTrue)
 			})
 		}
 		Convey("an aborted stream does not look complete", func() {
-			s.model.Odds(standin.Odds{standin.Abort: 1})
-			So(s.call("press").End, ShouldBeIn, ledger.CutAbort, ledger.CutError, ledger.Malformed)
+			s.model.Odds(emulator.Odds{emulator.Abort: 1})
+			So(s.call("press").End, ShouldBeIn, history.CutAbort, history.CutError, history.Malformed)
 			So(s.judges(), ShouldBeEmpty)
 		})
 		Convey("a crossed body is seen by the judges", func() {
 			s.call("grid")
-			s.web.Odds(standin.Odds{standin.CrossBody: 1})
+			s.web.Odds(emulator.Odds{emulator.CrossBody: 1})
 			s.call("crews")
 			So(s.judges()["body"], ShouldBeTrue)
 		})
 		Convey("a truncated body is not taken for whole", func() {
-			s.web.Odds(standin.Odds{standin.Truncated: 1})
-			So(s.call("grid").End, ShouldNotEqual, ledger.Served)
+			s.web.Odds(emulator.Odds{emulator.Truncated: 1})
+			So(s.call("grid").End, ShouldNotEqual, history.Served)
 			So(s.judges(), ShouldBeEmpty)
 		})
 		Convey("a call resent by the front's transport over a kept-alive connection is seen by the judges", func() {
 			s.call("grid")
-			s.web.Odds(standin.Odds{standin.ResetRan: 1})
+			s.web.Odds(emulator.Odds{emulator.ResetRan: 1})
 			s.call("grid")
 			So(s.judges()["once"], ShouldBeTrue)
 		})
 		Convey("a front that is gone counts as unsent", func() {
 			s.front.Close()
-			So(s.call("grid").End, ShouldEqual, ledger.Unsent)
+			So(s.call("grid").End, ShouldEqual, history.Unsent)
 		})
 	})
 }
 
 func TestPlatform(t *testing.T) {
 	Convey("The platform lists servers by name and notes what it showed", t, func() {
-		book := ledger.Open(1)
-		p := standin.NewPlatform(free(), book)
+		book := history.Open(1)
+		p := emulator.NewPlatform(free(), book)
 		So(p.Start(), ShouldBeNil)
 		Reset(func() { p.Close(); book.Close() })
-		p.Show(standin.Listed{Name: "b", Region: "lagos", Zone: "a", State: "ready"})
-		p.Show(standin.Listed{Name: "a", Region: "lagos", Zone: "a", State: "cold"})
+		p.Show(emulator.Listed{Name: "b", Region: "lagos", Zone: "a", State: "ready"})
+		p.Show(emulator.Listed{Name: "a", Region: "lagos", Zone: "a", State: "cold"})
 		p.State("b", "draining", 0)
 		resp, err := http.Get("http://" + p.Address + "/servers")
 		So(err, ShouldBeNil)
 		defer resp.Body.Close()
-		var body struct{ Servers []standin.Listed }
+		var body struct{ Servers []emulator.Listed }
 		So(json.NewDecoder(resp.Body).Decode(&body), ShouldBeNil)
 		So(body.Servers[0].Name+body.Servers[1].State, ShouldEqual, "adraining")
 		So(len(book.Copy().Shows), ShouldEqual, 3)
--- a/cmd/rig/load/operator.go
+++ b/cmd/rig/loadgen/operator.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"time"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
 )
 
 // Sheet is a sheet as operators write it.
@@ -60,7 +60,7 @@
 // Control is what operators do; it numbers their orders and probe keys.
 type Control struct {
 	Fleet  *fleet.Fleet
-	Book   *ledger.Book
+	Book   *history.Book
 	prefix string
 	serial atomic.Int64
 	key    atomic.Int64
@@ -91,7 +91,7 @@
 
 // Order is an order that may be sent several times under one id.
 type Order struct {
-	ledger.Order
+	history.Order
 	Body map[string]any
 	Key  int // probe key that it brings; 0 for none
 }
@@ -107,7 +107,7 @@
 	if key > 0 {
 		mark = fmt.Sprint(key)
 	}
-	return &Order{Order: ledger.Order{ID: id, Operator: operator, Verb: verb, Base: base, Mark: mark}, Body: body, Key: key}
+	return &Order{Order: history.Order{ID: id, Operator: operator, Verb: verb, Base: base, Mark: mark}, Body: body, Key: key}
 }
 
 // Put makes an order with a whole sheet.
@@ -141,7 +141,7 @@
 
 // Send sends an order once through a node. With lose set the operator breaks
 // the connection after that span and sees no answer.
-func (c *Control) Send(o *Order, node *fleet.Node, lose time.Duration) ledger.Order {
+func (c *Control) Send(o *Order, node *fleet.Node, lose time.Duration) history.Order {
 	text, _ := json.Marshal(o.Body)
 	route := routes[o.Verb]
 	req, _ := http.NewRequest(route[0], "http://"+node.Caller+route[1], bytes.NewReader(text))
@@ -187,12 +187,12 @@
 			}
 		}
 	}
-	c.Book.Write(func(l *ledger.Ledger) { l.Orders = append(l.Orders, sent) })
+	c.Book.Write(func(l *history.Ledger) { l.Orders = append(l.Orders, sent) })
 	return sent
 }
 
-func (c *Control) keyMark(key int, sent, acked ledger.At, epoch uint64) {
-	c.Book.Write(func(l *ledger.Ledger) {
+func (c *Control) keyMark(key int, sent, acked history.At, epoch uint64) {
+	c.Book.Write(func(l *history.Ledger) {
 		for i := range l.KeyMarks {
 			if l.KeyMarks[i].Key == key {
 				if acked > 0 && l.KeyMarks[i].Acked == 0 {
@@ -201,20 +201,20 @@
 				return
 			}
 		}
-		l.KeyMarks = append(l.KeyMarks, ledger.KeyMark{Key: key, Sent: sent, Acked: acked, Epoch: epoch})
+		l.KeyMarks = append(l.KeyMarks, history.KeyMark{Key: key, Sent: sent, Acked: acked, Epoch: epoch})
 	})
 }
 
 // Settled tells whether an answer ends an order for good.
-func Settled(o ledger.Order) bool {
+func Settled(o history.Order) bool {
 	return !o.Lost && (o.Won() || o.Status >= 400 && o.Status < 500)
 }
 
 // Push sends an order through one node after another until it is settled.
-func (c *Control) Push(ctx context.Context, o *Order, nodes []*fleet.Node) (last ledger.Order) {
+func (c *Control) Push(ctx context.Context, o *Order, nodes []*fleet.Node) (last history.Order) {
 	for i := 0; ctx.Err() == nil; i++ {
 		last = c.Send(o, nodes[i%len(nodes)], 0)
-		if Settled(last) || !own.Wait(ctx, 200*time.Millisecond) {
+		if Settled(last) || !owner.Wait(ctx, 200*time.Millisecond) {
 			return last
 		}
 	}
@@ -222,10 +222,10 @@
 }
 
 // Read reads the sheet back through a node.
-func (c *Control) Read(node *fleet.Node, final bool) (ledger.ReadBack, Sheet) {
+func (c *Control) Read(node *fleet.Node, final bool) (history.ReadBack, Sheet) {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+node.Caller+"/v1/control/sheet", nil)
 	req.Header.Set("Authorization", "Bearer "+fleet.Operators["ade"])
-	back := ledger.ReadBack{Front: node.Name, Sent: c.Book.Now(), Final: final}
+	back := history.ReadBack{Front: node.Name, Sent: c.Book.Now(), Final: final}
 	status, data, err := Ask(req, node.Caller, c.Wait)
 	back.Told = c.Book.Now()
 	var body struct {
@@ -246,7 +246,7 @@
 			}
 		}
 	}
-	c.Book.Write(func(l *ledger.Ledger) { l.ReadBacks = append(l.ReadBacks, back) })
+	c.Book.Write(func(l *history.Ledger) { l.ReadBacks = append(l.ReadBacks, back) })
 	return back, body.Sheet
 }
 
@@ -256,7 +256,7 @@
 		if back, _ := c.Read(nodes[i%len(nodes)], false); back.Status == http.StatusOK {
 			return back.Epoch, true
 		}
-		own.Wait(ctx, 200*time.Millisecond)
+		owner.Wait(ctx, 200*time.Millisecond)
 	}
 	return 0, false
 }
--- a/cmd/rig/load/probe.go
+++ b/cmd/rig/loadgen/probe.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 )
@@ -25,7 +25,7 @@
 			l := newLines(1)
 			defer func() { l.close(); done <- struct{}{} }()
 			var keys [2]int
-			for own.Wait(ctx, every) {
+			for owner.Wait(ctx, every) {
 				if newest, _ := c.Newest(); newest != keys[0] {
 					keys = [2]int{newest, keys[0]}
 				}
@@ -43,14 +43,14 @@
 }
 
 // Probe asks one node with one key on a connection of its own.
-func (c *Control) Probe(n *fleet.Node, key int) ledger.Probe {
+func (c *Control) Probe(n *fleet.Node, key int) history.Probe {
 	l := newLines(0)
 	defer l.close()
 	return c.probe(n, key, l)
 }
 
-func (c *Control) probe(n *fleet.Node, key int, l *lines) ledger.Probe {
-	p := ledger.Probe{Front: n.Name, Key: key, Sent: c.Book.Now()}
+func (c *Control) probe(n *fleet.Node, key int, l *lines) history.Probe {
+	p := history.Probe{Front: n.Name, Key: key, Sent: c.Book.Now()}
 	conn, err := l.take(n.Caller)
 	if err == nil {
 		p.Kept = conn.used
@@ -77,6 +77,6 @@
 		}
 	}
 	p.Done = c.Book.Now()
-	c.Book.Write(func(l *ledger.Ledger) { l.Probes = append(l.Probes, p) })
+	c.Book.Write(func(l *history.Ledger) { l.Probes = append(l.Probes, p) })
 	return p
 }
--- a/cmd/rig/measure.go
+++ b/cmd/rig/measure.go
@@ -10,17 +10,17 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
+	"stepwick/cmd/rig/checker"
+	"stepwick/cmd/rig/faultcase"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/judge"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/load"
-	"stepwick/cmd/rig/prove"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/loadgen"
 )
 
 // longPrompts are tenants whose prefixes do not all fit into one server's cache.
-func longPrompts() []load.Tenant {
-	plenty := ledger.Allowance{Rate: 1e7, Burst: 1e7}
-	return []load.Tenant{
+func longPrompts() []loadgen.Tenant {
+	plenty := history.Allowance{Rate: 1e7, Burst: 1e7}
+	return []loadgen.Tenant{
 		{Name: "press", Key: "key-of-press", Service: "digest", Kind: "stream", PerSecond: 60, Prefixes: 60, PrefixTokens: 3000, SessionTokens: 150, MaxTokens: 48, Deadline: 8 * time.Second, Allowance: plenty},
 		{Name: "helpdesk", Key: "key-of-helpdesk", Service: "helpline", Kind: "stream", PerSecond: 50, Prefixes: 40, PrefixTokens: 2000, SessionTokens: 200, MaxTokens: 40, Deadline: 8 * time.Second, Allowance: plenty},
 	}
@@ -49,7 +49,7 @@
 			}
 			defer remove()
 			for _, strategy := range strategies {
-				s, err := prove.Open(cmd.Context(), prove.Options{Spec: fleet.First(), Tenants: longPrompts(), Binary: binary, Seed: seed, Seconds: length, Out: os.Stdout,
+				s, err := faultcase.Open(cmd.Context(), faultcase.Options{Spec: fleet.First(), Tenants: longPrompts(), Binary: binary, Seed: seed, Seconds: length, Out: os.Stdout,
 					Sheet: map[string]string{"route.strategy": strategy}})
 				if err != nil {
 					return err
@@ -59,13 +59,13 @@
 				from := s.Book.Now()
 				s.Wait(time.Duration(length) * time.Second)
 				l := s.Close()
-				found := judge.Find(&l)
-				prove.Report(os.Stdout, strategy, found)
-				sum := prove.Sum(&l, from)
+				found := checker.Find(&l)
+				faultcase.Report(os.Stdout, strategy, found)
+				sum := faultcase.Sum(&l, from)
 				sum.Violations = len(found)
 				line, _ := json.Marshal(struct {
 					Strategy string `json:"strategy"`
-					prove.Summary
+					faultcase.Summary
 				}{strategy, sum})
 				fmt.Println(string(line))
 			}
@@ -87,13 +87,13 @@
 				return err
 			}
 			defer remove()
-			s, err := prove.Open(cmd.Context(), prove.Options{Spec: fleet.First(), Tenants: load.FirstTenants(), Binary: binary, Seed: 1, Out: os.Stdout})
+			s, err := faultcase.Open(cmd.Context(), faultcase.Options{Spec: fleet.First(), Tenants: loadgen.FirstTenants(), Binary: binary, Seed: 1, Out: os.Stdout})
 			if err != nil {
 				return err
 			}
 			s.Crowd.Scale("", 0)
 			s.Wait(6 * time.Second)
-			for _, t := range load.FirstTenants() {
+			for _, t := range loadgen.FirstTenants() {
 				if t.Kind == "post" {
 					continue
 				}
@@ -120,7 +120,7 @@
 }
 
 // cost measures to the first byte of the answer; both ways pass one relay.
-func cost(s *prove.Stage, t load.Tenant, count int) costs {
+func cost(s *faultcase.Stage, t loadgen.Tenant, count int) costs {
 	direct, through := hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
 	c := costs{Tenant: t.Name, Kind: t.Kind, Requests: count}
 	server := "model1"
@@ -132,15 +132,15 @@
 		if s.Context().Err() != nil {
 			break
 		}
-		call := load.Call{Tenant: t, Place: s.Fleet.Place(server), Prefix: 1, Draw: .5, Front: s.Fleet.Nodes[3].Caller, Pick: uint64(i)}
+		call := loadgen.Call{Tenant: t, Place: s.Fleet.Place(server), Prefix: 1, Draw: .5, Front: s.Fleet.Nodes[3].Caller, Pick: uint64(i)}
 		for _, way := range []*hdrhistogram.Histogram{direct, through} {
-			var a ledger.Attempt
+			var a history.Attempt
 			if way == direct {
 				a = s.Crowd.Direct(call, s.Fleet.Address(server))
 			} else {
 				a = s.Crowd.Call(s.Context(), call)
 			}
-			if a.End != ledger.Served {
+			if a.End != history.Served {
 				c.Failed++
 				continue
 			}
--- a/cmd/rig/own/own.go
+++ b/cmd/rig/owner/own.go
@@ -1,6 +1,6 @@
-// Package own gives a piece of state to one goroutine; others reach it over a
+// Package owner gives a piece of state to one goroutine; others reach it over a
 // channel.
-package own
+package owner
 
 import (
 	"context"
--- a/cmd/rig/prove_command.go
+++ b/cmd/rig/prove_command.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
+	"stepwick/cmd/rig/checker"
+	"stepwick/cmd/rig/faultcase"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/judge"
-	"stepwick/cmd/rig/load"
-	"stepwick/cmd/rig/prove"
+	"stepwick/cmd/rig/loadgen"
 	"stepwick/cmd/rig/report"
 )
 
@@ -34,21 +34,21 @@
 		Example: "  rig prove --list\n  rig prove --case force_core --seed 4\n  rig prove --seed 100 --seeds 20 --seconds 40",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if list {
-				for _, p := range prove.Cases {
+				for _, p := range faultcase.Cases {
 					fmt.Printf("%d  %-16s %3ds  %s\n", p.Group, p.Name, p.Seconds, p.Help)
 				}
-				fmt.Printf("-  %-16s %3ds  %s (the one without --case)\n", prove.Mix.Name, prove.Mix.Seconds, prove.Mix.Help)
+				fmt.Printf("-  %-16s %3ds  %s (the one without --case)\n", faultcase.Mix.Name, faultcase.Mix.Seconds, faultcase.Mix.Help)
 				return nil
 			}
-			chosen := []prove.Case{prove.Mix}
+			chosen := []faultcase.Case{faultcase.Mix}
 			if len(names) > 0 {
 				chosen = nil
 				for _, name := range names {
 					if name == "all" {
-						chosen = append(chosen, prove.Cases...)
+						chosen = append(chosen, faultcase.Cases...)
 						continue
 					}
-					p, ok := prove.Find(name)
+					p, ok := faultcase.Find(name)
 					if !ok {
 						return errors.Errorf("no case %q; see --list", name)
 					}
@@ -87,7 +87,7 @@
 	Worst      map[string]float64 `json:"worst_span,omitempty"`
 }
 
-func proveAll(ctx context.Context, chosen []prove.Case, seed uint64, seeds, length int, r run) error {
+func proveAll(ctx context.Context, chosen []faultcase.Case, seed uint64, seeds, length int, r run) error {
 	if r.binary == "" {
 		binary, remove, err := built()
 		if err != nil {
@@ -119,8 +119,8 @@
 
 // proveOne runs one case. A case that could not do its work, such as an order
 // that was never accepted, counts as a violation too.
-func proveOne(ctx context.Context, p prove.Case, seed uint64, length int, r run) verdict {
-	o := prove.Options{Spec: fleet.First(), Tenants: load.FirstTenants(), Binary: r.binary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, Table: r.table}
+func proveOne(ctx context.Context, p faultcase.Case, seed uint64, length int, r run) verdict {
+	o := faultcase.Options{Spec: fleet.First(), Tenants: loadgen.FirstTenants(), Binary: r.binary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, Table: r.table}
 	if length > 0 {
 		o.Seconds = length
 	}
@@ -131,7 +131,7 @@
 		p.Fleet(&o)
 	}
 	v := verdict{Case: p.Name, Seed: seed}
-	s, err := prove.Open(ctx, o)
+	s, err := faultcase.Open(ctx, o)
 	if err != nil {
 		v.Trouble, v.Violations = err.Error(), 1
 		fmt.Printf("TROUBLE case %s seed %d: %v\n", p.Name, seed, err)
@@ -140,20 +140,20 @@
 	s.Wait(2 * time.Second)
 	err = p.Run(s)
 	l := s.Close()
-	found := judge.Find(&l)
-	prove.Report(os.Stdout, p.Name, found)
+	found := checker.Find(&l)
+	faultcase.Report(os.Stdout, p.Name, found)
 	if r.folder != "" {
 		name := fmt.Sprintf("%s-%d", p.Name, seed)
 		if err := report.Write(filepath.Join(r.folder, name), name, &l, found); err != nil {
 			fmt.Fprintln(os.Stderr, "rig:", err)
 		}
 	}
-	sum := prove.Sum(&l, s.Began)
+	sum := faultcase.Sum(&l, s.Began)
 	v.Violations, v.Served, v.Refused, v.Failed, v.Orders = len(found), sum.Served, sum.Refused, sum.Failed, sum.Orders
 	if p.Group == 7 {
 		v.Worst = map[string]float64{}
 		for name := range l.Allowances {
-			share, _ := judge.Worst(&l, name)
+			share, _ := checker.Worst(&l, name)
 			v.Worst[name] = float64(int(share*1000)) / 1000
 		}
 	}
--- a/cmd/rig/report/report.go
+++ b/cmd/rig/report/report.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"stepwick/cmd/rig/judge"
-	"stepwick/cmd/rig/ledger"
+	"stepwick/cmd/rig/checker"
+	"stepwick/cmd/rig/history"
 )
 
 // Second is one line of seconds.jsonl: attempts by the second in which they
@@ -36,9 +36,9 @@
 }
 
 // Seconds folds a ledger into seconds.
-func Seconds(l *ledger.Ledger) []Second {
+func Seconds(l *history.Ledger) []Second {
 	out := make([]Second, int(math.Ceil(l.End.Seconds())))
-	at := func(t ledger.At) *Second { return &out[min(max(int(t.Seconds()), 0), len(out)-1)] }
+	at := func(t history.At) *Second { return &out[min(max(int(t.Seconds()), 0), len(out)-1)] }
 	if len(out) == 0 {
 		return nil
 	}
@@ -52,12 +52,12 @@
 	for _, a := range l.Attempts {
 		s := at(a.Done)
 		switch a.End {
-		case ledger.Served, ledger.GaveUp:
+		case history.Served, history.GaveUp:
 			s.Served++
 			if sums, ok := tokens[a.Tenant]; ok {
 				sums[min(int(a.Sent.Seconds()), len(out)-1)] += a.Tokens
 			}
-		case ledger.Refused:
+		case history.Refused:
 			s.Refused++
 		default:
 			s.Failed++
@@ -66,10 +66,10 @@
 	for _, m := range l.Marks {
 		at(m.At).Marks = append(at(m.At).Marks, m.What)
 	}
-	span := int(judge.QuotaSpan.Seconds())
+	span := int(checker.QuotaSpan.Seconds())
 	for name, sums := range tokens {
 		allowance := l.Allowances[name]
-		limit := allowance.Rate*judge.QuotaSpan.Seconds() + allowance.Burst
+		limit := allowance.Rate*checker.QuotaSpan.Seconds() + allowance.Burst
 		for i := range out {
 			sum := 0.0
 			for j := max(0, i-span+1); j <= i; j++ {
@@ -82,7 +82,7 @@
 }
 
 // Write puts seconds.jsonl, violations.jsonl, service.svg and spend.svg into a folder.
-func Write(folder, title string, l *ledger.Ledger, found []judge.Violation) error {
+func Write(folder, title string, l *history.Ledger, found []checker.Violation) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Wrap(err, "report")
 	}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func draw(path, title, unit string, rows map[string]plotter.XYs, marks []ledger.Mark, one bool) error {
+func draw(path, title, unit string, rows map[string]plotter.XYs, marks []history.Mark, one bool) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
 	p.Legend.Top, p.Legend.Left = true, true
--- a/cmd/rig/report/report_test.go
+++ b/cmd/rig/report/report_test.go
@@ -8,17 +8,17 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/cmd/rig/ledger"
+	"stepwick/cmd/rig/history"
 )
 
 func TestReport(t *testing.T) {
 	Convey("A ledger folds into seconds and plots", t, func() {
-		l := &ledger.Ledger{End: 10 * time.Second, Allowances: map[string]ledger.Allowance{"press": {Rate: 10, Burst: 20}},
-			Marks: []ledger.Mark{{At: 4 * time.Second, What: "kill core1"}}}
+		l := &history.Ledger{End: 10 * time.Second, Allowances: map[string]history.Allowance{"press": {Rate: 10, Burst: 20}},
+			Marks: []history.Mark{{At: 4 * time.Second, What: "kill core1"}}}
 		for i := range 10 {
 			at := time.Duration(i) * time.Second
-			l.Attempts = append(l.Attempts, ledger.Attempt{Tenant: "press", Tokens: 10, Sent: at, Done: at, End: ledger.Served},
-				ledger.Attempt{Tenant: "press", Tokens: 10, Sent: at, Done: at, End: ledger.Refused})
+			l.Attempts = append(l.Attempts, history.Attempt{Tenant: "press", Tokens: 10, Sent: at, Done: at, End: history.Served},
+				history.Attempt{Tenant: "press", Tokens: 10, Sent: at, Done: at, End: history.Refused})
 		}
 		rows := Seconds(l)
 		So(len(rows), ShouldEqual, 10)
--- a/cmd/rig/scenario.go
+++ b/cmd/rig/scenario.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
-	"stepwick/cmd/rig/judge"
-	"stepwick/cmd/rig/load"
-	"stepwick/cmd/rig/prove"
+	"stepwick/cmd/rig/checker"
+	"stepwick/cmd/rig/faultcase"
+	"stepwick/cmd/rig/loadgen"
 	"stepwick/cmd/rig/report"
 )
 
@@ -23,7 +23,7 @@
 			if err != nil {
 				return errors.Wrap(err, "scenario")
 			}
-			sc, err := prove.ParseScenario(data)
+			sc, err := faultcase.ParseScenario(data)
 			if err != nil {
 				return err
 			}
@@ -33,21 +33,21 @@
 			}
 			defer remove()
 			o := sc.Options()
-			o.Tenants, o.Binary, o.Seed, o.Out, o.Table = load.FirstTenants(), binary, seed, os.Stdout, true
-			s, err := prove.Open(cmd.Context(), o)
+			o.Tenants, o.Binary, o.Seed, o.Out, o.Table = loadgen.FirstTenants(), binary, seed, os.Stdout, true
+			s, err := faultcase.Open(cmd.Context(), o)
 			if err != nil {
 				return err
 			}
 			trouble := sc.Run(s)
 			l := s.Close()
-			found := judge.Find(&l)
-			prove.Report(os.Stdout, args[0], found)
+			found := checker.Find(&l)
+			faultcase.Report(os.Stdout, args[0], found)
 			if folder != "" {
 				if err := report.Write(folder, args[0], &l, found); err != nil {
 					return err
 				}
 			}
-			sum := prove.Sum(&l, s.Began)
+			sum := faultcase.Sum(&l, s.Began)
 			sum.Violations = len(found)
 			line, _ := json.Marshal(sum)
 			fmt.Println(string(line))
--- a/cmd/rig/hollow/hollow.go
+++ b/cmd/rig/simnode/hollow.go
@@ -1,7 +1,7 @@
-// Package hollow measures what control costs a node and a core as the fleet
+// Package simnode measures what control costs a node and a core as the fleet
 // grows: cores run as processes of their own, the fronts are whole nodes
 // without traffic that share the rig's process.
-package hollow
+package simnode
 
 import (
 	"context"
--- a/cmd/rig/hollow/orders.go
+++ b/cmd/rig/simnode/orders.go
@@ -1,4 +1,4 @@
-package hollow
+package simnode
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"stepwick/cmd/rig/fleet"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 )
 
 type operator struct{ base string }
--- a/cmd/rig/hollow/servers.go
+++ b/cmd/rig/simnode/servers.go
@@ -1,4 +1,4 @@
-package hollow
+package simnode
 
 import (
 	"context"
--- a/cmd/rig/hollow/slopes.go
+++ b/cmd/rig/simnode/slopes.go
@@ -1,4 +1,4 @@
-package hollow
+package simnode
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"stepwick/internal/clock"
-	"stepwick/internal/core/merge"
-	"stepwick/internal/core/plan"
-	"stepwick/internal/core/route"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/route"
+	"stepwick/internal/decision/serverstatus"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
@@ -75,7 +75,7 @@
 func ServerSlope(n int) Slope {
 	now := time.UnixMilli(2000)
 	s := Slope{Servers: n}
-	folds := merge.New(merge.Config{})
+	folds := serverstatus.New(serverstatus.Config{})
 	s.FoldsHeapKiB = grown(func() any {
 		for i := range n {
 			folds.Merge(reportOf(i, "core1/fold"), now)
@@ -83,7 +83,7 @@
 		folds.Servers()
 		return folds
 	})
-	sights := merge.New(merge.Config{})
+	sights := serverstatus.New(serverstatus.Config{})
 	s.SightsHeapKiB = grown(func() any {
 		for i := range n {
 			for w := range 3 {
--- a/cmd/rig/slopes_command.go
+++ b/cmd/rig/slopes_command.go
@@ -6,25 +6,25 @@
 
 	"github.com/spf13/cobra"
 
-	"stepwick/cmd/rig/hollow"
+	"stepwick/cmd/rig/simnode"
 )
 
 func slopesCommand() *cobra.Command {
 	var servers, tenants []int
 	c := &cobra.Command{Use: "slopes", Short: "Measure what state costs as servers and tenants grow",
 		RunE: func(*cobra.Command, []string) error {
-			show := func(slope hollow.Slope) error {
+			show := func(slope simnode.Slope) error {
 				line, err := json.Marshal(slope)
 				fmt.Println(string(line))
 				return err
 			}
 			for _, n := range servers {
-				if err := show(hollow.ServerSlope(n)); err != nil {
+				if err := show(simnode.ServerSlope(n)); err != nil {
 					return err
 				}
 			}
 			for _, n := range tenants {
-				slope, err := hollow.TenantSlope(n)
+				slope, err := simnode.TenantSlope(n)
 				if err != nil {
 					return err
 				}
--- a/cmd/rig/standins.go
+++ b/cmd/rig/standins.go
@@ -6,13 +6,13 @@
 
 	"github.com/spf13/cobra"
 
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/standin"
+	"stepwick/cmd/rig/emulator"
+	"stepwick/cmd/rig/history"
 )
 
 const tourPlatform = "127.0.9.200:8500"
 
-var tourServers = []standin.Listed{
+var tourServers = []emulator.Listed{
 	{Name: "m-1", Address: "127.0.9.201:8000", Kind: "model", Services: []string{"chat"}, Region: "lagos", Zone: "a"},
 	{Name: "m-2", Address: "127.0.9.202:8000", Kind: "model", Services: []string{"chat"}, Region: "lagos", Zone: "b"},
 	{Name: "m-3", Address: "127.0.9.203:8000", Kind: "model", Services: []string{"chat"}, Region: "abeokuta", Zone: "a"},
@@ -26,22 +26,22 @@
 }
 
 func standIns(ctx context.Context) error {
-	book := ledger.Open(1)
+	book := history.Open(1)
 	defer book.Close()
-	platform := standin.NewPlatform(tourPlatform, book)
+	platform := emulator.NewPlatform(tourPlatform, book)
 	if err := platform.Start(); err != nil {
 		return err
 	}
 	defer platform.Close()
 	for i, s := range tourServers {
 		if s.Kind == "web" {
-			web := standin.NewWeb(s.Name, s.Address, s.Services, book, uint64(i))
+			web := emulator.NewWeb(s.Name, s.Address, s.Services, book, uint64(i))
 			if err := web.Start(); err != nil {
 				return err
 			}
 			defer web.Close()
 		} else {
-			model := standin.NewModel(s.Name, s.Address, s.Services, standin.Typical(), book, uint64(i))
+			model := emulator.NewModel(s.Name, s.Address, s.Services, emulator.Typical(), book, uint64(i))
 			if err := model.Start(); err != nil {
 				return err
 			}
--- a/cmd/rig/up.go
+++ b/cmd/rig/up.go
@@ -10,9 +10,9 @@
 	"github.com/spf13/cobra"
 
 	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/ledger"
-	"stepwick/cmd/rig/load"
-	"stepwick/cmd/rig/own"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/loadgen"
+	"stepwick/cmd/rig/owner"
 )
 
 func upCommand() *cobra.Command {
@@ -29,7 +29,7 @@
 				return errors.Wrap(err, "temp folder")
 			}
 			defer os.RemoveAll(dir)
-			f, err := fleet.New(fleet.First(), binary, dir, ledger.Open(1), 1)
+			f, err := fleet.New(fleet.First(), binary, dir, history.Open(1), 1)
 			if err != nil {
 				return err
 			}
@@ -37,17 +37,17 @@
 			if err := f.Start(); err != nil {
 				return err
 			}
-			control := load.NewControl(f, 1)
+			control := loadgen.NewControl(f, 1)
 			key := control.NextKey()
 			ctx, cancel := context.WithTimeout(cmd.Context(), 40*time.Second)
 			defer cancel()
-			told := control.Push(ctx, control.Put("ade", 0, load.FirstSheet(f, load.FirstTenants(), key), key), f.Nodes)
+			told := control.Push(ctx, control.Put("ade", 0, loadgen.FirstSheet(f, loadgen.FirstTenants(), key), key), f.Nodes)
 			fmt.Printf("program %s\nfolder %s\noperator key %s\ntenant key key-of-press\nfirst sheet: status %d code %d epoch %d\n", binary, dir, fleet.Operators["ade"], told.Status, told.Code, told.Epoch)
 			for _, n := range f.Nodes {
 				pid, _ := n.Running()
 				fmt.Printf("%-8s %-12s %s pid %d\n", n.Name, n.Locality(), n.Caller, pid)
 			}
-			own.Wait(cmd.Context(), time.Duration(length)*time.Second)
+			owner.Wait(cmd.Context(), time.Duration(length)*time.Second)
 			return nil
 		}}
 	c.Flags().IntVar(&length, "seconds", length, "how long to run")
--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -18,7 +18,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"stepwick/internal/adapter/disklog"
-	"stepwick/internal/core/ballot"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/paxos"
+	"stepwick/internal/decision/sheet"
 )
 
 // keep writes a core's data folder as a running core does: a formation of
@@ -19,11 +19,11 @@
 		t.Fatal(apiErr)
 	}
 	put := sheet.Encode(sheet.PutSheet{Order: sheet.Order{OrderID: "first", Operator: "ada", AtMS: 1}, Sheet: first})
-	records := []ballot.Record{
-		ballot.Joined{Formation: "core-1-f", Voters: []string{"core-1", "core-2", "core-3"}},
-		ballot.Entered{Lives: map[string]uint64{"core-1": 1, "core-2": 1, "core-3": 1}},
-		ballot.Learned{Epoch: 1, Command: put},
-		ballot.Accepted{Slot: 2, Ballot: ballot.Ballot{Number: 4, Core: "core-2"}, Value: []byte("open")},
+	records := []paxos.Record{
+		paxos.Joined{Formation: "core-1-f", Voters: []string{"core-1", "core-2", "core-3"}},
+		paxos.Entered{Lives: map[string]uint64{"core-1": 1, "core-2": 1, "core-3": 1}},
+		paxos.Learned{Epoch: 1, Command: put},
+		paxos.Accepted{Slot: 2, Ballot: paxos.Ballot{Number: 4, Core: "core-2"}, Value: []byte("open")},
 	}
 	log, _, err := disklog.Open(disklog.Config{Folder: folder, ReserveBytes: 1})
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	defer log.Close()
 	for _, record := range records {
-		place, err := log.Append([][]byte{ballot.EncodeRecord(record)}, false)
+		place, err := log.Append([][]byte{paxos.EncodeRecord(record)}, false)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cli/key.go
+++ b/internal/cli/key.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 )
 
 func (a *App) key() *cobra.Command {
--- a/internal/cli/sheet.go
+++ b/internal/cli/sheet.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/pflag"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 )
 
 const controlPath = "/v1/control/"
--- a/internal/cli/sheethistory.go
+++ b/internal/cli/sheethistory.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 	"github.com/spf13/cobra"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 )
 
 func (a *App) sheetHistory(l *link) *cobra.Command {
--- a/internal/cli/sheetput.go
+++ b/internal/cli/sheetput.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/settings"
 )
 
--- a/internal/cli/standin_test.go
+++ b/internal/cli/standin_test.go
@@ -14,7 +14,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 )
 
 const operatorKey = "ada's key"
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 )
 
 // status is the fleet as a core sees it, and the asked node as it sees itself.
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -16,11 +16,11 @@
 	"stepwick/internal/apierror"
 	"stepwick/internal/cli"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/node"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/node/front"
 	"stepwick/internal/node/replica"
 	"stepwick/internal/settings"
@@ -115,7 +115,7 @@
 		"error least": apierror.Errorf(apierror.OperatorUnknown, "").Body(""),
 		"connect":     clientapi.Nearest{RequestID: "r-1", Service: "chat", Region: "lagos", Nodes: []clientapi.Node{{Name: "n1", Address: coreAddress, Region: "lagos", Zone: "a"}}},
 		"plan":        plan,
-		"tally": []tally.TenantView{{Tenant: "press", Limit: 12000, Blend: 5200.5, Recent: 5100, Own: 700, Share: 900, Reserved: 1,
+		"tally": []quota.TenantView{{Tenant: "press", Limit: 12000, Blend: 5200.5, Recent: 5100, Own: 700, Share: 900, Reserved: 1,
 			Marked: true, Holder: "n1", Age: 120 * time.Millisecond}},
 		"explain": front.Explanation{RequestID: "r-1", Front: "n2", AtMS: at.UnixMilli(),
 			Admission: &front.Admission{Service: "chat", Tenant: "press", Region: "lagos", Home: "lagos", Epoch: 21, PlanTerm: 2, Plan: 44,
@@ -124,7 +124,7 @@
 				Candidates: []front.Candidate{{Server: "m1", Score: 0.81, Excluded: "draining"}}}},
 			Attempts: []*front.Attempt{{Server: "m1", Ended: "whole", Detail: "said so", Events: 40, FirstEventMS: 310.25, TookMS: 900}},
 			Outcome:  &front.Outcome{Code: apierror.StreamCut, Name: "stream_cut", Detail: "the server went away", TookMS: 903.25}},
-		"node": follow.Status{Name: "n2", Locality: "lagos/a", Epoch: 21, SheetEpoch: 20, Ruling: true, By: "lease", Plan: 44, PlanTerm: 2,
+		"node": follower.Status{Name: "n2", Locality: "lagos/a", Epoch: 21, SheetEpoch: 20, Ruling: true, By: "lease", Plan: 44, PlanTerm: 2,
 			PlanHolder: "n1", Servers: map[string]string{"m1": "ready"}, Roster: []string{"n1", "n2"}, Fronts: []string{"n1"}, FleetTimeMS: orderedAtMS},
 		"data": replica.Contents{Core: "a", Formation: "a-1", Voters: []string{"a"}, Standing: "voting", DiskLife: 1, Version: 2,
 			SheetVersion: 3, Revision: 4, Members: 5, Open: 6, Snapshot: 7, Segments: 8, Records: 9, TornSegment: "1.log", TornBytes: 10, BadSnapshot: "2.snap"},
--- a/internal/compat/adapt_metrics_test.go
+++ b/internal/compat/adapt_metrics_test.go
@@ -13,7 +13,7 @@
 	"stepwick/internal/events"
 	"stepwick/internal/node/front"
 	"stepwick/internal/node/gateway"
-	"stepwick/internal/node/spend"
+	"stepwick/internal/node/quotasync"
 )
 
 // metricFamilies returns one line, sorted, for each metric that a part of a
@@ -28,7 +28,7 @@
 	case "gateway":
 		_, err = gateway.New(gateway.Config{}, nil, nil, nil, clock.System(), events.Discard, registry)
 	case "spend":
-		_, err = spend.New(spend.Config{Self: "n1", Metrics: registry}, nil, clock.System(), nil, nil, events.Discard)
+		_, err = quotasync.New(quotasync.Config{Self: "n1", Metrics: registry}, nil, clock.System(), nil, nil, events.Discard)
 	default:
 		t.Fatalf("no part %s", part)
 	}
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -19,8 +19,8 @@
 
 	"stepwick/internal/adapter/disklog"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/ballot"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/paxos"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/node/replica"
 	"stepwick/internal/port"
@@ -83,38 +83,38 @@
 
 // sampleRecords returns one record of each kind, by what it says.
 func sampleRecords() map[string][]byte {
-	ballotOfB := ballot.Ballot{Number: 5, Core: "b"}
+	ballotOfB := paxos.Ballot{Number: 5, Core: "b"}
 	chosen := []*wire.Chosen{{Epoch: 18, Command: []byte("eighteen")}, {Epoch: 19, Command: []byte("nineteen")}}
-	votes := map[uint64]ballot.Vote{
-		20: {Promised: ballotOfB, Accepted: ballot.Ballot{Number: 4, Core: "c"}, Value: []byte("twenty")},
+	votes := map[uint64]paxos.Vote{
+		20: {Promised: ballotOfB, Accepted: paxos.Ballot{Number: 4, Core: "c"}, Value: []byte("twenty")},
 		22: {Promised: ballotOfB},
 	}
-	records := map[string]ballot.Record{
-		"1 formation joined":            ballot.Joined{Formation: "a-1", Voters: []string{"a", "b", "c"}},
-		"1 formation joined with state": ballot.Joined{Formation: "a-1", Voters: []string{"a"}, SnapshotEpoch: 17, Snapshot: []byte("state")},
-		"2 disk life":                   ballot.Lived{Core: "b", Life: 3},
-		"3 promise":                     ballot.Promised{Slot: 20, Ballot: ballotOfB},
-		"4 vote":                        ballot.Accepted{Slot: 20, Ballot: ballotOfB, Value: []byte("twenty")},
-		"5 learned":                     ballot.Learned{Epoch: 18, Command: []byte("eighteen")},
-		"5 learned as voted":            ballot.Learned{Epoch: 18, AsAccepted: true},
-		"6 snapshot installed":          ballot.Installed{Epoch: 17, Snapshot: []byte("state")},
-		"7 recovery": ballot.Entered{Lives: map[string]uint64{"a": 1, "b": 2, "c": 1}, SnapshotEpoch: 17,
+	records := map[string]paxos.Record{
+		"1 formation joined":            paxos.Joined{Formation: "a-1", Voters: []string{"a", "b", "c"}},
+		"1 formation joined with state": paxos.Joined{Formation: "a-1", Voters: []string{"a"}, SnapshotEpoch: 17, Snapshot: []byte("state")},
+		"2 disk life":                   paxos.Lived{Core: "b", Life: 3},
+		"3 promise":                     paxos.Promised{Slot: 20, Ballot: ballotOfB},
+		"4 vote":                        paxos.Accepted{Slot: 20, Ballot: ballotOfB, Value: []byte("twenty")},
+		"5 learned":                     paxos.Learned{Epoch: 18, Command: []byte("eighteen")},
+		"5 learned as voted":            paxos.Learned{Epoch: 18, AsAccepted: true},
+		"6 snapshot installed":          paxos.Installed{Epoch: 17, Snapshot: []byte("state")},
+		"7 recovery": paxos.Entered{Lives: map[string]uint64{"a": 1, "b": 2, "c": 1}, SnapshotEpoch: 17,
 			Snapshot: []byte("state"), Chosen: chosen, Votes: votes},
 	}
 	encoded := map[string][]byte{}
 	for what, record := range records {
-		encoded[what] = ballot.EncodeRecord(record)
+		encoded[what] = paxos.EncodeRecord(record)
 	}
 	return encoded
 }
 
 // recodeRecord decodes a record and encodes it again.
 func recodeRecord(data []byte) ([]byte, error) {
-	record, err := ballot.DecodeRecord(data)
+	record, err := paxos.DecodeRecord(data)
 	if err != nil {
 		return nil, err
 	}
-	return ballot.EncodeRecord(record), nil
+	return paxos.EncodeRecord(record), nil
 }
 
 func digest(data []byte) string {
@@ -136,13 +136,13 @@
 	for i, record := range replay.Records {
 		fmt.Fprintf(&out, "record %d: kind %d, %s\n", i, record[0], digest(record))
 	}
-	state := ballot.Blank(core)
+	state := paxos.Blank(core)
 	if replay.Snapshot != nil {
-		if state, err = ballot.Decode(replay.Snapshot); err != nil {
+		if state, err = paxos.Decode(replay.Snapshot); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if state, err = ballot.Replay(state, replay.Records); err != nil {
+	if state, err = paxos.Replay(state, replay.Records); err != nil {
 		t.Fatal(err)
 	}
 	describeAgreement(&out, state)
@@ -159,7 +159,7 @@
 	return out.String()
 }
 
-func describeAgreement(out *strings.Builder, state ballot.State) {
+func describeAgreement(out *strings.Builder, state paxos.State) {
 	fmt.Fprintf(out, "core %s of formation %s with %v\n", state.Self, state.Formation, state.Voters)
 	for _, core := range slices.Sorted(maps.Keys(state.Lives)) {
 		fmt.Fprintf(out, "disk life of %s: %d\n", core, state.Lives[core])
@@ -176,7 +176,7 @@
 	}
 }
 
-func describeConfiguration(t testing.TB, out *strings.Builder, state ballot.State) {
+func describeConfiguration(t testing.TB, out *strings.Builder, state paxos.State) {
 	t.Helper()
 	var current sheet.State
 	if state.SnapshotEpoch > 0 {
--- a/internal/core/balance/server.go
+++ b/internal/decision/balance/server.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"stepwick/internal/core/plan"
+	"stepwick/internal/decision/plan"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/balance/table.go
+++ b/internal/decision/balance/table.go
@@ -19,7 +19,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/balance/table_test.go
+++ b/internal/decision/balance/table_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/balance/update.go
+++ b/internal/decision/balance/update.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"stepwick/internal/core/plan"
+	"stepwick/internal/decision/plan"
 )
 
 // Update takes a new view in. Drains, evacuations and lost servers bite at once. A
--- a/internal/core/duty/duty.go
+++ b/internal/decision/election/duty.go
@@ -1,13 +1,13 @@
-// Package duty decides who carries a singleton duty. A term of a duty is won
+// Package election decides who carries a singleton duty. A term of a duty is won
 // by a ballot when it falls vacant; all that its holder emits carries the
 // term, and receivers drop what carries a lower one.
-package duty
+package election
 
 import (
 	"sort"
 	"time"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 )
 
 // Planner is the duty of working out the period plan.
--- a/internal/core/duty/duty_test.go
+++ b/internal/decision/election/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package election
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 )
 
 func TestDuty(t *testing.T) {
--- a/internal/core/lease/holder.go
+++ b/internal/decision/lease/holder.go
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 )
 
 // By names what a front rules by.
--- a/internal/core/lease/inforce.go
+++ b/internal/decision/lease/inforce.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/lease/ledger.go
+++ b/internal/decision/lease/ledger.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/lease/sight.go
+++ b/internal/decision/lease/sight.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/ballot/ballot.go
+++ b/internal/decision/paxos/ballot.go
@@ -1,10 +1,10 @@
-// Package ballot holds the decisions of agreement among cores: an acceptor, a
+// Package paxos holds the decisions of agreement among cores: an acceptor, a
 // proposer, first formation and recovery of a wiped disk. Each slot (an epoch)
 // is a single-decree Paxos instance. Everything here is a value: a decision
 // takes a State and a message and returns records and an answer; a record
 // folds into the next State, in the running core as in the replay of its log.
 // The answer may leave only once the records are synced.
-package ballot
+package paxos
 
 import (
 	"cmp"
--- a/internal/core/ballot/proposer.go
+++ b/internal/decision/paxos/proposer.go
@@ -1,4 +1,4 @@
-package ballot
+package paxos
 
 import (
 	"encoding/binary"
--- a/internal/core/plan/plan.go
+++ b/internal/decision/plan/plan.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/plan/plan_test.go
+++ b/internal/decision/plan/plan_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"pgregory.net/rapid"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/plan/shares.go
+++ b/internal/decision/plan/shares.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/tally/book.go
+++ b/internal/decision/quota/book.go
@@ -1,11 +1,11 @@
-package tally
+package quota
 
 import (
 	"sort"
 	"time"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/rendezvous"
+	"stepwick/internal/decision/rendezvous"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/tally/ledger.go
+++ b/internal/decision/quota/ledger.go
@@ -1,4 +1,4 @@
-package tally
+package quota
 
 import (
 	"slices"
--- a/internal/core/tally/tally.go
+++ b/internal/decision/quota/tally.go
@@ -1,15 +1,15 @@
-// Package tally decides what each tenant may spend. A Book is one front's side:
+// Package quota decides what each tenant may spend. A Book is one front's side:
 // it admits requests from what it knows of a tenant's spend everywhere. A
 // Ledger is the holder's side: it sums what the fronts have added. Both are
 // plain values with one owner; nothing here blocks, sends or reads a clock.
-package tally
+package quota
 
 import (
 	"slices"
 	"time"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/rendezvous"
+	"stepwick/internal/decision/rendezvous"
 )
 
 // Exception is a departure from the ordinary path of the design: the blend of
--- a/internal/core/rendezvous/rendezvous_test.go
+++ b/internal/decision/rendezvous/rendezvous_test.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/core/rendezvous"
+	"stepwick/internal/decision/rendezvous"
 )
 
 func TestWeight(t *testing.T) {
--- a/internal/core/route/route_test.go
+++ b/internal/decision/route/route_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/plan"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/route/table.go
+++ b/internal/decision/route/table.go
@@ -18,8 +18,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/plan"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/core/merge/fold.go
+++ b/internal/decision/serverstatus/fold.go
@@ -1,4 +1,4 @@
-package merge
+package serverstatus
 
 import (
 	"cmp"
--- a/internal/core/merge/merge.go
+++ b/internal/decision/serverstatus/merge.go
@@ -1,4 +1,4 @@
-// Package merge folds what many watchers say of the servers into one status
+// Package serverstatus folds what many watchers say of the servers into one status
 // each. Reports are mergeable state: per watcher and server the higher
 // (incarnation, counter) wins, so reports may arrive in any order, twice and
 // over any core, and every process that holds the same reports folds the same
@@ -15,7 +15,7 @@
 // A core feeds the fronts what it folded, only when that changes. A fold
 // stands until a newer one; what the front's own watcher saw since it can only
 // make the state worse, or bring newer load.
-package merge
+package serverstatus
 
 import (
 	"maps"
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -14,17 +14,17 @@
 	"stepwick/internal/adapter/disklog"
 	"stepwick/internal/adapter/internalrpc"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/plan"
-	"stepwick/internal/core/route"
-	"stepwick/internal/core/sheet"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/route"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/core"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/control"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/node/front"
+	"stepwick/internal/node/healthcheck"
+	"stepwick/internal/node/quotasync"
 	"stepwick/internal/node/replica"
-	"stepwick/internal/node/spend"
-	"stepwick/internal/node/watch"
 	"stepwick/internal/settings"
 	"stepwick/internal/wire"
 )
@@ -41,7 +41,7 @@
 	}
 	p.pool = internalrpc.NewPool(world.Dial, p.base.Address, values.String("fleet.secret"))
 	p.directory = internalrpc.NewDirectory(p.pool, clock, log, values.Strings("seeds"), p.self)
-	p.follower = follow.New(follow.Config{
+	p.follower = follower.New(follower.Config{
 		Self: p.self, LeaseTTL: values.Duration("lease.ttl"), RenewEvery: values.Duration("lease.renew"),
 		PingEvery: values.Duration("ping.interval"), FeedWait: values.Duration("feed.wait"),
 		Sighted: p.directory.Sights, CoreStaleFor: coreStaleFor, Attest: p.directory.Attest,
@@ -50,10 +50,10 @@
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	var err error
-	p.spend, err = spend.New(spend.Config{
+	p.spend, err = quotasync.New(quotasync.Config{
 		Self: p.base.Name, Incarnation: p.base.Incarnation, Metrics: registry, HoldFor: values.Duration("tally.hold"),
 		Silent: func() []string { return p.follower.View().Silent },
-		Tally:  tally.Config{Window: values.Duration("quota_window"), Slices: values.Int("quota_slices"), Interval: values.Duration("tally.interval")},
+		Tally:  quota.Config{Window: values.Duration("quota_window"), Slices: values.Int("quota_slices"), Interval: values.Duration("tally.interval")},
 	}, p.directory, clock, p.follower.FleetNow, func() []string { return p.follower.View().Live }, log)
 	if err != nil {
 		return nil, err
@@ -69,13 +69,13 @@
 	if err := p.buildGateway(world, registry); err != nil {
 		return nil, err
 	}
-	p.watcher = watch.New(watch.Config{
+	p.watcher = healthcheck.New(healthcheck.Config{
 		Self: p.base.Name, Region: p.base.Region, Zone: p.base.Zone, Incarnation: p.base.Incarnation,
 		ListEvery: values.Duration("platform.interval"), StatusEvery: values.Duration("watch.interval"),
 		ListFronts: values.Int("platform.readers"), ListOnly: world.Edge != nil, DrainWithin: values.Duration("platform.drain_within"),
-	}, p.servers(world), p.directory, clock, func() watch.View {
+	}, p.servers(world), p.directory, clock, func() healthcheck.View {
 		view := p.follower.View()
-		return watch.View{Servers: view.Servers, Fronts: view.Fronts}
+		return healthcheck.View{Servers: view.Servers, Fronts: view.Fronts}
 	}, p.follower.Report, p.follower.FleetNow, log)
 	p.pool.Bind(p.peer)
 
@@ -114,7 +114,7 @@
 		Self: p.base.Name, Voters: p.values.Int("core.voters"), FirstSheet: first,
 		SnapshotRecords: p.values.Int("snapshot.records"), Replaced: replaced,
 	}, replica.OnDisk(disk), p.directory, p.clock, p.log)
-	p.core = core.New(core.Config{
+	p.core = control.New(control.Config{
 		Self: p.base.Name, Incarnation: p.base.Incarnation, LeaseTTL: p.values.Duration("lease.ttl"),
 		PingEvery: p.values.Duration("ping.interval"), PlanPeriod: p.values.Duration("plan.period"), Policy: p.policy(),
 		SheetMax: p.values.Int("sheet.max"), FleetNow: p.follower.FleetNow,
@@ -136,7 +136,7 @@
 		"explain": func(id string) (any, bool) { return p.front.Inspect("explain", id) },
 	}}
 	if p.core != nil {
-		inspect.own[watch.InspectListed] = func(string) (any, bool) { return watch.Listed{AtMS: p.core.ListedAt()}, true }
+		inspect.own[healthcheck.InspectListed] = func(string) (any, bool) { return healthcheck.Listed{AtMS: p.core.ListedAt()}, true }
 	}
 	p.peer = &peer{directory: p.directory, follower: p.follower, spend: p.spend, inspector: inspect, replica: p.replica, core: p.core}
 	control := controlapi.New(controlapi.Config{
--- a/internal/node/core/core.go
+++ b/internal/node/control/core.go
@@ -1,8 +1,8 @@
-// Package core is the control part of a process with a disk, beside its
+// Package control is the control part of a process with a disk, beside its
 // replica: it gives leases, feeds the fleet, coordinates orders until they are in
 // force, keeps the roster and carries duties. One goroutine owns all of it;
 // handlers ask it and wait outside.
-package core
+package control
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/duty"
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/merge"
-	"stepwick/internal/core/plan"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/election"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/serverstatus"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -39,7 +39,7 @@
 	FeedWait    time.Duration // 5 s: longest poll
 	FeedBound   int           // 4096 changes
 	SheetMax    int           // 16 MiB
-	Merge       merge.Config
+	Merge       serverstatus.Config
 	Policy      plan.Policy
 	// Setting checks a run-time setting of a sheet; nil lets all pass.
 	Setting func(name, value string) error
@@ -304,8 +304,8 @@
 			c.log.Emit(events.MemberRemoved, "member", name, "epoch", after.Epoch)
 		}
 	}
-	if was, is := before.Duties[duty.Planner], after.Duties[duty.Planner]; was.Holder == c.config.Self && is.Holder != c.config.Self {
-		c.log.Emit(events.DutyLost, "duty", duty.Planner, "term", is.Term, "holder", is.Holder)
+	if was, is := before.Duties[election.Planner], after.Duties[election.Planner]; was.Holder == c.config.Self && is.Holder != c.config.Self {
+		c.log.Emit(events.DutyLost, "duty", election.Planner, "term", is.Term, "holder", is.Holder)
 	}
 	if !before.Settled() && after.Settled() {
 		c.log.Emit(events.RosterSettled, "epoch", after.Epoch, "members", len(after.Roster))
--- a/internal/node/core/feed.go
+++ b/internal/node/control/feed.go
@@ -1,11 +1,11 @@
-package core
+package control
 
 import (
 	"context"
 	"fmt"
 	"time"
 
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/journal"
 	"stepwick/internal/wire"
 )
--- a/internal/node/core/fleet_test.go
+++ b/internal/node/control/fleet_test.go
@@ -1,4 +1,4 @@
-package core_test
+package control_test
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/core"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/control"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -32,8 +32,8 @@
 	names     []string
 	processes map[string]*wire.Process
 	records   map[string]*atomic.Pointer[wire.Process] // what each says of itself
-	cores     map[string]*core.Core
-	fronts    map[string]*follow.Follower
+	cores     map[string]*control.Core
+	fronts    map[string]*follower.Follower
 	stop      map[string]context.CancelFunc
 	silent    atomic.Pointer[map[string]bool]
 	dead      atomic.Pointer[map[string]bool]
@@ -54,8 +54,8 @@
 var voters = []string{"c1", "c2", "c3"}
 
 func newFleet(ctx context.Context, fronts int) *fleet {
-	f := &fleet{ctx: ctx, processes: map[string]*wire.Process{}, records: map[string]*atomic.Pointer[wire.Process]{}, cores: map[string]*core.Core{},
-		fronts: map[string]*follow.Follower{}, stop: map[string]context.CancelFunc{}}
+	f := &fleet{ctx: ctx, processes: map[string]*wire.Process{}, records: map[string]*atomic.Pointer[wire.Process]{}, cores: map[string]*control.Core{},
+		fronts: map[string]*follower.Follower{}, stop: map[string]context.CancelFunc{}}
 	f.agreed.Store(&agreed{changed: make(chan struct{})})
 	f.silent.Store(&map[string]bool{})
 	f.dead.Store(&map[string]bool{})
@@ -92,9 +92,9 @@
 	f.records[name].Store(own)
 	peers := links{f, name}
 	if own.Core {
-		f.cores[name] = core.New(core.Config{Self: name, Incarnation: own.Incarnation}, ballots{f}, peers, clock.System(), events.Discard)
+		f.cores[name] = control.New(control.Config{Self: name, Incarnation: own.Incarnation}, ballots{f}, peers, clock.System(), events.Discard)
 	}
-	f.fronts[name] = follow.New(follow.Config{Self: f.records[name].Load, LeaseTTL: 2 * time.Second,
+	f.fronts[name] = follower.New(follower.Config{Self: f.records[name].Load, LeaseTTL: 2 * time.Second,
 		RenewEvery: 500 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second, CoreStaleFor: time.Second,
 		Sighted: func() []port.Sight { return nil }}, peers, clock.System(), events.Discard)
 }
--- a/internal/node/core/leave_test.go
+++ b/internal/node/control/leave_test.go
@@ -1,4 +1,4 @@
-package core_test
+package control_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/core/lease"
+	"stepwick/internal/decision/lease"
 	"stepwick/internal/wire"
 )
 
--- a/internal/node/core/plan_test.go
+++ b/internal/node/control/plan_test.go
@@ -1,4 +1,4 @@
-package core
+package control
 
 import (
 	"testing"
--- a/internal/node/core/planner.go
+++ b/internal/node/control/planner.go
@@ -1,13 +1,13 @@
-package core
+package control
 
 import (
 	"context"
 	"slices"
 	"time"
 
-	"stepwick/internal/core/duty"
-	"stepwick/internal/core/plan"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/election"
+	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -19,28 +19,28 @@
 	if !c.mayPropose() {
 		return
 	}
-	held := c.state.Duties[duty.Planner]
+	held := c.state.Duties[election.Planner]
 	voters := c.agreement.Voters()
 	own := held.Holder == c.config.Self
-	vacant := (own && held.Term != c.wonTerm) || (!own && duty.Vacant(held, voters, c.sightsOf(held.Holder, now)))
-	wait, voter := duty.Turn(c.config.Self, held, voters, c.config.TurnStep)
+	vacant := (own && held.Term != c.wonTerm) || (!own && election.Vacant(held, voters, c.sightsOf(held.Holder, now)))
+	wait, voter := election.Turn(c.config.Self, held, voters, c.config.TurnStep)
 	if own {
 		wait = 0
 	}
-	if !voter || !c.waited(duty.Planner, vacant, wait, now) {
+	if !voter || !c.waited(election.Planner, vacant, wait, now) {
 		return
 	}
-	if held.Holder != "" && !c.jobs[duty.Planner] {
-		c.log.Emit(events.DutyVacant, "duty", duty.Planner, "term", held.Term, "holder", held.Holder)
+	if held.Holder != "" && !c.jobs[election.Planner] {
+		c.log.Emit(events.DutyVacant, "duty", election.Planner, "term", held.Term, "holder", held.Holder)
 	}
-	next := sheet.TakeDuty{Duty: duty.Planner, Term: held.Term + 1, Holder: c.config.Self}
-	c.job(duty.Planner, jobTimeout, func(ctx context.Context) func() {
+	next := sheet.TakeDuty{Duty: election.Planner, Term: held.Term + 1, Holder: c.config.Self}
+	c.job(election.Planner, jobTimeout, func(ctx context.Context) func() {
 		_, result, err := c.agreement.Propose(ctx, sheet.Encode(next))
 		return func() {
-			delete(c.since, duty.Planner)
+			delete(c.since, election.Planner)
 			if err == nil && result.Fault() == nil {
 				c.wonTerm = next.Term
-				c.log.Emit(events.DutyWon, "duty", duty.Planner, "term", next.Term)
+				c.log.Emit(events.DutyWon, "duty", election.Planner, "term", next.Term)
 			}
 		}
 	})
@@ -48,21 +48,21 @@
 
 // sightsOf tells what each core knows of a holder. A core that is not settled
 // or was not heard within a TTL says nothing.
-func (c *Core) sightsOf(holder string, now time.Time) []duty.Sight {
+func (c *Core) sightsOf(holder string, now time.Time) []election.Sight {
 	if holder == "" {
 		return nil
 	}
 	heard, answered := c.sights[holder]
 	direct := answered && now.Sub(heard.at) < 3*c.config.PingEvery
-	var sights []duty.Sight
+	var sights []election.Sight
 	if direct || c.ledger.Settled(now) {
-		sights = append(sights, duty.Sight{Core: c.config.Self, Alive: direct || c.ledger.Live(holder, now)})
+		sights = append(sights, election.Sight{Core: c.config.Self, Alive: direct || c.ledger.Live(holder, now)})
 	}
 	for core, s := range c.sights {
 		if core == c.config.Self || now.Sub(s.at) >= c.config.LeaseTTL || !s.view.Settled || (s.about != holder && core != holder) {
 			continue
 		}
-		sights = append(sights, duty.Sight{Core: core, Alive: core == holder || listed(s.view.Confirmed, holder)})
+		sights = append(sights, election.Sight{Core: core, Alive: core == holder || listed(s.view.Confirmed, holder)})
 	}
 	return sights
 }
@@ -71,7 +71,7 @@
 // or something forces one. After it began it first hears of the servers: a plan
 // of some of them would take the others' caps away.
 func (c *Core) keepPlan(now time.Time) {
-	held := c.state.Duties[duty.Planner]
+	held := c.state.Duties[election.Planner]
 	if held.Holder != c.config.Self || held.Term != c.wonTerm || !c.opened || c.state.Sheet == nil {
 		return
 	}
@@ -93,7 +93,7 @@
 	c.job("plan", jobTimeout, func(context.Context) func() {
 		next := plan.Compute(in)
 		return func() {
-			if c.state.Duties[duty.Planner] != held || !c.takePlan(next) {
+			if c.state.Duties[election.Planner] != held || !c.takePlan(next) {
 				return
 			}
 			c.log.Emit(events.PlanMade, "term", next.Term, "number", next.Number, "cause", next.Cause, "epoch", next.Epoch)
--- a/internal/node/core/relay.go
+++ b/internal/node/control/relay.go
@@ -1,4 +1,4 @@
-package core
+package control
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/lease"
+	"stepwick/internal/decision/lease"
 	"stepwick/internal/wire"
 )
 
--- a/internal/node/core/renew.go
+++ b/internal/node/control/renew.go
@@ -1,10 +1,10 @@
-package core
+package control
 
 import (
 	"context"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/lease"
+	"stepwick/internal/decision/lease"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
--- a/internal/node/core/reports.go
+++ b/internal/node/control/reports.go
@@ -1,4 +1,4 @@
-package core
+package control
 
 import (
 	"cmp"
@@ -10,9 +10,9 @@
 	"connectrpc.com/connect"
 	"google.golang.org/protobuf/proto"
 
-	"stepwick/internal/core/duty"
-	"stepwick/internal/core/merge"
-	"stepwick/internal/core/plan"
+	"stepwick/internal/decision/election"
+	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/serverstatus"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -26,7 +26,7 @@
 	self        string
 	incarnation uint64
 	counter     uint64
-	merged      *merge.Reports
+	merged      *serverstatus.Reports
 	latest      map[string]map[string]*wire.Report // server -> watcher
 	unfed       map[string]bool                    // servers with news that was not fed
 	fed         map[string]*wire.Report            // the newest fold that was fed
@@ -37,8 +37,8 @@
 // loadBudget bounds the servers whose mere load is fed at one turn.
 const loadBudget = 100
 
-func newReports(self string, incarnation uint64, config merge.Config) *reports {
-	return &reports{self: self, incarnation: incarnation, merged: merge.New(config), latest: map[string]map[string]*wire.Report{},
+func newReports(self string, incarnation uint64, config serverstatus.Config) *reports {
+	return &reports{self: self, incarnation: incarnation, merged: serverstatus.New(config), latest: map[string]map[string]*wire.Report{},
 		unfed: map[string]bool{}, fed: map[string]*wire.Report{}, loads: map[string]*wire.Load{}}
 }
 
@@ -98,7 +98,7 @@
 		case status == nil:
 			r.forget(server)
 		case last == nil || matters(last.Status, status):
-			if !whole && merge.Severity(status.State) < merge.Severity(wire.ServerState_SERVER_STATE_DRAINING) {
+			if !whole && serverstatus.Severity(status.State) < serverstatus.Severity(wire.ServerState_SERVER_STATE_DRAINING) {
 				continue
 			}
 			out = append(out, &wire.Change{What: &wire.Change_Report{Report: r.fold(status, now)}})
@@ -122,7 +122,7 @@
 
 func (r *reports) fold(status *wire.ServerStatus, now time.Time) *wire.Report {
 	r.counter++
-	report := &wire.Report{Watcher: merge.Watcher(r.self, merge.Folded), Server: status.Name, Incarnation: r.incarnation,
+	report := &wire.Report{Watcher: serverstatus.Watcher(r.self, serverstatus.Folded), Server: status.Name, Incarnation: r.incarnation,
 		Counter: r.counter, Status: status, AtMs: now.UnixMilli()}
 	r.fed[status.Name] = report
 	delete(r.loads, status.Name)
@@ -248,7 +248,7 @@
 // repeated what it sees.
 func (c *Core) heardAll() bool {
 	n := len(c.reports.merged.Servers())
-	return c.clock.Now().Sub(c.begun) >= merge.KeepAlive(n)+merge.KeepAlive(n)/2
+	return c.clock.Now().Sub(c.begun) >= serverstatus.KeepAlive(n)+serverstatus.KeepAlive(n)/2
 }
 
 // feedReports puts what came up on the feed. Those who wait are answered at the
@@ -266,7 +266,7 @@
 	if next == nil {
 		return false
 	}
-	if !plan.Newer(next, c.plan) || next.Term < c.state.Duties[duty.Planner].Term {
+	if !plan.Newer(next, c.plan) || next.Term < c.state.Duties[election.Planner].Term {
 		c.log.Emit(events.PlanOlder, "term", next.Term, "number", next.Number)
 		return false
 	}
--- a/internal/node/core/reports_test.go
+++ b/internal/node/control/reports_test.go
@@ -1,4 +1,4 @@
-package core
+package control
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/core/merge"
+	"stepwick/internal/decision/serverstatus"
 	"stepwick/internal/wire"
 )
 
@@ -19,7 +19,7 @@
 	at := time.UnixMilli(2000)
 
 	Convey("It tells no server free while it may not have heard the sight that keeps requests away", t, func() {
-		r := newReports("c1", 5, merge.Config{})
+		r := newReports("c1", 5, serverstatus.Config{})
 		r.merge(sight("f1/own", 1, ready, 0), at)
 		So(r.due(true, false, at), ShouldBeEmpty)
 		So(r.snapshot(), ShouldBeEmpty)
--- a/internal/node/core/roster.go
+++ b/internal/node/control/roster.go
@@ -1,4 +1,4 @@
-package core
+package control
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 
 	"connectrpc.com/connect"
 
-	"stepwick/internal/core/duty"
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/election"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -62,7 +62,7 @@
 		return
 	}
 	c.lastViews = now
-	about := c.state.Duties[duty.Planner].Holder
+	about := c.state.Duties[election.Planner].Holder
 	if about == "" {
 		about = c.config.Self
 	}
--- a/internal/node/core/runtime_test.go
+++ b/internal/node/control/runtime_test.go
@@ -1,4 +1,4 @@
-package core_test
+package control_test
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/duty"
-	"stepwick/internal/core/merge"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/election"
+	"stepwick/internal/decision/serverstatus"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/core"
+	"stepwick/internal/node/control"
 	"stepwick/internal/wire"
 )
 
@@ -131,7 +131,7 @@
 			f.report("f2/list", 1, &wire.ServerStatus{Name: "m1", State: draining})
 			last := f.follow("c3", nil, time.Second)
 			f.pass(time.Second)
-			var digest merge.Digest
+			var digest serverstatus.Digest
 			digest.Add(&wire.Report{Server: "m1", Counter: 1})
 			stand := func(digest uint64) []string {
 				resp, err := f.cores["c1"].Submit(f.ctx, &wire.SubmitRequest{From: "f1", Unchanged: []*wire.Unchanged{
@@ -164,7 +164,7 @@
 			f.put(t)
 			f.report("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
 			f.pass(3 * time.Second)
-			held := f.agreed.Load().state.Duties[duty.Planner]
+			held := f.agreed.Load().state.Duties[election.Planner]
 			So(held.Term, ShouldEqual, 1)
 			plan := f.follow("c3", nil, time.Second).Snapshot.Plan
 			So(plan.Term, ShouldEqual, 1)
@@ -173,7 +173,7 @@
 
 			f.kill(held.Holder)
 			f.pass(6 * time.Second)
-			next := f.agreed.Load().state.Duties[duty.Planner]
+			next := f.agreed.Load().state.Duties[election.Planner]
 			So(next.Term, ShouldEqual, 2)
 			So(next.Holder, ShouldNotEqual, held.Holder)
 			fresh := f.follow("c3", nil, time.Second).Snapshot.Plan
@@ -187,13 +187,13 @@
 	})
 	inFleet(t, 3, func(t *testing.T, f *fleet) {
 		Convey("A core that is cut off loses the duty, and finds it lost when the cut heals", t, func() {
-			held := f.agreed.Load().state.Duties[duty.Planner]
+			held := f.agreed.Load().state.Duties[election.Planner]
 			f.mark(&f.silent, true, held.Holder)
 			f.pass(6 * time.Second)
-			So(f.agreed.Load().state.Duties[duty.Planner].Term, ShouldEqual, 2)
+			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
 			f.mark(&f.silent, false, held.Holder)
 			f.pass(6 * time.Second)
-			So(f.agreed.Load().state.Duties[duty.Planner].Term, ShouldEqual, 2)
+			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
 		})
 	})
 }
@@ -230,7 +230,7 @@
 			f.split.Store(true)
 			f.stop["c1"]()
 			f.pass(time.Second)
-			again := core.New(core.Config{Self: "c1", Incarnation: 2}, ballots{f}, links{f, "c1"}, clock.System(), events.Discard)
+			again := control.New(control.Config{Self: "c1", Incarnation: 2}, ballots{f}, links{f, "c1"}, clock.System(), events.Discard)
 			go again.Serve(ctx)
 			f.pass(time.Second)
 			req := &wire.RenewRequest{Self: f.processes["c2"], Epoch: f.agreed.Load().state.Epoch}
--- a/internal/node/core/sights_test.go
+++ b/internal/node/control/sights_test.go
@@ -1,4 +1,4 @@
-package core_test
+package control_test
 
 import (
 	"slices"
--- a/internal/node/core/status.go
+++ b/internal/node/control/status.go
@@ -1,12 +1,12 @@
-package core
+package control
 
 import (
 	"context"
 	"slices"
 	"sort"
 
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/node/core/views.go
+++ b/internal/node/control/views.go
@@ -1,4 +1,4 @@
-package core
+package control
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"connectrpc.com/connect"
 
-	"stepwick/internal/core/lease"
+	"stepwick/internal/decision/lease"
 	"stepwick/internal/wire"
 )
 
--- a/internal/node/follow/feed.go
+++ b/internal/node/follower/feed.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"context"
--- a/internal/node/follow/feed_test.go
+++ b/internal/node/follower/feed_test.go
@@ -1,4 +1,4 @@
-package follow_test
+package follower_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -88,7 +88,7 @@
 		cores := feeders{{name: "c1", region: "south", asked: asked}, {name: "c2", region: "north", after: 40 * time.Millisecond, asked: asked},
 			{name: "c3", region: "south", asked: asked}}
 		change(cores[1])
-		f := follow.New(follow.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Region: "north", Front: true} },
+		f := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Region: "north", Front: true} },
 			LeaseTTL: 2 * time.Second, RenewEvery: 100 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second,
 			Sighted: func() []port.Sight { return nil }, CoreStaleFor: time.Second}, cores, clock.System(), events.Discard)
 		begun := time.Now()
--- a/internal/node/follow/follow.go
+++ b/internal/node/follower/follow.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"time"
 
 	"stepwick/internal/clock"
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/merge"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/serverstatus"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -59,7 +59,7 @@
 	holder   *lease.Holder
 	state    sheet.State
 	held     bool
-	reports  *merge.Reports
+	reports  *serverstatus.Reports
 	plan     *wire.Plan
 	offsets  map[string]time.Duration
 	renewing map[string]bool
@@ -128,7 +128,7 @@
 	f := &Follower{
 		config: config, name: config.Self().Name, peers: peers, clock: clock, log: log,
 		inbox: make(chan func(), 256), holder: lease.NewHolder(config.Self().Name, config.LeaseTTL),
-		reports: merge.New(merge.Config{}), offsets: map[string]time.Duration{},
+		reports: serverstatus.New(serverstatus.Config{}), offsets: map[string]time.Duration{},
 		renewing: map[string]bool{}, pinging: map[string]bool{}, contact: map[string]time.Time{}, asked: map[string]time.Time{}, refused: map[string]time.Time{}, told: map[string]told{}, words: map[string]word{}, presence: map[string]presence{}, lives: map[string]uint64{}, again: map[string]bool{}, failing: map[string]bool{}, recorded: map[string]*wire.Process{}, tell: map[string]bool{}, behind: map[string]uint64{},
 	}
 	first := make(chan struct{})
--- a/internal/node/follow/members.go
+++ b/internal/node/follower/members.go
@@ -1,9 +1,9 @@
-package follow
+package follower
 
 import (
 	"time"
 
-	"stepwick/internal/core/lease"
+	"stepwick/internal/decision/lease"
 	"stepwick/internal/wire"
 )
 
--- a/internal/node/follow/notice.go
+++ b/internal/node/follower/notice.go
@@ -1,10 +1,10 @@
-package follow
+package follower
 
 import (
 	"slices"
 
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 )
 
--- a/internal/node/follow/ping.go
+++ b/internal/node/follower/ping.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"connectrpc.com/connect"
 
-	"stepwick/internal/core/lease"
+	"stepwick/internal/decision/lease"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
--- a/internal/node/follow/publish.go
+++ b/internal/node/follower/publish.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"slices"
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stepwick/internal/core/lease"
+	"stepwick/internal/decision/lease"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
--- a/internal/node/follow/publish_test.go
+++ b/internal/node/follower/publish_test.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
--- a/internal/node/follow/relay.go
+++ b/internal/node/follower/relay.go
@@ -1,11 +1,11 @@
-package follow
+package follower
 
 import (
 	"slices"
 	"time"
 
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/rendezvous"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/rendezvous"
 	"stepwick/internal/wire"
 )
 
--- a/internal/node/follow/state.go
+++ b/internal/node/follower/state.go
@@ -1,4 +1,4 @@
-package follow
+package follower
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 
 	"connectrpc.com/connect"
 
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
--- a/internal/node/follow/time_test.go
+++ b/internal/node/follower/time_test.go
@@ -1,4 +1,4 @@
-package follow_test
+package follower_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"stepwick/internal/clock"
 	"stepwick/internal/events"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -51,7 +51,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		peers := cores{"c1": {name: "c1", step: time.Hour}, "c2": {name: "c2", after: 200 * time.Millisecond}, "c3": {name: "c3", after: 300 * time.Millisecond}}
-		f := follow.New(follow.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
+		f := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
 			LeaseTTL: 2 * time.Second, RenewEvery: 500 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second,
 			Sighted: func() []port.Sight { return nil }, CoreStaleFor: time.Second}, peers, clock.System(), events.Discard)
 		go f.Serve(ctx)
--- a/internal/node/follow/view.go
+++ b/internal/node/follower/view.go
@@ -1,15 +1,15 @@
-// Package follow is a front's control owner: it renews the front's leases,
+// Package follower is a front's control owner: it renews the front's leases,
 // follows the feed, pings the roster, keeps fleet time, and publishes what the
 // traffic owners decide by as immutable views.
-package follow
+package follower
 
 import (
 	"slices"
 	"sort"
 	"time"
 
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/internal/node/front/attempts.go
+++ b/internal/node/front/attempts.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"stepwick/internal/adapter/backend"
-	"stepwick/internal/core/route"
+	"stepwick/internal/decision/route"
 	"stepwick/internal/events"
 )
 
--- a/internal/node/front/bench_test.go
+++ b/internal/node/front/bench_test.go
@@ -14,10 +14,10 @@
 
 	"stepwick/internal/adapter/clientapi"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/follow"
-	"stepwick/internal/node/spend"
+	"stepwick/internal/node/follower"
+	"stepwick/internal/node/quotasync"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -41,7 +41,7 @@
 	for i := range 5 {
 		state.Sheet.Tenants[fmt.Sprint("t", i)] = sheet.Tenant{Rate: 1e11, Burst: 1e11, KeyHashes: []string{sheet.HashKey(fmt.Sprint("k", i))}}
 	}
-	view := &follow.View{State: state, Index: state.Index(), Servers: map[string]*wire.ServerStatus{}, Plan: &wire.Plan{Term: 1, Number: 1}}
+	view := &follower.View{State: state, Index: state.Index(), Servers: map[string]*wire.ServerStatus{}, Plan: &wire.Plan{Term: 1, Number: 1}}
 	for _, service := range []string{"chat", "orders"} {
 		view.Plan.Shares = append(view.Plan.Shares, &wire.Share{Service: service, FromRegion: "lagos", ToRegion: "lagos", Share: 1})
 	}
@@ -60,7 +60,7 @@
 	views.changed.Store(&never)
 	views.ruling.Store(true)
 	registry := prometheus.NewRegistry()
-	purse, err := spend.New(spend.Config{Self: "n1", Incarnation: 1, Metrics: registry}, nobody{}, clock.System(), time.Now, func() []string { return []string{"n1"} }, events.Discard)
+	purse, err := quotasync.New(quotasync.Config{Self: "n1", Incarnation: 1, Metrics: registry}, nobody{}, clock.System(), time.Now, func() []string { return []string{"n1"} }, events.Discard)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/front/connect.go
+++ b/internal/node/front/connect.go
@@ -8,7 +8,7 @@
 
 	"stepwick/internal/adapter/clientapi"
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/plan"
+	"stepwick/internal/decision/plan"
 )
 
 // Connect tells which nodes a caller should talk to: those of its own
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/route"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/route"
 )
 
 const (
@@ -128,7 +128,7 @@
 	return e
 }
 
-func (a *Admission) tally(decision tally.Decision) {
+func (a *Admission) tally(decision quota.Decision) {
 	a.Passed, a.Marked = decision.Pass, decision.Marked
 	a.Blend, a.Prev, a.Cur, a.Recent, a.Limit = decision.Blend, decision.Prev, decision.Cur, decision.Recent, decision.Limit
 }
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -23,11 +23,11 @@
 	"stepwick/internal/adapter/clientapi"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/route"
-	"stepwick/internal/core/sheet"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/route"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/follower"
 )
 
 // Config holds a front's place and bounds. Zero values take the defaults named.
@@ -64,14 +64,14 @@
 
 // Views is where a front reads the control state that it decides by.
 type Views interface {
-	View() *follow.View
+	View() *follower.View
 	Changed() <-chan struct{}
 	Ruling() bool
 }
 
 // Admitter decides by the shared tally whether a tenant may spend tokens.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms tally.Terms, patience time.Duration) tally.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, patience time.Duration) quota.Decision
 }
 
 // Front serves callers.
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -25,11 +25,11 @@
 	"stepwick/internal/adapter/clientapi"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/route"
-	"stepwick/internal/core/sheet"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/route"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/wire"
 )
 
@@ -43,13 +43,13 @@
 func (c *jumpClock) Now() time.Time { return c.Clock.Now().Add(time.Duration(c.by.Load())) }
 
 type fakeViews struct {
-	view    atomic.Pointer[follow.View]
+	view    atomic.Pointer[follower.View]
 	changed atomic.Pointer[chan struct{}]
 	ruling  atomic.Bool
 	trap    atomic.Bool // the next question panics
 }
 
-func (v *fakeViews) View() *follow.View { return v.view.Load() }
+func (v *fakeViews) View() *follower.View { return v.view.Load() }
 
 func (v *fakeViews) Ruling() bool {
 	if v.trap.CompareAndSwap(true, false) {
@@ -60,7 +60,7 @@
 
 func (v *fakeViews) Changed() <-chan struct{} { return *v.changed.Load() }
 
-func (v *fakeViews) publish(change func(*follow.View)) {
+func (v *fakeViews) publish(change func(*follower.View)) {
 	next := *v.view.Load()
 	change(&next)
 	v.view.Store(&next)
@@ -68,8 +68,8 @@
 	close(*v.changed.Swap(&fresh))
 }
 
-func withKeys(keys ...string) func(*follow.View) {
-	return func(v *follow.View) {
+func withKeys(keys ...string) func(*follower.View) {
+	return func(v *follower.View) {
 		hashes := []string{}
 		for _, key := range keys {
 			hashes = append(hashes, sheet.HashKey(key))
@@ -84,12 +84,12 @@
 }
 
 type fakeTally struct {
-	decide func(tenant string, tokens float64, terms tally.Terms) tally.Decision
+	decide func(tenant string, tokens float64, terms quota.Terms) quota.Decision
 }
 
-func (f *fakeTally) Admit(_ context.Context, tenant string, tokens float64, terms tally.Terms, _ time.Duration) tally.Decision {
+func (f *fakeTally) Admit(_ context.Context, tenant string, tokens float64, terms quota.Terms, _ time.Duration) quota.Decision {
 	if f.decide == nil {
-		return tally.Decision{Pass: true, Limit: 810}
+		return quota.Decision{Pass: true, Limit: 810}
 	}
 	return f.decide(tenant, tokens, terms)
 }
@@ -137,7 +137,7 @@
 func newFleet(t *testing.T, kind string, slots int, servers ...*server) *fleet {
 	f := &fleet{t: t, views: &fakeViews{}, clock: &jumpClock{Clock: clock.System()}, tally: &fakeTally{}, servers: map[string]*server{}, callers: make(chan net.Conn)}
 	service := map[string]string{"model": "chat", "web": "orders"}[kind]
-	view := &follow.View{Plan: &wire.Plan{Term: 1, Number: 7, Shares: []*wire.Share{{Service: service, FromRegion: "lagos", ToRegion: "lagos", Share: 1}}},
+	view := &follower.View{Plan: &wire.Plan{Term: 1, Number: 7, Shares: []*wire.Share{{Service: service, FromRegion: "lagos", ToRegion: "lagos", Share: 1}}},
 		Servers: map[string]*wire.ServerStatus{}}
 	for i, s := range servers {
 		name := fmt.Sprintf("s%d", i)
@@ -420,7 +420,7 @@
 				}
 				f := newFleet(t, row.kind, 8, s, s)
 				defer f.stop()
-				f.views.publish(func(v *follow.View) {
+				f.views.publish(func(v *follower.View) {
 					v.Servers = maps.Clone(v.Servers)
 					for name, status := range v.Servers {
 						v.Servers[name] = proto.CloneOf(status)
@@ -436,7 +436,7 @@
 				}
 				synctest.Wait()
 				time.AfterFunc(row.seen, func() {
-					f.views.publish(func(v *follow.View) {
+					f.views.publish(func(v *follower.View) {
 						v.Servers = maps.Clone(v.Servers)
 						v.Servers[*first.Load()] = proto.CloneOf(v.Servers[*first.Load()])
 						v.Servers[*first.Load()].Reachable = false
@@ -529,7 +529,7 @@
 			long := streaming(1000, time.Second)
 			f := newFleet(t, "model", 1, long)
 			f.servers["s0"] = long
-			f.views.publish(func(v *follow.View) {
+			f.views.publish(func(v *follower.View) {
 				v.Plan = &wire.Plan{Term: 1, Number: 8, Shares: v.Plan.Shares, Caps: []*wire.Cap{{Server: "s0", InFlight: 1}}}
 			})
 			defer f.stop()
@@ -583,7 +583,7 @@
 		within(t, func(t *testing.T) {
 			f := newFleet(t, "model", 1, streaming(50, 0))
 			defer f.stop()
-			f.tally.decide = func(string, float64, tally.Terms) tally.Decision { panic("oh") }
+			f.tally.decide = func(string, float64, quota.Terms) quota.Decision { panic("oh") }
 			caller := f.call()
 			caller.prompt("r1", time.Minute)
 			f.expect("code", caller.answer().code, apierror.Internal)
@@ -648,9 +648,9 @@
 			f := newFleet(t, "model", 8, streaming(1, 0))
 			defer f.stop()
 			spent := []any{}
-			f.tally.decide = func(tenant string, tokens float64, terms tally.Terms) tally.Decision {
+			f.tally.decide = func(tenant string, tokens float64, terms quota.Terms) quota.Decision {
 				spent = append(spent, tenant, tokens, terms)
-				return tally.Decision{Code: apierror.QuotaExceeded, RetryAfter: 3 * time.Second}
+				return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 3 * time.Second}
 			}
 			ask := func(target, body string) apierror.Code {
 				caller := f.call()
@@ -664,7 +664,7 @@
 			f.expect("nothing spent so far", spent, []any{})
 			f.expect("quota", ask("/v1/prompt", `{"service":"chat","prefix_tokens":1,"session_tokens":2,"max_tokens":4}`), apierror.QuotaExceeded)
 			f.expect("quota", ask("/v1/call/orders/", ``), apierror.QuotaExceeded)
-			f.expect("spent", spent, []any{"press", 7, tally.Terms{Rate: 100, Burst: 10}, "press", 5, tally.Terms{Rate: 100, Burst: 10}})
+			f.expect("spent", spent, []any{"press", 7, quota.Terms{Rate: 100, Burst: 10}, "press", 5, quota.Terms{Rate: 100, Burst: 10}})
 			f.views.publish(withKeys("other"))
 			f.expect("key", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownKey)
 			f.views.ruling.Store(false)
@@ -684,7 +684,7 @@
 				}
 				f := newFleet(t, kind, 8, near, far)
 				defer f.stop()
-				f.views.publish(func(v *follow.View) {
+				f.views.publish(func(v *follower.View) {
 					v.Servers = maps.Clone(v.Servers)
 					v.Servers["s1"] = proto.CloneOf(v.Servers["s1"])
 					v.Servers["s1"].Region = "abeokuta"
@@ -709,7 +709,7 @@
 					f.expect("its own home", ask(`,"home":"abeokuta"`).status, 200)
 					f.expect("another home", ask(`,"home":"lagos"`).code, apierror.BadField)
 				}
-				f.views.publish(func(v *follow.View) { v.State.Epoch, v.State.Evacuated = 3, map[string]uint64{"abeokuta": 3} })
+				f.views.publish(func(v *follower.View) { v.State.Epoch, v.State.Evacuated = 3, map[string]uint64{"abeokuta": 3} })
 				synctest.Wait()
 				before, began := near.runs("r1")+far.runs("r1"), time.Now()
 				got := ask("")
@@ -752,7 +752,7 @@
 			caller.prompt("r1", time.Minute)
 			caller.event()
 			lose := func(d time.Duration) {
-				f.views.publish(func(*follow.View) { f.views.ruling.Store(false) })
+				f.views.publish(func(*follower.View) { f.views.ruling.Store(false) })
 				<-time.After(d)
 			}
 			lose(time.Second)
@@ -760,7 +760,7 @@
 			other := f.call()
 			other.prompt("r2", time.Minute)
 			f.expect("new request", other.answer().code, apierror.NotRuling)
-			f.views.publish(func(*follow.View) { f.views.ruling.Store(true) })
+			f.views.publish(func(*follower.View) { f.views.ruling.Store(true) })
 			for range 10 {
 				caller.event()
 			}
@@ -893,7 +893,7 @@
 		within(t, func(t *testing.T) {
 			f := newFleet(t, "model", 8, streaming(1, 0))
 			defer f.stop()
-			f.views.publish(func(v *follow.View) {
+			f.views.publish(func(v *follower.View) {
 				v.State.Evacuated = map[string]uint64{"lagos/c": 1}
 				add := func(name, region, zone string, ready, leaving bool) {
 					v.Fronts = append(v.Fronts, &wire.Process{Name: name, CallerAddress: name + ":1", Region: region, Zone: zone, Front: true, Ready: ready, Leaving: leaving})
@@ -928,7 +928,7 @@
 			caller := f.call()
 			caller.prompt("r1", time.Minute)
 			f.expect("before", caller.answer().status, 200)
-			f.views.publish(func(v *follow.View) {
+			f.views.publish(func(v *follower.View) {
 				next := *v.State.Sheet
 				next.Settings = map[string]string{"deadline.max": "30s", "route.strategy": "round_robin"}
 				v.State.Sheet = &next
--- a/internal/node/front/keeper.go
+++ b/internal/node/front/keeper.go
@@ -7,7 +7,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/stage"
 )
 
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -8,10 +8,10 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/route"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/route"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/stage"
 )
 
@@ -31,7 +31,7 @@
 	ends    *stage.Queue[ended]
 	ended   chan struct{}
 	numbers atomic.Uint64
-	seen    *follow.View
+	seen    *follower.View
 	queued  map[string]*seat
 	seated  map[string]map[*seat]struct{} // by server
 	survey  survey
--- a/internal/node/front/serve.go
+++ b/internal/node/front/serve.go
@@ -11,9 +11,9 @@
 	"stepwick/internal/adapter/backend"
 	"stepwick/internal/adapter/clientapi"
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/route"
-	"stepwick/internal/core/sheet"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/route"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 )
 
@@ -193,7 +193,7 @@
 		}
 	}
 	c.request.Tokens, a.Tokens = tokens, tokens
-	decision := f.admit.Admit(ctx, tenant, tokens, tally.Terms{Rate: row.Rate, Burst: row.Burst}, 0)
+	decision := f.admit.Admit(ctx, tenant, tokens, quota.Terms{Rate: row.Rate, Burst: row.Burst}, 0)
 	a.tally(decision)
 	if !decision.Pass {
 		return (&apierror.Error{Code: decision.Code, Detail: fmt.Sprintf("%s has %.0f tokens in a window", tenant, decision.Limit)}).WithRetryAfter(decision.RetryAfter)
--- a/internal/node/front/survey.go
+++ b/internal/node/front/survey.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"stepwick/internal/core/route"
+	"stepwick/internal/decision/route"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
--- a/internal/node/gateway/answer.go
+++ b/internal/node/gateway/answer.go
@@ -11,8 +11,8 @@
 
 	"stepwick/internal/adapter/upstream"
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/balance"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/sheet"
 )
 
 // passage passes answers on to the client: the whole of one, or a stream that
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -11,7 +11,7 @@
 
 	"stepwick/internal/adapter/upstream"
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/balance"
+	"stepwick/internal/decision/balance"
 	"stepwick/internal/port"
 )
 
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -9,9 +9,9 @@
 	"stepwick/internal/adapter/upstream"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/balance"
+	"stepwick/internal/decision/balance"
 	"stepwick/internal/events"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/stage"
 )
 
@@ -31,7 +31,7 @@
 	asks   *stage.Queue[*ticket]
 	moves  *stage.Queue[move]
 	over   chan struct{} // closed when the owner has ended for good
-	seen   *follow.View
+	seen   *follower.View
 	// sharers are the fronts that share what is bounded over the fleet.
 	sharers []string
 	// unreachable are the servers that others call silent.
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -20,10 +20,10 @@
 	"stepwick/internal/adapter/upstream"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/balance"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/quota"
 	"stepwick/internal/events"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/port"
 	"stepwick/internal/stage"
 )
@@ -82,7 +82,7 @@
 
 // Views is where a gateway reads the control state that it decides by.
 type Views interface {
-	View() *follow.View
+	View() *follower.View
 	Changed() <-chan struct{}
 	Ruling() bool
 	FleetNow() time.Time
@@ -90,7 +90,7 @@
 
 // Admitter decides by the shared tally whether a tenant may spend tokens.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms tally.Terms, patience time.Duration) tally.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, patience time.Duration) quota.Decision
 }
 
 // Gateway serves requests by routes. It is an http.Handler.
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -18,11 +18,11 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/balance"
-	"stepwick/internal/core/sheet"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
@@ -58,17 +58,17 @@
 }
 
 type fixedViews struct {
-	view    atomic.Pointer[follow.View]
+	view    atomic.Pointer[follower.View]
 	changed atomic.Pointer[chan struct{}]
 	ruling  atomic.Bool
 }
 
-func (v *fixedViews) View() *follow.View       { return v.view.Load() }
+func (v *fixedViews) View() *follower.View     { return v.view.Load() }
 func (v *fixedViews) Changed() <-chan struct{} { return *v.changed.Load() }
 func (v *fixedViews) Ruling() bool             { return v.ruling.Load() }
 func (v *fixedViews) FleetNow() time.Time      { return time.Now() }
 
-func (v *fixedViews) publish(change func(*follow.View)) {
+func (v *fixedViews) publish(change func(*follower.View)) {
 	next := *v.view.Load()
 	change(&next)
 	next.State.Epoch++
@@ -83,12 +83,12 @@
 	patience atomic.Int64 // of the last request, nanoseconds
 }
 
-func (a *admitter) Admit(_ context.Context, _ string, _ float64, _ tally.Terms, patience time.Duration) tally.Decision {
+func (a *admitter) Admit(_ context.Context, _ string, _ float64, _ quota.Terms, patience time.Duration) quota.Decision {
 	a.patience.Store(int64(patience))
 	if a.refused.Load() {
-		return tally.Decision{Code: apierror.QuotaExceeded, RetryAfter: 700 * time.Millisecond}
+		return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 700 * time.Millisecond}
 	}
-	return tally.Decision{Pass: true}
+	return quota.Decision{Pass: true}
 }
 
 // stand is a gateway before stand-in servers.
@@ -161,7 +161,7 @@
 		},
 		Limits: &sheet.ClientLimits{BodyBytes: 1000},
 	}}
-	s.views.view.Store(&follow.View{State: state, Index: state.Index(), Servers: map[string]*wire.ServerStatus{}})
+	s.views.view.Store(&follower.View{State: state, Index: state.Index(), Servers: map[string]*wire.ServerStatus{}})
 	changed := make(chan struct{})
 	s.views.changed.Store(&changed)
 	s.views.ruling.Store(true)
@@ -179,7 +179,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.views.publish(func(v *follow.View) { v.Servers = s.servers })
+	s.views.publish(func(v *follower.View) { v.Servers = s.servers })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -314,7 +314,7 @@
 			So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 			So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 			s.views.ruling.Store(true)
-			s.views.publish(func(v *follow.View) { v.State.Sheet = nil })
+			s.views.publish(func(v *follower.View) { v.State.Sheet = nil })
 			So(s.ask("/nowhere/", "").status, ShouldEqual, http.StatusServiceUnavailable)
 		})
 	})
@@ -484,7 +484,7 @@
 			<-free
 			whole("ok")(r, conn)
 		})
-		s.views.publish(func(v *follow.View) {
+		s.views.publish(func(v *follower.View) {
 			v.State.Sheet.Services["pool"] = sheet.Service{Kind: sheet.KindHTTP, MaxConnections: 1}
 			safe := v.State.Sheet.Routes["safe"]
 			safe.ObjectiveMS = 4000
--- a/internal/node/gateway/quota.go
+++ b/internal/node/gateway/quota.go
@@ -1,6 +1,6 @@
 package gateway
 
-import "stepwick/internal/core/sheet"
+import "stepwick/internal/decision/sheet"
 
 // Quota says which part of a tenant's allowance its requests may use.
 type Quota struct {
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -12,9 +12,9 @@
 	"github.com/pkg/errors"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/balance"
-	"stepwick/internal/core/sheet"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 )
@@ -359,7 +359,7 @@
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
 	defer cancel()
 	part := q.gateway.config.Quota.part(units, q.terms, q.route.Priority)
-	decision := q.gateway.admitter.Admit(ctx, q.tenant, units, tally.Terms{Rate: q.terms.Rate * part, Burst: q.terms.Burst * part}, q.patience())
+	decision := q.gateway.admitter.Admit(ctx, q.tenant, units, quota.Terms{Rate: q.terms.Rate * part, Burst: q.terms.Burst * part}, q.patience())
 	if decision.Pass {
 		return nil
 	}
--- a/internal/node/watch/outbox.go
+++ b/internal/node/healthcheck/outbox.go
@@ -1,4 +1,4 @@
-package watch
+package healthcheck
 
 import (
 	"context"
--- a/internal/node/watch/rank.go
+++ b/internal/node/healthcheck/rank.go
@@ -1,9 +1,9 @@
-package watch
+package healthcheck
 
 import (
 	"slices"
 
-	"stepwick/internal/core/rendezvous"
+	"stepwick/internal/decision/rendezvous"
 	"stepwick/internal/wire"
 )
 
--- a/internal/node/watch/watch.go
+++ b/internal/node/healthcheck/watch.go
@@ -1,4 +1,4 @@
-// Package watch is a front's part in watching the servers: a few fronts of each
+// Package healthcheck is a front's part in watching the servers: a few fronts of each
 // region read the platform's list, and a few fronts in each server's locality
 // ask it for its own status. What they see goes into the front's own view at
 // once and to every core.
@@ -6,7 +6,7 @@
 // Who watches what follows from rendezvous hashing over the ready fronts, so it
 // needs no agreement; a front that isn't sure watches too, as a watcher too
 // many does no harm.
-package watch
+package healthcheck
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"time"
 
 	"stepwick/internal/clock"
-	"stepwick/internal/core/merge"
+	"stepwick/internal/decision/serverstatus"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -143,7 +143,7 @@
 // the context.
 func (w *Watcher) Observe(ctx context.Context, server string, reachable bool) {
 	at := w.fleetNow()
-	step := func() { w.see(merge.Own, &wire.ServerStatus{Name: server, Reachable: reachable}, at) }
+	step := func() { w.see(serverstatus.Own, &wire.ServerStatus{Name: server, Reachable: reachable}, at) }
 	select {
 	case w.observed <- step:
 	case <-ctx.Done():
--- a/internal/node/watch/watch_test.go
+++ b/internal/node/healthcheck/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package healthcheck
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"stepwick/internal/adapter/platform"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/merge"
+	"stepwick/internal/decision/serverstatus"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -43,13 +43,13 @@
 	asked   map[string]int
 	told    map[string]bool // events by name and server
 	reports map[string]int  // sent, by watcher
-	cores   map[string]*merge.Reports
+	cores   map[string]*serverstatus.Reports
 	fronts  []*wire.Process
 }
 
 func newWorld() *world {
 	w := &world{token: make(chan struct{}, 1), servers: map[string]*wire.ServerStatus{}, dark: map[string]platform.Reach{},
-		down: map[string]bool{}, asked: map[string]int{}, told: map[string]bool{}, reports: map[string]int{}, cores: map[string]*merge.Reports{}}
+		down: map[string]bool{}, asked: map[string]int{}, told: map[string]bool{}, reports: map[string]int{}, cores: map[string]*serverstatus.Reports{}}
 	for i := range 6 {
 		region, zone := []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
 		name := fmt.Sprintf("m%d", i)
@@ -60,7 +60,7 @@
 		w.fronts = append(w.fronts, &wire.Process{Name: fmt.Sprintf("n%d", i), Region: region, Zone: zone, Front: true, Core: i < 3, Standing: wire.Standing_STANDING_VOTING, Address: fmt.Sprintf("n%d", i)})
 	}
 	for i := range 3 {
-		w.cores[fmt.Sprintf("n%d", i)] = merge.New(merge.Config{})
+		w.cores[fmt.Sprintf("n%d", i)] = serverstatus.New(serverstatus.Config{})
 	}
 	w.token <- struct{}{}
 	return w
@@ -272,7 +272,7 @@
 		for i := range 9 {
 			So(f.reports[fmt.Sprintf("n%d/list", i)], ShouldEqual, 0)
 		}
-		f.with(func() { f.cores["n1"] = merge.New(merge.Config{}) })
+		f.with(func() { f.cores["n1"] = serverstatus.New(serverstatus.Config{}) })
 		pass(1500 * time.Millisecond)
 		for name := range f.servers {
 			So(f.status("n1", name).GetState(), ShouldEqual, ready)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,15 +18,15 @@
 	"stepwick/internal/adapter/internalrpc"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/core"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/control"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/node/front"
 	"stepwick/internal/node/gateway"
+	"stepwick/internal/node/healthcheck"
+	"stepwick/internal/node/quotasync"
 	"stepwick/internal/node/replica"
-	"stepwick/internal/node/spend"
-	"stepwick/internal/node/watch"
 	"stepwick/internal/settings"
 	"stepwick/internal/wire"
 )
@@ -110,17 +110,17 @@
 
 	pool      *internalrpc.Pool
 	directory *internalrpc.Directory
-	follower  *follow.Follower
-	spend     *spend.Spend
+	follower  *follower.Follower
+	spend     *quotasync.Spend
 	front     *front.Front
 	gateway   *gateway.Gateway
 	edge      Edge
 	listen    func(address string) (net.Listener, error)
 	orders    *relay
 	replaced  chan struct{}
-	watcher   *watch.Watcher
+	watcher   *healthcheck.Watcher
 	replica   *replica.Replica
-	core      *core.Core
+	core      *control.Core
 	peer      *peer
 	caller    net.Listener
 	internal  net.Listener
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -7,10 +7,10 @@
 
 	"stepwick/internal/adapter/internalrpc"
 	"stepwick/internal/apierror"
-	"stepwick/internal/node/core"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/node/control"
+	"stepwick/internal/node/follower"
+	"stepwick/internal/node/quotasync"
 	"stepwick/internal/node/replica"
-	"stepwick/internal/node/spend"
 	"stepwick/internal/wire"
 )
 
@@ -18,11 +18,11 @@
 // nil on a plain front.
 type peer struct {
 	directory *internalrpc.Directory
-	follower  *follow.Follower
-	spend     *spend.Spend
+	follower  *follower.Follower
+	spend     *quotasync.Spend
 	inspector *inspector
 	replica   *replica.Replica
-	core      *core.Core
+	core      *control.Core
 }
 
 // answer turns a part's method into a call of the protocol.
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -15,7 +15,7 @@
 
 	"stepwick/internal/adapter/internalrpc"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/events"
 	"stepwick/internal/settings"
 	"stepwick/internal/wire"
@@ -213,7 +213,7 @@
 			gone = append(gone, voter)
 		}
 	}
-	if len(gone) == 0 || answering < (ballot.State{Voters: voters}).RebuildQuorum() {
+	if len(gone) == 0 || answering < (paxos.State{Voters: voters}).RebuildQuorum() {
 		return "", false
 	}
 	return slices.MaxFunc(gone, func(a, b string) int { return cmp.Compare(c.preference(a), c.preference(b)) }), true
--- a/internal/node/spend/keeper.go
+++ b/internal/node/quotasync/keeper.go
@@ -1,4 +1,4 @@
-package spend
+package quotasync
 
 import (
 	"context"
@@ -6,14 +6,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
 	"stepwick/internal/wire"
 )
 
 // keeper owns the Ledger of the counts held here.
 type keeper struct {
 	spend  *Spend
-	ledger *tally.Ledger
+	ledger *quota.Ledger
 	adds   chan add
 }
 
@@ -23,7 +23,7 @@
 }
 
 func newKeeper(s *Spend) *keeper {
-	return &keeper{spend: s, ledger: tally.NewLedger(s.config.Self, s.config.Incarnation, s.config.Tally), adds: make(chan add, 64)}
+	return &keeper{spend: s, ledger: quota.NewLedger(s.config.Self, s.config.Incarnation, s.config.Tally), adds: make(chan add, 64)}
 }
 
 func (k *keeper) String() string { return "spend-ledger" }
@@ -97,7 +97,7 @@
 	return m, nil
 }
 
-func (m *metrics) count(d tally.Decision) {
+func (m *metrics) count(d quota.Decision) {
 	switch {
 	case d.Pass:
 		m.passed.Inc()
--- a/internal/node/spend/shard.go
+++ b/internal/node/quotasync/shard.go
@@ -1,4 +1,4 @@
-package spend
+package quotasync
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -23,20 +23,20 @@
 	ended  <-chan struct{}
 	tenant string
 	tokens float64
-	terms  tally.Terms
+	terms  quota.Terms
 	// patience is how long it may be held.
 	patience time.Duration
-	answer   chan tally.Decision
+	answer   chan quota.Decision
 }
 
 func newAsks() *sync.Pool {
-	return &sync.Pool{New: func() any { return &ask{answer: make(chan tally.Decision, 1)} }}
+	return &sync.Pool{New: func() any { return &ask{answer: make(chan quota.Decision, 1)} }}
 }
 
 type hold struct {
 	*ask
 	until time.Time
-	last  tally.Decision
+	last  quota.Decision
 }
 
 type learned struct {
@@ -50,9 +50,9 @@
 type shard struct {
 	spend    *Spend
 	name     string
-	book     *tally.Book
+	book     *quota.Book
 	asks     chan *ask
-	inspects chan chan []tally.TenantView
+	inspects chan chan []quota.TenantView
 	flushes  chan chan error
 	answers  chan learned
 
@@ -75,8 +75,8 @@
 }
 
 func newShard(s *Spend, number int) *shard {
-	return &shard{spend: s, name: "spend-" + strconv.Itoa(number), book: tally.NewBook(s.config.Self, s.config.Tally),
-		asks: make(chan *ask, 64), inspects: make(chan chan []tally.TenantView), flushes: make(chan chan error),
+	return &shard{spend: s, name: "spend-" + strconv.Itoa(number), book: quota.NewBook(s.config.Self, s.config.Tally),
+		asks: make(chan *ask, 64), inspects: make(chan chan []quota.TenantView), flushes: make(chan chan error),
 		answers: make(chan learned, 64), holders: map[string]string{}, flying: map[string]int{},
 		paced: map[string]bool{}, rest: func() {}, silent: map[string]bool{}}
 }
@@ -161,7 +161,7 @@
 
 func (o *shard) follow() {
 	roster := o.spend.roster()
-	if reached := tally.Reached(roster, o.spend.config.Silent()); !slices.Equal(reached, o.reached) {
+	if reached := quota.Reached(roster, o.spend.config.Silent()); !slices.Equal(reached, o.reached) {
 		o.reached = slices.Clone(reached)
 		clear(o.holders)
 	}
@@ -177,7 +177,7 @@
 		if len(o.holders) > 2*o.book.Active()+1024 {
 			clear(o.holders)
 		}
-		holder = tally.HolderOf(tenant, o.reached)
+		holder = quota.HolderOf(tenant, o.reached)
 		o.holders[tenant] = holder
 	}
 	return holder
--- a/internal/node/spend/spend.go
+++ b/internal/node/quotasync/spend.go
@@ -1,7 +1,7 @@
-// Package spend runs the shared tally on a front: owners of the Book, parted by
+// Package quotasync runs the shared tally on a front: owners of the Book, parted by
 // tenant, the owner of the Ledger of the counts held here, and the exchange of
 // counts between them and the other fronts.
-package spend
+package quotasync
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -28,7 +28,7 @@
 type Config struct {
 	Self        string
 	Incarnation uint64
-	Tally       tally.Config
+	Tally       quota.Config
 	Shards      int             // owners of the Book; one for each processor, 4 at most
 	Timeout     time.Duration   // of one exchange, 1 s
 	HoldFor     time.Duration   // longest hold of a request for an exchange, 2.5 s
@@ -113,7 +113,7 @@
 // well below its limit for an exchange with the holder, HoldFor at the longest or,
 // where fronts are many, for patience. When ctx ends first the request is refused and
 // adds nothing.
-func (s *Spend) Admit(ctx context.Context, tenant string, tokens float64, terms tally.Terms, patience time.Duration) tally.Decision {
+func (s *Spend) Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, patience time.Duration) quota.Decision {
 	ask := s.asks.Get().(*ask)
 	ask.ended, ask.tenant, ask.tokens, ask.terms = ctx.Done(), tenant, tokens, terms
 	ask.patience = patience
@@ -133,11 +133,11 @@
 	}
 }
 
-func (s *Spend) ended(ctx context.Context) tally.Decision {
+func (s *Spend) ended(ctx context.Context) quota.Decision {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return tally.Decision{Code: apierror.DeadlinePassed}
+		return quota.Decision{Code: apierror.DeadlinePassed}
 	}
-	return tally.Decision{Code: apierror.CallerGone}
+	return quota.Decision{Code: apierror.CallerGone}
 }
 
 // Add answers another front's counts for tenants whose count is held here.
@@ -152,10 +152,10 @@
 
 // Inspect returns what this front knows of its active tenants, by owner and
 // name; with a tenant's name given, of that one alone.
-func (s *Spend) Inspect(ctx context.Context, tenant string) ([]tally.TenantView, error) {
-	var views []tally.TenantView
+func (s *Spend) Inspect(ctx context.Context, tenant string) ([]quota.TenantView, error) {
+	var views []quota.TenantView
 	for _, owner := range s.shards {
-		answer := make(chan []tally.TenantView, 1)
+		answer := make(chan []quota.TenantView, 1)
 		select {
 		case owner.inspects <- answer:
 		case <-ctx.Done():
@@ -169,9 +169,9 @@
 		}
 	}
 	if tenant != "" {
-		views = slices.DeleteFunc(views, func(v tally.TenantView) bool { return v.Tenant != tenant })
+		views = slices.DeleteFunc(views, func(v quota.TenantView) bool { return v.Tenant != tenant })
 	}
-	slices.SortFunc(views, func(a, b tally.TenantView) int {
+	slices.SortFunc(views, func(a, b quota.TenantView) int {
 		if a.Tenant < b.Tenant {
 			return -1
 		}
--- a/internal/node/spend/spend_test.go
+++ b/internal/node/quotasync/spend_test.go
@@ -1,4 +1,4 @@
-package spend
+package quotasync
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -89,7 +89,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		names := []string{"a", "b", "c"}
 		f := start(t, ctx, names...)
-		terms := tally.Terms{Rate: 100, Burst: 200}
+		terms := quota.Terms{Rate: 100, Burst: 200}
 		<-time.After(time.Second)
 		offer := func(name string, requests int, tokens float64) (passed float64, last apierror.Code) {
 			for range requests {
@@ -127,7 +127,7 @@
 		})
 		Convey("With a silent holder a front spends its share, and says that the count is out of reach", t, func() {
 			<-time.After(40 * time.Second)
-			holder := tally.HolderOf("press", names)
+			holder := quota.HolderOf("press", names)
 			f.away.Store(&holder)
 			other := names[0]
 			if other == holder {
@@ -146,8 +146,8 @@
 		})
 		Convey("Once a holder is known to be silent, the next one counts and a tenant under its limit passes", t, func() {
 			<-time.After(40 * time.Second)
-			holder := tally.HolderOf("press", names)
-			others := tally.Reached(names, []string{holder})
+			holder := quota.HolderOf("press", names)
+			others := quota.Reached(names, []string{holder})
 			for _, name := range others {
 				_, code := offer(name, 1, 1)
 				So(code, ShouldEqual, apierror.OK)
@@ -165,14 +165,14 @@
 			<-time.After(time.Second)
 			views, err := f.spends[others[0]].Inspect(ctx, "press")
 			So(err, ShouldBeNil)
-			So(views[0].Holder, ShouldEqual, tally.HolderOf("press", others))
+			So(views[0].Holder, ShouldEqual, quota.HolderOf("press", others))
 			So(views[0].Recent, ShouldAlmostEqual, 503, 1)
 			f.away.Store(nil)
 			f.known.Store(false)
 		})
 		Convey("Flush leaves what was spent with the holder", t, func() {
 			<-time.After(40 * time.Second)
-			holder := tally.HolderOf("press", names)
+			holder := quota.HolderOf("press", names)
 			other := names[0]
 			if other == holder {
 				other = names[1]
@@ -206,7 +206,7 @@
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				f.spends["a"].Admit(ctx, names[i%tenants], 1, tally.Terms{Rate: 1e9}, 0)
+				f.spends["a"].Admit(ctx, names[i%tenants], 1, quota.Terms{Rate: 1e9}, 0)
 			}
 		})
 	}
@@ -220,7 +220,7 @@
 			names = append(names, "f"+strconv.Itoa(i))
 		}
 		f := startHolding(t, ctx, 100*time.Millisecond, names...)
-		terms := tally.Terms{Rate: 1000}
+		terms := quota.Terms{Rate: 1000}
 		<-time.After(time.Second)
 		spend := func() {
 			for _, name := range names[:30] {
--- a/internal/node/replica/entry.go
+++ b/internal/node/replica/entry.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -21,7 +21,7 @@
 // enter rebuilds the core from the other voters, or from those that can be
 // reached where they suffice: it learns which disk life is next, announces it,
 // and merges what each of them syncs and answers.
-func (r *Replica) enter(ctx context.Context, state ballot.State) {
+func (r *Replica) enter(ctx context.Context, state paxos.State) {
 	others := state.Others()
 	probes := r.probe(ctx, others)
 	for _, resp := range probes {
@@ -41,7 +41,7 @@
 		r.waits(ctx, event, fmt.Sprintf("the core enters its formation once enough others answer; it waits for %s", waiting))
 		return
 	}
-	if life != state.Announced && !r.join(ctx, ballot.Lived{Core: r.cfg.Self, Life: life}, "announces its disk life") {
+	if life != state.Announced && !r.join(ctx, paxos.Lived{Core: r.cfg.Self, Life: life}, "announces its disk life") {
 		return
 	}
 	if life > 1 && life != state.Announced {
@@ -62,7 +62,7 @@
 			reply(waiting, nil)
 			return
 		}
-		decided(o, []ballot.Record{record}, toVote, "", nil, reply)
+		decided(o, []paxos.Record{record}, toVote, "", nil, reply)
 	})
 	switch {
 	case err != nil && apierror.From(err).Code == apierror.DiskFull:
--- a/internal/node/replica/formation.go
+++ b/internal/node/replica/formation.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"stepwick/internal/core/ballot"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/paxos"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -25,7 +25,7 @@
 
 // seekFormation joins the formation that other cores are in or, with all
 // present and blank, founds the first one.
-func (r *Replica) seekFormation(ctx context.Context, state ballot.State) {
+func (r *Replica) seekFormation(ctx context.Context, state paxos.State) {
 	present := map[string]*wire.RecoverResponse{}
 	var cores []string
 	for _, process := range r.peers.Cores() {
@@ -59,7 +59,7 @@
 	if !ok || !r.join(ctx, record, "waits for the other cores to join") {
 		return
 	}
-	joined := record.(ballot.Joined)
+	joined := record.(paxos.Joined)
 	r.events.Emit(events.FormationBegun, "formation", id, "voters", fmt.Sprint(joined.Voters), "epoch", epoch)
 	invite := &wire.FoundRequest{Formation: id, Voters: joined.Voters, Founder: r.cfg.Self}
 	gather(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.FoundResponse, error) {
@@ -116,14 +116,14 @@
 	return highest.Epoch, highest.Encode(), ""
 }
 
-func (r *Replica) join(ctx context.Context, record ballot.Record, waiting string) bool {
+func (r *Replica) join(ctx context.Context, record paxos.Record, waiting string) bool {
 	joined, err := ask(ctx, r, func(o *owner, reply func(bool, error)) {
 		if o.state.Life() != 0 {
 			reply(false, nil)
 			return
 		}
 		o.waiting = waiting
-		decided(o, []ballot.Record{record}, toVote, true, nil, reply)
+		decided(o, []paxos.Record{record}, toVote, true, nil, reply)
 	})
 	return err == nil && joined
 }
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -7,8 +7,8 @@
 
 	"stepwick/internal/adapter/disklog"
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/ballot"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/paxos"
+	"stepwick/internal/decision/sheet"
 )
 
 // Contents are what the data folder of a core holds. Sizes are in bytes.
@@ -65,10 +65,10 @@
 }
 
 // stateOf folds what a log held into the state of the agreement.
-func stateOf(replay Replay, name string) (ballot.State, error) {
-	state := ballot.Blank(name)
+func stateOf(replay Replay, name string) (paxos.State, error) {
+	state := paxos.Blank(name)
 	if replay.Snapshot != nil {
-		kept, err := ballot.Decode(replay.Snapshot)
+		kept, err := paxos.Decode(replay.Snapshot)
 		if err != nil {
 			return state, errors.Wrap(err, "the log's snapshot")
 		}
@@ -77,11 +77,11 @@
 		}
 		state = kept
 	}
-	return ballot.Replay(state, replay.Records)
+	return paxos.Replay(state, replay.Records)
 }
 
 // agreedOf works the sheet's state out from the snapshot and what follows it.
-func agreedOf(state ballot.State) (sheet.State, error) {
+func agreedOf(state paxos.State) (sheet.State, error) {
 	var agreed sheet.State
 	if state.SnapshotEpoch > 0 {
 		kept, err := sheet.DecodeState(state.Snapshot)
--- a/internal/node/replica/keep.go
+++ b/internal/node/replica/keep.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -109,7 +109,7 @@
 // readAll asks every voter how far it is, and which disk life of this core it
 // knows. It waits for all of them or the calls' timeout, but no longer than a
 // moment once a majority has answered.
-func (r *Replica) readAll(ctx context.Context, state ballot.State) (target uint64, top tip, heard int, life uint64) {
+func (r *Replica) readAll(ctx context.Context, state paxos.State) (target uint64, top tip, heard int, life uint64) {
 	req := &wire.ReadRequest{Formation: state.Formation, Core: r.cfg.Self}
 	answers := gather(ctx, r, state.Voters, r.cfg.CallTimeout, state.Majority(), func(ctx context.Context, core string) (*wire.ReadResponse, error) {
 		return call(ctx, r, core, req, r.Read, wireconnect.PeerClient.Read)
--- a/internal/node/replica/owner.go
+++ b/internal/node/replica/owner.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/ballot"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/paxos"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -28,7 +28,7 @@
 	log     Log
 	inbox   chan func(*owner)
 	gone    chan struct{}
-	state   ballot.State
+	state   paxos.State
 	sheet   sheet.State
 	results []sheet.Result // of the last epochs
 	recent  []*wire.Chosen // of the last epochs
@@ -160,7 +160,7 @@
 
 // decided commits records and answers once they are synced; without room for
 // them, or any other reason not to keep them, it refuses.
-func decided[T any](o *owner, records []ballot.Record, use use, resp T, refuse func(apierror.Code) T, reply func(T, error)) {
+func decided[T any](o *owner, records []paxos.Record, use use, resp T, refuse func(apierror.Code) T, reply func(T, error)) {
 	if err := o.commit(records, use); err != nil {
 		if refuse == nil {
 			reply(resp, err)
@@ -183,7 +183,7 @@
 )
 
 // commit appends records and folds them, or does neither.
-func (o *owner) commit(records []ballot.Record, use use) error {
+func (o *owner) commit(records []paxos.Record, use use) error {
 	if len(records) == 0 {
 		return nil
 	}
@@ -192,7 +192,7 @@
 	}
 	encoded := make([][]byte, len(records))
 	for i, record := range records {
-		encoded[i] = ballot.EncodeRecord(record)
+		encoded[i] = paxos.EncodeRecord(record)
 	}
 	if _, err := o.log.Append(encoded, use == toLive); err != nil {
 		if apierror.From(err).Code == apierror.DiskFull {
@@ -221,7 +221,7 @@
 }
 
 // follow brings the sheet's state to the ballot state's learned epoch.
-func (o *owner) follow(before ballot.State) error {
+func (o *owner) follow(before paxos.State) error {
 	same := before.Learned() == o.state.Learned()
 	if same && before.Formation == o.state.Formation && before.Life() == o.state.Life() {
 		return nil
--- a/internal/node/replica/propose.go
+++ b/internal/node/replica/propose.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/ballot"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/paxos"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -151,22 +151,22 @@
 
 type answer struct {
 	core     string
-	phase    ballot.Phase
+	phase    paxos.Phase
 	prepared *wire.PrepareResponse
 	accepted *wire.AcceptResponse
 }
 
 // ballot holds one ballot. Heard counts the voters that answered its last phase. Voters are called at once and none is waited for
 // beyond a majority; late answers still reach the proposer while it runs.
-func (r *Replica) ballot(ctx context.Context, state ballot.State, slot, number uint64, own []byte, timeout time.Duration) (ended ballot.Proposer, step ballot.Step, heard int) {
-	p, prepare := ballot.Propose(state, slot, number, own)
+func (r *Replica) ballot(ctx context.Context, state paxos.State, slot, number uint64, own []byte, timeout time.Duration) (ended paxos.Proposer, step paxos.Step, heard int) {
+	p, prepare := paxos.Propose(state, slot, number, own)
 	answers := make(chan answer, 2*len(p.Voters))
 	for _, core := range p.Voters {
 		go func() {
 			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
 			resp, _ := call(callCtx, r, core, prepare, r.Prepare, wireconnect.PeerClient.Prepare)
-			answers <- answer{core: core, phase: ballot.Preparing, prepared: resp}
+			answers <- answer{core: core, phase: paxos.Preparing, prepared: resp}
 		}()
 	}
 	answered := map[string]bool{}
@@ -175,9 +175,9 @@
 		select {
 		case a = <-answers:
 		case <-ctx.Done():
-			return p, ballot.Step{}, len(answered)
+			return p, paxos.Step{}, len(answered)
 		}
-		step = ballot.Step{}
+		step = paxos.Step{}
 		switch {
 		case a.prepared != nil:
 			answered[a.core] = true
@@ -192,7 +192,7 @@
 			answered = map[string]bool{}
 			r.sendAccept(ctx, p.Voters, step.Accept, timeout, answers)
 		}
-		if p.Phase == ballot.Ended {
+		if p.Phase == paxos.Ended {
 			return p, step, len(answered)
 		}
 	}
@@ -204,7 +204,7 @@
 			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
 			resp, _ := call(callCtx, r, core, req, r.Accept, wireconnect.PeerClient.Accept)
-			answers <- answer{core: core, phase: ballot.Accepting, accepted: resp}
+			answers <- answer{core: core, phase: paxos.Accepting, accepted: resp}
 		}()
 	}
 }
@@ -213,7 +213,7 @@
 // replica stays alive longer than the proposal.
 func (r *Replica) learn(ctx, alive context.Context, slot uint64, value []byte) error {
 	chosen := []*wire.Chosen{{Epoch: slot, Command: value}}
-	state, err := ask(ctx, r, func(o *owner, reply func(ballot.State, error)) {
+	state, err := ask(ctx, r, func(o *owner, reply func(paxos.State, error)) {
 		records, _, _ := o.state.Learn(&wire.LearnRequest{Formation: o.state.Formation, Chosen: chosen})
 		err := o.commit(records, toLearn)
 		reply(o.state, err)
@@ -224,7 +224,7 @@
 	return err
 }
 
-func (r *Replica) tellAll(alive context.Context, state ballot.State, req *wire.LearnRequest) {
+func (r *Replica) tellAll(alive context.Context, state paxos.State, req *wire.LearnRequest) {
 	for _, core := range state.Others() {
 		go func() {
 			ctx, cancel := context.WithTimeout(alive, r.cfg.EntryTimeout)
@@ -254,19 +254,19 @@
 }
 
 // whole returns the core's state, ahead of the disk, if it votes.
-func (r *Replica) whole(ctx context.Context) (ballot.State, error) {
-	return ask(ctx, r, func(o *owner, reply func(ballot.State, error)) {
+func (r *Replica) whole(ctx context.Context) (paxos.State, error) {
+	return ask(ctx, r, func(o *owner, reply func(paxos.State, error)) {
 		v := o.standing(view{standing: o.state.Standing()})
 		if code := standingCode(v.standing); code != apierror.OK {
-			reply(ballot.State{}, apierror.Errorf(code, "core %s: %s", o.r.cfg.Self, v.waiting))
+			reply(paxos.State{}, apierror.Errorf(code, "core %s: %s", o.r.cfg.Self, v.waiting))
 			return
 		}
 		reply(o.state, nil)
 	})
 }
 
-func (r *Replica) stateNow(ctx context.Context) (ballot.State, error) {
-	return ask(ctx, r, func(o *owner, reply func(ballot.State, error)) { reply(o.state, nil) })
+func (r *Replica) stateNow(ctx context.Context) (paxos.State, error) {
+	return ask(ctx, r, func(o *owner, reply func(paxos.State, error)) { reply(o.state, nil) })
 }
 
 func (r *Replica) sheetNow(ctx context.Context) (sheet.State, error) {
--- a/internal/node/replica/replica.go
+++ b/internal/node/replica/replica.go
@@ -1,5 +1,5 @@
 // Package replica is the runtime of one core's agreement: an owner goroutine
-// that decides with internal/core/ballot, a log on disk, and the calls to the
+// that decides with internal/decision/paxos, a log on disk, and the calls to the
 // other cores.
 package replica
 
@@ -15,7 +15,7 @@
 	"stepwick/internal/adapter/disklog"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
--- a/internal/node/replica/replica_test.go
+++ b/internal/node/replica/replica_test.go
@@ -19,7 +19,7 @@
 	"stepwick/internal/adapter/disklog"
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
--- a/internal/node/replica/view.go
+++ b/internal/node/replica/view.go
@@ -2,7 +2,7 @@
 
 import (
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -5,13 +5,13 @@
 	"strings"
 	"time"
 
-	"stepwick/internal/core/sheet"
-	"stepwick/internal/node/follow"
+	"stepwick/internal/decision/sheet"
+	"stepwick/internal/node/follower"
 	"stepwick/internal/wire"
 )
 
 type processStatus struct {
-	follow.Status
+	follower.Status
 	Ready     bool            `json:"ready"`
 	Cause     string          `json:"cause,omitempty"`
 	Role      string          `json:"role"`
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -8,7 +8,7 @@
 
 	"stepwick/internal/adapter/platform"
 	"stepwick/internal/adapter/upstream"
-	"stepwick/internal/core/balance"
+	"stepwick/internal/decision/balance"
 	"stepwick/internal/node/gateway"
 	"stepwick/internal/port"
 )
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -13,8 +13,8 @@
 
 	"github.com/pkg/errors"
 
-	"stepwick/internal/core/balance"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/sheet"
 )
 
 func checkName(value any) error {
--- a/sim/balance/balance_test.go
+++ b/sim/balance/balance_test.go
@@ -5,7 +5,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/core/balance"
+	"stepwick/internal/decision/balance"
 )
 
 // mean plays a site under some seeds and returns the means of what a policy came
--- a/sim/balance/front.go
+++ b/sim/balance/front.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"stepwick/internal/core/balance"
+	"stepwick/internal/decision/balance"
 	"stepwick/internal/wire"
 )
 
--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"stepwick/internal/core/balance"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 	"stepwick/sim/eventqueue"
 )
--- a/sim/balance/site.go
+++ b/sim/balance/site.go
@@ -1,4 +1,4 @@
-// Package balance simulates the choices of internal/core/balance for many fronts in
+// Package balance simulates the choices of internal/decision/balance for many fronts in
 // front of emulated model servers, in virtual time. The choices are the product's
 // own code; servers, links, clients and the reports of unresponsive servers between
 // fronts are modelled. It compares policies under many seeds, at sizes that one
--- a/sim/confirm/process.go
+++ b/sim/confirm/process.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/sim/confirm/simulate.go
+++ b/sim/confirm/simulate.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/sheet"
 )
 
 // Simulate runs one seed to its end or to the first violation.
--- a/sim/confirm/world.go
+++ b/sim/confirm/world.go
@@ -10,8 +10,8 @@
 	"math/rand/v2"
 	"time"
 
-	"stepwick/internal/core/lease"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/lease"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 )
 
--- a/sim/ballots/model.go
+++ b/sim/paxos/model.go
@@ -1,11 +1,11 @@
-// Package ballots explores internal/core/ballot: exhaustively in a small world
+// Package paxos explores internal/decision/paxos: exhaustively in a small world
 // of one slot, and at random over many slots, seeds and faults. The decisions
 // are those that run in production; only calls, disks and time are the model's.
 //
-//	go test ./sim/ballots                                             as CI does
-//	go test ./sim/ballots -run ExhaustiveLong -long -v -timeout 30m   further
-//	go test ./sim/ballots -run 'Random$' -seeds 3000 -seed 1001 -v    more seeds
-package ballots
+//	go test ./sim/paxos                                             as CI does
+//	go test ./sim/paxos -run ExhaustiveLong -long -v -timeout 30m   further
+//	go test ./sim/paxos -run 'Random$' -seeds 3000 -seed 1001 -v    more seeds
+package paxos
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/wire"
 )
 
@@ -93,10 +93,10 @@
 }
 
 type node struct {
-	state       ballot.State
+	state       paxos.State
 	incarnation int // of the process: answers to an earlier one are lost
 	run         int // of the proposer
-	proposer    *ballot.Proposer
+	proposer    *paxos.Proposer
 	rebuild     *rebuild
 	proposals   int
 	hash        uint64
@@ -129,8 +129,8 @@
 	}
 	w := world{bounds: b, cache: &handlerCache{requests: map[handling]requestResult{}, answers: map[handling]answerResult{}}}
 	for i, name := range names {
-		state := ballot.Joined{Formation: "f", Voters: names}.Fold(ballot.Blank(name))
-		state = ballot.Entered{Lives: map[string]uint64{"a": 1, "b": 1, "c": 1}}.Fold(state)
+		state := paxos.Joined{Formation: "f", Voters: names}.Fold(paxos.Blank(name))
+		state = paxos.Entered{Lives: map[string]uint64{"a": 1, "b": 1, "c": 1}}.Fold(state)
 		w.cores[i] = node{state: state, proposals: b.Ballots[i]}.hashed()
 	}
 	e := explorer{limit: b.States, seen: map[uint64]struct{}{}}
@@ -198,9 +198,9 @@
 }
 
 // found returns the value that a ballot would take up from two voting cores.
-func found(a, b ballot.State) (value []byte, open bool) {
-	var top ballot.Ballot
-	for _, s := range []ballot.State{a, b} {
+func found(a, b paxos.State) (value []byte, open bool) {
+	var top paxos.Ballot
+	for _, s := range []paxos.State{a, b} {
 		if s.Life() == 0 {
 			return nil, false
 		}
--- a/sim/ballots/model_test.go
+++ b/sim/paxos/model_test.go
@@ -1,4 +1,4 @@
-package ballots
+package paxos
 
 import (
 	"flag"
