--- a/sim/ballots/process.go
+++ b/sim/paxos/process.go
@@ -1,11 +1,11 @@
-package ballots
+package paxos
 
 import (
 	"bytes"
 	"encoding/binary"
 	"slices"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/wire"
 )
 
@@ -16,10 +16,10 @@
 	index       int
 	up          bool
 	incarnation int
-	base        ballot.State
-	log         []ballot.Record
+	base        paxos.State
+	log         []paxos.Record
 	synced      int
-	state       ballot.State
+	state       paxos.State
 	waiting     []syncWaiter // in the order of the log
 	slow        int64        // extra time of a sync, ms
 	proposals   int
@@ -43,7 +43,7 @@
 }
 
 // durable returns the state that a crash leaves.
-func (c *core) durable() ballot.State {
+func (c *core) durable() paxos.State {
 	state := c.base
 	for _, record := range c.log[:c.synced] {
 		state = record.Fold(state)
@@ -54,12 +54,12 @@
 // boot starts a process from its disk.
 func (s *sim) boot(c *core) {
 	if c.base.Self == "" {
-		c.base = ballot.Blank(s.names[c.index])
+		c.base = paxos.Blank(s.names[c.index])
 	}
 	c.up = true
 	c.state = c.base
 	for _, record := range c.log {
-		encoded, err := ballot.DecodeRecord(ballot.EncodeRecord(record))
+		encoded, err := paxos.DecodeRecord(paxos.EncodeRecord(record))
 		if err != nil {
 			s.violate("a record can't be read back: %v", err)
 			return
@@ -69,8 +69,8 @@
 	c.synced, c.waiting, c.proposing, c.recovering, c.seen, c.slow = len(c.log), nil, 0, false, 0, 0
 	if s.faults.Flaw == RebuildWithout && c.state.Formation == "" && len(s.chosen) > 0 {
 		other := s.cores[(c.index+1)%len(s.cores)].state
-		joined := ballot.Joined{Formation: other.Formation, Voters: s.names}.Fold(c.state)
-		c.base = ballot.Entered{Lives: other.Lives}.Fold(joined)
+		joined := paxos.Joined{Formation: other.Formation, Voters: s.names}.Fold(c.state)
+		c.base = paxos.Entered{Lives: other.Lives}.Fold(joined)
 		c.state = c.base
 	}
 	c.tick(c.incarnation)
@@ -96,7 +96,7 @@
 }
 
 // commit appends records and folds them; a sync follows.
-func (c *core) commit(records []ballot.Record) {
+func (c *core) commit(records []paxos.Record) {
 	if len(records) == 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 		action()
 	}
 	if c.synced > compactLog && c.waiting == nil || c.synced > compactBusyLog {
-		compacted, err := ballot.Decode(c.state.Encode())
+		compacted, err := paxos.Decode(c.state.Encode())
 		if err != nil {
 			c.sim.violate("a state can't be read back: %v", err)
 		}
@@ -148,7 +148,7 @@
 }
 
 // check checks what the core has learned since before.
-func (c *core) check(before ballot.State) {
+func (c *core) check(before paxos.State) {
 	if c.state.SnapshotEpoch > before.Learned() {
 		epoch := c.state.SnapshotEpoch
 		if epoch > uint64(len(c.sim.rolling)) || !bytes.Equal(c.state.Snapshot, binary.LittleEndian.AppendUint64(nil, c.sim.digest(epoch))) {
--- a/sim/ballots/proposal.go
+++ b/sim/paxos/proposal.go
@@ -1,9 +1,9 @@
-package ballots
+package paxos
 
 import (
 	"fmt"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/wire"
 )
 
@@ -13,7 +13,7 @@
 	incarnation int
 	number      int // of the core's proposals
 	slot        uint64
-	proposer    ballot.Proposer
+	proposer    paxos.Proposer
 	onPrepared  func(core string) func(*wire.PrepareResponse)
 	onAccepted  func(core string) func(*wire.AcceptResponse)
 }
@@ -24,13 +24,13 @@
 	c.proposing = c.proposals
 	slot := c.state.Learned() + 1
 	command := fmt.Appendf(nil, "%s/%d/%d", c.state.Self, c.incarnation, c.proposing)
-	proposer, prepare := ballot.Propose(c.state, slot, max(c.state.NextNumber(slot), c.seen+1), command)
+	proposer, prepare := paxos.Propose(c.state, slot, max(c.state.NextNumber(slot), c.seen+1), command)
 	p := &proposal{core: c, incarnation: c.incarnation, number: c.proposing, slot: slot, proposer: proposer}
 	p.onPrepared = firstAnswer(p.prepared)
 	p.onAccepted = firstAnswer(p.accepted)
 	c.sim.after(c.sim.faults.ProposalTimeout+c.slow, p.timeOut)
 	for _, to := range c.voters() {
-		rpc(c, to, func(acceptor *core) ([]ballot.Record, *wire.PrepareResponse) {
+		rpc(c, to, func(acceptor *core) ([]paxos.Record, *wire.PrepareResponse) {
 			return acceptor.state.Prepare(prepare)
 		}, p.onPrepared(to.state.Self))
 	}
@@ -64,7 +64,7 @@
 	if p.core.proposing != p.number {
 		return
 	}
-	var step ballot.Step
+	var step paxos.Step
 	p.proposer, step = p.proposer.Promise(answer)
 	p.proceed(step)
 }
@@ -73,13 +73,13 @@
 	if p.core.proposing != p.number {
 		return
 	}
-	var step ballot.Step
+	var step paxos.Step
 	p.proposer, step = p.proposer.Accepted(answer)
 	p.proceed(step)
 }
 
 // proceed takes the proposer's next step.
-func (p *proposal) proceed(step ballot.Step) {
+func (p *proposal) proceed(step paxos.Step) {
 	switch {
 	case step.Accept != nil:
 		p.sendAccept(step.Accept)
@@ -95,7 +95,7 @@
 
 func (p *proposal) sendAccept(accept *wire.AcceptRequest) {
 	for _, to := range p.core.voters() {
-		rpc(p.core, to, func(acceptor *core) ([]ballot.Record, *wire.AcceptResponse) {
+		rpc(p.core, to, func(acceptor *core) ([]paxos.Record, *wire.AcceptResponse) {
 			return acceptor.state.Accept(accept)
 		}, p.onAccepted(to.state.Self))
 	}
@@ -109,7 +109,7 @@
 	c.proposing = 0
 	learn := &wire.LearnRequest{Formation: p.proposer.Formation, Chosen: []*wire.Chosen{{Epoch: p.slot, Command: value}}}
 	for _, to := range c.voters() {
-		rpc(c, to, func(learner *core) ([]ballot.Record, *wire.LearnResponse) {
+		rpc(c, to, func(learner *core) ([]paxos.Record, *wire.LearnResponse) {
 			records, resp, _ := learner.state.Learn(learn)
 			return records, resp
 		}, func(*wire.LearnResponse) {})
--- a/sim/ballots/protocol.go
+++ b/sim/paxos/protocol.go
@@ -1,10 +1,10 @@
-package ballots
+package paxos
 
 import (
 	"fmt"
 	"slices"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/wire"
 )
 
@@ -30,7 +30,7 @@
 		c.sim.after(probeGrace, proceed)
 	}
 	for _, other := range c.others() {
-		rpc(c, other, func(o *core) ([]ballot.Record, *wire.RecoverResponse) {
+		rpc(c, other, func(o *core) ([]paxos.Record, *wire.RecoverResponse) {
 			return o.state.Recover(&wire.RecoverRequest{Core: c.state.Self, Probe: true})
 		}, take(other.state.Self))
 	}
@@ -43,7 +43,7 @@
 			continue
 		}
 		if record, ok := c.state.Rejoin(probes[name]); ok {
-			c.commit([]ballot.Record{record})
+			c.commit([]paxos.Record{record})
 			return true
 		}
 	}
@@ -60,16 +60,16 @@
 		if !ok {
 			return
 		}
-		c.commit([]ballot.Record{record})
-		joined := record.(ballot.Joined)
+		c.commit([]paxos.Record{record})
+		joined := record.(paxos.Joined)
 		c.whenSynced(func() { c.inviteOthers(joined) })
 	})
 }
 
 // inviteOthers asks the other cores to join an established formation.
-func (c *core) inviteOthers(joined ballot.Joined) {
+func (c *core) inviteOthers(joined paxos.Joined) {
 	for _, other := range c.others() {
-		rpc(c, other, func(o *core) ([]ballot.Record, *wire.FoundResponse) {
+		rpc(c, other, func(o *core) ([]paxos.Record, *wire.FoundResponse) {
 			return o.state.Found(&wire.FoundRequest{Formation: joined.Formation, Voters: joined.Voters, Founder: c.state.Self})
 		}, func(*wire.FoundResponse) {})
 	}
@@ -96,7 +96,7 @@
 			return
 		}
 		if next != c.state.Announced {
-			c.commit([]ballot.Record{ballot.Lived{Core: c.state.Self, Life: next}})
+			c.commit([]paxos.Record{paxos.Lived{Core: c.state.Self, Life: next}})
 		}
 		c.whenSynced(func() { c.announce(next, probes) })
 	})
@@ -116,14 +116,14 @@
 			return
 		}
 		if record, waiting := c.state.Enter(diskLife, answers); waiting == "" {
-			c.commit([]ballot.Record{record})
+			c.commit([]paxos.Record{record})
 		}
 	})
 	for _, other := range c.others() {
 		if !slices.Contains(sources, other.state.Self) {
 			continue
 		}
-		rpc(c, other, func(o *core) ([]ballot.Record, *wire.RecoverResponse) {
+		rpc(c, other, func(o *core) ([]paxos.Record, *wire.RecoverResponse) {
 			records, answer := o.state.Recover(&wire.RecoverRequest{Formation: formation, Core: c.state.Self, Life: diskLife})
 			if c.sim.faults.Flaw == LifeForgotten {
 				records = nil
@@ -155,7 +155,7 @@
 // process that has been replaced abandons its disk: a detached one ends, any other
 // restarts with a blank disk.
 func (c *core) checkReplaced(other *core) {
-	rpc(c, other, func(o *core) ([]ballot.Record, *wire.ReadResponse) {
+	rpc(c, other, func(o *core) ([]paxos.Record, *wire.ReadResponse) {
 		return nil, o.state.Read(&wire.ReadRequest{Formation: c.state.Formation, Core: c.state.Self})
 	}, func(resp *wire.ReadResponse) {
 		if resp.Life <= c.state.Life() || c.state.Life() == 0 {
@@ -169,14 +169,14 @@
 		for _, other := range c.others() {
 			c.sim.outcome.Lost = c.sim.outcome.Lost || other.durable().Life() == 0
 		}
-		c.base, c.log, c.synced = ballot.Blank(c.state.Self), nil, 0
+		c.base, c.log, c.synced = paxos.Blank(c.state.Self), nil, 0
 		c.sim.after(c.sim.between(1, 600), func() { c.sim.boot(c) })
 	})
 }
 
 func (c *core) fetch(from *core) {
 	req := &wire.FetchRequest{Formation: c.state.Formation, After: c.state.Learned()}
-	rpc(c, from, func(o *core) ([]ballot.Record, *wire.FetchResponse) {
+	rpc(c, from, func(o *core) ([]paxos.Record, *wire.FetchResponse) {
 		resp, apiErr := o.state.Fetch(req)
 		if apiErr != nil {
 			return nil, nil
--- a/sim/ballots/random.go
+++ b/sim/paxos/random.go
@@ -1,4 +1,4 @@
-package ballots
+package paxos
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/sim/eventqueue"
 )
 
@@ -60,7 +60,7 @@
 	s := &sim{random: rand.New(rand.NewPCG(seed, 7)), faults: faults, chosen: map[uint64][]byte{},
 		names: fiveNames[:faults.Cores], old: make([]*core, faults.Cores)}
 	for i, name := range s.names {
-		s.cores = append(s.cores, &core{sim: s, index: i, state: ballot.Blank(name)})
+		s.cores = append(s.cores, &core{sim: s, index: i, state: paxos.Blank(name)})
 	}
 	for _, c := range s.cores {
 		s.boot(c)
@@ -195,7 +195,7 @@
 		if s.faults.Replaced {
 			s.detach(c)
 		}
-		c.base, c.log, c.synced = ballot.Blank(c.state.Self), nil, 0
+		c.base, c.log, c.synced = paxos.Blank(c.state.Self), nil, 0
 	} else {
 		c.log = c.log[:s.random.IntN(len(c.log)-c.synced+1)+c.synced]
 	}
@@ -236,7 +236,7 @@
 			blank++
 		}
 	}
-	tolerated := len(s.cores) - ballot.State{Voters: s.names}.Majority()
+	tolerated := len(s.cores) - paxos.State{Voters: s.names}.Majority()
 	if blank == tolerated && s.faults.TwoWipes && c.durable().Life() != 0 && len(s.chosen) > 0 {
 		s.outcome.Lost = true
 		return true
--- a/sim/ballots/rpc.go
+++ b/sim/paxos/rpc.go
@@ -1,9 +1,9 @@
-package ballots
+package paxos
 
 import (
 	"slices"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 )
 
 // call is one request from a core to another and its answer. Either may be lost,
@@ -12,13 +12,13 @@
 	sim         *sim
 	from, to    *core
 	incarnation int // of the caller
-	handle      func(*core) ([]ballot.Record, A)
+	handle      func(*core) ([]paxos.Record, A)
 	answered    func(A)
 }
 
 // rpc calls one core. The answer leaves once all that the callee has appended is
 // synced, and is lost if the caller has crashed by then.
-func rpc[A any](from, to *core, handle func(*core) ([]ballot.Record, A), answered func(A)) {
+func rpc[A any](from, to *core, handle func(*core) ([]paxos.Record, A), answered func(A)) {
 	s := from.sim
 	c := &call[A]{sim: s, from: from, to: to, incarnation: from.incarnation, handle: handle, answered: answered}
 	if c.lost() {
--- a/sim/ballots/transitions.go
+++ b/sim/paxos/transitions.go
@@ -1,4 +1,4 @@
-package ballots
+package paxos
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"stepwick/internal/core/ballot"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/wire"
 )
 
@@ -16,7 +16,7 @@
 	if n.proposals == 0 || n.state.Life() == 0 || n.state.Learned() >= slot {
 		return false
 	}
-	p, req := ballot.Propose(n.state, slot, n.state.NextNumber(slot), fmt.Appendf(nil, "%s%d", names[i], n.run+1))
+	p, req := paxos.Propose(n.state, slot, n.state.NextNumber(slot), fmt.Appendf(nil, "%s%d", names[i], n.run+1))
 	n.proposer, n.proposals = &p, n.proposals-1
 	n.run++
 	w.cores[i] = n.hashed()
@@ -43,7 +43,7 @@
 	}
 	w.bounds.Rebuilds--
 	n.rebuild = &rebuild{diskLife: diskLife}
-	n.state = ballot.Lived{Core: names[i], Life: diskLife}.Fold(n.state)
+	n.state = paxos.Lived{Core: names[i], Life: diskLife}.Fold(n.state)
 	w.cores[i] = n.hashed()
 	for to := range w.cores {
 		if to != i {
@@ -62,9 +62,9 @@
 	}
 	w.bounds.Wipes--
 	n := w.cores[i]
-	state := ballot.Joined{Formation: "f", Voters: names}.Fold(ballot.Blank(names[i]))
+	state := paxos.Joined{Formation: "f", Voters: names}.Fold(paxos.Blank(names[i]))
 	if w.bounds.Flaw == RebuildWithout {
-		state = ballot.Entered{Lives: n.state.Lives}.Fold(state)
+		state = paxos.Entered{Lives: n.state.Lives}.Fold(state)
 	}
 	w.cores[i] = node{state: state, incarnation: n.incarnation + 1, run: n.run, proposals: n.proposals}.hashed()
 	return visit(step{what: "wipe", core: i}, w)
@@ -122,7 +122,7 @@
 func (w world) handleRequest(msg *message) requestResult {
 	answer := &message{from: msg.to, to: msg.from, incarnation: msg.incarnation, run: msg.run}
 	n := w.cores[msg.to]
-	var records []ballot.Record
+	var records []paxos.Record
 	switch {
 	case msg.prepare != nil:
 		records, answer.prepared = n.state.Prepare(msg.prepare)
@@ -149,12 +149,12 @@
 	return given
 }
 
-func (w world) bendPrepared(s ballot.State, req *wire.PrepareRequest, resp *wire.PrepareResponse) {
+func (w world) bendPrepared(s paxos.State, req *wire.PrepareRequest, resp *wire.PrepareResponse) {
 	switch w.bounds.Flaw {
 	case LivesHidden:
 		resp.Lives = firstLives
 	case PromiseTwice:
-		if vote := s.Votes[req.Slot]; !resp.Promised && resp.Refusal == 0 && !resp.Chosen && vote.Promised == ballot.Of(req.Ballot) {
+		if vote := s.Votes[req.Slot]; !resp.Promised && resp.Refusal == 0 && !resp.Chosen && vote.Promised == paxos.Of(req.Ballot) {
 			resp.Promised, resp.AcceptedBallot, resp.AcceptedValue = true, vote.Accepted.Wire(), vote.Value
 		}
 	}
@@ -190,15 +190,15 @@
 }
 
 func (w world) proposed(n node, msg *message) answerResult {
-	var p ballot.Proposer
-	var next ballot.Step
+	var p paxos.Proposer
+	var next paxos.Step
 	if msg.prepared != nil {
 		p, next = n.proposer.Promise(msg.prepared)
 	} else {
 		p, next = n.proposer.Accepted(msg.accepted)
 	}
 	n.proposer = &p
-	if p.Phase == ballot.Ended {
+	if p.Phase == paxos.Ended {
 		n.proposer = nil
 	}
 	got := answerResult{}
--- a/sim/tally/fleet.go
+++ b/sim/quota/fleet.go
@@ -1,7 +1,7 @@
-// Package tally runs the fronts' limiters and the owners' counters of a tenant's
+// Package quota runs the fronts' limiters and the owners' counters of a tenant's
 // quota, the same code that decides in production, as a fleet in virtual time. A
 // checker compares what callers asked for with what they got.
-package tally
+package quota
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
 	"stepwick/sim/eventqueue"
 )
 
@@ -18,8 +18,8 @@
 // fractions of the tenant's limit.
 type Fleet struct {
 	Seed         uint64
-	Config       tally.Config
-	Terms        tally.Terms
+	Config       quota.Config
+	Terms        quota.Terms
 	Fronts       int           // defaults to 9
 	FirstRegion  int           // number of fronts in the first region, the others are in the second; defaults to 6
 	RegionDelay  time.Duration // longest delay between regions; defaults to 150 ms
@@ -56,7 +56,7 @@
 	At, Answered time.Duration
 	Front        int
 	Tokens       float64
-	Decision     tally.Decision
+	Decision     quota.Decision
 }
 
 const (
@@ -106,7 +106,7 @@
 	f.QueueTimeout = cmp.Or(f.QueueTimeout, 2500*time.Millisecond)
 	f.Config.Window = cmp.Or(f.Config.Window, defaultWindow)
 	f.Config.Interval = cmp.Or(f.Config.Interval, 200*time.Millisecond)
-	f.Terms = cmp.Or(f.Terms, tally.Terms{Rate: 1000, Burst: 2000})
+	f.Terms = cmp.Or(f.Terms, quota.Terms{Rate: 1000, Burst: 2000})
 	return f
 }
 
@@ -116,7 +116,7 @@
 		r.names = append(r.names, fmt.Sprintf("front-%d-%d", i, f.Seed))
 	}
 	if f.OwnerFirst {
-		owner := r.index(tally.HolderOf(tenant, r.names))
+		owner := r.index(quota.HolderOf(tenant, r.names))
 		r.names[0], r.names[owner] = r.names[owner], r.names[0]
 	}
 	for _, name := range r.names {
--- a/sim/tally/fleet_test.go
+++ b/sim/quota/fleet_test.go
@@ -1,4 +1,4 @@
-package tally
+package quota
 
 import (
 	"flag"
@@ -11,10 +11,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
 )
 
-// The long run: go test ./sim/tally -run Scenarios -seeds 200 -report
+// The long run: go test ./sim/quota -run Scenarios -seeds 200 -report
 var (
 	seeds        = flag.Int("seeds", 2, "seeds of each scenario")
 	first        = flag.Uint64("first", 1, "first seed")
@@ -25,14 +25,14 @@
 )
 
 func play(scenario Scenario, seed uint64) (result, exact Result) {
-	return playWithout(scenario, seed, tally.Exception(*without))
+	return playWithout(scenario, seed, quota.Exception(*without))
 }
 
-func playWithout(scenario Scenario, seed uint64, without tally.Exception) (result, exact Result) {
+func playWithout(scenario Scenario, seed uint64, without quota.Exception) (result, exact Result) {
 	setup := scenario.Draw(rand.New(rand.NewPCG(seed, 1)))
 	fleet := setup.Fleet
 	fleet.Seed = seed
-	fleet.Config = tally.Config{Without: without, Slices: *windowSlices}
+	fleet.Config = quota.Config{Without: without, Slices: *windowSlices}
 	firstRegion := fleet.withDefaults().FirstRegion
 	requests := fleet.Run()
 	result = Check(requests, firstRegion, setup.ExcessFrom, setup.ExcessUntil)
@@ -87,8 +87,8 @@
 // one, and looks whether the checker sees it in one of the scenarios. The bound on a
 // span is not among them: with shares in place no scenario needs it at this seed.
 func TestEachExceptionIsNeeded(t *testing.T) {
-	for name, exception := range map[string]tally.Exception{"the mark's early end": tally.MarkEnds,
-		"the room": tally.Room, "shares": tally.Share, "holding": tally.Hold} {
+	for name, exception := range map[string]quota.Exception{"the mark's early end": quota.MarkEnds,
+		"the room": quota.Room, "shares": quota.Share, "holding": quota.Hold} {
 		Convey("Without "+name+" a tenant gets too much or too little", t, func() {
 			So(firstBroken(exception), ShouldNotBeEmpty)
 		})
@@ -97,7 +97,7 @@
 
 // firstBroken returns what breaks in the first scenario that does not hold
 // without an exception.
-func firstBroken(without tally.Exception) []string {
+func firstBroken(without quota.Exception) []string {
 	for _, scenario := range Scenarios() {
 		result, exact := playWithout(scenario, 1, without)
 		if broken := scenario.Broken(result, exact); len(broken) > 0 {
@@ -117,7 +117,7 @@
 
 func TestChecker(t *testing.T) {
 	pass := func(at time.Duration, tokens float64) Request {
-		return Request{At: at, Answered: at, Tokens: tokens, Decision: tally.Decision{Pass: true}}
+		return Request{At: at, Answered: at, Tokens: tokens, Decision: quota.Decision{Pass: true}}
 	}
 	var even []Request
 	for at := time.Duration(0); at < 40*second; at += 80 * time.Millisecond {
@@ -132,7 +132,7 @@
 		So(scenario.Broken(Check(much, 6, 0, 0), Result{}), ShouldHaveLength, 1)
 		little := append(append([]Request(nil), even[:200]...), even[250:]...)
 		So(scenario.Broken(Check(little, 6, 0, 40*second), Result{}), ShouldHaveLength, 1)
-		refused := []Request{pass(0, 0.1), {At: second, Answered: second, Tokens: 0.1, Decision: tally.Decision{Code: apierror.ShareExceeded}}}
+		refused := []Request{pass(0, 0.1), {At: second, Answered: second, Tokens: 0.1, Decision: quota.Decision{Code: apierror.ShareExceeded}}}
 		So(scenario.Broken(Check(refused, 6, 0, 0), Result{}), ShouldHaveLength, 1)
 		So(Scenario{Require: Requirements{Max: maxAdmitted, MinByRegion: 0.2, MaxRefused: refusalsAllowed}}.Broken(Check(even, 6, 0, 40*second), Result{}), ShouldHaveLength, 1)
 	})
--- a/sim/tally/front.go
+++ b/sim/quota/front.go
@@ -1,9 +1,9 @@
-package tally
+package quota
 
 import (
 	"time"
 
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
 	"stepwick/internal/wire"
 )
 
@@ -17,8 +17,8 @@
 // owns, its counter.
 type front struct {
 	name        string
-	limiter     *tally.Book
-	counter     *tally.Ledger
+	limiter     *quota.Book
+	counter     *quota.Ledger
 	incarnation uint64
 	down        bool
 	frozen      bool
@@ -41,8 +41,8 @@
 	f := r.fronts[i]
 	f.down = false
 	f.incarnation++
-	f.limiter = tally.NewBook(f.name, r.Config)
-	f.counter = tally.NewLedger(f.name, f.incarnation, r.Config)
+	f.limiter = quota.NewBook(f.name, r.Config)
+	f.counter = quota.NewLedger(f.name, f.incarnation, r.Config)
 	f.sentTo = map[string]bool{}
 	f.inFlight = map[string]int{}
 	f.pending = nil
--- a/sim/tally/network.go
+++ b/sim/quota/network.go
@@ -1,9 +1,9 @@
-package tally
+package quota
 
 import (
 	"time"
 
-	"stepwick/internal/core/tally"
+	"stepwick/internal/decision/quota"
 	"stepwick/internal/wire"
 )
 
@@ -64,8 +64,8 @@
 
 // ownerOf returns front i's choice of a tenant's owner.
 func (r *run) ownerOf(i int) func(tenant string) string {
-	reached := tally.Reached(r.reachability(i))
-	return func(tenant string) string { return tally.HolderOf(tenant, reached) }
+	reached := quota.Reached(r.reachability(i))
+	return func(tenant string) string { return quota.HolderOf(tenant, reached) }
 }
 
 // exchange is one request with counts from a front to an owner, by index.
--- a/sim/route/request.go
+++ b/sim/route/request.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/core/route"
+	"stepwick/internal/decision/route"
 )
 
 func (s *sim) arrive(n int) {
--- a/sim/route/sim.go
+++ b/sim/route/sim.go
@@ -1,5 +1,5 @@
-// Package route runs fronts that route by internal/core/route, and plans by
-// internal/core/plan, over model servers in virtual time. Fronts see the
+// Package route runs fronts that route by internal/decision/route, and plans by
+// internal/decision/plan, over model servers in virtual time. Fronts see the
 // servers' status and the plan late, as over watchers and the feed. Equal
 // configurations give equal results.
 package route
@@ -12,9 +12,9 @@
 	"slices"
 	"time"
 
-	"stepwick/internal/core/plan"
-	"stepwick/internal/core/route"
-	"stepwick/internal/core/sheet"
+	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/route"
+	"stepwick/internal/decision/sheet"
 	"stepwick/internal/wire"
 	"stepwick/sim/eventqueue"
 )
--- a/sim/route/sim_test.go
+++ b/sim/route/sim_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"stepwick/internal/core/plan"
-	"stepwick/internal/core/route"
+	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/route"
 )
 
 const (
