--- a/cmd/rig/checker/judge_test.go
+++ b/cmd/rig/checker/judge_test.go
@@ -27,19 +27,19 @@
 		{ID: "w1", Server: "web1", Kind: "web", Token: "g1", Arrived: second, Ran: true, Final: true},
 	}
 	l.Orders = []history.Order{
-		{ID: "o1", Verb: "put", Base: 0, Told: 2 * second, Status: 200, Epoch: 3, Mark: "1"},
-		{ID: "o2", Verb: "patch", Base: 3, Sent: 10 * second, Told: 10 * second, Status: 200, Epoch: 4, Mark: "2"},
+		{ID: "o1", Verb: "put", Base: 0, Told: 2 * second, Status: 200, Version: 3, Mark: "1"},
+		{ID: "o2", Verb: "patch", Base: 3, Sent: 10 * second, Told: 10 * second, Status: 200, Version: 4, Mark: "2"},
 		{ID: "o3", Verb: "patch", Base: 3, Sent: 10 * second, Told: 10 * second, Status: 409, Code: int(apierror.BaseMoved), Mark: "3"},
-		{ID: "o4", Verb: "evacuate", Target: "lagos/a", Sent: 20 * second, Told: 20 * second, Status: 200, Epoch: 5},
+		{ID: "o4", Verb: "evacuate", Target: "lagos/a", Sent: 20 * second, Told: 20 * second, Status: 200, Version: 5},
 	}
-	l.KeyMarks = []history.KeyMark{{Key: 1, Sent: second, Acked: 2 * second, Epoch: 3}, {Key: 2, Sent: 10 * second, Acked: 10 * second, Epoch: 4}}
+	l.KeyMarks = []history.KeyMark{{Key: 1, Sent: second, Acked: 2 * second, Version: 3}, {Key: 2, Sent: 10 * second, Acked: 10 * second, Version: 4}}
 	l.Probes = []history.Probe{
 		{Front: "front1", Key: 1, Sent: 11 * second, Done: 11 * second, Status: 200},
 		{Front: "front1", Key: 2, Sent: 12 * second, Done: 12 * second, Status: 200},
 		{Front: "front1", Key: 1, Sent: 20 * second, Done: 20 * second, Status: 403, Code: int(apierror.UnknownKey)},
 		{Front: "front2", Key: 2, Sent: 20 * second, Done: 20 * second, Status: 503, Code: int(apierror.NotRuling)},
 	}
-	l.ReadBacks = []history.ReadBack{{Front: "front1", Sent: 30 * second, Status: 200, Epoch: 4, Mark: "2"}}
+	l.ReadBacks = []history.ReadBack{{Front: "front1", Sent: 30 * second, Status: 200, Version: 4, Mark: "2"}}
 	l.Shows = []history.Show{{At: 0, Server: "model1", State: "ready"}, {At: 30 * second, Server: "model1", State: "draining"}}
 	return l
 }
@@ -90,7 +90,7 @@
 		{"body", "another request's body", func(l *history.Ledger) { l.Attempts[1].Body = "g9" }},
 		{"body", "another request's id", func(l *history.Ledger) { l.Attempts[1].AnswerID = "g9" }},
 		{"late", "an answer after its deadline", func(l *history.Ledger) { l.Attempts[1].First = 7 * second }},
-		{"lost_sheet", "an older sheet read back", func(l *history.Ledger) { l.ReadBacks[0].Epoch, l.ReadBacks[0].Mark = 3, "1" }},
+		{"lost_sheet", "an older sheet read back", func(l *history.Ledger) { l.ReadBacks[0].Version, l.ReadBacks[0].Mark = 3, "1" }},
 		{"lost_sheet", "another sheet under the acknowledged epoch", func(l *history.Ledger) { l.ReadBacks[0].Mark = "1" }},
 		{"old_sheet", "a superseded key that passes", func(l *history.Ledger) { l.Probes[0].Sent, l.Probes[0].Done = 13*second, 13*second }},
 		{"old_sheet", "a key of the newest sheet that is unknown", func(l *history.Ledger) {
@@ -100,13 +100,13 @@
 			l.Probes = append(l.Probes, history.Probe{Front: "front1", Key: 1, Sent: 12100 * time.Millisecond, Done: 12200 * time.Millisecond, Status: 200})
 		}},
 		{"invalid_sheet", "an invalid sheet that was taken", func(l *history.Ledger) { l.Orders[1].Invalid = true }},
-		{"race", "two winners", func(l *history.Ledger) { l.Orders[2].Status, l.Orders[2].Code, l.Orders[2].Epoch = 200, 0, 6 }},
+		{"race", "two winners", func(l *history.Ledger) { l.Orders[2].Status, l.Orders[2].Code, l.Orders[2].Version = 200, 0, 6 }},
 		{"race", "no winner", func(l *history.Ledger) {
 			l.Orders = append(l.Orders, history.Order{ID: "x1", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(apierror.BaseMoved)},
 				history.Order{ID: "x2", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(apierror.BaseMoved)})
 		}},
 		{"resent", "an order accepted twice", func(l *history.Ledger) {
-			l.Orders = append(l.Orders, history.Order{ID: "o2", Verb: "patch", Base: 3, Status: 200, Epoch: 9, Mark: "2"})
+			l.Orders = append(l.Orders, history.Order{ID: "o2", Verb: "patch", Base: 3, Status: 200, Version: 9, Mark: "2"})
 		}},
 		{"resent", "an accepted order that is refused when sent again", func(l *history.Ledger) {
 			l.Orders = append(l.Orders, history.Order{ID: "o2", Verb: "patch", Base: 3, Status: 409, Code: int(apierror.BaseMoved)})
--- a/cmd/rig/checker/orders.go
+++ b/cmd/rig/checker/orders.go
@@ -11,10 +11,10 @@
 func isSheet(o history.Order) bool { return o.Verb == "put" || o.Verb == "patch" }
 
 func lostSheet(l *history.Ledger) (found []string) {
-	epochs := map[string]uint64{}
+	versions := map[string]uint64{}
 	for _, o := range l.Orders {
 		if o.Won() && isSheet(o) && o.Mark != "" {
-			epochs[o.Mark] = o.Epoch
+			versions[o.Mark] = o.Version
 		}
 	}
 	for _, back := range l.ReadBacks {
@@ -23,18 +23,18 @@
 		}
 		var best history.Order
 		for _, o := range l.Orders {
-			if o.Won() && isSheet(o) && o.Told < back.Sent && o.Epoch > best.Epoch {
+			if o.Won() && isSheet(o) && o.Told < back.Sent && o.Version > best.Version {
 				best = o
 			}
 		}
-		marked, known := epochs[back.Mark]
+		marked, known := versions[back.Mark]
 		switch {
-		case back.Epoch < best.Epoch:
-			say(&found, "read back through %s at %s: sheet epoch %d, but %d (order %s) was acknowledged at %s", back.Front, sec(back.Sent), back.Epoch, best.Epoch, best.ID, sec(best.Told))
-		case back.Epoch == best.Epoch && best.Mark != "" && back.Mark != best.Mark:
-			say(&found, "read back through %s at %s: sheet epoch %d has mark %q, order %s put %q there", back.Front, sec(back.Sent), back.Epoch, back.Mark, best.ID, best.Mark)
-		case known && marked != back.Epoch && marked < best.Epoch:
-			say(&found, "read back through %s at %s: sheet epoch %d holds mark %s of epoch %d", back.Front, sec(back.Sent), back.Epoch, back.Mark, marked)
+		case back.Version < best.Version:
+			say(&found, "read back through %s at %s: sheet epoch %d, but %d (order %s) was acknowledged at %s", back.Front, sec(back.Sent), back.Version, best.Version, best.ID, sec(best.Told))
+		case back.Version == best.Version && best.Mark != "" && back.Mark != best.Mark:
+			say(&found, "read back through %s at %s: sheet epoch %d has mark %q, order %s put %q there", back.Front, sec(back.Sent), back.Version, back.Mark, best.ID, best.Mark)
+		case known && marked != back.Version && marked < best.Version:
+			say(&found, "read back through %s at %s: sheet epoch %d holds mark %s of epoch %d", back.Front, sec(back.Sent), back.Version, back.Mark, marked)
 		}
 	}
 	return found
@@ -55,7 +55,7 @@
 // was acknowledged.
 func outdated(l *history.Ledger, own history.KeyMark) (at history.At, by history.KeyMark, ok bool) {
 	for _, m := range l.KeyMarks {
-		if m.Acked > 0 && m.Epoch > own.Epoch && (!ok || m.Acked < at) {
+		if m.Acked > 0 && m.Version > own.Version && (!ok || m.Acked < at) {
 			at, by, ok = m.Acked, m, true
 		}
 	}
@@ -76,10 +76,10 @@
 			continue
 		}
 		if at, over := ends[p.Key]; over && p.Passed() && p.Sent >= at+OldAfter {
-			say(&found, "%s passed probe key %d (epoch %d) at %s; a newer sheet was acknowledged at %s, %s before", p.Front, p.Key, m.Epoch, sec(p.Sent), sec(at), sec(p.Sent-at))
+			say(&found, "%s passed probe key %d (epoch %d) at %s; a newer sheet was acknowledged at %s, %s before", p.Front, p.Key, m.Version, sec(p.Sent), sec(at), sec(p.Sent-at))
 		}
 		if p.Unknown() && p.Sent >= m.Acked+OldAfter && !laterSent(l, m, p.Done) {
-			say(&found, "%s did not know probe key %d (epoch %d) at %s; its sheet was acknowledged at %s, %s before", p.Front, p.Key, m.Epoch, sec(p.Sent), sec(m.Acked), sec(p.Sent-m.Acked))
+			say(&found, "%s did not know probe key %d (epoch %d) at %s; its sheet was acknowledged at %s, %s before", p.Front, p.Key, m.Version, sec(p.Sent), sec(m.Acked), sec(p.Sent-m.Acked))
 		}
 	}
 	return found
@@ -88,7 +88,7 @@
 // laterSent tells whether any other sheet that may be newer was sent by an instant.
 func laterSent(l *history.Ledger, m history.KeyMark, by history.At) bool {
 	for _, other := range l.KeyMarks {
-		if other.Key != m.Key && other.Sent <= by && (other.Acked == 0 || other.Epoch > m.Epoch) {
+		if other.Key != m.Key && other.Sent <= by && (other.Acked == 0 || other.Version > m.Version) {
 			return true
 		}
 	}
@@ -98,8 +98,8 @@
 func stepBack(l *history.Ledger) (found []string) {
 	acked := marks(l)
 	type seen struct {
-		epoch uint64
-		done  history.At
+		version uint64
+		done    history.At
 	}
 	highest := map[string][]seen{}
 	probes := append([]history.Probe(nil), l.Probes...)
@@ -110,13 +110,13 @@
 			continue
 		}
 		for _, before := range highest[p.Front] {
-			if before.epoch > m.Epoch && before.done <= p.Sent {
-				say(&found, "%s ruled by epoch %d at %s and by epoch %d again at %s", p.Front, before.epoch, sec(before.done), m.Epoch, sec(p.Sent))
+			if before.version > m.Version && before.done <= p.Sent {
+				say(&found, "%s ruled by epoch %d at %s and by epoch %d again at %s", p.Front, before.version, sec(before.done), m.Version, sec(p.Sent))
 				break
 			}
 		}
-		if last := highest[p.Front]; len(last) == 0 || last[len(last)-1].epoch < m.Epoch {
-			highest[p.Front] = append(last, seen{m.Epoch, p.Done})
+		if last := highest[p.Front]; len(last) == 0 || last[len(last)-1].version < m.Version {
+			highest[p.Front] = append(last, seen{m.Version, p.Done})
 		}
 	}
 	return found
@@ -125,7 +125,7 @@
 func invalidSheet(l *history.Ledger) (found []string) {
 	for _, o := range l.Orders {
 		if o.Invalid && o.Won() {
-			say(&found, "order %s has an invalid sheet and was acknowledged at %s as epoch %d", o.ID, sec(o.Told), o.Epoch)
+			say(&found, "order %s has an invalid sheet and was acknowledged at %s as epoch %d", o.ID, sec(o.Told), o.Version)
 		}
 	}
 	return found
@@ -141,7 +141,7 @@
 		group := fmt.Sprint("base ", o.Base)
 		if o.Won() {
 			if first, ok := winner[group]; ok && first.ID != o.ID {
-				say(&found, "orders %s and %s, both on %s, were told that they won (epochs %d and %d)", first.ID, o.ID, group, first.Epoch, o.Epoch)
+				say(&found, "orders %s and %s, both on %s, were told that they won (epochs %d and %d)", first.ID, o.ID, group, first.Version, o.Version)
 			} else {
 				winner[group] = o
 			}
@@ -172,15 +172,15 @@
 	won := map[string]history.Order{}
 	for _, o := range l.Orders {
 		if o.Won() {
-			if first, ok := won[o.ID]; ok && first.Epoch != o.Epoch {
-				say(&found, "order %s was accepted as epoch %d and again as epoch %d", o.ID, first.Epoch, o.Epoch)
+			if first, ok := won[o.ID]; ok && first.Version != o.Version {
+				say(&found, "order %s was accepted as epoch %d and again as epoch %d", o.ID, first.Version, o.Version)
 			}
 			won[o.ID] = o
 		}
 	}
 	for _, o := range l.Orders {
 		if w, ok := won[o.ID]; ok && !o.Lost && o.Status >= 400 && o.Status < 500 {
-			say(&found, "order %s was accepted as epoch %d and, sent again at %s through %s, refused with code %d", o.ID, w.Epoch, sec(o.Sent), o.Front, o.Code)
+			say(&found, "order %s was accepted as epoch %d and, sent again at %s through %s, refused with code %d", o.ID, w.Version, sec(o.Sent), o.Front, o.Code)
 		}
 	}
 	applied := map[string]bool{}
@@ -205,7 +205,7 @@
 			continue
 		}
 		if at, by, over := outdated(l, m); over && p.Sent >= at+RevokedAfter {
-			say(&found, "%s passed probe key %d at %s; epoch %d that revoked it was acknowledged at %s", p.Front, p.Key, sec(p.Sent), by.Epoch, sec(at))
+			say(&found, "%s passed probe key %d at %s; epoch %d that revoked it was acknowledged at %s", p.Front, p.Key, sec(p.Sent), by.Version, sec(at))
 		}
 	}
 	return found
--- a/cmd/rig/demo.go
+++ b/cmd/rig/demo.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	troubles := operate(s, length)
-	epochs := s.Epochs(5 * time.Second)
+	versions := s.Versions(5 * time.Second)
 	l := s.Close()
 	found := checker.Find(&l)
 	faultcase.Report(os.Stdout, "demo", found)
@@ -54,14 +54,14 @@
 		fmt.Println("TROUBLE", t)
 	}
 	_, newest := s.Control.Newest()
-	for node, epoch := range epochs {
-		if epoch != newest {
+	for node, version := range versions {
+		if version != newest {
 			troubles = append(troubles, node)
 			fmt.Printf("TROUBLE node %s is not at the newest sheet epoch %d\n", node, newest)
 		}
 	}
 	sum := faultcase.Sum(&l, s.Began)
-	sum.Violations, sum.Epochs = len(found)+len(troubles), epochs
+	sum.Violations, sum.Versions = len(found)+len(troubles), versions
 	line, _ := json.Marshal(sum)
 	fmt.Println(string(line))
 	if sum.Violations > 0 {
@@ -86,7 +86,7 @@
 		if !told.Won() {
 			return append(troubles, fmt.Sprintf("change %d: status %d code %d %s", i+1, told.Status, told.Code, told.Detail))
 		}
-		base = told.Epoch
+		base = told.Version
 	}
 	racers := []*loadgen.Order{s.Control.Change("ade", base), s.Control.Change("bola", base)}
 	told := make([]history.Order, 2)
@@ -104,8 +104,8 @@
 	s.Control.Send(lost, s.Fleet.Nodes[1], 5*time.Millisecond)
 	first := s.Control.Push(ctx, lost, s.Fleet.From(2))
 	again := s.Control.Push(ctx, lost, s.Fleet.From(5))
-	if !first.Won() || !again.Won() || first.Epoch != again.Epoch {
-		troubles = append(troubles, fmt.Sprintf("lost answer: %d/%d epoch %d, again %d/%d epoch %d", first.Status, first.Code, first.Epoch, again.Status, again.Code, again.Epoch))
+	if !first.Won() || !again.Won() || first.Version != again.Version {
+		troubles = append(troubles, fmt.Sprintf("lost answer: %d/%d epoch %d, again %d/%d epoch %d", first.Status, first.Code, first.Version, again.Status, again.Code, again.Version))
 	}
 	if back, _ := s.Control.Read(s.Fleet.Nodes[3], true); back.Status != 200 {
 		troubles = append(troubles, fmt.Sprintf("read back: status %d code %d", back.Status, back.Code))
--- a/cmd/rig/emulator/platform.go
+++ b/cmd/rig/emulator/platform.go
@@ -59,10 +59,10 @@
 }
 
 func (p *Platform) show(s Listed, state string) {
-	at, locality := p.book.Now(), s.Region+"/"+s.Zone
+	at, zone := p.book.Now(), s.Region+"/"+s.Zone
 	p.book.Write(func(l *history.Ledger) {
-		l.Shows = append(l.Shows, history.Show{At: at, Server: s.Name, State: state, Locality: locality})
-		l.Localities[s.Name] = locality
+		l.Shows = append(l.Shows, history.Show{At: at, Server: s.Name, State: state, Zone: zone})
+		l.Localities[s.Name] = zone
 	})
 }
 
--- a/cmd/rig/faultcase/cases.go
+++ b/cmd/rig/faultcase/cases.go
@@ -112,15 +112,15 @@
 func evacuate(s *Stage) error {
 	began := s.Book.Now()
 	for i := uint64(0); s.left(began); i++ {
-		locality := []string{"lagos/a", "lagos/b", "abeokuta/a"}[s.Random.IntN(3)]
+		zone := []string{"lagos/a", "lagos/b", "abeokuta/a"}[s.Random.IntN(3)]
 		core, front := s.core(), s.frontOnly()
 		kills := s.beside(func(ctx context.Context) {
 			wait(ctx, seconds(s.Random.Float64()*0.3))
 			core.Kill()
 			front.Kill()
 		})
-		if won, _ := s.push(s.Control.Evacuate("ade", locality), i, 15*time.Second); !won {
-			return errors.Errorf("the evacuation of %s was not acknowledged within 15 s", locality)
+		if won, _ := s.push(s.Control.Evacuate("ade", zone), i, 15*time.Second); !won {
+			return errors.Errorf("the evacuation of %s was not acknowledged within 15 s", zone)
 		}
 		s.Wait(7 * time.Second)
 		kills()
@@ -130,8 +130,8 @@
 			}
 		}
 		s.Wait(2 * time.Second)
-		if won, _ := s.push(s.Control.Restore("bola", locality), i, 15*time.Second); !won {
-			return errors.Errorf("the restore of %s was not acknowledged within 15 s", locality)
+		if won, _ := s.push(s.Control.Restore("bola", zone), i, 15*time.Second); !won {
+			return errors.Errorf("the restore of %s was not acknowledged within 15 s", zone)
 		}
 		s.Wait(3 * time.Second)
 	}
--- a/cmd/rig/faultcase/faults.go
+++ b/cmd/rig/faultcase/faults.go
@@ -71,7 +71,7 @@
 		told := s.Control.Push(ctx, o, nodes)
 		switch {
 		case told.Won():
-			base = told.Epoch
+			base = told.Version
 		case ctx.Err() == nil:
 			if b, ok := s.Control.Base(ctx, nodes); ok {
 				base = b
@@ -84,11 +84,11 @@
 }
 
 // pushAfter settles an order within a span and returns what was told last.
-func (s *Stage) push(o *loadgen.Order, from uint64, within time.Duration) (won bool, epoch uint64) {
+func (s *Stage) push(o *loadgen.Order, from uint64, within time.Duration) (won bool, version uint64) {
 	ctx, cancel := context.WithTimeout(s.ctx, within)
 	defer cancel()
 	told := s.Control.Push(ctx, o, s.shuffled(from))
-	return told.Won(), told.Epoch
+	return told.Won(), told.Version
 }
 
 // dayEnd reads the sheet back through every running node, and again until a
@@ -129,7 +129,7 @@
 	}
 }
 
-// zone returns the nodes and servers of a locality.
+// zone returns the nodes and servers of a zone.
 func (s *Stage) zone(p fleet.Place) (nodes []*fleet.Node, servers []string) {
 	for _, n := range s.Fleet.Nodes {
 		if n.Place == p {
--- a/cmd/rig/faultcase/mix.go
+++ b/cmd/rig/faultcase/mix.go
@@ -69,14 +69,14 @@
 		return func() error { s.Crowd.Scale("crews", 1); return nil }
 	}},
 	{"callers move to one zone", func(s *Stage) func() error {
-		s.Crowd.From(map[string]float64{s.node().Locality(): 1})
+		s.Crowd.From(map[string]float64{s.node().ZoneName(): 1})
 		return func() error { s.Crowd.From(nil); return nil }
 	}},
 	{"evacuate a zone", func(s *Stage) func() error {
-		locality := []string{"lagos/a", "lagos/b"}[s.Random.IntN(2)]
-		s.push(s.Control.Evacuate("ade", locality), s.Random.Uint64()%9, 10*time.Second)
+		zone := []string{"lagos/a", "lagos/b"}[s.Random.IntN(2)]
+		s.push(s.Control.Evacuate("ade", zone), s.Random.Uint64()%9, 10*time.Second)
 		return func() error {
-			s.push(s.Control.Restore("bola", locality), s.Random.Uint64()%9, 10*time.Second)
+			s.push(s.Control.Restore("bola", zone), s.Random.Uint64()%9, 10*time.Second)
 			return nil
 		}
 	}},
--- a/cmd/rig/faultcase/orders.go
+++ b/cmd/rig/faultcase/orders.go
@@ -54,11 +54,11 @@
 	began := s.Book.Now()
 	_, base := s.Control.Newest()
 	for i := uint64(0); s.left(began); i++ {
-		won, epoch := s.push(s.Control.Change("ade", base), i, 15*time.Second)
+		won, version := s.push(s.Control.Change("ade", base), i, 15*time.Second)
 		if !won {
 			return errors.Errorf("round %d: the order was not accepted within 15 s", i)
 		}
-		base = epoch
+		base = version
 		core := s.Fleet.Cores()[i%3]
 		core.Kill()
 		if err := core.Wipe(); err != nil {
@@ -250,11 +250,11 @@
 		for j := range 3000 {
 			big.Tenants[fmt.Sprintf("town%d", j)] = loadgen.SheetTenant{Rate: float64(i + 1), Burst: 10, Keys: []string{fleet.Hash(fmt.Sprint("town", j))}}
 		}
-		won, epoch := s.push(s.Control.Put("ade", base, big, large), i, 15*time.Second)
+		won, version := s.push(s.Control.Put("ade", base, big, large), i, 15*time.Second)
 		if !won {
 			return errors.Errorf("round %d: a sheet of 3,000 tenants was not accepted within 15 s", i)
 		}
-		base = epoch
+		base = version
 		s.Wait(500 * time.Millisecond)
 	}
 	return s.dayEnd(20 * time.Second)
--- a/cmd/rig/faultcase/stage.go
+++ b/cmd/rig/faultcase/stage.go
@@ -192,17 +192,17 @@
 			return
 		}
 		now := s.Crowd.Tally()
-		_, epoch := s.Control.Newest()
-		fmt.Fprintf(s.Out, "%6d %8d %9d %8d %8d %7d %8d\n", i, now.Served-last.Served, now.Refused-last.Refused, now.Failed-last.Failed, now.Unsent-last.Unsent, epoch, s.Crowd.Skipped.Load())
+		_, version := s.Control.Newest()
+		fmt.Fprintf(s.Out, "%6d %8d %9d %8d %8d %7d %8d\n", i, now.Served-last.Served, now.Refused-last.Refused, now.Failed-last.Failed, now.Unsent-last.Unsent, version, s.Crowd.Skipped.Load())
 		last = now
 	}
 }
 
-// Epochs tells, by probes from outside, the newest sheet epoch that each
+// Epochs tells, by probes from outside, the newest sheet version that each
 // running node rules by; 0 for one that does not serve.
-func (s *Stage) Epochs(within time.Duration) map[string]uint64 {
+func (s *Stage) Versions(within time.Duration) map[string]uint64 {
 	out := map[string]uint64{}
-	key, epoch := s.Control.Newest()
+	key, version := s.Control.Newest()
 	until := s.Book.Now() + within
 	for _, n := range s.Fleet.Nodes {
 		if _, runs := n.Running(); !runs {
@@ -211,7 +211,7 @@
 		out[n.Name] = 0
 		for {
 			if p := s.Control.Probe(n, key); p.Passed() {
-				out[n.Name] = epoch
+				out[n.Name] = version
 				break
 			}
 			if s.Book.Now() > until || !s.Wait(200*time.Millisecond) {
@@ -258,7 +258,7 @@
 	HitShare   float64           `json:"kv_hit_share"`
 	ByCode     map[string]int    `json:"by_code,omitempty"`
 	Orders     int               `json:"orders_won"`
-	Epochs     map[string]uint64 `json:"epochs,omitempty"`
+	Versions   map[string]uint64 `json:"epochs,omitempty"`
 }
 
 // Sum sums a ledger up, from an instant on.
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -25,8 +25,8 @@
 // Place is where a machine stands.
 type Place struct{ Region, Zone string }
 
-// Locality joins region and zone.
-func (p Place) Locality() string { return p.Region + "/" + p.Zone }
+// ZoneName joins region and zone.
+func (p Place) ZoneName() string { return p.Region + "/" + p.Zone }
 
 // NodeSpec describes one node.
 type NodeSpec struct {
--- a/cmd/rig/history/ledger.go
+++ b/cmd/rig/history/ledger.go
@@ -99,11 +99,11 @@
 	Lost     bool   `json:"lost"` // the operator did not see the answer
 	Status   int    `json:"status"`
 	Code     int    `json:"code"`
-	Epoch    uint64 `json:"epoch"`
+	Version  uint64 `json:"epoch"`
 	InForce  bool   `json:"in_force"`
 	Invalid  bool   `json:"invalid,omitempty"` // must be refused
 	Mark     string `json:"mark,omitempty"`    // outside sign of the sheet: see Probe and ReadBack
-	Target   string `json:"target,omitempty"`  // locality of an evacuation or restore
+	Target   string `json:"target,omitempty"`  // zone of an evacuation or restore
 	Detail   string `json:"detail,omitempty"`
 }
 
@@ -112,14 +112,14 @@
 
 // ReadBack is a sheet as an operator read it; Mark is its mark.
 type ReadBack struct {
-	Front  string `json:"front"`
-	Sent   At     `json:"sent"`
-	Told   At     `json:"told"`
-	Status int    `json:"status"`
-	Code   int    `json:"code"`
-	Epoch  uint64 `json:"epoch"`
-	Mark   string `json:"mark"`
-	Final  bool   `json:"final"` // the one at day's end
+	Front   string `json:"front"`
+	Sent    At     `json:"sent"`
+	Told    At     `json:"told"`
+	Status  int    `json:"status"`
+	Code    int    `json:"code"`
+	Version uint64 `json:"epoch"`
+	Mark    string `json:"mark"`
+	Final   bool   `json:"final"` // the one at day's end
 }
 
 // Probe is a request with a key that belongs to some of the sheets only.
@@ -142,18 +142,18 @@
 
 // KeyMark is the acknowledged instant from which key number Key is the only one.
 type KeyMark struct {
-	Key   int    `json:"key"`
-	Sent  At     `json:"sent"`
-	Acked At     `json:"acked"` // zero while not acknowledged
-	Epoch uint64 `json:"epoch"`
+	Key     int    `json:"key"`
+	Sent    At     `json:"sent"`
+	Acked   At     `json:"acked"` // zero while not acknowledged
+	Version uint64 `json:"epoch"`
 }
 
 // Show is a change of the platform's list.
 type Show struct {
-	At       At     `json:"at"`
-	Server   string `json:"server"`
-	State    string `json:"state"`
-	Locality string `json:"locality"`
+	At     At     `json:"at"`
+	Server string `json:"server"`
+	State  string `json:"state"`
+	Zone   string `json:"locality"`
 }
 
 // Ready is one readiness check of a node.
@@ -196,7 +196,7 @@
 	Marks      []Mark
 	Cuts       []Span // some links between nodes were cut
 	Allowances map[string]Allowance
-	Localities map[string]string // server -> locality
+	Localities map[string]string // server -> zone
 	End        At
 }
 
--- a/cmd/rig/loadgen/caller.go
+++ b/cmd/rig/loadgen/caller.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// From sets the share of callers in each locality; nil means evenly.
+// From sets the share of callers in each zone; nil means evenly.
 func (c *Crowd) From(shares map[string]float64) {
 	if shares == nil {
 		c.from.Store(nil)
@@ -187,7 +187,7 @@
 	if shares := c.from.Load(); shares != nil {
 		at := random.Float64()
 		for _, p := range c.places {
-			if at -= (*shares)[p.Locality()]; at < 0 {
+			if at -= (*shares)[p.ZoneName()]; at < 0 {
 				return p
 			}
 		}
@@ -197,7 +197,7 @@
 
 // connect keeps asking where callers of one place should connect.
 func (c *Crowd) connect(ctx context.Context, place fleet.Place) {
-	random := rand.New(rand.NewPCG(c.seed, uint64(len(place.Locality()))))
+	random := rand.New(rand.NewPCG(c.seed, uint64(len(place.ZoneName()))))
 	for {
 		node := c.Fleet.Nodes[random.IntN(len(c.Fleet.Nodes))]
 		req, _ := http.NewRequest(http.MethodGet, "http://"+node.Caller+"/v1/connect?service="+c.Tenants[0].Service+"&region="+place.Region+"&zone="+place.Zone, nil)
@@ -218,7 +218,7 @@
 					list = append(list, n.Address)
 				}
 			}
-			c.near.Ask(func(all *map[string][]string) { (*all)[place.Locality()] = list })
+			c.near.Ask(func(all *map[string][]string) { (*all)[place.ZoneName()] = list })
 		} else {
 			wait = 200 * time.Millisecond
 		}
@@ -231,7 +231,7 @@
 // front picks where to send: among the nearest that have not just failed.
 func (c *Crowd) front(place fleet.Place, pick uint64, tried map[string]bool) string {
 	var list []string
-	c.near.Ask(func(all *map[string][]string) { list = (*all)[place.Locality()] })
+	c.near.Ask(func(all *map[string][]string) { list = (*all)[place.ZoneName()] })
 	var every []string
 	for _, n := range c.Fleet.Nodes {
 		every = append(every, n.Caller)
--- a/cmd/rig/loadgen/operator.go
+++ b/cmd/rig/loadgen/operator.go
@@ -59,14 +59,14 @@
 
 // Control is what operators do; it numbers their orders and probe keys.
 type Control struct {
-	Fleet  *fleet.Fleet
-	Book   *history.Book
-	prefix string
-	serial atomic.Int64
-	key    atomic.Int64
-	newest atomic.Int64 // newest probe key acknowledged
-	epoch  atomic.Uint64
-	Wait   time.Duration // for one answer; 0 means 8 s
+	Fleet   *fleet.Fleet
+	Book    *history.Book
+	prefix  string
+	serial  atomic.Int64
+	key     atomic.Int64
+	newest  atomic.Int64 // newest probe key acknowledged
+	version atomic.Uint64
+	Wait    time.Duration // for one answer; 0 means 8 s
 }
 
 // NewControl returns operators of a fleet.
@@ -86,8 +86,8 @@
 // NextKey gives a probe key number that no sheet had.
 func (c *Control) NextKey() int { return int(c.key.Add(1)) }
 
-// Newest is the probe key of the newest acknowledged sheet, and its sheet epoch.
-func (c *Control) Newest() (key int, epoch uint64) { return int(c.newest.Load()), c.epoch.Load() }
+// Newest is the probe key of the newest acknowledged sheet, and its sheet version.
+func (c *Control) Newest() (key int, version uint64) { return int(c.newest.Load()), c.version.Load() }
 
 // Order is an order that may be sent several times under one id.
 type Order struct {
@@ -122,17 +122,17 @@
 	return c.Make(operator, "patch", base, map[string]any{"changes": changes}, key)
 }
 
-// Evacuate makes an order that empties a locality; Restore takes it back.
-func (c *Control) Evacuate(operator, locality string) *Order {
-	o := c.Make(operator, "evacuate", 0, map[string]any{"locality": locality}, 0)
-	o.Target = locality
+// Evacuate makes an order that empties a zone; Restore takes it back.
+func (c *Control) Evacuate(operator, zone string) *Order {
+	o := c.Make(operator, "evacuate", 0, map[string]any{"locality": zone}, 0)
+	o.Target = zone
 	return o
 }
 
-// Restore makes an order that takes a locality back.
-func (c *Control) Restore(operator, locality string) *Order {
-	o := c.Make(operator, "restore", 0, map[string]any{"locality": locality}, 0)
-	o.Target = locality
+// Restore makes an order that takes a zone back.
+func (c *Control) Restore(operator, zone string) *Order {
+	o := c.Make(operator, "restore", 0, map[string]any{"locality": zone}, 0)
+	o.Target = zone
 	return o
 }
 
@@ -165,22 +165,22 @@
 		}
 	} else {
 		var body struct {
-			Code       int    `json:"code"`
-			Detail     string `json:"detail"`
-			Epoch      uint64 `json:"epoch"`
-			SheetEpoch uint64 `json:"sheet_epoch"`
-			InForce    bool   `json:"in_force"`
+			Code         int    `json:"code"`
+			Detail       string `json:"detail"`
+			Version      uint64 `json:"epoch"`
+			SheetVersion uint64 `json:"sheet_epoch"`
+			InForce      bool   `json:"in_force"`
 		}
 		_ = json.Unmarshal(data, &body)
-		sent.Status, sent.Code, sent.Epoch, sent.InForce, sent.Detail = status, body.Code, body.Epoch, body.InForce, body.Detail
+		sent.Status, sent.Code, sent.Version, sent.InForce, sent.Detail = status, body.Code, body.Version, body.InForce, body.Detail
 		if sent.Won() && o.Key > 0 {
-			c.keyMark(o.Key, sent.Sent, sent.Told, sent.Epoch)
+			c.keyMark(o.Key, sent.Sent, sent.Told, sent.Version)
 			for {
-				e := c.epoch.Load()
-				if sent.Epoch <= e {
+				e := c.version.Load()
+				if sent.Version <= e {
 					break
 				}
-				if c.epoch.CompareAndSwap(e, sent.Epoch) {
+				if c.version.CompareAndSwap(e, sent.Version) {
 					c.newest.Store(int64(o.Key))
 					break
 				}
@@ -191,17 +191,17 @@
 	return sent
 }
 
-func (c *Control) keyMark(key int, sent, acked history.At, epoch uint64) {
+func (c *Control) keyMark(key int, sent, acked history.At, version uint64) {
 	c.Book.Write(func(l *history.Ledger) {
 		for i := range l.KeyMarks {
 			if l.KeyMarks[i].Key == key {
 				if acked > 0 && l.KeyMarks[i].Acked == 0 {
-					l.KeyMarks[i].Acked, l.KeyMarks[i].Epoch = acked, epoch
+					l.KeyMarks[i].Acked, l.KeyMarks[i].Version = acked, version
 				}
 				return
 			}
 		}
-		l.KeyMarks = append(l.KeyMarks, history.KeyMark{Key: key, Sent: sent, Acked: acked, Epoch: epoch})
+		l.KeyMarks = append(l.KeyMarks, history.KeyMark{Key: key, Sent: sent, Acked: acked, Version: version})
 	})
 }
 
@@ -229,14 +229,14 @@
 	status, data, err := Ask(req, node.Caller, c.Wait)
 	back.Told = c.Book.Now()
 	var body struct {
-		Code       int    `json:"code"`
-		Epoch      uint64 `json:"epoch"`
-		SheetEpoch uint64 `json:"sheet_epoch"`
-		Sheet      Sheet  `json:"sheet"`
+		Code         int    `json:"code"`
+		Version      uint64 `json:"epoch"`
+		SheetVersion uint64 `json:"sheet_epoch"`
+		Sheet        Sheet  `json:"sheet"`
 	}
 	if err == nil {
 		_ = json.Unmarshal(data, &body)
-		back.Status, back.Code, back.Epoch = status, body.Code, body.SheetEpoch
+		back.Status, back.Code, back.Version = status, body.Code, body.SheetVersion
 		if keys := body.Sheet.Tenants["probe"].Keys; len(keys) == 1 {
 			for k := int(c.key.Load()); k >= 0; k-- {
 				if fleet.Hash(ProbeKey(k)) == keys[0] {
@@ -250,11 +250,11 @@
 	return back, body.Sheet
 }
 
-// Base asks through one node after another for the sheet's epoch.
+// Base asks through one node after another for the sheet's version.
 func (c *Control) Base(ctx context.Context, nodes []*fleet.Node) (uint64, bool) {
 	for i := 0; ctx.Err() == nil; i++ {
 		if back, _ := c.Read(nodes[i%len(nodes)], false); back.Status == http.StatusOK {
-			return back.Epoch, true
+			return back.Version, true
 		}
 		owner.Wait(ctx, 200*time.Millisecond)
 	}
--- a/cmd/rig/simnode/orders.go
+++ b/cmd/rig/simnode/orders.go
@@ -21,7 +21,7 @@
 
 type orderAnswer struct {
 	Code    apierror.Code `json:"code"`
-	Epoch   uint64        `json:"epoch"`
+	Version uint64        `json:"epoch"`
 	InForce bool          `json:"in_force"`
 	Sheet   uint64        `json:"sheet_epoch"`
 }
--- a/cmd/rig/simnode/slopes.go
+++ b/cmd/rig/simnode/slopes.go
@@ -101,7 +101,7 @@
 	s.LoadChangeSize = proto.Size(&wire.FollowResponse{Changes: []*wire.Change{{Place: 1 << 20, What: &wire.Change_Load{Load: &wire.Load{
 		Server: "server00001", Incarnation: 1, Running: 7, Queued: 2, Answered: 123456, KvUsed: 0.5, AtMs: 1796187138310}}}}})
 	run := &run{options: Options{Tenants: 5, Fronts: 410}}
-	in := plan.Input{State: sheet.State{Epoch: 1, SheetEpoch: 1, Sheet: run.sheetOf()}, Servers: folds.Servers(), Term: 1, Number: 1, Now: now, Period: 5 * time.Second}
+	in := plan.Input{State: sheet.State{Version: 1, SheetVersion: 1, Sheet: run.sheetOf()}, Servers: folds.Servers(), Term: 1, Number: 1, Now: now, Period: 5 * time.Second}
 	made := plan.Compute(in)
 	s.PlanMS = timed(func() { made = plan.Compute(in) })
 	s.PlanBytes = proto.Size(made)
--- a/cmd/rig/up.go
+++ b/cmd/rig/up.go
@@ -42,10 +42,10 @@
 			ctx, cancel := context.WithTimeout(cmd.Context(), 40*time.Second)
 			defer cancel()
 			told := control.Push(ctx, control.Put("ade", 0, loadgen.FirstSheet(f, loadgen.FirstTenants(), key), key), f.Nodes)
-			fmt.Printf("program %s\nfolder %s\noperator key %s\ntenant key key-of-press\nfirst sheet: status %d code %d epoch %d\n", binary, dir, fleet.Operators["ade"], told.Status, told.Code, told.Epoch)
+			fmt.Printf("program %s\nfolder %s\noperator key %s\ntenant key key-of-press\nfirst sheet: status %d code %d epoch %d\n", binary, dir, fleet.Operators["ade"], told.Status, told.Code, told.Version)
 			for _, n := range f.Nodes {
 				pid, _ := n.Running()
-				fmt.Printf("%-8s %-12s %s pid %d\n", n.Name, n.Locality(), n.Caller, pid)
+				fmt.Printf("%-8s %-12s %s pid %d\n", n.Name, n.ZoneName(), n.Caller, pid)
 			}
 			owner.Wait(cmd.Context(), time.Duration(length)*time.Second)
 			return nil
--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -39,11 +39,11 @@
 	}
 	switch req.Verb {
 	case "get":
-		return told(apierror.OK, map[string]any{"epoch": c.state.Epoch, "sheet_epoch": c.state.SheetEpoch, "sheet": c.state.Sheet}), nil
+		return told(apierror.OK, map[string]any{"epoch": c.state.Version, "sheet_epoch": c.state.SheetVersion, "sheet": c.state.Sheet}), nil
 	case "history":
 		return nil, apierror.Errorf(apierror.NoMajority, "1 of 3 cores answered").WithRetryAfter(1500 * time.Millisecond)
 	case "status":
-		return told(apierror.OK, map[string]any{"epoch": c.state.Epoch, "in_force": true}), nil
+		return told(apierror.OK, map[string]any{"epoch": c.state.Version, "in_force": true}), nil
 	}
 	command, apiErr := sheet.ParseOrder(req.Verb, req.Operator, req.Body, sheet.Limits{Bytes: 1 << 20}, 1790000000000)
 	if apiErr != nil {
@@ -52,18 +52,18 @@
 	order, _ := sheet.OrderOf(command)
 	result, sure := c.state.Foresee(command)
 	if !sure {
-		c.state, result = c.state.Step(c.state.Epoch+1, sheet.Encode(command))
+		c.state, result = c.state.Step(c.state.Version+1, sheet.Encode(command))
 	}
 	if apiErr := result.Fault(); apiErr != nil {
 		body := apiErr.Body("")
-		body.Epoch = result.Epoch
+		body.Version = result.Version
 		return told(apiErr.Code, body), nil
 	}
 	if c.pending {
 		c.pending = false
 		return nil, apierror.Errorf(apierror.OutcomePending, "waiting for front-4").WithRetryAfter(time.Second)
 	}
-	return told(apierror.OK, map[string]any{"epoch": result.Epoch, "sheet_epoch": result.SheetEpoch, "in_force": true, "order_id": order.OrderID}), nil
+	return told(apierror.OK, map[string]any{"epoch": result.Version, "sheet_epoch": result.SheetVersion, "in_force": true, "order_id": order.OrderID}), nil
 }
 
 func (c *cores) Inspect(_ context.Context, what, argument string) (apierror.Code, []byte) {
--- a/internal/apierror/codes.go
+++ b/internal/apierror/codes.go
@@ -54,11 +54,11 @@
 	InvalidSheet    Code = 4003
 	SheetTooLarge   Code = 4004
 	OperatorUnknown Code = 4005
-	UnknownLocality Code = 4006
+	UnknownZone     Code = 4006
 	UnknownMember   Code = 4007
 	InvalidChange   Code = 4008
 	OrderIDReused   Code = 4009
-	UnknownEpoch    Code = 4010
+	UnknownVersion  Code = 4010
 
 	NoMajority      Code = 5001
 	CoreAmnesiac    Code = 5002
@@ -69,7 +69,7 @@
 	BadRecord       Code = 5007
 	NotCore         Code = 5008
 	BadSecret       Code = 5009
-	EpochBehind     Code = 5010
+	VersionBehind   Code = 5010
 	Internal        Code = 5099
 	BadSetting      Code = 5100
 	NotFound        Code = 5101
@@ -136,11 +136,11 @@
 	{InvalidSheet, "invalid_sheet", http.StatusUnprocessableEntity, RetryNo, "The sheet breaks a rule; nothing was kept."},
 	{SheetTooLarge, "sheet_too_large", http.StatusRequestEntityTooLarge, RetryNo, "The sheet is over its bound; nothing was kept."},
 	{OperatorUnknown, "operator_unknown", http.StatusForbidden, RetryNo, "The key belongs to no operator."},
-	{UnknownLocality, "unknown_locality", http.StatusNotFound, RetryNo, "No server or node is known in the locality."},
+	{UnknownZone, "unknown_locality", http.StatusNotFound, RetryNo, "No server or node is known in the locality."},
 	{UnknownMember, "unknown_member", http.StatusNotFound, RetryNo, "The roster has no such member."},
 	{InvalidChange, "invalid_change", http.StatusUnprocessableEntity, RetryNo, "A change names no cell of the sheet or gives it no valid value."},
 	{OrderIDReused, "order_id_reused", http.StatusConflict, RetryNo, "The order id was used for another order."},
-	{UnknownEpoch, "unknown_epoch", http.StatusNotFound, RetryNo, "The epoch is not kept in the history."},
+	{UnknownVersion, "unknown_epoch", http.StatusNotFound, RetryNo, "The epoch is not kept in the history."},
 	{NoMajority, "no_majority", http.StatusServiceUnavailable, RetrySame, "No majority of the cores answered."},
 	{CoreAmnesiac, "core_amnesiac", http.StatusServiceUnavailable, RetrySame, "The core's disk was lost and it is rebuilding."},
 	{CoreBlank, "core_blank", http.StatusServiceUnavailable, RetrySame, "The cores have not formed yet."},
@@ -150,7 +150,7 @@
 	{BadRecord, "bad_record", http.StatusInternalServerError, RetryNo, "A record on disk before the last one fails its checksum."},
 	{NotCore, "not_core", http.StatusMisdirectedRequest, RetryLater, "This process is not a core."},
 	{BadSecret, "bad_secret", http.StatusForbidden, RetryNo, "The fleet's secret does not match."},
-	{EpochBehind, "epoch_behind", http.StatusConflict, RetryLater, "The member has not confirmed the core's epoch."},
+	{VersionBehind, "epoch_behind", http.StatusConflict, RetryLater, "The member has not confirmed the core's epoch."},
 	{Internal, "internal", http.StatusInternalServerError, RetryCheck, "A fault of the program; see the log event."},
 	{BadSetting, "bad_setting", http.StatusUnprocessableEntity, RetryNo, "A setting is unknown or fails its check."},
 	{NotFound, "not_found", http.StatusNotFound, RetryNo, "Nothing is kept under this name."},
--- a/internal/apierror/reply.go
+++ b/internal/apierror/reply.go
@@ -16,7 +16,7 @@
 	Retry        RetryAdvice `json:"retry"`
 	RetryAfterMS int64       `json:"retry_after_ms,omitempty"`
 	RequestID    string      `json:"request_id,omitempty"`
-	Epoch        uint64      `json:"epoch,omitempty"`
+	Version      uint64      `json:"epoch,omitempty"`
 }
 
 // Body returns the JSON form of an error.
--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -142,7 +142,7 @@
 	}
 	add("run", a.run(settings.RoleCore), a.run(settings.RoleFront))
 	add("run", a.Processes...)
-	add("operate", a.sheet(), a.locality(), a.member(), a.status(), a.plan(), a.tally(), a.explain(), a.key())
+	add("operate", a.sheet(), a.zone(), a.member(), a.status(), a.plan(), a.tally(), a.explain(), a.key())
 	add("look", a.data(), a.settings(), a.codes(), a.events(), a.version())
 	root.SetHelpCommandGroupID("look")
 	root.SetCompletionCommandGroupID("look")
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -199,12 +199,12 @@
 
 // outcome is the answer to an order that is in force.
 type outcome struct {
-	Epoch      uint64 `json:"epoch"`
-	SheetEpoch uint64 `json:"sheet_epoch"`
-	InForce    bool   `json:"in_force"`
-	Confirmed  int    `json:"confirmed"`
-	Roster     int    `json:"roster"`
-	OrderID    string `json:"order_id"`
+	Version      uint64 `json:"epoch"`
+	SheetVersion uint64 `json:"sheet_epoch"`
+	InForce      bool   `json:"in_force"`
+	Confirmed    int    `json:"confirmed"`
+	Roster       int    `json:"roster"`
+	OrderID      string `json:"order_id"`
 }
 
 // order sends an order and, while its outcome is pending, sends it again with
--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -22,7 +22,7 @@
 	records := []paxos.Record{
 		paxos.Joined{Formation: "core-1-f", Voters: []string{"core-1", "core-2", "core-3"}},
 		paxos.Entered{Lives: map[string]uint64{"core-1": 1, "core-2": 1, "core-3": 1}},
-		paxos.Learned{Epoch: 1, Command: put},
+		paxos.Learned{Slot: 1, Command: put},
 		paxos.Accepted{Slot: 2, Ballot: paxos.Ballot{Number: 4, Core: "core-2"}, Value: []byte("open")},
 	}
 	log, _, err := disklog.Open(disklog.Config{Folder: folder, ReserveBytes: 1})
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -23,7 +23,7 @@
 		Service  string  `json:"service"`
 		Tenant   string  `json:"tenant"`
 		Region   string  `json:"region"`
-		Epoch    uint64  `json:"epoch"`
+		Version  uint64  `json:"epoch"`
 		PlanTerm uint64  `json:"plan_term"`
 		Plan     uint64  `json:"plan"`
 		Tokens   float64 `json:"tokens"`
@@ -100,7 +100,7 @@
 	fmt.Fprintf(a.Out, "request %s, at front %s, %s\n", e.RequestID, e.Front, time.UnixMilli(e.AtMS).UTC().Format(clock.RFC3339Milli))
 	if d := e.Admission; d != nil {
 		fmt.Fprintf(a.Out, "\nadmission\n  service %s, tenant %s, from region %s\n  epoch %d, plan %d of term %d\n",
-			d.Service, dash(d.Tenant), dash(d.Region), d.Epoch, d.Plan, d.PlanTerm)
+			d.Service, dash(d.Tenant), dash(d.Region), d.Version, d.Plan, d.PlanTerm)
 		verdict := "passed"
 		if !d.Passed {
 			verdict = "refused"
--- a/internal/cli/locality.go
+++ b/internal/cli/locality.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-func (a *App) locality() *cobra.Command {
+func (a *App) zone() *cobra.Command {
 	l := &link{app: a}
 	command := &cobra.Command{
 		Use:   "locality",
@@ -32,8 +32,8 @@
 					}
 				}
 				return a.submit(command, l, o, http.MethodPost, name, struct {
-					OrderID  string `json:"order_id"`
-					Locality string `json:"locality"`
+					OrderID string `json:"order_id"`
+					Zone    string `json:"locality"`
 				}{o.id(a), args[0]})
 			}}
 		o.register(command.Flags(), false)
@@ -48,28 +48,28 @@
 	return command
 }
 
-// known says whether a node stands in a locality or region, so that a slip of
+// known says whether a node stands in a zone or region, so that a slip of
 // the pen isn't taken for an evacuation. What can't be asked is not in the way.
-func (l *link) known(ctx context.Context, locality string) error {
+func (l *link) known(ctx context.Context, zone string) error {
 	var s status
 	if _, err := l.get(ctx, controlPath+"status", &s); err != nil || s.Node == nil {
 		return nil
 	}
-	var localities []string
+	var zones []string
 	for _, p := range s.Node.Processes {
-		localities = append(localities, p.Locality)
+		zones = append(zones, p.Zone)
 	}
 	if s.Fleet != nil {
 		for _, m := range s.Fleet.Members {
-			localities = append(localities, m.Locality)
+			zones = append(zones, m.Zone)
 		}
 	}
-	for _, one := range localities {
-		if region, _, _ := strings.Cut(one, "/"); one == locality || region == locality {
+	for _, one := range zones {
+		if region, _, _ := strings.Cut(one, "/"); one == zone || region == zone {
 			return nil
 		}
 	}
-	slices.Sort(localities)
-	return apierror.Errorf(apierror.UnknownLocality, "no node stands in %s; there are nodes in %s\n--force sends the order all the same",
-		locality, strings.Join(slices.Compact(localities), ", "))
+	slices.Sort(zones)
+	return apierror.Errorf(apierror.UnknownZone, "no node stands in %s; there are nodes in %s\n--force sends the order all the same",
+		zone, strings.Join(slices.Compact(zones), ", "))
 }
--- a/internal/cli/sheet.go
+++ b/internal/cli/sheet.go
@@ -20,12 +20,12 @@
 
 const controlPath = "/v1/control/"
 
-// held is the sheet as it is read back, with the epochs that it stands at.
+// held is the sheet as it is read back, with the versions that it stands at.
 type held struct {
-	Epoch      uint64            `json:"epoch"`
-	SheetEpoch uint64            `json:"sheet_epoch"`
-	Sheet      *sheet.Sheet      `json:"sheet"`
-	Evacuated  map[string]uint64 `json:"evacuated,omitempty"`
+	Version      uint64            `json:"epoch"`
+	SheetVersion uint64            `json:"sheet_epoch"`
+	Sheet        *sheet.Sheet      `json:"sheet"`
+	Evacuated    map[string]uint64 `json:"evacuated,omitempty"`
 }
 
 func (l *link) sheet(ctx context.Context) (*held, error) {
@@ -110,7 +110,7 @@
 		_, err := a.Out.Write(got.Sheet.ExportCSV())
 		return err
 	case "table":
-		fmt.Fprintf(a.Out, "sheet epoch %d\n", got.SheetEpoch)
+		fmt.Fprintf(a.Out, "sheet epoch %d\n", got.SheetVersion)
 		t := a.table("CELL", "VALUE")
 		for _, cell := range got.Sheet.Cells() {
 			t.row(cell.Path, cell.Value)
@@ -127,7 +127,7 @@
 	return os.ReadFile(name)
 }
 
-// readSheet reads a sheet from a file: CSV, or JSON with the epochs around it
+// readSheet reads a sheet from a file: CSV, or JSON with the versions around it
 // as "sheet get" writes, or JSON of the sheet alone. base is zero where the
 // file names none.
 func (a *App) readSheet(name string) (*sheet.Sheet, uint64, error) {
@@ -140,12 +140,12 @@
 		return next, 0, nilable(apiErr)
 	}
 	var around struct {
-		SheetEpoch uint64          `json:"sheet_epoch"`
-		Sheet      json.RawMessage `json:"sheet"`
+		SheetVersion uint64          `json:"sheet_epoch"`
+		Sheet        json.RawMessage `json:"sheet"`
 	}
 	if json.Unmarshal(data, &around) == nil && len(around.Sheet) > 0 {
 		next, apiErr := sheet.ParseSheet(around.Sheet, sheet.MaxBytes)
-		return next, around.SheetEpoch, nilable(apiErr)
+		return next, around.SheetVersion, nilable(apiErr)
 	}
 	next, apiErr := sheet.ParseSheet(data, sheet.MaxBytes)
 	return next, 0, nilable(apiErr)
--- a/internal/cli/sheethistory.go
+++ b/internal/cli/sheethistory.go
@@ -42,7 +42,7 @@
 			}
 			t := a.table("EPOCH", "TIME", "OPERATOR", "ORDER", "WHAT", "ORDER ID")
 			for _, r := range orders {
-				t.row(r.Epoch, time.UnixMilli(r.AtMS).UTC().Format("2006-01-02T15:04:05Z"), r.Operator, r.Verb, r.Summary, r.OrderID)
+				t.row(r.Version, time.UnixMilli(r.AtMS).UTC().Format("2006-01-02T15:04:05Z"), r.Operator, r.Verb, r.Summary, r.OrderID)
 			}
 			return t.print()
 		},
@@ -109,7 +109,7 @@
 			if err := os.WriteFile(args[0], data, 0o600); err != nil {
 				return err
 			}
-			fmt.Fprintf(a.Out, "%s holds the sheet of epoch %d\n", args[0], got.SheetEpoch)
+			fmt.Fprintf(a.Out, "%s holds the sheet of epoch %d\n", args[0], got.SheetVersion)
 			return nil
 		},
 	}
--- a/internal/cli/sheetput.go
+++ b/internal/cli/sheetput.go
@@ -46,7 +46,7 @@
 	case command.Flags().Changed("base"):
 		base = o.base
 	case base == 0:
-		base = current.SheetEpoch
+		base = current.SheetVersion
 	}
 	if o.dryRun {
 		return nil
@@ -78,7 +78,7 @@
 		return err
 	}
 	fmt.Fprintf(a.Out, "epoch %d in force: confirmed by %d of %d on the roster (sheet epoch %d, order %s)\n",
-		told.Epoch, told.Confirmed, told.Roster, told.SheetEpoch, told.OrderID)
+		told.Version, told.Confirmed, told.Roster, told.SheetVersion, told.OrderID)
 	return nil
 }
 
@@ -158,9 +158,9 @@
 			return err
 		}
 		if !based {
-			o.base = current.SheetEpoch
+			o.base = current.SheetVersion
 		}
-		if o.base == current.SheetEpoch {
+		if o.base == current.SheetVersion {
 			next, apiErr := current.Sheet.Patch(changes)
 			if apiErr != nil {
 				return apiErr
--- a/internal/cli/standin_test.go
+++ b/internal/cli/standin_test.go
@@ -35,7 +35,7 @@
 	if apiErr != nil {
 		t.Fatal(apiErr)
 	}
-	s.state.Sheet, s.state.SheetEpoch, s.state.Epoch = parsed, 17, 17
+	s.state.Sheet, s.state.SheetVersion, s.state.Version = parsed, 17, 17
 	return s
 }
 
@@ -53,7 +53,7 @@
 		"POST restore": sheet.VerbRestore, "POST members/remove": sheet.VerbRemove}[r.Method+" "+path]
 	switch {
 	case path == "sheet" && r.Method == http.MethodGet:
-		apierror.WriteJSON(w, http.StatusOK, held{s.state.Epoch, s.state.SheetEpoch, s.state.Sheet, s.state.Evacuated})
+		apierror.WriteJSON(w, http.StatusOK, held{s.state.Version, s.state.SheetVersion, s.state.Sheet, s.state.Evacuated})
 	case path == "history":
 		apierror.WriteJSON(w, http.StatusOK, map[string]any{"history": s.state.History})
 	case verb == "":
@@ -72,7 +72,7 @@
 	}
 	order, _ := sheet.OrderOf(command)
 	s.seen = append(s.seen, order.OrderID)
-	next, result := s.state.Step(s.state.Epoch+1, sheet.Encode(command))
+	next, result := s.state.Step(s.state.Version+1, sheet.Encode(command))
 	s.state = next
 	if s.onOrder != nil {
 		s.onOrder()
@@ -87,7 +87,7 @@
 		s.pending--
 		apierror.WriteError(w, apierror.Errorf(apierror.OutcomePending, "waiting for front-4").WithRetryAfter(300*time.Millisecond), "")
 	default:
-		apierror.WriteJSON(w, http.StatusOK, outcome{result.Epoch, result.SheetEpoch, true, 9, 9, order.OrderID})
+		apierror.WriteJSON(w, http.StatusOK, outcome{result.Version, result.SheetVersion, true, 9, 9, order.OrderID})
 	}
 }
 
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -28,13 +28,13 @@
 
 type fleetStatus struct {
 	By            string            `json:"by"`
-	Epoch         uint64            `json:"epoch"`
-	SheetEpoch    uint64            `json:"sheet_epoch"`
+	Version       uint64            `json:"epoch"`
+	SheetVersion  uint64            `json:"sheet_epoch"`
 	InForce       bool              `json:"in_force"`
 	Waiting       string            `json:"waiting"`
 	Confirmed     int               `json:"confirmed"`
 	Roster        int               `json:"roster"`
-	RosterEpoch   uint64            `json:"roster_epoch"`
+	RosterVersion uint64            `json:"roster_epoch"`
 	RosterSettled bool              `json:"roster_settled"`
 	Evacuated     map[string]uint64 `json:"evacuated"`
 	Cores         []struct {
@@ -48,18 +48,18 @@
 	Members []member              `json:"members"`
 	Duties  map[string]sheet.Duty `json:"duties"`
 	Plan    *struct {
-		Term   uint64 `json:"term"`
-		Number uint64 `json:"number"`
-		Epoch  uint64 `json:"epoch"`
-		Holder string `json:"holder"`
-		Cause  string `json:"cause"`
-		AtMS   int64  `json:"at_ms"`
+		Term    uint64 `json:"term"`
+		Number  uint64 `json:"number"`
+		Version uint64 `json:"epoch"`
+		Holder  string `json:"holder"`
+		Cause   string `json:"cause"`
+		AtMS    int64  `json:"at_ms"`
 	} `json:"plan"`
 }
 
 type member struct {
 	Name      string `json:"name"`
-	Locality  string `json:"locality"`
+	Zone      string `json:"locality"`
 	Core      bool   `json:"core"`
 	Front     bool   `json:"front"`
 	Confirmed bool   `json:"confirmed"`
@@ -69,9 +69,9 @@
 
 type nodeStatus struct {
 	Name        string            `json:"name"`
-	Locality    string            `json:"locality"`
+	Zone        string            `json:"locality"`
 	Role        string            `json:"role"`
-	Epoch       uint64            `json:"epoch"`
+	Version     uint64            `json:"epoch"`
 	Ready       bool              `json:"ready"`
 	Cause       string            `json:"cause"`
 	Ruling      bool              `json:"ruling"`
@@ -82,7 +82,7 @@
 	Servers     map[string]string `json:"servers"`
 	Processes   []struct {
 		Name     string `json:"name"`
-		Locality string `json:"locality"`
+		Zone     string `json:"locality"`
 		Address  string `json:"address"`
 		Caller   string `json:"caller"`
 		Core     bool   `json:"core"`
@@ -157,14 +157,14 @@
 	case s.Fleet == nil || s.Node == nil:
 		return "no core answers"
 	case !s.Fleet.InForce:
-		return fmt.Sprintf("epoch %d is not in force: %s", s.Fleet.Epoch, s.Fleet.Waiting)
+		return fmt.Sprintf("epoch %d is not in force: %s", s.Fleet.Version, s.Fleet.Waiting)
 	case s.Fleet.Plan == nil:
 		return "there is no plan yet"
 	case !s.Fleet.RosterSettled || len(s.Fleet.Members) == 0:
 		return "the roster is changing"
 	}
 	for _, c := range s.Fleet.Cores {
-		if !c.Answered || c.Standing != "voting" || c.Learned < s.Fleet.Epoch {
+		if !c.Answered || c.Standing != "voting" || c.Learned < s.Fleet.Version {
 			return fmt.Sprintf("core %s is %s and has learned epoch %d", c.Name, c.Standing, c.Learned)
 		}
 	}
@@ -228,22 +228,22 @@
 	if !f.InForce {
 		force = fmt.Sprintf("not known to be in force (%s), confirmed by %d of %d", f.Waiting, f.Confirmed, f.Roster)
 	}
-	fmt.Fprintf(a.Out, "epoch %d %s; sheet epoch %d; as core %s sees it\n", f.Epoch, force, f.SheetEpoch, f.By)
+	fmt.Fprintf(a.Out, "epoch %d %s; sheet epoch %d; as core %s sees it\n", f.Version, force, f.SheetVersion, f.By)
 	settled := "settled"
 	if !f.RosterSettled {
 		settled = "changing"
 	}
-	fmt.Fprintf(a.Out, "roster of epoch %d: %d members, %s\n", f.RosterEpoch, f.Roster, settled)
+	fmt.Fprintf(a.Out, "roster of epoch %d: %d members, %s\n", f.RosterVersion, f.Roster, settled)
 	for _, duty := range slices.Sorted(maps.Keys(f.Duties)) {
 		fmt.Fprintf(a.Out, "duty %s: %s, term %d\n", duty, f.Duties[duty].Holder, f.Duties[duty].Term)
 	}
 	if p := f.Plan; p != nil {
-		fmt.Fprintf(a.Out, "plan %d of term %d by %s, for epoch %d; cause: %s\n", p.Number, p.Term, p.Holder, p.Epoch, p.Cause)
+		fmt.Fprintf(a.Out, "plan %d of term %d by %s, for epoch %d; cause: %s\n", p.Number, p.Term, p.Holder, p.Version, p.Cause)
 	} else {
 		fmt.Fprintln(a.Out, "plan: none yet")
 	}
-	for _, locality := range slices.Sorted(maps.Keys(f.Evacuated)) {
-		fmt.Fprintf(a.Out, "evacuated: %s, since epoch %d\n", locality, f.Evacuated[locality])
+	for _, zone := range slices.Sorted(maps.Keys(f.Evacuated)) {
+		fmt.Fprintf(a.Out, "evacuated: %s, since epoch %d\n", zone, f.Evacuated[zone])
 	}
 	fmt.Fprintln(a.Out)
 	t := a.table("CORE", "STANDING", "ANSWERS", "LEARNED", "LEASES")
@@ -265,7 +265,7 @@
 		if m.Gone {
 			ready[m.Name] = "no"
 		}
-		t.row(m.Name, m.Locality, role(m.Core, m.Front), yes(m.Granted), yes(m.Confirmed), ready[m.Name], yes(m.Gone))
+		t.row(m.Name, m.Zone, role(m.Core, m.Front), yes(m.Granted), yes(m.Confirmed), ready[m.Name], yes(m.Gone))
 	}
 	if err := t.print(); err != nil {
 		return err
@@ -283,12 +283,12 @@
 	if !n.Ready {
 		ready = "not ready (" + n.Cause + ")"
 	}
-	fmt.Fprintf(a.Out, "asked node %s in %s (%s): epoch %d, plan %d of term %d, %s, %s\n", n.Name, n.Locality, n.Role, n.Epoch, n.Plan, n.PlanTerm, ruling, ready)
+	fmt.Fprintf(a.Out, "asked node %s in %s (%s): epoch %d, plan %d of term %d, %s, %s\n", n.Name, n.Zone, n.Role, n.Version, n.Plan, n.PlanTerm, ruling, ready)
 	if processes {
 		fmt.Fprintln(a.Out)
 		t := a.table("PROCESS", "LOCALITY", "CORE", "STANDING", "READY", "CALLER ADDRESS")
 		for _, p := range n.Processes {
-			t.row(p.Name, p.Locality, yes(p.Core), p.Standing, yes(p.Ready), p.Caller)
+			t.row(p.Name, p.Zone, yes(p.Core), p.Standing, yes(p.Ready), p.Caller)
 		}
 		if err := t.print(); err != nil {
 			return err
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -107,7 +107,7 @@
 	at := time.UnixMilli(orderedAtMS).UTC()
 	apiErr := apierror.Errorf(apierror.QuotaExceeded, "press has 24000 tokens in a window").WithRetryAfter(8531 * time.Millisecond)
 	body := apiErr.Body("r-3")
-	body.Epoch = 17
+	body.Version = 17
 	plan := &wire.Plan{}
 	fillMessage(plan.ProtoReflect(), 0)
 	return map[string]any{
@@ -118,17 +118,17 @@
 		"tally": []quota.TenantView{{Tenant: "press", Limit: 12000, Blend: 5200.5, Recent: 5100, Own: 700, Share: 900, Reserved: 1,
 			Marked: true, Holder: "n1", Age: 120 * time.Millisecond}},
 		"explain": front.Explanation{RequestID: "r-1", Front: "n2", AtMS: at.UnixMilli(),
-			Admission: &front.Admission{Service: "chat", Tenant: "press", Region: "lagos", Home: "lagos", Epoch: 21, PlanTerm: 2, Plan: 44,
+			Admission: &front.Admission{Service: "chat", Tenant: "press", Region: "lagos", Home: "lagos", Version: 21, PlanTerm: 2, Plan: 44,
 				Tokens: 700, Passed: true, Blend: 5200, Prev: 6000, Cur: 2200, Recent: 5100, Limit: 12000, Marked: true, Fault: "2001 quota_exceeded"},
 			Routings: []*front.Routing{{Server: "m1", Region: "lagos", Fault: "2009 budget_spent", WaitedMS: 0.5,
 				Candidates: []front.Candidate{{Server: "m1", Score: 0.81, Excluded: "draining"}}}},
 			Attempts: []*front.Attempt{{Server: "m1", Ended: "whole", Detail: "said so", Events: 40, FirstEventMS: 310.25, TookMS: 900}},
 			Outcome:  &front.Outcome{Code: apierror.StreamCut, Name: "stream_cut", Detail: "the server went away", TookMS: 903.25}},
-		"node": follower.Status{Name: "n2", Locality: "lagos/a", Epoch: 21, SheetEpoch: 20, Ruling: true, By: "lease", Plan: 44, PlanTerm: 2,
+		"node": follower.Status{Name: "n2", Zone: "lagos/a", Version: 21, SheetVersion: 20, Ruling: true, By: "lease", Plan: 44, PlanTerm: 2,
 			PlanHolder: "n1", Servers: map[string]string{"m1": "ready"}, Roster: []string{"n1", "n2"}, Fronts: []string{"n1"}, FleetTimeMS: orderedAtMS},
 		"data": replica.Contents{Core: "a", Formation: "a-1", Voters: []string{"a"}, Standing: "voting", DiskLife: 1, Version: 2,
 			SheetVersion: 3, Revision: 4, Members: 5, Open: 6, Snapshot: 7, Segments: 8, Records: 9, TornSegment: "1.log", TornBytes: 10, BadSnapshot: "2.snap"},
-		"history": sheet.Record{Epoch: 1, SheetEpoch: 2, Operator: "ada", Verb: "put", OrderID: "first", Digest: "d", AtMS: orderedAtMS, Summary: "1 services"},
+		"history": sheet.Record{Version: 1, SheetVersion: 2, Operator: "ada", Verb: "put", OrderID: "first", Digest: "d", AtMS: orderedAtMS, Summary: "1 services"},
 		"member":  sheet.Member{Name: "n1", Region: "lagos", Zone: "a", Core: true, Front: true},
 		"duty":    sheet.Duty{Term: 1, Holder: "n1"},
 	}
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -74,8 +74,8 @@
 func applyCommands(commands []string) (results []string, state string) {
 	var current sheet.State
 	for _, command := range commands {
-		next, result := current.Step(current.Epoch+1, []byte(command))
-		results = append(results, fmt.Sprintf("%d epoch %d sheet %d %s", result.Code, result.Epoch, result.SheetEpoch, result.Detail))
+		next, result := current.Step(current.Version+1, []byte(command))
+		results = append(results, fmt.Sprintf("%d epoch %d sheet %d %s", result.Code, result.Version, result.SheetVersion, result.Detail))
 		current = next
 	}
 	return results, string(current.Encode())
@@ -91,14 +91,14 @@
 	}
 	records := map[string]paxos.Record{
 		"1 formation joined":            paxos.Joined{Formation: "a-1", Voters: []string{"a", "b", "c"}},
-		"1 formation joined with state": paxos.Joined{Formation: "a-1", Voters: []string{"a"}, SnapshotEpoch: 17, Snapshot: []byte("state")},
+		"1 formation joined with state": paxos.Joined{Formation: "a-1", Voters: []string{"a"}, SnapshotSlot: 17, Snapshot: []byte("state")},
 		"2 disk life":                   paxos.Lived{Core: "b", Life: 3},
 		"3 promise":                     paxos.Promised{Slot: 20, Ballot: ballotOfB},
 		"4 vote":                        paxos.Accepted{Slot: 20, Ballot: ballotOfB, Value: []byte("twenty")},
-		"5 learned":                     paxos.Learned{Epoch: 18, Command: []byte("eighteen")},
-		"5 learned as voted":            paxos.Learned{Epoch: 18, AsAccepted: true},
-		"6 snapshot installed":          paxos.Installed{Epoch: 17, Snapshot: []byte("state")},
-		"7 recovery": paxos.Entered{Lives: map[string]uint64{"a": 1, "b": 2, "c": 1}, SnapshotEpoch: 17,
+		"5 learned":                     paxos.Learned{Slot: 18, Command: []byte("eighteen")},
+		"5 learned as voted":            paxos.Learned{Slot: 18, AsAccepted: true},
+		"6 snapshot installed":          paxos.Installed{Slot: 17, Snapshot: []byte("state")},
+		"7 recovery": paxos.Entered{Lives: map[string]uint64{"a": 1, "b": 2, "c": 1}, SnapshotSlot: 17,
 			Snapshot: []byte("state"), Chosen: chosen, Votes: votes},
 	}
 	encoded := map[string][]byte{}
@@ -165,7 +165,7 @@
 		fmt.Fprintf(out, "disk life of %s: %d\n", core, state.Lives[core])
 	}
 	fmt.Fprintf(out, "announced life: %d\n", state.Announced)
-	fmt.Fprintf(out, "snapshot at %d: %s\n", state.SnapshotEpoch, digest(state.Snapshot))
+	fmt.Fprintf(out, "snapshot at %d: %s\n", state.SnapshotSlot, digest(state.Snapshot))
 	for _, chosen := range state.Chosen {
 		fmt.Fprintf(out, "chosen %d: %s\n", chosen.Epoch, digest(chosen.Command))
 	}
@@ -179,7 +179,7 @@
 func describeConfiguration(t testing.TB, out *strings.Builder, state paxos.State) {
 	t.Helper()
 	var current sheet.State
-	if state.SnapshotEpoch > 0 {
+	if state.SnapshotSlot > 0 {
 		var err error
 		if current, err = sheet.DecodeState(state.Snapshot); err != nil {
 			t.Fatal(err)
@@ -287,16 +287,16 @@
 }
 
 // learned waits until each core holds an epoch.
-func (f *fleet) learned(t testing.TB, epoch uint64) {
+func (f *fleet) learned(t testing.TB, version uint64) {
 	t.Helper()
 	for _, name := range []string{"a", "b", "c"} {
-		f.until(t, func() bool { return f.cores[name].Load().Current().Epoch >= epoch })
+		f.until(t, func() bool { return f.cores[name].Load().Current().Version >= version })
 	}
 }
 
 // propose has a command agreed through a core. It returns the epoch that the
 // command made, which for one sent again is the first time's, and its code.
-func (f *fleet) propose(t testing.TB, core, command string) (epoch uint64, code int) {
+func (f *fleet) propose(t testing.TB, core, command string) (version uint64, code int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -304,7 +304,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return result.Epoch, int(result.Code)
+	return result.Version, int(result.Code)
 }
 
 // configuration reads the state that a majority agrees on.
--- a/internal/compat/stored_test.go
+++ b/internal/compat/stored_test.go
@@ -68,11 +68,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if epoch, code := f.propose(t, "b", order); epoch != 61 || code != 0 {
-			t.Errorf("an order got epoch %d and code %d, though a has accepted another in slot 60 and c is away", epoch, code)
+		if version, code := f.propose(t, "b", order); version != 61 || code != 0 {
+			t.Errorf("an order got epoch %d and code %d, though a has accepted another in slot 60 and c is away", version, code)
 		}
-		if epoch, code := f.propose(t, "a", lines(t, "stored", "commands.txt")[0]); epoch != 1 || code != 0 {
-			t.Errorf("the first order sent again got epoch %d and code %d", epoch, code)
+		if version, code := f.propose(t, "a", lines(t, "stored", "commands.txt")[0]); version != 1 || code != 0 {
+			t.Errorf("the first order sent again got epoch %d and code %d", version, code)
 		}
 		f.start("c")
 		f.voting(t, "c")
--- a/internal/decision/balance/table_test.go
+++ b/internal/decision/balance/table_test.go
@@ -21,7 +21,7 @@
 // fleet is a view of n servers of the service pool, by turns in two regions.
 func fleet(n int, service sheet.Service, fronts ...string) View {
 	service.Kind = sheet.KindHTTP
-	view := View{State: sheet.State{Epoch: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{"pool": service}}},
+	view := View{State: sheet.State{Version: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{"pool": service}}},
 		Servers: map[string]*wire.ServerStatus{}, Fronts: fronts, FleetNow: start}
 	for i := range n {
 		name := fmt.Sprintf("s%d", i)
--- a/internal/decision/balance/update.go
+++ b/internal/decision/balance/update.go
@@ -11,7 +11,7 @@
 // Update takes a new view in. Drains, evacuations and lost servers bite at once. A
 // server of which the view says what the last one did costs a comparison.
 func (t *Table) Update(view View, now time.Time) {
-	sameState := t.view.State.Epoch == view.State.Epoch && t.view.Servers != nil
+	sameState := t.view.State.Version == view.State.Version && t.view.Servers != nil
 	sameFronts := slices.Equal(t.view.Fronts, view.Fronts) && slices.Equal(t.view.Members, view.Members)
 	t.view = view
 	if !sameFronts || t.coldRanked == nil {
--- a/internal/decision/lease/holder.go
+++ b/internal/decision/lease/holder.go
@@ -21,7 +21,7 @@
 	ByRoster By = "roster" // more than half of the roster heard, none newer
 )
 
-// Verdict tells whether a front may decide by its epoch. Until is the earliest
+// Verdict tells whether a front may decide by its version. Until is the earliest
 // instant at which the verdict can lapse by itself, on the clock that the
 // Holder was fed with; RetryAfter is when a caller should come back.
 type Verdict struct {
@@ -42,7 +42,7 @@
 type Holder struct {
 	self        string
 	ttl         time.Duration
-	epoch       uint64
+	version     uint64
 	newest      uint64
 	unconfirmed bool
 	cores       []string
@@ -77,16 +77,16 @@
 	h.settle()
 }
 
-// Confirm takes up an epoch whose state the front holds. A lower one is
+// Confirm takes up a version whose state the front holds. A lower one is
 // ignored: a front never steps back.
-func (h *Holder) Confirm(epoch uint64) {
-	h.epoch = max(h.epoch, epoch)
-	h.newest = max(h.newest, epoch)
+func (h *Holder) Confirm(version uint64) {
+	h.version = max(h.version, version)
+	h.newest = max(h.newest, version)
 	h.settle()
 }
 
-// Epoch returns the highest epoch taken up.
-func (h *Holder) Epoch() uint64 { return h.epoch }
+// Version returns the highest version taken up.
+func (h *Holder) Version() uint64 { return h.version }
 
 // Unconfirmed tells whether, since its start, no majority of cores has yet
 // granted what this front holds. It then neither rules nor counts as heard.
@@ -96,11 +96,11 @@
 func (h *Holder) RenewedAt(core string) time.Time { return h.renewed[core] }
 
 // Renewed takes a core's granted answer: sentAt is when the request left,
-// asked the epoch it named, learned the core's own epoch in the answer. An
-// answer that knows a newer epoch than was asked gives no lease.
+// asked the version it named, learned the core's own version in the answer. An
+// answer that knows a newer version than was asked gives no lease.
 func (h *Holder) Renewed(core string, sentAt time.Time, asked, learned uint64) {
 	h.newest = max(h.newest, learned)
-	if learned > asked || asked == 0 || asked > h.epoch {
+	if learned > asked || asked == 0 || asked > h.version {
 		return
 	}
 	if sentAt.After(h.renewed[core]) {
@@ -111,17 +111,17 @@
 }
 
 // Asked takes a core's answer that granted nothing; it only tells of a newer
-// epoch.
+// version.
 func (h *Holder) Asked(core string, learned uint64) { h.newest = max(h.newest, learned) }
 
-// Known takes word of an epoch that exists, as from a peer's own ping. It is
+// Known takes word of a version that exists, as from a peer's own ping. It is
 // never a ground to rule: such a message may have lain in a buffer.
-func (h *Holder) Known(epoch uint64) { h.newest = max(h.newest, epoch) }
+func (h *Holder) Known(version uint64) { h.newest = max(h.newest, version) }
 
 // Heard takes a peer's answer to a ping that left at sentAt: it proves what the
 // peer was at that instant or later. Answers to earlier pings than the last
 // one counted are dropped.
-func (h *Holder) Heard(name string, incarnation uint64, sentAt time.Time, epoch uint64, unconfirmed bool) {
+func (h *Holder) Heard(name string, incarnation uint64, sentAt time.Time, version uint64, unconfirmed bool) {
 	p := h.peer(name)
 	if sentAt.Before(p.contact) {
 		return
@@ -134,7 +134,7 @@
 		p.heard = time.Time{}
 		return
 	}
-	h.newest = max(h.newest, epoch)
+	h.newest = max(h.newest, version)
 	p.heard = sentAt
 }
 
@@ -151,12 +151,12 @@
 	p.refused, p.contact = at, at
 }
 
-// Ruling tells whether the front may decide by its epoch at an instant. While a
+// Ruling tells whether the front may decide by its version at an instant. While a
 // lease stands for more than half of a TTL the roster isn't looked at, which takes
 // as long as it is large; it is again before the lease can lapse.
 func (h *Holder) Ruling(now time.Time) Verdict {
 	none := Verdict{By: ByNone, RetryAfter: h.ttl / 2}
-	if h.unconfirmed || h.epoch == 0 {
+	if h.unconfirmed || h.version == 0 {
 		return none
 	}
 	byLease := h.leaseUntil()
@@ -183,12 +183,12 @@
 }
 
 func (h *Holder) settle() {
-	if !h.unconfirmed || h.epoch == 0 || len(h.cores) == 0 {
+	if !h.unconfirmed || h.version == 0 || len(h.cores) == 0 {
 		return
 	}
 	backed := 0
 	for _, core := range h.cores {
-		if learned, ok := h.backed[core]; ok && learned <= h.epoch {
+		if learned, ok := h.backed[core]; ok && learned <= h.version {
 			backed++
 		}
 	}
@@ -217,7 +217,7 @@
 // rosterUntil returns when the fallback lapses if nothing more is heard; the
 // zero time when it does not hold now.
 func (h *Holder) rosterUntil(now time.Time) time.Time {
-	if h.newest > h.epoch || len(h.rosters) == 0 {
+	if h.newest > h.version || len(h.rosters) == 0 {
 		return time.Time{}
 	}
 	until := time.Time{}
--- a/internal/decision/lease/inforce.go
+++ b/internal/decision/lease/inforce.go
@@ -9,15 +9,15 @@
 	"stepwick/internal/wire"
 )
 
-// Question asks whether an epoch is in force. Views are the cores' answers of
-// one round. Roster and Prior are those of the state at the epoch or later;
+// Question asks whether a version is in force. Views are the cores' answers of
+// one round. Roster and Prior are those of the state at the version or later;
 // Prior is nil or empty when the last change of the roster is settled.
 type Question struct {
-	Epoch  uint64
-	Voters int
-	Views  []*wire.LeaseViewResponse
-	Roster map[string]sheet.Member
-	Prior  map[string]sheet.Member
+	Version uint64
+	Voters  int
+	Views   []*wire.LeaseViewResponse
+	Roster  map[string]sheet.Member
+	Prior   map[string]sheet.Member
 }
 
 // Count is the part of a roster that has confirmed, of those that do not
@@ -32,7 +32,7 @@
 func (c Count) Met() bool { return c.Of <= 0 || c.Confirmed*2 > c.Of }
 
 // InForce is the rule of acknowledgement: a majority of cores, up for longer
-// than a TTL, has learned the epoch; every lease known to them is confirmed at
+// than a TTL, has learned the version; every lease known to them is confirmed at
 // it or lapsed; and more than half of the roster, and of the prior one while
 // that stands, has confirmed. Why names the first condition that is not met.
 func InForce(q Question) (met bool, why string) {
@@ -47,7 +47,7 @@
 }
 
 // Settled is the rule of a roster change in force: more than half of the
-// roster and of the prior one has confirmed the epoch of the change.
+// roster and of the prior one has confirmed the version of the change.
 func Settled(q Question) (met bool, why string) {
 	f := fold(q)
 	if f.cores < Majority(q.Voters) {
@@ -56,7 +56,7 @@
 	return rosters(q, f)
 }
 
-// Confirmations counts who of the roster has confirmed the epoch.
+// Confirmations counts who of the roster has confirmed the version.
 func Confirmations(q Question) Count { return fold(q).count(q.Roster) }
 
 func rosters(q Question, f folded) (bool, string) {
@@ -84,7 +84,7 @@
 	seen := map[string]bool{}
 	var counted []*wire.LeaseViewResponse
 	for _, view := range q.Views {
-		if view == nil || !view.Settled || view.Learned < q.Epoch || seen[view.Core] {
+		if view == nil || !view.Settled || view.Learned < q.Version || seen[view.Core] {
 			continue
 		}
 		seen[view.Core] = true
--- a/internal/decision/lease/lease_test.go
+++ b/internal/decision/lease/lease_test.go
@@ -28,13 +28,13 @@
 	return members
 }
 
-func confirmed(epoch uint64, names ...string) *Holder {
+func confirmed(version uint64, names ...string) *Holder {
 	h := NewHolder("a", ttl)
 	h.SetCores(cores)
 	h.SetRoster(roster(names...), nil)
-	h.Confirm(epoch)
-	h.Renewed("c1", at(0), epoch, epoch)
-	h.Renewed("c2", at(0), epoch, epoch)
+	h.Confirm(version)
+	h.Renewed("c1", at(0), version, version)
+	h.Renewed("c2", at(0), version, version)
 	return h
 }
 
@@ -79,7 +79,7 @@
 	Convey("An epoch is never given up for an older one", t, func() {
 		h := confirmed(7, "a", "b", "c")
 		h.Confirm(6)
-		So(h.Epoch(), ShouldEqual, 7)
+		So(h.Version(), ShouldEqual, 7)
 	})
 }
 
@@ -187,8 +187,8 @@
 	})
 }
 
-func renewal(name string, life, epoch uint64) *wire.RenewRequest {
-	return &wire.RenewRequest{Self: &wire.Process{Name: name, Incarnation: life, Front: true}, Epoch: epoch}
+func renewal(name string, life, version uint64) *wire.RenewRequest {
+	return &wire.RenewRequest{Self: &wire.Process{Name: name, Incarnation: life, Front: true}, Epoch: version}
 }
 
 func TestSights(t *testing.T) {
@@ -333,7 +333,7 @@
 		return &wire.LeaseViewResponse{Core: core, Learned: 9, Settled: true, Confirmed: confirmed, Waiting: waiting, Gone: gone}
 	}
 	Convey("Given two of three cores that learned epoch 9, and a roster of five", t, func() {
-		q := Question{Epoch: 9, Voters: 3, Roster: roster("a", "b", "c", "d", "e")}
+		q := Question{Version: 9, Voters: 3, Roster: roster("a", "b", "c", "d", "e")}
 		why := func(views ...*wire.LeaseViewResponse) string {
 			q.Views = views
 			_, why := InForce(q)
--- a/internal/decision/lease/ledger.go
+++ b/internal/decision/lease/ledger.go
@@ -15,7 +15,7 @@
 	member      sheet.Member
 	process     *wire.Process
 	incarnation uint64
-	epoch       uint64
+	version     uint64
 	until       time.Time
 	heard       time.Time
 }
@@ -56,7 +56,7 @@
 }
 
 // Renew renews the lease of a member that has confirmed what the core learned; to any
-// other it answers EpochBehind with its learned epoch. A request without a
+// other it answers EpochBehind with its learned version. A request without a
 // record that comes from a life unknown here is asked for it. It must only be asked
 // when the core has caught up with a majority since its own start.
 func (l *Ledger) Renew(req *wire.RenewRequest, learned uint64, now time.Time) *wire.RenewResponse {
@@ -68,7 +68,7 @@
 	name := self.GetName()
 	e, ok := l.members[name]
 	if r, gone := l.left[name]; (gone && self.GetIncarnation() <= r.incarnation) || (ok && self.GetIncarnation() < e.incarnation) {
-		resp.Refusal = uint32(apierror.EpochBehind)
+		resp.Refusal = uint32(apierror.VersionBehind)
 		return resp
 	}
 	if !ok || self.GetIncarnation() > e.incarnation {
@@ -81,9 +81,9 @@
 	e.member = sheet.Member{Name: name, Region: self.GetRegion(), Zone: self.GetZone(), Core: self.GetCore(), Front: self.GetFront()}
 	e.heard = now
 	delete(l.gone, name)
-	e.epoch = max(e.epoch, req.Epoch)
+	e.version = max(e.version, req.Epoch)
 	if req.Epoch == 0 || req.Epoch < learned {
-		resp.Refusal = uint32(apierror.EpochBehind)
+		resp.Refusal = uint32(apierror.VersionBehind)
 		return resp
 	}
 	e.until = now.Add(l.ttl)
@@ -205,14 +205,14 @@
 // Settled tells whether the core has been up for longer than a TTL.
 func (l *Ledger) Settled(now time.Time) bool { return now.Sub(l.begun) > l.ttl }
 
-// View answers what the core knows of the question whether an epoch is in
+// View answers what the core knows of the question whether a version is in
 // force. Members are named with their incarnation, as MemberID writes them.
-func (l *Ledger) View(epoch, learned uint64, now time.Time) *wire.LeaseViewResponse {
+func (l *Ledger) View(version, learned uint64, now time.Time) *wire.LeaseViewResponse {
 	view := &wire.LeaseViewResponse{Core: l.core, Learned: learned, Settled: l.Settled(now)}
 	for name, e := range l.members {
 		switch {
 		case !now.Before(e.until):
-		case e.epoch >= epoch:
+		case e.version >= version:
 			view.Confirmed = append(view.Confirmed, MemberID(name, e.incarnation))
 		default:
 			view.Waiting = append(view.Waiting, MemberID(name, e.incarnation))
@@ -238,16 +238,16 @@
 	return view
 }
 
-// Whole tells whether every lease that stands is confirmed at an epoch, and
+// Whole tells whether every lease that stands is confirmed at a version, and
 // they are more than half of a roster of which some refuse connections. It is
 // this core's part of InForce, worked out without a view.
-func (l *Ledger) Whole(epoch uint64, roster map[string]sheet.Member, now time.Time) bool {
+func (l *Ledger) Whole(version uint64, roster map[string]sheet.Member, now time.Time) bool {
 	confirmed := 0
 	for _, e := range l.members {
 		if !now.Before(e.until) {
 			continue
 		}
-		if e.epoch < epoch {
+		if e.version < version {
 			return false
 		}
 		confirmed++
--- a/internal/decision/paxos/acceptor.go
+++ b/internal/decision/paxos/acceptor.go
@@ -24,7 +24,7 @@
 	if req.Slot <= s.Learned() {
 		resp.ChosenValue, resp.Chosen = s.Command(req.Slot)
 		if !resp.Chosen {
-			resp.Refusal = uint32(apierror.EpochBehind)
+			resp.Refusal = uint32(apierror.VersionBehind)
 		}
 		return nil, resp
 	}
@@ -49,7 +49,7 @@
 	if req.Slot <= s.Learned() {
 		resp.ChosenValue, resp.Chosen = s.Command(req.Slot)
 		if !resp.Chosen {
-			resp.Refusal = uint32(apierror.EpochBehind)
+			resp.Refusal = uint32(apierror.VersionBehind)
 		}
 		return nil, resp
 	}
@@ -75,7 +75,7 @@
 	return []Record{Accepted{Slot: req.Slot, Ballot: asked, Value: req.Value}}, resp
 }
 
-// Learn takes chosen epochs in. Behind tells that epochs before them are
+// Learn takes chosen versions in. Behind tells that versions before them are
 // missing here, to be fetched from the sender.
 func (s State) Learn(req *wire.LearnRequest) (records []Record, resp *wire.LearnResponse, behind bool) {
 	if s.votesIn(req.Formation) != apierror.OK {
@@ -89,7 +89,7 @@
 		case chosen.Epoch == next:
 			vote := s.Votes[next]
 			same := !vote.Accepted.Zero() && bytes.Equal(vote.Value, chosen.Command)
-			records = append(records, Learned{Epoch: next, Command: chosen.Command, AsAccepted: same})
+			records = append(records, Learned{Slot: next, Command: chosen.Command, AsAccepted: same})
 			next++
 		}
 	}
@@ -105,8 +105,8 @@
 	return resp
 }
 
-// Fetch gives epochs after a place, after a snapshot where those are no longer
-// kept singly. The answer is bounded; Learned above its last epoch says there
+// Fetch gives versions after a place, after a snapshot where those are no longer
+// kept singly. The answer is bounded; Learned above its last version says there
 // is more.
 func (s State) Fetch(req *wire.FetchRequest) (*wire.FetchResponse, *apierror.Error) {
 	if code := s.votesIn(req.Formation); code != apierror.OK {
@@ -114,15 +114,15 @@
 	}
 	resp := &wire.FetchResponse{Learned: s.Learned()}
 	after := req.After
-	if after < s.SnapshotEpoch {
-		resp.SnapshotEpoch, resp.Snapshot = s.SnapshotEpoch, s.Snapshot
-		after = s.SnapshotEpoch
+	if after < s.SnapshotSlot {
+		resp.SnapshotEpoch, resp.Snapshot = s.SnapshotSlot, s.Snapshot
+		after = s.SnapshotSlot
 	}
 	if after >= s.Learned() {
 		return resp, nil
 	}
 	size := 0
-	for _, chosen := range s.Chosen[after-s.SnapshotEpoch:] {
+	for _, chosen := range s.Chosen[after-s.SnapshotSlot:] {
 		if size += len(chosen.Command); size > fetchBytes && len(resp.Chosen) > 0 {
 			break
 		}
@@ -138,7 +138,7 @@
 	}
 	var records []Record
 	if resp.SnapshotEpoch > s.Learned() {
-		records = append(records, Installed{Epoch: resp.SnapshotEpoch, Snapshot: resp.Snapshot})
+		records = append(records, Installed{Slot: resp.SnapshotEpoch, Snapshot: resp.Snapshot})
 		s = records[0].Fold(s)
 	}
 	more, _, _ := s.Learn(&wire.LearnRequest{Formation: s.Formation, Chosen: resp.Chosen})
--- a/internal/decision/paxos/ballot.go
+++ b/internal/decision/paxos/ballot.go
@@ -1,5 +1,5 @@
 // Package paxos holds the decisions of agreement among cores: an acceptor, a
-// proposer, first formation and recovery of a wiped disk. Each slot (an epoch)
+// proposer, first formation and recovery of a wiped disk. Each slot (a version)
 // is a single-decree Paxos instance. Everything here is a value: a decision
 // takes a State and a message and returns records and an answer; a record
 // folds into the next State, in the running core as in the replay of its log.
--- a/internal/decision/paxos/ballot_test.go
+++ b/internal/decision/paxos/ballot_test.go
@@ -87,7 +87,7 @@
 		So(string(p.ChosenValue), ShouldEqual, "two")
 		s = s.Compacted(2, []byte("both"))
 		_, p = prepare(s, 2, 9, "b")
-		So(apierror.Code(p.Refusal), ShouldEqual, apierror.EpochBehind)
+		So(apierror.Code(p.Refusal), ShouldEqual, apierror.VersionBehind)
 		fetched, apiErr := s.Fetch(&wire.FetchRequest{Formation: "f", After: 0})
 		So(apiErr, ShouldBeNil)
 		other := fold(entered("b"), entered("b").Fetched(fetched))
@@ -114,7 +114,7 @@
 		So(step.Lost, ShouldBeTrue)
 		_, step = p.Promise(&wire.PrepareResponse{Core: "c", Chosen: true, ChosenValue: []byte("x"), Learned: 1})
 		So(step.Chosen, ShouldBeTrue)
-		_, step = p.Promise(&wire.PrepareResponse{Core: "c", Refusal: uint32(apierror.EpochBehind), Learned: 9})
+		_, step = p.Promise(&wire.PrepareResponse{Core: "c", Refusal: uint32(apierror.VersionBehind), Learned: 9})
 		So(step.Behind, ShouldEqual, "c")
 	})
 }
@@ -147,7 +147,7 @@
 		So(s.Life(), ShouldEqual, 2)
 		So(s.Votes[1], ShouldResemble, Vote{Promised: Ballot{5, "c"}, Accepted: Ballot{3, "b"}, Value: []byte("three")})
 		_, late := announce(b, 1)
-		So(apierror.Code(late.Refusal), ShouldEqual, apierror.EpochBehind)
+		So(apierror.Code(late.Refusal), ShouldEqual, apierror.VersionBehind)
 	})
 	Convey("Nobody is rebuilt from a core that lost its disk, nor proved new by it alone", t, func() {
 		lost := Lived{Core: "c", Life: 2}.Fold(Joined{Formation: "f", Voters: voters}.Fold(Blank("c")))
@@ -259,10 +259,10 @@
 	slot, value := rapid.Uint64Range(1, 1<<40).Draw(t, "slot"), rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(t, "value")
 	lives := map[string]uint64{"a": rapid.Uint64().Draw(t, "life")}
 	return rapid.SampledFrom([]Record{
-		Joined{Formation: "f", Voters: voters, SnapshotEpoch: slot, Snapshot: value},
+		Joined{Formation: "f", Voters: voters, SnapshotSlot: slot, Snapshot: value},
 		Lived{Core: "b", Life: slot}, Promised{Slot: slot, Ballot: ballot}, Accepted{Slot: slot, Ballot: ballot, Value: value},
-		Learned{Epoch: slot, Command: value}, Learned{Epoch: slot, AsAccepted: true}, Installed{Epoch: slot, Snapshot: value},
-		Entered{Lives: lives, SnapshotEpoch: slot, Snapshot: value, Chosen: []*wire.Chosen{{Epoch: slot + 1, Command: value}},
+		Learned{Slot: slot, Command: value}, Learned{Slot: slot, AsAccepted: true}, Installed{Slot: slot, Snapshot: value},
+		Entered{Lives: lives, SnapshotSlot: slot, Snapshot: value, Chosen: []*wire.Chosen{{Epoch: slot + 1, Command: value}},
 			Votes: map[uint64]Vote{slot + 2: {Promised: ballot, Accepted: ballot, Value: value}}},
 	}).Draw(t, "record")
 }
@@ -295,8 +295,8 @@
 func TestFetchIsBounded(t *testing.T) {
 	Convey("Large commands are fetched some at a time", t, func() {
 		s := entered("a")
-		for epoch := range uint64(6) {
-			s = Learned{Epoch: epoch + 1, Command: fmt.Appendf(make([]byte, fetchBytes/2), "%d", epoch)}.Fold(s)
+		for version := range uint64(6) {
+			s = Learned{Slot: version + 1, Command: fmt.Appendf(make([]byte, fetchBytes/2), "%d", version)}.Fold(s)
 		}
 		other, rounds := entered("b"), 0
 		for ; other.Learned() < 6; rounds++ {
--- a/internal/decision/paxos/proposer.go
+++ b/internal/decision/paxos/proposer.go
@@ -45,7 +45,7 @@
 	Voters    []string
 	Phase     Phase
 	Seen      Ballot // highest ballot met
-	Learned   uint64 // highest learned epoch met
+	Learned   uint64 // highest learned version met
 	Tip       string // the core that learned it
 
 	value    []byte
@@ -71,7 +71,7 @@
 	if resp.Chosen {
 		return p.end(Step{Chosen: true, Value: resp.ChosenValue})
 	}
-	if apierror.Code(resp.Refusal) == apierror.EpochBehind {
+	if apierror.Code(resp.Refusal) == apierror.VersionBehind {
 		return p.end(Step{Behind: resp.Core})
 	}
 	if p.Phase != Preparing {
@@ -111,7 +111,7 @@
 	if resp.Chosen {
 		return p.end(Step{Chosen: true, Value: resp.ChosenValue})
 	}
-	if apierror.Code(resp.Refusal) == apierror.EpochBehind {
+	if apierror.Code(resp.Refusal) == apierror.VersionBehind {
 		return p.end(Step{Behind: resp.Core})
 	}
 	p.answered = with(p.answered, resp.Core, true)
@@ -225,7 +225,7 @@
 	for _, core := range s.Voters {
 		to = binary.AppendUvarint(to, s.Lives[core])
 	}
-	to = binary.AppendUvarint(binary.AppendUvarint(to, s.Announced), s.SnapshotEpoch)
+	to = binary.AppendUvarint(binary.AppendUvarint(to, s.Announced), s.SnapshotSlot)
 	for _, chosen := range s.Chosen {
 		to = append(append(to, 5), chosen.Command...)
 	}
--- a/internal/decision/paxos/record.go
+++ b/internal/decision/paxos/record.go
@@ -30,10 +30,10 @@
 // Joined puts the core into a formation, not yet entered. The founder's may
 // carry the highest agreed state that outlived the loss of every disk.
 type Joined struct {
-	Formation     string
-	Voters        []string
-	SnapshotEpoch uint64
-	Snapshot      []byte
+	Formation    string
+	Voters       []string
+	SnapshotSlot uint64
+	Snapshot     []byte
 }
 
 // Lived keeps the disk life that another core announced or, of the core itself,
@@ -56,34 +56,34 @@
 	Value  []byte
 }
 
-// Learned is a chosen command of the epoch after the last learned one.
+// Learned is a chosen command of the version after the last learned one.
 // AsAccepted leaves the command out of the encoding: it is the value that this
 // core has accepted last in the slot.
 type Learned struct {
-	Epoch      uint64
+	Slot       uint64
 	Command    []byte
 	AsAccepted bool
 }
 
-// Installed replaces a learned prefix by a snapshot of a later epoch.
+// Installed replaces a learned prefix by a snapshot of a later version.
 type Installed struct {
-	Epoch    uint64
+	Slot     uint64
 	Snapshot []byte
 }
 
 // Entered is a whole recovery in one record, so that a crash leaves either none
 // of it or all.
 type Entered struct {
-	Lives         map[string]uint64
-	SnapshotEpoch uint64
-	Snapshot      []byte
-	Chosen        []*wire.Chosen
-	Votes         map[uint64]Vote
+	Lives        map[string]uint64
+	SnapshotSlot uint64
+	Snapshot     []byte
+	Chosen       []*wire.Chosen
+	Votes        map[uint64]Vote
 }
 
 // Fold implements Record.
 func (r Joined) Fold(s State) State {
-	return State{Self: s.Self, Formation: r.Formation, Voters: r.Voters, SnapshotEpoch: r.SnapshotEpoch, Snapshot: r.Snapshot}
+	return State{Self: s.Self, Formation: r.Formation, Voters: r.Voters, SnapshotSlot: r.SnapshotSlot, Snapshot: r.Snapshot}
 }
 
 // Fold implements Record.
@@ -116,34 +116,34 @@
 
 // Fold implements Record.
 func (r Learned) Fold(s State) State {
-	if r.Epoch != s.Learned()+1 {
+	if r.Slot != s.Learned()+1 {
 		return s
 	}
 	command := r.Command
 	if r.AsAccepted {
-		command = s.Votes[r.Epoch].Value
+		command = s.Votes[r.Slot].Value
 	}
-	s.Chosen = append(slices.Clip(s.Chosen), &wire.Chosen{Epoch: r.Epoch, Command: command})
+	s.Chosen = append(slices.Clip(s.Chosen), &wire.Chosen{Epoch: r.Slot, Command: command})
 	return s.closed()
 }
 
 // Fold implements Record.
 func (r Installed) Fold(s State) State {
-	if r.Epoch <= s.Learned() {
+	if r.Slot <= s.Learned() {
 		return s
 	}
-	s.SnapshotEpoch, s.Snapshot, s.Chosen = r.Epoch, r.Snapshot, nil
+	s.SnapshotSlot, s.Snapshot, s.Chosen = r.Slot, r.Snapshot, nil
 	return s.closed()
 }
 
 // Fold implements Record.
 func (r Entered) Fold(s State) State {
-	s.Lives, s.SnapshotEpoch, s.Snapshot, s.Chosen, s.Votes = r.Lives, r.SnapshotEpoch, r.Snapshot, r.Chosen, r.Votes
+	s.Lives, s.SnapshotSlot, s.Snapshot, s.Chosen, s.Votes = r.Lives, r.SnapshotSlot, r.Snapshot, r.Chosen, r.Votes
 	return s.closed()
 }
 
 func (r Joined) message() (byte, proto.Message) {
-	return kindJoined, &wire.RecoverResponse{Formation: r.Formation, Voters: r.Voters, SnapshotEpoch: r.SnapshotEpoch, Snapshot: r.Snapshot}
+	return kindJoined, &wire.RecoverResponse{Formation: r.Formation, Voters: r.Voters, SnapshotEpoch: r.SnapshotSlot, Snapshot: r.Snapshot}
 }
 
 func (r Lived) message() (byte, proto.Message) {
@@ -160,17 +160,17 @@
 
 func (r Learned) message() (byte, proto.Message) {
 	if r.AsAccepted {
-		return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Epoch}}, From: "accepted"}
+		return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Slot}}, From: "accepted"}
 	}
-	return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Epoch, Command: r.Command}}}
+	return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Slot, Command: r.Command}}}
 }
 
 func (r Installed) message() (byte, proto.Message) {
-	return kindInstalled, &wire.FetchResponse{SnapshotEpoch: r.Epoch, Snapshot: r.Snapshot}
+	return kindInstalled, &wire.FetchResponse{SnapshotEpoch: r.Slot, Snapshot: r.Snapshot}
 }
 
 func (r Entered) message() (byte, proto.Message) {
-	return kindEntered, &wire.RecoverResponse{Lives: r.Lives, SnapshotEpoch: r.SnapshotEpoch, Snapshot: r.Snapshot,
+	return kindEntered, &wire.RecoverResponse{Lives: r.Lives, SnapshotEpoch: r.SnapshotSlot, Snapshot: r.Snapshot,
 		Chosen: r.Chosen, Votes: State{Votes: r.Votes}.openVotes()}
 }
 
@@ -196,7 +196,7 @@
 	case kindJoined:
 		var m wire.RecoverResponse
 		err := read(&m)
-		return Joined{Formation: m.Formation, Voters: m.Voters, SnapshotEpoch: m.SnapshotEpoch, Snapshot: m.Snapshot}, err
+		return Joined{Formation: m.Formation, Voters: m.Voters, SnapshotSlot: m.SnapshotEpoch, Snapshot: m.Snapshot}, err
 	case kindLived:
 		var m wire.RecoverRequest
 		err := read(&m)
@@ -217,11 +217,11 @@
 		if len(m.Chosen) != 1 {
 			return nil, errors.Errorf("a learned record of %d epochs", len(m.Chosen))
 		}
-		return Learned{Epoch: m.Chosen[0].Epoch, Command: m.Chosen[0].Command, AsAccepted: m.From != ""}, nil
+		return Learned{Slot: m.Chosen[0].Epoch, Command: m.Chosen[0].Command, AsAccepted: m.From != ""}, nil
 	case kindInstalled:
 		var m wire.FetchResponse
 		err := read(&m)
-		return Installed{Epoch: m.SnapshotEpoch, Snapshot: m.Snapshot}, err
+		return Installed{Slot: m.SnapshotEpoch, Snapshot: m.Snapshot}, err
 	case kindEntered:
 		var m wire.RecoverResponse
 		if err := read(&m); err != nil {
@@ -231,7 +231,7 @@
 		for _, vote := range m.Votes {
 			votes[vote.Slot] = voteOf(vote)
 		}
-		return Entered{Lives: m.Lives, SnapshotEpoch: m.SnapshotEpoch, Snapshot: m.Snapshot, Chosen: m.Chosen, Votes: votes},
+		return Entered{Lives: m.Lives, SnapshotSlot: m.SnapshotEpoch, Snapshot: m.Snapshot, Chosen: m.Chosen, Votes: votes},
 			contiguous(m.SnapshotEpoch, m.Chosen)
 	}
 	return nil, errors.Errorf("record of unknown kind %d", data[0])
--- a/internal/decision/paxos/recovery.go
+++ b/internal/decision/paxos/recovery.go
@@ -39,7 +39,7 @@
 	case req.Core == s.Self || !slices.Contains(s.Voters, req.Core):
 		return refuse(apierror.NotCore)
 	case req.Life < s.Lives[req.Core] || req.Life == 0:
-		return refuse(apierror.EpochBehind)
+		return refuse(apierror.VersionBehind)
 	case s.Life() == 0 && s.Announced != firstLife:
 		return refuse(apierror.CoreAmnesiac)
 	}
@@ -128,12 +128,12 @@
 	if waiting != "" {
 		return nil, waiting
 	}
-	entered := Entered{Lives: known, SnapshotEpoch: s.SnapshotEpoch, Snapshot: s.Snapshot, Chosen: s.Chosen, Votes: map[uint64]Vote{}}
+	entered := Entered{Lives: known, SnapshotSlot: s.SnapshotSlot, Snapshot: s.Snapshot, Chosen: s.Chosen, Votes: map[uint64]Vote{}}
 	learned := s.Learned()
 	for _, answer := range counted {
 		if top := answer.SnapshotEpoch + uint64(len(answer.Chosen)); top > learned {
 			learned = top
-			entered.SnapshotEpoch, entered.Snapshot, entered.Chosen = answer.SnapshotEpoch, answer.Snapshot, answer.Chosen
+			entered.SnapshotSlot, entered.Snapshot, entered.Chosen = answer.SnapshotEpoch, answer.Snapshot, answer.Chosen
 		}
 		for _, vote := range answer.Votes {
 			entered.Votes[vote.Slot] = entered.Votes[vote.Slot].merge(voteOf(vote))
@@ -205,7 +205,7 @@
 // present, all blank, and by the lowest name. Present holds the answers to a
 // probe of every other core that is known; a missing answer is nil. The
 // snapshot is the highest agreed state that anyone still holds, if any.
-func (s State) Establish(id string, count int, present map[string]*wire.RecoverResponse, epoch uint64, snapshot []byte) (Record, bool) {
+func (s State) Establish(id string, count int, present map[string]*wire.RecoverResponse, version uint64, snapshot []byte) (Record, bool) {
 	if s.Formation != "" {
 		return nil, false
 	}
@@ -219,7 +219,7 @@
 			return nil, false
 		}
 	}
-	return Joined{Formation: id, Voters: names[:count], SnapshotEpoch: epoch, Snapshot: snapshot}, true
+	return Joined{Formation: id, Voters: names[:count], SnapshotSlot: version, Snapshot: snapshot}, true
 }
 
 // raise keeps the higher life of each core.
--- a/internal/decision/paxos/state.go
+++ b/internal/decision/paxos/state.go
@@ -24,18 +24,18 @@
 	// Announced is the core's own life from before it is announced until it has
 	// entered. The first life proves that the core has never voted; a later one
 	// that its votes of an earlier life are lost.
-	Announced     uint64
-	SnapshotEpoch uint64
-	Snapshot      []byte         // the agreed state at SnapshotEpoch; opaque here
-	Chosen        []*wire.Chosen // all epochs after SnapshotEpoch that are learned
-	Votes         map[uint64]Vote
+	Announced    uint64
+	SnapshotSlot uint64
+	Snapshot     []byte         // the agreed state at SnapshotEpoch; opaque here
+	Chosen       []*wire.Chosen // all versions after SnapshotEpoch that are learned
+	Votes        map[uint64]Vote
 }
 
 // Blank returns the state of a core with an empty disk.
 func Blank(self string) State { return State{Self: self} }
 
-// Learned is the highest epoch up to which all are known to be chosen.
-func (s State) Learned() uint64 { return s.SnapshotEpoch + uint64(len(s.Chosen)) }
+// Learned is the highest version up to which all are known to be chosen.
+func (s State) Learned() uint64 { return s.SnapshotSlot + uint64(len(s.Chosen)) }
 
 // Life is the core's own disk life; zero until it has entered.
 func (s State) Life() uint64 { return s.Lives[s.Self] }
@@ -66,13 +66,13 @@
 	return slices.DeleteFunc(slices.Clone(s.Voters), func(name string) bool { return name == s.Self })
 }
 
-// Command returns the chosen command of an epoch that is learned and not yet
+// Command returns the chosen command of a version that is learned and not yet
 // folded into the snapshot.
-func (s State) Command(epoch uint64) ([]byte, bool) {
-	if epoch <= s.SnapshotEpoch || epoch > s.Learned() {
+func (s State) Command(version uint64) ([]byte, bool) {
+	if version <= s.SnapshotSlot || version > s.Learned() {
 		return nil, false
 	}
-	return s.Chosen[epoch-s.SnapshotEpoch-1].Command, true
+	return s.Chosen[version-s.SnapshotSlot-1].Command, true
 }
 
 // Highest is the highest slot in which anything is accepted or learned.
@@ -89,14 +89,14 @@
 // NextNumber is a ballot number above all that the core has promised in a slot.
 func (s State) NextNumber(slot uint64) uint64 { return s.Votes[slot].Promised.Number + 1 }
 
-// Compacted returns the state with a snapshot at an epoch that is already
+// Compacted returns the state with a snapshot at a version that is already
 // learned; what came before it is dropped.
-func (s State) Compacted(epoch uint64, snapshot []byte) State {
-	if epoch <= s.SnapshotEpoch || epoch > s.Learned() {
+func (s State) Compacted(version uint64, snapshot []byte) State {
+	if version <= s.SnapshotSlot || version > s.Learned() {
 		return s
 	}
-	s.Chosen = slices.Clone(s.Chosen[epoch-s.SnapshotEpoch:])
-	s.SnapshotEpoch, s.Snapshot = epoch, snapshot
+	s.Chosen = slices.Clone(s.Chosen[version-s.SnapshotSlot:])
+	s.SnapshotSlot, s.Snapshot = version, snapshot
 	return s
 }
 
@@ -142,7 +142,7 @@
 
 func (s State) message() *wire.RecoverResponse {
 	return &wire.RecoverResponse{Ok: true, Core: s.Self, Formation: s.Formation, Voters: s.Voters, Lives: s.lives(), Voting: s.Life() != 0,
-		SnapshotEpoch: s.SnapshotEpoch, Snapshot: s.Snapshot, Chosen: s.Chosen, Votes: s.openVotes()}
+		SnapshotEpoch: s.SnapshotSlot, Snapshot: s.Snapshot, Chosen: s.Chosen, Votes: s.openVotes()}
 }
 
 // Encode returns the whole state of a core that has entered, as kept in a
@@ -161,12 +161,12 @@
 	if err := proto.Unmarshal(data, &m); err != nil {
 		return State{}, errors.Wrap(err, "ballot state")
 	}
-	s := State{Self: m.Core, Formation: m.Formation, Voters: m.Voters, Lives: m.Lives, SnapshotEpoch: m.SnapshotEpoch,
+	s := State{Self: m.Core, Formation: m.Formation, Voters: m.Voters, Lives: m.Lives, SnapshotSlot: m.SnapshotEpoch,
 		Snapshot: m.Snapshot, Chosen: m.Chosen, Votes: make(map[uint64]Vote, len(m.Votes))}
 	for _, vote := range m.Votes {
 		s.Votes[vote.Slot] = voteOf(vote)
 	}
-	if err := contiguous(s.SnapshotEpoch, s.Chosen); err != nil {
+	if err := contiguous(s.SnapshotSlot, s.Chosen); err != nil {
 		return State{}, err
 	}
 	return s, nil
--- a/internal/decision/paxos/transcript_test.go
+++ b/internal/decision/paxos/transcript_test.go
@@ -38,9 +38,9 @@
 	case Accepted:
 		return fmt.Sprintf("slot %d accepted %q by %s", r.Slot, r.Value, name(r.Ballot))
 	case Learned:
-		return fmt.Sprintf("epoch %d learned: %q", r.Epoch, r.Command)
+		return fmt.Sprintf("epoch %d learned: %q", r.Slot, r.Command)
 	case Entered:
-		text := fmt.Sprintf("entered: lives %v, learned %d", r.Lives, r.SnapshotEpoch+uint64(len(r.Chosen)))
+		text := fmt.Sprintf("entered: lives %v, learned %d", r.Lives, r.SnapshotSlot+uint64(len(r.Chosen)))
 		for _, vote := range (State{Votes: r.Votes}).openVotes() {
 			text += fmt.Sprintf(", slot %d promised to %s, accepted %q by %s", vote.Slot, name(Of(vote.Promised)), vote.Value, name(Of(vote.Accepted)))
 		}
--- a/internal/decision/plan/plan.go
+++ b/internal/decision/plan/plan.go
@@ -34,7 +34,7 @@
 // Compute works out the plan of the period that begins at in.Now.
 func Compute(in Input) *wire.Plan {
 	policy := in.Policy.under(in.State.Sheet).OrDefaults()
-	next := &wire.Plan{Term: in.Term, Number: in.Number, Epoch: in.State.Epoch, AtMs: in.Now.UnixMilli(),
+	next := &wire.Plan{Term: in.Term, Number: in.Number, Epoch: in.State.Version, AtMs: in.Now.UnixMilli(),
 		PeriodMs: uint32(in.Period.Milliseconds()), Holder: in.Holder, Cause: in.Cause}
 	next.Shares = Shares(in.State, in.Servers, in.Fronts, policy)
 	for _, name := range slices.Sorted(maps.Keys(in.Servers)) {
@@ -66,7 +66,7 @@
 		case Draining, Leaving:
 			return "drain: " + c.Server + " " + why, true
 		case Evacuated:
-			return "evacuation: " + sheet.Locality(status.Region, status.Zone), true
+			return "evacuation: " + sheet.ZoneName(status.Region, status.Zone), true
 		default:
 			return "failure: " + c.Server + " " + why, true
 		}
@@ -121,7 +121,7 @@
 		return false
 	}
 	_, whole := state.Evacuated[region]
-	_, part := state.Evacuated[sheet.Locality(region, zone)]
+	_, part := state.Evacuated[sheet.ZoneName(region, zone)]
 	return whole || part
 }
 
--- a/internal/decision/plan/plan_test.go
+++ b/internal/decision/plan/plan_test.go
@@ -29,7 +29,7 @@
 }
 
 func stateOf(lagos, abeokuta float64) sheet.State {
-	return sheet.State{Epoch: 7, SheetEpoch: 7, Evacuated: map[string]uint64{}, Sheet: &sheet.Sheet{
+	return sheet.State{Version: 7, SheetVersion: 7, Evacuated: map[string]uint64{}, Sheet: &sheet.Sheet{
 		Services: map[string]sheet.Service{"chat": {Kind: "model"}, "digest": {Kind: "model"}},
 		Weights:  map[string]map[string]float64{"chat": {"lagos": lagos, "abeokuta": abeokuta}, "digest": {"lagos": 1, "abeokuta": 1}}}}
 }
@@ -101,8 +101,8 @@
 		step("time passes", func() { in.Now = in.Now.Add(4 * time.Second) })
 		step("m1 has answered five", set("m1", func(s *wire.ServerStatus) { s.Incarnation, s.Answered = 2, 5 }))
 		step("m3 goes dark", set("m3", func(s *wire.ServerStatus) { s.Reachable = false }))
-		step("abeokuta is evacuated", func() { in.State.Evacuated = map[string]uint64{"abeokuta": 8}; in.State.Epoch = 8 })
-		step("the sheet moves", func() { in.State = stateOf(10, 90); in.State.Epoch, in.State.SheetEpoch = 9, 9 })
+		step("abeokuta is evacuated", func() { in.State.Evacuated = map[string]uint64{"abeokuta": 8}; in.State.Version = 8 })
+		step("the sheet moves", func() { in.State = stateOf(10, 90); in.State.Version, in.State.SheetVersion = 9, 9 })
 		step("time passes", func() { in.Now = in.Now.Add(4 * time.Second) })
 		step("lagos is full", func() {
 			set("m0", func(s *wire.ServerStatus) { s.Running, s.Queued = 16, 30 })()
--- a/internal/decision/route/choose.go
+++ b/internal/decision/route/choose.go
@@ -190,7 +190,7 @@
 	if t.view.Plan == nil || t.view.State.Sheet == nil {
 		return
 	}
-	if t.view.Plan.Epoch >= t.view.State.SheetEpoch {
+	if t.view.Plan.Epoch >= t.view.State.SheetVersion {
 		t.spoke(t.view.Plan.Shares, func(string) bool { return true })
 	}
 	stranded := map[string]bool{}
--- a/internal/decision/route/route_test.go
+++ b/internal/decision/route/route_test.go
@@ -42,7 +42,7 @@
 }
 
 func viewOf(servers map[string]*wire.ServerStatus, fronts ...string) View {
-	state := sheet.State{Epoch: 7, SheetEpoch: 7, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{"chat": {Kind: "model"}},
+	state := sheet.State{Version: 7, SheetVersion: 7, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{"chat": {Kind: "model"}},
 		Weights: map[string]map[string]float64{"chat": {"lagos": 70, "abeokuta": 30}}}}
 	return View{State: state, Servers: servers, Fronts: fronts, Plan: plan.Compute(plan.Input{State: state, Servers: servers, Term: 1, Number: 1})}
 }
@@ -92,7 +92,7 @@
 				So(table.serve(req, start).Region, ShouldEqual, "abeokuta")
 			}
 			v := viewOf(fleet(4))
-			v.State.Epoch, v.State.Evacuated = 8, map[string]uint64{"abeokuta": 8}
+			v.State.Version, v.State.Evacuated = 8, map[string]uint64{"abeokuta": 8}
 			table.Update(v, start)
 			So(table.Choose(req, start).Fault.Code, ShouldEqual, apierror.NoServer)
 			So(table.Choose(ask(2), start).Region, ShouldEqual, "lagos")
@@ -114,7 +114,7 @@
 		})
 		Convey("goes by a newer sheet at once although the plan is older", func() {
 			v := viewOf(fleet(4))
-			v.State.Epoch, v.State.SheetEpoch = 9, 9
+			v.State.Version, v.State.SheetVersion = 9, 9
 			v.State.Sheet = &sheet.Sheet{Services: v.State.Sheet.Services, Weights: map[string]map[string]float64{"chat": {"lagos": 0, "abeokuta": 1}}}
 			table.Update(v, start)
 			for i := range 20 {
@@ -144,7 +144,7 @@
 					So(table.serve(ask(i), start).Server, ShouldNotEqual, "m0")
 				}
 			}
-			v.Servers, v.State.Epoch, v.State.Evacuated = servers, 8, map[string]uint64{"lagos/a": 8}
+			v.Servers, v.State.Version, v.State.Evacuated = servers, 8, map[string]uint64{"lagos/a": 8}
 			table.Update(v, start)
 			for i := range 50 {
 				So(table.serve(ask(i), start).Server, ShouldNotEqual, "m0")
--- a/internal/decision/route/table.go
+++ b/internal/decision/route/table.go
@@ -209,7 +209,7 @@
 		t.fronts = fronts
 		t.frontsGen++
 	}
-	stateMoved := v.State.Epoch != t.view.State.Epoch || v.State.Sheet != t.view.State.Sheet
+	stateMoved := v.State.Version != t.view.State.Version || v.State.Sheet != t.view.State.Sheet
 	planMoved := v.Plan != t.view.Plan
 	id := reflect.ValueOf(v.Servers).Pointer()
 	serversMoved := id != t.mapID || id == 0
@@ -316,5 +316,5 @@
 // server that may get requests.
 func (t *Table) Ready() bool { return t.view.Plan != nil && len(t.pools) > 0 }
 
-// Epoch returns the epoch of the state that the table rules by.
-func (t *Table) Epoch() uint64 { return t.view.State.Epoch }
+// Version returns the version of the state that the table rules by.
+func (t *Table) Version() uint64 { return t.view.State.Version }
--- a/internal/decision/sheet/command.go
+++ b/internal/decision/sheet/command.go
@@ -9,15 +9,15 @@
 	"stepwick/internal/apierror"
 )
 
-// Result is the outcome of a command, the same wherever it is applied. Epoch is
-// the epoch that the order made (for an order sent again, the earlier one), or
-// for BaseMoved the one that won on its base. SheetEpoch is the sheet's epoch
+// Result is the outcome of a command, the same wherever it is applied. Version is
+// the version that the order made (for an order sent again, the earlier one), or
+// for BaseMoved the one that won on its base. SheetEpoch is the sheet's version
 // after the command.
 type Result struct {
-	Code       apierror.Code
-	Epoch      uint64
-	SheetEpoch uint64
-	Detail     string
+	Code         apierror.Code
+	Version      uint64
+	SheetVersion uint64
+	Detail       string
 }
 
 // Fault returns the result as a fault, or nil for OK.
@@ -31,14 +31,14 @@
 // Command is one entry of the log of agreed commands.
 type Command interface {
 	Verb() string
-	// Apply returns the state of the given epoch and the outcome. A refused
-	// command uses up its epoch and changes nothing else.
-	Apply(s State, epoch uint64) (State, Result)
+	// Apply returns the state of the given version and the outcome. A refused
+	// command uses up its version and changes nothing else.
+	Apply(s State, version uint64) (State, Result)
 }
 
 // Order is what every operator's order carries. OrderID names it when it is
 // sent again; Digest tells apart another order under the same id and is worked
-// out from the order's content where it is empty. Base is the sheet's epoch
+// out from the order's content where it is empty. Base is the sheet's version
 // that a put or patch was built on. A put or patch without an id goes by its
 // digest. Other orders without one are not known again: they are harmless when
 // repeated, and a zone emptied, taken back and emptied again is three orders.
@@ -81,13 +81,13 @@
 	// repeated.
 	Evacuate struct {
 		Order
-		Locality string `json:"locality"`
+		Zone string `json:"locality"`
 	}
 	// Restore takes a region or zone back that was evacuated. It is harmless
 	// when repeated.
 	Restore struct {
 		Order
-		Locality string `json:"locality"`
+		Zone string `json:"locality"`
 	}
 	// AddMembers puts processes on the roster. Names that are on it stay as
 	// they are. While an earlier change isn't settled it is refused with
@@ -107,7 +107,7 @@
 	}
 	// SettleRoster ends the change of RosterEpoch; for another one it is void.
 	SettleRoster struct {
-		RosterEpoch uint64 `json:"roster_epoch"`
+		RosterVersion uint64 `json:"roster_epoch"`
 	}
 	// TakeDuty claims the next term of a duty. The first in the log wins it.
 	TakeDuty struct {
@@ -120,8 +120,8 @@
 )
 
 // Apply replaces the sheet if the base still stands.
-func (c PutSheet) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
+func (c PutSheet) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
 	order := c.seal()
 	if result, done := s.before(order, true); done {
 		return s, result
@@ -134,8 +134,8 @@
 }
 
 // Apply changes the cells if the base still stands and the sheet stays sound.
-func (c PatchSheet) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
+func (c PatchSheet) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
 	order := c.seal()
 	if result, done := s.before(order, true); done {
 		return s, result
@@ -148,8 +148,8 @@
 }
 
 // Apply merges the rows if the base still stands and the sheet stays sound.
-func (c MergeSheet) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
+func (c MergeSheet) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
 	order := c.seal()
 	if result, done := s.before(order, true); done {
 		return s, result
@@ -162,43 +162,43 @@
 	return s.install(merged, order).accept(order, VerbMerge, summary)
 }
 
-// Apply empties the locality; one that is empty already stays as it is.
-func (c Evacuate) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
+// Apply empties the zone; one that is empty already stays as it is.
+func (c Evacuate) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
 	order := c.seal()
 	if result, done := s.before(order, false); done {
 		return s, result
 	}
-	if !ValidLocality(c.Locality) {
-		return s, s.result(apierror.UnknownLocality, "%s is neither a region nor region/zone", strconv.Quote(clip(c.Locality)))
+	if !ValidZoneName(c.Zone) {
+		return s, s.result(apierror.UnknownZone, "%s is neither a region nor region/zone", strconv.Quote(clip(c.Zone)))
 	}
-	if _, empty := s.Evacuated[c.Locality]; !empty {
+	if _, empty := s.Evacuated[c.Zone]; !empty {
 		s.Evacuated = cloned(s.Evacuated)
-		s.Evacuated[c.Locality] = epoch
+		s.Evacuated[c.Zone] = version
 	}
-	return s.accept(order, VerbEvacuate, c.Locality)
+	return s.accept(order, VerbEvacuate, c.Zone)
 }
 
-// Apply takes the locality back; one that isn't empty stays as it is.
-func (c Restore) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
+// Apply takes the zone back; one that isn't empty stays as it is.
+func (c Restore) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
 	order := c.seal()
 	if result, done := s.before(order, false); done {
 		return s, result
 	}
-	if !ValidLocality(c.Locality) {
-		return s, s.result(apierror.UnknownLocality, "%s is neither a region nor region/zone", strconv.Quote(clip(c.Locality)))
+	if !ValidZoneName(c.Zone) {
+		return s, s.result(apierror.UnknownZone, "%s is neither a region nor region/zone", strconv.Quote(clip(c.Zone)))
 	}
-	if _, empty := s.Evacuated[c.Locality]; empty {
+	if _, empty := s.Evacuated[c.Zone]; empty {
 		s.Evacuated = cloned(s.Evacuated)
-		delete(s.Evacuated, c.Locality)
+		delete(s.Evacuated, c.Zone)
 	}
-	return s.accept(order, VerbRestore, c.Locality)
+	return s.accept(order, VerbRestore, c.Zone)
 }
 
 // Apply puts the new ones of the members on the roster.
-func (c AddMembers) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
+func (c AddMembers) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
 	roster := s.Roster
 	for _, member := range c.Members {
 		if _, known := s.Roster[member.Name]; known || member.Name == "" {
@@ -215,8 +215,8 @@
 }
 
 // Apply takes the names off the roster.
-func (c RemoveMembers) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
+func (c RemoveMembers) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
 	byOperator := c.Operator != ""
 	order := c.seal()
 	if byOperator {
@@ -235,22 +235,22 @@
 	if sameNames(roster, prior) {
 		prior = nil
 	}
-	s.Roster, s.PriorRoster, s.RosterEpoch = roster, prior, epoch
+	s.Roster, s.PriorRoster, s.RosterVersion = roster, prior, version
 	return s.accept(order, VerbRemove, clip(strings.Join(c.Names, ", ")))
 }
 
 // Apply ends the roster's change that it names.
-func (c SettleRoster) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
-	if c.RosterEpoch == s.RosterEpoch {
+func (c SettleRoster) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
+	if c.RosterVersion == s.RosterVersion {
 		s.PriorRoster = nil
 	}
 	return s, s.result(apierror.OK, "")
 }
 
 // Apply gives the duty to the holder if the term is the next one.
-func (c TakeDuty) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
+func (c TakeDuty) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
 	current := s.Duties[c.Duty]
 	if current == (Duty{Term: c.Term, Holder: c.Holder}) {
 		return s, s.result(apierror.OK, "")
@@ -263,39 +263,39 @@
 	return s, s.result(apierror.OK, "")
 }
 
-// Apply changes nothing but the epoch.
-func (Noop) Apply(s State, epoch uint64) (State, Result) {
-	s.Epoch = epoch
+// Apply changes nothing but the version.
+func (Noop) Apply(s State, version uint64) (State, Result) {
+	s.Version = version
 	return s, s.result(apierror.OK, "")
 }
 
 func (s State) result(code apierror.Code, format string, args ...any) Result {
-	return Result{Code: code, Epoch: s.Epoch, SheetEpoch: s.SheetEpoch, Detail: fmt.Sprintf(format, args...)}
+	return Result{Code: code, Version: s.Version, SheetVersion: s.SheetVersion, Detail: fmt.Sprintf(format, args...)}
 }
 
 func (s State) refused(apiErr *apierror.Error) Result {
-	return Result{Code: apiErr.Code, Epoch: s.Epoch, SheetEpoch: s.SheetEpoch, Detail: apiErr.Detail}
+	return Result{Code: apiErr.Code, Version: s.Version, SheetVersion: s.SheetVersion, Detail: apiErr.Detail}
 }
 
 func (s State) before(order Order, onBase bool) (Result, bool) {
 	if order.OrderID != "" {
 		if earlier, known := s.Applied(order.OrderID); known {
 			if earlier.Digest != order.Digest {
-				return s.result(apierror.OrderIDReused, "order %s was sent before to %s, and accepted at epoch %d", clip(order.OrderID), earlier.Verb, earlier.Epoch), true
+				return s.result(apierror.OrderIDReused, "order %s was sent before to %s, and accepted at epoch %d", clip(order.OrderID), earlier.Verb, earlier.Version), true
 			}
-			return Result{Code: apierror.OK, Epoch: earlier.Epoch, SheetEpoch: earlier.SheetEpoch}, true
+			return Result{Code: apierror.OK, Version: earlier.Version, SheetVersion: earlier.SheetVersion}, true
 		}
 	}
 	if onBase && order.Revision > 0 {
 		return s.beforeRevision(order)
 	}
-	if onBase && order.Base != s.SheetEpoch {
+	if onBase && order.Base != s.SheetVersion {
 		won := s.winner(order.Base)
-		moved := s.result(apierror.BaseMoved, "base %d was taken by epoch %d; the sheet is at %d", order.Base, won, s.SheetEpoch)
-		if order.Base > s.SheetEpoch {
-			moved = s.result(apierror.BaseMoved, "base %d is not the sheet's; it is at %d", order.Base, s.SheetEpoch)
+		moved := s.result(apierror.BaseMoved, "base %d was taken by epoch %d; the sheet is at %d", order.Base, won, s.SheetVersion)
+		if order.Base > s.SheetVersion {
+			moved = s.result(apierror.BaseMoved, "base %d is not the sheet's; it is at %d", order.Base, s.SheetVersion)
 		}
-		moved.Epoch = won
+		moved.Version = won
 		return moved, true
 	}
 	return Result{}, false
@@ -312,9 +312,9 @@
 	return Result{}, false
 }
 
-// install puts a sheet in force at the state's epoch.
+// install puts a sheet in force at the state's version.
 func (s State) install(sheet *Sheet, order Order) State {
-	s.Sheet, s.SheetEpoch = sheet, s.Epoch
+	s.Sheet, s.SheetVersion = sheet, s.Version
 	if order.Revision > 0 {
 		s.Revision = order.Revision
 	}
@@ -322,7 +322,7 @@
 }
 
 func (s State) accept(order Order, verb, summary string) (State, Result) {
-	s = s.remember(Record{Epoch: s.Epoch, SheetEpoch: s.SheetEpoch, Operator: order.Operator, Verb: verb,
+	s = s.remember(Record{Version: s.Version, SheetVersion: s.SheetVersion, Operator: order.Operator, Verb: verb,
 		OrderID: order.OrderID, Digest: order.Digest, AtMS: order.AtMS, Summary: summary})
 	return s, s.result(apierror.OK, "")
 }
@@ -332,9 +332,9 @@
 		return s, s.result(apierror.OK, "")
 	}
 	if !s.Settled() {
-		return s, s.result(apierror.EpochBehind, "the roster's change of epoch %d is not settled", s.RosterEpoch)
+		return s, s.result(apierror.VersionBehind, "the roster's change of epoch %d is not settled", s.RosterVersion)
 	}
-	s.PriorRoster, s.Roster, s.RosterEpoch = s.Roster, roster, s.Epoch
+	s.PriorRoster, s.Roster, s.RosterVersion = s.Roster, roster, s.Version
 	return s, s.result(apierror.OK, "")
 }
 
--- a/internal/decision/sheet/index.go
+++ b/internal/decision/sheet/index.go
@@ -16,7 +16,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Index finds tenants by their keys in one epoch's sheet. It is immutable.
+// Index finds tenants by their keys in one version's sheet. It is immutable.
 type Index struct {
 	sheet  *Sheet
 	owners map[uint64][]owner
--- a/internal/decision/sheet/order.go
+++ b/internal/decision/sheet/order.go
@@ -44,7 +44,7 @@
 	Upsert   *Sheet   `json:"upsert"`
 	Remove   Removal  `json:"remove"`
 	Changes  []Change `json:"changes"`
-	Locality string   `json:"locality"`
+	Zone     string   `json:"locality"`
 	Names    []string `json:"names"`
 }
 
@@ -54,7 +54,7 @@
 //	put      {"order_id":"…","base":17,"sheet":{…}}
 //	merge    {"order_id":"…","base":17,"upsert":{…},"remove":{"routes":["r-1"]}}
 //	patch    {"order_id":"…","base":17,"changes":[{"path":"weights.chat.lagos","value":30}]}
-//	evacuate {"order_id":"…","locality":"lagos/a"}, and so restore
+//	evacuate {"order_id":"…","zone":"lagos/a"}, and so restore
 //	remove   {"order_id":"…","names":["node-4"]}
 //
 // A put or patch without an order id goes by its digest, over operator, verb,
@@ -129,18 +129,18 @@
 		c.Order = c.seal()
 		return c, nil
 	}
-	if b.Locality == "" {
+	if b.Zone == "" {
 		return nil, apierror.Errorf(apierror.MissingField, "locality")
 	}
-	if !ValidLocality(b.Locality) {
-		return nil, apierror.Errorf(apierror.UnknownLocality, "%s is neither a region nor region/zone", strconv.Quote(clip(b.Locality)))
+	if !ValidZoneName(b.Zone) {
+		return nil, apierror.Errorf(apierror.UnknownZone, "%s is neither a region nor region/zone", strconv.Quote(clip(b.Zone)))
 	}
 	if verb == VerbEvacuate {
-		c := Evacuate{Order: order, Locality: b.Locality}
+		c := Evacuate{Order: order, Zone: b.Zone}
 		c.Order = c.seal()
 		return c, nil
 	}
-	c := Restore{Order: order, Locality: b.Locality}
+	c := Restore{Order: order, Zone: b.Zone}
 	c.Order = c.seal()
 	return c, nil
 }
--- a/internal/decision/sheet/routes_test.go
+++ b/internal/decision/sheet/routes_test.go
@@ -102,7 +102,7 @@
 	Convey("The same order sent again gets the same answer; one of the same number with other content lost the race", t, func() {
 		again, result := PutSheet{Order: numbered(5, 0), Sheet: routed()}.Apply(first, 2)
 		So(result.Code, ShouldEqual, apierror.OK)
-		So(again.SheetEpoch, ShouldEqual, 1)
+		So(again.SheetVersion, ShouldEqual, 1)
 		other := routed()
 		delete(other.Routes, "map")
 		_, result = PutSheet{Order: numbered(5, 0), Sheet: other}.Apply(first, 2)
--- a/internal/decision/sheet/seal.go
+++ b/internal/decision/sheet/seal.go
@@ -25,11 +25,11 @@
 }
 
 func (c Evacuate) seal() Order {
-	return c.Order.sealed(VerbEvacuate, func() any { return c.Locality })
+	return c.Order.sealed(VerbEvacuate, func() any { return c.Zone })
 }
 
 func (c Restore) seal() Order {
-	return c.Order.sealed(VerbRestore, func() any { return c.Locality })
+	return c.Order.sealed(VerbRestore, func() any { return c.Zone })
 }
 
 func (c RemoveMembers) seal() Order {
--- a/internal/decision/sheet/sheet.go
+++ b/internal/decision/sheet/sheet.go
@@ -16,8 +16,8 @@
 	"stepwick/internal/apierror"
 )
 
-// Epoch is a slot number in the log of agreed commands.
-type Epoch = uint64
+// Version is a slot number in the log of agreed commands.
+type Version = uint64
 
 // Kinds of a service.
 const (
@@ -88,8 +88,8 @@
 	Origin json.RawMessage `json:"origin,omitempty"`
 }
 
-// Locality names a zone of a region, such as lagos/a.
-func Locality(region, zone string) string { return region + "/" + zone }
+// Zone names a zone of a region, such as lagos/a.
+func ZoneName(region, zone string) string { return region + "/" + zone }
 
 // ValidName says whether a name may stand in a sheet: 1 to MaxName bytes of
 // letters, digits, _ and -.
@@ -105,8 +105,8 @@
 	return true
 }
 
-// ValidLocality says whether a name is that of a region or of a locality.
-func ValidLocality(name string) bool {
+// ValidZoneName says whether a name is that of a region or of a zone.
+func ValidZoneName(name string) bool {
 	region, zone, both := strings.Cut(name, "/")
 	return ValidName(region) && (!both || ValidName(zone))
 }
--- a/internal/decision/sheet/state.go
+++ b/internal/decision/sheet/state.go
@@ -29,39 +29,39 @@
 	Holder string `json:"holder"`
 }
 
-// Record is an accepted order: when, by whom, what, and the epochs that it
+// Record is an accepted order: when, by whom, what, and the versions that it
 // made. AtMS is in unix milliseconds by the proposing core's clock.
 type Record struct {
-	Epoch      uint64 `json:"epoch"`
-	SheetEpoch uint64 `json:"sheet_epoch"`
-	Operator   string `json:"operator,omitempty"`
-	Verb       string `json:"verb"`
-	OrderID    string `json:"order_id"`
-	Digest     string `json:"digest"`
-	AtMS       int64  `json:"at_ms"`
-	Summary    string `json:"summary,omitempty"`
+	Version      uint64 `json:"epoch"`
+	SheetVersion uint64 `json:"sheet_epoch"`
+	Operator     string `json:"operator,omitempty"`
+	Verb         string `json:"verb"`
+	OrderID      string `json:"order_id"`
+	Digest       string `json:"digest"`
+	AtMS         int64  `json:"at_ms"`
+	Summary      string `json:"summary,omitempty"`
 }
 
 // State is what the log of agreed commands folds into. It is immutable: Apply
 // copies what it changes and shares the rest, so a State may be read anywhere.
 type State struct {
-	// Epoch counts the commands applied. SheetEpoch is the epoch of the last
+	// Version counts the commands applied. SheetEpoch is the version of the last
 	// put or patch, the base that orders name.
-	Epoch      uint64 `json:"epoch"`
-	SheetEpoch uint64 `json:"sheet_epoch"`
+	Version      uint64 `json:"epoch"`
+	SheetVersion uint64 `json:"sheet_epoch"`
 	// Revision is the operators' own number of the sheet, where they number it.
 	Revision uint64 `json:"revision,omitempty"`
 	Sheet    *Sheet `json:"sheet,omitempty"`
-	// Evacuated maps a region or locality to the epoch that emptied it. It is
+	// Evacuated maps a region or zone to the version that emptied it. It is
 	// a layer of its own: no sheet undoes it.
 	Evacuated map[string]uint64 `json:"evacuated,omitempty"`
 	// Roster holds the members by name, as of RosterEpoch. PriorRoster is the
 	// roster before the last change while that change isn't settled, and empty
 	// otherwise: until then majorities of both count.
-	Roster      map[string]Member `json:"roster,omitempty"`
-	RosterEpoch uint64            `json:"roster_epoch,omitempty"`
-	PriorRoster map[string]Member `json:"prior_roster,omitempty"`
-	Duties      map[string]Duty   `json:"duties,omitempty"`
+	Roster        map[string]Member `json:"roster,omitempty"`
+	RosterVersion uint64            `json:"roster_epoch,omitempty"`
+	PriorRoster   map[string]Member `json:"prior_roster,omitempty"`
+	Duties        map[string]Duty   `json:"duties,omitempty"`
 	// History holds the last MaxHistory accepted orders, oldest first.
 	History []Record `json:"history,omitempty"`
 }
@@ -78,7 +78,7 @@
 	if _, whole := s.Evacuated[region]; whole {
 		return true
 	}
-	_, one := s.Evacuated[Locality(region, zone)]
+	_, one := s.Evacuated[ZoneName(region, zone)]
 	return one
 }
 
@@ -110,19 +110,19 @@
 	return s, nil
 }
 
-// Step applies the command that was agreed for an epoch, which must be the one
+// Step applies the command that was agreed for a version, which must be the one
 // after the state's; else nothing changes and the code is EpochBehind. Bytes
-// that are no command use up their epoch and give Internal.
-func (s State) Step(epoch uint64, command []byte) (State, Result) {
-	if epoch != s.Epoch+1 {
-		return s, s.result(apierror.EpochBehind, "the state is at %d; epoch %d is not the next", s.Epoch, epoch)
+// that are no command use up their version and give Internal.
+func (s State) Step(version uint64, command []byte) (State, Result) {
+	if version != s.Version+1 {
+		return s, s.result(apierror.VersionBehind, "the state is at %d; epoch %d is not the next", s.Version, version)
 	}
 	decoded, err := Decode(command)
 	if err != nil {
-		next, _ := Noop{}.Apply(s, epoch)
+		next, _ := Noop{}.Apply(s, version)
 		return next, next.result(apierror.Internal, "%v", err)
 	}
-	return decoded.Apply(s, epoch)
+	return decoded.Apply(s, version)
 }
 
 // Foresee returns the result of an operator's command where this state alone
@@ -133,9 +133,9 @@
 	if !ok {
 		return Result{}, false
 	}
-	_, result := command.Apply(s, s.Epoch+1)
+	_, result := command.Apply(s, s.Version+1)
 	if result.Code != apierror.OK && result.Code != apierror.BaseMoved {
-		result.Epoch = s.Epoch
+		result.Version = s.Version
 	}
 	switch result.Code {
 	case apierror.OK:
@@ -145,7 +145,7 @@
 		if order.Revision > 0 {
 			return result, order.BaseRevision < s.Revision
 		}
-		return result, order.Base < s.SheetEpoch
+		return result, order.Base < s.SheetVersion
 	case apierror.UnknownMember:
 		return Result{}, false
 	}
@@ -163,9 +163,9 @@
 
 func (s State) winner(base uint64) uint64 {
 	for _, r := range s.History {
-		if r.Epoch > base && r.SheetEpoch == r.Epoch {
-			return r.Epoch
+		if r.Version > base && r.SheetVersion == r.Version {
+			return r.Version
 		}
 	}
-	return s.SheetEpoch
+	return s.SheetVersion
 }
--- a/internal/decision/sheet/state_test.go
+++ b/internal/decision/sheet/state_test.go
@@ -41,7 +41,7 @@
 func drawCommand(t *rapid.T, s State) Command {
 	order := Order{Operator: rapid.SampledFrom([]string{"ada", "bola"}).Draw(t, "operator"),
 		OrderID: rapid.SampledFrom([]string{"", "o1", "o2", "o3", "o4"}).Draw(t, "id"),
-		Base:    s.SheetEpoch - min(s.SheetEpoch, uint64(rapid.IntRange(0, 1).Draw(t, "behind")))}
+		Base:    s.SheetVersion - min(s.SheetVersion, uint64(rapid.IntRange(0, 1).Draw(t, "behind")))}
 	place := rapid.SampledFrom([]string{"lagos", "lagos/a", "abeokuta/c", "no/such/place"}).Draw(t, "place")
 	names := rapid.SliceOfN(rapid.SampledFrom([]string{"n1", "n2", "n3", "n4"}), 1, 3).Draw(t, "names")
 	switch rapid.IntRange(0, 9).Draw(t, "verb") {
@@ -50,9 +50,9 @@
 	case 2, 3:
 		return PatchSheet{Order: order, Changes: rapid.SliceOfN(rapid.Custom(drawChange), 0, 3).Draw(t, "changes")}
 	case 4:
-		return Evacuate{Order: order, Locality: place}
+		return Evacuate{Order: order, Zone: place}
 	case 5:
-		return Restore{Order: order, Locality: place}
+		return Restore{Order: order, Zone: place}
 	case 6:
 		var members []Member
 		for _, name := range names {
@@ -65,12 +65,12 @@
 		}
 		return RemoveMembers{Order: order, Names: names}
 	case 8:
-		return SettleRoster{RosterEpoch: s.RosterEpoch}
+		return SettleRoster{RosterVersion: s.RosterVersion}
 	}
 	return TakeDuty{Duty: "planner", Term: s.Duties["planner"].Term + uint64(rapid.IntRange(0, 2).Draw(t, "term")), Holder: names[0]}
 }
 
-func unmoved(s State) string { s.Epoch = 0; return string(s.Encode()) }
+func unmoved(s State) string { s.Version = 0; return string(s.Encode()) }
 
 func TestLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -80,18 +80,18 @@
 			command := drawCommand(t, live)
 			data := Encode(command)
 			before, base := live.Encode(), live
-			next, result := live.Step(live.Epoch+1, data)
-			if seen, sure := live.Foresee(command); sure && (seen.Code != result.Code || seen.SheetEpoch != result.SheetEpoch) {
+			next, result := live.Step(live.Version+1, data)
+			if seen, sure := live.Foresee(command); sure && (seen.Code != result.Code || seen.SheetVersion != result.SheetVersion) {
 				t.Fatalf("%s: foreseen %+v, got %+v", command.Verb(), seen, result)
 			}
-			again, twin := reread.Step(reread.Epoch+1, data)
+			again, twin := reread.Step(reread.Version+1, data)
 			if !bytes.Equal(before, base.Encode()) {
 				t.Fatalf("%s changed a state that was given out", command.Verb())
 			}
 			if !bytes.Equal(next.Encode(), again.Encode()) || result != twin {
 				t.Fatalf("%s: a state read back steps elsewhere", command.Verb())
 			}
-			if next.Epoch != base.Epoch+1 || next.SheetEpoch < base.SheetEpoch || next.RosterEpoch < base.RosterEpoch {
+			if next.Version != base.Version+1 || next.SheetVersion < base.SheetVersion || next.RosterVersion < base.RosterVersion {
 				t.Fatalf("%s: an epoch went back", command.Verb())
 			}
 			if result.Code != apierror.OK && unmoved(next) != unmoved(base) {
@@ -100,7 +100,7 @@
 			if next.Sheet != base.Sheet && next.Sheet.Check() != nil {
 				t.Fatalf("%s: an unsound sheet was kept", command.Verb())
 			}
-			if !base.Settled() && !next.Settled() && next.RosterEpoch != base.RosterEpoch && command.Verb() != VerbRemove {
+			if !base.Settled() && !next.Settled() && next.RosterVersion != base.RosterVersion && command.Verb() != VerbRemove {
 				t.Fatalf("%s: a change of the roster overtook one that is not settled", command.Verb())
 			}
 			if order, ok := OrderOf(command); ok && order.OrderID != "" && result.Code == apierror.OK {
@@ -108,7 +108,7 @@
 					t.Fatalf("order %s was answered %v, then %v", order.OrderID, first, result)
 				}
 				results[order.OrderID+order.Digest] = result
-				repeated, answer := next.Step(next.Epoch+1, data)
+				repeated, answer := next.Step(next.Version+1, data)
 				if answer != result || unmoved(repeated) != unmoved(next) {
 					t.Fatalf("order %s was applied twice", order.OrderID)
 				}
@@ -120,8 +120,8 @@
 			live = next
 		}
 		for _, record := range live.History {
-			if first, known := results[record.OrderID+record.Digest]; record.OrderID != "" && known && first.Epoch != record.Epoch {
-				t.Fatalf("order %s was applied at %d and at %d", record.OrderID, first.Epoch, record.Epoch)
+			if first, known := results[record.OrderID+record.Digest]; record.OrderID != "" && known && first.Version != record.Version {
+				t.Fatalf("order %s was applied at %d and at %d", record.OrderID, first.Version, record.Version)
 			}
 		}
 	})
@@ -130,7 +130,7 @@
 func TestRace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := PutSheet{Sheet: drawSheet(t)}.Apply(State{}, 1)
-		base := s.SheetEpoch
+		base := s.SheetVersion
 		var won []uint64
 		for i := range rapid.IntRange(2, 6).Draw(t, "rivals") {
 			order := Order{Operator: fmt.Sprintf("op%d", i), Base: base}
@@ -139,10 +139,10 @@
 				command = PatchSheet{Order: order, Changes: []Change{{Path: "weights.s0.lagos", Value: json.RawMessage("3")}}}
 			}
 			var result Result
-			s, result = s.Step(s.Epoch+1, Encode(command))
+			s, result = s.Step(s.Version+1, Encode(command))
 			if result.Code == apierror.OK {
-				won = append(won, result.Epoch)
-			} else if result.Code != apierror.BaseMoved || result.Epoch != won[0] {
+				won = append(won, result.Version)
+			} else if result.Code != apierror.BaseMoved || result.Version != won[0] {
 				t.Fatalf("a loser was told %+v", result)
 			}
 		}
@@ -191,9 +191,9 @@
 				}
 			}
 		}
-		before := State{Epoch: 4, SheetEpoch: 2}
+		before := State{Version: 4, SheetVersion: 2}
 		after, result := before.Step(5, data)
-		if result.Code != apierror.Internal || unmoved(after) != unmoved(before) || after.Epoch != 5 {
+		if result.Code != apierror.Internal || unmoved(after) != unmoved(before) || after.Version != 5 {
 			t.Fatalf("bytes that are no command gave %+v", result)
 		}
 	})
@@ -201,29 +201,29 @@
 
 func TestState(t *testing.T) {
 	Convey("Steps are taken in order only", t, func() {
-		s := State{Epoch: 4}
-		for _, epoch := range []uint64{0, 3, 4, 6} {
-			next, result := s.Step(epoch, Encode(Noop{}))
-			So(result.Code, ShouldEqual, apierror.EpochBehind)
-			So(next.Epoch, ShouldEqual, 4)
+		s := State{Version: 4}
+		for _, version := range []uint64{0, 3, 4, 6} {
+			next, result := s.Step(version, Encode(Noop{}))
+			So(result.Code, ShouldEqual, apierror.VersionBehind)
+			So(next.Version, ShouldEqual, 4)
 		}
 	})
 	Convey("The memory of orders is bounded and the same from the log", t, func() {
 		var s State
 		for i := range 3 * MaxHistory {
-			s, _ = Evacuate{Order: Order{OrderID: fmt.Sprint(i), Operator: "ada"}, Locality: "lagos"}.Apply(s, s.Epoch+1)
+			s, _ = Evacuate{Order: Order{OrderID: fmt.Sprint(i), Operator: "ada"}, Zone: "lagos"}.Apply(s, s.Version+1)
 		}
 		So(len(s.History), ShouldEqual, MaxHistory)
 		So(s.History[0].OrderID, ShouldEqual, fmt.Sprint(2*MaxHistory))
 		So(s.Evacuated["lagos"], ShouldEqual, 1)
 	})
 	Convey("A whole region's evacuation covers its localities, apart from their own", t, func() {
-		s, _ := Evacuate{Locality: "lagos"}.Apply(State{}, 1)
-		s, _ = Evacuate{Locality: "abeokuta/c"}.Apply(s, 2)
+		s, _ := Evacuate{Zone: "lagos"}.Apply(State{}, 1)
+		s, _ = Evacuate{Zone: "abeokuta/c"}.Apply(s, 2)
 		So(s.IsEvacuated("lagos", "a"), ShouldBeTrue)
 		So(s.IsEvacuated("abeokuta", "c"), ShouldBeTrue)
 		So(s.IsEvacuated("abeokuta", "d"), ShouldBeFalse)
-		s, _ = Restore{Locality: "lagos"}.Apply(s, 3)
+		s, _ = Restore{Zone: "lagos"}.Apply(s, 3)
 		So(s.IsEvacuated("lagos", "a"), ShouldBeFalse)
 	})
 	Convey("A roster's change waits for the one before it, unless an operator vouches", t, func() {
@@ -240,17 +240,17 @@
 		So(len(s.PriorRoster), ShouldEqual, 3)
 		So(len(s.Roster), ShouldEqual, 5)
 		s, result := RemoveMembers{Names: []string{"n1"}, By: "n2"}.Apply(s, 3)
-		So(result.Code, ShouldEqual, apierror.EpochBehind)
+		So(result.Code, ShouldEqual, apierror.VersionBehind)
 		s, result = add("n5").Apply(s, 4)
 		So(result.Code, ShouldEqual, apierror.OK)
-		So(s.RosterEpoch, ShouldEqual, 2)
+		So(s.RosterVersion, ShouldEqual, 2)
 		s, result = RemoveMembers{Order: Order{Operator: "ada"}, Names: []string{"n1", "n4"}}.Apply(s, 5)
 		So(result.Code, ShouldEqual, apierror.OK)
 		So(sortedNames(s.Roster), ShouldResemble, []string{"n2", "n3", "n5"})
 		So(sortedNames(s.PriorRoster), ShouldResemble, []string{"n2", "n3"})
-		s, _ = SettleRoster{RosterEpoch: 2}.Apply(s, 6)
+		s, _ = SettleRoster{RosterVersion: 2}.Apply(s, 6)
 		So(s.Settled(), ShouldBeFalse)
-		s, _ = SettleRoster{RosterEpoch: 5}.Apply(s, 7)
+		s, _ = SettleRoster{RosterVersion: 5}.Apply(s, 7)
 		So(s.Settled(), ShouldBeTrue)
 		_, result = RemoveMembers{Order: Order{Operator: "ada"}, Names: []string{"n9"}}.Apply(s, 8)
 		So(result.Code, ShouldEqual, apierror.UnknownMember)
@@ -286,20 +286,20 @@
 		operator, rest, _ := strings.Cut(line, " ")
 		verb, body, _ := strings.Cut(rest, " ")
 		fmt.Fprintf(&out, "> %s\n", line)
-		command, apiErr := ParseOrder(verb, operator, []byte(body), Limits{Bytes: 2000}, 1790000000000+int64(s.Epoch))
+		command, apiErr := ParseOrder(verb, operator, []byte(body), Limits{Bytes: 2000}, 1790000000000+int64(s.Version))
 		if apiErr != nil {
 			fmt.Fprintf(&out, "< %v, before any ballot\n", apiErr)
 			continue
 		}
 		result, sure := s.Foresee(command)
 		if !sure {
-			s, result = s.Step(s.Epoch+1, Encode(command))
+			s, result = s.Step(s.Version+1, Encode(command))
 		}
-		fmt.Fprintf(&out, "< %d %s epoch=%d sheet_epoch=%d %s\n", result.Code, result.Code, result.Epoch, result.SheetEpoch, result.Detail)
+		fmt.Fprintf(&out, "< %d %s epoch=%d sheet_epoch=%d %s\n", result.Code, result.Code, result.Version, result.SheetVersion, result.Detail)
 	}
-	fmt.Fprintf(&out, "\nepoch %d, sheet epoch %d, evacuated %s\n", s.Epoch, s.SheetEpoch, encoded(s.Evacuated))
+	fmt.Fprintf(&out, "\nepoch %d, sheet epoch %d, evacuated %s\n", s.Version, s.SheetVersion, encoded(s.Evacuated))
 	for _, r := range s.History {
-		fmt.Fprintf(&out, "%d %s %s %.12s: %s\n", r.Epoch, r.Operator, r.Verb, r.OrderID, r.Summary)
+		fmt.Fprintf(&out, "%d %s %s %.12s: %s\n", r.Version, r.Operator, r.Verb, r.OrderID, r.Summary)
 	}
 	out.Write(s.Sheet.ExportCSV())
 	goldie.New(t).Assert(t, "exchange", []byte(out.String()))
--- a/internal/events/catalogue.go
+++ b/internal/events/catalogue.go
@@ -37,7 +37,7 @@
 var (
 	LeaseGained      = add(2001, "lease_gained", Info, "A majority of cores renewed this front's lease.", "")
 	LeaseLapsed      = add(2002, "lease_lapsed", Warn, "This front's lease lapsed: no majority of cores renewed it within lease.ttl.", "See which cores can't be reached.")
-	EpochLearned     = add(2003, "epoch_learned", Info, "A newer epoch is known here.", "")
+	VersionLearned   = add(2003, "epoch_learned", Info, "A newer epoch is known here.", "")
 	RulingLost       = add(2005, "ruling_lost", Warn, "This front can't be sure to hold the newest configuration and refuses requests.", "Look for a cut between this node and the cores and its peers.")
 	RulingRegained   = add(2006, "ruling_regained", Info, "This front rules again; by says whether by lease or by the roster.", "")
 	RulingByRoster   = add(2007, "ruling_by_roster", Warn, "This front goes on without a lease, as more than half of the roster knows nothing newer.", "Bring a majority of cores back.")
@@ -107,8 +107,8 @@
 	OrderRelayed      = add(4008, "order_relayed", Debug, "An order was relayed to a core.", "")
 	OperatorRefused   = add(4009, "operator_refused", Warn, "A control call carried no operator's key.", "When unexpected, see who calls from the address.")
 	KeyRevoked        = add(4010, "key_revoked", Info, "A tenant's key ended with an epoch; its streams get an error event.", "")
-	LocalityEvacuated = add(4011, "locality_evacuated", Warn, "A locality takes no more requests.", "")
-	LocalityRestored  = add(4012, "locality_restored", Info, "A locality takes requests again.", "")
+	ZoneEvacuated     = add(4011, "locality_evacuated", Warn, "A locality takes no more requests.", "")
+	ZoneRestored      = add(4012, "locality_restored", Info, "A locality takes requests again.", "")
 )
 
 // 5xxx: servers, watchers and plans.
--- a/internal/node/control/core.go
+++ b/internal/node/control/core.go
@@ -79,12 +79,12 @@
 // Agreement is what a core needs of its replica.
 type Agreement interface {
 	// Propose returns once the command is chosen and applied here.
-	Propose(ctx context.Context, command []byte) (epoch uint64, result sheet.Result, err error)
+	Propose(ctx context.Context, command []byte) (version uint64, result sheet.Result, err error)
 	// ReadMajority returns a state that holds whatever was chosen before the call.
 	ReadMajority(ctx context.Context) (sheet.State, error)
 	// Current returns the newest state applied here.
 	Current() sheet.State
-	// Learned returns the commands applied here after an epoch, oldest first;
+	// Learned returns the commands applied here after a version, oldest first;
 	// whole is false when some of them are no longer kept.
 	Learned(after uint64) (chosen []*wire.Chosen, whole bool)
 	// Changed returns a channel that is closed when a newer state is applied.
@@ -272,48 +272,48 @@
 // follow it take a snapshot.
 func (c *Core) learn() {
 	current := c.agreement.Current()
-	if current.Epoch <= c.state.Epoch {
+	if current.Version <= c.state.Version {
 		return
 	}
-	chosen, whole := c.agreement.Learned(c.state.Epoch)
+	chosen, whole := c.agreement.Learned(c.state.Version)
 	before := c.state
 	c.state = current
-	if before.Epoch > 0 && whole && len(chosen) > 0 && chosen[0].Epoch == before.Epoch+1 && chosen[len(chosen)-1].Epoch >= current.Epoch {
+	if before.Version > 0 && whole && len(chosen) > 0 && chosen[0].Epoch == before.Version+1 && chosen[len(chosen)-1].Epoch >= current.Version {
 		for _, one := range chosen {
-			if one.Epoch <= current.Epoch {
+			if one.Epoch <= current.Version {
 				c.feed.publish(&wire.Change{What: &wire.Change_Chosen{Chosen: one}})
 			}
 		}
 	} else {
 		c.feed.restart()
-		c.log.Emit(events.FeedSnapshot, "epoch", current.Epoch)
+		c.log.Emit(events.FeedSnapshot, "epoch", current.Version)
 	}
 	c.announce(before, current)
 	c.answerWaiters()
 }
 
 func (c *Core) announce(before, after sheet.State) {
-	c.log.Emit(events.EpochLearned, "epoch", after.Epoch, "sheet_epoch", after.SheetEpoch)
+	c.log.Emit(events.VersionLearned, "epoch", after.Version, "sheet_epoch", after.SheetVersion)
 	for name := range after.Roster {
-		if _, known := before.Roster[name]; !known && before.Epoch > 0 {
-			c.log.Emit(events.MemberAdded, "member", name, "epoch", after.Epoch)
+		if _, known := before.Roster[name]; !known && before.Version > 0 {
+			c.log.Emit(events.MemberAdded, "member", name, "epoch", after.Version)
 		}
 	}
 	for name := range before.Roster {
 		if _, known := after.Roster[name]; !known {
-			c.log.Emit(events.MemberRemoved, "member", name, "epoch", after.Epoch)
+			c.log.Emit(events.MemberRemoved, "member", name, "epoch", after.Version)
 		}
 	}
 	if was, is := before.Duties[election.Planner], after.Duties[election.Planner]; was.Holder == c.config.Self && is.Holder != c.config.Self {
 		c.log.Emit(events.DutyLost, "duty", election.Planner, "term", is.Term, "holder", is.Holder)
 	}
 	if !before.Settled() && after.Settled() {
-		c.log.Emit(events.RosterSettled, "epoch", after.Epoch, "members", len(after.Roster))
+		c.log.Emit(events.RosterSettled, "epoch", after.Version, "members", len(after.Roster))
 	}
 }
 
-// learned returns the core's learned epoch; it never falls within a life.
-func (c *Core) learned() uint64 { return max(c.state.Epoch, c.agreement.Current().Epoch) }
+// learned returns the core's learned version; it never falls within a life.
+func (c *Core) learned() uint64 { return max(c.state.Version, c.agreement.Current().Version) }
 
 // open lets leases begin once the core holds whatever a majority had chosen
 // when it started: what its former life learned and vouched for may not have
@@ -330,7 +330,7 @@
 		if err != nil {
 			return nil
 		}
-		return func() { c.opened = c.opened || c.learned() >= state.Epoch }
+		return func() { c.opened = c.opened || c.learned() >= state.Version }
 	})
 }
 
--- a/internal/node/control/core_test.go
+++ b/internal/node/control/core_test.go
@@ -136,7 +136,7 @@
 			s.order("c1", "ada", "patch", patch(3, "second", "weights.chat.lagos", "2"), 0)
 		},
 		"refused": func(s *script) {
-			before := s.agreed.Load().state.Epoch
+			before := s.agreed.Load().state.Version
 			s.order("c1", "", "put", put(0, "first"), 0)
 			s.order("c1", "ada", "put", `{"base":0`, 0)
 			s.order("c1", "ada", "put", `{"base":0} {}`, 0)
@@ -149,7 +149,7 @@
 			s.order("c1", "ada", "evacuate", `{"locality":"a/b/c"}`, 0)
 			s.order("c1", "ada", "remove", `{"names":["f99"]}`, 0)
 			s.order("c1", "ada", "sing", `{}`, 0)
-			s.say("epochs used up: %d", s.agreed.Load().state.Epoch-before)
+			s.say("epochs used up: %d", s.agreed.Load().state.Version-before)
 		},
 		"no_majority": func(s *script) {
 			s.order("c1", "ada", "put", put(0, "first"), 0)
--- a/internal/node/control/feed.go
+++ b/internal/node/control/feed.go
@@ -107,7 +107,7 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		return &wire.FollowResponse{Feed: req.Feed, Place: req.Place, Learned: c.agreement.Current().Epoch}, nil
+		return &wire.FollowResponse{Feed: req.Feed, Place: req.Place, Learned: c.agreement.Current().Version}, nil
 	}
 }
 
@@ -118,14 +118,14 @@
 		if len(resp.Changes) == 0 {
 			return nil
 		}
-		resp.Learned = c.state.Epoch
+		resp.Learned = c.state.Version
 		return &pulled{resp: resp}
 	}
 	state := c.state
-	snapshot := &wire.Snapshot{Epoch: state.Epoch, Plan: c.plan, Reports: c.reports.snapshot()}
-	resp = &wire.FollowResponse{Feed: c.feed.id(), Place: c.feed.changes.Last(), Learned: state.Epoch, Snapshot: snapshot}
+	snapshot := &wire.Snapshot{Epoch: state.Version, Plan: c.plan, Reports: c.reports.snapshot()}
+	resp = &wire.FollowResponse{Feed: c.feed.id(), Place: c.feed.changes.Last(), Learned: state.Version, Snapshot: snapshot}
 	snapshot.Sights = c.processes.Told()
-	if state.Epoch == 0 || req.Epoch >= state.Epoch {
+	if state.Version == 0 || req.Epoch >= state.Version {
 		return &pulled{resp: resp}
 	}
 	return &pulled{resp: resp, state: c.encodedOf(state)}
@@ -133,17 +133,17 @@
 
 // encodedState is a state encoded once for all who start from it.
 type encodedState struct {
-	epoch uint64
-	ready chan struct{}
-	data  []byte
+	version uint64
+	ready   chan struct{}
+	data    []byte
 }
 
 // encodedOf begins to encode a state outside the owner, unless that is done or
 // under way, and returns what waits for it.
 func (c *Core) encodedOf(state sheet.State) func() []byte {
 	held := c.encoded
-	if held == nil || held.epoch != state.Epoch {
-		held = &encodedState{epoch: state.Epoch, ready: make(chan struct{})}
+	if held == nil || held.version != state.Version {
+		held = &encodedState{version: state.Version, ready: make(chan struct{})}
 		c.encoded = held
 		go func() {
 			held.data = state.Encode()
--- a/internal/node/control/fleet_test.go
+++ b/internal/node/control/fleet_test.go
@@ -145,13 +145,13 @@
 	}
 	for {
 		old := b.f.agreed.Load()
-		epoch := old.state.Epoch + 1
-		state, result := old.state.Step(epoch, command)
+		version := old.state.Version + 1
+		state, result := old.state.Step(version, command)
 		next := &agreed{state: state, changed: make(chan struct{})}
-		next.chosen = append(append(next.chosen, old.chosen...), &wire.Chosen{Epoch: epoch, Command: command})
+		next.chosen = append(append(next.chosen, old.chosen...), &wire.Chosen{Epoch: version, Command: command})
 		if b.f.agreed.CompareAndSwap(old, next) {
 			close(old.changed)
-			return epoch, result, nil
+			return version, result, nil
 		}
 	}
 }
@@ -165,8 +165,8 @@
 }
 
 func (b ballots) Read(context.Context, *wire.ReadRequest) (*wire.ReadResponse, error) {
-	epoch := b.f.agreed.Load().state.Epoch
-	return &wire.ReadResponse{Learned: epoch, Highest: epoch}, nil
+	version := b.f.agreed.Load().state.Version
+	return &wire.ReadResponse{Learned: version, Highest: version}, nil
 }
 
 func (b ballots) Learned(after uint64) ([]*wire.Chosen, bool) {
--- a/internal/node/control/leave_test.go
+++ b/internal/node/control/leave_test.go
@@ -20,7 +20,7 @@
 				_, err := core.Release(f.ctx, &wire.ReleaseRequest{Name: "f6", Incarnation: 1})
 				So(err, ShouldBeNil)
 			}
-			late := &wire.RenewRequest{Self: f.processes["f6"], Epoch: f.agreed.Load().state.Epoch}
+			late := &wire.RenewRequest{Self: f.processes["f6"], Epoch: f.agreed.Load().state.Version}
 			resp, err := f.cores["c1"].Renew(f.ctx, late)
 			So(err, ShouldBeNil)
 			So(resp.Granted, ShouldBeFalse)
@@ -36,13 +36,13 @@
 		})
 		Convey("Each front tells every peer of a new epoch at once, not at its next turn", t, func() {
 			f.put(t)
-			epoch := f.agreed.Load().state.Epoch
+			version := f.agreed.Load().state.Version
 			f.pass(50 * time.Millisecond)
 			for _, from := range f.names[:5] {
 				for _, to := range f.names[:5] {
 					if from != to {
 						told, _ := f.told.Load(from + ">" + to)
-						So(told, ShouldEqual, epoch)
+						So(told, ShouldEqual, version)
 					}
 				}
 			}
--- a/internal/node/control/order.go
+++ b/internal/node/control/order.go
@@ -22,12 +22,12 @@
 const comeBack = time.Second
 
 type orderAnswer struct {
-	Epoch      uint64 `json:"epoch"`
-	SheetEpoch uint64 `json:"sheet_epoch"`
-	InForce    bool   `json:"in_force"`
-	Confirmed  int    `json:"confirmed"`
-	Roster     int    `json:"roster"`
-	OrderID    string `json:"order_id"`
+	Version      uint64 `json:"epoch"`
+	SheetVersion uint64 `json:"sheet_epoch"`
+	InForce      bool   `json:"in_force"`
+	Confirmed    int    `json:"confirmed"`
+	Roster       int    `json:"roster"`
+	OrderID      string `json:"order_id"`
 }
 
 type faultAnswer struct {
@@ -36,17 +36,17 @@
 }
 
 type sheetAnswer struct {
-	Epoch      uint64            `json:"epoch"`
-	SheetEpoch uint64            `json:"sheet_epoch"`
-	Revision   uint64            `json:"revision,omitempty"`
-	Sheet      *sheet.Sheet      `json:"sheet"`
-	Evacuated  map[string]uint64 `json:"evacuated,omitempty"`
+	Version      uint64            `json:"epoch"`
+	SheetVersion uint64            `json:"sheet_epoch"`
+	Revision     uint64            `json:"revision,omitempty"`
+	Sheet        *sheet.Sheet      `json:"sheet"`
+	Evacuated    map[string]uint64 `json:"evacuated,omitempty"`
 }
 
 type historyAnswer struct {
-	Epoch      uint64         `json:"epoch"`
-	SheetEpoch uint64         `json:"sheet_epoch"`
-	History    []sheet.Record `json:"history"`
+	Version      uint64         `json:"epoch"`
+	SheetVersion uint64         `json:"sheet_epoch"`
+	History      []sheet.Record `json:"history"`
 }
 
 // Order carries out an operator's call. Orders are acknowledged when they are
@@ -79,7 +79,7 @@
 	}
 	if apiErr != nil {
 		c.log.Emit(events.OrderRefused, "verb", req.Verb, "operator", req.Operator, "code", apiErr.Code)
-		return faulty(apiErr, c.agreement.Current().Epoch, ""), nil
+		return faulty(apiErr, c.agreement.Current().Version, ""), nil
 	}
 	return c.carry(ctx, req, command), nil
 }
@@ -90,9 +90,9 @@
 		return faulty(unread(err), 0, "")
 	}
 	if verb == verbHistory {
-		return answered(historyAnswer{Epoch: state.Epoch, SheetEpoch: state.SheetEpoch, History: state.History}, state.Epoch)
+		return answered(historyAnswer{Version: state.Version, SheetVersion: state.SheetVersion, History: state.History}, state.Version)
 	}
-	return answered(sheetAnswer{Epoch: state.Epoch, SheetEpoch: state.SheetEpoch, Revision: state.Revision, Sheet: state.Sheet, Evacuated: state.Evacuated}, state.Epoch)
+	return answered(sheetAnswer{Version: state.Version, SheetVersion: state.SheetVersion, Revision: state.Revision, Sheet: state.Sheet, Evacuated: state.Evacuated}, state.Version)
 }
 
 // unread says that a majority could not be asked; a fault of this core's own
@@ -111,7 +111,7 @@
 	order, _ := sheet.OrderOf(command)
 	id := order.OrderID
 	if result, sure := c.foretell(ctx, command); sure && result.Code == apierror.OK {
-		c.log.Emit(events.OrderRepeated, "order", id, "epoch", result.Epoch)
+		c.log.Emit(events.OrderRepeated, "order", id, "epoch", result.Version)
 		return c.await(ctx, result, id)
 	} else if sure {
 		return c.refused(req, result, id)
@@ -129,7 +129,7 @@
 	if result.Code != apierror.OK {
 		return c.refused(req, result, id)
 	}
-	c.log.Emit(events.OrderChosen, "order", id, "epoch", result.Epoch)
+	c.log.Emit(events.OrderChosen, "order", id, "epoch", result.Version)
 	return c.await(ctx, result, id)
 }
 
@@ -141,16 +141,16 @@
 	if result, sure = state.Foresee(command); sure {
 		return result, true
 	}
-	if _, result = command.Apply(state, state.Epoch+1); result.Code == apierror.OK {
+	if _, result = command.Apply(state, state.Version+1); result.Code == apierror.OK {
 		return result, false
 	}
 	state, err := c.agreement.ReadMajority(ctx)
 	if err != nil {
 		return sheet.Result{}, false
 	}
-	_, result = command.Apply(state, state.Epoch+1)
+	_, result = command.Apply(state, state.Version+1)
 	if result.Code != apierror.BaseMoved {
-		result.Epoch = state.Epoch
+		result.Version = state.Version
 	}
 	return result, result.Code != apierror.OK
 }
@@ -160,19 +160,19 @@
 	if result.Code == apierror.BaseMoved {
 		event = events.OrderLost
 	}
-	c.log.Emit(event, "order", id, "verb", req.Verb, "operator", req.Operator, "code", result.Code, "epoch", result.Epoch)
-	return faulty(result.Fault(), result.Epoch, id)
+	c.log.Emit(event, "order", id, "verb", req.Verb, "operator", req.Operator, "code", result.Code, "epoch", result.Version)
+	return faulty(result.Fault(), result.Version, id)
 }
 
-// await asks all cores for their lease views until the epoch is in force. They
+// await asks all cores for their lease views until the version is in force. They
 // answer when their part of it is met, so a fleet in good health is asked once.
 func (c *Core) await(ctx context.Context, result sheet.Result, id string) *wire.OrderResponse {
 	why, pace := "no core answered", c.config.AckPace/8
 	for {
 		state := c.agreement.Current()
-		question := lease.Question{Epoch: result.Epoch, Voters: len(c.agreement.Voters()), Roster: state.Roster, Prior: state.PriorRoster}
+		question := lease.Question{Version: result.Version, Voters: len(c.agreement.Voters()), Roster: state.Roster, Prior: state.PriorRoster}
 		met, reason := false, ""
-		question.Views = c.views(ctx, &wire.LeaseViewRequest{Epoch: result.Epoch}, func(views []*wire.LeaseViewResponse) bool {
+		question.Views = c.views(ctx, &wire.LeaseViewRequest{Epoch: result.Version}, func(views []*wire.LeaseViewResponse) bool {
 			question.Views = views
 			met, reason = lease.InForce(question)
 			return met
@@ -182,38 +182,38 @@
 		}
 		if met {
 			count := lease.Confirmations(question)
-			c.log.Emit(events.OrderAcknowledged, "order", id, "epoch", result.Epoch, "confirmed", count.Confirmed)
-			return answered(orderAnswer{Epoch: result.Epoch, SheetEpoch: result.SheetEpoch, InForce: true,
-				Confirmed: count.Confirmed, Roster: len(state.Roster), OrderID: id}, result.Epoch)
+			c.log.Emit(events.OrderAcknowledged, "order", id, "epoch", result.Version, "confirmed", count.Confirmed)
+			return answered(orderAnswer{Version: result.Version, SheetVersion: result.SheetVersion, InForce: true,
+				Confirmed: count.Confirmed, Roster: len(state.Roster), OrderID: id}, result.Version)
 		}
 		if ctx.Err() == nil {
 			why = reason
 		}
 		select {
 		case <-ctx.Done():
-			c.log.Emit(events.OrderPending, "order", id, "epoch", result.Epoch, "waiting", why)
-			apiErr := apierror.Errorf(apierror.OutcomePending, "agreed at epoch %d and not known to be in force: %s; send the order again with its id", result.Epoch, why)
-			return faulty(apiErr.WithRetryAfter(comeBack), result.Epoch, id)
+			c.log.Emit(events.OrderPending, "order", id, "epoch", result.Version, "waiting", why)
+			apiErr := apierror.Errorf(apierror.OutcomePending, "agreed at epoch %d and not known to be in force: %s; send the order again with its id", result.Version, why)
+			return faulty(apiErr.WithRetryAfter(comeBack), result.Version, id)
 		case <-c.clock.After(pace):
 			pace = min(2*pace, c.config.AckPace)
 		}
 	}
 }
 
-func answered(body any, epoch uint64) *wire.OrderResponse {
+func answered(body any, version uint64) *wire.OrderResponse {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return faulty(apierror.Errorf(apierror.Internal, "%v", err), epoch, "")
+		return faulty(apierror.Errorf(apierror.Internal, "%v", err), version, "")
 	}
-	return &wire.OrderResponse{Code: uint32(apierror.OK), Body: data, Epoch: epoch}
+	return &wire.OrderResponse{Code: uint32(apierror.OK), Body: data, Epoch: version}
 }
 
-func faulty(apiErr *apierror.Error, epoch uint64, id string) *wire.OrderResponse {
+func faulty(apiErr *apierror.Error, version uint64, id string) *wire.OrderResponse {
 	body := faultAnswer{ErrorBody: apiErr.Body(""), OrderID: id}
-	body.Epoch = epoch
+	body.Version = version
 	data, err := json.Marshal(body)
 	if err != nil {
 		data = nil
 	}
-	return &wire.OrderResponse{Code: uint32(apiErr.Code), Body: data, Epoch: epoch}
+	return &wire.OrderResponse{Code: uint32(apiErr.Code), Body: data, Epoch: version}
 }
--- a/internal/node/control/planner.go
+++ b/internal/node/control/planner.go
@@ -137,5 +137,5 @@
 	if p == nil {
 		return nil
 	}
-	return &planStatus{Term: p.Term, Number: p.Number, Epoch: p.Epoch, Holder: p.Holder, Cause: p.Cause, AtMS: p.AtMs}
+	return &planStatus{Term: p.Term, Number: p.Number, Version: p.Epoch, Holder: p.Holder, Cause: p.Cause, AtMS: p.AtMs}
 }
--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -87,7 +87,7 @@
 	newcomers := c.ledger.Newcomers(c.state.Roster, now)
 	if !c.jobs["add"] && c.waited("add", len(newcomers) > 0 && c.state.Settled(), c.config.BatchFor+c.turn(), now) {
 		for _, member := range newcomers {
-			c.log.Emit(events.MemberJoined, "member", member.Name, "locality", sheet.Locality(member.Region, member.Zone))
+			c.log.Emit(events.MemberJoined, "member", member.Name, "locality", sheet.ZoneName(member.Region, member.Zone))
 		}
 		c.propose("add", sheet.AddMembers{Members: newcomers, By: c.config.Self})
 	}
@@ -103,8 +103,8 @@
 		return
 	}
 	c.job("settle", jobTimeout, func(ctx context.Context) func() {
-		question, met := lease.Question{Epoch: state.RosterEpoch, Voters: len(c.agreement.Voters()), Roster: state.Roster, Prior: state.PriorRoster}, false
-		c.views(ctx, &wire.LeaseViewRequest{Epoch: state.RosterEpoch}, func(views []*wire.LeaseViewResponse) bool {
+		question, met := lease.Question{Version: state.RosterVersion, Voters: len(c.agreement.Voters()), Roster: state.Roster, Prior: state.PriorRoster}, false
+		c.views(ctx, &wire.LeaseViewRequest{Epoch: state.RosterVersion}, func(views []*wire.LeaseViewResponse) bool {
 			question.Views = views
 			met, _ = lease.Settled(question)
 			return met
@@ -116,8 +116,8 @@
 			}
 			return nil
 		}
-		if newest := c.agreement.Current(); newest.RosterEpoch == state.RosterEpoch && !newest.Settled() {
-			_, _, _ = c.agreement.Propose(ctx, sheet.Encode(sheet.SettleRoster{RosterEpoch: state.RosterEpoch}))
+		if newest := c.agreement.Current(); newest.RosterVersion == state.RosterVersion && !newest.Settled() {
+			_, _, _ = c.agreement.Propose(ctx, sheet.Encode(sheet.SettleRoster{RosterVersion: state.RosterVersion}))
 		}
 		return nil
 	})
--- a/internal/node/control/runtime_test.go
+++ b/internal/node/control/runtime_test.go
@@ -61,7 +61,7 @@
 	inFleet(t, 4, func(t *testing.T, f *fleet) {
 		Convey("A new reader gets a snapshot, then each change at once, and waits when there is none", t, func() {
 			first := f.follow("c2", nil, time.Second)
-			So(first.Snapshot.Epoch, ShouldEqual, f.agreed.Load().state.Epoch)
+			So(first.Snapshot.Epoch, ShouldEqual, f.agreed.Load().state.Version)
 			state, err := sheet.DecodeState(first.Snapshot.State)
 			So(err, ShouldBeNil)
 			So(len(state.Roster), ShouldEqual, 4)
@@ -233,12 +233,12 @@
 			again := control.New(control.Config{Self: "c1", Incarnation: 2}, ballots{f}, links{f, "c1"}, clock.System(), events.Discard)
 			go again.Serve(ctx)
 			f.pass(time.Second)
-			req := &wire.RenewRequest{Self: f.processes["c2"], Epoch: f.agreed.Load().state.Epoch}
+			req := &wire.RenewRequest{Self: f.processes["c2"], Epoch: f.agreed.Load().state.Version}
 			_, err := again.Renew(ctx, req)
 			So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
 			f.split.Store(false)
 			f.pass(4 * time.Second)
-			req.Epoch = f.agreed.Load().state.Epoch
+			req.Epoch = f.agreed.Load().state.Version
 			resp, err := again.Renew(ctx, req)
 			So(err, ShouldBeNil)
 			So(resp.Granted, ShouldBeTrue)
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -21,7 +21,7 @@
 
 type memberStatus struct {
 	Name      string `json:"name"`
-	Locality  string `json:"locality"`
+	Zone      string `json:"locality"`
 	Core      bool   `json:"core"`
 	Front     bool   `json:"front"`
 	Confirmed bool   `json:"confirmed"`
@@ -30,30 +30,30 @@
 }
 
 type planStatus struct {
-	Term   uint64 `json:"term"`
-	Number uint64 `json:"number"`
-	Epoch  uint64 `json:"epoch"`
-	Holder string `json:"holder"`
-	Cause  string `json:"cause"`
-	AtMS   int64  `json:"at_ms"`
+	Term    uint64 `json:"term"`
+	Number  uint64 `json:"number"`
+	Version uint64 `json:"epoch"`
+	Holder  string `json:"holder"`
+	Cause   string `json:"cause"`
+	AtMS    int64  `json:"at_ms"`
 }
 
 type fleetStatus struct {
-	By           string                `json:"by"`
-	Epoch        uint64                `json:"epoch"`
-	SheetEpoch   uint64                `json:"sheet_epoch"`
-	InForce      bool                  `json:"in_force"`
-	Waiting      string                `json:"waiting,omitempty"`
-	Confirmed    int                   `json:"confirmed"`
-	Roster       int                   `json:"roster"`
-	RosterEpoch  uint64                `json:"roster_epoch"`
-	RosterSettle bool                  `json:"roster_settled"`
-	Evacuated    map[string]uint64     `json:"evacuated,omitempty"`
-	Cores        []coreStatus          `json:"cores"`
-	Members      []memberStatus        `json:"members"`
-	Duties       map[string]sheet.Duty `json:"duties,omitempty"`
-	Plan         *planStatus           `json:"plan,omitempty"`
-	Servers      int                   `json:"servers"`
+	By            string                `json:"by"`
+	Version       uint64                `json:"epoch"`
+	SheetVersion  uint64                `json:"sheet_epoch"`
+	InForce       bool                  `json:"in_force"`
+	Waiting       string                `json:"waiting,omitempty"`
+	Confirmed     int                   `json:"confirmed"`
+	Roster        int                   `json:"roster"`
+	RosterVersion uint64                `json:"roster_epoch"`
+	RosterSettle  bool                  `json:"roster_settled"`
+	Evacuated     map[string]uint64     `json:"evacuated,omitempty"`
+	Cores         []coreStatus          `json:"cores"`
+	Members       []memberStatus        `json:"members"`
+	Duties        map[string]sheet.Duty `json:"duties,omitempty"`
+	Plan          *planStatus           `json:"plan,omitempty"`
+	Servers       int                   `json:"servers"`
 }
 
 // status tells how this core sees the fleet; it is no read-back.
@@ -68,20 +68,20 @@
 		return nil, err
 	}
 	state := own.state
-	views := c.views(ctx, &wire.LeaseViewRequest{Epoch: state.Epoch}, nil)
+	views := c.views(ctx, &wire.LeaseViewRequest{Epoch: state.Version}, nil)
 	voters := slices.Clone(c.agreement.Voters())
 	slices.Sort(voters)
-	question := lease.Question{Epoch: state.Epoch, Voters: len(voters), Views: views, Roster: state.Roster, Prior: state.PriorRoster}
+	question := lease.Question{Version: state.Version, Voters: len(voters), Views: views, Roster: state.Roster, Prior: state.PriorRoster}
 	met, why := lease.InForce(question)
-	s := fleetStatus{By: c.config.Self, Epoch: state.Epoch, SheetEpoch: state.SheetEpoch, InForce: met, Waiting: why,
-		Confirmed: lease.Confirmations(question).Confirmed, Roster: len(state.Roster), RosterEpoch: state.RosterEpoch,
+	s := fleetStatus{By: c.config.Self, Version: state.Version, SheetVersion: state.SheetVersion, InForce: met, Waiting: why,
+		Confirmed: lease.Confirmations(question).Confirmed, Roster: len(state.Roster), RosterVersion: state.RosterVersion,
 		RosterSettle: state.Settled(), Evacuated: state.Evacuated, Duties: state.Duties,
 		Plan: planSummary(own.plan), Servers: own.servers, Cores: []coreStatus{}, Members: []memberStatus{}}
 	for _, voter := range voters {
 		s.Cores = append(s.Cores, c.coreStatus(voter, views))
 	}
 	for name, member := range state.Roster {
-		m := memberStatus{Name: name, Locality: sheet.Locality(member.Region, member.Zone), Core: member.Core, Front: member.Front}
+		m := memberStatus{Name: name, Zone: sheet.ZoneName(member.Region, member.Zone), Core: member.Core, Front: member.Front}
 		for _, view := range views {
 			m.Confirmed = m.Confirmed || listed(view.Confirmed, name)
 			m.Granted = m.Granted || listed(view.Confirmed, name) || listed(view.Waiting, name)
@@ -90,7 +90,7 @@
 		s.Members = append(s.Members, m)
 	}
 	sort.Slice(s.Members, func(i, j int) bool { return s.Members[i].Name < s.Members[j].Name })
-	return answered(s, state.Epoch), nil
+	return answered(s, state.Version), nil
 }
 
 func (c *Core) coreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
--- a/internal/node/control/views.go
+++ b/internal/node/control/views.go
@@ -10,14 +10,14 @@
 	"stepwick/internal/wire"
 )
 
-// viewer waits for this core's part of the rule at an epoch.
+// viewer waits for this core's part of the rule at a version.
 type viewer struct {
-	ctx   context.Context
-	epoch uint64
-	reply chan *wire.LeaseViewResponse
+	ctx     context.Context
+	version uint64
+	reply   chan *wire.LeaseViewResponse
 }
 
-// LeaseView answers a core's question whether an epoch is in force. With a
+// LeaseView answers a core's question whether a version is in force. With a
 // wait it answers once this core's part is met, or as it stands when the wait
 // is over.
 func (c *Core) LeaseView(ctx context.Context, req *wire.LeaseViewRequest) (*wire.LeaseViewResponse, error) {
@@ -29,7 +29,7 @@
 	if req.WaitMs > 0 {
 		waiting, cancel := context.WithTimeout(ctx, min(time.Duration(req.WaitMs)*time.Millisecond, viewTimeout))
 		defer cancel()
-		v := &viewer{ctx: waiting, epoch: req.Epoch, reply: make(chan *wire.LeaseViewResponse, 1)}
+		v := &viewer{ctx: waiting, version: req.Epoch, reply: make(chan *wire.LeaseViewResponse, 1)}
 		c.post(waiting, func() {
 			c.viewers = append(c.viewers, v)
 			c.answerViewers()
@@ -43,8 +43,8 @@
 	return ask(ctx, c, func() *wire.LeaseViewResponse { return c.view(req.Epoch) })
 }
 
-func (c *Core) view(epoch uint64) *wire.LeaseViewResponse {
-	return c.vouched(c.ledger.View(epoch, c.learned(), c.clock.Now()))
+func (c *Core) view(version uint64) *wire.LeaseViewResponse {
+	return c.vouched(c.ledger.View(version, c.learned(), c.clock.Now()))
 }
 
 // vouched leaves a view unsettled until the core has caught up since its start.
@@ -53,7 +53,7 @@
 	return view
 }
 
-// answerViewers answers those whose epoch this core's part of the rule holds
+// answerViewers answers those whose version this core's part of the rule holds
 // for, and forgets those that no longer wait.
 func (c *Core) answerViewers() {
 	if len(c.viewers) == 0 {
@@ -64,11 +64,11 @@
 		if v.ctx.Err() != nil {
 			continue
 		}
-		if _, known := whole[v.epoch]; !known {
-			whole[v.epoch] = c.learned() >= v.epoch && c.ledger.Whole(v.epoch, c.state.Roster, now)
+		if _, known := whole[v.version]; !known {
+			whole[v.version] = c.learned() >= v.version && c.ledger.Whole(v.version, c.state.Roster, now)
 		}
-		if whole[v.epoch] {
-			v.reply <- c.view(v.epoch)
+		if whole[v.version] {
+			v.reply <- c.view(v.version)
 			continue
 		}
 		kept = append(kept, v)
--- a/internal/node/follower/feed.go
+++ b/internal/node/follower/feed.go
@@ -26,7 +26,7 @@
 	}
 	f.feed.open = true
 	at := f.feed
-	req := &wire.FollowRequest{Who: f.name, Feed: at.feed, Place: at.number, WaitMs: uint32(f.config.FeedWait.Milliseconds()), Epoch: f.state.Epoch}
+	req := &wire.FollowRequest{Who: f.name, Feed: at.feed, Place: at.number, WaitMs: uint32(f.config.FeedWait.Milliseconds()), Epoch: f.state.Version}
 	patience := f.config.FeedWait + f.config.CoreStaleFor
 	if !f.held {
 		patience = largeTimeout
@@ -166,7 +166,7 @@
 	if churn {
 		f.attest()
 	}
-	if resp.Learned > f.state.Epoch {
+	if resp.Learned > f.state.Version {
 		if p, ok := f.peers.Process(core); ok {
 			f.fetch(p.Address)
 		}
--- a/internal/node/follower/follow.go
+++ b/internal/node/follower/follow.go
@@ -112,7 +112,7 @@
 }
 
 type standing struct {
-	epoch       uint64
+	version     uint64
 	unconfirmed bool
 }
 
--- a/internal/node/follower/notice.go
+++ b/internal/node/follower/notice.go
@@ -15,36 +15,36 @@
 	}
 	was := f.ruledBy
 	f.ruledBy = verdict.By
-	epoch := f.state.Epoch
+	version := f.state.Version
 	if was == lease.ByLease {
-		f.log.Emit(events.LeaseLapsed, "epoch", epoch)
+		f.log.Emit(events.LeaseLapsed, "epoch", version)
 	}
 	switch verdict.By {
 	case lease.ByLease:
-		f.log.Emit(events.LeaseGained, "epoch", epoch)
+		f.log.Emit(events.LeaseGained, "epoch", version)
 	case lease.ByRoster:
-		f.log.Emit(events.RulingByRoster, "epoch", epoch)
+		f.log.Emit(events.RulingByRoster, "epoch", version)
 	}
 	if (was == lease.ByNone || was == "") != (verdict.By == lease.ByNone) {
 		if verdict.Ruling {
-			f.log.Emit(events.RulingRegained, "by", verdict.By, "epoch", epoch)
+			f.log.Emit(events.RulingRegained, "by", verdict.By, "epoch", version)
 		} else {
-			f.log.Emit(events.RulingLost, "epoch", epoch)
+			f.log.Emit(events.RulingLost, "epoch", version)
 		}
 	}
 }
 
 // noticeState logs what a newer state takes away or gives back.
 func (f *Follower) noticeState(old, state sheet.State) {
-	f.log.Emit(events.EpochLearned, "epoch", state.Epoch, "sheet_epoch", state.SheetEpoch)
-	for locality := range state.Evacuated {
-		if _, before := old.Evacuated[locality]; !before {
-			f.log.Emit(events.LocalityEvacuated, "locality", locality, "epoch", state.Epoch)
+	f.log.Emit(events.VersionLearned, "epoch", state.Version, "sheet_epoch", state.SheetVersion)
+	for zone := range state.Evacuated {
+		if _, before := old.Evacuated[zone]; !before {
+			f.log.Emit(events.ZoneEvacuated, "locality", zone, "epoch", state.Version)
 		}
 	}
-	for locality := range old.Evacuated {
-		if _, still := state.Evacuated[locality]; !still {
-			f.log.Emit(events.LocalityRestored, "locality", locality, "epoch", state.Epoch)
+	for zone := range old.Evacuated {
+		if _, still := state.Evacuated[zone]; !still {
+			f.log.Emit(events.ZoneRestored, "locality", zone, "epoch", state.Version)
 		}
 	}
 	if old.Sheet == nil || state.Sheet == nil || old.Sheet == state.Sheet {
@@ -54,7 +54,7 @@
 		kept := state.Sheet.Tenants[name].KeyHashes
 		for _, hash := range tenant.KeyHashes {
 			if !slices.Contains(kept, hash) {
-				f.log.Emit(events.KeyRevoked, "tenant", name, "epoch", state.Epoch)
+				f.log.Emit(events.KeyRevoked, "tenant", name, "epoch", state.Version)
 			}
 		}
 	}
--- a/internal/node/follower/ping.go
+++ b/internal/node/follower/ping.go
@@ -23,13 +23,13 @@
 	pingBurst  = 64
 )
 
-// Ping answers a peer with the epoch that this front has confirmed.
+// Ping answers a peer with the version that this front has confirmed.
 func (f *Follower) Ping(ctx context.Context, req *wire.PingRequest) (*wire.PingResponse, error) {
 	if !req.Unconfirmed {
 		f.post(func() { f.holder.Known(req.Epoch); f.judge() })
 	}
 	s, own := f.pinged.Load(), f.config.Self()
-	return &wire.PingResponse{Name: f.name, Incarnation: own.Incarnation, Epoch: s.epoch, Unconfirmed: s.unconfirmed,
+	return &wire.PingResponse{Name: f.name, Incarnation: own.Incarnation, Epoch: s.version, Unconfirmed: s.unconfirmed,
 		Ready: own.Ready, Leaving: own.Leaving}, nil
 }
 
@@ -109,7 +109,7 @@
 		ctx, cancel := context.WithTimeout(f.ctx, f.config.PingEvery)
 		defer cancel()
 		resp, err := f.peers.Client(peer.Address).Ping(ctx, connect.NewRequest(&wire.PingRequest{
-			From: own.Name, Incarnation: own.Incarnation, Epoch: s.epoch, Unconfirmed: s.unconfirmed}))
+			From: own.Name, Incarnation: own.Incarnation, Epoch: s.version, Unconfirmed: s.unconfirmed}))
 		f.post(func() {
 			delete(f.pinging, name)
 			switch {
@@ -140,12 +140,12 @@
 func (f *Follower) heard(peer *wire.Process, sent time.Time, resp *wire.PingResponse) {
 	f.holder.Heard(resp.Name, resp.Incarnation, sent, resp.Epoch, resp.Unconfirmed)
 	f.words[resp.Name] = word{incarnation: resp.Incarnation, ready: resp.Ready, leaving: resp.Leaving, at: f.clock.Now()}
-	if resp.Epoch > f.state.Epoch && !resp.Unconfirmed {
+	if resp.Epoch > f.state.Version && !resp.Unconfirmed {
 		f.fetch(peer.Address)
 	}
 }
 
-// spread tells the peers of a small roster of a new epoch at once, so that none
+// spread tells the peers of a small roster of a new version at once, so that none
 // of them goes on by the roster without it when all who know it are lost next.
 func (f *Follower) spread() {
 	roster := f.view.Load().Roster
--- a/internal/node/follower/publish.go
+++ b/internal/node/follower/publish.go
@@ -44,7 +44,7 @@
 	view := &View{State: f.state, Index: old.Index.For(f.state), Plan: f.plan, Servers: servers,
 		Verdict: f.holder.Ruling(f.clock.Now()), Fronts: old.Fronts, Roster: old.Roster, Live: old.Live, Silent: old.Silent,
 		version: f.reports.Version()}
-	if old.State.Epoch != f.state.Epoch {
+	if old.State.Version != f.state.Version {
 		view.Roster = rosterNames(f.state)
 	}
 	return view
@@ -81,7 +81,7 @@
 // same tells whether a view says what an earlier one did. How long the verdict
 // stands is no part of it: Ruling tells that.
 func (v *View) same(old *View) bool {
-	return v.State.Epoch == old.State.Epoch && v.Index == old.Index && v.Plan == old.Plan && v.version == old.version &&
+	return v.State.Version == old.State.Version && v.Index == old.Index && v.Plan == old.Plan && v.version == old.version &&
 		v.Verdict.Ruling == old.Verdict.Ruling && v.Verdict.By == old.Verdict.By &&
 		identical(v.Live, old.Live) && v.SameFronts(old)
 }
--- a/internal/node/follower/publish_test.go
+++ b/internal/node/follower/publish_test.go
@@ -28,7 +28,7 @@
 	clock := clock.System()
 	var sights []port.Sight
 	var processes known
-	state := sheet.State{Epoch: 7, Roster: map[string]sheet.Member{}}
+	state := sheet.State{Version: 7, Roster: map[string]sheet.Member{}}
 	for i := range members {
 		name := fmt.Sprintf("front-%03d", i)
 		p := &wire.Process{Name: name, Address: name, Front: true, Ready: true, Incarnation: 1, Counter: 1}
--- a/internal/node/follower/renew.go
+++ b/internal/node/follower/renew.go
@@ -71,7 +71,7 @@
 	}
 	f.renewing[core.Name] = true
 	own := f.config.Self()
-	req := &wire.RenewRequest{Epoch: f.state.Epoch, Unconfirmed: f.holder.Unconfirmed(), Relay: relay}
+	req := &wire.RenewRequest{Epoch: f.state.Version, Unconfirmed: f.holder.Unconfirmed(), Relay: relay}
 	if lease.SameProcess(f.recorded[core.Name], own) {
 		req.Name, req.Incarnation = own.Name, own.Incarnation
 	} else {
@@ -129,7 +129,7 @@
 	f.offsets[core.Name] = time.UnixMicro(resp.TimeUs).Sub(answered)
 	f.setOffset()
 	f.behind[core.Name] = resp.Learned
-	if f.held && resp.Learned > f.state.Epoch || !f.held && call.back.Sub(f.begun) >= startByFeed {
+	if f.held && resp.Learned > f.state.Version || !f.held && call.back.Sub(f.begun) >= startByFeed {
 		f.fetch(core.Address)
 	}
 	wasUnconfirmed := f.holder.Unconfirmed()
--- a/internal/node/follower/state.go
+++ b/internal/node/follower/state.go
@@ -15,10 +15,10 @@
 // Fetch answers a process that is behind with the whole state.
 func (f *Follower) Fetch(ctx context.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
 	state := f.View().State
-	if state.Epoch <= req.After {
-		return &wire.FetchResponse{Learned: state.Epoch}, nil
+	if state.Version <= req.After {
+		return &wire.FetchResponse{Learned: state.Version}, nil
 	}
-	return &wire.FetchResponse{SnapshotEpoch: state.Epoch, Snapshot: state.Encode(), Learned: state.Epoch}, nil
+	return &wire.FetchResponse{SnapshotEpoch: state.Version, Snapshot: state.Encode(), Learned: state.Version}, nil
 }
 
 // judge publishes until when the node rules.
@@ -33,7 +33,7 @@
 		until = verdict.Until
 	}
 	f.lapse.Store(&until)
-	f.pinged.Store(&standing{epoch: f.state.Epoch, unconfirmed: f.holder.Unconfirmed()})
+	f.pinged.Store(&standing{version: f.state.Version, unconfirmed: f.holder.Unconfirmed()})
 	f.noticeVerdict(verdict)
 	if verdict.Ruling != f.ruling {
 		f.ruling = verdict.Ruling
@@ -41,13 +41,13 @@
 	}
 }
 
-// fetch closes a gap: changes after the held epoch, or a snapshot.
+// fetch closes a gap: changes after the held version, or a snapshot.
 func (f *Follower) fetch(address string) {
 	if f.fetching {
 		return
 	}
 	f.fetching = true
-	after := f.state.Epoch
+	after := f.state.Version
 	if !f.held {
 		after = 0
 	}
@@ -69,13 +69,13 @@
 }
 
 // takeSnapshot takes a whole state if it is newer than the held one.
-func (f *Follower) takeSnapshot(epoch uint64, data []byte) {
-	if len(data) == 0 || (f.held && epoch <= f.state.Epoch) {
+func (f *Follower) takeSnapshot(version uint64, data []byte) {
+	if len(data) == 0 || (f.held && version <= f.state.Version) {
 		return
 	}
 	state, err := sheet.DecodeState(data)
 	if err != nil {
-		f.log.Emit(events.SnapshotBad, "epoch", epoch, "error", err)
+		f.log.Emit(events.SnapshotBad, "epoch", version, "error", err)
 		return
 	}
 	f.rule(state)
@@ -83,7 +83,7 @@
 
 // takeChosen applies the next command; one that leaves a gap is fetched.
 func (f *Follower) takeChosen(chosen *wire.Chosen) {
-	if chosen.Epoch != f.state.Epoch+1 {
+	if chosen.Epoch != f.state.Version+1 {
 		return
 	}
 	state, _ := f.state.Step(chosen.Epoch, chosen.Command)
@@ -96,7 +96,7 @@
 	f.state, f.held = state, true
 	f.holder.SetRoster(state.Roster, state.PriorRoster)
 	f.publish()
-	f.holder.Confirm(state.Epoch)
+	f.holder.Confirm(state.Version)
 	f.noticeState(old, state)
 	f.judge()
 	f.renewAll()
--- a/internal/node/follower/view.go
+++ b/internal/node/follower/view.go
@@ -31,24 +31,24 @@
 
 // Status is the JSON form of a front's control state.
 type Status struct {
-	Name        string            `json:"name"`
-	Locality    string            `json:"locality"`
-	Epoch       uint64            `json:"epoch"`
-	SheetEpoch  uint64            `json:"sheet_epoch"`
-	Ruling      bool              `json:"ruling"`
-	By          string            `json:"by"`
-	Plan        uint64            `json:"plan"`
-	PlanTerm    uint64            `json:"plan_term"`
-	PlanHolder  string            `json:"plan_holder,omitempty"`
-	Servers     map[string]string `json:"servers"`
-	Roster      []string          `json:"roster"`
-	Fronts      []string          `json:"fronts"`
-	FleetTimeMS int64             `json:"fleet_time_ms"`
+	Name         string            `json:"name"`
+	Zone         string            `json:"locality"`
+	Version      uint64            `json:"epoch"`
+	SheetVersion uint64            `json:"sheet_epoch"`
+	Ruling       bool              `json:"ruling"`
+	By           string            `json:"by"`
+	Plan         uint64            `json:"plan"`
+	PlanTerm     uint64            `json:"plan_term"`
+	PlanHolder   string            `json:"plan_holder,omitempty"`
+	Servers      map[string]string `json:"servers"`
+	Roster       []string          `json:"roster"`
+	Fronts       []string          `json:"fronts"`
+	FleetTimeMS  int64             `json:"fleet_time_ms"`
 }
 
 // Status describes the view at fleet time now.
-func (v *View) Status(name, locality string, ruling bool, now time.Time) Status {
-	s := Status{Name: name, Locality: locality, Epoch: v.State.Epoch, SheetEpoch: v.State.SheetEpoch,
+func (v *View) Status(name, zone string, ruling bool, now time.Time) Status {
+	s := Status{Name: name, Zone: zone, Version: v.State.Version, SheetVersion: v.State.SheetVersion,
 		Ruling: ruling, By: string(v.Verdict.By), Servers: map[string]string{}, Roster: v.Roster, FleetTimeMS: now.UnixMilli()}
 	if v.Plan != nil {
 		s.Plan, s.PlanTerm, s.PlanHolder = v.Plan.Number, v.Plan.Term, v.Plan.Holder
--- a/internal/node/front/connect.go
+++ b/internal/node/front/connect.go
@@ -12,7 +12,7 @@
 )
 
 // Connect tells which nodes a caller should talk to: those of its own
-// locality first, then of its region, then all others; evacuated ones last.
+// zone first, then of its region, then all others; evacuated ones last.
 // Equally near ones come in an order that differs from request to request.
 func (f *Front) Connect(_ context.Context, ask *clientapi.Connect) (*clientapi.Nearest, *apierror.Error) {
 	view := f.views.View()
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -32,7 +32,7 @@
 	Tenant   string  `json:"tenant,omitempty"`
 	Region   string  `json:"region"`
 	Home     string  `json:"home,omitempty"` // the region that it is bound to
-	Epoch    uint64  `json:"epoch"`
+	Version  uint64  `json:"epoch"`
 	PlanTerm uint64  `json:"plan_term"`
 	Plan     uint64  `json:"plan"`
 	Tokens   float64 `json:"tokens"`
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -74,7 +74,7 @@
 		for _, key := range keys {
 			hashes = append(hashes, sheet.HashKey(key))
 		}
-		v.State.Epoch++
+		v.State.Version++
 		v.State.Sheet = &sheet.Sheet{
 			Services: map[string]sheet.Service{"chat": {Kind: "model"}, "orders": {Kind: "web", PlainTokens: 5}},
 			Tenants:  map[string]sheet.Tenant{"press": {Rate: 100, Burst: 10, KeyHashes: hashes}},
@@ -691,7 +691,7 @@
 					next := *v.State.Sheet
 					next.Tenants = map[string]sheet.Tenant{"press": {KeyHashes: []string{sheet.HashKey("k")}, Home: "abeokuta"}}
 					next.Weights = map[string]map[string]float64{map[string]string{"model": "chat", "web": "orders"}[kind]: {"lagos": 1, "abeokuta": 1}}
-					v.State.Epoch, v.State.Sheet = 2, &next
+					v.State.Version, v.State.Sheet = 2, &next
 					v.Index = v.State.Index()
 				})
 				synctest.Wait()
@@ -709,7 +709,7 @@
 					f.expect("its own home", ask(`,"home":"abeokuta"`).status, 200)
 					f.expect("another home", ask(`,"home":"lagos"`).code, apierror.BadField)
 				}
-				f.views.publish(func(v *follower.View) { v.State.Epoch, v.State.Evacuated = 3, map[string]uint64{"abeokuta": 3} })
+				f.views.publish(func(v *follower.View) { v.State.Version, v.State.Evacuated = 3, map[string]uint64{"abeokuta": 3} })
 				synctest.Wait()
 				before, began := near.runs("r1")+far.runs("r1"), time.Now()
 				got := ask("")
@@ -959,7 +959,7 @@
 			value, found := f.front.Inspect("explain", "r1")
 			f.expect("found", found, true)
 			told := value.(*Explanation)
-			f.expect("admission", []any{told.Admission.Tenant, told.Admission.Passed, told.Admission.Limit, told.Admission.Epoch, told.Admission.Plan, told.Admission.Tokens},
+			f.expect("admission", []any{told.Admission.Tenant, told.Admission.Passed, told.Admission.Limit, told.Admission.Version, told.Admission.Plan, told.Admission.Tokens},
 				[]any{"press", true, 810, 1, 7, 9})
 			f.expect("outcome", []any{told.Outcome.Name, told.Outcome.TookMS}, []any{"ok", 2000})
 			last := told.Attempts[len(told.Attempts)-1]
--- a/internal/node/front/keeper.go
+++ b/internal/node/front/keeper.go
@@ -17,7 +17,7 @@
 )
 
 // keeper owns the set of running calls. It cuts those whose key is revoked by
-// a new epoch, all of them once the node has not ruled for a while, and what
+// a new version, all of them once the node has not ruled for a while, and what
 // is left at the end of a drain.
 type keeper struct {
 	views    Views
--- a/internal/node/front/serve.go
+++ b/internal/node/front/serve.go
@@ -156,7 +156,7 @@
 func (c *call) admit(ctx context.Context, kind string, tokens float64) (apiErr *apierror.Error) {
 	f := c.front
 	view := f.views.View()
-	a := &Admission{Service: c.request.Service, Region: c.request.FromRegion, Epoch: view.State.Epoch}
+	a := &Admission{Service: c.request.Service, Region: c.request.FromRegion, Version: view.State.Version}
 	if view.Plan != nil {
 		a.Plan, a.PlanTerm = view.Plan.Number, view.Plan.Term
 	}
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -71,7 +71,7 @@
 func (v *fixedViews) publish(change func(*follower.View)) {
 	next := *v.view.Load()
 	change(&next)
-	next.State.Epoch++
+	next.State.Version++
 	next.Index = next.State.Index()
 	v.view.Store(&next)
 	fresh := make(chan struct{})
@@ -148,7 +148,7 @@
 
 func open(t *testing.T) *stand {
 	s := &stand{t: t, views: &fixedViews{}, tally: &admitter{}, servers: map[string]*wire.ServerStatus{}}
-	state := sheet.State{Epoch: 1, Sheet: &sheet.Sheet{
+	state := sheet.State{Version: 1, Sheet: &sheet.Sheet{
 		Services: map[string]sheet.Service{"pool": {Kind: sheet.KindHTTP}},
 		Tenants:  map[string]sheet.Tenant{"press": {Rate: 10, KeyHashes: []string{sheet.HashKey("k")}}},
 		Routes: map[string]sheet.Route{
--- a/internal/node/healthcheck/watch.go
+++ b/internal/node/healthcheck/watch.go
@@ -1,5 +1,5 @@
 // Package healthcheck is a front's part in watching the servers: a few fronts of each
-// region read the platform's list, and a few fronts in each server's locality
+// region read the platform's list, and a few fronts in each server's zone
 // ask it for its own status. What they see goes into the front's own view at
 // once and to every core.
 //
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -193,7 +193,7 @@
 	for _, former := range slices.Sorted(maps.Keys(renamed)) {
 		p.log.Emit(events.SettingRenamed, "former", former, "name", renamed[former])
 	}
-	p.log.Emit(events.ProcessStarted, "name", p.base.Name, "role", p.role, "locality", sheet.Locality(p.base.Region, p.base.Zone),
+	p.log.Emit(events.ProcessStarted, "name", p.base.Name, "role", p.role, "locality", sheet.ZoneName(p.base.Region, p.base.Zone),
 		"caller", p.base.CallerAddress, "internal", p.base.Address, "incarnation", p.base.Incarnation)
 	select {
 	case <-ctx.Done():
--- a/internal/node/replica/formation.go
+++ b/internal/node/replica/formation.go
@@ -49,18 +49,18 @@
 		r.waits(ctx, events.FormationWaits, fmt.Sprintf("a first formation of %d blank cores; %d others are known", r.cfg.Voters, len(cores)))
 		return
 	}
-	epoch, snapshot, missing := r.survivors(ctx)
+	version, snapshot, missing := r.survivors(ctx)
 	if missing != "" {
 		r.waits(ctx, events.FormationWaits, missing)
 		return
 	}
 	id := fmt.Sprintf("%s-%s", r.cfg.Self, r.formationID())
-	record, ok := state.Establish(id, r.cfg.Voters, present, epoch, snapshot)
+	record, ok := state.Establish(id, r.cfg.Voters, present, version, snapshot)
 	if !ok || !r.join(ctx, record, "waits for the other cores to join") {
 		return
 	}
 	joined := record.(paxos.Joined)
-	r.events.Emit(events.FormationBegun, "formation", id, "voters", fmt.Sprint(joined.Voters), "epoch", epoch)
+	r.events.Emit(events.FormationBegun, "formation", id, "voters", fmt.Sprint(joined.Voters), "epoch", version)
 	invite := &wire.FoundRequest{Formation: id, Voters: joined.Voters, Founder: r.cfg.Self}
 	gather(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.FoundResponse, error) {
 		return call(ctx, r, core, invite, r.Found, wireconnect.PeerClient.Found)
@@ -73,12 +73,12 @@
 }
 
 // survivors finds the highest agreed state that any process still holds after
-// the loss of every core's disk. An acknowledged epoch was confirmed by more
+// the loss of every core's disk. An acknowledged version was confirmed by more
 // than half of its roster, so more than half must answer and hold a state. The
-// new formation leaves a gap of epochs, so that none of the old one, which a
+// new formation leaves a gap of versions, so that none of the old one, which a
 // process out of reach may hold though it never was acknowledged, is given out
 // again with another content.
-func (r *Replica) survivors(ctx context.Context) (epoch uint64, snapshot []byte, missing string) {
+func (r *Replica) survivors(ctx context.Context) (version uint64, snapshot []byte, missing string) {
 	var names []string
 	for _, process := range r.peers.Processes() {
 		if process.Front && process.Name != r.cfg.Self {
@@ -90,10 +90,10 @@
 	})
 	var highest sheet.State
 	for _, resp := range answers {
-		if len(resp.Snapshot) == 0 || resp.SnapshotEpoch <= highest.Epoch {
+		if len(resp.Snapshot) == 0 || resp.SnapshotEpoch <= highest.Version {
 			continue
 		}
-		if state, err := sheet.DecodeState(resp.Snapshot); err == nil && state.Epoch == resp.SnapshotEpoch {
+		if state, err := sheet.DecodeState(resp.Snapshot); err == nil && state.Version == resp.SnapshotEpoch {
 			highest = state
 		}
 	}
@@ -104,16 +104,16 @@
 		}
 	}
 	if count := len(highest.Roster); count > 0 && present <= count/2 {
-		return 0, nil, fmt.Sprintf("all cores are blank, though epoch %d is still held: %d of the %d members of its roster must answer from memory", highest.Epoch, count/2+1, count)
+		return 0, nil, fmt.Sprintf("all cores are blank, though epoch %d is still held: %d of the %d members of its roster must answer from memory", highest.Version, count/2+1, count)
 	}
-	if highest.Epoch == 0 {
+	if highest.Version == 0 {
 		return 0, nil, ""
 	}
 	noop := sheet.Encode(sheet.Noop{})
 	for range foundingGap {
-		highest, _ = highest.Step(highest.Epoch+1, noop)
+		highest, _ = highest.Step(highest.Version+1, noop)
 	}
-	return highest.Epoch, highest.Encode(), ""
+	return highest.Version, highest.Encode(), ""
 }
 
 func (r *Replica) join(ctx context.Context, record paxos.Record, waiting string) bool {
@@ -156,7 +156,7 @@
 	if err != nil {
 		return false
 	}
-	if now.SheetEpoch > 0 {
+	if now.SheetVersion > 0 {
 		return true
 	}
 	first, apiErr := sheet.ParseSheet(r.cfg.FirstSheet, r.cfg.SheetMax)
@@ -171,7 +171,7 @@
 	if err != nil {
 		return false
 	}
-	r.events.Emit(events.FirstSheetOffered, "core", r.cfg.Self, "epoch", result.Epoch, "code", result.Code)
+	r.events.Emit(events.FirstSheetOffered, "core", r.cfg.Self, "epoch", result.Version, "code", result.Code)
 	return true
 }
 
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -58,8 +58,8 @@
 	standing := strings.ToLower(strings.TrimPrefix(state.Standing().String(), "STANDING_"))
 	return Contents{
 		Core: state.Self, Formation: state.Formation, Voters: state.Voters, Standing: standing, DiskLife: state.Life(),
-		Version: agreed.Epoch, SheetVersion: agreed.SheetEpoch, Revision: agreed.Revision, Members: len(agreed.Roster),
-		Open: len(state.Votes), Snapshot: state.SnapshotEpoch, Segments: replay.Segments, Records: len(replay.Records),
+		Version: agreed.Version, SheetVersion: agreed.SheetVersion, Revision: agreed.Revision, Members: len(agreed.Roster),
+		Open: len(state.Votes), Snapshot: state.SnapshotSlot, Segments: replay.Segments, Records: len(replay.Records),
 		TornSegment: replay.CutSegment, TornBytes: replay.CutBytes, BadSnapshot: replay.BadSnapshot, Sheet: agreed.Sheet,
 	}, nil
 }
@@ -83,13 +83,13 @@
 // agreedOf works the sheet's state out from the snapshot and what follows it.
 func agreedOf(state paxos.State) (sheet.State, error) {
 	var agreed sheet.State
-	if state.SnapshotEpoch > 0 {
+	if state.SnapshotSlot > 0 {
 		kept, err := sheet.DecodeState(state.Snapshot)
 		if err != nil {
-			return agreed, errors.Wrapf(err, "the snapshot of epoch %d", state.SnapshotEpoch)
+			return agreed, errors.Wrapf(err, "the snapshot of epoch %d", state.SnapshotSlot)
 		}
-		if kept.Epoch != state.SnapshotEpoch {
-			return agreed, errors.Errorf("a snapshot of epoch %d under %d", kept.Epoch, state.SnapshotEpoch)
+		if kept.Version != state.SnapshotSlot {
+			return agreed, errors.Errorf("a snapshot of epoch %d under %d", kept.Version, state.SnapshotSlot)
 		}
 		agreed = kept
 	}
--- a/internal/node/replica/keep.go
+++ b/internal/node/replica/keep.go
@@ -159,7 +159,7 @@
 			return nil
 		}
 		if learned == state.Learned() {
-			return apierror.Errorf(apierror.EpochBehind, "core %s gave nothing after epoch %d", from, learned)
+			return apierror.Errorf(apierror.VersionBehind, "core %s gave nothing after epoch %d", from, learned)
 		}
 	}
 }
--- a/internal/node/replica/owner.go
+++ b/internal/node/replica/owner.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	inboxBound   = 256
-	recentEpochs = 256
-	recentBytes  = 32 << 20
-	slowSync     = 500 * time.Millisecond
+	inboxBound     = 256
+	recentVersions = 256
+	recentBytes    = 32 << 20
+	slowSync       = 500 * time.Millisecond
 )
 
 // owner holds the core's state and answers for it. Its state may be ahead of
@@ -30,12 +30,12 @@
 	gone    chan struct{}
 	state   paxos.State
 	sheet   sheet.State
-	results []sheet.Result // of the last epochs
-	recent  []*wire.Chosen // of the last epochs
+	results []sheet.Result // of the last versions
+	recent  []*wire.Chosen // of the last versions
 	waiters []waiter       // in the order of their places
 	synced  uint64
 	full    bool   // no room for an ordinary record
-	stuck   bool   // no room for an epoch that was chosen
+	stuck   bool   // no room for a version that was chosen
 	waiting string // for what, while the core does not vote
 
 	waitingSince time.Time
@@ -90,13 +90,13 @@
 // rebuild works the sheet's state out from the snapshot and what follows it.
 func (o *owner) rebuild() error {
 	o.sheet, o.results, o.recent = sheet.State{}, nil, nil
-	if o.state.SnapshotEpoch > 0 {
+	if o.state.SnapshotSlot > 0 {
 		state, err := sheet.DecodeState(o.state.Snapshot)
 		if err != nil {
-			return errors.Wrapf(err, "the snapshot of epoch %d", o.state.SnapshotEpoch)
+			return errors.Wrapf(err, "the snapshot of epoch %d", o.state.SnapshotSlot)
 		}
-		if state.Epoch != o.state.SnapshotEpoch {
-			return errors.Errorf("a snapshot of epoch %d under %d", state.Epoch, o.state.SnapshotEpoch)
+		if state.Version != o.state.SnapshotSlot {
+			return errors.Errorf("a snapshot of epoch %d under %d", state.Version, o.state.SnapshotSlot)
 		}
 		o.sheet = state
 	}
@@ -115,7 +115,7 @@
 	o.results = append(o.results, result)
 	o.recent = append(o.recent, chosen)
 	size, keep := 0, len(o.recent)
-	for keep > 0 && len(o.recent)-keep < recentEpochs {
+	for keep > 0 && len(o.recent)-keep < recentVersions {
 		if size += len(o.recent[keep-1].Command); size > recentBytes && keep < len(o.recent) {
 			break
 		}
@@ -126,10 +126,10 @@
 	}
 }
 
-// result returns an epoch's outcome while it is kept.
-func (o *owner) result(epoch uint64) (sheet.Result, bool) {
-	back := o.sheet.Epoch - epoch
-	if epoch > o.sheet.Epoch || back >= uint64(len(o.results)) {
+// result returns a version's outcome while it is kept.
+func (o *owner) result(version uint64) (sheet.Result, bool) {
+	back := o.sheet.Version - version
+	if version > o.sheet.Version || back >= uint64(len(o.results)) {
 		return sheet.Result{}, false
 	}
 	return o.results[uint64(len(o.results))-1-back], true
@@ -220,14 +220,14 @@
 	return nil
 }
 
-// follow brings the sheet's state to the ballot state's learned epoch.
+// follow brings the sheet's state to the ballot state's learned version.
 func (o *owner) follow(before paxos.State) error {
 	same := before.Learned() == o.state.Learned()
 	if same && before.Formation == o.state.Formation && before.Life() == o.state.Life() {
 		return nil
 	}
-	if !same && before.Formation == o.state.Formation && before.SnapshotEpoch == o.state.SnapshotEpoch && before.Life() == o.state.Life() {
-		for _, chosen := range o.state.Chosen[o.sheet.Epoch-o.state.SnapshotEpoch:] {
+	if !same && before.Formation == o.state.Formation && before.SnapshotSlot == o.state.SnapshotSlot && before.Life() == o.state.Life() {
+		for _, chosen := range o.state.Chosen[o.sheet.Version-o.state.SnapshotSlot:] {
 			o.apply(chosen)
 		}
 	} else if err := o.rebuild(); err != nil {
@@ -278,7 +278,7 @@
 
 func (o *owner) publish() { o.r.publish(o.standing(o.view())) }
 
-// republish changes only what is not the disk's: it keeps the published epoch.
+// republish changes only what is not the disk's: it keeps the published version.
 func (o *owner) republish() {
 	v := *o.r.view.Load()
 	v.standing = o.state.Standing()
@@ -323,18 +323,18 @@
 		return
 	}
 	o.compacting = true
-	epoch, state := o.state.Learned(), o.sheet
+	version, state := o.state.Learned(), o.sheet
 	go func() {
 		var data []byte
-		if epoch > 0 {
+		if version > 0 {
 			data = state.Encode()
 		}
-		o.tell(func(o *owner) { o.snapshot(epoch, data) })
+		o.tell(func(o *owner) { o.snapshot(version, data) })
 	}()
 }
 
-func (o *owner) snapshot(epoch uint64, data []byte) {
-	o.state = o.state.Compacted(epoch, data)
+func (o *owner) snapshot(version uint64, data []byte) {
+	o.state = o.state.Compacted(version, data)
 	records, bytes := o.records, o.bytes
 	done := o.log.Snapshot(o.state.Encode())
 	o.records, o.bytes = 0, 0
@@ -351,7 +351,7 @@
 				o.records, o.bytes = o.records+records, o.bytes+bytes
 				return
 			}
-			o.r.events.Emit(events.SnapshotWritten, "core", o.r.cfg.Self, "epoch", epoch, "bytes", len(data))
+			o.r.events.Emit(events.SnapshotWritten, "core", o.r.cfg.Self, "epoch", version, "bytes", len(data))
 		})
 	}()
 }
--- a/internal/node/replica/propose.go
+++ b/internal/node/replica/propose.go
@@ -31,9 +31,9 @@
 }
 
 type outcome struct {
-	epoch  uint64
-	result sheet.Result
-	err    error
+	version uint64
+	result  sheet.Result
+	err     error
 }
 
 // conduct runs this core's proposals one after another, so that they do not
@@ -131,13 +131,13 @@
 // began.
 func (r *Replica) met(ctx context.Context, p proposal, begun, learned uint64) (outcome, bool) {
 	if p.command == nil {
-		return outcome{epoch: learned}, learned >= p.target
+		return outcome{version: learned}, learned >= p.target
 	}
 	found, err := ask(ctx, r, func(o *owner, reply func(outcome, error)) {
-		for epoch := begun + 1; epoch <= o.sheet.Epoch; epoch++ {
-			result, kept := o.result(epoch)
-			if kept && p.match(o.recent[len(o.recent)-1-int(o.sheet.Epoch-epoch)].Command) {
-				reply(outcome{epoch: epoch, result: result}, nil)
+		for version := begun + 1; version <= o.sheet.Version; version++ {
+			result, kept := o.result(version)
+			if kept && p.match(o.recent[len(o.recent)-1-int(o.sheet.Version-version)].Command) {
+				reply(outcome{version: version, result: result}, nil)
 				return
 			}
 		}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return outcome{err: err}, true
 	}
-	return found, found.epoch != 0
+	return found, found.version != 0
 }
 
 type answer struct {
--- a/internal/node/replica/replica.go
+++ b/internal/node/replica/replica.go
@@ -176,13 +176,13 @@
 // proposed through another core, is chosen; Current holds it then, unless this
 // core's disk is slow. Until then it tries slot after slot. When the context ends first, the fault's code says
 // whether the command may yet be chosen; in each case it may be sent again.
-func (r *Replica) Propose(ctx context.Context, command []byte) (epoch uint64, result sheet.Result, err error) {
+func (r *Replica) Propose(ctx context.Context, command []byte) (version uint64, result sheet.Result, err error) {
 	return r.ProposeMatching(ctx, command, func(chosen []byte) bool { return bytes.Equal(chosen, command) })
 }
 
 // ProposeMatching is Propose for a command that other bytes may stand for:
 // match tells whether a chosen command is the same order.
-func (r *Replica) ProposeMatching(ctx context.Context, command []byte, match func(chosen []byte) bool) (epoch uint64, result sheet.Result, err error) {
+func (r *Replica) ProposeMatching(ctx context.Context, command []byte, match func(chosen []byte) bool) (version uint64, result sheet.Result, err error) {
 	done := make(chan outcome, 1)
 	select {
 	case r.proposals <- proposal{ctx: ctx, command: command, match: match, done: done}:
@@ -192,9 +192,9 @@
 	select {
 	case out := <-done:
 		if out.err == nil {
-			r.awaitPublished(ctx, out.epoch)
+			r.awaitPublished(ctx, out.version)
 		}
-		return out.epoch, out.result, out.err
+		return out.version, out.result, out.err
 	case <-ctx.Done():
 		return 0, sheet.Result{}, apierror.Errorf(apierror.OutcomePending, "the ballot is not over")
 	}
@@ -202,11 +202,11 @@
 
 // awaitPublished lets Current catch up with what was agreed, unless the disk
 // here is slow.
-func (r *Replica) awaitPublished(ctx context.Context, epoch uint64) {
+func (r *Replica) awaitPublished(ctx context.Context, version uint64) {
 	patience := r.clock.After(r.cfg.CallTimeout)
 	for {
 		changed := r.Changed()
-		if r.Current().Epoch >= epoch {
+		if r.Current().Version >= version {
 			return
 		}
 		select {
@@ -237,9 +237,9 @@
 			return sheet.State{}, err
 		}
 		switch {
-		case now.Epoch >= max(target, tip.learned):
+		case now.Version >= max(target, tip.learned):
 			return now, nil
-		case now.Epoch < tip.learned && r.catchUp(ctx, tip.core) == nil:
+		case now.Version < tip.learned && r.catchUp(ctx, tip.core) == nil:
 			continue
 		}
 		if err := r.finish(ctx, target); err != nil {
