--- a/internal/node/replica/replica_test.go
+++ b/internal/node/replica/replica_test.go
@@ -91,10 +91,10 @@
 	}
 }
 
-func (f *fleet) at(epoch uint64, names ...string) func() bool {
+func (f *fleet) at(version uint64, names ...string) func() bool {
 	return func() bool {
 		for _, name := range names {
-			if f.core(name).Current().Epoch < epoch {
+			if f.core(name).Current().Version < version {
 				return false
 			}
 		}
@@ -200,7 +200,7 @@
 }
 
 func evacuate(id string) []byte {
-	return sheet.Encode(sheet.Evacuate{Order: sheet.Order{OrderID: id, Operator: "ada"}, Locality: "lagos/a"})
+	return sheet.Encode(sheet.Evacuate{Order: sheet.Order{OrderID: id, Operator: "ada"}, Zone: "lagos/a"})
 }
 
 func within(d time.Duration) context.Context {
@@ -236,13 +236,13 @@
 		So(f.core("a").Formation(), ShouldEqual, f.core("c").Formation())
 		So(f.core("b").Voters(), ShouldResemble, []string{"a", "b", "c"})
 
-		epoch, result, err := f.core("b").Propose(within(time.Second), evacuate("one"))
+		version, result, err := f.core("b").Propose(within(time.Second), evacuate("one"))
 		So(err, ShouldBeNil)
-		So(epoch, ShouldEqual, 1)
+		So(version, ShouldEqual, 1)
 		So(result.Code, ShouldEqual, apierror.OK)
 		state, err := f.core("c").ReadMajority(within(time.Second))
 		So(err, ShouldBeNil)
-		So(state.Epoch, ShouldEqual, 1)
+		So(state.Version, ShouldEqual, 1)
 		So(f.until(time.Second, f.at(1, "a", "b", "c")), ShouldBeTrue)
 		chosen, whole := f.core("a").Learned(0)
 		So(whole, ShouldBeTrue)
@@ -272,17 +272,17 @@
 		So(apierror.From(err).Code, ShouldBeIn, apierror.NoMajority, apierror.OutcomePending)
 		_, err = f.core("a").ReadMajority(within(time.Second))
 		So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
-		epoch, _, err := f.core("b").Propose(within(time.Second), evacuate("four"))
+		version, _, err := f.core("b").Propose(within(time.Second), evacuate("four"))
 		So(err, ShouldBeNil)
 		f.cut["a"].Store(false)
-		So(f.until(2*time.Second, f.at(epoch, "a")), ShouldBeTrue)
+		So(f.until(2*time.Second, f.at(version, "a")), ShouldBeTrue)
 	})
 	inBubble(t, "The first sheet is offered once, by whichever core has it", func(f *fleet) {
 		f.cfg.FirstSheet = []byte(firstSheetJSON)
 		f.form()
 		So(f.until(5*time.Second, f.at(1, "a", "b", "c")), ShouldBeTrue)
 		<-time.After(3 * time.Second)
-		So(f.core("a").Current().SheetEpoch, ShouldBeGreaterThan, 0)
+		So(f.core("a").Current().SheetVersion, ShouldBeGreaterThan, 0)
 		So(len(f.core("a").Current().History), ShouldEqual, 1)
 	})
 }
@@ -433,7 +433,7 @@
 		}
 		So(f.until(time.Second, f.at(8, "a", "c")), ShouldBeTrue)
 		So(f.until(time.Second, func() bool { return f.core("b").Standing() == wire.Standing_STANDING_DISK_FULL }), ShouldBeTrue)
-		So(f.core("b").Current().Epoch, ShouldBeLessThan, 8)
+		So(f.core("b").Current().Version, ShouldBeLessThan, 8)
 		f.stop["c"]()
 		_, _, err := f.core("a").Propose(within(time.Second), large(8))
 		So(apierror.From(err).Code, ShouldBeIn, apierror.NoMajority, apierror.OutcomePending)
@@ -449,14 +449,14 @@
 		So(err, ShouldBeNil)
 		held := f.core("a").Current()
 		So(len(held.Roster), ShouldEqual, 1)
-		f.front = &wire.FetchResponse{SnapshotEpoch: held.Epoch, Snapshot: held.Encode(), Learned: held.Epoch}
+		f.front = &wire.FetchResponse{SnapshotEpoch: held.Version, Snapshot: held.Encode(), Learned: held.Version}
 		for _, name := range []string{"a", "b", "c"} {
 			f.wipe(name)
 		}
 		f.form()
 		state, err := f.core("c").ReadMajority(within(time.Second))
 		So(err, ShouldBeNil)
-		So(state.Epoch, ShouldEqual, held.Epoch+foundingGap)
+		So(state.Version, ShouldEqual, held.Version+foundingGap)
 		So(len(state.History), ShouldEqual, count)
 		f.orders("b", count, 3)
 	})
@@ -534,7 +534,7 @@
 				So(err, ShouldBeNil)
 				So(len(state.History), ShouldEqual, 60)
 				for _, order := range state.History {
-					So(answered[order.OrderID].Epoch, ShouldEqual, order.Epoch)
+					So(answered[order.OrderID].Version, ShouldEqual, order.Version)
 				}
 			}
 		})
--- a/internal/node/replica/view.go
+++ b/internal/node/replica/view.go
@@ -22,7 +22,7 @@
 func (r *Replica) publish(next view) {
 	old := r.view.Load()
 	next.changed = make(chan struct{})
-	if next.state.Epoch < old.state.Epoch {
+	if next.state.Version < old.state.Version {
 		next.state, next.recent = old.state, old.recent
 	}
 	r.view.Store(&next)
@@ -39,15 +39,15 @@
 // published. Take it before Current.
 func (r *Replica) Changed() <-chan struct{} { return r.view.Load().changed }
 
-// Learned returns the commands that Current holds after an epoch, oldest first;
-// whole is false when some of them are no longer kept, or the epoch is beyond
+// Learned returns the commands that Current holds after a version, oldest first;
+// whole is false when some of them are no longer kept, or the version is beyond
 // Current's.
 func (r *Replica) Learned(after uint64) (chosen []*wire.Chosen, whole bool) {
 	v := r.view.Load()
-	if after > v.state.Epoch {
+	if after > v.state.Version {
 		return nil, false
 	}
-	missing := v.state.Epoch - after
+	missing := v.state.Version - after
 	if missing > uint64(len(v.recent)) {
 		return nil, false
 	}
--- a/internal/node/replica/votes.go
+++ b/internal/node/replica/votes.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// Learn takes chosen epochs in.
+// Learn takes chosen versions in.
 func (r *Replica) Learn(ctx context.Context, req *wire.LearnRequest) (*wire.LearnResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.LearnResponse, error)) {
 		records, resp, behind := o.state.Learn(req)
@@ -83,7 +83,7 @@
 	return ask(ctx, r, func(o *owner, reply func(*wire.ReadResponse, error)) { reply(o.state.Read(req), nil) })
 }
 
-// Fetch gives the epochs after a place, after a snapshot where those are no
+// Fetch gives the versions after a place, after a snapshot where those are no
 // longer kept.
 func (r *Replica) Fetch(ctx context.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
 	return ask(ctx, r, func(o *owner, reply func(*wire.FetchResponse, error)) {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -22,7 +22,7 @@
 
 type processRecord struct {
 	Name     string `json:"name"`
-	Locality string `json:"locality"`
+	Zone     string `json:"locality"`
 	Address  string `json:"address"`
 	Caller   string `json:"caller"`
 	Core     bool   `json:"core"`
@@ -37,7 +37,7 @@
 
 func (p *process) status() processStatus {
 	s := processStatus{Role: p.role, Status: p.follower.View().Status(p.base.Name,
-		sheet.Locality(p.base.Region, p.base.Zone), p.follower.Ruling(), p.follower.FleetNow())}
+		sheet.ZoneName(p.base.Region, p.base.Zone), p.follower.Ruling(), p.follower.FleetNow())}
 	if apiErr := p.ready(); apiErr != nil {
 		s.Cause = apiErr.Error()
 	} else {
@@ -52,7 +52,7 @@
 	}
 	for _, sight := range p.directory.Sights() {
 		known := sight.Process
-		record := processRecord{Name: known.Name, Locality: sheet.Locality(known.Region, known.Zone), Address: known.Address,
+		record := processRecord{Name: known.Name, Zone: sheet.ZoneName(known.Region, known.Zone), Address: known.Address,
 			Caller: known.CallerAddress, Core: known.Core, Ready: ready[known.Name], SeenMS: p.clock.Now().Sub(sight.Seen).Milliseconds()}
 		if known.Core {
 			record.Standing = standingName(known.Standing)
--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -85,7 +85,7 @@
 const drainMS = 5000
 
 func (r *run) build() {
-	r.view = balance.View{State: sheet.State{Epoch: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{serviceName: {Kind: sheet.KindHTTP}}}},
+	r.view = balance.View{State: sheet.State{Version: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{serviceName: {Kind: sheet.KindHTTP}}}},
 		Servers: map[string]*wire.ServerStatus{}, FleetNow: start}
 	for at, region := range r.site.Regions {
 		for i := range region.Servers {
--- a/sim/confirm/process.go
+++ b/sim/confirm/process.go
@@ -34,7 +34,7 @@
 
 func (w *world) renew(p *process, n *node) {
 	sent := w.clock(p.node)
-	req := &wire.RenewRequest{Self: w.self(p), Epoch: p.state.Epoch, Unconfirmed: p.holder.Unconfirmed()}
+	req := &wire.RenewRequest{Self: w.self(p), Epoch: p.state.Version, Unconfirmed: p.holder.Unconfirmed()}
 	w.call(p, n, func(q *process) func() {
 		c := q.core
 		open := w.accepted[n.id] > c.learned && w.config.Mutation != OpenBallot
@@ -50,7 +50,7 @@
 	if w.config.Mutation == ArrivalTime {
 		sent = w.clock(p.node)
 	}
-	if resp.Learned > p.state.Epoch || !p.held {
+	if resp.Learned > p.state.Version || !p.held {
 		w.fetch(p, n)
 	}
 	if resp.Granted {
@@ -78,15 +78,15 @@
 }
 
 func (w *world) take(p *process, state sheet.State) {
-	if state.Epoch <= p.state.Epoch {
+	if state.Version <= p.state.Version {
 		return
 	}
 	p.state, p.held = state, true
 	p.holder.SetRoster(state.Roster, state.PriorRoster)
-	p.holder.Confirm(state.Epoch)
+	p.holder.Confirm(state.Version)
 	if w.config.Mutation == Hearsay && p.holder.Unconfirmed() {
 		for _, voter := range w.voters {
-			p.holder.Renewed(voter, time.Time{}, state.Epoch, 0)
+			p.holder.Renewed(voter, time.Time{}, state.Version, 0)
 		}
 	}
 	w.renewAll(p)
@@ -99,10 +99,10 @@
 		}
 		sent := w.clock(p.node)
 		w.call(p, n, func(q *process) func() {
-			epoch, unconfirmed, incarnation := q.state.Epoch, q.holder.Unconfirmed(), q.incarnation
+			version, unconfirmed, incarnation := q.state.Version, q.holder.Unconfirmed(), q.incarnation
 			return func() {
-				p.holder.Heard(n.name, incarnation, sent, epoch, unconfirmed)
-				if epoch > p.state.Epoch && !unconfirmed {
+				p.holder.Heard(n.name, incarnation, sent, version, unconfirmed)
+				if version > p.state.Version && !unconfirmed {
 					w.fetch(p, n)
 				}
 			}
@@ -148,12 +148,12 @@
 
 // order has a core carry out an operator's order.
 func (w *world) order(n *node) {
-	epoch, ok := w.propose(n, sheet.Noop{})
+	version, ok := w.propose(n, sheet.Noop{})
 	if !ok {
 		return
 	}
 	w.outcome.Orders++
-	n.process.core.orders = append(n.process.core.orders, &order{epoch: epoch, until: w.now + orderTicks*tickMS})
+	n.process.core.orders = append(n.process.core.orders, &order{version: version, until: w.now + orderTicks*tickMS})
 }
 
 func (w *world) pingQuiet(p *process) {
@@ -187,29 +187,29 @@
 	}
 }
 
-func (w *world) view(p *process, epoch uint64) *wire.LeaseViewResponse {
-	view := p.core.ledger.View(epoch, p.core.learned, w.clock(p.node))
+func (w *world) view(p *process, version uint64) *wire.LeaseViewResponse {
+	view := p.core.ledger.View(version, p.core.learned, w.clock(p.node))
 	view.Settled = view.Settled && p.core.opened
 	return view
 }
 
-func (w *world) ask(p *process, epoch uint64) *round {
-	r := &round{end: w.now + roundTicks*tickMS, views: []*wire.LeaseViewResponse{w.view(p, epoch)}}
+func (w *world) ask(p *process, version uint64) *round {
+	r := &round{end: w.now + roundTicks*tickMS, views: []*wire.LeaseViewResponse{w.view(p, version)}}
 	for _, n := range w.nodes[:w.config.Cores] {
 		if n == p.node {
 			continue
 		}
 		w.call(p, n, func(q *process) func() {
-			view := w.view(q, epoch)
+			view := w.view(q, version)
 			return func() { r.views = append(r.views, view) }
 		}, nil)
 	}
 	return r
 }
 
-func (w *world) question(p *process, epoch uint64, r *round) lease.Question {
+func (w *world) question(p *process, version uint64, r *round) lease.Question {
 	state := w.log[p.core.learned]
-	q := lease.Question{Epoch: epoch, Voters: w.config.Cores, Views: r.views, Roster: state.Roster, Prior: state.PriorRoster}
+	q := lease.Question{Version: version, Voters: w.config.Cores, Views: r.views, Roster: state.Roster, Prior: state.PriorRoster}
 	switch w.config.Mutation {
 	case NoRoster:
 		q.Roster, q.Prior = nil, nil
@@ -231,18 +231,18 @@
 		return
 	}
 	if w.config.Mutation == NoPrior {
-		w.propose(p.node, sheet.SettleRoster{RosterEpoch: state.RosterEpoch})
+		w.propose(p.node, sheet.SettleRoster{RosterVersion: state.RosterVersion})
 		return
 	}
 	if c.settle == nil {
-		c.settle = w.ask(p, state.RosterEpoch)
+		c.settle = w.ask(p, state.RosterVersion)
 		return
 	}
 	if w.now < c.settle.end {
 		return
 	}
-	if met, _ := lease.Settled(w.question(p, state.RosterEpoch, c.settle)); met {
-		if _, ok := w.propose(p.node, sheet.SettleRoster{RosterEpoch: state.RosterEpoch}); ok {
+	if met, _ := lease.Settled(w.question(p, state.RosterVersion, c.settle)); met {
+		if _, ok := w.propose(p.node, sheet.SettleRoster{RosterVersion: state.RosterVersion}); ok {
 			w.outcome.Rosters++
 		}
 	}
@@ -257,10 +257,10 @@
 		case w.now > o.until:
 			continue
 		case o.round == nil:
-			o.round = w.ask(p, o.epoch)
+			o.round = w.ask(p, o.version)
 		case w.now >= o.round.end:
-			if met, _ := lease.InForce(w.question(p, o.epoch, o.round)); met {
-				w.acked = append(w.acked, ack{o.epoch, w.now})
+			if met, _ := lease.InForce(w.question(p, o.version, o.round)); met {
+				w.acked = append(w.acked, ack{o.version, w.now})
 				w.outcome.Acked++
 				continue
 			}
--- a/sim/confirm/simulate.go
+++ b/sim/confirm/simulate.go
@@ -60,17 +60,17 @@
 	}
 }
 
-// raise moves the floors: the highest epoch acknowledged so long ago that none
+// raise moves the floors: the highest version acknowledged so long ago that none
 // below it may rule, and the one below which none may rule by a lease.
 func (w *world) raise() {
 	kept := w.acked[:0]
 	for _, a := range w.acked {
-		if w.now > a.at+slack && a.epoch > w.strict.epoch {
+		if w.now > a.at+slack && a.version > w.strict.version {
 			w.strict = a
 		}
 		if w.now <= a.at+allowed {
 			kept = append(kept, a)
-		} else if a.epoch > w.floor.epoch {
+		} else if a.version > w.floor.version {
 			w.floor = a
 		}
 	}
@@ -80,8 +80,8 @@
 // check checks what a node would decide now, by its state alone.
 func (w *world) check(n *node) {
 	p := n.process
-	epoch, sample := p.state.Epoch, w.tick%10 == 0
-	if epoch == n.ruled && epoch >= w.strict.epoch && !sample {
+	version, sample := p.state.Version, w.tick%10 == 0
+	if version == n.ruled && version >= w.strict.version && !sample {
 		return
 	}
 	verdict := p.holder.Ruling(w.clock(n))
@@ -95,19 +95,19 @@
 		w.ruling++
 	}
 	switch {
-	case epoch < w.floor.epoch:
+	case version < w.floor.version:
 		w.violated(n, "rules by an older epoch than was acknowledged", w.floor, verdict.By)
-	case epoch < w.strict.epoch && verdict.By == lease.ByLease:
+	case version < w.strict.version && verdict.By == lease.ByLease:
 		w.violated(n, "holds a lease at an older epoch than was acknowledged", w.strict, verdict.By)
-	case epoch < n.ruled:
-		w.violated(n, "went back to an older epoch", ack{epoch: n.ruled}, verdict.By)
+	case version < n.ruled:
+		w.violated(n, "went back to an older epoch", ack{version: n.ruled}, verdict.By)
 	}
-	n.ruled = max(n.ruled, epoch)
+	n.ruled = max(n.ruled, version)
 }
 
 func (w *world) violated(n *node, why string, newer ack, by lease.By) {
 	if w.found == nil {
-		w.found = &Violation{Seed: w.seed, AtMS: w.now, Node: n.name, Why: why, Epoch: n.process.state.Epoch, Newer: newer.epoch,
+		w.found = &Violation{Seed: w.seed, AtMS: w.now, Node: n.name, Why: why, Version: n.process.state.Version, Newer: newer.version,
 			AckMS: newer.at, By: by, Mix: w.config.Name, Faults: w.faults}
 	}
 }
--- a/sim/confirm/world.go
+++ b/sim/confirm/world.go
@@ -22,7 +22,7 @@
 	pingEvery  = 10
 	roundTicks = 6
 	orderTicks = 160
-	allowed    = 2500 // ms from an acknowledgement after which no older epoch may rule
+	allowed    = 2500 // ms from an acknowledgement after which no older version may rule
 	slack      = 100  // ms from an acknowledgement after which none may rule by a lease
 	ttl        = 2 * time.Second
 	forever    = 1 << 40
@@ -92,21 +92,21 @@
 
 // Violation is a broken rule, as the checker found it.
 type Violation struct {
-	Seed   uint64
-	AtMS   int64
-	Node   string
-	Why    string
-	Epoch  uint64
-	Newer  uint64
-	AckMS  int64
-	By     lease.By
-	Mix    string
-	Faults []string
+	Seed    uint64
+	AtMS    int64
+	Node    string
+	Why     string
+	Version uint64
+	Newer   uint64
+	AckMS   int64
+	By      lease.By
+	Mix     string
+	Faults  []string
 }
 
 func (v *Violation) Error() string {
 	return fmt.Sprintf("mix %s, seed %d at %d ms: %s %s (epoch %d, newer %d acknowledged at %d ms, by %s); faults: %v",
-		v.Mix, v.Seed, v.AtMS, v.Node, v.Why, v.Epoch, v.Newer, v.AckMS, v.By, v.Faults)
+		v.Mix, v.Seed, v.AtMS, v.Node, v.Why, v.Version, v.Newer, v.AckMS, v.By, v.Faults)
 }
 
 // Outcome is the result of a run. Ruling is the share of samples in which a
@@ -156,9 +156,9 @@
 }
 
 type order struct {
-	epoch uint64
-	until int64
-	round *round
+	version uint64
+	until   int64
+	round   *round
 }
 
 type round struct {
@@ -167,8 +167,8 @@
 }
 
 type ack struct {
-	epoch uint64
-	at    int64
+	version uint64
+	at      int64
 }
 
 type world struct {
@@ -181,7 +181,7 @@
 	voters      []string
 	partitioned [][]bool
 	events      map[int64][]func()
-	log         []sheet.State // by epoch
+	log         []sheet.State // by version
 	accepted    []uint64      // by core: highest accepted, durable
 	synced      []uint64      // by core: learned as of the last sync, durable
 	acked       []ack
@@ -358,13 +358,13 @@
 	if reached == nil || !n.process.core.opened {
 		return 0, false
 	}
-	epoch := uint64(len(w.log))
-	next, _ := command.Apply(w.log[epoch-1], epoch)
+	version := uint64(len(w.log))
+	next, _ := command.Apply(w.log[version-1], version)
 	w.log = append(w.log, next)
 	for _, other := range reached {
-		w.accepted[other.id] = epoch
+		w.accepted[other.id] = version
 	}
-	n.process.core.learned = epoch
+	n.process.core.learned = version
 	w.outcome.Chosen++
-	return epoch, true
+	return version, true
 }
--- a/sim/fleet/fleet.go
+++ b/sim/fleet/fleet.go
@@ -267,12 +267,12 @@
 
 // Answer is the response to a caller or an operator. Status 0 means none.
 type Answer struct {
-	Status     int
-	Code       apierror.Code `json:"code"`
-	Epoch      uint64        `json:"epoch"`
-	SheetEpoch uint64        `json:"sheet_epoch"`
-	InForce    bool          `json:"in_force"`
-	Sheet      *sheet.Sheet  `json:"sheet"`
+	Status       int
+	Code         apierror.Code `json:"code"`
+	Version      uint64        `json:"epoch"`
+	SheetVersion uint64        `json:"sheet_epoch"`
+	InForce      bool          `json:"in_force"`
+	Sheet        *sheet.Sheet  `json:"sheet"`
 }
 
 func (f *Fleet) call(i int, method, path, key string, body any, wait time.Duration) (answer Answer) {
--- a/sim/fleet/simulate.go
+++ b/sim/fleet/simulate.go
@@ -101,7 +101,7 @@
 	for range 30 {
 		a := w.fleet.First(w.random.IntN(w.n))
 		if a.Status == http.StatusOK && a.InForce {
-			w.base = a.SheetEpoch
+			w.base = a.SheetVersion
 			w.acked = append(w.acked, ack{0, w.clock.Now()})
 			w.back = map[int]time.Time{}
 			return true
@@ -175,7 +175,7 @@
 		case a.Status == http.StatusOK && a.InForce:
 			s.outcome = a.Status
 			w.report.Acknowledged++
-			w.next = a.SheetEpoch
+			w.next = a.SheetVersion
 			w.acked = append(w.acked, ack{s.key, w.clock.Now()})
 		case a.Status == http.StatusConflict && a.Code == apierror.BaseMoved:
 			s.outcome = a.Status
@@ -283,7 +283,7 @@
 			continue
 		}
 		if !a.Holds(last) {
-			w.violate("read back epoch %d without the acknowledged key %d", a.Epoch, last)
+			w.violate("read back epoch %d without the acknowledged key %d", a.Version, last)
 		}
 		return
 	}
--- a/sim/paxos/process.go
+++ b/sim/paxos/process.go
@@ -113,9 +113,9 @@
 		}
 	})
 	if len(c.state.Chosen) > compactEvery && c.state.Life() != 0 {
-		epoch := c.state.SnapshotEpoch + uint64(c.sim.random.IntN(len(c.state.Chosen))) + 1
+		version := c.state.SnapshotSlot + uint64(c.sim.random.IntN(len(c.state.Chosen))) + 1
 		c.sim.outcome.Snapshots++
-		c.state = c.state.Compacted(epoch, binary.LittleEndian.AppendUint64(nil, c.sim.digest(epoch)))
+		c.state = c.state.Compacted(version, binary.LittleEndian.AppendUint64(nil, c.sim.digest(version)))
 	}
 }
 
@@ -149,10 +149,10 @@
 
 // check checks what the core has learned since before.
 func (c *core) check(before paxos.State) {
-	if c.state.SnapshotEpoch > before.Learned() {
-		epoch := c.state.SnapshotEpoch
-		if epoch > uint64(len(c.sim.rolling)) || !bytes.Equal(c.state.Snapshot, binary.LittleEndian.AppendUint64(nil, c.sim.digest(epoch))) {
-			c.sim.violate("%s took a snapshot of epoch %d that is not the agreed one", c.state.Self, epoch)
+	if c.state.SnapshotSlot > before.Learned() {
+		version := c.state.SnapshotSlot
+		if version > uint64(len(c.sim.rolling)) || !bytes.Equal(c.state.Snapshot, binary.LittleEndian.AppendUint64(nil, c.sim.digest(version))) {
+			c.sim.violate("%s took a snapshot of epoch %d that is not the agreed one", c.state.Self, version)
 		}
 	}
 	for _, chosen := range c.state.Chosen {
--- a/sim/paxos/random.go
+++ b/sim/paxos/random.go
@@ -261,11 +261,11 @@
 	}
 }
 
-func (s *sim) digest(epoch uint64) uint64 {
-	if epoch == 0 || epoch > uint64(len(s.rolling)) {
+func (s *sim) digest(version uint64) uint64 {
+	if version == 0 || version > uint64(len(s.rolling)) {
 		return 0
 	}
-	return s.rolling[epoch-1]
+	return s.rolling[version-1]
 }
 
 func (s *sim) latency(from, to *core) int64 {
--- a/sim/route/request.go
+++ b/sim/route/request.go
@@ -49,7 +49,7 @@
 }
 
 func (s *sim) request(c *call) route.Request {
-	return route.Request{ID: c.id, Service: "chat", Prefix: c.prefix, Deadline: epoch.Add(c.deadline), Tried: c.tried}
+	return route.Request{ID: c.id, Service: "chat", Prefix: c.prefix, Deadline: version.Add(c.deadline), Tried: c.tried}
 }
 
 func (s *sim) route(c *call) {
--- a/sim/route/sim.go
+++ b/sim/route/sim.go
@@ -151,7 +151,7 @@
 	result  Result
 }
 
-var epoch = time.UnixMilli(1_000_000)
+var version = time.UnixMilli(1_000_000)
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
@@ -160,7 +160,7 @@
 	s := &sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), byName: map[string]*server{}, last: map[string]*wire.ServerStatus{}}
 	s.result.Codes = map[string]int{}
 	s.result.PerSecond = make([]int, int(cfg.Span/time.Second)+1)
-	s.state = sheet.State{Epoch: 1, SheetEpoch: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{"chat": {Kind: sheet.KindModel}},
+	s.state = sheet.State{Version: 1, SheetVersion: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{"chat": {Kind: sheet.KindModel}},
 		Weights: map[string]map[string]float64{"chat": {"lagos": 10, "abeokuta": 8}}}}
 	for i := range cfg.Servers {
 		region, zone := "lagos", []string{"a", "b"}[i%2]
@@ -214,7 +214,7 @@
 	s.events.Schedule(max(at, s.now), action)
 }
 
-func (s *sim) clock() time.Time { return epoch.Add(s.now) }
+func (s *sim) clock() time.Time { return version.Add(s.now) }
 
 func (s *sim) drawZipf() {
 	sum := 0.0
