--- a/cmd/rig/simnode/slopes.go
+++ b/cmd/rig/simnode/slopes.go
@@ -75,22 +75,22 @@
 func ServerSlope(n int) Slope {
 	now := time.UnixMilli(2000)
 	s := Slope{Servers: n}
-	folds := serverstatus.New(serverstatus.Config{})
+	folds := serverstatus.NewReportStore(serverstatus.Config{})
 	s.FoldsHeapKiB = grown(func() any {
 		for i := range n {
-			folds.Merge(reportOf(i, "core1/fold"), now)
+			folds.Add(reportOf(i, "core1/fold"), now)
 		}
 		folds.Servers()
 		return folds
 	})
-	sights := serverstatus.New(serverstatus.Config{})
+	sights := serverstatus.NewReportStore(serverstatus.Config{})
 	s.SightsHeapKiB = grown(func() any {
 		for i := range n {
 			for w := range 3 {
-				sights.Merge(reportOf(i, fmt.Sprintf("front%d/list", w)), now)
+				sights.Add(reportOf(i, fmt.Sprintf("front%d/list", w)), now)
 			}
 			for w := range 2 {
-				sights.Merge(reportOf(i, fmt.Sprintf("front%d/own", w)), now)
+				sights.Add(reportOf(i, fmt.Sprintf("front%d/own", w)), now)
 			}
 		}
 		sights.Servers()
@@ -105,7 +105,7 @@
 	made := plan.Compute(in)
 	s.PlanMS = timed(func() { made = plan.Compute(in) })
 	s.PlanBytes = proto.Size(made)
-	s.ForcedMS = timed(func() { plan.Forced(made, in) })
+	s.ForcedMS = timed(func() { plan.ReplanCause(made, in) })
 	view := route.View{State: in.State, Plan: made, Servers: folds.Servers(), Fronts: []string{"front000", "front001"}}
 	var table *route.Table
 	s.TableHeapKiB = grown(func() any {
@@ -118,7 +118,7 @@
 		counter++
 		report := reportOf(0, "core1/fold")
 		report.Counter, report.AtMs, report.Status.Running = counter, 1000+int64(counter), uint32(counter%13)
-		folds.Merge(report, now)
+		folds.Add(report, now)
 		view.Servers = folds.Servers()
 		table.Update(view, now)
 	})
--- a/internal/adapter/disklog/disk.go
+++ b/internal/adapter/disklog/disk.go
@@ -21,9 +21,9 @@
 	Close() error
 }
 
-// Disk is what the log asks of a file system. Errors on a lack of room satisfy
+// FileSystem is what the log asks of a file system. Errors on a lack of room satisfy
 // errors.Is(err, syscall.ENOSPC).
-type Disk interface {
+type FileSystem interface {
 	MkdirAll(folder string) error
 	List(folder string) ([]fs.FileInfo, error)
 	Read(path string) ([]byte, error)
@@ -36,7 +36,7 @@
 }
 
 // System returns the machine's file system.
-func System() Disk { return system{} }
+func System() FileSystem { return system{} }
 
 type system struct{}
 
@@ -103,13 +103,13 @@
 	return err
 }
 
-// Slow returns a disk on which every sync takes longer by the delay.
-func Slow(base Disk, clock clock.Clock, delay time.Duration) Disk {
-	return slow{Disk: base, clock: clock, delay: delay}
+// WithSyncDelay returns a disk on which every sync takes longer by the delay.
+func WithSyncDelay(base FileSystem, clock clock.Clock, delay time.Duration) FileSystem {
+	return slow{FileSystem: base, clock: clock, delay: delay}
 }
 
 type slow struct {
-	Disk
+	FileSystem
 	clock clock.Clock
 	delay time.Duration
 }
@@ -121,8 +121,8 @@
 
 func (s slow) wait() { <-s.clock.After(s.delay) }
 
-func (s slow) Create(path string) (File, error) { return s.file(s.Disk.Create(path)) }
-func (s slow) Open(path string) (File, error)   { return s.file(s.Disk.Open(path)) }
+func (s slow) Create(path string) (File, error) { return s.file(s.FileSystem.Create(path)) }
+func (s slow) Open(path string) (File, error)   { return s.file(s.FileSystem.Open(path)) }
 
 func (s slow) file(f File, err error) (File, error) {
 	if err != nil {
@@ -133,7 +133,7 @@
 
 func (s slow) SyncFolder(folder string) error {
 	s.wait()
-	return s.Disk.SyncFolder(folder)
+	return s.FileSystem.SyncFolder(folder)
 }
 
 func (f slowFile) Sync() error {
--- a/internal/adapter/disklog/format.go
+++ b/internal/adapter/disklog/format.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	segmentMagic  = "SWLOG\x00\x00\x01"
-	snapshotMagic = "SWSNP\x00\x00\x01"
-	segmentHead   = 24 // magic, first place, checksum
-	snapshotHead  = 32 // magic, place, length, checksum
-	frameHead     = 28 // length, place, first place of the batch, checksum
-	maxRecord     = 256 << 20
-
-	segmentSuffix  = ".log"
-	snapshotSuffix = ".snap"
-	asideSuffix    = ".aside"
-	reserveName    = "reserve"
+	segmentMagic       = "SWLOG\x00\x00\x01"
+	snapshotMagic      = "SWSNP\x00\x00\x01"
+	segmentHeaderSize  = 24 // magic, first place, checksum
+	snapshotHeaderSize = 32 // magic, place, length, checksum
+	frameHeaderSize    = 28 // length, place, first place of the batch, checksum
+	maxRecord          = 256 << 20
+
+	segmentSuffix   = ".log"
+	snapshotSuffix  = ".snap"
+	temporarySuffix = ".aside"
+	reserveFileName = "reserve"
 )
 
-func segmentName(first uint64) string  { return fmt.Sprintf("%020d%s", first, segmentSuffix) }
-func snapshotName(place uint64) string { return fmt.Sprintf("%020d%s", place, snapshotSuffix) }
+func segmentFileName(first uint64) string  { return fmt.Sprintf("%020d%s", first, segmentSuffix) }
+func snapshotFileName(place uint64) string { return fmt.Sprintf("%020d%s", place, snapshotSuffix) }
 
 func placeOf(name, suffix string) (uint64, bool) {
 	digits, found := strings.CutSuffix(name, suffix)
@@ -71,15 +71,15 @@
 // frame reads the record at the start of data; ok is false when it is not
 // whole or fails its checksum.
 func frame(data []byte) (place, batch uint64, record []byte, ok bool) {
-	if len(data) < frameHead {
+	if len(data) < frameHeaderSize {
 		return 0, 0, nil, false
 	}
 	size := int64(binary.LittleEndian.Uint32(data))
-	if size > maxRecord || size > int64(len(data)-frameHead) {
+	if size > maxRecord || size > int64(len(data)-frameHeaderSize) {
 		return 0, 0, nil, false
 	}
-	record = data[frameHead : frameHead+size]
-	if snapshotSum(data[:frameHead-8], record) != binary.LittleEndian.Uint64(data[frameHead-8:]) {
+	record = data[frameHeaderSize : frameHeaderSize+size]
+	if snapshotSum(data[:frameHeaderSize-8], record) != binary.LittleEndian.Uint64(data[frameHeaderSize-8:]) {
 		return 0, 0, nil, false
 	}
 	return binary.LittleEndian.Uint64(data[4:]), binary.LittleEndian.Uint64(data[12:]), record, true
@@ -89,7 +89,7 @@
 // batch is written only when the one before is synced, so one that is found
 // proves that the bad record was once whole on disk.
 func laterBatch(data []byte, bad uint64) bool {
-	for at := 0; at+frameHead <= len(data); at++ {
+	for at := 0; at+frameHeaderSize <= len(data); at++ {
 		place := binary.LittleEndian.Uint64(data[at+4:])
 		batch := binary.LittleEndian.Uint64(data[at+12:])
 		if batch <= bad || batch > place || place-bad > uint64(len(data)) {
@@ -110,13 +110,13 @@
 // the end of the last whole record; bytes beyond it are a torn tail, which only
 // the last segment may have.
 func readSegment(path string, data []byte, first uint64, last bool) (records [][]byte, whole int, err error) {
-	if len(data) < segmentHead || !bytes.Equal(data[:segmentHead], segmentHeader(first)) {
+	if len(data) < segmentHeaderSize || !bytes.Equal(data[:segmentHeaderSize], segmentHeader(first)) {
 		if last && !laterBatch(data, first-1) {
 			return nil, 0, nil
 		}
 		return nil, 0, badRecord(path, 0, "a bad head")
 	}
-	at, next := segmentHead, first
+	at, next := segmentHeaderSize, first
 	for at < len(data) {
 		place, _, record, ok := frame(data[at:])
 		if !ok || place != next {
@@ -126,18 +126,18 @@
 			break
 		}
 		records = append(records, slices.Clone(record))
-		at += frameHead + len(record)
+		at += frameHeaderSize + len(record)
 		next++
 	}
 	return records, at, nil
 }
 
 func readSnapshot(path string, data []byte, place uint64) ([]byte, error) {
-	if len(data) < snapshotHead {
+	if len(data) < snapshotHeaderSize {
 		return nil, badRecord(path, 0, "a bad head")
 	}
-	body := data[snapshotHead:]
-	if !bytes.Equal(data[:snapshotHead], snapshotHeader(place, body)) {
+	body := data[snapshotHeaderSize:]
+	if !bytes.Equal(data[:snapshotHeaderSize], snapshotHeader(place, body)) {
 		return nil, badRecord(path, 0, "a bad snapshot")
 	}
 	return body, nil
--- a/internal/adapter/disklog/inspect.go
+++ b/internal/adapter/disklog/inspect.go
@@ -15,7 +15,7 @@
 }
 
 // untouched is a disk that is only read: changes are taken for done.
-type untouched struct{ Disk }
+type untouched struct{ FileSystem }
 
 func (untouched) MkdirAll(string) error { return nil }
 func (untouched) Create(string) (File, error) {
--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -21,7 +21,7 @@
 	ReserveBytes int64         // kept free for snapshots and new disk lives; 0 is 1 MiB, under a quota at most a quarter of it
 	Quota        int64         // bound of all files together; 0 is none
 	SyncDelay    time.Duration // added to every sync, for proving
-	Disk         Disk          // nil is the machine's
+	FileSystem   FileSystem    // nil is the machine's
 	Clock        clock.Clock   // nil is the machine's
 }
 
@@ -31,15 +31,15 @@
 	Snapshot    []byte // nil when there is none
 	Records     [][]byte
 	Segments    int
-	CutSegment  string // segment whose torn tail was cut, if any
-	CutBytes    int64
+	TornSegment string // segment whose torn tail was cut, if any
+	TornBytes   int64
 	BadSnapshot string // a newer snapshot that fails its checksum and was passed over
 }
 
 // Log is a log on disk. Append, Snapshot and the channels are for one owner.
 type Log struct {
 	cfg     Config
-	disk    Disk
+	disk    FileSystem
 	quit    chan struct{}
 	ended   chan struct{}
 	in      chan entry
@@ -82,16 +82,16 @@
 	if cfg.Quota > 0 {
 		cfg.ReserveBytes = min(cfg.ReserveBytes, cfg.Quota/4)
 	}
-	if cfg.Disk == nil {
-		cfg.Disk = System()
+	if cfg.FileSystem == nil {
+		cfg.FileSystem = System()
 	}
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System()
 	}
 	if cfg.SyncDelay > 0 {
-		cfg.Disk = Slow(cfg.Disk, cfg.Clock, cfg.SyncDelay)
+		cfg.FileSystem = WithSyncDelay(cfg.FileSystem, cfg.Clock, cfg.SyncDelay)
 	}
-	l := &Log{cfg: cfg, disk: cfg.Disk, quit: make(chan struct{}), ended: make(chan struct{}), dead: make(chan struct{}),
+	l := &Log{cfg: cfg, disk: cfg.FileSystem, quit: make(chan struct{}), ended: make(chan struct{}), dead: make(chan struct{}),
 		in: make(chan entry, maxEntries), synced: make(chan uint64, 1)}
 	w := &writer{Log: l}
 	replay, err := w.recover()
@@ -117,7 +117,7 @@
 		if err := checkSize(record); err != nil {
 			return 0, err
 		}
-		size += frameHead + int64(len(record))
+		size += frameHeaderSize + int64(len(record))
 	}
 	waiting := l.waiting.Load()
 	if waiting > 0 && waiting+size > maxWaiting {
@@ -141,10 +141,10 @@
 	return l.place, nil
 }
 
-// Snapshot writes data aside as the state after all records appended so far,
+// WriteSnapshot writes data aside as the state after all records appended so far,
 // and puts it in their place once it is safe. Done delivers the outcome once;
 // a lack of room is apierror.DiskFull and leaves the log as it was.
-func (l *Log) Snapshot(data []byte) (done <-chan error) {
+func (l *Log) WriteSnapshot(data []byte) (done <-chan error) {
 	outcome := make(chan error, 1)
 	if err := l.Err(); err != nil {
 		outcome <- err
@@ -158,16 +158,16 @@
 	return outcome
 }
 
-// Place is the place of the last record appended.
-func (l *Log) Place() uint64 { return l.place }
+// LastIndex is the place of the last record appended.
+func (l *Log) LastIndex() uint64 { return l.place }
 
 // Synced delivers the highest place up to which all records are synced, each
 // time it rises; a value not yet taken is replaced by the next.
 func (l *Log) Synced() <-chan uint64 { return l.synced }
 
-// Dead is closed when a write or sync has failed. What was appended since the
+// Failed is closed when a write or sync has failed. What was appended since the
 // last synced place may or may not be on disk: open the folder again.
-func (l *Log) Dead() <-chan struct{} { return l.dead }
+func (l *Log) Failed() <-chan struct{} { return l.dead }
 
 // Err returns why the log is dead or closed, or nil.
 func (l *Log) Err() error {
@@ -180,7 +180,7 @@
 // Full tells whether ordinary appends of a typical size are refused for lack
 // of room.
 func (l *Log) Full() bool {
-	return l.full.Load() || l.cfg.Quota > 0 && l.used.Load()+frameHead+1024 > l.cfg.Quota-l.cfg.ReserveBytes
+	return l.full.Load() || l.cfg.Quota > 0 && l.used.Load()+frameHeaderSize+1024 > l.cfg.Quota-l.cfg.ReserveBytes
 }
 
 // Used is the size of all files, and of what waits to be written, in bytes.
--- a/internal/adapter/disklog/log_test.go
+++ b/internal/adapter/disklog/log_test.go
@@ -50,19 +50,19 @@
 			if synced >= place {
 				return
 			}
-		case <-l.Dead():
+		case <-l.Failed():
 			t.Fatal(l.Err())
 		}
 	}
 }
 
 // unsynced spares the machine's disk: what these tests lose, they lose on purpose.
-type unsynced struct{ Disk }
+type unsynced struct{ FileSystem }
 
 type unsyncedFile struct{ File }
 
-func (d unsynced) Create(path string) (File, error) { return d.wrap(d.Disk.Create(path)) }
-func (d unsynced) Open(path string) (File, error)   { return d.wrap(d.Disk.Open(path)) }
+func (d unsynced) Create(path string) (File, error) { return d.wrap(d.FileSystem.Create(path)) }
+func (d unsynced) Open(path string) (File, error)   { return d.wrap(d.FileSystem.Open(path)) }
 func (d unsynced) SyncFolder(string) error          { return nil }
 func (d unsynced) Allocate(string, int64) error     { return nil }
 func (unsyncedFile) Sync() error                    { return nil }
@@ -117,22 +117,22 @@
 		So(len(files(cfg.Folder, segmentSuffix)), ShouldBeGreaterThan, 3)
 		l, replay = open(t, cfg)
 		So(holds(replay, 0, 60), ShouldBeEmpty)
-		So(l.Place(), ShouldEqual, 60)
-		So(<-l.Snapshot([]byte("sixty")), ShouldBeNil)
+		So(l.LastIndex(), ShouldEqual, 60)
+		So(<-l.WriteSnapshot([]byte("sixty")), ShouldBeNil)
 		put(t, l, 60, 70)
 		shutdown(l)
 		l, replay = open(t, cfg)
 		So(string(replay.Snapshot), ShouldEqual, "sixty")
 		So(holds(replay, 60, 70), ShouldBeEmpty)
-		So(<-l.Snapshot([]byte("seventy")), ShouldBeNil)
+		So(<-l.WriteSnapshot([]byte("seventy")), ShouldBeNil)
 		shutdown(l)
 		So(len(files(cfg.Folder, segmentSuffix)), ShouldEqual, 0)
 		So(len(files(cfg.Folder, snapshotSuffix)), ShouldEqual, 1)
 		l, replay = open(t, cfg)
 		So(string(replay.Snapshot), ShouldEqual, "seventy")
 		So(replay.Records, ShouldBeEmpty)
-		So(l.Place(), ShouldEqual, 70)
-		So(l.Used(), ShouldEqual, snapshotHead+len("seventy"))
+		So(l.LastIndex(), ShouldEqual, 70)
+		So(l.Used(), ShouldEqual, snapshotHeaderSize+len("seventy"))
 		shutdown(l)
 	})
 }
@@ -159,26 +159,26 @@
 
 func TestCrashAtEveryByte(t *testing.T) {
 	_, _, data := lastBatch(t)
-	ends := []int{segmentHead}
+	ends := []int{segmentHeaderSize}
 	for n := range 13 {
-		ends = append(ends, ends[n]+frameHead+len(record(n)))
+		ends = append(ends, ends[n]+frameHeaderSize+len(record(n)))
 	}
 	for length := 0; length <= len(data); length++ {
 		folder := t.TempDir()
-		if err := os.WriteFile(filepath.Join(folder, segmentName(1)), data[:length], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, segmentFileName(1)), data[:length], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		whole := 0
 		for whole < 13 && ends[whole+1] <= length {
 			whole++
 		}
-		l, replay := open(t, Config{Folder: folder, Disk: unsynced{System()}})
+		l, replay := open(t, Config{Folder: folder, FileSystem: unsynced{System()}})
 		if wrong := holds(replay, 0, whole); wrong != "" {
 			t.Fatalf("cut to %d bytes: %s", length, wrong)
 		}
 		put(t, l, whole, whole+2)
 		shutdown(l)
-		l, replay = open(t, Config{Folder: folder, Disk: unsynced{System()}})
+		l, replay = open(t, Config{Folder: folder, FileSystem: unsynced{System()}})
 		if wrong := holds(replay, 0, whole+2); wrong != "" {
 			t.Fatalf("cut to %d bytes, then two more records: %s", length, wrong)
 		}
@@ -188,23 +188,23 @@
 
 func TestEveryFlippedByte(t *testing.T) {
 	_, _, data := lastBatch(t)
-	batch := segmentHead
+	batch := segmentHeaderSize
 	for n := range 9 {
-		batch += frameHead + len(record(n))
+		batch += frameHeaderSize + len(record(n))
 	}
 	for at := range data {
 		bad := bytes.Clone(data)
 		bad[at] ^= 0x40
 		folder := t.TempDir()
-		if err := os.WriteFile(filepath.Join(folder, segmentName(1)), bad, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, segmentFileName(1)), bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l, replay, err := Open(Config{Folder: folder, Disk: unsynced{System()}})
+		l, replay, err := Open(Config{Folder: folder, FileSystem: unsynced{System()}})
 		if at < batch {
 			if apierror.From(err) == nil || apierror.From(err).Code != apierror.BadRecord {
 				t.Fatalf("byte %d of a record before the last batch: %v", at, err)
 			}
-			left, _ := os.ReadFile(filepath.Join(folder, segmentName(1)))
+			left, _ := os.ReadFile(filepath.Join(folder, segmentFileName(1)))
 			if !bytes.Equal(left, bad) {
 				t.Fatalf("byte %d: the bad segment was changed", at)
 			}
@@ -223,11 +223,11 @@
 func TestBadRecordNamesItsPlace(t *testing.T) {
 	Convey("A bad earlier record is an error that names segment and offset", t, func() {
 		folder, path, data := lastBatch(t)
-		data[segmentHead+frameHead+len(record(0))+frameHead] ^= 1
+		data[segmentHeaderSize+frameHeaderSize+len(record(0))+frameHeaderSize] ^= 1
 		So(os.WriteFile(path, data, 0o600), ShouldBeNil)
 		_, _, err := Open(Config{Folder: folder})
 		So(err, ShouldNotBeNil)
-		So(err.Error(), ShouldContainSubstring, fmt.Sprintf("%s at offset %d", segmentName(1), segmentHead+frameHead+len(record(0))))
+		So(err.Error(), ShouldContainSubstring, fmt.Sprintf("%s at offset %d", segmentFileName(1), segmentHeaderSize+frameHeaderSize+len(record(0))))
 	})
 	Convey("So is a missing segment, and a snapshot that is gone", t, func() {
 		cfg := Config{Folder: t.TempDir(), SegmentBytes: 200}
@@ -239,7 +239,7 @@
 		_, _, err := Open(Config{Folder: middle})
 		So(apierror.From(err).Code, ShouldEqual, apierror.BadRecord)
 		l, _ = open(t, cfg)
-		So(<-l.Snapshot([]byte("forty")), ShouldBeNil)
+		So(<-l.WriteSnapshot([]byte("forty")), ShouldBeNil)
 		put(t, l, 40, 45)
 		shutdown(l)
 		So(os.Remove(files(cfg.Folder, snapshotSuffix)[0]), ShouldBeNil)
@@ -267,18 +267,18 @@
 		place, err := l.Append([][]byte{record(kept)}, true)
 		So(err, ShouldBeNil)
 		await(t, l, place)
-		So(apierror.From(<-l.Snapshot(make([]byte, 1100))).Code, ShouldEqual, apierror.DiskFull)
+		So(apierror.From(<-l.WriteSnapshot(make([]byte, 1100))).Code, ShouldEqual, apierror.DiskFull)
 		shutdown(l)
 		l, replay := open(t, cfg)
 		So(holds(replay, 0, kept+1), ShouldBeEmpty)
-		So(<-l.Snapshot([]byte("small")), ShouldBeNil)
+		So(<-l.WriteSnapshot([]byte("small")), ShouldBeNil)
 		So(l.Full(), ShouldBeFalse)
 		put(t, l, 0, 10)
 		shutdown(l)
 	})
 	Convey("On a disk that fills up under it, the log dies without a half-written record and opens as full", t, func() {
-		disk := &tight{Disk: System(), left: 3000}
-		cfg := Config{Folder: t.TempDir(), Disk: disk}
+		disk := &tight{FileSystem: System(), left: 3000}
+		cfg := Config{Folder: t.TempDir(), FileSystem: disk}
 		l, _ := open(t, cfg)
 		kept := 0
 		for l.Err() == nil {
@@ -288,18 +288,18 @@
 			select {
 			case <-l.Synced():
 				kept++
-			case <-l.Dead():
+			case <-l.Failed():
 			}
 		}
 		So(apierror.From(l.Err()).Code, ShouldEqual, apierror.DiskFull)
 		shutdown(l)
 		l, replay := open(t, cfg)
 		So(holds(replay, 0, kept), ShouldBeEmpty)
-		So(replay.CutBytes, ShouldEqual, 0)
+		So(replay.TornBytes, ShouldEqual, 0)
 		So(l.Full(), ShouldBeTrue)
 		_, err := l.Append([][]byte{record(0)}, false)
 		So(apierror.From(err).Code, ShouldEqual, apierror.DiskFull)
-		So(<-l.Snapshot([]byte("with the reserve")), ShouldBeNil)
+		So(<-l.WriteSnapshot([]byte("with the reserve")), ShouldBeNil)
 		shutdown(l)
 		disk.left = 1 << 20
 		l, replay = open(t, cfg)
@@ -308,13 +308,13 @@
 		shutdown(l)
 	})
 	Convey("A failed sync kills the log, whatever comes after", t, func() {
-		disk := &tight{Disk: System(), left: 1 << 30}
-		l, _ := open(t, Config{Folder: t.TempDir(), Disk: disk})
+		disk := &tight{FileSystem: System(), left: 1 << 30}
+		l, _ := open(t, Config{Folder: t.TempDir(), FileSystem: disk})
 		put(t, l, 0, 3)
 		disk.failSync.Store(true)
 		_, err := l.Append([][]byte{record(3)}, false)
 		So(err, ShouldBeNil)
-		<-l.Dead()
+		<-l.Failed()
 		disk.failSync.Store(false)
 		_, err = l.Append([][]byte{record(4)}, false)
 		So(err, ShouldNotBeNil)
@@ -325,7 +325,7 @@
 // tight is a disk with little left on it: files take from it and the reserve,
 // once removed, gives its bytes back.
 type tight struct {
-	Disk
+	FileSystem
 	left     int64
 	reserved int64
 	failSync atomic.Bool
@@ -336,8 +336,8 @@
 	disk *tight
 }
 
-func (d *tight) Create(path string) (File, error) { return d.wrap(d.Disk.Create(path)) }
-func (d *tight) Open(path string) (File, error)   { return d.wrap(d.Disk.Open(path)) }
+func (d *tight) Create(path string) (File, error) { return d.wrap(d.FileSystem.Create(path)) }
+func (d *tight) Open(path string) (File, error)   { return d.wrap(d.FileSystem.Open(path)) }
 func (d *tight) wrap(f File, err error) (File, error) {
 	if err != nil {
 		return nil, err
@@ -346,10 +346,10 @@
 }
 
 func (d *tight) Allocate(path string, size int64) error {
-	if strings.HasSuffix(path, reserveName) {
+	if strings.HasSuffix(path, reserveFileName) {
 		if d.reserved == 0 {
 			d.reserved = 500
-			return d.Disk.Allocate(path, 500)
+			return d.FileSystem.Allocate(path, 500)
 		}
 		return nil
 	}
@@ -360,10 +360,10 @@
 }
 
 func (d *tight) Remove(path string) error {
-	if strings.HasSuffix(path, reserveName) {
+	if strings.HasSuffix(path, reserveFileName) {
 		d.left, d.reserved = d.left+d.reserved, 0
 	}
-	if err := d.Disk.Remove(path); err != nil && !os.IsNotExist(err) {
+	if err := d.FileSystem.Remove(path); err != nil && !os.IsNotExist(err) {
 		return err
 	}
 	return nil
@@ -388,7 +388,7 @@
 
 // halting is a disk that stops the world before its nth change of the folder.
 type halting struct {
-	Disk
+	FileSystem
 	before int
 	folder string
 	t      testing.TB
@@ -403,15 +403,15 @@
 
 func (d *halting) Create(path string) (File, error) {
 	d.step()
-	f, err := d.Disk.Create(path)
+	f, err := d.FileSystem.Create(path)
 	if err != nil {
 		return nil, err
 	}
 	return haltingFile{f, d}, nil
 }
-func (d *halting) Rename(from, to string) error { d.step(); return d.Disk.Rename(from, to) }
-func (d *halting) Remove(path string) error     { d.step(); return d.Disk.Remove(path) }
-func (d *halting) SyncFolder(f string) error    { d.step(); return d.Disk.SyncFolder(f) }
+func (d *halting) Rename(from, to string) error { d.step(); return d.FileSystem.Rename(from, to) }
+func (d *halting) Remove(path string) error     { d.step(); return d.FileSystem.Remove(path) }
+func (d *halting) SyncFolder(f string) error    { d.step(); return d.FileSystem.SyncFolder(f) }
 
 type haltingFile struct {
 	File
@@ -432,19 +432,19 @@
 
 func TestCrashAtEverySnapshotStep(t *testing.T) {
 	for step := 1; ; step++ {
-		cfg := Config{Folder: t.TempDir(), SegmentBytes: 200, Disk: unsynced{System()}}
+		cfg := Config{Folder: t.TempDir(), SegmentBytes: 200, FileSystem: unsynced{System()}}
 		l, _ := open(t, cfg)
 		put(t, l, 0, 20)
-		if err := <-l.Snapshot([]byte("20")); err != nil {
+		if err := <-l.WriteSnapshot([]byte("20")); err != nil {
 			t.Fatal(err)
 		}
 		put(t, l, 20, 40)
 		shutdown(l)
-		disk := &halting{Disk: unsynced{System()}, folder: cfg.Folder, t: t}
-		cfg.Disk = disk
+		disk := &halting{FileSystem: unsynced{System()}, folder: cfg.Folder, t: t}
+		cfg.FileSystem = disk
 		l, _ = open(t, cfg)
 		disk.before = step
-		if err := <-l.Snapshot([]byte("40")); err != nil {
+		if err := <-l.WriteSnapshot([]byte("40")); err != nil {
 			t.Fatal(err)
 		}
 		shutdown(l)
@@ -491,11 +491,11 @@
 
 func TestSnapshotRightAfterAnother(t *testing.T) {
 	Convey("A snapshot is taken at once after another whose end was told, and not beside one", t, func() {
-		l, _ := open(t, Config{Folder: t.TempDir(), Disk: unsynced{System()}})
+		l, _ := open(t, Config{Folder: t.TempDir(), FileSystem: unsynced{System()}})
 		defer shutdown(l)
 		put(t, l, 0, 1)
 		for next := range 2000 {
-			So(<-l.Snapshot(fmt.Appendf(nil, "%d", next)), ShouldBeNil)
+			So(<-l.WriteSnapshot(fmt.Appendf(nil, "%d", next)), ShouldBeNil)
 		}
 	})
 }
@@ -506,7 +506,7 @@
 		if err != nil {
 			r.Fatal(err)
 		}
-		cfg := Config{Folder: folder, Disk: unsynced{System()}, SegmentBytes: int64(rapid.IntRange(50, 500).Draw(r, "segment"))}
+		cfg := Config{Folder: folder, FileSystem: unsynced{System()}, SegmentBytes: int64(rapid.IntRange(50, 500).Draw(r, "segment"))}
 		l, _ := open(t, cfg)
 		next, base := 0, 0
 		for range rapid.IntRange(1, 30).Draw(r, "steps") {
@@ -516,7 +516,7 @@
 				put(t, l, next, next+count)
 				next += count
 			case "snapshot":
-				if err := <-l.Snapshot(fmt.Appendf(nil, "%d", next)); err != nil {
+				if err := <-l.WriteSnapshot(fmt.Appendf(nil, "%d", next)); err != nil {
 					r.Fatal(err)
 				}
 				base = next
@@ -533,7 +533,7 @@
 		infos, _ := System().List(folder)
 		sum := int64(0)
 		for _, info := range infos {
-			if info.Name() != reserveName && !info.IsDir() && info.Mode()&fs.ModeType == 0 {
+			if info.Name() != reserveFileName && !info.IsDir() && info.Mode()&fs.ModeType == 0 {
 				sum += info.Size()
 			}
 		}
@@ -551,7 +551,7 @@
 			data := make([]byte, 200)
 			synced := uint64(0)
 			for n := 0; n < b.N; {
-				for l.Place()-synced < uint64(writers) && n < b.N {
+				for l.LastIndex()-synced < uint64(writers) && n < b.N {
 					if _, err := l.Append([][]byte{data}, false); err != nil {
 						b.Fatal(err)
 					}
@@ -566,7 +566,7 @@
 }
 
 func awaitAll(l *Log, synced uint64) {
-	for synced < l.Place() {
+	for synced < l.LastIndex() {
 		synced = <-l.Synced()
 	}
 }
--- a/internal/adapter/disklog/recover.go
+++ b/internal/adapter/disklog/recover.go
@@ -26,11 +26,11 @@
 			segments = append(segments, first)
 		} else if place, ok := placeOf(name, snapshotSuffix); ok {
 			snapshots = append(snapshots, place)
-		} else if strings.HasSuffix(name, asideSuffix) {
+		} else if strings.HasSuffix(name, temporarySuffix) {
 			if err := w.disk.Remove(w.path(name)); err != nil {
 				return replay, errors.Wrap(err, "a snapshot left aside")
 			}
-		} else if name == reserveName {
+		} else if name == reserveFileName {
 			w.reserved = true
 		}
 	}
@@ -41,19 +41,19 @@
 		return replay, err
 	}
 	for len(segments) > 1 && segments[1] <= base+1 {
-		if err := w.disk.Remove(w.path(segmentName(segments[0]))); err != nil {
+		if err := w.disk.Remove(w.path(segmentFileName(segments[0]))); err != nil {
 			return replay, errors.Wrap(err, "a segment before the snapshot")
 		}
 		segments = segments[1:]
 	}
 	for _, place := range snapshots {
 		if place < base {
-			if err := w.disk.Remove(w.path(snapshotName(place))); err != nil {
+			if err := w.disk.Remove(w.path(snapshotFileName(place))); err != nil {
 				return replay, errors.Wrap(err, "an older snapshot")
 			}
 		} else {
-			w.kept = append(w.kept, segment{first: place, size: sizes[snapshotName(place)]})
-			w.used.Add(sizes[snapshotName(place)])
+			w.kept = append(w.kept, segment{first: place, size: sizes[snapshotFileName(place)]})
+			w.used.Add(sizes[snapshotFileName(place)])
 		}
 	}
 	return replay, w.readSegments(base, segments, &replay)
@@ -64,7 +64,7 @@
 func (w *writer) readSnapshots(snapshots, segments []uint64, replay *Replay) (base uint64, err error) {
 	var bad error
 	for _, place := range slices.Backward(snapshots) {
-		path := w.path(snapshotName(place))
+		path := w.path(snapshotFileName(place))
 		data, err := w.disk.Read(path)
 		if err != nil {
 			return 0, errors.Wrap(err, "snapshot")
@@ -75,7 +75,7 @@
 			break
 		}
 		if bad == nil {
-			bad, replay.BadSnapshot = err, snapshotName(place)
+			bad, replay.BadSnapshot = err, snapshotFileName(place)
 		}
 	}
 	if len(segments) == 0 && len(snapshots) > 0 && replay.Snapshot == nil {
@@ -85,7 +85,7 @@
 		if bad != nil {
 			return 0, bad
 		}
-		return 0, badRecord(w.path(segmentName(segments[0])), 0, fmt.Sprintf("records from %d on are missing before the first", base+1))
+		return 0, badRecord(w.path(segmentFileName(segments[0])), 0, fmt.Sprintf("records from %d on are missing before the first", base+1))
 	}
 	return base, nil
 }
@@ -93,7 +93,7 @@
 func (w *writer) readSegments(base uint64, segments []uint64, replay *Replay) error {
 	w.next = base + 1
 	for i, first := range segments {
-		path := w.path(segmentName(first))
+		path := w.path(segmentFileName(first))
 		data, err := w.disk.Read(path)
 		if err != nil {
 			return errors.Wrap(err, "segment")
@@ -125,7 +125,7 @@
 			}
 		}
 		if last && whole < len(data) {
-			replay.CutSegment, replay.CutBytes = segmentName(first), int64(len(data)-whole)
+			replay.TornSegment, replay.TornBytes = segmentFileName(first), int64(len(data)-whole)
 		}
 	}
 	replay.Segments = len(segments)
--- a/internal/adapter/disklog/writer.go
+++ b/internal/adapter/disklog/writer.go
@@ -168,7 +168,7 @@
 
 // begun makes the next segment; it is safe before a record goes in.
 func (w *writer) begun() error {
-	f, err := w.disk.Create(w.path(segmentName(w.next)))
+	f, err := w.disk.Create(w.path(segmentFileName(w.next)))
 	if err != nil {
 		return errors.Wrap(err, "new segment")
 	}
@@ -186,13 +186,13 @@
 		}
 		return errors.Wrap(err, "new segment")
 	}
-	w.current, w.open = f, segment{first: w.next, size: segmentHead}
-	w.used.Add(segmentHead)
+	w.current, w.open = f, segment{first: w.next, size: segmentHeaderSize}
+	w.used.Add(segmentHeaderSize)
 	return nil
 }
 
 func (w *writer) rotate() error {
-	if w.current == nil || w.open.size <= segmentHead {
+	if w.current == nil || w.open.size <= segmentHeaderSize {
 		return nil
 	}
 	if err := w.current.Close(); err != nil {
@@ -209,7 +209,7 @@
 	if err := w.rotate(); err != nil {
 		return err
 	}
-	size := snapshotHead + int64(len(marker.snapshot))
+	size := snapshotHeaderSize + int64(len(marker.snapshot))
 	if w.cfg.Quota > 0 && w.used.Load()+size > w.cfg.Quota {
 		w.snapping <- covered{segments: w.closed, snapshots: w.kept}
 		w.closed = nil
@@ -230,18 +230,18 @@
 }
 
 func (w *writer) snapshot(marker entry, before covered) (left covered, err error) {
-	made := segment{first: marker.first, size: snapshotHead + int64(len(marker.snapshot))}
+	made := segment{first: marker.first, size: snapshotHeaderSize + int64(len(marker.snapshot))}
 	w.used.Add(made.size)
-	final := w.path(snapshotName(marker.first))
-	if err := w.aside(final+asideSuffix, marker); err != nil {
+	final := w.path(snapshotFileName(marker.first))
+	if err := w.aside(final+temporarySuffix, marker); err != nil {
 		w.used.Add(-made.size)
-		_ = w.disk.Remove(final + asideSuffix)
+		_ = w.disk.Remove(final + temporarySuffix)
 		if noRoom(err) {
 			return before, &apierror.Error{Code: apierror.DiskFull, Detail: err.Error()}
 		}
 		return before, errors.Wrap(err, "snapshot")
 	}
-	if err := w.disk.Rename(final+asideSuffix, final); err != nil {
+	if err := w.disk.Rename(final+temporarySuffix, final); err != nil {
 		return before, errors.Wrap(err, "snapshot")
 	}
 	before.snapshots = slices.DeleteFunc(slices.Clone(before.snapshots), func(s segment) bool {
@@ -254,9 +254,9 @@
 		before.snapshots = append(before.snapshots, made)
 		return before, errors.Wrap(err, "snapshot")
 	}
-	left.segments, err = w.removeAll(before.segments, segmentName)
+	left.segments, err = w.removeAll(before.segments, segmentFileName)
 	if err == nil {
-		left.snapshots, err = w.removeAll(before.snapshots, snapshotName)
+		left.snapshots, err = w.removeAll(before.snapshots, snapshotFileName)
 	} else {
 		left.snapshots = before.snapshots
 	}
@@ -304,15 +304,15 @@
 
 func (w *writer) allocate() error {
 	if w.cfg.Quota == 0 && !w.barren {
-		err := w.disk.Allocate(w.path(reserveName), w.cfg.ReserveBytes)
+		err := w.disk.Allocate(w.path(reserveFileName), w.cfg.ReserveBytes)
 		w.reserved = err == nil
 		if err != nil {
-			_ = w.disk.Remove(w.path(reserveName))
+			_ = w.disk.Remove(w.path(reserveFileName))
 			w.barren = !noRoom(err)
 			return err
 		}
 	}
-	trial := w.path("room" + asideSuffix)
+	trial := w.path("room" + temporarySuffix)
 	err := w.disk.Allocate(trial, min(w.cfg.ReserveBytes, trialBytes))
 	_ = w.disk.Remove(trial)
 	return err
@@ -324,5 +324,5 @@
 		return false
 	}
 	w.reserved = false
-	return w.disk.Remove(w.path(reserveName)) == nil
+	return w.disk.Remove(w.path(reserveFileName)) == nil
 }
--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -20,8 +20,8 @@
 	}
 	put := sheet.Encode(sheet.PutSheet{Order: sheet.Order{OrderID: "first", Operator: "ada", AtMS: 1}, Sheet: first})
 	records := []paxos.Record{
-		paxos.Joined{Formation: "core-1-f", Voters: []string{"core-1", "core-2", "core-3"}},
-		paxos.Entered{Lives: map[string]uint64{"core-1": 1, "core-2": 1, "core-3": 1}},
+		paxos.FormationJoined{Formation: "core-1-f", Voters: []string{"core-1", "core-2", "core-3"}},
+		paxos.RecoveryCompleted{Incarnations: map[string]uint64{"core-1": 1, "core-2": 1, "core-3": 1}},
 		paxos.Learned{Slot: 1, Command: put},
 		paxos.Accepted{Slot: 2, Ballot: paxos.Ballot{Number: 4, Core: "core-2"}, Value: []byte("open")},
 	}
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -85,21 +85,21 @@
 func sampleRecords() map[string][]byte {
 	ballotOfB := paxos.Ballot{Number: 5, Core: "b"}
 	chosen := []*wire.Chosen{{Epoch: 18, Command: []byte("eighteen")}, {Epoch: 19, Command: []byte("nineteen")}}
-	votes := map[uint64]paxos.Vote{
+	votes := map[uint64]paxos.SlotState{
 		20: {Promised: ballotOfB, Accepted: paxos.Ballot{Number: 4, Core: "c"}, Value: []byte("twenty")},
 		22: {Promised: ballotOfB},
 	}
 	records := map[string]paxos.Record{
-		"1 formation joined":            paxos.Joined{Formation: "a-1", Voters: []string{"a", "b", "c"}},
-		"1 formation joined with state": paxos.Joined{Formation: "a-1", Voters: []string{"a"}, SnapshotSlot: 17, Snapshot: []byte("state")},
-		"2 disk life":                   paxos.Lived{Core: "b", Life: 3},
+		"1 formation joined":            paxos.FormationJoined{Formation: "a-1", Voters: []string{"a", "b", "c"}},
+		"1 formation joined with state": paxos.FormationJoined{Formation: "a-1", Voters: []string{"a"}, SnapshotSlot: 17, Snapshot: []byte("state")},
+		"2 disk life":                   paxos.IncarnationRecorded{Core: "b", Incarnation: 3},
 		"3 promise":                     paxos.Promised{Slot: 20, Ballot: ballotOfB},
 		"4 vote":                        paxos.Accepted{Slot: 20, Ballot: ballotOfB, Value: []byte("twenty")},
 		"5 learned":                     paxos.Learned{Slot: 18, Command: []byte("eighteen")},
 		"5 learned as voted":            paxos.Learned{Slot: 18, AsAccepted: true},
-		"6 snapshot installed":          paxos.Installed{Slot: 17, Snapshot: []byte("state")},
-		"7 recovery": paxos.Entered{Lives: map[string]uint64{"a": 1, "b": 2, "c": 1}, SnapshotSlot: 17,
-			Snapshot: []byte("state"), Chosen: chosen, Votes: votes},
+		"6 snapshot installed":          paxos.SnapshotInstalled{Slot: 17, Snapshot: []byte("state")},
+		"7 recovery": paxos.RecoveryCompleted{Incarnations: map[string]uint64{"a": 1, "b": 2, "c": 1}, SnapshotSlot: 17,
+			Snapshot: []byte("state"), Chosen: chosen, OpenSlots: votes},
 	}
 	encoded := map[string][]byte{}
 	for what, record := range records {
@@ -119,7 +119,7 @@
 
 // recodeSnapshot decodes a log's snapshot and encodes it again.
 func recodeSnapshot(data []byte) ([]byte, error) {
-	state, err := paxos.Decode(data)
+	state, err := paxos.DecodeState(data)
 	return state.Encode(), err
 }
 
@@ -138,13 +138,13 @@
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "log: snapshot %s, %d segments, %d records, torn %q %d bytes, bad snapshot %q\n", digest(replay.Snapshot),
-		replay.Segments, len(replay.Records), replay.CutSegment, replay.CutBytes, replay.BadSnapshot)
+		replay.Segments, len(replay.Records), replay.TornSegment, replay.TornBytes, replay.BadSnapshot)
 	for i, record := range replay.Records {
 		fmt.Fprintf(&out, "record %d: kind %d, %s\n", i, record[0], digest(record))
 	}
 	state := paxos.Blank(core)
 	if replay.Snapshot != nil {
-		if state, err = paxos.Decode(replay.Snapshot); err != nil {
+		if state, err = paxos.DecodeState(replay.Snapshot); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -167,16 +167,16 @@
 
 func describeAgreement(out *strings.Builder, state paxos.State) {
 	fmt.Fprintf(out, "core %s of formation %s with %v\n", state.Self, state.Formation, state.Voters)
-	for _, core := range slices.Sorted(maps.Keys(state.Lives)) {
-		fmt.Fprintf(out, "disk life of %s: %d\n", core, state.Lives[core])
+	for _, core := range slices.Sorted(maps.Keys(state.Incarnations)) {
+		fmt.Fprintf(out, "disk life of %s: %d\n", core, state.Incarnations[core])
 	}
-	fmt.Fprintf(out, "announced life: %d\n", state.Announced)
+	fmt.Fprintf(out, "announced life: %d\n", state.AnnouncedIncarnation)
 	fmt.Fprintf(out, "snapshot at %d: %s\n", state.SnapshotSlot, digest(state.Snapshot))
 	for _, chosen := range state.Chosen {
 		fmt.Fprintf(out, "chosen %d: %s\n", chosen.Epoch, digest(chosen.Command))
 	}
-	for _, slot := range slices.Sorted(maps.Keys(state.Votes)) {
-		vote := state.Votes[slot]
+	for _, slot := range slices.Sorted(maps.Keys(state.OpenSlots)) {
+		vote := state.OpenSlots[slot]
 		fmt.Fprintf(out, "slot %d: promised %d.%s, accepted %d.%s %s\n", slot, vote.Promised.Number, vote.Promised.Core,
 			vote.Accepted.Number, vote.Accepted.Core, digest(vote.Value))
 	}
@@ -216,7 +216,7 @@
 		for synced := uint64(0); synced < place; {
 			select {
 			case synced = <-log.Synced():
-			case <-log.Dead():
+			case <-log.Failed():
 				t.Fatal(log.Err())
 			}
 		}
@@ -226,7 +226,7 @@
 			t.Fatal(err)
 		}
 	}
-	return replay.Snapshot, replay.Records, replay.CutBytes, add, end
+	return replay.Snapshot, replay.Records, replay.TornBytes, add, end
 }
 
 // writeSnapshot appends records to a new log in a folder and takes a snapshot.
@@ -241,7 +241,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := <-log.Snapshot(snapshot); err != nil {
+	if err := <-log.WriteSnapshot(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	if err := log.Close(); err != nil {
--- a/internal/decision/balance/server.go
+++ b/internal/decision/balance/server.go
@@ -62,9 +62,9 @@
 
 func (t *Table) learn(s *server, status *wire.ServerStatus, now time.Time) {
 	s.status = status
-	s.excluded = plan.Excluded(t.view.State, status)
+	s.excluded = plan.ExclusionReason(t.view.State, status)
 	if s.replaced {
-		s.excluded = plan.Gone
+		s.excluded = plan.ReasonGone
 	}
 	s.cold.until = now.Add(time.UnixMilli(status.ColdUntilMs).Sub(t.view.FleetNow))
 	if status.ColdUntilMs == 0 {
@@ -132,7 +132,7 @@
 	s.probing = false
 	switch {
 	case outcome.Replaced:
-		s.replaced, s.excluded = true, plan.Gone
+		s.replaced, s.excluded = true, plan.ReasonGone
 	case outcome.Erred:
 		s.heard = now
 		s.doubt(now)
--- a/internal/decision/balance/update.go
+++ b/internal/decision/balance/update.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		moved = moved || s.excluded == ""
-		s.excluded, s.left = plan.Gone, true
+		s.excluded, s.left = plan.ReasonGone, true
 		if s.inFlight == 0 {
 			delete(t.servers, name)
 		}
@@ -65,7 +65,7 @@
 
 func placeOf(s *server) serverPlace {
 	if s.status == nil {
-		return serverPlace{excluded: plan.Gone}
+		return serverPlace{excluded: plan.ReasonGone}
 	}
 	return serverPlace{excluded: s.excluded, region: s.status.Region, services: s.status.Services, slots: s.status.Slots, cold: s.cold.until}
 }
--- a/internal/decision/election/duty.go
+++ b/internal/decision/election/duty.go
@@ -13,22 +13,22 @@
 // Planner is the duty of working out the period plan.
 const Planner = "planner"
 
-// Sight is what one core knows of the holder of a duty.
-type Sight struct {
-	Core  string
-	Alive bool // its lease stands there, or it answers that core
+// Observation is what one core knows of the holder of a duty.
+type Observation struct {
+	Core        string
+	HolderAlive bool // its lease stands there, or it answers that core
 }
 
 // Vacant tells whether a duty may be taken: nobody ever held it, or a majority
 // of the voters finds the holder's lease lapsed or its process gone. Sights of
 // unknown cores and of those that did not answer don't count for vacancy.
-func Vacant(duty sheet.Duty, voters []string, sights []Sight) bool {
+func Vacant(duty sheet.Duty, voters []string, sights []Observation) bool {
 	if duty.Holder == "" {
 		return true
 	}
 	missing := map[string]bool{}
 	for _, sight := range sights {
-		if !sight.Alive {
+		if !sight.HolderAlive {
 			missing[sight.Core] = true
 		}
 	}
@@ -41,10 +41,10 @@
 	return count > len(voters)/2
 }
 
-// Turn returns how long a core waits, from when it found the duty vacant,
+// CandidateDelay returns how long a core waits, from when it found the duty vacant,
 // before it tries: its place among the voters times the step. The holder of
 // the vacant term comes last. A core that is no voter never tries: ok is false.
-func Turn(self string, duty sheet.Duty, voters []string, step time.Duration) (wait time.Duration, ok bool) {
+func CandidateDelay(self string, duty sheet.Duty, voters []string, step time.Duration) (wait time.Duration, ok bool) {
 	order := append([]string(nil), voters...)
 	sort.Slice(order, func(i, j int) bool {
 		if (order[i] == duty.Holder) != (order[j] == duty.Holder) {
--- a/internal/decision/election/duty_test.go
+++ b/internal/decision/election/duty_test.go
@@ -16,18 +16,18 @@
 		So(Vacant(sheet.Duty{}, voters, nil), ShouldBeTrue)
 	})
 	Convey("A held one is vacant when a majority finds its holder gone", t, func() {
-		So(Vacant(held, voters, []Sight{{"c2", false}, {"c3", false}}), ShouldBeTrue)
-		So(Vacant(held, voters, []Sight{{"c2", false}, {"c3", true}}), ShouldBeFalse)
-		So(Vacant(held, voters, []Sight{{"c2", false}, {"c2", false}, {"f9", false}}), ShouldBeFalse)
+		So(Vacant(held, voters, []Observation{{"c2", false}, {"c3", false}}), ShouldBeTrue)
+		So(Vacant(held, voters, []Observation{{"c2", false}, {"c3", true}}), ShouldBeFalse)
+		So(Vacant(held, voters, []Observation{{"c2", false}, {"c2", false}, {"f9", false}}), ShouldBeFalse)
 		So(Vacant(held, voters, nil), ShouldBeFalse)
 	})
 	Convey("The cores take turns, the last holder comes last", t, func() {
 		for core, turn := range map[string]time.Duration{"c2": 0, "c3": time.Second, "c1": 2 * time.Second} {
-			wait, ok := Turn(core, held, voters, time.Second)
+			wait, ok := CandidateDelay(core, held, voters, time.Second)
 			So(ok, ShouldBeTrue)
 			So(wait, ShouldEqual, turn)
 		}
-		_, ok := Turn("f9", held, voters, time.Second)
+		_, ok := CandidateDelay("f9", held, voters, time.Second)
 		So(ok, ShouldBeFalse)
 	})
 }
--- a/internal/decision/lease/holder.go
+++ b/internal/decision/lease/holder.go
@@ -1,5 +1,5 @@
 // Package lease decides who may rule: a front's side (Holder), a core's side
-// (Ledger), the rule by which an order is in force (InForce) and the rules of
+// (Ledger), the rule by which an order is in force (VersionConfirmed) and the rules of
 // roster changes. Nothing here reads a clock, starts a goroutine or does I/O;
 // every method takes the instant it is asked at.
 package lease
@@ -11,22 +11,22 @@
 	"stepwick/internal/decision/sheet"
 )
 
-// By names what a front rules by.
-type By string
+// Source names what a front rules by.
+type Source string
 
 // What a front rules by.
 const (
-	ByNone   By = "none"
-	ByLease  By = "lease"  // a majority of cores renewed within the TTL
-	ByRoster By = "roster" // more than half of the roster heard, none newer
+	SourceNone   Source = "none"
+	SourceLease  Source = "lease"  // a majority of cores renewed within the TTL
+	SourceRoster Source = "roster" // more than half of the roster heard, none newer
 )
 
-// Verdict tells whether a front may decide by its version. Until is the earliest
+// Authority tells whether a front may decide by its version. Until is the earliest
 // instant at which the verdict can lapse by itself, on the clock that the
 // Holder was fed with; RetryAfter is when a caller should come back.
-type Verdict struct {
-	Ruling     bool
-	By         By
+type Authority struct {
+	Granted    bool
+	Source     Source
 	RetryAfter time.Duration
 	Until      time.Time
 }
@@ -77,9 +77,9 @@
 	h.settle()
 }
 
-// Confirm takes up a version whose state the front holds. A lower one is
+// AdvanceTo takes up a version whose state the front holds. A lower one is
 // ignored: a front never steps back.
-func (h *Holder) Confirm(version uint64) {
+func (h *Holder) AdvanceTo(version uint64) {
 	h.version = max(h.version, version)
 	h.newest = max(h.newest, version)
 	h.settle()
@@ -95,10 +95,10 @@
 // RenewedAt returns when the newest renewal that a core granted was sent.
 func (h *Holder) RenewedAt(core string) time.Time { return h.renewed[core] }
 
-// Renewed takes a core's granted answer: sentAt is when the request left,
+// RecordGrant takes a core's granted answer: sentAt is when the request left,
 // asked the version it named, learned the core's own version in the answer. An
 // answer that knows a newer version than was asked gives no lease.
-func (h *Holder) Renewed(core string, sentAt time.Time, asked, learned uint64) {
+func (h *Holder) RecordGrant(core string, sentAt time.Time, asked, learned uint64) {
 	h.newest = max(h.newest, learned)
 	if learned > asked || asked == 0 || asked > h.version {
 		return
@@ -110,18 +110,18 @@
 	h.settle()
 }
 
-// Asked takes a core's answer that granted nothing; it only tells of a newer
+// RecordDenial takes a core's answer that granted nothing; it only tells of a newer
 // version.
-func (h *Holder) Asked(core string, learned uint64) { h.newest = max(h.newest, learned) }
+func (h *Holder) RecordDenial(core string, learned uint64) { h.newest = max(h.newest, learned) }
 
-// Known takes word of a version that exists, as from a peer's own ping. It is
+// ObserveVersion takes word of a version that exists, as from a peer's own ping. It is
 // never a ground to rule: such a message may have lain in a buffer.
-func (h *Holder) Known(version uint64) { h.newest = max(h.newest, version) }
+func (h *Holder) ObserveVersion(version uint64) { h.newest = max(h.newest, version) }
 
-// Heard takes a peer's answer to a ping that left at sentAt: it proves what the
+// RecordPingResponse takes a peer's answer to a ping that left at sentAt: it proves what the
 // peer was at that instant or later. Answers to earlier pings than the last
 // one counted are dropped.
-func (h *Holder) Heard(name string, incarnation uint64, sentAt time.Time, version uint64, unconfirmed bool) {
+func (h *Holder) RecordPingResponse(name string, incarnation uint64, sentAt time.Time, version uint64, unconfirmed bool) {
 	p := h.peer(name)
 	if sentAt.Before(p.contact) {
 		return
@@ -138,10 +138,10 @@
 	p.heard = sentAt
 }
 
-// Refused takes the refusal of a connection, at the instant it was seen. It
+// RecordRefusal takes the refusal of a connection, at the instant it was seen. It
 // leaves the count only in unbroken contact: the peer was heard, or so
 // refused, within the last TTL.
-func (h *Holder) Refused(name string, at time.Time) {
+func (h *Holder) RecordRefusal(name string, at time.Time) {
 	p := h.peer(name)
 	p.heard = time.Time{}
 	if p.contact.IsZero() || at.Sub(p.contact) >= h.ttl {
@@ -151,24 +151,24 @@
 	p.refused, p.contact = at, at
 }
 
-// Ruling tells whether the front may decide by its version at an instant. While a
+// Granted tells whether the front may decide by its version at an instant. While a
 // lease stands for more than half of a TTL the roster isn't looked at, which takes
 // as long as it is large; it is again before the lease can lapse.
-func (h *Holder) Ruling(now time.Time) Verdict {
-	none := Verdict{By: ByNone, RetryAfter: h.ttl / 2}
+func (h *Holder) Authority(now time.Time) Authority {
+	none := Authority{Source: SourceNone, RetryAfter: h.ttl / 2}
 	if h.unconfirmed || h.version == 0 {
 		return none
 	}
 	byLease := h.leaseUntil()
 	if byLease.Sub(now) > h.ttl/2 {
-		return Verdict{Ruling: true, By: ByLease, Until: byLease}
+		return Authority{Granted: true, Source: SourceLease, Until: byLease}
 	}
 	byRoster := h.rosterUntil(now)
 	switch {
 	case now.Before(byLease):
-		return Verdict{Ruling: true, By: ByLease, Until: later(byLease, byRoster)}
+		return Authority{Granted: true, Source: SourceLease, Until: later(byLease, byRoster)}
 	case now.Before(byRoster):
-		return Verdict{Ruling: true, By: ByRoster, Until: byRoster}
+		return Authority{Granted: true, Source: SourceRoster, Until: byRoster}
 	}
 	return none
 }
--- a/internal/decision/lease/inforce.go
+++ b/internal/decision/lease/inforce.go
@@ -9,33 +9,33 @@
 	"stepwick/internal/wire"
 )
 
-// Question asks whether a version is in force. Views are the cores' answers of
+// ConfirmationCheck asks whether a version is in force. Views are the cores' answers of
 // one round. Roster and Prior are those of the state at the version or later;
 // Prior is nil or empty when the last change of the roster is settled.
-type Question struct {
-	Version uint64
-	Voters  int
-	Views   []*wire.LeaseViewResponse
-	Roster  map[string]sheet.Member
-	Prior   map[string]sheet.Member
+type ConfirmationCheck struct {
+	Version     uint64
+	Voters      int
+	Views       []*wire.LeaseViewResponse
+	Roster      map[string]sheet.Member
+	PriorRoster map[string]sheet.Member
 }
 
-// Count is the part of a roster that has confirmed, of those that do not
+// ConfirmationCount is the part of a roster that has confirmed, of those that do not
 // refuse connections.
-type Count struct {
+type ConfirmationCount struct {
 	Confirmed int
-	Of        int
+	Eligible  int
 }
 
-// Met tells whether more than half has confirmed. A roster of which nobody is
+// IsMajority tells whether more than half has confirmed. A roster of which nobody is
 // left to rule sets no condition.
-func (c Count) Met() bool { return c.Of <= 0 || c.Confirmed*2 > c.Of }
+func (c ConfirmationCount) IsMajority() bool { return c.Eligible <= 0 || c.Confirmed*2 > c.Eligible }
 
-// InForce is the rule of acknowledgement: a majority of cores, up for longer
+// VersionConfirmed is the rule of acknowledgement: a majority of cores, up for longer
 // than a TTL, has learned the version; every lease known to them is confirmed at
 // it or lapsed; and more than half of the roster, and of the prior one while
 // that stands, has confirmed. Why names the first condition that is not met.
-func InForce(q Question) (met bool, why string) {
+func VersionConfirmed(q ConfirmationCheck) (met bool, why string) {
 	f := fold(q)
 	if f.cores < Majority(q.Voters) {
 		return false, fmt.Sprintf("learned and settled at %d of %d cores", f.cores, q.Voters)
@@ -46,9 +46,9 @@
 	return rosters(q, f)
 }
 
-// Settled is the rule of a roster change in force: more than half of the
+// RosterChangeConfirmed is the rule of a roster change in force: more than half of the
 // roster and of the prior one has confirmed the version of the change.
-func Settled(q Question) (met bool, why string) {
+func RosterChangeConfirmed(q ConfirmationCheck) (met bool, why string) {
 	f := fold(q)
 	if f.cores < Majority(q.Voters) {
 		return false, fmt.Sprintf("learned and settled at %d of %d cores", f.cores, q.Voters)
@@ -56,15 +56,15 @@
 	return rosters(q, f)
 }
 
-// Confirmations counts who of the roster has confirmed the version.
-func Confirmations(q Question) Count { return fold(q).count(q.Roster) }
+// CountConfirmations counts who of the roster has confirmed the version.
+func CountConfirmations(q ConfirmationCheck) ConfirmationCount { return fold(q).count(q.Roster) }
 
-func rosters(q Question, f folded) (bool, string) {
-	if c := f.count(q.Roster); !c.Met() {
-		return false, fmt.Sprintf("confirmed by %d of %d of the roster", c.Confirmed, c.Of)
+func rosters(q ConfirmationCheck, f folded) (bool, string) {
+	if c := f.count(q.Roster); !c.IsMajority() {
+		return false, fmt.Sprintf("confirmed by %d of %d of the roster", c.Confirmed, c.Eligible)
 	}
-	if c := f.count(q.Prior); !c.Met() {
-		return false, fmt.Sprintf("confirmed by %d of %d of the prior roster", c.Confirmed, c.Of)
+	if c := f.count(q.PriorRoster); !c.IsMajority() {
+		return false, fmt.Sprintf("confirmed by %d of %d of the prior roster", c.Confirmed, c.Eligible)
 	}
 	return true, ""
 }
@@ -79,7 +79,7 @@
 
 // fold joins the views of the cores that count. The newest life of a member
 // is the one that is asked for; a confirmation of an earlier one is void.
-func fold(q Question) folded {
+func fold(q ConfirmationCheck) folded {
 	f := folded{newest: map[string]uint64{}, confirmed: map[string]uint64{}, gone: map[string]bool{}}
 	seen := map[string]bool{}
 	var counted []*wire.LeaseViewResponse
@@ -118,18 +118,18 @@
 	return f
 }
 
-func (f folded) count(roster map[string]sheet.Member) Count {
-	var c Count
+func (f folded) count(roster map[string]sheet.Member) ConfirmationCount {
+	var c ConfirmationCount
 	for name := range fronts(roster) {
 		life, live := f.newest[name]
 		confirmed, ok := f.confirmed[name]
 		switch {
 		case live && ok && confirmed == life && !f.gone[name]:
 			c.Confirmed++
-			c.Of++
+			c.Eligible++
 		case !live && f.gone[name]:
 		default:
-			c.Of++
+			c.Eligible++
 		}
 	}
 	return c
--- a/internal/decision/lease/ledger.go
+++ b/internal/decision/lease/ledger.go
@@ -24,10 +24,10 @@
 	since, last time.Time
 }
 
-// Ledger is a core's side of leases. It lives in memory alone: a core that
+// Table is a core's side of leases. It lives in memory alone: a core that
 // restarted is settled once it has been up for a TTL, when whatever its former
 // life granted has lapsed. It has one owner.
-type Ledger struct {
+type Table struct {
 	core    string
 	ttl     time.Duration
 	begun   time.Time
@@ -43,23 +43,23 @@
 
 const leftFor = time.Minute // how long a renewal that was under way at a release is looked out for
 
-// Quiet is a member to be pinged: what it was last known as. Incarnation is
+// PingTargets is a member to be pinged: what it was last known as. Incarnation is
 // zero for one that has not renewed since the core started.
 type Quiet struct {
 	Name        string
 	Incarnation uint64
 }
 
-// NewLedger returns an empty ledger of a core that starts now.
-func NewLedger(core string, ttl time.Duration, now time.Time) *Ledger {
-	return &Ledger{core: core, ttl: ttl, begun: now, members: map[string]*entry{}, gone: map[string]refusal{}, left: map[string]release{}}
+// NewTable returns an empty ledger of a core that starts now.
+func NewTable(core string, ttl time.Duration, now time.Time) *Table {
+	return &Table{core: core, ttl: ttl, begun: now, members: map[string]*entry{}, gone: map[string]refusal{}, left: map[string]release{}}
 }
 
 // Renew renews the lease of a member that has confirmed what the core learned; to any
 // other it answers EpochBehind with its learned version. A request without a
 // record that comes from a life unknown here is asked for it. It must only be asked
 // when the core has caught up with a majority since its own start.
-func (l *Ledger) Renew(req *wire.RenewRequest, learned uint64, now time.Time) *wire.RenewResponse {
+func (l *Table) Renew(req *wire.RenewRequest, learned uint64, now time.Time) *wire.RenewResponse {
 	resp := &wire.RenewResponse{Core: l.core, Learned: learned, TtlMs: uint32(l.ttl.Milliseconds()), TimeUs: now.UnixMicro()}
 	self := l.record(req)
 	if self == nil {
@@ -91,24 +91,24 @@
 	return resp
 }
 
-// Renewing returns the name of the member that a renewal is for, "" for none.
-func Renewing(req *wire.RenewRequest) string {
+// RenewedMember returns the name of the member that a renewal is for, "" for none.
+func RenewedMember(req *wire.RenewRequest) string {
 	if req.Self != nil {
 		return req.Self.Name
 	}
 	return req.Name
 }
 
-func (l *Ledger) record(req *wire.RenewRequest) *wire.Process {
+func (l *Table) record(req *wire.RenewRequest) *wire.Process {
 	if req.Self != nil {
 		return req.Self
 	}
-	return l.Record(req.Name, req.Incarnation)
+	return l.ProcessRecord(req.Name, req.Incarnation)
 }
 
-// Record returns what a member said of itself in one life, nil where that is not
+// ProcessRecord returns what a member said of itself in one life, nil where that is not
 // known. It must not be changed.
-func (l *Ledger) Record(name string, incarnation uint64) *wire.Process {
+func (l *Table) ProcessRecord(name string, incarnation uint64) *wire.Process {
 	if e, ok := l.members[name]; ok && e.process != nil && e.process.Incarnation == incarnation && e.incarnation == incarnation {
 		return e.process
 	}
@@ -117,7 +117,7 @@
 
 // Release ends the lease of a member that stops of itself. A renewal of that
 // life which comes in later gives no lease.
-func (l *Ledger) Release(name string, incarnation uint64, now time.Time) {
+func (l *Table) Release(name string, incarnation uint64, now time.Time) {
 	if e, ok := l.members[name]; ok && e.incarnation <= incarnation {
 		delete(l.members, name)
 	}
@@ -126,9 +126,9 @@
 	}
 }
 
-// Heard takes a member's answer to the core's own ping. A later life ends the
+// RecordPingResponse takes a member's answer to the core's own ping. A later life ends the
 // lease of the one before.
-func (l *Ledger) Heard(name string, incarnation uint64, now time.Time) {
+func (l *Table) RecordPingResponse(name string, incarnation uint64, now time.Time) {
 	delete(l.gone, name)
 	e, ok := l.members[name]
 	switch {
@@ -140,10 +140,10 @@
 	}
 }
 
-// Gone takes a refusal of a connection: no process lives there, so what it
+// RecordRefusal takes a refusal of a connection: no process lives there, so what it
 // held is released at once. Incarnation is the one that was known when the
 // connection was tried; a member that renewed as another since stays.
-func (l *Ledger) Gone(name string, incarnation uint64, now time.Time) {
+func (l *Table) RecordRefusal(name string, incarnation uint64, now time.Time) {
 	if e, ok := l.members[name]; ok {
 		if e.incarnation != incarnation {
 			return
@@ -158,9 +158,9 @@
 	l.gone[name] = r
 }
 
-// Quiet returns the members, of the roster or holding a lease, that the core
+// PingTargets returns the members, of the roster or holding a lease, that the core
 // has not heard for a span: these it pings. Sorted by name.
-func (l *Ledger) Quiet(roster map[string]sheet.Member, span time.Duration, now time.Time) []Quiet {
+func (l *Table) PingTargets(roster map[string]sheet.Member, span time.Duration, now time.Time) []Quiet {
 	var quiet []Quiet
 	for name, e := range l.members {
 		if now.Sub(e.heard) >= span {
@@ -178,7 +178,7 @@
 
 // Expire forgets members whose lease lapsed and that have been quiet for a
 // TTL and more.
-func (l *Ledger) Expire(now time.Time) {
+func (l *Table) Expire(now time.Time) {
 	for name, e := range l.members {
 		if !now.Before(e.until) && now.Sub(e.heard) >= 2*l.ttl {
 			delete(l.members, name)
@@ -196,19 +196,19 @@
 	}
 }
 
-// Live tells whether a member's lease stands here.
-func (l *Ledger) Live(name string, now time.Time) bool {
+// HasLease tells whether a member's lease stands here.
+func (l *Table) HasLease(name string, now time.Time) bool {
 	e, ok := l.members[name]
 	return ok && now.Before(e.until)
 }
 
-// Settled tells whether the core has been up for longer than a TTL.
-func (l *Ledger) Settled(now time.Time) bool { return now.Sub(l.begun) > l.ttl }
+// RosterChangeConfirmed tells whether the core has been up for longer than a TTL.
+func (l *Table) StartupGraceOver(now time.Time) bool { return now.Sub(l.begun) > l.ttl }
 
 // View answers what the core knows of the question whether a version is in
 // force. Members are named with their incarnation, as MemberID writes them.
-func (l *Ledger) View(version, learned uint64, now time.Time) *wire.LeaseViewResponse {
-	view := &wire.LeaseViewResponse{Core: l.core, Learned: learned, Settled: l.Settled(now)}
+func (l *Table) View(version, learned uint64, now time.Time) *wire.LeaseViewResponse {
+	view := &wire.LeaseViewResponse{Core: l.core, Learned: learned, Settled: l.StartupGraceOver(now)}
 	for name, e := range l.members {
 		switch {
 		case !now.Before(e.until):
@@ -229,19 +229,19 @@
 	return view
 }
 
-// About is View reduced to the lease of one member.
-func (l *Ledger) About(name string, learned uint64, now time.Time) *wire.LeaseViewResponse {
-	view := &wire.LeaseViewResponse{Core: l.core, Learned: learned, Settled: l.Settled(now)}
-	if e, ok := l.members[name]; ok && l.Live(name, now) {
+// MemberView is View reduced to the lease of one member.
+func (l *Table) MemberView(name string, learned uint64, now time.Time) *wire.LeaseViewResponse {
+	view := &wire.LeaseViewResponse{Core: l.core, Learned: learned, Settled: l.StartupGraceOver(now)}
+	if e, ok := l.members[name]; ok && l.HasLease(name, now) {
 		view.Confirmed = []string{MemberID(name, e.incarnation)}
 	}
 	return view
 }
 
-// Whole tells whether every lease that stands is confirmed at a version, and
+// ConfirmedAt tells whether every lease that stands is confirmed at a version, and
 // they are more than half of a roster of which some refuse connections. It is
-// this core's part of InForce, worked out without a view.
-func (l *Ledger) Whole(version uint64, roster map[string]sheet.Member, now time.Time) bool {
+// this core's part of VersionConfirmed, worked out without a view.
+func (l *Table) ConfirmedAt(version uint64, roster map[string]sheet.Member, now time.Time) bool {
 	confirmed := 0
 	for _, e := range l.members {
 		if !now.Before(e.until) {
@@ -261,9 +261,9 @@
 	return confirmed*2 > of
 }
 
-// Newcomers returns the processes that renew here but are not on the roster.
+// UnlistedMembers returns the processes that renew here but are not on the roster.
 // Sorted by name.
-func (l *Ledger) Newcomers(roster map[string]sheet.Member, now time.Time) []sheet.Member {
+func (l *Table) UnlistedMembers(roster map[string]sheet.Member, now time.Time) []sheet.Member {
 	var members []sheet.Member
 	for name, e := range l.members {
 		if _, known := roster[name]; !known && name != "" && now.Sub(e.heard) < l.ttl {
@@ -274,9 +274,9 @@
 	return members
 }
 
-// Departed returns the members of the roster that have refused connections
+// RefusingMembers returns the members of the roster that have refused connections
 // without a break for a span. Sorted.
-func (l *Ledger) Departed(roster map[string]sheet.Member, span time.Duration, now time.Time) []string {
+func (l *Table) RefusingMembers(roster map[string]sheet.Member, span time.Duration, now time.Time) []string {
 	var names []string
 	for name, r := range l.gone {
 		if _, ok := roster[name]; ok && now.Sub(r.last) < l.ttl && r.last.Sub(r.since) >= span {
--- a/internal/decision/lease/sight.go
+++ b/internal/decision/lease/sight.go
@@ -8,17 +8,17 @@
 	"stepwick/internal/wire"
 )
 
-// Sights keeps what a core last told of processes, so that only what changed is
+// StatusTracker keeps what a core last told of processes, so that only what changed is
 // told. It has one owner.
-type Sights struct {
+type StatusTracker struct {
 	told map[string]*wire.Sight
 }
 
-// NewSights returns a table in which nothing was told.
-func NewSights() *Sights { return &Sights{told: map[string]*wire.Sight{}} }
+// NewStatusTracker returns a table in which nothing was told.
+func NewStatusTracker() *StatusTracker { return &StatusTracker{told: map[string]*wire.Sight{}} }
 
-// Told returns what was told last of each process that is still of interest.
-func (s *Sights) Told() []*wire.Sight {
+// Published returns what was told last of each process that is still of interest.
+func (s *StatusTracker) Published() []*wire.Sight {
 	out := make([]*wire.Sight, 0, len(s.told))
 	for _, sight := range s.told {
 		out = append(out, sight)
@@ -26,9 +26,9 @@
 	return out
 }
 
-// Look returns the sight of a process if it differs from what was told last,
+// Update returns the sight of a process if it differs from what was told last,
 // and takes it as told; nil otherwise.
-func (s *Sights) Look(l *Ledger, name string, roster map[string]sheet.Member, now time.Time) *wire.Sight {
+func (s *StatusTracker) Update(l *Table, name string, roster map[string]sheet.Member, now time.Time) *wire.Sight {
 	_, member := roster[name]
 	next, have := l.sight(name, member, now), s.told[name]
 	if next == nil {
@@ -42,11 +42,11 @@
 	return next
 }
 
-// LookAll is Look at every process that renews, is on the roster or was told of.
-func (s *Sights) LookAll(l *Ledger, roster map[string]sheet.Member, now time.Time) []*wire.Sight {
+// UpdateAll is Look at every process that renews, is on the roster or was told of.
+func (s *StatusTracker) UpdateAll(l *Table, roster map[string]sheet.Member, now time.Time) []*wire.Sight {
 	var changed []*wire.Sight
 	look := func(name string) {
-		if sight := s.Look(l, name, roster, now); sight != nil {
+		if sight := s.Update(l, name, roster, now); sight != nil {
 			changed = append(changed, sight)
 		}
 	}
@@ -69,7 +69,7 @@
 // sight tells of one process; nil when nothing is known of it. Of a member that
 // has not been heard since the core started nothing is, until the core is
 // settled.
-func (l *Ledger) sight(name string, member bool, now time.Time) *wire.Sight {
+func (l *Table) sight(name string, member bool, now time.Time) *wire.Sight {
 	if e, ok := l.members[name]; ok {
 		return &wire.Sight{Process: e.process, Silent: now.Sub(e.heard) >= l.ttl}
 	}
@@ -78,7 +78,7 @@
 	switch {
 	case refuses || left:
 		return &wire.Sight{Process: &wire.Process{Name: name}, Gone: true}
-	case member && l.Settled(now):
+	case member && l.StartupGraceOver(now):
 		return &wire.Sight{Process: &wire.Process{Name: name}, Silent: true}
 	}
 	return nil
--- a/internal/decision/paxos/ballot.go
+++ b/internal/decision/paxos/ballot.go
@@ -19,60 +19,60 @@
 	Core   string
 }
 
-// Of returns the ballot of a message; nil is the zero Ballot.
-func Of(b *wire.Ballot) Ballot {
+// BallotFromWire returns the ballot of a message; nil is the zero Ballot.
+func BallotFromWire(b *wire.Ballot) Ballot {
 	if b == nil {
 		return Ballot{}
 	}
 	return Ballot{Number: b.Number, Core: b.Core}
 }
 
-// Wire returns the message form; the zero Ballot is nil.
-func (b Ballot) Wire() *wire.Ballot {
-	if b.Zero() {
+// ToWire returns the message form; the zero Ballot is nil.
+func (b Ballot) ToWire() *wire.Ballot {
+	if b.IsZero() {
 		return nil
 	}
 	return &wire.Ballot{Number: b.Number, Core: b.Core}
 }
 
-// Zero tells whether this is no ballot at all.
-func (b Ballot) Zero() bool { return b == Ballot{} }
+// IsZero tells whether this is no ballot at all.
+func (b Ballot) IsZero() bool { return b == Ballot{} }
 
 // Compare is below zero when b is the lower one.
 func (b Ballot) Compare(o Ballot) int {
 	return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Core, o.Core))
 }
 
-// Below tells whether b is lower than o.
-func (b Ballot) Below(o Ballot) bool { return b.Compare(o) < 0 }
+// Less tells whether b is lower than o.
+func (b Ballot) Less(o Ballot) bool { return b.Compare(o) < 0 }
 
-func highest(a, b Ballot) Ballot {
-	if a.Below(b) {
+func maxBallot(a, b Ballot) Ballot {
+	if a.Less(b) {
 		return b
 	}
 	return a
 }
 
-// Vote is what an acceptor holds of an open slot.
-type Vote struct {
+// SlotState is what an acceptor holds of an open slot.
+type SlotState struct {
 	Promised Ballot
 	Accepted Ballot // zero when nothing is accepted
 	Value    []byte
 }
 
-func (v Vote) wire(slot uint64) *wire.SlotVote {
-	return &wire.SlotVote{Slot: slot, Promised: v.Promised.Wire(), Accepted: v.Accepted.Wire(), Value: v.Value}
+func (v SlotState) toWire(slot uint64) *wire.SlotVote {
+	return &wire.SlotVote{Slot: slot, Promised: v.Promised.ToWire(), Accepted: v.Accepted.ToWire(), Value: v.Value}
 }
 
-func voteOf(v *wire.SlotVote) Vote {
-	return Vote{Promised: Of(v.Promised), Accepted: Of(v.Accepted), Value: v.Value}
+func slotStateFromWire(v *wire.SlotVote) SlotState {
+	return SlotState{Promised: BallotFromWire(v.Promised), Accepted: BallotFromWire(v.Accepted), Value: v.Value}
 }
 
 // merge keeps the highest promise and the highest accepted value of both.
-func (v Vote) merge(o Vote) Vote {
-	if v.Accepted.Below(o.Accepted) {
+func (v SlotState) merge(o SlotState) SlotState {
+	if v.Accepted.Less(o.Accepted) {
 		v.Accepted, v.Value = o.Accepted, o.Value
 	}
-	v.Promised = highest(highest(v.Promised, o.Promised), v.Accepted)
+	v.Promised = maxBallot(maxBallot(v.Promised, o.Promised), v.Accepted)
 	return v
 }
--- a/internal/decision/paxos/record.go
+++ b/internal/decision/paxos/record.go
@@ -13,34 +13,34 @@
 // Record is one durable step of a core. Fold is the only way in which a State
 // changes.
 type Record interface {
-	Fold(State) State
+	Apply(State) State
 	message() (kind byte, body proto.Message)
 }
 
 const (
-	kindJoined byte = 1 + iota
-	kindLived
+	kindFormationJoined byte = 1 + iota
+	kindIncarnationRecorded
 	kindPromised
 	kindAccepted
 	kindLearned
-	kindInstalled
-	kindEntered
+	kindSnapshotInstalled
+	kindRecoveryCompleted
 )
 
-// Joined puts the core into a formation, not yet entered. The founder's may
+// FormationJoined puts the core into a formation, not yet entered. The founder's may
 // carry the highest agreed state that outlived the loss of every disk.
-type Joined struct {
+type FormationJoined struct {
 	Formation    string
 	Voters       []string
 	SnapshotSlot uint64
 	Snapshot     []byte
 }
 
-// Lived keeps the disk life that another core announced or, of the core itself,
+// IncarnationRecorded keeps the disk life that another core announced or, of the core itself,
 // the life that it is about to announce.
-type Lived struct {
-	Core string
-	Life uint64
+type IncarnationRecorded struct {
+	Core        string
+	Incarnation uint64
 }
 
 // Promised binds the core to no ballot below this one in the slot.
@@ -49,14 +49,14 @@
 	Ballot Ballot
 }
 
-// Accepted is the core's vote for a value.
+// HandleAccept is the core's vote for a value.
 type Accepted struct {
 	Slot   uint64
 	Ballot Ballot
 	Value  []byte
 }
 
-// Learned is a chosen command of the version after the last learned one.
+// HighestLearned is a chosen command of the version after the last learned one.
 // AsAccepted leaves the command out of the encoding: it is the value that this
 // core has accepted last in the slot.
 type Learned struct {
@@ -65,97 +65,97 @@
 	AsAccepted bool
 }
 
-// Installed replaces a learned prefix by a snapshot of a later version.
-type Installed struct {
+// SnapshotInstalled replaces a learned prefix by a snapshot of a later version.
+type SnapshotInstalled struct {
 	Slot     uint64
 	Snapshot []byte
 }
 
-// Entered is a whole recovery in one record, so that a crash leaves either none
+// RecoveryCompleted is a whole recovery in one record, so that a crash leaves either none
 // of it or all.
-type Entered struct {
-	Lives        map[string]uint64
+type RecoveryCompleted struct {
+	Incarnations map[string]uint64
 	SnapshotSlot uint64
 	Snapshot     []byte
 	Chosen       []*wire.Chosen
-	Votes        map[uint64]Vote
+	OpenSlots    map[uint64]SlotState
 }
 
-// Fold implements Record.
-func (r Joined) Fold(s State) State {
+// Apply implements Record.
+func (r FormationJoined) Apply(s State) State {
 	return State{Self: s.Self, Formation: r.Formation, Voters: r.Voters, SnapshotSlot: r.SnapshotSlot, Snapshot: r.Snapshot}
 }
 
-// Fold implements Record.
-func (r Lived) Fold(s State) State {
+// Apply implements Record.
+func (r IncarnationRecorded) Apply(s State) State {
 	if r.Core == s.Self {
-		s.Announced = max(s.Announced, r.Life)
+		s.AnnouncedIncarnation = max(s.AnnouncedIncarnation, r.Incarnation)
 		return s
 	}
-	if s.Lives[r.Core] >= r.Life {
+	if s.Incarnations[r.Core] >= r.Incarnation {
 		return s
 	}
-	lives := make(map[string]uint64, len(s.Lives)+1)
-	maps.Copy(lives, s.Lives)
-	lives[r.Core] = r.Life
-	s.Lives = lives
+	lives := make(map[string]uint64, len(s.Incarnations)+1)
+	maps.Copy(lives, s.Incarnations)
+	lives[r.Core] = r.Incarnation
+	s.Incarnations = lives
 	return s
 }
 
-// Fold implements Record.
-func (r Promised) Fold(s State) State {
-	vote := s.Votes[r.Slot]
-	vote.Promised = highest(vote.Promised, r.Ballot)
-	return s.withVote(r.Slot, vote)
+// Apply implements Record.
+func (r Promised) Apply(s State) State {
+	vote := s.OpenSlots[r.Slot]
+	vote.Promised = maxBallot(vote.Promised, r.Ballot)
+	return s.withSlot(r.Slot, vote)
 }
 
-// Fold implements Record.
-func (r Accepted) Fold(s State) State {
-	return s.withVote(r.Slot, s.Votes[r.Slot].merge(Vote{Promised: r.Ballot, Accepted: r.Ballot, Value: r.Value}))
+// Apply implements Record.
+func (r Accepted) Apply(s State) State {
+	return s.withSlot(r.Slot, s.OpenSlots[r.Slot].merge(SlotState{Promised: r.Ballot, Accepted: r.Ballot, Value: r.Value}))
 }
 
-// Fold implements Record.
-func (r Learned) Fold(s State) State {
+// Apply implements Record.
+func (r Learned) Apply(s State) State {
 	if r.Slot != s.Learned()+1 {
 		return s
 	}
 	command := r.Command
 	if r.AsAccepted {
-		command = s.Votes[r.Slot].Value
+		command = s.OpenSlots[r.Slot].Value
 	}
 	s.Chosen = append(slices.Clip(s.Chosen), &wire.Chosen{Epoch: r.Slot, Command: command})
-	return s.closed()
+	return s.withoutLearnedSlots()
 }
 
-// Fold implements Record.
-func (r Installed) Fold(s State) State {
+// Apply implements Record.
+func (r SnapshotInstalled) Apply(s State) State {
 	if r.Slot <= s.Learned() {
 		return s
 	}
 	s.SnapshotSlot, s.Snapshot, s.Chosen = r.Slot, r.Snapshot, nil
-	return s.closed()
+	return s.withoutLearnedSlots()
 }
 
-// Fold implements Record.
-func (r Entered) Fold(s State) State {
-	s.Lives, s.SnapshotSlot, s.Snapshot, s.Chosen, s.Votes = r.Lives, r.SnapshotSlot, r.Snapshot, r.Chosen, r.Votes
-	return s.closed()
+// Apply implements Record.
+func (r RecoveryCompleted) Apply(s State) State {
+	s.Incarnations, s.SnapshotSlot, s.Snapshot, s.Chosen, s.OpenSlots = r.Incarnations, r.SnapshotSlot, r.Snapshot, r.Chosen, r.OpenSlots
+	return s.withoutLearnedSlots()
 }
 
-func (r Joined) message() (byte, proto.Message) {
-	return kindJoined, &wire.RecoverResponse{Formation: r.Formation, Voters: r.Voters, SnapshotEpoch: r.SnapshotSlot, Snapshot: r.Snapshot}
+func (r FormationJoined) message() (byte, proto.Message) {
+	return kindFormationJoined, &wire.RecoverResponse{Formation: r.Formation, Voters: r.Voters, SnapshotEpoch: r.SnapshotSlot, Snapshot: r.Snapshot}
 }
 
-func (r Lived) message() (byte, proto.Message) {
-	return kindLived, &wire.RecoverRequest{Core: r.Core, Life: r.Life}
+func (r IncarnationRecorded) message() (byte, proto.Message) {
+	return kindIncarnationRecorded, &wire.RecoverRequest{Core: r.Core, Life: r.Incarnation}
 }
 
 func (r Promised) message() (byte, proto.Message) {
-	return kindPromised, &wire.SlotVote{Slot: r.Slot, Promised: r.Ballot.Wire()}
+	return kindPromised, &wire.SlotVote{Slot: r.Slot, Promised: r.Ballot.ToWire()}
 }
 
 func (r Accepted) message() (byte, proto.Message) {
-	return kindAccepted, &wire.SlotVote{Slot: r.Slot, Accepted: r.Ballot.Wire(), Value: r.Value}
+	return kindAccepted, &wire.SlotVote{Slot: r.Slot, Accepted: r.Ballot.ToWire(), Value: r.Value}
 }
 
 func (r Learned) message() (byte, proto.Message) {
@@ -165,13 +165,13 @@
 	return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Slot, Command: r.Command}}}
 }
 
-func (r Installed) message() (byte, proto.Message) {
-	return kindInstalled, &wire.FetchResponse{SnapshotEpoch: r.Slot, Snapshot: r.Snapshot}
+func (r SnapshotInstalled) message() (byte, proto.Message) {
+	return kindSnapshotInstalled, &wire.FetchResponse{SnapshotEpoch: r.Slot, Snapshot: r.Snapshot}
 }
 
-func (r Entered) message() (byte, proto.Message) {
-	return kindEntered, &wire.RecoverResponse{Lives: r.Lives, SnapshotEpoch: r.SnapshotSlot, Snapshot: r.Snapshot,
-		Chosen: r.Chosen, Votes: State{Votes: r.Votes}.openVotes()}
+func (r RecoveryCompleted) message() (byte, proto.Message) {
+	return kindRecoveryCompleted, &wire.RecoverResponse{Lives: r.Incarnations, SnapshotEpoch: r.SnapshotSlot, Snapshot: r.Snapshot,
+		Chosen: r.Chosen, Votes: State{OpenSlots: r.OpenSlots}.openSlotMessages()}
 }
 
 // EncodeRecord returns a record's bytes for the log.
@@ -193,22 +193,22 @@
 		return errors.Wrapf(proto.Unmarshal(data[1:], body), "record of kind %d", data[0])
 	}
 	switch data[0] {
-	case kindJoined:
+	case kindFormationJoined:
 		var m wire.RecoverResponse
 		err := read(&m)
-		return Joined{Formation: m.Formation, Voters: m.Voters, SnapshotSlot: m.SnapshotEpoch, Snapshot: m.Snapshot}, err
-	case kindLived:
+		return FormationJoined{Formation: m.Formation, Voters: m.Voters, SnapshotSlot: m.SnapshotEpoch, Snapshot: m.Snapshot}, err
+	case kindIncarnationRecorded:
 		var m wire.RecoverRequest
 		err := read(&m)
-		return Lived{Core: m.Core, Life: m.Life}, err
+		return IncarnationRecorded{Core: m.Core, Incarnation: m.Life}, err
 	case kindPromised:
 		var m wire.SlotVote
 		err := read(&m)
-		return Promised{Slot: m.Slot, Ballot: Of(m.Promised)}, err
+		return Promised{Slot: m.Slot, Ballot: BallotFromWire(m.Promised)}, err
 	case kindAccepted:
 		var m wire.SlotVote
 		err := read(&m)
-		return Accepted{Slot: m.Slot, Ballot: Of(m.Accepted), Value: m.Value}, err
+		return Accepted{Slot: m.Slot, Ballot: BallotFromWire(m.Accepted), Value: m.Value}, err
 	case kindLearned:
 		var m wire.LearnRequest
 		if err := read(&m); err != nil {
@@ -218,21 +218,21 @@
 			return nil, errors.Errorf("a learned record of %d epochs", len(m.Chosen))
 		}
 		return Learned{Slot: m.Chosen[0].Epoch, Command: m.Chosen[0].Command, AsAccepted: m.From != ""}, nil
-	case kindInstalled:
+	case kindSnapshotInstalled:
 		var m wire.FetchResponse
 		err := read(&m)
-		return Installed{Slot: m.SnapshotEpoch, Snapshot: m.Snapshot}, err
-	case kindEntered:
+		return SnapshotInstalled{Slot: m.SnapshotEpoch, Snapshot: m.Snapshot}, err
+	case kindRecoveryCompleted:
 		var m wire.RecoverResponse
 		if err := read(&m); err != nil {
 			return nil, err
 		}
-		votes := make(map[uint64]Vote, len(m.Votes))
+		votes := make(map[uint64]SlotState, len(m.Votes))
 		for _, vote := range m.Votes {
-			votes[vote.Slot] = voteOf(vote)
+			votes[vote.Slot] = slotStateFromWire(vote)
 		}
-		return Entered{Lives: m.Lives, SnapshotSlot: m.SnapshotEpoch, Snapshot: m.Snapshot, Chosen: m.Chosen, Votes: votes},
-			contiguous(m.SnapshotEpoch, m.Chosen)
+		return RecoveryCompleted{Incarnations: m.Lives, SnapshotSlot: m.SnapshotEpoch, Snapshot: m.Snapshot, Chosen: m.Chosen, OpenSlots: votes},
+			checkContiguous(m.SnapshotEpoch, m.Chosen)
 	}
 	return nil, errors.Errorf("record of unknown kind %d", data[0])
 }
@@ -244,7 +244,7 @@
 		if err != nil {
 			return s, errors.Wrapf(err, "record %d of the replay", i)
 		}
-		s = record.Fold(s)
+		s = record.Apply(s)
 	}
 	return s, nil
 }
--- a/internal/decision/paxos/transcript_test.go
+++ b/internal/decision/paxos/transcript_test.go
@@ -22,27 +22,27 @@
 
 func (g *stage) keep(name string, records []Record) {
 	for _, record := range records {
-		g.cores[name] = record.Fold(g.cores[name])
+		g.cores[name] = record.Apply(g.cores[name])
 		g.say("    %s syncs %s", name, words(record))
 	}
 }
 
 func words(record Record) string {
 	switch r := record.(type) {
-	case Joined:
+	case FormationJoined:
 		return fmt.Sprintf("joined %s of %v", r.Formation, r.Voters)
-	case Lived:
-		return fmt.Sprintf("life %d of %s", r.Life, r.Core)
+	case IncarnationRecorded:
+		return fmt.Sprintf("life %d of %s", r.Incarnation, r.Core)
 	case Promised:
 		return fmt.Sprintf("slot %d promised to %s", r.Slot, name(r.Ballot))
 	case Accepted:
 		return fmt.Sprintf("slot %d accepted %q by %s", r.Slot, r.Value, name(r.Ballot))
 	case Learned:
 		return fmt.Sprintf("epoch %d learned: %q", r.Slot, r.Command)
-	case Entered:
-		text := fmt.Sprintf("entered: lives %v, learned %d", r.Lives, r.SnapshotSlot+uint64(len(r.Chosen)))
-		for _, vote := range (State{Votes: r.Votes}).openVotes() {
-			text += fmt.Sprintf(", slot %d promised to %s, accepted %q by %s", vote.Slot, name(Of(vote.Promised)), vote.Value, name(Of(vote.Accepted)))
+	case RecoveryCompleted:
+		text := fmt.Sprintf("entered: lives %v, learned %d", r.Incarnations, r.SnapshotSlot+uint64(len(r.Chosen)))
+		for _, vote := range (State{OpenSlots: r.OpenSlots}).openSlotMessages() {
+			text += fmt.Sprintf(", slot %d promised to %s, accepted %q by %s", vote.Slot, name(BallotFromWire(vote.Promised)), vote.Value, name(BallotFromWire(vote.Accepted)))
 		}
 		return text
 	}
@@ -50,7 +50,7 @@
 }
 
 func name(b Ballot) string {
-	if b.Zero() {
+	if b.IsZero() {
 		return "none"
 	}
 	return fmt.Sprintf("%d.%s", b.Number, b.Core)
@@ -63,19 +63,19 @@
 		_, probes[other] = g.cores[other].Recover(&wire.RecoverRequest{Core: who, Probe: true})
 		g.say("%s probes %s: %s", who, other, code(probes[other].Refusal, "lives %v", probes[other].Lives))
 	}
-	life, waiting := s.NextLife(probes, 0)
+	life, waiting := s.NextIncarnation(probes, 0)
 	if waiting != "" {
 		g.say("%s waits for %s", who, waiting)
 		return
 	}
-	g.keep(who, []Record{Lived{Core: who, Life: life}})
+	g.keep(who, []Record{IncarnationRecorded{Core: who, Incarnation: life}})
 	for _, other := range s.Others() {
 		records, answer := g.cores[other].Recover(&wire.RecoverRequest{Formation: s.Formation, Core: who, Life: life})
 		g.say("%s announces life %d to %s: %s", who, life, other, code(answer.Refusal, "learned %d, %d open slots, lives %v", len(answer.Chosen), len(answer.Votes), answer.Lives))
 		g.keep(other, records)
 		answers[other] = answer
 	}
-	record, waiting := g.cores[who].Enter(life, answers)
+	record, waiting := g.cores[who].CompleteRecovery(life, answers)
 	if waiting != "" {
 		g.say("%s waits for %s", who, waiting)
 		return
@@ -94,7 +94,7 @@
 func (g *stage) propose(who string, value string, silent ...string) {
 	s := g.cores[who]
 	slot := s.Learned() + 1
-	p, prepare := Propose(s, slot, s.NextNumber(slot), []byte(value))
+	p, prepare := NewProposer(s, slot, s.NextBallotNumber(slot), []byte(value))
 	var step Step
 	for _, core := range voters {
 		if slices.Contains(silent, core) {
@@ -102,9 +102,9 @@
 		}
 		records, resp := g.cores[core].Prepare(prepare)
 		g.say("%s prepares %s in slot %d at %s: %s", who, name(p.Ballot), slot, core,
-			code(resp.Refusal, "promised %v, accepted %q by %s", resp.Promised, resp.AcceptedValue, name(Of(resp.AcceptedBallot))))
+			code(resp.Refusal, "promised %v, accepted %q by %s", resp.Promised, resp.AcceptedValue, name(BallotFromWire(resp.AcceptedBallot))))
 		g.keep(core, records)
-		if p, step = p.Promise(resp); step.Accept != nil {
+		if p, step = p.HandlePrepare(resp); step.Accept != nil {
 			break
 		}
 	}
@@ -121,7 +121,7 @@
 		g.say("%s asks %s to accept %q by %s on lives %v: %s", who, core, accept.Value, name(p.Ballot), accept.PromisedLives,
 			code(resp.Refusal, "accepted %v", resp.Accepted))
 		g.keep(core, records)
-		p, step = p.Accepted(resp)
+		p, step = p.HandleAccept(resp)
 	}
 	if !step.Chosen {
 		g.say("%s has no majority", who)
@@ -143,29 +143,29 @@
 	for _, other := range []string{"b", "c"} {
 		_, present[other] = g.cores[other].Recover(&wire.RecoverRequest{Core: "a", Probe: true})
 	}
-	record, _ := g.cores["a"].Establish("f", 3, present, 0, nil)
+	record, _ := g.cores["a"].FoundFormation("f", 3, present, 0, nil)
 	g.keep("a", []Record{record})
 	for _, other := range []string{"b", "c"} {
 		records, _ := g.cores[other].Found(&wire.FoundRequest{Formation: "f", Voters: voters, Founder: "a"})
 		g.keep(other, records)
 	}
 	for _, core := range []string{"a", "b", "a", "c", "a", "b"} {
-		if g.cores[core].Life() == 0 {
+		if g.cores[core].Incarnation() == 0 {
 			g.enter(core)
 		}
 	}
 	g.say("\n# c does not hear of the first epoch")
 	g.propose("a", "one", "c")
 	g.say("\n# a's value for the second reaches b alone; a's disk is wiped")
-	p, prepare := Propose(g.cores["a"], 2, 1, []byte("two"))
+	p, prepare := NewProposer(g.cores["a"], 2, 1, []byte("two"))
 	for _, core := range []string{"a", "b"} {
 		records, resp := g.cores[core].Prepare(prepare)
 		g.keep(core, records)
-		p, _ = p.Promise(resp)
+		p, _ = p.HandlePrepare(resp)
 	}
-	records, _ := g.cores["b"].Accept(&wire.AcceptRequest{Formation: "f", Slot: 2, Ballot: p.Ballot.Wire(), Value: []byte("two")})
+	records, _ := g.cores["b"].Accept(&wire.AcceptRequest{Formation: "f", Slot: 2, Ballot: p.Ballot.ToWire(), Value: []byte("two")})
 	g.keep("b", records)
-	g.cores["a"] = Joined{Formation: "f", Voters: voters}.Fold(Blank("a"))
+	g.cores["a"] = FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("a"))
 	g.propose("c", "three", "b")
 	g.say("\n# a rebuilds from both others")
 	g.enter("a")
@@ -174,7 +174,7 @@
 	g.propose("a", "four", "c")
 	g.say("\n# the disks of b and c are lost at once: neither is rebuilt from the other")
 	for _, core := range []string{"c", "b"} {
-		g.cores[core] = Joined{Formation: "f", Voters: voters}.Fold(Blank(core))
+		g.cores[core] = FormationJoined{Formation: "f", Voters: voters}.Apply(Blank(core))
 	}
 	g.enter("c")
 	g.enter("b")
--- a/internal/decision/plan/plan.go
+++ b/internal/decision/plan/plan.go
@@ -33,23 +33,23 @@
 
 // Compute works out the plan of the period that begins at in.Now.
 func Compute(in Input) *wire.Plan {
-	policy := in.Policy.under(in.State.Sheet).OrDefaults()
+	policy := in.Policy.under(in.State.Sheet).WithDefaults()
 	next := &wire.Plan{Term: in.Term, Number: in.Number, Epoch: in.State.Version, AtMs: in.Now.UnixMilli(),
 		PeriodMs: uint32(in.Period.Milliseconds()), Holder: in.Holder, Cause: in.Cause}
 	next.Shares = Shares(in.State, in.Servers, in.Fronts, policy)
 	for _, name := range slices.Sorted(maps.Keys(in.Servers)) {
 		status := in.Servers[name]
-		if Excluded(in.State, status) == "" {
-			next.Caps = append(next.Caps, &wire.Cap{Server: name, InFlight: uint32(policy.Bound(status))})
+		if ExclusionReason(in.State, status) == "" {
+			next.Caps = append(next.Caps, &wire.Cap{Server: name, InFlight: uint32(policy.Cap(status))})
 		}
 	}
 	return next
 }
 
-// Forced tells whether a server or a region that the plan in force counts on
+// ReplanCause tells whether a server or a region that the plan in force counts on
 // is lost, and which failure, drain or evacuation forces a new plan. Nothing
 // else does: the plan stands for its period.
-func Forced(prior *wire.Plan, in Input) (cause string, forced bool) {
+func ReplanCause(prior *wire.Plan, in Input) (cause string, forced bool) {
 	if prior == nil {
 		return "first", true
 	}
@@ -61,11 +61,11 @@
 		if status == nil {
 			return "failure: " + c.Server + " gone", true
 		}
-		switch why := Excluded(in.State, status); why {
+		switch why := ExclusionReason(in.State, status); why {
 		case "":
-		case Draining, Leaving:
+		case ReasonDraining, ReasonLeaving:
 			return "drain: " + c.Server + " " + why, true
-		case Evacuated:
+		case ReasonEvacuated:
 			return "evacuation: " + sheet.ZoneName(status.Region, status.Zone), true
 		default:
 			return "failure: " + c.Server + " " + why, true
@@ -74,8 +74,8 @@
 	return "", false
 }
 
-// Due tells whether the plan's period has ended. now is fleet time.
-func Due(prior *wire.Plan, now time.Time) bool {
+// PeriodOver tells whether the plan's period has ended. now is fleet time.
+func PeriodOver(prior *wire.Plan, now time.Time) bool {
 	return prior == nil || now.UnixMilli() >= prior.AtMs+int64(prior.PeriodMs)
 }
 
@@ -89,28 +89,28 @@
 
 // Reasons why a server gets nothing.
 const (
-	Draining    = "draining"
-	Leaving     = "leaving"
-	Gone        = "gone"
-	Unreachable = "unreachable"
-	Evacuated   = "evacuated"
+	ReasonDraining    = "draining"
+	ReasonLeaving     = "leaving"
+	ReasonGone        = "gone"
+	ReasonUnreachable = "unreachable"
+	ReasonEvacuated   = "evacuated"
 )
 
-// Excluded returns the reason why a server may get no request, or "".
-func Excluded(state sheet.State, status *wire.ServerStatus) string {
+// ExclusionReason returns the reason why a server may get no request, or "".
+func ExclusionReason(state sheet.State, status *wire.ServerStatus) string {
 	switch status.GetState() {
 	case wire.ServerState_SERVER_STATE_DRAINING:
-		return Draining
+		return ReasonDraining
 	case wire.ServerState_SERVER_STATE_LEAVING:
-		return Leaving
+		return ReasonLeaving
 	case wire.ServerState_SERVER_STATE_GONE:
-		return Gone
+		return ReasonGone
 	}
 	if IsEvacuated(state, status.GetRegion(), status.GetZone()) {
-		return Evacuated
+		return ReasonEvacuated
 	}
 	if !status.GetReachable() {
-		return Unreachable
+		return ReasonUnreachable
 	}
 	return ""
 }
@@ -125,26 +125,26 @@
 	return whole || part
 }
 
-// Policy holds the numbers of the caps. RampStart is the cap of a server that
+// Policy holds the numbers of the caps. SlowStartCap is the cap of a server that
 // has answered nothing; each answer raises it by one up to the full cap: the
-// server's slots and Slack of them more, queued at the server. ModelSlots and
-// WebSlots stand in for a server that does not tell its slots. Headroom is how
+// server's slots and Slack of them more, queued at the server. DefaultModelSlots and
+// DefaultWebSlots stand in for a server that does not tell its slots. Headroom is how
 // much more than the requests now in flight the regions' room is judged by.
 type Policy struct {
-	RampStart  int
-	Slack      float64
-	ModelSlots int
-	WebSlots   int
-	Headroom   float64
+	SlowStartCap      int
+	QueueFraction     float64
+	DefaultModelSlots int
+	DefaultWebSlots   int
+	DemandHeadroom    float64
 }
 
-// OrDefaults fills what is zero: 2, 0.25, 8, 64, 1.25.
-func (p Policy) OrDefaults() Policy {
-	p.RampStart = cmp.Or(p.RampStart, 2)
-	p.Slack = cmp.Or(p.Slack, 0.25)
-	p.ModelSlots = cmp.Or(p.ModelSlots, 8)
-	p.WebSlots = cmp.Or(p.WebSlots, 64)
-	p.Headroom = cmp.Or(p.Headroom, 1.25)
+// WithDefaults fills what is zero: 2, 0.25, 8, 64, 1.25.
+func (p Policy) WithDefaults() Policy {
+	p.SlowStartCap = cmp.Or(p.SlowStartCap, 2)
+	p.QueueFraction = cmp.Or(p.QueueFraction, 0.25)
+	p.DefaultModelSlots = cmp.Or(p.DefaultModelSlots, 8)
+	p.DefaultWebSlots = cmp.Or(p.DefaultWebSlots, 64)
+	p.DemandHeadroom = cmp.Or(p.DemandHeadroom, 1.25)
 	return p
 }
 
@@ -154,37 +154,37 @@
 		return p
 	}
 	if start, err := strconv.Atoi(s.Settings["route.ramp_start"]); err == nil && start > 0 {
-		p.RampStart = start
+		p.SlowStartCap = start
 	}
 	return p
 }
 
-// Full returns the cap of a server that is warm.
-func (p Policy) Full(status *wire.ServerStatus) int {
+// FullCap returns the cap of a server that is warm.
+func (p Policy) FullCap(status *wire.ServerStatus) int {
 	slots := int(min(status.GetSlots(), 1<<16))
 	if slots == 0 {
-		slots = p.ModelSlots
+		slots = p.DefaultModelSlots
 		if status.GetKind() == "web" {
-			slots = p.WebSlots
+			slots = p.DefaultWebSlots
 		}
 	}
-	return slots + int(math.Ceil(float64(slots)*p.Slack))
+	return slots + int(math.Ceil(float64(slots)*p.QueueFraction))
 }
 
-// Ramp returns the cap after a number of answers.
-func (p Policy) Ramp(full int, answered uint64) int {
-	return int(min(uint64(full), uint64(p.RampStart)+answered))
+// SlowStartCapAfter returns the cap after a number of answers.
+func (p Policy) SlowStartCapAfter(full int, answered uint64) int {
+	return int(min(uint64(full), uint64(p.SlowStartCap)+answered))
 }
 
-// Returned returns the cap at which a server comes back that was away, or that
+// RecoveryCap returns the cap at which a server comes back that was away, or that
 // says it is cold although it has answered before.
-func (p Policy) Returned(full int) int { return min(full, max(p.RampStart, full/4)) }
+func (p Policy) RecoveryCap(full int) int { return min(full, max(p.SlowStartCap, full/4)) }
 
-// Bound returns a server's cap by what it says of itself.
-func (p Policy) Bound(status *wire.ServerStatus) int {
-	full := p.Full(status)
+// Cap returns a server's cap by what it says of itself.
+func (p Policy) Cap(status *wire.ServerStatus) int {
+	full := p.FullCap(status)
 	if status.GetState() == wire.ServerState_SERVER_STATE_COLD {
-		full = p.Returned(full)
+		full = p.RecoveryCap(full)
 	}
-	return p.Ramp(full, status.GetAnswered())
+	return p.SlowStartCapAfter(full, status.GetAnswered())
 }
--- a/internal/decision/plan/plan_test.go
+++ b/internal/decision/plan/plan_test.go
@@ -60,9 +60,9 @@
 		step := func(event string, change func()) {
 			change()
 			in.Now = in.Now.Add(time.Second)
-			cause, forced := Forced(in.Prior, in)
+			cause, forced := ReplanCause(in.Prior, in)
 			fmt.Fprintf(&log, "%s: ", event)
-			if !forced && !Due(in.Prior, in.Now) {
+			if !forced && !PeriodOver(in.Prior, in.Now) {
 				fmt.Fprintf(&log, "plan %d stands\n", in.Prior.Number)
 				return
 			}
@@ -164,8 +164,8 @@
 		sums, usable := map[string]float64{}, map[string]bool{}
 		for _, c := range p.Caps {
 			s := in.Servers[c.Server]
-			if Excluded(in.State, s) != "" {
-				t.Fatalf("%s is %s and has a cap", c.Server, Excluded(in.State, s))
+			if ExclusionReason(in.State, s) != "" {
+				t.Fatalf("%s is %s and has a cap", c.Server, ExclusionReason(in.State, s))
 			}
 			if c.InFlight == 0 || int(c.InFlight) > 20 || uint64(c.InFlight) > 2+s.Answered {
 				t.Fatalf("cap %d of %v", c.InFlight, s)
@@ -183,7 +183,7 @@
 				t.Fatalf("shares of %s sum to %v", key, sum)
 			}
 		}
-		if _, forced := Forced(p, in); forced {
+		if _, forced := ReplanCause(p, in); forced {
 			t.Fatal("a fresh plan is forced again by the same input")
 		}
 	})
--- a/internal/decision/plan/shares.go
+++ b/internal/decision/plan/shares.go
@@ -25,12 +25,12 @@
 	if state.Sheet == nil {
 		return nil
 	}
-	policy = policy.OrDefaults()
+	policy = policy.WithDefaults()
 	capacity, demand := survey(state, servers, policy)
 	from := regions(state, servers, fronts)
 	var shares []*wire.Share
 	for _, service := range slices.Sorted(maps.Keys(state.Sheet.Services)) {
-		rooms := divide(state.Sheet.Weights[service], capacity[service], demand[service]*policy.Headroom)
+		rooms := divide(state.Sheet.Weights[service], capacity[service], demand[service]*policy.DemandHeadroom)
 		for _, origin := range from {
 			for _, r := range rooms {
 				if r.share > 0 {
@@ -46,7 +46,7 @@
 	capacity, demand = map[string]map[string]float64{}, map[string]float64{}
 	for _, name := range slices.Sorted(maps.Keys(servers)) {
 		status := servers[name]
-		if Excluded(state, status) != "" || len(status.Services) == 0 {
+		if ExclusionReason(state, status) != "" || len(status.Services) == 0 {
 			continue
 		}
 		part := 1 / float64(len(status.Services))
@@ -54,7 +54,7 @@
 			if capacity[service] == nil {
 				capacity[service] = map[string]float64{}
 			}
-			capacity[service][status.Region] += float64(policy.Bound(status)) * part
+			capacity[service][status.Region] += float64(policy.Cap(status)) * part
 			demand[service] += float64(status.Running+status.Queued) * part
 		}
 	}
--- a/internal/decision/route/route_test.go
+++ b/internal/decision/route/route_test.go
@@ -131,10 +131,10 @@
 		table := tableOf(v)
 		Convey("sends nothing to what drains, leaves, is gone, dark or evacuated, under the old plan", func() {
 			changes := map[string]func(*wire.ServerStatus){
-				plan.Draining:    func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_DRAINING },
-				plan.Leaving:     func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_LEAVING },
-				plan.Gone:        func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_GONE },
-				plan.Unreachable: func(s *wire.ServerStatus) { s.Reachable = false },
+				plan.ReasonDraining:    func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_DRAINING },
+				plan.ReasonLeaving:     func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_LEAVING },
+				plan.ReasonGone:        func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_GONE },
+				plan.ReasonUnreachable: func(s *wire.ServerStatus) { s.Reachable = false },
 			}
 			for why, change := range changes {
 				v.Servers = with(servers, "m0", change)
--- a/internal/decision/route/server.go
+++ b/internal/decision/route/server.go
@@ -70,8 +70,8 @@
 func (t *Table) learn(s *server, status *wire.ServerStatus, now time.Time) bool {
 	old, before := s.status, s.excluded
 	s.status = status
-	s.excluded = plan.Excluded(t.view.State, status)
-	s.full = t.cfg.Policy.Full(status)
+	s.excluded = plan.ExclusionReason(t.view.State, status)
+	s.full = t.cfg.Policy.FullCap(status)
 	reborn := old != nil && status.Incarnation != old.Incarnation && status.Incarnation != 0
 	cold := status.State == wire.ServerState_SERVER_STATE_COLD
 	switch {
@@ -86,7 +86,7 @@
 	case cold && old.State != wire.ServerState_SERVER_STATE_COLD:
 		s.base, s.floor, s.seen, s.extra = status.Answered, 0, 0, 0
 	case before != "" && s.excluded == "":
-		s.base, s.floor, s.seen, s.extra = status.Answered, t.cfg.Policy.Returned(s.full), 0, 0
+		s.base, s.floor, s.seen, s.extra = status.Answered, t.cfg.Policy.RecoveryCap(s.full), 0, 0
 	}
 	if old != nil && status.Answered > old.Answered {
 		s.timeouts = 0
@@ -105,7 +105,7 @@
 	if s.status.Answered > s.base {
 		answered = max(answered, s.status.Answered-s.base)
 	}
-	next := min(s.full, max(t.cfg.Policy.RampStart, s.floor)+int(min(answered, 1<<20)))
+	next := min(s.full, max(t.cfg.Policy.SlowStartCap, s.floor)+int(min(answered, 1<<20)))
 	if s.planned > 0 {
 		since := s.seen
 		if s.status.Answered > s.planBase {
@@ -259,7 +259,7 @@
 	case s.ejected:
 		t.eject(s, now)
 	}
-	if s.own == 0 && s.excluded == plan.Gone {
+	if s.own == 0 && s.excluded == plan.ReasonGone {
 		if _, listed := t.view.Servers[name]; !listed {
 			delete(t.servers, name)
 		}
--- a/internal/decision/route/table.go
+++ b/internal/decision/route/table.go
@@ -50,7 +50,7 @@
 
 func (c Config) orDefaults() Config {
 	c.Strategy = cmp.Or(c.Strategy, Affinity)
-	c.Policy = c.Policy.OrDefaults()
+	c.Policy = c.Policy.WithDefaults()
 	c.QueueBound = cmp.Or(c.QueueBound, 256)
 	c.RetryBudget = cmp.Or(c.RetryBudget, 0.1)
 	c.EjectFor = cmp.Or(c.EjectFor, time.Second)
@@ -73,10 +73,10 @@
 	t.cfg.Strategy, t.cfg.QueueBound, t.cfg.RetryBudget = k.Strategy, k.QueueBound, k.RetryBudget
 	t.budget.tune(k.RetryBudget)
 	t.queue.unserved = true
-	if t.cfg.Policy.RampStart == k.RampStart {
+	if t.cfg.Policy.SlowStartCap == k.RampStart {
 		return
 	}
-	t.cfg.Policy.RampStart = k.RampStart
+	t.cfg.Policy.SlowStartCap = k.RampStart
 	for _, s := range t.servers {
 		t.setCap(s)
 	}
@@ -171,7 +171,7 @@
 // to its watchers, or is no longer listed.
 func (t *Table) Lost(name string) bool {
 	s := t.servers[name]
-	return s == nil || s.excluded == plan.Gone || s.status.State == wire.ServerState_SERVER_STATE_GONE || !s.status.Reachable
+	return s == nil || s.excluded == plan.ReasonGone || s.status.State == wire.ServerState_SERVER_STATE_GONE || !s.status.Reachable
 }
 
 // Short returns the services and regions, as "service region" in their order,
@@ -272,7 +272,7 @@
 		if s.excluded == "" {
 			moved = true
 		}
-		s.excluded = plan.Gone
+		s.excluded = plan.ReasonGone
 		if s.own == 0 {
 			delete(t.servers, name)
 		}
--- a/internal/decision/serverstatus/fold.go
+++ b/internal/decision/serverstatus/fold.go
@@ -41,7 +41,7 @@
 	}
 	since := map[string]sighting{}
 	for watcher, s := range e.sightings {
-		if _, sight := SightOf(watcher); sight != Folded && s.at > held.at {
+		if _, sight := ParseWatcherID(watcher); sight != SourceMerged && s.at > held.at {
 			since[watcher] = s
 		}
 	}
@@ -72,7 +72,7 @@
 
 func newestFold(sightings map[string]sighting) (newest sighting, found bool) {
 	for watcher, s := range sightings {
-		if _, sight := SightOf(watcher); sight != Folded {
+		if _, sight := ParseWatcherID(watcher); sight != SourceMerged {
 			continue
 		}
 		if !found || s.at > newest.at || (s.at == newest.at && watcher > newest.report.Watcher) {
@@ -83,8 +83,8 @@
 }
 
 func fold(name string, sightings map[string]sighting, fresh int64) *wire.ServerStatus {
-	listed := counting(sightings, Listed, fresh)
-	own := outlived(counting(sightings, Own, fresh), listed, fresh)
+	listed := counting(sightings, SourceList, fresh)
+	own := outlived(counting(sightings, SourceServer, fresh), listed, fresh)
 	place := identity(listed, own)
 	if place == nil {
 		return nil
@@ -136,10 +136,10 @@
 	status.TokensPerSecond, status.PrefillPerSecond, status.KvUsed = load.TokensPerSecond, load.PrefillPerSecond, load.KvUsed
 }
 
-func counting(sightings map[string]sighting, kind Sight, fresh int64) []sighting {
+func counting(sightings map[string]sighting, kind Source, fresh int64) []sighting {
 	var all []sighting
 	for watcher, s := range sightings {
-		if _, sight := SightOf(watcher); sight == kind {
+		if _, sight := ParseWatcherID(watcher); sight == kind {
 			all = append(all, s)
 		}
 	}
--- a/internal/decision/serverstatus/folded_test.go
+++ b/internal/decision/serverstatus/folded_test.go
@@ -16,40 +16,40 @@
 			Status: &wire.ServerStatus{Name: "m1", Address: "127.0.0.1:1", State: state, Reachable: true, Running: running, Incarnation: 7}}
 	}
 	ready, draining := wire.ServerState_SERVER_STATE_READY, wire.ServerState_SERVER_STATE_DRAINING
-	state := func(r *Reports) wire.ServerState { return r.Servers()["m1"].State }
+	state := func(r *ReportStore) wire.ServerState { return r.Servers()["m1"].State }
 
 	Convey("A core's fold stands without repeats; what this front saw since makes it worse at once", t, func() {
-		r := New(Config{})
-		So(r.Merge(report("c1/fold", 1, 50_000, ready, 2), now), ShouldBeTrue)
+		r := NewReportStore(Config{})
+		So(r.Add(report("c1/fold", 1, 50_000, ready, 2), now), ShouldBeTrue)
 		r.Expire(now)
 		So(state(r), ShouldEqual, ready)
 
-		r.Merge(report("f1/list", 1, 99_000, draining, 0), now)
+		r.Add(report("f1/list", 1, 99_000, draining, 0), now)
 		So(state(r), ShouldEqual, draining)
 
 		Convey("until a newer fold, whichever core it comes from", func() {
-			r.Merge(report("c2/fold", 1, 99_500, ready, 0), now)
+			r.Add(report("c2/fold", 1, 99_500, ready, 0), now)
 			So(state(r), ShouldEqual, ready)
 		})
 		Convey("and a front's sight from before the fold counts for nothing", func() {
-			r.Merge(report("c1/fold", 2, 99_600, ready, 0), now)
-			r.Merge(report("f1/list", 2, 99_400, draining, 0), now)
+			r.Add(report("c1/fold", 2, 99_600, ready, 0), now)
+			r.Add(report("f1/list", 2, 99_400, draining, 0), now)
 			So(state(r), ShouldEqual, ready)
 		})
 	})
 
 	Convey("Load is laid over the fold of its incarnation, newest first", t, func() {
-		r := New(Config{})
+		r := NewReportStore(Config{})
 		load := func(incarnation uint64, running uint32, at int64) bool {
-			return r.MergeLoad(&wire.Load{Server: "m1", Incarnation: incarnation, Running: running, AtMs: at})
+			return r.AddLoad(&wire.Load{Server: "m1", Incarnation: incarnation, Running: running, AtMs: at})
 		}
 		So(load(7, 1, 60_000), ShouldBeFalse)
-		r.Merge(report("c1/fold", 1, 50_000, ready, 2), now)
+		r.Add(report("c1/fold", 1, 50_000, ready, 2), now)
 		So(load(7, 9, 60_000), ShouldBeTrue)
 		So(load(7, 3, 55_000), ShouldBeFalse)
 		So(load(6, 4, 70_000), ShouldBeFalse)
 		So(r.Servers()["m1"].Running, ShouldEqual, 9)
-		r.Merge(report("c1/fold", 2, 80_000, ready, 5), now)
+		r.Add(report("c1/fold", 2, 80_000, ready, 5), now)
 		So(r.Servers()["m1"].Running, ShouldEqual, 5)
 	})
 }
--- a/internal/decision/serverstatus/merge.go
+++ b/internal/decision/serverstatus/merge.go
@@ -26,29 +26,29 @@
 	"stepwick/internal/wire"
 )
 
-// Sight tells what a watcher looked at.
-type Sight string
+// Source tells what a watcher looked at.
+type Source string
 
 // Sights: the platform's list, the server's own status, or what a core folded
 // from all of its reports, which rides the feed in their place.
 const (
-	Listed Sight = "list"
-	Own    Sight = "own"
-	Folded Sight = "fold"
+	SourceList   Source = "list"
+	SourceServer Source = "own"
+	SourceMerged Source = "fold"
 )
 
-// Watcher returns the name under which a process reports one kind of sight.
-func Watcher(process string, sight Sight) string { return process + "/" + string(sight) }
+// WatcherID returns the name under which a process reports one kind of sight.
+func WatcherID(process string, sight Source) string { return process + "/" + string(sight) }
 
-// SightOf returns the process and the kind of sight in a report's watcher.
+// ParseWatcherID returns the process and the kind of sight in a report's watcher.
 // Without a kind it is a sight of the server's own status.
-func SightOf(watcher string) (process string, sight Sight) {
-	for _, sight := range []Sight{Listed, Folded} {
+func ParseWatcherID(watcher string) (process string, sight Source) {
+	for _, sight := range []Source{SourceList, SourceMerged} {
 		if process, found := strings.CutSuffix(watcher, "/"+string(sight)); found {
 			return process, sight
 		}
 	}
-	return strings.TrimSuffix(watcher, "/"+string(Own)), Own
+	return strings.TrimSuffix(watcher, "/"+string(SourceServer)), SourceServer
 }
 
 // Config bounds the age of sights. Fresh: how much older than the newest sight
@@ -58,28 +58,28 @@
 // zero). Skew: how far ahead of this process a watcher's fleet time is believed
 // (500 ms when zero).
 type Config struct {
-	Fresh, Keep, Skew time.Duration
+	FreshFor, RetainFor, MaxClockSkew time.Duration
 }
 
-// KeepAlive returns how often a watcher repeats an unchanged sight, or says that
+// RepeatInterval returns how often a watcher repeats an unchanged sight, or says that
 // what it reported of the platform's list still stands, when the fleet has n
 // servers: each second, and more seldom beyond 100 servers, so that repeats stay
 // at some hundreds a second. Changes are reported at once whatever the size.
-func KeepAlive(n int) time.Duration {
+func RepeatInterval(n int) time.Duration {
 	return max(time.Second, time.Duration(n)*10*time.Millisecond)
 }
 
-func (c Config) fresh(n int) int64 { return max(c.Fresh, 3*KeepAlive(n)).Milliseconds() }
+func (c Config) fresh(n int) int64 { return max(c.FreshFor, 3*RepeatInterval(n)).Milliseconds() }
 
 func (c Config) orDefaults() Config {
-	if c.Fresh <= 0 {
-		c.Fresh = 3 * time.Second
+	if c.FreshFor <= 0 {
+		c.FreshFor = 3 * time.Second
 	}
-	if c.Keep <= 0 {
-		c.Keep = 30 * time.Second
+	if c.RetainFor <= 0 {
+		c.RetainFor = 30 * time.Second
 	}
-	if c.Skew <= 0 {
-		c.Skew = 500 * time.Millisecond
+	if c.MaxClockSkew <= 0 {
+		c.MaxClockSkew = 500 * time.Millisecond
 	}
 	return c
 }
@@ -96,9 +96,9 @@
 	loadAt    int64
 }
 
-// Reports is the set of newest reports. It has one owner; the maps and
+// ReportStore is the set of newest reports. It has one owner; the maps and
 // statuses it hands out are never changed afterwards.
-type Reports struct {
+type ReportStore struct {
 	cfg     Config
 	servers map[string]*entry
 	dirty   map[string]bool
@@ -109,16 +109,16 @@
 	listedAt int64
 }
 
-// New returns an empty set.
-func New(cfg Config) *Reports {
-	return &Reports{cfg: cfg.orDefaults(), servers: map[string]*entry{}, dirty: map[string]bool{},
+// NewReportStore returns an empty set.
+func NewReportStore(cfg Config) *ReportStore {
+	return &ReportStore{cfg: cfg.orDefaults(), servers: map[string]*entry{}, dirty: map[string]bool{},
 		folded: map[string]*wire.ServerStatus{}}
 }
 
-// Merge takes a report in and tells whether it was newer than what was held,
+// Add takes a report in and tells whether it was newer than what was held,
 // so that it is worth passing on. The report must not be changed afterwards.
 // now is fleet time; a report from the future counts as of now.
-func (r *Reports) Merge(report *wire.Report, now time.Time) bool {
+func (r *ReportStore) Add(report *wire.Report, now time.Time) bool {
 	if report.GetServer() == "" || report.GetWatcher() == "" || report.GetStatus() == nil {
 		return false
 	}
@@ -132,16 +132,16 @@
 	}
 	at := r.believed(report.AtMs, now)
 	e.sightings[report.Watcher] = sighting{report, at}
-	if _, sight := SightOf(report.Watcher); sight == Listed {
+	if _, sight := ParseWatcherID(report.Watcher); sight == SourceList {
 		r.listedAt = max(r.listedAt, at)
 	}
 	r.dirty[report.Server] = true
 	return true
 }
 
-// MergeLoad takes in the load of a server whose status is held as a core's fold,
+// AddLoad takes in the load of a server whose status is held as a core's fold,
 // and tells whether it was newer.
-func (r *Reports) MergeLoad(load *wire.Load) bool {
+func (r *ReportStore) AddLoad(load *wire.Load) bool {
 	e := r.servers[load.GetServer()]
 	if e == nil {
 		return false
@@ -165,7 +165,7 @@
 // Servers returns the folded status of every server that a list sight or an
 // own sight with an address has named. The same map is returned until
 // something changes, and an unchanged server keeps its pointer.
-func (r *Reports) Servers() map[string]*wire.ServerStatus {
+func (r *ReportStore) Servers() map[string]*wire.ServerStatus {
 	if len(r.dirty) == 0 {
 		return r.folded
 	}
@@ -201,11 +201,11 @@
 }
 
 // Version counts the changes of what Servers returns.
-func (r *Reports) Version() uint64 { return r.version }
+func (r *ReportStore) Version() uint64 { return r.version }
 
-// Reports returns all held reports in the order of server and watcher, as for
+// ReportStore returns all held reports in the order of server and watcher, as for
 // a snapshot.
-func (r *Reports) Reports() []*wire.Report {
+func (r *ReportStore) Reports() []*wire.Report {
 	var all []*wire.Report
 	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
 		sightings := r.servers[name].sightings
@@ -218,7 +218,7 @@
 
 // ListedAt returns the newest instant of fleet time at which a watcher saw the
 // platform's list; the zero time before the first.
-func (r *Reports) ListedAt() time.Time {
+func (r *ReportStore) ListedAt() time.Time {
 	if r.listedAt == 0 {
 		return time.Time{}
 	}
@@ -228,14 +228,14 @@
 // Expire drops reports that newer ones of the same kind have outlived by Keep,
 // and servers that have been gone for Keep. The last word on a server that is
 // not gone stays for good. now is fleet time.
-func (r *Reports) Expire(now time.Time) {
-	keep := r.cfg.Keep.Milliseconds()
+func (r *ReportStore) Expire(now time.Time) {
+	keep := r.cfg.RetainFor.Milliseconds()
 	r.Servers()
 	for name, e := range r.servers {
-		newest := map[Sight]int64{}
+		newest := map[Source]int64{}
 		last := int64(0)
 		for watcher, s := range e.sightings {
-			_, sight := SightOf(watcher)
+			_, sight := ParseWatcherID(watcher)
 			newest[sight] = max(newest[sight], s.at)
 			last = max(last, s.at)
 		}
@@ -245,7 +245,7 @@
 			continue
 		}
 		for watcher, s := range e.sightings {
-			if _, sight := SightOf(watcher); newest[sight]-s.at > keep {
+			if _, sight := ParseWatcherID(watcher); newest[sight]-s.at > keep {
 				delete(e.sightings, watcher)
 				r.dirty[name] = true
 			}
--- a/internal/decision/serverstatus/merge_test.go
+++ b/internal/decision/serverstatus/merge_test.go
@@ -22,18 +22,18 @@
 var start = time.UnixMilli(1_000_000)
 
 func listed(watcher string, counter uint64, state wire.ServerState, at time.Duration) *wire.Report {
-	return &wire.Report{Watcher: Watcher(watcher, Listed), Server: "m1", Incarnation: 1, Counter: counter, AtMs: start.Add(at).UnixMilli(),
+	return &wire.Report{Watcher: WatcherID(watcher, SourceList), Server: "m1", Incarnation: 1, Counter: counter, AtMs: start.Add(at).UnixMilli(),
 		Status: &wire.ServerStatus{Name: "m1", Address: "127.0.0.1:1", Kind: "model", Services: []string{"chat"}, Region: "lagos", Zone: "a", State: state}}
 }
 
 func own(watcher string, counter uint64, status *wire.ServerStatus, at time.Duration) *wire.Report {
-	return &wire.Report{Watcher: Watcher(watcher, Own), Server: "m1", Incarnation: 1, Counter: counter, AtMs: start.Add(at).UnixMilli(), Status: status}
+	return &wire.Report{Watcher: WatcherID(watcher, SourceServer), Server: "m1", Incarnation: 1, Counter: counter, AtMs: start.Add(at).UnixMilli(), Status: status}
 }
 
 func folded(reports ...*wire.Report) *wire.ServerStatus {
-	r := New(Config{})
+	r := NewReportStore(Config{})
 	for _, report := range reports {
-		r.Merge(report, start.Add(time.Hour))
+		r.Add(report, start.Add(time.Hour))
 	}
 	return r.Servers()["m1"]
 }
@@ -52,8 +52,8 @@
 			So(folded(listed("n1", 9, draining, 0), listed("n2", 4, ready, 3100*time.Millisecond)).State, ShouldEqual, ready)
 		})
 		Convey("keeps the last word when all watchers are gone", func() {
-			r := New(Config{})
-			r.Merge(listed("n1", 1, draining, 0), start)
+			r := NewReportStore(Config{})
+			r.Add(listed("n1", 1, draining, 0), start)
 			r.Expire(start.Add(time.Hour))
 			So(r.Servers()["m1"].State, ShouldEqual, draining)
 		})
@@ -82,14 +82,14 @@
 			So(folded(listed("n1", 1, ready, 0), own("n1", 1, up, 0), own("n2", 1, silent, 4*time.Second)).Reachable, ShouldBeFalse)
 		})
 		Convey("believes no watcher from the future", func() {
-			r := New(Config{})
-			r.Merge(listed("n1", 1, ready, time.Hour), start)
-			r.Merge(listed("n2", 1, draining, 0), start)
+			r := NewReportStore(Config{})
+			r.Add(listed("n1", 1, ready, time.Hour), start)
+			r.Add(listed("n2", 1, draining, 0), start)
 			So(r.Servers()["m1"].State, ShouldEqual, draining)
 		})
 		Convey("forgets a server that has been gone for long, and no other", func() {
-			r := New(Config{})
-			r.Merge(listed("n1", 1, gone, 0), start)
+			r := NewReportStore(Config{})
+			r.Add(listed("n1", 1, gone, 0), start)
 			r.Expire(start.Add(29 * time.Second))
 			So(r.Servers(), ShouldContainKey, "m1")
 			r.Expire(start.Add(31 * time.Second))
@@ -97,12 +97,12 @@
 			So(r.Reports(), ShouldBeEmpty)
 		})
 		Convey("hands out the same map until something changes", func() {
-			r := New(Config{})
-			r.Merge(listed("n1", 1, ready, 0), start)
+			r := NewReportStore(Config{})
+			r.Add(listed("n1", 1, ready, 0), start)
 			first := r.Servers()
-			r.Merge(listed("n1", 2, ready, time.Second), start.Add(time.Second))
+			r.Add(listed("n1", 2, ready, time.Second), start.Add(time.Second))
 			So(r.Servers()["m1"], ShouldPointTo, first["m1"])
-			So(r.Merge(listed("n1", 2, draining, time.Second), start), ShouldBeFalse)
+			So(r.Add(listed("n1", 2, draining, time.Second), start), ShouldBeFalse)
 		})
 	})
 }
@@ -137,9 +137,9 @@
 		if !same(a, b) {
 			t.Fatalf("orders fold differently: %v and %v", a, b)
 		}
-		r := New(Config{})
+		r := NewReportStore(Config{})
 		for _, report := range all {
-			r.Merge(proto.CloneOf(report), start.Add(time.Hour))
+			r.Add(proto.CloneOf(report), start.Add(time.Hour))
 		}
 		snapshot := folded(r.Reports()...)
 		if !same(a, snapshot) {
--- a/internal/decision/serverstatus/unchanged.go
+++ b/internal/decision/serverstatus/unchanged.go
@@ -22,10 +22,10 @@
 	*d += Digest(xxhash.Sum64(key))
 }
 
-// Refresh takes the word of a watcher that its reports still stand, and returns
+// ConfirmUnchanged takes the word of a watcher that its reports still stand, and returns
 // their servers. It is not known, and changes nothing, where other reports of
 // the watcher are held than those it means.
-func (r *Reports) Refresh(unchanged *wire.Unchanged, now time.Time) (servers []string, known bool) {
+func (r *ReportStore) ConfirmUnchanged(unchanged *wire.Unchanged, now time.Time) (servers []string, known bool) {
 	var held Digest
 	for server, e := range r.servers {
 		if s, found := e.sightings[unchanged.GetWatcher()]; found && stands(s.report, unchanged) {
@@ -37,7 +37,7 @@
 		return nil, false
 	}
 	at := r.believed(unchanged.GetAtMs(), now)
-	if _, sight := SightOf(unchanged.Watcher); sight == Listed {
+	if _, sight := ParseWatcherID(unchanged.Watcher); sight == SourceList {
 		r.listedAt = max(r.listedAt, at)
 	}
 	for _, server := range servers {
@@ -55,8 +55,8 @@
 }
 
 // believed bounds a watcher's fleet time, which may be ahead of this process's.
-func (r *Reports) believed(at int64, now time.Time) int64 {
-	if nowMS := now.UnixMilli(); at > nowMS+r.cfg.Skew.Milliseconds() {
+func (r *ReportStore) believed(at int64, now time.Time) int64 {
+	if nowMS := now.UnixMilli(); at > nowMS+r.cfg.MaxClockSkew.Milliseconds() {
 		return nowMS
 	}
 	return at
--- a/internal/decision/serverstatus/unchanged_test.go
+++ b/internal/decision/serverstatus/unchanged_test.go
@@ -24,10 +24,10 @@
 		}
 		return uint64(d)
 	}
-	held := func(reports ...*wire.Report) *Reports {
-		r := New(Config{})
+	held := func(reports ...*wire.Report) *ReportStore {
+		r := NewReportStore(Config{})
 		for _, report := range reports {
-			r.Merge(report, now)
+			r.Add(report, now)
 		}
 		return r
 	}
@@ -35,23 +35,23 @@
 
 	Convey("A watcher's word that its reports stand dates them anew, those of servers that are gone excepted", t, func() {
 		r := held(told...)
-		servers, known := r.Refresh(stands, now)
+		servers, known := r.ConfirmUnchanged(stands, now)
 		So(known, ShouldBeTrue)
 		So(len(servers), ShouldEqual, 2)
 		So(r.servers["m1"].sightings["n1/list"].at, ShouldEqual, 99_000)
 		So(r.servers["m3"].sightings["n1/list"].at, ShouldEqual, 90_000)
 	})
 	Convey("It is not known where a report is missing, too many, of another process or of another time", t, func() {
-		for _, other := range []*Reports{held(told[0]), held(), held(append(told, report("m4", 4, ready))...), held(told[0], report("m2", 9, ready))} {
-			_, known := other.Refresh(stands, now)
+		for _, other := range []*ReportStore{held(told[0]), held(), held(append(told, report("m4", 4, ready))...), held(told[0], report("m2", 9, ready))} {
+			_, known := other.ConfirmUnchanged(stands, now)
 			So(known, ShouldBeFalse)
 		}
-		_, known := held(told...).Refresh(&wire.Unchanged{Watcher: "n1/list", Incarnation: 4, Digest: stands.Digest, AtMs: 99_000}, now)
+		_, known := held(told...).ConfirmUnchanged(&wire.Unchanged{Watcher: "n1/list", Incarnation: 4, Digest: stands.Digest, AtMs: 99_000}, now)
 		So(known, ShouldBeFalse)
 	})
 	Convey("A time that lies ahead counts as now", t, func() {
 		r := held(told...)
-		_, known := r.Refresh(&wire.Unchanged{Watcher: "n1/list", Incarnation: 3, Digest: stands.Digest, AtMs: 150_000}, now)
+		_, known := r.ConfirmUnchanged(&wire.Unchanged{Watcher: "n1/list", Incarnation: 3, Digest: stands.Digest, AtMs: 150_000}, now)
 		So(known, ShouldBeTrue)
 		So(r.servers["m1"].sightings["n1/list"].at, ShouldEqual, 100_000)
 	})
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -4,8 +4,8 @@
 
 // Entry is an event with its number. Numbers begin at 1 and have no gaps.
 type Entry[E any] struct {
-	Number uint64
-	Event  E
+	Sequence uint64
+	Event    E
 }
 
 // Journal holds the newest events up to its bound.
@@ -26,7 +26,7 @@
 func (j *Journal[E]) Append(event E) uint64 {
 	j.last++
 	at := (j.start + j.count) % len(j.ring)
-	j.ring[at] = Entry[E]{Number: j.last, Event: event}
+	j.ring[at] = Entry[E]{Sequence: j.last, Event: event}
 	if j.count < len(j.ring) {
 		j.count++
 	} else {
@@ -35,18 +35,18 @@
 	return j.last
 }
 
-// Last returns the number of the newest event, zero when there was none.
-func (j *Journal[E]) Last() uint64 { return j.last }
+// LastSequence returns the number of the newest event, zero when there was none.
+func (j *Journal[E]) LastSequence() uint64 { return j.last }
 
-// Oldest returns the number of the oldest event that is kept, or the number
+// OldestSequence returns the number of the oldest event that is kept, or the number
 // that comes next when none is.
-func (j *Journal[E]) Oldest() uint64 { return j.last - uint64(j.count) + 1 }
+func (j *Journal[E]) OldestSequence() uint64 { return j.last - uint64(j.count) + 1 }
 
 // After returns up to limit events after a number, oldest first; limit zero
 // means all. Whole is false when events after that number were dropped or the
 // number was never given: the reader needs a snapshot.
 func (j *Journal[E]) After(number uint64, limit int) (entries []Entry[E], whole bool) {
-	if number > j.last || number+1 < j.Oldest() {
+	if number > j.last || number+1 < j.OldestSequence() {
 		return nil, false
 	}
 	n := int(j.last - number)
@@ -63,10 +63,10 @@
 
 // Get returns the event of a number while it is kept.
 func (j *Journal[E]) Get(number uint64) (event E, ok bool) {
-	if number == 0 || number > j.last || number < j.Oldest() {
+	if number == 0 || number > j.last || number < j.OldestSequence() {
 		return event, false
 	}
-	return j.ring[(j.start+int(number-j.Oldest()))%len(j.ring)].Event, true
+	return j.ring[(j.start+int(number-j.OldestSequence()))%len(j.ring)].Event, true
 }
 
 // Fold folds the events that are kept into a view, oldest first.
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -43,22 +43,22 @@
 		place := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "append") {
-				j.Append(j.Last() + 1)
+				j.Append(j.LastSequence() + 1)
 				continue
 			}
 			entries, whole := j.After(place, rapid.IntRange(0, 3).Draw(t, "limit"))
 			if !whole {
-				if place+1 >= j.Oldest() {
-					t.Fatalf("place %d is kept from %d on, yet not whole", place, j.Oldest())
+				if place+1 >= j.OldestSequence() {
+					t.Fatalf("place %d is kept from %d on, yet not whole", place, j.OldestSequence())
 				}
-				place = j.Last()
+				place = j.LastSequence()
 				continue
 			}
 			for _, e := range entries {
-				if e.Number != place+1 || e.Event != e.Number {
+				if e.Sequence != place+1 || e.Event != e.Sequence {
 					t.Fatalf("after %d came %+v", place, e)
 				}
-				place = e.Number
+				place = e.Sequence
 			}
 		}
 	})
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -112,18 +112,18 @@
 	}
 	p.replica = replica.New(replica.Config{
 		Self: p.base.Name, Voters: p.values.Int("core.voters"), FirstSheet: first,
-		SnapshotRecords: p.values.Int("snapshot.records"), Replaced: replaced,
+		SnapshotRecords: p.values.Int("snapshot.records"), OnReplaced: replaced,
 	}, replica.OnDisk(disk), p.directory, p.clock, p.log)
 	p.core = control.New(control.Config{
 		Self: p.base.Name, Incarnation: p.base.Incarnation, LeaseTTL: p.values.Duration("lease.ttl"),
-		PingEvery: p.values.Duration("ping.interval"), PlanPeriod: p.values.Duration("plan.period"), Policy: p.policy(),
-		SheetMax: p.values.Int("sheet.max"), FleetNow: p.follower.FleetNow,
+		PingInterval: p.values.Duration("ping.interval"), PlanPeriod: p.values.Duration("plan.period"), PlanPolicy: p.policy(),
+		SheetMaxBytes: p.values.Int("sheet.max"), FleetNow: p.follower.FleetNow,
 	}, p.replica, p.directory, p.clock, p.log)
 	return nil
 }
 
 func (p *process) policy() plan.Policy {
-	return plan.Policy{RampStart: p.values.Int("route.ramp_start")}
+	return plan.Policy{SlowStartCap: p.values.Int("route.ramp_start")}
 }
 
 func (p *process) buildFront(world World, registry *prometheus.Registry) error {
--- a/internal/node/control/core.go
+++ b/internal/node/control/core.go
@@ -24,25 +24,25 @@
 
 // Config is what a core is set up with. Zero values take the defaults named.
 type Config struct {
-	Self        string
-	Incarnation uint64
-	LeaseTTL    time.Duration // 2 s
-	PingEvery   time.Duration // 500 ms: pace of pings and of the cores' views
-	QuietAfter  time.Duration // 700 ms: silence after which a member is pinged
-	BatchFor    time.Duration // 300 ms: how long new members are gathered
-	RemoveAfter time.Duration // 60 s of unbroken refusal
-	TurnStep    time.Duration // 500 ms: stagger between cores that would propose the same
-	PlanPeriod  time.Duration // 5 s
-	LoadEvery   time.Duration // 1 s: pace at which mere load rides the feed
-	AckPace     time.Duration // 50 ms: slowest pace at which views are asked for an order
-	OrderWait   time.Duration // 10 s: patience of an order that names none
-	FeedWait    time.Duration // 5 s: longest poll
-	FeedBound   int           // 4096 changes
-	SheetMax    int           // 16 MiB
-	Merge       serverstatus.Config
-	Policy      plan.Policy
-	// Setting checks a run-time setting of a sheet; nil lets all pass.
-	Setting func(name, value string) error
+	Self            string
+	Incarnation     uint64
+	LeaseTTL        time.Duration // 2 s
+	PingInterval    time.Duration // 500 ms: pace of pings and of the cores' views
+	PingAfter       time.Duration // 700 ms: silence after which a member is pinged
+	JoinBatchWindow time.Duration // 300 ms: how long new members are gathered
+	RemoveAfter     time.Duration // 60 s of unbroken refusal
+	ProposalStagger time.Duration // 500 ms: stagger between cores that would propose the same
+	PlanPeriod      time.Duration // 5 s
+	LoadInterval    time.Duration // 1 s: pace at which mere load rides the feed
+	ViewInterval    time.Duration // 50 ms: slowest pace at which views are asked for an order
+	OrderTimeout    time.Duration // 10 s: patience of an order that names none
+	FeedWaitMax     time.Duration // 5 s: longest poll
+	FeedCapacity    int           // 4096 changes
+	SheetMaxBytes   int           // 16 MiB
+	ServerStatus    serverstatus.Config
+	PlanPolicy      plan.Policy
+	// CheckSetting checks a run-time setting of a sheet; nil lets all pass.
+	CheckSetting func(name, value string) error
 	// FleetNow gives fleet time; the clock's own when nil.
 	FleetNow func() time.Time
 }
@@ -54,21 +54,21 @@
 		}
 	}
 	span(&c.LeaseTTL, 2*time.Second)
-	span(&c.PingEvery, 500*time.Millisecond)
-	span(&c.QuietAfter, 700*time.Millisecond)
-	span(&c.BatchFor, 300*time.Millisecond)
+	span(&c.PingInterval, 500*time.Millisecond)
+	span(&c.PingAfter, 700*time.Millisecond)
+	span(&c.JoinBatchWindow, 300*time.Millisecond)
 	span(&c.RemoveAfter, time.Minute)
-	span(&c.TurnStep, 500*time.Millisecond)
+	span(&c.ProposalStagger, 500*time.Millisecond)
 	span(&c.PlanPeriod, 5*time.Second)
-	span(&c.LoadEvery, time.Second)
-	span(&c.AckPace, 50*time.Millisecond)
-	span(&c.OrderWait, 10*time.Second)
-	span(&c.FeedWait, 5*time.Second)
-	if c.FeedBound <= 0 {
-		c.FeedBound = 4096
+	span(&c.LoadInterval, time.Second)
+	span(&c.ViewInterval, 50*time.Millisecond)
+	span(&c.OrderTimeout, 10*time.Second)
+	span(&c.FeedWaitMax, 5*time.Second)
+	if c.FeedCapacity <= 0 {
+		c.FeedCapacity = 4096
 	}
-	if c.SheetMax <= 0 {
-		c.SheetMax = 16 << 20
+	if c.SheetMaxBytes <= 0 {
+		c.SheetMaxBytes = 16 << 20
 	}
 	if c.FleetNow == nil {
 		c.FleetNow = clock.Now
@@ -76,8 +76,8 @@
 	return c
 }
 
-// Agreement is what a core needs of its replica.
-type Agreement interface {
+// Replica is what a core needs of its replica.
+type Replica interface {
 	// Propose returns once the command is chosen and applied here.
 	Propose(ctx context.Context, command []byte) (version uint64, result sheet.Result, err error)
 	// ReadMajority returns a state that holds whatever was chosen before the call.
@@ -106,11 +106,11 @@
 	orderBound  = 64
 )
 
-// Core is the runtime of a core. Fields after inbox belong to Serve's
+// Controller is the runtime of a core. Fields after inbox belong to Serve's
 // goroutine.
-type Core struct {
+type Controller struct {
 	config    Config
-	agreement Agreement
+	agreement Replica
 	peers     port.Peers
 	clock     clock.Clock
 	log       events.Log
@@ -120,7 +120,7 @@
 	listedAt atomic.Int64 // fleet time in ms at which a watcher last saw the platform's list
 
 	ctx       context.Context
-	ledger    *lease.Ledger
+	ledger    *lease.Table
 	opened    bool
 	state     sheet.State
 	feed      *feed
@@ -131,7 +131,7 @@
 	outboxes  map[string]*outbox
 	sights    map[string]sight
 	viewers   []*viewer
-	processes *lease.Sights
+	processes *lease.StatusTracker
 	untold    bool // something rides the feed that no waiter has been answered with
 	lastLook  time.Time
 	pinging   map[string]bool
@@ -152,21 +152,21 @@
 }
 
 // New returns a core whose leases begin now.
-func New(config Config, agreement Agreement, peers port.Peers, clock clock.Clock, log events.Log) *Core {
+func New(config Config, agreement Replica, peers port.Peers, clock clock.Clock, log events.Log) *Controller {
 	config = config.orDefaults(clock)
-	return &Core{
+	return &Controller{
 		config: config, agreement: agreement, peers: peers, clock: clock, log: log,
 		orders: make(chan struct{}, orderBound), inbox: make(chan func(), inboxBound),
-		begun: clock.Now(), ledger: lease.NewLedger(config.Self, config.LeaseTTL, clock.Now()),
-		feed:    newFeed(config.Self, config.Incarnation, config.FeedBound),
-		reports: newReports(config.Self, config.Incarnation, config.Merge), outboxes: map[string]*outbox{}, sights: map[string]sight{},
+		begun: clock.Now(), ledger: lease.NewTable(config.Self, config.LeaseTTL, clock.Now()),
+		feed:    newFeed(config.Self, config.Incarnation, config.FeedCapacity),
+		reports: newReports(config.Self, config.Incarnation, config.ServerStatus), outboxes: map[string]*outbox{}, sights: map[string]sight{},
 		pinging: map[string]bool{}, jobs: map[string]bool{}, since: map[string]time.Time{},
-		processes: lease.NewSights(), relays: map[string][]relayed{},
+		processes: lease.NewStatusTracker(), relays: map[string][]relayed{},
 	}
 }
 
 // Serve runs the owner until the context ends.
-func (c *Core) Serve(ctx context.Context) error {
+func (c *Controller) Serve(ctx context.Context) error {
 	c.ctx = ctx
 	clear(c.pinging)
 	clear(c.jobs)
@@ -190,7 +190,7 @@
 	}
 }
 
-func (c *Core) tick(now time.Time) {
+func (c *Controller) tick(now time.Time) {
 	c.open(now)
 	c.ledger.Expire(now)
 	c.feed.prune()
@@ -207,7 +207,7 @@
 }
 
 // post hands a step to the owner.
-func (c *Core) post(ctx context.Context, step func()) bool {
+func (c *Controller) post(ctx context.Context, step func()) bool {
 	select {
 	case c.inbox <- step:
 		return true
@@ -217,7 +217,7 @@
 }
 
 // ask runs a question at the owner and waits for its answer.
-func ask[T any](ctx context.Context, c *Core, question func() T) (T, error) {
+func ask[T any](ctx context.Context, c *Controller, question func() T) (T, error) {
 	reply := make(chan T, 1)
 	var none T
 	if !c.post(ctx, func() { reply <- question() }) {
@@ -233,7 +233,7 @@
 
 // job runs work outside the owner, one at a time of a name, and then at the
 // owner what it returns.
-func (c *Core) job(name string, timeout time.Duration, work func(ctx context.Context) func()) {
+func (c *Controller) job(name string, timeout time.Duration, work func(ctx context.Context) func()) {
 	if c.jobs[name] {
 		return
 	}
@@ -254,7 +254,7 @@
 
 // waited tells whether a condition has held since it was first asked about,
 // for a span; ending it forgets.
-func (c *Core) waited(name string, holds bool, span time.Duration, now time.Time) bool {
+func (c *Controller) waited(name string, holds bool, span time.Duration, now time.Time) bool {
 	if !holds {
 		delete(c.since, name)
 		return false
@@ -270,7 +270,7 @@
 // learn takes up what the replica has applied and feeds it on. When commands
 // in between are no longer kept the feed begins a new life, so that those who
 // follow it take a snapshot.
-func (c *Core) learn() {
+func (c *Controller) learn() {
 	current := c.agreement.Current()
 	if current.Version <= c.state.Version {
 		return
@@ -292,7 +292,7 @@
 	c.answerWaiters()
 }
 
-func (c *Core) announce(before, after sheet.State) {
+func (c *Controller) announce(before, after sheet.State) {
 	c.log.Emit(events.VersionLearned, "epoch", after.Version, "sheet_epoch", after.SheetVersion)
 	for name := range after.Roster {
 		if _, known := before.Roster[name]; !known && before.Version > 0 {
@@ -313,12 +313,12 @@
 }
 
 // learned returns the core's learned version; it never falls within a life.
-func (c *Core) learned() uint64 { return max(c.state.Version, c.agreement.Current().Version) }
+func (c *Controller) learned() uint64 { return max(c.state.Version, c.agreement.Current().Version) }
 
 // open lets leases begin once the core holds whatever a majority had chosen
 // when it started: what its former life learned and vouched for may not have
 // been synced.
-func (c *Core) open(now time.Time) {
+func (c *Controller) open(now time.Time) {
 	if c.opened || c.agreement.Standing() != wire.Standing_STANDING_VOTING {
 		return
 	}
@@ -334,7 +334,7 @@
 	})
 }
 
-func (c *Core) closedFault() *apierror.Error {
+func (c *Controller) closedFault() *apierror.Error {
 	switch c.agreement.Standing() {
 	case wire.Standing_STANDING_BLANK, wire.Standing_STANDING_UNSPECIFIED:
 		return apierror.Errorf(apierror.CoreBlank, "the cores have not formed yet")
@@ -348,7 +348,7 @@
 }
 
 // others returns the other cores that are known, by name.
-func (c *Core) others() []*wire.Process {
+func (c *Controller) others() []*wire.Process {
 	var others []*wire.Process
 	for _, voter := range c.agreement.Voters() {
 		if voter == c.config.Self {
@@ -363,19 +363,19 @@
 
 // rank is this core's place among the voters, by which cores that would
 // propose the same take turns.
-func (c *Core) rank() (place int, voter bool) {
+func (c *Controller) rank() (place int, voter bool) {
 	voters := slices.Clone(c.agreement.Voters())
 	slices.Sort(voters)
 	place = slices.Index(voters, c.config.Self)
 	return place, place >= 0
 }
 
-func (c *Core) turn() time.Duration {
+func (c *Controller) turn() time.Duration {
 	place, _ := c.rank()
-	return time.Duration(max(place, 0)) * c.config.TurnStep
+	return time.Duration(max(place, 0)) * c.config.ProposalStagger
 }
 
-func (c *Core) mayPropose() bool {
+func (c *Controller) mayPropose() bool {
 	_, voter := c.rank()
 	return voter && c.opened && c.agreement.Standing() == wire.Standing_STANDING_VOTING
 }
--- a/internal/node/control/feed.go
+++ b/internal/node/control/feed.go
@@ -61,8 +61,8 @@
 	}
 	resp = &wire.FollowResponse{Feed: req.Feed, Place: req.Place}
 	for _, entry := range entries {
-		resp.Changes = append(resp.Changes, &wire.Change{Place: entry.Number, What: entry.Event.What})
-		resp.Place = entry.Number
+		resp.Changes = append(resp.Changes, &wire.Change{Place: entry.Sequence, What: entry.Event.What})
+		resp.Place = entry.Sequence
 	}
 	return resp, true
 }
@@ -82,8 +82,8 @@
 // Follow returns the changes after a place, or a snapshot where they are no
 // longer kept or the feed is another one. With nothing new it waits, at most
 // wait_ms.
-func (c *Core) Follow(ctx context.Context, req *wire.FollowRequest) (*wire.FollowResponse, error) {
-	wait := max(min(time.Duration(req.WaitMs)*time.Millisecond, c.config.FeedWait), tickEvery)
+func (c *Controller) Follow(ctx context.Context, req *wire.FollowRequest) (*wire.FollowResponse, error) {
+	wait := max(min(time.Duration(req.WaitMs)*time.Millisecond, c.config.FeedWaitMax), tickEvery)
 	waiting, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	reply := make(chan *pulled, 1)
@@ -112,7 +112,7 @@
 }
 
 // pull returns what a request may have now, nil when it has to wait.
-func (c *Core) pull(req *wire.FollowRequest) *pulled {
+func (c *Controller) pull(req *wire.FollowRequest) *pulled {
 	resp, ok := c.feed.read(req)
 	if ok {
 		if len(resp.Changes) == 0 {
@@ -123,8 +123,8 @@
 	}
 	state := c.state
 	snapshot := &wire.Snapshot{Epoch: state.Version, Plan: c.plan, Reports: c.reports.snapshot()}
-	resp = &wire.FollowResponse{Feed: c.feed.id(), Place: c.feed.changes.Last(), Learned: state.Version, Snapshot: snapshot}
-	snapshot.Sights = c.processes.Told()
+	resp = &wire.FollowResponse{Feed: c.feed.id(), Place: c.feed.changes.LastSequence(), Learned: state.Version, Snapshot: snapshot}
+	snapshot.Sights = c.processes.Published()
 	if state.Version == 0 || req.Epoch >= state.Version {
 		return &pulled{resp: resp}
 	}
@@ -140,7 +140,7 @@
 
 // encodedOf begins to encode a state outside the owner, unless that is done or
 // under way, and returns what waits for it.
-func (c *Core) encodedOf(state sheet.State) func() []byte {
+func (c *Controller) encodedOf(state sheet.State) func() []byte {
 	held := c.encoded
 	if held == nil || held.version != state.Version {
 		held = &encodedState{version: state.Version, ready: make(chan struct{})}
@@ -157,7 +157,7 @@
 }
 
 // answerWaiters answers those for whom there is something new.
-func (c *Core) answerWaiters() {
+func (c *Controller) answerWaiters() {
 	c.untold = false
 	kept := c.feed.waiters[:0]
 	for _, w := range c.feed.waiters {
--- a/internal/node/control/fleet_test.go
+++ b/internal/node/control/fleet_test.go
@@ -32,7 +32,7 @@
 	names     []string
 	processes map[string]*wire.Process
 	records   map[string]*atomic.Pointer[wire.Process] // what each says of itself
-	cores     map[string]*control.Core
+	cores     map[string]*control.Controller
 	fronts    map[string]*follower.Follower
 	stop      map[string]context.CancelFunc
 	silent    atomic.Pointer[map[string]bool]
@@ -54,7 +54,7 @@
 var voters = []string{"c1", "c2", "c3"}
 
 func newFleet(ctx context.Context, fronts int) *fleet {
-	f := &fleet{ctx: ctx, processes: map[string]*wire.Process{}, records: map[string]*atomic.Pointer[wire.Process]{}, cores: map[string]*control.Core{},
+	f := &fleet{ctx: ctx, processes: map[string]*wire.Process{}, records: map[string]*atomic.Pointer[wire.Process]{}, cores: map[string]*control.Controller{},
 		fronts: map[string]*follower.Follower{}, stop: map[string]context.CancelFunc{}}
 	f.agreed.Store(&agreed{changed: make(chan struct{})})
 	f.silent.Store(&map[string]bool{})
--- a/internal/node/control/order.go
+++ b/internal/node/control/order.go
@@ -53,10 +53,10 @@
 // in force; if that can't be had in time the answer is OutcomePending, and the
 // same order sent again to any core gets the same result. Reads are answered
 // by a majority or not at all. Faults come as an answer, not as an error.
-func (c *Core) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
-	wait := c.config.OrderWait
+func (c *Controller) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
+	wait := c.config.OrderTimeout
 	if req.WaitMs > 0 {
-		wait = min(time.Duration(req.WaitMs)*time.Millisecond, 3*c.config.OrderWait)
+		wait = min(time.Duration(req.WaitMs)*time.Millisecond, 3*c.config.OrderTimeout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -73,7 +73,7 @@
 		return c.status(ctx)
 	}
 	command, apiErr := sheet.ParseOrder(req.Verb, req.Operator, req.Body,
-		sheet.Limits{Bytes: c.config.SheetMax, Setting: c.config.Setting}, c.config.FleetNow().UnixMilli())
+		sheet.Limits{Bytes: c.config.SheetMaxBytes, Setting: c.config.CheckSetting}, c.config.FleetNow().UnixMilli())
 	if req.Operator == "" {
 		apiErr = apierror.Errorf(apierror.OperatorUnknown, "the order names no operator")
 	}
@@ -84,7 +84,7 @@
 	return c.carry(ctx, req, command), nil
 }
 
-func (c *Core) read(ctx context.Context, verb string) *wire.OrderResponse {
+func (c *Controller) read(ctx context.Context, verb string) *wire.OrderResponse {
 	state, err := c.agreement.ReadMajority(ctx)
 	if err != nil {
 		return faulty(unread(err), 0, "")
@@ -107,7 +107,7 @@
 }
 
 // carry brings a command through its ballot and waits until it is in force.
-func (c *Core) carry(ctx context.Context, req *wire.OrderRequest, command sheet.Command) *wire.OrderResponse {
+func (c *Controller) carry(ctx context.Context, req *wire.OrderRequest, command sheet.Command) *wire.OrderResponse {
 	order, _ := sheet.OrderOf(command)
 	id := order.OrderID
 	if result, sure := c.foretell(ctx, command); sure && result.Code == apierror.OK {
@@ -136,7 +136,7 @@
 // foretell returns the result that needs no ballot: what the learned state
 // settles, and what a state read from a majority refuses. What can't be
 // accepted leaves nothing behind.
-func (c *Core) foretell(ctx context.Context, command sheet.Command) (result sheet.Result, sure bool) {
+func (c *Controller) foretell(ctx context.Context, command sheet.Command) (result sheet.Result, sure bool) {
 	state := c.agreement.Current()
 	if result, sure = state.Foresee(command); sure {
 		return result, true
@@ -155,7 +155,7 @@
 	return result, result.Code != apierror.OK
 }
 
-func (c *Core) refused(req *wire.OrderRequest, result sheet.Result, id string) *wire.OrderResponse {
+func (c *Controller) refused(req *wire.OrderRequest, result sheet.Result, id string) *wire.OrderResponse {
 	event := events.OrderRefused
 	if result.Code == apierror.BaseMoved {
 		event = events.OrderLost
@@ -166,22 +166,22 @@
 
 // await asks all cores for their lease views until the version is in force. They
 // answer when their part of it is met, so a fleet in good health is asked once.
-func (c *Core) await(ctx context.Context, result sheet.Result, id string) *wire.OrderResponse {
-	why, pace := "no core answered", c.config.AckPace/8
+func (c *Controller) await(ctx context.Context, result sheet.Result, id string) *wire.OrderResponse {
+	why, pace := "no core answered", c.config.ViewInterval/8
 	for {
 		state := c.agreement.Current()
-		question := lease.Question{Version: result.Version, Voters: len(c.agreement.Voters()), Roster: state.Roster, Prior: state.PriorRoster}
+		question := lease.ConfirmationCheck{Version: result.Version, Voters: len(c.agreement.Voters()), Roster: state.Roster, PriorRoster: state.PriorRoster}
 		met, reason := false, ""
 		question.Views = c.views(ctx, &wire.LeaseViewRequest{Epoch: result.Version}, func(views []*wire.LeaseViewResponse) bool {
 			question.Views = views
-			met, reason = lease.InForce(question)
+			met, reason = lease.VersionConfirmed(question)
 			return met
 		})
 		if !met {
-			met, reason = lease.InForce(question)
+			met, reason = lease.VersionConfirmed(question)
 		}
 		if met {
-			count := lease.Confirmations(question)
+			count := lease.CountConfirmations(question)
 			c.log.Emit(events.OrderAcknowledged, "order", id, "epoch", result.Version, "confirmed", count.Confirmed)
 			return answered(orderAnswer{Version: result.Version, SheetVersion: result.SheetVersion, InForce: true,
 				Confirmed: count.Confirmed, Roster: len(state.Roster), OrderID: id}, result.Version)
@@ -195,7 +195,7 @@
 			apiErr := apierror.Errorf(apierror.OutcomePending, "agreed at epoch %d and not known to be in force: %s; send the order again with its id", result.Version, why)
 			return faulty(apiErr.WithRetryAfter(comeBack), result.Version, id)
 		case <-c.clock.After(pace):
-			pace = min(2*pace, c.config.AckPace)
+			pace = min(2*pace, c.config.ViewInterval)
 		}
 	}
 }
--- a/internal/node/control/planner.go
+++ b/internal/node/control/planner.go
@@ -15,7 +15,7 @@
 // keepDuty tries for the planner's duty when it is vacant and this core's turn
 // has come. A holder that restarted takes a new term, as it no longer knows
 // which plans it numbered.
-func (c *Core) keepDuty(now time.Time) {
+func (c *Controller) keepDuty(now time.Time) {
 	if !c.mayPropose() {
 		return
 	}
@@ -23,7 +23,7 @@
 	voters := c.agreement.Voters()
 	own := held.Holder == c.config.Self
 	vacant := (own && held.Term != c.wonTerm) || (!own && election.Vacant(held, voters, c.sightsOf(held.Holder, now)))
-	wait, voter := election.Turn(c.config.Self, held, voters, c.config.TurnStep)
+	wait, voter := election.CandidateDelay(c.config.Self, held, voters, c.config.ProposalStagger)
 	if own {
 		wait = 0
 	}
@@ -48,21 +48,21 @@
 
 // sightsOf tells what each core knows of a holder. A core that is not settled
 // or was not heard within a TTL says nothing.
-func (c *Core) sightsOf(holder string, now time.Time) []election.Sight {
+func (c *Controller) sightsOf(holder string, now time.Time) []election.Observation {
 	if holder == "" {
 		return nil
 	}
 	heard, answered := c.sights[holder]
-	direct := answered && now.Sub(heard.at) < 3*c.config.PingEvery
-	var sights []election.Sight
-	if direct || c.ledger.Settled(now) {
-		sights = append(sights, election.Sight{Core: c.config.Self, Alive: direct || c.ledger.Live(holder, now)})
+	direct := answered && now.Sub(heard.at) < 3*c.config.PingInterval
+	var sights []election.Observation
+	if direct || c.ledger.StartupGraceOver(now) {
+		sights = append(sights, election.Observation{Core: c.config.Self, HolderAlive: direct || c.ledger.HasLease(holder, now)})
 	}
 	for core, s := range c.sights {
 		if core == c.config.Self || now.Sub(s.at) >= c.config.LeaseTTL || !s.view.Settled || (s.about != holder && core != holder) {
 			continue
 		}
-		sights = append(sights, election.Sight{Core: core, Alive: core == holder || listed(s.view.Confirmed, holder)})
+		sights = append(sights, election.Observation{Core: core, HolderAlive: core == holder || listed(s.view.Confirmed, holder)})
 	}
 	return sights
 }
@@ -70,7 +70,7 @@
 // keepPlan makes a plan when this core holds the duty and the period is over
 // or something forces one. After it began it first hears of the servers: a plan
 // of some of them would take the others' caps away.
-func (c *Core) keepPlan(now time.Time) {
+func (c *Controller) keepPlan(now time.Time) {
 	held := c.state.Duties[election.Planner]
 	if held.Holder != c.config.Self || held.Term != c.wonTerm || !c.opened || c.state.Sheet == nil {
 		return
@@ -79,13 +79,13 @@
 		return
 	}
 	in := c.planInput(held.Term)
-	cause, forced := plan.Forced(c.plan, in)
+	cause, forced := plan.ReplanCause(c.plan, in)
 	switch {
 	case forced:
 		in.Cause = cause
 	case c.plan.Term != held.Term:
 		in.Cause = "term"
-	case plan.Due(c.plan, in.Now):
+	case plan.PeriodOver(c.plan, in.Now):
 		in.Cause = "period"
 	default:
 		return
@@ -105,13 +105,13 @@
 	})
 }
 
-func (c *Core) planInput(term uint64) plan.Input {
+func (c *Controller) planInput(term uint64) plan.Input {
 	number := uint64(1)
 	if c.plan != nil && c.plan.Term == term {
 		number = c.plan.Number + 1
 	}
 	return plan.Input{State: c.state, Servers: c.reports.merged.Servers(), Fronts: frontsOf(c.state.Roster), Prior: c.plan,
-		Term: term, Number: number, Holder: c.config.Self, Now: c.config.FleetNow(), Period: c.config.PlanPeriod, Policy: c.config.Policy}
+		Term: term, Number: number, Holder: c.config.Self, Now: c.config.FleetNow(), Period: c.config.PlanPeriod, Policy: c.config.PlanPolicy}
 }
 
 func frontsOf(roster map[string]sheet.Member) []sheet.Member {
--- a/internal/node/control/relay.go
+++ b/internal/node/control/relay.go
@@ -41,7 +41,7 @@
 }
 
 // relay queues a renewal for the other cores and returns how many are to answer.
-func (c *Core) relay(renewal *wire.RenewRequest, answers chan<- relayedAnswer) (asked int) {
+func (c *Controller) relay(renewal *wire.RenewRequest, answers chan<- relayedAnswer) (asked int) {
 	passed := &wire.RenewRequest{Self: renewal.Self, Epoch: renewal.Epoch, Name: renewal.Name, Incarnation: renewal.Incarnation}
 	for _, p := range c.others() {
 		if len(c.relays[p.Name]) >= relayBound {
@@ -56,7 +56,7 @@
 // flushRelays sends each other core the renewals that wait for it. Batches may be
 // under way at once, as the way between regions may take longer than relayEvery;
 // relayWait bounds how many.
-func (c *Core) flushRelays(now time.Time) {
+func (c *Controller) flushRelays(now time.Time) {
 	if now.Sub(c.lastRelay) < relayEvery {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // dropRelays gives up what waits for cores that are not known any more: it must
 // not reach one that comes back when its members may have left.
-func (c *Core) dropRelays() {
+func (c *Controller) dropRelays() {
 	for _, batch := range c.relays {
 		for _, one := range batch {
 			one.answers <- relayedAnswer{}
@@ -78,7 +78,7 @@
 	clear(c.relays)
 }
 
-func (c *Core) flushRelay(p *wire.Process) {
+func (c *Controller) flushRelay(p *wire.Process) {
 	batch := c.relays[p.Name]
 	if len(batch) == 0 {
 		return
@@ -108,7 +108,7 @@
 
 // takeRelayed hands on what a core answered, as of the middle of the call. A
 // member of which it holds no record is told to it at once.
-func (c *Core) takeRelayed(p *wire.Process, batch []relayed, answers []*wire.RenewResponse, middle time.Time) {
+func (c *Controller) takeRelayed(p *wire.Process, batch []relayed, answers []*wire.RenewResponse, middle time.Time) {
 	told := false
 	for i, one := range batch {
 		answer := answers[i]
@@ -116,7 +116,7 @@
 			one.answers <- relayedAnswer{resp: answer, ahead: time.UnixMicro(answer.TimeUs).Sub(middle)}
 			continue
 		}
-		record := c.ledger.Record(one.renewal.Name, one.renewal.Incarnation)
+		record := c.ledger.ProcessRecord(one.renewal.Name, one.renewal.Incarnation)
 		if one.again || record == nil {
 			one.answers <- relayedAnswer{}
 			continue
@@ -132,7 +132,7 @@
 
 // awaitRelayed waits for the answers of the other cores to a relayed renewal, and
 // returns those that came with their clocks as of now.
-func (c *Core) awaitRelayed(ctx context.Context, asked int, answers <-chan relayedAnswer) []*wire.RenewResponse {
+func (c *Controller) awaitRelayed(ctx context.Context, asked int, answers <-chan relayedAnswer) []*wire.RenewResponse {
 	over, stop := clock.NewTimer(relayWait)
 	defer stop()
 	var came []relayedAnswer
@@ -158,12 +158,12 @@
 }
 
 // RenewBatch renews the leases of members that renewed at another core.
-func (c *Core) RenewBatch(ctx context.Context, req *wire.RenewBatchRequest) (*wire.RenewBatchResponse, error) {
+func (c *Controller) RenewBatch(ctx context.Context, req *wire.RenewBatchRequest) (*wire.RenewBatchResponse, error) {
 	if len(req.Renewals) > relayBound {
 		return nil, apierror.Errorf(apierror.BadField, "a batch of %d renewals, at most %d", len(req.Renewals), relayBound)
 	}
 	for _, renewal := range req.Renewals {
-		if renewal.Unconfirmed || lease.Renewing(renewal) == "" {
+		if renewal.Unconfirmed || lease.RenewedMember(renewal) == "" {
 			return nil, apierror.Errorf(apierror.BadField, "a batch holds renewals of members that are confirmed, by name")
 		}
 	}
--- a/internal/node/control/renew.go
+++ b/internal/node/control/renew.go
@@ -15,8 +15,8 @@
 // this core has accepted a value that it has not learned: it may be chosen, and
 // the member's former life may have ruled by it. A renewal with relay set is
 // answered with what the other cores say to it.
-func (c *Core) Renew(ctx context.Context, req *wire.RenewRequest) (*wire.RenewResponse, error) {
-	if lease.Renewing(req) == "" {
+func (c *Controller) Renew(ctx context.Context, req *wire.RenewRequest) (*wire.RenewResponse, error) {
+	if lease.RenewedMember(req) == "" {
 		return nil, apierror.Errorf(apierror.MissingField, "name")
 	}
 	type answer struct {
@@ -68,13 +68,13 @@
 const relayAnswers = 64
 
 // renew renews one lease at the owner and feeds what is new about the member.
-func (c *Core) renew(req *wire.RenewRequest) *wire.RenewResponse {
+func (c *Controller) renew(req *wire.RenewRequest) *wire.RenewResponse {
 	now := c.clock.Now()
 	resp := c.ledger.Renew(req, c.learned(), now)
 	if resp.Who {
 		return resp
 	}
-	name := lease.Renewing(req)
+	name := lease.RenewedMember(req)
 	if !resp.Granted {
 		c.log.Emit(events.LeaseRefused, "member", name, "code", apierror.Code(resp.Refusal), "epoch", req.Epoch, "learned", resp.Learned)
 	}
@@ -83,7 +83,7 @@
 }
 
 // Release ends the lease of a member that stops of itself.
-func (c *Core) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
+func (c *Controller) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
 	_, err := ask(ctx, c, func() bool {
 		c.ledger.Release(req.Name, req.Incarnation, c.clock.Now())
 		c.look(req.Name, c.clock.Now())
--- a/internal/node/control/reports.go
+++ b/internal/node/control/reports.go
@@ -26,7 +26,7 @@
 	self        string
 	incarnation uint64
 	counter     uint64
-	merged      *serverstatus.Reports
+	merged      *serverstatus.ReportStore
 	latest      map[string]map[string]*wire.Report // server -> watcher
 	unfed       map[string]bool                    // servers with news that was not fed
 	fed         map[string]*wire.Report            // the newest fold that was fed
@@ -38,7 +38,7 @@
 const loadBudget = 100
 
 func newReports(self string, incarnation uint64, config serverstatus.Config) *reports {
-	return &reports{self: self, incarnation: incarnation, merged: serverstatus.New(config), latest: map[string]map[string]*wire.Report{},
+	return &reports{self: self, incarnation: incarnation, merged: serverstatus.NewReportStore(config), latest: map[string]map[string]*wire.Report{},
 		unfed: map[string]bool{}, fed: map[string]*wire.Report{}, loads: map[string]*wire.Load{}}
 }
 
@@ -52,7 +52,7 @@
 }
 
 func (r *reports) merge(report *wire.Report, now time.Time) bool {
-	if !r.merged.Merge(report, now) {
+	if !r.merged.Add(report, now) {
 		return false
 	}
 	put(r.latest, report)
@@ -63,7 +63,7 @@
 // refresh takes the word of a watcher that its reports stand; it is false where
 // others are held.
 func (r *reports) refresh(unchanged *wire.Unchanged, now time.Time) bool {
-	servers, known := r.merged.Refresh(unchanged, now)
+	servers, known := r.merged.ConfirmUnchanged(unchanged, now)
 	for _, server := range servers {
 		r.unfed[server] = true
 	}
@@ -122,7 +122,7 @@
 
 func (r *reports) fold(status *wire.ServerStatus, now time.Time) *wire.Report {
 	r.counter++
-	report := &wire.Report{Watcher: serverstatus.Watcher(r.self, serverstatus.Folded), Server: status.Name, Incarnation: r.incarnation,
+	report := &wire.Report{Watcher: serverstatus.WatcherID(r.self, serverstatus.SourceMerged), Server: status.Name, Incarnation: r.incarnation,
 		Counter: r.counter, Status: status, AtMs: now.UnixMilli()}
 	r.fed[status.Name] = report
 	delete(r.loads, status.Name)
@@ -173,7 +173,7 @@
 	busy      bool
 }
 
-func (c *Core) outbox(core string) *outbox {
+func (c *Controller) outbox(core string) *outbox {
 	box, ok := c.outboxes[core]
 	if !ok {
 		box = &outbox{reports: map[string]map[string]*wire.Report{}, unchanged: map[string]*wire.Unchanged{}, plan: c.plan}
@@ -190,17 +190,17 @@
 // Submit takes reports and a plan, and the word that earlier reports stand.
 // What came from a watcher goes on to the other cores; what another core relayed
 // goes no further.
-func (c *Core) Submit(ctx context.Context, req *wire.SubmitRequest) (*wire.SubmitResponse, error) {
+func (c *Controller) Submit(ctx context.Context, req *wire.SubmitRequest) (*wire.SubmitResponse, error) {
 	unknown, err := ask(ctx, c, func() []string { return c.submit(req) })
 	return &wire.SubmitResponse{Unknown: unknown}, err
 }
 
 // ListedAt returns the newest instant, in ms of fleet time, at which a watcher
 // saw the platform's list, as far as this core was told; 0 before the first.
-func (c *Core) ListedAt() int64 { return c.listedAt.Load() }
+func (c *Controller) ListedAt() int64 { return c.listedAt.Load() }
 
 // submit returns the watchers whose unchanged reports are not held here.
-func (c *Core) submit(req *wire.SubmitRequest) (unknown []string) {
+func (c *Controller) submit(req *wire.SubmitRequest) (unknown []string) {
 	now := c.config.FleetNow()
 	for _, report := range req.Reports {
 		if !c.reports.merge(report, now) || req.Relayed {
@@ -235,8 +235,8 @@
 }
 
 // foldReports lets old reports go and feeds mere load at its pace.
-func (c *Core) foldReports(now time.Time) {
-	load := now.Sub(c.reports.loadAt) >= c.config.LoadEvery
+func (c *Controller) foldReports(now time.Time) {
+	load := now.Sub(c.reports.loadAt) >= c.config.LoadInterval
 	if load {
 		c.reports.merged.Expire(c.config.FleetNow())
 		c.reports.loadAt = now
@@ -246,14 +246,14 @@
 
 // heardAll tells whether this core has run long enough that every watcher has
 // repeated what it sees.
-func (c *Core) heardAll() bool {
+func (c *Controller) heardAll() bool {
 	n := len(c.reports.merged.Servers())
-	return c.clock.Now().Sub(c.begun) >= serverstatus.KeepAlive(n)+serverstatus.KeepAlive(n)/2
+	return c.clock.Now().Sub(c.begun) >= serverstatus.RepeatInterval(n)+serverstatus.RepeatInterval(n)/2
 }
 
 // feedReports puts what came up on the feed. Those who wait are answered at the
 // next tick, so that reports of many watchers cost each of them one answer.
-func (c *Core) feedReports(load bool) {
+func (c *Controller) feedReports(load bool) {
 	due := c.reports.due(load, c.heardAll(), c.config.FleetNow())
 	for _, change := range due {
 		c.feed.publish(change)
@@ -262,7 +262,7 @@
 }
 
 // takePlan takes up and feeds a plan of a higher (term, number).
-func (c *Core) takePlan(next *wire.Plan) bool {
+func (c *Controller) takePlan(next *wire.Plan) bool {
 	if next == nil {
 		return false
 	}
@@ -294,13 +294,13 @@
 }
 
 // flushAll sends each other core what it has not taken, one call at a time.
-func (c *Core) flushAll() {
+func (c *Controller) flushAll() {
 	for _, p := range c.others() {
 		c.flush(p)
 	}
 }
 
-func (c *Core) flush(p *wire.Process) {
+func (c *Controller) flush(p *wire.Process) {
 	box := c.outbox(p.Name)
 	if box.busy || (len(box.reports) == 0 && len(box.unchanged) == 0 && box.plan == nil) {
 		return
@@ -343,7 +343,7 @@
 }
 
 // sendWhole puts all reports of some watchers into an outbox.
-func (c *Core) sendWhole(box *outbox, watchers []string) {
+func (c *Controller) sendWhole(box *outbox, watchers []string) {
 	for _, row := range c.reports.latest {
 		for watcher, report := range row {
 			if slices.Contains(watchers, watcher) && box.reports[report.Server][watcher] == nil {
--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -16,12 +16,12 @@
 
 // pingQuiet pings members that have not been heard for a while. A refusal
 // releases their lease at once; silence never does.
-func (c *Core) pingQuiet(now time.Time) {
-	if now.Sub(c.lastPings) < c.config.PingEvery/2 {
+func (c *Controller) pingQuiet(now time.Time) {
+	if now.Sub(c.lastPings) < c.config.PingInterval/2 {
 		return
 	}
 	c.lastPings = now
-	for _, quiet := range c.ledger.Quiet(c.state.Roster, c.config.QuietAfter, now) {
+	for _, quiet := range c.ledger.PingTargets(c.state.Roster, c.config.PingAfter, now) {
 		p, known := c.peers.Process(quiet.Name)
 		if !known || quiet.Name == c.config.Self || c.pinging[quiet.Name] {
 			continue
@@ -29,7 +29,7 @@
 		c.pinging[quiet.Name] = true
 		parent := c.ctx
 		go func() {
-			ctx, cancel := context.WithTimeout(parent, c.config.PingEvery)
+			ctx, cancel := context.WithTimeout(parent, c.config.PingInterval)
 			defer cancel()
 			resp, err := c.peers.Client(p.Address).Ping(ctx, connect.NewRequest(&wire.PingRequest{
 				From: c.config.Self, Incarnation: c.config.Incarnation, Unconfirmed: true}))
@@ -41,24 +41,24 @@
 	}
 }
 
-func (c *Core) pinged(quiet lease.Quiet, resp *connect.Response[wire.PingResponse], err error) {
+func (c *Controller) pinged(quiet lease.Quiet, resp *connect.Response[wire.PingResponse], err error) {
 	now := c.clock.Now()
 	switch {
 	case err == nil && resp.Msg.Name == quiet.Name:
-		c.ledger.Heard(quiet.Name, resp.Msg.Incarnation, now)
+		c.ledger.RecordPingResponse(quiet.Name, resp.Msg.Incarnation, now)
 	case err != nil && port.Refused(err):
-		if quiet.Incarnation != 0 && c.ledger.Live(quiet.Name, now) {
+		if quiet.Incarnation != 0 && c.ledger.HasLease(quiet.Name, now) {
 			c.log.Emit(events.LeaseReleased, "member", quiet.Name, "by", "refusal")
 		}
-		c.ledger.Gone(quiet.Name, quiet.Incarnation, now)
+		c.ledger.RecordRefusal(quiet.Name, quiet.Incarnation, now)
 		c.look(quiet.Name, now)
 	}
 }
 
 // askViews keeps a fresh view of what the other cores know of a duty's holder,
 // by which vacancy is judged.
-func (c *Core) askViews(now time.Time) {
-	if now.Sub(c.lastViews) < c.config.PingEvery {
+func (c *Controller) askViews(now time.Time) {
+	if now.Sub(c.lastViews) < c.config.PingInterval {
 		return
 	}
 	c.lastViews = now
@@ -79,39 +79,39 @@
 
 // keepRoster proposes what the roster needs: members that renew and are not on
 // it, members that refused for long, and the end of a change in force.
-func (c *Core) keepRoster(now time.Time) {
+func (c *Controller) keepRoster(now time.Time) {
 	if !c.mayPropose() {
 		return
 	}
 	c.settleRoster(now)
-	newcomers := c.ledger.Newcomers(c.state.Roster, now)
-	if !c.jobs["add"] && c.waited("add", len(newcomers) > 0 && c.state.Settled(), c.config.BatchFor+c.turn(), now) {
+	newcomers := c.ledger.UnlistedMembers(c.state.Roster, now)
+	if !c.jobs["add"] && c.waited("add", len(newcomers) > 0 && c.state.Settled(), c.config.JoinBatchWindow+c.turn(), now) {
 		for _, member := range newcomers {
 			c.log.Emit(events.MemberJoined, "member", member.Name, "locality", sheet.ZoneName(member.Region, member.Zone))
 		}
 		c.propose("add", sheet.AddMembers{Members: newcomers, By: c.config.Self})
 	}
-	departed := c.ledger.Departed(c.state.Roster, c.config.RemoveAfter, now)
+	departed := c.ledger.RefusingMembers(c.state.Roster, c.config.RemoveAfter, now)
 	if c.waited("remove", len(departed) > 0 && c.state.Settled(), c.turn(), now) {
 		c.propose("remove", sheet.RemoveMembers{Names: departed, By: c.config.Self})
 	}
 }
 
-func (c *Core) settleRoster(now time.Time) {
+func (c *Controller) settleRoster(now time.Time) {
 	state := c.state
 	if !c.waited("settle", !state.Settled(), c.turn(), now) {
 		return
 	}
 	c.job("settle", jobTimeout, func(ctx context.Context) func() {
-		question, met := lease.Question{Version: state.RosterVersion, Voters: len(c.agreement.Voters()), Roster: state.Roster, Prior: state.PriorRoster}, false
+		question, met := lease.ConfirmationCheck{Version: state.RosterVersion, Voters: len(c.agreement.Voters()), Roster: state.Roster, PriorRoster: state.PriorRoster}, false
 		c.views(ctx, &wire.LeaseViewRequest{Epoch: state.RosterVersion}, func(views []*wire.LeaseViewResponse) bool {
 			question.Views = views
-			met, _ = lease.Settled(question)
+			met, _ = lease.RosterChangeConfirmed(question)
 			return met
 		})
 		if !met {
 			select {
-			case <-c.clock.After(2 * c.config.AckPace):
+			case <-c.clock.After(2 * c.config.ViewInterval):
 			case <-ctx.Done():
 			}
 			return nil
@@ -125,7 +125,7 @@
 
 // propose puts a command of the core's own to a ballot; what it asks for is
 // looked at anew afterwards, so a failure needs no other answer.
-func (c *Core) propose(name string, command sheet.Command) {
+func (c *Controller) propose(name string, command sheet.Command) {
 	c.job(name, jobTimeout, func(ctx context.Context) func() {
 		_, _, _ = c.agreement.Propose(ctx, sheet.Encode(command))
 		return func() { delete(c.since, name) }
--- a/internal/node/control/sights_test.go
+++ b/internal/node/control/sights_test.go
@@ -97,7 +97,7 @@
 			}
 			f.pass(8 * time.Second)
 			view := f.fronts["f20"].View()
-			So(view.Verdict.Ruling, ShouldBeTrue)
+			So(view.Verdict.Granted, ShouldBeTrue)
 			So(slices.ContainsFunc(voters, func(core string) bool { return slices.Contains(view.Live, core) }), ShouldBeFalse)
 			So(view.Live, ShouldContain, "f10")
 		})
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -57,7 +57,7 @@
 }
 
 // status tells how this core sees the fleet; it is no read-back.
-func (c *Core) status(ctx context.Context) (*wire.OrderResponse, error) {
+func (c *Controller) status(ctx context.Context) (*wire.OrderResponse, error) {
 	type owned struct {
 		state   sheet.State
 		plan    *wire.Plan
@@ -71,10 +71,10 @@
 	views := c.views(ctx, &wire.LeaseViewRequest{Epoch: state.Version}, nil)
 	voters := slices.Clone(c.agreement.Voters())
 	slices.Sort(voters)
-	question := lease.Question{Version: state.Version, Voters: len(voters), Views: views, Roster: state.Roster, Prior: state.PriorRoster}
-	met, why := lease.InForce(question)
+	question := lease.ConfirmationCheck{Version: state.Version, Voters: len(voters), Views: views, Roster: state.Roster, PriorRoster: state.PriorRoster}
+	met, why := lease.VersionConfirmed(question)
 	s := fleetStatus{By: c.config.Self, Version: state.Version, SheetVersion: state.SheetVersion, InForce: met, Waiting: why,
-		Confirmed: lease.Confirmations(question).Confirmed, Roster: len(state.Roster), RosterVersion: state.RosterVersion,
+		Confirmed: lease.CountConfirmations(question).Confirmed, Roster: len(state.Roster), RosterVersion: state.RosterVersion,
 		RosterSettle: state.Settled(), Evacuated: state.Evacuated, Duties: state.Duties,
 		Plan: planSummary(own.plan), Servers: own.servers, Cores: []coreStatus{}, Members: []memberStatus{}}
 	for _, voter := range voters {
@@ -93,7 +93,7 @@
 	return answered(s, state.Version), nil
 }
 
-func (c *Core) coreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
+func (c *Controller) coreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
 	s := coreStatus{Name: voter, Standing: "unknown"}
 	if p, ok := c.peers.Process(voter); ok {
 		s.Standing = standingName(p.Standing)
--- a/internal/node/control/views.go
+++ b/internal/node/control/views.go
@@ -20,10 +20,10 @@
 // LeaseView answers a core's question whether a version is in force. With a
 // wait it answers once this core's part is met, or as it stands when the wait
 // is over.
-func (c *Core) LeaseView(ctx context.Context, req *wire.LeaseViewRequest) (*wire.LeaseViewResponse, error) {
+func (c *Controller) LeaseView(ctx context.Context, req *wire.LeaseViewRequest) (*wire.LeaseViewResponse, error) {
 	if req.About != "" {
 		return ask(ctx, c, func() *wire.LeaseViewResponse {
-			return c.vouched(c.ledger.About(req.About, c.learned(), c.clock.Now()))
+			return c.vouched(c.ledger.MemberView(req.About, c.learned(), c.clock.Now()))
 		})
 	}
 	if req.WaitMs > 0 {
@@ -43,19 +43,19 @@
 	return ask(ctx, c, func() *wire.LeaseViewResponse { return c.view(req.Epoch) })
 }
 
-func (c *Core) view(version uint64) *wire.LeaseViewResponse {
+func (c *Controller) view(version uint64) *wire.LeaseViewResponse {
 	return c.vouched(c.ledger.View(version, c.learned(), c.clock.Now()))
 }
 
 // vouched leaves a view unsettled until the core has caught up since its start.
-func (c *Core) vouched(view *wire.LeaseViewResponse) *wire.LeaseViewResponse {
+func (c *Controller) vouched(view *wire.LeaseViewResponse) *wire.LeaseViewResponse {
 	view.Settled = view.Settled && c.opened
 	return view
 }
 
 // answerViewers answers those whose version this core's part of the rule holds
 // for, and forgets those that no longer wait.
-func (c *Core) answerViewers() {
+func (c *Controller) answerViewers() {
 	if len(c.viewers) == 0 {
 		return
 	}
@@ -65,7 +65,7 @@
 			continue
 		}
 		if _, known := whole[v.version]; !known {
-			whole[v.version] = c.learned() >= v.version && c.ledger.Whole(v.version, c.state.Roster, now)
+			whole[v.version] = c.learned() >= v.version && c.ledger.ConfirmedAt(v.version, c.state.Roster, now)
 		}
 		if whole[v.version] {
 			v.reply <- c.view(v.version)
@@ -80,7 +80,7 @@
 // views asks all cores, this one included, for one round of lease views. Cores
 // that don't answer in time are left out. With enough given, the cores wait for
 // their part of the rule, and the round ends as soon as what came is enough.
-func (c *Core) views(ctx context.Context, req *wire.LeaseViewRequest, enough func([]*wire.LeaseViewResponse) bool) []*wire.LeaseViewResponse {
+func (c *Controller) views(ctx context.Context, req *wire.LeaseViewRequest, enough func([]*wire.LeaseViewResponse) bool) []*wire.LeaseViewResponse {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	if enough != nil {
--- a/internal/node/follower/feed.go
+++ b/internal/node/follower/feed.go
@@ -143,7 +143,7 @@
 		f.takeSnapshot(s.Epoch, s.State)
 		dirty = f.takePlan(s.Plan) || dirty
 		for _, report := range s.Reports {
-			dirty = f.reports.Merge(report, f.FleetNow()) || dirty
+			dirty = f.reports.Add(report, f.FleetNow()) || dirty
 		}
 		f.takeSights(s.Sights)
 		churn = true
@@ -158,9 +158,9 @@
 		case *wire.Change_Plan:
 			dirty = f.takePlan(what.Plan) || dirty
 		case *wire.Change_Report:
-			dirty = f.reports.Merge(what.Report, f.FleetNow()) || dirty
+			dirty = f.reports.Add(what.Report, f.FleetNow()) || dirty
 		case *wire.Change_Load:
-			dirty = f.reports.MergeLoad(what.Load) || dirty
+			dirty = f.reports.AddLoad(what.Load) || dirty
 		}
 	}
 	if churn {
--- a/internal/node/follower/follow.go
+++ b/internal/node/follower/follow.go
@@ -59,7 +59,7 @@
 	holder   *lease.Holder
 	state    sheet.State
 	held     bool
-	reports  *serverstatus.Reports
+	reports  *serverstatus.ReportStore
 	plan     *wire.Plan
 	offsets  map[string]time.Duration
 	renewing map[string]bool
@@ -82,7 +82,7 @@
 	fetching bool
 	feed     place
 	ruling   bool
-	ruledBy  lease.By
+	ruledBy  lease.Source
 	presence map[string]presence
 	lives    map[string]uint64
 	tell     map[string]bool // peers to be pinged again once the ping under way ends
@@ -128,7 +128,7 @@
 	f := &Follower{
 		config: config, name: config.Self().Name, peers: peers, clock: clock, log: log,
 		inbox: make(chan func(), 256), holder: lease.NewHolder(config.Self().Name, config.LeaseTTL),
-		reports: serverstatus.New(serverstatus.Config{}), offsets: map[string]time.Duration{},
+		reports: serverstatus.NewReportStore(serverstatus.Config{}), offsets: map[string]time.Duration{},
 		renewing: map[string]bool{}, pinging: map[string]bool{}, contact: map[string]time.Time{}, asked: map[string]time.Time{}, refused: map[string]time.Time{}, told: map[string]told{}, words: map[string]word{}, presence: map[string]presence{}, lives: map[string]uint64{}, again: map[string]bool{}, failing: map[string]bool{}, recorded: map[string]*wire.Process{}, tell: map[string]bool{}, behind: map[string]uint64{},
 	}
 	first := make(chan struct{})
@@ -154,7 +154,7 @@
 // Report puts a watcher's own sight into the view at once.
 func (f *Follower) Report(report *wire.Report) {
 	f.post(func() {
-		if f.reports.Merge(report, f.FleetNow()) {
+		if f.reports.Add(report, f.FleetNow()) {
 			f.publishServers()
 		}
 	})
--- a/internal/node/follower/notice.go
+++ b/internal/node/follower/notice.go
@@ -9,25 +9,25 @@
 )
 
 // noticeVerdict logs when what the node rules by changes.
-func (f *Follower) noticeVerdict(verdict lease.Verdict) {
-	if verdict.By == f.ruledBy {
+func (f *Follower) noticeVerdict(verdict lease.Authority) {
+	if verdict.Source == f.ruledBy {
 		return
 	}
 	was := f.ruledBy
-	f.ruledBy = verdict.By
+	f.ruledBy = verdict.Source
 	version := f.state.Version
-	if was == lease.ByLease {
+	if was == lease.SourceLease {
 		f.log.Emit(events.LeaseLapsed, "epoch", version)
 	}
-	switch verdict.By {
-	case lease.ByLease:
+	switch verdict.Source {
+	case lease.SourceLease:
 		f.log.Emit(events.LeaseGained, "epoch", version)
-	case lease.ByRoster:
+	case lease.SourceRoster:
 		f.log.Emit(events.RulingByRoster, "epoch", version)
 	}
-	if (was == lease.ByNone || was == "") != (verdict.By == lease.ByNone) {
-		if verdict.Ruling {
-			f.log.Emit(events.RulingRegained, "by", verdict.By, "epoch", version)
+	if (was == lease.SourceNone || was == "") != (verdict.Source == lease.SourceNone) {
+		if verdict.Granted {
+			f.log.Emit(events.RulingRegained, "by", verdict.Source, "epoch", version)
 		} else {
 			f.log.Emit(events.RulingLost, "epoch", version)
 		}
--- a/internal/node/follower/ping.go
+++ b/internal/node/follower/ping.go
@@ -26,7 +26,7 @@
 // Ping answers a peer with the version that this front has confirmed.
 func (f *Follower) Ping(ctx context.Context, req *wire.PingRequest) (*wire.PingResponse, error) {
 	if !req.Unconfirmed {
-		f.post(func() { f.holder.Known(req.Epoch); f.judge() })
+		f.post(func() { f.holder.ObserveVersion(req.Epoch); f.judge() })
 	}
 	s, own := f.pinged.Load(), f.config.Self()
 	return &wire.PingResponse{Name: f.name, Incarnation: own.Incarnation, Epoch: s.version, Unconfirmed: s.unconfirmed,
@@ -82,8 +82,8 @@
 // wavering tells whether the lease is half way to its lapse and a majority of
 // the cores failed to answer; those that are merely late set off no wave.
 func (f *Follower) wavering(now time.Time) bool {
-	verdict := f.holder.Ruling(now)
-	if verdict.Ruling && verdict.By == lease.ByLease && verdict.Until.Sub(now) >= f.config.LeaseTTL/2 {
+	verdict := f.holder.Authority(now)
+	if verdict.Granted && verdict.Source == lease.SourceLease && verdict.Until.Sub(now) >= f.config.LeaseTTL/2 {
 		return false
 	}
 	voters, failing := f.voters(), 0
@@ -123,7 +123,7 @@
 				delete(f.contact, name)
 				f.asked[name], f.refused[name] = time.Time{}, f.clock.Now()
 				f.noticePeer(name, refuses, 0)
-				f.holder.Refused(name, f.clock.Now())
+				f.holder.RecordRefusal(name, f.clock.Now())
 			case f.clock.Now().Sub(f.asked[name]) >= pingFresh && f.refused[name].IsZero():
 				f.noticePeer(name, silent, 0)
 			}
@@ -138,7 +138,7 @@
 }
 
 func (f *Follower) heard(peer *wire.Process, sent time.Time, resp *wire.PingResponse) {
-	f.holder.Heard(resp.Name, resp.Incarnation, sent, resp.Epoch, resp.Unconfirmed)
+	f.holder.RecordPingResponse(resp.Name, resp.Incarnation, sent, resp.Epoch, resp.Unconfirmed)
 	f.words[resp.Name] = word{incarnation: resp.Incarnation, ready: resp.Ready, leaving: resp.Leaving, at: f.clock.Now()}
 	if resp.Epoch > f.state.Version && !resp.Unconfirmed {
 		f.fetch(peer.Address)
--- a/internal/node/follower/publish.go
+++ b/internal/node/follower/publish.go
@@ -42,7 +42,7 @@
 func (f *Follower) nextView() *View {
 	old, servers := f.view.Load(), f.reports.Servers()
 	view := &View{State: f.state, Index: old.Index.For(f.state), Plan: f.plan, Servers: servers,
-		Verdict: f.holder.Ruling(f.clock.Now()), Fronts: old.Fronts, Roster: old.Roster, Live: old.Live, Silent: old.Silent,
+		Verdict: f.holder.Authority(f.clock.Now()), Fronts: old.Fronts, Roster: old.Roster, Live: old.Live, Silent: old.Silent,
 		version: f.reports.Version()}
 	if old.State.Version != f.state.Version {
 		view.Roster = rosterNames(f.state)
@@ -82,7 +82,7 @@
 // stands is no part of it: Ruling tells that.
 func (v *View) same(old *View) bool {
 	return v.State.Version == old.State.Version && v.Index == old.Index && v.Plan == old.Plan && v.version == old.version &&
-		v.Verdict.Ruling == old.Verdict.Ruling && v.Verdict.By == old.Verdict.By &&
+		v.Verdict.Granted == old.Verdict.Granted && v.Verdict.Source == old.Verdict.Source &&
 		identical(v.Live, old.Live) && v.SameFronts(old)
 }
 
--- a/internal/node/follower/publish_test.go
+++ b/internal/node/follower/publish_test.go
@@ -82,7 +82,7 @@
 			So(f.View().Fronts[7].Ready, ShouldBeFalse)
 		})
 		Convey("A server that is new is", func() {
-			f.reports.Merge(&wire.Report{Watcher: "front-001/list", Server: "s", Incarnation: 1, Counter: 1, Status: &wire.ServerStatus{
+			f.reports.Add(&wire.Report{Watcher: "front-001/list", Server: "s", Incarnation: 1, Counter: 1, Status: &wire.ServerStatus{
 				Name: "s", Address: "s", Services: []string{"chat"}, State: wire.ServerState_SERVER_STATE_READY}}, f.FleetNow())
 			f.publish()
 			So(f.View().Servers, ShouldContainKey, "s")
--- a/internal/node/follower/renew.go
+++ b/internal/node/follower/renew.go
@@ -134,9 +134,9 @@
 	}
 	wasUnconfirmed := f.holder.Unconfirmed()
 	if resp.Granted {
-		f.holder.Renewed(core.Name, call.sent, call.req.Epoch, resp.Learned)
+		f.holder.RecordGrant(core.Name, call.sent, call.req.Epoch, resp.Learned)
 	} else if call.req.Unconfirmed {
-		f.holder.Asked(core.Name, resp.Learned)
+		f.holder.RecordDenial(core.Name, resp.Learned)
 	}
 	if wasUnconfirmed && !f.holder.Unconfirmed() {
 		for _, p := range f.peers.Cores() {
--- a/internal/node/follower/state.go
+++ b/internal/node/follower/state.go
@@ -24,19 +24,19 @@
 // judge publishes until when the node rules.
 func (f *Follower) judge() {
 	f.settleTime()
-	verdict := f.holder.Ruling(f.clock.Now())
+	verdict := f.holder.Authority(f.clock.Now())
 	if f.left || !f.timed.Load() {
-		verdict = lease.Verdict{By: f.ruledBy}
+		verdict = lease.Authority{Source: f.ruledBy}
 	}
 	until := time.Time{}
-	if verdict.Ruling {
+	if verdict.Granted {
 		until = verdict.Until
 	}
 	f.lapse.Store(&until)
 	f.pinged.Store(&standing{version: f.state.Version, unconfirmed: f.holder.Unconfirmed()})
 	f.noticeVerdict(verdict)
-	if verdict.Ruling != f.ruling {
-		f.ruling = verdict.Ruling
+	if verdict.Granted != f.ruling {
+		f.ruling = verdict.Granted
 		f.publish()
 	}
 }
@@ -96,7 +96,7 @@
 	f.state, f.held = state, true
 	f.holder.SetRoster(state.Roster, state.PriorRoster)
 	f.publish()
-	f.holder.Confirm(state.Version)
+	f.holder.AdvanceTo(state.Version)
 	f.noticeState(old, state)
 	f.judge()
 	f.renewAll()
--- a/internal/node/follower/view.go
+++ b/internal/node/follower/view.go
@@ -20,7 +20,7 @@
 	Index   *sheet.Index
 	Plan    *wire.Plan                    // nil before the first
 	Servers map[string]*wire.ServerStatus // by name
-	Verdict lease.Verdict
+	Verdict lease.Authority
 	Fronts  []*wire.Process // live fronts by name; Ready tells which take traffic
 	Roster  []string        // names of the fronts on the roster, sorted
 	Live    []string        // those of them that are not known to be gone
@@ -49,7 +49,7 @@
 // Status describes the view at fleet time now.
 func (v *View) Status(name, zone string, ruling bool, now time.Time) Status {
 	s := Status{Name: name, Zone: zone, Version: v.State.Version, SheetVersion: v.State.SheetVersion,
-		Ruling: ruling, By: string(v.Verdict.By), Servers: map[string]string{}, Roster: v.Roster, FleetTimeMS: now.UnixMilli()}
+		Ruling: ruling, By: string(v.Verdict.Source), Servers: map[string]string{}, Roster: v.Roster, FleetTimeMS: now.UnixMilli()}
 	if v.Plan != nil {
 		s.Plan, s.PlanTerm, s.PlanHolder = v.Plan.Number, v.Plan.Term, v.Plan.Holder
 	}
--- a/internal/node/healthcheck/list.go
+++ b/internal/node/healthcheck/list.go
@@ -65,7 +65,7 @@
 		if left := listing.Cold[status.Name]; left > 0 {
 			status.ColdUntilMs = at.Add(left).UnixMilli()
 		}
-		w.see(serverstatus.Listed, status, at)
+		w.see(serverstatus.SourceList, status, at)
 	}
 	for name, status := range known {
 		if !listed[name] && listing.Bad[name] == "" {
@@ -105,11 +105,11 @@
 	w.stoodAt, w.listedAt = now, at
 	var digest serverstatus.Digest
 	for key, s := range w.sights {
-		if key.kind == serverstatus.Listed {
+		if key.kind == serverstatus.SourceList {
 			digest.Add(s.report)
 		}
 	}
-	unchanged := &wire.Unchanged{Watcher: serverstatus.Watcher(w.cfg.Self, serverstatus.Listed), Incarnation: w.cfg.Incarnation,
+	unchanged := &wire.Unchanged{Watcher: serverstatus.WatcherID(w.cfg.Self, serverstatus.SourceList), Incarnation: w.cfg.Incarnation,
 		Digest: uint64(digest), AtMs: at.UnixMilli()}
 	for _, core := range w.peers.Cores() {
 		w.box(core.Name).unchanged = unchanged
@@ -137,10 +137,10 @@
 	}
 	gone := &wire.ServerStatus{Name: name, Address: status.Address, Kind: status.Kind, Services: status.Services,
 		Region: status.Region, Zone: status.Zone, State: wire.ServerState_SERVER_STATE_GONE}
-	if s := w.sights[sightKey{name, serverstatus.Listed}]; s != nil && proto.Equal(s.status(), gone) && w.clock.Now().Sub(s.since) > goneFor {
+	if s := w.sights[sightKey{name, serverstatus.SourceList}]; s != nil && proto.Equal(s.status(), gone) && w.clock.Now().Sub(s.since) > goneFor {
 		return
 	}
-	w.see(serverstatus.Listed, gone, at)
+	w.see(serverstatus.SourceList, gone, at)
 }
 
 func (w *Watcher) failed(why string) {
--- a/internal/node/healthcheck/polls.go
+++ b/internal/node/healthcheck/polls.go
@@ -26,11 +26,11 @@
 func (w *Watcher) duePolls(v View) {
 	for _, name := range slices.Sorted(maps.Keys(v.Servers)) {
 		status := v.Servers[name]
-		if s := w.sights[sightKey{name, serverstatus.Listed}]; s != nil && s.status().GetState() == wire.ServerState_SERVER_STATE_GONE {
+		if s := w.sights[sightKey{name, serverstatus.SourceList}]; s != nil && s.status().GetState() == wire.ServerState_SERVER_STATE_GONE {
 			continue
 		}
 		if !w.mine(v.Fronts, name, status.Region, status.Zone, w.cfg.ServerFronts) {
-			delete(w.sights, sightKey{name, serverstatus.Own})
+			delete(w.sights, sightKey{name, serverstatus.SourceServer})
 			continue
 		}
 		p := w.polls[name]
@@ -47,8 +47,8 @@
 	for name := range w.polls {
 		if v.Servers[name] == nil {
 			delete(w.polls, name)
-			delete(w.sights, sightKey{name, serverstatus.Own})
-			delete(w.sights, sightKey{name, serverstatus.Listed})
+			delete(w.sights, sightKey{name, serverstatus.SourceServer})
+			delete(w.sights, sightKey{name, serverstatus.SourceList})
 		}
 	}
 }
@@ -72,16 +72,16 @@
 	switch reach {
 	case port.Answers:
 		p.silent = 0
-		w.see(serverstatus.Own, status, at)
+		w.see(serverstatus.SourceServer, status, at)
 	case port.Refuses:
 		p.silent = 0
-		w.see(serverstatus.Own, &wire.ServerStatus{Name: name, State: wire.ServerState_SERVER_STATE_GONE}, at)
+		w.see(serverstatus.SourceServer, &wire.ServerStatus{Name: name, State: wire.ServerState_SERVER_STATE_GONE}, at)
 	default:
 		p.silent++
 		if p.silent < w.cfg.SilentAfter {
 			return
 		}
-		w.see(serverstatus.Own, &wire.ServerStatus{Name: name}, at)
+		w.see(serverstatus.SourceServer, &wire.ServerStatus{Name: name}, at)
 	}
 	if said, told := reaches[reach]; told && p.reach != reach {
 		w.log.Emit(said, "server", name, "why", errText(err))
--- a/internal/node/healthcheck/sights.go
+++ b/internal/node/healthcheck/sights.go
@@ -11,7 +11,7 @@
 
 type sightKey struct {
 	server string
-	kind   serverstatus.Sight
+	kind   serverstatus.Source
 }
 
 type sight struct {
@@ -32,12 +32,12 @@
 }
 
 // tell logs what a sight shows that the last one of its kind did not.
-func (w *Watcher) tell(kind serverstatus.Sight, old, status *wire.ServerStatus) {
+func (w *Watcher) tell(kind serverstatus.Source, old, status *wire.ServerStatus) {
 	by := "itself"
-	if kind == serverstatus.Listed {
+	if kind == serverstatus.SourceList {
 		by = "the platform"
 	}
-	if kind == serverstatus.Own && status.Reachable && old.GetIncarnation() != status.Incarnation {
+	if kind == serverstatus.SourceServer && status.Reachable && old.GetIncarnation() != status.Incarnation {
 		w.log.Emit(events.ServerSeen, "server", status.Name, "incarnation", status.Incarnation)
 	}
 	if event, told := states[status.State]; told && old.GetState() != status.State {
@@ -54,13 +54,13 @@
 
 // see reports a sight that changed, or whose keep-alive is due. at is the fleet
 // time at which the question was asked.
-func (w *Watcher) see(kind serverstatus.Sight, status *wire.ServerStatus, at time.Time) {
+func (w *Watcher) see(kind serverstatus.Source, status *wire.ServerStatus, at time.Time) {
 	key, now := sightKey{status.Name, kind}, w.clock.Now()
 	s := w.sights[key]
 	if s == nil {
 		s = &sight{since: now}
 		w.sights[key] = s
-	} else if !urgent(s.status(), status) && (stands(kind, status) || now.Sub(s.sent) < serverstatus.KeepAlive(w.size)) {
+	} else if !urgent(s.status(), status) && (stands(kind, status) || now.Sub(s.sent) < serverstatus.RepeatInterval(w.size)) {
 		return
 	}
 	w.tell(kind, s.status(), status)
@@ -69,7 +69,7 @@
 	}
 	s.sent = now
 	w.counter++
-	report := &wire.Report{Watcher: serverstatus.Watcher(w.cfg.Self, kind), Server: status.Name, Incarnation: w.cfg.Incarnation,
+	report := &wire.Report{Watcher: serverstatus.WatcherID(w.cfg.Self, kind), Server: status.Name, Incarnation: w.cfg.Incarnation,
 		Counter: w.counter, Status: status, AtMs: at.UnixMilli()}
 	s.report = report
 	w.report(report)
@@ -80,8 +80,8 @@
 
 // stands tells whether a sight that has not changed is covered by what the
 // cores are told of all of its kind at once.
-func stands(kind serverstatus.Sight, status *wire.ServerStatus) bool {
-	return kind == serverstatus.Listed && status.State != wire.ServerState_SERVER_STATE_GONE
+func stands(kind serverstatus.Source, status *wire.ServerStatus) bool {
+	return kind == serverstatus.SourceList && status.State != wire.ServerState_SERVER_STATE_GONE
 }
 
 // urgent tells whether a sight differs in more than load. While a server ramps
--- a/internal/node/healthcheck/watch.go
+++ b/internal/node/healthcheck/watch.go
@@ -143,7 +143,7 @@
 // the context.
 func (w *Watcher) Observe(ctx context.Context, server string, reachable bool) {
 	at := w.fleetNow()
-	step := func() { w.see(serverstatus.Own, &wire.ServerStatus{Name: server, Reachable: reachable}, at) }
+	step := func() { w.see(serverstatus.SourceServer, &wire.ServerStatus{Name: server, Reachable: reachable}, at) }
 	select {
 	case w.observed <- step:
 	case <-ctx.Done():
--- a/internal/node/healthcheck/watch_test.go
+++ b/internal/node/healthcheck/watch_test.go
@@ -43,13 +43,13 @@
 	asked   map[string]int
 	told    map[string]bool // events by name and server
 	reports map[string]int  // sent, by watcher
-	cores   map[string]*serverstatus.Reports
+	cores   map[string]*serverstatus.ReportStore
 	fronts  []*wire.Process
 }
 
 func newWorld() *world {
 	w := &world{token: make(chan struct{}, 1), servers: map[string]*wire.ServerStatus{}, dark: map[string]platform.Reach{},
-		down: map[string]bool{}, asked: map[string]int{}, told: map[string]bool{}, reports: map[string]int{}, cores: map[string]*serverstatus.Reports{}}
+		down: map[string]bool{}, asked: map[string]int{}, told: map[string]bool{}, reports: map[string]int{}, cores: map[string]*serverstatus.ReportStore{}}
 	for i := range 6 {
 		region, zone := []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
 		name := fmt.Sprintf("m%d", i)
@@ -60,7 +60,7 @@
 		w.fronts = append(w.fronts, &wire.Process{Name: fmt.Sprintf("n%d", i), Region: region, Zone: zone, Front: true, Core: i < 3, Standing: wire.Standing_STANDING_VOTING, Address: fmt.Sprintf("n%d", i)})
 	}
 	for i := range 3 {
-		w.cores[fmt.Sprintf("n%d", i)] = serverstatus.New(serverstatus.Config{})
+		w.cores[fmt.Sprintf("n%d", i)] = serverstatus.NewReportStore(serverstatus.Config{})
 	}
 	w.token <- struct{}{}
 	return w
@@ -118,10 +118,10 @@
 		}
 		for _, report := range req.Msg.Reports {
 			c.w.reports[report.Watcher]++
-			c.w.cores[c.name].Merge(report, time.Now())
+			c.w.cores[c.name].Add(report, time.Now())
 		}
 		for _, unchanged := range req.Msg.Unchanged {
-			if _, known := c.w.cores[c.name].Refresh(unchanged, time.Now()); !known {
+			if _, known := c.w.cores[c.name].ConfirmUnchanged(unchanged, time.Now()); !known {
 				resp.Unknown = append(resp.Unknown, unchanged.Watcher)
 			}
 		}
@@ -272,7 +272,7 @@
 		for i := range 9 {
 			So(f.reports[fmt.Sprintf("n%d/list", i)], ShouldEqual, 0)
 		}
-		f.with(func() { f.cores["n1"] = serverstatus.New(serverstatus.Config{}) })
+		f.with(func() { f.cores["n1"] = serverstatus.NewReportStore(serverstatus.Config{}) })
 		pass(1500 * time.Millisecond)
 		for name := range f.servers {
 			So(f.status("n1", name).GetState(), ShouldEqual, ready)
@@ -281,7 +281,7 @@
 	bubble(t, "outlive by a list that stands the word of a watcher that died", func(f fleet) {
 		f.with(func() {
 			for _, core := range f.cores {
-				core.Merge(&wire.Report{Watcher: "n99/list", Server: "m3", Incarnation: 1, Counter: 1, AtMs: time.Now().UnixMilli(),
+				core.Add(&wire.Report{Watcher: "n99/list", Server: "m3", Incarnation: 1, Counter: 1, AtMs: time.Now().UnixMilli(),
 					Status: &wire.ServerStatus{Name: "m3", Address: "m3", State: draining}}, time.Now())
 			}
 		})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -120,7 +120,7 @@
 	replaced  chan struct{}
 	watcher   *healthcheck.Watcher
 	replica   *replica.Replica
-	core      *control.Core
+	core      *control.Controller
 	peer      *peer
 	caller    net.Listener
 	internal  net.Listener
@@ -142,7 +142,7 @@
 	}
 	if p.replica != nil {
 		own.Standing, own.Formation, own.Voters = p.replica.Standing(), p.replica.Formation(), p.replica.Voters()
-		own.DiskLife = p.replica.Life()
+		own.DiskLife = p.replica.Incarnation()
 	}
 	if p.front != nil {
 		apiErr := p.ready()
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -22,7 +22,7 @@
 	spend     *quotasync.Spend
 	inspector *inspector
 	replica   *replica.Replica
-	core      *control.Core
+	core      *control.Controller
 }
 
 // answer turns a part's method into a call of the protocol.
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -213,7 +213,7 @@
 			gone = append(gone, voter)
 		}
 	}
-	if len(gone) == 0 || answering < (paxos.State{Voters: voters}).RebuildQuorum() {
+	if len(gone) == 0 || answering < (paxos.State{Voters: voters}).RecoveryQuorum() {
 		return "", false
 	}
 	return slices.MaxFunc(gone, func(a, b string) int { return cmp.Compare(c.preference(a), c.preference(b)) }), true
--- a/internal/node/replica/calls.go
+++ b/internal/node/replica/calls.go
@@ -11,8 +11,8 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// ask puts a question to the owner and waits for the answer.
-func ask[T any](ctx context.Context, r *Replica, question func(o *owner, reply func(T, error))) (T, error) {
+// callOwner puts a question to the owner and waits for the answer.
+func callOwner[T any](ctx context.Context, r *Replica, question func(o *owner, reply func(T, error))) (T, error) {
 	type answer struct {
 		value T
 		err   error
@@ -26,7 +26,7 @@
 	asked := func(o *owner) { question(o, func(value T, err error) { answers <- answer{value, err} }) }
 	select {
 	case o.inbox <- asked:
-	case <-o.gone:
+	case <-o.stopped:
 		return none, apierror.Errorf(apierror.CoreUnreachable, "the core's log is closed")
 	case <-ctx.Done():
 		return none, ctx.Err()
@@ -34,15 +34,15 @@
 	select {
 	case a := <-answers:
 		return a.value, a.err
-	case <-o.gone:
+	case <-o.stopped:
 		return none, apierror.Errorf(apierror.CoreUnreachable, "the core's log is closed")
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 }
 
-// call reaches a voter: this core directly, others through the peers.
-func call[Q, A any](ctx context.Context, r *Replica, to string, req *Q, local func(context.Context, *Q) (*A, error),
+// callVoter reaches a voter: this core directly, others through the peers.
+func callVoter[Q, A any](ctx context.Context, r *Replica, to string, req *Q, local func(context.Context, *Q) (*A, error),
 	far func(wireconnect.PeerClient, context.Context, *connect.Request[Q]) (*connect.Response[A], error)) (*A, error) {
 	if to == r.cfg.Self {
 		return local(ctx, req)
@@ -58,9 +58,9 @@
 	return resp.Msg, nil
 }
 
-// gather calls several cores at once. Enough answers end the wait early, after
+// callAll calls several cores at once. Enough answers end the wait early, after
 // a grace in which the others may still come; enough of zero waits for all.
-func gather[T any](ctx context.Context, r *Replica, cores []string, timeout time.Duration, enough int, ask func(context.Context, string) (*T, error)) map[string]*T {
+func callAll[T any](ctx context.Context, r *Replica, cores []string, timeout time.Duration, enough int, ask func(context.Context, string) (*T, error)) map[string]*T {
 	type reply struct {
 		core string
 		resp *T
--- a/internal/node/replica/entry.go
+++ b/internal/node/replica/entry.go
@@ -11,26 +11,26 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-func (r *Replica) probe(ctx context.Context, cores []string) map[string]*wire.RecoverResponse {
+func (r *Replica) probeCores(ctx context.Context, cores []string) map[string]*wire.RecoverResponse {
 	req := &wire.RecoverRequest{Core: r.cfg.Self, Probe: true}
-	return gather(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
-		return call(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
+	return callAll(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
+		return callVoter(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
 	})
 }
 
-// enter rebuilds the core from the other voters, or from those that can be
+// recoverState rebuilds the core from the other voters, or from those that can be
 // reached where they suffice: it learns which disk life is next, announces it,
 // and merges what each of them syncs and answers.
-func (r *Replica) enter(ctx context.Context, state paxos.State) {
+func (r *Replica) recoverState(ctx context.Context, state paxos.State) {
 	others := state.Others()
-	probes := r.probe(ctx, others)
+	probes := r.probeCores(ctx, others)
 	for _, resp := range probes {
-		if record, ok := state.Rejoin(resp); ok {
-			r.join(ctx, record, fmt.Sprintf("joins the formation %s", resp.Formation))
+		if record, ok := state.JoinProbed(resp); ok {
+			r.commitUnlessVoting(ctx, record, fmt.Sprintf("joins the formation %s", resp.Formation))
 			return
 		}
 	}
-	life, waiting := state.NextLife(probes, r.salt)
+	life, waiting := state.NextIncarnation(probes, r.incarnationSalt)
 	event := events.FormationWaits
 	for _, resp := range probes {
 		if resp.Lives[r.cfg.Self] > 0 {
@@ -38,38 +38,38 @@
 		}
 	}
 	if waiting != "" {
-		r.waits(ctx, event, fmt.Sprintf("the core enters its formation once enough others answer; it waits for %s", waiting))
+		r.reportWaiting(ctx, event, fmt.Sprintf("the core enters its formation once enough others answer; it waits for %s", waiting))
 		return
 	}
-	if life != state.Announced && !r.join(ctx, paxos.Lived{Core: r.cfg.Self, Life: life}, "announces its disk life") {
+	if life != state.AnnouncedIncarnation && !r.commitUnlessVoting(ctx, paxos.IncarnationRecorded{Core: r.cfg.Self, Incarnation: life}, "announces its disk life") {
 		return
 	}
-	if life > 1 && life != state.Announced {
+	if life > 1 && life != state.AnnouncedIncarnation {
 		r.events.Emit(events.RecoveryBegun, "core", r.cfg.Self, "life", life)
 	}
 	req := &wire.RecoverRequest{Formation: state.Formation, Core: r.cfg.Self, Life: life}
-	sources, enough := state.Sources(life, probes)
-	answers := gather(ctx, r, sources, r.cfg.EntryTimeout, enough, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
-		return call(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
+	sources, enough := state.RecoverySources(life, probes)
+	answers := callAll(ctx, r, sources, r.cfg.RecoveryTimeout, enough, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
+		return callVoter(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
 	})
-	entered, err := ask(ctx, r, func(o *owner, reply func(string, error)) {
-		if o.state.Formation != state.Formation || o.state.Life() != 0 {
+	entered, err := callOwner(ctx, r, func(o *owner, reply func(string, error)) {
+		if o.state.Formation != state.Formation || o.state.Incarnation() != 0 {
 			reply("", nil)
 			return
 		}
-		record, waiting := o.state.Enter(life, answers)
+		record, waiting := o.state.CompleteRecovery(life, answers)
 		if waiting != "" {
 			reply(waiting, nil)
 			return
 		}
-		decided(o, []paxos.Record{record}, toVote, "", nil, reply)
+		commitAndReply(o, []paxos.Record{record}, forVote, "", nil, reply)
 	})
 	switch {
 	case err != nil && apierror.From(err).Code == apierror.DiskFull:
-		r.waits(ctx, events.DiskFull, "the rebuilt state does not fit on the disk")
+		r.reportWaiting(ctx, events.DiskFull, "the rebuilt state does not fit on the disk")
 	case err != nil:
 	case entered != "":
-		r.waits(ctx, event, fmt.Sprintf("the core enters its formation once enough others answer; it waits for %s", entered))
+		r.reportWaiting(ctx, event, fmt.Sprintf("the core enters its formation once enough others answer; it waits for %s", entered))
 	case life > 1:
 		r.events.Emit(events.RecoveryComplete, "core", r.cfg.Self, "life", life)
 	default:
