--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -13,22 +13,22 @@
 
 // Contents are what the data folder of a core holds. Sizes are in bytes.
 type Contents struct {
-	Core         string   `json:"core"`
-	Formation    string   `json:"formation"`
-	Voters       []string `json:"voters"`
-	Standing     string   `json:"standing"`
-	DiskLife     uint64   `json:"disk_life"`
-	Version      uint64   `json:"version"`       // the newest that is known to be agreed
-	SheetVersion uint64   `json:"sheet_version"` // at which the sheet changed last
-	Revision     uint64   `json:"revision"`      // the operators' own number of the sheet
-	Members      int      `json:"members"`
-	Open         int      `json:"open_slots"` // in which this core has voted and no outcome is known
-	Snapshot     uint64   `json:"snapshot_version"`
-	Segments     int      `json:"segments"`
-	Records      int      `json:"records"`
-	TornSegment  string   `json:"torn_segment,omitempty"` // whose end was not written whole; a start cuts it
-	TornBytes    int64    `json:"torn_bytes,omitempty"`
-	BadSnapshot  string   `json:"bad_snapshot,omitempty"` // a newer snapshot that fails its checksum; a start passes over it
+	Core            string   `json:"core"`
+	Formation       string   `json:"formation"`
+	Voters          []string `json:"voters"`
+	Standing        string   `json:"standing"`
+	DiskIncarnation uint64   `json:"disk_life"`
+	Version         uint64   `json:"version"`       // the newest that is known to be agreed
+	SheetVersion    uint64   `json:"sheet_version"` // at which the sheet changed last
+	Revision        uint64   `json:"revision"`      // the operators' own number of the sheet
+	Members         int      `json:"members"`
+	OpenSlots       int      `json:"open_slots"` // in which this core has voted and no outcome is known
+	Snapshot        uint64   `json:"snapshot_version"`
+	Segments        int      `json:"segments"`
+	Records         int      `json:"records"`
+	TornSegment     string   `json:"torn_segment,omitempty"` // whose end was not written whole; a start cuts it
+	TornBytes       int64    `json:"torn_bytes,omitempty"`
+	BadSnapshot     string   `json:"bad_snapshot,omitempty"` // a newer snapshot that fails its checksum; a start passes over it
 
 	// Sheet is the configuration at Version, or nil.
 	Sheet *sheet.Sheet `json:"-"`
@@ -44,31 +44,31 @@
 	if err != nil {
 		return Contents{}, err
 	}
-	state, err := stateOf(replay, name)
+	state, err := decodeReplay(replay, name)
 	if err != nil {
 		return Contents{}, err
 	}
 	if state.Self == "" && state.Formation != "" {
 		return Contents{}, apierror.Errorf(apierror.BadField, "%s holds no snapshot, which would tell whose it is: the core's name is needed", folder)
 	}
-	agreed, err := agreedOf(state)
+	agreed, err := appliedSheet(state)
 	if err != nil {
 		return Contents{}, err
 	}
 	standing := strings.ToLower(strings.TrimPrefix(state.Standing().String(), "STANDING_"))
 	return Contents{
-		Core: state.Self, Formation: state.Formation, Voters: state.Voters, Standing: standing, DiskLife: state.Life(),
+		Core: state.Self, Formation: state.Formation, Voters: state.Voters, Standing: standing, DiskIncarnation: state.Incarnation(),
 		Version: agreed.Version, SheetVersion: agreed.SheetVersion, Revision: agreed.Revision, Members: len(agreed.Roster),
-		Open: len(state.Votes), Snapshot: state.SnapshotSlot, Segments: replay.Segments, Records: len(replay.Records),
-		TornSegment: replay.CutSegment, TornBytes: replay.CutBytes, BadSnapshot: replay.BadSnapshot, Sheet: agreed.Sheet,
+		OpenSlots: len(state.OpenSlots), Snapshot: state.SnapshotSlot, Segments: replay.Segments, Records: len(replay.Records),
+		TornSegment: replay.TornSegment, TornBytes: replay.TornBytes, BadSnapshot: replay.BadSnapshot, Sheet: agreed.Sheet,
 	}, nil
 }
 
-// stateOf folds what a log held into the state of the agreement.
-func stateOf(replay Replay, name string) (paxos.State, error) {
+// decodeReplay folds what a log held into the state of the agreement.
+func decodeReplay(replay Replay, name string) (paxos.State, error) {
 	state := paxos.Blank(name)
 	if replay.Snapshot != nil {
-		kept, err := paxos.Decode(replay.Snapshot)
+		kept, err := paxos.DecodeState(replay.Snapshot)
 		if err != nil {
 			return state, errors.Wrap(err, "the log's snapshot")
 		}
@@ -80,8 +80,8 @@
 	return paxos.Replay(state, replay.Records)
 }
 
-// agreedOf works the sheet's state out from the snapshot and what follows it.
-func agreedOf(state paxos.State) (sheet.State, error) {
+// appliedSheet works the sheet's state out from the snapshot and what follows it.
+func appliedSheet(state paxos.State) (sheet.State, error) {
 	var agreed sheet.State
 	if state.SnapshotSlot > 0 {
 		kept, err := sheet.DecodeState(state.Snapshot)
--- a/internal/node/replica/keep.go
+++ b/internal/node/replica/keep.go
@@ -18,36 +18,36 @@
 	learned uint64
 }
 
-// startGrace is how long after its start a core looks for a majority before it
+// majorityLostGrace is how long after its start a core looks for a majority before it
 // says that there is none.
-const startGrace = 2 * time.Second
+const majorityLostGrace = 2 * time.Second
 
-// keep brings the core into its formation, and afterwards looks at the others
+// runMaintenance brings the core into its formation, and afterwards looks at the others
 // regularly: it fetches what it missed and finishes what was left open.
-func (r *Replica) keep(ctx context.Context) {
+func (r *Replica) runMaintenance(ctx context.Context) {
 	var watch openSlot
 	offered, heard, begun := false, true, r.clock.Now()
 	for {
-		wait := r.cfg.Interval
-		state, err := r.stateNow(ctx)
+		wait := r.cfg.PollInterval
+		state, err := r.currentState(ctx)
 		if err != nil {
 			return
 		}
 		switch state.Standing() {
 		case wire.Standing_STANDING_BLANK:
-			wait = soon
-			r.seekFormation(ctx, state)
+			wait = formationInterval
+			r.joinOrFoundFormation(ctx, state)
 		case wire.Standing_STANDING_AMNESIAC:
-			wait = soon
-			r.enter(ctx, state)
+			wait = formationInterval
+			r.recoverState(ctx, state)
 		default:
-			target, top, count, life := r.readAll(ctx, state)
-			if life > state.Life() && r.cfg.Replaced != nil {
-				r.replaced(fmt.Sprintf("another process has the name in disk life %d, later than %d here", life, state.Life()))
+			target, top, count, life := r.readVoters(ctx, state)
+			if life > state.Incarnation() && r.cfg.OnReplaced != nil {
+				r.reportReplaced(fmt.Sprintf("another process has the name in disk life %d, later than %d here", life, state.Incarnation()))
 				return
 			}
-			r.reached.Store(count >= state.Majority())
-			if now := count >= state.Majority(); now != heard && (now || r.clock.Now().Sub(begun) >= startGrace) && ctx.Err() == nil {
+			r.quorumReached.Store(count >= state.Quorum())
+			if now := count >= state.Quorum(); now != heard && (now || r.clock.Now().Sub(begun) >= majorityLostGrace) && ctx.Err() == nil {
 				heard = now
 				if heard {
 					r.events.Emit(events.MajorityRegained, "core", r.cfg.Self)
@@ -58,16 +58,16 @@
 			if top.learned > state.Learned() {
 				_ = r.catchUp(ctx, top.core)
 			} else if watch.stale(state.Learned(), target) {
-				r.finishLater(ctx, target)
+				r.completeSlotsLater(ctx, target)
 			}
 			if !offered && len(r.cfg.FirstSheet) > 0 && heard {
-				offered = r.offerFirstSheet(ctx)
+				offered = r.proposeFirstSheet(ctx)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case from := <-r.behind:
+		case from := <-r.fetchFrom:
 			_ = r.catchUp(ctx, from)
 		case <-r.clock.After(wait):
 		}
@@ -87,10 +87,10 @@
 		return false
 	}
 	s.looks++
-	return s.looks%staleLooks == 0
+	return s.looks%stalledPolls == 0
 }
 
-func (r *Replica) finishLater(ctx context.Context, target uint64) {
+func (r *Replica) completeSlotsLater(ctx context.Context, target uint64) {
 	bound, cancel := context.WithTimeout(ctx, 2*time.Second)
 	select {
 	case r.proposals <- proposal{ctx: bound, target: target, done: make(chan outcome, 1)}:
@@ -100,19 +100,19 @@
 	}
 }
 
-// replaced tells that this core has no place in the formation any more.
-func (r *Replica) replaced(why string) {
+// reportReplaced tells that this core has no place in the formation any more.
+func (r *Replica) reportReplaced(why string) {
 	r.events.Emit(events.CoreReplaced, "core", r.cfg.Self, "why", why)
-	r.cfg.Replaced()
+	r.cfg.OnReplaced()
 }
 
-// readAll asks every voter how far it is, and which disk life of this core it
+// readVoters asks every voter how far it is, and which disk life of this core it
 // knows. It waits for all of them or the calls' timeout, but no longer than a
 // moment once a majority has answered.
-func (r *Replica) readAll(ctx context.Context, state paxos.State) (target uint64, top tip, heard int, life uint64) {
+func (r *Replica) readVoters(ctx context.Context, state paxos.State) (target uint64, top tip, heard int, life uint64) {
 	req := &wire.ReadRequest{Formation: state.Formation, Core: r.cfg.Self}
-	answers := gather(ctx, r, state.Voters, r.cfg.CallTimeout, state.Majority(), func(ctx context.Context, core string) (*wire.ReadResponse, error) {
-		return call(ctx, r, core, req, r.Read, wireconnect.PeerClient.Read)
+	answers := callAll(ctx, r, state.Voters, r.cfg.CallTimeout, state.Quorum(), func(ctx context.Context, core string) (*wire.ReadResponse, error) {
+		return callVoter(ctx, r, core, req, r.Read, wireconnect.PeerClient.Read)
 	})
 	for core, resp := range answers {
 		if resp.Refusal != 0 {
@@ -131,19 +131,19 @@
 // catchUp fetches from a core until nothing is missing that it has learned.
 func (r *Replica) catchUp(ctx context.Context, from string) error {
 	for {
-		state, err := r.stateNow(ctx)
+		state, err := r.currentState(ctx)
 		if err != nil {
 			return err
 		}
-		bound, cancel := context.WithTimeout(ctx, fetchLimit)
-		resp, err := call(bound, r, from, &wire.FetchRequest{Formation: state.Formation, After: state.Learned()}, r.Fetch, wireconnect.PeerClient.Fetch)
+		bound, cancel := context.WithTimeout(ctx, fetchTimeout)
+		resp, err := callVoter(bound, r, from, &wire.FetchRequest{Formation: state.Formation, After: state.Learned()}, r.Fetch, wireconnect.PeerClient.Fetch)
 		cancel()
 		if err != nil {
 			return err
 		}
-		learned, err := ask(ctx, r, func(o *owner, reply func(uint64, error)) {
-			records := o.state.Fetched(resp)
-			err := o.commit(records, toLearn)
+		learned, err := callOwner(ctx, r, func(o *owner, reply func(uint64, error)) {
+			records := o.state.HandleFetch(resp)
+			err := o.commit(records, forLearning)
 			if err == nil && len(records) > 0 {
 				if resp.SnapshotEpoch > state.Learned() {
 					r.events.Emit(events.SnapshotTaken, "core", r.cfg.Self, "from", from, "epoch", resp.SnapshotEpoch)
--- a/internal/node/replica/owner.go
+++ b/internal/node/replica/owner.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	inboxBound     = 256
+	inboxCapacity  = 256
 	recentVersions = 256
 	recentBytes    = 32 << 20
-	slowSync       = 500 * time.Millisecond
+	slowSyncAfter  = 500 * time.Millisecond
 )
 
 // owner holds the core's state and answers for it. Its state may be ahead of
 // the disk; what leaves waits until all that was appended before is synced.
 type owner struct {
-	r       *Replica
+	replica *Replica
 	log     Log
 	inbox   chan func(*owner)
-	gone    chan struct{}
+	stopped chan struct{}
 	state   paxos.State
 	sheet   sheet.State
 	results []sheet.Result // of the last versions
@@ -49,24 +49,24 @@
 }
 
 type waiter struct {
-	place uint64
+	index uint64
 	then  func(error)
 }
 
 func (r *Replica) start() (*owner, error) {
-	log, replay, err := r.open()
+	log, replay, err := r.openLog()
 	if err != nil {
 		return nil, errors.Wrap(err, "open the log")
 	}
-	o := &owner{r: r, log: log, inbox: make(chan func(*owner), inboxBound), gone: make(chan struct{}), synced: log.Place()}
+	o := &owner{replica: r, log: log, inbox: make(chan func(*owner), inboxCapacity), stopped: make(chan struct{}), synced: log.LastIndex()}
 	if err := o.replay(replay); err != nil {
 		_ = log.Close()
 		return nil, err
 	}
 	o.full = log.Full()
 	r.events.Emit(events.LogOpened, "core", r.cfg.Self, "segments", replay.Segments, "records", len(replay.Records), "epoch", o.state.Learned())
-	if replay.CutBytes > 0 {
-		r.events.Emit(events.TornTailCut, "core", r.cfg.Self, "segment", replay.CutSegment, "bytes", replay.CutBytes)
+	if replay.TornBytes > 0 {
+		r.events.Emit(events.TornTailCut, "core", r.cfg.Self, "segment", replay.TornSegment, "bytes", replay.TornBytes)
 	}
 	if replay.BadSnapshot != "" {
 		r.events.Emit(events.SnapshotBad, "core", r.cfg.Self, "snapshot", replay.BadSnapshot)
@@ -76,7 +76,7 @@
 }
 
 func (o *owner) replay(replay Replay) error {
-	state, err := stateOf(replay, o.r.cfg.Self)
+	state, err := decodeReplay(replay, o.replica.cfg.Self)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 func (o *owner) apply(chosen *wire.Chosen) {
 	next, result := o.sheet.Step(chosen.Epoch, chosen.Command)
 	if result.Code == apierror.Internal {
-		o.r.events.Emit(events.CommandBad, "epoch", chosen.Epoch, "detail", result.Detail)
+		o.replica.events.Emit(events.CommandBad, "epoch", chosen.Epoch, "detail", result.Detail)
 	}
 	o.sheet = next
 	o.results = append(o.results, result)
@@ -136,13 +136,13 @@
 }
 
 func (o *owner) run(ctx context.Context) error {
-	ticker := o.r.clock.Ticker(o.r.cfg.Interval)
+	ticker := o.replica.clock.Ticker(o.replica.cfg.PollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-o.log.Dead():
+		case <-o.log.Failed():
 			err := o.log.Err()
 			for _, w := range o.waiters {
 				w.then(err)
@@ -153,14 +153,14 @@
 		case place := <-o.log.Synced():
 			o.release(place)
 		case <-ticker.C():
-			o.look()
+			o.checkDisk()
 		}
 	}
 }
 
-// decided commits records and answers once they are synced; without room for
+// commitAndReply commits records and answers once they are synced; without room for
 // them, or any other reason not to keep them, it refuses.
-func decided[T any](o *owner, records []paxos.Record, use use, resp T, refuse func(apierror.Code) T, reply func(T, error)) {
+func commitAndReply[T any](o *owner, records []paxos.Record, use purpose, resp T, refuse func(apierror.Code) T, reply func(T, error)) {
 	if err := o.commit(records, use); err != nil {
 		if refuse == nil {
 			reply(resp, err)
@@ -172,61 +172,61 @@
 	o.whenSynced(func(err error) { reply(resp, err) })
 }
 
-// use is what records are for: a full disk keeps no votes, but it takes up what
+// purpose is what records are for: a full disk keeps no votes, but it takes up what
 // was chosen as soon as there is room, and new disk lives from its reserve.
-type use int
+type purpose int
 
 const (
-	toVote use = iota
-	toLearn
-	toLive
+	forVote purpose = iota
+	forLearning
+	forIncarnation
 )
 
 // commit appends records and folds them, or does neither.
-func (o *owner) commit(records []paxos.Record, use use) error {
+func (o *owner) commit(records []paxos.Record, use purpose) error {
 	if len(records) == 0 {
 		return nil
 	}
-	if use == toVote && (o.full || o.stuck) {
+	if use == forVote && (o.full || o.stuck) {
 		return apierror.Errorf(apierror.DiskFull, "only the reserve is left")
 	}
 	encoded := make([][]byte, len(records))
 	for i, record := range records {
 		encoded[i] = paxos.EncodeRecord(record)
 	}
-	if _, err := o.log.Append(encoded, use == toLive); err != nil {
+	if _, err := o.log.Append(encoded, use == forIncarnation); err != nil {
 		if apierror.From(err).Code == apierror.DiskFull {
-			o.room(use == toLearn)
-			o.compact()
+			o.updateRoom(use == forLearning)
+			o.startCompaction()
 		}
 		return err
 	}
-	if use == toLearn && o.stuck {
-		o.room(false)
+	if use == forLearning && o.stuck {
+		o.updateRoom(false)
 	}
-	o.lastAppend = o.r.clock.Now()
+	o.lastAppend = o.replica.clock.Now()
 	before := o.state
 	for i, record := range records {
-		o.state = record.Fold(o.state)
+		o.state = record.Apply(o.state)
 		o.records++
 		o.bytes += int64(len(encoded[i]))
 	}
-	if err := o.follow(before); err != nil {
+	if err := o.advanceSheet(before); err != nil {
 		return err
 	}
-	if o.records >= o.r.cfg.SnapshotRecords || o.bytes >= o.r.cfg.SnapshotBytes {
-		o.compact()
+	if o.records >= o.replica.cfg.SnapshotRecords || o.bytes >= o.replica.cfg.SnapshotBytes {
+		o.startCompaction()
 	}
 	return nil
 }
 
-// follow brings the sheet's state to the ballot state's learned version.
-func (o *owner) follow(before paxos.State) error {
+// advanceSheet brings the sheet's state to the ballot state's learned version.
+func (o *owner) advanceSheet(before paxos.State) error {
 	same := before.Learned() == o.state.Learned()
-	if same && before.Formation == o.state.Formation && before.Life() == o.state.Life() {
+	if same && before.Formation == o.state.Formation && before.Incarnation() == o.state.Incarnation() {
 		return nil
 	}
-	if !same && before.Formation == o.state.Formation && before.SnapshotSlot == o.state.SnapshotSlot && before.Life() == o.state.Life() {
+	if !same && before.Formation == o.state.Formation && before.SnapshotSlot == o.state.SnapshotSlot && before.Incarnation() == o.state.Incarnation() {
 		for _, chosen := range o.state.Chosen[o.sheet.Version-o.state.SnapshotSlot:] {
 			o.apply(chosen)
 		}
@@ -236,24 +236,24 @@
 	view := o.view()
 	o.whenSynced(func(err error) {
 		if err == nil {
-			o.r.publish(o.standing(view))
+			o.replica.publish(o.withStanding(view))
 		}
 	})
 	return nil
 }
 
 func (o *owner) whenSynced(then func(error)) {
-	if o.log.Place() <= o.synced {
+	if o.log.LastIndex() <= o.synced {
 		then(nil)
 		return
 	}
-	o.waiters = append(o.waiters, waiter{place: o.log.Place(), then: then})
+	o.waiters = append(o.waiters, waiter{index: o.log.LastIndex(), then: then})
 }
 
 func (o *owner) release(place uint64) {
 	o.synced = place
 	o.slowReported = false
-	for len(o.waiters) > 0 && o.waiters[0].place <= place {
+	for len(o.waiters) > 0 && o.waiters[0].index <= place {
 		then := o.waiters[0].then
 		o.waiters = o.waiters[1:]
 		then(nil)
@@ -261,35 +261,35 @@
 }
 
 func (o *owner) view() view {
-	return view{state: o.sheet, recent: slices.Clip(o.recent), formation: o.state.Formation, voters: o.state.Voters, life: o.state.Life(), standing: o.state.Standing()}
+	return view{sheet: o.sheet, recent: slices.Clip(o.recent), formation: o.state.Formation, voters: o.state.Voters, incarnation: o.state.Incarnation(), standing: o.state.Standing()}
 }
 
-// standing puts the present state of the disk into a view.
-func (o *owner) standing(v view) view {
-	v.waiting = o.waiting
+// withStanding puts the present state of the disk into a view.
+func (o *owner) withStanding(v view) view {
+	v.waitingFor = o.waiting
 	if v.standing == wire.Standing_STANDING_VOTING {
-		v.waiting = ""
+		v.waitingFor = ""
 		if o.full || o.stuck {
-			v.standing, v.waiting = wire.Standing_STANDING_DISK_FULL, "only the reserve is left on the disk"
+			v.standing, v.waitingFor = wire.Standing_STANDING_DISK_FULL, "only the reserve is left on the disk"
 		}
 	}
 	return v
 }
 
-func (o *owner) publish() { o.r.publish(o.standing(o.view())) }
+func (o *owner) publish() { o.replica.publish(o.withStanding(o.view())) }
 
-// republish changes only what is not the disk's: it keeps the published version.
-func (o *owner) republish() {
-	v := *o.r.view.Load()
+// publishStanding changes only what is not the disk's: it keeps the published version.
+func (o *owner) publishStanding() {
+	v := *o.replica.view.Load()
 	v.standing = o.state.Standing()
-	if o.log.Place() > o.synced && v.formation != o.state.Formation {
+	if o.log.LastIndex() > o.synced && v.formation != o.state.Formation {
 		return
 	}
-	o.r.publish(o.standing(v))
+	o.replica.publish(o.withStanding(v))
 }
 
-// room looks at what room there is and publishes a change.
-func (o *owner) room(stuck bool) {
+// updateRoom looks at what room there is and publishes a change.
+func (o *owner) updateRoom(stuck bool) {
 	before := o.full || o.stuck
 	o.full, o.stuck = o.log.Full(), stuck
 	now := o.full || o.stuck
@@ -297,29 +297,29 @@
 		return
 	}
 	if now {
-		o.r.events.Emit(events.DiskFull, "core", o.r.cfg.Self)
+		o.replica.events.Emit(events.DiskFull, "core", o.replica.cfg.Self)
 	} else {
-		o.r.events.Emit(events.DiskRoom, "core", o.r.cfg.Self)
+		o.replica.events.Emit(events.DiskRoom, "core", o.replica.cfg.Self)
 	}
-	o.republish()
+	o.publishStanding()
 }
 
-// look is the owner's regular look at its disk.
-func (o *owner) look() {
-	o.room(o.stuck)
+// checkDisk is the owner's regular look at its disk.
+func (o *owner) checkDisk() {
+	o.updateRoom(o.stuck)
 	if o.full || o.stuck {
-		o.compact()
+		o.startCompaction()
 	}
-	if !o.slowReported && o.log.Place() > o.synced && o.r.clock.Now().Sub(o.lastAppend) > slowSync {
+	if !o.slowReported && o.log.LastIndex() > o.synced && o.replica.clock.Now().Sub(o.lastAppend) > slowSyncAfter {
 		o.slowReported = true
-		o.r.events.Emit(events.DiskSlow, "core", o.r.cfg.Self, "waiting", o.log.Place()-o.synced)
+		o.replica.events.Emit(events.DiskSlow, "core", o.replica.cfg.Self, "waiting", o.log.LastIndex()-o.synced)
 	}
 }
 
-// compact encodes the sheet's state off the owner, then has the whole state
+// startCompaction encodes the sheet's state off the owner, then has the whole state
 // written beside the log in the log's place.
-func (o *owner) compact() {
-	if o.compacting || o.records == 0 || o.state.Life() == 0 {
+func (o *owner) startCompaction() {
+	if o.compacting || o.records == 0 || o.state.Incarnation() == 0 {
 		return
 	}
 	o.compacting = true
@@ -329,42 +329,42 @@
 		if version > 0 {
 			data = state.Encode()
 		}
-		o.tell(func(o *owner) { o.snapshot(version, data) })
+		o.enqueue(func(o *owner) { o.writeSnapshot(version, data) })
 	}()
 }
 
-func (o *owner) snapshot(version uint64, data []byte) {
+func (o *owner) writeSnapshot(version uint64, data []byte) {
 	o.state = o.state.Compacted(version, data)
 	records, bytes := o.records, o.bytes
-	done := o.log.Snapshot(o.state.Encode())
+	done := o.log.WriteSnapshot(o.state.Encode())
 	o.records, o.bytes = 0, 0
 	go func() {
 		var err error
 		select {
 		case err = <-done:
-		case <-o.gone:
+		case <-o.stopped:
 			return
 		}
-		o.tell(func(o *owner) {
+		o.enqueue(func(o *owner) {
 			o.compacting = false
 			if err != nil {
 				o.records, o.bytes = o.records+records, o.bytes+bytes
 				return
 			}
-			o.r.events.Emit(events.SnapshotWritten, "core", o.r.cfg.Self, "epoch", version, "bytes", len(data))
+			o.replica.events.Emit(events.SnapshotWritten, "core", o.replica.cfg.Self, "epoch", version, "bytes", len(data))
 		})
 	}()
 }
 
-func (o *owner) tell(f func(*owner)) {
+func (o *owner) enqueue(f func(*owner)) {
 	select {
 	case o.inbox <- f:
-	case <-o.gone:
+	case <-o.stopped:
 	}
 }
 
-func (o *owner) noteFormation(from string, refusal uint32) {
+func (o *owner) reportWrongFormation(from string, refusal uint32) {
 	if apierror.Code(refusal) == apierror.WrongFormation {
-		o.r.events.Emit(events.WrongFormation, "core", o.r.cfg.Self, "from", from, "formation", o.state.Formation)
+		o.replica.events.Emit(events.WrongFormation, "core", o.replica.cfg.Self, "from", from, "formation", o.state.Formation)
 	}
 }
--- a/internal/node/replica/propose.go
+++ b/internal/node/replica/propose.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	firstBackoff = 10 * time.Millisecond
-	lastBackoff  = time.Second
-	pauseUnheard = 50 * time.Millisecond
-	mostPatience = 2 // fourfold steps of the calls' timeout while a majority is slow
+	firstBackoff    = 10 * time.Millisecond
+	maxBackoff      = time.Second
+	noQuorumBackoff = 50 * time.Millisecond
+	maxTimeoutSteps = 2 // fourfold steps of the calls' timeout while a majority is slow
 )
 
 // proposal is a command to be agreed or, without one, a target up to which all
@@ -36,9 +36,9 @@
 	err     error
 }
 
-// conduct runs this core's proposals one after another, so that they do not
+// runProposals runs this core's proposals one after another, so that they do not
 // contend with each other.
-func (r *Replica) conduct(ctx context.Context) {
+func (r *Replica) runProposals(ctx context.Context) {
 	random, silent := r.random(1), 0
 	for {
 		select {
@@ -62,7 +62,7 @@
 	first, sent, losses := true, false, 0
 	code, detail := apierror.NoMajority, "no ballot was held"
 	for ctx.Err() == nil {
-		state, err := r.whole(ctx)
+		state, err := r.votingState(ctx)
 		if err != nil {
 			return outcome{err: err}
 		}
@@ -81,10 +81,10 @@
 		sent = true
 		begunAt := r.clock.Now()
 		timeout := r.cfg.CallTimeout << (2 * *silent)
-		ended, step, heard := r.ballot(ctx, state, slot, max(state.NextNumber(slot), seen+1), command, timeout)
+		ended, step, heard := r.ballot(ctx, state, slot, max(state.NextBallotNumber(slot), seen+1), command, timeout)
 		switch {
 		case step.Chosen:
-			if err := r.learn(ctx, alive, slot, step.Value); err != nil {
+			if err := r.learnChosen(ctx, alive, slot, step.Value); err != nil {
 				return outcome{err: err}
 			}
 			losses, seen = 0, 0
@@ -92,30 +92,30 @@
 				*silent = 0
 			}
 			continue
-		case step.Behind != "" || ended.Learned >= slot:
-			from := step.Behind
+		case step.LearnedBy != "" || ended.HighestLearned >= slot:
+			from := step.LearnedBy
 			if from == "" {
-				from = ended.Tip
+				from = ended.HighestLearnedBy
 			}
 			if r.catchUp(ctx, from) == nil {
 				losses, seen = 0, 0
 				continue
 			}
 		}
-		seen = max(seen, ended.Seen.Number)
+		seen = max(seen, ended.HighestBallot.Number)
 		code, detail = apierror.OutcomePending, "other cores' ballots came between"
 		wait := firstBackoff << min(losses, 6)
-		if heard < state.Majority() {
+		if heard < state.Quorum() {
 			code, detail = apierror.NoMajority, "no majority of the cores answers"
-			wait = max(wait, pauseUnheard)
-			if r.reached.Load() {
-				*silent = min(*silent+1, mostPatience)
+			wait = max(wait, noQuorumBackoff)
+			if r.quorumReached.Load() {
+				*silent = min(*silent+1, maxTimeoutSteps)
 			}
 		} else {
 			r.events.Emit(events.BallotContended, "slot", slot, "number", seen)
 		}
 		losses++
-		wait = min(wait, lastBackoff)
+		wait = min(wait, maxBackoff)
 		select {
 		case <-r.clock.After(wait/4 + time.Duration(random.Int64N(int64(wait)))):
 		case <-ctx.Done():
@@ -133,7 +133,7 @@
 	if p.command == nil {
 		return outcome{version: learned}, learned >= p.target
 	}
-	found, err := ask(ctx, r, func(o *owner, reply func(outcome, error)) {
+	found, err := callOwner(ctx, r, func(o *owner, reply func(outcome, error)) {
 		for version := begun + 1; version <= o.sheet.Version; version++ {
 			result, kept := o.result(version)
 			if kept && p.match(o.recent[len(o.recent)-1-int(o.sheet.Version-version)].Command) {
@@ -159,13 +159,13 @@
 // ballot holds one ballot. Heard counts the voters that answered its last phase. Voters are called at once and none is waited for
 // beyond a majority; late answers still reach the proposer while it runs.
 func (r *Replica) ballot(ctx context.Context, state paxos.State, slot, number uint64, own []byte, timeout time.Duration) (ended paxos.Proposer, step paxos.Step, heard int) {
-	p, prepare := paxos.Propose(state, slot, number, own)
+	p, prepare := paxos.NewProposer(state, slot, number, own)
 	answers := make(chan answer, 2*len(p.Voters))
 	for _, core := range p.Voters {
 		go func() {
 			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
-			resp, _ := call(callCtx, r, core, prepare, r.Prepare, wireconnect.PeerClient.Prepare)
+			resp, _ := callVoter(callCtx, r, core, prepare, r.Prepare, wireconnect.PeerClient.Prepare)
 			answers <- answer{core: core, phase: paxos.Preparing, prepared: resp}
 		}()
 	}
@@ -181,12 +181,12 @@
 		switch {
 		case a.prepared != nil:
 			answered[a.core] = true
-			p, step = p.Promise(a.prepared)
+			p, step = p.HandlePrepare(a.prepared)
 		case a.accepted != nil:
 			answered[a.core] = true
-			p, step = p.Accepted(a.accepted)
+			p, step = p.HandleAccept(a.accepted)
 		case a.phase == p.Phase:
-			p, step = p.Failed(a.core)
+			p, step = p.HandleFailure(a.core)
 		}
 		if step.Accept != nil {
 			answered = map[string]bool{}
@@ -203,39 +203,39 @@
 		go func() {
 			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
-			resp, _ := call(callCtx, r, core, req, r.Accept, wireconnect.PeerClient.Accept)
+			resp, _ := callVoter(callCtx, r, core, req, r.Accept, wireconnect.PeerClient.Accept)
 			answers <- answer{core: core, phase: paxos.Accepting, accepted: resp}
 		}()
 	}
 }
 
-// learn takes a chosen value in here and tells the other voters, for which the
+// learnChosen takes a chosen value in here and tells the other voters, for which the
 // replica stays alive longer than the proposal.
-func (r *Replica) learn(ctx, alive context.Context, slot uint64, value []byte) error {
+func (r *Replica) learnChosen(ctx, alive context.Context, slot uint64, value []byte) error {
 	chosen := []*wire.Chosen{{Epoch: slot, Command: value}}
-	state, err := ask(ctx, r, func(o *owner, reply func(paxos.State, error)) {
+	state, err := callOwner(ctx, r, func(o *owner, reply func(paxos.State, error)) {
 		records, _, _ := o.state.Learn(&wire.LearnRequest{Formation: o.state.Formation, Chosen: chosen})
-		err := o.commit(records, toLearn)
+		err := o.commit(records, forLearning)
 		reply(o.state, err)
 	})
 	if state.Formation != "" {
-		r.tellAll(alive, state, &wire.LearnRequest{Formation: state.Formation, From: r.cfg.Self, Chosen: chosen})
+		r.sendLearn(alive, state, &wire.LearnRequest{Formation: state.Formation, From: r.cfg.Self, Chosen: chosen})
 	}
 	return err
 }
 
-func (r *Replica) tellAll(alive context.Context, state paxos.State, req *wire.LearnRequest) {
+func (r *Replica) sendLearn(alive context.Context, state paxos.State, req *wire.LearnRequest) {
 	for _, core := range state.Others() {
 		go func() {
-			ctx, cancel := context.WithTimeout(alive, r.cfg.EntryTimeout)
+			ctx, cancel := context.WithTimeout(alive, r.cfg.RecoveryTimeout)
 			defer cancel()
-			_, _ = call(ctx, r, core, req, r.Learn, wireconnect.PeerClient.Learn)
+			_, _ = callVoter(ctx, r, core, req, r.Learn, wireconnect.PeerClient.Learn)
 		}()
 	}
 }
 
-// finish has every slot up to the target chosen, by the values found accepted.
-func (r *Replica) finish(ctx context.Context, target uint64) error {
+// completeSlots has every slot up to the target chosen, by the values found accepted.
+func (r *Replica) completeSlots(ctx context.Context, target uint64) error {
 	done := make(chan outcome, 1)
 	select {
 	case r.proposals <- proposal{ctx: ctx, target: target, done: done}:
@@ -253,22 +253,22 @@
 	}
 }
 
-// whole returns the core's state, ahead of the disk, if it votes.
-func (r *Replica) whole(ctx context.Context) (paxos.State, error) {
-	return ask(ctx, r, func(o *owner, reply func(paxos.State, error)) {
-		v := o.standing(view{standing: o.state.Standing()})
+// votingState returns the core's state, ahead of the disk, if it votes.
+func (r *Replica) votingState(ctx context.Context) (paxos.State, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(paxos.State, error)) {
+		v := o.withStanding(view{standing: o.state.Standing()})
 		if code := standingCode(v.standing); code != apierror.OK {
-			reply(paxos.State{}, apierror.Errorf(code, "core %s: %s", o.r.cfg.Self, v.waiting))
+			reply(paxos.State{}, apierror.Errorf(code, "core %s: %s", o.replica.cfg.Self, v.waitingFor))
 			return
 		}
 		reply(o.state, nil)
 	})
 }
 
-func (r *Replica) stateNow(ctx context.Context) (paxos.State, error) {
-	return ask(ctx, r, func(o *owner, reply func(paxos.State, error)) { reply(o.state, nil) })
+func (r *Replica) currentState(ctx context.Context) (paxos.State, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(paxos.State, error)) { reply(o.state, nil) })
 }
 
-func (r *Replica) sheetNow(ctx context.Context) (sheet.State, error) {
-	return ask(ctx, r, func(o *owner, reply func(sheet.State, error)) { reply(o.sheet, nil) })
+func (r *Replica) currentSheet(ctx context.Context) (sheet.State, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(sheet.State, error)) { reply(o.sheet, nil) })
 }
--- a/internal/node/replica/replica.go
+++ b/internal/node/replica/replica.go
@@ -26,17 +26,17 @@
 	Self            string
 	Voters          int           // cores of a first formation; 3
 	FirstSheet      []byte        // JSON of a sheet to offer to a formation that has none, or nil
-	SheetMax        int           // bound of FirstSheet in bytes; 16 MiB
+	MaxSheetBytes   int           // bound of FirstSheet in bytes; 16 MiB
 	SnapshotRecords int           // records between snapshots; 1024
 	SnapshotBytes   int64         // bytes of records between snapshots; 16 MiB
 	CallTimeout     time.Duration // of one call in a ballot; 300ms
-	EntryTimeout    time.Duration // of one call in a recovery, which waits for slow disks; 10s
-	Interval        time.Duration // between two looks at the other cores; 500ms
+	RecoveryTimeout time.Duration // of one call in a recovery, which waits for slow disks; 10s
+	PollInterval    time.Duration // between two looks at the other cores; 500ms
 	Seed            uint64        // of the random waits; 0 is drawn from the name
-	// Replaced is told, perhaps more than once, that another process holds this
+	// OnReplaced is told, perhaps more than once, that another process holds this
 	// core's name in a later disk life, or that the formation has no place for
 	// it; may be nil.
-	Replaced func()
+	OnReplaced func()
 }
 
 func (c Config) withDefaults() Config {
@@ -46,13 +46,13 @@
 		}
 	}
 	def(&c.CallTimeout, 300*time.Millisecond)
-	def(&c.EntryTimeout, 10*time.Second)
-	def(&c.Interval, 500*time.Millisecond)
+	def(&c.RecoveryTimeout, 10*time.Second)
+	def(&c.PollInterval, 500*time.Millisecond)
 	if c.Voters <= 0 {
 		c.Voters = 3
 	}
-	if c.SheetMax <= 0 {
-		c.SheetMax = 16 << 20
+	if c.MaxSheetBytes <= 0 {
+		c.MaxSheetBytes = 16 << 20
 	}
 	if c.SnapshotRecords <= 0 {
 		c.SnapshotRecords = 1024
@@ -69,10 +69,10 @@
 // Log is what a replica asks of its log; see disklog.Log.
 type Log interface {
 	Append(records [][]byte, urgent bool) (place uint64, err error)
-	Snapshot(data []byte) (done <-chan error)
-	Place() uint64
+	WriteSnapshot(data []byte) (done <-chan error)
+	LastIndex() uint64
 	Synced() <-chan uint64
-	Dead() <-chan struct{}
+	Failed() <-chan struct{}
 	Err() error
 	Full() bool
 	Close() error
@@ -81,11 +81,11 @@
 // Replay is what a log held when it was opened.
 type Replay = disklog.Replay
 
-// Open opens the log anew, each time that the replica starts.
-type Open func() (Log, Replay, error)
+// OpenLog opens the log anew, each time that the replica starts.
+type OpenLog func() (Log, Replay, error)
 
 // OnDisk opens logs in the folder of the configuration.
-func OnDisk(cfg disklog.Config) Open {
+func OnDisk(cfg disklog.Config) OpenLog {
 	return func() (Log, Replay, error) {
 		log, replay, err := disklog.Open(cfg)
 		if err != nil {
@@ -97,26 +97,26 @@
 
 // Replica takes part in the agreement under one core's name.
 type Replica struct {
-	cfg       Config
-	open      Open
-	peers     port.Peers
-	clock     clock.Clock
-	events    events.Log
-	owner     atomic.Pointer[owner]
-	view      atomic.Pointer[view]
-	proposals chan proposal
-	behind    chan string
-	reached   atomic.Bool // a majority answered at the last look
-	salt      uint64      // of the disk lives that this process announces
+	cfg             Config
+	openLog         OpenLog
+	peers           port.Peers
+	clock           clock.Clock
+	events          events.Log
+	owner           atomic.Pointer[owner]
+	view            atomic.Pointer[view]
+	proposals       chan proposal
+	fetchFrom       chan string
+	quorumReached   atomic.Bool // a majority answered at the last look
+	incarnationSalt uint64      // of the disk lives that this process announces
 }
 
-// saltBound bounds the salt of disk lives, which then still grow for ever.
-const saltBound = 1 << 32
+// maxIncarnationSalt bounds the salt of disk lives, which then still grow for ever.
+const maxIncarnationSalt = 1 << 32
 
 // New returns a replica that begins its work in Serve.
-func New(cfg Config, open Open, peers port.Peers, clock clock.Clock, log events.Log) *Replica {
-	r := &Replica{cfg: cfg.withDefaults(), open: open, peers: peers, clock: clock, events: log,
-		proposals: make(chan proposal, 64), behind: make(chan string, 1), salt: uint64(rand.Int64N(saltBound))}
+func New(cfg Config, open OpenLog, peers port.Peers, clock clock.Clock, log events.Log) *Replica {
+	r := &Replica{cfg: cfg.withDefaults(), openLog: open, peers: peers, clock: clock, events: log,
+		proposals: make(chan proposal, 64), fetchFrom: make(chan string, 1), incarnationSalt: uint64(rand.Int64N(maxIncarnationSalt))}
 	r.view.Store(&view{standing: wire.Standing_STANDING_BLANK, changed: make(chan struct{})})
 	return r
 }
@@ -127,17 +127,17 @@
 	o, err := r.start()
 	if err != nil {
 		r.events.Emit(r.failureEvent(err), "core", r.cfg.Self, "error", err)
-		r.stopped(err)
+		r.publishClosed(err)
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	r.owner.Store(o)
 	room := make(chan struct{}, 2)
-	go func() { r.conduct(ctx); room <- struct{}{} }()
-	go func() { r.keep(ctx); room <- struct{}{} }()
+	go func() { r.runProposals(ctx); room <- struct{}{} }()
+	go func() { r.runMaintenance(ctx); room <- struct{}{} }()
 	err = o.run(ctx)
 	r.owner.Store(nil)
-	close(o.gone)
+	close(o.stopped)
 	cancel()
 	<-room
 	<-room
@@ -145,7 +145,7 @@
 	if err != nil && ctx.Err() == nil {
 		r.events.Emit(r.failureEvent(err), "core", r.cfg.Self, "error", err)
 	}
-	r.stopped(err)
+	r.publishClosed(err)
 	return err
 }
 
@@ -159,12 +159,12 @@
 	return events.DiskFailed
 }
 
-// stopped publishes that the core does not vote while its log is closed.
-func (r *Replica) stopped(err error) {
+// publishClosed publishes that the core does not vote while its log is closed.
+func (r *Replica) publishClosed(err error) {
 	next := *r.view.Load()
-	next.standing, next.waiting = wire.Standing_STANDING_UNSPECIFIED, "the log is closed"
+	next.standing, next.waitingFor = wire.Standing_STANDING_UNSPECIFIED, "the log is closed"
 	if err != nil {
-		next.waiting = err.Error()
+		next.waitingFor = err.Error()
 		if apierror.From(err).Code == apierror.DiskFull {
 			next.standing = wire.Standing_STANDING_DISK_FULL
 		}
@@ -223,16 +223,16 @@
 // It asks a majority of the voters and finishes what it finds accepted; without
 // a majority it says so.
 func (r *Replica) ReadMajority(ctx context.Context) (sheet.State, error) {
-	state, err := r.whole(ctx)
+	state, err := r.votingState(ctx)
 	if err != nil {
 		return sheet.State{}, err
 	}
-	target, tip, heard, _ := r.readAll(ctx, state)
-	if heard < state.Majority() {
+	target, tip, heard, _ := r.readVoters(ctx, state)
+	if heard < state.Quorum() {
 		return sheet.State{}, apierror.Errorf(apierror.NoMajority, "%d of %d cores answered", heard, len(state.Voters))
 	}
 	for {
-		now, err := r.sheetNow(ctx)
+		now, err := r.currentSheet(ctx)
 		if err != nil {
 			return sheet.State{}, err
 		}
@@ -242,15 +242,15 @@
 		case now.Version < tip.learned && r.catchUp(ctx, tip.core) == nil:
 			continue
 		}
-		if err := r.finish(ctx, target); err != nil {
+		if err := r.completeSlots(ctx, target); err != nil {
 			return sheet.State{}, err
 		}
 	}
 }
 
-func (r *Replica) fallenBehind(from string) {
+func (r *Replica) requestFetch(from string) {
 	select {
-	case r.behind <- from:
+	case r.fetchFrom <- from:
 	default:
 	}
 }
--- a/internal/node/replica/replica_test.go
+++ b/internal/node/replica/replica_test.go
@@ -456,7 +456,7 @@
 		f.form()
 		state, err := f.core("c").ReadMajority(within(time.Second))
 		So(err, ShouldBeNil)
-		So(state.Version, ShouldEqual, held.Version+foundingGap)
+		So(state.Version, ShouldEqual, held.Version+foundingSlotGap)
 		So(len(state.History), ShouldEqual, count)
 		f.orders("b", count, 3)
 	})
--- a/internal/node/replica/view.go
+++ b/internal/node/replica/view.go
@@ -9,31 +9,31 @@
 
 // view is what is published: it is synced here, and never steps back.
 type view struct {
-	state     sheet.State
-	recent    []*wire.Chosen
-	standing  wire.Standing
-	formation string
-	voters    []string
-	life      uint64
-	waiting   string
-	changed   chan struct{}
+	sheet       sheet.State
+	recent      []*wire.Chosen
+	standing    wire.Standing
+	formation   string
+	voters      []string
+	incarnation uint64
+	waitingFor  string
+	changed     chan struct{}
 }
 
 func (r *Replica) publish(next view) {
 	old := r.view.Load()
 	next.changed = make(chan struct{})
-	if next.state.Version < old.state.Version {
-		next.state, next.recent = old.state, old.recent
+	if next.sheet.Version < old.sheet.Version {
+		next.sheet, next.recent = old.sheet, old.recent
 	}
 	r.view.Store(&next)
 	close(old.changed)
 	if next.standing != old.standing {
-		r.events.Emit(events.StandingChanged, "core", r.cfg.Self, "standing", next.standing.String(), "waiting", next.waiting)
+		r.events.Emit(events.StandingChanged, "core", r.cfg.Self, "standing", next.standing.String(), "waiting", next.waitingFor)
 	}
 }
 
 // Current returns the newest state that is applied and synced here.
-func (r *Replica) Current() sheet.State { return r.view.Load().state }
+func (r *Replica) Current() sheet.State { return r.view.Load().sheet }
 
 // Changed returns a channel that is closed when a newer state or standing is
 // published. Take it before Current.
@@ -44,10 +44,10 @@
 // Current's.
 func (r *Replica) Learned(after uint64) (chosen []*wire.Chosen, whole bool) {
 	v := r.view.Load()
-	if after > v.state.Version {
+	if after > v.sheet.Version {
 		return nil, false
 	}
-	missing := v.state.Version - after
+	missing := v.sheet.Version - after
 	if missing > uint64(len(v.recent)) {
 		return nil, false
 	}
@@ -64,8 +64,8 @@
 // Voters are the sorted names of the formation's cores.
 func (r *Replica) Voters() []string { return r.view.Load().voters }
 
-// Life is the core's disk life while it votes, zero otherwise.
-func (r *Replica) Life() uint64 { return r.view.Load().life }
+// Incarnation is the core's disk life while it votes, zero otherwise.
+func (r *Replica) Incarnation() uint64 { return r.view.Load().incarnation }
 
 // Ready returns nil when the core votes, and else why it does not, as a fault
 // with CoreBlank, CoreAmnesiac, DiskFull or Internal.
@@ -74,7 +74,7 @@
 	if v.standing == wire.Standing_STANDING_VOTING {
 		return nil
 	}
-	return apierror.Errorf(standingCode(v.standing), "%s", v.waiting)
+	return apierror.Errorf(standingCode(v.standing), "%s", v.waitingFor)
 }
 
 func standingCode(standing wire.Standing) apierror.Code {
--- a/sim/confirm/process.go
+++ b/sim/confirm/process.go
@@ -54,9 +54,9 @@
 		w.fetch(p, n)
 	}
 	if resp.Granted {
-		p.holder.Renewed(n.name, sent, req.Epoch, resp.Learned)
+		p.holder.RecordGrant(n.name, sent, req.Epoch, resp.Learned)
 	} else if req.Unconfirmed {
-		p.holder.Asked(n.name, resp.Learned)
+		p.holder.RecordDenial(n.name, resp.Learned)
 	}
 }
 
@@ -83,10 +83,10 @@
 	}
 	p.state, p.held = state, true
 	p.holder.SetRoster(state.Roster, state.PriorRoster)
-	p.holder.Confirm(state.Version)
+	p.holder.AdvanceTo(state.Version)
 	if w.config.Mutation == Hearsay && p.holder.Unconfirmed() {
 		for _, voter := range w.voters {
-			p.holder.Renewed(voter, time.Time{}, state.Version, 0)
+			p.holder.RecordGrant(voter, time.Time{}, state.Version, 0)
 		}
 	}
 	w.renewAll(p)
@@ -101,7 +101,7 @@
 		w.call(p, n, func(q *process) func() {
 			version, unconfirmed, incarnation := q.state.Version, q.holder.Unconfirmed(), q.incarnation
 			return func() {
-				p.holder.Heard(n.name, incarnation, sent, version, unconfirmed)
+				p.holder.RecordPingResponse(n.name, incarnation, sent, version, unconfirmed)
 				if version > p.state.Version && !unconfirmed {
 					w.fetch(p, n)
 				}
@@ -109,9 +109,9 @@
 		}, func() {
 			now := w.clock(p.node)
 			if w.config.Mutation == AnyRefusal || w.config.Mutation == SilenceIsDead {
-				p.holder.Heard(n.name, 0, now, 0, true)
+				p.holder.RecordPingResponse(n.name, 0, now, 0, true)
 			}
-			p.holder.Refused(n.name, now)
+			p.holder.RecordRefusal(n.name, now)
 		})
 	}
 }
@@ -159,15 +159,15 @@
 func (w *world) pingQuiet(p *process) {
 	ledger := p.core.ledger
 	ledger.Expire(w.clock(p.node))
-	for _, quiet := range ledger.Quiet(w.log[p.core.learned].Roster, 700*time.Millisecond, w.clock(p.node)) {
+	for _, quiet := range ledger.PingTargets(w.log[p.core.learned].Roster, 700*time.Millisecond, w.clock(p.node)) {
 		for _, n := range w.nodes {
 			if n.name != quiet.Name || n == p.node {
 				continue
 			}
 			w.call(p, n, func(q *process) func() {
 				incarnation := q.incarnation
-				return func() { ledger.Heard(n.name, incarnation, w.clock(p.node)) }
-			}, func() { ledger.Gone(n.name, quiet.Incarnation, w.clock(p.node)) })
+				return func() { ledger.RecordPingResponse(n.name, incarnation, w.clock(p.node)) }
+			}, func() { ledger.RecordRefusal(n.name, quiet.Incarnation, w.clock(p.node)) })
 		}
 	}
 }
@@ -178,11 +178,11 @@
 	if !c.opened || !state.Settled() {
 		return
 	}
-	if members := c.ledger.Newcomers(state.Roster, now); len(members) > 0 {
+	if members := c.ledger.UnlistedMembers(state.Roster, now); len(members) > 0 {
 		w.propose(p.node, sheet.AddMembers{Members: members, By: p.node.name})
 		return
 	}
-	if names := c.ledger.Departed(state.Roster, 6*time.Second, now); len(names) > 0 {
+	if names := c.ledger.RefusingMembers(state.Roster, 6*time.Second, now); len(names) > 0 {
 		w.propose(p.node, sheet.RemoveMembers{Names: names, By: p.node.name})
 	}
 }
@@ -207,14 +207,14 @@
 	return r
 }
 
-func (w *world) question(p *process, version uint64, r *round) lease.Question {
+func (w *world) question(p *process, version uint64, r *round) lease.ConfirmationCheck {
 	state := w.log[p.core.learned]
-	q := lease.Question{Version: version, Voters: w.config.Cores, Views: r.views, Roster: state.Roster, Prior: state.PriorRoster}
+	q := lease.ConfirmationCheck{Version: version, Voters: w.config.Cores, Views: r.views, Roster: state.Roster, PriorRoster: state.PriorRoster}
 	switch w.config.Mutation {
 	case NoRoster:
-		q.Roster, q.Prior = nil, nil
+		q.Roster, q.PriorRoster = nil, nil
 	case NoPrior:
-		q.Prior = nil
+		q.PriorRoster = nil
 	case NoWaiting:
 		for _, view := range q.Views {
 			view.Waiting = nil
@@ -241,7 +241,7 @@
 	if w.now < c.settle.end {
 		return
 	}
-	if met, _ := lease.Settled(w.question(p, state.RosterVersion, c.settle)); met {
+	if met, _ := lease.RosterChangeConfirmed(w.question(p, state.RosterVersion, c.settle)); met {
 		if _, ok := w.propose(p.node, sheet.SettleRoster{RosterVersion: state.RosterVersion}); ok {
 			w.outcome.Rosters++
 		}
@@ -259,7 +259,7 @@
 		case o.round == nil:
 			o.round = w.ask(p, o.version)
 		case w.now >= o.round.end:
-			if met, _ := lease.InForce(w.question(p, o.version, o.round)); met {
+			if met, _ := lease.VersionConfirmed(w.question(p, o.version, o.round)); met {
 				w.acked = append(w.acked, ack{o.version, w.now})
 				w.outcome.Acked++
 				continue
--- a/sim/confirm/simulate.go
+++ b/sim/confirm/simulate.go
@@ -84,11 +84,11 @@
 	if version == n.ruled && version >= w.strict.version && !sample {
 		return
 	}
-	verdict := p.holder.Ruling(w.clock(n))
+	verdict := p.holder.Authority(w.clock(n))
 	if sample {
 		w.samples++
 	}
-	if !verdict.Ruling {
+	if !verdict.Granted {
 		return
 	}
 	if sample {
@@ -96,16 +96,16 @@
 	}
 	switch {
 	case version < w.floor.version:
-		w.violated(n, "rules by an older epoch than was acknowledged", w.floor, verdict.By)
-	case version < w.strict.version && verdict.By == lease.ByLease:
-		w.violated(n, "holds a lease at an older epoch than was acknowledged", w.strict, verdict.By)
+		w.violated(n, "rules by an older epoch than was acknowledged", w.floor, verdict.Source)
+	case version < w.strict.version && verdict.Source == lease.SourceLease:
+		w.violated(n, "holds a lease at an older epoch than was acknowledged", w.strict, verdict.Source)
 	case version < n.ruled:
-		w.violated(n, "went back to an older epoch", ack{version: n.ruled}, verdict.By)
+		w.violated(n, "went back to an older epoch", ack{version: n.ruled}, verdict.Source)
 	}
 	n.ruled = max(n.ruled, version)
 }
 
-func (w *world) violated(n *node, why string, newer ack, by lease.By) {
+func (w *world) violated(n *node, why string, newer ack, by lease.Source) {
 	if w.found == nil {
 		w.found = &Violation{Seed: w.seed, AtMS: w.now, Node: n.name, Why: why, Version: n.process.state.Version, Newer: newer.version,
 			AckMS: newer.at, By: by, Mix: w.config.Name, Faults: w.faults}
--- a/sim/confirm/world.go
+++ b/sim/confirm/world.go
@@ -99,7 +99,7 @@
 	Version uint64
 	Newer   uint64
 	AckMS   int64
-	By      lease.By
+	By      lease.Source
 	Mix     string
 	Faults  []string
 }
@@ -146,7 +146,7 @@
 }
 
 type core struct {
-	ledger  *lease.Ledger
+	ledger  *lease.Table
 	opened  bool
 	learned uint64
 	pingAt  int64
@@ -239,10 +239,10 @@
 		renewAt: w.now + int64(w.random.IntN(500)), pingAt: w.now + int64(w.random.IntN(500))}
 	p.holder.SetCores(w.voters)
 	if n.id < w.config.Cores {
-		p.core = &core{ledger: lease.NewLedger(n.name, ttl, w.clock(n)), learned: w.synced[n.id],
+		p.core = &core{ledger: lease.NewTable(n.name, ttl, w.clock(n)), learned: w.synced[n.id],
 			opened: w.config.Mutation == NoOpening}
 		if w.config.Mutation == Unsettled {
-			p.core.ledger = lease.NewLedger(n.name, ttl, w.clock(n).Add(-time.Minute))
+			p.core.ledger = lease.NewTable(n.name, ttl, w.clock(n).Add(-time.Minute))
 		}
 	}
 	n.process = p
--- a/sim/paxos/message.go
+++ b/sim/paxos/message.go
@@ -50,13 +50,13 @@
 		return head + fmt.Sprintf("prepare %d", msg.prepare.Ballot.Number)
 	case msg.prepared != nil:
 		m := msg.prepared
-		return head + fmt.Sprintf("promised %v %v accepted %v %q chosen %v %q lives %v", m.Promised, paxos.Of(m.PromisedBallot),
-			paxos.Of(m.AcceptedBallot), m.AcceptedValue, m.Chosen, m.ChosenValue, m.Lives)
+		return head + fmt.Sprintf("promised %v %v accepted %v %q chosen %v %q lives %v", m.Promised, paxos.BallotFromWire(m.PromisedBallot),
+			paxos.BallotFromWire(m.AcceptedBallot), m.AcceptedValue, m.Chosen, m.ChosenValue, m.Lives)
 	case msg.accept != nil:
 		return head + fmt.Sprintf("accept %d %q on lives %v", msg.accept.Ballot.Number, msg.accept.Value, msg.accept.PromisedLives)
 	case msg.accepted != nil:
 		m := msg.accepted
-		return head + fmt.Sprintf("accepted %v of %v lives %v chosen %v %q", m.Accepted, paxos.Of(m.PromisedBallot), m.Lives, m.Chosen, m.ChosenValue)
+		return head + fmt.Sprintf("accepted %v of %v lives %v chosen %v %q", m.Accepted, paxos.BallotFromWire(m.PromisedBallot), m.Lives, m.Chosen, m.ChosenValue)
 	case msg.recover != nil:
 		return head + fmt.Sprintf("recover life %d", msg.recover.Life)
 	}
--- a/sim/paxos/model.go
+++ b/sim/paxos/model.go
@@ -129,8 +129,8 @@
 	}
 	w := world{bounds: b, cache: &handlerCache{requests: map[handling]requestResult{}, answers: map[handling]answerResult{}}}
 	for i, name := range names {
-		state := paxos.Joined{Formation: "f", Voters: names}.Fold(paxos.Blank(name))
-		state = paxos.Entered{Lives: map[string]uint64{"a": 1, "b": 1, "c": 1}}.Fold(state)
+		state := paxos.FormationJoined{Formation: "f", Voters: names}.Apply(paxos.Blank(name))
+		state = paxos.RecoveryCompleted{Incarnations: map[string]uint64{"a": 1, "b": 1, "c": 1}}.Apply(state)
 		w.cores[i] = node{state: state, proposals: b.Ballots[i]}.hashed()
 	}
 	e := explorer{limit: b.States, seen: map[uint64]struct{}{}}
@@ -201,13 +201,13 @@
 func found(a, b paxos.State) (value []byte, open bool) {
 	var top paxos.Ballot
 	for _, s := range []paxos.State{a, b} {
-		if s.Life() == 0 {
+		if s.Incarnation() == 0 {
 			return nil, false
 		}
 		if command, learned := s.Command(slot); learned {
 			return command, true
 		}
-		if vote := s.Votes[slot]; top.Below(vote.Accepted) {
+		if vote := s.OpenSlots[slot]; top.Less(vote.Accepted) {
 			top, value = vote.Accepted, vote.Value
 		}
 	}
@@ -234,9 +234,9 @@
 
 // hashed returns the node with the hash of all that makes a difference later.
 func (n node) hashed() node {
-	to := n.state.Key(append(append(make([]byte, 0, 512), n.state.Self...), byte(n.incarnation), byte(n.run), byte(n.proposals)))
+	to := n.state.AppendKey(append(append(make([]byte, 0, 512), n.state.Self...), byte(n.incarnation), byte(n.run), byte(n.proposals)))
 	if n.proposer != nil {
-		to = n.proposer.Key(append(to, 0xf0))
+		to = n.proposer.AppendKey(append(to, 0xf0))
 	}
 	if n.rebuild != nil {
 		to = append(to, 0xf1, byte(n.rebuild.diskLife))
--- a/sim/paxos/process.go
+++ b/sim/paxos/process.go
@@ -46,7 +46,7 @@
 func (c *core) durable() paxos.State {
 	state := c.base
 	for _, record := range c.log[:c.synced] {
-		state = record.Fold(state)
+		state = record.Apply(state)
 	}
 	return state
 }
@@ -64,13 +64,13 @@
 			s.violate("a record can't be read back: %v", err)
 			return
 		}
-		c.state = encoded.Fold(c.state)
+		c.state = encoded.Apply(c.state)
 	}
 	c.synced, c.waiting, c.proposing, c.recovering, c.seen, c.slow = len(c.log), nil, 0, false, 0, 0
 	if s.faults.Flaw == RebuildWithout && c.state.Formation == "" && len(s.chosen) > 0 {
 		other := s.cores[(c.index+1)%len(s.cores)].state
-		joined := paxos.Joined{Formation: other.Formation, Voters: s.names}.Fold(c.state)
-		c.base = paxos.Entered{Lives: other.Lives}.Fold(joined)
+		joined := paxos.FormationJoined{Formation: other.Formation, Voters: s.names}.Apply(c.state)
+		c.base = paxos.RecoveryCompleted{Incarnations: other.Incarnations}.Apply(joined)
 		c.state = c.base
 	}
 	c.tick(c.incarnation)
@@ -103,7 +103,7 @@
 	before := c.state
 	for _, record := range records {
 		c.log = append(c.log, record)
-		c.state = record.Fold(c.state)
+		c.state = record.Apply(c.state)
 	}
 	c.check(before)
 	incarnation := c.incarnation
@@ -112,7 +112,7 @@
 			c.sync()
 		}
 	})
-	if len(c.state.Chosen) > compactEvery && c.state.Life() != 0 {
+	if len(c.state.Chosen) > compactEvery && c.state.Incarnation() != 0 {
 		version := c.state.SnapshotSlot + uint64(c.sim.random.IntN(len(c.state.Chosen))) + 1
 		c.sim.outcome.Snapshots++
 		c.state = c.state.Compacted(version, binary.LittleEndian.AppendUint64(nil, c.sim.digest(version)))
@@ -128,11 +128,11 @@
 		action()
 	}
 	if c.synced > compactLog && c.waiting == nil || c.synced > compactBusyLog {
-		compacted, err := paxos.Decode(c.state.Encode())
+		compacted, err := paxos.DecodeState(c.state.Encode())
 		if err != nil {
 			c.sim.violate("a state can't be read back: %v", err)
 		}
-		if c.state.Life() != 0 && len(c.waiting) == 0 {
+		if c.state.Incarnation() != 0 && len(c.waiting) == 0 {
 			c.base, c.log, c.synced = compacted, nil, 0
 		}
 	}
--- a/sim/paxos/proposal.go
+++ b/sim/paxos/proposal.go
@@ -24,7 +24,7 @@
 	c.proposing = c.proposals
 	slot := c.state.Learned() + 1
 	command := fmt.Appendf(nil, "%s/%d/%d", c.state.Self, c.incarnation, c.proposing)
-	proposer, prepare := paxos.Propose(c.state, slot, max(c.state.NextNumber(slot), c.seen+1), command)
+	proposer, prepare := paxos.NewProposer(c.state, slot, max(c.state.NextBallotNumber(slot), c.seen+1), command)
 	p := &proposal{core: c, incarnation: c.incarnation, number: c.proposing, slot: slot, proposer: proposer}
 	p.onPrepared = firstAnswer(p.prepared)
 	p.onAccepted = firstAnswer(p.accepted)
@@ -49,7 +49,7 @@
 
 // end lets the core propose again after a pause.
 func (p *proposal) end() {
-	p.core.seen = p.proposer.Seen.Number
+	p.core.seen = p.proposer.HighestBallot.Number
 	if p.core.proposing != p.number {
 		return
 	}
@@ -65,7 +65,7 @@
 		return
 	}
 	var step paxos.Step
-	p.proposer, step = p.proposer.Promise(answer)
+	p.proposer, step = p.proposer.HandlePrepare(answer)
 	p.proceed(step)
 }
 
@@ -74,7 +74,7 @@
 		return
 	}
 	var step paxos.Step
-	p.proposer, step = p.proposer.Accepted(answer)
+	p.proposer, step = p.proposer.HandleAccept(answer)
 	p.proceed(step)
 }
 
@@ -85,8 +85,8 @@
 		p.sendAccept(step.Accept)
 	case step.Chosen:
 		p.commit(step.Value)
-	case step.Behind != "":
-		p.fetchFrom(step.Behind)
+	case step.LearnedBy != "":
+		p.fetchFrom(step.LearnedBy)
 		p.end()
 	case step.Lost:
 		p.end()
--- a/sim/paxos/protocol.go
+++ b/sim/paxos/protocol.go
@@ -42,7 +42,7 @@
 		if probes[name] == nil {
 			continue
 		}
-		if record, ok := c.state.Rejoin(probes[name]); ok {
+		if record, ok := c.state.JoinProbed(probes[name]); ok {
 			c.commit([]paxos.Record{record})
 			return true
 		}
@@ -56,18 +56,18 @@
 		if c.rejoin(answers) {
 			return
 		}
-		record, ok := c.state.Establish(fmt.Sprintf("%s-%d", c.state.Self, c.sim.now), len(c.sim.cores), answers, 0, nil)
+		record, ok := c.state.FoundFormation(fmt.Sprintf("%s-%d", c.state.Self, c.sim.now), len(c.sim.cores), answers, 0, nil)
 		if !ok {
 			return
 		}
 		c.commit([]paxos.Record{record})
-		joined := record.(paxos.Joined)
+		joined := record.(paxos.FormationJoined)
 		c.whenSynced(func() { c.inviteOthers(joined) })
 	})
 }
 
 // inviteOthers asks the other cores to join an established formation.
-func (c *core) inviteOthers(joined paxos.Joined) {
+func (c *core) inviteOthers(joined paxos.FormationJoined) {
 	for _, other := range c.others() {
 		rpc(c, other, func(o *core) ([]paxos.Record, *wire.FoundResponse) {
 			return o.state.Found(&wire.FoundRequest{Formation: joined.Formation, Voters: joined.Voters, Founder: c.state.Self})
@@ -91,12 +91,12 @@
 		if c.rejoin(probes) {
 			return
 		}
-		next, waiting := c.state.NextLife(probes, c.salt())
-		if waiting != "" || c.state.Life() != 0 {
+		next, waiting := c.state.NextIncarnation(probes, c.salt())
+		if waiting != "" || c.state.Incarnation() != 0 {
 			return
 		}
-		if next != c.state.Announced {
-			c.commit([]paxos.Record{paxos.Lived{Core: c.state.Self, Life: next}})
+		if next != c.state.AnnouncedIncarnation {
+			c.commit([]paxos.Record{paxos.IncarnationRecorded{Core: c.state.Self, Incarnation: next}})
 		}
 		c.whenSynced(func() { c.announce(next, probes) })
 	})
@@ -105,17 +105,17 @@
 // announce asks the voters that the answers to a probe select to record this
 // core's disk life and to return their votes.
 func (c *core) announce(diskLife uint64, probes map[string]*wire.RecoverResponse) {
-	sources, _ := c.state.Sources(diskLife, probes)
-	formation, rebuildQuorum := c.state.Formation, c.state.RebuildQuorum()
+	sources, _ := c.state.RecoverySources(diskLife, probes)
+	formation, rebuildQuorum := c.state.Formation, c.state.RecoveryQuorum()
 	c.round++
 	round := c.round
 	answers := map[string]*wire.RecoverResponse{}
 	take := firstAnswer(func(name string, answer *wire.RecoverResponse) {
 		answers[name] = answer
-		if len(answers) < rebuildQuorum || c.round != round || c.state.Life() != 0 || c.state.Formation != formation {
+		if len(answers) < rebuildQuorum || c.round != round || c.state.Incarnation() != 0 || c.state.Formation != formation {
 			return
 		}
-		if record, waiting := c.state.Enter(diskLife, answers); waiting == "" {
+		if record, waiting := c.state.CompleteRecovery(diskLife, answers); waiting == "" {
 			c.commit([]paxos.Record{record})
 		}
 	})
@@ -158,7 +158,7 @@
 	rpc(c, other, func(o *core) ([]paxos.Record, *wire.ReadResponse) {
 		return nil, o.state.Read(&wire.ReadRequest{Formation: c.state.Formation, Core: c.state.Self})
 	}, func(resp *wire.ReadResponse) {
-		if resp.Life <= c.state.Life() || c.state.Life() == 0 {
+		if resp.Life <= c.state.Incarnation() || c.state.Incarnation() == 0 {
 			return
 		}
 		c.up = false
@@ -167,7 +167,7 @@
 			return
 		}
 		for _, other := range c.others() {
-			c.sim.outcome.Lost = c.sim.outcome.Lost || other.durable().Life() == 0
+			c.sim.outcome.Lost = c.sim.outcome.Lost || other.durable().Incarnation() == 0
 		}
 		c.base, c.log, c.synced = paxos.Blank(c.state.Self), nil, 0
 		c.sim.after(c.sim.between(1, 600), func() { c.sim.boot(c) })
@@ -184,7 +184,7 @@
 		return nil, resp
 	}, func(resp *wire.FetchResponse) {
 		if resp != nil {
-			c.commit(c.state.Fetched(resp))
+			c.commit(c.state.HandleFetch(resp))
 		}
 	})
 }
--- a/sim/paxos/random.go
+++ b/sim/paxos/random.go
@@ -142,7 +142,7 @@
 		return false
 	}
 	for _, c := range s.cores {
-		if c.state.Life() == 0 || c.state.Learned() < s.target {
+		if c.state.Incarnation() == 0 || c.state.Learned() < s.target {
 			return false
 		}
 	}
@@ -232,12 +232,12 @@
 func (s *sim) canWipe(c *core) bool {
 	blank := 0
 	for _, other := range s.cores {
-		if other != c && (other.durable().Life() == 0) {
+		if other != c && (other.durable().Incarnation() == 0) {
 			blank++
 		}
 	}
-	tolerated := len(s.cores) - paxos.State{Voters: s.names}.Majority()
-	if blank == tolerated && s.faults.TwoWipes && c.durable().Life() != 0 && len(s.chosen) > 0 {
+	tolerated := len(s.cores) - paxos.State{Voters: s.names}.Quorum()
+	if blank == tolerated && s.faults.TwoWipes && c.durable().Incarnation() != 0 && len(s.chosen) > 0 {
 		s.outcome.Lost = true
 		return true
 	}
--- a/sim/paxos/transitions.go
+++ b/sim/paxos/transitions.go
@@ -13,10 +13,10 @@
 
 func (w world) open(i int, visit func(step, world) bool) bool {
 	n := w.cores[i]
-	if n.proposals == 0 || n.state.Life() == 0 || n.state.Learned() >= slot {
+	if n.proposals == 0 || n.state.Incarnation() == 0 || n.state.Learned() >= slot {
 		return false
 	}
-	p, req := paxos.Propose(n.state, slot, n.state.NextNumber(slot), fmt.Appendf(nil, "%s%d", names[i], n.run+1))
+	p, req := paxos.NewProposer(n.state, slot, n.state.NextBallotNumber(slot), fmt.Appendf(nil, "%s%d", names[i], n.run+1))
 	n.proposer, n.proposals = &p, n.proposals-1
 	n.run++
 	w.cores[i] = n.hashed()
@@ -28,7 +28,7 @@
 
 func (w world) startRebuild(i int, visit func(step, world) bool) bool {
 	n := w.cores[i]
-	if n.state.Life() != 0 || n.rebuild != nil || w.bounds.Rebuilds == 0 {
+	if n.state.Incarnation() != 0 || n.rebuild != nil || w.bounds.Rebuilds == 0 {
 		return false
 	}
 	probes := map[string]*wire.RecoverResponse{}
@@ -37,13 +37,13 @@
 			_, probes[names[j]] = other.state.Recover(&wire.RecoverRequest{Core: names[i], Probe: true})
 		}
 	}
-	diskLife, waiting := n.state.NextLife(probes, 0)
+	diskLife, waiting := n.state.NextIncarnation(probes, 0)
 	if waiting != "" {
 		return false
 	}
 	w.bounds.Rebuilds--
 	n.rebuild = &rebuild{diskLife: diskLife}
-	n.state = paxos.Lived{Core: names[i], Life: diskLife}.Fold(n.state)
+	n.state = paxos.IncarnationRecorded{Core: names[i], Incarnation: diskLife}.Apply(n.state)
 	w.cores[i] = n.hashed()
 	for to := range w.cores {
 		if to != i {
@@ -57,14 +57,14 @@
 	if w.bounds.Wipes == 0 || w.bounds.Wiped != "" && !strings.Contains(w.bounds.Wiped, names[i]) {
 		return false
 	}
-	if w.cores[(i+1)%3].state.Life() == 0 && w.cores[(i+2)%3].state.Life() == 0 {
+	if w.cores[(i+1)%3].state.Incarnation() == 0 && w.cores[(i+2)%3].state.Incarnation() == 0 {
 		return false
 	}
 	w.bounds.Wipes--
 	n := w.cores[i]
-	state := paxos.Joined{Formation: "f", Voters: names}.Fold(paxos.Blank(names[i]))
+	state := paxos.FormationJoined{Formation: "f", Voters: names}.Apply(paxos.Blank(names[i]))
 	if w.bounds.Flaw == RebuildWithout {
-		state = paxos.Entered{Lives: n.state.Lives}.Fold(state)
+		state = paxos.RecoveryCompleted{Incarnations: n.state.Incarnations}.Apply(state)
 	}
 	w.cores[i] = node{state: state, incarnation: n.incarnation + 1, run: n.run, proposals: n.proposals}.hashed()
 	return visit(step{what: "wipe", core: i}, w)
@@ -139,7 +139,7 @@
 		}
 	}
 	for _, record := range records {
-		n.state = record.Fold(n.state)
+		n.state = record.Apply(n.state)
 	}
 	given := requestResult{node: n.hashed(), changed: len(records) > 0}
 	if !answer.refusal() {
@@ -154,8 +154,8 @@
 	case LivesHidden:
 		resp.Lives = firstLives
 	case PromiseTwice:
-		if vote := s.Votes[req.Slot]; !resp.Promised && resp.Refusal == 0 && !resp.Chosen && vote.Promised == paxos.Of(req.Ballot) {
-			resp.Promised, resp.AcceptedBallot, resp.AcceptedValue = true, vote.Accepted.Wire(), vote.Value
+		if vote := s.OpenSlots[req.Slot]; !resp.Promised && resp.Refusal == 0 && !resp.Chosen && vote.Promised == paxos.BallotFromWire(req.Ballot) {
+			resp.Promised, resp.AcceptedBallot, resp.AcceptedValue = true, vote.Accepted.ToWire(), vote.Value
 		}
 	}
 }
@@ -193,9 +193,9 @@
 	var p paxos.Proposer
 	var next paxos.Step
 	if msg.prepared != nil {
-		p, next = n.proposer.Promise(msg.prepared)
+		p, next = n.proposer.HandlePrepare(msg.prepared)
 	} else {
-		p, next = n.proposer.Accepted(msg.accepted)
+		p, next = n.proposer.HandleAccept(msg.accepted)
 	}
 	n.proposer = &p
 	if p.Phase == paxos.Ended {
@@ -205,7 +205,7 @@
 	if next.Chosen {
 		records, _, _ := n.state.Learn(&wire.LearnRequest{Formation: "f", Chosen: []*wire.Chosen{{Epoch: slot, Command: next.Value}}})
 		for _, record := range records {
-			n.state = record.Fold(n.state)
+			n.state = record.Apply(n.state)
 		}
 		got.decided = next.Value
 	}
@@ -222,7 +222,7 @@
 }
 
 func (w world) rebuilt(n node, msg *message) node {
-	if n.rebuild == nil || n.state.Life() != 0 || !msg.recovered.Ok {
+	if n.rebuild == nil || n.state.Incarnation() != 0 || !msg.recovered.Ok {
 		return n
 	}
 	answers := maps.Clone(n.rebuild.answers)
@@ -238,8 +238,8 @@
 			}
 		}
 	}
-	if record, waiting := n.state.Enter(n.rebuild.diskLife, answers); waiting == "" {
-		n.state = record.Fold(n.state)
+	if record, waiting := n.state.CompleteRecovery(n.rebuild.diskLife, answers); waiting == "" {
+		n.state = record.Apply(n.state)
 		n.rebuild = nil
 	}
 	return n.hashed()
--- a/sim/route/sim.go
+++ b/sim/route/sim.go
@@ -247,8 +247,8 @@
 		next[v.name] = v.status()
 	}
 	in := plan.Input{State: s.state, Servers: next, Prior: s.plan, Term: 1, Number: s.number + 1, Now: s.clock(), Period: planPeriod, Policy: s.cfg.Policy}
-	cause, forced := plan.Forced(s.plan, in)
-	if forced || plan.Due(s.plan, in.Now) {
+	cause, forced := plan.ReplanCause(s.plan, in)
+	if forced || plan.PeriodOver(s.plan, in.Now) {
 		in.Cause = cmp.Or(cause, "period")
 		s.plan = plan.Compute(in)
 		s.number++
--- a/sim/route/sim_test.go
+++ b/sim/route/sim_test.go
@@ -116,14 +116,14 @@
 func TestCheckerFindsFloods(t *testing.T) {
 	cfg := today(1)
 	cfg.Faults = []Fault{crash(20, 3), cold(22, 3)}
-	cfg.Policy = plan.Policy{RampStart: fullCap}
+	cfg.Policy = plan.Policy{SlowStartCap: fullCap}
 	if len(Check(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
 		t.Error("a server without a ramp was not seen to be flooded")
 	}
 	cfg = today(1)
 	cfg.Server.Queue = 10000
 	cfg.Crowd, cfg.CrowdFrom, cfg.CrowdTo = 10, 20*time.Second, 30*time.Second
-	cfg.Policy = plan.Policy{Slack: 10}
+	cfg.Policy = plan.Policy{QueueFraction: 10}
 	if len(Check(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
 		t.Error("servers without a cap were not seen to be flooded")
 	}
