--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -21,7 +21,7 @@
 	ReserveBytes int64         // kept free for snapshots and new disk lives; 0 is 1 MiB, under a quota at most a quarter of it
 	Quota        int64         // bound of all files together; 0 is none
 	SyncDelay    time.Duration // added to every sync, for proving
-	FileSystem   FileSystem    // nil is the machine's
+	Disk         Disk          // nil is the machine's
 	Clock        clock.Clock   // nil is the machine's
 }
 
@@ -31,15 +31,15 @@
 	Snapshot    []byte // nil when there is none
 	Records     [][]byte
 	Segments    int
-	TornSegment string // segment whose torn tail was cut, if any
-	TornBytes   int64
+	TornSegment  string // segment whose torn tail was cut, if any
+	TornBytes    int64
 	BadSnapshot string // a newer snapshot that fails its checksum and was passed over
 }
 
 // Log is a log on disk. Append, Snapshot and the channels are for one owner.
 type Log struct {
 	cfg     Config
-	disk    FileSystem
+	disk    Disk
 	quit    chan struct{}
 	ended   chan struct{}
 	in      chan entry
@@ -82,16 +82,16 @@
 	if cfg.Quota > 0 {
 		cfg.ReserveBytes = min(cfg.ReserveBytes, cfg.Quota/4)
 	}
-	if cfg.FileSystem == nil {
-		cfg.FileSystem = System()
+	if cfg.Disk == nil {
+		cfg.Disk = System()
 	}
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System()
 	}
 	if cfg.SyncDelay > 0 {
-		cfg.FileSystem = WithSyncDelay(cfg.FileSystem, cfg.Clock, cfg.SyncDelay)
+		cfg.Disk = Slow(cfg.Disk, cfg.Clock, cfg.SyncDelay)
 	}
-	l := &Log{cfg: cfg, disk: cfg.FileSystem, quit: make(chan struct{}), ended: make(chan struct{}), dead: make(chan struct{}),
+	l := &Log{cfg: cfg, disk: cfg.Disk, quit: make(chan struct{}), ended: make(chan struct{}), dead: make(chan struct{}),
 		in: make(chan entry, maxEntries), synced: make(chan uint64, 1)}
 	w := &writer{Log: l}
 	replay, err := w.recover()
@@ -117,7 +117,7 @@
 		if err := checkSize(record); err != nil {
 			return 0, err
 		}
-		size += frameHeaderSize + int64(len(record))
+		size += frameHead + int64(len(record))
 	}
 	waiting := l.waiting.Load()
 	if waiting > 0 && waiting+size > maxWaiting {
@@ -180,7 +180,7 @@
 // Full tells whether ordinary appends of a typical size are refused for lack
 // of room.
 func (l *Log) Full() bool {
-	return l.full.Load() || l.cfg.Quota > 0 && l.used.Load()+frameHeaderSize+1024 > l.cfg.Quota-l.cfg.ReserveBytes
+	return l.full.Load() || l.cfg.Quota > 0 && l.used.Load()+frameHead+1024 > l.cfg.Quota-l.cfg.ReserveBytes
 }
 
 // Used is the size of all files, and of what waits to be written, in bytes.
--- a/internal/node/replica/votes.go
+++ b/internal/node/replica/rpc.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"stepwick/internal/apierror"
+	"stepwick/internal/decision/paxos"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -13,55 +14,60 @@
 	return callOwner(ctx, r, func(o *owner, reply func(*wire.FoundResponse, error)) {
 		records, resp := o.state.Found(req)
 		if len(records) > 0 {
-			o.waiting = "joins the formation " + req.Formation
+			o.waiting.reason = "joins the formation " + req.Formation
 		}
 		commitAndReply(o, records, forVote, resp, nil, reply)
 	})
 }
 
-// Prepare answers the opening of a ballot.
+// Prepare answers phase 1a of a ballot.
 func (r *Replica) Prepare(ctx context.Context, req *wire.PrepareRequest) (*wire.PrepareResponse, error) {
 	return callOwner(ctx, r, func(o *owner, reply func(*wire.PrepareResponse, error)) {
 		records, resp := o.state.Prepare(req)
-		o.reportWrongFormation(req.From, resp.Refusal)
-		if !resp.Promised {
-			reply(resp, nil)
-			return
-		}
-		commitAndReply(o, records, forVote, resp, func(code apierror.Code) *wire.PrepareResponse {
+		refusal := func(code apierror.Code) *wire.PrepareResponse {
 			return &wire.PrepareResponse{Core: resp.Core, Learned: resp.Learned, Lives: resp.Lives, Refusal: uint32(code)}
-		}, reply)
+		}
+		o.reportWrongFormation(req.From, resp.Refusal)
+		replyVote(o, records, resp.Promised, resp, refusal, reply)
 	})
 }
 
-// Accept answers a ballot's value.
+// Accept answers phase 2a of a ballot.
 func (r *Replica) Accept(ctx context.Context, req *wire.AcceptRequest) (*wire.AcceptResponse, error) {
 	return callOwner(ctx, r, func(o *owner, reply func(*wire.AcceptResponse, error)) {
 		records, resp := o.state.Accept(req)
-		o.reportWrongFormation(req.From, resp.Refusal)
-		if !resp.Accepted {
-			reply(resp, nil)
-			return
-		}
-		commitAndReply(o, records, forVote, resp, func(code apierror.Code) *wire.AcceptResponse {
+		refusal := func(code apierror.Code) *wire.AcceptResponse {
 			return &wire.AcceptResponse{Core: resp.Core, Learned: resp.Learned, Lives: resp.Lives, Refusal: uint32(code)}
-		}, reply)
+		}
+		o.reportWrongFormation(req.From, resp.Refusal)
+		replyVote(o, records, resp.Accepted, resp, refusal, reply)
 	})
 }
 
-// Learn takes chosen versions in.
+// replyVote replies at once when there is no vote to be kept. A vote leaves only
+// when it is synced, or is refused when there is no room for it.
+func replyVote[T any](o *owner, records []paxos.Record, voted bool, resp T, refusal func(apierror.Code) T, reply func(T, error)) {
+	if !voted {
+		reply(resp, nil)
+		return
+	}
+	commitAndReply(o, records, forVote, resp, refusal, reply)
+}
+
+// Learn takes in chosen values.
 func (r *Replica) Learn(ctx context.Context, req *wire.LearnRequest) (*wire.LearnResponse, error) {
 	return callOwner(ctx, r, func(o *owner, reply func(*wire.LearnResponse, error)) {
 		records, resp, behind := o.state.Learn(req)
 		if behind {
 			r.requestFetch(req.From)
 		}
-		before := o.state.Learned()
-		commitAndReply(o, records, forLearning, resp, func(apierror.Code) *wire.LearnResponse { return &wire.LearnResponse{Learned: before} }, reply)
+		learned := o.state.Learned()
+		refusal := func(apierror.Code) *wire.LearnResponse { return &wire.LearnResponse{Learned: learned} }
+		commitAndReply(o, records, forLearning, resp, refusal, reply)
 	})
 }
 
-// Recover answers a core that rebuilds from an empty disk.
+// Recover answers a core that recovers from an empty disk.
 func (r *Replica) Recover(ctx context.Context, req *wire.RecoverRequest) (*wire.RecoverResponse, error) {
 	return callOwner(ctx, r, func(o *owner, reply func(*wire.RecoverResponse, error)) {
 		records, resp := o.state.Recover(req)
@@ -72,19 +78,22 @@
 		if len(records) > 0 {
 			r.events.Emit(events.LifeRaised, "core", req.Core, "life", req.Life)
 		}
-		commitAndReply(o, records, forIncarnation, resp, func(code apierror.Code) *wire.RecoverResponse {
+		refusal := func(code apierror.Code) *wire.RecoverResponse {
 			return &wire.RecoverResponse{Core: resp.Core, Formation: resp.Formation, Voters: resp.Voters, Refusal: uint32(code)}
-		}, reply)
+		}
+		commitAndReply(o, records, forIncarnation, resp, refusal, reply)
 	})
 }
 
-// Read tells how far the core has learned and accepted.
+// Read returns the highest slots that the core has learned and accepted.
 func (r *Replica) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadResponse, error) {
-	return callOwner(ctx, r, func(o *owner, reply func(*wire.ReadResponse, error)) { reply(o.state.Read(req), nil) })
+	return callOwner(ctx, r, func(o *owner, reply func(*wire.ReadResponse, error)) {
+		reply(o.state.Read(req), nil)
+	})
 }
 
-// Fetch gives the versions after a place, after a snapshot where those are no
-// longer kept.
+// Fetch returns the chosen values after a slot, and a snapshot before them when
+// some of them are compacted.
 func (r *Replica) Fetch(ctx context.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
 	return callOwner(ctx, r, func(o *owner, reply func(*wire.FetchResponse, error)) {
 		resp, apiErr := o.state.Fetch(req)
@@ -95,3 +104,9 @@
 		reply(resp, nil)
 	})
 }
+
+func (o *owner) reportWrongFormation(from string, refusal uint32) {
+	if apierror.Code(refusal) == apierror.WrongFormation {
+		o.replica.events.Emit(events.WrongFormation, "core", o.replica.cfg.Self, "from", from, "formation", o.state.Formation)
+	}
+}
--- a/sim/paxos/proposal.go
+++ b/sim/paxos/proposal.go
@@ -80,15 +80,16 @@
 
 // proceed takes the proposer's next step.
 func (p *proposal) proceed(step paxos.Step) {
-	switch {
-	case step.Accept != nil:
+	switch step.Action {
+	case paxos.AwaitAnswers:
+	case paxos.SendAccept:
 		p.sendAccept(step.Accept)
-	case step.Chosen:
+	case paxos.ValueChosen:
 		p.commit(step.Value)
-	case step.LearnedBy != "":
+	case paxos.FetchChosen:
 		p.fetchFrom(step.LearnedBy)
 		p.end()
-	case step.Lost:
+	case paxos.BallotLost:
 		p.end()
 	}
 }
--- a/sim/paxos/transitions.go
+++ b/sim/paxos/transitions.go
@@ -202,14 +202,14 @@
 		n.proposer = nil
 	}
 	got := answerResult{}
-	if next.Chosen {
+	if next.Action == paxos.ValueChosen {
 		records, _, _ := n.state.Learn(&wire.LearnRequest{Formation: "f", Chosen: []*wire.Chosen{{Epoch: slot, Command: next.Value}}})
 		for _, record := range records {
 			n.state = record.Apply(n.state)
 		}
 		got.decided = next.Value
 	}
-	if next.Accept != nil {
+	if next.Action == paxos.SendAccept {
 		if w.bounds.Flaw == LivesHidden {
 			next.Accept.PromisedLives = nil
 		}
