--- a/sim/confirm/process.go
+++ b/sim/confirm/process.go
@@ -99,9 +99,9 @@
 		}
 		sent := w.clock(p.node)
 		w.call(p, n, func(q *process) func() {
-			version, unconfirmed, life := q.state.Version, q.holder.Unconfirmed(), q.incarnation
+			version, unconfirmed, incarnation := q.state.Version, q.holder.Unconfirmed(), q.incarnation
 			return func() {
-				p.holder.RecordPingResponse(n.name, life, sent, version, unconfirmed)
+				p.holder.RecordPingResponse(n.name, incarnation, sent, version, unconfirmed)
 				if version > p.state.Version && !unconfirmed {
 					w.fetch(p, n)
 				}
@@ -157,17 +157,17 @@
 }
 
 func (w *world) pingQuiet(p *process) {
-	ledger := p.core.ledger
-	ledger.Expire(w.clock(p.node))
-	for _, quiet := range ledger.PingTargets(w.log[p.core.learned].Roster, 700*time.Millisecond, w.clock(p.node)) {
+	table := p.core.ledger
+	table.Expire(w.clock(p.node))
+	for _, target := range table.PingTargets(w.log[p.core.learned].Roster, 700*time.Millisecond, w.clock(p.node)) {
 		for _, n := range w.nodes {
-			if n.name != quiet.Name || n == p.node {
+			if n.name != target.Name || n == p.node {
 				continue
 			}
 			w.call(p, n, func(q *process) func() {
-				life := q.incarnation
-				return func() { ledger.RecordPingResponse(n.name, life, w.clock(p.node)) }
-			}, func() { ledger.RecordRefusal(quiet, w.clock(p.node)) })
+				incarnation := q.incarnation
+				return func() { table.RecordPingResponse(n.name, incarnation, w.clock(p.node)) }
+			}, func() { table.RecordRefusal(target, w.clock(p.node)) })
 		}
 	}
 }
