--- a/cmd/rig/faultcase/stage.go
+++ b/cmd/rig/faultcase/stage.go
@@ -203,8 +203,8 @@
 	}
 }
 
-// Epochs tells, by probes from outside, the newest sheet version that each
-// running node rules by; 0 for one that does not serve.
+// Versions reports, by probes from outside, the newest sheet version that each
+// running node serves by; 0 for one that does not serve.
 func (s *Stage) Versions(within time.Duration) map[string]uint64 {
 	out := map[string]uint64{}
 	key, version := s.Control.Newest()
--- a/internal/node/quotasync/spend_test.go
+++ b/internal/node/quotasync/spend_test.go
@@ -65,11 +65,11 @@
 	return connect.NewResponse(resp), nil
 }
 
-func start(t testing.TB, ctx context.Context, names ...string) *fleet {
-	return startHolding(t, ctx, 0, names...)
+func start(ctx context.Context, t testing.TB, names ...string) *fleet {
+	return startHolding(ctx, t, 0, names...)
 }
 
-func startHolding(t testing.TB, ctx context.Context, hold time.Duration, names ...string) *fleet {
+func startHolding(ctx context.Context, t testing.TB, hold time.Duration, names ...string) *fleet {
 	f := &fleet{spends: map[string]*Spend{}}
 	for _, name := range names {
 		s, err := New(Config{Self: name, Incarnation: 1, Silent: f.silent, HoldFor: hold}, f, clock.System(), time.Now, func() []string { return names }, events.Discard)
@@ -88,7 +88,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		names := []string{"a", "b", "c"}
-		f := start(t, ctx, names...)
+		f := start(ctx, t, names...)
 		terms := quota.Terms{Rate: 100, Burst: 200}
 		<-time.After(time.Second)
 		offer := func(name string, requests int, tokens float64) (passed float64, last apierror.Code) {
@@ -219,7 +219,7 @@
 		for i := range 40 {
 			names = append(names, "f"+strconv.Itoa(i))
 		}
-		f := startHolding(t, ctx, 100*time.Millisecond, names...)
+		f := startHolding(ctx, t, 100*time.Millisecond, names...)
 		terms := quota.Terms{Rate: 1000}
 		<-time.After(time.Second)
 		spend := func() {
