--- a/internal/node/quotasync/spend_test.go
+++ b/internal/node/quotasync/spend_test.go
@@ -199,7 +199,7 @@
 		b.Run("tenants="+strconv.Itoa(tenants), func(b *testing.B) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			f := start(b, ctx, "a")
+			f := start(ctx, b, "a")
 			names := make([]string, tenants)
 			for i := range names {
 				names[i] = "tenant-" + strconv.Itoa(i)
