--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -1,61 +1,52 @@
 package node
 
 import (
-	"os"
+	"cmp"
+	"time"
 
 	"github.com/pkg/errors"
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
-	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"stepwick/internal/adapter/backend"
-	"stepwick/internal/adapter/clientapi"
-	"stepwick/internal/adapter/controlapi"
-	"stepwick/internal/adapter/disklog"
 	"stepwick/internal/adapter/internalrpc"
+	"stepwick/internal/adapter/platform"
 	"stepwick/internal/clock"
 	"stepwick/internal/decision/plan"
 	"stepwick/internal/decision/quota"
-	"stepwick/internal/decision/route"
-	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
-	"stepwick/internal/node/control"
 	"stepwick/internal/node/follower"
-	"stepwick/internal/node/front"
 	"stepwick/internal/node/healthcheck"
 	"stepwick/internal/node/quotasync"
-	"stepwick/internal/node/replica"
+	"stepwick/internal/port"
 	"stepwick/internal/settings"
 	"stepwick/internal/wire"
 )
 
-func build(world Environment, role, name string, values *settings.Values, log events.Log) (*process, error) {
-	clock := clock.Monotonic(world.Clock)
-	p := &process{role: role, values: values, clock: clock, log: log, edge: world.Platform, listen: world.Listen, replaced: make(chan struct{}, 1)}
-	p.base = &wire.Process{
-		Name: name, Region: values.String("region"), Zone: values.String("zone"),
-		Address:       or(values.String("advertise.internal"), values.String("listen.internal")),
-		CallerAddress: or(values.String("advertise.caller"), values.String("listen.caller")),
-		Core:          role == RoleCore, Front: role == RoleFront || values.Bool("core.front"),
-		Incarnation: uint64(clock.Now().UnixNano()),
-	}
-	p.pool = internalrpc.NewPool(world.Dial, p.base.Address, values.String("fleet.secret"))
-	p.directory = internalrpc.NewDirectory(p.pool, clock, log, values.Strings("seeds"), p.self)
-	p.follower = follower.New(follower.Config{
-		Self: p.self, LeaseTTL: values.Duration("lease.ttl"), RenewInterval: values.Duration("lease.renew"),
-		PingInterval: values.Duration("ping.interval"), FeedWait: values.Duration("feed.wait"),
-		KnownProcesses: p.directory.KnownProcesses, CoreStaleAfter: coreStaleFor, ConfirmLive: p.directory.ConfirmLive,
-	}, p.directory, clock, log)
+// coreStaleAfter is how long after its last renewal a follower no longer prefers a
+// core.
+const coreStaleAfter = time.Second
 
+// build builds a process and opens its listeners. Nothing runs before process.run.
+func build(environment Environment, role, name string, values *settings.Values, log events.Log) (*process, error) {
+	processClock := clock.Monotonic(environment.Clock)
+	p := &process{
+		role:        role,
+		values:      values,
+		clock:       processClock,
+		log:         log,
+		environment: environment,
+		identity:    newIdentity(role, name, values, processClock.Now()),
+		replaced:    make(chan struct{}, 1),
+	}
+	p.pool = internalrpc.NewPool(environment.Dial, p.identity.Address, values.String("fleet.secret"))
+	p.directory = internalrpc.NewDirectory(p.pool, p.clock, log, values.Strings("seeds"), p.self)
+	p.follower = p.newFollower()
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	registry.MustRegister(
+		collectors.NewGoCollector(),
+		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	var err error
-	p.spend, err = quotasync.New(quotasync.Config{
-		Self: p.base.Name, Incarnation: p.base.Incarnation, Metrics: registry, HoldFor: values.Duration("tally.hold"),
-		Silent: func() []string { return p.follower.View().Unresponsive },
-		Tally:  quota.Config{Window: values.Duration("quota_window"), Slices: values.Int("quota_slices"), Interval: values.Duration("tally.interval")},
-	}, p.directory, clock, p.follower.FleetNow, func() []string { return p.follower.View().Live }, log)
-	if err != nil {
+	if p.quota, err = p.newQuota(registry); err != nil {
 		return nil, err
 	}
 	if role == RoleCore {
@@ -63,129 +54,148 @@
 			return nil, err
 		}
 	}
-	if err := p.buildFront(world, registry); err != nil {
+	inspector := p.newInspector()
+	p.orders = &orderForwarder{self: p.identity.Name, peers: p.directory}
+	p.peer = &peer{
+		directory:  p.directory,
+		follower:   p.follower,
+		quota:      p.quota,
+		inspector:  inspector,
+		replica:    p.replica,
+		controller: p.controller,
+	}
+	if p.front, err = p.newFront(inspector, registry); err != nil {
 		return nil, err
 	}
-	if err := p.buildGateway(world, registry); err != nil {
+	if environment.Platform != nil {
+		if p.gateway, err = p.newGateway(registry); err != nil {
+			return nil, err
+		}
+	}
+	p.checker = p.newChecker()
+	p.pool.Bind(p.peer)
+	if err := p.openListeners(); err != nil {
 		return nil, err
 	}
-	p.checker = healthcheck.New(healthcheck.Config{
-		Self:        p.base.Name,
-		Region:      p.base.Region,
-		Zone:        p.base.Zone,
-		Incarnation: p.base.Incarnation,
+	return p, nil
+}
+
+// newIdentity returns the part of a process's record that doesn't change. Its
+// incarnation is the time of its start, so that it is higher than that of an earlier
+// process of the name.
+func newIdentity(role, name string, values *settings.Values, startedAt time.Time) *wire.Process {
+	return &wire.Process{
+		Name:          name,
+		Region:        values.String("region"),
+		Zone:          values.String("zone"),
+		Address:       internalAddress(values),
+		CallerAddress: cmp.Or(values.String("advertise.caller"), values.String("listen.caller")),
+		Core:          role == RoleCore,
+		Front:         role == RoleFront || values.Bool("core.front"),
+		Incarnation:   uint64(startedAt.UnixNano()),
+	}
+}
+
+// internalAddress returns the address at which other processes reach this one.
+func internalAddress(values *settings.Values) string {
+	return cmp.Or(values.String("advertise.internal"), values.String("listen.internal"))
+}
+
+func (p *process) newFollower() *follower.Follower {
+	return follower.New(follower.Config{
+		Self:           p.self,
+		LeaseTTL:       p.values.Duration("lease.ttl"),
+		RenewInterval:  p.values.Duration("lease.renew"),
+		PingInterval:   p.values.Duration("ping.interval"),
+		FeedWait:       p.values.Duration("feed.wait"),
+		KnownProcesses: p.directory.KnownProcesses,
+		CoreStaleAfter: coreStaleAfter,
+		ConfirmLive:    p.directory.ConfirmLive,
+	}, p.directory, p.clock, p.log)
+}
+
+func (p *process) newQuota(registry *prometheus.Registry) (*quotasync.Spend, error) {
+	return quotasync.New(quotasync.Config{
+		Self:        p.identity.Name,
+		Incarnation: p.identity.Incarnation,
+		Metrics:     registry,
+		HoldFor:     p.values.Duration("tally.hold"),
+		Silent:      func() []string { return p.follower.View().Unresponsive },
+		Tally: quota.Config{
+			Window:   p.values.Duration("quota_window"),
+			Slices:   p.values.Int("quota_slices"),
+			Interval: p.values.Duration("tally.interval"),
+		},
+	}, p.directory, p.clock, p.follower.FleetNow, func() []string { return p.follower.View().Live }, p.log)
+}
+
+// newInspector returns an inspector of the parts of this process. Inspections run
+// only once all parts are built.
+func (p *process) newInspector() *inspector {
+	inspections := map[string]inspection{
+		inspectStatus: inspectionOf(func(string) (processStatus, bool) { return p.status(), true }),
+		inspectPlan: inspectionOf(func(string) (*wire.Plan, bool) {
+			plan := p.follower.View().Plan
+			return plan, plan != nil
+		}),
+		inspectTally: inspectionOf(p.tally),
+		inspectExplain: inspectionOf(func(id string) (any, bool) {
+			return p.front.Inspect(inspectExplain, id)
+		}),
+	}
+	if p.controller != nil {
+		inspections[healthcheck.InspectListed] = inspectionOf(func(string) (healthcheck.Listed, bool) {
+			return healthcheck.Listed{AtMS: p.controller.ListedAt()}, true
+		})
+	}
+	return &inspector{self: p.identity.Name, peers: p.directory, inspections: inspections}
+}
+
+func (p *process) newChecker() *healthcheck.Checker {
+	return healthcheck.New(healthcheck.Config{
+		Self:        p.identity.Name,
+		Region:      p.identity.Region,
+		Zone:        p.identity.Zone,
+		Incarnation: p.identity.Incarnation,
 		View: func() healthcheck.View {
 			view := p.follower.View()
 			return healthcheck.View{Servers: view.Servers, Fronts: view.Fronts}
 		},
 		Report:       p.follower.Report,
 		FleetNow:     p.follower.FleetNow,
-		ListInterval: values.Duration("platform.interval"),
-		PollInterval: values.Duration("watch.interval"),
-		ListReaders:  values.Int("platform.readers"),
-		ListOnly:     world.Platform != nil,
-		DrainWithin:  values.Duration("platform.drain_within"),
-	}, p.servers(world), p.directory, clock, log)
-	p.pool.Bind(p.peer)
-
-	if p.internal, err = world.Listen(values.String("listen.internal")); err != nil {
-		return nil, errors.Wrap(err, "listen.internal")
-	}
-	if !p.carries() && world.Platform != nil {
-		return p, nil
-	}
-	if p.caller, err = world.Listen(values.String("listen.caller")); err != nil {
-		return nil, errors.Wrap(err, "listen.caller")
-	}
-	return p, nil
+		ListInterval: p.values.Duration("platform.interval"),
+		PollInterval: p.values.Duration("watch.interval"),
+		ListReaders:  p.values.Int("platform.readers"),
+		ListOnly:     p.environment.Platform != nil,
+		DrainWithin:  p.values.Duration("platform.drain_within"),
+	}, p.serverSource(), p.directory, p.clock, p.log)
 }
 
-func (p *process) buildCore() error {
-	var first []byte
-	if file := p.values.String("first_sheet"); file != "" {
-		var err error
-		if first, err = os.ReadFile(file); err != nil {
-			return errors.Wrap(err, "first_sheet")
-		}
-		if _, apiErr := sheet.ParseSheet(first, p.values.Int("sheet.max")); apiErr != nil {
-			return errors.Wrap(apiErr, "first_sheet")
-		}
-	}
-	var replaced func()
-	if p.values.Bool("core.join") {
-		replaced = p.wasReplaced
+// serverSource returns where the list of servers is read.
+func (p *process) serverSource() port.ServerSource {
+	if p.environment.Platform != nil {
+		return p.environment.Platform.Servers(p.environment.Dial)
 	}
-	disk := disklog.Config{
-		Folder: p.values.String("data"), SegmentBytes: int64(p.values.Int("disk.segment")),
-		Quota: int64(p.values.Int("disk.quota")), SyncDelay: p.values.Duration("disk.sync_delay"), Clock: p.clock,
-	}
-	p.replica = replica.New(replica.Config{
-		Self: p.base.Name, Voters: p.values.Int("core.voters"), FirstSheet: first,
-		SnapshotRecords: p.values.Int("snapshot.records"), OnReplaced: replaced,
-	}, replica.OnDisk(disk), p.directory, p.clock, p.log)
-	p.core = control.New(control.Config{
-		Self: p.base.Name, Incarnation: p.base.Incarnation, LeaseTTL: p.values.Duration("lease.ttl"),
-		PingInterval: p.values.Duration("ping.interval"), PlanPeriod: p.values.Duration("plan.period"), PlanPolicy: p.policy(),
-		SheetMaxBytes: p.values.Int("sheet.max"), FleetNow: p.follower.FleetNow,
-	}, p.replica, p.directory, p.clock, p.log)
-	return nil
+	return platform.New(platform.Config{URL: p.values.String("platform.url"), Dial: p.environment.Dial})
 }
 
-func (p *process) policy() plan.Policy {
+// planPolicy returns the settings of the plan of the traffic.
+func (p *process) planPolicy() plan.Policy {
 	return plan.Policy{SlowStartCap: p.values.Int("route.ramp_start")}
 }
 
-func (p *process) buildFront(world Environment, registry *prometheus.Registry) error {
-	orders := &relay{name: p.base.Name, peers: p.directory}
-	p.orders = orders
-	inspect := &inspector{name: p.base.Name, peers: p.directory, own: map[string]func(string) (any, bool){
-		"status":  func(string) (any, bool) { return p.status(), true },
-		"plan":    func(string) (any, bool) { plan := p.follower.View().Plan; return plan, plan != nil },
-		"tally":   p.tally,
-		"explain": func(id string) (any, bool) { return p.front.Inspect("explain", id) },
-	}}
-	if p.core != nil {
-		inspect.own[healthcheck.InspectListed] = func(string) (any, bool) { return healthcheck.Listed{AtMS: p.core.ListedAt()}, true }
-	}
-	p.peer = &peer{directory: p.directory, follower: p.follower, spend: p.spend, inspector: inspect, replica: p.replica, core: p.core}
-	control := controlapi.New(controlapi.Config{
-		Operators: p.values.Strings("operator.keys"), SheetMax: int64(p.values.Int("sheet.max")),
-		BodyTimeout: p.values.Duration("body.timeout"), From: p.base.Name,
-		Setting: settings.CheckRuntime,
-	}, orders, inspect, p.clock, p.log)
+// openListeners opens the listener for other processes and, where clients are
+// served, that for their requests. A core on a platform has none of these.
+func (p *process) openListeners() error {
 	var err error
-	var standing func() string
-	if p.replica != nil {
-		standing = func() string { return standingName(p.replica.Standing()) }
+	if p.internalListener, err = p.environment.Listen(p.values.String("listen.internal")); err != nil {
+		return errors.Wrap(err, "listen.internal")
 	}
-	p.front, err = front.New(front.Config{
-		Standing: standing,
-		Name:     p.base.Name, Address: p.base.CallerAddress, Region: p.base.Region, Zone: p.base.Zone,
-		Limits: clientapi.Limits{
-			BodyMax: int64(p.values.Int("body.max")), HeaderMax: p.values.Int("header.max"),
-			BodyTimeout: p.values.Duration("body.timeout"), HeaderTimeout: p.values.Duration("body.timeout"),
-			DeadlineMax: p.values.Duration("deadline.max"), DeadlineDefault: p.values.Duration("deadline.default"),
-		},
-		Backend:     backend.Config{Bind: p.values.String("bind"), Dial: world.Dial},
-		PlainTokens: p.values.Float("plain_tokens"),
-		Route: route.Config{
-			Strategy: route.Strategy(p.values.String("route.strategy")), QueueBound: p.values.Int("route.pending"), Policy: p.policy(),
-			RetryBudget: p.values.Float("retry.budget"),
-		},
-		Tune:    p.tuned,
-		Control: control, Metrics: promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
-	}, p.follower, p.spend, p.clock, p.log, registry)
-	return err
-}
-
-// tuned reads what the sheet sets over the settings file.
-func (p *process) tuned(settings map[string]string) front.Tuned {
-	v := p.values.With(settings)
-	return front.Tuned{
-		DeadlineMax: v.Duration("deadline.max"), DeadlineDefault: v.Duration("deadline.default"),
-		Route: &route.Knobs{
-			Strategy: route.Strategy(v.String("route.strategy")), QueueBound: v.Int("route.pending"),
-			RampStart: v.Int("route.ramp_start"), RetryBudget: v.Float("retry.budget"),
-		},
+	if !p.servesTraffic() && p.environment.Platform != nil {
+		return nil
 	}
+	if p.callerListener, err = p.environment.Listen(p.values.String("listen.caller")); err != nil {
+		return errors.Wrap(err, "listen.caller")
+	}
+	return nil
 }
--- /dev/null
+++ b/internal/node/build_traffic.go
@@ -0,0 +1,127 @@
+package node
+
+import (
+	"context"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"stepwick/internal/adapter/backend"
+	"stepwick/internal/adapter/clientapi"
+	"stepwick/internal/adapter/controlapi"
+	"stepwick/internal/adapter/upstream"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/route"
+	"stepwick/internal/node/front"
+	"stepwick/internal/node/gateway"
+	"stepwick/internal/settings"
+)
+
+// newFront returns the front with the API for clients and operators.
+func (p *process) newFront(inspector *inspector, registry *prometheus.Registry) (*front.Front, error) {
+	return front.New(front.Config{
+		Standing:    p.standing(),
+		Name:        p.identity.Name,
+		Address:     p.identity.CallerAddress,
+		Region:      p.identity.Region,
+		Zone:        p.identity.Zone,
+		Limits:      p.clientLimits(),
+		Backend:     backend.Config{Bind: p.values.String("bind"), Dial: p.environment.Dial},
+		PlainTokens: p.values.Float("plain_tokens"),
+		Route: route.Config{
+			Strategy:    route.Strategy(p.values.String("route.strategy")),
+			QueueBound:  p.values.Int("route.pending"),
+			Policy:      p.planPolicy(),
+			RetryBudget: p.values.Float("retry.budget"),
+		},
+		Tune:    p.tuned,
+		Control: p.newControlAPI(inspector),
+		Metrics: promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
+	}, p.follower, p.quota, p.clock, p.log, registry)
+}
+
+// standing returns a function that returns a core's standing; nil for a plain front.
+func (p *process) standing() func() string {
+	if p.replica == nil {
+		return nil
+	}
+	return func() string { return standingName(p.replica.Standing()) }
+}
+
+func (p *process) clientLimits() clientapi.Limits {
+	return clientapi.Limits{
+		BodyMax:         int64(p.values.Int("body.max")),
+		HeaderMax:       p.values.Int("header.max"),
+		BodyTimeout:     p.values.Duration("body.timeout"),
+		HeaderTimeout:   p.values.Duration("body.timeout"),
+		DeadlineMax:     p.values.Duration("deadline.max"),
+		DeadlineDefault: p.values.Duration("deadline.default"),
+	}
+}
+
+// newControlAPI returns the API for operators.
+func (p *process) newControlAPI(inspector *inspector) *controlapi.API {
+	return controlapi.New(controlapi.Config{
+		Operators:   p.values.Strings("operator.keys"),
+		SheetMax:    int64(p.values.Int("sheet.max")),
+		BodyTimeout: p.values.Duration("body.timeout"),
+		From:        p.identity.Name,
+		Setting:     settings.CheckRuntime,
+	}, p.orders, inspector, p.clock, p.log)
+}
+
+// tuned returns the run-time settings of the front: those of the sheet over those of
+// the settings file.
+func (p *process) tuned(sheetSettings map[string]string) front.Tuned {
+	values := p.values.With(sheetSettings)
+	return front.Tuned{
+		DeadlineMax:     values.Duration("deadline.max"),
+		DeadlineDefault: values.Duration("deadline.default"),
+		Route: &route.Knobs{
+			Strategy:    route.Strategy(values.String("route.strategy")),
+			QueueBound:  values.Int("route.pending"),
+			RampStart:   values.Int("route.ramp_start"),
+			RetryBudget: values.Float("retry.budget"),
+		},
+	}
+}
+
+// newGateway returns the gateway for requests by routes, which a platform needs.
+func (p *process) newGateway(registry *prometheus.Registry) (*gateway.Gateway, error) {
+	off, err := balance.ParseOff(p.values.Strings("balance.off"))
+	if err != nil {
+		return nil, err
+	}
+	return gateway.New(gateway.Config{
+		Balance: balance.Config{
+			Self:        p.identity.Name,
+			Region:      p.identity.Region,
+			Zone:        p.identity.Zone,
+			RetryRatio:  p.values.Float("retry.budget"),
+			RetryWindow: p.values.Duration("retry.window"),
+			RetrySlack:  p.values.Float("retry.slack"),
+			ColdOverage: p.values.Float("cold.overage"),
+			ColdSlack:   p.values.Float("cold.slack"),
+			Off:         off,
+		},
+		Upstream: upstream.Config{
+			Dial:           p.environment.serverDial(),
+			ConnectTimeout: p.values.Duration("connect.timeout"),
+		},
+		BodyMax:       int64(p.values.Int("body.max")),
+		HeaderMax:     p.values.Int("header.max"),
+		HeaderTimeout: p.values.Duration("body.timeout"),
+		BodyTimeout:   p.values.Duration("body.timeout"),
+		Connections:   p.values.Int("listen.connections"),
+		PlainTokens:   p.values.Float("plain_tokens"),
+		DeadlineMost:  p.values.Duration("deadline.max"),
+		Quota: gateway.Quota{
+			Part:    p.values.Float("tally.part"),
+			Reserve: p.values.Float("tally.reserve"),
+		},
+		// The checker is built after the gateway.
+		Observe: func(ctx context.Context, server string, reachable bool) {
+			p.checker.Observe(ctx, server, reachable)
+		},
+	}, p.environment.Platform.Dialect(), p.follower, p.quota, p.clock, p.log, registry)
+}
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -14,19 +14,28 @@
 	"stepwick/internal/wire"
 )
 
-// peer answers the peer protocol with the process's parts. Those of a core are
-// nil on a plain front.
+// peer serves the peer protocol with the process's parts. Those of a core are nil
+// on a plain front.
 type peer struct {
-	directory *internalrpc.Directory
-	follower  *follower.Follower
-	spend     *quotasync.Spend
-	inspector *inspector
-	replica   *replica.Replica
-	core      *control.Controller
+	directory  *internalrpc.Directory
+	follower   *follower.Follower
+	quota      *quotasync.Spend
+	inspector  *inspector
+	replica    *replica.Replica
+	controller *control.Controller
 }
 
-// answer turns a part's method into a call of the protocol.
-func answer[Q, A any](ctx context.Context, req *connect.Request[Q], method func(context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
+var (
+	errNotCore     = apierror.Errorf(apierror.NotCore, "this process is not a core")
+	errNoFleetTime = apierror.Errorf(apierror.NotRuling, "this process does not know the fleet's time yet")
+)
+
+// serve passes a call of the protocol to a part's method.
+func serve[Request, Response any](
+	ctx context.Context,
+	req *connect.Request[Request],
+	method func(context.Context, *Request) (*Response, error),
+) (*connect.Response[Response], error) {
 	resp, err := method(ctx, req.Msg)
 	if err != nil {
 		return nil, err
@@ -34,123 +43,117 @@
 	return connect.NewResponse(resp), nil
 }
 
-var errNotCore = apierror.Errorf(apierror.NotCore, "this process is not a core")
+// serveByCore passes a call of the protocol to a method of a core's part, and
+// returns errNotCore where the process doesn't have that part.
+func serveByCore[Part, Request, Response any](
+	ctx context.Context,
+	part *Part,
+	req *connect.Request[Request],
+	method func(*Part, context.Context, *Request) (*Response, error),
+) (*connect.Response[Response], error) {
+	if part == nil {
+		return nil, errNotCore
+	}
+	resp, err := method(part, ctx, req.Msg)
+	if err != nil {
+		return nil, err
+	}
+	return connect.NewResponse(resp), nil
+}
 
+// Hello serves the call of the peer protocol.
 func (p *peer) Hello(ctx context.Context, req *connect.Request[wire.HelloRequest]) (*connect.Response[wire.HelloResponse], error) {
-	return answer(ctx, req, p.directory.Hello)
+	return serve(ctx, req, p.directory.Hello)
 }
 
+// Ping serves the call of the peer protocol.
 func (p *peer) Ping(ctx context.Context, req *connect.Request[wire.PingRequest]) (*connect.Response[wire.PingResponse], error) {
-	return answer(ctx, req, p.follower.Ping)
+	return serve(ctx, req, p.follower.Ping)
 }
 
+// Add serves the call of the peer protocol.
 func (p *peer) Add(ctx context.Context, req *connect.Request[wire.AddRequest]) (*connect.Response[wire.AddResponse], error) {
 	if !p.follower.FleetTimeReady() {
-		return nil, apierror.Errorf(apierror.NotRuling, "this process does not know the fleet's time yet")
+		return nil, errNoFleetTime
 	}
-	return answer(ctx, req, p.spend.Add)
+	return serve(ctx, req, p.quota.Add)
 }
 
+// Inspect serves the call of the peer protocol.
 func (p *peer) Inspect(ctx context.Context, req *connect.Request[wire.InspectRequest]) (*connect.Response[wire.InspectResponse], error) {
-	return answer(ctx, req, p.inspector.local)
+	return serve(ctx, req, p.inspector.inspectLocal)
 }
 
-// Fetch is answered by every process, so that the highest state that any still
-// holds can be found.
+// Fetch is served by every process, so that the highest version that any still has
+// can be found.
 func (p *peer) Fetch(ctx context.Context, req *connect.Request[wire.FetchRequest]) (*connect.Response[wire.FetchResponse], error) {
 	if p.replica != nil && p.replica.Standing() == wire.Standing_STANDING_VOTING {
-		return answer(ctx, req, p.replica.Fetch)
+		return serve(ctx, req, p.replica.Fetch)
 	}
-	return answer(ctx, req, p.follower.Fetch)
+	return serve(ctx, req, p.follower.Fetch)
 }
 
+// Found serves the call of the peer protocol.
 func (p *peer) Found(ctx context.Context, req *connect.Request[wire.FoundRequest]) (*connect.Response[wire.FoundResponse], error) {
-	if p.replica == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.replica.Found)
+	return serveByCore(ctx, p.replica, req, (*replica.Replica).Found)
 }
 
+// Prepare serves the call of the peer protocol.
 func (p *peer) Prepare(ctx context.Context, req *connect.Request[wire.PrepareRequest]) (*connect.Response[wire.PrepareResponse], error) {
-	if p.replica == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.replica.Prepare)
+	return serveByCore(ctx, p.replica, req, (*replica.Replica).Prepare)
 }
 
+// Accept serves the call of the peer protocol.
 func (p *peer) Accept(ctx context.Context, req *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptResponse], error) {
-	if p.replica == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.replica.Accept)
+	return serveByCore(ctx, p.replica, req, (*replica.Replica).Accept)
 }
 
+// Learn serves the call of the peer protocol.
 func (p *peer) Learn(ctx context.Context, req *connect.Request[wire.LearnRequest]) (*connect.Response[wire.LearnResponse], error) {
-	if p.replica == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.replica.Learn)
+	return serveByCore(ctx, p.replica, req, (*replica.Replica).Learn)
 }
 
+// Recover serves the call of the peer protocol.
 func (p *peer) Recover(ctx context.Context, req *connect.Request[wire.RecoverRequest]) (*connect.Response[wire.RecoverResponse], error) {
-	if p.replica == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.replica.Recover)
+	return serveByCore(ctx, p.replica, req, (*replica.Replica).Recover)
 }
 
+// Read serves the call of the peer protocol.
 func (p *peer) Read(ctx context.Context, req *connect.Request[wire.ReadRequest]) (*connect.Response[wire.ReadResponse], error) {
-	if p.replica == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.replica.Read)
+	return serveByCore(ctx, p.replica, req, (*replica.Replica).Read)
 }
 
+// Renew serves the call of the peer protocol.
 func (p *peer) Renew(ctx context.Context, req *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
-	if p.core == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.core.Renew)
+	return serveByCore(ctx, p.controller, req, (*control.Controller).Renew)
 }
 
+// RenewBatch serves the call of the peer protocol.
 func (p *peer) RenewBatch(ctx context.Context, req *connect.Request[wire.RenewBatchRequest]) (*connect.Response[wire.RenewBatchResponse], error) {
-	if p.core == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.core.RenewBatch)
+	return serveByCore(ctx, p.controller, req, (*control.Controller).RenewBatch)
 }
 
+// Release serves the call of the peer protocol.
 func (p *peer) Release(ctx context.Context, req *connect.Request[wire.ReleaseRequest]) (*connect.Response[wire.ReleaseResponse], error) {
-	if p.core == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.core.Release)
+	return serveByCore(ctx, p.controller, req, (*control.Controller).Release)
 }
 
+// LeaseView serves the call of the peer protocol.
 func (p *peer) LeaseView(ctx context.Context, req *connect.Request[wire.LeaseViewRequest]) (*connect.Response[wire.LeaseViewResponse], error) {
-	if p.core == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.core.LeaseView)
+	return serveByCore(ctx, p.controller, req, (*control.Controller).LeaseView)
 }
 
+// Follow serves the call of the peer protocol.
 func (p *peer) Follow(ctx context.Context, req *connect.Request[wire.FollowRequest]) (*connect.Response[wire.FollowResponse], error) {
-	if p.core == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.core.Follow)
+	return serveByCore(ctx, p.controller, req, (*control.Controller).Follow)
 }
 
+// Submit serves the call of the peer protocol.
 func (p *peer) Submit(ctx context.Context, req *connect.Request[wire.SubmitRequest]) (*connect.Response[wire.SubmitResponse], error) {
-	if p.core == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.core.Submit)
+	return serveByCore(ctx, p.controller, req, (*control.Controller).Submit)
 }
 
+// Order serves the call of the peer protocol.
 func (p *peer) Order(ctx context.Context, req *connect.Request[wire.OrderRequest]) (*connect.Response[wire.OrderResponse], error) {
-	if p.core == nil {
-		return nil, errNotCore
-	}
-	return answer(ctx, req, p.core.Order)
+	return serveByCore(ctx, p.controller, req, (*control.Controller).Order)
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -5,21 +5,28 @@
 	"strings"
 	"time"
 
+	"stepwick/internal/decision/quota"
 	"stepwick/internal/decision/sheet"
 	"stepwick/internal/node/follower"
+	"stepwick/internal/port"
 	"stepwick/internal/wire"
 )
 
+// tallyTimeout bounds an inspection of the quota's counters.
+const tallyTimeout = time.Second
+
+// processStatus is the JSON form of a process's status.
 type processStatus struct {
 	follower.Status
 	Ready     bool            `json:"ready"`
-	Cause     string          `json:"cause,omitempty"`
+	Cause     string          `json:"cause,omitempty"` // why it isn't ready
 	Role      string          `json:"role"`
-	Standing  string          `json:"standing,omitempty"`
+	Standing  string          `json:"standing,omitempty"` // of a core
 	Formation string          `json:"formation,omitempty"`
 	Processes []processRecord `json:"processes"`
 }
 
+// processRecord is the JSON form of what is known of a process.
 type processRecord struct {
 	Name     string `json:"name"`
 	Zone     string `json:"locality"`
@@ -27,44 +34,64 @@
 	Caller   string `json:"caller"`
 	Core     bool   `json:"core"`
 	Standing string `json:"standing,omitempty"`
-	Ready    bool   `json:"ready"`   // as it last said
-	SeenMS   int64  `json:"seen_ms"` // since it was last seen to live
+	Ready    bool   `json:"ready"`   // as it last reported
+	SeenMS   int64  `json:"seen_ms"` // since it was last seen
 }
 
-func standingName(s wire.Standing) string {
-	return strings.ToLower(strings.TrimPrefix(s.String(), "STANDING_"))
+// standingName returns the name of a standing in the status.
+func standingName(standing wire.Standing) string {
+	return strings.ToLower(strings.TrimPrefix(standing.String(), "STANDING_"))
 }
 
+// status returns the process's status.
 func (p *process) status() processStatus {
-	s := processStatus{Role: p.role, Status: p.follower.View().Status(p.base.Name,
-		sheet.ZoneName(p.base.Region, p.base.Zone), p.follower.HasAuthority(), p.follower.FleetNow())}
-	if apiErr := p.ready(); apiErr != nil {
-		s.Cause = apiErr.Error()
+	view := p.follower.View()
+	zone := sheet.ZoneName(p.identity.Region, p.identity.Zone)
+	status := processStatus{
+		Role:   p.role,
+		Status: view.Status(p.identity.Name, zone, p.follower.HasAuthority(), p.follower.FleetNow()),
+	}
+	if apiErr := p.readiness(); apiErr != nil {
+		status.Cause = apiErr.Error()
 	} else {
-		s.Ready = true
+		status.Ready = true
 	}
 	if p.replica != nil {
-		s.Standing, s.Formation = standingName(p.replica.Standing()), p.replica.Formation()
+		status.Standing = standingName(p.replica.Standing())
+		status.Formation = p.replica.Formation()
 	}
 	ready := map[string]bool{}
-	for _, live := range p.follower.View().Fronts {
-		ready[live.Name] = live.Ready
+	for _, front := range p.follower.View().Fronts {
+		ready[front.Name] = front.Ready
+	}
+	for _, known := range p.directory.KnownProcesses() {
+		status.Processes = append(status.Processes, p.record(known, ready[known.Process.Name]))
+	}
+	return status
+}
+
+// record returns the JSON form of what is known of a process.
+func (p *process) record(known port.KnownProcess, ready bool) processRecord {
+	process := known.Process
+	record := processRecord{
+		Name:    process.Name,
+		Zone:    sheet.ZoneName(process.Region, process.Zone),
+		Address: process.Address,
+		Caller:  process.CallerAddress,
+		Core:    process.Core,
+		Ready:   ready,
+		SeenMS:  p.clock.Now().Sub(known.LastSeen).Milliseconds(),
 	}
-	for _, sight := range p.directory.KnownProcesses() {
-		known := sight.Process
-		record := processRecord{Name: known.Name, Zone: sheet.ZoneName(known.Region, known.Zone), Address: known.Address,
-			Caller: known.CallerAddress, Core: known.Core, Ready: ready[known.Name], SeenMS: p.clock.Now().Sub(sight.LastSeen).Milliseconds()}
-		if known.Core {
-			record.Standing = standingName(known.Standing)
-		}
-		s.Processes = append(s.Processes, record)
+	if process.Core {
+		record.Standing = standingName(process.Standing)
 	}
-	return s
+	return record
 }
 
-func (p *process) tally(tenant string) (any, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+// tally returns the counters of a tenant's quota.
+func (p *process) tally(tenant string) ([]quota.TenantView, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), tallyTimeout)
 	defer cancel()
-	views, err := p.spend.Inspect(ctx, tenant)
+	views, err := p.quota.Inspect(ctx, tenant)
 	return views, err == nil
 }
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -3,82 +3,41 @@
 import (
 	"context"
 
-	"github.com/prometheus/client_golang/prometheus"
 	"github.com/thejerf/suture/v4"
-
-	"stepwick/internal/adapter/platform"
-	"stepwick/internal/adapter/upstream"
-	"stepwick/internal/decision/balance"
-	"stepwick/internal/node/gateway"
-	"stepwick/internal/port"
 )
 
-// carries tells whether the process carries traffic.
-func (p *process) carries() bool { return p.base.Front }
-
-func (p *process) servers(world Environment) port.ServerSource {
-	if world.Platform != nil {
-		return world.Platform.Servers(world.Dial)
-	}
-	return platform.New(platform.Config{URL: p.values.String("platform.url"), Dial: world.Dial})
-}
-
-func (p *process) buildGateway(world Environment, registry *prometheus.Registry) error {
-	if world.Platform == nil {
-		return nil
-	}
-	off, err := balance.ParseOff(p.values.Strings("balance.off"))
-	if err != nil {
-		return err
-	}
-	p.gateway, err = gateway.New(gateway.Config{
-		Balance: balance.Config{
-			Self: p.base.Name, Region: p.base.Region, Zone: p.base.Zone,
-			RetryRatio: p.values.Float("retry.budget"), RetryWindow: p.values.Duration("retry.window"), RetrySlack: p.values.Float("retry.slack"),
-			ColdOverage: p.values.Float("cold.overage"), ColdSlack: p.values.Float("cold.slack"),
-			Off: off,
-		},
-		Upstream: upstream.Config{Dial: world.serverDial(), ConnectTimeout: p.values.Duration("connect.timeout")},
-		BodyMax:  int64(p.values.Int("body.max")), HeaderMax: p.values.Int("header.max"),
-		HeaderTimeout: p.values.Duration("body.timeout"), BodyTimeout: p.values.Duration("body.timeout"),
-		Connections: p.values.Int("listen.connections"),
-		PlainTokens: p.values.Float("plain_tokens"), DeadlineMost: p.values.Duration("deadline.max"),
-		Quota:   gateway.Quota{Part: p.values.Float("tally.part"), Reserve: p.values.Float("tally.reserve")},
-		Observe: func(ctx context.Context, server string, reachable bool) { p.checker.Observe(ctx, server, reachable) },
-	}, world.Platform.Dialect(), p.follower, p.spend, p.clock, p.log, registry)
-	return err
-}
-
-// wasReplaced notes that another process holds this core's place.
-func (p *process) wasReplaced() {
-	select {
-	case p.replaced <- struct{}{}:
-	default:
-	}
-}
+// servesTraffic reports whether the process serves clients' requests.
+func (p *process) servesTraffic() bool { return p.identity.Front }
 
-// addTraffic adds the parts that carry traffic: the process's own API, or what
-// comes through an edge.
+// addTraffic adds the parts that serve clients' requests: the process's own API, or
+// on a platform the gateway.
 func (p *process) addTraffic(supervisor *suture.Supervisor) {
-	if p.edge == nil {
-		supervisor.Add(service{"caller listener", func(ctx context.Context) error { return ended(p.front.Listen(ctx, p.caller)) }})
+	if p.environment.Platform == nil {
+		supervisor.Add(service{"caller listener", func(ctx context.Context) error {
+			return listenerEnd(p.front.Listen(ctx, p.callerListener))
+		}})
 		supervisor.Add(service{"front", p.front.Serve})
 		return
 	}
-	behind := &behindEdge{process: p, orders: p.orders}
-	supervisor.Add(service{"edge", func(ctx context.Context) error { return p.edge.Serve(ctx, behind, p.listen) }})
+	node := &platformNode{process: p, orders: p.orders}
+	supervisor.Add(service{"edge", func(ctx context.Context) error {
+		return p.environment.Platform.Serve(ctx, node, p.environment.Listen)
+	}})
 	supervisor.Add(service{"gateway", p.gateway.Serve})
-	if p.caller != nil {
-		supervisor.Add(service{"caller listener", func(ctx context.Context) error { return ended(p.gateway.Listen(ctx, p.caller)) }})
+	if p.callerListener != nil {
+		supervisor.Add(service{"caller listener", func(ctx context.Context) error {
+			return listenerEnd(p.gateway.Listen(ctx, p.callerListener))
+		}})
 	}
 }
 
-// drain lets running requests finish until the context ends.
+// drain lets running requests finish until the context ends, whose error it then
+// returns.
 func (p *process) drain(ctx context.Context) error {
 	switch {
 	case p.gateway == nil:
 		return p.front.Drain(ctx)
-	case p.carries():
+	case p.servesTraffic():
 		return p.gateway.Drain(ctx)
 	}
 	return nil
