--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -53,9 +53,12 @@
 		t.Fatal(err)
 	}
 	server := internalrpc.Server(internalrpc.Handler(gossipPeer{directory: directory}, secret))
-	go server.Serve(listener)
-	go directory.Serve(ctx)
-	context.AfterFunc(ctx, func() { server.Close(); pool.CloseIdle() })
+	go func() { _ = server.Serve(listener) }()
+	go func() { _ = directory.Serve(ctx) }()
+	context.AfterFunc(ctx, func() {
+		_ = server.Close()
+		pool.CloseIdle()
+	})
 	return directory
 }
 
--- a/internal/adapter/internalrpc/pool_test.go
+++ b/internal/adapter/internalrpc/pool_test.go
@@ -40,8 +40,8 @@
 					t.Fatal(err)
 				}
 				server := internalrpc.Server(internalrpc.Handler(namedPeer{name: address}, "a fleet's secret"))
-				go server.Serve(listener)
-				context.AfterFunc(ctx, func() { server.Close() })
+				go func() { _ = server.Serve(listener) }()
+				context.AfterFunc(ctx, func() { _ = server.Close() })
 			}
 			pool := internalrpc.NewPool(net.Dialer("127.0.2.1"), "127.0.2.1:1", "a fleet's secret")
 			answers := make(chan string, 10)
--- a/internal/adapter/platform/platform_test.go
+++ b/internal/adapter/platform/platform_test.go
@@ -57,7 +57,7 @@
 func TestPollStatus(t *testing.T) {
 	Convey("A server's status", t, func() {
 		body, code := "", http.StatusOK
-		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(code)
 			_, _ = w.Write([]byte(body))
 		}))
@@ -104,7 +104,7 @@
 			So(outcome, ShouldEqual, port.PollRefused)
 			mute, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
-			defer mute.Close()
+			defer func() { _ = mute.Close() }()
 			hasty := New(Config{URL: server.URL, Timeout: 50 * time.Millisecond})
 			_, outcome, err = hasty.Status(ctx, "m1", mute.Addr().String())
 			So(outcome, ShouldEqual, port.PollUnanswered)
--- a/internal/node/follower/feed_test.go
+++ b/internal/node/follower/feed_test.go
@@ -82,7 +82,8 @@
 // firstRequested returns the cores that a front of the north requested the feed of
 // first, as many as wanted, and how long after its start the last request was.
 func firstRequested(t *testing.T, wanted int, change func(north *feedCore)) (names []string, after time.Duration) {
-	synctest.Test(t, func(t *testing.T) {
+	t.Helper()
+	synctest.Test(t, func(*testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		requested := make(chan string)
 		cores := feedCores{{name: "c1", region: "south", requested: requested}, {name: "c2", region: "north", delay: 40 * time.Millisecond, requested: requested},
@@ -92,7 +93,7 @@
 			LeaseTTL: 2 * time.Second, RenewInterval: 100 * time.Millisecond, PingInterval: 500 * time.Millisecond, FeedWait: time.Second,
 			KnownProcesses: func() []port.KnownProcess { return nil }, CoreStaleAfter: time.Second}, cores, clock.System(), events.Discard)
 		begun := time.Now()
-		go f.Serve(ctx)
+		go func() { _ = f.Serve(ctx) }()
 		for range wanted {
 			names = append(names, <-requested)
 		}
--- a/internal/node/follower/fleettime_test.go
+++ b/internal/node/follower/fleettime_test.go
@@ -24,7 +24,7 @@
 	name        string
 }
 
-func (c coreClock) Renew(ctx context.Context, _ *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
+func (c coreClock) Renew(_ context.Context, _ *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
 	<-time.After(c.delay)
 	return connect.NewResponse(&wire.RenewResponse{Core: c.name, TimeUs: time.Now().Add(c.step).UnixMicro()}), nil
 }
@@ -54,7 +54,7 @@
 		f := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
 			LeaseTTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond, PingInterval: 500 * time.Millisecond, FeedWait: time.Second,
 			KnownProcesses: func() []port.KnownProcess { return nil }, CoreStaleAfter: time.Second}, peers, clock.System(), events.Discard)
-		go f.Serve(ctx)
+		go func() { _ = f.Serve(ctx) }()
 		<-time.After(100 * time.Millisecond)
 		if f.FleetTimeReady() {
 			t.Error("one clock, which is wrong, is decided by")
--- a/internal/node/follower/publication_test.go
+++ b/internal/node/follower/publication_test.go
@@ -18,7 +18,7 @@
 // unreachablePeers are processes that no call reaches.
 type unreachablePeers []*wire.Process
 
-func (p unreachablePeers) Process(name string) (*wire.Process, bool) { return nil, false }
+func (p unreachablePeers) Process(string) (*wire.Process, bool) { return nil, false }
 func (p unreachablePeers) Processes() []*wire.Process                { return p }
 func (p unreachablePeers) Cores() []*wire.Process                    { return port.CoresOf(p) }
 func (p unreachablePeers) Client(string) wireconnect.PeerClient      { return nil }
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -120,13 +120,13 @@
 		return errors.Wrap(err, "supervisor ended")
 	case <-p.replaced:
 		stop()
-		<-done
+		_ = <-done // the error of the context that stop ended
 		p.pool.CloseIdle()
 		return errReplaced
 	}
 	p.shutDown()
 	stop()
-	<-done
+	_ = <-done // the error of the context that stop ended
 	p.pool.CloseIdle()
 	p.log.Emit(events.ProcessStopped, "name", p.identity.Name)
 	return nil
--- a/internal/node/replacement.go
+++ b/internal/node/replacement.go
@@ -256,7 +256,7 @@
 	if err != nil {
 		return errors.Wrap(err, "the core's place")
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	if _, err := file.WriteString(name); err != nil {
 		return errors.Wrap(err, "the core's place")
 	}
@@ -268,7 +268,7 @@
 	if err != nil {
 		return errors.Wrap(err, "the data folder")
 	}
-	defer parent.Close()
+	defer func() { _ = parent.Close() }()
 	return errors.Wrap(parent.Sync(), "the data folder")
 }
 
