--- a/internal/node/control/controller_test.go
+++ b/internal/node/control/controller_test.go
@@ -59,7 +59,7 @@
 
 func TestFeed(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, f *fleet) {
-		Convey("A new reader gets a snapshot, then each change at once, and waits when other is none", t, func() {
+		Convey("A new reader gets a snapshot, then each change at once, and waits when there is none", t, func() {
 			first := f.follow("c2", nil, time.Second)
 			So(first.Snapshot.Epoch, ShouldEqual, f.agreed.Load().state.Version)
 			state, err := sheet.DecodeState(first.Snapshot.State)
--- a/internal/node/control/orders_test.go
+++ b/internal/node/control/orders_test.go
@@ -24,7 +24,7 @@
 type script struct {
 	*fleet
 	startedAt time.Time
-	lines []string
+	lines     []string
 }
 
 func play(t *testing.T, fronts int, act func(s *script)) string {
