--- a/internal/decision/serverstatus/merge.go
+++ b/internal/decision/serverstatus/merge.go
@@ -1,254 +1,236 @@
-// Package serverstatus folds what many watchers say of the servers into one status
-// each. Reports are mergeable state: per watcher and server the higher
-// (incarnation, counter) wins, so reports may arrive in any order, twice and
-// over any core, and every process that holds the same reports folds the same
-// statuses.
-//
-// A watcher looks at two things, and reports them under two names: the
-// platform's list, and the server's own status. The list gives the place and
-// the state that the platform wants; the own status gives load and reach.
-// Sights age against the newest sight of the same server, not against a clock:
-// a watcher that died is outlived by the others after Config.Fresh, and when
-// all watchers of a server died their last word stands. A server whose own
-// status nobody has asked for yet counts as reachable.
-//
-// A core feeds the fronts what it folded, only when that changes. A fold
-// stands until a newer one; what the front's own watcher saw since it can only
-// make the state worse, or bring newer load.
 package serverstatus
 
 import (
-	"maps"
+	"cmp"
 	"slices"
-	"strings"
-	"time"
 
-	"stepwick/internal/wire"
-)
-
-// Source tells what a watcher looked at.
-type Source string
+	"google.golang.org/protobuf/proto"
 
-// Sights: the platform's list, the server's own status, or what a core folded
-// from all of its reports, which rides the feed in their place.
-const (
-	SourceList   Source = "list"
-	SourceServer Source = "own"
-	SourceMerged Source = "fold"
+	"stepwick/internal/wire"
 )
 
-// WatcherID returns the name under which a process reports one kind of sight.
-func WatcherID(process string, sight Source) string { return process + "/" + string(sight) }
-
-// ParseWatcherID returns the process and the kind of sight in a report's watcher.
-// Without a kind it is a sight of the server's own status.
-func ParseWatcherID(watcher string) (process string, sight Source) {
-	for _, sight := range []Source{SourceList, SourceMerged} {
-		if process, found := strings.CutSuffix(watcher, "/"+string(sight)); found {
-			return process, sight
-		}
-	}
-	return strings.TrimSuffix(watcher, "/"+string(SourceServer)), SourceServer
+// Severity orders states by how much they keep requests away. The most severe of
+// the fresh reports is the state of a server.
+func Severity(state wire.ServerState) int {
+	switch state {
+	case wire.ServerState_SERVER_STATE_READY:
+		return 1
+	case wire.ServerState_SERVER_STATE_COLD:
+		return 2
+	case wire.ServerState_SERVER_STATE_DRAINING:
+		return 3
+	case wire.ServerState_SERVER_STATE_LEAVING:
+		return 4
+	case wire.ServerState_SERVER_STATE_GONE:
+		return 5
+	}
+	return 0
 }
 
-// Config bounds the age of sights. Fresh: how much older than the newest sight
-// of a server another one may be and still count (3 s when zero; never under
-// three KeepAlives). Keep: after
-// how long an outlived report, and a server that is gone, is dropped (30 s when
-// zero). Skew: how far ahead of this process a watcher's fleet time is believed
-// (500 ms when zero).
-type Config struct {
-	FreshFor, RetainFor, MaxClockSkew time.Duration
-}
-
-// RepeatInterval returns how often a watcher repeats an unchanged sight, or says that
-// what it reported of the platform's list still stands, when the fleet has n
-// servers: each second, and more seldom beyond 100 servers, so that repeats stay
-// at some hundreds a second. Changes are reported at once whatever the size.
-func RepeatInterval(n int) time.Duration {
-	return max(time.Second, time.Duration(n)*10*time.Millisecond)
+func moreSevere(a, b wire.ServerState) wire.ServerState {
+	if Severity(b) > Severity(a) {
+		return b
+	}
+	return a
 }
 
-func (c Config) fresh(n int) int64 { return max(c.FreshFor, 3*RepeatInterval(n)).Milliseconds() }
-
-func (c Config) orDefaults() Config {
-	if c.FreshFor <= 0 {
-		c.FreshFor = 3 * time.Second
+// merge returns the status of a server, nil when no report names its address.
+// Where a core's merged report is stored, only what watchers here reported since
+// is added to it.
+func (e *serverEntry) merge(name string, freshMS int64) *wire.ServerStatus {
+	merged, ok := newestMerged(e.reports)
+	if !ok {
+		return mergeReports(name, e.reports, freshMS)
+	}
+	since := map[string]datedReport{}
+	for watcherID, dated := range e.reports {
+		if !isFrom(watcherID, SourceMerged) && dated.atMS > merged.atMS {
+			since[watcherID] = dated
+		}
 	}
-	if c.RetainFor <= 0 {
-		c.RetainFor = 30 * time.Second
+	status := proto.Clone(merged.report.Status).(*wire.ServerStatus)
+	if e.load != nil && e.load.Incarnation == status.Incarnation && e.load.AtMs > merged.atMS {
+		addLoad(status, e.load)
 	}
-	if c.MaxClockSkew <= 0 {
-		c.MaxClockSkew = 500 * time.Millisecond
+	if local := mergeReports(name, since, freshMS); local != nil {
+		addLocal(status, local)
 	}
-	return c
+	return status
 }
 
-type sighting struct {
-	report *wire.Report
-	at     int64
+func newestMerged(reports map[string]datedReport) (newest datedReport, found bool) {
+	for watcherID, dated := range reports {
+		if !isFrom(watcherID, SourceMerged) {
+			continue
+		}
+		// The watcher decides between reports of one instant, so that all processes
+		// take the same.
+		if !found || dated.atMS > newest.atMS || (dated.atMS == newest.atMS && watcherID > newest.report.Watcher) {
+			newest = dated
+			found = true
+		}
+	}
+	return newest, found
 }
 
-type entry struct {
-	sightings map[string]sighting
-	status    *wire.ServerStatus
-	load      *wire.Load // newer than the fold that is held, or nil
-	loadAt    int64
+func addLoad(status *wire.ServerStatus, load *wire.Load) {
+	status.Running = load.Running
+	status.Queued = load.Queued
+	status.Answered = load.Answered
+	status.KvUsed = float64(load.KvUsed)
 }
 
-// ReportStore is the set of newest reports. It has one owner; the maps and
-// statuses it hands out are never changed afterwards.
-type ReportStore struct {
-	cfg     Config
-	servers map[string]*entry
-	dirty   map[string]bool
-	folded  map[string]*wire.ServerStatus
-	version uint64 // of folded
-	// listedAt is the newest instant, in ms of fleet time, at which a watcher saw
-	// the platform's list.
-	listedAt int64
+// addLocal adds what watchers of this process reported since a merged report: it
+// may make the state worse and bring newer load, and changes nothing else.
+func addLocal(status, local *wire.ServerStatus) {
+	status.State = moreSevere(status.State, local.State)
+	status.ColdUntilMs = max(status.ColdUntilMs, local.ColdUntilMs)
+	status.LeaveAtMs = earlierLeave(status.LeaveAtMs, local.LeaveAtMs)
+	newIncarnation := local.Incarnation > status.Incarnation
+	moreAnswers := local.Incarnation == status.Incarnation && local.Answered > status.Answered
+	if newIncarnation || moreAnswers {
+		copyLoad(status, local)
+	}
 }
 
-// NewReportStore returns an empty set.
-func NewReportStore(cfg Config) *ReportStore {
-	return &ReportStore{cfg: cfg.orDefaults(), servers: map[string]*entry{}, dirty: map[string]bool{},
-		folded: map[string]*wire.ServerStatus{}}
+// copyLoad copies what a server reports of itself.
+func copyLoad(status, reported *wire.ServerStatus) {
+	status.Incarnation = reported.Incarnation
+	status.Answered = reported.Answered
+	status.Slots = reported.Slots
+	status.Running = reported.Running
+	status.Queued = reported.Queued
+	status.TokensPerSecond = reported.TokensPerSecond
+	status.PrefillPerSecond = reported.PrefillPerSecond
+	status.KvUsed = reported.KvUsed
 }
 
-// Add takes a report in and tells whether it was newer than what was held,
-// so that it is worth passing on. The report must not be changed afterwards.
-// now is fleet time; a report from the future counts as of now.
-func (r *ReportStore) Add(report *wire.Report, now time.Time) bool {
-	if report.GetServer() == "" || report.GetWatcher() == "" || report.GetStatus() == nil {
-		return false
-	}
-	e := r.servers[report.Server]
-	if e == nil {
-		e = &entry{sightings: map[string]sighting{}}
-		r.servers[report.Server] = e
-	}
-	if held, ok := e.sightings[report.Watcher]; ok && !newer(report, held.report) {
-		return false
+// earlierLeave returns the earlier instant at which a server leaves; 0 stands for
+// none.
+func earlierLeave(a, b int64) int64 {
+	if b > 0 && (a == 0 || b < a) {
+		return b
 	}
-	at := r.believed(report.AtMs, now)
-	e.sightings[report.Watcher] = sighting{report, at}
-	if _, sight := ParseWatcherID(report.Watcher); sight == SourceList {
-		r.listedAt = max(r.listedAt, at)
-	}
-	r.dirty[report.Server] = true
-	return true
+	return a
 }
 
-// AddLoad takes in the load of a server whose status is held as a core's fold,
-// and tells whether it was newer.
-func (r *ReportStore) AddLoad(load *wire.Load) bool {
-	e := r.servers[load.GetServer()]
-	if e == nil {
-		return false
-	}
-	held, ok := newestFold(e.sightings)
-	if !ok || held.report.Status.Incarnation != load.Incarnation || load.AtMs <= max(held.at, e.loadAt) {
-		return false
-	}
-	e.load, e.loadAt = load, load.AtMs
-	r.dirty[load.Server] = true
-	return true
+// mergeReports merges watchers' reports on a server, nil when none names its
+// address.
+func mergeReports(name string, reports map[string]datedReport, freshMS int64) *wire.ServerStatus {
+	listed := freshReports(reports, SourceList, freshMS)
+	polled := freshReports(reports, SourceServer, freshMS)
+	polled = withoutOutdatedTimeouts(polled, listed, freshMS)
+	identity := identityOf(listed, polled)
+	if identity == nil {
+		return nil
+	}
+	status := &wire.ServerStatus{
+		Name:     name,
+		Address:  identity.Address,
+		Kind:     identity.Kind,
+		Services: identity.Services,
+		Region:   identity.Region,
+		Zone:     identity.Zone,
+	}
+	mergeListed(status, listed)
+	mergePolled(status, polled)
+	if status.State == wire.ServerState_SERVER_STATE_UNSPECIFIED && status.Reachable {
+		status.State = wire.ServerState_SERVER_STATE_READY
+	}
+	return status
 }
 
-func newer(a, b *wire.Report) bool {
-	if a.Incarnation != b.Incarnation {
-		return a.Incarnation > b.Incarnation
+// mergeListed merges the reports from the platform's list into a status.
+func mergeListed(status *wire.ServerStatus, listed []datedReport) {
+	for _, dated := range listed {
+		reported := dated.report.Status
+		status.State = moreSevere(status.State, reported.State)
+		status.Slots = max(status.Slots, reported.Slots)
+		status.ColdUntilMs = max(status.ColdUntilMs, reported.ColdUntilMs)
+		status.LeaveAtMs = earlierLeave(status.LeaveAtMs, reported.LeaveAtMs)
 	}
-	return a.Counter > b.Counter
 }
 
-// Servers returns the folded status of every server that a list sight or an
-// own sight with an address has named. The same map is returned until
-// something changes, and an unchanged server keeps its pointer.
-func (r *ReportStore) Servers() map[string]*wire.ServerStatus {
-	if len(r.dirty) == 0 {
-		return r.folded
-	}
-	next := maps.Clone(r.folded)
-	changed, fresh := false, r.cfg.fresh(len(r.servers))
-	for name := range r.dirty {
-		e := r.servers[name]
-		if e == nil {
-			if _, held := next[name]; held {
-				delete(next, name)
-				changed = true
+// mergePolled merges the reports from the server itself into a status. The server
+// is gone when every watcher's connection was refused, and unreachable when more
+// than half of the watchers got no answer.
+func mergePolled(status *wire.ServerStatus, polled []datedReport) {
+	refused := 0
+	timedOut := 0
+	var load *wire.ServerStatus
+	for _, dated := range polled {
+		reported := dated.report.Status
+		switch {
+		case isRefusal(reported):
+			refused++
+		case !reported.Reachable:
+			timedOut++
+		default:
+			status.State = moreSevere(status.State, reported.State)
+			if load == nil || reported.Incarnation > load.Incarnation {
+				load = reported
 			}
-			continue
-		}
-		status := e.fold(name, fresh)
-		if same(e.status, status) {
-			continue
-		}
-		e.status = status
-		changed = true
-		if status == nil {
-			delete(next, name)
-			continue
 		}
-		next[name] = status
 	}
-	clear(r.dirty)
-	if changed {
-		r.folded = next
-		r.version++
+	if refused > 0 && refused == len(polled) {
+		status.State = wire.ServerState_SERVER_STATE_GONE
+	}
+	status.Reachable = 2*(refused+timedOut) <= len(polled)
+	if load != nil {
+		copyLoad(status, load)
 	}
-	return r.folded
 }
 
-// Version counts the changes of what Servers returns.
-func (r *ReportStore) Version() uint64 { return r.version }
+// isRefusal reports whether a watcher's connection to the server was refused.
+func isRefusal(reported *wire.ServerStatus) bool {
+	return !reported.Reachable && reported.State == wire.ServerState_SERVER_STATE_GONE
+}
 
-// ReportStore returns all held reports in the order of server and watcher, as for
-// a snapshot.
-func (r *ReportStore) Reports() []*wire.Report {
-	var all []*wire.Report
-	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
-		sightings := r.servers[name].sightings
-		for _, watcher := range slices.Sorted(maps.Keys(sightings)) {
-			all = append(all, sightings[watcher].report)
+// isTimeout reports whether a watcher's request to the server timed out.
+func isTimeout(reported *wire.ServerStatus) bool {
+	return !reported.Reachable && reported.State == wire.ServerState_SERVER_STATE_UNSPECIFIED
+}
+
+// freshReports returns the reports from a source that are not older than the newest
+// of them by more than a span, newest first.
+func freshReports(reports map[string]datedReport, source Source, freshMS int64) []datedReport {
+	var fresh []datedReport
+	for watcherID, dated := range reports {
+		if isFrom(watcherID, source) {
+			fresh = append(fresh, dated)
 		}
 	}
-	return all
+	slices.SortFunc(fresh, func(a, b datedReport) int {
+		return cmp.Or(cmp.Compare(b.atMS, a.atMS), cmp.Compare(a.report.Watcher, b.report.Watcher))
+	})
+	for i, dated := range fresh {
+		if dated.atMS < fresh[0].atMS-freshMS {
+			return fresh[:i]
+		}
+	}
+	return fresh
 }
 
-// ListedAt returns the newest instant of fleet time at which a watcher saw the
-// platform's list; the zero time before the first.
-func (r *ReportStore) ListedAt() time.Time {
-	if r.listedAt == 0 {
-		return time.Time{}
+// withoutOutdatedTimeouts drops reports of a time-out once the list was seen so much
+// later that the watcher would have repeated them. The slice given is reused.
+func withoutOutdatedTimeouts(polled, listed []datedReport, freshMS int64) []datedReport {
+	if len(listed) == 0 {
+		return polled
 	}
-	return time.UnixMilli(r.listedAt)
+	return slices.DeleteFunc(polled, func(dated datedReport) bool {
+		return isTimeout(dated.report.Status) && dated.atMS < listed[0].atMS-freshMS
+	})
 }
 
-// Expire drops reports that newer ones of the same kind have outlived by Keep,
-// and servers that have been gone for Keep. The last word on a server that is
-// not gone stays for good. now is fleet time.
-func (r *ReportStore) Expire(now time.Time) {
-	keep := r.cfg.RetainFor.Milliseconds()
-	r.Servers()
-	for name, e := range r.servers {
-		newest := map[Source]int64{}
-		last := int64(0)
-		for watcher, s := range e.sightings {
-			_, sight := ParseWatcherID(watcher)
-			newest[sight] = max(newest[sight], s.at)
-			last = max(last, s.at)
-		}
-		if (e.status == nil || e.status.State == wire.ServerState_SERVER_STATE_GONE) && now.UnixMilli()-last > keep {
-			delete(r.servers, name)
-			r.dirty[name] = true
-			continue
-		}
-		for watcher, s := range e.sightings {
-			if _, sight := ParseWatcherID(watcher); newest[sight]-s.at > keep {
-				delete(e.sightings, watcher)
-				r.dirty[name] = true
+// identityOf returns the newest status that names the server's address, one from
+// the list first; nil when there is none.
+func identityOf(listed, polled []datedReport) *wire.ServerStatus {
+	for _, reports := range [][]datedReport{listed, polled} {
+		for _, dated := range reports {
+			if dated.report.Status.Address != "" {
+				return dated.report.Status
 			}
 		}
 	}
+	return nil
 }
--- a/internal/decision/serverstatus/unchanged.go
+++ b/internal/decision/serverstatus/unchanged.go
@@ -10,10 +10,10 @@
 )
 
 // Digest identifies a set of reports of one watcher, in whatever order they are
-// added. It lets a watcher say that nothing has changed without repeating it.
+// added. It lets a watcher state that nothing changed without repeating it.
 type Digest uint64
 
-// Add puts a report into the set; one of a server that is gone is no part of it.
+// Add adds a report to the set; one on a server that is gone is no part of it.
 func (d *Digest) Add(report *wire.Report) {
 	if report.GetStatus().GetState() == wire.ServerState_SERVER_STATE_GONE {
 		return
@@ -22,42 +22,34 @@
 	*d += Digest(xxhash.Sum64(key))
 }
 
-// ConfirmUnchanged takes the word of a watcher that its reports still stand, and returns
-// their servers. It is not known, and changes nothing, where other reports of
-// the watcher are held than those it means.
+// ConfirmUnchanged takes a watcher's statement that its reports are unchanged,
+// which renews their instant, and returns their servers. Where other reports of the
+// watcher are stored than those meant, it changes nothing and known is false. now
+// is fleet time.
 func (r *ReportStore) ConfirmUnchanged(unchanged *wire.Unchanged, now time.Time) (servers []string, known bool) {
-	var held Digest
-	for server, e := range r.servers {
-		if s, found := e.sightings[unchanged.GetWatcher()]; found && stands(s.report, unchanged) {
-			held.Add(s.report)
+	var stored Digest
+	for server, entry := range r.servers {
+		if dated, found := entry.reports[unchanged.GetWatcher()]; found && isMeant(dated.report, unchanged) {
+			stored.Add(dated.report)
 			servers = append(servers, server)
 		}
 	}
-	if uint64(held) != unchanged.GetDigest() || len(servers) == 0 {
+	if uint64(stored) != unchanged.GetDigest() || len(servers) == 0 {
 		return nil, false
 	}
-	at := r.believed(unchanged.GetAtMs(), now)
-	if _, sight := ParseWatcherID(unchanged.Watcher); sight == SourceList {
-		r.listedAt = max(r.listedAt, at)
-	}
+	atMS := r.boundedAtMS(unchanged.GetAtMs(), now)
+	r.recordListed(unchanged.Watcher, atMS)
 	for _, server := range servers {
-		sightings := r.servers[server].sightings
-		s := sightings[unchanged.Watcher]
-		s.at = max(s.at, at)
-		sightings[unchanged.Watcher] = s
-		r.dirty[server] = true
+		reports := r.servers[server].reports
+		dated := reports[unchanged.Watcher]
+		dated.atMS = max(dated.atMS, atMS)
+		reports[unchanged.Watcher] = dated
+		r.outdated[server] = true
 	}
 	return servers, true
 }
 
-func stands(report *wire.Report, unchanged *wire.Unchanged) bool {
+// isMeant reports whether a report is among those that a statement may be about.
+func isMeant(report *wire.Report, unchanged *wire.Unchanged) bool {
 	return report.Incarnation == unchanged.GetIncarnation() && report.Status.State != wire.ServerState_SERVER_STATE_GONE
 }
-
-// believed bounds a watcher's fleet time, which may be ahead of this process's.
-func (r *ReportStore) believed(at int64, now time.Time) int64 {
-	if nowMS := now.UnixMilli(); at > nowMS+r.cfg.MaxClockSkew.Milliseconds() {
-		return nowMS
-	}
-	return at
-}
