--- a/internal/decision/plan/plan.go
+++ b/internal/decision/plan/plan.go
@@ -37,22 +37,22 @@
 	Policy Policy
 }
 
-// Compute returns the plan of the period that begins at in.Now.
-func Compute(in Input) *wire.Plan {
-	policy := in.Policy.withSettings(in.State.Sheet).WithDefaults()
+// Compute returns the plan of the period that begins at input.Now.
+func Compute(input Input) *wire.Plan {
+	policy := input.Policy.withSettings(input.State.Sheet).WithDefaults()
 	next := &wire.Plan{
-		Term:     in.Term,
-		Number:   in.Number,
-		Epoch:    in.State.Version,
-		AtMs:     in.Now.UnixMilli(),
-		PeriodMs: uint32(in.Period.Milliseconds()),
-		Holder:   in.Holder,
-		Cause:    in.Cause,
+		Term:     input.Term,
+		Number:   input.Number,
+		Epoch:    input.State.Version,
+		AtMs:     input.Now.UnixMilli(),
+		PeriodMs: uint32(input.Period.Milliseconds()),
+		Holder:   input.Holder,
+		Cause:    input.Cause,
 	}
-	next.Shares = Shares(in.State, in.Servers, in.Fronts, policy)
-	for _, name := range slices.Sorted(maps.Keys(in.Servers)) {
-		status := in.Servers[name]
-		if ExclusionReason(in.State, status) == "" {
+	next.Shares = Shares(input.State, input.Servers, input.Fronts, policy)
+	for _, name := range slices.Sorted(maps.Keys(input.Servers)) {
+		status := input.Servers[name]
+		if ExclusionReason(input.State, status) == "" {
 			next.Caps = append(next.Caps, &wire.Cap{Server: name, InFlight: uint32(policy.Cap(status))})
 		}
 	}
@@ -62,7 +62,7 @@
 // ReplanCause reports whether a server that the plan in force gives requests to is
 // lost, and the failure, drain or evacuation that forces a new plan. Nothing else
 // does within a period.
-func ReplanCause(prior *wire.Plan, in Input) (cause string, forced bool) {
+func ReplanCause(prior *wire.Plan, input Input) (cause string, forced bool) {
 	if prior == nil {
 		return "first", true
 	}
@@ -70,7 +70,7 @@
 		if limit.InFlight == 0 {
 			continue
 		}
-		if cause := lossCause(in, limit.Server); cause != "" {
+		if cause := lossCause(input, limit.Server); cause != "" {
 			return cause, true
 		}
 	}
@@ -78,12 +78,12 @@
 }
 
 // lossCause returns why a server may get no requests any more, "" when it may.
-func lossCause(in Input, server string) string {
-	status := in.Servers[server]
+func lossCause(input Input, server string) string {
+	status := input.Servers[server]
 	if status == nil {
 		return "failure: " + server + " gone"
 	}
-	switch reason := ExclusionReason(in.State, status); reason {
+	switch reason := ExclusionReason(input.State, status); reason {
 	case "":
 		return ""
 	case ReasonDraining, ReasonLeaving:
--- a/internal/decision/plan/plan_test.go
+++ b/internal/decision/plan/plan_test.go
@@ -43,8 +43,8 @@
 	return servers
 }
 
-func shareOf(p *wire.Plan, service, from, to string) float64 {
-	for _, s := range p.Shares {
+func shareOf(result *wire.Plan, service, from, to string) float64 {
+	for _, s := range result.Shares {
 		if s.Service == service && s.FromRegion == from && s.ToRegion == to {
 			return s.Share
 		}
@@ -54,60 +54,60 @@
 
 func TestPlansAfterEvents(t *testing.T) {
 	Convey("A plan under a series of events", t, func() {
-		in := Input{State: stateOf(70, 30), Servers: fleet(2), Term: 3, Holder: "c1", Period: 5 * time.Second, Now: time.UnixMilli(1_000_000),
+		input := Input{State: stateOf(70, 30), Servers: fleet(2), Term: 3, Holder: "c1", Period: 5 * time.Second, Now: time.UnixMilli(1_000_000),
 			Fronts: []sheet.Member{{Name: "n1", Region: "lagos"}}}
 		var log strings.Builder
 		step := func(event string, change func()) {
 			change()
-			in.Now = in.Now.Add(time.Second)
-			cause, forced := ReplanCause(in.Prior, in)
+			input.Now = input.Now.Add(time.Second)
+			cause, forced := ReplanCause(input.Prior, input)
 			fmt.Fprintf(&log, "%s: ", event)
-			if !forced && !PeriodOver(in.Prior, in.Now) {
-				fmt.Fprintf(&log, "plan %d stands\n", in.Prior.Number)
+			if !forced && !PeriodOver(input.Prior, input.Now) {
+				fmt.Fprintf(&log, "plan %d stands\n", input.Prior.Number)
 				return
 			}
 			if !forced {
 				cause = "period"
 			}
-			in.Number++
-			in.Cause = cause
-			in.Prior = Compute(in)
-			fmt.Fprintf(&log, "plan %d (%s)\n", in.Prior.Number, in.Prior.Cause)
-			for _, s := range in.Prior.Shares {
+			input.Number++
+			input.Cause = cause
+			input.Prior = Compute(input)
+			fmt.Fprintf(&log, "plan %d (%s)\n", input.Prior.Number, input.Prior.Cause)
+			for _, s := range input.Prior.Shares {
 				if s.FromRegion == "lagos" {
 					fmt.Fprintf(&log, "  %s to %s %.3f\n", s.Service, s.ToRegion, s.Share)
 				}
 			}
-			for _, c := range in.Prior.Caps {
+			for _, c := range input.Prior.Caps {
 				fmt.Fprintf(&log, "  cap %s %d\n", c.Server, c.InFlight)
 			}
 		}
 		set := func(name string, change func(*wire.ServerStatus)) func() {
 			return func() {
 				next := map[string]*wire.ServerStatus{}
-				for key, s := range in.Servers {
+				for key, s := range input.Servers {
 					next[key] = s
 				}
-				at := model(name, in.Servers[name].Region, in.Servers[name].Zone, 2)
+				at := model(name, input.Servers[name].Region, input.Servers[name].Zone, 2)
 				change(at)
 				next[name] = at
-				in.Servers = next
+				input.Servers = next
 			}
 		}
 		step("the first servers", func() {})
 		step("load moves", set("m0", func(s *wire.ServerStatus) { s.Running = 9 }))
 		step("m1 drains", set("m1", func(s *wire.ServerStatus) { s.State = draining }))
 		step("m1 is back, cold", set("m1", func(s *wire.ServerStatus) { s.State, s.Incarnation, s.Answered = cold, 2, 0 }))
-		step("time passes", func() { in.Now = in.Now.Add(4 * time.Second) })
+		step("time passes", func() { input.Now = input.Now.Add(4 * time.Second) })
 		step("m1 has answered five", set("m1", func(s *wire.ServerStatus) { s.Incarnation, s.Answered = 2, 5 }))
 		step("m3 goes dark", set("m3", func(s *wire.ServerStatus) { s.Reachable = false }))
-		step("abeokuta is evacuated", func() { in.State.Evacuated = map[string]uint64{"abeokuta": 8}; in.State.Version = 8 })
-		step("the sheet moves", func() { in.State = stateOf(10, 90); in.State.Version, in.State.SheetVersion = 9, 9 })
-		step("time passes", func() { in.Now = in.Now.Add(4 * time.Second) })
+		step("abeokuta is evacuated", func() { input.State.Evacuated = map[string]uint64{"abeokuta": 8}; input.State.Version = 8 })
+		step("the sheet moves", func() { input.State = stateOf(10, 90); input.State.Version, input.State.SheetVersion = 9, 9 })
+		step("time passes", func() { input.Now = input.Now.Add(4 * time.Second) })
 		step("lagos is full", func() {
 			set("m0", func(s *wire.ServerStatus) { s.Running, s.Queued = 16, 30 })()
 			set("m3", func(s *wire.ServerStatus) {})()
-			in.Now = in.Now.Add(4 * time.Second)
+			input.Now = input.Now.Add(4 * time.Second)
 		})
 		goldie.New(t).Assert(t, "events", []byte(log.String()))
 	})
@@ -115,34 +115,34 @@
 
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := Input{State: stateOf(rapid.Float64Range(0, 1e9).Draw(t, "lagos"), rapid.Float64Range(0.001, 10).Draw(t, "abeokuta")),
+		input := Input{State: stateOf(rapid.Float64Range(0, 1e9).Draw(t, "lagos"), rapid.Float64Range(0.001, 10).Draw(t, "abeokuta")),
 			Servers: map[string]*wire.ServerStatus{}, Now: time.UnixMilli(5), Period: time.Second}
 		for i := range rapid.IntRange(0, 12).Draw(t, "servers") {
 			s := model(fmt.Sprintf("m%d", i), rapid.SampledFrom([]string{"lagos", "abeokuta"}).Draw(t, "region"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Uint32Range(0, 60).Draw(t, "running"))
 			s.State = rapid.SampledFrom([]wire.ServerState{ready, ready, cold, draining, leaving, gone}).Draw(t, "state")
 			s.Reachable = rapid.IntRange(0, 5).Draw(t, "reachable") > 0
 			s.Answered = rapid.Uint64Range(0, 40).Draw(t, "answered")
-			in.Servers[s.Name] = s
+			input.Servers[s.Name] = s
 		}
 		if rapid.Bool().Draw(t, "evacuated") {
-			in.State.Evacuated = map[string]uint64{rapid.SampledFrom([]string{"lagos", "lagos/a", "abeokuta/b"}).Draw(t, "place"): 3}
+			input.State.Evacuated = map[string]uint64{rapid.SampledFrom([]string{"lagos", "lagos/a", "abeokuta/b"}).Draw(t, "place"): 3}
 		}
-		p := Compute(in)
-		if again := Compute(in); fmt.Sprint(again) != fmt.Sprint(p) {
+		result := Compute(input)
+		if again := Compute(input); fmt.Sprint(again) != fmt.Sprint(result) {
 			t.Fatal("equal inputs give unequal plans")
 		}
 		sums, usable := map[string]float64{}, map[string]bool{}
-		for _, c := range p.Caps {
-			s := in.Servers[c.Server]
-			if ExclusionReason(in.State, s) != "" {
-				t.Fatalf("%s is %s and has a cap", c.Server, ExclusionReason(in.State, s))
+		for _, c := range result.Caps {
+			s := input.Servers[c.Server]
+			if ExclusionReason(input.State, s) != "" {
+				t.Fatalf("%s is %s and has a cap", c.Server, ExclusionReason(input.State, s))
 			}
 			if c.InFlight == 0 || int(c.InFlight) > 20 || uint64(c.InFlight) > 2+s.Answered {
 				t.Fatalf("cap %d of %v", c.InFlight, s)
 			}
 			usable[s.Region] = true
 		}
-		for _, s := range p.Shares {
+		for _, s := range result.Shares {
 			sums[s.Service+" "+s.FromRegion] += s.Share
 			if !usable[s.ToRegion] || !(s.Share > 0) {
 				t.Fatalf("%v goes to a region without servers", s)
@@ -153,7 +153,7 @@
 				t.Fatalf("shares of %s sum to %v", key, sum)
 			}
 		}
-		if _, forced := ReplanCause(p, in); forced {
+		if _, forced := ReplanCause(result, input); forced {
 			t.Fatal("the same input forces a new plan again")
 		}
 	})
--- a/internal/node/control/state.go
+++ b/internal/node/control/state.go
@@ -80,10 +80,10 @@
 			c.log.Emit(events.MemberRemoved, "member", name, "epoch", after.Version)
 		}
 	}
-	was := before.Duties[election.Planner]
-	is := after.Duties[election.Planner]
-	if was.Holder == c.config.Self && is.Holder != c.config.Self {
-		c.log.Emit(events.DutyLost, "duty", election.Planner, "term", is.Term, "holder", is.Holder)
+	previousLeader := before.Duties[election.Planner]
+	currentLeader := after.Duties[election.Planner]
+	if previousLeader.Holder == c.config.Self && currentLeader.Holder != c.config.Self {
+		c.log.Emit(events.DutyLost, "duty", election.Planner, "term", currentLeader.Term, "holder", currentLeader.Holder)
 	}
 	if !before.Settled() && after.Settled() {
 		c.log.Emit(events.RosterSettled, "epoch", after.Version, "members", len(after.Roster))
