--- a/internal/node/control/fleet_test.go
+++ b/internal/node/control/fleet_test.go
@@ -3,25 +3,22 @@
 import (
 	"context"
 	"fmt"
-	"net"
-	"sort"
 	"sync"
 	"sync/atomic"
-	"syscall"
+	"testing"
+	"testing/synctest"
 	"time"
 
-	"connectrpc.com/connect"
+	. "github.com/smartystreets/goconvey/convey"
 	"google.golang.org/protobuf/proto"
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/node/control"
 	"stepwick/internal/node/follower"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
-	"stepwick/internal/wire/wireconnect"
 )
 
 // fleet is three cores and some fronts in one bubble of virtual time, over a
@@ -45,12 +42,6 @@
 	batchLatency   atomic.Int64 // latency of a batch, in ns
 }
 
-type agreed struct {
-	state   sheet.State
-	chosen  []*wire.Chosen
-	changed chan struct{}
-}
-
 var voters = []string{"c1", "c2", "c3"}
 
 func newFleet(ctx context.Context, fronts int) *fleet {
@@ -136,127 +127,41 @@
 	return count
 }
 
-type atomicReplica struct{ f *fleet }
-
-func (b atomicReplica) Propose(ctx context.Context, command []byte) (uint64, sheet.Result, error) {
-	if b.f.majorityLost.Load() {
-		<-ctx.Done()
-		return 0, sheet.Result{}, ctx.Err()
-	}
-	for {
-		old := b.f.agreed.Load()
-		version := old.state.Version + 1
-		state, result := old.state.Step(version, command)
-		next := &agreed{state: state, changed: make(chan struct{})}
-		next.chosen = append(append(next.chosen, old.chosen...), &wire.Chosen{Epoch: version, Command: command})
-		if b.f.agreed.CompareAndSwap(old, next) {
-			close(old.changed)
-			return version, result, nil
-		}
-	}
+func withFleet(t *testing.T, fronts int, act func(t *testing.T, f *fleet)) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		f := newFleet(ctx, fronts)
+		f.advance(6 * time.Second)
+		act(t, f)
+		cancel()
+		f.advance(10 * time.Second)
+	})
 }
 
-func (b atomicReplica) ReadMajority(ctx context.Context) (sheet.State, error) {
-	if b.f.majorityLost.Load() {
-		<-ctx.Done()
-		return sheet.State{}, apierror.Errorf(apierror.NoMajority, "1 of 3 cores answered")
+func (f *fleet) follow(core string, last *wire.FollowResponse, wait time.Duration) *wire.FollowResponse {
+	req := &wire.FollowRequest{Who: "test", WaitMs: uint32(wait.Milliseconds())}
+	if last != nil {
+		req.Feed, req.Place, req.Epoch = last.Feed, last.Place, last.Learned
 	}
-	return b.f.agreed.Load().state, nil
-}
-
-func (b atomicReplica) Read(context.Context, *wire.ReadRequest) (*wire.ReadResponse, error) {
-	version := b.f.agreed.Load().state.Version
-	return &wire.ReadResponse{Learned: version, Highest: version}, nil
-}
-
-func (b atomicReplica) Learned(after uint64) ([]*wire.Chosen, bool) {
-	return b.f.agreed.Load().chosen[after:], true
-}
-func (b atomicReplica) Current() sheet.State     { return b.f.agreed.Load().state }
-func (b atomicReplica) Changed() <-chan struct{} { return b.f.agreed.Load().changed }
-func (b atomicReplica) Standing() wire.Standing  { return wire.Standing_STANDING_VOTING }
-func (b atomicReplica) Voters() []string         { return voters }
-func (b atomicReplica) Formation() string        { return "formation" }
-
-type memoryPeers struct {
-	f    *fleet
-	from string
-}
-
-func (l memoryPeers) Process(name string) (*wire.Process, bool) {
-	p, ok := l.f.processes[name]
-	return p, ok
-}
-
-func (l memoryPeers) Cores() []*wire.Process { return port.CoresOf(l.Processes()) }
-
-func (l memoryPeers) Processes() []*wire.Process {
-	var all []*wire.Process
-	for _, p := range l.f.processes {
-		all = append(all, p)
-	}
-	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
-	return all
-}
-
-func (l memoryPeers) Client(address string) wireconnect.PeerClient {
-	return client{memoryPeers: l, to: address}
-}
-
-type client struct {
-	wireconnect.PeerClient
-	memoryPeers
-	to string
-}
-
-func reach[Q, A any](ctx context.Context, c client, req *connect.Request[Q], method func(context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
-	partitioned := *c.f.partitioned.Load()
-	if partitioned[c.from] != partitioned[c.to] {
-		<-ctx.Done()
-		return nil, ctx.Err()
-	}
-	<-time.After(time.Millisecond)
-	if (*c.f.stopped.Load())[c.to] {
-		return nil, connect.NewError(connect.CodeUnavailable, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED})
-	}
-	resp, err := method(ctx, req.Msg)
+	resp, err := f.cores[core].Follow(f.ctx, req)
 	if err != nil {
-		return nil, err
+		panic(err)
 	}
-	return connect.NewResponse(resp), nil
-}
-
-func (c client) Ping(ctx context.Context, req *connect.Request[wire.PingRequest]) (*connect.Response[wire.PingResponse], error) {
-	c.f.pingedVersions.Store(c.from+">"+c.to, req.Msg.Epoch)
-	return reach(ctx, c, req, c.f.fronts[c.to].Ping)
+	return resp
 }
 
-func (c client) Fetch(ctx context.Context, req *connect.Request[wire.FetchRequest]) (*connect.Response[wire.FetchResponse], error) {
-	return reach(ctx, c, req, c.f.fronts[c.to].Fetch)
-}
-
-func (c client) Renew(ctx context.Context, req *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
-	c.f.renewals.Add(1)
-	return reach(ctx, c, req, c.f.cores[c.to].Renew)
-}
-
-func (c client) RenewBatch(ctx context.Context, req *connect.Request[wire.RenewBatchRequest]) (*connect.Response[wire.RenewBatchResponse], error) {
-	c.f.batches.Add(1)
-	<-time.After(time.Duration(c.f.batchLatency.Load()))
-	return reach(ctx, c, req, c.f.cores[c.to].RenewBatch)
-}
-
-func (c client) LeaseView(ctx context.Context, req *connect.Request[wire.LeaseViewRequest]) (*connect.Response[wire.LeaseViewResponse], error) {
-	if req.Msg.About == "" {
-		c.f.viewRequests.Add(1)
+func (f *fleet) report(watcher string, counter uint64, status *wire.ServerStatus) {
+	status.Address, status.Kind, status.Services, status.Region, status.Zone = "10.0.0.1:80", "model", []string{"chat"}, "lagos", "a"
+	status.Reachable, status.Slots = true, 8
+	_, err := f.cores["c1"].Submit(f.ctx, &wire.SubmitRequest{From: watcher, Reports: []*wire.Report{{Watcher: watcher, Server: status.Name,
+		Incarnation: 1, Counter: counter, Status: status, AtMs: time.Now().UnixMilli()}}})
+	if err != nil {
+		panic(err)
 	}
-	return reach(ctx, c, req, c.f.cores[c.to].LeaseView)
-}
-
-func (c client) Follow(ctx context.Context, req *connect.Request[wire.FollowRequest]) (*connect.Response[wire.FollowResponse], error) {
-	return reach(ctx, c, req, c.f.cores[c.to].Follow)
 }
 
-func (c client) Submit(ctx context.Context, req *connect.Request[wire.SubmitRequest]) (*connect.Response[wire.SubmitResponse], error) {
-	return reach(ctx, c, req, c.f.cores[c.to].Submit)
+func (f *fleet) put(t *testing.T) {
+	resp, err := f.cores["c1"].Order(f.ctx, &wire.OrderRequest{Operator: "ada", Verb: "put", Body: []byte(put(0, "first"))})
+	So(err, ShouldBeNil)
+	So(apierror.Code(resp.Code), ShouldEqual, apierror.OK)
 }
--- a/internal/node/control/follow.go
+++ b/internal/node/control/follow.go
@@ -16,7 +16,7 @@
 	defer cancel()
 	reply := make(chan *feedAnswer, 1)
 	posted := c.post(ctx, func() {
-		if answer := c.feedAnswer(req); answer != nil {
+		if answer := c.answerTo(req); answer != nil {
 			reply <- answer
 			return
 		}
@@ -39,8 +39,8 @@
 	}
 }
 
-// feedAnswer returns the answer to a request, nil when there is nothing new.
-func (c *Controller) feedAnswer(req *wire.FollowRequest) *feedAnswer {
+// answerTo returns the answer to a request, nil when there is nothing new.
+func (c *Controller) answerTo(req *wire.FollowRequest) *feedAnswer {
 	resp, ok := c.feed.read(req)
 	if !ok {
 		return c.snapshotAnswer(req)
@@ -79,7 +79,7 @@
 		if waiter.ctx.Err() != nil {
 			return false
 		}
-		answer := c.feedAnswer(waiter.req)
+		answer := c.answerTo(waiter.req)
 		if answer == nil {
 			return true
 		}
--- /dev/null
+++ b/internal/node/control/planner_election_test.go
@@ -0,0 +1,51 @@
+package control_test
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"stepwick/internal/decision/election"
+	"stepwick/internal/wire"
+)
+
+func TestPlannerTerms(t *testing.T) {
+	withFleet(t, 5, func(t *testing.T, f *fleet) {
+		Convey("Another core becomes the planner's leader when the leader is killed, and its plans carry the new term", t, func() {
+			f.put(t)
+			f.report("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
+			f.advance(3 * time.Second)
+			leader := f.agreed.Load().state.Duties[election.Planner]
+			So(leader.Term, ShouldEqual, 1)
+			plan := f.follow("c3", nil, time.Second).Snapshot.Plan
+			So(plan.Term, ShouldEqual, 1)
+			So(plan.Holder, ShouldEqual, leader.Holder)
+			So(plan.Caps, ShouldHaveLength, 1)
+
+			f.kill(leader.Holder)
+			f.advance(6 * time.Second)
+			next := f.agreed.Load().state.Duties[election.Planner]
+			So(next.Term, ShouldEqual, 2)
+			So(next.Holder, ShouldNotEqual, leader.Holder)
+			latest := f.follow("c3", nil, time.Second).Snapshot.Plan
+			So(latest.Term, ShouldEqual, 2)
+
+			stale := &wire.Plan{Term: 1, Number: 99, Holder: leader.Holder}
+			_, err := f.cores["c3"].Submit(f.ctx, &wire.SubmitRequest{From: leader.Holder, Plan: stale, Relayed: true})
+			So(err, ShouldBeNil)
+			So(f.follow("c3", nil, time.Second).Snapshot.Plan.Term, ShouldEqual, 2)
+		})
+	})
+	withFleet(t, 3, func(t *testing.T, f *fleet) {
+		Convey("A partitioned core loses the leadership, and finds it lost when the partition heals", t, func() {
+			leader := f.agreed.Load().state.Duties[election.Planner]
+			f.setFlag(&f.partitioned, true, leader.Holder)
+			f.advance(6 * time.Second)
+			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
+			f.setFlag(&f.partitioned, false, leader.Holder)
+			f.advance(6 * time.Second)
+			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
+		})
+	})
+}
--- a/internal/node/control/report_exchange.go
+++ b/internal/node/control/report_exchange.go
@@ -29,8 +29,8 @@
 	return len(b.reports) == 0 && len(b.unchanged) == 0 && b.plan == nil
 }
 
-// outbox returns the outbox of a core; a new one holds all that is known.
-func (c *Controller) outbox(core string) *outbox {
+// outboxFor returns the outbox of a core; a new one holds all that is known.
+func (c *Controller) outboxFor(core string) *outbox {
 	box, ok := c.outboxes[core]
 	if !ok {
 		box = &outbox{
@@ -50,7 +50,7 @@
 
 func (c *Controller) queuePlan(next *wire.Plan) {
 	for _, core := range c.otherCores() {
-		c.outbox(core.Name).plan = next
+		c.outboxFor(core.Name).plan = next
 	}
 }
 
@@ -95,13 +95,13 @@
 
 func (c *Controller) queueReport(report *wire.Report) {
 	for _, core := range c.otherCores() {
-		c.outbox(core.Name).reports.put(report)
+		c.outboxFor(core.Name).reports.put(report)
 	}
 }
 
 func (c *Controller) queueUnchanged(unchanged *wire.Unchanged) {
 	for _, core := range c.otherCores() {
-		c.outbox(core.Name).unchanged[unchanged.Watcher] = unchanged
+		c.outboxFor(core.Name).unchanged[unchanged.Watcher] = unchanged
 	}
 }
 
@@ -144,7 +144,7 @@
 }
 
 func (c *Controller) flushOutbox(core *wire.Process) {
-	box := c.outbox(core.Name)
+	box := c.outboxFor(core.Name)
 	if box.sending || box.empty() {
 		return
 	}
--- /dev/null
+++ b/internal/node/control/roster_test.go
@@ -0,0 +1,31 @@
+package control_test
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestRosterChanges(t *testing.T) {
+	withFleet(t, 6, func(t *testing.T, f *fleet) {
+		Convey("Processes that renew are added to the roster by one change, which is completed", t, func() {
+			state := f.agreed.Load().state
+			So(state.Roster, ShouldHaveLength, 6)
+			So(state.Settled(), ShouldBeTrue)
+			So(f.servingFronts(), ShouldEqual, 6)
+		})
+		Convey("An unresponsive member stays; one that refuses for a minute is removed, and the change is completed", t, func() {
+			f.kill("f6")
+			f.setFlag(&f.partitioned, true, "f5")
+			f.advance(50 * time.Second)
+			So(f.agreed.Load().state.Roster, ShouldHaveLength, 6)
+			f.advance(20 * time.Second)
+			state := f.agreed.Load().state
+			So(state.Roster, ShouldHaveLength, 5)
+			So(state.Roster, ShouldContainKey, "f5")
+			So(state.Settled(), ShouldBeTrue)
+			So(f.fronts["f5"].Ruling(), ShouldBeFalse)
+		})
+	})
+}
--- /dev/null
+++ b/internal/node/control/state_test.go
@@ -0,0 +1,44 @@
+package control_test
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
+	"stepwick/internal/events"
+	"stepwick/internal/node/control"
+	"stepwick/internal/wire"
+)
+
+func TestNoLeaseBeforeCatchUp(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		f := newFleet(ctx, 3)
+		f.advance(6 * time.Second)
+		Convey("A core that restarted without a majority rejects renewals with an error until it has caught up", t, func() {
+			f.majorityLost.Store(true)
+			f.stop["c1"]()
+			f.advance(time.Second)
+			again := control.New(control.Config{Self: "c1", Incarnation: 2}, atomicReplica{f}, memoryPeers{f, "c1"}, clock.System(), events.Discard)
+			go again.Serve(ctx)
+			f.advance(time.Second)
+			req := &wire.RenewRequest{Self: f.processes["c2"], Epoch: f.agreed.Load().state.Version}
+			_, err := again.Renew(ctx, req)
+			So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
+			f.majorityLost.Store(false)
+			f.advance(4 * time.Second)
+			req.Epoch = f.agreed.Load().state.Version
+			resp, err := again.Renew(ctx, req)
+			So(err, ShouldBeNil)
+			So(resp.Granted, ShouldBeTrue)
+			So(resp.TtlMs, ShouldEqual, 2000)
+		})
+		cancel()
+		f.advance(10 * time.Second)
+	})
+}
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -77,10 +77,10 @@
 	views := c.collectViews(ctx, &wire.LeaseViewRequest{Epoch: current.state.Version}, nil)
 	check := c.newConfirmationCheck(current.state.Version, current.state)
 	check.Views = views
-	return okResponse(c.fleetStatus(current, check), current.state.Version), nil
+	return okResponse(c.newFleetStatus(current, check), current.state.Version), nil
 }
 
-func (c *Controller) fleetStatus(current controllerState, check lease.ConfirmationCheck) fleetStatus {
+func (c *Controller) newFleetStatus(current controllerState, check lease.ConfirmationCheck) fleetStatus {
 	state := current.state
 	confirmed, missing := lease.VersionConfirmed(check)
 	return fleetStatus{
@@ -108,12 +108,12 @@
 	slices.Sort(voters)
 	statuses := make([]coreStatus, 0, len(voters))
 	for _, voter := range voters {
-		statuses = append(statuses, c.coreStatus(voter, views))
+		statuses = append(statuses, c.newCoreStatus(voter, views))
 	}
 	return statuses
 }
 
-func (c *Controller) coreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
+func (c *Controller) newCoreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
 	status := coreStatus{Name: voter, Standing: c.standingOf(voter)}
 	for _, view := range views {
 		if view.Core == voter {
