--- a/internal/decision/lease/confirmation_test.go
+++ b/internal/decision/lease/confirmation_test.go
@@ -26,8 +26,10 @@
 		Convey("one core is not enough, nor twice the same, nor one that is behind or not settled", func() {
 			So(missing(view("c1", three, nil, nil)), ShouldEqual, "learned and settled at 1 of 3 cores")
 			So(missing(view("c1", three, nil, nil), view("c1", three, nil, nil)), ShouldEqual, "learned and settled at 1 of 3 cores")
-			behind, young := view("c2", three, nil, nil), view("c3", three, nil, nil)
-			behind.Learned, young.Settled = 8, false
+			behind := view("c2", three, nil, nil)
+			behind.Learned = 8
+			young := view("c3", three, nil, nil)
+			young.Settled = false
 			So(missing(view("c1", three, nil, nil), behind, young), ShouldEqual, "learned and settled at 1 of 3 cores")
 		})
 		Convey("an unconfirmed lease is waited for, unless that incarnation confirmed elsewhere or a later one renews", func() {
--- a/internal/decision/lease/status_tracker_test.go
+++ b/internal/decision/lease/status_tracker_test.go
@@ -36,9 +36,12 @@
 			So(tracker.Update(table, "a", members, at(2900)), ShouldBeNil)
 		})
 		Convey("an older record that arrives late doesn't replace a newer one", func() {
-			late, ready := renewal("a", 1, 5), renewal("a", 1, 5)
-			late.Self.Counter, late.Self.Zone = 1, "old"
-			ready.Self.Counter, ready.Self.Ready = 2, true
+			late := renewal("a", 1, 5)
+			late.Self.Counter = 1
+			late.Self.Zone = "old"
+			ready := renewal("a", 1, 5)
+			ready.Self.Counter = 2
+			ready.Self.Ready = true
 			table.Renew(ready, 5, at(600))
 			table.Renew(late, 5, at(700))
 			So(tracker.Update(table, "a", members, at(700)).Process.Ready, ShouldBeTrue)
--- a/internal/node/control/fleet_test.go
+++ b/internal/node/control/fleet_test.go
@@ -45,8 +45,14 @@
 var voters = []string{"c1", "c2", "c3"}
 
 func newFleet(ctx context.Context, fronts int) *fleet {
-	f := &fleet{ctx: ctx, processes: map[string]*wire.Process{}, records: map[string]*atomic.Pointer[wire.Process]{}, cores: map[string]*control.Controller{},
-		fronts: map[string]*follower.Follower{}, stop: map[string]context.CancelFunc{}}
+	f := &fleet{
+		ctx:       ctx,
+		processes: map[string]*wire.Process{},
+		records:   map[string]*atomic.Pointer[wire.Process]{},
+		cores:     map[string]*control.Controller{},
+		fronts:    map[string]*follower.Follower{},
+		stop:      map[string]context.CancelFunc{},
+	}
 	f.agreed.Store(&agreed{changed: make(chan struct{})})
 	f.partitioned.Store(&map[string]bool{})
 	f.stopped.Store(&map[string]bool{})
@@ -78,12 +84,12 @@
 }
 
 func (f *fleet) build(name string) {
-	own := f.processes[name]
+	process := f.processes[name]
 	f.records[name] = &atomic.Pointer[wire.Process]{}
-	f.records[name].Store(own)
+	f.records[name].Store(process)
 	peers := memoryPeers{f, name}
-	if own.Core {
-		f.cores[name] = control.New(control.Config{Self: name, Incarnation: own.Incarnation}, atomicReplica{f}, peers, clock.System(), events.Discard)
+	if process.Core {
+		f.cores[name] = control.New(control.Config{Self: name, Incarnation: process.Incarnation}, atomicReplica{f}, peers, clock.System(), events.Discard)
 	}
 	f.fronts[name] = follower.New(follower.Config{Self: f.records[name].Load, LeaseTTL: 2 * time.Second,
 		RenewEvery: 500 * time.Millisecond, PingEvery: 500 * time.Millisecond, FeedWait: time.Second, CoreStaleFor: time.Second,
@@ -141,7 +147,9 @@
 func (f *fleet) follow(core string, last *wire.FollowResponse, wait time.Duration) *wire.FollowResponse {
 	req := &wire.FollowRequest{Who: "test", WaitMs: uint32(wait.Milliseconds())}
 	if last != nil {
-		req.Feed, req.Place, req.Epoch = last.Feed, last.Place, last.Learned
+		req.Feed = last.Feed
+		req.Place = last.Place
+		req.Epoch = last.Learned
 	}
 	resp, err := f.cores[core].Follow(f.ctx, req)
 	if err != nil {
@@ -151,10 +159,22 @@
 }
 
 func (f *fleet) report(watcher string, counter uint64, status *wire.ServerStatus) {
-	status.Address, status.Kind, status.Services, status.Region, status.Zone = "10.0.0.1:80", "model", []string{"chat"}, "lagos", "a"
-	status.Reachable, status.Slots = true, 8
-	_, err := f.cores["c1"].Submit(f.ctx, &wire.SubmitRequest{From: watcher, Reports: []*wire.Report{{Watcher: watcher, Server: status.Name,
-		Incarnation: 1, Counter: counter, Status: status, AtMs: time.Now().UnixMilli()}}})
+	status.Address = "10.0.0.1:80"
+	status.Kind = "model"
+	status.Services = []string{"chat"}
+	status.Region = "lagos"
+	status.Zone = "a"
+	status.Reachable = true
+	status.Slots = 8
+	report := &wire.Report{
+		Watcher:     watcher,
+		Server:      status.Name,
+		Incarnation: 1,
+		Counter:     counter,
+		Status:      status,
+		AtMs:        time.Now().UnixMilli(),
+	}
+	_, err := f.cores["c1"].Submit(f.ctx, &wire.SubmitRequest{From: watcher, Reports: []*wire.Report{report}})
 	if err != nil {
 		panic(err)
 	}
