--- a/sim/confirm/confirm_test.go
+++ b/sim/confirm/confirm_test.go
@@ -48,8 +48,8 @@
 				least = o.Violation
 			}
 		}
-		sum.Chosen, sum.Orders, sum.Acked, sum.Rosters = sum.Chosen+o.Chosen, sum.Orders+o.Orders, sum.Acked+o.Acked, sum.Rosters+o.Rosters
-		sum.Ruling += o.Ruling / float64(count)
+		sum.Chosen, sum.Orders, sum.Acknowledged, sum.RosterChanges = sum.Chosen+o.Chosen, sum.Orders+o.Orders, sum.Acknowledged+o.Acknowledged, sum.RosterChanges+o.RosterChanges
+		sum.ServingRatio += o.ServingRatio / float64(count)
 	}
 	return least, violations, sum
 }
@@ -59,14 +59,14 @@
 		Convey("In the mix "+mix.Name+" no front rules by an epoch older than one acknowledged, and none steps back", t, func() {
 			least, violations, sum := search(*first, *seeds, mix, false)
 			t.Logf("mix %s, seeds %d..%d: %d violations; %d chosen, %d of %d orders acknowledged, %d roster changes settled, ruling %.3f",
-				mix.Name, *first, *first+*seeds-1, violations, sum.Chosen, sum.Acked, sum.Orders, sum.Rosters, sum.Ruling)
+				mix.Name, *first, *first+*seeds-1, violations, sum.Chosen, sum.Acknowledged, sum.Orders, sum.RosterChanges, sum.ServingRatio)
 			if least != nil {
 				t.Log(least)
 			}
 			So(violations, ShouldEqual, 0)
-			So(sum.Acked, ShouldBeGreaterThan, sum.Orders/5)
-			So(sum.Ruling, ShouldBeGreaterThan, 0.3)
-			So(sum.Rosters, ShouldBeGreaterThan, 0)
+			So(sum.Acknowledged, ShouldBeGreaterThan, sum.Orders/5)
+			So(sum.ServingRatio, ShouldBeGreaterThan, 0.3)
+			So(sum.RosterChanges, ShouldBeGreaterThan, 0)
 		})
 	}
 }
--- a/sim/confirm/explore.go
+++ b/sim/confirm/explore.go
@@ -83,13 +83,13 @@
 
 // Explore simulates one schedule. Messages take one tick, clocks have no drift.
 func Explore(schedule Schedule, mutation Mutation) Outcome {
-	w := newWorld(1, Config{Name: schedule.String(), Nodes: exploreNodes, Cores: 3, Gossip: 0.5, Finish: 0.05, Exact: true, Mutation: mutation})
-	for w.now < exploreEnd && w.found == nil {
+	w := newWorld(1, Config{Name: schedule.String(), Nodes: exploreNodes, Cores: 3, LearnChance: 0.5, FinishChance: 0.05, FixedLatency: true, Mutation: mutation})
+	for w.now < exploreEnd && w.violation == nil {
 		w.step(func() {
 			switch w.now {
 			case 4600, 6100:
 				if n := w.nodes[w.now/6000]; w.running(n) {
-					w.order(n)
+					w.submitOrder(n)
 				}
 			}
 			for _, e := range schedule {
@@ -97,7 +97,7 @@
 			}
 		})
 	}
-	return w.end()
+	return w.result()
 }
 
 // apply causes or ends a fault that is due now.
--- a/sim/confirm/explore_test.go
+++ b/sim/confirm/explore_test.go
@@ -19,7 +19,7 @@
 		group.Go(func() {
 			for i := next.Add(1) - 1; i < int64(len(schedules)); i = next.Add(1) - 1 {
 				outcome := Explore(schedules[i], mutation)
-				acks.Add(int64(outcome.Acked))
+				acks.Add(int64(outcome.Acknowledged))
 				if outcome.Violation != nil {
 					bad.Add(1)
 					found.Store(outcome.Violation)
@@ -44,8 +44,8 @@
 	})
 	Convey("The same courses show what happens without a rule", t, func() {
 		schedules := Schedules(3000)
-		violations, _, last := exploreAll(schedules, NoRoster)
-		t.Logf("%s: %d of %d schedules; %v", NoRoster, violations, len(schedules), last)
+		violations, _, last := exploreAll(schedules, NoRosterMajority)
+		t.Logf("%s: %d of %d schedules; %v", NoRosterMajority, violations, len(schedules), last)
 		So(violations, ShouldBeGreaterThan, 0)
 	})
 }
--- a/sim/confirm/process.go
+++ b/sim/confirm/process.go
@@ -8,13 +8,13 @@
 	"stepwick/internal/wire"
 )
 
-func (w *world) act(p *process) {
+func (w *world) actNode(p *process) {
 	if w.now >= p.renewAt {
-		p.renewAt = w.now + renewEvery*tickMS
+		p.renewAt = w.now + renewTicks*tickMS
 		w.renewAll(p)
 	}
 	if w.now >= p.pingAt {
-		p.pingAt = w.now + pingEvery*tickMS
+		p.pingAt = w.now + pingTicks*tickMS
 		w.pingAll(p)
 	}
 	if p.core != nil {
@@ -28,29 +28,29 @@
 	}
 }
 
-func (w *world) self(p *process) *wire.Process {
+func (w *world) record(p *process) *wire.Process {
 	return &wire.Process{Name: p.node.name, Incarnation: p.incarnation, Front: true, Core: p.core != nil}
 }
 
 func (w *world) renew(p *process, n *node) {
 	sent := w.clock(p.node)
-	req := &wire.RenewRequest{Self: w.self(p), Epoch: p.state.Version, Unconfirmed: p.holder.Unconfirmed()}
+	req := &wire.RenewRequest{Self: w.record(p), Epoch: p.state.Version, Unconfirmed: p.holder.Unconfirmed()}
 	w.call(p, n, func(q *process) func() {
 		c := q.core
-		open := w.accepted[n.id] > c.learned && w.config.Mutation != OpenBallot
-		if !c.opened || (req.Unconfirmed && open) {
+		open := w.accepted[n.id] > c.learned && w.config.Mutation != IgnoresOpenSlot
+		if !c.caughtUp || (req.Unconfirmed && open) {
 			return nil
 		}
-		resp := c.ledger.Renew(req, c.learned, w.clock(n))
-		return func() { w.renewed(p, n, sent, req, resp) }
+		resp := c.leases.Renew(req, c.learned, w.clock(n))
+		return func() { w.recordRenewal(p, n, sent, req, resp) }
 	}, nil)
 }
 
-func (w *world) renewed(p *process, n *node, sent time.Time, req *wire.RenewRequest, resp *wire.RenewResponse) {
-	if w.config.Mutation == ArrivalTime {
+func (w *world) recordRenewal(p *process, n *node, sent time.Time, req *wire.RenewRequest, resp *wire.RenewResponse) {
+	if w.config.Mutation == LeaseFromArrival {
 		sent = w.clock(p.node)
 	}
-	if resp.Learned > p.state.Version || !p.held {
+	if resp.Learned > p.state.Version || !p.hasState {
 		w.fetch(p, n)
 	}
 	if resp.Granted {
@@ -61,30 +61,30 @@
 }
 
 func (w *world) fetch(p *process, n *node) {
-	if w.now < p.fetchUntil {
+	if w.now < p.fetchTimeoutAt {
 		return
 	}
-	p.fetchUntil = w.now + 500
+	p.fetchTimeoutAt = w.now + 500
 	w.call(p, n, func(q *process) func() {
 		state := q.state
 		if q.core != nil {
 			state = w.log[q.core.learned]
 		}
 		return func() {
-			p.fetchUntil = 0
-			w.take(p, state)
+			p.fetchTimeoutAt = 0
+			w.adoptState(p, state)
 		}
 	}, nil)
 }
 
-func (w *world) take(p *process, state sheet.State) {
+func (w *world) adoptState(p *process, state sheet.State) {
 	if state.Version <= p.state.Version {
 		return
 	}
-	p.state, p.held = state, true
+	p.state, p.hasState = state, true
 	p.holder.SetRoster(state.Roster, state.PriorRoster)
 	p.holder.AdvanceTo(state.Version)
-	if w.config.Mutation == Hearsay && p.holder.Unconfirmed() {
+	if w.config.Mutation == ConfirmedByPeer && p.holder.Unconfirmed() {
 		for _, voter := range w.voters {
 			p.holder.RecordGrant(voter, time.Time{}, state.Version, 0)
 		}
@@ -108,7 +108,7 @@
 			}
 		}, func() {
 			now := w.clock(p.node)
-			if w.config.Mutation == AnyRefusal || w.config.Mutation == SilenceIsDead {
+			if w.config.Mutation == AnyRefusalCounts || w.config.Mutation == TimeoutIsRefusal {
 				p.holder.RecordPingResponse(n.name, 0, now, 0, true)
 			}
 			p.holder.RecordRefusal(n.name, now)
@@ -119,12 +119,12 @@
 func (w *world) actCore(p *process) {
 	c, n := p.core, p.node
 	reached := w.quorum(n)
-	if reached != nil && (!c.opened || w.accepted[n.id] > c.learned && w.random.Float64() < w.config.Finish) {
+	if reached != nil && (!c.caughtUp || w.accepted[n.id] > c.learned && w.random.Float64() < w.config.FinishChance) {
 		c.learned = uint64(len(w.log) - 1)
-		c.opened = true
+		c.caughtUp = true
 	}
 	for _, other := range w.nodes[:w.config.Cores] {
-		if w.running(other) && w.linked(n, other) && w.random.Float64() < w.config.Gossip {
+		if w.running(other) && w.connected(n, other) && w.random.Float64() < w.config.LearnChance {
 			c.learned = max(c.learned, other.process.core.learned)
 		}
 	}
@@ -133,31 +133,31 @@
 	}
 	if w.now >= c.pingAt {
 		c.pingAt = w.now + 250
-		w.pingQuiet(p)
+		w.pingIdleMembers(p)
 	}
-	if w.now >= c.keepAt {
-		c.keepAt = w.now + 300 + int64(n.id)*100
-		w.keepRoster(p)
+	if w.now >= c.rosterAt {
+		c.rosterAt = w.now + 300 + int64(n.id)*100
+		w.maintainRoster(p)
 	}
-	if w.random.Float64() < w.config.Orders {
-		w.order(n)
+	if w.random.Float64() < w.config.OrderChance {
+		w.submitOrder(n)
 	}
-	w.settle(p)
-	w.acknowledge(p)
+	w.completeRosterChange(p)
+	w.acknowledgeOrders(p)
 }
 
-// order has a core carry out an operator's order.
-func (w *world) order(n *node) {
+// submitOrder has a core carry out an operator's order.
+func (w *world) submitOrder(n *node) {
 	version, ok := w.propose(n, sheet.Noop{})
 	if !ok {
 		return
 	}
 	w.outcome.Orders++
-	n.process.core.orders = append(n.process.core.orders, &order{version: version, until: w.now + orderTicks*tickMS})
+	n.process.core.orders = append(n.process.core.orders, &order{version: version, timeoutAt: w.now + orderTicks*tickMS})
 }
 
-func (w *world) pingQuiet(p *process) {
-	table := p.core.ledger
+func (w *world) pingIdleMembers(p *process) {
+	table := p.core.leases
 	table.Expire(w.clock(p.node))
 	for _, target := range table.PingTargets(w.log[p.core.learned].Roster, 700*time.Millisecond, w.clock(p.node)) {
 		for _, n := range w.nodes {
@@ -172,50 +172,50 @@
 	}
 }
 
-func (w *world) keepRoster(p *process) {
+func (w *world) maintainRoster(p *process) {
 	c, now := p.core, w.clock(p.node)
 	state := w.log[c.learned]
-	if !c.opened || !state.Settled() {
+	if !c.caughtUp || !state.Settled() {
 		return
 	}
-	if members := c.ledger.UnlistedMembers(state.Roster, now); len(members) > 0 {
+	if members := c.leases.UnlistedMembers(state.Roster, now); len(members) > 0 {
 		w.propose(p.node, sheet.AddMembers{Members: members, By: p.node.name})
 		return
 	}
-	if names := c.ledger.RefusingMembers(state.Roster, 6*time.Second, now); len(names) > 0 {
+	if names := c.leases.RefusingMembers(state.Roster, 6*time.Second, now); len(names) > 0 {
 		w.propose(p.node, sheet.RemoveMembers{Names: names, By: p.node.name})
 	}
 }
 
-func (w *world) view(p *process, version uint64) *wire.LeaseViewResponse {
-	view := p.core.ledger.View(version, p.core.learned, w.clock(p.node))
-	view.Settled = view.Settled && p.core.opened
+func (w *world) leaseView(p *process, version uint64) *wire.LeaseViewResponse {
+	view := p.core.leases.View(version, p.core.learned, w.clock(p.node))
+	view.Settled = view.Settled && p.core.caughtUp
 	return view
 }
 
-func (w *world) ask(p *process, version uint64) *round {
-	r := &round{end: w.now + roundTicks*tickMS, views: []*wire.LeaseViewResponse{w.view(p, version)}}
+func (w *world) requestViews(p *process, version uint64) *viewRound {
+	r := &viewRound{endAt: w.now + roundTicks*tickMS, views: []*wire.LeaseViewResponse{w.leaseView(p, version)}}
 	for _, n := range w.nodes[:w.config.Cores] {
 		if n == p.node {
 			continue
 		}
 		w.call(p, n, func(q *process) func() {
-			view := w.view(q, version)
+			view := w.leaseView(q, version)
 			return func() { r.views = append(r.views, view) }
 		}, nil)
 	}
 	return r
 }
 
-func (w *world) question(p *process, version uint64, r *round) lease.ConfirmationCheck {
+func (w *world) confirmationCheck(p *process, version uint64, r *viewRound) lease.ConfirmationCheck {
 	state := w.log[p.core.learned]
 	q := lease.ConfirmationCheck{Version: version, Voters: w.config.Cores, Views: r.views, Roster: state.Roster, PriorRoster: state.PriorRoster}
 	switch w.config.Mutation {
-	case NoRoster:
+	case NoRosterMajority:
 		q.Roster, q.PriorRoster = nil, nil
-	case NoPrior:
+	case NoPriorRoster:
 		q.PriorRoster = nil
-	case NoWaiting:
+	case NoLeaseWait:
 		for _, view := range q.Views {
 			view.Waiting = nil
 		}
@@ -223,48 +223,48 @@
 	return q
 }
 
-func (w *world) settle(p *process) {
+func (w *world) completeRosterChange(p *process) {
 	c := p.core
 	state := w.log[c.learned]
-	if state.Settled() || !c.opened {
-		c.settle = nil
+	if state.Settled() || !c.caughtUp {
+		c.rosterCheck = nil
 		return
 	}
-	if w.config.Mutation == NoPrior {
+	if w.config.Mutation == NoPriorRoster {
 		w.propose(p.node, sheet.SettleRoster{RosterVersion: state.RosterVersion})
 		return
 	}
-	if c.settle == nil {
-		c.settle = w.ask(p, state.RosterVersion)
+	if c.rosterCheck == nil {
+		c.rosterCheck = w.requestViews(p, state.RosterVersion)
 		return
 	}
-	if w.now < c.settle.end {
+	if w.now < c.rosterCheck.endAt {
 		return
 	}
-	if met, _ := lease.RosterChangeConfirmed(w.question(p, state.RosterVersion, c.settle)); met {
+	if met, _ := lease.RosterChangeConfirmed(w.confirmationCheck(p, state.RosterVersion, c.rosterCheck)); met {
 		if _, ok := w.propose(p.node, sheet.SettleRoster{RosterVersion: state.RosterVersion}); ok {
-			w.outcome.Rosters++
+			w.outcome.RosterChanges++
 		}
 	}
-	c.settle = nil
+	c.rosterCheck = nil
 }
 
-func (w *world) acknowledge(p *process) {
+func (w *world) acknowledgeOrders(p *process) {
 	c := p.core
 	open := c.orders[:0]
 	for _, o := range c.orders {
 		switch {
-		case w.now > o.until:
+		case w.now > o.timeoutAt:
 			continue
-		case o.round == nil:
-			o.round = w.ask(p, o.version)
-		case w.now >= o.round.end:
-			if met, _ := lease.VersionConfirmed(w.question(p, o.version, o.round)); met {
-				w.acked = append(w.acked, ack{o.version, w.now})
-				w.outcome.Acked++
+		case o.views == nil:
+			o.views = w.requestViews(p, o.version)
+		case w.now >= o.views.endAt:
+			if met, _ := lease.VersionConfirmed(w.confirmationCheck(p, o.version, o.views)); met {
+				w.recentAcknowledgements = append(w.recentAcknowledgements, acknowledgement{o.version, w.now})
+				w.outcome.Acknowledged++
 				continue
 			}
-			o.round = nil
+			o.views = nil
 		}
 		open = append(open, o)
 	}
--- a/sim/confirm/simulate.go
+++ b/sim/confirm/simulate.go
@@ -11,16 +11,16 @@
 // Simulate runs one seed to its end or to the first violation.
 func Simulate(seed uint64, config Config) Outcome {
 	w := newWorld(seed, config)
-	for w.now < int64(config.Seconds)*1000 && w.found == nil {
-		w.step(w.fault)
+	for w.now < int64(config.Seconds)*1000 && w.violation == nil {
+		w.step(w.injectFault)
 	}
-	return w.end()
+	return w.result()
 }
 
-func (w *world) end() Outcome {
-	w.outcome.Violation = w.found
+func (w *world) result() Outcome {
+	w.outcome.Violation = w.violation
 	if w.samples > 0 {
-		w.outcome.Ruling = float64(w.ruling) / float64(w.samples)
+		w.outcome.ServingRatio = float64(w.servingSamples) / float64(w.samples)
 	}
 	return w.outcome
 }
@@ -49,10 +49,10 @@
 	}
 	for _, n := range w.nodes {
 		if w.running(n) {
-			w.act(n.process)
+			w.actNode(n.process)
 		}
 	}
-	w.raise()
+	w.raiseFloors()
 	for _, n := range w.nodes {
 		if w.running(n) {
 			w.check(n)
@@ -60,28 +60,28 @@
 	}
 }
 
-// raise moves the floors: the highest version acknowledged so long ago that none
+// raiseFloors moves the floors: the highest version acknowledged so long ago that none
 // below it may rule, and the one below which none may rule by a lease.
-func (w *world) raise() {
-	kept := w.acked[:0]
-	for _, a := range w.acked {
-		if w.now > a.at+slack && a.version > w.strict.version {
-			w.strict = a
+func (w *world) raiseFloors() {
+	kept := w.recentAcknowledgements[:0]
+	for _, a := range w.recentAcknowledgements {
+		if w.now > a.at+leaseSlackMS && a.version > w.oldestAllowedByLease.version {
+			w.oldestAllowedByLease = a
 		}
-		if w.now <= a.at+allowed {
+		if w.now <= a.at+lapseMS {
 			kept = append(kept, a)
-		} else if a.version > w.floor.version {
-			w.floor = a
+		} else if a.version > w.oldestAllowed.version {
+			w.oldestAllowed = a
 		}
 	}
-	w.acked = kept
+	w.recentAcknowledgements = kept
 }
 
 // check checks what a node would decide now, by its state alone.
 func (w *world) check(n *node) {
 	p := n.process
 	version, sample := p.state.Version, w.tick%10 == 0
-	if version == n.ruled && version >= w.strict.version && !sample {
+	if version == n.servedVersion && version >= w.oldestAllowedByLease.version && !sample {
 		return
 	}
 	verdict := p.holder.Authority(w.clock(n))
@@ -92,27 +92,27 @@
 		return
 	}
 	if sample {
-		w.ruling++
+		w.servingSamples++
 	}
 	switch {
-	case version < w.floor.version:
-		w.violated(n, "rules by an older epoch than was acknowledged", w.floor, verdict.Source)
-	case version < w.strict.version && verdict.Source == lease.SourceLease:
-		w.violated(n, "holds a lease at an older epoch than was acknowledged", w.strict, verdict.Source)
-	case version < n.ruled:
-		w.violated(n, "went back to an older epoch", ack{version: n.ruled}, verdict.Source)
-	}
-	n.ruled = max(n.ruled, version)
+	case version < w.oldestAllowed.version:
+		w.recordViolation(n, "rules by an older epoch than was acknowledged", w.oldestAllowed, verdict.Source)
+	case version < w.oldestAllowedByLease.version && verdict.Source == lease.SourceLease:
+		w.recordViolation(n, "holds a lease at an older epoch than was acknowledged", w.oldestAllowedByLease, verdict.Source)
+	case version < n.servedVersion:
+		w.recordViolation(n, "went back to an older epoch", acknowledgement{version: n.servedVersion}, verdict.Source)
+	}
+	n.servedVersion = max(n.servedVersion, version)
 }
 
-func (w *world) violated(n *node, why string, newer ack, by lease.Source) {
-	if w.found == nil {
-		w.found = &Violation{Seed: w.seed, AtMS: w.now, Node: n.name, Why: why, Version: n.process.state.Version, Newer: newer.version,
-			AckMS: newer.at, By: by, Mix: w.config.Name, Faults: w.faults}
+func (w *world) recordViolation(n *node, why string, newer acknowledgement, by lease.Source) {
+	if w.violation == nil {
+		w.violation = &Violation{Seed: w.seed, AtMS: w.now, Node: n.name, Rule: why, Version: n.process.state.Version, Newer: newer.version,
+			AcknowledgedMS: newer.at, Source: by, Mix: w.config.Name, Faults: w.faults}
 	}
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *world) logFault(format string, args ...any) {
 	w.faults = append(w.faults, fmt.Sprintf("%d ms ", w.now)+fmt.Sprintf(format, args...))
 	if len(w.faults) > 12 {
 		w.faults = w.faults[1:]
@@ -134,58 +134,58 @@
 	}
 }
 
-func (w *world) fault() {
+func (w *world) injectFault() {
 	draw := w.random.Float64()
-	if draw >= w.config.Faults+w.config.Heals {
+	if draw >= w.config.FaultChance+w.config.HealChance {
 		return
 	}
-	if draw >= w.config.Faults {
+	if draw >= w.config.FaultChance {
 		w.heal()
-		w.note("heal")
+		w.logFault("heal")
 		return
 	}
 	one := w.nodes[w.random.IntN(len(w.nodes))]
-	switch w.draw() {
+	switch w.drawFaultKind() {
 	case 0:
 		down := w.downtime()
 		w.kill(one, down)
-		w.note("kill %s for %d", one.name, down)
+		w.logFault("kill %s for %d", one.name, down)
 	case 1:
 		count := 2 + w.random.IntN(4)
 		for _, i := range w.random.Perm(len(w.nodes))[:count] {
 			w.kill(w.nodes[i], w.downtime())
 		}
-		w.note("kill %d", count)
+		w.logFault("kill %d", count)
 	case 2:
 		if one.process != nil {
 			span := []int64{1000, 3000, 8000, 20000}[w.random.IntN(4)]
 			one.process.frozenUntil = w.now + span
-			w.note("freeze %s for %d", one.name, span)
+			w.logFault("freeze %s for %d", one.name, span)
 		}
 	case 3:
 		mask := w.random.Uint64()
 		w.split(func(n *node) bool { return mask>>n.id&1 == 1 })
-		w.note("cut %b", mask&(1<<len(w.nodes)-1))
+		w.logFault("cut %b", mask&(1<<len(w.nodes)-1))
 	case 4:
 		w.split(func(n *node) bool { return n == one })
-		w.note("isolate %s", one.name)
+		w.logFault("isolate %s", one.name)
 	case 5:
 		for range 1 + w.random.IntN(12) {
 			a, b := w.random.IntN(len(w.nodes)), w.random.IntN(len(w.nodes))
 			w.partitioned[a][b], w.partitioned[b][a] = true, true
 		}
-		w.note("cut some links")
+		w.logFault("cut some links")
 	case 6:
 		n := w.nodes[w.random.IntN(w.config.Cores)]
 		w.kill(n, 100+int64(w.random.IntN(2000)))
-		w.note("restart core %s", n.name)
+		w.logFault("restart core %s", n.name)
 	case 7:
 		w.removeByName()
 	}
 }
 
-func (w *world) draw() int {
-	weights := w.config.Weights
+func (w *world) drawFaultKind() int {
+	weights := w.config.FaultWeights
 	row := []int{weights.Kill, weights.KillMany, weights.Freeze, weights.Split, weights.Isolate, weights.Links, weights.Core, weights.Remove}
 	sum := 0
 	for _, weight := range row {
@@ -202,7 +202,7 @@
 }
 
 func (w *world) downtime() int64 {
-	return w.config.Down[w.random.IntN(len(w.config.Down))]
+	return w.config.DowntimesMS[w.random.IntN(len(w.config.DowntimesMS))]
 }
 
 // removeByName is the operator's verb: machines that are off for good, which
@@ -223,7 +223,7 @@
 		}
 		order := sheet.Order{Operator: "ops", OrderID: fmt.Sprintf("remove-%d", w.now)}
 		if _, ok := w.propose(n, sheet.RemoveMembers{Order: order, Names: slices.Clone(names), By: "ops"}); ok {
-			w.note("operator removes %v", names)
+			w.logFault("operator removes %v", names)
 			return
 		}
 	}
--- a/sim/confirm/world.go
+++ b/sim/confirm/world.go
@@ -17,15 +17,15 @@
 
 // Times of the model, in ticks of 50 ms.
 const (
-	tickMS     = 50
-	renewEvery = 10
-	pingEvery  = 10
-	roundTicks = 6
-	orderTicks = 160
-	allowed    = 2500 // ms from an acknowledgement after which no older version may rule
-	slack      = 100  // ms from an acknowledgement after which none may rule by a lease
-	ttl        = 2 * time.Second
-	forever    = 1 << 40
+	tickMS       = 50
+	renewTicks   = 10
+	pingTicks    = 10
+	roundTicks   = 6
+	orderTicks   = 160
+	lapseMS      = 2500 // ms from an acknowledgement after which no older version may rule
+	leaseSlackMS = 100  // ms from an acknowledgement after which none may rule by a lease
+	ttl          = 2 * time.Second
+	forever      = 1 << 40
 )
 
 // Mutation is a rule that is left out, to show that the checker can fail.
@@ -33,165 +33,165 @@
 
 // Mutations. None is the rule as designed.
 const (
-	None          Mutation = ""
-	Hearsay       Mutation = "a restarted front is confirmed by whoever gave it its state"
-	AnyRefusal    Mutation = "a refusal counts without unbroken contact"
-	NoRoster      Mutation = "an acknowledgement needs no majority of the roster"
-	NoWaiting     Mutation = "an acknowledgement doesn't wait for leases"
-	NoPrior       Mutation = "a roster change holds at once"
-	NoOpening     Mutation = "a restarted core gives leases before it has read from a majority"
-	Unsettled     Mutation = "a restarted core counts before its former leases lapsed"
-	ArrivalTime   Mutation = "a renewal counts from when it was answered"
-	OpenBallot    Mutation = "a core confirms a restarted front over an open ballot"
-	SilenceIsDead Mutation = "silence counts as a refusal"
+	None             Mutation = ""
+	ConfirmedByPeer  Mutation = "a restarted front is confirmed by whoever gave it its state"
+	AnyRefusalCounts Mutation = "a refusal counts without unbroken contact"
+	NoRosterMajority Mutation = "an acknowledgement needs no majority of the roster"
+	NoLeaseWait      Mutation = "an acknowledgement doesn't wait for leases"
+	NoPriorRoster    Mutation = "a roster change holds at once"
+	NoCatchUp        Mutation = "a restarted core gives leases before it has read from a majority"
+	NoStartupGrace   Mutation = "a restarted core counts before its former leases lapsed"
+	LeaseFromArrival Mutation = "a renewal counts from when it was answered"
+	IgnoresOpenSlot  Mutation = "a core confirms a restarted front over an open ballot"
+	TimeoutIsRefusal Mutation = "silence counts as a refusal"
 )
 
-// Weights are the relative frequencies of the faults.
-type Weights struct {
+// FaultWeights are the relative frequencies of the faults.
+type FaultWeights struct {
 	Kill, KillMany, Freeze, Split, Isolate, Links, Core, Remove int
 }
 
 // Config configures a run. Faults, Heals, Orders and Gossip are chances per tick.
 type Config struct {
-	Name     string
-	Nodes    int // members at the start; the first Cores of them are cores
-	Spares   int // processes that join later
-	JoinMS   int // spread of their joining; zero lets all join at once
-	Cores    int
-	Seconds  int
-	Faults   float64
-	Heals    float64
-	Orders   float64
-	Gossip   float64 // that a core learns from another
-	Finish   float64 // that a core finishes an open ballot
-	Drift    float64 // clocks run at 1 ± Drift
-	Exact    bool    // every message takes one tick
-	Weights  Weights
-	Down     []int64 // how long the killed stay down, ms
-	Mutation Mutation
+	Name         string
+	Nodes        int // members at the start; the first Cores of them are cores
+	Spares       int // processes that join later
+	JoinMS       int // spread of their joining; zero lets all join at once
+	Cores        int
+	Seconds      int
+	FaultChance  float64
+	HealChance   float64
+	OrderChance  float64
+	LearnChance  float64 // that a core learns from another
+	FinishChance float64 // that a core finishes an open ballot
+	ClockDrift   float64 // clocks run at 1 ± Drift
+	FixedLatency bool    // every message takes one tick
+	FaultWeights FaultWeights
+	DowntimesMS  []int64 // how long the killed stay down, ms
+	Mutation     Mutation
 }
 
 // Mixes are the configurations: a usual mix, about a fault in 4 s and a heal in 15 s;
 // quick restarts with cores that learn slowly; links partitioned one by one; and a
 // small fleet that more than doubles at once.
 func Mixes() []Config {
-	usual := Config{Name: "usual", Nodes: 9, Spares: 2, JoinMS: 30000, Cores: 3, Seconds: 60, Faults: 0.0125, Heals: 0.0033,
-		Orders: 0.015, Gossip: 0.5, Finish: 0.05, Drift: 0.002, Weights: Weights{1, 1, 1, 1, 1, 1, 1, 1},
-		Down: []int64{200, 1000, 5000, 15000, forever}}
+	usual := Config{Name: "usual", Nodes: 9, Spares: 2, JoinMS: 30000, Cores: 3, Seconds: 60, FaultChance: 0.0125, HealChance: 0.0033,
+		OrderChance: 0.015, LearnChance: 0.5, FinishChance: 0.05, ClockDrift: 0.002, FaultWeights: FaultWeights{1, 1, 1, 1, 1, 1, 1, 1},
+		DowntimesMS: []int64{200, 1000, 5000, 15000, forever}}
 	restarts := usual
-	restarts.Name, restarts.Faults, restarts.Heals, restarts.Gossip = "restarts", 0.05, 0.02, 0.04
-	restarts.Weights, restarts.Down = Weights{Kill: 4, KillMany: 4, Freeze: 1, Split: 2, Isolate: 1, Links: 3, Core: 5}, []int64{100, 300, 1000, 2500}
+	restarts.Name, restarts.FaultChance, restarts.HealChance, restarts.LearnChance = "restarts", 0.05, 0.02, 0.04
+	restarts.FaultWeights, restarts.DowntimesMS = FaultWeights{Kill: 4, KillMany: 4, Freeze: 1, Split: 2, Isolate: 1, Links: 3, Core: 5}, []int64{100, 300, 1000, 2500}
 	links := usual
-	links.Name, links.Faults, links.Heals = "links", 0.03, 0.006
-	links.Weights = Weights{Kill: 1, KillMany: 1, Freeze: 1, Split: 1, Links: 8, Core: 1, Remove: 1}
+	links.Name, links.FaultChance, links.HealChance = "links", 0.03, 0.006
+	links.FaultWeights = FaultWeights{Kill: 1, KillMany: 1, Freeze: 1, Split: 1, Links: 8, Core: 1, Remove: 1}
 	growth := usual
 	growth.Name, growth.Nodes, growth.Spares, growth.JoinMS, growth.Seconds = "growth", 5, 7, 0, 40
-	growth.Weights, growth.Faults = Weights{Kill: 1, Split: 5, Isolate: 1, Links: 2, Core: 1}, 0.02
+	growth.FaultWeights, growth.FaultChance = FaultWeights{Kill: 1, Split: 5, Isolate: 1, Links: 2, Core: 1}, 0.02
 	return []Config{usual, restarts, links, growth}
 }
 
 // Violation is a broken rule, as the checker found it.
 type Violation struct {
-	Seed    uint64
-	AtMS    int64
-	Node    string
-	Why     string
-	Version uint64
-	Newer   uint64
-	AckMS   int64
-	By      lease.Source
-	Mix     string
-	Faults  []string
+	Seed           uint64
+	AtMS           int64
+	Node           string
+	Rule           string
+	Version        uint64
+	Newer          uint64
+	AcknowledgedMS int64
+	Source         lease.Source
+	Mix            string
+	Faults         []string
 }
 
 func (v *Violation) Error() string {
 	return fmt.Sprintf("mix %s, seed %d at %d ms: %s %s (epoch %d, newer %d acknowledged at %d ms, by %s); faults: %v",
-		v.Mix, v.Seed, v.AtMS, v.Node, v.Why, v.Version, v.Newer, v.AckMS, v.By, v.Faults)
+		v.Mix, v.Seed, v.AtMS, v.Node, v.Rule, v.Version, v.Newer, v.AcknowledgedMS, v.Source, v.Faults)
 }
 
 // Outcome is the result of a run. Ruling is the share of samples in which a
 // running front ruled.
 type Outcome struct {
-	Violation *Violation
-	Chosen    int
-	Orders    int
-	Acked     int
-	Ruling    float64
-	Rosters   int // roster changes settled
+	Violation     *Violation
+	Chosen        int
+	Orders        int
+	Acknowledged  int
+	ServingRatio  float64
+	RosterChanges int // roster changes settled
 }
 
 type node struct {
-	id           int
-	name         string
-	process      *process
-	downUntil    int64
-	ruled        uint64
-	offset       time.Duration
-	rate         float64
-	incarnations uint64 // number of processes started
+	id            int
+	name          string
+	process       *process
+	downUntil     int64
+	servedVersion uint64
+	offset        time.Duration
+	rate          float64
+	incarnations  uint64 // number of processes started
 }
 
 type process struct {
-	node        *node
-	incarnation uint64
-	frozenUntil int64
-	mailbox     []func()
-	holder      *lease.Holder
-	state       sheet.State
-	held        bool
-	renewAt     int64
-	pingAt      int64
-	fetchUntil  int64
-	core        *core
+	node           *node
+	incarnation    uint64
+	frozenUntil    int64
+	mailbox        []func()
+	holder         *lease.Holder
+	state          sheet.State
+	hasState       bool
+	renewAt        int64
+	pingAt         int64
+	fetchTimeoutAt int64
+	core           *coreState
 }
 
-type core struct {
-	ledger  *lease.Table
-	opened  bool
-	learned uint64
-	pingAt  int64
-	keepAt  int64
-	orders  []*order
-	settle  *round
+type coreState struct {
+	leases      *lease.Table
+	caughtUp    bool
+	learned     uint64
+	pingAt      int64
+	rosterAt    int64
+	orders      []*order
+	rosterCheck *viewRound
 }
 
 type order struct {
-	version uint64
-	until   int64
-	round   *round
+	version   uint64
+	timeoutAt int64
+	views     *viewRound
 }
 
-type round struct {
-	end   int64
+type viewRound struct {
+	endAt int64
 	views []*wire.LeaseViewResponse
 }
 
-type ack struct {
+type acknowledgement struct {
 	version uint64
 	at      int64
 }
 
 type world struct {
-	seed        uint64
-	config      Config
-	random      *rand.Rand
-	now         int64 // ms
-	tick        int64
-	nodes       []*node
-	voters      []string
-	partitioned [][]bool
-	events      map[int64][]func()
-	log         []sheet.State // by version
-	accepted    []uint64      // by core: highest accepted, durable
-	synced      []uint64      // by core: learned as of the last sync, durable
-	acked       []ack
-	floor       ack // highest acknowledged longer ago than allowed
-	strict      ack // highest acknowledged
-	faults      []string
-	found       *Violation
-	outcome     Outcome
-	ruling      int
-	samples     int
+	seed                   uint64
+	config                 Config
+	random                 *rand.Rand
+	now                    int64 // ms
+	tick                   int64
+	nodes                  []*node
+	voters                 []string
+	partitioned            [][]bool
+	events                 map[int64][]func()
+	log                    []sheet.State // by version
+	accepted               []uint64      // by core: highest accepted, durable
+	synced                 []uint64      // by core: learned as of the last sync, durable
+	recentAcknowledgements []acknowledgement
+	oldestAllowed          acknowledgement // highest acknowledged longer ago than allowed
+	oldestAllowedByLease   acknowledgement // highest acknowledged
+	faults                 []string
+	violation              *Violation
+	outcome                Outcome
+	servingSamples         int
+	samples                int
 }
 
 var origin = time.UnixMilli(1_700_000_000_000)
@@ -204,7 +204,7 @@
 	w.partitioned = make([][]bool, total)
 	for i := range total {
 		w.partitioned[i] = make([]bool, total)
-		n := &node{id: i, name: fmt.Sprintf("n%02d", i), rate: 1 + config.Drift*(2*w.random.Float64()-1),
+		n := &node{id: i, name: fmt.Sprintf("n%02d", i), rate: 1 + config.ClockDrift*(2*w.random.Float64()-1),
 			offset: time.Duration(w.random.IntN(1000)) * time.Second}
 		w.nodes = append(w.nodes, n)
 		if i < config.Cores {
@@ -239,10 +239,10 @@
 		renewAt: w.now + int64(w.random.IntN(500)), pingAt: w.now + int64(w.random.IntN(500))}
 	p.holder.SetCores(w.voters)
 	if n.id < w.config.Cores {
-		p.core = &core{ledger: lease.NewTable(n.name, ttl, w.clock(n)), learned: w.synced[n.id],
-			opened: w.config.Mutation == NoOpening}
-		if w.config.Mutation == Unsettled {
-			p.core.ledger = lease.NewTable(n.name, ttl, w.clock(n).Add(-time.Minute))
+		p.core = &coreState{leases: lease.NewTable(n.name, ttl, w.clock(n)), learned: w.synced[n.id],
+			caughtUp: w.config.Mutation == NoCatchUp}
+		if w.config.Mutation == NoStartupGrace {
+			p.core.leases = lease.NewTable(n.name, ttl, w.clock(n).Add(-time.Minute))
 		}
 	}
 	n.process = p
@@ -260,14 +260,14 @@
 	return n.process != nil && n.process.frozenUntil <= w.now
 }
 
-func (w *world) linked(a, b *node) bool { return a == b || !w.partitioned[a.id][b.id] }
+func (w *world) connected(a, b *node) bool { return a == b || !w.partitioned[a.id][b.id] }
 
-func (w *world) later(ticks int64, f func()) {
+func (w *world) schedule(ticks int64, f func()) {
 	w.events[w.tick+ticks] = append(w.events[w.tick+ticks], f)
 }
 
 func (w *world) delay() int64 {
-	if w.config.Exact {
+	if w.config.FixedLatency {
 		return 1
 	}
 	if w.random.IntN(20) == 0 {
@@ -301,14 +301,14 @@
 // the node's process is down; a partition drops both directions silently.
 func (w *world) call(caller *process, to *node, serve func(callee *process) (answer func()), refused func()) {
 	c := &call{world: w, caller: caller, to: to, serve: serve, refused: refused}
-	w.later(w.delay(), c.arrive)
+	w.schedule(w.delay(), c.arrive)
 }
 
 func (c *call) arrive() {
 	w := c.world
 	switch {
-	case !w.linked(c.caller.node, c.to):
-		if w.config.Mutation == SilenceIsDead && c.refused != nil {
+	case !w.connected(c.caller.node, c.to):
+		if w.config.Mutation == TimeoutIsRefusal && c.refused != nil {
 			w.deliver(c.caller, c.refused)
 		}
 	case c.to.process == nil:
@@ -330,8 +330,8 @@
 // reply runs a step at the caller, unless a partition drops it.
 func (c *call) reply(step func()) {
 	w := c.world
-	w.later(w.delay(), func() {
-		if w.linked(c.caller.node, c.to) {
+	w.schedule(w.delay(), func() {
+		if w.connected(c.caller.node, c.to) {
 			w.deliver(c.caller, step)
 		}
 	})
@@ -342,7 +342,7 @@
 func (w *world) quorum(n *node) []*node {
 	var reached []*node
 	for _, other := range w.nodes[:w.config.Cores] {
-		if w.running(other) && w.linked(n, other) {
+		if w.running(other) && w.connected(n, other) {
 			reached = append(reached, other)
 		}
 	}
@@ -355,7 +355,7 @@
 // propose is an atomic ballot: chosen if a majority is reached.
 func (w *world) propose(n *node, command sheet.Command) (uint64, bool) {
 	reached := w.quorum(n)
-	if reached == nil || !n.process.core.opened {
+	if reached == nil || !n.process.core.caughtUp {
 		return 0, false
 	}
 	version := uint64(len(w.log))
