--- a/sim/confirm/confirm_test.go
+++ b/sim/confirm/confirm_test.go
@@ -41,22 +41,25 @@
 		})
 	}
 	group.Wait()
-	for _, o := range found {
-		if o.Violation != nil {
+	for _, outcome := range found {
+		if outcome.Violation != nil {
 			violations++
 			if least == nil {
-				least = o.Violation
+				least = outcome.Violation
 			}
 		}
-		sum.Chosen, sum.Orders, sum.Acknowledged, sum.RosterChanges = sum.Chosen+o.Chosen, sum.Orders+o.Orders, sum.Acknowledged+o.Acknowledged, sum.RosterChanges+o.RosterChanges
-		sum.ServingRatio += o.ServingRatio / float64(count)
+		sum.Chosen += outcome.Chosen
+		sum.Orders += outcome.Orders
+		sum.Acknowledged += outcome.Acknowledged
+		sum.RosterChanges += outcome.RosterChanges
+		sum.ServingRatio += outcome.ServingRatio / float64(count)
 	}
 	return least, violations, sum
 }
 
 func TestWalk(t *testing.T) {
 	for _, mix := range Mixes() {
-		Convey("In the mix "+mix.Name+" no front rules by an epoch older than one acknowledged, and none steps back", t, func() {
+		Convey("In the mix "+mix.Name+" no front serves by a version older than one acknowledged, and none steps back", t, func() {
 			least, violations, sum := search(*first, *seeds, mix, false)
 			t.Logf("mix %s, seeds %d..%d: %d violations; %d chosen, %d of %d orders acknowledged, %d roster changes settled, ruling %.3f",
 				mix.Name, *first, *first+*seeds-1, violations, sum.Chosen, sum.Acknowledged, sum.Orders, sum.RosterChanges, sum.ServingRatio)
--- a/sim/confirm/explore.go
+++ b/sim/confirm/explore.go
@@ -26,17 +26,17 @@
 
 func (s Schedule) String() string {
 	text := ""
-	for _, e := range s {
-		text += fmt.Sprintf("%s %05b at %d ms for %d; ", e.Kind, e.Mask, e.At, e.Span)
+	for _, event := range s {
+		text += fmt.Sprintf("%s %05b at %d ms for %d; ", event.Kind, event.Mask, event.At, event.Span)
 	}
 	return text
 }
 
 const (
 	exploreNodes = 5
-	exploreFrom  = 4000
-	exploreEnd   = 15000
-	faultsWithin = 3000 // ms from exploreFrom until the last fault
+	exploreFrom  = 4000  // ms, of the first fault
+	exploreEnd   = 15000 // ms
+	faultsWithin = 3000  // ms from exploreFrom until the last fault
 )
 
 // Schedules returns every course of one partition and one freeze, and of one
@@ -57,7 +57,7 @@
 	var events []Event
 	for at := int64(exploreFrom); at < exploreFrom+faultsWithin; at += step {
 		for mask := uint(1); mask < 1<<(exploreNodes-1); mask++ {
-			for _, span := range []int64{1200, 3600, forever} {
+			for _, span := range []int64{1200, 3600, foreverMS} {
 				events = append(events, Event{Kind: partitionEvent, At: at, Span: span, Mask: mask})
 			}
 		}
@@ -83,17 +83,25 @@
 
 // Explore simulates one schedule. Messages take one tick, clocks have no drift.
 func Explore(schedule Schedule, mutation Mutation) Outcome {
-	w := newWorld(1, Config{Name: schedule.String(), Nodes: exploreNodes, Cores: 3, LearnChance: 0.5, FinishChance: 0.05, FixedLatency: true, Mutation: mutation})
-	for w.now < exploreEnd && w.violation == nil {
+	w := newWorld(1, Config{
+		Name:         schedule.String(),
+		Nodes:        exploreNodes,
+		Cores:        3,
+		LearnChance:  0.5,
+		FinishChance: 0.05,
+		FixedLatency: true,
+		Mutation:     mutation,
+	})
+	for w.now < exploreEnd && w.checker.violation == nil {
 		w.step(func() {
 			switch w.now {
 			case 4600, 6100:
-				if n := w.nodes[w.now/6000]; w.running(n) {
-					w.submitOrder(n)
+				if node := w.nodes[w.now/6000]; w.running(node) {
+					w.submitOrder(node)
 				}
 			}
-			for _, e := range schedule {
-				w.apply(e)
+			for _, event := range schedule {
+				w.apply(event)
 			}
 		})
 	}
@@ -101,25 +109,25 @@
 }
 
 // apply causes or ends a fault that is due now.
-func (w *world) apply(e Event) {
-	if e.Kind == partitionEvent && w.now == e.At+e.Span {
+func (w *world) apply(event Event) {
+	if event.Kind == partitionEvent && w.now == event.At+event.Span {
 		w.heal()
 	}
-	if w.now != e.At {
+	if w.now != event.At {
 		return
 	}
-	affected := func(n *node) bool { return e.Mask>>n.id&1 == 1 }
-	if e.Kind == partitionEvent {
+	affected := func(node *nodeState) bool { return event.Mask>>node.id&1 == 1 }
+	if event.Kind == partitionEvent {
 		w.split(affected)
 		return
 	}
-	for _, n := range w.nodes {
+	for _, node := range w.nodes {
 		switch {
-		case !affected(n) || n.process == nil:
-		case e.Kind == killEvent:
-			w.kill(n, e.Span)
+		case !affected(node) || node.process == nil:
+		case event.Kind == killEvent:
+			w.kill(node, event.Span)
 		default:
-			n.process.frozenUntil = w.now + e.Span
+			node.process.frozenUntil = w.now + event.Span
 		}
 	}
 }
--- a/sim/confirm/scenario_test.go
+++ b/sim/confirm/scenario_test.go
@@ -12,17 +12,17 @@
 	do func(w *world)
 }
 
-// scenario leads up to the fault that one rule is there for.
+// scenario leads up to the fault that one rule protects from.
 type scenario struct {
-	mutation Mutation
-	nodes    int
-	spares   int
-	acked    int // orders acknowledged with the rule
-	actions  []action
+	mutation     Mutation
+	nodes        int
+	spares       int
+	acknowledged int // orders acknowledged with the rule
+	actions      []action
 }
 
-func isOneOf(ids ...int) func(n *node) bool {
-	return func(n *node) bool {
+func isOneOf(ids ...int) func(n *nodeState) bool {
+	return func(n *nodeState) bool {
 		for _, id := range ids {
 			if n.id == id {
 				return true
@@ -35,8 +35,9 @@
 // restrictLinks leaves a node no links but those named.
 func restrictLinks(w *world, id int, links ...int) {
 	for _, n := range w.nodes {
-		cut := n.id != id && !isOneOf(links...)(n)
-		w.partitioned[id][n.id], w.partitioned[n.id][id] = cut, cut
+		partitioned := n.id != id && !isOneOf(links...)(n)
+		w.partitioned[id][n.id] = partitioned
+		w.partitioned[n.id][id] = partitioned
 	}
 }
 
@@ -45,24 +46,24 @@
 func split(ids ...int) func(w *world) { return func(w *world) { w.split(isOneOf(ids...)) } }
 
 var scenarios = []scenario{
-	{mutation: NoLeaseWait, nodes: 9, acked: 1, actions: []action{
+	{mutation: NoLeaseWait, nodes: 9, acknowledged: 1, actions: []action{
 		{10000, split(8)},
 		{10200, submitOrderAt(0)},
 	}},
-	{mutation: NoRosterMajority, nodes: 9, acked: 0, actions: []action{
+	{mutation: NoRosterMajority, nodes: 9, acknowledged: 0, actions: []action{
 		{10000, split(2, 5, 6, 7, 8)},
 		{13000, submitOrderAt(0)},
 	}},
-	{mutation: NoStartupGrace, nodes: 9, acked: 1, actions: []action{
+	{mutation: NoStartupGrace, nodes: 9, acknowledged: 1, actions: []action{
 		{7000, func(w *world) { restrictLinks(w, 8, 0, 1) }},
 		{10000, func(w *world) {
 			restrictLinks(w, 8)
-			w.kill(w.nodes[1], forever)
+			w.kill(w.nodes[1], foreverMS)
 			w.kill(w.nodes[0], 100)
 		}},
 		{10300, submitOrderAt(0)},
 	}},
-	{mutation: NoCatchUp, nodes: 9, acked: 1, actions: []action{
+	{mutation: NoCatchUp, nodes: 9, acknowledged: 1, actions: []action{
 		{10000, split(8)},
 		{10200, submitOrderAt(0)},
 		{13500, func(w *world) {
@@ -75,7 +76,7 @@
 			restrictLinks(w, 8, 0, 1)
 		}},
 	}},
-	{mutation: IgnoresOpenSlot, nodes: 9, acked: 0, actions: []action{
+	{mutation: IgnoresOpenSlot, nodes: 9, acknowledged: 0, actions: []action{
 		{10000, func(w *world) {
 			w.config.LearnChance = 0
 			restrictLinks(w, 8, 0, 1, 2)
@@ -87,7 +88,7 @@
 			w.kill(w.nodes[8], 50)
 		}},
 	}},
-	{mutation: ConfirmedByPeer, nodes: 9, acked: 1, actions: []action{
+	{mutation: ConfirmedByPeer, nodes: 9, acknowledged: 1, actions: []action{
 		{10000, split(2, 6, 7, 8)},
 		{10200, submitOrderAt(0)},
 		{13500, func(w *world) {
@@ -95,25 +96,25 @@
 			w.split(isOneOf(2, 5, 6, 7, 8))
 		}},
 	}},
-	{mutation: AnyRefusalCounts, nodes: 9, acked: 1, actions: []action{
+	{mutation: AnyRefusalCounts, nodes: 9, acknowledged: 1, actions: []action{
 		{10000, split(2, 6, 7, 8)},
 		{10200, submitOrderAt(0)},
 		{13500, func(w *world) {
 			for _, id := range []int{0, 1, 3, 4, 5} {
-				w.kill(w.nodes[id], forever)
+				w.kill(w.nodes[id], foreverMS)
 			}
 		}},
 		{14500, (*world).heal},
 	}},
-	{mutation: TimeoutIsRefusal, nodes: 9, acked: 1, actions: []action{
+	{mutation: TimeoutIsRefusal, nodes: 9, acknowledged: 1, actions: []action{
 		{10000, split(8)},
 		{10200, submitOrderAt(0)},
 	}},
-	{mutation: LeaseFromArrival, nodes: 9, acked: 1, actions: []action{
+	{mutation: LeaseFromArrival, nodes: 9, acknowledged: 1, actions: []action{
 		{10000, func(w *world) { w.nodes[8].process.frozenUntil = 14000 }},
 		{10200, submitOrderAt(0)},
 	}},
-	{mutation: NoPriorRoster, nodes: 5, spares: 7, acked: 0, actions: []action{
+	{mutation: NoPriorRoster, nodes: 5, spares: 7, acknowledged: 0, actions: []action{
 		{9900, split(2, 3, 4)},
 		{12500, submitOrderAt(0)},
 	}},
@@ -125,12 +126,12 @@
 	for _, n := range w.nodes[s.nodes:] {
 		n.downUntil = 10000
 	}
-	left := s.actions
-	for w.now < int64(config.Seconds)*1000 && w.violation == nil {
+	remaining := s.actions
+	for w.now < int64(config.Seconds)*1000 && w.checker.violation == nil {
 		w.step(func() {
-			for len(left) > 0 && left[0].at <= w.now {
-				left[0].do(w)
-				left = left[1:]
+			for len(remaining) > 0 && remaining[0].at <= w.now {
+				remaining[0].do(w)
+				remaining = remaining[1:]
 			}
 		})
 	}
@@ -139,25 +140,26 @@
 
 func TestEachRuleIsNeeded(t *testing.T) {
 	for _, s := range scenarios {
-		Convey("Where "+string(s.mutation)+", the checker sees it; with the rule nothing is wrong", t, func() {
-			seen, last := 0, (*Violation)(nil)
+		Convey("Where "+string(s.mutation)+", the checker finds it; with the rule there is no violation", t, func() {
+			found := 0
+			var last *Violation
 			for seed := range uint64(20) {
 				sound := s.run(seed, None)
 				So(sound.Violation, ShouldBeNil)
-				So(sound.Acknowledged, ShouldEqual, s.acked)
+				So(sound.Acknowledged, ShouldEqual, s.acknowledged)
 				if broken := s.run(seed, s.mutation); broken.Violation != nil {
-					seen++
+					found++
 					last = broken.Violation
 				}
 			}
-			t.Logf("%s: seen at %d of 20 seeds; %v", s.mutation, seen, last)
-			So(seen, ShouldBeGreaterThan, 0)
+			t.Logf("%s: seen at %d of 20 seeds; %v", s.mutation, found, last)
+			So(found, ShouldBeGreaterThan, 0)
 		})
 	}
 }
 
 func TestSeedReproduces(t *testing.T) {
-	Convey("A seed gives the same walk each time", t, func() {
+	Convey("A seed gives the same run each time", t, func() {
 		mix := Mixes()[0]
 		mix.Mutation = LeaseFromArrival
 		least, _, _ := search(1, 40, mix, false)
