--- a/cmd/rig/simnode/slopes.go
+++ b/cmd/rig/simnode/slopes.go
@@ -133,7 +133,7 @@
 	state := statemachine.State{}
 	order := statemachine.PutSheet{Order: statemachine.Order{OrderID: "first", Operator: "ada"}, Sheet: run.sheetOf()}
 	state, result := state.Step(1, statemachine.Encode(order))
-	if apiErr := result.Fault(); apiErr != nil {
+	if apiErr := result.APIError(); apiErr != nil {
 		return s, apiErr
 	}
 	encoded := state.Encode()
--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -46,16 +46,16 @@
 	case "status":
 		return told(apierror.OK, map[string]any{"epoch": c.state.Version, "in_force": true}), nil
 	}
-	command, apiErr := statemachine.ParseOrder(req.Verb, req.Operator, req.Body, statemachine.Limits{Bytes: 1 << 20}, 1790000000000)
+	command, apiErr := statemachine.ParseOrder(req.Verb, req.Operator, req.Body, statemachine.OrderLimits{MaxBytes: 1 << 20}, 1790000000000)
 	if apiErr != nil {
 		return told(apiErr.Code, apiErr.Body("")), nil
 	}
 	order, _ := statemachine.OrderOf(command)
-	result, sure := c.state.Foresee(command)
+	result, sure := c.state.Predict(command)
 	if !sure {
 		c.state, result = c.state.Step(c.state.Version+1, statemachine.Encode(command))
 	}
-	if apiErr := result.Fault(); apiErr != nil {
+	if apiErr := result.APIError(); apiErr != nil {
 		body := apiErr.Body("")
 		body.Version = result.Version
 		return told(apiErr.Code, body), nil
--- a/internal/adapter/controlapi/calls.go
+++ b/internal/adapter/controlapi/calls.go
@@ -63,7 +63,7 @@
 		"Empties a region or a locality, whatever the sheet says.", (*exchange).order},
 	{http.MethodPost, prefix + "restore", sheet.VerbRestore, OrderBody, "",
 		"Takes an evacuated region or locality back.", (*exchange).order},
-	{http.MethodPost, prefix + "members/remove", statemachine.VerbRemove, OrderBody, "",
+	{http.MethodPost, prefix + "members/remove", statemachine.VerbRemoveMembers, OrderBody, "",
 		"Takes members off the roster whose machines are known to be off.", (*exchange).order},
 	{http.MethodGet, prefix + "status", "status", NoBody, "",
 		"The asked node's view, and the fleet as a core sees it or why no core answered.", (*exchange).status},
@@ -105,7 +105,7 @@
 // one, so that a relay may hand it to two cores.
 func (x *exchange) order() answer {
 	command, apiErr := statemachine.ParseOrder(x.call.Verb, x.operator, x.body,
-		statemachine.Limits{Bytes: len(x.body), Setting: x.api.config.Setting}, 0)
+		statemachine.OrderLimits{MaxBytes: len(x.body), ValidateSetting: x.api.config.Setting}, 0)
 	if apiErr != nil {
 		return refused(apiErr, "")
 	}
--- a/internal/cli/standin_test.go
+++ b/internal/cli/standin_test.go
@@ -51,7 +51,7 @@
 		return
 	}
 	verb := map[string]string{"PUT sheet": sheet.VerbPut, "PATCH sheet": sheet.VerbPatch, "POST evacuate": sheet.VerbEvacuate,
-		"POST restore": sheet.VerbRestore, "POST members/remove": statemachine.VerbRemove}[r.Method+" "+path]
+		"POST restore": sheet.VerbRestore, "POST members/remove": statemachine.VerbRemoveMembers}[r.Method+" "+path]
 	switch {
 	case path == "sheet" && r.Method == http.MethodGet:
 		apierror.WriteJSON(w, http.StatusOK, held{s.state.Version, s.state.SheetVersion, s.state.Sheet, s.state.Evacuated})
@@ -66,7 +66,7 @@
 
 func (s *standIn) order(w http.ResponseWriter, r *http.Request, verb string) {
 	body, _ := io.ReadAll(r.Body)
-	command, apiErr := statemachine.ParseOrder(verb, "ada", body, statemachine.Limits{Bytes: 1 << 20}, 1790000000000)
+	command, apiErr := statemachine.ParseOrder(verb, "ada", body, statemachine.OrderLimits{MaxBytes: 1 << 20}, 1790000000000)
 	if apiErr != nil {
 		apierror.WriteError(w, apiErr, "")
 		return
@@ -79,8 +79,8 @@
 		s.onOrder()
 	}
 	switch {
-	case result.Fault() != nil:
-		apierror.WriteError(w, result.Fault(), "")
+	case result.APIError() != nil:
+		apierror.WriteError(w, result.APIError(), "")
 	case s.lost > 0:
 		s.lost--
 		panic(http.ErrAbortHandler)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -45,8 +45,8 @@
 		Settled  bool   `json:"settled"`
 		Leases   int    `json:"leases"`
 	} `json:"cores"`
-	Members []member                     `json:"members"`
-	Duties  map[string]statemachine.Duty `json:"duties"`
+	Members []member                         `json:"members"`
+	Duties  map[string]statemachine.RoleTerm `json:"duties"`
 	Plan    *struct {
 		Term    uint64 `json:"term"`
 		Number  uint64 `json:"number"`
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -131,7 +131,7 @@
 			SheetVersion: 3, Revision: 4, Members: 5, Open: 6, Snapshot: 7, Segments: 8, Records: 9, TornSegment: "1.log", TornBytes: 10, BadSnapshot: "2.snap"},
 		"history": statemachine.Record{Version: 1, SheetVersion: 2, Operator: "ada", Verb: "put", OrderID: "first", Digest: "d", AtMS: orderedAtMS, Summary: "1 services"},
 		"member":  statemachine.Member{Name: "n1", Region: "lagos", Zone: "a", Core: true, Front: true},
-		"duty":    statemachine.Duty{Term: 1, Holder: "n1"},
+		"duty":    statemachine.RoleTerm{Term: 1, Holder: "n1"},
 	}
 }
 
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -38,7 +38,7 @@
 
 // encodeBody returns the stored bytes of an operator's order.
 func encodeBody(verb, operator, body string) (string, error) {
-	command, apiErr := statemachine.ParseOrder(verb, operator, []byte(body), statemachine.Limits{Bytes: 1 << 20}, orderedAtMS)
+	command, apiErr := statemachine.ParseOrder(verb, operator, []byte(body), statemachine.OrderLimits{MaxBytes: 1 << 20}, orderedAtMS)
 	if apiErr != nil {
 		return "", apiErr
 	}
--- a/internal/decision/balance/limits.go
+++ b/internal/decision/balance/limits.go
@@ -93,7 +93,7 @@
 		return 0
 	}
 	for _, service := range s.status.Services {
-		if r := t.view.State.Sheet.Services[service].ColdPerSecond; r > 0 && (rate == 0 || r < rate) {
+		if r := t.view.State.Sheet.Services[service].SlowStartRate; r > 0 && (rate == 0 || r < rate) {
 			rate = r
 		}
 	}
--- a/internal/decision/balance/table_test.go
+++ b/internal/decision/balance/table_test.go
@@ -193,7 +193,7 @@
 			}
 			var arrivals []int
 			for _, name := range names {
-				view := fleet(1, sheet.Service{ColdPerSecond: 17}, names...)
+				view := fleet(1, sheet.Service{SlowStartRate: 17}, names...)
 				view.Servers["s0"].ColdUntilMs = at(5000).UnixMilli()
 				tab := table(view, Config{Self: name, ColdOverage: 1.5, ColdSlack: 5})
 				for ms := range 5000 {
@@ -230,7 +230,7 @@
 		for server := range 4 {
 			arrivals := 0
 			for i, name := range members {
-				view := fleet(server+1, sheet.Service{ColdPerSecond: 8.8}, members[i])
+				view := fleet(server+1, sheet.Service{SlowStartRate: 8.8}, members[i])
 				if i >= 30 {
 					view.Fronts = members
 				}
@@ -253,7 +253,7 @@
 		So(most, ShouldBeLessThanOrEqualTo, 8.8*1.2+4)
 	})
 	Convey("A server that is no longer cold has no such bound", t, func() {
-		view := fleet(1, sheet.Service{ColdPerSecond: 1})
+		view := fleet(1, sheet.Service{SlowStartRate: 1})
 		view.Servers["s0"].ColdUntilMs = at(100).UnixMilli()
 		tab := table(view, Config{})
 		for i := range 20 {
--- a/internal/decision/election/duty.go
+++ b/internal/decision/election/duty.go
@@ -22,7 +22,7 @@
 // Vacant tells whether a duty may be taken: nobody ever held it, or a majority
 // of the voters finds the holder's lease lapsed or its process gone. Sights of
 // unknown cores and of those that did not answer don't count for vacancy.
-func Vacant(duty statemachine.Duty, voters []string, sights []Sight) bool {
+func Vacant(duty statemachine.RoleTerm, voters []string, sights []Sight) bool {
 	if duty.Holder == "" {
 		return true
 	}
@@ -44,7 +44,7 @@
 // Turn returns how long a core waits, from when it found the duty vacant,
 // before it tries: its place among the voters times the step. The holder of
 // the vacant term comes last. A core that is no voter never tries: ok is false.
-func Turn(self string, duty statemachine.Duty, voters []string, step time.Duration) (wait time.Duration, ok bool) {
+func Turn(self string, duty statemachine.RoleTerm, voters []string, step time.Duration) (wait time.Duration, ok bool) {
 	order := append([]string(nil), voters...)
 	sort.Slice(order, func(i, j int) bool {
 		if (order[i] == duty.Holder) != (order[j] == duty.Holder) {
--- a/internal/decision/election/duty_test.go
+++ b/internal/decision/election/duty_test.go
@@ -11,9 +11,9 @@
 
 func TestDuty(t *testing.T) {
 	voters := []string{"c1", "c2", "c3"}
-	held := statemachine.Duty{Term: 4, Holder: "c1"}
+	held := statemachine.RoleTerm{Term: 4, Holder: "c1"}
 	Convey("A duty that nobody held is vacant", t, func() {
-		So(Vacant(statemachine.Duty{}, voters, nil), ShouldBeTrue)
+		So(Vacant(statemachine.RoleTerm{}, voters, nil), ShouldBeTrue)
 	})
 	Convey("A held one is vacant when a majority finds its holder gone", t, func() {
 		So(Vacant(held, voters, []Sight{{"c2", false}, {"c3", false}}), ShouldBeTrue)
--- a/internal/decision/sheet/routes.go
+++ b/internal/decision/sheet/routes.go
@@ -70,8 +70,8 @@
 	Origin json.RawMessage `json:"origin,omitempty"`
 }
 
-// Repeatable says whether a request of the route may run more than once.
-func (r Route) Repeatable() bool {
+// Idempotent says whether a request of the route may run more than once.
+func (r Route) Idempotent() bool {
 	return r.Kind == RouteSafe || r.Kind == RouteStream && r.Resumable
 }
 
@@ -191,10 +191,10 @@
 	Tenants  []string `json:"tenants,omitempty"`
 }
 
-// Merged returns the sheet with rows added, or replaced by name, after others
+// Merge returns the sheet with rows added, or replaced by name, after others
 // were removed. Names that are not there need no removal. The result is not
 // checked; the sheet itself, which may be nil, stays as it is.
-func (s *Sheet) Merged(upsert *Sheet, remove Removal) *Sheet {
+func (s *Sheet) Merge(upsert *Sheet, remove Removal) *Sheet {
 	next := Sheet{}
 	if s != nil {
 		next = *s
--- a/internal/decision/sheet/routes_test.go
+++ b/internal/decision/sheet/routes_test.go
@@ -12,7 +12,7 @@
 func routed() *Sheet {
 	return &Sheet{
 		Services: map[string]Service{
-			"pool": {Kind: KindHTTP, HealthPath: "/health", MaxConnections: 320, ColdPerSecond: 17, ColdMS: 3000},
+			"pool": {Kind: KindHTTP, HealthPath: "/health", MaxConnections: 320, SlowStartRate: 17, SlowStartMS: 3000},
 			"desk": {Kind: KindHTTP},
 		},
 		Tenants: map[string]Tenant{"press": {Rate: 1000, Unit: UnitTokens, KeyHashes: []string{hash("one"), hash("two")}}},
--- a/internal/decision/sheet/sheet.go
+++ b/internal/decision/sheet/sheet.go
@@ -47,11 +47,11 @@
 	// MaxConnections bounds the connections to one server from all nodes
 	// together; zero means no bound.
 	MaxConnections int `json:"max_connections,omitempty"`
-	// ColdPerSecond is how many requests a second a cold server bears from all
-	// nodes together; zero means that servers are never cold. ColdMS is how long
+	// SlowStartRate is how many requests a second a cold server bears from all
+	// nodes together; zero means that servers are never cold. SlowStartMS is how long
 	// a server stays cold after its start.
-	ColdPerSecond float64 `json:"cold_per_second,omitempty"`
-	ColdMS        int     `json:"cold_ms,omitempty"`
+	SlowStartRate float64 `json:"cold_per_second,omitempty"`
+	SlowStartMS   int     `json:"cold_ms,omitempty"`
 	// Origin is the row in the form of the adapter that it came from; see Route.
 	Origin json.RawMessage `json:"origin,omitempty"`
 }
@@ -190,7 +190,7 @@
 		if service.Kind != KindModel && service.Kind != KindWeb && service.Kind != KindHTTP {
 			broken.add("services.%s.kind: %s is none of model, web and http", name, strconv.Quote(strictjson.Excerpt(service.Kind)))
 		}
-		if service.MaxConnections < 0 || service.ColdMS < 0 || !validNumber(service.ColdPerSecond) {
+		if service.MaxConnections < 0 || service.SlowStartMS < 0 || !validNumber(service.SlowStartRate) {
 			broken.add("services.%s: a bound is below zero", name)
 		}
 		if !validNumber(service.PlainTokens) {
--- a/internal/decision/statemachine/fixtures_test.go
+++ b/internal/decision/statemachine/fixtures_test.go
@@ -31,7 +31,7 @@
 func routed() *sheet.Sheet {
 	return &sheet.Sheet{
 		Services: map[string]sheet.Service{
-			"pool": {Kind: sheet.KindHTTP, HealthPath: "/health", MaxConnections: 320, ColdPerSecond: 17, ColdMS: 3000},
+			"pool": {Kind: sheet.KindHTTP, HealthPath: "/health", MaxConnections: 320, SlowStartRate: 17, SlowStartMS: 3000},
 			"desk": {Kind: sheet.KindHTTP},
 		},
 		Tenants: map[string]sheet.Tenant{"press": {Rate: 1000, Unit: sheet.UnitTokens, KeyHashes: []string{hash("one"), hash("two")}}},
--- a/internal/decision/statemachine/order.go
+++ b/internal/decision/statemachine/order.go
@@ -1,166 +1,129 @@
 package statemachine
 
 import (
-	"strconv"
-	"unicode/utf8"
-
 	"stepwick/internal/apierror"
-	"stepwick/internal/decision/sheet"
 	"stepwick/internal/decision/strictjson"
 )
 
-// MaxOrderID bounds an order's id in bytes.
-const MaxOrderID = 256
+// Order is the part that the commands of operators have in common.
+//
+// OrderID identifies the order when it is sent again, and Digest tells another
+// order under the same id apart; Digest is computed from the content where it is
+// empty. An order that changes the sheet and has no id takes its digest as its
+// id. Other orders without an id are not recognised when they are sent again:
+// they are idempotent, and to evacuate a zone, restore it and evacuate it again
+// is three orders.
+//
+// Base is the version of the sheet that the order was built on. An order with a
+// Revision numbers the sheet that it makes, by a number of the operator's own
+// choice above the current one; it is built on BaseRevision, and Base does not
+// count.
+type Order struct {
+	OrderID  string `json:"order_id,omitempty"`
+	Operator string `json:"operator,omitempty"`
+	Digest   string `json:"digest,omitempty"`
+	Base     uint64 `json:"base,omitempty"`
 
-// Limits bounds an order's body in bytes. Setting, where it is given, checks a
-// run-time setting's name and value before an order is proposed.
-type Limits struct {
-	Bytes   int
-	Setting func(name, value string) error
+	Revision     uint64 `json:"revision,omitempty"`
+	BaseRevision uint64 `json:"base_revision,omitempty"`
+
+	// AtMS is when the order arrived, in Unix milliseconds.
+	AtMS int64 `json:"at_ms,omitempty"`
 }
 
-// orderSchemas has the form of each order's body, by verb.
-var orderSchemas = map[string]*strictjson.Schema{
-	sheet.VerbPut: strictjson.Record(strictjson.Fields{
-		"order_id":      strictjson.String,
-		"base":          strictjson.Number,
-		"sheet":         sheet.Schema,
-		"revision":      strictjson.Number,
-		"base_revision": strictjson.Number,
-	}),
-	sheet.VerbPatch: strictjson.Record(strictjson.Fields{
-		"order_id": strictjson.String,
-		"base":     strictjson.Number,
-		"changes":  sheet.ChangesSchema,
-	}),
-	sheet.VerbMerge: strictjson.Record(strictjson.Fields{
-		"order_id":      strictjson.String,
-		"base":          strictjson.Number,
-		"revision":      strictjson.Number,
-		"base_revision": strictjson.Number,
-		"upsert":        sheet.Schema,
-		"remove":        sheet.RemovalSchema,
-	}),
-	sheet.VerbEvacuate: zoneOrderSchema,
-	sheet.VerbRestore:  zoneOrderSchema,
-	VerbRemove: strictjson.Record(strictjson.Fields{
-		"order_id": strictjson.String,
-		"names":    strictjson.StringList,
-	}),
+// orderCommand is a command that an operator may send.
+type orderCommand interface {
+	Command
+	// order returns the order part with its digest and id.
+	order() Order
+	// byOperator reports whether an operator sent the command, rather than a
+	// replica of its own accord.
+	byOperator() bool
+	// withOrder returns the command with another order part.
+	withOrder(order Order) Command
 }
 
-// zoneOrderSchema is the form of an order that concerns a region or zone.
-var zoneOrderSchema = strictjson.Record(strictjson.Fields{
-	"order_id": strictjson.String,
-	"locality": strictjson.String,
-})
+// OrderOf returns the order part of an operator's command, with its digest;
+// false for commands that no operator sent.
+func OrderOf(command Command) (Order, bool) {
+	c, ok := command.(orderCommand)
+	if !ok {
+		return Order{}, false
+	}
+	return c.order(), c.byOperator()
+}
 
-type orderBody struct {
-	OrderID  string         `json:"order_id"`
-	Base     *uint64        `json:"base"`
-	Revision uint64         `json:"revision"`
-	OnRev    uint64         `json:"base_revision"`
-	Sheet    *sheet.Sheet   `json:"sheet"`
-	Upsert   *sheet.Sheet   `json:"upsert"`
-	Remove   sheet.Removal  `json:"remove"`
-	Changes  []sheet.Change `json:"changes"`
-	Zone     string         `json:"locality"`
-	Names    []string       `json:"names"`
+// withOrderDigest returns the command with the digest of its order filled in.
+func withOrderDigest(command orderCommand) Command {
+	return command.withOrder(command.order())
 }
 
-// ParseOrder reads the JSON body of an operator's put, patch, evacuate, restore
-// or remove and checks all of it that needs no state:
-//
-//	put      {"order_id":"…","base":17,"sheet":{…}}
-//	merge    {"order_id":"…","base":17,"upsert":{…},"remove":{"routes":["r-1"]}}
-//	patch    {"order_id":"…","base":17,"changes":[{"path":"weights.chat.lagos","value":30}]}
-//	evacuate {"order_id":"…","zone":"lagos/a"}, and so restore
-//	remove   {"order_id":"…","names":["node-4"]}
-//
-// A put or patch without an order id goes by its digest, over operator, verb,
-// base and content, which is the same for any spelling of the same content. A
-// put or merge may number its sheet: "revision":9,"base_revision":7 in place of
-// the base.
-func ParseOrder(verb, operator string, body []byte, limits Limits, atMS int64) (Command, *apierror.Error) {
-	want, known := orderSchemas[verb]
-	if !known {
-		return nil, apierror.Errorf(apierror.UnknownPath, "no order %s", strconv.Quote(strictjson.Excerpt(verb)))
+// checkReplay returns the earlier result of an order that was accepted before,
+// or the rejection of another order under its id; false if the id is new.
+func (s State) checkReplay(order Order) (Result, bool) {
+	if order.OrderID == "" {
+		return Result{}, false
 	}
-	if len(body) > limits.Bytes {
-		return nil, apierror.Errorf(apierror.SheetTooLarge, "%d bytes; the bound is %d", len(body), limits.Bytes)
+	earlier, known := s.AppliedOrder(order.OrderID)
+	if !known {
+		return Result{}, false
 	}
-	var b orderBody
-	if apiErr := strictjson.Decode(body, want, apierror.BadField, &b); apiErr != nil {
-		return nil, apiErr
+	if earlier.Digest != order.Digest {
+		return s.result(apierror.OrderIDReused, "order %s was sent before to %s, and accepted at epoch %d",
+			strictjson.Excerpt(order.OrderID), earlier.Verb, earlier.Version), true
 	}
-	if len(b.OrderID) > MaxOrderID || !utf8.ValidString(b.OrderID) {
-		return nil, apierror.Errorf(apierror.BadField, "order_id: over %d bytes", MaxOrderID)
+	return Result{Code: apierror.OK, Version: earlier.Version, SheetVersion: earlier.SheetVersion}, true
+}
+
+// checkSheetOrder returns the result of an order on the sheet that is decided
+// without its content: one that was accepted before, or whose base has changed.
+func (s State) checkSheetOrder(order Order) (Result, bool) {
+	if result, known := s.checkReplay(order); known {
+		return result, true
 	}
-	order := Order{OrderID: b.OrderID, Operator: operator, AtMS: atMS}
-	order.Revision, order.BaseRevision = b.Revision, b.OnRev
-	if (verb == sheet.VerbPut || verb == sheet.VerbPatch || verb == sheet.VerbMerge) && b.Revision == 0 {
-		if b.Base == nil {
-			return nil, apierror.Errorf(apierror.MissingField, "base: the sheet's epoch that the order is built on")
-		}
-		order.Base = *b.Base
+	if order.Revision > 0 {
+		return s.checkRevision(order)
 	}
-	return b.command(verb, order, limits)
+	return s.checkBase(order)
 }
 
-func (b orderBody) command(verb string, order Order, limits Limits) (Command, *apierror.Error) {
-	switch verb {
-	case sheet.VerbPut:
-		if b.Sheet == nil {
-			return nil, apierror.Errorf(apierror.MissingField, "sheet")
-		}
-		if apiErr := b.Sheet.Check(); apiErr != nil {
-			return nil, apiErr
-		}
-		if apiErr := b.Sheet.CheckSettings(limits.Setting); apiErr != nil {
-			return nil, apiErr
-		}
-		c := PutSheet{Order: order, Sheet: b.Sheet}
-		c.Order = c.seal()
-		return c, nil
-	case sheet.VerbMerge:
-		c := MergeSheet{Order: order, Upsert: b.Upsert, Remove: b.Remove}
-		if b.Upsert != nil {
-			if apiErr := b.Upsert.CheckSettings(limits.Setting); apiErr != nil {
-				return nil, apiErr
-			}
-		}
-		c.Order = c.seal()
-		return c, nil
-	case sheet.VerbPatch:
-		if len(b.Changes) == 0 {
-			return nil, apierror.Errorf(apierror.MissingField, "changes")
-		}
-		if apiErr := sheet.CheckChanges(b.Changes, limits.Setting); apiErr != nil {
-			return nil, apiErr
-		}
-		c := PatchSheet{Order: order, Changes: b.Changes}
-		c.Order = c.seal()
-		return c, nil
-	case VerbRemove:
-		if len(b.Names) == 0 {
-			return nil, apierror.Errorf(apierror.MissingField, "names")
-		}
-		c := RemoveMembers{Order: order, Names: b.Names, By: order.Operator}
-		c.Order = c.seal()
-		return c, nil
-	}
-	if b.Zone == "" {
-		return nil, apierror.Errorf(apierror.MissingField, "locality")
+// checkBase rejects an order that was not built on the current sheet.
+func (s State) checkBase(order Order) (Result, bool) {
+	if order.Base == s.SheetVersion {
+		return Result{}, false
 	}
-	if !sheet.ValidZoneName(b.Zone) {
-		return nil, apierror.Errorf(apierror.UnknownZone, "%s is neither a region nor region/zone", strconv.Quote(strictjson.Excerpt(b.Zone)))
+	changedAt := s.sheetVersionAfter(order.Base)
+	moved := s.result(apierror.BaseMoved, "base %d was taken by epoch %d; the sheet is at %d", order.Base, changedAt, s.SheetVersion)
+	if order.Base > s.SheetVersion {
+		moved = s.result(apierror.BaseMoved, "base %d is not the sheet's; it is at %d", order.Base, s.SheetVersion)
 	}
-	if verb == sheet.VerbEvacuate {
-		c := Evacuate{Order: order, Zone: b.Zone}
-		c.Order = c.seal()
-		return c, nil
+	moved.Version = changedAt
+	return moved, true
+}
+
+// checkRevision rejects an order that numbers its sheet and was not built on
+// the current revision, or whose number is not above it.
+func (s State) checkRevision(order Order) (Result, bool) {
+	switch {
+	case order.BaseRevision != s.Revision:
+		return s.result(apierror.BaseMoved, "base revision %d is not the sheet's; it is at %d", order.BaseRevision, s.Revision), true
+	case order.Revision <= s.Revision:
+		return s.result(apierror.InvalidSheet, "revision %d is not above the sheet's, %d", order.Revision, s.Revision), true
 	}
-	c := Restore{Order: order, Zone: b.Zone}
-	c.Order = c.seal()
-	return c, nil
+	return Result{}, false
+}
+
+// accepted records an order whose change is in the state already.
+func (s State) accepted(order Order, verb, summary string) (State, Result) {
+	s = s.withRecord(Record{
+		Version:      s.Version,
+		SheetVersion: s.SheetVersion,
+		Operator:     order.Operator,
+		Verb:         verb,
+		OrderID:      order.OrderID,
+		Digest:       order.Digest,
+		AtMS:         order.AtMS,
+		Summary:      summary,
+	})
+	return s, s.result(apierror.OK, "")
 }
--- a/internal/decision/statemachine/revision_test.go
+++ b/internal/decision/statemachine/revision_test.go
@@ -65,18 +65,18 @@
 	Convey("A body may number its sheet in place of the base", t, func() {
 		body, err := json.Marshal(map[string]any{"revision": 5, "base_revision": 0, "sheet": routed()})
 		So(err, ShouldBeNil)
-		command, apiErr := ParseOrder(sheet.VerbPut, "desk", body, Limits{Bytes: sheet.MaxBytes}, 0)
+		command, apiErr := ParseOrder(sheet.VerbPut, "desk", body, OrderLimits{MaxBytes: sheet.MaxBytes}, 0)
 		So(apiErr, ShouldBeNil)
 		_, result := command.Apply(State{}, 1)
 		So(result.Code, ShouldEqual, apierror.OK)
-		_, apiErr = ParseOrder(sheet.VerbMerge, "desk", []byte(`{"upsert":{}}`), Limits{Bytes: sheet.MaxBytes}, 0)
+		_, apiErr = ParseOrder(sheet.VerbMerge, "desk", []byte(`{"upsert":{}}`), OrderLimits{MaxBytes: sheet.MaxBytes}, 0)
 		So(apiErr.Code, ShouldEqual, apierror.MissingField)
 	})
 	Convey("An order on a number that is behind is settled without a ballot, one that is ahead is not", t, func() {
 		second, _ := MergeSheet{Order: numbered(7, 5)}.Apply(first, 2)
-		_, sure := second.Foresee(MergeSheet{Order: numbered(9, 5)})
+		_, sure := second.Predict(MergeSheet{Order: numbered(9, 5)})
 		So(sure, ShouldBeTrue)
-		_, sure = first.Foresee(MergeSheet{Order: numbered(9, 7)})
+		_, sure = first.Predict(MergeSheet{Order: numbered(9, 7)})
 		So(sure, ShouldBeFalse)
 	})
 }
--- a/internal/decision/statemachine/state_test.go
+++ b/internal/decision/statemachine/state_test.go
@@ -61,16 +61,16 @@
 		for _, name := range names {
 			members = append(members, Member{Name: name, Region: "lagos", Zone: "a", Front: true})
 		}
-		return AddMembers{Members: members, By: "n1"}
+		return AddMembers{Members: members, ProposedBy: "n1"}
 	case 7:
 		if rapid.Bool().Draw(t, "by core") {
-			return RemoveMembers{Names: names, By: "n1"}
+			return RemoveMembers{Names: names, ProposedBy: "n1"}
 		}
 		return RemoveMembers{Order: order, Names: names}
 	case 8:
-		return SettleRoster{RosterVersion: s.RosterVersion}
+		return CommitRoster{RosterVersion: s.RosterVersion}
 	}
-	return TakeDuty{Duty: "planner", Term: s.Duties["planner"].Term + uint64(rapid.IntRange(0, 2).Draw(t, "term")), Holder: names[0]}
+	return AcquireRole{Role: "planner", Term: s.Roles["planner"].Term + uint64(rapid.IntRange(0, 2).Draw(t, "term")), Holder: names[0]}
 }
 
 func unmoved(s State) string { s.Version = 0; return string(s.Encode()) }
@@ -84,7 +84,7 @@
 			data := Encode(command)
 			before, base := live.Encode(), live
 			next, result := live.Step(live.Version+1, data)
-			if seen, sure := live.Foresee(command); sure && (seen.Code != result.Code || seen.SheetVersion != result.SheetVersion) {
+			if seen, sure := live.Predict(command); sure && (seen.Code != result.Code || seen.SheetVersion != result.SheetVersion) {
 				t.Fatalf("%s: foreseen %+v, got %+v", command.Verb(), seen, result)
 			}
 			again, twin := reread.Step(reread.Version+1, data)
@@ -103,7 +103,7 @@
 			if next.Sheet != base.Sheet && next.Sheet.Check() != nil {
 				t.Fatalf("%s: an unsound sheet was kept", command.Verb())
 			}
-			if !base.Settled() && !next.Settled() && next.RosterVersion != base.RosterVersion && command.Verb() != VerbRemove {
+			if !base.RosterCommitted() && !next.RosterCommitted() && next.RosterVersion != base.RosterVersion && command.Verb() != VerbRemoveMembers {
 				t.Fatalf("%s: a change of the roster overtook one that is not settled", command.Verb())
 			}
 			if order, ok := OrderOf(command); ok && order.OrderID != "" && result.Code == apierror.OK {
@@ -188,7 +188,7 @@
 			t.Fatal("an unsound sheet was read")
 		}
 		for verb := range orderSchemas {
-			if command, apiErr := ParseOrder(verb, "ada", data, Limits{Bytes: 1 << 20}, 1); apiErr == nil {
+			if command, apiErr := ParseOrder(verb, "ada", data, OrderLimits{MaxBytes: 1 << 20}, 1); apiErr == nil {
 				if _, err := Decode(Encode(command)); err != nil {
 					t.Fatal(err)
 				}
@@ -238,11 +238,11 @@
 			return c
 		}
 		s, _ := add("n1", "n2", "n3").Apply(State{}, 1)
-		So(s.Settled(), ShouldBeTrue)
+		So(s.RosterCommitted(), ShouldBeTrue)
 		s, _ = add("n3", "n4", "n5").Apply(s, 2)
 		So(len(s.PriorRoster), ShouldEqual, 3)
 		So(len(s.Roster), ShouldEqual, 5)
-		s, result := RemoveMembers{Names: []string{"n1"}, By: "n2"}.Apply(s, 3)
+		s, result := RemoveMembers{Names: []string{"n1"}, ProposedBy: "n2"}.Apply(s, 3)
 		So(result.Code, ShouldEqual, apierror.VersionBehind)
 		s, result = add("n5").Apply(s, 4)
 		So(result.Code, ShouldEqual, apierror.OK)
@@ -251,25 +251,25 @@
 		So(result.Code, ShouldEqual, apierror.OK)
 		So(slices.Sorted(maps.Keys(s.Roster)), ShouldResemble, []string{"n2", "n3", "n5"})
 		So(slices.Sorted(maps.Keys(s.PriorRoster)), ShouldResemble, []string{"n2", "n3"})
-		s, _ = SettleRoster{RosterVersion: 2}.Apply(s, 6)
-		So(s.Settled(), ShouldBeFalse)
-		s, _ = SettleRoster{RosterVersion: 5}.Apply(s, 7)
-		So(s.Settled(), ShouldBeTrue)
+		s, _ = CommitRoster{RosterVersion: 2}.Apply(s, 6)
+		So(s.RosterCommitted(), ShouldBeFalse)
+		s, _ = CommitRoster{RosterVersion: 5}.Apply(s, 7)
+		So(s.RosterCommitted(), ShouldBeTrue)
 		_, result = RemoveMembers{Order: Order{Operator: "ada"}, Names: []string{"n9"}}.Apply(s, 8)
 		So(result.Code, ShouldEqual, apierror.UnknownMember)
 	})
 	Convey("A term of a duty has one holder, who may ask again", t, func() {
-		s, first := TakeDuty{"planner", 1, "n1"}.Apply(State{}, 1)
+		s, first := AcquireRole{"planner", 1, "n1"}.Apply(State{}, 1)
 		So(first.Code, ShouldEqual, apierror.OK)
-		s, again := TakeDuty{"planner", 1, "n1"}.Apply(s, 2)
+		s, again := AcquireRole{"planner", 1, "n1"}.Apply(s, 2)
 		So(again.Code, ShouldEqual, apierror.OK)
-		s, late := TakeDuty{"planner", 1, "n2"}.Apply(s, 3)
+		s, late := AcquireRole{"planner", 1, "n2"}.Apply(s, 3)
 		So(late.Code, ShouldEqual, apierror.BaseMoved)
-		s, early := TakeDuty{"planner", 3, "n2"}.Apply(s, 4)
+		s, early := AcquireRole{"planner", 3, "n2"}.Apply(s, 4)
 		So(early.Code, ShouldEqual, apierror.BaseMoved)
-		s, next := TakeDuty{"planner", 2, "n2"}.Apply(s, 5)
+		s, next := AcquireRole{"planner", 2, "n2"}.Apply(s, 5)
 		So(next.Code, ShouldEqual, apierror.OK)
-		So(s.Duties["planner"], ShouldResemble, Duty{Term: 2, Holder: "n2"})
+		So(s.Roles["planner"], ShouldResemble, RoleTerm{Term: 2, Holder: "n2"})
 	})
 }
 
@@ -289,12 +289,12 @@
 		operator, rest, _ := strings.Cut(line, " ")
 		verb, body, _ := strings.Cut(rest, " ")
 		fmt.Fprintf(&out, "> %s\n", line)
-		command, apiErr := ParseOrder(verb, operator, []byte(body), Limits{Bytes: 2000}, 1790000000000+int64(s.Version))
+		command, apiErr := ParseOrder(verb, operator, []byte(body), OrderLimits{MaxBytes: 2000}, 1790000000000+int64(s.Version))
 		if apiErr != nil {
 			fmt.Fprintf(&out, "< %v, before any ballot\n", apiErr)
 			continue
 		}
-		result, sure := s.Foresee(command)
+		result, sure := s.Predict(command)
 		if !sure {
 			s, result = s.Step(s.Version+1, Encode(command))
 		}
@@ -325,7 +325,7 @@
 	for _, tenants := range []int{5, 100, 1000, 14000} {
 		s := sized(tenants)
 		body := []byte(`{"base":1,"changes":[{"path":"tenants.press.rate","value":900}]}`)
-		command, _ := ParseOrder(sheet.VerbPatch, "ada", body, Limits{Bytes: 1 << 20}, 1)
+		command, _ := ParseOrder(sheet.VerbPatch, "ada", body, OrderLimits{MaxBytes: 1 << 20}, 1)
 		patch, data, document := Encode(command), s.Encode(), []byte(encoded(s.Sheet))
 		run := func(name string, f func()) {
 			b.Run(fmt.Sprintf("%s/tenants=%d", name, tenants), func(b *testing.B) {
--- a/internal/node/control/core.go
+++ b/internal/node/control/core.go
@@ -304,10 +304,10 @@
 			c.log.Emit(events.MemberRemoved, "member", name, "epoch", after.Version)
 		}
 	}
-	if was, is := before.Duties[election.Planner], after.Duties[election.Planner]; was.Holder == c.config.Self && is.Holder != c.config.Self {
+	if was, is := before.Roles[election.Planner], after.Roles[election.Planner]; was.Holder == c.config.Self && is.Holder != c.config.Self {
 		c.log.Emit(events.DutyLost, "duty", election.Planner, "term", is.Term, "holder", is.Holder)
 	}
-	if !before.Settled() && after.Settled() {
+	if !before.RosterCommitted() && after.RosterCommitted() {
 		c.log.Emit(events.RosterSettled, "epoch", after.Version, "members", len(after.Roster))
 	}
 }
--- a/internal/node/control/order.go
+++ b/internal/node/control/order.go
@@ -74,7 +74,7 @@
 		return c.status(ctx)
 	}
 	command, apiErr := statemachine.ParseOrder(req.Verb, req.Operator, req.Body,
-		statemachine.Limits{Bytes: c.config.SheetMax, Setting: c.config.Setting}, c.config.FleetNow().UnixMilli())
+		statemachine.OrderLimits{MaxBytes: c.config.SheetMax, ValidateSetting: c.config.Setting}, c.config.FleetNow().UnixMilli())
 	if req.Operator == "" {
 		apiErr = apierror.Errorf(apierror.OperatorUnknown, "the order names no operator")
 	}
@@ -139,7 +139,7 @@
 // accepted leaves nothing behind.
 func (c *Core) foretell(ctx context.Context, command statemachine.Command) (result statemachine.Result, sure bool) {
 	state := c.agreement.Current()
-	if result, sure = state.Foresee(command); sure {
+	if result, sure = state.Predict(command); sure {
 		return result, true
 	}
 	if _, result = command.Apply(state, state.Version+1); result.Code == apierror.OK {
@@ -162,7 +162,7 @@
 		event = events.OrderLost
 	}
 	c.log.Emit(event, "order", id, "verb", req.Verb, "operator", req.Operator, "code", result.Code, "epoch", result.Version)
-	return faulty(result.Fault(), result.Version, id)
+	return faulty(result.APIError(), result.Version, id)
 }
 
 // await asks all cores for their lease views until the version is in force. They
--- a/internal/node/control/planner.go
+++ b/internal/node/control/planner.go
@@ -19,7 +19,7 @@
 	if !c.mayPropose() {
 		return
 	}
-	held := c.state.Duties[election.Planner]
+	held := c.state.Roles[election.Planner]
 	voters := c.agreement.Voters()
 	own := held.Holder == c.config.Self
 	vacant := (own && held.Term != c.wonTerm) || (!own && election.Vacant(held, voters, c.sightsOf(held.Holder, now)))
@@ -33,12 +33,12 @@
 	if held.Holder != "" && !c.jobs[election.Planner] {
 		c.log.Emit(events.DutyVacant, "duty", election.Planner, "term", held.Term, "holder", held.Holder)
 	}
-	next := statemachine.TakeDuty{Duty: election.Planner, Term: held.Term + 1, Holder: c.config.Self}
+	next := statemachine.AcquireRole{Role: election.Planner, Term: held.Term + 1, Holder: c.config.Self}
 	c.job(election.Planner, jobTimeout, func(ctx context.Context) func() {
 		_, result, err := c.agreement.Propose(ctx, statemachine.Encode(next))
 		return func() {
 			delete(c.since, election.Planner)
-			if err == nil && result.Fault() == nil {
+			if err == nil && result.APIError() == nil {
 				c.wonTerm = next.Term
 				c.log.Emit(events.DutyWon, "duty", election.Planner, "term", next.Term)
 			}
@@ -71,7 +71,7 @@
 // or something forces one. After it began it first hears of the servers: a plan
 // of some of them would take the others' caps away.
 func (c *Core) keepPlan(now time.Time) {
-	held := c.state.Duties[election.Planner]
+	held := c.state.Roles[election.Planner]
 	if held.Holder != c.config.Self || held.Term != c.wonTerm || !c.opened || c.state.Sheet == nil {
 		return
 	}
@@ -93,7 +93,7 @@
 	c.job("plan", jobTimeout, func(context.Context) func() {
 		next := plan.Compute(in)
 		return func() {
-			if c.state.Duties[election.Planner] != held || !c.takePlan(next) {
+			if c.state.Roles[election.Planner] != held || !c.takePlan(next) {
 				return
 			}
 			c.log.Emit(events.PlanMade, "term", next.Term, "number", next.Number, "cause", next.Cause, "epoch", next.Epoch)
--- a/internal/node/control/reports.go
+++ b/internal/node/control/reports.go
@@ -266,7 +266,7 @@
 	if next == nil {
 		return false
 	}
-	if !plan.Newer(next, c.plan) || next.Term < c.state.Duties[election.Planner].Term {
+	if !plan.Newer(next, c.plan) || next.Term < c.state.Roles[election.Planner].Term {
 		c.log.Emit(events.PlanOlder, "term", next.Term, "number", next.Number)
 		return false
 	}
--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -63,7 +63,7 @@
 		return
 	}
 	c.lastViews = now
-	about := c.state.Duties[election.Planner].Holder
+	about := c.state.Roles[election.Planner].Holder
 	if about == "" {
 		about = c.config.Self
 	}
@@ -86,21 +86,21 @@
 	}
 	c.settleRoster(now)
 	newcomers := c.ledger.Newcomers(c.state.Roster, now)
-	if !c.jobs["add"] && c.waited("add", len(newcomers) > 0 && c.state.Settled(), c.config.BatchFor+c.turn(), now) {
+	if !c.jobs["add"] && c.waited("add", len(newcomers) > 0 && c.state.RosterCommitted(), c.config.BatchFor+c.turn(), now) {
 		for _, member := range newcomers {
 			c.log.Emit(events.MemberJoined, "member", member.Name, "locality", sheet.ZoneName(member.Region, member.Zone))
 		}
-		c.propose("add", statemachine.AddMembers{Members: newcomers, By: c.config.Self})
+		c.propose("add", statemachine.AddMembers{Members: newcomers, ProposedBy: c.config.Self})
 	}
 	departed := c.ledger.Departed(c.state.Roster, c.config.RemoveAfter, now)
-	if c.waited("remove", len(departed) > 0 && c.state.Settled(), c.turn(), now) {
-		c.propose("remove", statemachine.RemoveMembers{Names: departed, By: c.config.Self})
+	if c.waited("remove", len(departed) > 0 && c.state.RosterCommitted(), c.turn(), now) {
+		c.propose("remove", statemachine.RemoveMembers{Names: departed, ProposedBy: c.config.Self})
 	}
 }
 
 func (c *Core) settleRoster(now time.Time) {
 	state := c.state
-	if !c.waited("settle", !state.Settled(), c.turn(), now) {
+	if !c.waited("settle", !state.RosterCommitted(), c.turn(), now) {
 		return
 	}
 	c.job("settle", jobTimeout, func(ctx context.Context) func() {
@@ -117,8 +117,8 @@
 			}
 			return nil
 		}
-		if newest := c.agreement.Current(); newest.RosterVersion == state.RosterVersion && !newest.Settled() {
-			_, _, _ = c.agreement.Propose(ctx, statemachine.Encode(statemachine.SettleRoster{RosterVersion: state.RosterVersion}))
+		if newest := c.agreement.Current(); newest.RosterVersion == state.RosterVersion && !newest.RosterCommitted() {
+			_, _, _ = c.agreement.Propose(ctx, statemachine.Encode(statemachine.CommitRoster{RosterVersion: state.RosterVersion}))
 		}
 		return nil
 	})
--- a/internal/node/control/runtime_test.go
+++ b/internal/node/control/runtime_test.go
@@ -164,7 +164,7 @@
 			f.put(t)
 			f.report("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
 			f.pass(3 * time.Second)
-			held := f.agreed.Load().state.Duties[election.Planner]
+			held := f.agreed.Load().state.Roles[election.Planner]
 			So(held.Term, ShouldEqual, 1)
 			plan := f.follow("c3", nil, time.Second).Snapshot.Plan
 			So(plan.Term, ShouldEqual, 1)
@@ -173,7 +173,7 @@
 
 			f.kill(held.Holder)
 			f.pass(6 * time.Second)
-			next := f.agreed.Load().state.Duties[election.Planner]
+			next := f.agreed.Load().state.Roles[election.Planner]
 			So(next.Term, ShouldEqual, 2)
 			So(next.Holder, ShouldNotEqual, held.Holder)
 			fresh := f.follow("c3", nil, time.Second).Snapshot.Plan
@@ -187,13 +187,13 @@
 	})
 	inFleet(t, 3, func(t *testing.T, f *fleet) {
 		Convey("A core that is cut off loses the duty, and finds it lost when the cut heals", t, func() {
-			held := f.agreed.Load().state.Duties[election.Planner]
+			held := f.agreed.Load().state.Roles[election.Planner]
 			f.mark(&f.silent, true, held.Holder)
 			f.pass(6 * time.Second)
-			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
+			So(f.agreed.Load().state.Roles[election.Planner].Term, ShouldEqual, 2)
 			f.mark(&f.silent, false, held.Holder)
 			f.pass(6 * time.Second)
-			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
+			So(f.agreed.Load().state.Roles[election.Planner].Term, ShouldEqual, 2)
 		})
 	})
 }
@@ -203,7 +203,7 @@
 		Convey("Processes that renew are gathered into the roster by one change, which settles", t, func() {
 			state := f.agreed.Load().state
 			So(state.Roster, ShouldHaveLength, 6)
-			So(state.Settled(), ShouldBeTrue)
+			So(state.RosterCommitted(), ShouldBeTrue)
 			So(f.ruling(), ShouldEqual, 6)
 		})
 		Convey("A silent member stays; one that refuses for a minute leaves, and the change settles", t, func() {
@@ -215,7 +215,7 @@
 			state := f.agreed.Load().state
 			So(state.Roster, ShouldHaveLength, 5)
 			So(state.Roster, ShouldContainKey, "f5")
-			So(state.Settled(), ShouldBeTrue)
+			So(state.RosterCommitted(), ShouldBeTrue)
 			So(f.fronts["f5"].Ruling(), ShouldBeFalse)
 		})
 	})
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -40,21 +40,21 @@
 }
 
 type fleetStatus struct {
-	By            string                       `json:"by"`
-	Version       uint64                       `json:"epoch"`
-	SheetVersion  uint64                       `json:"sheet_epoch"`
-	InForce       bool                         `json:"in_force"`
-	Waiting       string                       `json:"waiting,omitempty"`
-	Confirmed     int                          `json:"confirmed"`
-	Roster        int                          `json:"roster"`
-	RosterVersion uint64                       `json:"roster_epoch"`
-	RosterSettle  bool                         `json:"roster_settled"`
-	Evacuated     map[string]uint64            `json:"evacuated,omitempty"`
-	Cores         []coreStatus                 `json:"cores"`
-	Members       []memberStatus               `json:"members"`
-	Duties        map[string]statemachine.Duty `json:"duties,omitempty"`
-	Plan          *planStatus                  `json:"plan,omitempty"`
-	Servers       int                          `json:"servers"`
+	By            string                           `json:"by"`
+	Version       uint64                           `json:"epoch"`
+	SheetVersion  uint64                           `json:"sheet_epoch"`
+	InForce       bool                             `json:"in_force"`
+	Waiting       string                           `json:"waiting,omitempty"`
+	Confirmed     int                              `json:"confirmed"`
+	Roster        int                              `json:"roster"`
+	RosterVersion uint64                           `json:"roster_epoch"`
+	RosterSettle  bool                             `json:"roster_settled"`
+	Evacuated     map[string]uint64                `json:"evacuated,omitempty"`
+	Cores         []coreStatus                     `json:"cores"`
+	Members       []memberStatus                   `json:"members"`
+	Duties        map[string]statemachine.RoleTerm `json:"duties,omitempty"`
+	Plan          *planStatus                      `json:"plan,omitempty"`
+	Servers       int                              `json:"servers"`
 }
 
 // status tells how this core sees the fleet; it is no read-back.
@@ -76,7 +76,7 @@
 	met, why := lease.InForce(question)
 	s := fleetStatus{By: c.config.Self, Version: state.Version, SheetVersion: state.SheetVersion, InForce: met, Waiting: why,
 		Confirmed: lease.Confirmations(question).Confirmed, Roster: len(state.Roster), RosterVersion: state.RosterVersion,
-		RosterSettle: state.Settled(), Evacuated: state.Evacuated, Duties: state.Duties,
+		RosterSettle: state.RosterCommitted(), Evacuated: state.Evacuated, Duties: state.Roles,
 		Plan: planSummary(own.plan), Servers: own.servers, Cores: []coreStatus{}, Members: []memberStatus{}}
 	for _, voter := range voters {
 		s.Cores = append(s.Cores, c.coreStatus(voter, views))
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -131,7 +131,7 @@
 // when so many servers were sent the request; very long where no further one
 // may be.
 func (q *request) stallAfter(sent int) time.Duration {
-	if !q.route.Repeatable() || sent >= max(q.route.Attempts, 1) || q.gateway.config.Balance.Off[balance.SecondAttempts] {
+	if !q.route.Idempotent() || sent >= max(q.route.Attempts, 1) || q.gateway.config.Balance.Off[balance.SecondAttempts] {
 		return stallNever
 	}
 	span := max(q.route.ObjectiveMS, q.route.GapMS)
@@ -216,7 +216,7 @@
 // another one.
 func (q *request) mayRepeat() bool {
 	q.order.Repeat = true
-	return q.route.Repeatable() && q.runs < max(q.route.Attempts, 1)
+	return q.route.Idempotent() && q.runs < max(q.route.Attempts, 1)
 }
 
 // hopHeaders concern one connection only.
--- a/sim/confirm/process.go
+++ b/sim/confirm/process.go
@@ -175,15 +175,15 @@
 func (w *world) keepRoster(p *process) {
 	c, now := p.core, w.clock(p.node)
 	state := w.log[c.learned]
-	if !c.opened || !state.Settled() {
+	if !c.opened || !state.RosterCommitted() {
 		return
 	}
 	if members := c.ledger.Newcomers(state.Roster, now); len(members) > 0 {
-		w.propose(p.node, statemachine.AddMembers{Members: members, By: p.node.name})
+		w.propose(p.node, statemachine.AddMembers{Members: members, ProposedBy: p.node.name})
 		return
 	}
 	if names := c.ledger.Departed(state.Roster, 6*time.Second, now); len(names) > 0 {
-		w.propose(p.node, statemachine.RemoveMembers{Names: names, By: p.node.name})
+		w.propose(p.node, statemachine.RemoveMembers{Names: names, ProposedBy: p.node.name})
 	}
 }
 
@@ -226,12 +226,12 @@
 func (w *world) settle(p *process) {
 	c := p.core
 	state := w.log[c.learned]
-	if state.Settled() || !c.opened {
+	if state.RosterCommitted() || !c.opened {
 		c.settle = nil
 		return
 	}
 	if w.config.Mutation == NoPrior {
-		w.propose(p.node, statemachine.SettleRoster{RosterVersion: state.RosterVersion})
+		w.propose(p.node, statemachine.CommitRoster{RosterVersion: state.RosterVersion})
 		return
 	}
 	if c.settle == nil {
@@ -242,7 +242,7 @@
 		return
 	}
 	if met, _ := lease.Settled(w.question(p, state.RosterVersion, c.settle)); met {
-		if _, ok := w.propose(p.node, statemachine.SettleRoster{RosterVersion: state.RosterVersion}); ok {
+		if _, ok := w.propose(p.node, statemachine.CommitRoster{RosterVersion: state.RosterVersion}); ok {
 			w.outcome.Rosters++
 		}
 	}
--- a/sim/confirm/walk.go
+++ b/sim/confirm/walk.go
@@ -222,7 +222,7 @@
 			continue
 		}
 		order := statemachine.Order{Operator: "ops", OrderID: fmt.Sprintf("remove-%d", w.now)}
-		if _, ok := w.propose(n, statemachine.RemoveMembers{Order: order, Names: slices.Clone(names), By: "ops"}); ok {
+		if _, ok := w.propose(n, statemachine.RemoveMembers{Order: order, Names: slices.Clone(names), ProposedBy: "ops"}); ok {
 			w.note("operator removes %v", names)
 			return
 		}
