--- a/internal/decision/sheet/index.go
+++ b/internal/decision/sheet/index.go
@@ -10,17 +10,20 @@
 	"strings"
 )
 
-// HashKey returns a key's SHA-256 in lower-case hexadecimal, as sheets hold it.
+// HashKey returns a key's SHA-256 in lower-case hexadecimal, as sheets have it.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Index finds tenants by their keys in one version's sheet. It is immutable.
+// Index finds the tenants and routes of one sheet by a request's key, host and
+// path. It is immutable.
 type Index struct {
-	sheet  *Sheet
-	owners map[uint64][]owner
-	hosts  map[string][]NamedRoute // by lower-case host, the longest prefix first
+	sheet *Sheet
+	// keys has the keys by the first bytes of their hashes.
+	keys map[uint64][]tenantKey
+	// routes has the routes by lower-case host, the longest prefix first.
+	routes map[string][]NamedRoute
 }
 
 // NamedRoute is a route with its name in the sheet.
@@ -29,32 +32,35 @@
 	Route
 }
 
-type owner struct {
+type tenantKey struct {
 	hash   [sha256.Size]byte
 	tenant string
 }
 
 // NewIndex builds the index of a sheet, which may be nil.
 func NewIndex(s *Sheet) *Index {
-	x := &Index{sheet: s}
+	index := &Index{sheet: s}
 	if s == nil {
-		return x
+		return index
 	}
-	x.hosts = routesByHost(s.Routes)
-	x.owners = make(map[uint64][]owner, len(s.Tenants))
+	index.routes = routesByHost(s.Routes)
+	index.keys = make(map[uint64][]tenantKey, len(s.Tenants))
 	for name, tenant := range s.Tenants {
 		for _, text := range tenant.KeyHashes {
-			o := owner{tenant: name}
-			if n, err := hex.Decode(o.hash[:], []byte(text)); err != nil || n != len(o.hash) {
+			key := tenantKey{tenant: name}
+			if n, err := hex.Decode(key.hash[:], []byte(text)); err != nil || n != len(key.hash) {
 				continue
 			}
-			place := binary.BigEndian.Uint64(o.hash[:])
-			x.owners[place] = append(x.owners[place], o)
+			bucket := keyBucket(key.hash)
+			index.keys[bucket] = append(index.keys[bucket], key)
 		}
 	}
-	return x
+	return index
 }
 
+// keyBucket returns the first bytes of a hash as a number.
+func keyBucket(hash [sha256.Size]byte) uint64 { return binary.BigEndian.Uint64(hash[:]) }
+
 // ForSheet returns the index of another sheet, which is the receiver itself
 // where the sheet is the same one.
 func (x *Index) ForSheet(s *Sheet) *Index {
@@ -64,14 +70,14 @@
 	return NewIndex(s)
 }
 
-// Tenant returns the tenant that a caller's key belongs to. The whole hash is
+// Tenant returns the tenant that a caller's key belongs to. The full hash is
 // compared in constant time.
 func (x *Index) Tenant(key string) (string, Tenant, bool) {
 	hash := sha256.Sum256([]byte(key))
 	found := ""
-	for _, o := range x.owners[binary.BigEndian.Uint64(hash[:])] {
-		if subtle.ConstantTimeCompare(o.hash[:], hash[:]) == 1 {
-			found = o.tenant
+	for _, candidate := range x.keys[keyBucket(hash)] {
+		if subtle.ConstantTimeCompare(candidate.hash[:], hash[:]) == 1 {
+			found = candidate.tenant
 		}
 	}
 	if found == "" {
@@ -86,8 +92,8 @@
 		host := strings.ToLower(routes[name].Host)
 		hosts[host] = append(hosts[host], NamedRoute{Name: name, Route: routes[name]})
 	}
-	for _, list := range hosts {
-		slices.SortStableFunc(list, func(a, b NamedRoute) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+	for _, hostRoutes := range hosts {
+		slices.SortStableFunc(hostRoutes, func(a, b NamedRoute) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	return hosts
 }
@@ -95,10 +101,10 @@
 // Route returns the route of a request: among those of its host the one with
 // the longest prefix that begins its path.
 func (x *Index) Route(host, path string) (*NamedRoute, bool) {
-	list := x.hosts[strings.ToLower(host)]
-	for i := range list {
-		if strings.HasPrefix(path, list[i].Prefix) {
-			return &list[i], true
+	hostRoutes := x.routes[strings.ToLower(host)]
+	for i := range hostRoutes {
+		if strings.HasPrefix(path, hostRoutes[i].Prefix) {
+			return &hostRoutes[i], true
 		}
 	}
 	return nil, false
--- a/internal/decision/sheet/patch.go
+++ b/internal/decision/sheet/patch.go
@@ -3,146 +3,16 @@
 import (
 	"bytes"
 	"encoding/json"
-	"maps"
 	"slices"
-	"strconv"
-	"strings"
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/strictjson"
 )
 
-// MaxChanges bounds the changes of one patch.
-const MaxChanges = 1 << 16
-
-// Change sets or deletes one cell. Paths are
-//
-//	services.NAME, services.NAME.kind, services.NAME.plain_tokens
-//	weights.SERVICE, weights.SERVICE.REGION
-//	tenants.NAME, tenants.NAME.rate, .burst, .home, .keys
-//	tenants.NAME.keys+ (adds one hash), tenants.NAME.keys- (takes one away)
-//	routes.NAME, limits.clients
-//	settings.NAME
-//
-// A path of two parts sets a whole row. Value is the cell's JSON; it is absent
-// where Delete is set.
-type Change struct {
-	Path   string          `json:"path"`
-	Value  json.RawMessage `json:"value,omitempty"`
-	Delete bool            `json:"delete,omitempty"`
-}
-
-// String returns the change as it is written on the command line.
-func (c Change) String() string {
-	if c.Delete {
-		return "delete " + c.Path
-	}
-	value := string(c.Value)
-	var text string
-	if json.Unmarshal(c.Value, &text) == nil {
-		value = text
-	}
-	return c.Path + "=" + value
-}
-
-// ParseChange reads path=value, path+=value or path-=value, with the value
-// typed as its cell asks: weights.chat.lagos=30, tenants.press.keys+=HASH.
-func ParseChange(text string) (Change, *apierror.Error) {
-	path, value, ok := strings.Cut(text, "=")
-	if !ok || path == "" {
-		return Change{}, apierror.Errorf(apierror.InvalidChange, "%s is not path=value", strconv.Quote(strictjson.Excerpt(text)))
-	}
-	return TextChange(strings.TrimSpace(path), strings.TrimSpace(value))
-}
-
-// TextChange returns the change that sets a cell to a value written as text, as
-// spreadsheets hold it: hashes of keys are parted by spaces or commas.
-func TextChange(path, value string) (Change, *apierror.Error) {
-	c, apiErr := splitPath(path)
-	if apiErr != nil {
-		return Change{}, apiErr
-	}
-	var typed any = value
-	switch {
-	case c.row != "" && c.column == "" && c.table != "settings":
-		if !json.Valid([]byte(value)) {
-			return Change{}, apierror.Errorf(apierror.InvalidChange, "%s: a whole row is written as JSON", path)
-		}
-		return Change{Path: path, Value: json.RawMessage(value)}, nil
-	case c.numeric():
-		number, err := strconv.ParseFloat(value, 64)
-		if err != nil || !validNumber(number) {
-			return Change{}, apierror.Errorf(apierror.InvalidChange, "%s: %s is no number from 0 to %g", path, strconv.Quote(strictjson.Excerpt(value)), float64(MaxNumber))
-		}
-		typed = number
-	case c.column == "keys":
-		typed = hashFields(value)
-	}
-	data, err := json.Marshal(typed)
-	if err != nil {
-		return Change{}, apierror.Errorf(apierror.InvalidChange, "%s: %v", path, err)
-	}
-	return Change{Path: path, Value: data}, nil
-}
-
-// Names of the tables, as paths and JSON have them.
-const (
-	tableServices = "services"
-	tableWeights  = "weights"
-	tableTenants  = "tenants"
-	tableRoutes   = "routes"
-	tableLimits   = "limits"
-	tableSettings = "settings"
-)
-
-type cellPath struct{ table, row, column string }
-
-func (c cellPath) numeric() bool {
-	return c.table == "weights" && c.column != "" || c.column == "rate" || c.column == "burst" || c.column == "plain_tokens"
-}
-
-var columns = map[string][]string{
-	"services": {"kind", "plain_tokens"},
-	"tenants":  {"rate", "burst", "home", "keys", "keys+", "keys-"},
-}
-
-func splitPath(path string) (cellPath, *apierror.Error) {
-	bad := func(why string) (cellPath, *apierror.Error) {
-		return cellPath{}, apierror.Errorf(apierror.InvalidChange, "%s: %s", strconv.Quote(strictjson.Excerpt(path)), why)
-	}
-	table, rest, ok := strings.Cut(path, ".")
-	if !ok || rest == "" {
-		return bad("no such cell")
-	}
-	if table == "settings" {
-		return cellPath{table: table, row: rest}, nil
-	}
-	if rowSchemas[table] == nil {
-		return bad("no such table; there are services, weights, tenants, routes, limits and settings")
-	}
-	row, column, deep := strings.Cut(rest, ".")
-	if !ValidName(row) {
-		return bad("its row is no name")
-	}
-	if !deep {
-		if table == "limits" && path != limitsCell {
-			return bad("the limits have one row, " + limitsCell)
-		}
-		return cellPath{table: table, row: row}, nil
-	}
-	if table == "weights" {
-		if !ValidName(column) {
-			return bad("its region is no name")
-		}
-	} else if !slices.Contains(columns[table], column) {
-		return bad("no such column")
-	}
-	return cellPath{table, row, column}, nil
-}
-
-// Patch returns a sound sheet with the changes made in their order, and
-// checked. It copies the tables and rows that change, each once, and shares the
-// rest; tenants that don't change aren't checked anew. A nil sheet is empty.
+// Patch returns a sheet with the changes made in their order, and checked. It
+// copies the tables and rows that change, each once, and shares the rest;
+// tenants that don't change aren't checked again, which is why the receiver must
+// be valid. A nil sheet is empty.
 func (s *Sheet) Patch(changes []Change) (*Sheet, *apierror.Error) {
 	if len(changes) == 0 {
 		return nil, apierror.Errorf(apierror.InvalidChange, "no changes")
@@ -150,249 +20,287 @@
 	if len(changes) > MaxChanges {
 		return nil, apierror.Errorf(apierror.InvalidChange, "%d changes; the bound is %d", len(changes), MaxChanges)
 	}
-	e := editor{rows: make(map[string]bool), tenants: make(map[string]bool), seen: make(map[string]bool, len(changes))}
-	if s != nil {
-		e.sheet = *s
-	}
-	var broken rules
+	edited := newEditor(s, len(changes))
+	var broken violations
 	for _, change := range changes {
-		if why := e.make(change); why != "" {
-			broken.add("%s: %s", strictjson.Excerpt(change.Path), why)
+		if problem := edited.apply(change); problem != "" {
+			broken.add("%s: %s", excerpt(change.Path), problem)
 		}
 	}
-	if apiErr := broken.fault(apierror.InvalidChange); apiErr != nil {
+	if apiErr := broken.apiError(apierror.InvalidChange); apiErr != nil {
 		return nil, apiErr
 	}
-	if apiErr := e.sheet.check(sortedNames(e.tenants)); apiErr != nil {
+	if apiErr := edited.sheet.check(sortedNames(edited.changedTenants)); apiErr != nil {
 		return nil, apiErr
 	}
-	return &e.sheet, nil
+	return &edited.sheet, nil
 }
 
+// editor applies changes to a sheet of which it copies what it writes. Its
+// methods return what is wrong with a change, or an empty text.
 type editor struct {
-	sheet  Sheet
-	tables [5]bool
-	// rows are the weights' rows that are the editor's own; tenants those set.
-	rows    map[string]bool
-	tenants map[string]bool
-	seen    map[string]bool
+	sheet Sheet
+	// copiedTables and copiedWeights name the tables and rows of weights that
+	// are the editor's own and may be written.
+	copiedTables  map[string]bool
+	copiedWeights map[string]bool
+	// changedTenants names the tenants that must be checked.
+	changedTenants map[string]bool
+	seen           map[string]bool
 }
 
-func (e *editor) make(change Change) (why string) {
-	c, apiErr := splitPath(change.Path)
-	if apiErr != nil {
-		return strings.TrimPrefix(apiErr.Detail, strconv.Quote(strictjson.Excerpt(change.Path))+": ")
+func newEditor(s *Sheet, changes int) *editor {
+	e := &editor{
+		copiedTables:   make(map[string]bool),
+		copiedWeights:  make(map[string]bool),
+		changedTenants: make(map[string]bool),
+		seen:           make(map[string]bool, changes),
+	}
+	if s != nil {
+		e.sheet = *s
 	}
-	step := c.column == "keys+" || c.column == "keys-"
-	if e.seen[change.Path] && !step {
+	return e
+}
+
+func (e *editor) apply(change Change) (problem string) {
+	path, problem := splitPath(change.Path)
+	if problem != "" {
+		return problem
+	}
+	// A patch may add and remove several keys of one tenant.
+	mayRepeat := path.column == columnAddKey || path.column == columnRemoveKey
+	if e.seen[change.Path] && !mayRepeat {
 		return "given twice"
 	}
 	e.seen[change.Path] = true
-	if change.Delete != (len(change.Value) == 0) {
+	if !change.isComplete() {
 		return "give either a value or delete"
 	}
-	switch c.table {
-	case "services":
-		return e.service(c, change)
-	case "weights":
-		return e.weight(c, change)
-	case "tenants":
-		return e.tenant(c, change)
-	case "routes":
-		return e.route(c, change)
-	case "limits":
-		return e.limits(change)
-	}
-	return e.setting(c, change)
+	switch path.table {
+	case tableServices:
+		return e.editService(path, change)
+	case tableWeights:
+		return e.editWeights(path, change)
+	case tableTenants:
+		return e.editTenant(path, change)
+	case tableRoutes:
+		return editRow(e, path, &e.sheet.Routes, change, routeSchema, "no such route")
+	case tableLimits:
+		return e.editLimits(change)
+	}
+	return editRow(e, path, &e.sheet.Settings, change, strictjson.String, "no such setting")
 }
 
-func own[V any](e *editor, table int, m *map[string]V) {
-	if !e.tables[table] {
-		*m = cloned(*m)
-		e.tables[table] = true
+// makeWritable copies a table before its first change.
+func makeWritable[V any](e *editor, table string, rows *map[string]V) {
+	if !e.copiedTables[table] {
+		*rows = cloned(*rows)
+		e.copiedTables[table] = true
+	}
+}
+
+// editRow sets or deletes a row that is one value.
+func editRow[V any](e *editor, path cellPath, rows *map[string]V, change Change, schema *strictjson.Schema, unknown string) string {
+	if _, known := (*rows)[path.row]; !known && change.Delete {
+		return unknown
+	}
+	makeWritable(e, path.table, rows)
+	if change.Delete {
+		delete(*rows, path.row)
+		return ""
 	}
+	var row V
+	if problem := decodeValue(change.Value, schema, &row); problem != "" {
+		return problem
+	}
+	(*rows)[path.row] = row
+	return ""
 }
 
-func (e *editor) service(c cellPath, change Change) string {
-	service, known := e.sheet.Services[c.row]
-	if !known && (c.column != "" || change.Delete) {
+func (e *editor) editService(path cellPath, change Change) string {
+	service, known := e.sheet.Services[path.row]
+	if !known && (path.column != "" || change.Delete) {
 		return "no such service; a new one is set as a whole row"
 	}
-	own(e, 0, &e.sheet.Services)
-	switch {
-	case c.column == "" && change.Delete:
-		delete(e.sheet.Services, c.row)
+	makeWritable(e, tableServices, &e.sheet.Services)
+	if path.column == "" && change.Delete {
+		delete(e.sheet.Services, path.row)
 		return ""
-	case c.column == "":
-		service = Service{}
-		if why := typed(change.Value, rowSchemas["services"], &service); why != "" {
-			return why
-		}
-	case c.column == "kind" && !change.Delete:
-		if why := typed(change.Value, strictjson.String, &service.Kind); why != "" {
-			return why
-		}
-	case c.column == "plain_tokens" && change.Delete:
-		service.PlainTokens = 0
-	case c.column == "plain_tokens":
-		if why := typed(change.Value, strictjson.Number, &service.PlainTokens); why != "" {
-			return why
-		}
-	default:
-		return "it can't be deleted"
 	}
-	e.sheet.Services[c.row] = service
+	if problem := service.edit(path.column, change); problem != "" {
+		return problem
+	}
+	e.sheet.Services[path.row] = service
 	return ""
 }
 
-func (e *editor) weight(c cellPath, change Change) string {
-	row, known := e.sheet.Weights[c.row]
+// edit sets or clears a column; the empty column is the whole row.
+func (s *Service) edit(column string, change Change) (problem string) {
+	switch {
+	case column == "":
+		*s = Service{}
+		return decodeValue(change.Value, serviceSchema, s)
+	case column == columnPlainTokens && change.Delete:
+		s.PlainTokens = 0
+		return ""
+	case column == columnPlainTokens:
+		return decodeValue(change.Value, strictjson.Number, &s.PlainTokens)
+	case column == columnKind && !change.Delete:
+		return decodeValue(change.Value, strictjson.String, &s.Kind)
+	}
+	return cannotDelete
+}
+
+// cannotDelete is what is wrong with deleting a cell that every row has.
+const cannotDelete = "it can't be deleted"
+
+func (e *editor) editWeights(path cellPath, change Change) string {
+	weights, known := e.sheet.Weights[path.row]
 	if change.Delete {
-		if _, there := row[c.column]; !known || c.column != "" && !there {
+		if _, hasRegion := weights[path.column]; !known || path.column != "" && !hasRegion {
 			return "no such cell"
 		}
 	}
-	own(e, 1, &e.sheet.Weights)
-	if c.column == "" && change.Delete {
-		delete(e.sheet.Weights, c.row)
-		return ""
+	makeWritable(e, tableWeights, &e.sheet.Weights)
+	if path.column == "" {
+		return e.editAllWeights(path.row, change)
 	}
-	if c.column == "" {
-		fresh := make(map[string]float64)
-		if why := typed(change.Value, rowSchemas["weights"], &fresh); why != "" {
-			return why
-		}
-		e.sheet.Weights[c.row], e.rows[c.row] = fresh, true
+	if !e.copiedWeights[path.row] || weights == nil {
+		weights = cloned(weights)
+		e.sheet.Weights[path.row] = weights
+		e.copiedWeights[path.row] = true
+	}
+	if change.Delete {
+		delete(weights, path.column)
 		return ""
 	}
-	if !e.rows[c.row] || row == nil {
-		row = cloned(row)
-		e.sheet.Weights[c.row], e.rows[c.row] = row, true
+	var weight float64
+	if problem := decodeValue(change.Value, strictjson.Number, &weight); problem != "" {
+		return problem
 	}
+	weights[path.column] = weight
+	return ""
+}
+
+// editAllWeights sets or deletes all the weights of a service.
+func (e *editor) editAllWeights(service string, change Change) string {
 	if change.Delete {
-		delete(row, c.column)
+		delete(e.sheet.Weights, service)
 		return ""
 	}
-	var weight float64
-	if why := typed(change.Value, strictjson.Number, &weight); why != "" {
-		return why
+	weights := make(map[string]float64)
+	if problem := decodeValue(change.Value, weightsSchema, &weights); problem != "" {
+		return problem
 	}
-	row[c.column] = weight
+	e.sheet.Weights[service] = weights
+	e.copiedWeights[service] = true
 	return ""
 }
 
-func (e *editor) tenant(c cellPath, change Change) string {
-	tenant, known := e.sheet.Tenants[c.row]
-	if !known && (c.column != "" || change.Delete) {
+func (e *editor) editTenant(path cellPath, change Change) string {
+	tenant, known := e.sheet.Tenants[path.row]
+	if !known && (path.column != "" || change.Delete) {
 		return "no such tenant; a new one is set as a whole row"
 	}
-	own(e, 2, &e.sheet.Tenants)
-	if c.column == "" && change.Delete {
-		delete(e.sheet.Tenants, c.row)
-		delete(e.tenants, c.row)
+	makeWritable(e, tableTenants, &e.sheet.Tenants)
+	if path.column == "" && change.Delete {
+		delete(e.sheet.Tenants, path.row)
+		delete(e.changedTenants, path.row)
 		return ""
 	}
-	why := ""
+	problem := ""
 	if change.Delete {
-		switch c.column {
-		case "burst":
-			tenant.Burst = 0
-		case "home":
-			tenant.Home = ""
-		case "keys":
-			tenant.KeyHashes = nil
-		default:
-			return "it can't be deleted"
-		}
+		problem = tenant.clear(path.column)
 	} else {
-		switch c.column {
-		case "":
-			tenant = Tenant{}
-			why = typed(change.Value, rowSchemas["tenants"], &tenant)
-		case "rate":
-			why = typed(change.Value, strictjson.Number, &tenant.Rate)
-		case "burst":
-			why = typed(change.Value, strictjson.Number, &tenant.Burst)
-		case "home":
-			why = typed(change.Value, strictjson.String, &tenant.Home)
-		case "keys":
-			tenant.KeyHashes = nil
-			why = typed(change.Value, strictjson.StringList, &tenant.KeyHashes)
-		case "keys+", "keys-":
-			tenant.KeyHashes, why = stepKeys(tenant.KeyHashes, c.column, change.Value)
-		}
+		problem = tenant.set(path.column, change.Value)
 	}
-	if why == "" {
-		e.sheet.Tenants[c.row], e.tenants[c.row] = tenant, true
+	if problem == "" {
+		e.sheet.Tenants[path.row] = tenant
+		e.changedTenants[path.row] = true
 	}
-	return why
+	return problem
 }
 
-func stepKeys(hashes []string, column string, value json.RawMessage) ([]string, string) {
-	var hash string
-	if why := typed(value, strictjson.String, &hash); why != "" {
-		return hashes, why
+// clear empties a column.
+func (t *Tenant) clear(column string) (problem string) {
+	switch column {
+	case columnBurst:
+		t.Burst = 0
+	case columnHome:
+		t.Home = ""
+	case columnKeys:
+		t.KeyHashes = nil
+	default:
+		return cannotDelete
 	}
-	at := slices.Index(hashes, hash)
-	switch {
-	case column == "keys+" && at >= 0:
-		return hashes, "the key is there already"
-	case column == "keys+":
-		return append(slices.Clip(hashes), hash), ""
-	case at < 0:
-		return hashes, "no such key"
-	}
-	return slices.Concat(hashes[:at], hashes[at+1:]), ""
+	return ""
 }
 
-func (e *editor) route(c cellPath, change Change) string {
-	if _, known := e.sheet.Routes[c.row]; !known && change.Delete {
-		return "no such route"
+// set sets a column; the empty column is the whole row.
+func (t *Tenant) set(column string, value json.RawMessage) (problem string) {
+	switch column {
+	case "":
+		*t = Tenant{}
+		return decodeValue(value, tenantSchema, t)
+	case columnRate:
+		return decodeValue(value, strictjson.Number, &t.Rate)
+	case columnBurst:
+		return decodeValue(value, strictjson.Number, &t.Burst)
+	case columnHome:
+		return decodeValue(value, strictjson.String, &t.Home)
+	case columnKeys:
+		// The array is shared with the sheet before: it must not be decoded into.
+		t.KeyHashes = nil
+		return decodeValue(value, strictjson.StringList, &t.KeyHashes)
+	case columnAddKey:
+		return t.addKey(value)
+	case columnRemoveKey:
+		return t.removeKey(value)
 	}
-	own(e, 4, &e.sheet.Routes)
-	if change.Delete {
-		delete(e.sheet.Routes, c.row)
-		return ""
+	return ""
+}
+
+func (t *Tenant) addKey(value json.RawMessage) (problem string) {
+	var hash string
+	if problem := decodeValue(value, strictjson.String, &hash); problem != "" {
+		return problem
 	}
-	var route Route
-	if why := typed(change.Value, rowSchemas["routes"], &route); why != "" {
-		return why
+	if slices.Contains(t.KeyHashes, hash) {
+		return "the key is there already"
 	}
-	e.sheet.Routes[c.row] = route
+	t.KeyHashes = append(slices.Clip(t.KeyHashes), hash)
 	return ""
 }
 
-func (e *editor) limits(change Change) string {
-	if change.Delete {
-		e.sheet.Limits = nil
-		return ""
+func (t *Tenant) removeKey(value json.RawMessage) (problem string) {
+	var hash string
+	if problem := decodeValue(value, strictjson.String, &hash); problem != "" {
+		return problem
 	}
-	var limits ClientLimits
-	if why := typed(change.Value, rowSchemas["limits"], &limits); why != "" {
-		return why
+	at := slices.Index(t.KeyHashes, hash)
+	if at < 0 {
+		return "no such key"
 	}
-	e.sheet.Limits = &limits
+	t.KeyHashes = slices.Concat(t.KeyHashes[:at], t.KeyHashes[at+1:])
 	return ""
 }
 
-func (e *editor) setting(c cellPath, change Change) string {
-	if _, known := e.sheet.Settings[c.row]; !known && change.Delete {
-		return "no such setting"
-	}
-	own(e, 3, &e.sheet.Settings)
+func (e *editor) editLimits(change Change) string {
 	if change.Delete {
-		delete(e.sheet.Settings, c.row)
+		e.sheet.Limits = nil
 		return ""
 	}
-	var value string
-	if why := typed(change.Value, strictjson.String, &value); why != "" {
-		return why
+	var limits ClientLimits
+	if problem := decodeValue(change.Value, limitsSchema, &limits); problem != "" {
+		return problem
 	}
-	e.sheet.Settings[c.row] = value
+	e.sheet.Limits = &limits
 	return ""
 }
 
-func typed(value json.RawMessage, schema *strictjson.Schema, into any) string {
+// decodeValue decodes the JSON of one cell or row, or returns what is wrong
+// with it.
+func decodeValue(value json.RawMessage, schema *strictjson.Schema, into any) (problem string) {
 	if apiErr := strictjson.Validate(value, schema, apierror.InvalidChange); apiErr != nil {
 		return apiErr.Detail
 	}
@@ -401,11 +309,3 @@
 	}
 	return ""
 }
-
-// cloned returns a copy of a table that may be written; of nil, an empty one.
-func cloned[V any](table map[string]V) map[string]V {
-	if table == nil {
-		return make(map[string]V)
-	}
-	return maps.Clone(table)
-}
--- a/internal/decision/sheet/patch_test.go
+++ b/internal/decision/sheet/patch_test.go
@@ -18,10 +18,11 @@
 		}
 		edited := *base
 		edited.Tenants = cloned(base.Tenants)
-		e := editor{sheet: edited, tables: [5]bool{2: true}, rows: map[string]bool{}, tenants: map[string]bool{}, seen: map[string]bool{}}
+		e := editor{sheet: edited, copiedTables: map[string]bool{tableTenants: true}, copiedWeights: map[string]bool{},
+			changedTenants: map[string]bool{}, seen: map[string]bool{}}
 		twice := ""
 		for _, change := range changes {
-			twice += e.make(change)
+			twice += e.apply(change)
 		}
 		sound := twice == "" && e.sheet.Check() == nil
 		if _, apiErr := base.Patch(changes); (apiErr == nil) != sound {
--- a/internal/decision/sheet/routes_test.go
+++ b/internal/decision/sheet/routes_test.go
@@ -102,7 +102,7 @@
 	Convey("Routes and limits are set and deleted as whole rows", t, func() {
 		set, apiErr := ParseChange(`routes.new={"host":"h","prefix":"/n/","kind":"safe","timeout_ms":5,"splits":[{"service":"desk","weight":1}]}`)
 		So(apiErr, ShouldBeNil)
-		patched, apiErr := full.Patch([]Change{set, {Path: "routes.map", Delete: true}, {Path: limitsCell, Delete: true}})
+		patched, apiErr := full.Patch([]Change{set, {Path: "routes.map", Delete: true}, {Path: limitsPath, Delete: true}})
 		So(apiErr, ShouldBeNil)
 		So(patched.Routes["new"].Prefix, ShouldEqual, "/n/")
 		So(patched.Routes, ShouldNotContainKey, "map")
--- a/internal/decision/sheet/schema.go
+++ b/internal/decision/sheet/schema.go
@@ -81,13 +81,3 @@
 		"origin":            strictjson.Opaque,
 	})
 )
-
-// rowSchemas has the tables whose rows are JSON values of their own: all but
-// the settings, whose cells are strings.
-var rowSchemas = map[string]*strictjson.Schema{
-	tableServices: serviceSchema,
-	tableWeights:  weightsSchema,
-	tableTenants:  tenantSchema,
-	tableRoutes:   routeSchema,
-	tableLimits:   limitsSchema,
-}
