--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -26,29 +26,29 @@
 
 // cores stands in for the cores: one state in memory, asked by one goroutine.
 type cores struct {
-	state   statemachine.State
-	pending bool
-	silent  bool
-	asked   []*wire.OrderRequest
+	state        statemachine.State
+	pending      bool
+	unresponsive bool
+	requests     []*wire.OrderRequest
 }
 
 func (c *cores) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
-	c.asked = append(c.asked, req)
-	if c.silent {
+	c.requests = append(c.requests, req)
+	if c.unresponsive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	switch req.Verb {
 	case "get":
-		return told(apierror.OK, map[string]any{"epoch": c.state.Version, "sheet_epoch": c.state.SheetVersion, "sheet": c.state.Sheet}), nil
+		return responseOf(apierror.OK, map[string]any{"epoch": c.state.Version, "sheet_epoch": c.state.SheetVersion, "sheet": c.state.Sheet}), nil
 	case "history":
 		return nil, apierror.Errorf(apierror.NoMajority, "1 of 3 cores answered").WithRetryAfter(1500 * time.Millisecond)
 	case "status":
-		return told(apierror.OK, map[string]any{"epoch": c.state.Version, "in_force": true}), nil
+		return responseOf(apierror.OK, map[string]any{"epoch": c.state.Version, "in_force": true}), nil
 	}
 	command, apiErr := statemachine.ParseOrder(req.Verb, req.Operator, req.Body, statemachine.OrderLimits{MaxBytes: 1 << 20}, 1790000000000)
 	if apiErr != nil {
-		return told(apiErr.Code, apiErr.Body("")), nil
+		return responseOf(apiErr.Code, apiErr.Body("")), nil
 	}
 	order, _ := statemachine.OrderOf(command)
 	result, sure := c.state.Predict(command)
@@ -58,13 +58,13 @@
 	if apiErr := result.APIError(); apiErr != nil {
 		body := apiErr.Body("")
 		body.Version = result.Version
-		return told(apiErr.Code, body), nil
+		return responseOf(apiErr.Code, body), nil
 	}
 	if c.pending {
 		c.pending = false
 		return nil, apierror.Errorf(apierror.OutcomePending, "waiting for front-4").WithRetryAfter(time.Second)
 	}
-	return told(apierror.OK, map[string]any{"epoch": result.Version, "sheet_epoch": result.SheetVersion, "in_force": true, "order_id": order.OrderID}), nil
+	return responseOf(apierror.OK, map[string]any{"epoch": result.Version, "sheet_epoch": result.SheetVersion, "in_force": true, "order_id": order.OrderID}), nil
 }
 
 func (c *cores) Inspect(_ context.Context, what, argument string) (apierror.Code, []byte) {
@@ -74,7 +74,7 @@
 	return apierror.OK, []byte(fmt.Sprintf(`{"asked":%q,"argument":%q}`, what, argument))
 }
 
-func told(code apierror.Code, body any) *wire.OrderResponse {
+func responseOf(code apierror.Code, body any) *wire.OrderResponse {
 	data, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
@@ -82,11 +82,11 @@
 	return &wire.OrderResponse{Code: uint32(code), Body: data}
 }
 
-func serve(t *testing.T, c *cores, config Config) *httptest.Server {
+func startServer(t *testing.T, c *cores, config Config) *httptest.Server {
 	ids := 0
-	config.From, config.NewID = "front-1", func() string { ids++; return fmt.Sprintf("made-%d", ids) }
+	config.NodeName, config.NewOrderID = "front-1", func() string { ids++; return fmt.Sprintf("made-%d", ids) }
 	config.Operators = []string{"ada:" + sheet.HashKey("ada's key"), "bola:" + sheet.HashKey("bola's key")}
-	config.Setting = func(name, value string) error {
+	config.ValidateSetting = func(name, value string) error {
 		if name != "route.strategy" {
 			return fmt.Errorf("no such setting")
 		}
@@ -119,11 +119,11 @@
 
 const firstSheet = `{"services":{"chat":{"kind":"model"}},"weights":{"chat":{"lagos":60,"abeokuta":40}},"tenants":{"press":{"rate":1000}}}`
 
-func TestTranscript(t *testing.T) {
-	c := &cores{}
-	server := serve(t, c, Config{SheetMax: 600})
+func TestExchangeTranscript(t *testing.T) {
+	control := &cores{}
+	server := startServer(t, control, Config{MaxSheetBytes: 600})
 	var out bytes.Buffer
-	say := func(who, method, path, body string) {
+	record := func(who, method, path, body string) {
 		resp, text := call(server, who, method, path, body)
 		fmt.Fprintf(&out, "%s: %s %s %s\n%d %s", who, method, path, body, resp.StatusCode, text)
 		for _, name := range []string{"Retry-After", "Allow"} {
@@ -133,48 +133,48 @@
 		}
 		fmt.Fprint(&out, "\n\n")
 	}
-	say("ada", "PUT", "/v1/control/sheet", `{"order_id":"first","base":0,"sheet":`+firstSheet+`}`)
-	say("ada", "GET", "/v1/control/sheet", "")
-	say("ada", "PATCH", "/v1/control/sheet", `{"base":1,"changes":[{"path":"weights.chat.lagos","value":50}]}`)
-	say("bola", "PATCH", "/v1/control/sheet", `{"base":1,"changes":[{"path":"weights.chat.lagos","value":55}]}`)
-	c.pending = true
-	say("bola", "PATCH", "/v1/control/sheet", `{"base":2,"changes":[{"path":"weights.chat.lagos","value":55}]}`)
-	say("bola", "PATCH", "/v1/control/sheet", `{"base":2,"changes":[{"path":"weights.chat.lagos","value":55}]}`)
+	record("ada", "PUT", "/v1/control/sheet", `{"order_id":"first","base":0,"sheet":`+firstSheet+`}`)
+	record("ada", "GET", "/v1/control/sheet", "")
+	record("ada", "PATCH", "/v1/control/sheet", `{"base":1,"changes":[{"path":"weights.chat.lagos","value":50}]}`)
+	record("bola", "PATCH", "/v1/control/sheet", `{"base":1,"changes":[{"path":"weights.chat.lagos","value":55}]}`)
+	control.pending = true
+	record("bola", "PATCH", "/v1/control/sheet", `{"base":2,"changes":[{"path":"weights.chat.lagos","value":55}]}`)
+	record("bola", "PATCH", "/v1/control/sheet", `{"base":2,"changes":[{"path":"weights.chat.lagos","value":55}]}`)
 	for _, verb := range []string{"evacuate", "evacuate", "restore", "evacuate"} {
-		say("ada", "POST", "/v1/control/"+verb, `{"locality":"lagos/a"}`)
-	}
-	say("ada", "POST", "/v1/control/evacuate", `{"order_id":"again","locality":"lagos/b"}`)
-	say("ada", "POST", "/v1/control/evacuate", `{"order_id":"again","locality":"lagos/b"}`)
-	say("ada", "POST", "/v1/control/evacuate", `{"order_id":"again","locality":"lagos/c"}`)
-	say("ada", "POST", "/v1/control/members/remove", `{"names":["front-9"]}`)
-	say("ada", "GET", "/v1/control/history", "")
-	say("ada", "GET", "/v1/control/status", "")
-	say("ada", "GET", "/v1/control/tally?tenant=press", "")
-	say("ada", "GET", "/v1/control/explain/sw-1", "")
-	relayed := len(c.asked)
+		record("ada", "POST", "/v1/control/"+verb, `{"locality":"lagos/a"}`)
+	}
+	record("ada", "POST", "/v1/control/evacuate", `{"order_id":"again","locality":"lagos/b"}`)
+	record("ada", "POST", "/v1/control/evacuate", `{"order_id":"again","locality":"lagos/b"}`)
+	record("ada", "POST", "/v1/control/evacuate", `{"order_id":"again","locality":"lagos/c"}`)
+	record("ada", "POST", "/v1/control/members/remove", `{"names":["front-9"]}`)
+	record("ada", "GET", "/v1/control/history", "")
+	record("ada", "GET", "/v1/control/status", "")
+	record("ada", "GET", "/v1/control/tally?tenant=press", "")
+	record("ada", "GET", "/v1/control/explain/sw-1", "")
+	relayed := len(control.requests)
 
-	say("", "GET", "/v1/control/sheet", "")
-	say("eve", "GET", "/v1/control/sheet", "")
-	say("ada", "GET", "/v1/control/explain/nobody", "")
-	say("ada", "GET", "/v1/control/explain/a/b", "")
-	say("ada", "GET", "/v1/control/tally?tenants=press", "")
-	say("ada", "GET", "/v1/control/sheets", "")
-	say("ada", "POST", "/v1/control/sheet", "{}")
-	say("ada", "PUT", "/v1/control/sheet", `{"base":3,"sheet":{"services":{"chat":{"kind":"model"}},"weights":{"chat":{"lagos":-5}}}}`)
-	say("ada", "PUT", "/v1/control/sheet", `{"base":3,"sheet":{"services":{},"plans":{}}}`)
-	say("ada", "PUT", "/v1/control/sheet", `{"base":3,"sheet":`+firstSheet)
-	say("ada", "PUT", "/v1/control/sheet", `{"base":3,"sheet":`+firstSheet+strings.Repeat(" ", 600)+`}`)
-	say("ada", "PATCH", "/v1/control/sheet", `{"base":3,"changes":[{"path":"settings.log.levle","value":"debug"}]}`)
-	say("ada", "PATCH", "/v1/control/sheet", `{"base":3,"base":4,"changes":[]}`)
-	say("ada", "PATCH", "/v1/control/sheet", `{"changes":[]}`)
-	say("ada", "POST", "/v1/control/evacuate", `{"zone":"lagos/a"}`)
-	if len(c.asked) != relayed {
-		t.Errorf("%d calls that had to be refused here were relayed", len(c.asked)-relayed)
+	record("", "GET", "/v1/control/sheet", "")
+	record("eve", "GET", "/v1/control/sheet", "")
+	record("ada", "GET", "/v1/control/explain/nobody", "")
+	record("ada", "GET", "/v1/control/explain/a/b", "")
+	record("ada", "GET", "/v1/control/tally?tenants=press", "")
+	record("ada", "GET", "/v1/control/sheets", "")
+	record("ada", "POST", "/v1/control/sheet", "{}")
+	record("ada", "PUT", "/v1/control/sheet", `{"base":3,"sheet":{"services":{"chat":{"kind":"model"}},"weights":{"chat":{"lagos":-5}}}}`)
+	record("ada", "PUT", "/v1/control/sheet", `{"base":3,"sheet":{"services":{},"plans":{}}}`)
+	record("ada", "PUT", "/v1/control/sheet", `{"base":3,"sheet":`+firstSheet)
+	record("ada", "PUT", "/v1/control/sheet", `{"base":3,"sheet":`+firstSheet+strings.Repeat(" ", 600)+`}`)
+	record("ada", "PATCH", "/v1/control/sheet", `{"base":3,"changes":[{"path":"settings.log.levle","value":"debug"}]}`)
+	record("ada", "PATCH", "/v1/control/sheet", `{"base":3,"base":4,"changes":[]}`)
+	record("ada", "PATCH", "/v1/control/sheet", `{"changes":[]}`)
+	record("ada", "POST", "/v1/control/evacuate", `{"zone":"lagos/a"}`)
+	if len(control.requests) != relayed {
+		t.Errorf("%d calls that had to be refused here were relayed", len(control.requests)-relayed)
 	}
 	goldie.New(t).Assert(t, "exchange", out.Bytes())
 }
 
-func TestBounds(t *testing.T) {
+func TestCallsAreBoundedAndDeclaredOnce(t *testing.T) {
 	Convey("Every call is declared whole, and once", t, func() {
 		seen := map[string]bool{}
 		for _, call := range Routes() {
@@ -186,10 +186,10 @@
 		}
 	})
 	Convey("A body too large is refused, told or not how large it is", t, func() {
-		server := serve(t, &cores{}, Config{SheetMax: 100})
+		server := startServer(t, &cores{}, Config{MaxSheetBytes: 100})
 		_, text := call(server, "ada", "PUT", "/v1/control/sheet", strings.Repeat(" ", 101))
 		So(text, ShouldContainSubstring, `"code":4004`)
-		req, _ := http.NewRequest("POST", server.URL+"/v1/control/evacuate", io.MultiReader(strings.NewReader("{"), strings.NewReader(strings.Repeat(" ", smallBody))))
+		req, _ := http.NewRequest("POST", server.URL+"/v1/control/evacuate", io.MultiReader(strings.NewReader("{"), strings.NewReader(strings.Repeat(" ", maxOrderBytes))))
 		req.Header.Set("Authorization", "Bearer ada's key")
 		resp, err := server.Client().Do(req)
 		So(err, ShouldBeNil)
@@ -199,7 +199,7 @@
 		So(text, ShouldContainSubstring, `"code":1014`)
 	})
 	Convey("A slow sender is cut off within the bound of time", t, func() {
-		server := serve(t, &cores{}, Config{BodyTimeout: 50 * time.Millisecond})
+		server := startServer(t, &cores{}, Config{BodyTimeout: 50 * time.Millisecond})
 		conn, err := net.Dial("tcp", server.Listener.Addr().String())
 		So(err, ShouldBeNil)
 		defer conn.Close()
@@ -211,7 +211,7 @@
 		So(string(answer), ShouldContainSubstring, `"code":1012`)
 	})
 	Convey("An order that no core answers is pending under its id; a read says so", t, func() {
-		server := serve(t, &cores{silent: true}, Config{OrderWait: 30 * time.Millisecond})
+		server := startServer(t, &cores{unresponsive: true}, Config{OrderTimeout: 30 * time.Millisecond})
 		_, text := call(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`)
 		So(text, ShouldContainSubstring, `"code":4002`)
 		So(text, ShouldContainSubstring, `"order_id":"made-1"`)
@@ -222,9 +222,9 @@
 		So(text, ShouldContainSubstring, `"fleet_fault":{"code":5001`)
 	})
 	Convey("Orders over the bound are told to come back", t, func() {
-		c := &cores{silent: true}
-		api := New(Config{Operators: []string{"ada:" + sheet.HashKey("ada's key")}, OrdersMax: 1}, c, c, clock.System(), events.Discard)
-		api.ordering <- struct{}{}
+		c := &cores{unresponsive: true}
+		api := New(Config{Operators: []string{"ada:" + sheet.HashKey("ada's key")}, MaxOrders: 1}, c, c, clock.System(), events.Discard)
+		api.orderSlots <- struct{}{}
 		server := httptest.NewServer(api)
 		defer server.Close()
 		resp, text := call(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`)
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -140,9 +140,9 @@
 	}
 	p.peer = &peer{directory: p.directory, follower: p.follower, spend: p.spend, inspector: inspect, replica: p.replica, core: p.core}
 	control := controlapi.New(controlapi.Config{
-		Operators: p.values.Strings("operator.keys"), SheetMax: int64(p.values.Int("sheet.max")),
-		BodyTimeout: p.values.Duration("body.timeout"), From: p.base.Name,
-		Setting: settings.CheckRuntime,
+		Operators: p.values.Strings("operator.keys"), MaxSheetBytes: int64(p.values.Int("sheet.max")),
+		BodyTimeout: p.values.Duration("body.timeout"), NodeName: p.base.Name,
+		ValidateSetting: settings.CheckRuntime,
 	}, orders, inspect, p.clock, p.log)
 	var err error
 	var standing func() string
