--- a/internal/cli/docs.go
+++ b/internal/cli/docs.go
@@ -52,15 +52,15 @@
 A size is a number of bytes or has a unit (KiB, MiB, GiB). A duration has a unit (500ms, 2s). A list is a YAML sequence,
 or text separated by commas.
 
-| Setting | Type | Default | Allowed | Run time | Help |
-|---|---|---|---|---|---|
+| Setting | Type | Unit | Default | Allowed | Run time | Help |
+|---|---|---|---|---|---|---|
 `)
 	for _, row := range settings.Table {
 		runtime := ""
 		if row.Runtime {
 			runtime = "yes"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", row.Name, row.Type, code(row.Default), row.Rule, runtime, row.Help)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %s |\n", row.Name, row.Type, row.Unit, code(row.Default), row.Rule, runtime, row.Help)
 	}
 	return b.String()
 }
--- a/internal/cli/sheetput.go
+++ b/internal/cli/sheetput.go
@@ -144,7 +144,7 @@
 	if err := json.Unmarshal(change.Value, &value); err != nil {
 		return apierror.Errorf(apierror.InvalidChange, "%s: %v", change.Path, err)
 	}
-	if err := settings.CheckRuntime(name, value); err != nil {
+	if err := settings.ValidateRuntime(name, value); err != nil {
 		return apierror.Errorf(apierror.InvalidChange, "%s: %v", change.Path, err)
 	}
 	return nil
--- a/internal/compat/adapt_settings_test.go
+++ b/internal/compat/adapt_settings_test.go
@@ -17,7 +17,7 @@
 	var out strings.Builder
 	for _, row := range settings.Table {
 		fmt.Fprintf(&out, "%s: %s, default %q, bounds %q, run-time %t, secret %t, former %q\n", row.Name, row.Type, row.Default,
-			row.Rule, row.Runtime, row.Secret, row.Former)
+			row.Rule, row.Runtime, row.Secret, row.FormerName)
 	}
 	return out.String()
 }
@@ -34,13 +34,13 @@
 func runtimeSettings() []string { return settings.RuntimeNames() }
 
 // runtimeRefusal tells why a sheet may not set a value, or nil.
-func runtimeRefusal(name, value string) error { return settings.CheckRuntime(name, value) }
+func runtimeRefusal(name, value string) error { return settings.ValidateRuntime(name, value) }
 
 // formerNames returns the names that settings had before.
 func formerNames() (names []string) {
 	for _, row := range settings.Table {
-		if row.Former != "" {
-			names = append(names, row.Former)
+		if row.FormerName != "" {
+			names = append(names, row.FormerName)
 		}
 	}
 	return names
@@ -73,8 +73,8 @@
 	for _, row := range settings.Table {
 		fmt.Fprintf(&out, "%s = %s (%s)\n", row.Name, loaded.Text(row.Name), loaded.Source(row.Name))
 	}
-	for _, name := range slices.Sorted(maps.Keys(loaded.Renamed())) {
-		fmt.Fprintf(&renamed, "%s is now %s\n", name, loaded.Renamed()[name])
+	for _, name := range slices.Sorted(maps.Keys(loaded.FormerNamesUsed())) {
+		fmt.Fprintf(&renamed, "%s is now %s\n", name, loaded.FormerNamesUsed()[name])
 	}
 	return out.String(), renamed.String()
 }
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -142,7 +142,7 @@
 	control := controlapi.New(controlapi.Config{
 		Operators: p.values.Strings("operator.keys"), MaxSheetBytes: int64(p.values.Int("sheet.max")),
 		BodyTimeout: p.values.Duration("body.timeout"), NodeName: p.base.Name,
-		ValidateSetting: settings.CheckRuntime,
+		ValidateSetting: settings.ValidateRuntime,
 	}, orders, inspect, p.clock, p.log)
 	var err error
 	var standing func() string
@@ -171,7 +171,7 @@
 
 // tuned reads what the sheet sets over the settings file.
 func (p *process) tuned(settings map[string]string) front.Tuned {
-	v := p.values.With(settings)
+	v := p.values.WithRuntime(settings)
 	return front.Tuned{
 		DeadlineMax: v.Duration("deadline.max"), DeadlineDefault: v.Duration("deadline.default"),
 		Route: &route.Knobs{
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -189,7 +189,7 @@
 		p.log.Emit(events.ListenerOpened, "listener", "caller", "address", p.caller.Addr().String())
 	}
 	p.log.Emit(events.ListenerOpened, "listener", "internal", "address", p.internal.Addr().String())
-	renamed := p.values.Renamed()
+	renamed := p.values.FormerNamesUsed()
 	for _, former := range slices.Sorted(maps.Keys(renamed)) {
 		p.log.Emit(events.SettingRenamed, "former", former, "name", renamed[former])
 	}
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -1,5 +1,8 @@
 package settings
 
+// The checks of rows get values of the type that the row has, as Row.Check
+// describes; another type is a programmer's error and panics.
+
 import (
 	"encoding/hex"
 	"math"
@@ -30,7 +33,7 @@
 	return nil
 }
 
-func checkPlace(value any) error {
+func checkSheetName(value any) error {
 	if !sheet.ValidName(value.(string)) {
 		return errors.Errorf("%q is not a name of letters, digits, '-' and '_' as sheets have them", value)
 	}
@@ -111,7 +114,7 @@
 	return nil
 }
 
-func atLeastLong(n int) func(any) error {
+func minLength(n int) func(any) error {
 	return func(value any) error {
 		if text := value.(string); len(text) < n && !strings.HasPrefix(text, "@") {
 			return errors.Errorf("must have at least %d characters", n)
@@ -120,7 +123,7 @@
 	}
 }
 
-func atLeast(low int) func(any) error {
+func minInt(low int) func(any) error {
 	return func(value any) error {
 		if value.(int) < low {
 			return errors.Errorf("%d is under %d", value, low)
@@ -129,7 +132,7 @@
 	}
 }
 
-func counted(low, high int) func(any) error {
+func intBetween(low, high int) func(any) error {
 	return func(value any) error {
 		if n := value.(int); n < low || n > high {
 			return errors.Errorf("%d is not within %d to %d", n, low, high)
@@ -138,7 +141,7 @@
 	}
 }
 
-func sized(low, high int) func(any) error {
+func sizeBetween(low, high int) func(any) error {
 	return func(value any) error {
 		if n := value.(int); n < low || n > high {
 			return errors.Errorf("%s is not within %s to %s", FormatSize(n), FormatSize(low), FormatSize(high))
@@ -147,7 +150,7 @@
 	}
 }
 
-func between(low, high float64) func(any) error {
+func floatBetween(low, high float64) func(any) error {
 	return func(value any) error {
 		if f := value.(float64); !(f >= low && f <= high) {
 			if low == math.SmallestNonzeroFloat64 {
@@ -159,7 +162,7 @@
 	}
 }
 
-func within(low, high time.Duration) func(any) error {
+func durationBetween(low, high time.Duration) func(any) error {
 	return func(value any) error {
 		if d := value.(time.Duration); d < low || d > high {
 			return errors.Errorf("%s is not within %s to %s", d, low, high)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -41,13 +41,13 @@
 
 const hash = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 
-func TestFormerNames(t *testing.T) {
+func TestFormerNamesWorkAndAreReported(t *testing.T) {
 	Convey("A name that a setting had before works in the file and as a flag, and is told", t, func() {
 		values, problems := Read("s.yaml", []byte("grant: {ttl: 1s}\n"), flagsOf("--grant.renew=300ms"), "")
 		So(problems, ShouldBeEmpty)
 		So(values.Duration("lease.ttl"), ShouldEqual, time.Second)
 		So(values.Duration("lease.renew"), ShouldEqual, 300*time.Millisecond)
-		So(values.Renamed(), ShouldResemble, map[string]string{"grant.ttl": "lease.ttl"})
+		So(values.FormerNamesUsed(), ShouldResemble, map[string]string{"grant.ttl": "lease.ttl"})
 	})
 	Convey("Beside the new name it is the same setting set twice", t, func() {
 		_, problems := Read("s.yaml", []byte("lease.ttl: 1s\ngrant.ttl: 1s\n"), nil, "")
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestTable(t *testing.T) {
+func TestDefaultsPassTheirChecks(t *testing.T) {
 	Convey("Every default passes its own check, and names are unique", t, func() {
 		seen := map[string]bool{}
 		for _, row := range Table {
@@ -66,11 +66,12 @@
 			So(err, ShouldBeNil)
 			So(row.Help, ShouldEndWith, ".")
 			So(row.Check == nil, ShouldEqual, row.Rule == "")
+			So(row.Unit != "", ShouldEqual, row.Type == Int || row.Type == Float)
 		}
 	})
 }
 
-func TestRead(t *testing.T) {
+func TestReadReportsAllProblemsAtOnce(t *testing.T) {
 	Convey("File over default, flag over file, nested and dotted names alike", t, func() {
 		values, problems := Read("s.yaml", []byte(good), flagsOf("--lease.renew=300ms", "--seeds", "127.0.0.4:1", "--seeds", "127.0.0.5:1"), RoleCore)
 		So(problems, ShouldBeEmpty)
@@ -163,19 +164,19 @@
 	})
 }
 
-func TestRuntime(t *testing.T) {
+func TestSheetMaySetRuntimeSettingsOnly(t *testing.T) {
 	Convey("A sheet may set run-time settings only, within their checks", t, func() {
-		So(CheckRuntime("route.strategy", "least_loaded"), ShouldBeNil)
+		So(ValidateRuntime("route.strategy", "least_loaded"), ShouldBeNil)
 		for _, bad := range [][3]string{
 			{"route.strategy", "best", `"best" is none of affinity, round_robin, least_loaded`},
 			{"lease.ttl", "1s", "can't change while the fleet runs; set it in the settings file"},
 			{"route.pendin", "1", "unknown setting; did you mean route.pending?"},
 			{"route.pending", "-1", "-1 is not within 0 to 100000"},
 		} {
-			So(CheckRuntime(bad[0], bad[1]), ShouldBeError, bad[2])
+			So(ValidateRuntime(bad[0], bad[1]), ShouldBeError, bad[2])
 		}
 		values, _ := Read("", nil, nil, "")
-		changed := values.With(map[string]string{"retry.budget": "0.5", "lease.ttl": "1s"})
+		changed := values.WithRuntime(map[string]string{"retry.budget": "0.5", "lease.ttl": "1s"})
 		So(changed.Float("retry.budget"), ShouldEqual, 0.5)
 		So(changed.Source("retry.budget"), ShouldEqual, "sheet")
 		So(changed.Duration("lease.ttl"), ShouldEqual, 2*time.Second)
@@ -184,7 +185,7 @@
 	})
 }
 
-func TestParse(t *testing.T) {
+func TestParseSize(t *testing.T) {
 	Convey("Sizes have units and don't overflow", t, func() {
 		for text, want := range map[string]int{"0": 0, "65536": 65536, "64KiB": 64 << 10, "4 MiB": 4 << 20, "1GiB": 1 << 30} {
 			value, err := Size.parse(text)
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -2,13 +2,38 @@
 
 import (
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"time"
 
 	"github.com/pkg/errors"
 )
 
+// Sources of a setting's value.
+const (
+	SourceDefault = "default"
+	SourceFile    = "file"
+	SourceFlag    = "flag"
+	SourceSheet   = "sheet"
+)
+
+// redacted is printed in place of a secret.
+const redacted = "****"
+
+// Values are the settings of one process. They are immutable.
+type Values struct {
+	typed       map[string]any
+	source      map[string]string
+	formerNames map[string]string
+}
+
+// FormerNamesUsed returns the former names that the settings file uses, each
+// with the current one.
+func (v *Values) FormerNamesUsed() map[string]string { return v.formerNames }
+
+// get returns a setting of a type. It panics on a name that the table doesn't
+// have with that type, which is a programmer's error.
 func get[T any](v *Values, name string) T {
 	value, ok := v.typed[name].(T)
 	if !ok {
@@ -36,26 +61,22 @@
 // Strings returns a setting of type list; it must not be changed.
 func (v *Values) Strings(name string) []string { return get[[]string](v, name) }
 
-// Source tells where a setting comes from: default, file, flag or sheet.
+// Source returns where a setting's value comes from: SourceDefault, SourceFile,
+// SourceFlag or SourceSheet.
 func (v *Values) Source(name string) string { return v.source[name] }
 
-// Text returns a setting's value as text; a secret gives asterisks.
+// Text returns a setting's value as text; asterisks for a secret.
 func (v *Values) Text(name string) string {
-	row, ok := Lookup(name)
-	if !ok {
+	row, known := Lookup(name)
+	if !known {
 		return ""
 	}
+	if row.Secret && !v.isEmpty(name) {
+		return redacted
+	}
 	switch value := v.typed[name].(type) {
 	case []string:
-		if row.Secret && len(value) > 0 {
-			return "****"
-		}
 		return strings.Join(value, ",")
-	case string:
-		if row.Secret && value != "" {
-			return "****"
-		}
-		return value
 	case int:
 		if row.Type == Size {
 			return FormatSize(value)
@@ -64,13 +85,13 @@
 	return fmt.Sprint(v.typed[name])
 }
 
-// CheckRuntime tells whether a sheet may set a setting to a value. The error
-// is the reason why not, without the name.
-func CheckRuntime(name, value string) error {
-	row, ok := rows[name]
+// ValidateRuntime reports why a sheet may not set a setting to a value; nil if
+// it may. The error is in words for an operator, without the name.
+func ValidateRuntime(name, value string) error {
+	row, known := rowsByName[name]
 	switch {
-	case !ok:
-		return errors.Errorf("unknown setting%s", nearest(name))
+	case !known:
+		return errors.Errorf("unknown setting%s", suggestion(name))
 	case !row.Runtime:
 		return errors.New("can't change while the fleet runs; set it in the settings file")
 	}
@@ -78,23 +99,25 @@
 	return err
 }
 
-// With returns the values with a sheet's run-time settings over them. Those
-// that CheckRuntime wouldn't pass are left out.
-func (v *Values) With(sheet map[string]string) *Values {
+// WithRuntime returns the values overridden by a sheet's run-time settings.
+// Those that ValidateRuntime rejects are ignored.
+func (v *Values) WithRuntime(sheet map[string]string) *Values {
 	if len(sheet) == 0 {
 		return v
 	}
-	next := &Values{typed: make(map[string]any, len(v.typed)), source: make(map[string]string, len(v.source)), renamed: v.renamed}
-	for name, value := range v.typed {
-		next.typed[name], next.source[name] = value, v.source[name]
+	overridden := &Values{
+		typed:       maps.Clone(v.typed),
+		source:      maps.Clone(v.source),
+		formerNames: v.formerNames,
 	}
 	for name, text := range sheet {
-		if CheckRuntime(name, text) == nil {
-			next.typed[name], _ = rows[name].Parse(text)
-			next.source[name] = "sheet"
+		if ValidateRuntime(name, text) != nil {
+			continue
 		}
+		overridden.typed[name], _ = rowsByName[name].Parse(text)
+		overridden.source[name] = SourceSheet
 	}
-	return next
+	return overridden
 }
 
 // RuntimeNames returns the names of the settings that a sheet may set, sorted.
@@ -105,6 +128,6 @@
 			names = append(names, row.Name)
 		}
 	}
-	sort.Strings(names)
+	slices.Sort(names)
 	return names
 }
