--- a/internal/adapter/controlapi/handlers.go
+++ b/internal/adapter/controlapi/handlers.go
@@ -122,7 +122,7 @@
 		return errorReply(apiErr, orderID)
 	}
 	took := x.api.clock.Now().Sub(start)
-	x.api.log.Emit(events.OrderRelayed, "order", orderID, "verb", x.call.Verb, "operator", x.operator,
+	x.api.log.Emit(events.OrderForwarded, "order", orderID, "verb", x.call.Verb, "operator", x.operator,
 		"code", apierror.Code(resp.Code), "took", took)
 	return coreReply(resp, orderID)
 }
--- a/internal/adapter/internalrpc/directory.go
+++ b/internal/adapter/internalrpc/directory.go
@@ -228,7 +228,7 @@
 		}
 		if r.Name == own.Name && r.Incarnation != own.Incarnation {
 			if r.Incarnation > own.Incarnation && r.Address != own.Address {
-				d.log.Emit(events.NameTaken, "name", r.Name, "address", r.Address)
+				d.log.Emit(events.NameConflict, "name", r.Name, "address", r.Address)
 			}
 			continue
 		}
--- a/internal/cli/docs.go
+++ b/internal/cli/docs.go
@@ -112,9 +112,9 @@
 
 | Event | Name | Level | Meaning | What it asks for |
 |---|---|---|---|---|
-`, fromTables, events.Burst, events.PerSec)
+`, fromTables, events.Burst, events.RefillPerSecond)
 	for _, e := range events.Catalogue() {
-		fmt.Fprintf(&b, "| %d | `%s` | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Help, e.Ask)
+		fmt.Fprintf(&b, "| %d | `%s` | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Help, e.Action)
 	}
 	return b.String()
 }
--- a/internal/cli/lookup.go
+++ b/internal/cli/lookup.go
@@ -45,7 +45,7 @@
 			found := false
 			for _, e := range events.Catalogue() {
 				if len(args) == 0 || args[0] == e.Name || args[0] == strconv.Itoa(e.Number) {
-					t.row(e.Number, e.Name, e.Level, e.Help, e.Ask)
+					t.row(e.Number, e.Name, e.Level, e.Help, e.Action)
 					found = true
 				}
 			}
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -49,7 +49,7 @@
 	node func(context.Context, string, *settings.Values, events.Log) error) error {
 	debug.SetGCPercent(values.Int("memory.gc"))
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(a.Err)), "node", values.String("name"))
-	stream := events.New(logger, a.Clock)
+	stream := events.NewAsyncLog(logger, a.Clock)
 	stream.SetLevel(events.Level(values.String("log.level")))
 	logging, stop := context.WithCancel(context.Background())
 	written := make(chan error, 1)
@@ -60,7 +60,7 @@
 	}()
 	for _, name := range []string{"disk.quota", "disk.sync_delay"} {
 		if row, _ := settings.Lookup(name); values.Source(name) != "default" && values.Text(name) != row.Default {
-			stream.Emit(events.ProofSetting, "setting", name, "value", values.Text(name))
+			stream.Emit(events.TestSettingUsed, "setting", name, "value", values.Text(name))
 		}
 	}
 	return node(ctx, role, values, stream)
--- a/internal/compat/adapt_log_test.go
+++ b/internal/compat/adapt_log_test.go
@@ -15,7 +15,7 @@
 // logEvents writes two events of the log, the second of them more often than
 // its bound; it needs a synctest bubble.
 func logEvents(out io.Writer) {
-	stream := events.New(log.NewLogfmtLogger(out), clock.System())
+	stream := events.NewAsyncLog(log.NewLogfmtLogger(out), clock.System())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -24,7 +24,7 @@
 	}()
 	stream.Emit(events.OrderChosen, "order", "first", "epoch", 7, "code", apierror.BaseMoved, "took", 1500*time.Millisecond, "text", `two "words"`)
 	for range 30 {
-		stream.Emit(events.PeerSilent, "peer", "n2")
+		stream.Emit(events.PeerUnresponsive, "peer", "n2")
 	}
 	<-time.After(5 * time.Second)
 	cancel()
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -14,7 +14,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestCatalogue(t *testing.T) {
+func TestCatalogueIsUniqueAndComplete(t *testing.T) {
 	Convey("Every event has its own number and name, a level and a help; alarms say what they ask", t, func() {
 		numbers, names := map[int]bool{}, map[string]bool{}
 		for _, e := range Catalogue() {
@@ -22,34 +22,34 @@
 			So(names[e.Name], ShouldBeFalse)
 			numbers[e.Number], names[e.Name] = true, true
 			So(e.Help, ShouldEndWith, ".")
-			_, ok := ranks[e.Level]
+			_, ok := severities[e.Level]
 			So(ok, ShouldBeTrue)
 			if e.Level == Error {
-				So(e.Ask, ShouldNotBeBlank)
+				So(e.Action, ShouldNotBeBlank)
 			}
 		}
 	})
 }
 
-func TestStream(t *testing.T) {
+func TestAsyncLogBoundsEventsAndNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		stream := New(log.NewLogfmtLogger(&out), clock.System())
+		asyncLog := NewAsyncLog(log.NewLogfmtLogger(&out), clock.System())
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
-		go func() { done <- stream.Serve(ctx) }()
+		go func() { done <- asyncLog.Serve(ctx) }()
 
 		for range 100 {
-			stream.Emit(PeerSilent, "peer", "n4")
+			asyncLog.Emit(PeerUnresponsive, "peer", "n4")
 		}
-		stream.Emit(PeerBack, "peer", "n4")
-		stream.Emit(PeerSilent, "peer", "n5")
-		stream.Emit(RequestRefused, "code", 2001)
+		asyncLog.Emit(PeerRecovered, "peer", "n4")
+		asyncLog.Emit(PeerUnresponsive, "peer", "n5")
+		asyncLog.Emit(RequestRefused, "code", 2001)
 		<-time.After(1100 * time.Millisecond)
 		synctest.Wait()
 		atOnce := out.String()
 		for range 100 {
-			stream.Emit(PeerSilent, "peer", "n4")
+			asyncLog.Emit(PeerUnresponsive, "peer", "n4")
 		}
 		cancel()
 		err := <-done
@@ -61,19 +61,19 @@
 			So(atOnce, ShouldNotContainSubstring, "request_refused")
 			So(atOnce, ShouldContainSubstring, "event_name=events_suppressed of=2012 of_name=peer_silent count=81")
 			rest := strings.TrimPrefix(out.String(), atOnce)
-			So(strings.Count(rest, "event_name=peer_silent"), ShouldEqual, PerSec)
+			So(strings.Count(rest, "event_name=peer_silent"), ShouldEqual, RefillPerSecond)
 			So(rest, ShouldContainSubstring, "count=95")
 		})
 	})
 	Convey("Emit never blocks, and what found no room is counted", t, func() {
 		var out bytes.Buffer
-		stream := New(log.NewLogfmtLogger(&out), clock.System())
-		for range backlog + 7 {
-			stream.Emit(PeerSilent)
+		asyncLog := NewAsyncLog(log.NewLogfmtLogger(&out), clock.System())
+		for range queueCapacity + 7 {
+			asyncLog.Emit(PeerUnresponsive)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		So(stream.Serve(ctx), ShouldBeNil)
+		So(asyncLog.Serve(ctx), ShouldBeNil)
 		So(out.String(), ShouldContainSubstring, "of_name=any count=7")
 	})
 }
--- a/internal/events/source_test.go
+++ b/internal/events/source_test.go
@@ -11,9 +11,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestSource reads the program's own source, so that docs/EVENTS.md tells of
+// TestEventsAreDeclaredAndEmitted reads the program's own source, so that docs/EVENTS.md tells of
 // just the events that it can emit.
-func TestSource(t *testing.T) {
+func TestEventsAreDeclaredAndEmitted(t *testing.T) {
 	root := filepath.Join("..", "..")
 	var literals []string
 	emitted := map[string]bool{}
--- a/internal/node/control/orders.go
+++ b/internal/node/control/orders.go
@@ -113,10 +113,10 @@
 		if result.Code != apierror.OK {
 			return c.rejectOrder(req, result, orderID)
 		}
-		c.log.Emit(events.OrderRepeated, "order", orderID, "epoch", result.Version)
+		c.log.Emit(events.OrderReplayed, "order", orderID, "epoch", result.Version)
 		return c.awaitInForce(ctx, result, orderID)
 	}
-	c.log.Emit(events.OrderTaken, "order", orderID, "verb", req.Verb, "operator", req.Operator)
+	c.log.Emit(events.OrderProposed, "order", orderID, "verb", req.Verb, "operator", req.Operator)
 	_, result, err := c.replica.Propose(ctx, statemachine.Encode(command))
 	if err != nil {
 		return c.proposalFailed(ctx, err, orderID)
@@ -163,7 +163,7 @@
 func (c *Controller) rejectOrder(req *wire.OrderRequest, result statemachine.Result, orderID string) *wire.OrderResponse {
 	event := events.OrderRefused
 	if result.Code == apierror.BaseMoved {
-		event = events.OrderLost
+		event = events.OrderConflicted
 	}
 	c.log.Emit(event, "order", orderID, "verb", req.Verb, "operator", req.Operator, "code", result.Code, "epoch", result.Version)
 	return errorResponse(result.APIError(), result.Version, orderID)
--- a/internal/node/control/planner_election.go
+++ b/internal/node/control/planner_election.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if role.Holder != "" && !c.jobs[jobElection] {
-		c.log.Emit(events.DutyVacant, "duty", election.Planner, "term", role.Term, "holder", role.Holder)
+		c.log.Emit(events.RoleVacant, "duty", election.Planner, "term", role.Term, "holder", role.Holder)
 	}
 	command := statemachine.AcquireRole{Role: election.Planner, Term: role.Term + 1, Holder: c.config.Self}
 	c.startJob(jobElection, jobTimeout, func(ctx context.Context) func() {
@@ -39,7 +39,7 @@
 		return
 	}
 	c.planner.wonTerm = term
-	c.log.Emit(events.DutyWon, "duty", election.Planner, "term", term)
+	c.log.Emit(events.RoleAcquired, "duty", election.Planner, "term", term)
 }
 
 func (c *Controller) plannerVacant(role statemachine.RoleTerm, now time.Time) bool {
--- a/internal/node/control/planning.go
+++ b/internal/node/control/planning.go
@@ -101,7 +101,7 @@
 	if c.state.Roles[election.Planner] != role || !c.adoptPlan(next) {
 		return
 	}
-	c.log.Emit(events.PlanMade, "term", next.Term, "number", next.Number, "cause", next.Cause, "epoch", next.Epoch)
+	c.log.Emit(events.PlanCreated, "term", next.Term, "number", next.Number, "cause", next.Cause, "epoch", next.Epoch)
 	c.queuePlan(next)
 	c.flushOutboxes()
 }
@@ -113,7 +113,7 @@
 		return false
 	}
 	if !plan.Newer(next, c.planner.current) || next.Term < c.state.Roles[election.Planner].Term {
-		c.log.Emit(events.PlanOlder, "term", next.Term, "number", next.Number)
+		c.log.Emit(events.PlanSuperseded, "term", next.Term, "number", next.Number)
 		return false
 	}
 	stored, published := compactRepeat(c.planner.current, next)
--- a/internal/node/control/state.go
+++ b/internal/node/control/state.go
@@ -83,9 +83,9 @@
 	was := before.Roles[election.Planner]
 	is := after.Roles[election.Planner]
 	if was.Holder == c.config.Self && is.Holder != c.config.Self {
-		c.log.Emit(events.DutyLost, "duty", election.Planner, "term", is.Term, "holder", is.Holder)
+		c.log.Emit(events.RoleLost, "duty", election.Planner, "term", is.Term, "holder", is.Holder)
 	}
 	if !before.RosterCommitted() && after.RosterCommitted() {
-		c.log.Emit(events.RosterSettled, "epoch", after.Version, "members", len(after.Roster))
+		c.log.Emit(events.RosterCommitted, "epoch", after.Version, "members", len(after.Roster))
 	}
 }
--- a/internal/node/follower/feed.go
+++ b/internal/node/follower/feed.go
@@ -47,7 +47,7 @@
 			f.feed.open = false
 			if err != nil {
 				f.feed, f.unfed = place{}, core.Name
-				f.log.Emit(events.FeedBehind, "core", core.Name, "error", err)
+				f.log.Emit(events.FeedStalled, "core", core.Name, "error", err)
 				return
 			}
 			if at.core != "" && at.core != core.Name {
--- a/internal/node/follower/notice.go
+++ b/internal/node/follower/notice.go
@@ -17,19 +17,19 @@
 	f.ruledBy = verdict.Source
 	version := f.state.Version
 	if was == lease.SourceLease {
-		f.log.Emit(events.LeaseLapsed, "epoch", version)
+		f.log.Emit(events.LeaseExpired, "epoch", version)
 	}
 	switch verdict.Source {
 	case lease.SourceLease:
-		f.log.Emit(events.LeaseGained, "epoch", version)
+		f.log.Emit(events.LeaseAcquired, "epoch", version)
 	case lease.SourceRoster:
-		f.log.Emit(events.RulingByRoster, "epoch", version)
+		f.log.Emit(events.AuthorityByRoster, "epoch", version)
 	}
 	if (was == lease.SourceNone || was == "") != (verdict.Source == lease.SourceNone) {
 		if verdict.Granted {
-			f.log.Emit(events.RulingRegained, "by", verdict.Source, "epoch", version)
+			f.log.Emit(events.AuthorityRegained, "by", verdict.Source, "epoch", version)
 		} else {
-			f.log.Emit(events.RulingLost, "epoch", version)
+			f.log.Emit(events.AuthorityLost, "epoch", version)
 		}
 	}
 }
@@ -84,10 +84,10 @@
 	}
 	switch now {
 	case answers:
-		f.log.Emit(events.PeerBack, "peer", name)
+		f.log.Emit(events.PeerRecovered, "peer", name)
 	case refuses:
 		f.log.Emit(events.PeerRefused, "peer", name)
 	case silent:
-		f.log.Emit(events.PeerSilent, "peer", name)
+		f.log.Emit(events.PeerUnresponsive, "peer", name)
 	}
 }
--- a/internal/node/follower/state.go
+++ b/internal/node/follower/state.go
@@ -75,7 +75,7 @@
 	}
 	state, err := statemachine.DecodeState(data)
 	if err != nil {
-		f.log.Emit(events.SnapshotBad, "epoch", version, "error", err)
+		f.log.Emit(events.SnapshotCorrupt, "epoch", version, "error", err)
 		return
 	}
 	f.rule(state)
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -141,7 +141,7 @@
 	}()
 	supervisor := suture.New("front", suture.Spec{EventHook: func(event suture.Event) {
 		if failed, ok := event.(suture.EventServicePanic); ok {
-			f.log.Emit(events.OwnerBroke, "owner", failed.ServiceName, "panic", failed.PanicMsg)
+			f.log.Emit(events.OwnerPanicked, "owner", failed.ServiceName, "panic", failed.PanicMsg)
 		}
 	}})
 	supervisor.Add(f.pulse)
@@ -228,7 +228,7 @@
 
 // Broke logs a panic while a request was served.
 func (f *Front) Broke(id string, panicked any) {
-	f.log.Emit(events.RequestBroke, "request", id, "panic", panicked)
+	f.log.Emit(events.RequestPanicked, "request", id, "panic", panicked)
 }
 
 // rules tells whether this node may decide on a new request now.
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -114,7 +114,7 @@
 		if panicked == nil {
 			return
 		}
-		r.log.Emit(events.RouteBroke, "panic", panicked)
+		r.log.Emit(events.RoutePanicked, "panic", panicked)
 		if s != nil {
 			r.deliver(s, route.Choice{Fault: apierror.Errorf(apierror.NoServer, "a fault of the program; see the log").WithRetryAfter(time.Second)})
 		}
--- a/internal/node/front/serve.go
+++ b/internal/node/front/serve.go
@@ -104,11 +104,11 @@
 
 var reports = map[apierror.Code]events.Event{
 	apierror.OutcomeUnknown: events.OutcomeUnknown,
-	apierror.StreamCut:      events.StreamCut,
+	apierror.StreamCut:      events.StreamAborted,
 	apierror.KeyRevoked:     events.StreamKeyRevoked,
 	apierror.QueueFull:      events.QueueFull,
-	apierror.DeadlinePassed: events.DeadlineRanOut,
-	apierror.CallerGone:     events.CallerGone,
+	apierror.DeadlinePassed: events.DeadlineExceeded,
+	apierror.CallerGone:     events.CallerDisconnected,
 }
 
 func (c *call) report(apiErr *apierror.Error) {
@@ -123,9 +123,9 @@
 }
 
 var answerReports = map[backend.Kind]events.Event{
-	backend.Crossed: events.AnswerCrossed,
+	backend.Crossed: events.ResponseMismatched,
 	backend.Amiss:   events.EventOutOfOrder,
-	backend.Short:   events.AnswerNotWhole,
+	backend.Short:   events.ResponseIncomplete,
 }
 
 func (c *call) reportAnswer(failure *backend.Failure) {
@@ -231,7 +231,7 @@
 	}
 	c.note(Entry{Routing: routingOf(choice, f.clock.Now().Sub(asked))})
 	if choice.Fault != nil && choice.Fault.Code == apierror.BudgetSpent {
-		f.log.Emit(events.BudgetSpent, "request", c.id, "service", c.service, "tried", len(c.request.Tried))
+		f.log.Emit(events.RetryBudgetExhausted, "request", c.id, "service", c.service, "tried", len(c.request.Tried))
 	}
 	if choice.Fault == nil {
 		choice.Fault = c.maySend()
--- a/internal/node/front/survey.go
+++ b/internal/node/front/survey.go
@@ -25,7 +25,7 @@
 func (s *survey) look(table *route.Table, plan *wire.Plan, now time.Time, log events.Log) {
 	if plan != s.plan {
 		s.plan, s.planAt = plan, now
-		log.Emit(events.PlanTaken, "plan", plan.GetNumber(), "term", plan.GetTerm(), "cause", plan.GetCause())
+		log.Emit(events.PlanApplied, "plan", plan.GetNumber(), "term", plan.GetTerm(), "cause", plan.GetCause())
 	}
 	if now.Sub(s.at) < surveyEvery {
 		return
@@ -47,7 +47,7 @@
 	begun(s.ejected, ejected, func(name string) { log.Emit(events.ServerReadmitted, "server", name) })
 	begun(short, s.short, func(place string) {
 		service, region, _ := strings.Cut(place, " ")
-		log.Emit(events.PlanShort, "service", service, "region", region)
+		log.Emit(events.PlanRegionWithoutServers, "service", service, "region", region)
 	})
 	s.ejected, s.short = ejected, short
 }
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -137,7 +137,7 @@
 func (g *Gateway) Serve(ctx context.Context) error {
 	supervisor := suture.New("gateway", suture.Spec{EventHook: func(event suture.Event) {
 		if failed, ok := event.(suture.EventServicePanic); ok {
-			g.log.Emit(events.OwnerBroke, "owner", failed.ServiceName, "panic", failed.PanicMsg)
+			g.log.Emit(events.OwnerPanicked, "owner", failed.ServiceName, "panic", failed.PanicMsg)
 		}
 	}})
 	supervisor.Add(g.dispatch)
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -80,7 +80,7 @@
 		return
 	}
 	if panicked != http.ErrAbortHandler { //nolint:errorlint // a panic's value, as net/http compares it
-		q.gateway.log.Emit(events.RequestBroke, "request", q.call.ID, "panic", panicked)
+		q.gateway.log.Emit(events.RequestPanicked, "request", q.call.ID, "panic", panicked)
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/node/healthcheck/list.go
+++ b/internal/node/healthcheck/list.go
@@ -53,7 +53,7 @@
 	w.calls = listing.Calls
 	if w.failing {
 		w.failing = false
-		w.log.Emit(events.PlatformBack)
+		w.log.Emit(events.PlatformRecovered)
 	}
 	for _, name := range slices.Sorted(maps.Keys(listing.Bad)) {
 		w.log.Emit(events.PlatformBadList, "server", name, "why", listing.Bad[name])
@@ -146,6 +146,6 @@
 func (w *Watcher) failed(why string) {
 	if !w.failing {
 		w.failing = true
-		w.log.Emit(events.PlatformSilent, "why", why)
+		w.log.Emit(events.PlatformUnresponsive, "why", why)
 	}
 }
--- a/internal/node/healthcheck/polls.go
+++ b/internal/node/healthcheck/polls.go
@@ -37,7 +37,7 @@
 		if p == nil {
 			p = &poll{}
 			w.polls[name] = p
-			w.log.Emit(events.WatchTaken, "server", name)
+			w.log.Emit(events.HealthCheckStarted, "server", name)
 		}
 		if !p.running {
 			p.running = true
@@ -89,4 +89,4 @@
 	p.reach = reach
 }
 
-var reaches = map[port.Reach]events.Event{port.Silent: events.ServerSilent, port.Garbled: events.ServerBadStatus}
+var reaches = map[port.Reach]events.Event{port.Silent: events.ServerUnresponsive, port.Garbled: events.ServerBadStatus}
--- a/internal/node/healthcheck/sights.go
+++ b/internal/node/healthcheck/sights.go
@@ -25,10 +25,10 @@
 
 var states = map[wire.ServerState]events.Event{
 	wire.ServerState_SERVER_STATE_READY:    events.ServerReady,
-	wire.ServerState_SERVER_STATE_COLD:     events.ServerCold,
+	wire.ServerState_SERVER_STATE_COLD:     events.ServerWarmingUp,
 	wire.ServerState_SERVER_STATE_DRAINING: events.ServerDraining,
-	wire.ServerState_SERVER_STATE_LEAVING:  events.ServerLeaving,
-	wire.ServerState_SERVER_STATE_GONE:     events.ServerGone,
+	wire.ServerState_SERVER_STATE_LEAVING:  events.ServerTerminating,
+	wire.ServerState_SERVER_STATE_GONE:     events.ServerRemoved,
 }
 
 // tell logs what a sight shows that the last one of its kind did not.
@@ -38,7 +38,7 @@
 		by = "the platform"
 	}
 	if kind == serverstatus.SourceServer && status.Reachable && old.GetIncarnation() != status.Incarnation {
-		w.log.Emit(events.ServerSeen, "server", status.Name, "incarnation", status.Incarnation)
+		w.log.Emit(events.ServerDiscovered, "server", status.Name, "incarnation", status.Incarnation)
 	}
 	if event, told := states[status.State]; told && old.GetState() != status.State {
 		w.log.Emit(event, "server", status.Name, "by", by)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 	source := clock.System()
 	if step := values.Duration("clock.step"); step != 0 {
 		source = clock.Stepped(source, step)
-		log.Emit(events.ProofSetting, "setting", "clock.step", "value", step)
+		log.Emit(events.TestSettingUsed, "setting", "clock.step", "value", step)
 	}
 	return RunIn(ctx, World{
 		Clock:  source,
@@ -218,7 +218,7 @@
 	p.log.Emit(events.ProcessStopping, "name", p.base.Name, "grace", grace)
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	if err := p.drain(ctx); err != nil {
-		p.log.Emit(events.GraceOver, "error", err)
+		p.log.Emit(events.GracePeriodExceeded, "error", err)
 	} else {
 		p.log.Emit(events.DrainFinished)
 	}
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -75,7 +75,7 @@
 	if err != nil || name == own {
 		return name, err
 	}
-	log.Emit(events.PlaceTaken, "core", own, "place", name)
+	log.Emit(events.ReplacementStarted, "core", own, "place", name)
 	return name, keepPlace(folder, name)
 }
 
@@ -96,7 +96,7 @@
 		}
 		if len(voters) > 0 && !told {
 			told = true
-			c.log.Emit(events.PlaceSought, "core", c.own, "voters", strings.Join(voters, " "))
+			c.log.Emit(events.ReplacementWaiting, "core", c.own, "voters", strings.Join(voters, " "))
 		}
 		wait := placeLook
 		if len(voters) > 0 && len(c.silent) == 0 {
--- a/internal/node/quotasync/shard.go
+++ b/internal/node/quotasync/shard.go
@@ -267,10 +267,10 @@
 	if silent := answer.err != nil; silent != o.silent[answer.holder] {
 		if silent {
 			o.silent[answer.holder] = true
-			o.spend.log.Emit(events.HolderSilent, "holder", answer.holder, "owner", o.name, "error", answer.err)
+			o.spend.log.Emit(events.HolderUnresponsive, "holder", answer.holder, "owner", o.name, "error", answer.err)
 		} else {
 			delete(o.silent, answer.holder)
-			o.spend.log.Emit(events.HolderBack, "holder", answer.holder, "owner", o.name)
+			o.spend.log.Emit(events.HolderRecovered, "holder", answer.holder, "owner", o.name)
 		}
 	}
 	if len(o.flush) > 0 {
--- a/internal/node/replica/disk.go
+++ b/internal/node/replica/disk.go
@@ -33,7 +33,7 @@
 	if exhausted {
 		o.replica.events.Emit(events.DiskFull, "core", o.replica.cfg.Self)
 	} else {
-		o.replica.events.Emit(events.DiskRoom, "core", o.replica.cfg.Self)
+		o.replica.events.Emit(events.DiskSpaceRegained, "core", o.replica.cfg.Self)
 	}
 	o.publishStanding()
 }
--- a/internal/node/replica/formation.go
+++ b/internal/node/replica/formation.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if _, ok := state.FoundFormation("", r.cfg.Voters, present, 0, nil); !ok {
-		r.reportWaiting(ctx, events.FormationWaits, fmt.Sprintf("a first formation of %d blank cores; %d others are known", r.cfg.Voters, len(others)))
+		r.reportWaiting(ctx, events.FormationWaiting, fmt.Sprintf("a first formation of %d blank cores; %d others are known", r.cfg.Voters, len(others)))
 		return
 	}
 	r.foundFormation(ctx, state, others, present)
@@ -64,7 +64,7 @@
 func (r *Replica) foundFormation(ctx context.Context, state paxos.State, others []string, present map[string]*wire.RecoverResponse) {
 	version, snapshot, missing := r.survivingState(ctx)
 	if missing != "" {
-		r.reportWaiting(ctx, events.FormationWaits, missing)
+		r.reportWaiting(ctx, events.FormationWaiting, missing)
 		return
 	}
 	id := r.newFormationID()
@@ -73,7 +73,7 @@
 		return
 	}
 	joined := record.(paxos.FormationJoined)
-	r.events.Emit(events.FormationBegun, "formation", id, "voters", fmt.Sprint(joined.Voters), "epoch", version)
+	r.events.Emit(events.FormationStarted, "formation", id, "voters", fmt.Sprint(joined.Voters), "epoch", version)
 	invitation := &wire.FoundRequest{Formation: id, Voters: joined.Voters, Founder: r.cfg.Self}
 	callAll(ctx, r, others, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.FoundResponse, error) {
 		return callVoter(ctx, r, core, invitation, r.Found, wireconnect.PeerClient.Found)
--- a/internal/node/replica/maintenance.go
+++ b/internal/node/replica/maintenance.go
@@ -99,9 +99,9 @@
 	}
 	m.hasMajority = hasMajority
 	if hasMajority {
-		r.events.Emit(events.MajorityRegained, "core", r.cfg.Self)
+		r.events.Emit(events.QuorumRegained, "core", r.cfg.Self)
 	} else {
-		r.events.Emit(events.MajorityLost, "core", r.cfg.Self, "answered", answered)
+		r.events.Emit(events.QuorumLost, "core", r.cfg.Self, "answered", answered)
 	}
 }
 
--- a/internal/node/replica/owner.go
+++ b/internal/node/replica/owner.go
@@ -71,10 +71,10 @@
 	core := o.replica.cfg.Self
 	emit(events.LogOpened, "core", core, "segments", replay.Segments, "records", len(replay.Records), "epoch", o.state.Learned())
 	if replay.TornBytes > 0 {
-		emit(events.TornTailCut, "core", core, "segment", replay.TornSegment, "bytes", replay.TornBytes)
+		emit(events.TornTailTruncated, "core", core, "segment", replay.TornSegment, "bytes", replay.TornBytes)
 	}
 	if replay.BadSnapshot != "" {
-		emit(events.SnapshotBad, "core", core, "snapshot", replay.BadSnapshot)
+		emit(events.SnapshotCorrupt, "core", core, "snapshot", replay.BadSnapshot)
 	}
 }
 
@@ -129,7 +129,7 @@
 	for _, chosen := range commands {
 		result := o.configuration.apply(chosen)
 		if result.Code == apierror.Internal {
-			o.replica.events.Emit(events.CommandBad, "epoch", chosen.Epoch, "detail", result.Detail)
+			o.replica.events.Emit(events.CommandUndecodable, "epoch", chosen.Epoch, "detail", result.Detail)
 		}
 	}
 }
--- a/internal/node/replica/read.go
+++ b/internal/node/replica/read.go
@@ -118,7 +118,7 @@
 		err := o.commit(records, forLearning)
 		if err == nil && len(records) > 0 {
 			if resp.SnapshotEpoch > after {
-				r.events.Emit(events.SnapshotTaken, "core", r.cfg.Self, "from", from, "epoch", resp.SnapshotEpoch)
+				r.events.Emit(events.SnapshotInstalled, "core", r.cfg.Self, "from", from, "epoch", resp.SnapshotEpoch)
 			}
 			r.events.Emit(events.SlotFetched, "core", r.cfg.Self, "from", from, "epoch", o.state.Learned())
 		}
--- a/internal/node/replica/recovery.go
+++ b/internal/node/replica/recovery.go
@@ -68,10 +68,10 @@
 func (r *Replica) recoveryWaitEvent(probes map[string]*wire.RecoverResponse) events.Event {
 	for _, resp := range probes {
 		if resp.Lives[r.cfg.Self] > 0 {
-			return events.RecoveryWaits
+			return events.RecoveryWaiting
 		}
 	}
-	return events.FormationWaits
+	return events.FormationWaiting
 }
 
 func (r *Replica) reportMissing(ctx context.Context, event events.Event, missing string) {
@@ -89,7 +89,7 @@
 		return false
 	}
 	if incarnation > firstIncarnation {
-		r.events.Emit(events.RecoveryBegun, "core", r.cfg.Self, "life", incarnation)
+		r.events.Emit(events.RecoveryStarted, "core", r.cfg.Self, "life", incarnation)
 	}
 	return true
 }
--- a/internal/node/replica/rpc.go
+++ b/internal/node/replica/rpc.go
@@ -76,7 +76,7 @@
 			return
 		}
 		if len(records) > 0 {
-			r.events.Emit(events.LifeRaised, "core", req.Core, "life", req.Life)
+			r.events.Emit(events.DiskIncarnationRaised, "core", req.Core, "life", req.Life)
 		}
 		refusal := func(code apierror.Code) *wire.RecoverResponse {
 			return &wire.RecoverResponse{Core: resp.Core, Formation: resp.Formation, Voters: resp.Voters, Refusal: uint32(code)}
