--- a/sim/paxos/moves.go
+++ b/sim/paxos/transitions.go
@@ -21,7 +21,7 @@
 	n.run++
 	w.cores[i] = n.hashed()
 	for to := range w.cores {
-		w = w.send(letter{from: i, to: to, life: n.life, run: n.run, prepare: req}.summed())
+		w = w.send(message{from: i, to: to, incarnation: n.incarnation, run: n.run, prepare: req}.summed())
 	}
 	return visit(step{what: fmt.Sprintf("ballot %d opened by", p.Ballot.Number), core: i}, w)
 }
@@ -37,20 +37,20 @@
 			_, probes[names[j]] = other.state.Recover(&wire.RecoverRequest{Core: names[i], Probe: true})
 		}
 	}
-	life, waiting := n.state.NextIncarnation(probes, 0)
+	diskLife, waiting := n.state.NextIncarnation(probes, 0)
 	if waiting != "" {
 		return false
 	}
 	w.bounds.Rebuilds--
-	n.rebuild = &rebuild{life: life}
-	n.state = paxos.IncarnationRecorded{Core: names[i], Incarnation: life}.Apply(n.state)
+	n.rebuild = &rebuild{diskLife: diskLife}
+	n.state = paxos.IncarnationRecorded{Core: names[i], Incarnation: diskLife}.Apply(n.state)
 	w.cores[i] = n.hashed()
 	for to := range w.cores {
 		if to != i {
-			w = w.send(letter{from: i, to: to, life: n.life, recover: &wire.RecoverRequest{Formation: "f", Core: names[i], Life: life}}.summed())
+			w = w.send(message{from: i, to: to, incarnation: n.incarnation, recover: &wire.RecoverRequest{Formation: "f", Core: names[i], Life: diskLife}}.summed())
 		}
 	}
-	return visit(step{what: fmt.Sprintf("life %d announced by", life), core: i}, w)
+	return visit(step{what: fmt.Sprintf("life %d announced by", diskLife), core: i}, w)
 }
 
 func (w world) wipe(i int, visit func(step, world) bool) bool {
@@ -66,7 +66,7 @@
 	if w.bounds.Flaw == RebuildWithout {
 		state = paxos.RecoveryCompleted{Incarnations: n.state.Incarnations}.Apply(state)
 	}
-	w.cores[i] = node{state: state, life: n.life + 1, run: n.run, proposals: n.proposals}.hashed()
+	w.cores[i] = node{state: state, incarnation: n.incarnation + 1, run: n.run, proposals: n.proposals}.hashed()
 	return visit(step{what: "wipe", core: i}, w)
 }
 
@@ -76,63 +76,64 @@
 		return false
 	}
 	w.bounds.Crashes--
-	w.cores[i] = node{state: n.state, life: n.life + 1, run: n.run, proposals: n.proposals}.hashed()
+	w.cores[i] = node{state: n.state, incarnation: n.incarnation + 1, run: n.run, proposals: n.proposals}.hashed()
 	return visit(step{what: "crash", core: i}, w)
 }
 
-// deliver hands letter i over: once, or leaving a duplicate under way.
-func (w world) deliver(i int, l *letter, visit func(step, world) bool) bool {
-	if w.bounds.Duplicates > 0 && !l.answer() && !l.deliveredOnce {
+// deliver delivers message i, with and without a duplicate that stays in flight.
+func (w world) deliver(i int, msg *message, visit func(step, world) bool) bool {
+	if w.bounds.Duplicates > 0 && !msg.answer() && !msg.deliveredOnce {
 		again := w
 		again.bounds.Duplicates--
-		once := *l
+		once := *msg
 		once.deliveredOnce = true
 		again.network = slices.Clone(w.network)
 		again.network[i] = &once
-		if again.hand(l, visit) {
+		if again.deliverNow(msg, visit) {
 			return true
 		}
 	}
 	w.network = slices.Delete(slices.Clone(w.network), i, i+1)
-	return w.hand(l, visit)
+	return w.deliverNow(msg, visit)
 }
 
-func (w world) hand(l *letter, visit func(step, world) bool) bool {
-	if l.answer() {
-		return visit(step{letter: l}, w.take(l))
+func (w world) deliverNow(msg *message, visit func(step, world) bool) bool {
+	if msg.answer() {
+		return visit(step{message: msg}, w.handleAnswer(msg))
 	}
-	key := [2]uint64{w.cores[l.to].hash, l.hash}
-	given, known := w.memory.handed[key]
+	key := handling{node: w.cores[msg.to].hash, message: msg.hash}
+	given, known := w.cache.requests[key]
 	if !known {
-		given = w.decide(l)
-		w.memory.handed[key] = given
+		given = w.handleRequest(msg)
+		w.cache.requests[key] = given
 	}
-	w.cores[l.to] = given.node
+	w.cores[msg.to] = given.node
 	if given.answer == nil {
-		return given.changed && visit(step{letter: l}, w)
+		return given.changed && visit(step{message: msg}, w)
 	}
 	if !w.bounds.Eager {
-		return visit(step{letter: l}, w.send(given.answer))
+		return visit(step{message: msg}, w.send(given.answer))
 	}
-	return visit(step{letter: l}, w.take(given.answer)) || given.changed && visit(step{letter: l, what: "(answer lost)"}, w)
+	return visit(step{message: msg}, w.handleAnswer(given.answer)) || given.changed && visit(step{message: msg, what: "(answer lost)"}, w)
 }
 
-// decide has a core answer a letter; an answer that nobody needs is left out.
-func (w world) decide(l *letter) handed {
-	answer := &letter{from: l.to, to: l.from, life: l.life, run: l.run}
-	n := w.cores[l.to]
+// handleRequest has a core answer a request; a refusal that changes nothing is
+// omitted.
+func (w world) handleRequest(msg *message) requestResult {
+	answer := &message{from: msg.to, to: msg.from, incarnation: msg.incarnation, run: msg.run}
+	n := w.cores[msg.to]
 	var records []paxos.Record
 	switch {
-	case l.prepare != nil:
-		records, answer.prepared = n.state.Prepare(l.prepare)
-		w.bendPrepared(n.state, l.prepare, answer.prepared)
-	case l.accept != nil:
-		records, answer.accepted = n.state.Accept(l.accept)
+	case msg.prepare != nil:
+		records, answer.prepared = n.state.Prepare(msg.prepare)
+		w.bendPrepared(n.state, msg.prepare, answer.prepared)
+	case msg.accept != nil:
+		records, answer.accepted = n.state.Accept(msg.accept)
 		if w.bounds.Flaw == LivesHidden {
 			answer.accepted.Lives = firstLives
 		}
-	case l.recover != nil:
-		records, answer.recovered = n.state.Recover(l.recover)
+	case msg.recover != nil:
+		records, answer.recovered = n.state.Recover(msg.recover)
 		if w.bounds.Flaw == LifeForgotten {
 			records = nil
 		}
@@ -140,7 +141,7 @@
 	for _, record := range records {
 		n.state = record.Apply(n.state)
 	}
-	given := handed{node: n.hashed(), changed: len(records) > 0}
+	given := requestResult{node: n.hashed(), changed: len(records) > 0}
 	if !answer.refusal() {
 		answer.hash = answer.sum()
 		given.answer = answer
@@ -159,48 +160,48 @@
 	}
 }
 
-// take gives an answer to whom it was meant for, if that one still waits.
-func (w world) take(l *letter) world {
-	n := w.cores[l.to]
-	if n.life != l.life {
+// handleAnswer gives an answer to the process that waits for it, if it still does.
+func (w world) handleAnswer(msg *message) world {
+	n := w.cores[msg.to]
+	if n.incarnation != msg.incarnation {
 		return w
 	}
-	key := [2]uint64{n.hash, l.hash}
-	got, known := w.memory.taken[key]
+	key := handling{node: n.hash, message: msg.hash}
+	got, known := w.cache.answers[key]
 	if !known {
 		switch {
-		case l.recovered != nil:
-			got = taken{node: w.rebuilt(n, l)}
-		case n.proposer == nil || n.run != l.run:
-			got = taken{node: n}
+		case msg.recovered != nil:
+			got = answerResult{node: w.rebuilt(n, msg)}
+		case n.proposer == nil || n.run != msg.run:
+			got = answerResult{node: n}
 		default:
-			got = w.proposed(n, l)
+			got = w.proposed(n, msg)
 		}
-		w.memory.taken[key] = got
+		w.cache.answers[key] = got
 	}
-	w.cores[l.to] = got.node
+	w.cores[msg.to] = got.node
 	if got.decided != nil && w.decided == nil {
 		w.decided = got.decided
 	}
-	for _, letter := range got.letters {
-		w = w.send(letter)
+	for _, message := range got.messages {
+		w = w.send(message)
 	}
 	return w
 }
 
-func (w world) proposed(n node, l *letter) taken {
+func (w world) proposed(n node, msg *message) answerResult {
 	var p paxos.Proposer
 	var next paxos.Step
-	if l.prepared != nil {
-		p, next = n.proposer.HandlePrepare(l.prepared)
+	if msg.prepared != nil {
+		p, next = n.proposer.HandlePrepare(msg.prepared)
 	} else {
-		p, next = n.proposer.HandleAccept(l.accepted)
+		p, next = n.proposer.HandleAccept(msg.accepted)
 	}
 	n.proposer = &p
 	if p.Phase == paxos.Ended {
 		n.proposer = nil
 	}
-	got := taken{}
+	got := answerResult{}
 	if next.Action == paxos.ValueChosen {
 		records, _, _ := n.state.Learn(&wire.LearnRequest{Formation: "f", Chosen: []*wire.Chosen{{Epoch: slot, Command: next.Value}}})
 		for _, record := range records {
@@ -208,54 +209,54 @@
 		}
 		got.decided = next.Value
 	}
-	if next.Accept != nil {
+	if next.Action == paxos.SendAccept {
 		if w.bounds.Flaw == LivesHidden {
 			next.Accept.PromisedLives = nil
 		}
 		for to := range w.cores {
-			got.letters = append(got.letters, letter{from: l.to, to: to, life: n.life, run: n.run, accept: next.Accept}.summed())
+			got.messages = append(got.messages, message{from: msg.to, to: to, incarnation: n.incarnation, run: n.run, accept: next.Accept}.summed())
 		}
 	}
 	got.node = n.hashed()
 	return got
 }
 
-func (w world) rebuilt(n node, l *letter) node {
-	if n.rebuild == nil || n.state.Incarnation() != 0 || !l.recovered.Ok {
+func (w world) rebuilt(n node, msg *message) node {
+	if n.rebuild == nil || n.state.Incarnation() != 0 || !msg.recovered.Ok {
 		return n
 	}
 	answers := maps.Clone(n.rebuild.answers)
 	if answers == nil {
 		answers = map[string]*wire.RecoverResponse{}
 	}
-	answers[names[l.from]] = l.recovered
-	n.rebuild = &rebuild{life: n.rebuild.life, answers: answers}
+	answers[names[msg.from]] = msg.recovered
+	n.rebuild = &rebuild{diskLife: n.rebuild.diskLife, answers: answers}
 	if w.bounds.Flaw == PartialRebuild {
 		for _, other := range n.state.Others() {
 			if answers[other] == nil {
-				answers[other] = &wire.RecoverResponse{Ok: true, Formation: "f", Lives: l.recovered.Lives}
+				answers[other] = &wire.RecoverResponse{Ok: true, Formation: "f", Lives: msg.recovered.Lives}
 			}
 		}
 	}
-	if record, waiting := n.state.CompleteRecovery(n.rebuild.life, answers); waiting == "" {
+	if record, waiting := n.state.CompleteRecovery(n.rebuild.diskLife, answers); waiting == "" {
 		n.state = record.Apply(n.state)
 		n.rebuild = nil
 	}
 	return n.hashed()
 }
 
-// send puts a letter under way; an equal one already there stands for both.
-// An answer to a process or proposer that is gone is lost at once.
-func (w world) send(l *letter) world {
-	if l.answer() {
-		n := w.cores[l.to]
-		if n.life != l.life || l.recovered == nil && (n.proposer == nil || n.run != l.run) || l.recovered != nil && n.rebuild == nil {
+// send adds a message to the network; an equal one in flight represents both. An
+// answer to a process or proposer that is gone is dropped.
+func (w world) send(msg *message) world {
+	if msg.answer() {
+		n := w.cores[msg.to]
+		if n.incarnation != msg.incarnation || msg.recovered == nil && (n.proposer == nil || n.run != msg.run) || msg.recovered != nil && n.rebuild == nil {
 			return w
 		}
 	}
-	at, there := slices.BinarySearchFunc(w.network, l.hash, func(l *letter, hash uint64) int { return cmp.Compare(l.hash, hash) })
+	at, there := slices.BinarySearchFunc(w.network, msg.hash, func(msg *message, hash uint64) int { return cmp.Compare(msg.hash, hash) })
 	if !there {
-		w.network = slices.Insert(slices.Clone(w.network), at, l)
+		w.network = slices.Insert(slices.Clone(w.network), at, msg)
 	}
 	return w
 }
