--- a/internal/decision/lease/confirmation.go
+++ b/internal/decision/lease/confirmation.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -19,8 +19,8 @@
 	Views []*wire.LeaseViewResponse
 	// Roster and PriorRoster are those of the state at the version or later;
 	// PriorRoster is nil or empty when the last roster change is settled.
-	Roster      map[string]sheet.Member
-	PriorRoster map[string]sheet.Member
+	Roster      map[string]statemachine.Member
+	PriorRoster map[string]statemachine.Member
 }
 
 // ConfirmationCount is how many members of a roster have confirmed a version, of
@@ -158,7 +158,7 @@
 
 // count counts the fronts of a roster. One that refuses connections leaves the
 // count only if it holds no lease at any core.
-func (j joinedViews) count(roster map[string]sheet.Member) ConfirmationCount {
+func (j joinedViews) count(roster map[string]statemachine.Member) ConfirmationCount {
 	var count ConfirmationCount
 	for name := range frontNames(roster) {
 		newest, hasLease := j.newest[name]
--- a/internal/decision/lease/table.go
+++ b/internal/decision/lease/table.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -28,7 +28,7 @@
 // memberLease is what a core knows of a member that renews: its newest
 // incarnation, what that said of itself and confirmed, and its lease.
 type memberLease struct {
-	member      sheet.Member
+	member      statemachine.Member
 	process     *wire.Process
 	incarnation uint64
 	// version is the highest one that this incarnation has confirmed.
@@ -118,7 +118,7 @@
 	if !SameProcess(lease.process, record) && !olderRecord(record, lease.process) {
 		lease.process = record
 	}
-	lease.member = sheet.Member{
+	lease.member = statemachine.Member{
 		Name:   record.Name,
 		Region: record.Region,
 		Zone:   record.Zone,
--- a/internal/decision/lease/table_test.go
+++ b/internal/decision/lease/table_test.go
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -81,7 +81,7 @@
 			So(table.View(5, 5, at(2001)).Settled, ShouldBeTrue)
 		})
 		Convey("unlisted members renew; refusing members refused without interruption", func() {
-			So(table.UnlistedMembers(roster("b"), at(200)), ShouldResemble, []sheet.Member{{Name: "a", Front: true}})
+			So(table.UnlistedMembers(roster("b"), at(200)), ShouldResemble, []statemachine.Member{{Name: "a", Front: true}})
 			for ms := 1000; ms <= 61000; ms += 1000 {
 				table.RecordRefusal(MemberID{"b", 0}, at(ms))
 				table.RecordRefusal(MemberID{"z", 0}, at(ms))
--- a/internal/node/control/controller_test.go
+++ b/internal/node/control/controller_test.go
@@ -12,7 +12,7 @@
 	"stepwick/internal/clock"
 	"stepwick/internal/decision/election"
 	"stepwick/internal/decision/serverstatus"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/node/control"
 	"stepwick/internal/wire"
@@ -62,7 +62,7 @@
 		Convey("A new reader gets a snapshot, then each change at once, and waits when other is none", t, func() {
 			first := f.follow("c2", nil, time.Second)
 			So(first.Snapshot.Epoch, ShouldEqual, f.agreed.Load().state.Version)
-			state, err := sheet.DecodeState(first.Snapshot.State)
+			state, err := statemachine.DecodeState(first.Snapshot.State)
 			So(err, ShouldBeNil)
 			So(len(state.Roster), ShouldEqual, 4)
 
@@ -164,7 +164,7 @@
 			f.put(t)
 			f.report("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
 			f.advance(3 * time.Second)
-			leader := f.agreed.Load().state.Duties[election.Planner]
+			leader := f.agreed.Load().state.Roles[election.Planner]
 			So(leader.Term, ShouldEqual, 1)
 			plan := f.follow("c3", nil, time.Second).Snapshot.Plan
 			So(plan.Term, ShouldEqual, 1)
@@ -173,7 +173,7 @@
 
 			f.kill(leader.Holder)
 			f.advance(6 * time.Second)
-			next := f.agreed.Load().state.Duties[election.Planner]
+			next := f.agreed.Load().state.Roles[election.Planner]
 			So(next.Term, ShouldEqual, 2)
 			So(next.Holder, ShouldNotEqual, leader.Holder)
 			latest := f.follow("c3", nil, time.Second).Snapshot.Plan
@@ -187,13 +187,13 @@
 	})
 	withFleet(t, 3, func(t *testing.T, f *fleet) {
 		Convey("A partitioned core loses the leadership, and finds it lost when the partition heals", t, func() {
-			leader := f.agreed.Load().state.Duties[election.Planner]
+			leader := f.agreed.Load().state.Roles[election.Planner]
 			f.setFlag(&f.partitioned, true, leader.Holder)
 			f.advance(6 * time.Second)
-			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
+			So(f.agreed.Load().state.Roles[election.Planner].Term, ShouldEqual, 2)
 			f.setFlag(&f.partitioned, false, leader.Holder)
 			f.advance(6 * time.Second)
-			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
+			So(f.agreed.Load().state.Roles[election.Planner].Term, ShouldEqual, 2)
 		})
 	})
 }
@@ -203,7 +203,7 @@
 		Convey("Processes that renew are added to the roster by one change, which is completed", t, func() {
 			state := f.agreed.Load().state
 			So(state.Roster, ShouldHaveLength, 6)
-			So(state.Settled(), ShouldBeTrue)
+			So(state.RosterCommitted(), ShouldBeTrue)
 			So(f.servingFronts(), ShouldEqual, 6)
 		})
 		Convey("An unresponsive member stays; one that refuses for a minute is removed, and the change is completed", t, func() {
@@ -215,7 +215,7 @@
 			state := f.agreed.Load().state
 			So(state.Roster, ShouldHaveLength, 5)
 			So(state.Roster, ShouldContainKey, "f5")
-			So(state.Settled(), ShouldBeTrue)
+			So(state.RosterCommitted(), ShouldBeTrue)
 			So(f.fronts["f5"].Ruling(), ShouldBeFalse)
 		})
 	})
--- a/internal/node/control/planning.go
+++ b/internal/node/control/planning.go
@@ -11,7 +11,7 @@
 
 	"stepwick/internal/decision/election"
 	"stepwick/internal/decision/plan"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -35,14 +35,14 @@
 
 // leads reports whether this incarnation is the leader in the newest term. A core
 // that restarted is not: it doesn't know which plans it has numbered.
-func (c *Controller) leads(role sheet.Duty) bool {
+func (c *Controller) leads(role statemachine.RoleTerm) bool {
 	return role.Holder == c.config.Self && role.Term == c.planner.wonTerm
 }
 
 // updatePlan computes a new plan when this core is the leader and the period is
 // over, or the loss of a server forces one.
 func (c *Controller) updatePlan(now time.Time) {
-	role := c.state.Duties[election.Planner]
+	role := c.state.Roles[election.Planner]
 	if !c.leads(role) || !c.caughtUp || c.state.Sheet == nil {
 		return
 	}
@@ -97,11 +97,11 @@
 
 // publishComputedPlan publishes a plan computed here, unless the leader changed since
 // the computation began, and sends it to the other cores.
-func (c *Controller) publishComputedPlan(next *wire.Plan, role sheet.Duty) {
-	if c.state.Duties[election.Planner] != role || !c.adoptPlan(next) {
+func (c *Controller) publishComputedPlan(next *wire.Plan, role statemachine.RoleTerm) {
+	if c.state.Roles[election.Planner] != role || !c.adoptPlan(next) {
 		return
 	}
-	c.log.Emit(events.PlanMade, "term", next.Term, "number", next.Number, "cause", next.Cause, "epoch", next.Epoch)
+	c.log.Emit(events.PlanCreated, "term", next.Term, "number", next.Number, "cause", next.Cause, "epoch", next.Epoch)
 	c.queuePlan(next)
 	c.flushOutboxes()
 }
@@ -112,8 +112,8 @@
 	if next == nil {
 		return false
 	}
-	if !plan.Newer(next, c.planner.current) || next.Term < c.state.Duties[election.Planner].Term {
-		c.log.Emit(events.PlanOlder, "term", next.Term, "number", next.Number)
+	if !plan.Newer(next, c.planner.current) || next.Term < c.state.Roles[election.Planner].Term {
+		c.log.Emit(events.PlanSuperseded, "term", next.Term, "number", next.Number)
 		return false
 	}
 	stored, published := compactRepeat(c.planner.current, next)
@@ -150,13 +150,13 @@
 }
 
 // frontsOf returns the members of a roster that run a front, sorted by name.
-func frontsOf(roster map[string]sheet.Member) []sheet.Member {
-	var fronts []sheet.Member
+func frontsOf(roster map[string]statemachine.Member) []statemachine.Member {
+	var fronts []statemachine.Member
 	for _, member := range roster {
 		if member.Front {
 			fronts = append(fronts, member)
 		}
 	}
-	slices.SortFunc(fronts, func(a, b sheet.Member) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(fronts, func(a, b statemachine.Member) int { return strings.Compare(a.Name, b.Name) })
 	return fronts
 }
--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -6,6 +6,7 @@
 
 	"stepwick/internal/decision/lease"
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 )
 
@@ -24,28 +25,28 @@
 
 func (c *Controller) addUnlistedMembers(now time.Time) {
 	members := c.leases.UnlistedMembers(c.state.Roster, now)
-	due := len(members) > 0 && c.state.Settled()
+	due := len(members) > 0 && c.state.RosterCommitted()
 	if c.jobs[jobAddMembers] || !c.conditions.trueFor(conditionMembersUnlisted, due, c.config.JoinBatchWindow+c.proposalDelay(), now) {
 		return
 	}
 	for _, member := range members {
 		c.log.Emit(events.MemberJoined, "member", member.Name, "locality", sheet.ZoneName(member.Region, member.Zone))
 	}
-	c.propose(jobAddMembers, conditionMembersUnlisted, sheet.AddMembers{Members: members, By: c.config.Self})
+	c.propose(jobAddMembers, conditionMembersUnlisted, statemachine.AddMembers{Members: members, ProposedBy: c.config.Self})
 }
 
 func (c *Controller) removeRefusingMembers(now time.Time) {
 	names := c.leases.RefusingMembers(c.state.Roster, c.config.RemoveAfter, now)
-	due := len(names) > 0 && c.state.Settled()
+	due := len(names) > 0 && c.state.RosterCommitted()
 	if c.conditions.trueFor(conditionMembersRefusing, due, c.proposalDelay(), now) {
-		c.propose(jobRemoveMembers, conditionMembersRefusing, sheet.RemoveMembers{Names: names, By: c.config.Self})
+		c.propose(jobRemoveMembers, conditionMembersRefusing, statemachine.RemoveMembers{Names: names, ProposedBy: c.config.Self})
 	}
 }
 
 // completeRosterChange proposes to settle the last roster change once it is confirmed.
 func (c *Controller) completeRosterChange(now time.Time) {
 	state := c.state
-	if !c.conditions.trueFor(conditionRosterChangePending, !state.Settled(), c.proposalDelay(), now) {
+	if !c.conditions.trueFor(conditionRosterChangePending, !state.RosterCommitted(), c.proposalDelay(), now) {
 		return
 	}
 	c.startJob(jobCompleteRosterChange, jobTimeout, func(ctx context.Context) func() {
@@ -58,9 +59,9 @@
 			}
 			return nil
 		}
-		if newest := c.replica.Current(); newest.RosterVersion == state.RosterVersion && !newest.Settled() {
-			command := sheet.SettleRoster{RosterVersion: state.RosterVersion}
-			_, _, _ = c.replica.Propose(ctx, sheet.Encode(command))
+		if newest := c.replica.Current(); newest.RosterVersion == state.RosterVersion && !newest.RosterCommitted() {
+			command := statemachine.CommitRoster{RosterVersion: state.RosterVersion}
+			_, _, _ = c.replica.Propose(ctx, statemachine.Encode(command))
 		}
 		return nil
 	})
@@ -69,9 +70,9 @@
 // propose proposes a command of the core's own, and restarts the span of the
 // condition that led to it: that is evaluated again afterwards, so a failure needs
 // no other treatment.
-func (c *Controller) propose(name job, cause condition, command sheet.Command) {
+func (c *Controller) propose(name job, cause condition, command statemachine.Command) {
 	c.startJob(name, jobTimeout, func(ctx context.Context) func() {
-		_, _, _ = c.replica.Propose(ctx, sheet.Encode(command))
+		_, _, _ = c.replica.Propose(ctx, statemachine.Encode(command))
 		return func() { c.conditions.reset(cause) }
 	})
 }
--- a/internal/node/follower/notice.go
+++ b/internal/node/follower/notice.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"stepwick/internal/decision/lease"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 )
 
@@ -17,25 +17,25 @@
 	f.ruledBy = verdict.Source
 	version := f.state.Version
 	if was == lease.SourceLease {
-		f.log.Emit(events.LeaseLapsed, "epoch", version)
+		f.log.Emit(events.LeaseExpired, "epoch", version)
 	}
 	switch verdict.Source {
 	case lease.SourceLease:
-		f.log.Emit(events.LeaseGained, "epoch", version)
+		f.log.Emit(events.LeaseAcquired, "epoch", version)
 	case lease.SourceRoster:
-		f.log.Emit(events.RulingByRoster, "epoch", version)
+		f.log.Emit(events.AuthorityByRoster, "epoch", version)
 	}
 	if (was == lease.SourceNone || was == "") != (verdict.Source == lease.SourceNone) {
 		if verdict.Granted {
-			f.log.Emit(events.RulingRegained, "by", verdict.Source, "epoch", version)
+			f.log.Emit(events.AuthorityRegained, "by", verdict.Source, "epoch", version)
 		} else {
-			f.log.Emit(events.RulingLost, "epoch", version)
+			f.log.Emit(events.AuthorityLost, "epoch", version)
 		}
 	}
 }
 
 // noticeState logs what a newer state takes away or gives back.
-func (f *Follower) noticeState(old, state sheet.State) {
+func (f *Follower) noticeState(old, state statemachine.State) {
 	f.log.Emit(events.VersionLearned, "epoch", state.Version, "sheet_epoch", state.SheetVersion)
 	for zone := range state.Evacuated {
 		if _, before := old.Evacuated[zone]; !before {
@@ -84,10 +84,10 @@
 	}
 	switch now {
 	case answers:
-		f.log.Emit(events.PeerBack, "peer", name)
+		f.log.Emit(events.PeerRecovered, "peer", name)
 	case refuses:
 		f.log.Emit(events.PeerRefused, "peer", name)
 	case silent:
-		f.log.Emit(events.PeerSilent, "peer", name)
+		f.log.Emit(events.PeerUnresponsive, "peer", name)
 	}
 }
--- a/internal/node/replica/configuration.go
+++ b/internal/node/replica/configuration.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 
 	"stepwick/internal/decision/paxos"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -20,14 +20,14 @@
 // configuration is the replicated state machine: the learned commands, applied
 // in the order of their slots. A command's slot is the version that it makes.
 type configuration struct {
-	sheet sheet.State
+	sheet statemachine.State
 	// recent holds the last commands, and results their results, index by index.
 	recent  []*wire.Chosen
-	results []sheet.Result
+	results []statemachine.Result
 }
 
 // apply applies the command of the next version.
-func (c *configuration) apply(chosen *wire.Chosen) sheet.Result {
+func (c *configuration) apply(chosen *wire.Chosen) statemachine.Result {
 	next, result := c.sheet.Step(chosen.Epoch, chosen.Command)
 	c.sheet = next
 	c.results = append(c.results, result)
@@ -56,7 +56,7 @@
 
 // find returns the first version after the given one whose command matches, with
 // its result, if it is still kept.
-func (c *configuration) find(after uint64, match func(command []byte) bool) (version uint64, result sheet.Result, found bool) {
+func (c *configuration) find(after uint64, match func(command []byte) bool) (version uint64, result statemachine.Result, found bool) {
 	for version := after + 1; version <= c.sheet.Version; version++ {
 		age := c.sheet.Version - version
 		if age >= uint64(len(c.recent)) {
@@ -67,22 +67,22 @@
 			return version, c.results[index], true
 		}
 	}
-	return 0, sheet.Result{}, false
+	return 0, statemachine.Result{}, false
 }
 
 // snapshotSheet decodes the configuration in the snapshot of the agreement; the
 // empty one when there is none. It returns a *SnapshotVersionError when that is
 // of another version than the snapshot's slot.
-func snapshotSheet(state paxos.State) (sheet.State, error) {
+func snapshotSheet(state paxos.State) (statemachine.State, error) {
 	if state.SnapshotSlot == 0 {
-		return sheet.State{}, nil
+		return statemachine.State{}, nil
 	}
-	decoded, err := sheet.DecodeState(state.Snapshot)
+	decoded, err := statemachine.DecodeState(state.Snapshot)
 	if err != nil {
-		return sheet.State{}, errors.Wrapf(err, "the snapshot of epoch %d", state.SnapshotSlot)
+		return statemachine.State{}, errors.Wrapf(err, "the snapshot of epoch %d", state.SnapshotSlot)
 	}
 	if decoded.Version != state.SnapshotSlot {
-		return sheet.State{}, &SnapshotVersionError{Version: decoded.Version, Stored: state.SnapshotSlot}
+		return statemachine.State{}, &SnapshotVersionError{Version: decoded.Version, Stored: state.SnapshotSlot}
 	}
 	return decoded, nil
 }
--- a/internal/node/replica/disk_test.go
+++ b/internal/node/replica/disk_test.go
@@ -11,6 +11,7 @@
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -103,7 +104,7 @@
 			largeSheet.Tenants[fmt.Sprint("tenant-", n)] = sheet.Tenant{Rate: 1, Burst: 1, KeyHashes: []string{fmt.Sprintf("%064x", n)}}
 		}
 		large := func(i int) []byte {
-			return sheet.Encode(sheet.PutSheet{Order: sheet.Order{OrderID: fmt.Sprint(i), Base: uint64(i)}, Sheet: largeSheet})
+			return statemachine.Encode(statemachine.PutSheet{Order: statemachine.Order{OrderID: fmt.Sprint(i), Base: uint64(i)}, Sheet: largeSheet})
 		}
 		So(len(large(0)), ShouldBeBetween, 25<<10, 35<<10)
 		for i := range 8 {
--- a/internal/node/replica/faults_test.go
+++ b/internal/node/replica/faults_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 )
 
 // TestFleetUnderFaults sends orders through changing cores, each again until
@@ -58,7 +58,7 @@
 					}
 				}
 			}()
-			answered := map[string]sheet.Result{}
+			answered := map[string]statemachine.Result{}
 			for n := range 60 {
 				id := fmt.Sprint(n)
 				for attempt := 0; ; attempt++ {
--- a/internal/node/replica/propose.go
+++ b/internal/node/replica/propose.go
@@ -6,7 +6,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/paxos"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 )
 
@@ -15,18 +15,18 @@
 // includes it then, unless this core's disk is slow. When the context ends
 // first, the error's code says whether the command may yet be chosen: NoMajority
 // or OutcomePending. In either case it may be proposed again.
-func (r *Replica) Propose(ctx context.Context, command []byte) (version uint64, result sheet.Result, err error) {
+func (r *Replica) Propose(ctx context.Context, command []byte) (version uint64, result statemachine.Result, err error) {
 	return r.ProposeMatching(ctx, command, func(chosen []byte) bool { return bytes.Equal(chosen, command) })
 }
 
 // ProposeMatching is Propose for a command that other bytes may stand for: match
 // reports whether a chosen command is the same order.
-func (r *Replica) ProposeMatching(ctx context.Context, command []byte, match func(chosen []byte) bool) (version uint64, result sheet.Result, err error) {
+func (r *Replica) ProposeMatching(ctx context.Context, command []byte, match func(chosen []byte) bool) (version uint64, result statemachine.Result, err error) {
 	done := make(chan outcome, 1)
 	select {
 	case r.proposals <- proposal{ctx: ctx, command: command, match: match, done: done}:
 	case <-ctx.Done():
-		return 0, sheet.Result{}, apierror.Errorf(apierror.NoMajority, "other proposals wait for a majority")
+		return 0, statemachine.Result{}, apierror.Errorf(apierror.NoMajority, "other proposals wait for a majority")
 	}
 	select {
 	case out := <-done:
@@ -35,7 +35,7 @@
 		}
 		return out.version, out.result, out.err
 	case <-ctx.Done():
-		return 0, sheet.Result{}, apierror.Errorf(apierror.OutcomePending, "the ballot is not over")
+		return 0, statemachine.Result{}, apierror.Errorf(apierror.OutcomePending, "the ballot is not over")
 	}
 }
 
--- a/internal/node/replica/survivors.go
+++ b/internal/node/replica/survivors.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
 )
@@ -35,7 +35,7 @@
 	if highest.Version == 0 {
 		return 0, nil, ""
 	}
-	noop := sheet.Encode(sheet.Noop{})
+	noop := statemachine.Encode(statemachine.Noop{})
 	for range foundingSlotGap {
 		highest, _ = highest.Step(highest.Version+1, noop)
 	}
@@ -55,13 +55,13 @@
 	})
 }
 
-func highestState(answers map[string]*wire.FetchResponse) sheet.State {
-	var highest sheet.State
+func highestState(answers map[string]*wire.FetchResponse) statemachine.State {
+	var highest statemachine.State
 	for _, resp := range answers {
 		if len(resp.Snapshot) == 0 || resp.SnapshotEpoch <= highest.Version {
 			continue
 		}
-		state, err := sheet.DecodeState(resp.Snapshot)
+		state, err := statemachine.DecodeState(resp.Snapshot)
 		if err == nil && state.Version == resp.SnapshotEpoch {
 			highest = state
 		}
--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -8,6 +8,7 @@
 
 	"stepwick/internal/decision/balance"
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 	"stepwick/sim/eventqueue"
 )
@@ -85,7 +86,7 @@
 const drainMS = 5000
 
 func (r *run) build() {
-	r.view = balance.View{State: sheet.State{Version: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{serviceName: {Kind: sheet.KindHTTP}}}},
+	r.view = balance.View{State: statemachine.State{Version: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{serviceName: {Kind: sheet.KindHTTP}}}},
 		Servers: map[string]*wire.ServerStatus{}, FleetNow: start}
 	for at, region := range r.site.Regions {
 		for i := range region.Servers {
