--- a/internal/decision/election/election.go
+++ b/internal/decision/election/election.go
@@ -6,7 +6,7 @@
 // do no harm.
 //
 // The package does no I/O and reads no clock. In the agreed state a role is a
-// sheet.Duty and its leader the duty's holder.
+// statemachine.RoleTerm and its leader the duty's holder.
 package election
 
 import (
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 )
 
 // Planner is the role of computing the plan of each period.
@@ -32,7 +32,7 @@
 // a majority of the voters observes that the leader's lease has expired or its
 // process is gone. Cores without an observation count as if it were alive, and
 // those that are no voters don't count.
-func Vacant(role sheet.Duty, voters []string, observations []Observation) bool {
+func Vacant(role statemachine.RoleTerm, voters []string, observations []Observation) bool {
 	if role.Holder == "" {
 		return true
 	}
@@ -55,7 +55,7 @@
 // before it campaigns: its position among the voters times the step, so that
 // candidates rarely compete. The leader of the last term comes last. For a core
 // that is no voter, which never campaigns, voter is false.
-func CandidateDelay(self string, role sheet.Duty, voters []string, step time.Duration) (delay time.Duration, voter bool) {
+func CandidateDelay(self string, role statemachine.RoleTerm, voters []string, step time.Duration) (delay time.Duration, voter bool) {
 	candidates := slices.Clone(voters)
 	slices.SortFunc(candidates, func(a, b string) int {
 		switch {
--- a/internal/decision/election/election_test.go
+++ b/internal/decision/election/election_test.go
@@ -4,16 +4,16 @@
 	"testing"
 	"time"
 
-	. "github.com/smartystreets/goconvey/convey"
+	"stepwick/internal/decision/statemachine"
 
-	"stepwick/internal/decision/sheet"
+	. "github.com/smartystreets/goconvey/convey"
 )
 
 func TestElection(t *testing.T) {
 	voters := []string{"c1", "c2", "c3"}
-	role := sheet.Duty{Term: 4, Holder: "c1"}
+	role := statemachine.RoleTerm{Term: 4, Holder: "c1"}
 	Convey("A role that never had a leader is vacant", t, func() {
-		So(Vacant(sheet.Duty{}, voters, nil), ShouldBeTrue)
+		So(Vacant(statemachine.RoleTerm{}, voters, nil), ShouldBeTrue)
 	})
 	Convey("A role is vacant when a majority observes that its leader is lost", t, func() {
 		So(Vacant(role, voters, []Observation{{"c2", false}, {"c3", false}}), ShouldBeTrue)
--- a/internal/decision/lease/holder.go
+++ b/internal/decision/lease/holder.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 )
 
 // Holder is a front's side of leases: it records the answers of cores and peers
@@ -49,9 +49,9 @@
 // SetRoster sets the roster of the state that the front serves by and, while
 // its last change is not settled, the prior one (nil or empty otherwise). Only
 // members with a front count.
-func (h *Holder) SetRoster(current, prior map[string]sheet.Member) {
+func (h *Holder) SetRoster(current, prior map[string]statemachine.Member) {
 	h.rosters = h.rosters[:0]
-	for _, roster := range []map[string]sheet.Member{current, prior} {
+	for _, roster := range []map[string]statemachine.Member{current, prior} {
 		if names := frontNames(roster); len(names) > 0 {
 			h.rosters = append(h.rosters, names)
 		}
--- a/internal/decision/lease/roster_majority.go
+++ b/internal/decision/lease/roster_majority.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 )
 
 // peer is what a front knows of another one from its own pings.
@@ -149,7 +149,7 @@
 func Majority(n int) int { return n/2 + 1 }
 
 // frontNames returns the names of the members of a roster that run a front.
-func frontNames(roster map[string]sheet.Member) map[string]bool {
+func frontNames(roster map[string]statemachine.Member) map[string]bool {
 	names := make(map[string]bool, len(roster))
 	for name, member := range roster {
 		if member.Front {
--- a/internal/decision/plan/exclusion.go
+++ b/internal/decision/plan/exclusion.go
@@ -2,6 +2,7 @@
 
 import (
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -17,7 +18,7 @@
 
 // ExclusionReason returns the reason why a server may get no requests, "" when it
 // may.
-func ExclusionReason(state sheet.State, status *wire.ServerStatus) string {
+func ExclusionReason(state statemachine.State, status *wire.ServerStatus) string {
 	switch status.GetState() {
 	case wire.ServerState_SERVER_STATE_DRAINING:
 		return ReasonDraining
@@ -36,7 +37,7 @@
 }
 
 // IsEvacuated reports whether a zone, or the region that it is in, is evacuated.
-func IsEvacuated(state sheet.State, region, zone string) bool {
+func IsEvacuated(state statemachine.State, region, zone string) bool {
 	if len(state.Evacuated) == 0 {
 		return false
 	}
--- a/internal/decision/plan/plan.go
+++ b/internal/decision/plan/plan.go
@@ -15,14 +15,15 @@
 	"time"
 
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
 // Input is all that a plan is computed from.
 type Input struct {
-	State   sheet.State
+	State   statemachine.State
 	Servers map[string]*wire.ServerStatus
-	Fronts  []sheet.Member
+	Fronts  []statemachine.Member
 	// Prior is the plan in force, nil when there is none.
 	Prior *wire.Plan
 	// Term is the leader's term, Number the plan's in that term, Holder the leader.
--- a/internal/decision/plan/shares.go
+++ b/internal/decision/plan/shares.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -14,7 +14,7 @@
 // a region is spread over the others by their weights. A region without a server
 // that may get requests has no share, and a service that no region has capacity for
 // has none at all.
-func Shares(state sheet.State, servers map[string]*wire.ServerStatus, fronts []sheet.Member, policy Policy) []*wire.Share {
+func Shares(state statemachine.State, servers map[string]*wire.ServerStatus, fronts []statemachine.Member, policy Policy) []*wire.Share {
 	if state.Sheet == nil {
 		return nil
 	}
@@ -55,7 +55,7 @@
 
 // totalsOf adds up the servers that may get requests. One that serves several
 // services counts for each with an equal part.
-func totalsOf(state sheet.State, servers map[string]*wire.ServerStatus, policy Policy) serviceTotals {
+func totalsOf(state statemachine.State, servers map[string]*wire.ServerStatus, policy Policy) serviceTotals {
 	totals := serviceTotals{
 		capacity: map[string]map[string]float64{},
 		demand:   map[string]float64{},
@@ -185,7 +185,7 @@
 
 // regionNames returns the names of all regions, sorted: those with a weight, a
 // server or a front.
-func regionNames(state sheet.State, servers map[string]*wire.ServerStatus, fronts []sheet.Member) []string {
+func regionNames(state statemachine.State, servers map[string]*wire.ServerStatus, fronts []statemachine.Member) []string {
 	names := map[string]bool{}
 	for _, weights := range state.Sheet.Weights {
 		for region := range weights {
--- a/internal/node/control/atomic_replica_test.go
+++ b/internal/node/control/atomic_replica_test.go
@@ -4,13 +4,13 @@
 	"context"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
 // agreed is the state of the fleet and the commands that led to it.
 type agreed struct {
-	state   sheet.State
+	state   statemachine.State
 	chosen  []*wire.Chosen
 	changed chan struct{}
 }
@@ -19,10 +19,10 @@
 // compare-and-swap.
 type atomicReplica struct{ f *fleet }
 
-func (b atomicReplica) Propose(ctx context.Context, command []byte) (uint64, sheet.Result, error) {
+func (b atomicReplica) Propose(ctx context.Context, command []byte) (uint64, statemachine.Result, error) {
 	if b.f.majorityLost.Load() {
 		<-ctx.Done()
-		return 0, sheet.Result{}, ctx.Err()
+		return 0, statemachine.Result{}, ctx.Err()
 	}
 	for {
 		old := b.f.agreed.Load()
@@ -37,10 +37,10 @@
 	}
 }
 
-func (b atomicReplica) ReadMajority(ctx context.Context) (sheet.State, error) {
+func (b atomicReplica) ReadMajority(ctx context.Context) (statemachine.State, error) {
 	if b.f.majorityLost.Load() {
 		<-ctx.Done()
-		return sheet.State{}, apierror.Errorf(apierror.NoMajority, "1 of 3 cores answered")
+		return statemachine.State{}, apierror.Errorf(apierror.NoMajority, "1 of 3 cores answered")
 	}
 	return b.f.agreed.Load().state, nil
 }
@@ -53,8 +53,8 @@
 func (b atomicReplica) Learned(after uint64) ([]*wire.Chosen, bool) {
 	return b.f.agreed.Load().chosen[after:], true
 }
-func (b atomicReplica) Current() sheet.State     { return b.f.agreed.Load().state }
-func (b atomicReplica) Changed() <-chan struct{} { return b.f.agreed.Load().changed }
-func (b atomicReplica) Standing() wire.Standing  { return wire.Standing_STANDING_VOTING }
-func (b atomicReplica) Voters() []string         { return voters }
-func (b atomicReplica) Formation() string        { return "formation" }
+func (b atomicReplica) Current() statemachine.State { return b.f.agreed.Load().state }
+func (b atomicReplica) Changed() <-chan struct{}    { return b.f.agreed.Load().changed }
+func (b atomicReplica) Standing() wire.Standing     { return wire.Standing_STANDING_VOTING }
+func (b atomicReplica) Voters() []string            { return voters }
+func (b atomicReplica) Formation() string           { return "formation" }
--- a/internal/node/control/confirmation.go
+++ b/internal/node/control/confirmation.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"stepwick/internal/decision/lease"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -13,7 +13,7 @@
 
 // newConfirmationCheck returns the check of a version, without views, by the
 // rosters of a state.
-func (c *Controller) newConfirmationCheck(version uint64, state sheet.State) lease.ConfirmationCheck {
+func (c *Controller) newConfirmationCheck(version uint64, state statemachine.State) lease.ConfirmationCheck {
 	return lease.ConfirmationCheck{
 		Version:     version,
 		Voters:      len(c.replica.Voters()),
--- a/internal/node/control/controller.go
+++ b/internal/node/control/controller.go
@@ -9,7 +9,7 @@
 	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
 	"stepwick/internal/decision/lease"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -26,11 +26,11 @@
 // own process.
 type Replica interface {
 	// Propose returns once the command is chosen and applied here.
-	Propose(ctx context.Context, command []byte) (version uint64, result sheet.Result, err error)
+	Propose(ctx context.Context, command []byte) (version uint64, result statemachine.Result, err error)
 	// ReadMajority returns a state that holds whatever was chosen before the call.
-	ReadMajority(ctx context.Context) (sheet.State, error)
+	ReadMajority(ctx context.Context) (statemachine.State, error)
 	// Current returns the newest state applied here.
-	Current() sheet.State
+	Current() statemachine.State
 	// Learned returns the commands applied here after a version, oldest first;
 	// complete is false when some of them are no longer retained.
 	Learned(after uint64) (chosen []*wire.Chosen, complete bool)
@@ -68,7 +68,7 @@
 	ctx       context.Context // of Serve
 	startedAt time.Time
 	// state is the newest state of the replica that was published on the feed.
-	state sheet.State
+	state statemachine.State
 	// caughtUp is set once the core holds whatever a majority had chosen when it
 	// started; before that it grants no lease.
 	caughtUp   bool
--- a/internal/node/control/feed.go
+++ b/internal/node/control/feed.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/journal"
 	"stepwick/internal/wire"
 )
@@ -108,7 +108,7 @@
 
 // encode starts to encode a state outside the owner, unless that is done or under
 // way, and returns the function that waits for the result.
-func (f *feed) encode(state sheet.State) (await func() []byte) {
+func (f *feed) encode(state statemachine.State) (await func() []byte) {
 	snapshot := f.snapshot
 	if snapshot == nil || snapshot.version != state.Version {
 		snapshot = &encodedState{version: state.Version, ready: make(chan struct{})}
--- a/internal/node/control/order_answers.go
+++ b/internal/node/control/order_answers.go
@@ -5,6 +5,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -37,9 +38,9 @@
 
 // historyBody answers a read of the history of orders.
 type historyBody struct {
-	Version      uint64         `json:"epoch"`
-	SheetVersion uint64         `json:"sheet_epoch"`
-	History      []sheet.Record `json:"history"`
+	Version      uint64                `json:"epoch"`
+	SheetVersion uint64                `json:"sheet_epoch"`
+	History      []statemachine.Record `json:"history"`
 }
 
 func okResponse(body any, version uint64) *wire.OrderResponse {
--- a/internal/node/control/planner_election.go
+++ b/internal/node/control/planner_election.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"stepwick/internal/decision/election"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 )
 
@@ -16,19 +16,19 @@
 	if !c.mayPropose() {
 		return
 	}
-	role := c.state.Duties[election.Planner]
+	role := c.state.Roles[election.Planner]
 	delay, voter := c.candidateDelay(role)
 	vacant := c.plannerVacant(role, now)
 	if !voter || !c.conditions.trueFor(conditionPlannerVacant, vacant, delay, now) {
 		return
 	}
 	if role.Holder != "" && !c.jobs[jobElection] {
-		c.log.Emit(events.DutyVacant, "duty", election.Planner, "term", role.Term, "holder", role.Holder)
+		c.log.Emit(events.RoleVacant, "duty", election.Planner, "term", role.Term, "holder", role.Holder)
 	}
-	command := sheet.TakeDuty{Duty: election.Planner, Term: role.Term + 1, Holder: c.config.Self}
+	command := statemachine.AcquireRole{Role: election.Planner, Term: role.Term + 1, Holder: c.config.Self}
 	c.startJob(jobElection, jobTimeout, func(ctx context.Context) func() {
-		_, result, err := c.replica.Propose(ctx, sheet.Encode(command))
-		won := err == nil && result.Fault() == nil
+		_, result, err := c.replica.Propose(ctx, statemachine.Encode(command))
+		won := err == nil && result.APIError() == nil
 		return func() { c.campaignEnded(won, command.Term) }
 	})
 }
@@ -39,17 +39,17 @@
 		return
 	}
 	c.planner.wonTerm = term
-	c.log.Emit(events.DutyWon, "duty", election.Planner, "term", term)
+	c.log.Emit(events.RoleAcquired, "duty", election.Planner, "term", term)
 }
 
-func (c *Controller) plannerVacant(role sheet.Duty, now time.Time) bool {
+func (c *Controller) plannerVacant(role statemachine.RoleTerm, now time.Time) bool {
 	if role.Holder == c.config.Self {
 		return !c.leads(role)
 	}
 	return election.Vacant(role, c.replica.Voters(), c.leaderObservations(role.Holder, now))
 }
 
-func (c *Controller) candidateDelay(role sheet.Duty) (delay time.Duration, voter bool) {
+func (c *Controller) candidateDelay(role statemachine.RoleTerm) (delay time.Duration, voter bool) {
 	delay, voter = election.CandidateDelay(c.config.Self, role, c.replica.Voters(), c.config.ProposalStagger)
 	if role.Holder == c.config.Self {
 		return 0, voter
--- a/internal/node/control/planner_election_test.go
+++ b/internal/node/control/planner_election_test.go
@@ -16,7 +16,7 @@
 			f.put(t)
 			f.report("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
 			f.advance(3 * time.Second)
-			leader := f.agreed.Load().state.Duties[election.Planner]
+			leader := f.agreed.Load().state.Roles[election.Planner]
 			So(leader.Term, ShouldEqual, 1)
 			plan := f.follow("c3", nil, time.Second).Snapshot.Plan
 			So(plan.Term, ShouldEqual, 1)
@@ -25,7 +25,7 @@
 
 			f.kill(leader.Holder)
 			f.advance(6 * time.Second)
-			next := f.agreed.Load().state.Duties[election.Planner]
+			next := f.agreed.Load().state.Roles[election.Planner]
 			So(next.Term, ShouldEqual, 2)
 			So(next.Holder, ShouldNotEqual, leader.Holder)
 			latest := f.follow("c3", nil, time.Second).Snapshot.Plan
@@ -39,13 +39,13 @@
 	})
 	withFleet(t, 3, func(t *testing.T, f *fleet) {
 		Convey("A partitioned core loses the leadership, and finds it lost when the partition heals", t, func() {
-			leader := f.agreed.Load().state.Duties[election.Planner]
+			leader := f.agreed.Load().state.Roles[election.Planner]
 			f.setFlag(&f.partitioned, true, leader.Holder)
 			f.advance(6 * time.Second)
-			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
+			So(f.agreed.Load().state.Roles[election.Planner].Term, ShouldEqual, 2)
 			f.setFlag(&f.partitioned, false, leader.Holder)
 			f.advance(6 * time.Second)
-			So(f.agreed.Load().state.Duties[election.Planner].Term, ShouldEqual, 2)
+			So(f.agreed.Load().state.Roles[election.Planner].Term, ShouldEqual, 2)
 		})
 	})
 }
--- a/internal/node/control/roster_test.go
+++ b/internal/node/control/roster_test.go
@@ -12,7 +12,7 @@
 		Convey("Processes that renew are added to the roster by one change, which is completed", t, func() {
 			state := f.agreed.Load().state
 			So(state.Roster, ShouldHaveLength, 6)
-			So(state.Settled(), ShouldBeTrue)
+			So(state.RosterCommitted(), ShouldBeTrue)
 			So(f.servingFronts(), ShouldEqual, 6)
 		})
 		Convey("An unresponsive member stays; one that refuses for a minute is removed, and the change is completed", t, func() {
@@ -24,7 +24,7 @@
 			state := f.agreed.Load().state
 			So(state.Roster, ShouldHaveLength, 5)
 			So(state.Roster, ShouldContainKey, "f5")
-			So(state.Settled(), ShouldBeTrue)
+			So(state.RosterCommitted(), ShouldBeTrue)
 			So(f.fronts["f5"].Ruling(), ShouldBeFalse)
 		})
 	})
--- a/internal/node/control/state.go
+++ b/internal/node/control/state.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"stepwick/internal/decision/election"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -68,7 +68,7 @@
 	}
 }
 
-func (c *Controller) logStateChange(before, after sheet.State) {
+func (c *Controller) logStateChange(before, after statemachine.State) {
 	c.log.Emit(events.VersionLearned, "epoch", after.Version, "sheet_epoch", after.SheetVersion)
 	for name := range after.Roster {
 		if _, known := before.Roster[name]; !known && before.Version > 0 {
@@ -80,12 +80,12 @@
 			c.log.Emit(events.MemberRemoved, "member", name, "epoch", after.Version)
 		}
 	}
-	previousLeader := before.Duties[election.Planner]
-	currentLeader := after.Duties[election.Planner]
+	previousLeader := before.Roles[election.Planner]
+	currentLeader := after.Roles[election.Planner]
 	if previousLeader.Holder == c.config.Self && currentLeader.Holder != c.config.Self {
-		c.log.Emit(events.DutyLost, "duty", election.Planner, "term", currentLeader.Term, "holder", currentLeader.Holder)
+		c.log.Emit(events.RoleLost, "duty", election.Planner, "term", currentLeader.Term, "holder", currentLeader.Holder)
 	}
-	if !before.Settled() && after.Settled() {
-		c.log.Emit(events.RosterSettled, "epoch", after.Version, "members", len(after.Roster))
+	if !before.RosterCommitted() && after.RosterCommitted() {
+		c.log.Emit(events.RosterCommitted, "epoch", after.Version, "members", len(after.Roster))
 	}
 }
--- a/internal/node/replica/firstsheet.go
+++ b/internal/node/replica/firstsheet.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 )
 
@@ -31,10 +32,10 @@
 		r.events.Emit(events.OrderRefused, "order", firstSheetOrder, "code", apiErr.Code, "detail", apiErr.Detail)
 		return true
 	}
-	order := sheet.Order{OrderID: firstSheetOrder, Operator: firstSheetOrder, AtMS: r.clock.Now().UnixMilli()}
+	order := statemachine.Order{OrderID: firstSheetOrder, Operator: firstSheetOrder, AtMS: r.clock.Now().UnixMilli()}
 	ctx, cancel := context.WithTimeout(ctx, firstSheetTimeout)
 	defer cancel()
-	_, result, err := r.Propose(ctx, sheet.Encode(sheet.PutSheet{Order: order, Sheet: first}))
+	_, result, err := r.Propose(ctx, statemachine.Encode(statemachine.PutSheet{Order: order, Sheet: first}))
 	if err != nil {
 		return false
 	}
--- a/internal/node/replica/proposalloop.go
+++ b/internal/node/replica/proposalloop.go
@@ -7,7 +7,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/paxos"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 )
 
@@ -31,7 +31,7 @@
 
 type outcome struct {
 	version uint64
-	result  sheet.Result
+	result  statemachine.Result
 	err     error
 }
 
@@ -151,7 +151,7 @@
 // value returns what is proposed in a slot in which no value is accepted.
 func (p *proposalRun) value() []byte {
 	if p.proposal.command == nil {
-		return sheet.Encode(sheet.Noop{})
+		return statemachine.Encode(statemachine.Noop{})
 	}
 	return p.proposal.command
 }
--- a/internal/node/replica/read.go
+++ b/internal/node/replica/read.go
@@ -6,7 +6,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/paxos"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 	"stepwick/internal/wire/wireconnect"
@@ -27,19 +27,19 @@
 // ReadMajority returns a configuration that includes whatever was chosen before
 // the call. It asks a majority of the voters and completes the slots that it
 // finds accepted. Without a majority it returns an error of the code NoMajority.
-func (r *Replica) ReadMajority(ctx context.Context) (sheet.State, error) {
+func (r *Replica) ReadMajority(ctx context.Context) (statemachine.State, error) {
 	state, err := r.votingState(ctx)
 	if err != nil {
-		return sheet.State{}, err
+		return statemachine.State{}, err
 	}
 	poll := r.pollVoters(ctx, state)
 	if poll.answered < state.Quorum() {
-		return sheet.State{}, apierror.Errorf(apierror.NoMajority, "%d of %d cores answered", poll.answered, len(state.Voters))
+		return statemachine.State{}, apierror.Errorf(apierror.NoMajority, "%d of %d cores answered", poll.answered, len(state.Voters))
 	}
 	for {
 		current, err := r.currentSheet(ctx)
 		if err != nil {
-			return sheet.State{}, err
+			return statemachine.State{}, err
 		}
 		if current.Version >= max(poll.highest, poll.learned) {
 			return current, nil
@@ -48,7 +48,7 @@
 			continue
 		}
 		if err := r.completeSlots(ctx, poll.highest); err != nil {
-			return sheet.State{}, err
+			return statemachine.State{}, err
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		err := o.commit(records, forLearning)
 		if err == nil && len(records) > 0 {
 			if resp.SnapshotEpoch > after {
-				r.events.Emit(events.SnapshotTaken, "core", r.cfg.Self, "from", from, "epoch", resp.SnapshotEpoch)
+				r.events.Emit(events.SnapshotInstalled, "core", r.cfg.Self, "from", from, "epoch", resp.SnapshotEpoch)
 			}
 			r.events.Emit(events.SlotFetched, "core", r.cfg.Self, "from", from, "epoch", o.state.Learned())
 		}
@@ -140,6 +140,6 @@
 }
 
 // currentSheet returns the configuration, which may be ahead of the disk.
-func (r *Replica) currentSheet(ctx context.Context) (sheet.State, error) {
-	return callOwner(ctx, r, func(o *owner, reply func(sheet.State, error)) { reply(o.configuration.sheet, nil) })
+func (r *Replica) currentSheet(ctx context.Context) (statemachine.State, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(statemachine.State, error)) { reply(o.configuration.sheet, nil) })
 }
--- a/sim/confirm/core.go
+++ b/sim/confirm/core.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"stepwick/internal/decision/lease"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -83,7 +83,7 @@
 
 // submitOrder proposes an operator's order at a core.
 func (w *world) submitOrder(node *nodeState) {
-	version, chosen := w.propose(node, sheet.Noop{})
+	version, chosen := w.propose(node, statemachine.Noop{})
 	if !chosen {
 		return
 	}
@@ -120,15 +120,15 @@
 	core := proc.core
 	now := w.clock(proc.node)
 	state := w.log[core.learned]
-	if !core.caughtUp || !state.Settled() {
+	if !core.caughtUp || !state.RosterCommitted() {
 		return
 	}
 	if members := core.leases.UnlistedMembers(state.Roster, now); len(members) > 0 {
-		w.propose(proc.node, sheet.AddMembers{Members: members, By: proc.node.name})
+		w.propose(proc.node, statemachine.AddMembers{Members: members, ProposedBy: proc.node.name})
 		return
 	}
 	if names := core.leases.RefusingMembers(state.Roster, removeAfter, now); len(names) > 0 {
-		w.propose(proc.node, sheet.RemoveMembers{Names: names, By: proc.node.name})
+		w.propose(proc.node, statemachine.RemoveMembers{Names: names, ProposedBy: proc.node.name})
 	}
 }
 
@@ -186,11 +186,11 @@
 func (w *world) completeRosterChange(proc *process) {
 	core := proc.core
 	state := w.log[core.learned]
-	if state.Settled() || !core.caughtUp {
+	if state.RosterCommitted() || !core.caughtUp {
 		core.rosterCheck = nil
 		return
 	}
-	command := sheet.SettleRoster{RosterVersion: state.RosterVersion}
+	command := statemachine.CommitRoster{RosterVersion: state.RosterVersion}
 	if w.config.Mutation == NoPriorRoster {
 		w.propose(proc.node, command)
 		return
--- a/sim/confirm/faults.go
+++ b/sim/confirm/faults.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 )
 
 // maxLoggedFaults is how many of the last faults a violation lists.
@@ -144,8 +144,8 @@
 		if !w.running(node) {
 			continue
 		}
-		order := sheet.Order{Operator: "ops", OrderID: fmt.Sprintf("remove-%d", w.now)}
-		if _, chosen := w.propose(node, sheet.RemoveMembers{Order: order, Names: slices.Clone(names), By: "ops"}); chosen {
+		order := statemachine.Order{Operator: "ops", OrderID: fmt.Sprintf("remove-%d", w.now)}
+		if _, chosen := w.propose(node, statemachine.RemoveMembers{Order: order, Names: slices.Clone(names), ProposedBy: "ops"}); chosen {
 			w.logFault("operator removes %v", names)
 			return
 		}
--- a/sim/confirm/front.go
+++ b/sim/confirm/front.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -78,7 +78,7 @@
 	w.call(proc, from, serve, nil)
 }
 
-func (w *world) adoptState(proc *process, state sheet.State) {
+func (w *world) adoptState(proc *process, state statemachine.State) {
 	if state.Version <= proc.state.Version {
 		return
 	}
--- a/sim/confirm/world.go
+++ b/sim/confirm/world.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"stepwick/internal/decision/lease"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 )
 
 // nodeState is a machine; process is what runs on it, nil while it is down.
@@ -32,7 +32,7 @@
 	// mailbox holds what arrived while the process was frozen.
 	mailbox        []func()
 	holder         *lease.Holder
-	state          sheet.State
+	state          statemachine.State
 	hasState       bool
 	renewAt        int64
 	pingAt         int64
@@ -58,7 +58,7 @@
 	// log holds the agreed state by version. accepted and synced hold, by core, the
 	// highest version accepted and the one learned as of the last sync; both survive
 	// a restart.
-	log      []sheet.State
+	log      []statemachine.State
 	accepted []uint64
 	synced   []uint64
 
@@ -83,8 +83,8 @@
 		synced:   make([]uint64, config.Cores),
 	}
 	w.addNodes()
-	first, _ := sheet.Noop{}.Apply(sheet.State{}, 1)
-	w.log = []sheet.State{{}, first}
+	first, _ := statemachine.Noop{}.Apply(statemachine.State{}, 1)
+	w.log = []statemachine.State{{}, first}
 	for i := range config.Cores {
 		w.accepted[i] = 1
 		w.synced[i] = 1
@@ -179,7 +179,7 @@
 }
 
 // propose is an atomic agreement: the command is chosen if a majority is reached.
-func (w *world) propose(node *nodeState, command sheet.Command) (version uint64, chosen bool) {
+func (w *world) propose(node *nodeState, command statemachine.Command) (version uint64, chosen bool) {
 	reached := w.quorum(node)
 	if reached == nil || !node.process.core.caughtUp {
 		return 0, false
