--- a/internal/node/control/state.go
+++ b/internal/node/control/state.go
@@ -80,10 +80,10 @@
 			c.log.Emit(events.MemberRemoved, "member", name, "epoch", after.Version)
 		}
 	}
-	was := before.Roles[election.Planner]
-	is := after.Roles[election.Planner]
-	if was.Holder == c.config.Self && is.Holder != c.config.Self {
-		c.log.Emit(events.RoleLost, "duty", election.Planner, "term", is.Term, "holder", is.Holder)
+	previousLeader := before.Roles[election.Planner]
+	currentLeader := after.Roles[election.Planner]
+	if previousLeader.Holder == c.config.Self && currentLeader.Holder != c.config.Self {
+		c.log.Emit(events.RoleLost, "duty", election.Planner, "term", currentLeader.Term, "holder", currentLeader.Holder)
 	}
 	if !before.RosterCommitted() && after.RosterCommitted() {
 		c.log.Emit(events.RosterCommitted, "epoch", after.Version, "members", len(after.Roster))
