--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -31,8 +31,8 @@
 	Snapshot    []byte // nil when there is none
 	Records     [][]byte
 	Segments    int
-	TornSegment  string // segment whose torn tail was cut, if any
-	TornBytes    int64
+	TornSegment string // segment whose torn tail was cut, if any
+	TornBytes   int64
 	BadSnapshot string // a newer snapshot that fails its checksum and was passed over
 }
 
--- a/internal/adapter/internalrpc/directory.go
+++ b/internal/adapter/internalrpc/directory.go
@@ -208,7 +208,7 @@
 // another address.
 func (d *Directory) logNameTaken(record, self *wire.Process) {
 	if record.Incarnation > self.Incarnation && record.Address != self.Address {
-		d.log.Emit(events.NameTaken, "name", record.Name, "address", record.Address)
+		d.log.Emit(events.NameConflict, "name", record.Name, "address", record.Address)
 	}
 }
 
--- a/internal/decision/lease/helpers_test.go
+++ b/internal/decision/lease/helpers_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -16,10 +16,10 @@
 
 func at(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 
-func roster(names ...string) map[string]sheet.Member {
-	members := map[string]sheet.Member{}
+func roster(names ...string) map[string]statemachine.Member {
+	members := map[string]statemachine.Member{}
 	for _, name := range names {
-		members[name] = sheet.Member{Name: name, Front: true}
+		members[name] = statemachine.Member{Name: name, Front: true}
 	}
 	return members
 }
--- a/internal/decision/lease/status_tracker.go
+++ b/internal/decision/lease/status_tracker.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -31,7 +31,7 @@
 
 // Update returns the status of a member if it differs from the one published
 // last, and records it as published; nil otherwise.
-func (s *StatusTracker) Update(table *Table, name string, roster map[string]sheet.Member, now time.Time) *wire.Sight {
+func (s *StatusTracker) Update(table *Table, name string, roster map[string]statemachine.Member, now time.Time) *wire.Sight {
 	_, listed := roster[name]
 	current := table.memberStatus(name, listed, now)
 	if current == nil {
@@ -47,7 +47,7 @@
 
 // UpdateAll is Update for every member that renews, is on the roster or is
 // tracked.
-func (s *StatusTracker) UpdateAll(table *Table, roster map[string]sheet.Member, now time.Time) []*wire.Sight {
+func (s *StatusTracker) UpdateAll(table *Table, roster map[string]statemachine.Member, now time.Time) []*wire.Sight {
 	var changed []*wire.Sight
 	update := func(name string) {
 		if status := s.Update(table, name, roster, now); status != nil {
--- a/internal/decision/lease/table_view.go
+++ b/internal/decision/lease/table_view.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -62,7 +62,7 @@
 // their holders are more than half of the members of the roster that do not
 // refuse connections. It is this core's part of VersionConfirmed, without the
 // cost of a view.
-func (t *Table) ConfirmedAt(version uint64, roster map[string]sheet.Member, now time.Time) bool {
+func (t *Table) ConfirmedAt(version uint64, roster map[string]statemachine.Member, now time.Time) bool {
 	confirmed := 0
 	for _, lease := range t.leases {
 		if !lease.active(now) {
@@ -85,7 +85,7 @@
 // PingTargets returns the members, on the roster or known here, without contact
 // for a span, sorted by name. A member that has not renewed since the core started
 // has no known incarnation.
-func (t *Table) PingTargets(roster map[string]sheet.Member, span time.Duration, now time.Time) []MemberID {
+func (t *Table) PingTargets(roster map[string]statemachine.Member, span time.Duration, now time.Time) []MemberID {
 	var targets []MemberID
 	for name, lease := range t.leases {
 		if now.Sub(lease.contactAt) >= span {
@@ -103,20 +103,20 @@
 
 // UnlistedMembers returns the members that renew here but are not on the roster,
 // sorted by name.
-func (t *Table) UnlistedMembers(roster map[string]sheet.Member, now time.Time) []sheet.Member {
-	var members []sheet.Member
+func (t *Table) UnlistedMembers(roster map[string]statemachine.Member, now time.Time) []statemachine.Member {
+	var members []statemachine.Member
 	for name, lease := range t.leases {
 		if _, listed := roster[name]; !listed && name != "" && now.Sub(lease.contactAt) < t.ttl {
 			members = append(members, lease.member)
 		}
 	}
-	slices.SortFunc(members, func(a, b sheet.Member) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(members, func(a, b statemachine.Member) int { return strings.Compare(a.Name, b.Name) })
 	return members
 }
 
 // RefusingMembers returns the members of the roster that have refused connections
 // without interruption for a span, sorted.
-func (t *Table) RefusingMembers(roster map[string]sheet.Member, span time.Duration, now time.Time) []string {
+func (t *Table) RefusingMembers(roster map[string]statemachine.Member, span time.Duration, now time.Time) []string {
 	var names []string
 	for name, streak := range t.refusals {
 		if _, listed := roster[name]; listed && now.Sub(streak.last) < t.ttl && streak.last.Sub(streak.first) >= span {
--- a/internal/node/build_traffic.go
+++ b/internal/node/build_traffic.go
@@ -62,18 +62,18 @@
 // newControlAPI returns the API for operators.
 func (p *process) newControlAPI(inspector *inspector) *controlapi.API {
 	return controlapi.New(controlapi.Config{
-		Operators:   p.values.Strings("operator.keys"),
-		SheetMax:    int64(p.values.Int("sheet.max")),
-		BodyTimeout: p.values.Duration("body.timeout"),
-		From:        p.identity.Name,
-		Setting:     settings.CheckRuntime,
+		Operators:       p.values.Strings("operator.keys"),
+		MaxSheetBytes:   int64(p.values.Int("sheet.max")),
+		BodyTimeout:     p.values.Duration("body.timeout"),
+		NodeName:        p.identity.Name,
+		ValidateSetting: settings.ValidateRuntime,
 	}, p.orders, inspector, p.clock, p.log)
 }
 
 // tuned returns the run-time settings of the front: those of the sheet over those of
 // the settings file.
 func (p *process) tuned(sheetSettings map[string]string) front.Tuned {
-	values := p.values.With(sheetSettings)
+	values := p.values.WithRuntime(sheetSettings)
 	return front.Tuned{
 		DeadlineMax:     values.Duration("deadline.max"),
 		DeadlineDefault: values.Duration("deadline.default"),
--- a/internal/node/control/core_views.go
+++ b/internal/node/control/core_views.go
@@ -34,7 +34,7 @@
 		return
 	}
 	c.coreViews.lastPollAt = now
-	member := c.state.Duties[election.Planner].Holder
+	member := c.state.Roles[election.Planner].Holder
 	if member == "" {
 		member = c.config.Self
 	}
--- a/internal/node/control/orders.go
+++ b/internal/node/control/orders.go
@@ -6,7 +6,7 @@
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/lease"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -64,9 +64,9 @@
 	return min(time.Duration(req.WaitMs)*time.Millisecond, orderTimeoutFactor*c.config.OrderTimeout)
 }
 
-func (c *Controller) parseOrder(req *wire.OrderRequest) (sheet.Command, *apierror.Error) {
-	limits := sheet.Limits{Bytes: c.config.SheetMaxBytes, Setting: c.config.CheckSetting}
-	command, apiErr := sheet.ParseOrder(req.Verb, req.Operator, req.Body, limits, c.config.FleetNow().UnixMilli())
+func (c *Controller) parseOrder(req *wire.OrderRequest) (statemachine.Command, *apierror.Error) {
+	limits := statemachine.OrderLimits{MaxBytes: c.config.SheetMaxBytes, ValidateSetting: c.config.CheckSetting}
+	command, apiErr := statemachine.ParseOrder(req.Verb, req.Operator, req.Body, limits, c.config.FleetNow().UnixMilli())
 	if req.Operator == "" {
 		return nil, apierror.Errorf(apierror.OperatorUnknown, "the order names no operator")
 	}
@@ -106,18 +106,18 @@
 }
 
 // executeOrder proposes a command and waits until it is in force.
-func (c *Controller) executeOrder(ctx context.Context, req *wire.OrderRequest, command sheet.Command) *wire.OrderResponse {
-	order, _ := sheet.OrderOf(command)
+func (c *Controller) executeOrder(ctx context.Context, req *wire.OrderRequest, command statemachine.Command) *wire.OrderResponse {
+	order, _ := statemachine.OrderOf(command)
 	orderID := order.OrderID
 	if result, final := c.finalResult(ctx, command); final {
 		if result.Code != apierror.OK {
 			return c.rejectOrder(req, result, orderID)
 		}
-		c.log.Emit(events.OrderRepeated, "order", orderID, "epoch", result.Version)
+		c.log.Emit(events.OrderReplayed, "order", orderID, "epoch", result.Version)
 		return c.awaitInForce(ctx, result, orderID)
 	}
-	c.log.Emit(events.OrderTaken, "order", orderID, "verb", req.Verb, "operator", req.Operator)
-	_, result, err := c.replica.Propose(ctx, sheet.Encode(command))
+	c.log.Emit(events.OrderProposed, "order", orderID, "verb", req.Verb, "operator", req.Operator)
+	_, result, err := c.replica.Propose(ctx, statemachine.Encode(command))
 	if err != nil {
 		return c.proposalFailed(ctx, err, orderID)
 	}
@@ -140,9 +140,9 @@
 // finalResult returns the result of a command where it is final without a
 // proposal: the state here has executed it already, or the state of a majority
 // rejects it. So an order that can't succeed uses up no version.
-func (c *Controller) finalResult(ctx context.Context, command sheet.Command) (result sheet.Result, final bool) {
+func (c *Controller) finalResult(ctx context.Context, command statemachine.Command) (result statemachine.Result, final bool) {
 	state := c.replica.Current()
-	if result, final = state.Foresee(command); final {
+	if result, final = state.Predict(command); final {
 		return result, true
 	}
 	if _, result = command.Apply(state, state.Version+1); result.Code == apierror.OK {
@@ -151,7 +151,7 @@
 	// The state here may be outdated, so only a majority's may reject.
 	state, err := c.replica.ReadMajority(ctx)
 	if err != nil {
-		return sheet.Result{}, false
+		return statemachine.Result{}, false
 	}
 	_, result = command.Apply(state, state.Version+1)
 	if result.Code != apierror.BaseMoved {
@@ -160,19 +160,19 @@
 	return result, result.Code != apierror.OK
 }
 
-func (c *Controller) rejectOrder(req *wire.OrderRequest, result sheet.Result, orderID string) *wire.OrderResponse {
+func (c *Controller) rejectOrder(req *wire.OrderRequest, result statemachine.Result, orderID string) *wire.OrderResponse {
 	event := events.OrderRefused
 	if result.Code == apierror.BaseMoved {
-		event = events.OrderLost
+		event = events.OrderConflicted
 	}
 	c.log.Emit(event, "order", orderID, "verb", req.Verb, "operator", req.Operator, "code", result.Code, "epoch", result.Version)
-	return errorResponse(result.Fault(), result.Version, orderID)
+	return errorResponse(result.APIError(), result.Version, orderID)
 }
 
 // awaitInForce requests the cores' lease views until the version is in force or the
 // context ends. Cores answer when their part of the check is met, so a healthy
 // fleet needs one round.
-func (c *Controller) awaitInForce(ctx context.Context, result sheet.Result, orderID string) *wire.OrderResponse {
+func (c *Controller) awaitInForce(ctx context.Context, result statemachine.Result, orderID string) *wire.OrderResponse {
 	missing := "no core answered"
 	pause := c.config.ViewInterval / firstViewDivisor
 	for {
@@ -194,7 +194,7 @@
 	}
 }
 
-func (c *Controller) acknowledgeOrder(check lease.ConfirmationCheck, result sheet.Result, orderID string) *wire.OrderResponse {
+func (c *Controller) acknowledgeOrder(check lease.ConfirmationCheck, result statemachine.Result, orderID string) *wire.OrderResponse {
 	count := lease.CountConfirmations(check)
 	c.log.Emit(events.OrderAcknowledged, "order", orderID, "epoch", result.Version, "confirmed", count.Confirmed)
 	return okResponse(confirmedBody{
@@ -207,7 +207,7 @@
 	}, result.Version)
 }
 
-func (c *Controller) orderPending(result sheet.Result, orderID, missing string) *wire.OrderResponse {
+func (c *Controller) orderPending(result statemachine.Result, orderID, missing string) *wire.OrderResponse {
 	c.log.Emit(events.OrderPending, "order", orderID, "epoch", result.Version, "waiting", missing)
 	apiErr := apierror.Errorf(apierror.OutcomePending, "agreed at epoch %d and not known to be in force: %s; send the order again with its id", result.Version, missing)
 	return errorResponse(apiErr.WithRetryAfter(retryAfter), result.Version, orderID)
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -7,6 +7,7 @@
 
 	"stepwick/internal/decision/lease"
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -41,26 +42,26 @@
 }
 
 type fleetStatus struct {
-	By            string                `json:"by"`
-	Version       uint64                `json:"epoch"`
-	SheetVersion  uint64                `json:"sheet_epoch"`
-	InForce       bool                  `json:"in_force"`
-	Missing       string                `json:"waiting,omitempty"`
-	Confirmed     int                   `json:"confirmed"`
-	Roster        int                   `json:"roster"`
-	RosterVersion uint64                `json:"roster_epoch"`
-	RosterSettled bool                  `json:"roster_settled"`
-	Evacuated     map[string]uint64     `json:"evacuated,omitempty"`
-	Cores         []coreStatus          `json:"cores"`
-	Members       []memberStatus        `json:"members"`
-	Duties        map[string]sheet.Duty `json:"duties,omitempty"`
-	Plan          *planStatus           `json:"plan,omitempty"`
-	Servers       int                   `json:"servers"`
+	By            string                           `json:"by"`
+	Version       uint64                           `json:"epoch"`
+	SheetVersion  uint64                           `json:"sheet_epoch"`
+	InForce       bool                             `json:"in_force"`
+	Missing       string                           `json:"waiting,omitempty"`
+	Confirmed     int                              `json:"confirmed"`
+	Roster        int                              `json:"roster"`
+	RosterVersion uint64                           `json:"roster_epoch"`
+	RosterSettled bool                             `json:"roster_settled"`
+	Evacuated     map[string]uint64                `json:"evacuated,omitempty"`
+	Cores         []coreStatus                     `json:"cores"`
+	Members       []memberStatus                   `json:"members"`
+	Duties        map[string]statemachine.RoleTerm `json:"duties,omitempty"`
+	Plan          *planStatus                      `json:"plan,omitempty"`
+	Servers       int                              `json:"servers"`
 }
 
 // controllerState is what the owner contributes to a status.
 type controllerState struct {
-	state   sheet.State
+	state   statemachine.State
 	plan    *wire.Plan
 	servers int
 }
@@ -77,10 +78,10 @@
 	views := c.collectViews(ctx, &wire.LeaseViewRequest{Epoch: current.state.Version}, nil)
 	check := c.newConfirmationCheck(current.state.Version, current.state)
 	check.Views = views
-	return okResponse(c.fleetStatus(current, check), current.state.Version), nil
+	return okResponse(c.newFleetStatus(current, check), current.state.Version), nil
 }
 
-func (c *Controller) fleetStatus(current controllerState, check lease.ConfirmationCheck) fleetStatus {
+func (c *Controller) newFleetStatus(current controllerState, check lease.ConfirmationCheck) fleetStatus {
 	state := current.state
 	confirmed, missing := lease.VersionConfirmed(check)
 	return fleetStatus{
@@ -92,9 +93,9 @@
 		Confirmed:     lease.CountConfirmations(check).Confirmed,
 		Roster:        len(state.Roster),
 		RosterVersion: state.RosterVersion,
-		RosterSettled: state.Settled(),
+		RosterSettled: state.RosterCommitted(),
 		Evacuated:     state.Evacuated,
-		Duties:        state.Duties,
+		Duties:        state.Roles,
 		Plan:          newPlanStatus(current.plan),
 		Servers:       current.servers,
 		Cores:         c.coreStatuses(check.Views),
@@ -108,12 +109,12 @@
 	slices.Sort(voters)
 	statuses := make([]coreStatus, 0, len(voters))
 	for _, voter := range voters {
-		statuses = append(statuses, c.coreStatus(voter, views))
+		statuses = append(statuses, c.newCoreStatus(voter, views))
 	}
 	return statuses
 }
 
-func (c *Controller) coreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
+func (c *Controller) newCoreStatus(voter string, views []*wire.LeaseViewResponse) coreStatus {
 	status := coreStatus{Name: voter, Standing: c.standingOf(voter)}
 	for _, view := range views {
 		if view.Core == voter {
@@ -154,7 +155,7 @@
 
 // memberStatusList returns the status of each member of a roster, sorted by name;
 // never nil.
-func memberStatusList(roster map[string]sheet.Member, views []*wire.LeaseViewResponse) []memberStatus {
+func memberStatusList(roster map[string]statemachine.Member, views []*wire.LeaseViewResponse) []memberStatus {
 	statuses := make([]memberStatus, 0, len(roster))
 	for name, member := range roster {
 		status := memberStatus{
--- a/internal/node/follower/configuration.go
+++ b/internal/node/follower/configuration.go
@@ -5,7 +5,7 @@
 
 	"connectrpc.com/connect"
 
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -13,7 +13,7 @@
 // configuration is the latest configuration that the front has learned. Its
 // version never falls.
 type configuration struct {
-	state    sheet.State
+	state    statemachine.State
 	learned  bool // state was received; the zero state otherwise
 	fetching bool // a call of Fetch is in flight
 }
@@ -65,9 +65,9 @@
 	if len(data) == 0 || (f.configuration.learned && version <= f.configuration.state.Version) {
 		return
 	}
-	state, err := sheet.DecodeState(data)
+	state, err := statemachine.DecodeState(data)
 	if err != nil {
-		f.log.Emit(events.SnapshotBad, "epoch", version, "error", err)
+		f.log.Emit(events.SnapshotCorrupt, "epoch", version, "error", err)
 		return
 	}
 	f.adopt(state)
@@ -85,7 +85,7 @@
 
 // adopt replaces the configuration by a newer one. The view is published before
 // the version is confirmed to anyone, so that a confirmed version is in force.
-func (f *Follower) adopt(state sheet.State) {
+func (f *Follower) adopt(state statemachine.State) {
 	previous := f.configuration.state
 	f.configuration.state = state
 	f.configuration.learned = true
--- a/internal/node/follower/feed.go
+++ b/internal/node/follower/feed.go
@@ -85,7 +85,7 @@
 // failPoll takes that a poll of a core failed: the next may go to another core.
 func (f *Follower) failPoll(core string, err error) {
 	f.feed = feed{failedCore: core}
-	f.log.Emit(events.FeedBehind, "core", core, "error", err)
+	f.log.Emit(events.FeedStalled, "core", core, "error", err)
 }
 
 // completePoll takes the answer of a core to a poll.
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -27,7 +27,7 @@
 	"stepwick/internal/clock"
 	"stepwick/internal/decision/lease"
 	"stepwick/internal/decision/serverstatus"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -132,7 +132,7 @@
 	f.serving.Store(&idle)
 	f.validUntil.Store(&time.Time{})
 	f.confirmed.Store(&confirmedVersion{unconfirmed: true})
-	f.view.Store(&View{Index: sheet.State{}.Index(), Servers: map[string]*wire.ServerStatus{}})
+	f.view.Store(&View{Index: statemachine.State{}.Index(), Servers: map[string]*wire.ServerStatus{}})
 	return f
 }
 
--- a/internal/node/follower/logging.go
+++ b/internal/node/follower/logging.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"stepwick/internal/decision/lease"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 )
 
@@ -17,13 +17,13 @@
 	f.authoritySource = authority.Source
 	version := f.configuration.state.Version
 	if previous == lease.SourceLease {
-		f.log.Emit(events.LeaseLapsed, "epoch", version)
+		f.log.Emit(events.LeaseExpired, "epoch", version)
 	}
 	switch authority.Source {
 	case lease.SourceLease:
-		f.log.Emit(events.LeaseGained, "epoch", version)
+		f.log.Emit(events.LeaseAcquired, "epoch", version)
 	case lease.SourceRoster:
-		f.log.Emit(events.RulingByRoster, "epoch", version)
+		f.log.Emit(events.AuthorityByRoster, "epoch", version)
 	}
 	hadNone := previous == lease.SourceNone || previous == ""
 	hasNone := authority.Source == lease.SourceNone
@@ -31,14 +31,14 @@
 		return
 	}
 	if authority.Granted {
-		f.log.Emit(events.RulingRegained, "by", authority.Source, "epoch", version)
+		f.log.Emit(events.AuthorityRegained, "by", authority.Source, "epoch", version)
 	} else {
-		f.log.Emit(events.RulingLost, "epoch", version)
+		f.log.Emit(events.AuthorityLost, "epoch", version)
 	}
 }
 
 // logConfiguration logs what a newer configuration removes or restores.
-func (f *Follower) logConfiguration(previous, state sheet.State) {
+func (f *Follower) logConfiguration(previous, state statemachine.State) {
 	f.log.Emit(events.VersionLearned, "epoch", state.Version, "sheet_epoch", state.SheetVersion)
 	for zone := range state.Evacuated {
 		if _, before := previous.Evacuated[zone]; !before {
@@ -81,10 +81,10 @@
 	}
 	switch response {
 	case answersPings:
-		f.log.Emit(events.PeerBack, "peer", name)
+		f.log.Emit(events.PeerRecovered, "peer", name)
 	case refusesConnections:
 		f.log.Emit(events.PeerRefused, "peer", name)
 	case unresponsive:
-		f.log.Emit(events.PeerSilent, "peer", name)
+		f.log.Emit(events.PeerUnresponsive, "peer", name)
 	}
 }
--- a/internal/node/follower/publication.go
+++ b/internal/node/follower/publication.go
@@ -53,7 +53,7 @@
 	state := f.configuration.state
 	view := &View{
 		State:          state,
-		Index:          previous.Index.For(state),
+		Index:          previous.Index.ForSheet(state.Sheet),
 		Plan:           f.plan,
 		Servers:        servers,
 		Authority:      f.holder.Authority(f.clock.Now()),
--- a/internal/node/follower/publication_test.go
+++ b/internal/node/follower/publication_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/clock"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -19,22 +19,22 @@
 type unreachablePeers []*wire.Process
 
 func (p unreachablePeers) Process(string) (*wire.Process, bool) { return nil, false }
-func (p unreachablePeers) Processes() []*wire.Process                { return p }
-func (p unreachablePeers) Cores() []*wire.Process                    { return port.CoresOf(p) }
-func (p unreachablePeers) Client(string) wireconnect.PeerClient      { return nil }
+func (p unreachablePeers) Processes() []*wire.Process           { return p }
+func (p unreachablePeers) Cores() []*wire.Process               { return port.CoresOf(p) }
+func (p unreachablePeers) Client(string) wireconnect.PeerClient { return nil }
 
 // largeFleet returns a follower to which the feed reported so many live members.
 func largeFleet(members int) *Follower {
 	clock := clock.System()
 	var known []port.KnownProcess
 	var processes unreachablePeers
-	state := sheet.State{Version: 7, Roster: map[string]sheet.Member{}}
+	state := statemachine.State{Version: 7, Roster: map[string]statemachine.Member{}}
 	for i := range members {
 		name := fmt.Sprintf("front-%03d", i)
 		process := &wire.Process{Name: name, Address: name, Front: true, Ready: true, Incarnation: 1, Counter: 1}
 		known = append(known, port.KnownProcess{Process: process, LastSeen: clock.Now()})
 		processes = append(processes, process)
-		state.Roster[name] = sheet.Member{Name: name, Front: true}
+		state.Roster[name] = statemachine.Member{Name: name, Front: true}
 	}
 	f := New(Config{Self: func() *wire.Process { return processes[0] }, LeaseTTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond,
 		PingInterval: 500 * time.Millisecond, KnownProcesses: func() []port.KnownProcess { return known }}, processes, clock, events.Discard)
--- a/internal/node/follower/view.go
+++ b/internal/node/follower/view.go
@@ -6,13 +6,14 @@
 
 	"stepwick/internal/decision/lease"
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
 // View is what a front knows at one moment. It is immutable once it is published.
 type View struct {
 	// State is the configuration; its zero value before one was learned.
-	State sheet.State
+	State statemachine.State
 	// Index finds tenants and keys in State.
 	Index *sheet.Index
 	// Plan is the latest plan of the traffic, nil before the first.
@@ -134,7 +135,7 @@
 }
 
 // rosterFronts returns the names of the fronts on the roster, sorted.
-func rosterFronts(state sheet.State) []string {
+func rosterFronts(state statemachine.State) []string {
 	names := make([]string, 0, len(state.Roster))
 	for name, member := range state.Roster {
 		if member.Front {
--- a/internal/node/healthcheck/discovery.go
+++ b/internal/node/healthcheck/discovery.go
@@ -101,7 +101,7 @@
 func (c *Checker) logListFailure(err error) {
 	if !c.discovery.failing {
 		c.discovery.failing = true
-		c.log.Emit(events.PlatformSilent, "why", err.Error())
+		c.log.Emit(events.PlatformUnresponsive, "why", err.Error())
 	}
 }
 
@@ -110,7 +110,7 @@
 func (c *Checker) logListRead(listing port.Listing) {
 	if c.discovery.failing {
 		c.discovery.failing = false
-		c.log.Emit(events.PlatformBack)
+		c.log.Emit(events.PlatformRecovered)
 	}
 	for _, name := range slices.Sorted(maps.Keys(listing.Malformed)) {
 		c.log.Emit(events.PlatformBadList, "server", name, "why", listing.Malformed[name])
--- a/internal/node/healthcheck/observation.go
+++ b/internal/node/healthcheck/observation.go
@@ -115,10 +115,10 @@
 // stateEvents are the events of a server that enters a state.
 var stateEvents = map[wire.ServerState]events.Event{
 	wire.ServerState_SERVER_STATE_READY:    events.ServerReady,
-	wire.ServerState_SERVER_STATE_COLD:     events.ServerCold,
+	wire.ServerState_SERVER_STATE_COLD:     events.ServerWarmingUp,
 	wire.ServerState_SERVER_STATE_DRAINING: events.ServerDraining,
-	wire.ServerState_SERVER_STATE_LEAVING:  events.ServerLeaving,
-	wire.ServerState_SERVER_STATE_GONE:     events.ServerGone,
+	wire.ServerState_SERVER_STATE_LEAVING:  events.ServerTerminating,
+	wire.ServerState_SERVER_STATE_GONE:     events.ServerRemoved,
 }
 
 // logObservation logs a restart of a server and a change of its state.
@@ -128,7 +128,7 @@
 		by = "the platform"
 	}
 	if source == serverstatus.SourceServer && status.Reachable && previous.GetIncarnation() != status.Incarnation {
-		c.log.Emit(events.ServerSeen, "server", status.Name, "incarnation", status.Incarnation)
+		c.log.Emit(events.ServerDiscovered, "server", status.Name, "incarnation", status.Incarnation)
 	}
 	if event, isLogged := stateEvents[status.State]; isLogged && previous.GetState() != status.State {
 		c.log.Emit(event, "server", status.Name, "by", by)
--- a/internal/node/healthcheck/polling.go
+++ b/internal/node/healthcheck/polling.go
@@ -74,7 +74,7 @@
 	if state == nil {
 		state = &poll{}
 		c.polling.polls[name] = state
-		c.log.Emit(events.WatchTaken, "server", name)
+		c.log.Emit(events.HealthCheckStarted, "server", name)
 	}
 	if !state.isQueued {
 		state.isQueued = true
@@ -134,7 +134,7 @@
 
 // outcomeEvents are the events of polls that failed.
 var outcomeEvents = map[port.PollOutcome]events.Event{
-	port.PollUnanswered: events.ServerSilent,
+	port.PollUnanswered: events.ServerUnresponsive,
 	port.PollMalformed:  events.ServerBadStatus,
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,7 @@
 	source := clock.System()
 	if step := values.Duration("clock.step"); step != 0 {
 		source = clock.Stepped(source, step)
-		log.Emit(events.ProofSetting, "setting", "clock.step", "value", step)
+		log.Emit(events.TestSettingUsed, "setting", "clock.step", "value", step)
 	}
 	return RunIn(ctx, Environment{
 		Clock:      source,
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -120,13 +120,13 @@
 		return errors.Wrap(err, "supervisor ended")
 	case <-p.replaced:
 		stop()
-		_ = <-done // the error of the context that stop ended
+		<-done //nolint:errcheck // the error of the context that stop ended
 		p.pool.CloseIdle()
 		return errReplaced
 	}
 	p.shutDown()
 	stop()
-	_ = <-done // the error of the context that stop ended
+	<-done //nolint:errcheck // the error of the context that stop ended
 	p.pool.CloseIdle()
 	p.log.Emit(events.ProcessStopped, "name", p.identity.Name)
 	return nil
@@ -166,7 +166,7 @@
 		p.log.Emit(events.ListenerOpened, "listener", "caller", "address", p.callerListener.Addr().String())
 	}
 	p.log.Emit(events.ListenerOpened, "listener", "internal", "address", p.internalListener.Addr().String())
-	renamed := p.values.Renamed()
+	renamed := p.values.FormerNamesUsed()
 	for _, former := range slices.Sorted(maps.Keys(renamed)) {
 		p.log.Emit(events.SettingRenamed, "former", former, "name", renamed[former])
 	}
@@ -185,7 +185,7 @@
 	p.log.Emit(events.ProcessStopping, "name", p.identity.Name, "grace", grace)
 	drainCtx, cancelDrain := context.WithTimeout(context.Background(), grace)
 	if err := p.drain(drainCtx); err != nil {
-		p.log.Emit(events.GraceOver, "error", err)
+		p.log.Emit(events.GracePeriodExceeded, "error", err)
 	} else {
 		p.log.Emit(events.DrainFinished)
 	}
--- a/internal/node/replacement.go
+++ b/internal/node/replacement.go
@@ -74,7 +74,7 @@
 	if err != nil || name == self {
 		return name, err
 	}
-	log.Emit(events.PlaceTaken, "core", self, "place", name)
+	log.Emit(events.ReplacementStarted, "core", self, "place", name)
 	return name, storeTakenName(folder, name)
 }
 
@@ -108,7 +108,7 @@
 		}
 		if len(voters) > 0 && !isLogged {
 			isLogged = true
-			s.log.Emit(events.PlaceSought, "core", s.self, "voters", strings.Join(voters, " "))
+			s.log.Emit(events.ReplacementWaiting, "core", s.self, "voters", strings.Join(voters, " "))
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/node/replica/compaction.go
+++ b/internal/node/replica/compaction.go
@@ -1,7 +1,7 @@
 package replica
 
 import (
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 )
 
@@ -37,7 +37,7 @@
 	}()
 }
 
-func encodeConfiguration(version uint64, configuration sheet.State) []byte {
+func encodeConfiguration(version uint64, configuration statemachine.State) []byte {
 	if version == 0 {
 		return nil
 	}
--- a/internal/node/replica/fleet_test.go
+++ b/internal/node/replica/fleet_test.go
@@ -15,7 +15,7 @@
 
 	"stepwick/internal/adapter/disklog"
 	"stepwick/internal/clock"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/port"
 	"stepwick/internal/wire"
@@ -198,7 +198,7 @@
 }
 
 func evacuate(id string) []byte {
-	return sheet.Encode(sheet.Evacuate{Order: sheet.Order{OrderID: id, Operator: "ada"}, Zone: "lagos/a"})
+	return statemachine.Encode(statemachine.Evacuate{Order: statemachine.Order{OrderID: id, Operator: "ada"}, Zone: "lagos/a"})
 }
 
 // timeoutIn returns a context that ends after a time.
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -9,6 +9,7 @@
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/paxos"
 	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 )
 
 // Contents is what the data folder of a core holds. Sizes are in bytes.
@@ -95,10 +96,10 @@
 }
 
 // configurationOf applies the learned commands to the snapshot.
-func configurationOf(state paxos.State) (sheet.State, error) {
+func configurationOf(state paxos.State) (statemachine.State, error) {
 	configuration, err := snapshotSheet(state)
 	if err != nil {
-		return sheet.State{}, err
+		return statemachine.State{}, err
 	}
 	for _, chosen := range state.Chosen {
 		configuration, _ = configuration.Step(chosen.Epoch, chosen.Command)
--- a/internal/node/replica/replica_test.go
+++ b/internal/node/replica/replica_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 	})
 	inVirtualTime(t, "An order sent through three cores at once is accepted once", func(f *fleet) {
 		f.form()
-		results := make(chan sheet.Result, 3)
+		results := make(chan statemachine.Result, 3)
 		for _, name := range []string{"a", "b", "c"} {
 			go func() {
 				_, result, err := f.core(name).Propose(timeoutIn(5*time.Second), evacuate("two"))
@@ -125,7 +125,7 @@
 	inVirtualTime(t, "After the loss of every disk the cores begin from the state that a front still has", func(f *fleet) {
 		f.form()
 		count := f.propose("a", 0, 5)
-		roster := sheet.Encode(sheet.AddMembers{Members: []sheet.Member{{Name: "front", Front: true}}})
+		roster := statemachine.Encode(statemachine.AddMembers{Members: []statemachine.Member{{Name: "front", Front: true}}})
 		_, _, err := f.core("a").Propose(timeoutIn(time.Second), roster)
 		So(err, ShouldBeNil)
 		survivor := f.core("a").Current()
--- a/internal/node/replica/view.go
+++ b/internal/node/replica/view.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/events"
 	"stepwick/internal/wire"
 )
@@ -12,7 +12,7 @@
 // view is an immutable snapshot of what is synced here, for readers on other
 // goroutines. Its version never goes back.
 type view struct {
-	sheet       sheet.State
+	sheet       statemachine.State
 	recent      []*wire.Chosen // the commands of the last versions
 	standing    wire.Standing
 	formation   string
@@ -92,7 +92,7 @@
 }
 
 // Current returns the newest configuration that is applied and synced here.
-func (r *Replica) Current() sheet.State { return r.view.Load().sheet }
+func (r *Replica) Current() statemachine.State { return r.view.Load().sheet }
 
 // Changed returns a channel that is closed when a newer version or standing is
 // published. Call it before Current, so that no change is missed.
