--- a/internal/adapter/internalrpc/directory.go
+++ b/internal/adapter/internalrpc/directory.go
@@ -57,7 +57,7 @@
 // call, with a counter that rises, or zero; seeds are internal addresses (ip:port).
 func NewDirectory(pool *Pool, clock clock.Clock, log events.Log, seeds []string, self func() *wire.Process) *Directory {
 	seed := xxhash.Sum64String(self().Name)
-	d := &Directory{
+	directory := &Directory{
 		clock:       clock,
 		pool:        pool,
 		log:         log,
@@ -68,9 +68,9 @@
 		liveChanged: make(chan struct{}, 1),
 		newSeeds:    make(chan []string),
 	}
-	d.table.Store(newProcessTable(nil))
-	d.live.Store(&liveProcesses{})
-	return d
+	directory.table.Store(newProcessTable(nil))
+	directory.live.Store(&liveProcesses{})
+	return directory
 }
 
 // Process returns what is known of a process by its name.
--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -41,8 +41,8 @@
 	host := fmt.Sprintf("127.0.1.%d", i)
 	own := &wire.Process{Name: fmt.Sprintf("n%d", i), Address: host + ":1", Core: i < 3, Front: true, Incarnation: 1}
 	var seeds []string
-	for j := max(0, i-2); j < i; j++ {
-		seeds = append(seeds, fmt.Sprintf("127.0.1.%d:1", j))
+	for earlier := max(0, i-2); earlier < i; earlier++ {
+		seeds = append(seeds, fmt.Sprintf("127.0.1.%d:1", earlier))
 	}
 	pool := internalrpc.NewPool(net.Dialer(host), own.Address, secret)
 	directory := internalrpc.NewDirectory(pool, clock.System(), events.Discard, seeds, func() *wire.Process {
@@ -80,8 +80,8 @@
 				fleet = append(fleet, startProcess(ctx, t, net, i, "a fleet's secret"))
 			}
 			<-time.After(8 * time.Second)
-			for _, d := range fleet {
-				if got := names(d); got != "n0 n1 n2 n3 n4 n5 n6 n7 n8" {
+			for _, directory := range fleet {
+				if got := names(directory); got != "n0 n1 n2 n3 n4 n5 n6 n7 n8" {
 					t.Errorf("knows %q", got)
 				}
 			}
@@ -128,21 +128,21 @@
 	Convey("What a core's feed reports as live is known at once and kept without gossip; what it drops is forgotten in time", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			d := startProcess(ctx, t, memnet.New(ctx), 0, "a fleet's secret")
+			directory := startProcess(ctx, t, memnet.New(ctx), 0, "a fleet's secret")
 			synctest.Wait()
 			far := &wire.Process{Name: "far", Address: "127.0.1.99:1", Front: true, Incarnation: 1, Counter: 5}
-			d.ConfirmLive([]*wire.Process{far})
+			directory.ConfirmLive([]*wire.Process{far})
 			synctest.Wait()
-			if got := names(d); got != "far n0" {
+			if got := names(directory); got != "far n0" {
 				t.Errorf("knows %q", got)
 			}
 			<-time.After(20 * time.Minute)
-			if got := names(d); got != "far n0" {
+			if got := names(directory); got != "far n0" {
 				t.Errorf("after 20 minutes knows %q", got)
 			}
-			d.ConfirmLive(nil)
+			directory.ConfirmLive(nil)
 			<-time.After(20 * time.Minute)
-			if got := names(d); got != "n0" {
+			if got := names(directory); got != "n0" {
 				t.Errorf("after it was dropped knows %q", got)
 			}
 			cancel()
--- a/internal/adapter/platform/client.go
+++ b/internal/adapter/platform/client.go
@@ -63,8 +63,8 @@
 	c.StatusLimit = positiveOr(c.StatusLimit, defaultStatusLimit)
 	if c.Dial == nil {
 		dialer := &net.Dialer{Timeout: c.Timeout}
-		if ip := net.ParseIP(c.Bind); ip != nil {
-			dialer.LocalAddr = &net.TCPAddr{IP: ip}
+		if bindIP := net.ParseIP(c.Bind); bindIP != nil {
+			dialer.LocalAddr = &net.TCPAddr{IP: bindIP}
 		}
 		c.Dial = dialer.DialContext
 	}
--- a/internal/adapter/platform/platform_test.go
+++ b/internal/adapter/platform/platform_test.go
@@ -39,11 +39,11 @@
 		{"a number for a name", `{"servers":[{"name":7}]}`},
 	}
 	var log strings.Builder
-	for _, c := range cases {
-		listing, err := ParseList([]byte(c.body))
-		fmt.Fprintf(&log, "%s: error %v\n", c.name, err)
-		for _, s := range listing.Servers {
-			fmt.Fprintf(&log, "  %s %s %s %v %s/%s %s\n", s.Name, s.Address, s.Kind, s.Services, s.Region, s.Zone, s.State)
+	for _, testCase := range cases {
+		listing, err := ParseList([]byte(testCase.body))
+		fmt.Fprintf(&log, "%s: error %v\n", testCase.name, err)
+		for _, server := range listing.Servers {
+			fmt.Fprintf(&log, "  %s %s %s %v %s/%s %s\n", server.Name, server.Address, server.Kind, server.Services, server.Region, server.Zone, server.State)
 		}
 		for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7"} {
 			if why := listing.Malformed[name]; why != "" {
@@ -144,17 +144,17 @@
 			return len(listing.Servers), err
 		}
 		for range 3 {
-			n, err := read()
+			count, err := read()
 			So(err, ShouldBeNil)
-			So(n, ShouldEqual, 0)
+			So(count, ShouldEqual, 0)
 		}
 		So(sent, ShouldEqual, 1)
 
 		body, tag = `{"servers":[{"name":"m1","address":"127.0.0.1:80","kind":"model","services":["chat"],"region":"r","zone":"z","state":"ready"}]}`, `"2"`
 		for range 2 {
-			n, err := read()
+			count, err := read()
 			So(err, ShouldBeNil)
-			So(n, ShouldEqual, 1)
+			So(count, ShouldEqual, 1)
 		}
 		So(sent, ShouldEqual, 2)
 
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -29,7 +29,7 @@
 // build builds a process and opens its listeners. Nothing runs before process.run.
 func build(environment Environment, role, name string, values *settings.Values, log events.Log) (*process, error) {
 	processClock := clock.Monotonic(environment.Clock)
-	p := &process{
+	built := &process{
 		role:        role,
 		values:      values,
 		clock:       processClock,
@@ -38,46 +38,46 @@
 		identity:    newIdentity(role, name, values, processClock.Now()),
 		replaced:    make(chan struct{}, 1),
 	}
-	p.pool = internalrpc.NewPool(environment.Dial, p.identity.Address, values.String("fleet.secret"))
-	p.directory = internalrpc.NewDirectory(p.pool, p.clock, log, values.Strings("seeds"), p.self)
-	p.follower = p.newFollower()
+	built.pool = internalrpc.NewPool(environment.Dial, built.identity.Address, values.String("fleet.secret"))
+	built.directory = internalrpc.NewDirectory(built.pool, built.clock, log, values.Strings("seeds"), built.self)
+	built.follower = built.newFollower()
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	var err error
-	if p.quota, err = p.newQuota(registry); err != nil {
+	if built.quota, err = built.newQuota(registry); err != nil {
 		return nil, err
 	}
 	if role == RoleCore {
-		if err := p.buildCore(); err != nil {
+		if err := built.buildCore(); err != nil {
 			return nil, err
 		}
 	}
-	inspector := p.newInspector()
-	p.orders = &orderForwarder{self: p.identity.Name, peers: p.directory}
-	p.peer = &peer{
-		directory:  p.directory,
-		follower:   p.follower,
-		quota:      p.quota,
+	inspector := built.newInspector()
+	built.orders = &orderForwarder{self: built.identity.Name, peers: built.directory}
+	built.peer = &peer{
+		directory:  built.directory,
+		follower:   built.follower,
+		quota:      built.quota,
 		inspector:  inspector,
-		replica:    p.replica,
-		controller: p.controller,
+		replica:    built.replica,
+		controller: built.controller,
 	}
-	if p.front, err = p.newFront(inspector, registry); err != nil {
+	if built.front, err = built.newFront(inspector, registry); err != nil {
 		return nil, err
 	}
 	if environment.Platform != nil {
-		if p.gateway, err = p.newGateway(registry); err != nil {
+		if built.gateway, err = built.newGateway(registry); err != nil {
 			return nil, err
 		}
 	}
-	p.checker = p.newChecker()
-	p.pool.Bind(p.peer)
-	if err := p.openListeners(); err != nil {
+	built.checker = built.newChecker()
+	built.pool.Bind(built.peer)
+	if err := built.openListeners(); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return built, nil
 }
 
 // newIdentity returns the part of a process's record that doesn't change. Its
--- a/internal/node/follower/feed_test.go
+++ b/internal/node/follower/feed_test.go
@@ -89,11 +89,11 @@
 		cores := feedCores{{name: "c1", region: "south", requested: requested}, {name: "c2", region: "north", delay: 40 * time.Millisecond, requested: requested},
 			{name: "c3", region: "south", requested: requested}}
 		change(cores[1])
-		f := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Region: "north", Front: true} },
+		tested := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Region: "north", Front: true} },
 			LeaseTTL: 2 * time.Second, RenewInterval: 100 * time.Millisecond, PingInterval: 500 * time.Millisecond, FeedWait: time.Second,
 			KnownProcesses: func() []port.KnownProcess { return nil }, CoreStaleAfter: time.Second}, cores, clock.System(), events.Discard)
 		begun := time.Now()
-		go func() { _ = f.Serve(ctx) }()
+		go func() { _ = tested.Serve(ctx) }()
 		for range wanted {
 			names = append(names, <-requested)
 		}
--- a/internal/node/follower/fleettime_test.go
+++ b/internal/node/follower/fleettime_test.go
@@ -51,17 +51,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		peers := cores{"c1": {name: "c1", step: time.Hour}, "c2": {name: "c2", delay: 200 * time.Millisecond}, "c3": {name: "c3", delay: 300 * time.Millisecond}}
-		f := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
+		tested := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
 			LeaseTTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond, PingInterval: 500 * time.Millisecond, FeedWait: time.Second,
 			KnownProcesses: func() []port.KnownProcess { return nil }, CoreStaleAfter: time.Second}, peers, clock.System(), events.Discard)
-		go func() { _ = f.Serve(ctx) }()
+		go func() { _ = tested.Serve(ctx) }()
 		<-time.After(100 * time.Millisecond)
-		if f.FleetTimeReady() {
+		if tested.FleetTimeReady() {
 			t.Error("one clock, which is wrong, is decided by")
 		}
 		<-time.After(300 * time.Millisecond)
-		if off := time.Until(f.FleetNow()); !f.FleetTimeReady() || off > time.Second || off < -time.Second {
-			t.Errorf("with every clock known: timed %v, off by %s", f.FleetTimeReady(), off)
+		if off := time.Until(tested.FleetNow()); !tested.FleetTimeReady() || off > time.Second || off < -time.Second {
+			t.Errorf("with every clock known: timed %v, off by %s", tested.FleetTimeReady(), off)
 		}
 		cancel()
 		<-time.After(5 * time.Second)
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -113,7 +113,7 @@
 // New returns a follower that knows nothing yet. It makes no call before Serve.
 func New(config Config, peers port.Peers, clock clock.Clock, log events.Log) *Follower {
 	name := config.Self().Name
-	f := &Follower{
+	follower := &Follower{
 		config:     config,
 		name:       name,
 		peers:      peers,
@@ -127,13 +127,13 @@
 		membership: newMembership(name),
 	}
 	firstChange := make(chan struct{})
-	f.changed.Store(&firstChange)
+	follower.changed.Store(&firstChange)
 	idle := context.Background()
-	f.serving.Store(&idle)
-	f.validUntil.Store(&time.Time{})
-	f.confirmed.Store(&confirmedVersion{unconfirmed: true})
-	f.view.Store(&View{Index: statemachine.State{}.Index(), Servers: map[string]*wire.ServerStatus{}})
-	return f
+	follower.serving.Store(&idle)
+	follower.validUntil.Store(&time.Time{})
+	follower.confirmed.Store(&confirmedVersion{unconfirmed: true})
+	follower.view.Store(&View{Index: statemachine.State{}.Index(), Servers: map[string]*wire.ServerStatus{}})
+	return follower
 }
 
 // Serve runs the owner until the context ends, and returns the context's error.
--- a/internal/node/follower/publication_test.go
+++ b/internal/node/follower/publication_test.go
@@ -36,57 +36,57 @@
 		processes = append(processes, process)
 		state.Roster[name] = statemachine.Member{Name: name, Front: true}
 	}
-	f := New(Config{Self: func() *wire.Process { return processes[0] }, LeaseTTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond,
+	follower := New(Config{Self: func() *wire.Process { return processes[0] }, LeaseTTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond,
 		PingInterval: 500 * time.Millisecond, KnownProcesses: func() []port.KnownProcess { return known }}, processes, clock, events.Discard)
-	f.configuration = configuration{state: state, learned: true}
-	f.membership.feedAnsweredAt = clock.Now()
+	follower.configuration = configuration{state: state, learned: true}
+	follower.membership.feedAnsweredAt = clock.Now()
 	for _, process := range processes {
-		f.membership.applyReport(&wire.Sight{Process: process}, f.clock.Now())
+		follower.membership.applyReport(&wire.Sight{Process: process}, follower.clock.Now())
 	}
-	return f
+	return follower
 }
 
 func TestPublishSkipsUnchangedViews(t *testing.T) {
 	Convey("A view that equals the last is not published", t, func() {
-		f := largeFleet(300)
-		f.publish()
-		view, changed := f.View(), f.Changed()
+		follower := largeFleet(300)
+		follower.publish()
+		view, changed := follower.View(), follower.Changed()
 		So(view.Fronts, ShouldHaveLength, 300)
 		So(view.Live, ShouldHaveLength, 300)
-		f.publish()
-		So(f.View(), ShouldEqual, view)
-		So(f.Changed(), ShouldEqual, changed)
+		follower.publish()
+		So(follower.View(), ShouldEqual, view)
+		So(follower.Changed(), ShouldEqual, changed)
 
 		Convey("And comparing it allocates nothing for each member", func() {
-			few, many := largeFleet(40), f
+			few, many := largeFleet(40), follower
 			few.publish()
-			cost := func(f *Follower) float64 { return testing.AllocsPerRun(20, f.publish) }
+			cost := func(follower *Follower) float64 { return testing.AllocsPerRun(20, follower.publish) }
 			So(cost(many), ShouldEqual, cost(few))
 		})
 		Convey("One that lacks a front is, and notifies those who wait", func() {
-			f.membership.applyReport(&wire.Sight{Process: f.membership.reports["front-007"].process, Silent: true}, f.clock.Now())
-			f.publish()
-			So(f.View().Fronts, ShouldHaveLength, 299)
-			So(f.View().Unresponsive, ShouldResemble, []string{"front-007"})
+			follower.membership.applyReport(&wire.Sight{Process: follower.membership.reports["front-007"].process, Silent: true}, follower.clock.Now())
+			follower.publish()
+			So(follower.View().Fronts, ShouldHaveLength, 299)
+			So(follower.View().Unresponsive, ShouldResemble, []string{"front-007"})
 			<-changed
 		})
 		Convey("A record that differs in its counter only is no change", func() {
 			again := &wire.Process{Name: "front-007", Address: "front-007", Front: true, Ready: true, Incarnation: 1, Counter: 2}
-			f.membership.applyReport(&wire.Sight{Process: again}, f.clock.Now())
-			f.publish()
-			So(f.View(), ShouldEqual, view)
+			follower.membership.applyReport(&wire.Sight{Process: again}, follower.clock.Now())
+			follower.publish()
+			So(follower.View(), ShouldEqual, view)
 		})
 		Convey("One that does not take traffic any more is", func() {
 			again := &wire.Process{Name: "front-007", Address: "front-007", Front: true, Incarnation: 1, Counter: 2}
-			f.membership.applyReport(&wire.Sight{Process: again}, f.clock.Now())
-			f.publish()
-			So(f.View().Fronts[7].Ready, ShouldBeFalse)
+			follower.membership.applyReport(&wire.Sight{Process: again}, follower.clock.Now())
+			follower.publish()
+			So(follower.View().Fronts[7].Ready, ShouldBeFalse)
 		})
 		Convey("A server that is new is", func() {
-			f.reports.Add(&wire.Report{Watcher: "front-001/list", Server: "s", Incarnation: 1, Counter: 1, Status: &wire.ServerStatus{
-				Name: "s", Address: "s", Services: []string{"chat"}, State: wire.ServerState_SERVER_STATE_READY}}, f.FleetNow())
-			f.publish()
-			So(f.View().Servers, ShouldContainKey, "s")
+			follower.reports.Add(&wire.Report{Watcher: "front-001/list", Server: "s", Incarnation: 1, Counter: 1, Status: &wire.ServerStatus{
+				Name: "s", Address: "s", Services: []string{"chat"}, State: wire.ServerState_SERVER_STATE_READY}}, follower.FleetNow())
+			follower.publish()
+			So(follower.View().Servers, ShouldContainKey, "s")
 		})
 	})
 }
--- a/internal/node/healthcheck/checker_test.go
+++ b/internal/node/healthcheck/checker_test.go
@@ -29,9 +29,9 @@
 	gone     = wire.ServerState_SERVER_STATE_GONE
 )
 
-// world is a platform, its servers, three cores and nine fronts. All of it
+// simulation is a platform, its servers, three cores and nine fronts. All of it
 // is guarded by the token: whoever holds it may read or change.
-type world struct {
+type simulation struct {
 	token     chan struct{}
 	servers   map[string]*wire.ServerStatus
 	outcomes  map[string]port.PollOutcome // of servers that don't answer polls
@@ -46,32 +46,32 @@
 	fronts    []*wire.Process
 }
 
-func newWorld() *world {
-	w := &world{token: make(chan struct{}, 1), servers: map[string]*wire.ServerStatus{}, outcomes: map[string]port.PollOutcome{},
+func newSimulation() *simulation {
+	simulated := &simulation{token: make(chan struct{}, 1), servers: map[string]*wire.ServerStatus{}, outcomes: map[string]port.PollOutcome{},
 		down: map[string]bool{}, requests: map[string]int{}, logged: map[string]bool{}, reports: map[string]int{}, cores: map[string]*serverstatus.ReportStore{}}
 	for i := range 6 {
 		region, zone := []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
 		name := fmt.Sprintf("m%d", i)
-		w.servers[name] = &wire.ServerStatus{Name: name, Address: name, Kind: "model", Services: []string{"chat"}, Region: region, Zone: zone, State: ready}
+		simulated.servers[name] = &wire.ServerStatus{Name: name, Address: name, Kind: "model", Services: []string{"chat"}, Region: region, Zone: zone, State: ready}
 	}
 	for i := range 9 {
 		region, zone := []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
-		w.fronts = append(w.fronts, &wire.Process{Name: fmt.Sprintf("n%d", i), Region: region, Zone: zone, Front: true, Core: i < 3, Standing: wire.Standing_STANDING_VOTING, Address: fmt.Sprintf("n%d", i)})
+		simulated.fronts = append(simulated.fronts, &wire.Process{Name: fmt.Sprintf("n%d", i), Region: region, Zone: zone, Front: true, Core: i < 3, Standing: wire.Standing_STANDING_VOTING, Address: fmt.Sprintf("n%d", i)})
 	}
 	for i := range 3 {
-		w.cores[fmt.Sprintf("n%d", i)] = serverstatus.NewReportStore(serverstatus.Config{})
+		simulated.cores[fmt.Sprintf("n%d", i)] = serverstatus.NewReportStore(serverstatus.Config{})
 	}
-	w.token <- struct{}{}
-	return w
+	simulated.token <- struct{}{}
+	return simulated
 }
 
-func (w *world) with(f func()) {
+func (w *simulation) with(f func()) {
 	<-w.token
 	f()
 	w.token <- struct{}{}
 }
 
-func (w *world) List(context.Context) (listing port.Listing, err error) {
+func (w *simulation) List(context.Context) (listing port.Listing, err error) {
 	w.with(func() {
 		w.requests["list"]++
 		if w.listFails {
@@ -82,14 +82,14 @@
 			return
 		}
 		listing.Calls = w.pages
-		for _, s := range w.servers {
-			listing.Servers = append(listing.Servers, s)
+		for _, server := range w.servers {
+			listing.Servers = append(listing.Servers, server)
 		}
 	})
 	return listing, err
 }
 
-func (w *world) Status(_ context.Context, name, _ string) (status *wire.ServerStatus, outcome port.PollOutcome, err error) {
+func (w *simulation) Status(_ context.Context, name, _ string) (status *wire.ServerStatus, outcome port.PollOutcome, err error) {
 	w.with(func() {
 		w.requests[name]++
 		if outcome = w.outcomes[name]; outcome != port.PollAnswered {
@@ -103,24 +103,24 @@
 
 type coreClient struct {
 	wireconnect.PeerClient
-	world *world
-	name  string
+	simulation *simulation
+	name       string
 }
 
 func (c coreClient) Submit(_ context.Context, req *connect.Request[wire.SubmitRequest]) (*connect.Response[wire.SubmitResponse], error) {
 	err := error(nil)
 	resp := &wire.SubmitResponse{}
-	c.world.with(func() {
-		if c.world.down[c.name] {
+	c.simulation.with(func() {
+		if c.simulation.down[c.name] {
 			err = errors.New("down")
 			return
 		}
 		for _, report := range req.Msg.Reports {
-			c.world.reports[report.Watcher]++
-			c.world.cores[c.name].Add(report, time.Now())
+			c.simulation.reports[report.Watcher]++
+			c.simulation.cores[c.name].Add(report, time.Now())
 		}
 		for _, unchanged := range req.Msg.Unchanged {
-			if _, known := c.world.cores[c.name].ConfirmUnchanged(unchanged, time.Now()); !known {
+			if _, known := c.simulation.cores[c.name].ConfirmUnchanged(unchanged, time.Now()); !known {
 				resp.Unknown = append(resp.Unknown, unchanged.Watcher)
 			}
 		}
@@ -131,31 +131,31 @@
 // Inspect returns when a core last received a report of the list.
 func (c coreClient) Inspect(_ context.Context, req *connect.Request[wire.InspectRequest]) (*connect.Response[wire.InspectResponse], error) {
 	resp, err := &wire.InspectResponse{}, error(nil)
-	c.world.with(func() {
-		c.world.requests["inspect "+req.Msg.What]++
-		if c.world.down[c.name] {
+	c.simulation.with(func() {
+		c.simulation.requests["inspect "+req.Msg.What]++
+		if c.simulation.down[c.name] {
 			err = errors.New("down")
 			return
 		}
 		resp.Code = uint32(apierror.OK)
-		resp.Body, _ = json.Marshal(Listed{AtMS: c.world.cores[c.name].ListedAt().UnixMilli()})
+		resp.Body, _ = json.Marshal(Listed{AtMS: c.simulation.cores[c.name].ListedAt().UnixMilli()})
 	})
 	return connect.NewResponse(resp), err
 }
 
-type peers struct{ world *world }
+type peers struct{ simulation *simulation }
 
 func (p peers) Process(string) (*wire.Process, bool) { return nil, false }
 func (p peers) Cores() []*wire.Process               { return port.CoresOf(p.Processes()) }
 
-func (p peers) Processes() []*wire.Process { return p.world.fronts }
+func (p peers) Processes() []*wire.Process { return p.simulation.fronts }
 func (p peers) Client(address string) wireconnect.PeerClient {
-	return coreClient{world: p.world, name: address}
+	return coreClient{simulation: p.simulation, name: address}
 }
 
 // view is what a front knows: the merged servers of a core that is up, and the
 // fronts that are up, known to be down only a second and a half after.
-func (w *world) view() (v View) {
+func (w *simulation) view() (v View) {
 	w.with(func() {
 		for _, name := range []string{"n0", "n1", "n2"} {
 			if !w.down[name] {
@@ -163,56 +163,56 @@
 				break
 			}
 		}
-		for _, p := range w.fronts {
-			if !w.down["seen "+p.Name] {
-				v.Fronts = append(v.Fronts, p)
+		for _, front := range w.fronts {
+			if !w.down["seen "+front.Name] {
+				v.Fronts = append(v.Fronts, front)
 			}
 		}
 	})
 	return v
 }
 
-func (w *world) status(core, server string) (s *wire.ServerStatus) {
+func (w *simulation) status(core, server string) (s *wire.ServerStatus) {
 	w.with(func() { s = w.cores[core].Servers()[server] })
 	return s
 }
 
 // Emit records an event and the server that its first key names.
-func (w *world) Emit(event events.Event, keyvals ...any) {
+func (w *simulation) Emit(event events.Event, keyvals ...any) {
 	if len(keyvals) > 1 {
 		w.with(func() { w.logged[fmt.Sprint(event.Name, " ", keyvals[1])] = true })
 	}
 }
 
 // takeLogged returns the events that were logged since the last call.
-func (w *world) takeLogged() (logged []string) {
+func (w *simulation) takeLogged() (logged []string) {
 	w.with(func() { logged = slices.Sorted(maps.Keys(w.logged)); clear(w.logged) })
 	return logged
 }
 
 type fleet struct {
-	*world
+	*simulation
 	stop map[string]func()
 }
 
 func launch(drainWithin time.Duration) fleet {
-	f := fleet{newWorld(), map[string]func(){}}
-	for i, p := range f.fronts {
+	running := fleet{newSimulation(), map[string]func(){}}
+	for i, front := range running.fronts {
 		checker := New(Config{
-			Self:        p.Name,
-			Region:      p.Region,
-			Zone:        p.Zone,
+			Self:        front.Name,
+			Region:      front.Region,
+			Zone:        front.Zone,
 			Incarnation: uint64(i + 1),
 			DrainWithin: drainWithin,
-			View:        f.view,
+			View:        running.view,
 			Report:      func(*wire.Report) {},
 			FleetNow:    time.Now,
-		}, f.world, peers{f.world}, clock.System(), f.world)
+		}, running.simulation, peers{running.simulation}, clock.System(), running.simulation)
 		ctx, cancel := context.WithCancel(context.Background())
-		f.stop[p.Name] = cancel
+		running.stop[front.Name] = cancel
 		go func() { _ = checker.Serve(ctx) }()
 	}
-	return f
+	return running
 }
 
 func (f fleet) close() {
@@ -259,10 +259,10 @@
 	checks(t, "report every server to every core, with few requests", func(f fleet) {
 		for _, core := range []string{"n0", "n1", "n2"} {
 			for name := range f.servers {
-				s := f.status(core, name)
-				So(s.GetState(), ShouldEqual, ready)
-				So(s.Reachable, ShouldBeTrue)
-				So(s.Slots, ShouldEqual, 16)
+				status := f.status(core, name)
+				So(status.GetState(), ShouldEqual, ready)
+				So(status.Reachable, ShouldBeTrue)
+				So(status.Slots, ShouldEqual, 16)
 			}
 		}
 		f.with(func() { clear(f.requests) })
@@ -299,7 +299,7 @@
 	})
 	checks(t, "make a drain known within a second", func(f fleet) {
 		f.takeLogged()
-		f.set("m2", func(s *wire.ServerStatus) { s.State = draining })
+		f.set("m2", func(status *wire.ServerStatus) { status.State = draining })
 		pass(time.Second)
 		for _, core := range []string{"n0", "n1", "n2"} {
 			So(f.status(core, "m2").State, ShouldEqual, draining)
@@ -316,17 +316,17 @@
 				}
 			}
 			f.kill(victims...)
-			f.set("m0", func(s *wire.ServerStatus) { s.State = draining })
+			f.set("m0", func(status *wire.ServerStatus) { status.State = draining })
 			pass(2500 * time.Millisecond)
 			So(f.status(core, "m0").State, ShouldEqual, draining)
-			f.set("m0", func(s *wire.ServerStatus) { s.State = ready })
+			f.set("m0", func(status *wire.ServerStatus) { status.State = ready })
 			pass(4 * time.Second)
 			So(f.status(core, "m0").State, ShouldEqual, ready)
 		})
 	}
 	checks(t, "send again what a core could not take", func(f fleet) {
 		f.with(func() { f.down["n1"] = true })
-		f.set("m2", func(s *wire.ServerStatus) { s.State = draining })
+		f.set("m2", func(status *wire.ServerStatus) { status.State = draining })
 		pass(time.Second)
 		So(f.status("n1", "m2").State, ShouldEqual, ready)
 		f.with(func() { f.down["n1"] = false })
@@ -391,9 +391,9 @@
 	checksWith(t, drainWithin, "take over a list of many pages before a drain binds", func(f fleet) {
 		f.with(func() { f.pages = 10 })
 		pass(5 * time.Second)
-		for _, p := range f.fronts {
-			if p.Region == lead(f) {
-				f.stop[p.Name]()
+		for _, front := range f.fronts {
+			if front.Region == lead(f) {
+				f.stop[front.Name]()
 			}
 		}
 		f.set("m1", func(s *wire.ServerStatus) { s.State = draining })
@@ -404,9 +404,9 @@
 	})
 	checksWith(t, drainWithin, "of the other region read it when nobody else does, before long", func(f fleet) {
 		var readers []string
-		for _, p := range f.fronts {
-			if p.Region == lead(f) {
-				readers = append(readers, p.Name)
+		for _, front := range f.fronts {
+			if front.Region == lead(f) {
+				readers = append(readers, front.Name)
 			}
 		}
 		for _, name := range readers {
@@ -437,7 +437,7 @@
 
 func TestForgetsServersThatAreGone(t *testing.T) {
 	Convey("A checker that only lists keeps nothing of servers that come and go", t, func() {
-		w := newWorld()
+		simulated := newSimulation()
 		known := map[string]*wire.ServerStatus{}
 		checker := New(Config{
 			Self:        "n0",
@@ -448,7 +448,7 @@
 			View:        func() View { return View{Servers: known} },
 			Report:      func(*wire.Report) {},
 			FleetNow:    time.Now,
-		}, w, peers{w}, clock.System(), w)
+		}, simulated, peers{simulated}, clock.System(), simulated)
 		for i := range 100 {
 			name := fmt.Sprintf("m%d", i)
 			known = map[string]*wire.ServerStatus{name: {Name: name, State: ready}}
--- a/internal/node/healthcheck/polling.go
+++ b/internal/node/healthcheck/polling.go
@@ -97,14 +97,14 @@
 
 func (c *Checker) startPoll(ctx context.Context, name, address string) {
 	c.polling.inFlight++
-	at := c.config.FleetNow()
+	sentAt := c.config.FleetNow()
 	c.runAsync(ctx, func() func() {
 		status, outcome, err := c.source.Status(ctx, name, address)
 		return func() {
 			c.polling.inFlight--
 			if state := c.polling.polls[name]; state != nil {
 				state.isQueued = false
-				c.completePoll(state, name, status, outcome, err, at)
+				c.completePoll(state, name, status, outcome, err, sentAt)
 			}
 		}
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,9 +82,9 @@
 			return err
 		}
 	}
-	p, err := build(environment, role, name, values, log)
+	process, err := build(environment, role, name, values, log)
 	if err != nil {
 		return err
 	}
-	return p.run(ctx)
+	return process.run(ctx)
 }
