--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -39,14 +39,26 @@
 func startProcess(ctx context.Context, t *testing.T, net *memnet.Network, i int, secret string) *internalrpc.Directory {
 	t.Helper()
 	host := fmt.Sprintf("127.0.1.%d", i)
-	own := &wire.Process{Name: fmt.Sprintf("n%d", i), Address: host + ":1", Core: i < 3, Front: true, Incarnation: 1}
+	own := &wire.Process{
+		Name:        fmt.Sprintf("n%d", i),
+		Address:     host + ":1",
+		Core:        i < 3,
+		Front:       true,
+		Incarnation: 1,
+	}
 	var seeds []string
 	for earlier := max(0, i-2); earlier < i; earlier++ {
 		seeds = append(seeds, fmt.Sprintf("127.0.1.%d:1", earlier))
 	}
 	pool := internalrpc.NewPool(net.Dialer(host), own.Address, secret)
 	directory := internalrpc.NewDirectory(pool, clock.System(), events.Discard, seeds, func() *wire.Process {
-		return &wire.Process{Name: own.Name, Address: own.Address, Core: own.Core, Front: true, Incarnation: 1}
+		return &wire.Process{
+			Name:        own.Name,
+			Address:     own.Address,
+			Core:        own.Core,
+			Front:       true,
+			Incarnation: 1,
+		}
 	})
 	listener, err := net.Listen(own.Address)
 	if err != nil {
@@ -130,7 +142,13 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			directory := startProcess(ctx, t, memnet.New(ctx), 0, "a fleet's secret")
 			synctest.Wait()
-			far := &wire.Process{Name: "far", Address: "127.0.1.99:1", Front: true, Incarnation: 1, Counter: 5}
+			far := &wire.Process{
+				Name:        "far",
+				Address:     "127.0.1.99:1",
+				Front:       true,
+				Incarnation: 1,
+				Counter:     5,
+			}
 			directory.ConfirmLive([]*wire.Process{far})
 			synctest.Wait()
 			if got := names(directory); got != "far n0" {
--- a/internal/adapter/platform/platform_test.go
+++ b/internal/adapter/platform/platform_test.go
@@ -56,14 +56,20 @@
 
 func TestPollStatus(t *testing.T) {
 	Convey("A server's status", t, func() {
-		body, code := "", http.StatusOK
+		body := ""
+		code := http.StatusOK
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(code)
 			_, _ = w.Write([]byte(body))
 		}))
 		defer server.Close()
 		address := server.Listener.Addr().String()
-		client := New(Config{URL: server.URL, StatusLimit: 512, ListLimit: 512, Bind: "127.0.0.1"})
+		client := New(Config{
+			URL:         server.URL,
+			StatusLimit: 512,
+			ListLimit:   512,
+			Bind:        "127.0.0.1",
+		})
 		ctx := context.Background()
 		good := `{"server":"m1","incarnation":1790000000000000000,"state":"cold","slots":16,"running":3,"queued":1,"tokens_per_second":900.5,"prefill_per_second":4000,"kv_used":0.25,"answered":12}`
 		Convey("is read completely", func() {
@@ -127,7 +133,9 @@
 
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	Convey("A list that the platform tags is sent again only when it changed, or when the last one was bad", t, func() {
-		body, tag, sent := `{"servers":[]}`, `"1"`, 0
+		body := `{"servers":[]}`
+		tag := `"1"`
+		sent := 0
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("If-None-Match") == tag {
 				w.WriteHeader(http.StatusNotModified)
@@ -150,7 +158,8 @@
 		}
 		So(sent, ShouldEqual, 1)
 
-		body, tag = `{"servers":[{"name":"m1","address":"127.0.0.1:80","kind":"model","services":["chat"],"region":"r","zone":"z","state":"ready"}]}`, `"2"`
+		body = `{"servers":[{"name":"m1","address":"127.0.0.1:80","kind":"model","services":["chat"],"region":"r","zone":"z","state":"ready"}]}`
+		tag = `"2"`
 		for range 2 {
 			count, err := read()
 			So(err, ShouldBeNil)
@@ -158,7 +167,8 @@
 		}
 		So(sent, ShouldEqual, 2)
 
-		body, tag = `{"servers":`, `"3"`
+		body = `{"servers":`
+		tag = `"3"`
 		for range 2 {
 			_, err := read()
 			So(err, ShouldNotBeNil)
--- a/internal/node/follower/feed_test.go
+++ b/internal/node/follower/feed_test.go
@@ -54,7 +54,13 @@
 func (c feedCores) Process(name string) (*wire.Process, bool) {
 	for _, core := range c {
 		if core.name == name {
-			return &wire.Process{Name: name, Address: name, Region: core.region, Core: true, Voters: []string{"c1", "c2", "c3"}}, true
+			return &wire.Process{
+				Name:    name,
+				Address: name,
+				Region:  core.region,
+				Core:    true,
+				Voters:  []string{"c1", "c2", "c3"},
+			}, true
 		}
 	}
 	return nil, false
@@ -86,12 +92,21 @@
 	synctest.Test(t, func(*testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		requested := make(chan string)
-		cores := feedCores{{name: "c1", region: "south", requested: requested}, {name: "c2", region: "north", delay: 40 * time.Millisecond, requested: requested},
-			{name: "c3", region: "south", requested: requested}}
+		cores := feedCores{
+			{name: "c1", region: "south", requested: requested},
+			{name: "c2", region: "north", delay: 40 * time.Millisecond, requested: requested},
+			{name: "c3", region: "south", requested: requested},
+		}
 		change(cores[1])
-		tested := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Region: "north", Front: true} },
-			LeaseTTL: 2 * time.Second, RenewInterval: 100 * time.Millisecond, PingInterval: 500 * time.Millisecond, FeedWait: time.Second,
-			KnownProcesses: func() []port.KnownProcess { return nil }, CoreStaleAfter: time.Second}, cores, clock.System(), events.Discard)
+		tested := follower.New(follower.Config{
+			Self:           func() *wire.Process { return &wire.Process{Name: "f1", Region: "north", Front: true} },
+			LeaseTTL:       2 * time.Second,
+			RenewInterval:  100 * time.Millisecond,
+			PingInterval:   500 * time.Millisecond,
+			FeedWait:       time.Second,
+			KnownProcesses: func() []port.KnownProcess { return nil },
+			CoreStaleAfter: time.Second,
+		}, cores, clock.System(), events.Discard)
 		begun := time.Now()
 		go func() { _ = tested.Serve(ctx) }()
 		for range wanted {
--- a/internal/node/follower/fleettime_test.go
+++ b/internal/node/follower/fleettime_test.go
@@ -32,7 +32,12 @@
 type cores map[string]coreClock
 
 func (c cores) Process(name string) (*wire.Process, bool) {
-	return &wire.Process{Name: name, Address: name, Core: true, Voters: []string{"c1", "c2", "c3"}}, true
+	return &wire.Process{
+		Name:    name,
+		Address: name,
+		Core:    true,
+		Voters:  []string{"c1", "c2", "c3"},
+	}, true
 }
 
 func (c cores) Cores() []*wire.Process { return port.CoresOf(c.Processes()) }
@@ -51,9 +56,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		peers := cores{"c1": {name: "c1", step: time.Hour}, "c2": {name: "c2", delay: 200 * time.Millisecond}, "c3": {name: "c3", delay: 300 * time.Millisecond}}
-		tested := follower.New(follower.Config{Self: func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
-			LeaseTTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond, PingInterval: 500 * time.Millisecond, FeedWait: time.Second,
-			KnownProcesses: func() []port.KnownProcess { return nil }, CoreStaleAfter: time.Second}, peers, clock.System(), events.Discard)
+		tested := follower.New(follower.Config{
+			Self:           func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
+			LeaseTTL:       2 * time.Second,
+			RenewInterval:  500 * time.Millisecond,
+			PingInterval:   500 * time.Millisecond,
+			FeedWait:       time.Second,
+			KnownProcesses: func() []port.KnownProcess { return nil },
+			CoreStaleAfter: time.Second,
+		}, peers, clock.System(), events.Discard)
 		go func() { _ = tested.Serve(ctx) }()
 		<-time.After(100 * time.Millisecond)
 		if tested.FleetTimeReady() {
--- a/internal/node/follower/publication_test.go
+++ b/internal/node/follower/publication_test.go
@@ -31,13 +31,25 @@
 	state := statemachine.State{Version: 7, Roster: map[string]statemachine.Member{}}
 	for i := range members {
 		name := fmt.Sprintf("front-%03d", i)
-		process := &wire.Process{Name: name, Address: name, Front: true, Ready: true, Incarnation: 1, Counter: 1}
+		process := &wire.Process{
+			Name:        name,
+			Address:     name,
+			Front:       true,
+			Ready:       true,
+			Incarnation: 1,
+			Counter:     1,
+		}
 		known = append(known, port.KnownProcess{Process: process, LastSeen: clock.Now()})
 		processes = append(processes, process)
 		state.Roster[name] = statemachine.Member{Name: name, Front: true}
 	}
-	follower := New(Config{Self: func() *wire.Process { return processes[0] }, LeaseTTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond,
-		PingInterval: 500 * time.Millisecond, KnownProcesses: func() []port.KnownProcess { return known }}, processes, clock, events.Discard)
+	follower := New(Config{
+		Self:           func() *wire.Process { return processes[0] },
+		LeaseTTL:       2 * time.Second,
+		RenewInterval:  500 * time.Millisecond,
+		PingInterval:   500 * time.Millisecond,
+		KnownProcesses: func() []port.KnownProcess { return known },
+	}, processes, clock, events.Discard)
 	follower.configuration = configuration{state: state, learned: true}
 	follower.membership.feedAnsweredAt = clock.Now()
 	for _, process := range processes {
@@ -50,7 +62,8 @@
 	Convey("A view that equals the last is not published", t, func() {
 		follower := largeFleet(300)
 		follower.publish()
-		view, changed := follower.View(), follower.Changed()
+		view := follower.View()
+		changed := follower.Changed()
 		So(view.Fronts, ShouldHaveLength, 300)
 		So(view.Live, ShouldHaveLength, 300)
 		follower.publish()
@@ -58,7 +71,8 @@
 		So(follower.Changed(), ShouldEqual, changed)
 
 		Convey("And comparing it allocates nothing for each member", func() {
-			few, many := largeFleet(40), follower
+			few := largeFleet(40)
+			many := follower
 			few.publish()
 			cost := func(follower *Follower) float64 { return testing.AllocsPerRun(20, follower.publish) }
 			So(cost(many), ShouldEqual, cost(few))
@@ -71,20 +85,43 @@
 			<-changed
 		})
 		Convey("A record that differs in its counter only is no change", func() {
-			again := &wire.Process{Name: "front-007", Address: "front-007", Front: true, Ready: true, Incarnation: 1, Counter: 2}
+			again := &wire.Process{
+				Name:        "front-007",
+				Address:     "front-007",
+				Front:       true,
+				Ready:       true,
+				Incarnation: 1,
+				Counter:     2,
+			}
 			follower.membership.applyReport(&wire.Sight{Process: again}, follower.clock.Now())
 			follower.publish()
 			So(follower.View(), ShouldEqual, view)
 		})
 		Convey("One that does not take traffic any more is", func() {
-			again := &wire.Process{Name: "front-007", Address: "front-007", Front: true, Incarnation: 1, Counter: 2}
+			again := &wire.Process{
+				Name:        "front-007",
+				Address:     "front-007",
+				Front:       true,
+				Incarnation: 1,
+				Counter:     2,
+			}
 			follower.membership.applyReport(&wire.Sight{Process: again}, follower.clock.Now())
 			follower.publish()
 			So(follower.View().Fronts[7].Ready, ShouldBeFalse)
 		})
 		Convey("A server that is new is", func() {
-			follower.reports.Add(&wire.Report{Watcher: "front-001/list", Server: "s", Incarnation: 1, Counter: 1, Status: &wire.ServerStatus{
-				Name: "s", Address: "s", Services: []string{"chat"}, State: wire.ServerState_SERVER_STATE_READY}}, follower.FleetNow())
+			follower.reports.Add(&wire.Report{
+				Watcher:     "front-001/list",
+				Server:      "s",
+				Incarnation: 1,
+				Counter:     1,
+				Status: &wire.ServerStatus{
+					Name:     "s",
+					Address:  "s",
+					Services: []string{"chat"},
+					State:    wire.ServerState_SERVER_STATE_READY,
+				},
+			}, follower.FleetNow())
 			follower.publish()
 			So(follower.View().Servers, ShouldContainKey, "s")
 		})
--- a/internal/node/healthcheck/checker_test.go
+++ b/internal/node/healthcheck/checker_test.go
@@ -46,17 +46,48 @@
 	fronts    []*wire.Process
 }
 
+// locationOf returns the region and zone of the server or front with a number.
+func locationOf(number int) (region, zone string) {
+	regions := []string{"lagos", "lagos", "abeokuta"}
+	zones := []string{"a", "b", "a"}
+	return regions[number%len(regions)], zones[number%len(zones)]
+}
+
 func newSimulation() *simulation {
-	simulated := &simulation{token: make(chan struct{}, 1), servers: map[string]*wire.ServerStatus{}, outcomes: map[string]port.PollOutcome{},
-		down: map[string]bool{}, requests: map[string]int{}, logged: map[string]bool{}, reports: map[string]int{}, cores: map[string]*serverstatus.ReportStore{}}
+	simulated := &simulation{
+		token:    make(chan struct{}, 1),
+		servers:  map[string]*wire.ServerStatus{},
+		outcomes: map[string]port.PollOutcome{},
+		down:     map[string]bool{},
+		requests: map[string]int{},
+		logged:   map[string]bool{},
+		reports:  map[string]int{},
+		cores:    map[string]*serverstatus.ReportStore{},
+	}
 	for i := range 6 {
-		region, zone := []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
+		region, zone := locationOf(i)
 		name := fmt.Sprintf("m%d", i)
-		simulated.servers[name] = &wire.ServerStatus{Name: name, Address: name, Kind: "model", Services: []string{"chat"}, Region: region, Zone: zone, State: ready}
+		simulated.servers[name] = &wire.ServerStatus{
+			Name:     name,
+			Address:  name,
+			Kind:     "model",
+			Services: []string{"chat"},
+			Region:   region,
+			Zone:     zone,
+			State:    ready,
+		}
 	}
 	for i := range 9 {
-		region, zone := []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
-		simulated.fronts = append(simulated.fronts, &wire.Process{Name: fmt.Sprintf("n%d", i), Region: region, Zone: zone, Front: true, Core: i < 3, Standing: wire.Standing_STANDING_VOTING, Address: fmt.Sprintf("n%d", i)})
+		region, zone := locationOf(i)
+		simulated.fronts = append(simulated.fronts, &wire.Process{
+			Name:     fmt.Sprintf("n%d", i),
+			Region:   region,
+			Zone:     zone,
+			Front:    true,
+			Core:     i < 3,
+			Standing: wire.Standing_STANDING_VOTING,
+			Address:  fmt.Sprintf("n%d", i),
+		})
 	}
 	for i := range 3 {
 		simulated.cores[fmt.Sprintf("n%d", i)] = serverstatus.NewReportStore(serverstatus.Config{})
@@ -96,7 +127,13 @@
 			err = errors.New("no answer")
 			return
 		}
-		status = &wire.ServerStatus{Name: name, State: ready, Reachable: true, Slots: 16, Answered: 100}
+		status = &wire.ServerStatus{
+			Name:      name,
+			State:     ready,
+			Reachable: true,
+			Slots:     16,
+			Answered:  100,
+		}
 	})
 	return status, outcome, err
 }
@@ -108,8 +145,8 @@
 }
 
 func (c coreClient) Submit(_ context.Context, req *connect.Request[wire.SubmitRequest]) (*connect.Response[wire.SubmitResponse], error) {
-	err := error(nil)
 	resp := &wire.SubmitResponse{}
+	var err error
 	c.simulation.with(func() {
 		if c.simulation.down[c.name] {
 			err = errors.New("down")
@@ -130,7 +167,8 @@
 
 // Inspect returns when a core last received a report of the list.
 func (c coreClient) Inspect(_ context.Context, req *connect.Request[wire.InspectRequest]) (*connect.Response[wire.InspectResponse], error) {
-	resp, err := &wire.InspectResponse{}, error(nil)
+	resp := &wire.InspectResponse{}
+	var err error
 	c.simulation.with(func() {
 		c.simulation.requests["inspect "+req.Msg.What]++
 		if c.simulation.down[c.name] {
@@ -238,7 +276,15 @@
 func (f fleet) set(name string, change func(*wire.ServerStatus)) {
 	f.with(func() {
 		old := f.servers[name]
-		next := &wire.ServerStatus{Name: name, Address: old.Address, Kind: old.Kind, Services: old.Services, Region: old.Region, Zone: old.Zone, State: old.State}
+		next := &wire.ServerStatus{
+			Name:     name,
+			Address:  old.Address,
+			Kind:     old.Kind,
+			Services: old.Services,
+			Region:   old.Region,
+			Zone:     old.Zone,
+			State:    old.State,
+		}
 		change(next)
 		f.servers[name] = next
 	})
@@ -289,8 +335,14 @@
 	checks(t, "outlive by an unchanged list the report of a checker that died", func(f fleet) {
 		f.with(func() {
 			for _, core := range f.cores {
-				core.Add(&wire.Report{Watcher: "n99/list", Server: "m3", Incarnation: 1, Counter: 1, AtMs: time.Now().UnixMilli(),
-					Status: &wire.ServerStatus{Name: "m3", Address: "m3", State: draining}}, time.Now())
+				core.Add(&wire.Report{
+					Watcher:     "n99/list",
+					Server:      "m3",
+					Incarnation: 1,
+					Counter:     1,
+					AtMs:        time.Now().UnixMilli(),
+					Status:      &wire.ServerStatus{Name: "m3", Address: "m3", State: draining},
+				}, time.Now())
 			}
 		})
 		So(f.status("n0", "m3").State, ShouldEqual, draining)
@@ -343,7 +395,11 @@
 		So(f.status("n0", "m2").State, ShouldEqual, ready)
 	})
 	checks(t, "distinguish a refused connection from no answer, and both from a platform without one", func(f fleet) {
-		f.with(func() { f.outcomes["m0"], f.outcomes["m1"], f.listFails = port.PollRefused, port.PollUnanswered, true })
+		f.with(func() {
+			f.outcomes["m0"] = port.PollRefused
+			f.outcomes["m1"] = port.PollUnanswered
+			f.listFails = true
+		})
 		pass(2 * time.Second)
 		So(f.status("n2", "m0").State, ShouldEqual, gone)
 		So(f.status("n2", "m1").State, ShouldEqual, ready)
@@ -380,7 +436,15 @@
 			f.pages = 10
 			for i := range 240 {
 				name := fmt.Sprintf("many%d", i)
-				f.servers[name] = &wire.ServerStatus{Name: name, Address: name, Kind: "model", Services: []string{"chat"}, Region: "lagos", Zone: "a", State: ready}
+				f.servers[name] = &wire.ServerStatus{
+					Name:     name,
+					Address:  name,
+					Kind:     "model",
+					Services: []string{"chat"},
+					Region:   "lagos",
+					Zone:     "a",
+					State:    ready,
+				}
 			}
 		})
 		pass(8 * time.Second)
--- a/internal/node/platform_node_test.go
+++ b/internal/node/platform_node_test.go
@@ -13,7 +13,12 @@
 	fronts := []*wire.Process{
 		{CallerAddress: "n1", Region: "north", Ready: true}, {CallerAddress: "n2", Region: "north", Ready: true},
 		{CallerAddress: "s1", Region: "south", Ready: true}, {CallerAddress: "n3", Region: "north"},
-		{CallerAddress: "n4", Region: "north", Ready: true, Leaving: true}, {Region: "north", Ready: true},
+		{
+			CallerAddress: "n4",
+			Region:        "north",
+			Ready:         true,
+			Leaving:       true,
+		}, {Region: "north", Ready: true},
 	}
 	named := func(region string, most int) []string {
 		got := nearestAddresses(fronts, region, most)
--- a/internal/node/replacement_test.go
+++ b/internal/node/replacement_test.go
@@ -30,7 +30,12 @@
 	start := time.Unix(1_000, 0)
 	newSearch := func(self string) (*replacementSearch, *manualClock) {
 		clock := &manualClock{now: start}
-		return &replacementSearch{self: self, failedAfter: time.Second, clock: clock, unansweredSince: map[string]time.Time{}}, clock
+		return &replacementSearch{
+			self:            self,
+			failedAfter:     time.Second,
+			clock:           clock,
+			unansweredSince: map[string]time.Time{},
+		}, clock
 	}
 	Convey("Two of five cores that failed are replaced by two searching cores, each by another", t, func() {
 		taken := map[string]bool{}
