--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -86,7 +86,7 @@
 	ids := 0
 	config.NodeName, config.NewOrderID = "front-1", func() string { ids++; return fmt.Sprintf("made-%d", ids) }
 	config.Operators = []string{"ada:" + sheet.HashKey("ada's key"), "bola:" + sheet.HashKey("bola's key")}
-	config.ValidateSetting = func(name, value string) error {
+	config.ValidateSetting = func(name, _ string) error {
 		if name != "route.strategy" {
 			return fmt.Errorf("no such setting")
 		}
@@ -97,7 +97,14 @@
 	return server
 }
 
-func call(server *httptest.Server, who, method, path, body string) (*http.Response, string) {
+// answer is what a client sees of a response.
+type answer struct {
+	status int
+	header http.Header
+	text   string
+}
+
+func call(server *httptest.Server, who, method, path, body string) answer {
 	req, err := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 	if err != nil {
 		panic(err)
@@ -114,7 +121,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return resp, strings.TrimSpace(string(data))
+	return answer{status: resp.StatusCode, header: resp.Header, text: strings.TrimSpace(string(data))}
 }
 
 const firstSheet = `{"services":{"chat":{"kind":"model"}},"weights":{"chat":{"lagos":60,"abeokuta":40}},"tenants":{"press":{"rate":1000}}}`
@@ -124,10 +131,10 @@
 	server := startServer(t, control, Config{MaxSheetBytes: 600})
 	var out bytes.Buffer
 	record := func(who, method, path, body string) {
-		resp, text := call(server, who, method, path, body)
-		fmt.Fprintf(&out, "%s: %s %s %s\n%d %s", who, method, path, body, resp.StatusCode, text)
+		got := call(server, who, method, path, body)
+		fmt.Fprintf(&out, "%s: %s %s %s\n%d %s", who, method, path, body, got.status, got.text)
 		for _, name := range []string{"Retry-After", "Allow"} {
-			if value := resp.Header.Get(name); value != "" {
+			if value := got.header.Get(name); value != "" {
 				fmt.Fprintf(&out, " %s: %s", name, value)
 			}
 		}
@@ -187,7 +194,7 @@
 	})
 	Convey("A body too large is refused, told or not how large it is", t, func() {
 		server := startServer(t, &cores{}, Config{MaxSheetBytes: 100})
-		_, text := call(server, "ada", "PUT", "/v1/control/sheet", strings.Repeat(" ", 101))
+		text := call(server, "ada", "PUT", "/v1/control/sheet", strings.Repeat(" ", 101)).text
 		So(text, ShouldContainSubstring, `"code":4004`)
 		req, _ := http.NewRequest("POST", server.URL+"/v1/control/evacuate", io.MultiReader(strings.NewReader("{"), strings.NewReader(strings.Repeat(" ", maxOrderBytes))))
 		req.Header.Set("Authorization", "Bearer ada's key")
@@ -195,29 +202,29 @@
 		So(err, ShouldBeNil)
 		defer resp.Body.Close()
 		So(resp.StatusCode, ShouldEqual, http.StatusRequestEntityTooLarge)
-		_, text = call(server, "ada", "GET", "/v1/control/sheet", "{}")
+		text = call(server, "ada", "GET", "/v1/control/sheet", "{}").text
 		So(text, ShouldContainSubstring, `"code":1014`)
 	})
 	Convey("A slow sender is cut off within the bound of time", t, func() {
 		server := startServer(t, &cores{}, Config{BodyTimeout: 50 * time.Millisecond})
 		conn, err := net.Dial("tcp", server.Listener.Addr().String())
 		So(err, ShouldBeNil)
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		_, err = io.WriteString(conn, "PUT /v1/control/sheet HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer ada's key\r\nContent-Length: 100\r\n\r\n{")
 		So(err, ShouldBeNil)
-		answer, err := io.ReadAll(conn)
+		received, err := io.ReadAll(conn)
 		So(err, ShouldBeNil)
-		So(string(answer), ShouldStartWith, "HTTP/1.1 408")
-		So(string(answer), ShouldContainSubstring, `"code":1012`)
+		So(string(received), ShouldStartWith, "HTTP/1.1 408")
+		So(string(received), ShouldContainSubstring, `"code":1012`)
 	})
 	Convey("An order that no core answers is pending under its id; a read says so", t, func() {
 		server := startServer(t, &cores{unresponsive: true}, Config{OrderTimeout: 30 * time.Millisecond})
-		_, text := call(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`)
+		text := call(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`).text
 		So(text, ShouldContainSubstring, `"code":4002`)
 		So(text, ShouldContainSubstring, `"order_id":"made-1"`)
-		_, text = call(server, "ada", "GET", "/v1/control/sheet", "")
+		text = call(server, "ada", "GET", "/v1/control/sheet", "").text
 		So(text, ShouldContainSubstring, `"code":5001`)
-		_, text = call(server, "ada", "GET", "/v1/control/status", "")
+		text = call(server, "ada", "GET", "/v1/control/status", "").text
 		So(text, ShouldContainSubstring, `"node":{"asked":"status"`)
 		So(text, ShouldContainSubstring, `"fleet_fault":{"code":5001`)
 	})
@@ -227,9 +234,9 @@
 		api.orderSlots <- struct{}{}
 		server := httptest.NewServer(api)
 		defer server.Close()
-		resp, text := call(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`)
-		So(text, ShouldContainSubstring, `"code":2003`)
-		So(resp.Header.Get("Retry-After"), ShouldEqual, "1")
+		got := call(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`)
+		So(got.text, ShouldContainSubstring, `"code":2003`)
+		So(got.header.Get("Retry-After"), ShouldEqual, "1")
 	})
 	Convey("An operator's entry that the settings should have refused stops the start", t, func() {
 		So(func() { New(Config{Operators: []string{"ada:abc"}}, nil, nil, clock.System(), events.Discard) }, ShouldPanic)
--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -1,11 +1,17 @@
-// Package cli holds the commands of the stepwick program, one file a command.
+// Package cli has the commands of the stepwick program, one file a command.
+//
+// Commands that run a process load its settings and its log and hand over to
+// App.Node. Operators' commands call the HTTP API of package controlapi at any
+// node (see fleetClient) and print the answer as a table or as JSON. A command
+// decides nothing about the fleet; it retries only what the result code's advice
+// allows, and an order only under the same id. Results go to App.Out, errors and
+// progress to App.Err; the exit codes are those of Exit.
 package cli
 
 import (
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"fmt"
 	"io"
 	"net/http"
 	"os"
@@ -23,14 +29,16 @@
 // Version is the release, set when the program is linked.
 var Version = "dev"
 
-// App is the program's command line with all that it touches, so that tests
-// can stand in for each.
+// App is the program's command line with all of the system that it uses, so
+// that tests can replace each part.
 type App struct {
-	In        io.Reader
-	Out       io.Writer
-	Err       io.Writer
-	Env       func(name string) string
-	Clock     clock.Clock
+	In  io.Reader
+	Out io.Writer
+	Err io.Writer
+	// Env returns an environment variable; empty if it isn't set.
+	Env   func(name string) string
+	Clock clock.Clock
+	// NewID returns a random id of an order, or half of a key.
 	NewID     func() string
 	Transport http.RoundTripper
 	// Node runs a process of a role until its context ends.
@@ -39,14 +47,24 @@
 	Processes []*cobra.Command
 }
 
-// New returns an app on the machine's own input, output, environment and clock.
+// New returns an app with the process's own input, output, environment and
+// clock.
 func New(node func(context.Context, string, *settings.Values, events.Log) error) *App {
-	return &App{In: os.Stdin, Out: os.Stdout, Err: os.Stderr, Env: os.Getenv, Clock: clock.System(),
-		NewID: newID, Transport: transport(), Node: node}
+	return &App{
+		In:        os.Stdin,
+		Out:       os.Stdout,
+		Err:       os.Stderr,
+		Env:       os.Getenv,
+		Clock:     clock.System(),
+		NewID:     randomID,
+		Transport: newTransport(),
+		Node:      node,
+	}
 }
 
-func newID() string {
-	var id [12]byte
+func randomID() string {
+	const idBytes = 12
+	var id [idBytes]byte
 	_, _ = rand.Read(id[:])
 	return hex.EncodeToString(id[:])
 }
@@ -61,56 +79,26 @@
 	}
 	var apiErr *apierror.Error
 	if !errors.As(err, &apiErr) {
-		fmt.Fprintf(a.Err, "stepwick: %s\n", err)
+		a.printErrorf("stepwick: %s\n", err)
 		return ExitUsage
 	}
-	text := " " + told(apiErr)
+	text := " " + detailOrHelp(apiErr)
 	if strings.Contains(text, "\n") {
-		text = "\n  " + strings.ReplaceAll(told(apiErr), "\n", "\n  ")
+		text = "\n  " + strings.ReplaceAll(detailOrHelp(apiErr), "\n", "\n  ")
 	}
-	fmt.Fprintf(a.Err, "stepwick: %s (%d):%s\n", apiErr.Code, apiErr.Code, text)
+	a.printErrorf("stepwick: %s (%d):%s\n", apiErr.Code, apiErr.Code, text)
 	return Exit(apiErr.Code)
 }
 
-func told(apiErr *apierror.Error) string {
+// detailOrHelp returns an error's detail, or the meaning of its code.
+func detailOrHelp(apiErr *apierror.Error) string {
 	if apiErr.Detail == "" {
 		return apiErr.Code.Info().Help
 	}
 	return apiErr.Detail
 }
 
-// Exit codes. They follow the advice on retries in the table of codes.
-const (
-	ExitInternal = 1 // a fault of the program, or an outcome that must be looked up
-	ExitUsage    = 2 // a wrong command line or setting
-	ExitNo       = 3 // refused; the same again gets the same
-	ExitLater    = 4 // not now; try again later
-	ExitSame     = 5 // send the same order id again
-	ExitMoved    = 6 // another order on the same base won
-)
-
-// Exit returns the exit code of a result code.
-func Exit(code apierror.Code) int {
-	switch code {
-	case apierror.OK:
-		return 0
-	case apierror.BadSetting:
-		return ExitUsage
-	case apierror.BaseMoved:
-		return ExitMoved
-	}
-	switch code.Info().Retry {
-	case apierror.RetryNo:
-		return ExitNo
-	case apierror.RetryLater:
-		return ExitLater
-	case apierror.RetrySame:
-		return ExitSame
-	default:
-		return ExitInternal
-	}
-}
-
+// root returns the command line with all commands, in groups.
 func (a *App) root() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "stepwick",
@@ -140,16 +128,18 @@
 			root.AddCommand(command)
 		}
 	}
-	add("run", a.run(settings.RoleCore), a.run(settings.RoleFront))
+	add("run", a.runCommand(settings.RoleCore), a.runCommand(settings.RoleFront))
 	add("run", a.Processes...)
-	add("operate", a.sheet(), a.zone(), a.member(), a.status(), a.plan(), a.tally(), a.explain(), a.key())
-	add("look", a.data(), a.settings(), a.codes(), a.events(), a.version())
+	add("operate", a.sheetCommand(), a.localityCommand(), a.memberCommand(), a.statusCommand(), a.planCommand(), a.tallyCommand(), a.explainCommand(), a.keyCommand())
+	add("look", a.dataCommand(), a.settingsCommand(), a.codesCommand(), a.eventsCommand(), a.versionCommand())
 	root.SetHelpCommandGroupID("look")
 	root.SetCompletionCommandGroupID("look")
-	root.AddCommand(a.docs())
+	root.AddCommand(a.docsCommand())
 	return root
 }
 
+// noArgs is the shell completion of a command without arguments that could be
+// completed.
 func noArgs(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 	return nil, cobra.ShellCompDirectiveNoFileComp
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -23,7 +23,7 @@
 "weights":{"chat":{"lagos":60,"abeokuta":40},"outage":{"lagos":1}},
 "tenants":{"press":{"rate":1000,"burst":4000,"keys":["9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"]}}}`
 
-func approved(t *testing.T) (check func(name string, s *session)) {
+func newGoldenChecker(t *testing.T) (check func(name string, s *session)) {
 	fixtures, err := filepath.Abs("testdata")
 	if err != nil {
 		t.Fatal(err)
@@ -32,9 +32,9 @@
 	return func(name string, s *session) { g.Assert(t, name, s.text()) }
 }
 
-func TestSheetSession(t *testing.T) {
-	check := approved(t)
-	fleet := newStandIn(t, firstSheet)
+func TestSheetCommands(t *testing.T) {
+	check := newGoldenChecker(t)
+	fleet := newFakeFleet(t, firstSheet)
 	s := newSession(t, fleet, 2)
 	s.run("sheet", "get")
 	s.run("sheet", "get", "-o", "csv")
@@ -47,22 +47,22 @@
 	s.run("sheet", "patch")
 	s.run("sheet", "export", "sheet.csv")
 	csv, _ := os.ReadFile("sheet.csv")
-	write(t, "sheet.csv", strings.Replace(string(csv), "tenants.press.rate,1000", "tenants.press.rate,1500", 1))
+	writeFile(t, "sheet.csv", strings.Replace(string(csv), "tenants.press.rate,1000", "tenants.press.rate,1500", 1))
 	s.run("sheet", "diff", "sheet.csv")
 	s.run("sheet", "import", "sheet.csv", "--base", "19")
 	s.run("sheet", "export", "sheet.json")
 	s.run("sheet", "patch", "--set", "tenants.press.burst=1", "-q")
 	s.run("sheet", "put", "sheet.json")
-	write(t, "bad.json", `{"services":{"chat":{"kind":"model"}},"weights":{"chat":{"lagos":0}}}`)
+	writeFile(t, "bad.json", `{"services":{"chat":{"kind":"model"}},"weights":{"chat":{"lagos":0}}}`)
 	s.run("sheet", "put", "bad.json")
 	s.run("sheet", "history")
 	s.run("sheet", "history", "--limit", "1", "-o", "json")
 	check("sheet", s)
 }
 
-func TestOrderSession(t *testing.T) {
-	check := approved(t)
-	fleet := newStandIn(t, firstSheet)
+func TestOrdersAreRetriedUnderOneID(t *testing.T) {
+	check := newGoldenChecker(t)
+	fleet := newFakeFleet(t, firstSheet)
 	s := newSession(t, fleet, 2)
 	fleet.pending = 1
 	s.run("locality", "evacuate", "lagos/a")
@@ -85,18 +85,18 @@
 	check("orders", s)
 
 	Convey("The same order id goes to node after node, and is applied once", t, func() {
-		So(fleet.seen[:2], ShouldResemble, []string{"order-1", "order-1"})
+		So(fleet.orderIDs[:2], ShouldResemble, []string{"order-1", "order-1"})
 		So(fleet.state.History, ShouldHaveLength, 5)
 	})
 }
 
-func TestUnreachable(t *testing.T) {
-	check := approved(t)
-	fleet := newStandIn(t, firstSheet)
+func TestUnreachableNodesAreReported(t *testing.T) {
+	check := newGoldenChecker(t)
+	fleet := newFakeFleet(t, firstSheet)
 	s := newSession(t, fleet, 2)
 	s.nodes[0].Close()
 	s.run("sheet", "get", "-o", "table")
-	fleet.lost = 1
+	fleet.lostResponses = 1
 	s.run("locality", "evacuate", "lagos/a")
 	fleet.pending, fleet.onOrder = 1, func() { s.interrupt() }
 	s.run("locality", "evacuate", "lagos/b")
@@ -109,12 +109,12 @@
 	s.run("sheet", "get", "--node", "10.0.0.9:8080")
 	check("unreachable", s)
 	Convey("An order whose answer was lost is sent again with its id", t, func() {
-		So(fleet.seen[:2], ShouldResemble, []string{"order-1", "order-1"})
+		So(fleet.orderIDs[:2], ShouldResemble, []string{"order-1", "order-1"})
 	})
 }
 
-func TestLookups(t *testing.T) {
-	check := approved(t)
+func TestLocalCommands(t *testing.T) {
+	check := newGoldenChecker(t)
 	s := newSession(t, nil, 0)
 	s.app.In = strings.NewReader("test\n")
 	s.run("key", "hash")
@@ -125,9 +125,9 @@
 	s.run("codes", "1")
 	s.run("events", "2005")
 	s.run("version")
-	write(t, "core.yaml", "name: core-1\nregoin: lagos\ngrant: {ttl: 9s}\n")
+	writeFile(t, "core.yaml", "name: core-1\nregoin: lagos\ngrant: {ttl: 9s}\n")
 	s.run("settings", "check", "core.yaml")
-	write(t, "core.yaml", "name: core-1\n")
+	writeFile(t, "core.yaml", "name: core-1\n")
 	s.run("settings", "check", "core.yaml")
 	s.run("settings", "check", "core.yaml", "--role", "core")
 	s.run("settings", "list", "-o", "xml")
@@ -137,10 +137,10 @@
 	check("lookups", s)
 }
 
-func TestRun(t *testing.T) {
+func TestServeRunsARoleAndWritesItsLog(t *testing.T) {
 	Convey("A process gets its role and settings, ends well with its context, and its events are written out", t, func() {
 		s := newSession(t, nil, 0)
-		write(t, "front.yaml", `{name: n1, region: lagos, zone: a, listen: {caller: "127.0.0.1:1", internal: "127.0.0.1:2"},
+		writeFile(t, "front.yaml", `{name: n1, region: lagos, zone: a, listen: {caller: "127.0.0.1:1", internal: "127.0.0.1:2"},
 seeds: ["127.0.0.1:3"], fleet.secret: 0123456789abcdef, disk.sync_delay: 5ms}`)
 		ctx, cancel := context.WithCancel(context.Background())
 		s.app.Clock = clock.System()
@@ -164,7 +164,7 @@
 	})
 }
 
-func TestPages(t *testing.T) {
+func TestPagesAndHelpMatchTheTables(t *testing.T) {
 	Convey("The pages that come from the tables are those in docs", t, func() {
 		for name, text := range Pages() {
 			kept, err := os.ReadFile(filepath.Join("..", "..", "docs", name))
@@ -182,7 +182,7 @@
 		page, err := os.ReadFile(filepath.Join("..", "..", "docs", "API.md"))
 		So(err, ShouldBeNil)
 		lines := strings.Split(string(page), "\n")
-		told := func(method, path string) bool {
+		documented := func(method, path string) bool {
 			for _, line := range lines {
 				if strings.Contains(line, method) && strings.Contains(line, path) {
 					return true
@@ -191,10 +191,10 @@
 			return false
 		}
 		for _, call := range controlapi.Routes() {
-			So(call.Method+" "+call.Path+" "+strconv.FormatBool(told(call.Method, call.Path)), ShouldEndWith, " true")
+			So(call.Method+" "+call.Path+" "+strconv.FormatBool(documented(call.Method, call.Path)), ShouldEndWith, " true")
 		}
 		for _, route := range clientapi.Routes() {
-			So(route.Method+" "+route.Path+" "+strconv.FormatBool(told(route.Method, route.Path)), ShouldEndWith, " true")
+			So(route.Method+" "+route.Path+" "+strconv.FormatBool(documented(route.Method, route.Path)), ShouldEndWith, " true")
 		}
 	})
 	Convey("Every command has a short help, and every one that runs has an example", t, func() {
@@ -237,9 +237,9 @@
 "attempts":[{"server":"m1","ended":"busy","took_ms":1.5},{"server":"m2","ended":"whole","events":40,"first_event_ms":310.2,"took_ms":900}],
 "outcome":{"code":0,"name":"ok","took_ms":903.2}}`
 
-func TestViews(t *testing.T) {
-	check := approved(t)
-	fleet := newStandIn(t, firstSheet)
+func TestStatusAndOtherViews(t *testing.T) {
+	check := newGoldenChecker(t)
+	fleet := newFakeFleet(t, firstSheet)
 	s := newSession(t, fleet, 1)
 	fleet.bodies["status"], fleet.bodies["plan"], fleet.bodies["explain/r1"] = statusBody, planBody, explainBody
 	fleet.bodies["tally"] = `[{"Tenant":"press","Limit":12000,"Blend":5200.4,"Recent":5100,"Own":700,"Share":900,"Reserved":0,"Marked":true,"Holder":"core-1","Age":120000000},
--- a/internal/cli/data.go
+++ b/internal/cli/data.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"fmt"
 	"os"
 	"strings"
 
@@ -11,7 +10,7 @@
 	"stepwick/internal/node/replica"
 )
 
-func (a *App) data() *cobra.Command {
+func (a *App) dataCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "data",
 		Short: "Check and show the data folder of a core that is not running",
@@ -19,11 +18,11 @@
 is changed. Without a snapshot the folder doesn't tell whose it is: then name the core.`,
 		Example: "  stepwick data check data/core-1\n  stepwick data show data/core-1 -o json",
 	}
-	command.AddCommand(a.dataCheck(), a.dataShow())
+	command.AddCommand(a.dataCheckCommand(), a.dataShowCommand())
 	return command
 }
 
-func (a *App) dataCheck() *cobra.Command {
+func (a *App) dataCheckCommand() *cobra.Command {
 	var name string
 	command := &cobra.Command{
 		Use:   "check FOLDER",
@@ -34,17 +33,17 @@
 		Example: "  stepwick data check data/core-1",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			found, err := a.inspect(args[0], name)
+			contents, err := inspectFolder(args[0], name)
 			if err != nil {
 				return err
 			}
-			a.line("whole: %d records in %d segments after version %d; %s at version %d", found.Records, found.Segments,
-				found.Snapshot, found.Standing, found.Version)
-			if found.TornSegment != "" {
-				a.line("%s ends in %d bytes that were not written whole; a start cuts them off", found.TornSegment, found.TornBytes)
+			a.printf("whole: %d records in %d segments after version %d; %s at version %d\n", contents.Records, contents.Segments,
+				contents.Snapshot, contents.Standing, contents.Version)
+			if contents.TornSegment != "" {
+				a.printf("%s ends in %d bytes that were not written whole; a start cuts them off\n", contents.TornSegment, contents.TornBytes)
 			}
-			if found.BadSnapshot != "" {
-				a.line("%s fails its checksum; a start uses the snapshot before it", found.BadSnapshot)
+			if contents.BadSnapshot != "" {
+				a.printf("%s fails its checksum; a start uses the snapshot before it\n", contents.BadSnapshot)
 			}
 			return nil
 		},
@@ -53,9 +52,10 @@
 	return command
 }
 
-func (a *App) dataShow() *cobra.Command {
-	var name, form string
-	var withSheet bool
+func (a *App) dataShowCommand() *cobra.Command {
+	var name string
+	var format string
+	var showSheet bool
 	command := &cobra.Command{
 		Use:     "show FOLDER",
 		Short:   "Show what a data folder holds",
@@ -63,58 +63,55 @@
 		Example: "  stepwick data show data/core-1\n  stepwick data show data/core-1 --sheet > sheet.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			found, err := a.inspect(args[0], name)
+			contents, err := inspectFolder(args[0], name)
 			if err != nil {
 				return err
 			}
 			switch {
-			case withSheet && found.Sheet == nil:
+			case showSheet && contents.Sheet == nil:
 				return apierror.Errorf(apierror.NoSheet, "%s holds no sheet", args[0])
-			case withSheet:
-				return a.printJSON(found.Sheet)
-			case form == "json":
-				return a.printJSON(found)
+			case showSheet:
+				return a.printJSON(contents.Sheet)
+			case format == formatJSON:
+				return a.printJSON(contents)
 			}
-			return a.printContents(found)
+			return a.printContents(contents)
 		},
 	}
 	command.Flags().StringVar(&name, "name", "", "the core's name")
-	command.Flags().BoolVar(&withSheet, "sheet", false, "print the sheet as JSON")
-	output(command, &form, "table", "table", "json")
+	command.Flags().BoolVar(&showSheet, "sheet", false, "print the sheet as JSON")
+	addOutputFlag(command, &format, formatTable, formatTable, formatJSON)
 	return command
 }
 
-// line prints one line.
-func (a *App) line(format string, args ...any) { fmt.Fprintf(a.Out, format+"\n", args...) }
-
-// inspect reads a folder that has to be there.
-func (a *App) inspect(folder, name string) (replica.Contents, error) {
+// inspectFolder reads a data folder, which must exist.
+func inspectFolder(folder, name string) (replica.Contents, error) {
 	if _, err := os.Stat(folder); err != nil {
 		return replica.Contents{}, err
 	}
 	return replica.Inspect(folder, name)
 }
 
-func (a *App) printContents(found replica.Contents) error {
-	t := a.table("WHAT", "VALUE")
-	t.row("core", found.Core)
-	t.row("formation", found.Formation)
-	t.row("voters", strings.Join(found.Voters, " "))
-	t.row("standing", found.Standing)
-	t.row("disk life", found.DiskIncarnation)
-	t.row("version", found.Version)
-	t.row("sheet version", found.SheetVersion)
-	t.row("revision", found.Revision)
-	t.row("members", found.Members)
-	t.row("open slots", found.OpenSlots)
-	t.row("snapshot version", found.Snapshot)
-	t.row("segments", found.Segments)
-	t.row("records", found.Records)
-	if found.TornSegment != "" {
-		t.row("torn", found.TornSegment)
+func (a *App) printContents(contents replica.Contents) error {
+	rows := a.newTable("WHAT", "VALUE")
+	rows.row("core", contents.Core)
+	rows.row("formation", contents.Formation)
+	rows.row("voters", strings.Join(contents.Voters, " "))
+	rows.row("standing", contents.Standing)
+	rows.row("disk life", contents.DiskIncarnation)
+	rows.row("version", contents.Version)
+	rows.row("sheet version", contents.SheetVersion)
+	rows.row("revision", contents.Revision)
+	rows.row("members", contents.Members)
+	rows.row("open slots", contents.OpenSlots)
+	rows.row("snapshot version", contents.Snapshot)
+	rows.row("segments", contents.Segments)
+	rows.row("records", contents.Records)
+	if contents.TornSegment != "" {
+		rows.row("torn", contents.TornSegment)
 	}
-	if found.BadSnapshot != "" {
-		t.row("bad snapshot", found.BadSnapshot)
+	if contents.BadSnapshot != "" {
+		rows.row("bad snapshot", contents.BadSnapshot)
 	}
-	return t.print()
+	return rows.print()
 }
--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -11,9 +11,9 @@
 	"stepwick/internal/decision/statemachine"
 )
 
-// keep writes a core's data folder as a running core does: a formation of
+// writeDataFolder writes a core's data folder as a running core does: a formation of
 // three, a sheet, and a vote without an outcome.
-func keep(t *testing.T, folder string) {
+func writeDataFolder(t *testing.T, folder string) {
 	t.Helper()
 	first, apiErr := sheet.ParseSheet([]byte(firstSheet), 1<<20)
 	if apiErr != nil {
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	for _, record := range records {
 		place, err := log.Append([][]byte{paxos.EncodeRecord(record)}, false)
 		if err != nil {
@@ -42,8 +42,8 @@
 	}
 }
 
-// alter changes the bytes of the folder's only segment.
-func alter(t *testing.T, folder string, change func([]byte) []byte) {
+// alterSegment changes the bytes of the folder's only segment.
+func alterSegment(t *testing.T, folder string, change func([]byte) []byte) {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil || len(found) != 1 {
@@ -58,19 +58,19 @@
 	}
 }
 
-func TestDataFolder(t *testing.T) {
-	check := approved(t)
+func TestDataCommands(t *testing.T) {
+	check := newGoldenChecker(t)
 	s := newSession(t, nil, 0)
-	keep(t, "core-1")
+	writeDataFolder(t, "core-1")
 	s.run("data", "check", "core-1", "--name", "core-1")
 	s.run("data", "show", "core-1", "--name", "core-1")
 	s.run("data", "show", "core-1", "--name", "core-1", "-o", "json")
 	s.run("data", "show", "core-1", "--name", "core-1", "--sheet")
 	s.run("data", "check", "core-1")
-	alter(t, "core-1", func(data []byte) []byte { return append(data, 1, 2, 3) })
+	alterSegment(t, "core-1", func(data []byte) []byte { return append(data, 1, 2, 3) })
 	s.run("data", "check", "core-1", "--name", "core-1")
 	s.run("data", "check", "core-1", "--name", "core-1")
-	alter(t, "core-1", func(data []byte) []byte { data[40] ^= 1; return data })
+	alterSegment(t, "core-1", func(data []byte) []byte { data[40] ^= 1; return data })
 	s.run("data", "check", "core-1", "--name", "core-1")
 	s.run("data", "check", "core-2")
 	s.run("data", "show", "--help")
--- a/internal/cli/docs.go
+++ b/internal/cli/docs.go
@@ -13,7 +13,7 @@
 	"stepwick/internal/settings"
 )
 
-func (a *App) docs() *cobra.Command {
+func (a *App) docsCommand() *cobra.Command {
 	var folder string
 	command := &cobra.Command{
 		Use:    "docs",
@@ -35,15 +35,20 @@
 
 // Pages returns the pages that come from the tables, by file name.
 func Pages() map[string]string {
-	return map[string]string{"SETTINGS.md": settingsPage(), "CODES.md": codesPage(), "EVENTS.md": eventsPage()}
+	return map[string]string{
+		"SETTINGS.md": settingsPage(),
+		"CODES.md":    codesPage(),
+		"EVENTS.md":   eventsPage(),
+	}
 }
 
-const fromTables = "\nThis page is written from the table in the code by `go run ./cmd/stepwick docs --write docs`; a test fails when the two differ.\n"
+// generatedNotice is the second paragraph of each page.
+const generatedNotice = "\nThis page is written from the table in the code by `go run ./cmd/stepwick docs --write docs`; a test fails when the two differ.\n"
 
 func settingsPage() string {
-	var b strings.Builder
-	b.WriteString(`# Settings
-` + fromTables + `
+	var page strings.Builder
+	page.WriteString(`# Settings
+` + generatedNotice + `
 A process takes its settings from a file (` + "`--config FILE`" + `, YAML, nested or with dotted names) and from flags of the
 same names; flags win. ` + "`stepwick settings check FILE --role core`" + ` reports every unknown name and bad value at once, with
 its line. Settings marked *run time* may also be set in the sheet (` + "`stepwick sheet patch --set settings.NAME=VALUE`" + `) and
@@ -60,12 +65,13 @@
 		if row.Runtime {
 			runtime = "yes"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %s |\n", row.Name, row.Type, row.Unit, code(row.Default), row.Rule, runtime, row.Help)
+		fmt.Fprintf(&page, "| `%s` | %s | %s | %s | %s | %s | %s |\n", row.Name, row.Type, row.Unit, codeSpan(row.Default), row.Rule, runtime, row.Help)
 	}
-	return b.String()
+	return page.String()
 }
 
-func code(text string) string {
+// codeSpan quotes a text in Markdown; nothing for an empty one.
+func codeSpan(text string) string {
 	if text == "" {
 		return ""
 	}
@@ -73,9 +79,9 @@
 }
 
 func codesPage() string {
-	var b strings.Builder
-	b.WriteString(`# Result codes
-` + fromTables + `
+	var page strings.Builder
+	page.WriteString(`# Result codes
+` + generatedNotice + `
 Every answer that is not met carries a body such as
 
     {"code":2001,"name":"quota_exceeded","detail":"…","retry":"later","retry_after_ms":400,"request_id":"…"}
@@ -94,14 +100,14 @@
 |---|---|---|---|---|---|
 `)
 	for _, row := range apierror.Codes {
-		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %d | %s |\n", row.Code, row.Name, row.Status, row.Retry, Exit(row.Code), row.Help)
+		fmt.Fprintf(&page, "| %d | `%s` | %d | %s | %d | %s |\n", row.Code, row.Name, row.Status, row.Retry, Exit(row.Code), row.Help)
 	}
-	return b.String()
+	return page.String()
 }
 
 func eventsPage() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, `# Log events
+	var page strings.Builder
+	fmt.Fprintf(&page, `# Log events
 %s
 Processes log to the standard error, one event a line, as keys and values: ts, level, event (the number), event_name, and
 keys of the event's own. Numbers never change meaning. Each event is bounded to %d lines at once and %d a second after
@@ -112,9 +118,9 @@
 
 | Event | Name | Level | Meaning | What it asks for |
 |---|---|---|---|---|
-`, fromTables, events.Burst, events.RefillPerSecond)
-	for _, e := range events.Catalogue() {
-		fmt.Fprintf(&b, "| %d | `%s` | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Help, e.Action)
+`, generatedNotice, events.Burst, events.RefillPerSecond)
+	for _, event := range events.Catalogue() {
+		fmt.Fprintf(&page, "| %d | `%s` | %s | %s | %s |\n", event.Number, event.Name, event.Level, event.Help, event.Action)
 	}
-	return b.String()
+	return page.String()
 }
--- a/internal/cli/standin_test.go
+++ b/internal/cli/fake_fleet_test.go
@@ -20,18 +20,18 @@
 
 const operatorKey = "ada's key"
 
-// standIn answers the operator API from one state in memory.
-type standIn struct {
-	state   statemachine.State
-	pending int               // orders that get OutcomePending although they are applied
-	lost    int               // orders whose answer is lost after they are applied
-	onOrder func()            // called before an order is answered
-	bodies  map[string]string // of calls that only read
-	seen    []string          // order ids as they came
+// fakeFleet answers the operator API from one state in memory.
+type fakeFleet struct {
+	state         statemachine.State
+	pending       int               // orders that get OutcomePending although they are applied
+	lostResponses int               // orders whose answer is lost after they are applied
+	onOrder       func()            // called before an order is answered
+	bodies        map[string]string // of calls that only read
+	orderIDs      []string          // order ids as they came
 }
 
-func newStandIn(t *testing.T, first string) *standIn {
-	s := &standIn{bodies: map[string]string{}}
+func newFakeFleet(t *testing.T, first string) *fakeFleet {
+	s := &fakeFleet{bodies: map[string]string{}}
 	parsed, apiErr := sheet.ParseSheet([]byte(first), 1<<20)
 	if apiErr != nil {
 		t.Fatal(apiErr)
@@ -40,7 +40,7 @@
 	return s
 }
 
-func (s *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Authorization") != "Bearer "+operatorKey {
 		apierror.WriteError(w, apierror.Errorf(apierror.OperatorUnknown, ""), "")
 		return
@@ -54,7 +54,7 @@
 		"POST restore": sheet.VerbRestore, "POST members/remove": statemachine.VerbRemoveMembers}[r.Method+" "+path]
 	switch {
 	case path == "sheet" && r.Method == http.MethodGet:
-		apierror.WriteJSON(w, http.StatusOK, held{s.state.Version, s.state.SheetVersion, s.state.Sheet, s.state.Evacuated})
+		apierror.WriteJSON(w, http.StatusOK, sheetState{s.state.Version, s.state.SheetVersion, s.state.Sheet, s.state.Evacuated})
 	case path == "history":
 		apierror.WriteJSON(w, http.StatusOK, map[string]any{"history": s.state.History})
 	case verb == "":
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *standIn) order(w http.ResponseWriter, r *http.Request, verb string) {
+func (s *fakeFleet) order(w http.ResponseWriter, r *http.Request, verb string) {
 	body, _ := io.ReadAll(r.Body)
 	command, apiErr := statemachine.ParseOrder(verb, "ada", body, statemachine.OrderLimits{MaxBytes: 1 << 20}, 1790000000000)
 	if apiErr != nil {
@@ -72,7 +72,7 @@
 		return
 	}
 	order, _ := statemachine.OrderOf(command)
-	s.seen = append(s.seen, order.OrderID)
+	s.orderIDs = append(s.orderIDs, order.OrderID)
 	next, result := s.state.Step(s.state.Version+1, statemachine.Encode(command))
 	s.state = next
 	if s.onOrder != nil {
@@ -81,26 +81,26 @@
 	switch {
 	case result.APIError() != nil:
 		apierror.WriteError(w, result.APIError(), "")
-	case s.lost > 0:
-		s.lost--
+	case s.lostResponses > 0:
+		s.lostResponses--
 		panic(http.ErrAbortHandler)
 	case s.pending > 0:
 		s.pending--
 		apierror.WriteError(w, apierror.Errorf(apierror.OutcomePending, "waiting for front-4").WithRetryAfter(300*time.Millisecond), "")
 	default:
-		apierror.WriteJSON(w, http.StatusOK, outcome{result.Version, result.SheetVersion, true, 9, 9, order.OrderID})
+		apierror.WriteJSON(w, http.StatusOK, orderResult{result.Version, result.SheetVersion, true, 9, 9, order.OrderID})
 	}
 }
 
-// quick is a clock whose waits end at once and move it on.
-type quick struct {
+// instantClock is a clock whose waits end at once and move it on.
+type instantClock struct {
 	clock.Clock
 	now time.Time
 }
 
-func (q *quick) Now() time.Time { return q.now }
+func (q *instantClock) Now() time.Time { return q.now }
 
-func (q *quick) After(d time.Duration) <-chan time.Time {
+func (q *instantClock) After(d time.Duration) <-chan time.Time {
 	q.now = q.now.Add(d)
 	c := make(chan time.Time, 1)
 	c <- q.now
@@ -109,28 +109,28 @@
 
 // session runs command lines one after another and keeps a transcript.
 type session struct {
-	app        *App
-	transcript bytes.Buffer
-	env        map[string]string
-	hide       map[string]string
-	nodes      []*httptest.Server
-	interrupt  func()
+	app            *App
+	transcript     bytes.Buffer
+	env            map[string]string
+	shownAddresses map[string]string
+	nodes          []*httptest.Server
+	interrupt      func()
 }
 
-func newSession(t *testing.T, fleet *standIn, nodes int) *session {
-	s := &session{env: map[string]string{"STEPWICK_OPERATOR_KEY": operatorKey}, hide: map[string]string{}}
+func newSession(t *testing.T, fleet *fakeFleet, nodes int) *session {
+	s := &session{env: map[string]string{"STEPWICK_OPERATOR_KEY": operatorKey}, shownAddresses: map[string]string{}}
 	var addresses []string
 	for i := range nodes {
 		node := httptest.NewServer(fleet)
 		t.Cleanup(node.Close)
 		address := strings.TrimPrefix(node.URL, "http://")
-		s.hide[address] = fmt.Sprintf("10.0.0.%d:8080", i+1)
+		s.shownAddresses[address] = fmt.Sprintf("10.0.0.%d:8080", i+1)
 		s.nodes, addresses = append(s.nodes, node), append(addresses, address)
 	}
 	s.env["STEPWICK_NODE"] = strings.Join(addresses, ",")
 	ids := 0
 	s.app = &App{Out: &s.transcript, Err: &s.transcript, In: strings.NewReader(""), Env: func(name string) string { return s.env[name] },
-		Clock: &quick{now: time.Unix(1790000000, 0)}, Transport: transport(), NewID: func() string { ids++; return fmt.Sprintf("order-%d", ids) }}
+		Clock: &instantClock{now: time.Unix(1790000000, 0)}, Transport: newTransport(), NewID: func() string { ids++; return fmt.Sprintf("order-%d", ids) }}
 	t.Chdir(t.TempDir())
 	return s
 }
@@ -154,13 +154,13 @@
 
 func (s *session) text() []byte {
 	text := s.transcript.String()
-	for real, shown := range s.hide {
+	for real, shown := range s.shownAddresses {
 		text = strings.ReplaceAll(text, real, shown)
 	}
 	return []byte(text)
 }
 
-func write(t *testing.T, name, text string) {
+func writeFile(t *testing.T, name, text string) {
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cli/locality.go
+++ b/internal/cli/locality.go
@@ -7,12 +7,13 @@
 	"strings"
 
 	"stepwick/internal/apierror"
+	"stepwick/internal/decision/sheet"
 
 	"github.com/spf13/cobra"
 )
 
-func (a *App) zone() *cobra.Command {
-	l := &link{app: a}
+func (a *App) localityCommand() *cobra.Command {
+	client := &fleetClient{app: a}
 	command := &cobra.Command{
 		Use:   "locality",
 		Short: "Empty a zone or region of requests, and take it back",
@@ -20,52 +21,69 @@
 Evacuations are a layer of their own: a sheet never undoes one.`,
 		Example: "  stepwick locality evacuate lagos/a\n  stepwick locality restore lagos/a",
 	}
-	l.register(command.PersistentFlags())
-	verb := func(name, short, example string) *cobra.Command {
-		o := &ordering{}
-		force := false
-		command := &cobra.Command{Use: name + " LOCALITY", Short: short, Example: example, Args: cobra.ExactArgs(1), ValidArgsFunction: noArgs,
-			RunE: func(command *cobra.Command, args []string) error {
-				if name == "evacuate" && !force {
-					if err := l.known(command.Context(), args[0]); err != nil {
-						return err
-					}
+	client.register(command.PersistentFlags())
+	command.AddCommand(a.evacuateCommand(client), a.restoreCommand(client))
+	return command
+}
+
+func (a *App) evacuateCommand(client *fleetClient) *cobra.Command {
+	flags := &orderFlags{}
+	force := false
+	command := &cobra.Command{
+		Use:               "evacuate LOCALITY",
+		Short:             "Send no more requests to the servers of a zone or region",
+		Example:           "  stepwick locality evacuate lagos/a",
+		Args:              cobra.ExactArgs(1),
+		ValidArgsFunction: noArgs,
+		RunE: func(command *cobra.Command, args []string) error {
+			if !force {
+				if err := client.checkZoneHasNodes(command.Context(), args[0]); err != nil {
+					return err
 				}
-				return a.submit(command, l, o, http.MethodPost, name, struct {
-					OrderID string `json:"order_id"`
-					Zone    string `json:"locality"`
-				}{o.id(a), args[0]})
-			}}
-		o.register(command.Flags(), false)
-		if name == "evacuate" {
-			command.Flags().BoolVar(&force, "force", false, "also where no node of the fleet is known to stand")
-		}
-		return command
+			}
+			return a.submitZoneOrder(command, client, flags, sheet.VerbEvacuate, args[0])
+		},
 	}
-	command.AddCommand(
-		verb("evacuate", "Send no more requests to the servers of a zone or region", "  stepwick locality evacuate lagos/a"),
-		verb("restore", "Send requests to a zone or region again", "  stepwick locality restore lagos/a"))
+	flags.register(command.Flags())
+	command.Flags().BoolVar(&force, "force", false, "also where no node of the fleet is known to stand")
 	return command
 }
 
-// known says whether a node stands in a zone or region, so that a slip of
-// the pen isn't taken for an evacuation. What can't be asked is not in the way.
-func (l *link) known(ctx context.Context, zone string) error {
-	var s status
-	if _, err := l.get(ctx, controlPath+"status", &s); err != nil || s.Node == nil {
-		return nil
-	}
-	var zones []string
-	for _, p := range s.Node.Processes {
-		zones = append(zones, p.Zone)
+func (a *App) restoreCommand(client *fleetClient) *cobra.Command {
+	flags := &orderFlags{}
+	command := &cobra.Command{
+		Use:               "restore LOCALITY",
+		Short:             "Send requests to a zone or region again",
+		Example:           "  stepwick locality restore lagos/a",
+		Args:              cobra.ExactArgs(1),
+		ValidArgsFunction: noArgs,
+		RunE: func(command *cobra.Command, args []string) error {
+			return a.submitZoneOrder(command, client, flags, sheet.VerbRestore, args[0])
+		},
 	}
-	if s.Fleet != nil {
-		for _, m := range s.Fleet.Members {
-			zones = append(zones, m.Zone)
-		}
+	flags.register(command.Flags())
+	return command
+}
+
+func (a *App) submitZoneOrder(command *cobra.Command, client *fleetClient, flags *orderFlags, verb, zone string) error {
+	body := struct {
+		OrderID string `json:"order_id"`
+		Zone    string `json:"locality"`
+	}{flags.id(a), zone}
+	return a.submitOrder(command, client, flags, http.MethodPost, verb, body)
+}
+
+// checkZoneHasNodes returns an error where no node is in the zone or region,
+// which is then probably misspelt. It returns nil where the status can't be
+// read, since evacuations matter most while the fleet is in trouble.
+func (c *fleetClient) checkZoneHasNodes(ctx context.Context, zone string) error {
+	var status statusReport
+	if _, err := c.get(ctx, controlPath+"status", &status); err != nil || status.Node == nil {
+		return nil
 	}
-	for _, one := range zones {
-		if region, _, _ := strings.Cut(one, "/"); one == zone || region == zone {
+	zones := status.zones()
+	for _, known := range zones {
+		if region, _, _ := strings.Cut(known, "/"); known == zone || region == zone {
 			return nil
 		}
 	}
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -6,14 +6,14 @@
 	"strings"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"stepwick/internal/apierror"
 	"stepwick/internal/wire"
+
+	"github.com/spf13/cobra"
 )
 
-func (a *App) plan() *cobra.Command {
-	l := &link{app: a}
+func (a *App) planCommand() *cobra.Command {
+	client := &fleetClient{app: a}
 	var format string
 	command := &cobra.Command{
 		Use:   "plan",
@@ -21,14 +21,15 @@
 		Long: `Show the plan that the asked node routes by: for each service and region that
 requests come from, the shares of the regions that they go to; and for each
 server the bound on requests in flight over all fronts.`,
-		Example: "  stepwick plan\n  stepwick plan -o json",
-		Args:    cobra.NoArgs, ValidArgsFunction: noArgs,
+		Example:           "  stepwick plan\n  stepwick plan -o json",
+		Args:              cobra.NoArgs,
+		ValidArgsFunction: noArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			body, err := l.get(command.Context(), controlPath+"plan", nil)
+			body, err := client.get(command.Context(), controlPath+"plan", nil)
 			if err != nil {
 				return err
 			}
-			if format == "json" {
+			if format == formatJSON {
 				return a.printBody(body)
 			}
 			var plan wire.Plan
@@ -38,30 +39,40 @@
 			return a.printPlan(&plan)
 		},
 	}
-	l.register(command.Flags())
-	output(command, &format, "table", "table", "json")
+	client.register(command.Flags())
+	addOutputFlag(command, &format, formatTable, formatTable, formatJSON)
 	return command
 }
 
 func (a *App) printPlan(plan *wire.Plan) error {
-	fmt.Fprintf(a.Out, "plan %d of term %d by %s, for epoch %d; made at %s for %s; cause: %s\n\n", plan.Number, plan.Term, plan.Holder, plan.Epoch,
-		time.UnixMilli(plan.AtMs).UTC().Format("2006-01-02T15:04:05Z"), time.Duration(plan.PeriodMs)*time.Millisecond, plan.Cause)
-	t := a.table("SERVICE", "FROM", "SHARES")
-	for at := 0; at < len(plan.Shares); {
-		first := plan.Shares[at]
-		var shares []string
-		for ; at < len(plan.Shares) && plan.Shares[at].Service == first.Service && plan.Shares[at].FromRegion == first.FromRegion; at++ {
-			shares = append(shares, fmt.Sprintf("%s %.1f%%", plan.Shares[at].ToRegion, 100*plan.Shares[at].Share))
-		}
-		t.row(first.Service, first.FromRegion, strings.Join(shares, ", "))
-	}
-	if err := t.print(); err != nil {
+	period := time.Duration(plan.PeriodMs) * time.Millisecond
+	a.printf("plan %d of term %d by %s, for epoch %d; made at %s for %s; cause: %s\n\n",
+		plan.Number, plan.Term, plan.Holder, plan.Epoch, formatTimestamp(plan.AtMs), period, plan.Cause)
+	if err := a.printShares(plan.Shares); err != nil {
 		return err
 	}
-	fmt.Fprintln(a.Out)
-	t = a.table("SERVER", "IN FLIGHT AT MOST")
-	for _, c := range plan.Caps {
-		t.row(c.Server, c.InFlight)
+	a.println()
+	caps := a.newTable("SERVER", "IN FLIGHT AT MOST")
+	for _, limit := range plan.Caps {
+		caps.row(limit.Server, limit.InFlight)
+	}
+	return caps.print()
+}
+
+// printShares prints one row for each service and region that requests come
+// from. The shares of one such pair follow each other in a plan.
+func (a *App) printShares(shares []*wire.Share) error {
+	rows := a.newTable("SERVICE", "FROM", "SHARES")
+	for start := 0; start < len(shares); {
+		first := shares[start]
+		var regions []string
+		end := start
+		for end < len(shares) && shares[end].Service == first.Service && shares[end].FromRegion == first.FromRegion {
+			regions = append(regions, fmt.Sprintf("%s %.1f%%", shares[end].ToRegion, 100*shares[end].Share))
+			end++
+		}
+		rows.row(first.Service, first.FromRegion, strings.Join(regions, ", "))
+		start = end
 	}
-	return t.print()
+	return rows.print()
 }
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -11,7 +11,7 @@
 	"stepwick/internal/settings"
 )
 
-func (a *App) run(role string) *cobra.Command {
+func (a *App) runCommand(role string) *cobra.Command {
 	var file string
 	short := map[string]string{
 		settings.RoleCore:  "Run a core: control on a machine with a disk, and a front beside it",
@@ -44,24 +44,39 @@
 	return command
 }
 
-// Serve runs a process of a role, with a log on the app's standard error.
+// provingSettings cause faults on purpose, to prove what the process does then.
+var provingSettings = []string{"disk.quota", "disk.sync_delay"}
+
+// Serve runs a process of a role, with a log on the app's standard error. The
+// log is written to its end before Serve returns.
 func (a *App) Serve(ctx context.Context, role string, values *settings.Values,
 	node func(context.Context, string, *settings.Values, events.Log) error) error {
 	debug.SetGCPercent(values.Int("memory.gc"))
+	eventLog, closeLog := a.openLog(values)
+	defer closeLog()
+	for _, name := range provingSettings {
+		if row, _ := settings.Lookup(name); values.Source(name) != settings.SourceDefault && values.Text(name) != row.Default {
+			eventLog.Emit(events.TestSettingUsed, "setting", name, "value", values.Text(name))
+		}
+	}
+	return node(ctx, role, values, eventLog)
+}
+
+// openLog starts the process's log. The function it returns writes what is
+// queued and stops the log; the log's context is not that of the process, since
+// the process logs how it stops.
+func (a *App) openLog(values *settings.Values) (*events.AsyncLog, func()) {
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(a.Err)), "node", values.String("name"))
-	stream := events.NewAsyncLog(logger, a.Clock)
-	stream.SetLevel(events.Level(values.String("log.level")))
-	logging, stop := context.WithCancel(context.Background())
-	written := make(chan error, 1)
-	go func() { written <- stream.Serve(logging) }()
-	defer func() {
-		stop()
-		<-written
+	eventLog := events.NewAsyncLog(logger, a.Clock)
+	eventLog.SetLevel(events.Level(values.String("log.level")))
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = eventLog.Serve(ctx) // returns nil always
 	}()
-	for _, name := range []string{"disk.quota", "disk.sync_delay"} {
-		if row, _ := settings.Lookup(name); values.Source(name) != "default" && values.Text(name) != row.Default {
-			stream.Emit(events.TestSettingUsed, "setting", name, "value", values.Text(name))
-		}
+	return eventLog, func() {
+		cancel()
+		<-done
 	}
-	return node(ctx, role, values, stream)
 }
--- a/internal/cli/sheet.go
+++ b/internal/cli/sheet.go
@@ -4,65 +4,36 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"fmt"
 	"io"
 	"os"
 	"strings"
-	"time"
-
-	"github.com/pkg/errors"
-	"github.com/spf13/cobra"
-	"github.com/spf13/pflag"
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/sheet"
-)
 
-const controlPath = "/v1/control/"
+	"github.com/pkg/errors"
+	"github.com/spf13/cobra"
+)
 
-// held is the sheet as it is read back, with the versions that it stands at.
-type held struct {
+// sheetState is the sheet as it is read back, with its versions.
+type sheetState struct {
 	Version      uint64            `json:"epoch"`
 	SheetVersion uint64            `json:"sheet_epoch"`
 	Sheet        *sheet.Sheet      `json:"sheet"`
 	Evacuated    map[string]uint64 `json:"evacuated,omitempty"`
 }
 
-func (l *link) sheet(ctx context.Context) (*held, error) {
-	var got held
-	if _, err := l.get(ctx, controlPath+"sheet", &got); err != nil {
+// sheet reads the sheet from a majority of the cores.
+func (c *fleetClient) sheet(ctx context.Context) (*sheetState, error) {
+	var state sheetState
+	if _, err := c.get(ctx, controlPath+"sheet", &state); err != nil {
 		return nil, err
 	}
-	return &got, nil
-}
-
-type ordering struct {
-	base    uint64
-	orderID string
-	wait    time.Duration
-	dryRun  bool
-	quiet   bool
+	return &state, nil
 }
 
-func (o *ordering) register(flags *pflag.FlagSet, sheets bool) {
-	flags.StringVar(&o.orderID, "order-id", "", "the order's id; a random one when empty. The same id is accepted once")
-	flags.DurationVar(&o.wait, "wait", 15*time.Second, "how long to send the order again while its outcome is pending")
-	if sheets {
-		flags.Uint64Var(&o.base, "base", 0, "the sheet epoch that the change builds on (default: that of the file if it has one, else the newest)")
-		flags.BoolVar(&o.dryRun, "dry-run", false, "show the difference and stop")
-		flags.BoolVarP(&o.quiet, "quiet", "q", false, "don't show the difference")
-	}
-}
-
-func (o *ordering) id(a *App) string {
-	if o.orderID == "" {
-		o.orderID = a.NewID()
-	}
-	return o.orderID
-}
-
-func (a *App) sheet() *cobra.Command {
-	l := &link{app: a}
+func (a *App) sheetCommand() *cobra.Command {
+	client := &fleetClient{app: a}
 	command := &cobra.Command{
 		Use:   "sheet",
 		Short: "Read and change the sheet: weights, tenants, services, run-time settings",
@@ -76,50 +47,53 @@
   stepwick sheet export sheet.csv
   stepwick sheet import sheet.csv --dry-run`,
 	}
-	l.register(command.PersistentFlags())
-	command.AddCommand(a.sheetGet(l), a.sheetPut(l), a.sheetPatch(l), a.sheetHistory(l), a.sheetDiff(l), a.sheetExport(l), a.sheetImport(l))
+	client.register(command.PersistentFlags())
+	command.AddCommand(a.sheetGetCommand(client), a.sheetPutCommand(client), a.sheetPatchCommand(client),
+		a.sheetHistoryCommand(client), a.sheetDiffCommand(client), a.sheetExportCommand(client), a.sheetImportCommand(client))
 	return command
 }
 
-func (a *App) sheetGet(l *link) *cobra.Command {
+func (a *App) sheetGetCommand(client *fleetClient) *cobra.Command {
 	var format string
 	command := &cobra.Command{
 		Use:   "get",
 		Short: "Read the sheet back from a majority of the cores",
 		Long: `Read the sheet back from a majority of the cores. The JSON form carries the sheet
 epoch, so that an edited copy given to "sheet put" builds on just that sheet.`,
-		Example: "  stepwick sheet get > sheet.json\n  stepwick sheet get -o table",
-		Args:    cobra.NoArgs, ValidArgsFunction: noArgs,
+		Example:           "  stepwick sheet get > sheet.json\n  stepwick sheet get -o table",
+		Args:              cobra.NoArgs,
+		ValidArgsFunction: noArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			got, err := l.sheet(command.Context())
+			state, err := client.sheet(command.Context())
 			if err != nil {
 				return err
 			}
-			return a.printSheet(got, format)
+			return a.printSheet(state, format)
 		},
 	}
-	output(command, &format, "json", "json", "csv", "table")
+	addOutputFlag(command, &format, formatJSON, formatJSON, formatCSV, formatTable)
 	return command
 }
 
-func (a *App) printSheet(got *held, format string) error {
+func (a *App) printSheet(state *sheetState, format string) error {
 	switch format {
-	case "json":
-		return a.printJSON(got)
-	case "csv":
-		_, err := a.Out.Write(got.Sheet.ExportCSV())
+	case formatJSON:
+		return a.printJSON(state)
+	case formatCSV:
+		_, err := a.Out.Write(state.Sheet.ExportCSV())
 		return err
-	case "table":
-		fmt.Fprintf(a.Out, "sheet epoch %d\n", got.SheetVersion)
-		t := a.table("CELL", "VALUE")
-		for _, cell := range got.Sheet.Cells() {
-			t.row(cell.Path, cell.Value)
+	case formatTable:
+		a.printf("sheet epoch %d\n", state.SheetVersion)
+		cells := a.newTable("CELL", "VALUE")
+		for _, cell := range state.Sheet.Cells() {
+			cells.row(cell.Path, cell.Value)
 		}
-		return t.print()
+		return cells.print()
 	}
 	return errors.Errorf("no output %q: json, csv or table", format)
 }
 
+// readFile reads a file, or the standard input for "-".
 func (a *App) readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(a.In)
@@ -130,28 +104,36 @@
 // readSheet reads a sheet from a file: CSV, or JSON with the versions around it
 // as "sheet get" writes, or JSON of the sheet alone. base is zero where the
 // file names none.
-func (a *App) readSheet(name string) (*sheet.Sheet, uint64, error) {
+func (a *App) readSheet(name string) (document *sheet.Sheet, base uint64, err error) {
 	data, err := a.readFile(name)
 	if err != nil {
 		return nil, 0, err
 	}
-	if strings.HasSuffix(name, ".csv") || bytes.HasPrefix(bytes.TrimPrefix(data, []byte("\ufeff")), []byte("cell,value")) {
-		next, apiErr := sheet.ImportCSV(data, sheet.MaxBytes)
-		return next, 0, nilable(apiErr)
+	if isCSV(name, data) {
+		imported, apiErr := sheet.ImportCSV(data, sheet.MaxBytes)
+		return imported, 0, asError(apiErr)
 	}
-	var around struct {
+	var state struct {
 		SheetVersion uint64          `json:"sheet_epoch"`
 		Sheet        json.RawMessage `json:"sheet"`
 	}
-	if json.Unmarshal(data, &around) == nil && len(around.Sheet) > 0 {
-		next, apiErr := sheet.ParseSheet(around.Sheet, sheet.MaxBytes)
-		return next, around.SheetVersion, nilable(apiErr)
+	if json.Unmarshal(data, &state) == nil && len(state.Sheet) > 0 {
+		parsed, apiErr := sheet.ParseSheet(state.Sheet, sheet.MaxBytes)
+		return parsed, state.SheetVersion, asError(apiErr)
 	}
-	next, apiErr := sheet.ParseSheet(data, sheet.MaxBytes)
-	return next, 0, nilable(apiErr)
+	parsed, apiErr := sheet.ParseSheet(data, sheet.MaxBytes)
+	return parsed, 0, asError(apiErr)
+}
+
+// isCSV reports whether a file has a sheet as CSV, by its name or its header.
+func isCSV(name string, data []byte) bool {
+	const byteOrderMark = "\ufeff"
+	return strings.HasSuffix(name, ".csv") || bytes.HasPrefix(bytes.TrimPrefix(data, []byte(byteOrderMark)), []byte("cell,value"))
 }
 
-func nilable(apiErr *apierror.Error) error {
+// asError returns an error that is nil if apiErr is: a nil pointer in an error
+// would not be.
+func asError(apiErr *apierror.Error) error {
 	if apiErr == nil {
 		return nil
 	}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -1,98 +1,118 @@
 package cli
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
-	"maps"
 	"slices"
-	"strings"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/statemachine"
+
+	"github.com/spf13/cobra"
 )
 
-// status is the fleet as a core sees it, and the asked node as it sees itself.
-// Fleet is nil where no core answered; Fault then says why.
-type status struct {
+// standingVoting is the standing of a core that takes part in ballots.
+const standingVoting = "voting"
+
+// statusReport is the fleet as a core sees it, and the called node as it sees
+// itself. Fleet is nil where no core answered; Fault then says why.
+type statusReport struct {
 	Fleet *fleetStatus        `json:"fleet"`
 	Fault *apierror.ErrorBody `json:"fleet_fault"`
 	Node  *nodeStatus         `json:"node"`
-	// Tenants are those that the asked node serves.
-	Tenants []tenantView `json:"-"`
+	// Tenants are those that the called node serves, of another call.
+	Tenants []tenantUsage `json:"-"`
 }
 
-const tenantsShown = 20
-
+// fleetStatus is the fleet as one core sees it.
 type fleetStatus struct {
-	By            string            `json:"by"`
-	Version       uint64            `json:"epoch"`
-	SheetVersion  uint64            `json:"sheet_epoch"`
-	InForce       bool              `json:"in_force"`
-	Waiting       string            `json:"waiting"`
-	Confirmed     int               `json:"confirmed"`
-	Roster        int               `json:"roster"`
-	RosterVersion uint64            `json:"roster_epoch"`
-	RosterSettled bool              `json:"roster_settled"`
-	Evacuated     map[string]uint64 `json:"evacuated"`
-	Cores         []struct {
-		Name     string `json:"name"`
-		Standing string `json:"standing"`
-		Answered bool   `json:"answered"`
-		Learned  uint64 `json:"learned"`
-		Settled  bool   `json:"settled"`
-		Leases   int    `json:"leases"`
-	} `json:"cores"`
-	Members []member                         `json:"members"`
-	Duties  map[string]statemachine.RoleTerm `json:"duties"`
-	Plan    *struct {
-		Term    uint64 `json:"term"`
-		Number  uint64 `json:"number"`
-		Version uint64 `json:"epoch"`
-		Holder  string `json:"holder"`
-		Cause   string `json:"cause"`
-		AtMS    int64  `json:"at_ms"`
-	} `json:"plan"`
+	By              string                           `json:"by"`
+	Version         uint64                           `json:"epoch"`
+	SheetVersion    uint64                           `json:"sheet_epoch"`
+	InForce         bool                             `json:"in_force"`
+	Waiting         string                           `json:"waiting"`
+	Confirmed       int                              `json:"confirmed"`
+	Roster          int                              `json:"roster"`
+	RosterVersion   uint64                           `json:"roster_epoch"`
+	RosterCommitted bool                             `json:"roster_settled"`
+	Evacuated       map[string]uint64                `json:"evacuated"`
+	Cores           []coreStatus                     `json:"cores"`
+	Members         []memberStatus                   `json:"members"`
+	Roles           map[string]statemachine.RoleTerm `json:"duties"`
+	Plan            *planStatus                      `json:"plan"`
+}
+
+type coreStatus struct {
+	Name           string `json:"name"`
+	Standing       string `json:"standing"`
+	Answered       bool   `json:"answered"`
+	LearnedVersion uint64 `json:"learned"`
+	Leases         int    `json:"leases"`
+}
+
+// isVoting reports whether the core votes and knows the fleet's version.
+func (c coreStatus) isVoting(version uint64) bool {
+	return c.Answered && c.Standing == standingVoting && c.LearnedVersion >= version
+}
+
+type planStatus struct {
+	Term    uint64 `json:"term"`
+	Number  uint64 `json:"number"`
+	Version uint64 `json:"epoch"`
+	Holder  string `json:"holder"`
+	Cause   string `json:"cause"`
 }
 
-type member struct {
-	Name      string `json:"name"`
-	Zone      string `json:"locality"`
-	Core      bool   `json:"core"`
-	Front     bool   `json:"front"`
-	Confirmed bool   `json:"confirmed"`
-	Granted   bool   `json:"granted"`
-	Gone      bool   `json:"gone"`
+type memberStatus struct {
+	Name               string `json:"name"`
+	Zone               string `json:"locality"`
+	Core               bool   `json:"core"`
+	Front              bool   `json:"front"`
+	Confirmed          bool   `json:"confirmed"`
+	HasLease           bool   `json:"granted"`
+	RefusesConnections bool   `json:"gone"`
 }
 
+// role returns the member's roles in one word.
+func (m memberStatus) role() string {
+	switch {
+	case m.Core && m.Front:
+		return "core+front"
+	case m.Core:
+		return "core"
+	}
+	return "front"
+}
+
+// nodeStatus is the called node as it sees itself and its peers.
 type nodeStatus struct {
-	Name        string            `json:"name"`
-	Zone        string            `json:"locality"`
-	Role        string            `json:"role"`
-	Version     uint64            `json:"epoch"`
-	Ready       bool              `json:"ready"`
-	Cause       string            `json:"cause"`
-	Ruling      bool              `json:"ruling"`
-	By          string            `json:"by"`
-	Plan        uint64            `json:"plan"`
-	PlanTerm    uint64            `json:"plan_term"`
-	FleetTimeMS int64             `json:"fleet_time_ms"`
-	Servers     map[string]string `json:"servers"`
-	Processes   []struct {
-		Name     string `json:"name"`
-		Zone     string `json:"locality"`
-		Address  string `json:"address"`
-		Caller   string `json:"caller"`
-		Core     bool   `json:"core"`
-		Standing string `json:"standing"`
-		Ready    bool   `json:"ready"`
-	} `json:"processes"`
+	Name         string            `json:"name"`
+	Zone         string            `json:"locality"`
+	Role         string            `json:"role"`
+	Version      uint64            `json:"epoch"`
+	Ready        bool              `json:"ready"`
+	Cause        string            `json:"cause"` // why it isn't ready
+	HasAuthority bool              `json:"ruling"`
+	AuthorityBy  string            `json:"by"` // lease or roster
+	Plan         uint64            `json:"plan"`
+	PlanTerm     uint64            `json:"plan_term"`
+	Servers      map[string]string `json:"servers"` // the state of each server
+	Processes    []processStatus   `json:"processes"`
 }
 
-func (a *App) status() *cobra.Command {
-	l := &link{app: a}
+type processStatus struct {
+	Name     string `json:"name"`
+	Zone     string `json:"locality"`
+	Caller   string `json:"caller"`
+	Core     bool   `json:"core"`
+	Standing string `json:"standing"`
+	Ready    bool   `json:"ready"`
+}
+
+func (a *App) statusCommand() *cobra.Command {
+	client := &fleetClient{app: a}
 	var format string
 	var wait time.Duration
 	command := &cobra.Command{
@@ -107,52 +127,65 @@
 every core votes, and every member of the roster has its lease and is ready. If
 that isn't so by then, it prints what it saw and ends with the exit code for "try
 later".`,
-		Example: "  stepwick status\n  stepwick status --wait 30s\n  stepwick status --node 10.0.0.2:8080 -o json",
-		Args:    cobra.NoArgs, ValidArgsFunction: noArgs,
+		Example:           "  stepwick status\n  stepwick status --wait 30s\n  stepwick status --node 10.0.0.2:8080 -o json",
+		Args:              cobra.NoArgs,
+		ValidArgsFunction: noArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			until := a.Clock.Now().Add(wait)
-			for {
-				var s status
-				body, err := l.get(command.Context(), controlPath+"status", &s)
-				lacks := "no node answers"
-				if err == nil {
-					lacks = s.lacks()
-				}
-				if wait > 0 && lacks != "" && a.Clock.Now().Before(until) {
-					select {
-					case <-a.Clock.After(resendAfter):
-						continue
-					case <-command.Context().Done():
-						return command.Context().Err()
-					}
-				}
-				if err != nil {
-					return err
-				}
-				tenants, fault := l.get(command.Context(), controlPath+"tally", &s.Tenants)
-				if fault != nil {
-					tenants = nil
-				}
-				if format == "json" {
-					err = a.printStatusJSON(body, tenants)
-				} else {
-					err = a.printStatus(&s)
-				}
-				if err == nil && wait > 0 && lacks != "" {
-					return apierror.Errorf(apierror.NotRuling, "after %s: %s", wait, lacks)
-				}
-				return err
-			}
+			return a.showStatus(command.Context(), client, format, wait)
 		},
 	}
-	l.register(command.Flags())
+	client.register(command.Flags())
 	command.Flags().DurationVar(&wait, "wait", 0, "wait so long for all of the fleet to be ready")
-	output(command, &format, "table", "table", "json")
+	addOutputFlag(command, &format, formatTable, formatTable, formatJSON)
 	return command
 }
 
-// lacks says what keeps the fleet from being whole; "" when nothing does.
-func (s *status) lacks() string {
+// showStatus prints the status once the fleet is ready, or the wait is over.
+func (a *App) showStatus(ctx context.Context, client *fleetClient, format string, wait time.Duration) error {
+	report, body, err := a.waitForReadiness(ctx, client, wait)
+	if err != nil {
+		return err
+	}
+	tenants, err := client.get(ctx, tallyPath(""), &report.Tenants)
+	if err != nil {
+		tenants = nil // the status is worth printing without them
+	}
+	if format == formatJSON {
+		err = a.printStatusJSON(body, tenants)
+	} else {
+		err = a.printStatus(report)
+	}
+	if err != nil {
+		return err
+	}
+	if notReady := report.notReadyReason(); wait > 0 && notReady != "" {
+		return apierror.Errorf(apierror.NotRuling, "after %s: %s", wait, notReady)
+	}
+	return nil
+}
+
+// waitForReadiness calls for the status until the fleet is ready or the wait is
+// over, and returns the last report with its body.
+func (a *App) waitForReadiness(ctx context.Context, client *fleetClient, wait time.Duration) (*statusReport, []byte, error) {
+	deadline := a.Clock.Now().Add(wait)
+	for {
+		report := &statusReport{}
+		body, err := client.get(ctx, controlPath+"status", report)
+		isReady := err == nil && report.notReadyReason() == ""
+		if wait <= 0 || isReady || !a.Clock.Now().Before(deadline) {
+			return report, body, err
+		}
+		select {
+		case <-a.Clock.After(retryInterval):
+		case <-ctx.Done():
+			return nil, nil, ctx.Err()
+		}
+	}
+}
+
+// notReadyReason says what keeps the fleet from being ready; empty if nothing
+// does.
+func (s *statusReport) notReadyReason() string {
 	switch {
 	case s.Fleet == nil || s.Node == nil:
 		return "no core answers"
@@ -160,58 +193,59 @@
 		return fmt.Sprintf("epoch %d is not in force: %s", s.Fleet.Version, s.Fleet.Waiting)
 	case s.Fleet.Plan == nil:
 		return "there is no plan yet"
-	case !s.Fleet.RosterSettled || len(s.Fleet.Members) == 0:
+	case !s.Fleet.RosterCommitted || len(s.Fleet.Members) == 0:
 		return "the roster is changing"
 	}
-	for _, c := range s.Fleet.Cores {
-		if !c.Answered || c.Standing != "voting" || c.Learned < s.Fleet.Version {
-			return fmt.Sprintf("core %s is %s and has learned epoch %d", c.Name, c.Standing, c.Learned)
+	for _, core := range s.Fleet.Cores {
+		if !core.isVoting(s.Fleet.Version) {
+			return fmt.Sprintf("core %s is %s and has learned epoch %d", core.Name, core.Standing, core.LearnedVersion)
 		}
 	}
-	ready := map[string]bool{}
-	for _, p := range s.Node.Processes {
-		ready[p.Name] = p.Ready
+	return s.memberNotReady()
+}
+
+// memberNotReady names a member that isn't ready, or a process that is but is
+// no member; empty if there is none.
+func (s *statusReport) memberNotReady() string {
+	ready := make(map[string]bool)
+	for _, process := range s.Node.Processes {
+		ready[process.Name] = process.Ready
 	}
-	for _, m := range s.Fleet.Members {
-		if m.Gone {
-			return m.Name + " refuses connections"
+	for _, member := range s.Fleet.Members {
+		if member.RefusesConnections {
+			return member.Name + " refuses connections"
 		}
-		if !m.Granted || m.Front && !ready[m.Name] {
-			return m.Name + " is not ready"
+		if !member.HasLease || member.Front && !ready[member.Name] {
+			return member.Name + " is not ready"
 		}
 	}
-	for _, p := range s.Node.Processes {
-		if p.Ready && !slices.ContainsFunc(s.Fleet.Members, func(m member) bool { return m.Name == p.Name }) {
-			return p.Name + " is not on the roster yet"
+	for _, process := range s.Node.Processes {
+		if process.Ready && !s.Fleet.hasMember(process.Name) {
+			return process.Name + " is not on the roster yet"
 		}
 	}
 	return ""
 }
 
-func (a *App) printStatus(s *status) error {
+func (f *fleetStatus) hasMember(name string) bool {
+	return slices.ContainsFunc(f.Members, func(member memberStatus) bool { return member.Name == name })
+}
+
+// zones returns the zones of all processes and members, unsorted.
+func (s *statusReport) zones() []string {
+	var zones []string
+	for _, process := range s.Node.Processes {
+		zones = append(zones, process.Zone)
+	}
 	if s.Fleet != nil {
-		if err := a.printFleet(s.Fleet, s.Node); err != nil {
-			return err
+		for _, member := range s.Fleet.Members {
+			zones = append(zones, member.Zone)
 		}
-	} else if s.Fault != nil {
-		fmt.Fprintf(a.Out, "no core answered: %s (%d): %s\n\n", s.Fault.Name, s.Fault.Code, s.Fault.Detail)
-	}
-	if s.Node == nil {
-		return nil
 	}
-	if err := a.printNode(s.Node, s.Fleet == nil); err != nil || len(s.Tenants) == 0 {
-		return err
-	}
-	fmt.Fprintln(a.Out)
-	if err := a.printTenants(s.Tenants[:min(len(s.Tenants), tenantsShown)]); err != nil {
-		return err
-	}
-	if more := len(s.Tenants) - tenantsShown; more > 0 {
-		fmt.Fprintf(a.Out, "and %d more; see \"stepwick tally\"\n", more)
-	}
-	return nil
+	return zones
 }
 
+// printStatusJSON prints the status as the node sent it, with the tenants.
 func (a *App) printStatusJSON(body, tenants []byte) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -222,105 +256,3 @@
 	}
 	return a.printJSON(fields)
 }
-
-func (a *App) printFleet(f *fleetStatus, asked *nodeStatus) error {
-	force := fmt.Sprintf("in force, confirmed by %d of %d", f.Confirmed, f.Roster)
-	if !f.InForce {
-		force = fmt.Sprintf("not known to be in force (%s), confirmed by %d of %d", f.Waiting, f.Confirmed, f.Roster)
-	}
-	fmt.Fprintf(a.Out, "epoch %d %s; sheet epoch %d; as core %s sees it\n", f.Version, force, f.SheetVersion, f.By)
-	settled := "settled"
-	if !f.RosterSettled {
-		settled = "changing"
-	}
-	fmt.Fprintf(a.Out, "roster of epoch %d: %d members, %s\n", f.RosterVersion, f.Roster, settled)
-	for _, duty := range slices.Sorted(maps.Keys(f.Duties)) {
-		fmt.Fprintf(a.Out, "duty %s: %s, term %d\n", duty, f.Duties[duty].Holder, f.Duties[duty].Term)
-	}
-	if p := f.Plan; p != nil {
-		fmt.Fprintf(a.Out, "plan %d of term %d by %s, for epoch %d; cause: %s\n", p.Number, p.Term, p.Holder, p.Version, p.Cause)
-	} else {
-		fmt.Fprintln(a.Out, "plan: none yet")
-	}
-	for _, zone := range slices.Sorted(maps.Keys(f.Evacuated)) {
-		fmt.Fprintf(a.Out, "evacuated: %s, since epoch %d\n", zone, f.Evacuated[zone])
-	}
-	fmt.Fprintln(a.Out)
-	t := a.table("CORE", "STANDING", "ANSWERS", "LEARNED", "LEASES")
-	for _, c := range f.Cores {
-		t.row(c.Name, c.Standing, yes(c.Answered), c.Learned, c.Leases)
-	}
-	if err := t.print(); err != nil {
-		return err
-	}
-	fmt.Fprintln(a.Out)
-	ready := map[string]string{}
-	if asked != nil {
-		for _, p := range asked.Processes {
-			ready[p.Name] = yes(p.Ready)
-		}
-	}
-	t = a.table("MEMBER", "LOCALITY", "ROLE", "LEASE", "CONFIRMED", "READY", "REFUSES")
-	for _, m := range f.Members {
-		if m.Gone {
-			ready[m.Name] = "no"
-		}
-		t.row(m.Name, m.Zone, role(m.Core, m.Front), yes(m.Granted), yes(m.Confirmed), ready[m.Name], yes(m.Gone))
-	}
-	if err := t.print(); err != nil {
-		return err
-	}
-	fmt.Fprintln(a.Out)
-	return nil
-}
-
-func (a *App) printNode(n *nodeStatus, processes bool) error {
-	ruling := "does not rule"
-	if n.Ruling {
-		ruling = "rules by " + n.By
-	}
-	ready := "ready"
-	if !n.Ready {
-		ready = "not ready (" + n.Cause + ")"
-	}
-	fmt.Fprintf(a.Out, "asked node %s in %s (%s): epoch %d, plan %d of term %d, %s, %s\n", n.Name, n.Zone, n.Role, n.Version, n.Plan, n.PlanTerm, ruling, ready)
-	if processes {
-		fmt.Fprintln(a.Out)
-		t := a.table("PROCESS", "LOCALITY", "CORE", "STANDING", "READY", "CALLER ADDRESS")
-		for _, p := range n.Processes {
-			t.row(p.Name, p.Zone, yes(p.Core), p.Standing, yes(p.Ready), p.Caller)
-		}
-		if err := t.print(); err != nil {
-			return err
-		}
-	}
-	states := map[string][]string{}
-	for name, state := range n.Servers {
-		states[state] = append(states[state], name)
-	}
-	fmt.Fprintln(a.Out)
-	t := a.table("SERVERS", "COUNT", "NAMES")
-	for _, state := range slices.Sorted(maps.Keys(states)) {
-		names := states[state]
-		slices.Sort(names)
-		t.row(state, len(names), strings.Join(names, " "))
-	}
-	return t.print()
-}
-
-func role(core, front bool) string {
-	switch {
-	case core && front:
-		return "core+front"
-	case core:
-		return "core"
-	}
-	return "front"
-}
-
-func yes(v bool) string {
-	if v {
-		return "yes"
-	}
-	return "no"
-}
--- a/internal/cli/tally.go
+++ b/internal/cli/tally.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/url"
 	"slices"
 	"time"
 
@@ -11,23 +12,25 @@
 	"github.com/spf13/cobra"
 )
 
-// tenantView is what a front knows of one tenant's spend, in tokens. Age is in
-// nanoseconds, negative when the count's holder never answered.
-type tenantView struct {
-	Tenant   string
-	Limit    float64
-	Blend    float64
-	Recent   float64
-	Own      float64
-	Share    float64
-	Reserved float64
-	Marked   bool
-	Holder   string
-	Age      time.Duration
+// tenantUsage is what a front knows of one tenant's usage, in tokens a window.
+type tenantUsage struct {
+	Tenant string  `json:"Tenant"`
+	Limit  float64 `json:"Limit"`
+	// Blend is the sliding-window estimate that admission compares to the limit.
+	Blend float64 `json:"Blend"`
+	// Recent is the usage of all nodes in the last window, Own this node's.
+	Recent float64 `json:"Recent"`
+	Own    float64 `json:"Own"`
+	Share  float64 `json:"Share"`
+	Marked bool    `json:"Marked"`
+	// Holder is the node that counts the tenant's usage; Age is how old its last
+	// answer is, in nanoseconds, negative where it never answered.
+	Holder string        `json:"Holder"`
+	Age    time.Duration `json:"Age"`
 }
 
-func (a *App) tally() *cobra.Command {
-	l := &link{app: a}
+func (a *App) tallyCommand() *cobra.Command {
+	client := &fleetClient{app: a}
 	var format string
 	command := &cobra.Command{
 		Use:   "tally [TENANT]",
@@ -37,45 +40,57 @@
 this node's own), whether the tenant is marked, and the node that holds the
 count with the age of what it last told. A tenant idle for two windows isn't
 shown.`,
-		Example: "  stepwick tally\n  stepwick tally press --node 10.0.0.2:8080",
-		Args:    cobra.MaximumNArgs(1), ValidArgsFunction: noArgs,
+		Example:           "  stepwick tally\n  stepwick tally press --node 10.0.0.2:8080",
+		Args:              cobra.MaximumNArgs(1),
+		ValidArgsFunction: noArgs,
 		RunE: func(command *cobra.Command, args []string) error {
-			wanted := ""
+			tenant := ""
 			if len(args) == 1 {
-				wanted = args[0]
+				tenant = args[0]
 			}
-			body, err := l.get(command.Context(), controlPath+"tally"+query("tenant", wanted), nil)
+			body, err := client.get(command.Context(), tallyPath(tenant), nil)
 			if err != nil {
 				return err
 			}
-			if format == "json" {
+			if format == formatJSON {
 				return a.printBody(body)
 			}
-			var views []tenantView
-			if err := json.Unmarshal(body, &views); err != nil {
+			var usages []tenantUsage
+			if err := json.Unmarshal(body, &usages); err != nil {
 				return apierror.Errorf(apierror.BadAnswer, "%v", err)
 			}
-			if wanted != "" {
-				views = slices.DeleteFunc(views, func(v tenantView) bool { return v.Tenant != wanted })
+			if tenant != "" {
+				usages = slices.DeleteFunc(usages, func(usage tenantUsage) bool { return usage.Tenant != tenant })
 			}
-			return a.printTenants(views)
+			return a.printUsages(usages)
 		},
 	}
-	l.register(command.Flags())
-	output(command, &format, "table", "table", "json")
+	client.register(command.Flags())
+	addOutputFlag(command, &format, formatTable, formatTable, formatJSON)
 	return command
 }
 
-func (a *App) printTenants(views []tenantView) error {
-	t := a.table("TENANT", "LIMIT", "BLEND", "LAST SPAN", "OWN", "SHARE", "MARKED", "HOLDER", "AGE")
-	for _, v := range views {
+// tallyPath returns the path of the call for one tenant's usage, or for that of
+// all tenants if the name is empty.
+func tallyPath(tenant string) string {
+	path := controlPath + "tally"
+	if tenant == "" {
+		return path
+	}
+	return path + "?" + url.Values{"tenant": {tenant}}.Encode()
+}
+
+func (a *App) printUsages(usages []tenantUsage) error {
+	rows := a.newTable("TENANT", "LIMIT", "BLEND", "LAST SPAN", "OWN", "SHARE", "MARKED", "HOLDER", "AGE")
+	for _, usage := range usages {
 		age := "never"
-		if v.Age >= 0 {
-			age = v.Age.Round(time.Millisecond).String()
+		if usage.Age >= 0 {
+			age = usage.Age.Round(time.Millisecond).String()
 		}
-		t.row(v.Tenant, round(v.Limit), round(v.Blend), round(v.Recent), round(v.Own), round(v.Share), yes(v.Marked), v.Holder, age)
+		rows.row(usage.Tenant, formatTokens(usage.Limit), formatTokens(usage.Blend), formatTokens(usage.Recent),
+			formatTokens(usage.Own), formatTokens(usage.Share), yesOrNo(usage.Marked), usage.Holder, age)
 	}
-	return t.print()
+	return rows.print()
 }
 
-func round(v float64) string { return fmt.Sprintf("%.0f", v) }
+func formatTokens(tokens float64) string { return fmt.Sprintf("%.0f", tokens) }
--- a/internal/decision/sheet/patch_test.go
+++ b/internal/decision/sheet/patch_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-func TestPatchChecksWhatItTouches(t *testing.T) {
+func TestPatchChecksChangedTenants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		base := small()
+		base := sampleSheet()
 		var changes []Change
 		for _, name := range rapid.SliceOfN(rapid.SampledFrom([]string{"press", "city", "tram"}), 1, 3).Draw(t, "tenants") {
-			keys := rapid.SliceOfN(rapid.SampledFrom([]string{hash("press-1"), hash("city-1"), hash("new"), "bad"}), 0, 2).Draw(t, "keys")
-			row := encoded(map[string]any{"rate": rapid.SampledFrom([]float64{5, -1}).Draw(t, "rate"), "keys": keys})
+			keys := rapid.SliceOfN(rapid.SampledFrom([]string{hashOf("press-1"), hashOf("city-1"), hashOf("new"), "bad"}), 0, 2).Draw(t, "keys")
+			row := mustEncode(map[string]any{"rate": rapid.SampledFrom([]float64{5, -1}).Draw(t, "rate"), "keys": keys})
 			changes = append(changes, Change{Path: "tenants." + name, Value: json.RawMessage(row)})
 		}
 		edited := *base
--- a/internal/decision/sheet/routes_test.go
+++ b/internal/decision/sheet/routes_test.go
@@ -9,13 +9,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func routed() *Sheet {
+func sampleRoutes() *Sheet {
 	return &Sheet{
 		Services: map[string]Service{
 			"pool": {Kind: KindHTTP, HealthPath: "/health", MaxConnections: 320, SlowStartRate: 17, SlowStartMS: 3000},
 			"desk": {Kind: KindHTTP},
 		},
-		Tenants: map[string]Tenant{"press": {Rate: 1000, Unit: UnitTokens, KeyHashes: []string{hash("one"), hash("two")}}},
+		Tenants: map[string]Tenant{"press": {Rate: 1000, Unit: UnitTokens, KeyHashes: []string{hashOf("one"), hashOf("two")}}},
 		Routes: map[string]Route{
 			"digest": {Host: "news.example", Prefix: "/", Kind: RouteStream, TimeoutMS: 8000, Splits: []Split{{"pool", 1}}},
 			"map": {Host: "news.example", Prefix: "/map/", Kind: RouteUnsafe, TimeoutMS: 1000,
@@ -24,31 +24,31 @@
 	}
 }
 
-func withRoute(change func(*Route)) *Sheet {
-	s := routed()
+func changedRoute(change func(*Route)) *Sheet {
+	s := sampleRoutes()
 	route := s.Routes["map"]
 	change(&route)
 	s.Routes["map"] = route
 	return s
 }
 
-func TestRoutes(t *testing.T) {
+func TestRoutesAreCheckedAndFound(t *testing.T) {
 	Convey("A sheet of routes needs no weights for http services", t, func() {
-		So(routed().Check(), ShouldBeNil)
+		So(sampleRoutes().Check(), ShouldBeNil)
 	})
 	Convey("Each broken rule of a route names its cell", t, func() {
 		for cell, s := range map[string]*Sheet{
-			"routes.map.timeout_ms":      withRoute(func(r *Route) { r.TimeoutMS = 0 }),
-			"routes.map.prefix":          withRoute(func(r *Route) { r.Prefix = "/map" }),
-			"routes.map.kind":            withRoute(func(r *Route) { r.Kind = "maybe" }),
-			"routes.map.host":            withRoute(func(r *Route) { r.Host = "" }),
-			"routes.map.splits: no":      withRoute(func(r *Route) { r.Splits = []Split{{"pool", 0}} }),
-			"routes.map.splits.0":        withRoute(func(r *Route) { r.Splits = []Split{{"nowhere", 1}} }),
-			"routes.map.priority":        withRoute(func(r *Route) { r.Priority = -1 }),
-			"routes.map.attempts":        withRoute(func(r *Route) { r.Attempts = -1 }),
-			"routes.map.objective_ms":    withRoute(func(r *Route) { r.ObjectiveMS = -1 }),
-			"routes.map.homes":           withRoute(func(r *Route) { r.Homes = []string{"a/b"} }),
-			"has the same host and pref": withRoute(func(r *Route) { r.Prefix, r.Host = "/", "NEWS.example" }),
+			"routes.map.timeout_ms":      changedRoute(func(r *Route) { r.TimeoutMS = 0 }),
+			"routes.map.prefix":          changedRoute(func(r *Route) { r.Prefix = "/map" }),
+			"routes.map.kind":            changedRoute(func(r *Route) { r.Kind = "maybe" }),
+			"routes.map.host":            changedRoute(func(r *Route) { r.Host = "" }),
+			"routes.map.splits: no":      changedRoute(func(r *Route) { r.Splits = []Split{{"pool", 0}} }),
+			"routes.map.splits.0":        changedRoute(func(r *Route) { r.Splits = []Split{{"nowhere", 1}} }),
+			"routes.map.priority":        changedRoute(func(r *Route) { r.Priority = -1 }),
+			"routes.map.attempts":        changedRoute(func(r *Route) { r.Attempts = -1 }),
+			"routes.map.objective_ms":    changedRoute(func(r *Route) { r.ObjectiveMS = -1 }),
+			"routes.map.homes":           changedRoute(func(r *Route) { r.Homes = []string{"a/b"} }),
+			"has the same host and pref": changedRoute(func(r *Route) { r.Prefix, r.Host = "/", "NEWS.example" }),
 		} {
 			apiErr := s.Check()
 			So(apiErr, ShouldNotBeNil)
@@ -57,7 +57,7 @@
 		}
 	})
 	Convey("The longest prefix of a host wins, whatever the case of the host", t, func() {
-		index := NewIndex(routed())
+		index := NewIndex(sampleRoutes())
 		for place, want := range map[[2]string]string{
 			{"news.example", "/map/1"}:   "map",
 			{"NEWS.example", "/map/1"}:   "map",
@@ -74,24 +74,24 @@
 	})
 	Convey("What an adapter keeps beside a row reads back as it came, whatever is in it", t, func() {
 		origin := `{"n":3.0,"deep":[{"x":null}]}`
-		data := strings.Replace(encoded(routed()), `"host":"news.example","prefix":"/",`, `"origin":`+origin+`,"host":"news.example","prefix":"/",`, 1)
+		data := strings.Replace(mustEncode(sampleRoutes()), `"host":"news.example","prefix":"/",`, `"origin":`+origin+`,"host":"news.example","prefix":"/",`, 1)
 		s, apiErr := ParseSheet([]byte(data), MaxBytes)
 		So(apiErr, ShouldBeNil)
 		So(string(s.Routes["digest"].Origin), ShouldEqual, origin)
 	})
 }
 
-func TestCellsOfRoutes(t *testing.T) {
-	full := routed()
+func TestRoutesAreCellsOfOneRow(t *testing.T) {
+	full := sampleRoutes()
 	full.Limits = &ClientLimits{BodyBytes: 1000}
 	full.Services["chat"] = Service{Kind: KindModel}
 	full.Weights = map[string]map[string]float64{"chat": {"lagos": 1}}
-	full.Tenants["city"] = Tenant{Rate: 5, KeyHashes: []string{hash("three")}}
+	full.Tenants["city"] = Tenant{Rate: 5, KeyHashes: []string{hashOf("three")}}
 	full.Settings = map[string]string{"route.strategy": "affinity"}
 	Convey("A sheet of routes is whole after a way through CSV", t, func() {
 		back, apiErr := ImportCSV(full.ExportCSV(), MaxBytes)
 		So(apiErr, ShouldBeNil)
-		So(encoded(back), ShouldEqual, encoded(full))
+		So(mustEncode(back), ShouldEqual, mustEncode(full))
 	})
 	Convey("A difference names the route", t, func() {
 		other := *full
--- a/internal/decision/sheet/sheet_test.go
+++ b/internal/decision/sheet/sheet_test.go
@@ -12,21 +12,21 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func hash(key string) string { return HashKey(key) }
+func hashOf(key string) string { return HashKey(key) }
 
-func small() *Sheet {
+func sampleSheet() *Sheet {
 	return &Sheet{
 		Services: map[string]Service{"chat": {Kind: KindModel}, "map": {Kind: KindWeb, PlainTokens: 20}},
 		Weights:  map[string]map[string]float64{"chat": {"lagos": 60, "abeokuta": 40}, "map": {"lagos": 1}},
 		Tenants: map[string]Tenant{
-			"press": {Rate: 1000, Burst: 500, Home: "lagos", KeyHashes: []string{hash("press-1"), hash("press-2")}},
-			"city":  {Rate: 250.5, KeyHashes: []string{hash("city-1")}},
+			"press": {Rate: 1000, Burst: 500, Home: "lagos", KeyHashes: []string{hashOf("press-1"), hashOf("press-2")}},
+			"city":  {Rate: 250.5, KeyHashes: []string{hashOf("city-1")}},
 		},
 		Settings: map[string]string{"route.strategy": "affinity"},
 	}
 }
 
-func encoded(v any) string {
+func mustEncode(v any) string {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -34,15 +34,15 @@
 	return string(data)
 }
 
-func with(change func(*Sheet)) *Sheet {
-	s := small()
+func changedSample(change func(*Sheet)) *Sheet {
+	s := sampleSheet()
 	change(s)
 	return s
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckNamesBrokenRules(t *testing.T) {
 	Convey("A sound sheet has no fault", t, func() {
-		So(small().Check(), ShouldBeNil)
+		So(sampleSheet().Check(), ShouldBeNil)
 	})
 	Convey("Each broken rule has its number and names its cell", t, func() {
 		for _, c := range []struct {
@@ -52,30 +52,30 @@
 		}{
 			{"no sheet", apierror.InvalidSheet, nil},
 			{"services: there is none", apierror.InvalidSheet, &Sheet{}},
-			{"services.chat.kind", apierror.InvalidSheet, with(func(s *Sheet) { s.Services["chat"] = Service{Kind: "gpu"} })},
-			{"services.map.plain_tokens", apierror.InvalidSheet, with(func(s *Sheet) { s.Services["map"] = Service{Kind: KindWeb, PlainTokens: -1} })},
-			{"services: \"a.b\"", apierror.InvalidSheet, with(func(s *Sheet) { s.Services["a.b"] = Service{Kind: KindWeb} })},
-			{"weights.chat.lagos: NaN", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.NaN() })},
-			{"weights.chat.lagos: +Inf", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.Inf(1) })},
-			{"weights.chat.lagos: -1", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["chat"]["lagos"] = -1 })},
-			{"weights.map: no region", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["map"]["lagos"] = 0 })},
-			{"weights.map: no region", apierror.InvalidSheet, with(func(s *Sheet) { delete(s.Weights, "map") })},
-			{"weights: no service \"tags\"", apierror.InvalidSheet, with(func(s *Sheet) { s.Weights["tags"] = map[string]float64{"lagos": 1} })},
-			{"tenants.press.rate", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{Rate: math.NaN()} })},
-			{"tenants.press.burst", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{Burst: -5} })},
-			{"tenants.press.home", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{Home: "lagos/a"} })},
-			{"tenants.press.keys: \"zz\"", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{"zz"}} })},
-			{"tenants.press.keys", apierror.InvalidSheet, with(func(s *Sheet) {
-				s.Tenants["press"] = Tenant{KeyHashes: []string{strings.ToUpper(hash("press-1"))}}
+			{"services.chat.kind", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["chat"] = Service{Kind: "gpu"} })},
+			{"services.map.plain_tokens", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["map"] = Service{Kind: KindWeb, PlainTokens: -1} })},
+			{"services: \"a.b\"", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["a.b"] = Service{Kind: KindWeb} })},
+			{"weights.chat.lagos: NaN", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.NaN() })},
+			{"weights.chat.lagos: +Inf", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.Inf(1) })},
+			{"weights.chat.lagos: -1", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Weights["chat"]["lagos"] = -1 })},
+			{"weights.map: no region", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Weights["map"]["lagos"] = 0 })},
+			{"weights.map: no region", apierror.InvalidSheet, changedSample(func(s *Sheet) { delete(s.Weights, "map") })},
+			{"weights: no service \"tags\"", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Weights["tags"] = map[string]float64{"lagos": 1} })},
+			{"tenants.press.rate", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{Rate: math.NaN()} })},
+			{"tenants.press.burst", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{Burst: -5} })},
+			{"tenants.press.home", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{Home: "lagos/a"} })},
+			{"tenants.press.keys: \"zz\"", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{"zz"}} })},
+			{"tenants.press.keys", apierror.InvalidSheet, changedSample(func(s *Sheet) {
+				s.Tenants["press"] = Tenant{KeyHashes: []string{strings.ToUpper(hashOf("press-1"))}}
 			})},
-			{"already a key of city", apierror.InvalidSheet, with(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{hash("city-1")}} })},
-			{"settings", apierror.InvalidSheet, with(func(s *Sheet) { s.Settings["route..x"] = "" })},
-			{"the bounds are", apierror.SheetTooLarge, with(func(s *Sheet) {
+			{"already a key of city", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{hashOf("city-1")}} })},
+			{"settings", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Settings["route..x"] = "" })},
+			{"the bounds are", apierror.SheetTooLarge, changedSample(func(s *Sheet) {
 				for i := range MaxSettings {
 					s.Settings[fmt.Sprintf("x%d", i)] = ""
 				}
 			})},
-			{"the bound is", apierror.SheetTooLarge, with(func(s *Sheet) { s.Settings["x"] = strings.Repeat("y", MaxBytes) })},
+			{"the bound is", apierror.SheetTooLarge, changedSample(func(s *Sheet) { s.Settings["x"] = strings.Repeat("y", MaxBytes) })},
 		} {
 			apiErr := c.s.Check()
 			So(apiErr, ShouldNotBeNil)
@@ -84,7 +84,7 @@
 		}
 	})
 	Convey("A detail stays short however much is broken", t, func() {
-		apiErr := with(func(s *Sheet) {
+		apiErr := changedSample(func(s *Sheet) {
 			for i := range 5000 {
 				s.Tenants[fmt.Sprintf("bad%04d", i)] = Tenant{Rate: -1}
 			}
@@ -94,12 +94,12 @@
 	})
 }
 
-func TestParseSheet(t *testing.T) {
-	good := encoded(small())
+func TestParseSheetRejectsMalformedBodies(t *testing.T) {
+	good := mustEncode(sampleSheet())
 	Convey("What is written is read back", t, func() {
 		s, apiErr := ParseSheet([]byte(good), len(good))
 		So(apiErr, ShouldBeNil)
-		So(encoded(s), ShouldEqual, good)
+		So(mustEncode(s), ShouldEqual, good)
 	})
 	Convey("Malformed and oversize bodies are refused by number and place", t, func() {
 		for _, c := range []struct {
@@ -140,31 +140,31 @@
 	})
 }
 
-func TestPatch(t *testing.T) {
+func TestPatchChangesCellsOrNothing(t *testing.T) {
 	Convey("Cells change as they are written on the command line", t, func() {
 		var changes []Change
 		for _, line := range []string{"weights.chat.lagos=30", "weights.chat.ibadan=5", "tenants.press.rate=900",
-			"tenants.press.keys+=" + hash("press-3"), "tenants.press.keys-=" + hash("press-1"),
-			`tenants.tram={"rate":10,"keys":["` + hash("tram-1") + `"]}`, "settings.route.strategy=least_loaded",
+			"tenants.press.keys+=" + hashOf("press-3"), "tenants.press.keys-=" + hashOf("press-1"),
+			`tenants.tram={"rate":10,"keys":["` + hashOf("tram-1") + `"]}`, "settings.route.strategy=least_loaded",
 			"services.map.plain_tokens=25", "tenants.city.home=abeokuta"} {
 			change, apiErr := ParseChange(line)
 			So(apiErr, ShouldBeNil)
 			changes = append(changes, change)
 		}
-		base := small()
-		before := encoded(base)
+		base := sampleSheet()
+		before := mustEncode(base)
 		patched, apiErr := base.Patch(append(changes, Change{Path: "weights.chat.abeokuta", Delete: true}))
 		So(apiErr, ShouldBeNil)
-		So(encoded(base), ShouldEqual, before)
+		So(mustEncode(base), ShouldEqual, before)
 		So(Diff(base, patched), ShouldResemble, []string{
 			"~ services.map.plain_tokens: 20 -> 25",
 			"+ weights.chat.ibadan = 5",
 			"~ weights.chat.lagos: 60 -> 30",
 			"+ tenants.city.home = abeokuta",
 			"~ tenants.press.rate: 1000 -> 900",
-			"~ tenants.press.keys: " + hash("press-1") + " " + hash("press-2") + " -> " + hash("press-2") + " " + hash("press-3"),
+			"~ tenants.press.keys: " + hashOf("press-1") + " " + hashOf("press-2") + " -> " + hashOf("press-2") + " " + hashOf("press-3"),
 			"+ tenants.tram.rate = 10",
-			"+ tenants.tram.keys = " + hash("tram-1"),
+			"+ tenants.tram.keys = " + hashOf("tram-1"),
 			"~ settings.route.strategy: affinity -> least_loaded",
 			"- weights.chat.abeokuta = 40",
 		})
@@ -179,38 +179,38 @@
 			{"tenants.press.rate", `"1"`, "want a number"},
 			{"tenants.press.rate", "-1", "out of bounds"},
 			{"tenants.press.rate", "1e999", "out of bounds"},
-			{"tenants.press.keys+", `"` + hash("press-1") + `"`, "there already"},
-			{"tenants.press.keys+", `"` + hash("city-1") + `"`, "already a key of city"},
-			{"tenants.press.keys-", `"` + hash("press-9") + `"`, "no such key"},
+			{"tenants.press.keys+", `"` + hashOf("press-1") + `"`, "there already"},
+			{"tenants.press.keys+", `"` + hashOf("city-1") + `"`, "already a key of city"},
+			{"tenants.press.keys-", `"` + hashOf("press-9") + `"`, "no such key"},
 			{"tenants.tram", `{"rate":1,"rate":2}`, "given twice"},
 			{"tenants.tram", `{"rates":1}`, "no such field"},
 			{"weights.chat", `{"lagos":0}`, "no region has a weight"},
 			{"weights.tags.lagos", "1", "no service"},
 			{"weights.chat.lagos", "", "either a value or delete"},
 		} {
-			base := small()
-			before := encoded(base)
+			base := sampleSheet()
+			before := mustEncode(base)
 			_, apiErr := base.Patch([]Change{{Path: c.path, Value: json.RawMessage(c.value)}, {Path: "weights.map.lagos", Value: json.RawMessage("7")}})
 			So(apiErr, ShouldNotBeNil)
 			So(apiErr.Detail, ShouldContainSubstring, c.detail)
-			So(encoded(base), ShouldEqual, before)
+			So(mustEncode(base), ShouldEqual, before)
 		}
-		_, apiErr := small().Patch([]Change{{Path: "weights.chat.lagos", Value: json.RawMessage("1")}, {Path: "weights.chat.lagos", Value: json.RawMessage("2")}})
+		_, apiErr := sampleSheet().Patch([]Change{{Path: "weights.chat.lagos", Value: json.RawMessage("1")}, {Path: "weights.chat.lagos", Value: json.RawMessage("2")}})
 		So(apiErr.Detail, ShouldContainSubstring, "given twice")
-		_, apiErr = small().Patch([]Change{{Path: "tenants.press.rate", Delete: true}})
+		_, apiErr = sampleSheet().Patch([]Change{{Path: "tenants.press.rate", Delete: true}})
 		So(apiErr.Code, ShouldEqual, apierror.InvalidChange)
 	})
 }
 
-func TestCSV(t *testing.T) {
+func TestCSVRoundTrip(t *testing.T) {
 	Convey("A spreadsheet gives the sheet back, its rows in any order", t, func() {
-		rows := strings.Split(strings.TrimSpace(string(small().ExportCSV())), "\n")
+		rows := strings.Split(strings.TrimSpace(string(sampleSheet().ExportCSV())), "\n")
 		for i, j := 1, len(rows)-1; i < j; i, j = i+1, j-1 {
 			rows[i], rows[j] = rows[j], rows[i]
 		}
 		s, apiErr := ImportCSV([]byte("\ufeff"+strings.Join(rows, "\r\n")+"\r\n"), 1<<20)
 		So(apiErr, ShouldBeNil)
-		So(encoded(s), ShouldEqual, encoded(small()))
+		So(mustEncode(s), ShouldEqual, mustEncode(sampleSheet()))
 	})
 	Convey("Bad rows are named by line, all at once", t, func() {
 		_, apiErr := ImportCSV([]byte("cell,value\nservices.chat.kind,model\nweights.chat.lagos,NaN\nweights.chat.lagos,1\ntenants,1\n"), 1<<20)
--- a/internal/decision/statemachine/digest.go
+++ b/internal/decision/statemachine/digest.go
@@ -29,11 +29,11 @@
 		body = []byte(err.Error())
 	}
 	digest := sha256.New()
-	fmt.Fprintf(digest, "%q %q %d ", o.Operator, verb, o.Base)
+	_, _ = fmt.Fprintf(digest, "%q %q %d ", o.Operator, verb, o.Base)
 	if o.Revision > 0 {
-		fmt.Fprintf(digest, "%d on %d ", o.Revision, o.BaseRevision)
+		_, _ = fmt.Fprintf(digest, "%d on %d ", o.Revision, o.BaseRevision)
 	}
-	digest.Write(body)
+	_, _ = digest.Write(body)
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
--- a/internal/decision/statemachine/state_test.go
+++ b/internal/decision/statemachine/state_test.go
@@ -26,7 +26,7 @@
 		s.Weights[name] = map[string]float64{"lagos": rapid.Float64Range(0.1, 100).Draw(t, "weight"), "abeokuta": rapid.Float64Range(0, 100).Draw(t, "weight")}
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "tenants") {
-		s.Tenants[fmt.Sprintf("t%d", i)] = sheet.Tenant{Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"), KeyHashes: []string{hash(fmt.Sprint(i))}}
+		s.Tenants[fmt.Sprintf("t%d", i)] = sheet.Tenant{Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"), KeyHashes: []string{hashOf(fmt.Sprint(i))}}
 	}
 	return s
 }
@@ -73,9 +73,9 @@
 	return AcquireRole{Role: "planner", Term: s.Roles["planner"].Term + uint64(rapid.IntRange(0, 2).Draw(t, "term")), Holder: names[0]}
 }
 
-func unmoved(s State) string { s.Version = 0; return string(s.Encode()) }
+func encodeWithoutVersion(s State) string { s.Version = 0; return string(s.Encode()) }
 
-func TestLog(t *testing.T) {
+func TestStepIsDeterministicAndAppliesAnOrderOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var live, reread State
 		results := make(map[string]Result)
@@ -87,17 +87,17 @@
 			if seen, sure := live.Predict(command); sure && (seen.Code != result.Code || seen.SheetVersion != result.SheetVersion) {
 				t.Fatalf("%s: foreseen %+v, got %+v", command.Verb(), seen, result)
 			}
-			again, twin := reread.Step(reread.Version+1, data)
+			again, replayed := reread.Step(reread.Version+1, data)
 			if !bytes.Equal(before, base.Encode()) {
 				t.Fatalf("%s changed a state that was given out", command.Verb())
 			}
-			if !bytes.Equal(next.Encode(), again.Encode()) || result != twin {
+			if !bytes.Equal(next.Encode(), again.Encode()) || result != replayed {
 				t.Fatalf("%s: a state read back steps elsewhere", command.Verb())
 			}
 			if next.Version != base.Version+1 || next.SheetVersion < base.SheetVersion || next.RosterVersion < base.RosterVersion {
 				t.Fatalf("%s: an epoch went back", command.Verb())
 			}
-			if result.Code != apierror.OK && unmoved(next) != unmoved(base) {
+			if result.Code != apierror.OK && encodeWithoutVersion(next) != encodeWithoutVersion(base) {
 				t.Fatalf("%s was refused with %v and left a trace", command.Verb(), result.Code)
 			}
 			if next.Sheet != base.Sheet && next.Sheet.Check() != nil {
@@ -112,7 +112,7 @@
 				}
 				results[order.OrderID+order.Digest] = result
 				repeated, answer := next.Step(next.Version+1, data)
-				if answer != result || unmoved(repeated) != unmoved(next) {
+				if answer != result || encodeWithoutVersion(repeated) != encodeWithoutVersion(next) {
 					t.Fatalf("order %s was applied twice", order.OrderID)
 				}
 			}
@@ -130,7 +130,7 @@
 	})
 }
 
-func TestRace(t *testing.T) {
+func TestOneOrderWinsOnABase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := PutSheet{Sheet: drawSheet(t)}.Apply(State{}, 1)
 		base := s.SheetVersion
@@ -155,7 +155,7 @@
 	})
 }
 
-func TestPatchIsPut(t *testing.T) {
+func TestPatchEqualsPutOfThePatchedSheet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := PutSheet{Sheet: drawSheet(t)}.Apply(State{}, 1)
 		changes := rapid.SliceOfN(rapid.Custom(drawChange), 1, 4).Draw(t, "changes")
@@ -164,7 +164,7 @@
 			return
 		}
 		put, result := PutSheet{Order: Order{Base: 1}, Sheet: patched.Sheet}.Apply(s, 2)
-		if result.Code != apierror.OK || encoded(put.Sheet) != encoded(patched.Sheet) {
+		if result.Code != apierror.OK || mustEncode(put.Sheet) != mustEncode(patched.Sheet) {
 			t.Fatalf("put of the patched sheet gave %+v", result)
 		}
 		back, apiErr := sheet.ImportCSV(patched.Sheet.ExportCSV(), 1<<20)
@@ -174,9 +174,9 @@
 	})
 }
 
-func TestAnyBytes(t *testing.T) {
+func TestMalformedBytesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		data := []byte(encoded(drawSheet(t)))
+		data := []byte(mustEncode(drawSheet(t)))
 		if rapid.Bool().Draw(t, "envelope") {
 			data = []byte(`{"base":0,"sheet":` + string(data) + `,"changes":[{"path":"tenants.a.keys","value":["x"]}],"names":["a"],"locality":"x"}`)
 		}
@@ -196,13 +196,13 @@
 		}
 		before := State{Version: 4, SheetVersion: 2}
 		after, result := before.Step(5, data)
-		if result.Code != apierror.Internal || unmoved(after) != unmoved(before) || after.Version != 5 {
+		if result.Code != apierror.Internal || encodeWithoutVersion(after) != encodeWithoutVersion(before) || after.Version != 5 {
 			t.Fatalf("bytes that are no command gave %+v", result)
 		}
 	})
 }
 
-func TestState(t *testing.T) {
+func TestStateTransitions(t *testing.T) {
 	Convey("Steps are taken in order only", t, func() {
 		s := State{Version: 4}
 		for _, version := range []uint64{0, 3, 4, 6} {
@@ -273,7 +273,7 @@
 	})
 }
 
-func TestTranscript(t *testing.T) {
+func TestExchangeTranscript(t *testing.T) {
 	script, err := os.ReadFile("testdata/exchange.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -300,7 +300,7 @@
 		}
 		fmt.Fprintf(&out, "< %d %s epoch=%d sheet_epoch=%d %s\n", result.Code, result.Code, result.Version, result.SheetVersion, result.Detail)
 	}
-	fmt.Fprintf(&out, "\nepoch %d, sheet epoch %d, evacuated %s\n", s.Version, s.SheetVersion, encoded(s.Evacuated))
+	fmt.Fprintf(&out, "\nepoch %d, sheet epoch %d, evacuated %s\n", s.Version, s.SheetVersion, mustEncode(s.Evacuated))
 	for _, r := range s.History {
 		fmt.Fprintf(&out, "%d %s %s %.12s: %s\n", r.Version, r.Operator, r.Verb, r.OrderID, r.Summary)
 	}
@@ -308,11 +308,11 @@
 	goldie.New(t).Assert(t, "exchange", []byte(out.String()))
 }
 
-func sized(tenants int) State {
-	s := small()
+func stateWithTenants(tenants int) State {
+	s := sampleSheet()
 	for i := range tenants {
 		name := fmt.Sprintf("tenant-%05d", i)
-		s.Tenants[name] = sheet.Tenant{Rate: 100, Burst: 50, Home: "lagos", KeyHashes: []string{hash(name)}}
+		s.Tenants[name] = sheet.Tenant{Rate: 100, Burst: 50, Home: "lagos", KeyHashes: []string{hashOf(name)}}
 	}
 	state, result := PutSheet{Sheet: s}.Apply(State{}, 1)
 	if result.Code != apierror.OK {
@@ -323,10 +323,10 @@
 
 func BenchmarkTenants(b *testing.B) {
 	for _, tenants := range []int{5, 100, 1000, 14000} {
-		s := sized(tenants)
+		s := stateWithTenants(tenants)
 		body := []byte(`{"base":1,"changes":[{"path":"tenants.press.rate","value":900}]}`)
 		command, _ := ParseOrder(sheet.VerbPatch, "ada", body, OrderLimits{MaxBytes: 1 << 20}, 1)
-		patch, data, document := Encode(command), s.Encode(), []byte(encoded(s.Sheet))
+		patch, data, document := Encode(command), s.Encode(), []byte(mustEncode(s.Sheet))
 		run := func(name string, f func()) {
 			b.Run(fmt.Sprintf("%s/tenants=%d", name, tenants), func(b *testing.B) {
 				b.ReportAllocs()
