--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -24,7 +24,7 @@
 	"stepwick/internal/wire"
 )
 
-// cores stands in for the cores: one state in memory, asked by one goroutine.
+// cores replaces the cores by one state in memory, used by one goroutine.
 type cores struct {
 	state        statemachine.State
 	pending      bool
--- a/internal/cli/order.go
+++ b/internal/cli/order.go
@@ -108,7 +108,7 @@
 	body     []byte
 	deadline time.Time
 	// mayBeApplied is set once a node may have received the order. From then on
-	// only a response tells whether the order was accepted.
+	// its outcome is unknown until a node responds.
 	mayBeApplied bool
 	// lastErr and retryInterval are of the last attempt.
 	lastErr       *apierror.Error
--- a/internal/decision/sheet/csv.go
+++ b/internal/decision/sheet/csv.go
@@ -130,41 +130,38 @@
 		i.sheet.Weights[path.row][path.column] = number
 		return ""
 	}
-	service := i.sheet.Services[path.row]
-	tenant := i.sheet.Tenants[path.row]
 	switch path.column {
 	case columnPlainTokens:
-		service.PlainTokens = number
-		i.sheet.Services[path.row] = service
+		updateRow(i.sheet.Services, path.row, func(service *Service) { service.PlainTokens = number })
 	case columnRate:
-		tenant.Rate = number
-		i.sheet.Tenants[path.row] = tenant
+		updateRow(i.sheet.Tenants, path.row, func(tenant *Tenant) { tenant.Rate = number })
 	case columnBurst:
-		tenant.Burst = number
-		i.sheet.Tenants[path.row] = tenant
+		updateRow(i.sheet.Tenants, path.row, func(tenant *Tenant) { tenant.Burst = number })
 	}
 	return ""
 }
 
 func (i *importer) setString(path cellPath, value string) (problem string) {
-	service := i.sheet.Services[path.row]
-	tenant := i.sheet.Tenants[path.row]
 	switch path.column {
 	case columnKind:
-		service.Kind = value
-		i.sheet.Services[path.row] = service
+		updateRow(i.sheet.Services, path.row, func(service *Service) { service.Kind = value })
 	case columnHome:
-		tenant.Home = value
-		i.sheet.Tenants[path.row] = tenant
+		updateRow(i.sheet.Tenants, path.row, func(tenant *Tenant) { tenant.Home = value })
 	case columnKeys:
-		tenant.KeyHashes = splitHashes(value)
-		i.sheet.Tenants[path.row] = tenant
+		updateRow(i.sheet.Tenants, path.row, func(tenant *Tenant) { tenant.KeyHashes = splitHashes(value) })
 	default:
 		return "not one cell"
 	}
 	return ""
 }
 
+// updateRow changes a row, which is added where there is none.
+func updateRow[V any](rows map[string]V, name string, update func(*V)) {
+	row := rows[name]
+	update(&row)
+	rows[name] = row
+}
+
 // setRow sets a row that is written as one cell.
 func (i *importer) setRow(path cellPath, value json.RawMessage) (problem string) {
 	switch path.table {
--- a/internal/decision/statemachine/evacuation.go
+++ b/internal/decision/statemachine/evacuation.go
@@ -31,12 +31,9 @@
 func (c Evacuate) Apply(s State, version uint64) (State, Result) {
 	s.Version = version
 	order := c.order()
-	if result, known := s.checkReplay(order); known {
+	if result, decided := s.checkZoneOrder(order, c.Zone); decided {
 		return s, result
 	}
-	if apiErr := checkZone(c.Zone); apiErr != nil {
-		return s, s.rejected(apiErr)
-	}
 	if _, evacuated := s.Evacuated[c.Zone]; !evacuated {
 		s.Evacuated = cloned(s.Evacuated)
 		s.Evacuated[c.Zone] = version
@@ -48,12 +45,9 @@
 func (c Restore) Apply(s State, version uint64) (State, Result) {
 	s.Version = version
 	order := c.order()
-	if result, known := s.checkReplay(order); known {
+	if result, decided := s.checkZoneOrder(order, c.Zone); decided {
 		return s, result
 	}
-	if apiErr := checkZone(c.Zone); apiErr != nil {
-		return s, s.rejected(apiErr)
-	}
 	if _, evacuated := s.Evacuated[c.Zone]; evacuated {
 		s.Evacuated = cloned(s.Evacuated)
 		delete(s.Evacuated, c.Zone)
@@ -74,6 +68,18 @@
 	return evacuated
 }
 
+// checkZoneOrder returns the result of an order on a zone that changes nothing:
+// one that was accepted before, or whose zone has no valid name.
+func (s State) checkZoneOrder(order Order, zone string) (Result, bool) {
+	if result, known := s.checkReplay(order); known {
+		return result, true
+	}
+	if apiErr := checkZone(zone); apiErr != nil {
+		return s.rejected(apiErr), true
+	}
+	return Result{}, false
+}
+
 // checkZone rejects a text that is neither the name of a region nor of a zone.
 func checkZone(name string) *apierror.Error {
 	if sheet.ValidZoneName(name) {
--- a/internal/events/source_test.go
+++ b/internal/events/source_test.go
@@ -11,8 +11,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestEventsAreDeclaredAndEmitted reads the program's own source, so that docs/EVENTS.md tells of
-// just the events that it can emit.
+// TestEventsAreDeclaredAndEmitted reads the program's own source, so that docs/EVENTS.md
+// lists exactly the events that it can emit.
 func TestEventsAreDeclaredAndEmitted(t *testing.T) {
 	root := filepath.Join("..", "..")
 	var literals []string
