--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -17,7 +17,7 @@
 func sourceFiles(t *testing.T, folder string) []string {
 	t.Helper()
 	var files []string
-	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(folder, func(path string, _ fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
