--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -182,7 +182,7 @@
 }
 
 func TestCallsAreBoundedAndDeclaredOnce(t *testing.T) {
-	Convey("Every call is declared whole, and once", t, func() {
+	Convey("Every call is declared completely, and once", t, func() {
 		seen := map[string]bool{}
 		for _, call := range Routes() {
 			So(seen[call.Method+call.Path], ShouldBeFalse)
@@ -192,7 +192,7 @@
 			So(call.handle, ShouldNotBeNil)
 		}
 	})
-	Convey("A body too large is refused, told or not how large it is", t, func() {
+	Convey("A body that is too large is rejected, with or without a declared length", t, func() {
 		server := startServer(t, &cores{}, Config{MaxSheetBytes: 100})
 		text := call(server, "ada", "PUT", "/v1/control/sheet", strings.Repeat(" ", 101)).text
 		So(text, ShouldContainSubstring, `"code":4004`)
@@ -205,7 +205,7 @@
 		text = call(server, "ada", "GET", "/v1/control/sheet", "{}").text
 		So(text, ShouldContainSubstring, `"code":1014`)
 	})
-	Convey("A slow sender is cut off within the bound of time", t, func() {
+	Convey("A slow body times out", t, func() {
 		server := startServer(t, &cores{}, Config{BodyTimeout: 50 * time.Millisecond})
 		conn, err := net.Dial("tcp", server.Listener.Addr().String())
 		So(err, ShouldBeNil)
@@ -228,7 +228,7 @@
 		So(text, ShouldContainSubstring, `"node":{"asked":"status"`)
 		So(text, ShouldContainSubstring, `"fleet_fault":{"code":5001`)
 	})
-	Convey("Orders over the bound are told to come back", t, func() {
+	Convey("Orders beyond the limit are rejected with a time to retry", t, func() {
 		c := &cores{unresponsive: true}
 		api := New(Config{Operators: []string{"ada:" + sheet.HashKey("ada's key")}, MaxOrders: 1}, c, c, clock.System(), events.Discard)
 		api.orderSlots <- struct{}{}
--- a/internal/decision/sheet/patch_test.go
+++ b/internal/decision/sheet/patch_test.go
@@ -26,7 +26,7 @@
 		}
 		sound := twice == "" && e.sheet.Check() == nil
 		if _, apiErr := base.Patch(changes); (apiErr == nil) != sound {
-			t.Fatalf("a patch gave %v; the whole sheet's check gave %v", apiErr, e.sheet.Check())
+			t.Fatalf("a patch gave %v; the check of the full sheet gave %v", apiErr, e.sheet.Check())
 		}
 	})
 }
--- a/internal/decision/sheet/routes_test.go
+++ b/internal/decision/sheet/routes_test.go
@@ -88,7 +88,7 @@
 	full.Weights = map[string]map[string]float64{"chat": {"lagos": 1}}
 	full.Tenants["city"] = Tenant{Rate: 5, KeyHashes: []string{hashOf("three")}}
 	full.Settings = map[string]string{"route.strategy": "affinity"}
-	Convey("A sheet of routes is whole after a way through CSV", t, func() {
+	Convey("A sheet of routes survives a round trip through CSV", t, func() {
 		back, apiErr := ImportCSV(full.ExportCSV(), MaxBytes)
 		So(apiErr, ShouldBeNil)
 		So(mustEncode(back), ShouldEqual, mustEncode(full))
--- a/internal/decision/sheet/sheet_test.go
+++ b/internal/decision/sheet/sheet_test.go
@@ -41,7 +41,7 @@
 }
 
 func TestCheckNamesBrokenRules(t *testing.T) {
-	Convey("A sound sheet has no fault", t, func() {
+	Convey("A valid sheet has no error", t, func() {
 		So(sampleSheet().Check(), ShouldBeNil)
 	})
 	Convey("Each broken rule has its number and names its cell", t, func() {
@@ -169,7 +169,7 @@
 			"- weights.chat.abeokuta = 40",
 		})
 	})
-	Convey("A change that names no cell or has no fit value is refused, and nothing is kept", t, func() {
+	Convey("A change that names no cell or has no valid value is rejected, and the sheet stays as it is", t, func() {
 		for _, c := range []struct{ path, value, detail string }{
 			{"weights", "1", "no such cell"},
 			{"weight.chat.lagos", "1", "no such table"},
--- a/internal/decision/statemachine/revision_test.go
+++ b/internal/decision/statemachine/revision_test.go
@@ -45,7 +45,7 @@
 		So(next.Sheet.Tenants, ShouldResemble, first.Sheet.Tenants)
 		So(first.Sheet.Routes, ShouldHaveLength, 2)
 	})
-	Convey("A merge that leaves an unsound sheet changes nothing", t, func() {
+	Convey("A merge that leaves an invalid sheet changes nothing", t, func() {
 		next, result := MergeSheet{Order: revisionOrder(7, 5), Remove: sheet.Removal{Services: []string{"desk"}}}.Apply(first, 2)
 		So(result.Code, ShouldEqual, apierror.InvalidSheet)
 		So(next.Revision, ShouldEqual, 5)
@@ -72,7 +72,7 @@
 		_, apiErr = ParseOrder(sheet.VerbMerge, "desk", []byte(`{"upsert":{}}`), OrderLimits{MaxBytes: sheet.MaxBytes}, 0)
 		So(apiErr.Code, ShouldEqual, apierror.MissingField)
 	})
-	Convey("An order on a number that is behind is settled without a ballot, one that is ahead is not", t, func() {
+	Convey("An order on a number that is behind is decided without a ballot, one that is ahead is not", t, func() {
 		second, _ := MergeSheet{Order: revisionOrder(7, 5)}.Apply(first, 2)
 		_, sure := second.Predict(MergeSheet{Order: revisionOrder(9, 5)})
 		So(sure, ShouldBeTrue)
--- a/internal/decision/statemachine/state_test.go
+++ b/internal/decision/statemachine/state_test.go
@@ -89,7 +89,7 @@
 			}
 			again, replayed := reread.Step(reread.Version+1, data)
 			if !bytes.Equal(before, base.Encode()) {
-				t.Fatalf("%s changed a state that was given out", command.Verb())
+				t.Fatalf("%s changed an earlier state", command.Verb())
 			}
 			if !bytes.Equal(next.Encode(), again.Encode()) || result != replayed {
 				t.Fatalf("%s: a state read back steps elsewhere", command.Verb())
@@ -101,7 +101,7 @@
 				t.Fatalf("%s was refused with %v and left a trace", command.Verb(), result.Code)
 			}
 			if next.Sheet != base.Sheet && next.Sheet.Check() != nil {
-				t.Fatalf("%s: an unsound sheet was kept", command.Verb())
+				t.Fatalf("%s: an invalid sheet was accepted", command.Verb())
 			}
 			if !base.RosterCommitted() && !next.RosterCommitted() && next.RosterVersion != base.RosterVersion && command.Verb() != VerbRemoveMembers {
 				t.Fatalf("%s: a change of the roster overtook one that is not settled", command.Verb())
@@ -146,7 +146,7 @@
 			if result.Code == apierror.OK {
 				won = append(won, result.Version)
 			} else if result.Code != apierror.BaseMoved || result.Version != won[0] {
-				t.Fatalf("a loser was told %+v", result)
+				t.Fatalf("the losing order got %+v", result)
 			}
 		}
 		if len(won) != 1 {
@@ -185,7 +185,7 @@
 			data = append(append(bytes.Clone(data[:at]), rapid.SliceOfN(rapid.Byte(), 0, 3).Draw(t, "junk")...), data[min(len(data), at+1):]...)
 		}
 		if s, apiErr := sheet.ParseSheet(data, 1<<20); apiErr == nil && s.Check() != nil {
-			t.Fatal("an unsound sheet was read")
+			t.Fatal("an invalid sheet was read")
 		}
 		for verb := range orderSchemas {
 			if command, apiErr := ParseOrder(verb, "ada", data, OrderLimits{MaxBytes: 1 << 20}, 1); apiErr == nil {
@@ -220,7 +220,7 @@
 		So(s.History[0].OrderID, ShouldEqual, fmt.Sprint(2*MaxHistory))
 		So(s.Evacuated["lagos"], ShouldEqual, 1)
 	})
-	Convey("A whole region's evacuation covers its localities, apart from their own", t, func() {
+	Convey("An evacuation of a region covers its zones, and is independent of theirs", t, func() {
 		s, _ := Evacuate{Zone: "lagos"}.Apply(State{}, 1)
 		s, _ = Evacuate{Zone: "abeokuta/c"}.Apply(s, 2)
 		So(s.IsEvacuated("lagos", "a"), ShouldBeTrue)
@@ -229,7 +229,7 @@
 		s, _ = Restore{Zone: "lagos"}.Apply(s, 3)
 		So(s.IsEvacuated("lagos", "a"), ShouldBeFalse)
 	})
-	Convey("A roster's change waits for the one before it, unless an operator vouches", t, func() {
+	Convey("A change of the roster waits until the one before it is committed, unless an operator orders it", t, func() {
 		add := func(names ...string) AddMembers {
 			var c AddMembers
 			for _, name := range names {
@@ -258,7 +258,7 @@
 		_, result = RemoveMembers{Order: Order{Operator: "ada"}, Names: []string{"n9"}}.Apply(s, 8)
 		So(result.Code, ShouldEqual, apierror.UnknownMember)
 	})
-	Convey("A term of a duty has one holder, who may ask again", t, func() {
+	Convey("A term of a role has one holder, whose repeated claim succeeds", t, func() {
 		s, first := AcquireRole{"planner", 1, "n1"}.Apply(State{}, 1)
 		So(first.Code, ShouldEqual, apierror.OK)
 		s, again := AcquireRole{"planner", 1, "n1"}.Apply(s, 2)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -42,7 +42,7 @@
 const hash = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 
 func TestFormerNamesWorkAndAreReported(t *testing.T) {
-	Convey("A name that a setting had before works in the file and as a flag, and is told", t, func() {
+	Convey("A name that a setting had before works in the file and as a flag, and is reported", t, func() {
 		values, problems := Read("s.yaml", []byte("grant: {ttl: 1s}\n"), flagsOf("--grant.renew=300ms"), "")
 		So(problems, ShouldBeEmpty)
 		So(values.Duration("lease.ttl"), ShouldEqual, time.Second)
