--- a/internal/node/replacement.go
+++ b/internal/node/replacement.go
@@ -4,15 +4,12 @@
 	"cmp"
 	"context"
 	"maps"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"time"
 
 	"connectrpc.com/connect"
 	"github.com/cespare/xxhash/v2"
-	"github.com/pkg/errors"
 
 	"stepwick/internal/adapter/internalrpc"
 	"stepwick/internal/clock"
@@ -30,10 +27,6 @@
 // its data folder and becomes a standby.
 
 const (
-	// takenNameFile is the file in the data folder with the name that a core took
-	// over. It is part of the stored data.
-	takenNameFile = "place"
-
 	searchInterval = 100 * time.Millisecond
 	// idleSearchInterval is the interval while every voting core answers.
 	idleSearchInterval = 500 * time.Millisecond
@@ -53,10 +46,10 @@
 	if folder == "" {
 		return self, nil
 	}
-	if taken, err := os.ReadFile(filepath.Join(folder, takenNameFile)); err == nil && len(taken) > 0 {
-		return strings.TrimSpace(string(taken)), nil
+	if name, taken := readTakenName(folder); taken {
+		return name, nil
 	}
-	if entries, err := os.ReadDir(folder); err == nil && len(entries) > 0 {
+	if holdsData(folder) {
 		return self, nil
 	}
 	search := &replacementSearch{
@@ -245,43 +238,3 @@
 func (s *replacementSearch) preference(name string) uint64 {
 	return xxhash.Sum64String(s.self + "/" + name)
 }
-
-// storeTakenName stores the name that a core took over, so that it keeps it over
-// restarts.
-func storeTakenName(folder, name string) error {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return errors.Wrap(err, "the data folder")
-	}
-	file, err := os.Create(filepath.Join(folder, takenNameFile))
-	if err != nil {
-		return errors.Wrap(err, "the core's place")
-	}
-	defer func() { _ = file.Close() }()
-	if _, err := file.WriteString(name); err != nil {
-		return errors.Wrap(err, "the core's place")
-	}
-	if err := file.Sync(); err != nil {
-		return errors.Wrap(err, "the core's place")
-	}
-	// The file is durable only once its entry in the folder is.
-	parent, err := os.Open(folder)
-	if err != nil {
-		return errors.Wrap(err, "the data folder")
-	}
-	defer func() { _ = parent.Close() }()
-	return errors.Wrap(parent.Sync(), "the data folder")
-}
-
-// emptyFolder removes what a core stored, once another one has taken over its name.
-func emptyFolder(folder string) error {
-	entries, err := os.ReadDir(folder)
-	if err != nil {
-		return errors.Wrap(err, "the data folder")
-	}
-	for _, entry := range entries {
-		if err := os.RemoveAll(filepath.Join(folder, entry.Name())); err != nil {
-			return errors.Wrap(err, "the data folder")
-		}
-	}
-	return nil
-}
