--- a/internal/adapter/disklog/format.go
+++ b/internal/adapter/disklog/format.go
@@ -9,143 +9,168 @@
 	"strconv"
 	"strings"
 
-	"stepwick/internal/apierror"
-
 	"github.com/cespare/xxhash/v2"
-	"github.com/pkg/errors"
 )
 
+// The format on disk. Numbers are little-endian, checksums are xxhash64 of all
+// that comes before them in the header and of the data after it.
 const (
 	segmentMagic  = "SWLOG\x00\x00\x01"
 	snapshotMagic = "SWSNP\x00\x00\x01"
-	segmentHead   = 24 // magic, first place, checksum
-	snapshotHead  = 32 // magic, place, length, checksum
-	frameHead     = 28 // length, place, first place of the batch, checksum
-	maxRecord     = 256 << 20
-
-	segmentSuffix  = ".log"
-	snapshotSuffix = ".snap"
-	asideSuffix    = ".aside"
-	reserveName    = "reserve"
+
+	segmentHeaderSize  = 24 // magic, index of the first record, checksum
+	snapshotHeaderSize = 32 // magic, index of the last record replaced, length, checksum
+	frameHeaderSize    = 28 // length, index, index of the batch's first record, checksum
+	checksumSize       = 8
+
+	frameIndexOffset = 4
+	frameBatchOffset = 12
+
+	maxRecordBytes = 256 << 20
 )
 
-func segmentName(first uint64) string  { return fmt.Sprintf("%020d%s", first, segmentSuffix) }
-func snapshotName(place uint64) string { return fmt.Sprintf("%020d%s", place, snapshotSuffix) }
+// Names of files: 20 digits of an index and a suffix.
+const (
+	indexDigits     = 20
+	segmentSuffix   = ".log"
+	snapshotSuffix  = ".snap"
+	temporarySuffix = ".aside" // of a file that is not yet, or never, complete
+	reserveFileName = "reserve"
+)
+
+func segmentFileName(first uint64) string {
+	return fmt.Sprintf("%0*d%s", indexDigits, first, segmentSuffix)
+}
+
+func snapshotFileName(last uint64) string {
+	return fmt.Sprintf("%0*d%s", indexDigits, last, snapshotSuffix)
+}
 
-func placeOf(name, suffix string) (uint64, bool) {
+// parseFileName returns the index in the name of a file of one kind.
+func parseFileName(name, suffix string) (index uint64, ok bool) {
 	digits, found := strings.CutSuffix(name, suffix)
-	if !found || len(digits) != 20 {
+	if !found || len(digits) != indexDigits {
 		return 0, false
 	}
-	place, err := strconv.ParseUint(digits, 10, 64)
-	return place, err == nil
+	index, err := strconv.ParseUint(digits, 10, 64)
+	return index, err == nil
 }
 
 func segmentHeader(first uint64) []byte {
-	head := binary.LittleEndian.AppendUint64([]byte(segmentMagic), first)
-	return binary.LittleEndian.AppendUint64(head, xxhash.Sum64(head))
+	header := binary.LittleEndian.AppendUint64([]byte(segmentMagic), first)
+	return binary.LittleEndian.AppendUint64(header, xxhash.Sum64(header))
 }
 
-func snapshotHeader(place uint64, data []byte) []byte {
-	head := binary.LittleEndian.AppendUint64([]byte(snapshotMagic), place)
-	head = binary.LittleEndian.AppendUint64(head, uint64(len(data)))
-	return binary.LittleEndian.AppendUint64(head, snapshotSum(head, data))
+func snapshotHeader(last uint64, data []byte) []byte {
+	header := binary.LittleEndian.AppendUint64([]byte(snapshotMagic), last)
+	header = binary.LittleEndian.AppendUint64(header, uint64(len(data)))
+	return binary.LittleEndian.AppendUint64(header, checksum(header, data))
 }
 
-func snapshotSum(head, data []byte) uint64 {
+func checksum(header, data []byte) uint64 {
 	digest := xxhash.New()
-	_, _ = digest.Write(head)
+	_, _ = digest.Write(header)
 	_, _ = digest.Write(data)
 	return digest.Sum64()
 }
 
-func appendFrame(to []byte, place, batch uint64, record []byte) []byte {
+// frame is a record as it is encoded in a segment.
+type frame struct {
+	index  uint64
+	batch  uint64 // the index of the first record written together with this one
+	record []byte
+}
+
+func (f frame) appendTo(to []byte) []byte {
 	start := len(to)
-	to = binary.LittleEndian.AppendUint32(to, uint32(len(record)))
-	to = binary.LittleEndian.AppendUint64(to, place)
-	to = binary.LittleEndian.AppendUint64(to, batch)
-	to = binary.LittleEndian.AppendUint64(to, snapshotSum(to[start:], record))
-	return append(to, record...)
+	to = binary.LittleEndian.AppendUint32(to, uint32(len(f.record)))
+	to = binary.LittleEndian.AppendUint64(to, f.index)
+	to = binary.LittleEndian.AppendUint64(to, f.batch)
+	to = binary.LittleEndian.AppendUint64(to, checksum(to[start:], f.record))
+	return append(to, f.record...)
 }
 
-// frame reads the record at the start of data; ok is false when it is not
-// whole or fails its checksum.
-func frame(data []byte) (place, batch uint64, record []byte, ok bool) {
-	if len(data) < frameHead {
-		return 0, 0, nil, false
+// size is the number of bytes of the frame in a segment.
+func (f frame) size() int { return frameHeaderSize + len(f.record) }
+
+// decodeFrame reads the frame at the start of data; ok is false when it is not
+// complete or fails its checksum. The record shares data.
+func decodeFrame(data []byte) (f frame, ok bool) {
+	if len(data) < frameHeaderSize {
+		return frame{}, false
 	}
 	size := int64(binary.LittleEndian.Uint32(data))
-	if size > maxRecord || size > int64(len(data)-frameHead) {
-		return 0, 0, nil, false
+	if size > maxRecordBytes || size > int64(len(data)-frameHeaderSize) {
+		return frame{}, false
 	}
-	record = data[frameHead : frameHead+size]
-	if snapshotSum(data[:frameHead-8], record) != binary.LittleEndian.Uint64(data[frameHead-8:]) {
-		return 0, 0, nil, false
+	record := data[frameHeaderSize : frameHeaderSize+size]
+	checked := data[:frameHeaderSize-checksumSize]
+	if checksum(checked, record) != binary.LittleEndian.Uint64(data[frameHeaderSize-checksumSize:]) {
+		return frame{}, false
 	}
-	return binary.LittleEndian.Uint64(data[4:]), binary.LittleEndian.Uint64(data[12:]), record, true
+	return frame{
+		index:  binary.LittleEndian.Uint64(data[frameIndexOffset:]),
+		batch:  binary.LittleEndian.Uint64(data[frameBatchOffset:]),
+		record: record,
+	}, true
 }
 
-// laterBatch looks beyond a bad record for a whole one of a later batch. A
+// hasLaterBatch looks beyond a bad record for a complete one of a later batch. A
 // batch is written only when the one before is synced, so one that is found
-// proves that the bad record was once whole on disk.
-func laterBatch(data []byte, bad uint64) bool {
-	for at := 0; at+frameHead <= len(data); at++ {
-		place := binary.LittleEndian.Uint64(data[at+4:])
-		batch := binary.LittleEndian.Uint64(data[at+12:])
-		if batch <= bad || batch > place || place-bad > uint64(len(data)) {
+// proves that the bad record was once complete on disk.
+func hasLaterBatch(data []byte, badIndex uint64) bool {
+	for offset := 0; offset+frameHeaderSize <= len(data); offset++ {
+		index := binary.LittleEndian.Uint64(data[offset+frameIndexOffset:])
+		batch := binary.LittleEndian.Uint64(data[offset+frameBatchOffset:])
+		// Cheap tests first: a checksum at every offset would take too long.
+		if batch <= badIndex || batch > index || index-badIndex > uint64(len(data)) {
 			continue
 		}
-		if _, _, _, ok := frame(data[at:]); ok {
+		if _, ok := decodeFrame(data[offset:]); ok {
 			return true
 		}
 	}
 	return false
 }
 
-func badRecord(path string, offset int, what string) error {
-	return &apierror.Error{Code: apierror.BadRecord, Detail: fmt.Sprintf("%s in %s at offset %d", what, filepath.Base(path), offset)}
-}
-
-// readSegment returns a segment's records. Whole is the number of bytes up to
-// the end of the last whole record; bytes beyond it are a torn tail, which only
-// the last segment may have.
-func readSegment(path string, data []byte, first uint64, last bool) (records [][]byte, whole int, err error) {
-	if len(data) < segmentHead || !bytes.Equal(data[:segmentHead], segmentHeader(first)) {
-		if last && !laterBatch(data, first-1) {
+// decodeSegment returns a segment's records. Complete is the number of bytes up
+// to the end of the last complete record; bytes beyond it are a torn tail, which
+// only the last segment may have.
+func decodeSegment(path string, data []byte, first uint64, last bool) (records [][]byte, complete int, err error) {
+	if len(data) < segmentHeaderSize || !bytes.Equal(data[:segmentHeaderSize], segmentHeader(first)) {
+		if last && !hasLaterBatch(data, first-1) {
 			return nil, 0, nil
 		}
-		return nil, 0, badRecord(path, 0, "a bad head")
+		return nil, 0, corruption(path, 0, "a bad head")
 	}
-	at, next := segmentHead, first
-	for at < len(data) {
-		place, _, record, ok := frame(data[at:])
-		if !ok || place != next {
-			if !last || laterBatch(data[at:], next) {
-				return nil, 0, badRecord(path, at, "a bad record")
+	offset := segmentHeaderSize
+	next := first
+	for offset < len(data) {
+		found, ok := decodeFrame(data[offset:])
+		if !ok || found.index != next {
+			if !last || hasLaterBatch(data[offset:], next) {
+				return nil, 0, corruption(path, offset, "a bad record")
 			}
 			break
 		}
-		records = append(records, slices.Clone(record))
-		at += frameHead + len(record)
+		records = append(records, slices.Clone(found.record))
+		offset += found.size()
 		next++
 	}
-	return records, at, nil
+	return records, offset, nil
 }
 
-func readSnapshot(path string, data []byte, place uint64) ([]byte, error) {
-	if len(data) < snapshotHead {
-		return nil, badRecord(path, 0, "a bad head")
+func decodeSnapshot(path string, data []byte, last uint64) ([]byte, error) {
+	if len(data) < snapshotHeaderSize {
+		return nil, corruption(path, 0, "a bad head")
 	}
-	body := data[snapshotHead:]
-	if !bytes.Equal(data[:snapshotHead], snapshotHeader(place, body)) {
-		return nil, badRecord(path, 0, "a bad snapshot")
+	body := data[snapshotHeaderSize:]
+	if !bytes.Equal(data[:snapshotHeaderSize], snapshotHeader(last, body)) {
+		return nil, corruption(path, 0, "a bad snapshot")
 	}
 	return body, nil
 }
 
-func checkSize(record []byte) error {
-	if len(record) > maxRecord {
-		return errors.Errorf("a record of %d bytes", len(record))
-	}
-	return nil
+func corruption(path string, offset int, problem string) error {
+	return &CorruptionError{File: filepath.Base(path), Offset: offset, Problem: problem}
 }
--- a/internal/adapter/disklog/inspect.go
+++ b/internal/adapter/disklog/inspect.go
@@ -7,31 +7,30 @@
 )
 
 // Inspect reads a log's folder as Open does, and changes nothing in it. What
-// Open would cut or pass over is named in the Replay; a bad record is a
-// apierror.BadRecord error that names segment and offset.
+// Open would cut off or skip is named in the Replay; a bad record is a
+// *CorruptionError.
 func Inspect(folder string) (Replay, error) {
-	w := &writer{Log: &Log{cfg: Config{Folder: folder}, disk: untouched{System()}}}
-	return w.recover()
+	return newWriter(newLog(Config{Folder: folder, FileSystem: readOnly{System()}})).recover()
 }
 
-// untouched is a disk that is only read: changes are taken for done.
-type untouched struct{ Disk }
+// readOnly is a file system that is only read: changes are reported as done.
+type readOnly struct{ FileSystem }
 
-func (untouched) MkdirAll(string) error { return nil }
-func (untouched) Create(string) (File, error) {
+func (readOnly) MkdirAll(string) error { return nil }
+func (readOnly) Create(string) (File, error) {
 	return nil, errors.Wrap(fs.ErrPermission, "the folder is only read")
 }
-func (untouched) Open(string) (File, error)    { return discarded{}, nil }
-func (untouched) Allocate(string, int64) error { return nil }
-func (untouched) Rename(string, string) error  { return nil }
-func (untouched) Remove(string) error          { return nil }
-func (untouched) SyncFolder(string) error      { return nil }
+func (readOnly) Open(string) (File, error)    { return discardFile{}, nil }
+func (readOnly) Allocate(string, int64) error { return nil }
+func (readOnly) Rename(string, string) error  { return nil }
+func (readOnly) Remove(string) error          { return nil }
+func (readOnly) SyncFolder(string) error      { return nil }
 
-// discarded is a file that takes everything and keeps nothing.
-type discarded struct{}
+// discardFile is a file whose changes are discarded.
+type discardFile struct{}
 
-func (discarded) Write(p []byte) (int, error)    { return len(p), nil }
-func (discarded) Sync() error                    { return nil }
-func (discarded) Truncate(int64) error           { return nil }
-func (discarded) Seek(int64, int) (int64, error) { return 0, nil }
-func (discarded) Close() error                   { return nil }
+func (discardFile) Write(p []byte) (int, error)    { return len(p), nil }
+func (discardFile) Sync() error                    { return nil }
+func (discardFile) Truncate(int64) error           { return nil }
+func (discardFile) Seek(int64, int) (int64, error) { return 0, nil }
+func (discardFile) Close() error                   { return nil }
--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -1,29 +1,28 @@
-// Package disklog keeps a core's records in a log of segments with snapshots
-// beside it. Appends that arrive while a sync runs are written and synced
-// together, off the caller's goroutine.
 package disklog
 
 import (
+	"fmt"
 	"path/filepath"
 	"sync/atomic"
 	"time"
+)
 
-	"stepwick/internal/apierror"
-	"stepwick/internal/clock"
-
-	"github.com/pkg/errors"
+const (
+	// maxQueuedRequests and maxQueuedBytes limit what waits for a slow disk.
+	maxQueuedRequests = 4096
+	maxQueuedBytes    = 128 << 20
+	// typicalRecordBytes is the size for which Full tells whether there is room.
+	typicalRecordBytes = 1024
 )
 
-// Config of a log. Sizes are in bytes.
-type Config struct {
-	Folder       string
-	SegmentBytes int64         // a new segment is begun beyond this size; 0 is 4 MiB
-	ReserveBytes int64         // kept free for snapshots and new disk lives; 0 is 1 MiB, under a quota at most a quarter of it
-	Quota        int64         // bound of all files together; 0 is none
-	SyncDelay    time.Duration // added to every sync, for proving
-	Disk         Disk          // nil is the machine's
-	Clock        clock.Clock   // nil is the machine's
-}
+// Priority of records says which room they may take.
+type Priority int
+
+// Priorities of records.
+const (
+	Ordinary Priority = iota // leave the reserve free
+	Urgent                   // may use the reserve
+)
 
 // Replay is what the disk held when the log was opened. Records follow the
 // snapshot in their order.
@@ -31,145 +30,150 @@
 	Snapshot    []byte // nil when there is none
 	Records     [][]byte
 	Segments    int
-	TornSegment  string // segment whose torn tail was cut, if any
-	TornBytes    int64
-	BadSnapshot string // a newer snapshot that fails its checksum and was passed over
+	TornSegment string // the segment whose torn tail was cut off, or empty
+	TornBytes   int64  // that were cut off
+	BadSnapshot string // a newer snapshot that fails its checksum and was skipped, or empty
 }
 
-// Log is a log on disk. Append, Snapshot and the channels are for one owner.
+// Log is a log on disk. Append, WriteSnapshot and LastIndex are for one owner
+// goroutine; Full, Used, LastSync and Err may be called from any.
 type Log struct {
-	cfg     Config
-	disk    Disk
-	quit    chan struct{}
-	ended   chan struct{}
-	in      chan entry
-	synced  chan uint64
-	dead    chan struct{}
-	failure atomic.Pointer[error]
-	used    atomic.Int64
-	waiting atomic.Int64
-	full    atomic.Bool
-	last    atomic.Int64
-	place   uint64
+	cfg       Config
+	quit      chan struct{} // closed by Close
+	ended     chan struct{} // closed when the writer has ended
+	requests  chan request
+	synced    chan uint64
+	failed    chan struct{}
+	failure   atomic.Pointer[error]
+	lastIndex uint64
+
+	usedBytes   atomic.Int64 // of all files, and of what waits to be written
+	queuedBytes atomic.Int64 // of what waits to be written
+	full        atomic.Bool  // the file system has no room beside the reserve
+	lastSync    atomic.Int64 // how long it took, in nanoseconds
 }
 
-type entry struct {
+// request is an append of records or, where it is set, a snapshot.
+type request struct {
 	records  [][]byte
-	first    uint64
-	urgent   bool
-	snapshot []byte
-	done     chan error
+	priority Priority
+	snapshot *snapshotRequest
 }
 
-const (
-	maxEntries   = 4096
-	maxWaiting   = 128 << 20
-	batchBytes   = 1 << 20
-	trialBytes   = 256 << 10
-	roomInterval = time.Second
-)
+type snapshotRequest struct {
+	last uint64 // the index of the last record that it replaces
+	data []byte
+	done chan error // with room for one
+}
 
-// Open reads the folder, cuts a torn tail at the last whole record and starts
-// the writer. A bad record before the last batch is an apierror.BadRecord error
-// that names segment and offset; nothing is changed then.
-func Open(cfg Config) (*Log, Replay, error) {
-	if cfg.SegmentBytes <= 0 {
-		cfg.SegmentBytes = 4 << 20
-	}
-	if cfg.ReserveBytes <= 0 {
-		cfg.ReserveBytes = 1 << 20
-	}
-	if cfg.Quota > 0 {
-		cfg.ReserveBytes = min(cfg.ReserveBytes, cfg.Quota/4)
-	}
-	if cfg.Disk == nil {
-		cfg.Disk = System()
-	}
-	if cfg.Clock == nil {
-		cfg.Clock = clock.System()
-	}
-	if cfg.SyncDelay > 0 {
-		cfg.Disk = Slow(cfg.Disk, cfg.Clock, cfg.SyncDelay)
+// size is the number of bytes of the snapshot's file.
+func (s *snapshotRequest) size() int64 { return snapshotHeaderSize + int64(len(s.data)) }
+
+func newLog(cfg Config) *Log {
+	return &Log{
+		cfg:      cfg,
+		quit:     make(chan struct{}),
+		ended:    make(chan struct{}),
+		requests: make(chan request, maxQueuedRequests),
+		synced:   make(chan uint64, 1),
+		failed:   make(chan struct{}),
 	}
-	l := &Log{cfg: cfg, disk: cfg.Disk, quit: make(chan struct{}), ended: make(chan struct{}), dead: make(chan struct{}),
-		in: make(chan entry, maxEntries), synced: make(chan uint64, 1)}
-	w := &writer{Log: l}
+}
+
+// Open reads the folder, cuts a torn tail off after the last complete record and
+// starts the writer. For a bad record before the last batch it returns a
+// *CorruptionError with segment and offset, and changes nothing in that segment.
+func Open(cfg Config) (*Log, Replay, error) {
+	log := newLog(cfg.withDefaults())
+	w := newWriter(log)
 	replay, err := w.recover()
 	if err != nil {
 		return nil, Replay{}, err
 	}
-	l.place = w.next - 1
-	w.full.Store(noRoom(w.allocate()))
+	log.lastIndex = w.nextIndex - 1
+	log.full.Store(isNoSpace(w.checkSpace()))
 	go w.run()
-	return l, replay, nil
+	return log, replay, nil
 }
 
-// Append takes records to be written and synced, in order, and returns the
-// place of the last one without waiting; Synced tells when they are safe. They
-// are refused as a whole, with apierror.DiskFull, when only the reserve is left;
-// urgent ones may use the reserve.
-func (l *Log) Append(records [][]byte, urgent bool) (uint64, error) {
+// Append queues records to be written and synced, in order, and returns the
+// index of the last one without waiting; Synced delivers when they are safe. All
+// of them are refused, with a *FullError, when only the reserve is left and they
+// are not urgent, or with a *BusyError when too much waits for the disk.
+func (l *Log) Append(records [][]byte, priority Priority) (index uint64, err error) {
 	if err := l.Err(); err != nil {
 		return 0, err
 	}
 	size := int64(0)
 	for _, record := range records {
-		if err := checkSize(record); err != nil {
-			return 0, err
+		if len(record) > maxRecordBytes {
+			return 0, &RecordSizeError{Size: len(record)}
 		}
-		size += frameHead + int64(len(record))
-	}
-	waiting := l.waiting.Load()
-	if waiting > 0 && waiting+size > maxWaiting {
-		return 0, apierror.Errorf(apierror.CoreUnreachable, "the disk is too slow: %d bytes wait for it", waiting)
+		size += frameHeaderSize + int64(len(record))
 	}
-	bound := l.cfg.Quota - l.cfg.ReserveBytes
-	if urgent {
-		bound = l.cfg.Quota
+	queued := l.queuedBytes.Load()
+	if queued > 0 && queued+size > maxQueuedBytes {
+		return 0, &BusyError{Detail: fmt.Sprintf("the disk is too slow: %d bytes wait for it", queued)}
 	}
-	if l.full.Load() && !urgent || l.cfg.Quota > 0 && l.used.Load()+size > bound {
-		return 0, apierror.Errorf(apierror.DiskFull, "%d bytes used", l.used.Load())
+	if !l.hasSpace(size, priority) {
+		return 0, &FullError{Detail: fmt.Sprintf("%d bytes used", l.usedBytes.Load())}
 	}
 	select {
-	case l.in <- entry{records: records, first: l.place + 1, urgent: urgent}:
+	case l.requests <- request{records: records, priority: priority}:
 	default:
-		return 0, apierror.Errorf(apierror.CoreUnreachable, "the disk is too slow: %d appends wait for it", maxEntries)
+		return 0, queueFullError()
 	}
-	l.place += uint64(len(records))
-	l.waiting.Add(size)
-	l.used.Add(size)
-	return l.place, nil
+	l.lastIndex += uint64(len(records))
+	l.queuedBytes.Add(size)
+	l.usedBytes.Add(size)
+	return l.lastIndex, nil
 }
 
-// WriteSnapshot writes data aside as the state after all records appended so far,
-// and puts it in their place once it is safe. Done delivers the outcome once;
-// a lack of room is apierror.DiskFull and leaves the log as it was.
+func (l *Log) hasSpace(size int64, priority Priority) bool {
+	limit := l.cfg.Quota
+	if priority == Ordinary {
+		if l.full.Load() {
+			return false
+		}
+		limit -= l.cfg.ReserveBytes
+	}
+	return l.cfg.Quota <= 0 || l.usedBytes.Load()+size <= limit
+}
+
+func queueFullError() error {
+	return &BusyError{Detail: fmt.Sprintf("the disk is too slow: %d appends wait for it", maxQueuedRequests)}
+}
+
+// WriteSnapshot writes data to a file of its own, as the state after all records
+// appended so far, and then removes these records. Done delivers the result
+// once; a lack of room is a *FullError and leaves the log as it was, and a
+// snapshot beside another one is refused with a *BusyError.
 func (l *Log) WriteSnapshot(data []byte) (done <-chan error) {
-	outcome := make(chan error, 1)
+	result := make(chan error, 1)
 	if err := l.Err(); err != nil {
-		outcome <- err
-		return outcome
+		result <- err
+		return result
 	}
 	select {
-	case l.in <- entry{snapshot: data, first: l.place, done: outcome}:
+	case l.requests <- request{snapshot: &snapshotRequest{last: l.lastIndex, data: data, done: result}}:
 	default:
-		outcome <- apierror.Errorf(apierror.CoreUnreachable, "the disk is too slow: %d appends wait for it", maxEntries)
+		result <- queueFullError()
 	}
-	return outcome
+	return result
 }
 
-// LastIndex is the place of the last record appended.
-func (l *Log) LastIndex() uint64 { return l.place }
+// LastIndex is the index of the last record appended.
+func (l *Log) LastIndex() uint64 { return l.lastIndex }
 
-// Synced delivers the highest place up to which all records are synced, each
-// time it rises; a value not yet taken is replaced by the next.
+// Synced delivers the highest index up to which all records are synced, each
+// time it rises; a value not yet received is replaced by the next.
 func (l *Log) Synced() <-chan uint64 { return l.synced }
 
 // Failed is closed when a write or sync has failed. What was appended since the
-// last synced place may or may not be on disk: open the folder again.
-func (l *Log) Failed() <-chan struct{} { return l.dead }
+// last synced index may or may not be on disk: open the folder again.
+func (l *Log) Failed() <-chan struct{} { return l.failed }
 
-// Err returns why the log is dead or closed, or nil.
+// Err returns why the log has failed, ErrClosed after Close, or nil.
 func (l *Log) Err() error {
 	if failure := l.failure.Load(); failure != nil {
 		return *failure
@@ -177,21 +181,20 @@
 	return nil
 }
 
-// Full tells whether ordinary appends of a typical size are refused for lack
+// Full reports whether ordinary records of a typical size are refused for lack
 // of room.
-func (l *Log) Full() bool {
-	return l.full.Load() || l.cfg.Quota > 0 && l.used.Load()+frameHead+1024 > l.cfg.Quota-l.cfg.ReserveBytes
-}
+func (l *Log) Full() bool { return !l.hasSpace(frameHeaderSize+typicalRecordBytes, Ordinary) }
 
 // Used is the size of all files, and of what waits to be written, in bytes.
-func (l *Log) Used() int64 { return l.used.Load() }
+func (l *Log) Used() int64 { return l.usedBytes.Load() }
 
 // LastSync is how long the last sync took.
-func (l *Log) LastSync() time.Duration { return time.Duration(l.last.Load()) }
+func (l *Log) LastSync() time.Duration { return time.Duration(l.lastSync.Load()) }
 
 // Close stops the writer and closes its files. What was not synced may be lost.
+// It must be called once.
 func (l *Log) Close() error {
-	closed := error(errors.New("the log is closed"))
+	closed := error(ErrClosed)
 	l.failure.CompareAndSwap(nil, &closed)
 	close(l.quit)
 	<-l.ended
@@ -200,16 +203,18 @@
 
 func (l *Log) path(name string) string { return filepath.Join(l.cfg.Folder, name) }
 
-func (l *Log) notify(place uint64) {
+// notifySynced replaces an index that was not yet received by a higher one.
+func (l *Log) notifySynced(index uint64) {
 	select {
 	case <-l.synced:
 	default:
 	}
-	l.synced <- place
+	l.synced <- index
 }
 
+// fail makes the log take nothing more, for the first reason given.
 func (l *Log) fail(err error) {
 	if l.failure.CompareAndSwap(nil, &err) {
-		close(l.dead)
+		close(l.failed)
 	}
 }
--- a/internal/adapter/disklog/writer.go
+++ b/internal/adapter/disklog/writer.go
@@ -1,328 +1,223 @@
 package disklog
 
 import (
-	"io/fs"
-	"slices"
-
-	"stepwick/internal/apierror"
+	"time"
 
 	"github.com/pkg/errors"
 )
 
-type segment struct {
-	first uint64
+const (
+	// maxBatchBytes is the size beyond which a batch takes no further append.
+	maxBatchBytes = 1 << 20
+	// spaceCheckInterval is the time between checks for space on a full disk.
+	spaceCheckInterval = time.Second
+)
+
+// storedFile is a segment or snapshot that is complete on disk.
+type storedFile struct {
+	index uint64 // of a segment's first record, or of the last that a snapshot replaces
 	size  int64
 }
 
-// writer is the goroutine that owns the files.
+// storedFiles are the closed segments and the snapshots, each by index.
+type storedFiles struct {
+	segments  []storedFile
+	snapshots []storedFile
+}
+
+// writer owns the files, on one goroutine. While a snapshot is being written,
+// the files that it will replace belong to the snapshot's goroutine.
 type writer struct {
 	*Log
-	next     uint64 // place of the next record
-	current  File
-	open     segment
-	closed   []segment
-	kept     []segment // snapshots, by place
-	reserved bool
-	barren   bool // the file system can't reserve
-	snapping chan covered
+	files     FileSystem
+	nextIndex uint64 // of the next record
+	current   File   // the open segment; nil when the next record begins one
+	segment   storedFile
+	stored    storedFiles
+	reserve   reserve
+
+	snapshotRunning bool
+	snapshotEnded   chan storedFiles // what is left after a snapshot, or after its failure
 }
 
-// covered is what a snapshot, once safe, replaces; or what it left over.
-type covered struct {
-	segments  []segment
-	snapshots []segment
+func newWriter(log *Log) *writer {
+	return &writer{Log: log, files: log.cfg.FileSystem, snapshotEnded: make(chan storedFiles, 1)}
 }
 
+// run writes what is requested until the log is closed or fails.
 func (w *writer) run() {
 	defer close(w.ended)
-	ticker := w.cfg.Clock.Ticker(roomInterval)
+	ticker := w.cfg.Clock.Ticker(spaceCheckInterval)
 	defer ticker.Stop()
-	w.snapping = make(chan covered, 1)
-	snapping := false
-	defer func() {
-		if snapping {
-			<-w.snapping
-		}
-		if w.current != nil {
-			_ = w.current.Close()
-		}
-		for len(w.in) > 0 {
-			if e := <-w.in; e.done != nil {
-				e.done <- w.Err()
-			}
-		}
-	}()
+	defer w.shutDown()
 	for {
 		select {
 		case <-w.quit:
 			return
 		case <-ticker.C():
-			w.room()
-		case left := <-w.snapping:
-			snapping = false
-			w.snapped(left)
-		case e := <-w.in:
-			batch, marker := w.gather(e)
-			if len(batch) > 0 {
-				if err := w.write(batch); err != nil {
-					w.fail(err)
-					return
-				}
-			}
-			if marker == nil {
-				continue
-			}
-			select {
-			case left := <-w.snapping: // its end was told before it was taken in
-				snapping = false
-				w.snapped(left)
-			default:
-			}
-			if snapping {
-				marker.done <- apierror.Errorf(apierror.CoreUnreachable, "another snapshot is being written")
-				continue
-			}
-			if err := w.begin(*marker); err != nil {
-				w.fail(err)
-				marker.done <- err
+			w.updateSpace()
+		case left := <-w.snapshotEnded:
+			w.finishSnapshot(left)
+		case next := <-w.requests:
+			if !w.handle(next) {
 				return
 			}
-			snapping = true
 		}
 	}
 }
 
-// snapped takes in what a snapshot that has ended left in the folder.
-func (w *writer) snapped(left covered) {
-	w.closed = append(left.segments, w.closed...)
-	w.kept = left.snapshots
-	w.room()
+// shutDown waits for a running snapshot, closes the segment and refuses the
+// snapshots that are still requested.
+func (w *writer) shutDown() {
+	if w.snapshotRunning {
+		<-w.snapshotEnded
+	}
+	if w.current != nil {
+		_ = w.current.Close()
+	}
+	for len(w.requests) > 0 {
+		if left := <-w.requests; left.snapshot != nil {
+			left.snapshot.done <- w.Err()
+		}
+	}
+}
+
+// handle writes a request and those that arrived with it. It returns false when
+// the log has failed.
+func (w *writer) handle(next request) (running bool) {
+	batch, snapshot := w.gather(next)
+	if len(batch) > 0 {
+		if err := w.writeBatch(batch); err != nil {
+			w.fail(err)
+			return false
+		}
+	}
+	if snapshot == nil {
+		return true
+	}
+	if err := w.beginSnapshot(snapshot); err != nil {
+		w.fail(err)
+		snapshot.done <- err
+		return false
+	}
+	return true
 }
 
 // gather takes what else has arrived, up to a snapshot or about 1 MiB.
-func (w *writer) gather(e entry) (batch []entry, marker *entry) {
+func (w *writer) gather(next request) (batch []request, snapshot *snapshotRequest) {
 	size := 0
 	for {
-		if e.done != nil {
-			return batch, &e
+		if next.snapshot != nil {
+			return batch, next.snapshot
 		}
-		batch = append(batch, e)
-		for _, record := range e.records {
+		batch = append(batch, next)
+		for _, record := range next.records {
 			size += len(record)
 		}
-		if size > batchBytes {
+		if size > maxBatchBytes {
 			return batch, nil
 		}
 		select {
-		case e = <-w.in:
+		case next = <-w.requests:
 		default:
 			return batch, nil
 		}
 	}
 }
 
-func (w *writer) write(batch []entry) error {
+// writeBatch writes and syncs records together. When there is no room it leaves
+// none of them in the segment.
+func (w *writer) writeBatch(batch []request) error {
 	if w.current == nil {
-		if err := w.begun(); err != nil {
+		if err := w.beginSegment(); err != nil {
 			return err
 		}
 	}
-	var data []byte
-	first, urgent := w.next, false
-	for _, e := range batch {
-		urgent = urgent || e.urgent
-		for _, record := range e.records {
-			data = appendFrame(data, w.next, first, record)
-			w.next++
-		}
-	}
-	n, err := w.current.Write(data)
-	if noRoom(err) && urgent && w.release() {
-		var more int
-		more, err = w.current.Write(data[n:])
-		n += more
-	}
-	if err == nil {
-		begun := w.cfg.Clock.Now()
-		err = w.current.Sync()
-		w.last.Store(int64(w.cfg.Clock.Now().Sub(begun)))
-	}
-	if noRoom(err) {
+	data, priority := w.encodeBatch(batch)
+	err := w.writeAndSync(data, priority)
+	if isNoSpace(err) {
 		w.full.Store(true)
-		if cut := w.current.Truncate(w.open.size); cut != nil {
-			err = errors.Wrap(cut, "cut a half-written batch")
+		if truncateErr := w.current.Truncate(w.segment.size); truncateErr != nil {
+			err = errors.Wrap(truncateErr, "cut a half-written batch")
 		}
-		return errors.Wrap(&apierror.Error{Code: apierror.DiskFull, Detail: err.Error()}, "append")
+		return errors.Wrap(&FullError{Detail: err.Error()}, "append")
 	}
 	if err != nil {
 		return errors.Wrap(err, "append")
 	}
-	w.open.size += int64(len(data))
-	w.waiting.Add(-int64(len(data)))
-	w.notify(w.next - 1)
-	if w.open.size > w.cfg.SegmentBytes {
-		return w.rotate()
+	w.segment.size += int64(len(data))
+	w.queuedBytes.Add(-int64(len(data)))
+	w.notifySynced(w.nextIndex - 1)
+	if w.segment.size > w.cfg.SegmentBytes {
+		return w.closeSegment()
 	}
 	return nil
 }
 
-// begun makes the next segment; it is safe before a record goes in.
-func (w *writer) begun() error {
-	f, err := w.disk.Create(w.path(segmentName(w.next)))
+// encodeBatch returns the batch's frames, and Urgent when any record of it is.
+func (w *writer) encodeBatch(batch []request) (data []byte, priority Priority) {
+	first := w.nextIndex
+	for _, next := range batch {
+		priority = max(priority, next.priority)
+		for _, record := range next.records {
+			data = frame{index: w.nextIndex, batch: first, record: record}.appendTo(data)
+			w.nextIndex++
+		}
+	}
+	return data, priority
+}
+
+// writeAndSync releases the reserve when an urgent batch finds no room.
+func (w *writer) writeAndSync(data []byte, priority Priority) error {
+	written, err := w.current.Write(data)
+	if isNoSpace(err) && priority == Urgent && w.releaseReserve() {
+		_, err = w.current.Write(data[written:])
+	}
+	if err != nil {
+		return err
+	}
+	start := w.cfg.Clock.Now()
+	err = w.current.Sync()
+	w.lastSync.Store(int64(w.cfg.Clock.Now().Sub(start)))
+	return err
+}
+
+// beginSegment creates the next segment and syncs it with its folder, so that it
+// is there before a record goes in.
+func (w *writer) beginSegment() error {
+	file, err := w.files.Create(w.path(segmentFileName(w.nextIndex)))
 	if err != nil {
 		return errors.Wrap(err, "new segment")
 	}
-	if _, err = f.Write(segmentHeader(w.next)); err == nil {
-		err = f.Sync()
+	if _, err = file.Write(segmentHeader(w.nextIndex)); err == nil {
+		err = file.Sync()
 	}
 	if err == nil {
-		err = w.disk.SyncFolder(w.cfg.Folder)
+		err = w.files.SyncFolder(w.cfg.Folder)
 	}
 	if err != nil {
-		_ = f.Close()
-		if noRoom(err) {
+		_ = file.Close()
+		if isNoSpace(err) {
 			w.full.Store(true)
-			return errors.Wrap(&apierror.Error{Code: apierror.DiskFull, Detail: err.Error()}, "new segment")
+			err = &FullError{Detail: err.Error()}
 		}
 		return errors.Wrap(err, "new segment")
 	}
-	w.current, w.open = f, segment{first: w.next, size: segmentHead}
-	w.used.Add(segmentHead)
+	w.current = file
+	w.segment = storedFile{index: w.nextIndex, size: segmentHeaderSize}
+	w.usedBytes.Add(segmentHeaderSize)
 	return nil
 }
 
-func (w *writer) rotate() error {
-	if w.current == nil || w.open.size <= segmentHead {
+// closeSegment closes the open segment if there is a record in it.
+func (w *writer) closeSegment() error {
+	if w.current == nil || w.segment.size <= segmentHeaderSize {
 		return nil
 	}
 	if err := w.current.Close(); err != nil {
 		return errors.Wrap(err, "close a segment")
 	}
-	w.closed = append(w.closed, w.open)
+	w.stored.segments = append(w.stored.segments, w.segment)
 	w.current = nil
 	return nil
 }
-
-// begin closes the segment, so that all before the snapshot can go, and writes
-// the snapshot on a goroutine of its own.
-func (w *writer) begin(marker entry) error {
-	if err := w.rotate(); err != nil {
-		return err
-	}
-	size := snapshotHead + int64(len(marker.snapshot))
-	if w.cfg.Quota > 0 && w.used.Load()+size > w.cfg.Quota {
-		w.snapping <- covered{segments: w.closed, snapshots: w.kept}
-		w.closed = nil
-		marker.done <- apierror.Errorf(apierror.DiskFull, "a snapshot of %d bytes beside %d bytes used", size, w.used.Load())
-		return nil
-	}
-	if w.full.Load() {
-		w.release()
-	}
-	before := covered{segments: w.closed, snapshots: w.kept}
-	w.closed, w.kept = nil, nil
-	go func() {
-		left, err := w.snapshot(marker, before)
-		w.snapping <- left
-		marker.done <- err
-	}()
-	return nil
-}
-
-func (w *writer) snapshot(marker entry, before covered) (left covered, err error) {
-	made := segment{first: marker.first, size: snapshotHead + int64(len(marker.snapshot))}
-	w.used.Add(made.size)
-	final := w.path(snapshotName(marker.first))
-	if err := w.aside(final+asideSuffix, marker); err != nil {
-		w.used.Add(-made.size)
-		_ = w.disk.Remove(final + asideSuffix)
-		if noRoom(err) {
-			return before, &apierror.Error{Code: apierror.DiskFull, Detail: err.Error()}
-		}
-		return before, errors.Wrap(err, "snapshot")
-	}
-	if err := w.disk.Rename(final+asideSuffix, final); err != nil {
-		return before, errors.Wrap(err, "snapshot")
-	}
-	before.snapshots = slices.DeleteFunc(slices.Clone(before.snapshots), func(s segment) bool {
-		if s.first == made.first {
-			w.used.Add(-s.size)
-		}
-		return s.first == made.first
-	})
-	if err := w.disk.SyncFolder(w.cfg.Folder); err != nil {
-		before.snapshots = append(before.snapshots, made)
-		return before, errors.Wrap(err, "snapshot")
-	}
-	left.segments, err = w.removeAll(before.segments, segmentName)
-	if err == nil {
-		left.snapshots, err = w.removeAll(before.snapshots, snapshotName)
-	} else {
-		left.snapshots = before.snapshots
-	}
-	left.snapshots = append(left.snapshots, made)
-	return left, err
-}
-
-func (w *writer) aside(path string, marker entry) error {
-	f, err := w.disk.Create(path)
-	if err != nil {
-		return err
-	}
-	if _, err = f.Write(snapshotHeader(marker.first, marker.snapshot)); err == nil {
-		_, err = f.Write(marker.snapshot)
-	}
-	if err == nil {
-		err = f.Sync()
-	}
-	if closed := f.Close(); err == nil {
-		err = closed
-	}
-	return err
-}
-
-// removeAll removes files in order and returns those that are left.
-func (w *writer) removeAll(files []segment, name func(uint64) string) ([]segment, error) {
-	for i, file := range files {
-		if err := w.disk.Remove(w.path(name(file.first))); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return files[i:], errors.Wrap(err, "remove what the snapshot replaces")
-		}
-		w.used.Add(-file.size)
-	}
-	return nil, nil
-}
-
-// room keeps the reserve on a disk without a quota: a file of its size whose
-// blocks can be given back. The disk counts as full while the reserve, or a
-// little room beside it, can't be had.
-func (w *writer) room() {
-	if !w.full.Load() && (w.reserved || w.barren || w.cfg.Quota > 0) {
-		return
-	}
-	w.full.Store(noRoom(w.allocate()))
-}
-
-func (w *writer) allocate() error {
-	if w.cfg.Quota == 0 && !w.barren {
-		err := w.disk.Allocate(w.path(reserveName), w.cfg.ReserveBytes)
-		w.reserved = err == nil
-		if err != nil {
-			_ = w.disk.Remove(w.path(reserveName))
-			w.barren = !noRoom(err)
-			return err
-		}
-	}
-	trial := w.path("room" + asideSuffix)
-	err := w.disk.Allocate(trial, min(w.cfg.ReserveBytes, trialBytes))
-	_ = w.disk.Remove(trial)
-	return err
-}
-
-// release gives the reserve's blocks back and tells whether there were any.
-func (w *writer) release() bool {
-	if !w.reserved {
-		return false
-	}
-	w.reserved = false
-	return w.disk.Remove(w.path(reserveName)) == nil
-}
--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -31,7 +31,7 @@
 	}
 	defer log.Close()
 	for _, record := range records {
-		place, err := log.Append([][]byte{paxos.EncodeRecord(record)}, false)
+		place, err := log.Append([][]byte{paxos.EncodeRecord(record)}, disklog.Ordinary)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -209,7 +209,7 @@
 		t.Fatal(err)
 	}
 	add = func(record []byte) {
-		place, err := log.Append([][]byte{record}, false)
+		place, err := log.Append([][]byte{record}, disklog.Ordinary)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	for range records {
-		if _, err := log.Append([][]byte{[]byte("record")}, false); err != nil {
+		if _, err := log.Append([][]byte{[]byte("record")}, disklog.Ordinary); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/node/replica/commit.go
+++ b/internal/node/replica/commit.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"stepwick/internal/adapter/disklog"
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/paxos"
 )
@@ -16,6 +17,14 @@
 	forIncarnation
 )
 
+// priority is the one with which the records are appended.
+func (p purpose) priority() disklog.Priority {
+	if p == forIncarnation {
+		return disklog.Urgent
+	}
+	return disklog.Ordinary
+}
+
 // commitAndReply commits records and replies once they are synced. When they
 // can't be kept, it replies with the refusal by the error's code or, without
 // one, with the error.
@@ -61,15 +70,15 @@
 	for i, record := range records {
 		encoded[i] = paxos.EncodeRecord(record)
 	}
-	if _, err := o.log.Append(encoded, purpose == forIncarnation); err != nil {
+	if _, err := o.log.Append(encoded, purpose.priority()); err != nil {
 		if apierror.From(err).Code == apierror.DiskFull {
-			o.updateRoom(purpose == forLearning)
+			o.updateSpace(purpose == forLearning)
 			o.startCompaction()
 		}
 		return err
 	}
 	if purpose == forLearning && o.disk.learnBlocked {
-		o.updateRoom(false)
+		o.updateSpace(false)
 	}
 	o.disk.lastAppend = o.replica.clock.Now()
 	for _, record := range encoded {
--- a/internal/node/replica/disk.go
+++ b/internal/node/replica/disk.go
@@ -21,8 +21,8 @@
 // exhausted reports whether the core must refuse to vote.
 func (d diskStatus) exhausted() bool { return d.full || d.learnBlocked }
 
-// updateRoom takes in whether the log is full, and publishes a change.
-func (o *owner) updateRoom(learnBlocked bool) {
+// updateSpace takes in whether the log is full, and publishes a change.
+func (o *owner) updateSpace(learnBlocked bool) {
 	before := o.disk.exhausted()
 	o.disk.full = o.log.Full()
 	o.disk.learnBlocked = learnBlocked
@@ -40,7 +40,7 @@
 
 // checkDisk is called at each poll interval.
 func (o *owner) checkDisk() {
-	o.updateRoom(o.disk.learnBlocked)
+	o.updateSpace(o.disk.learnBlocked)
 	if o.disk.exhausted() {
 		o.startCompaction()
 	}
--- a/internal/node/replica/log.go
+++ b/internal/node/replica/log.go
@@ -6,7 +6,7 @@
 
 // Log is the durable log of a replica; *disklog.Log implements and documents it.
 type Log interface {
-	Append(records [][]byte, urgent bool) (index uint64, err error)
+	Append(records [][]byte, priority disklog.Priority) (index uint64, err error)
 	WriteSnapshot(data []byte) (done <-chan error)
 	LastIndex() uint64
 	Synced() <-chan uint64
