--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -11,7 +11,7 @@
 	// maxQueuedRequests and maxQueuedBytes limit what waits for a slow disk.
 	maxQueuedRequests = 4096
 	maxQueuedBytes    = 128 << 20
-	// typicalRecordBytes is the size for which Full tells whether there is room.
+	// typicalRecordBytes is the size of record that Full assumes.
 	typicalRecordBytes = 1024
 )
 
--- a/internal/adapter/disklog/snapshot_test.go
+++ b/internal/adapter/disklog/snapshot_test.go
@@ -35,8 +35,15 @@
 	d.step()
 	return d.FileSystem.Rename(from, to)
 }
-func (d *crashingFileSystem) Remove(path string) error  { d.step(); return d.FileSystem.Remove(path) }
-func (d *crashingFileSystem) SyncFolder(f string) error { d.step(); return d.FileSystem.SyncFolder(f) }
+func (d *crashingFileSystem) Remove(path string) error {
+	d.step()
+	return d.FileSystem.Remove(path)
+}
+
+func (d *crashingFileSystem) SyncFolder(f string) error {
+	d.step()
+	return d.FileSystem.SyncFolder(f)
+}
 
 type crashingFile struct {
 	File
@@ -53,7 +60,10 @@
 	more, err := f.File.Write(p[len(p)/2:])
 	return n + more, err
 }
-func (f crashingFile) Sync() error { f.disk.step(); return f.File.Sync() }
+func (f crashingFile) Sync() error {
+	f.disk.step()
+	return f.File.Sync()
+}
 
 func TestCrashAtEverySnapshotStep(t *testing.T) {
 	for step := 1; ; step++ {
--- a/internal/decision/paxos/doc.go
+++ b/internal/decision/paxos/doc.go
@@ -18,7 +18,7 @@
 // A disk incarnation counts the disks that a core has voted on. Plain Paxos
 // assumes that an acceptor never forgets. Here a core may lose its disk, and
 // with it promises and accepted values. It then takes a higher incarnation,
-// which the others sync before they hand over their state; answers of an
+// which the others sync before they send their state; answers of an
 // earlier incarnation are not counted from then on.
 //
 // Values are opaque here. Which of them are valid, and what they do, is decided
--- a/internal/node/replica/ballot.go
+++ b/internal/node/replica/ballot.go
@@ -68,25 +68,17 @@
 }
 
 func (r *Replica) sendPrepare(ctx context.Context, voters []string, req *wire.PrepareRequest, timeout time.Duration, answers chan<- ballotAnswer) {
-	for _, core := range voters {
-		go func() {
-			callCtx, cancel := context.WithTimeout(ctx, timeout)
-			defer cancel()
-			resp, _ := callVoter(callCtx, r, core, req, r.Prepare, wireconnect.PeerClient.Prepare)
-			answers <- ballotAnswer{core: core, phase: paxos.Preparing, prepared: resp}
-		}()
-	}
+	callEach(ctx, voters, timeout, func(ctx context.Context, core string) {
+		resp, _ := callVoter(ctx, r, core, req, r.Prepare, wireconnect.PeerClient.Prepare)
+		answers <- ballotAnswer{core: core, phase: paxos.Preparing, prepared: resp}
+	})
 }
 
 func (r *Replica) sendAccept(ctx context.Context, voters []string, req *wire.AcceptRequest, timeout time.Duration, answers chan<- ballotAnswer) {
-	for _, core := range voters {
-		go func() {
-			callCtx, cancel := context.WithTimeout(ctx, timeout)
-			defer cancel()
-			resp, _ := callVoter(callCtx, r, core, req, r.Accept, wireconnect.PeerClient.Accept)
-			answers <- ballotAnswer{core: core, phase: paxos.Accepting, accepted: resp}
-		}()
-	}
+	callEach(ctx, voters, timeout, func(ctx context.Context, core string) {
+		resp, _ := callVoter(ctx, r, core, req, r.Accept, wireconnect.PeerClient.Accept)
+		answers <- ballotAnswer{core: core, phase: paxos.Accepting, accepted: resp}
+	})
 }
 
 // learnChosen takes in a chosen value and sends it to the other voters. The
@@ -105,11 +97,7 @@
 }
 
 func (r *Replica) sendLearn(serving context.Context, state paxos.State, req *wire.LearnRequest) {
-	for _, core := range state.Others() {
-		go func() {
-			ctx, cancel := context.WithTimeout(serving, r.cfg.RecoveryTimeout)
-			defer cancel()
-			_, _ = callVoter(ctx, r, core, req, r.Learn, wireconnect.PeerClient.Learn)
-		}()
-	}
+	callEach(serving, state.Others(), r.cfg.RecoveryTimeout, func(ctx context.Context, core string) {
+		_, _ = callVoter(ctx, r, core, req, r.Learn, wireconnect.PeerClient.Learn)
+	})
 }
--- a/internal/node/replica/call.go
+++ b/internal/node/replica/call.go
@@ -62,6 +62,17 @@
 	return resp.Msg, nil
 }
 
+// callEach calls each core on a goroutine of its own and doesn't wait for them.
+func callEach(ctx context.Context, cores []string, timeout time.Duration, call func(ctx context.Context, core string)) {
+	for _, core := range cores {
+		go func() {
+			ctx, cancel := context.WithTimeout(ctx, timeout)
+			defer cancel()
+			call(ctx, core)
+		}()
+	}
+}
+
 // callAll calls several cores at once and returns the answers by core, without
 // those that failed. Once enough have answered, the others have a short grace;
 // enough of zero waits for all of them.
--- a/internal/node/replica/fleet_test.go
+++ b/internal/node/replica/fleet_test.go
@@ -35,7 +35,14 @@
 }
 
 func newFleet(t testing.TB, names ...string) *fleet {
-	f := &fleet{t: t, root: t.TempDir(), cores: map[string]*atomic.Pointer[Replica]{}, stop: map[string]func(){}, partitioned: map[string]*atomic.Bool{}, disk: map[string]disklog.Config{}}
+	f := &fleet{
+		t:           t,
+		root:        t.TempDir(),
+		cores:       map[string]*atomic.Pointer[Replica]{},
+		stop:        map[string]func(){},
+		partitioned: map[string]*atomic.Bool{},
+		disk:        map[string]disklog.Config{},
+	}
 	for _, name := range names {
 		f.partitioned[name] = &atomic.Bool{}
 		f.cores[name] = &atomic.Pointer[Replica]{}
@@ -53,9 +60,16 @@
 		r := New(cfg, OnDisk(f.disk[name]), peers{f, name}, clock.System(), events.Discard)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		go func() { _ = r.Serve(ctx); close(done) }()
+		go func() {
+			defer close(done)
+			_ = r.Serve(ctx)
+		}()
 		f.cores[name].Store(r)
-		f.stop[name] = func() { cancel(); <-done; f.cores[name].Store(nil) }
+		f.stop[name] = func() {
+			cancel()
+			<-done
+			f.cores[name].Store(nil)
+		}
 	}
 }
 
--- a/internal/node/replica/loopback_test.go
+++ b/internal/node/replica/loopback_test.go
@@ -21,8 +21,12 @@
 
 type directory map[string]*wire.Process
 
-func (d directory) Process(name string) (*wire.Process, bool) { p, ok := d[name]; return p, ok }
-func (d directory) Cores() []*wire.Process                    { return port.CoresOf(d.Processes()) }
+func (d directory) Process(name string) (*wire.Process, bool) {
+	process, known := d[name]
+	return process, known
+}
+
+func (d directory) Cores() []*wire.Process { return port.CoresOf(d.Processes()) }
 
 func (d directory) Processes() []*wire.Process {
 	return []*wire.Process{d["a"], d["b"], d["c"]}
@@ -85,7 +89,10 @@
 		go func() { _ = http.Serve(listener, mux) }()
 	}
 	for _, r := range cores {
-		go func() { _ = r.Serve(ctx); done <- struct{}{} }()
+		go func() {
+			_ = r.Serve(ctx)
+			done <- struct{}{}
+		}()
 	}
 	for _, r := range cores {
 		for changed := r.Changed(); r.Standing() != wire.Standing_STANDING_VOTING; changed = r.Changed() {
--- a/internal/node/replica/read.go
+++ b/internal/node/replica/read.go
@@ -25,8 +25,8 @@
 }
 
 // ReadMajority returns a configuration that includes whatever was chosen before
-// the call. It asks a majority of the voters and completes the slots that it
-// finds accepted. Without a majority it returns an error of the code NoMajority.
+// the call. It reads from a majority of the voters and completes the slots that
+// it finds accepted. Without a majority it returns an error of the code NoMajority.
 func (r *Replica) ReadMajority(ctx context.Context) (sheet.State, error) {
 	state, err := r.votingState(ctx)
 	if err != nil {
@@ -53,8 +53,8 @@
 	}
 }
 
-// pollVoters asks every voter which slots it has learned and accepted, and which
-// incarnation of this core it knows. It waits for all of them or the calls'
+// pollVoters reads from every voter which slots it has learned and accepted, and
+// which incarnation of this core it knows. It waits for all of them or the calls'
 // timeout, but only for a short grace once a majority has answered.
 func (r *Replica) pollVoters(ctx context.Context, state paxos.State) voterPoll {
 	req := &wire.ReadRequest{Formation: state.Formation, Core: r.cfg.Self}
--- a/internal/node/replica/recovery.go
+++ b/internal/node/replica/recovery.go
@@ -15,7 +15,7 @@
 // means that its disk was lost.
 const firstIncarnation = 1
 
-// probeCores asks cores for their formation and the incarnations they know.
+// probeCores requests from cores their formation and the incarnations they know.
 func (r *Replica) probeCores(ctx context.Context, cores []string) map[string]*wire.RecoverResponse {
 	req := &wire.RecoverRequest{Core: r.cfg.Self, Probe: true}
 	return callAll(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
--- a/internal/node/replica/survivors.go
+++ b/internal/node/replica/survivors.go
@@ -14,7 +14,8 @@
 const foundingSlotGap = 1000
 
 // survivingState returns the highest agreed state that any process still has
-// after the loss of every core's disk, or else what is missing to tell.
+// after the loss of every core's disk, or else the reason why it can't be found
+// yet.
 //
 // An acknowledged version was confirmed by more than half of its roster, so more
 // than half must answer and have a state. The new formation leaves a gap of
