--- a/internal/adapter/disklog/full_test.go
+++ b/internal/adapter/disklog/full_test.go
@@ -109,7 +109,7 @@
 	return smallFile{f, d}, nil
 }
 
-func (d *smallFileSystem) Allocate(path string, size int64) error {
+func (d *smallFileSystem) Allocate(path string, _ int64) error {
 	if strings.HasSuffix(path, reserveFileName) {
 		if d.reserved == 0 {
 			d.reserved = 500
--- a/sim/paxos/message.go
+++ b/sim/paxos/message.go
@@ -10,26 +10,41 @@
 	"stepwick/internal/wire"
 )
 
-// message is a request or an answer in flight. An answer names the incarnation
-// and run of the process that sent the request.
+// message is a request or an answer in flight, in the one field that is set of
+// prepare to recovered. An answer names the process and the run of its proposer
+// that sent the request.
 type message struct {
-	hash          uint64
-	from, to      int
-	incarnation   int
-	run           int
-	prepare       *wire.PrepareRequest
-	prepared      *wire.PrepareResponse
-	accept        *wire.AcceptRequest
-	accepted      *wire.AcceptResponse
-	recover       *wire.RecoverRequest
-	recovered     *wire.RecoverResponse
-	deliveredOnce bool
+	hash               uint64
+	from               int
+	to                 int
+	processIncarnation int
+	run                int
+	prepare            *wire.PrepareRequest
+	prepared           *wire.PrepareResponse
+	accept             *wire.AcceptRequest
+	accepted           *wire.AcceptResponse
+	recover            *wire.RecoverRequest
+	recovered          *wire.RecoverResponse
+	deliveredOnce      bool
 }
 
-// refusal reports whether an answer changes nothing at its receiver. Such an
+// Tags separate the kinds of messages in their hashes.
+const (
+	prepareTag byte = 1 + iota
+	preparedTag
+	acceptTag
+	acceptedTag
+	recoverTag
+	recoveredTag
+)
+
+// hashBufferSize is enough for the messages of small worlds.
+const hashBufferSize = 256
+
+// isRefusal reports whether an answer changes nothing at its receiver. Such an
 // answer need not be delivered: whatever can happen after it can happen while it
 // is in flight.
-func (msg *message) refusal() bool {
+func (msg *message) isRefusal() bool {
 	switch {
 	case msg.prepared != nil:
 		return !msg.prepared.Promised && !msg.prepared.Chosen
@@ -39,58 +54,74 @@
 	return !msg.recovered.Ok
 }
 
-func (msg *message) answer() bool {
+func (msg *message) isAnswer() bool {
 	return msg.prepared != nil || msg.accepted != nil || msg.recovered != nil
 }
 
 func (msg *message) String() string {
-	head := fmt.Sprintf("%s to %s (life %d, run %d) ", names[msg.from], names[msg.to], msg.incarnation, msg.run)
+	return fmt.Sprintf("%s to %s (life %d, run %d) ", names[msg.from], names[msg.to], msg.processIncarnation, msg.run) + msg.body()
+}
+
+func (msg *message) body() string {
 	switch {
 	case msg.prepare != nil:
-		return head + fmt.Sprintf("prepare %d", msg.prepare.Ballot.Number)
+		return fmt.Sprintf("prepare %d", msg.prepare.Ballot.Number)
 	case msg.prepared != nil:
-		m := msg.prepared
-		return head + fmt.Sprintf("promised %v %v accepted %v %q chosen %v %q lives %v", m.Promised, paxos.BallotFromWire(m.PromisedBallot),
-			paxos.BallotFromWire(m.AcceptedBallot), m.AcceptedValue, m.Chosen, m.ChosenValue, m.Lives)
+		resp := msg.prepared
+		return fmt.Sprintf("promised %v %v accepted %v %q chosen %v %q lives %v", resp.Promised, paxos.BallotFromWire(resp.PromisedBallot),
+			paxos.BallotFromWire(resp.AcceptedBallot), resp.AcceptedValue, resp.Chosen, resp.ChosenValue, resp.Lives)
 	case msg.accept != nil:
-		return head + fmt.Sprintf("accept %d %q on lives %v", msg.accept.Ballot.Number, msg.accept.Value, msg.accept.PromisedLives)
+		return fmt.Sprintf("accept %d %q on lives %v", msg.accept.Ballot.Number, msg.accept.Value, msg.accept.PromisedLives)
 	case msg.accepted != nil:
-		m := msg.accepted
-		return head + fmt.Sprintf("accepted %v of %v lives %v chosen %v %q", m.Accepted, paxos.BallotFromWire(m.PromisedBallot), m.Lives, m.Chosen, m.ChosenValue)
+		resp := msg.accepted
+		return fmt.Sprintf("accepted %v of %v lives %v chosen %v %q", resp.Accepted, paxos.BallotFromWire(resp.PromisedBallot),
+			resp.Lives, resp.Chosen, resp.ChosenValue)
 	case msg.recover != nil:
-		return head + fmt.Sprintf("recover life %d", msg.recover.Life)
+		return fmt.Sprintf("recover life %d", msg.recover.Life)
 	}
-	m := msg.recovered
-	return head + fmt.Sprintf("recovered %v votes %v chosen %v lives %v", m.Ok, m.Votes, m.Chosen, m.Lives)
+	resp := msg.recovered
+	return fmt.Sprintf("recovered %v votes %v chosen %v lives %v", resp.Ok, resp.Votes, resp.Chosen, resp.Lives)
 }
 
-func (msg message) summed() *message {
-	msg.hash = msg.sum()
+// withHash returns the message with the hash by which equal ones are recognized.
+func (msg message) withHash() *message {
+	msg.hash = msg.computeHash()
 	return &msg
 }
 
-func (msg *message) sum() uint64 {
-	to := append(make([]byte, 0, 256), byte(msg.from), byte(msg.to), byte(msg.incarnation), byte(msg.run))
+func (msg *message) computeHash() uint64 {
+	key := make([]byte, 0, hashBufferSize)
+	key = append(key, byte(msg.from), byte(msg.to), byte(msg.processIncarnation), byte(msg.run))
+	return xxhash.Sum64(msg.appendBody(key))
+}
+
+func (msg *message) appendBody(key []byte) []byte {
 	switch {
 	case msg.prepare != nil:
-		to = binary.AppendUvarint(append(to, 1), msg.prepare.Ballot.Number)
+		return binary.AppendUvarint(append(key, prepareTag), msg.prepare.Ballot.Number)
 	case msg.prepared != nil:
-		m := msg.prepared
-		to = appendBallots(append(to, 2, bit(m.Promised), bit(m.Chosen), byte(m.Refusal)), m.PromisedBallot, m.AcceptedBallot)
-		to = appendLives(append(append(to, m.AcceptedValue...), m.ChosenValue...), m.Lives)
+		resp := msg.prepared
+		key = append(key, preparedTag, bit(resp.Promised), bit(resp.Chosen), byte(resp.Refusal))
+		key = appendBallots(key, resp.PromisedBallot, resp.AcceptedBallot)
+		key = append(key, resp.AcceptedValue...)
+		key = append(key, resp.ChosenValue...)
+		return appendIncarnations(key, resp.Lives)
 	case msg.accept != nil:
-		to = append(binary.AppendUvarint(append(to, 3), msg.accept.Ballot.Number), msg.accept.Value...)
-		to = appendLives(to, msg.accept.PromisedLives)
+		key = binary.AppendUvarint(append(key, acceptTag), msg.accept.Ballot.Number)
+		key = append(key, msg.accept.Value...)
+		return appendIncarnations(key, msg.accept.PromisedLives)
 	case msg.accepted != nil:
-		m := msg.accepted
-		to = appendBallots(append(to, 4, bit(m.Accepted), bit(m.Chosen), byte(m.Refusal)), m.PromisedBallot)
-		to = appendLives(append(to, m.ChosenValue...), m.Lives)
+		resp := msg.accepted
+		key = append(key, acceptedTag, bit(resp.Accepted), bit(resp.Chosen), byte(resp.Refusal))
+		key = appendBallots(key, resp.PromisedBallot)
+		key = append(key, resp.ChosenValue...)
+		return appendIncarnations(key, resp.Lives)
 	case msg.recover != nil:
-		to = append(to, 5, byte(msg.recover.Life))
+		return append(key, recoverTag, byte(msg.recover.Life))
 	case msg.recovered != nil:
-		to = appendRecovered(append(to, 6), msg.recovered)
+		return appendRecovered(append(key, recoveredTag), msg.recovered)
 	}
-	return xxhash.Sum64(to)
+	return key
 }
 
 func bit(b bool) byte {
@@ -100,27 +131,30 @@
 	return 0
 }
 
-func appendLives(to []byte, lives map[string]uint64) []byte {
+func appendIncarnations(key []byte, incarnations map[string]uint64) []byte {
 	for _, name := range names {
-		to = append(to, byte(lives[name]))
+		key = append(key, byte(incarnations[name]))
 	}
-	return to
+	return key
 }
 
-func appendBallots(to []byte, ballots ...*wire.Ballot) []byte {
-	for _, b := range ballots {
-		to = append(append(to, byte(b.GetNumber())), b.GetCore()...)
+func appendBallots(key []byte, ballots ...*wire.Ballot) []byte {
+	for _, ballot := range ballots {
+		key = append(key, byte(ballot.GetNumber()))
+		key = append(key, ballot.GetCore()...)
 	}
-	return append(to, 0)
+	return append(key, 0)
 }
 
-func appendRecovered(to []byte, m *wire.RecoverResponse) []byte {
-	to = appendLives(append(to, bit(m.Ok), byte(len(m.Votes)), byte(len(m.Chosen))), m.Lives)
-	for _, vote := range m.Votes {
-		to = append(appendBallots(to, vote.Promised, vote.Accepted), vote.Value...)
+func appendRecovered(key []byte, resp *wire.RecoverResponse) []byte {
+	key = append(key, bit(resp.Ok), byte(len(resp.Votes)), byte(len(resp.Chosen)))
+	key = appendIncarnations(key, resp.Lives)
+	for _, vote := range resp.Votes {
+		key = appendBallots(key, vote.Promised, vote.Accepted)
+		key = append(key, vote.Value...)
 	}
-	for _, chosen := range m.Chosen {
-		to = append(to, chosen.Command...)
+	for _, chosen := range resp.Chosen {
+		key = append(key, chosen.Command...)
 	}
-	return to
+	return key
 }
--- a/sim/paxos/model.go
+++ b/sim/paxos/model.go
@@ -24,13 +24,13 @@
 
 // Flaws.
 const (
-	Sound          Flaw = iota
-	LivesHidden         // answers omit later disk lives
-	LifeForgotten       // an acceptor does not record the disk life it is notified of
-	PromiseTwice        // a ballot may be promised to two openings
-	PartialRebuild      // a wiped core takes the first answer for a complete rebuild quorum
-	RebuildWithout      // a wiped core votes without a rebuild
-	SharedLife          // two processes of one name may announce the same disk life
+	Sound                Flaw = iota
+	IncarnationsHidden        // answers omit later disk incarnations
+	IncarnationForgotten      // an acceptor does not record the disk incarnation that is announced
+	PromiseTwice              // a ballot may be promised twice
+	PartialRecovery           // a wiped core takes the first answer for a recovery quorum
+	VoteWithoutRecovery       // a wiped core votes without a recovery
+	SharedIncarnation         // two processes of one name may announce the same disk incarnation
 )
 
 // Bounds limit an exploration.
@@ -39,7 +39,7 @@
 	Wipes      int    // never of the last disk
 	Wiped      string // which cores may be; empty is all
 	Crashes    int
-	Rebuilds   int // attempts of wiped cores to recover; 0 is one for each wipe and crash
+	Recoveries int // attempts of wiped cores to recover; 0 is one for each wipe and crash
 	Duplicates int
 	Eager      bool // an answer arrives at once or is lost; else it may arrive at any time
 	States     int  // stop after so many; 0 is none
@@ -72,7 +72,10 @@
 
 // handling identifies the handling of a message by the hashes of the node and
 // the message.
-type handling struct{ node, message uint64 }
+type handling struct {
+	node    uint64
+	message uint64
+}
 
 // handlerCache keeps what a node does with a message, which recurs in many worlds.
 type handlerCache struct {
@@ -93,75 +96,77 @@
 }
 
 type node struct {
-	state       paxos.State
-	incarnation int // of the process: answers to an earlier one are lost
-	run         int // of the proposer
-	proposer    *paxos.Proposer
-	rebuild     *rebuild
-	proposals   int
-	hash        uint64
+	state              paxos.State
+	processIncarnation int // answers to an earlier process are lost
+	run                int // of the proposer
+	proposer           *paxos.Proposer
+	recovery           *recovery
+	proposals          int
+	hash               uint64
 }
 
-type rebuild struct {
-	diskLife uint64
-	answers  map[string]*wire.RecoverResponse
+type recovery struct {
+	incarnation uint64
+	answers     map[string]*wire.RecoverResponse
 }
 
 // step is one transition; it is formatted only when it is printed.
 type step struct {
-	what    string
-	core    int
-	message *message
+	description string
+	core        int
+	message     *message
 }
 
 func (s step) String() string {
 	if s.message != nil {
-		return strings.TrimSpace(s.message.String() + " " + s.what)
+		return strings.TrimSpace(s.message.String() + " " + s.description)
 	}
-	return s.what + " " + names[s.core]
+	return s.description + " " + names[s.core]
 }
 
 // Explore visits every reachable state within the bounds, depth first, and
 // stops at the first violation.
 func Explore(b Bounds) Report {
-	if b.Rebuilds == 0 {
-		b.Rebuilds = b.Wipes + b.Crashes
+	if b.Recoveries == 0 {
+		b.Recoveries = b.Wipes + b.Crashes
 	}
-	w := world{bounds: b, cache: &handlerCache{requests: map[handling]requestResult{}, answers: map[handling]answerResult{}}}
+	cache := &handlerCache{requests: map[handling]requestResult{}, answers: map[handling]answerResult{}}
+	w := world{bounds: b, cache: cache}
 	for i, name := range names {
-		state := paxos.FormationJoined{Formation: "f", Voters: names}.Apply(paxos.Blank(name))
-		state = paxos.RecoveryCompleted{Incarnations: map[string]uint64{"a": 1, "b": 1, "c": 1}}.Apply(state)
+		state := paxos.FormationJoined{Formation: modelFormation, Voters: names}.Apply(paxos.Blank(name))
+		state = paxos.RecoveryCompleted{Incarnations: firstIncarnations}.Apply(state)
 		w.cores[i] = node{state: state, proposals: b.Ballots[i]}.hashed()
 	}
-	e := explorer{limit: b.States, seen: map[uint64]struct{}{}}
+	e := explorer{limit: b.States, visited: map[uint64]struct{}{}}
 	e.report.Complete = true
 	e.explore(w, 0)
 	return e.report
 }
 
 type explorer struct {
-	report Report
-	limit  int
-	seen   map[uint64]struct{}
-	trace  []step
-	buffer []byte
+	report  Report
+	limit   int
+	visited map[uint64]struct{}
+	trace   []step
+	buffer  []byte
 }
 
 func (e *explorer) explore(w world, depth int) bool {
-	e.buffer = w.key(e.buffer[:0])
+	e.buffer = w.appendKey(e.buffer[:0])
 	hash := xxhash.Sum64(e.buffer)
-	if _, seen := e.seen[hash]; seen {
+	if _, seen := e.visited[hash]; seen {
 		return false
 	}
-	if e.limit > 0 && len(e.seen) >= e.limit {
+	if e.limit > 0 && len(e.visited) >= e.limit {
 		e.report.Complete = false
 		return false
 	}
-	e.seen[hash] = struct{}{}
+	e.visited[hash] = struct{}{}
 	e.report.States++
 	e.report.Deepest = max(e.report.Deepest, depth)
-	if what := w.check(); what != "" {
-		e.report.Violation, e.report.Complete = what, false
+	if violation := w.check(); violation != "" {
+		e.report.Violation = violation
+		e.report.Complete = false
 		for _, step := range e.trace {
 			e.report.Trace = append(e.report.Trace, step.String())
 		}
@@ -189,7 +194,7 @@
 	}
 	for i := range w.cores {
 		for j := i + 1; j < len(w.cores); j++ {
-			if value, open := found(w.cores[i].state, w.cores[j].state); open && !bytes.Equal(value, w.decided) {
+			if value, open := acceptedValue(w.cores[i].state, w.cores[j].state); open && !bytes.Equal(value, w.decided) {
 				return fmt.Sprintf("%s and %s would choose %q after %q was chosen", names[i], names[j], value, w.decided)
 			}
 		}
@@ -197,18 +202,19 @@
 	return ""
 }
 
-// found returns the value that a ballot would take up from two voting cores.
-func found(a, b paxos.State) (value []byte, open bool) {
-	var top paxos.Ballot
-	for _, s := range []paxos.State{a, b} {
-		if s.Incarnation() == 0 {
+// acceptedValue returns the value that a ballot would take up from two voting cores.
+func acceptedValue(a, b paxos.State) (value []byte, open bool) {
+	var highest paxos.Ballot
+	for _, state := range []paxos.State{a, b} {
+		if state.Incarnation() == 0 {
 			return nil, false
 		}
-		if command, learned := s.Command(slot); learned {
+		if command, learned := state.Command(slot); learned {
 			return command, true
 		}
-		if vote := s.OpenSlots[slot]; top.Less(vote.Accepted) {
-			top, value = vote.Accepted, vote.Value
+		if accepted := state.OpenSlots[slot]; highest.Less(accepted.Accepted) {
+			highest = accepted.Accepted
+			value = accepted.Value
 		}
 	}
 	return value, true
@@ -222,44 +228,60 @@
 		}
 	}
 	for i := range w.cores {
-		if w.open(i, visit) || w.startRebuild(i, visit) || w.wipe(i, visit) || w.crash(i, visit) {
+		if w.openBallot(i, visit) || w.startRecovery(i, visit) || w.wipe(i, visit) || w.crash(i, visit) {
 			return true
 		}
 	}
 	return false
 }
 
-// firstLives are the disk lives before any wipe.
-var firstLives = map[string]uint64{"a": 1, "b": 1, "c": 1}
+// firstIncarnations are the disk incarnations before any wipe.
+var firstIncarnations = map[string]uint64{"a": 1, "b": 1, "c": 1}
+
+// Tags separate the parts of the keys of nodes and worlds.
+const (
+	proposerTag      byte = 0xf0
+	recoveryTag      byte = 0xf1
+	deliveredOnceTag byte = 0xf3
+	boundsTag        byte = 0xf4
+)
+
+// nodeBufferSize is enough for the nodes of small worlds.
+const nodeBufferSize = 512
 
 // hashed returns the node with the hash of all that makes a difference later.
 func (n node) hashed() node {
-	to := n.state.AppendKey(append(append(make([]byte, 0, 512), n.state.Self...), byte(n.incarnation), byte(n.run), byte(n.proposals)))
+	key := make([]byte, 0, nodeBufferSize)
+	key = append(key, n.state.Self...)
+	key = append(key, byte(n.processIncarnation), byte(n.run), byte(n.proposals))
+	key = n.state.AppendKey(key)
 	if n.proposer != nil {
-		to = n.proposer.AppendKey(append(to, 0xf0))
+		key = n.proposer.AppendKey(append(key, proposerTag))
 	}
-	if n.rebuild != nil {
-		to = append(to, 0xf1, byte(n.rebuild.diskLife))
+	if n.recovery != nil {
+		key = append(key, recoveryTag, byte(n.recovery.incarnation))
 		for _, name := range names {
-			if answer := n.rebuild.answers[name]; answer != nil {
-				to = appendRecovered(append(to, name...), answer)
+			if answer := n.recovery.answers[name]; answer != nil {
+				key = appendRecovered(append(key, name...), answer)
 			}
 		}
 	}
-	n.hash = xxhash.Sum64(to)
+	n.hash = xxhash.Sum64(key)
 	return n
 }
 
-func (w world) key(to []byte) []byte {
-	for _, n := range w.cores {
-		to = binary.LittleEndian.AppendUint64(to, n.hash)
+// appendKey appends a canonical form of the world: two with the same have the
+// same future.
+func (w world) appendKey(key []byte) []byte {
+	for _, core := range w.cores {
+		key = binary.LittleEndian.AppendUint64(key, core.hash)
 	}
 	for _, msg := range w.network {
-		to = binary.LittleEndian.AppendUint64(to, msg.hash)
+		key = binary.LittleEndian.AppendUint64(key, msg.hash)
 		if msg.deliveredOnce {
-			to = append(to, 0xf3)
+			key = append(key, deliveredOnceTag)
 		}
 	}
-	to = append(to, 0xf4, byte(w.bounds.Wipes), byte(w.bounds.Crashes), byte(w.bounds.Rebuilds), byte(w.bounds.Duplicates))
-	return append(to, w.decided...)
+	key = append(key, boundsTag, byte(w.bounds.Wipes), byte(w.bounds.Crashes), byte(w.bounds.Recoveries), byte(w.bounds.Duplicates))
+	return append(key, w.decided...)
 }
--- a/sim/paxos/model_test.go
+++ b/sim/paxos/model_test.go
@@ -46,11 +46,11 @@
 func TestEachFlawIsFound(t *testing.T) {
 	Convey("A rule left out is seen by the checker", t, func() {
 		for flaw, bounds := range map[Flaw]Bounds{
-			LivesHidden:    {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
-			LifeForgotten:  {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
-			PromiseTwice:   {Ballots: []int{2, 0, 0}, Crashes: 1, Eager: true},
-			PartialRebuild: {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
-			RebuildWithout: {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
+			IncarnationsHidden:   {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
+			IncarnationForgotten: {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
+			PromiseTwice:         {Ballots: []int{2, 0, 0}, Crashes: 1, Eager: true},
+			PartialRecovery:      {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
+			VoteWithoutRecovery:  {Ballots: []int{1, 1, 0}, Wipes: 1, Eager: true},
 		} {
 			bounds.Flaw = flaw
 			report := Explore(bounds)
--- a/sim/paxos/process.go
+++ b/sim/paxos/process.go
@@ -12,21 +12,21 @@
 // core is one process. Its state runs ahead of its disk: base and the first
 // synced records of log are what a crash leaves, and perhaps some more.
 type core struct {
-	sim         *sim
-	index       int
-	up          bool
-	incarnation int
-	base        paxos.State
-	log         []paxos.Record
-	synced      int
-	state       paxos.State
-	waiting     []syncWaiter // in the order of the log
-	slow        int64        // extra time of a sync, ms
-	proposals   int
-	proposing   int    // number of the current proposal, 0 is none
-	seen        uint64 // highest ballot number that an answer named
-	recovering  bool
-	round       int // of recovery; answers to an earlier one are ignored
+	sim                *sim
+	index              int
+	up                 bool
+	processIncarnation int
+	base               paxos.State
+	log                []paxos.Record
+	synced             int
+	state              paxos.State
+	waiting            []syncWaiter // in the order of the log
+	slow               int64        // extra time of a sync, ms
+	proposals          int
+	proposing          int    // number of the current proposal, 0 is none
+	highestNumber      uint64 // highest ballot number that an answer named
+	recovering         bool
+	recoveryAttempt    int // of recovery; answers to an earlier one are ignored
 }
 
 // syncWaiter is an action that waits until the log is synced up to a position.
@@ -59,33 +59,38 @@
 	c.up = true
 	c.state = c.base
 	for _, record := range c.log {
-		encoded, err := paxos.DecodeRecord(paxos.EncodeRecord(record))
+		decoded, err := paxos.DecodeRecord(paxos.EncodeRecord(record))
 		if err != nil {
 			s.violate("a record can't be read back: %v", err)
 			return
 		}
-		c.state = encoded.Apply(c.state)
+		c.state = decoded.Apply(c.state)
 	}
-	c.synced, c.waiting, c.proposing, c.recovering, c.seen, c.slow = len(c.log), nil, 0, false, 0, 0
-	if s.faults.Flaw == RebuildWithout && c.state.Formation == "" && len(s.chosen) > 0 {
+	c.synced = len(c.log)
+	c.waiting = nil
+	c.proposing = 0
+	c.recovering = false
+	c.highestNumber = 0
+	c.slow = 0
+	if s.faults.Flaw == VoteWithoutRecovery && c.state.Formation == "" && len(s.chosen) > 0 {
 		other := s.cores[(c.index+1)%len(s.cores)].state
 		joined := paxos.FormationJoined{Formation: other.Formation, Voters: s.names}.Apply(c.state)
 		c.base = paxos.RecoveryCompleted{Incarnations: other.Incarnations}.Apply(joined)
 		c.state = c.base
 	}
-	c.tick(c.incarnation)
+	c.tick(c.processIncarnation)
 }
 
 // tick is the periodic work of one incarnation.
 func (c *core) tick(incarnation int) {
-	if c.incarnation != incarnation || !c.up {
+	if c.processIncarnation != incarnation || !c.up {
 		return
 	}
 	switch c.state.Standing() {
 	case wire.Standing_STANDING_BLANK:
-		c.joinOrEstablish()
+		c.joinOrFoundFormation()
 	case wire.Standing_STANDING_AMNESIAC:
-		c.recoverDisk()
+		c.recoverState()
 	default:
 		c.catchUp()
 		if c.proposing == 0 {
@@ -95,7 +100,7 @@
 	c.sim.after(c.sim.between(40, 160), func() { c.tick(incarnation) })
 }
 
-// commit appends records and folds them; a sync follows.
+// commit appends records and applies them; a sync follows.
 func (c *core) commit(records []paxos.Record) {
 	if len(records) == 0 {
 		return
@@ -106,9 +111,9 @@
 		c.state = record.Apply(c.state)
 	}
 	c.check(before)
-	incarnation := c.incarnation
+	incarnation := c.processIncarnation
 	c.sim.after(c.sim.between(1, 8)+c.slow, func() {
-		if c.incarnation == incarnation {
+		if c.processIncarnation == incarnation {
 			c.sync()
 		}
 	})
@@ -119,6 +124,13 @@
 	}
 }
 
+// loseDisk replaces the disk by a blank one.
+func (c *core) loseDisk() {
+	c.base = paxos.Blank(c.state.Self)
+	c.log = nil
+	c.synced = 0
+}
+
 // sync makes the log durable and runs the actions that wait for it.
 func (c *core) sync() {
 	c.synced = len(c.log)
@@ -133,7 +145,9 @@
 			c.sim.violate("a state can't be read back: %v", err)
 		}
 		if c.state.Incarnation() != 0 && len(c.waiting) == 0 {
-			c.base, c.log, c.synced = compacted, nil, 0
+			c.base = compacted
+			c.log = nil
+			c.synced = 0
 		}
 	}
 }
@@ -151,7 +165,7 @@
 func (c *core) check(before paxos.State) {
 	if c.state.SnapshotSlot > before.Learned() {
 		version := c.state.SnapshotSlot
-		if version > uint64(len(c.sim.rolling)) || !bytes.Equal(c.state.Snapshot, binary.LittleEndian.AppendUint64(nil, c.sim.digest(version))) {
+		if version > uint64(len(c.sim.digests)) || !bytes.Equal(c.state.Snapshot, binary.LittleEndian.AppendUint64(nil, c.sim.digest(version))) {
 			c.sim.violate("%s took a snapshot of epoch %d that is not the agreed one", c.state.Self, version)
 		}
 	}
--- a/sim/paxos/proposal.go
+++ b/sim/paxos/proposal.go
@@ -9,13 +9,13 @@
 
 // proposal is one ballot that a core opens, from its prepare requests to its end.
 type proposal struct {
-	core        *core
-	incarnation int
-	number      int // of the core's proposals
-	slot        uint64
-	proposer    paxos.Proposer
-	onPrepared  func(core string) func(*wire.PrepareResponse)
-	onAccepted  func(core string) func(*wire.AcceptResponse)
+	core               *core
+	processIncarnation int
+	number             int // of the core's proposals
+	slot               uint64
+	proposer           paxos.Proposer
+	onPrepared         func(core string) func(*wire.PrepareResponse)
+	onAccepted         func(core string) func(*wire.AcceptResponse)
 }
 
 // propose opens a ballot for the next slot.
@@ -23,9 +23,9 @@
 	c.proposals++
 	c.proposing = c.proposals
 	slot := c.state.Learned() + 1
-	command := fmt.Appendf(nil, "%s/%d/%d", c.state.Self, c.incarnation, c.proposing)
-	proposer, prepare := paxos.NewProposer(c.state, slot, max(c.state.NextBallotNumber(slot), c.seen+1), command)
-	p := &proposal{core: c, incarnation: c.incarnation, number: c.proposing, slot: slot, proposer: proposer}
+	command := fmt.Appendf(nil, "%s/%d/%d", c.state.Self, c.processIncarnation, c.proposing)
+	proposer, prepare := paxos.NewProposer(c.state, slot, max(c.state.NextBallotNumber(slot), c.highestNumber+1), command)
+	p := &proposal{core: c, processIncarnation: c.processIncarnation, number: c.proposing, slot: slot, proposer: proposer}
 	p.onPrepared = firstAnswer(p.prepared)
 	p.onAccepted = firstAnswer(p.accepted)
 	c.sim.after(c.sim.faults.ProposalTimeout+c.slow, p.timeOut)
@@ -38,7 +38,7 @@
 
 // current reports whether the core still runs this proposal.
 func (p *proposal) current() bool {
-	return p.core.incarnation == p.incarnation && p.core.proposing == p.number
+	return p.core.processIncarnation == p.processIncarnation && p.core.proposing == p.number
 }
 
 func (p *proposal) timeOut() {
@@ -49,7 +49,7 @@
 
 // end lets the core propose again after a pause.
 func (p *proposal) end() {
-	p.core.seen = p.proposer.HighestBallot.Number
+	p.core.highestNumber = p.proposer.HighestBallot.Number
 	if p.core.proposing != p.number {
 		return
 	}
@@ -106,7 +106,7 @@
 func (p *proposal) commit(value []byte) {
 	c := p.core
 	c.sim.checkChosen(c.state.Self, p.slot, value)
-	c.seen = 0
+	c.highestNumber = 0
 	c.proposing = 0
 	learn := &wire.LearnRequest{Formation: p.proposer.Formation, Chosen: []*wire.Chosen{{Epoch: p.slot, Command: value}}}
 	for _, to := range c.voters() {
--- a/sim/paxos/protocol.go
+++ b/sim/paxos/protocol.go
@@ -8,12 +8,14 @@
 	"stepwick/internal/wire"
 )
 
-// probeAll asks all other cores for their state. It proceeds once all have
+// probeAll probes all other cores. It proceeds once all have
 // answered, or after a grace period.
 func (c *core) probeAll(action func(map[string]*wire.RecoverResponse)) {
-	answers, incarnation, over := map[string]*wire.RecoverResponse{}, c.incarnation, false
+	answers := map[string]*wire.RecoverResponse{}
+	incarnation := c.processIncarnation
+	over := false
 	proceed := func() {
-		if !over && c.incarnation == incarnation {
+		if !over && c.processIncarnation == incarnation {
 			over = true
 			action(answers)
 		}
@@ -36,8 +38,8 @@
 	}
 }
 
-// rejoin joins the formation that one of the other cores reports, if any does.
-func (c *core) rejoin(probes map[string]*wire.RecoverResponse) bool {
+// joinProbed joins the formation that one of the other cores reports, if any does.
+func (c *core) joinProbed(probes map[string]*wire.RecoverResponse) bool {
 	for _, name := range c.sim.names {
 		if probes[name] == nil {
 			continue
@@ -50,10 +52,10 @@
 	return false
 }
 
-// joinOrEstablish joins a formation with a blank disk, or establishes one.
-func (c *core) joinOrEstablish() {
+// joinOrFoundFormation joins a formation with a blank disk, or founds one.
+func (c *core) joinOrFoundFormation() {
 	c.probeAll(func(answers map[string]*wire.RecoverResponse) {
-		if c.rejoin(answers) {
+		if c.joinProbed(answers) {
 			return
 		}
 		record, ok := c.state.FoundFormation(fmt.Sprintf("%s-%d", c.state.Self, c.sim.now), len(c.sim.cores), answers, 0, nil)
@@ -66,7 +68,7 @@
 	})
 }
 
-// inviteOthers asks the other cores to join an established formation.
+// inviteOthers invites the other cores into a formation that was founded here.
 func (c *core) inviteOthers(joined paxos.FormationJoined) {
 	for _, other := range c.others() {
 		rpc(c, other, func(o *core) ([]paxos.Record, *wire.FoundResponse) {
@@ -75,47 +77,48 @@
 	}
 }
 
-// recoverDisk rebuilds the state of a wiped disk from the other cores.
-func (c *core) recoverDisk() {
+// recoverState recovers the state of a wiped disk from the other cores.
+func (c *core) recoverState() {
 	if c.recovering {
 		return
 	}
 	c.recovering = true
-	incarnation := c.incarnation
-	c.sim.after(entryTimeout+c.slow, func() {
-		if c.incarnation == incarnation {
+	incarnation := c.processIncarnation
+	c.sim.after(recoveryTimeout+c.slow, func() {
+		if c.processIncarnation == incarnation {
 			c.recovering = false
 		}
 	})
 	c.probeAll(func(probes map[string]*wire.RecoverResponse) {
-		if c.rejoin(probes) {
+		if c.joinProbed(probes) {
 			return
 		}
-		next, waiting := c.state.NextIncarnation(probes, c.salt())
-		if waiting != "" || c.state.Incarnation() != 0 {
+		next, missing := c.state.NextIncarnation(probes, c.salt())
+		if missing != "" || c.state.Incarnation() != 0 {
 			return
 		}
 		if next != c.state.AnnouncedIncarnation {
 			c.commit([]paxos.Record{paxos.IncarnationRecorded{Core: c.state.Self, Incarnation: next}})
 		}
-		c.whenSynced(func() { c.announce(next, probes) })
+		c.whenSynced(func() { c.announceIncarnation(next, probes) })
 	})
 }
 
-// announce asks the voters that the answers to a probe select to record this
-// core's disk life and to return their votes.
-func (c *core) announce(diskLife uint64, probes map[string]*wire.RecoverResponse) {
-	sources, _ := c.state.RecoverySources(diskLife, probes)
-	formation, rebuildQuorum := c.state.Formation, c.state.RecoveryQuorum()
-	c.round++
-	round := c.round
+// announceIncarnation has the voters that the answers to a probe select record this
+// core's disk incarnation and return their state.
+func (c *core) announceIncarnation(incarnation uint64, probes map[string]*wire.RecoverResponse) {
+	sources, _ := c.state.RecoverySources(incarnation, probes)
+	formation := c.state.Formation
+	quorum := c.state.RecoveryQuorum()
+	c.recoveryAttempt++
+	attempt := c.recoveryAttempt
 	answers := map[string]*wire.RecoverResponse{}
 	take := firstAnswer(func(name string, answer *wire.RecoverResponse) {
 		answers[name] = answer
-		if len(answers) < rebuildQuorum || c.round != round || c.state.Incarnation() != 0 || c.state.Formation != formation {
+		if len(answers) < quorum || c.recoveryAttempt != attempt || c.state.Incarnation() != 0 || c.state.Formation != formation {
 			return
 		}
-		if record, waiting := c.state.CompleteRecovery(diskLife, answers); waiting == "" {
+		if record, missing := c.state.CompleteRecovery(incarnation, answers); missing == "" {
 			c.commit([]paxos.Record{record})
 		}
 	})
@@ -124,8 +127,8 @@
 			continue
 		}
 		rpc(c, other, func(o *core) ([]paxos.Record, *wire.RecoverResponse) {
-			records, answer := o.state.Recover(&wire.RecoverRequest{Formation: formation, Core: c.state.Self, Life: diskLife})
-			if c.sim.faults.Flaw == LifeForgotten {
+			records, answer := o.state.Recover(&wire.RecoverRequest{Formation: formation, Core: c.state.Self, Life: incarnation})
+			if c.sim.faults.Flaw == IncarnationForgotten {
 				records = nil
 			}
 			return records, answer
@@ -142,16 +145,16 @@
 	}
 }
 
-// salt returns the process's own part of the disk lives that it announces; with
-// the flaw SharedLife it is the same for all.
+// salt returns the random part of the disk incarnations that a process announces; with
+// the flaw SharedIncarnation it is the same for all.
 func (c *core) salt() uint64 {
-	if c.sim.faults.Flaw == SharedLife || !c.sim.faults.Replaced {
+	if c.sim.faults.Flaw == SharedIncarnation || !c.sim.faults.Replaced {
 		return 0
 	}
 	return uint64(c.sim.random.Int64N(1 << 32))
 }
 
-// checkReplaced asks another core for the disk life that it knows of this name. A
+// checkReplaced reads from another core the disk incarnation that it knows of this name. A
 // process that has been replaced abandons its disk: a detached one ends, any other
 // restarts with a blank disk.
 func (c *core) checkReplaced(other *core) {
@@ -162,14 +165,14 @@
 			return
 		}
 		c.up = false
-		c.incarnation++
+		c.processIncarnation++
 		if c != c.sim.cores[c.index] {
 			return
 		}
 		for _, other := range c.others() {
 			c.sim.outcome.Lost = c.sim.outcome.Lost || other.durable().Incarnation() == 0
 		}
-		c.base, c.log, c.synced = paxos.Blank(c.state.Self), nil, 0
+		c.loseDisk()
 		c.sim.after(c.sim.between(1, 600), func() { c.sim.boot(c) })
 	})
 }
--- a/sim/paxos/random.go
+++ b/sim/paxos/random.go
@@ -22,12 +22,12 @@
 	Loss            float64 // of a message
 	Duplicate       float64 // of a request
 	FaultInterval   int64   // mean time between two faults: a crash, a wipe, a partition or a slow disk
-	Wipes           float64 // share of the crashes that lose the disk
-	Delayed         float64 // share of the messages that take up to 2 s
+	Wipes           float64 // fraction of the crashes that lose the disk
+	Delayed         float64 // fraction of the messages that take up to 2 s
 	ProposalTimeout int64   // how long a proposer waits for answers
-	TwoWipes        bool    // a second disk may be lost while the first is being rebuilt
+	TwoWipes        bool    // a second disk may be lost while the first recovers
 	Replaced        bool    // instead of a wipe another process takes the name, and the old one continues
-	Flaw            Flaw    // Sound, LifeForgotten, RebuildWithout or SharedLife
+	Flaw            Flaw    // Sound, IncarnationForgotten, VoteWithoutRecovery or SharedIncarnation
 }
 
 // Outcome is the result of a random run.
@@ -42,23 +42,29 @@
 }
 
 const (
-	compactEvery   = 12 // chosen slots
-	compactLog     = 40 // records, when no action waits for a sync
-	compactBusyLog = 200
-	settleTime     = 20_000 // ms to come to an agreement after the faults
-	entryTimeout   = 600    // ms
-	probeGrace     = 80     // ms that a rebuilding core waits for all probes
+	compactEvery     = 12 // chosen slots
+	compactLog       = 40 // records, when no action waits for a sync
+	compactBusyLog   = 200
+	faultStream      = 7      // of random numbers
+	agreementTimeout = 20_000 // ms to come to an agreement after the faults
+	recoveryTimeout  = 600    // ms
+	probeGrace       = 80     // ms that a recovering core waits for all probes
 )
 
-// Run simulates one seed: cores establish a formation and agree on commands while
+// Run simulates one seed: cores found a formation and agree on commands while
 // messages are lost, duplicated and reordered, processes crash between an append
 // and its sync, disks are wiped and links are partitioned. Then all faults end.
 func Run(seed uint64, faults Faults) Outcome {
 	if faults.Cores == 0 {
 		faults.Cores = len(names)
 	}
-	s := &sim{random: rand.New(rand.NewPCG(seed, 7)), faults: faults, chosen: map[uint64][]byte{},
-		names: fiveNames[:faults.Cores], old: make([]*core, faults.Cores)}
+	s := &sim{
+		random:   rand.New(rand.NewPCG(seed, faultStream)),
+		faults:   faults,
+		chosen:   map[uint64][]byte{},
+		names:    fiveNames[:faults.Cores],
+		detached: make([]*core, faults.Cores),
+	}
 	for i, name := range s.names {
 		s.cores = append(s.cores, &core{sim: s, index: i, state: paxos.Blank(name)})
 	}
@@ -70,7 +76,7 @@
 	s.runEvents()
 	s.outcome.Chosen = len(s.chosen)
 	if s.outcome.Violation == "" && !s.outcome.Lost && !s.agreed() {
-		s.violate("%d ms after the last fault the cores don't agree: %s", settleTime, s.summary())
+		s.violate("%d ms after the last fault the cores don't agree: %s", agreementTimeout, s.summary())
 	}
 	return s.outcome
 }
@@ -78,7 +84,7 @@
 // runEvents runs until the processes agree after the last fault, a rule is
 // violated, or the time to come to an agreement is over.
 func (s *sim) runEvents() {
-	for s.outcome.Violation == "" && s.now < s.faults.FaultsUntil+settleTime {
+	for s.outcome.Violation == "" && s.now < s.faults.FaultsUntil+agreementTimeout {
 		if _, ok := s.events.Next(); !ok {
 			return
 		}
@@ -102,17 +108,17 @@
 	events      eventqueue.Queue[int64] // by milliseconds
 	names       []string
 	cores       []*core
-	old         []*core // by index, the replaced process that still runs under the name
+	detached    []*core // by index, the replaced process that still runs under the name
 	partitioned [5][5]bool
 	chosen      map[uint64][]byte
-	rolling     []uint64 // digest of the first commands, by count
-	done        bool     // faults have ended
+	digests     []uint64 // digest of the first commands, by count
+	faultsEnded bool     // no further fault or loss
 	target      uint64   // all cores must learn this slot after the faults
 	outcome     Outcome
 }
 
 // faultsActive reports whether messages may be lost or delayed now.
-func (s *sim) faultsActive() bool { return s.now >= s.faults.FaultsFrom && !s.done }
+func (s *sim) faultsActive() bool { return s.now >= s.faults.FaultsFrom && !s.faultsEnded }
 
 func (s *sim) between(low, high int64) int64 { return low + s.random.Int64N(max(high-low, 1)) }
 func (s *sim) chance(p float64) bool         { return s.random.Float64() < p }
@@ -138,7 +144,7 @@
 // agreed reports whether all cores vote and have learned a slot chosen after the
 // last fault.
 func (s *sim) agreed() bool {
-	if !s.done || s.target == 0 {
+	if !s.faultsEnded || s.target == 0 {
 		return false
 	}
 	for _, c := range s.cores {
@@ -150,7 +156,7 @@
 }
 
 func (s *sim) fault() {
-	if s.done {
+	if s.faultsEnded {
 		return
 	}
 	c := s.cores[s.random.IntN(len(s.cores))]
@@ -160,12 +166,16 @@
 			s.crash(c)
 		}
 	case 2:
-		from, to := s.random.IntN(len(s.cores)), s.random.IntN(len(s.cores))
+		from := s.random.IntN(len(s.cores))
+		to := s.random.IntN(len(s.cores))
 		s.partitioned[from][to] = true
 		if s.chance(0.5) {
 			s.partitioned[to][from] = true
 		}
-		s.after(s.between(1, 3000), func() { s.partitioned[from][to], s.partitioned[to][from] = false, false })
+		s.after(s.between(1, 3000), func() {
+			s.partitioned[from][to] = false
+			s.partitioned[to][from] = false
+		})
 	case 3:
 		c.slow = s.between(0, 1500)
 		s.after(s.between(1, 3000), func() { c.slow = 0 })
@@ -174,12 +184,12 @@
 }
 
 func (s *sim) heal() {
-	s.done = true
+	s.faultsEnded = true
 	s.partitioned = [5][5]bool{}
 	for _, c := range s.cores {
 		c.slow = 0
 	}
-	for _, old := range s.old {
+	for _, old := range s.detached {
 		if old != nil {
 			old.up = false
 		}
@@ -189,13 +199,13 @@
 func (s *sim) crash(c *core) {
 	s.outcome.Crashes++
 	c.up = false
-	c.incarnation++
+	c.processIncarnation++
 	if s.chance(s.faults.Wipes) && s.canWipe(c) {
 		s.outcome.Wipes++
 		if s.faults.Replaced {
 			s.detach(c)
 		}
-		c.base, c.log, c.synced = paxos.Blank(c.state.Self), nil, 0
+		c.loseDisk()
 	} else {
 		c.log = c.log[:s.random.IntN(len(c.log)-c.synced+1)+c.synced]
 	}
@@ -206,13 +216,14 @@
 // the one that takes the name with a blank disk.
 func (s *sim) detach(c *core) {
 	kept := s.random.IntN(len(c.log)-c.synced+1) + c.synced
-	old := &core{sim: s, index: c.index, base: c.base, log: slices.Clone(c.log[:kept]), incarnation: 1 << 20}
-	if last := s.old[c.index]; last != nil {
-		last.up, old.incarnation = false, last.incarnation+1
+	old := &core{sim: s, index: c.index, base: c.base, log: slices.Clone(c.log[:kept]), processIncarnation: 1 << 20}
+	if last := s.detached[c.index]; last != nil {
+		last.up = false
+		old.processIncarnation = last.processIncarnation + 1
 	}
-	s.old[c.index] = old
+	s.detached[c.index] = old
 	s.after(s.between(1, 600), func() {
-		if !s.done && s.old[c.index] == old {
+		if !s.faultsEnded && s.detached[c.index] == old {
 			s.boot(old)
 		}
 	})
@@ -220,7 +231,7 @@
 
 // receiver returns the process that a message to a name reaches: any that has it.
 func (s *sim) receiver(from, to *core) *core {
-	old := s.old[to.index]
+	old := s.detached[to.index]
 	if from.index == to.index || old == nil || !old.up || s.chance(0.5) {
 		return to
 	}
@@ -253,19 +264,19 @@
 		return
 	}
 	s.chosen[slot] = value
-	for next := uint64(len(s.rolling)) + 1; s.chosen[next] != nil; next++ {
-		s.rolling = append(s.rolling, xxhash.Sum64(binary.LittleEndian.AppendUint64(slices.Clone(s.chosen[next]), s.digest(next-1))))
+	for next := uint64(len(s.digests)) + 1; s.chosen[next] != nil; next++ {
+		s.digests = append(s.digests, xxhash.Sum64(binary.LittleEndian.AppendUint64(slices.Clone(s.chosen[next]), s.digest(next-1))))
 	}
-	if s.done && s.target == 0 {
+	if s.faultsEnded && s.target == 0 {
 		s.target = slot
 	}
 }
 
 func (s *sim) digest(version uint64) uint64 {
-	if version == 0 || version > uint64(len(s.rolling)) {
+	if version == 0 || version > uint64(len(s.digests)) {
 		return 0
 	}
-	return s.rolling[version-1]
+	return s.digests[version-1]
 }
 
 func (s *sim) latency(from, to *core) int64 {
--- a/sim/paxos/random_test.go
+++ b/sim/paxos/random_test.go
@@ -50,32 +50,32 @@
 
 func TestRandomFindsAFlaw(t *testing.T) {
 	faults := mixes["wiped"]
-	faults.Flaw = RebuildWithout
+	faults.Flaw = VoteWithoutRecovery
 	for seed := uint64(1); seed <= 300; seed++ {
 		if out := Run(seed, faults); out.Violation != "" {
 			t.Logf("seed %d: %s", seed, out.Violation)
 			return
 		}
 	}
-	t.Error("none of 300 seeds shows that a wiped core votes at once")
+	t.Error("none of 300 seeds shows that a wiped core votes without a recovery")
 }
 
-func TestRandomFindsAForgottenLife(t *testing.T) {
+func TestRandomFindsAForgottenIncarnation(t *testing.T) {
 	faults := mixes["replaced"]
-	faults.Flaw = LifeForgotten
+	faults.Flaw = IncarnationForgotten
 	for seed := uint64(1); seed <= 600; seed++ {
 		if out := Run(seed, faults); out.Violation != "" {
 			t.Logf("seed %d: %s", seed, out.Violation)
 			return
 		}
 	}
-	t.Error("none of 600 seeds shows that a replaced core's votes go on to count")
+	t.Error("none of 600 seeds shows that a replaced core's votes are still counted")
 }
 
-func TestRandomFindsASharedLife(t *testing.T) {
+func TestRandomFindsASharedIncarnation(t *testing.T) {
 	faults := mixes["replaced"]
-	faults.Flaw = SharedLife
+	faults.Flaw = SharedIncarnation
 	if out := Run(6641, faults); out.Violation == "" {
-		t.Error("seed 6641 does not show that two processes of one disk life vote twice")
+		t.Error("seed 6641 does not show that two processes of one disk incarnation vote twice")
 	}
 }
--- a/sim/paxos/rpc.go
+++ b/sim/paxos/rpc.go
@@ -9,18 +9,18 @@
 // call is one request from a core to another and its answer. Either may be lost,
 // duplicated or delayed.
 type call[A any] struct {
-	sim         *sim
-	from, to    *core
-	incarnation int // of the caller
-	handle      func(*core) ([]paxos.Record, A)
-	answered    func(A)
+	sim                *sim
+	from, to           *core
+	processIncarnation int // of the caller
+	handle             func(*core) ([]paxos.Record, A)
+	answered           func(A)
 }
 
 // rpc calls one core. The answer leaves once all that the callee has appended is
 // synced, and is lost if the caller has crashed by then.
 func rpc[A any](from, to *core, handle func(*core) ([]paxos.Record, A), answered func(A)) {
 	s := from.sim
-	c := &call[A]{sim: s, from: from, to: to, incarnation: from.incarnation, handle: handle, answered: answered}
+	c := &call[A]{sim: s, from: from, to: to, processIncarnation: from.processIncarnation, handle: handle, answered: answered}
 	if c.lost() {
 		return
 	}
@@ -51,7 +51,7 @@
 		return
 	}
 	s.after(s.latency(c.from, receiver), func() {
-		if c.from.incarnation == c.incarnation && c.from.up {
+		if c.from.processIncarnation == c.processIncarnation && c.from.up {
 			c.answered(answer)
 		}
 	})
