--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -32,7 +32,7 @@
 	}
 	defer func() { _ = log.Close() }()
 	for _, record := range records {
-		place, err := log.Append([][]byte{paxos.EncodeRecord(record)}, false)
+		place, err := log.Append([][]byte{paxos.EncodeRecord(record)}, disklog.Ordinary)
 		if err != nil {
 			t.Fatal(err)
 		}
