--- a/internal/decision/plan/plan_test.go
+++ b/internal/decision/plan/plan_test.go
@@ -107,7 +107,7 @@
 		step("time passes", func() { input.Now = input.Now.Add(4 * time.Second) })
 		step("lagos is full", func() {
 			set("m0", func(s *wire.ServerStatus) { s.Running, s.Queued = 16, 30 })()
-			set("m3", func(s *wire.ServerStatus) {})()
+			set("m3", func(_ *wire.ServerStatus) {})()
 			input.Now = input.Now.Add(4 * time.Second)
 		})
 		goldie.New(t).Assert(t, "events", []byte(log.String()))
--- a/internal/node/control/feed_test.go
+++ b/internal/node/control/feed_test.go
@@ -30,7 +30,7 @@
 			go func() { got <- f.follow("c2", empty, 5*time.Second) }()
 			synctest.Wait()
 			startedAt = time.Now()
-			f.put(t)
+			f.put()
 			next := <-got
 			So(time.Since(startedAt), ShouldBeLessThan, 100*time.Millisecond)
 			So(next.Changes[0].GetChosen().Epoch, ShouldEqual, first.Snapshot.Epoch+1)
--- a/internal/node/control/fleet_test.go
+++ b/internal/node/control/fleet_test.go
@@ -78,9 +78,10 @@
 	ctx, cancel := context.WithCancel(f.ctx)
 	f.stop[name] = cancel
 	if c, ok := f.cores[name]; ok {
-		go c.Serve(ctx)
+		go func() { _ = c.Serve(ctx) }()
 	}
-	go f.fronts[name].Serve(ctx)
+	front := f.fronts[name]
+	go func() { _ = front.Serve(ctx) }()
 }
 
 func (f *fleet) build(name string) {
@@ -180,7 +181,7 @@
 	}
 }
 
-func (f *fleet) put(t *testing.T) {
+func (f *fleet) put() {
 	resp, err := f.cores["c1"].Order(f.ctx, &wire.OrderRequest{Operator: "ada", Verb: "put", Body: []byte(put(0, "first"))})
 	So(err, ShouldBeNil)
 	So(apierror.Code(resp.Code), ShouldEqual, apierror.OK)
--- a/internal/node/control/member_statuses_test.go
+++ b/internal/node/control/member_statuses_test.go
@@ -108,7 +108,7 @@
 	withFleet(t, 40, func(t *testing.T, f *fleet) {
 		Convey("A healthy fleet is asked for its views once per order", t, func() {
 			before := f.viewRequests.Load()
-			f.put(t)
+			f.put()
 			So(f.viewRequests.Load()-before, ShouldBeBetweenOrEqual, 1, 2)
 		})
 		Convey("An unresponsive member's lease is waited for without many requests", t, func() {
--- a/internal/node/control/orders_test.go
+++ b/internal/node/control/orders_test.go
@@ -29,7 +29,7 @@
 
 func play(t *testing.T, fronts int, act func(s *script)) string {
 	var s *script
-	synctest.Test(t, func(t *testing.T) {
+	synctest.Test(t, func(*testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s = &script{fleet: newFleet(ctx, fronts)}
 		s.advance(6 * time.Second)
--- a/internal/node/control/planner_election_test.go
+++ b/internal/node/control/planner_election_test.go
@@ -13,7 +13,7 @@
 func TestPlannerTerms(t *testing.T) {
 	withFleet(t, 5, func(t *testing.T, f *fleet) {
 		Convey("Another core becomes the planner's leader when the leader is killed, and its plans carry the new term", t, func() {
-			f.put(t)
+			f.put()
 			f.report("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
 			f.advance(3 * time.Second)
 			leader := f.agreed.Load().state.Roles[election.Planner]
--- a/internal/node/control/renewals_test.go
+++ b/internal/node/control/renewals_test.go
@@ -35,7 +35,7 @@
 			So(f.servingFronts(), ShouldEqual, 5)
 		})
 		Convey("Each front sends every peer a new version at once, not at its next interval", t, func() {
-			f.put(t)
+			f.put()
 			version := f.agreed.Load().state.Version
 			f.advance(50 * time.Millisecond)
 			for _, from := range f.names[:5] {
--- a/internal/node/control/state_test.go
+++ b/internal/node/control/state_test.go
@@ -25,7 +25,7 @@
 			f.stop["c1"]()
 			f.advance(time.Second)
 			again := control.New(control.Config{Self: "c1", Incarnation: 2}, atomicReplica{f}, memoryPeers{f, "c1"}, clock.System(), events.Discard)
-			go again.Serve(ctx)
+			go func() { _ = again.Serve(ctx) }()
 			f.advance(time.Second)
 			req := &wire.RenewRequest{Self: f.processes["c2"], Epoch: f.agreed.Load().state.Version}
 			_, err := again.Renew(ctx, req)
