--- a/internal/decision/paxos/doc.go
+++ b/internal/decision/paxos/doc.go
@@ -22,5 +22,5 @@
 // earlier incarnation are not counted from then on.
 //
 // Values are opaque here. Which of them are valid, and what they do, is decided
-// by package sheet.
+// by package statemachine.
 package paxos
--- a/internal/node/replica/doc.go
+++ b/internal/node/replica/doc.go
@@ -15,6 +15,6 @@
 //   - A disk without room keeps no votes: the core refuses them until a snapshot
 //     or the operator has made room.
 //
-// The package doesn't decide what a command does (package sheet) nor when a
+// The package doesn't decide what a command does (package statemachine) nor when a
 // version is in force (package control).
 package replica
