--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -20,47 +20,64 @@
 	"stepwick/sim/memnet"
 )
 
-type helloOnly struct {
+// gossipPeer answers hellos only.
+type gossipPeer struct {
 	wireconnect.UnimplementedPeerHandler
 	directory *internalrpc.Directory
 }
 
-func (h helloOnly) Hello(ctx context.Context, req *connect.Request[wire.HelloRequest]) (*connect.Response[wire.HelloResponse], error) {
-	resp, err := h.directory.Hello(ctx, req.Msg)
+func (p gossipPeer) Hello(ctx context.Context, req *connect.Request[wire.HelloRequest]) (*connect.Response[wire.HelloResponse], error) {
+	resp, err := p.directory.Hello(ctx, req.Msg)
 	if err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(resp), nil
 }
 
-// start runs process i of a fleet on its own host; its seeds are the two
-// processes before it, so no one is told of all.
-func start(ctx context.Context, net *memnet.Network, i int, secret string) *internalrpc.Directory {
+// startProcess runs process i of a fleet on its own host. Its seeds are the two
+// processes before it, so that none is given all addresses.
+func startProcess(ctx context.Context, t *testing.T, net *memnet.Network, i int, secret string) *internalrpc.Directory {
+	t.Helper()
 	host := fmt.Sprintf("127.0.1.%d", i)
-	own := &wire.Process{Name: fmt.Sprintf("n%d", i), Address: host + ":1", Core: i < 3, Front: true, Incarnation: 1}
+	own := &wire.Process{
+		Name:        fmt.Sprintf("n%d", i),
+		Address:     host + ":1",
+		Core:        i < 3,
+		Front:       true,
+		Incarnation: 1,
+	}
 	var seeds []string
-	for j := max(0, i-2); j < i; j++ {
-		seeds = append(seeds, fmt.Sprintf("127.0.1.%d:1", j))
+	for earlier := max(0, i-2); earlier < i; earlier++ {
+		seeds = append(seeds, fmt.Sprintf("127.0.1.%d:1", earlier))
 	}
 	pool := internalrpc.NewPool(net.Dialer(host), own.Address, secret)
 	directory := internalrpc.NewDirectory(pool, clock.System(), events.Discard, seeds, func() *wire.Process {
-		return &wire.Process{Name: own.Name, Address: own.Address, Core: own.Core, Front: true, Incarnation: 1}
+		return &wire.Process{
+			Name:        own.Name,
+			Address:     own.Address,
+			Core:        own.Core,
+			Front:       true,
+			Incarnation: 1,
+		}
 	})
 	listener, err := net.Listen(own.Address)
 	if err != nil {
-		panic(err)
+		t.Fatal(err)
 	}
-	server := internalrpc.Server(internalrpc.Handler(helloOnly{directory: directory}, secret))
-	go server.Serve(listener)
-	go directory.Serve(ctx)
-	context.AfterFunc(ctx, func() { server.Close(); pool.CloseIdle() })
+	server := internalrpc.Server(internalrpc.Handler(gossipPeer{directory: directory}, secret))
+	go func() { _ = server.Serve(listener) }()
+	go func() { _ = directory.Serve(ctx) }()
+	context.AfterFunc(ctx, func() {
+		_ = server.Close()
+		pool.CloseIdle()
+	})
 	return directory
 }
 
 func names(d *internalrpc.Directory) string {
 	var all []string
-	for _, p := range d.Processes() {
-		all = append(all, p.Name)
+	for _, process := range d.Processes() {
+		all = append(all, process.Name)
 	}
 	return strings.Join(all, " ")
 }
@@ -72,11 +89,11 @@
 			net := memnet.New(ctx)
 			var fleet []*internalrpc.Directory
 			for i := range 9 {
-				fleet = append(fleet, start(ctx, net, i, "a fleet's secret"))
+				fleet = append(fleet, startProcess(ctx, t, net, i, "a fleet's secret"))
 			}
 			<-time.After(8 * time.Second)
-			for _, d := range fleet {
-				if got := names(d); got != "n0 n1 n2 n3 n4 n5 n6 n7 n8" {
+			for _, directory := range fleet {
+				if got := names(directory); got != "n0 n1 n2 n3 n4 n5 n6 n7 n8" {
 					t.Errorf("knows %q", got)
 				}
 			}
@@ -90,7 +107,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			net := memnet.New(ctx)
-			start(ctx, net, 0, "a fleet's secret")
+			startProcess(ctx, t, net, 0, "a fleet's secret")
 			stranger := internalrpc.NewPool(net.Dialer("127.0.1.9"), "127.0.1.9:1", "another secret")
 			call := func() error {
 				callCtx, done := context.WithTimeout(ctx, time.Second)
@@ -98,17 +115,17 @@
 				_, err := stranger.Client("127.0.1.0:1").Hello(callCtx, connect.NewRequest(&wire.HelloRequest{}))
 				return err
 			}
-			if err := call(); err == nil || port.Refused(err) {
+			if err := call(); err == nil || port.IsConnectionRefused(err) {
 				t.Errorf("a wrong secret gave %v", err)
 			}
 			net.Cut("127.0.1.0", "127.0.1.9", true)
-			if err := call(); err == nil || port.Refused(err) {
+			if err := call(); err == nil || port.IsConnectionRefused(err) {
 				t.Errorf("silence gave %v", err)
 			}
 			net.Cut("127.0.1.0", "127.0.1.9", false)
 			net.Down("127.0.1.0")
 			synctest.Wait()
-			if err := call(); !port.Refused(err) {
+			if err := call(); !port.IsConnectionRefused(err) {
 				t.Errorf("a host that is down gave %v", err)
 			}
 			stranger.CloseIdle()
@@ -119,25 +136,31 @@
 	})
 }
 
-func TestAttest(t *testing.T) {
-	Convey("What a core's feed attests is known at once and kept without hellos; what it drops is forgotten in time", t, func() {
+func TestConfirmedProcessesAreKept(t *testing.T) {
+	Convey("What a core's feed reports as live is known at once and kept without gossip; what it drops is forgotten in time", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			d := start(ctx, memnet.New(ctx), 0, "a fleet's secret")
+			directory := startProcess(ctx, t, memnet.New(ctx), 0, "a fleet's secret")
 			synctest.Wait()
-			far := &wire.Process{Name: "far", Address: "127.0.1.99:1", Front: true, Incarnation: 1, Counter: 5}
-			d.Attest([]*wire.Process{far})
+			far := &wire.Process{
+				Name:        "far",
+				Address:     "127.0.1.99:1",
+				Front:       true,
+				Incarnation: 1,
+				Counter:     5,
+			}
+			directory.ConfirmLive([]*wire.Process{far})
 			synctest.Wait()
-			if got := names(d); got != "far n0" {
+			if got := names(directory); got != "far n0" {
 				t.Errorf("knows %q", got)
 			}
 			<-time.After(20 * time.Minute)
-			if got := names(d); got != "far n0" {
+			if got := names(directory); got != "far n0" {
 				t.Errorf("after 20 minutes knows %q", got)
 			}
-			d.Attest(nil)
+			directory.ConfirmLive(nil)
 			<-time.After(20 * time.Minute)
-			if got := names(d); got != "n0" {
+			if got := names(directory); got != "n0" {
 				t.Errorf("after it was dropped knows %q", got)
 			}
 			cancel()
--- a/internal/cli/fleet_client.go
+++ b/internal/cli/fleet_client.go
@@ -150,7 +150,7 @@
 		if ctx.Err() != nil {
 			return nil, errInterrupted
 		}
-		if !port.Refused(err) {
+		if !port.IsConnectionRefused(err) {
 			unreachable.mayHaveArrived = true
 		}
 		unreachable.lines = append(unreachable.lines,
@@ -163,7 +163,7 @@
 func failureReason(err error) string {
 	var network net.Error
 	switch {
-	case port.Refused(err):
+	case port.IsConnectionRefused(err):
 		return "refused"
 	case errors.As(err, &network) && network.Timeout():
 		return "silent"
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -31,10 +31,10 @@
 // plain is a dialect with short names.
 type plain struct{}
 
-func (plain) Read(r *http.Request) (port.Call, *apierror.Error) {
-	call := port.Call{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), LastEventID: r.Header.Get("Last")}
+func (plain) ReadRequest(r *http.Request) (port.ClientRequest, *apierror.Error) {
+	call := port.ClientRequest{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), LastEventID: r.Header.Get("Last")}
 	if _, err := fmt.Sscan(r.Header.Get("Tokens"), &call.TokensIn); err == nil {
-		call.Sized = true
+		call.DeclaresTokens = true
 	}
 	var ms int
 	if _, err := fmt.Sscan(r.Header.Get("Left"), &ms); err == nil {
@@ -43,18 +43,18 @@
 	return call, nil
 }
 
-func (plain) Dress(header http.Header, sending port.Sending) {
+func (plain) SetAttemptHeaders(header http.Header, sending port.AttemptMetadata) {
 	header.Del("Key")
 	header.Set("Tenant", sending.Tenant)
 	header.Set("To", sending.Server)
 	header.Set("Last", sending.LastEventID)
 }
 
-func (plain) Said(status int, header http.Header) port.Said {
-	return port.Said{RequestID: header.Get("Id"), NotExecuted: header.Get("Not-Run") != "", Elsewhere: status == http.StatusMisdirectedRequest}
+func (plain) ReadResponse(status int, header http.Header) port.ResponseMetadata {
+	return port.ResponseMetadata{RequestID: header.Get("Id"), NotExecuted: header.Get("Not-Run") != "", WrongServer: status == http.StatusMisdirectedRequest}
 }
 
-func (plain) Refuse(w http.ResponseWriter, id string, apiErr *apierror.Error) {
+func (plain) WriteError(w http.ResponseWriter, id string, apiErr *apierror.Error) {
 	apierror.WriteError(w, apiErr, id)
 }
 
@@ -66,7 +66,7 @@
 
 func (v *fixedViews) View() *follower.View     { return v.view.Load() }
 func (v *fixedViews) Changed() <-chan struct{} { return *v.changed.Load() }
-func (v *fixedViews) Ruling() bool             { return v.ruling.Load() }
+func (v *fixedViews) HasAuthority() bool       { return v.ruling.Load() }
 func (v *fixedViews) FleetNow() time.Time      { return time.Now() }
 
 func (v *fixedViews) publish(change func(*follower.View)) {
@@ -518,7 +518,7 @@
 		route := &sheet.NamedRoute{Route: sheet.Route{Splits: []sheet.Split{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}}
 		counts := map[string]int{}
 		for i := range 5000 {
-			q := &request{route: route, call: port.Call{ID: fmt.Sprintf("%016x", i*2654435761)}}
+			q := &request{route: route, call: port.ClientRequest{ID: fmt.Sprintf("%016x", i*2654435761)}}
 			counts[q.split()]++
 		}
 		So(counts["b"], ShouldBeBetween, 420, 580)
