--- a/cmd/rig/checker/judge.go
+++ b/cmd/rig/checker/judge.go
@@ -23,7 +23,7 @@
 type Judge struct {
 	Name  string
 	Point string
-	find  func(l *history.Ledger) []string
+	find  func(l *history.Recording) []string
 }
 
 // Points of the brief, word for word.
@@ -85,7 +85,7 @@
 }
 
 // Find runs every judge on a ledger.
-func Find(l *history.Ledger) []Violation {
+func Find(l *history.Recording) []Violation {
 	var out []Violation
 	for _, j := range All {
 		for _, evidence := range j.find(l) {
@@ -99,9 +99,9 @@
 	*found = append(*found, fmt.Sprintf(format, args...))
 }
 
-func sec(at history.At) string { return fmt.Sprintf("%.3fs", at.Seconds()) }
+func sec(at history.Instant) string { return fmt.Sprintf("%.3fs", at.Seconds()) }
 
-func ranBy(l *history.Ledger) map[string][]history.Run {
+func ranBy(l *history.Recording) map[string][]history.Run {
 	by := map[string][]history.Run{}
 	for _, r := range l.Runs {
 		if r.Kind == "web" && r.Ran && r.Token != "" {
@@ -111,7 +111,7 @@
 	return by
 }
 
-func runsOnce(l *history.Ledger) (found []string) {
+func runsOnce(l *history.Recording) (found []string) {
 	for token, runs := range ranBy(l) {
 		if len(runs) > 1 {
 			say(&found, "call %s ran %d times: %s at %s and %s at %s", token, len(runs), runs[0].ID, sec(runs[0].Arrived), runs[1].ID, sec(runs[1].Arrived))
@@ -121,21 +121,21 @@
 	return found
 }
 
-func toldNotRun(l *history.Ledger) (found []string) {
+func toldNotRun(l *history.Recording) (found []string) {
 	by := ranBy(l)
 	for _, a := range l.Attempts {
 		if a.Kind == "stream" || a.Code == 0 {
 			continue
 		}
-		told := a.Code < 3000 || a.Code == int(apierror.NotRun) || a.Retry == string(apierror.RetryLater)
+		told := a.Code < 3000 || a.Code == int(apierror.NotRun) || a.RetryAdvice == string(apierror.RetryLater)
 		if runs := by[a.Token]; told && len(runs) > 0 {
-			say(&found, "%s %s through %s was told code %d (%s) at %s and ran as %s at %s, fault %q", a.Kind, a.Token, a.Front, a.Code, a.Retry, sec(a.Done), runs[0].ID, sec(runs[0].Arrived), runs[0].Fault)
+			say(&found, "%s %s through %s was told code %d (%s) at %s and ran as %s at %s, fault %q", a.Kind, a.Token, a.Front, a.Code, a.RetryAdvice, sec(a.Done), runs[0].ID, sec(runs[0].Arrived), runs[0].Fault)
 		}
 	}
 	return found
 }
 
-func streams(l *history.Ledger) (found []string) {
+func streams(l *history.Recording) (found []string) {
 	runs := map[string]history.Run{}
 	for _, r := range l.Runs {
 		if r.Kind == "model" {
@@ -159,16 +159,16 @@
 				why = "is of run " + e.Run + ", the first of " + a.Events[0].Run
 			}
 			if why != "" {
-				say(&found, "stream %s through %s: event %d %s (ended %s, server fault %q)", a.Token, a.Front, i, why, a.End, runs[e.Run].Fault)
+				say(&found, "stream %s through %s: event %d %s (ended %s, server fault %q)", a.Token, a.Front, i, why, a.Outcome, runs[e.Run].Fault)
 				break
 			}
 		}
 		switch {
-		case a.End == history.CleanEnd:
+		case a.Outcome == history.EndedWithoutFinal:
 			say(&found, "stream %s through %s ended cleanly after %d events without a final one", a.Token, a.Front, len(a.Events))
-		case a.End == history.Served && a.Count != len(a.Events):
-			say(&found, "stream %s through %s: final event counts %d, %d came", a.Token, a.Front, a.Count, len(a.Events))
-		case a.End == history.Served && len(a.Events) > 0:
+		case a.Outcome == history.Served && a.EventCount != len(a.Events):
+			say(&found, "stream %s through %s: final event counts %d, %d came", a.Token, a.Front, a.EventCount, len(a.Events))
+		case a.Outcome == history.Served && len(a.Events) > 0:
 			if r := runs[a.Events[0].Run]; !r.Final || r.Sent != len(a.Events) {
 				say(&found, "stream %s through %s looks complete with %d events; its server %s sent %d, final %v", a.Token, a.Front, len(a.Events), r.Server, r.Sent, r.Final)
 			}
@@ -177,41 +177,41 @@
 	return found
 }
 
-func bodies(l *history.Ledger) (found []string) {
+func bodies(l *history.Recording) (found []string) {
 	for _, a := range l.Attempts {
 		if a.AnswerID != "" && a.AnswerID != a.Token {
 			say(&found, "%s %s through %s was answered under id %s", a.Kind, a.Token, a.Front, a.AnswerID)
 			continue
 		}
-		if a.Kind == "stream" || a.End != history.Served {
+		if a.Kind == "stream" || a.Outcome != history.Served {
 			continue
 		}
-		if !a.Whole {
+		if !a.BodyIntact {
 			say(&found, "%s %s through %s got a body that is not whole", a.Kind, a.Token, a.Front)
-		} else if a.Body != a.Token {
-			say(&found, "%s %s through %s got the body of %s", a.Kind, a.Token, a.Front, a.Body)
+		} else if a.BodyToken != a.Token {
+			say(&found, "%s %s through %s got the body of %s", a.Kind, a.Token, a.Front, a.BodyToken)
 		}
 	}
 	return found
 }
 
-func late(l *history.Ledger) (found []string) {
+func late(l *history.Recording) (found []string) {
 	for _, a := range l.Attempts {
-		if (a.End == history.Served || len(a.Events) > 0) && a.First > a.Deadline+LateAfter {
+		if (a.Outcome == history.Served || len(a.Events) > 0) && a.First > a.Deadline+LateAfter {
 			say(&found, "%s %s through %s: first of the answer at %s, deadline %s", a.Kind, a.Token, a.Front, sec(a.First), sec(a.Deadline))
 		}
 	}
 	return found
 }
 
-func drain(l *history.Ledger) (found []string) {
-	since := map[string][]history.Show{}
-	for _, s := range l.Shows {
+func drain(l *history.Recording) (found []string) {
+	since := map[string][]history.ListingChange{}
+	for _, s := range l.ListingChanges {
 		since[s.Server] = append(since[s.Server], s)
 	}
 	told := map[string]bool{}
 	for _, r := range l.Runs {
-		var last history.Show
+		var last history.ListingChange
 		for _, s := range since[r.Server] {
 			if s.At > r.Arrived {
 				break
@@ -229,22 +229,22 @@
 	return found
 }
 
-func evacuation(l *history.Ledger) (found []string) {
+func evacuation(l *history.Recording) (found []string) {
 	for _, o := range l.Orders {
-		if o.Verb != "evacuate" || !o.Won() {
+		if o.Verb != "evacuate" || !o.Acknowledged() {
 			continue
 		}
 		until := l.End
 		for _, back := range l.Orders {
-			if back.Verb == "restore" && back.Target == o.Target && back.Sent > o.Told {
+			if back.Verb == "restore" && back.Target == o.Target && back.Sent > o.Answered {
 				until = min(until, back.Sent)
 			}
 		}
 		for _, r := range l.Runs {
-			place := l.Localities[r.Server]
+			place := l.Zones[r.Server]
 			inside := place == o.Target || len(place) > len(o.Target) && place[:len(o.Target)+1] == o.Target+"/"
-			if inside && r.Arrived > o.Told+EvacuateAfter && r.Arrived < until {
-				say(&found, "request %s reached %s in %s at %s, %s after the evacuation was acknowledged", r.Token, r.Server, o.Target, sec(r.Arrived), sec(r.Arrived-o.Told))
+			if inside && r.Arrived > o.Answered+EvacuateAfter && r.Arrived < until {
+				say(&found, "request %s reached %s in %s at %s, %s after the evacuation was acknowledged", r.Token, r.Server, o.Target, sec(r.Arrived), sec(r.Arrived-o.Answered))
 				break
 			}
 		}
@@ -252,14 +252,14 @@
 	return found
 }
 
-func flood(l *history.Ledger) (found []string) {
+func flood(l *history.Recording) (found []string) {
 	told := map[string]bool{}
 	for _, r := range l.Runs {
 		if r.Kind != "model" {
 			continue
 		}
 		most, how := 2*r.Slots, "a server that was left"
-		if r.Cold {
+		if r.WarmingUp {
 			most, how = min(most, ColdStart+ColdGrowth*r.Answered), "a cold server"
 		}
 		if r.InFlight > most && !told[r.Server+how] {
--- a/cmd/rig/checker/orders.go
+++ b/cmd/rig/checker/orders.go
@@ -10,11 +10,11 @@
 
 func isSheet(o history.Order) bool { return o.Verb == "put" || o.Verb == "patch" }
 
-func lostSheet(l *history.Ledger) (found []string) {
+func lostSheet(l *history.Recording) (found []string) {
 	versions := map[string]uint64{}
 	for _, o := range l.Orders {
-		if o.Won() && isSheet(o) && o.Mark != "" {
-			versions[o.Mark] = o.Version
+		if o.Acknowledged() && isSheet(o) && o.SheetMarker != "" {
+			versions[o.SheetMarker] = o.Version
 		}
 	}
 	for _, back := range l.ReadBacks {
@@ -23,28 +23,28 @@
 		}
 		var best history.Order
 		for _, o := range l.Orders {
-			if o.Won() && isSheet(o) && o.Told < back.Sent && o.Version > best.Version {
+			if o.Acknowledged() && isSheet(o) && o.Answered < back.Sent && o.Version > best.Version {
 				best = o
 			}
 		}
-		marked, known := versions[back.Mark]
+		marked, known := versions[back.SheetMarker]
 		switch {
 		case back.Version < best.Version:
-			say(&found, "read back through %s at %s: sheet epoch %d, but %d (order %s) was acknowledged at %s", back.Front, sec(back.Sent), back.Version, best.Version, best.ID, sec(best.Told))
-		case back.Version == best.Version && best.Mark != "" && back.Mark != best.Mark:
-			say(&found, "read back through %s at %s: sheet epoch %d has mark %q, order %s put %q there", back.Front, sec(back.Sent), back.Version, back.Mark, best.ID, best.Mark)
+			say(&found, "read back through %s at %s: sheet epoch %d, but %d (order %s) was acknowledged at %s", back.Front, sec(back.Sent), back.Version, best.Version, best.ID, sec(best.Answered))
+		case back.Version == best.Version && best.SheetMarker != "" && back.SheetMarker != best.SheetMarker:
+			say(&found, "read back through %s at %s: sheet epoch %d has mark %q, order %s put %q there", back.Front, sec(back.Sent), back.Version, back.SheetMarker, best.ID, best.SheetMarker)
 		case known && marked != back.Version && marked < best.Version:
-			say(&found, "read back through %s at %s: sheet epoch %d holds mark %s of epoch %d", back.Front, sec(back.Sent), back.Version, back.Mark, marked)
+			say(&found, "read back through %s at %s: sheet epoch %d holds mark %s of epoch %d", back.Front, sec(back.Sent), back.Version, back.SheetMarker, marked)
 		}
 	}
 	return found
 }
 
 // marks are the keys of acknowledged sheets.
-func marks(l *history.Ledger) map[int]history.KeyMark {
-	out := map[int]history.KeyMark{}
-	for _, m := range l.KeyMarks {
-		if m.Acked > 0 {
+func marks(l *history.Recording) map[int]history.KeyRotation {
+	out := map[int]history.KeyRotation{}
+	for _, m := range l.KeyRotations {
+		if m.Acknowledged > 0 {
 			out[m.Key] = m
 		}
 	}
@@ -53,60 +53,60 @@
 
 // outdated is the earliest instant at which a sheet newer than that of a key
 // was acknowledged.
-func outdated(l *history.Ledger, own history.KeyMark) (at history.At, by history.KeyMark, ok bool) {
-	for _, m := range l.KeyMarks {
-		if m.Acked > 0 && m.Version > own.Version && (!ok || m.Acked < at) {
-			at, by, ok = m.Acked, m, true
+func outdated(l *history.Recording, own history.KeyRotation) (at history.Instant, by history.KeyRotation, ok bool) {
+	for _, m := range l.KeyRotations {
+		if m.Acknowledged > 0 && m.Version > own.Version && (!ok || m.Acknowledged < at) {
+			at, by, ok = m.Acknowledged, m, true
 		}
 	}
 	return
 }
 
-func oldSheet(l *history.Ledger) (found []string) {
+func oldSheet(l *history.Recording) (found []string) {
 	acked := marks(l)
-	ends := map[int]history.At{}
+	ends := map[int]history.Instant{}
 	for key, m := range acked {
 		if at, _, ok := outdated(l, m); ok {
 			ends[key] = at
 		}
 	}
-	for _, p := range l.Probes {
+	for _, p := range l.KeyChecks {
 		m, ok := acked[p.Key]
 		if !ok {
 			continue
 		}
-		if at, over := ends[p.Key]; over && p.Passed() && p.Sent >= at+OldAfter {
+		if at, over := ends[p.Key]; over && p.Accepted() && p.Sent >= at+OldAfter {
 			say(&found, "%s passed probe key %d (epoch %d) at %s; a newer sheet was acknowledged at %s, %s before", p.Front, p.Key, m.Version, sec(p.Sent), sec(at), sec(p.Sent-at))
 		}
-		if p.Unknown() && p.Sent >= m.Acked+OldAfter && !laterSent(l, m, p.Done) {
-			say(&found, "%s did not know probe key %d (epoch %d) at %s; its sheet was acknowledged at %s, %s before", p.Front, p.Key, m.Version, sec(p.Sent), sec(m.Acked), sec(p.Sent-m.Acked))
+		if p.RejectedAsUnknown() && p.Sent >= m.Acknowledged+OldAfter && !laterSent(l, m, p.Done) {
+			say(&found, "%s did not know probe key %d (epoch %d) at %s; its sheet was acknowledged at %s, %s before", p.Front, p.Key, m.Version, sec(p.Sent), sec(m.Acknowledged), sec(p.Sent-m.Acknowledged))
 		}
 	}
 	return found
 }
 
 // laterSent tells whether any other sheet that may be newer was sent by an instant.
-func laterSent(l *history.Ledger, m history.KeyMark, by history.At) bool {
-	for _, other := range l.KeyMarks {
-		if other.Key != m.Key && other.Sent <= by && (other.Acked == 0 || other.Version > m.Version) {
+func laterSent(l *history.Recording, m history.KeyRotation, by history.Instant) bool {
+	for _, other := range l.KeyRotations {
+		if other.Key != m.Key && other.Sent <= by && (other.Acknowledged == 0 || other.Version > m.Version) {
 			return true
 		}
 	}
 	return false
 }
 
-func stepBack(l *history.Ledger) (found []string) {
+func stepBack(l *history.Recording) (found []string) {
 	acked := marks(l)
 	type seen struct {
 		version uint64
-		done    history.At
+		done    history.Instant
 	}
 	highest := map[string][]seen{}
-	probes := append([]history.Probe(nil), l.Probes...)
+	probes := append([]history.KeyCheck(nil), l.KeyChecks...)
 	sort.Slice(probes, func(i, j int) bool { return probes[i].Sent < probes[j].Sent })
 	for _, p := range probes {
 		m, ok := acked[p.Key]
-		if !ok || !p.Passed() {
+		if !ok || !p.Accepted() {
 			continue
 		}
 		for _, before := range highest[p.Front] {
@@ -122,16 +122,16 @@
 	return found
 }
 
-func invalidSheet(l *history.Ledger) (found []string) {
+func invalidSheet(l *history.Recording) (found []string) {
 	for _, o := range l.Orders {
-		if o.Invalid && o.Won() {
-			say(&found, "order %s has an invalid sheet and was acknowledged at %s as epoch %d", o.ID, sec(o.Told), o.Version)
+		if o.Invalid && o.Acknowledged() {
+			say(&found, "order %s has an invalid sheet and was acknowledged at %s as epoch %d", o.ID, sec(o.Answered), o.Version)
 		}
 	}
 	return found
 }
 
-func race(l *history.Ledger) (found []string) {
+func race(l *history.Recording) (found []string) {
 	winner := map[string]history.Order{}
 	lost := map[string]map[string]bool{}
 	for _, o := range l.Orders {
@@ -139,7 +139,7 @@
 			continue
 		}
 		group := fmt.Sprint("base ", o.Base)
-		if o.Won() {
+		if o.Acknowledged() {
 			if first, ok := winner[group]; ok && first.ID != o.ID {
 				say(&found, "orders %s and %s, both on %s, were told that they won (epochs %d and %d)", first.ID, o.ID, group, first.Version, o.Version)
 			} else {
@@ -150,8 +150,8 @@
 			if lost[o.Race] == nil {
 				lost[o.Race] = map[string]bool{}
 			}
-			if _, ok := lost[o.Race][o.ID]; !ok || o.Code == int(apierror.BaseMoved) && !o.Lost {
-				lost[o.Race][o.ID] = o.Code == int(apierror.BaseMoved) && !o.Lost
+			if _, ok := lost[o.Race][o.ID]; !ok || o.Code == int(apierror.BaseMoved) && !o.AnswerLost {
+				lost[o.Race][o.ID] = o.Code == int(apierror.BaseMoved) && !o.AnswerLost
 			}
 		}
 	}
@@ -168,10 +168,10 @@
 	return found
 }
 
-func resent(l *history.Ledger) (found []string) {
+func resent(l *history.Recording) (found []string) {
 	won := map[string]history.Order{}
 	for _, o := range l.Orders {
-		if o.Won() {
+		if o.Acknowledged() {
 			if first, ok := won[o.ID]; ok && first.Version != o.Version {
 				say(&found, "order %s was accepted as epoch %d and again as epoch %d", o.ID, first.Version, o.Version)
 			}
@@ -179,29 +179,29 @@
 		}
 	}
 	for _, o := range l.Orders {
-		if w, ok := won[o.ID]; ok && !o.Lost && o.Status >= 400 && o.Status < 500 {
+		if w, ok := won[o.ID]; ok && !o.AnswerLost && o.Status >= 400 && o.Status < 500 {
 			say(&found, "order %s was accepted as epoch %d and, sent again at %s through %s, refused with code %d", o.ID, w.Version, sec(o.Sent), o.Front, o.Code)
 		}
 	}
 	applied := map[string]bool{}
 	for _, back := range l.ReadBacks {
-		if back.Status == 200 && back.Mark != "" {
-			applied[back.Mark] = true
+		if back.Status == 200 && back.SheetMarker != "" {
+			applied[back.SheetMarker] = true
 		}
 	}
 	for _, o := range l.Orders {
-		if !o.Lost && o.Status >= 400 && o.Status < 500 && o.Mark != "" && applied[o.Mark] {
-			say(&found, "order %s was refused with code %d at %s, but its sheet was read back", o.ID, o.Code, sec(o.Told))
+		if !o.AnswerLost && o.Status >= 400 && o.Status < 500 && o.SheetMarker != "" && applied[o.SheetMarker] {
+			say(&found, "order %s was refused with code %d at %s, but its sheet was read back", o.ID, o.Code, sec(o.Answered))
 		}
 	}
 	return found
 }
 
-func revoked(l *history.Ledger) (found []string) {
+func revoked(l *history.Recording) (found []string) {
 	acked := marks(l)
-	for _, p := range l.Probes {
+	for _, p := range l.KeyChecks {
 		m, ok := acked[p.Key]
-		if !ok || !p.Passed() {
+		if !ok || !p.Accepted() {
 			continue
 		}
 		if at, by, over := outdated(l, m); over && p.Sent >= at+RevokedAfter {
--- a/cmd/rig/checker/quota.go
+++ b/cmd/rig/checker/quota.go
@@ -10,14 +10,14 @@
 
 // got tells whether a tenant got what an attempt asked for, in whole or in part.
 func got(a history.Attempt) bool {
-	return a.End == history.Served || a.End == history.GaveUp || len(a.Events) > 0
+	return a.Outcome == history.Served || a.Outcome == history.Abandoned || len(a.Events) > 0
 }
 
 func quotaRefusal(a history.Attempt) bool {
-	return a.End == history.Refused && (a.Code == int(apierror.QuotaExceeded) || a.Code == int(apierror.ShareExceeded))
+	return a.Outcome == history.Rejected && (a.Code == int(apierror.QuotaExceeded) || a.Code == int(apierror.ShareExceeded))
 }
 
-func byTenant(l *history.Ledger) map[string][]history.Attempt {
+func byTenant(l *history.Recording) map[string][]history.Attempt {
 	by := map[string][]history.Attempt{}
 	for _, a := range l.Attempts {
 		if _, ok := l.Allowances[a.Tenant]; ok {
@@ -32,8 +32,8 @@
 
 func limit(a history.Allowance) float64 { return a.Rate*QuotaSpan.Seconds() + a.Burst }
 
-func cutNear(l *history.Ledger, from, to history.At) bool {
-	for _, c := range l.Cuts {
+func cutNear(l *history.Recording, from, to history.Instant) bool {
+	for _, c := range l.Partitions {
 		if c.From <= to && (c.To == 0 || c.To+2*QuotaSpan >= from) {
 			return true
 		}
@@ -41,7 +41,7 @@
 	return false
 }
 
-func tenants(l *history.Ledger) []string {
+func tenants(l *history.Recording) []string {
 	var names []string
 	for name := range l.Allowances {
 		names = append(names, name)
@@ -52,7 +52,7 @@
 
 // Worst is the most that a tenant got in any span, as a share of its limit, and
 // the span's end.
-func Worst(l *history.Ledger, tenant string) (share float64, at history.At) {
+func Worst(l *history.Recording, tenant string) (share float64, at history.Instant) {
 	list, first, sum := byTenant(l)[tenant], 0, 0.0
 	for i, a := range list {
 		if got(a) {
@@ -70,7 +70,7 @@
 	return share, at
 }
 
-func overQuota(l *history.Ledger) (found []string) {
+func overQuota(l *history.Recording) (found []string) {
 	for _, tenant := range tenants(l) {
 		most := QuotaMost
 		share, at := Worst(l, tenant)
@@ -85,7 +85,7 @@
 }
 
 // demand is what was asked for in (from, to].
-func demand(list []history.Attempt, from, to history.At) (asked, passed float64, others int) {
+func demand(list []history.Attempt, from, to history.Instant) (asked, passed float64, others int) {
 	i := sort.Search(len(list), func(i int) bool { return list[i].Sent > from })
 	for ; i < len(list) && list[i].Sent <= to; i++ {
 		asked += list[i].Tokens
@@ -98,7 +98,7 @@
 	return
 }
 
-func underQuota(l *history.Ledger) (found []string) {
+func underQuota(l *history.Recording) (found []string) {
 	by := byTenant(l)
 	for _, tenant := range tenants(l) {
 		list, most := by[tenant], limit(l.Allowances[tenant])
@@ -107,7 +107,7 @@
 				continue
 			}
 			low, peak := true, 0.0
-			for back := history.At(0); back <= QuotaSpan && low; back += QuotaSpan / 4 {
+			for back := history.Instant(0); back <= QuotaSpan && low; back += QuotaSpan / 4 {
 				asked, _, _ := demand(list, a.Sent-back-QuotaSpan, a.Sent-back)
 				low, peak = asked < QuotaNever*most, max(peak, asked)
 			}
@@ -122,7 +122,7 @@
 
 // starved looks at spans of steady excess demand in which nothing but quota
 // refused: a tenant must get its allowance.
-func starved(l *history.Ledger) (found []string) {
+func starved(l *history.Recording) (found []string) {
 	by := byTenant(l)
 	for _, tenant := range tenants(l) {
 		list, most := by[tenant], limit(l.Allowances[tenant])
@@ -145,29 +145,29 @@
 }
 
 // Level is the attempts served a second in a span.
-func Level(l *history.Ledger, from, to history.At) float64 {
+func Level(l *history.Recording, from, to history.Instant) float64 {
 	n := 0
 	for _, a := range l.Attempts {
-		if a.End == history.Served && a.Done >= from && a.Done < to {
+		if a.Outcome == history.Served && a.Done >= from && a.Done < to {
 			n++
 		}
 	}
 	return float64(n) / (to - from).Seconds()
 }
 
-func service(l *history.Ledger) (found []string) {
-	for _, m := range l.Marks {
+func service(l *history.Recording) (found []string) {
+	for _, m := range l.Actions {
 		if !m.Final {
 			continue
 		}
 		to := min(l.End, m.At+ServiceAfter+4*time.Second)
 		if to < m.At+ServiceAfter+time.Second {
-			say(&found, "the run ended %s after the final fault (%s): too early to judge", sec(l.End-m.At), m.What)
+			say(&found, "the run ended %s after the final fault (%s): too early to judge", sec(l.End-m.At), m.Description)
 			continue
 		}
 		before := Level(l, m.At-6*time.Second, m.At)
 		if after := Level(l, m.At+ServiceAfter, to); after < ServiceShare*before {
-			say(&found, "%s at %s: %.1f served a second before, %.1f from 12 s after", m.What, sec(m.At), before, after)
+			say(&found, "%s at %s: %.1f served a second before, %.1f from 12 s after", m.Description, sec(m.At), before, after)
 		}
 	}
 	return found
--- a/cmd/rig/demo.go
+++ b/cmd/rig/demo.go
@@ -83,7 +83,7 @@
 	}
 	for i := range 30 {
 		told := s.Control.Push(ctx, s.Control.Change("ade", base), s.Fleet.From(i))
-		if !told.Won() {
+		if !told.Acknowledged() {
 			return append(troubles, fmt.Sprintf("change %d: status %d code %d %s", i+1, told.Status, told.Code, told.Detail))
 		}
 		base = told.Version
@@ -96,7 +96,7 @@
 		both.Go(func() { told[i] = s.Control.Push(ctx, o, s.Fleet.From(i*4)) })
 	}
 	both.Wait()
-	if told[0].Won() == told[1].Won() {
+	if told[0].Acknowledged() == told[1].Acknowledged() {
 		troubles = append(troubles, fmt.Sprintf("race: %d/%d and %d/%d", told[0].Status, told[0].Code, told[1].Status, told[1].Code))
 	}
 	_, base = s.Control.Newest()
@@ -104,7 +104,7 @@
 	s.Control.Send(lost, s.Fleet.Nodes[1], 5*time.Millisecond)
 	first := s.Control.Push(ctx, lost, s.Fleet.From(2))
 	again := s.Control.Push(ctx, lost, s.Fleet.From(5))
-	if !first.Won() || !again.Won() || first.Version != again.Version {
+	if !first.Acknowledged() || !again.Acknowledged() || first.Version != again.Version {
 		troubles = append(troubles, fmt.Sprintf("lost answer: %d/%d epoch %d, again %d/%d epoch %d", first.Status, first.Code, first.Version, again.Status, again.Code, again.Version))
 	}
 	if back, _ := s.Control.Read(s.Fleet.Nodes[3], true); back.Status != 200 {
--- a/cmd/rig/emulator/generate.go
+++ b/cmd/rig/emulator/generate.go
@@ -60,15 +60,15 @@
 	j := &job{request: id, prefix: body.Prefix, weight: body.PrefixTokens, prefill: float64(body.PrefixTokens + body.SessionTokens),
 		left: events, out: make(chan frame, events+4), gone: r.Context().Done()}
 	busy := false
-	m.state.Ask(func(s *modelState) {
+	m.state.Do(func(s *modelState) {
 		s.serial++
 		j.fault, j.faultAt = s.draw(), s.random.IntN(events)
 		j.run = history.Run{ID: fmt.Sprintf("%s-%d-%d", m.Name, s.incarnation%1e9, s.serial), Server: m.Name, Kind: "model",
 			Token: Token(body.Session), Request: id, Arrived: m.book.Now(), InFlight: len(s.running) + len(s.queue) + 1,
-			Answered: s.answered, Cold: m.cold(s), Slots: m.shape.Slots, Fault: j.fault}
+			Answered: s.answered, WarmingUp: m.cold(s), Slots: m.shape.Slots, Fault: j.fault}
 		s.peak = max(s.peak, j.run.InFlight)
 		busy = j.fault == Busy || len(s.queue) >= m.shape.Queue
-		m.book.Run(j.run)
+		m.book.PutRun(j.run)
 		if !busy {
 			s.queue = append(s.queue, j)
 		}
@@ -116,7 +116,7 @@
 func (m *Model) status(w http.ResponseWriter, r *http.Request) {
 	var body map[string]any
 	dark := false
-	m.state.Ask(func(s *modelState) {
+	m.state.Do(func(s *modelState) {
 		dark = s.dark
 		state, prefill := "ready", m.shape.Prefill
 		if m.cold(s) {
--- a/cmd/rig/emulator/model.go
+++ b/cmd/rig/emulator/model.go
@@ -79,7 +79,7 @@
 
 type cached struct {
 	tokens int
-	used   history.At
+	used   history.Instant
 }
 
 type modelState struct {
@@ -107,12 +107,12 @@
 	Address  string
 	Services []string
 	shape    Shape
-	book     *history.Book
+	book     *history.Recorder
 	state    *owner.Owner[modelState]
 }
 
 // NewModel returns a model server that is down.
-func NewModel(name, address string, services []string, shape Shape, book *history.Book, seed uint64) *Model {
+func NewModel(name, address string, services []string, shape Shape, book *history.Recorder, seed uint64) *Model {
 	return &Model{Name: name, Address: address, Services: services, shape: shape, book: book,
 		state: owner.New(modelState{odds: Odds{}, random: rand.New(rand.NewPCG(seed, 17))})}
 }
@@ -120,7 +120,7 @@
 // Start brings the server up, cold and with an empty cache.
 func (m *Model) Start() error {
 	var err error
-	m.state.Ask(func(s *modelState) {
+	m.state.Do(func(s *modelState) {
 		if s.listener != nil {
 			return
 		}
@@ -145,12 +145,12 @@
 
 // Warm lets the server count as warm from now on.
 func (m *Model) Warm() {
-	m.state.Ask(func(s *modelState) { s.answered = max(s.answered, m.shape.WarmAfter) })
+	m.state.Do(func(s *modelState) { s.answered = max(s.answered, m.shape.WarmAfter) })
 }
 
 // Crash ends the server at once; its connections break.
 func (m *Model) Crash() {
-	m.state.Ask(func(s *modelState) {
+	m.state.Do(func(s *modelState) {
 		if s.listener == nil {
 			return
 		}
@@ -163,20 +163,20 @@
 }
 
 // Close ends the server for good.
-func (m *Model) Close() { m.Crash(); m.state.End() }
+func (m *Model) Close() { m.Crash(); m.state.Close() }
 
 // Dark makes the server keep its connections and do nothing.
-func (m *Model) Dark(dark bool) { m.state.Ask(func(s *modelState) { s.dark = dark }) }
+func (m *Model) Dark(dark bool) { m.state.Do(func(s *modelState) { s.dark = dark }) }
 
 // Drain makes the server report that it drains.
-func (m *Model) Drain(drain bool) { m.state.Ask(func(s *modelState) { s.drain = drain }) }
+func (m *Model) Drain(drain bool) { m.state.Do(func(s *modelState) { s.drain = drain }) }
 
 // Odds replaces the odds of faults.
-func (m *Model) Odds(odds Odds) { m.state.Ask(func(s *modelState) { s.odds = odds }) }
+func (m *Model) Odds(odds Odds) { m.state.Do(func(s *modelState) { s.odds = odds }) }
 
 // Counts tells the cache's hits and the prompts asked so far, and the peak in flight.
 func (m *Model) Counts() (hits, asked, peak int) {
-	m.state.Ask(func(s *modelState) { hits, asked, peak = s.hits, s.asked, s.peak })
+	m.state.Do(func(s *modelState) { hits, asked, peak = s.hits, s.asked, s.peak })
 	return
 }
 
@@ -186,7 +186,7 @@
 	for {
 		select {
 		case <-ticker.C():
-			m.state.Ask(m.step)
+			m.state.Do(m.step)
 		case <-ctx.Done():
 			return
 		}
@@ -245,13 +245,13 @@
 	s.asked++
 	if _, ok := s.cache[j.prefix]; ok && j.prefix != "" {
 		s.hits++
-		j.run.Hit = true
+		j.run.CacheHit = true
 		s.cache[j.prefix] = cached{j.weight, m.book.Now()}
 		j.prefill -= float64(j.weight)
 	}
 	j.prefill = max(j.prefill, 1)
 	j.run.Ran = true
-	m.book.Run(j.run)
+	m.book.PutRun(j.run)
 }
 
 func (m *Model) remember(s *modelState, j *job) {
@@ -260,7 +260,7 @@
 	}
 	s.cache[j.prefix] = cached{j.weight, m.book.Now()}
 	for used := m.used(s); used > m.shape.KV && len(s.cache) > 1; {
-		oldest, at := "", history.At(1<<62)
+		oldest, at := "", history.Instant(1<<62)
 		for k, c := range s.cache {
 			if c.used < at {
 				oldest, at = k, c.used
@@ -337,5 +337,5 @@
 		s.answered++
 	}
 	j.run.Sent, j.run.Final, j.run.Done, j.run.Fault = j.sent, last.final, m.book.Now(), j.fault
-	m.book.Run(j.run)
+	m.book.PutRun(j.run)
 }
--- a/cmd/rig/emulator/platform.go
+++ b/cmd/rig/emulator/platform.go
@@ -36,20 +36,20 @@
 // Platform lists servers and checks the nodes' readiness once a second.
 type Platform struct {
 	Address string
-	book    *history.Book
+	book    *history.Recorder
 	state   *owner.Owner[platformState]
 	server  *http.Server
 	cancel  context.CancelFunc
 }
 
 // NewPlatform returns a platform that is down.
-func NewPlatform(address string, book *history.Book) *Platform {
+func NewPlatform(address string, book *history.Recorder) *Platform {
 	return &Platform{Address: address, book: book, state: owner.New(platformState{map[string]Listed{}, map[string]string{}})}
 }
 
 // Show lists a server or changes what is listed of it.
 func (p *Platform) Show(s Listed) {
-	p.state.Ask(func(state *platformState) {
+	p.state.Do(func(state *platformState) {
 		before, ok := state.list[s.Name]
 		state.list[s.Name] = s
 		if !ok || before.State != s.State {
@@ -60,15 +60,15 @@
 
 func (p *Platform) show(s Listed, state string) {
 	at, zone := p.book.Now(), s.Region+"/"+s.Zone
-	p.book.Write(func(l *history.Ledger) {
-		l.Shows = append(l.Shows, history.Show{At: at, Server: s.Name, State: state, Zone: zone})
-		l.Localities[s.Name] = zone
+	p.book.Update(func(l *history.Recording) {
+		l.ListingChanges = append(l.ListingChanges, history.ListingChange{At: at, Server: s.Name, State: state, Zone: zone})
+		l.Zones[s.Name] = zone
 	})
 }
 
 // State changes the state of a listed server.
 func (p *Platform) State(name, to string, leaveAt int64) {
-	p.state.Ask(func(state *platformState) {
+	p.state.Do(func(state *platformState) {
 		s, ok := state.list[name]
 		if !ok {
 			return
@@ -81,7 +81,7 @@
 
 // Drop takes a server off the list.
 func (p *Platform) Drop(name string) {
-	p.state.Ask(func(state *platformState) {
+	p.state.Do(func(state *platformState) {
 		if s, ok := state.list[name]; ok {
 			p.show(s, "gone")
 		}
@@ -92,7 +92,7 @@
 // Watch checks the readiness of a node at a caller address from now on; an
 // empty address ends that.
 func (p *Platform) Watch(node, address string) {
-	p.state.Ask(func(state *platformState) {
+	p.state.Do(func(state *platformState) {
 		if address == "" {
 			delete(state.nodes, node)
 		} else {
@@ -110,7 +110,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /servers", func(w http.ResponseWriter, r *http.Request) {
 		var list []Listed
-		p.state.Ask(func(state *platformState) {
+		p.state.Do(func(state *platformState) {
 			for _, s := range state.list {
 				list = append(list, s)
 			}
@@ -132,7 +132,7 @@
 		p.cancel()
 		p.server.Close()
 	}
-	p.state.End()
+	p.state.Close()
 }
 
 func (p *Platform) check(ctx context.Context) {
@@ -146,7 +146,7 @@
 			return
 		}
 		nodes := map[string]string{}
-		p.state.Ask(func(state *platformState) {
+		p.state.Do(func(state *platformState) {
 			for k, v := range state.nodes {
 				nodes[k] = v
 			}
@@ -159,7 +159,9 @@
 					status = resp.StatusCode
 					resp.Body.Close()
 				}
-				p.book.Write(func(l *history.Ledger) { l.Ready = append(l.Ready, history.Ready{At: at, Node: node, Status: status}) })
+				p.book.Update(func(l *history.Recording) {
+					l.ReadinessChecks = append(l.ReadinessChecks, history.ReadinessCheck{At: at, Node: node, Status: status})
+				})
 			}()
 		}
 	}
--- a/cmd/rig/emulator/web.go
+++ b/cmd/rig/emulator/web.go
@@ -38,12 +38,12 @@
 	Name     string
 	Address  string
 	Services []string
-	book     *history.Book
+	book     *history.Recorder
 	state    *owner.Owner[webState]
 }
 
 // NewWeb returns a web server that is down.
-func NewWeb(name, address string, services []string, book *history.Book, seed uint64) *Web {
+func NewWeb(name, address string, services []string, book *history.Recorder, seed uint64) *Web {
 	return &Web{Name: name, Address: address, Services: services, book: book,
 		state: owner.New(webState{odds: Odds{}, random: rand.New(rand.NewPCG(seed, 23))})}
 }
@@ -51,7 +51,7 @@
 // Start brings the server up.
 func (w *Web) Start() error {
 	var err error
-	w.state.Ask(func(s *webState) {
+	w.state.Do(func(s *webState) {
 		if s.listener != nil {
 			return
 		}
@@ -68,11 +68,11 @@
 }
 
 // Warm lets the server count as one that has answered many requests.
-func (w *Web) Warm() { w.state.Ask(func(s *webState) { s.answered = max(s.answered, 1000) }) }
+func (w *Web) Warm() { w.state.Do(func(s *webState) { s.answered = max(s.answered, 1000) }) }
 
 // Crash ends the server at once; its connections break.
 func (w *Web) Crash() {
-	w.state.Ask(func(s *webState) {
+	w.state.Do(func(s *webState) {
 		if s.listener == nil {
 			return
 		}
@@ -83,16 +83,16 @@
 }
 
 // Close ends the server for good.
-func (w *Web) Close() { w.Crash(); w.state.End() }
+func (w *Web) Close() { w.Crash(); w.state.Close() }
 
 // Dark makes the server keep its connections and do nothing.
-func (w *Web) Dark(dark bool) { w.state.Ask(func(s *webState) { s.dark = dark }) }
+func (w *Web) Dark(dark bool) { w.state.Do(func(s *webState) { s.dark = dark }) }
 
 // Drain makes the server report that it drains.
-func (w *Web) Drain(drain bool) { w.state.Ask(func(s *webState) { s.drain = drain }) }
+func (w *Web) Drain(drain bool) { w.state.Do(func(s *webState) { s.drain = drain }) }
 
 // Odds replaces the odds of faults.
-func (w *Web) Odds(odds Odds) { w.state.Ask(func(s *webState) { s.odds = odds }) }
+func (w *Web) Odds(odds Odds) { w.state.Do(func(s *webState) { s.odds = odds }) }
 
 // Body is the answer to a token: the token, padding and a digest over both.
 func Body(token string, padding int) string {
@@ -116,7 +116,7 @@
 		return
 	}
 	fault, pad, dark := "", 0, false
-	w.state.Ask(func(s *webState) { fault, pad, dark = s.draw(), 40+s.random.IntN(3000), s.dark })
+	w.state.Do(func(s *webState) { fault, pad, dark = s.draw(), 40+s.random.IntN(3000), s.dark })
 	if fault == ResetEarly {
 		cut(out)
 		return
@@ -133,7 +133,7 @@
 	id := r.Header.Get("Stepwick-Request-Id")
 	run := history.Run{Server: w.Name, Kind: "web", Token: token, Request: id, Arrived: w.book.Now(), Fault: fault}
 	previous := ""
-	w.state.Ask(func(s *webState) {
+	w.state.Do(func(s *webState) {
 		s.serial++
 		s.running++
 		run.ID = fmt.Sprintf("%s-%d-%d", w.Name, s.incarnation%1e9, s.serial)
@@ -141,8 +141,8 @@
 		run.Ran = fault != ResetRead && fault != Busy
 		previous, s.last = s.last, token
 	})
-	w.book.Run(run)
-	defer w.state.Tell(func(s *webState) { s.running--; s.answered++ })
+	w.book.PutRun(run)
+	defer w.state.Post(func(s *webState) { s.running--; s.answered++ })
 	body := Body(token, pad)
 	switch fault {
 	case ResetRead, ResetRan:
@@ -157,7 +157,7 @@
 	case WrongID:
 		id = "x" + id
 	case Slow:
-		owner.Wait(r.Context(), 2*time.Second)
+		owner.Sleep(r.Context(), 2*time.Second)
 	case CrossBody:
 		body = Body(previous, pad)
 		id = "x" + id
@@ -171,7 +171,7 @@
 	}
 	_, _ = out.Write([]byte(body))
 	run.Done, run.Final = w.book.Now(), true
-	w.book.Run(run)
+	w.book.PutRun(run)
 }
 
 // cut resets the connection under a request.
@@ -198,7 +198,7 @@
 func (w *Web) status(out http.ResponseWriter, r *http.Request) {
 	var body map[string]any
 	dark := false
-	w.state.Ask(func(s *webState) {
+	w.state.Do(func(s *webState) {
 		dark = s.dark
 		state := "ready"
 		if s.drain {
--- a/cmd/rig/faultcase/cases.go
+++ b/cmd/rig/faultcase/cases.go
@@ -12,7 +12,7 @@
 	"stepwick/internal/clock"
 )
 
-func wait(ctx context.Context, d time.Duration) bool { return owner.Wait(ctx, d) }
+func wait(ctx context.Context, d time.Duration) bool { return owner.Sleep(ctx, d) }
 
 // Case causes one kind of trouble.
 type Case struct {
@@ -73,13 +73,13 @@
 	return Case{}, false
 }
 
-func (s *Stage) rest(began history.At) {
+func (s *Stage) rest(began history.Instant) {
 	if left := began + time.Duration(s.Seconds)*time.Second - s.Book.Now(); left > 0 {
 		s.Wait(left)
 	}
 }
 
-func (s *Stage) left(began history.At) bool {
+func (s *Stage) left(began history.Instant) bool {
 	return s.ctx.Err() == nil && s.Book.Now() < began+time.Duration(s.Seconds)*time.Second
 }
 
@@ -88,7 +88,7 @@
 	for s.left(began) {
 		drained, leaving := s.model(), s.model()
 		web := s.Fleet.Webs[s.Random.IntN(3)]
-		s.Book.Mark("drain "+drained.Name, false)
+		s.Book.AddAction("drain "+drained.Name, false)
 		s.Fleet.Platform.State(drained.Name, "draining", 0)
 		s.Fleet.Platform.State(web.Name, "draining", 0)
 		if leaving != drained {
@@ -198,12 +198,12 @@
 
 func crowd(s *Stage) error {
 	s.Wait(6 * time.Second)
-	s.Book.Mark("crowd tenfold", false)
+	s.Book.AddAction("crowd tenfold", false)
 	s.Crowd.Scale("desk", 10)
 	s.Crowd.Scale("grid", 10)
 	s.Wait(8 * time.Second)
 	s.Crowd.Scale("", 1)
-	s.Book.Mark("long answers", false)
+	s.Book.AddAction("long answers", false)
 	s.Crowd.Scale("press", 0.2)
 	s.Crowd.Scale("helpdesk", 2)
 	s.Wait(8 * time.Second)
--- a/cmd/rig/faultcase/faults.go
+++ b/cmd/rig/faultcase/faults.go
@@ -70,7 +70,7 @@
 		}
 		told := s.Control.Push(ctx, o, nodes)
 		switch {
-		case told.Won():
+		case told.Acknowledged():
 			base = told.Version
 		case ctx.Err() == nil:
 			if b, ok := s.Control.Base(ctx, nodes); ok {
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, within)
 	defer cancel()
 	told := s.Control.Push(ctx, o, s.shuffled(from))
-	return told.Won(), told.Version
+	return told.Acknowledged(), told.Version
 }
 
 // dayEnd reads the sheet back through every running node, and again until a
@@ -162,7 +162,7 @@
 // final notes that nothing is mended from now on, and waits until service can
 // be judged.
 func (s *Stage) final(what string) {
-	s.Book.Mark(what, true)
+	s.Book.AddAction(what, true)
 	s.Wait(17 * time.Second)
 }
 
--- a/cmd/rig/faultcase/finals.go
+++ b/cmd/rig/faultcase/finals.go
@@ -76,7 +76,7 @@
 	if err := s.rolling(3 * time.Second); err != nil {
 		return err
 	}
-	l := s.Book.Copy()
+	l := s.Book.Snapshot()
 	if cut := cutStreams(&l); cut > 0 {
 		return errors.Errorf("%d streams were cut although every node left by itself", cut)
 	}
--- a/cmd/rig/faultcase/mix.go
+++ b/cmd/rig/faultcase/mix.go
@@ -47,7 +47,7 @@
 	}},
 	{"a model server goes dark", func(s *Stage) func() error {
 		m := s.model()
-		s.Book.Mark("dark "+m.Name, false)
+		s.Book.AddAction("dark "+m.Name, false)
 		m.Dark(true)
 		return func() error { m.Dark(false); return nil }
 	}},
@@ -110,7 +110,7 @@
 				kept = append(kept, o)
 				continue
 			}
-			s.Book.Mark("mend: "+o.name, false)
+			s.Book.AddAction("mend: "+o.name, false)
 			if err := o.mend(); err != nil {
 				failed = fmt.Errorf("mend %s: %w", o.name, err)
 			}
@@ -122,7 +122,7 @@
 	for s.Book.Now() < busy && s.ctx.Err() == nil {
 		if len(standing) < 3 {
 			t := troubles[s.Random.IntN(len(troubles))]
-			s.Book.Mark("trouble: "+t.name, false)
+			s.Book.AddAction("trouble: "+t.name, false)
 			undo := t.do(s)
 			standing = append(standing, open{t.name, s.Book.Now() + seconds(1+s.Random.Float64()*6), undo})
 		}
--- a/cmd/rig/faultcase/orders.go
+++ b/cmd/rig/faultcase/orders.go
@@ -88,7 +88,7 @@
 	until := s.Book.Now() + within
 	for s.Book.Now() < until {
 		key, _ := s.Control.Newest()
-		if s.Control.Probe(n, key).Passed() {
+		if s.Control.Probe(n, key).Accepted() {
 			return true
 		}
 		if !s.Wait(200 * time.Millisecond) {
@@ -168,9 +168,9 @@
 
 // acknowledged wants at least one order to have been acknowledged lately.
 func (s *Stage) acknowledged(while string, lately time.Duration) error {
-	l := s.Book.Copy()
+	l := s.Book.Snapshot()
 	for _, o := range l.Orders {
-		if o.Won() && o.Told > s.Book.Now()-lately {
+		if o.Acknowledged() && o.Answered > s.Book.Now()-lately {
 			return nil
 		}
 	}
--- a/cmd/rig/faultcase/rolling_upgrade.go
+++ b/cmd/rig/faultcase/rolling_upgrade.go
@@ -154,7 +154,7 @@
 			return err
 		}
 	}
-	l := s.Book.Copy()
+	l := s.Book.Snapshot()
 	summary.CutStreams = cutStreams(&l)
 	if summary.CutStreams > 0 {
 		return errors.Errorf("%d streams were cut although every node left by itself", summary.CutStreams)
@@ -166,7 +166,7 @@
 // and waits until every node shows it in force.
 func (s *Stage) runRollingStep(index int, step rollingStep, stored *storedDataCheck, summary *RollingSummary) error {
 	began := s.Book.Now()
-	s.Book.Mark(fmt.Sprintf("%s %s", step.phase, step.node.Name), false)
+	s.Book.AddAction(fmt.Sprintf("%s %s", step.phase, step.node.Name), false)
 	step.node.UseBinary(step.binary)
 	if err := restartGracefully(step.node); err != nil {
 		return err
@@ -269,10 +269,10 @@
 
 // cutStreams returns the number of streams that ended before their final event
 // without the caller having left.
-func cutStreams(l *history.Ledger) int {
+func cutStreams(l *history.Recording) int {
 	count := 0
 	for _, a := range l.Attempts {
-		if len(a.Events) > 0 && a.End != history.Served && a.End != history.GaveUp {
+		if len(a.Events) > 0 && a.Outcome != history.Served && a.Outcome != history.Abandoned {
 			count++
 		}
 	}
--- a/cmd/rig/faultcase/rolling_upgrade_test.go
+++ b/cmd/rig/faultcase/rolling_upgrade_test.go
@@ -65,12 +65,12 @@
 func TestCutStreams(t *testing.T) {
 	Convey("Streams count as cut if they began and neither ended nor were left by the caller", t, func() {
 		events := []history.Event{{}}
-		l := &history.Ledger{Attempts: []history.Attempt{
-			{Events: events, End: history.Served},
-			{Events: events, End: history.GaveUp},
-			{End: history.Refused},
-			{Events: events, End: history.CutAbort},
-			{Events: events, End: history.CutError},
+		l := &history.Recording{Attempts: []history.Attempt{
+			{Events: events, Outcome: history.Served},
+			{Events: events, Outcome: history.Abandoned},
+			{Outcome: history.Rejected},
+			{Events: events, Outcome: history.ConnectionBroken},
+			{Events: events, Outcome: history.EndedByError},
 		}}
 		So(cutStreams(l), ShouldEqual, 2)
 	})
--- a/cmd/rig/faultcase/scenario.go
+++ b/cmd/rig/faultcase/scenario.go
@@ -134,7 +134,7 @@
 
 func (s *Stage) cause(f Fault, mend bool) error {
 	if f.What == "final" {
-		s.Book.Mark("final", true)
+		s.Book.AddAction("final", true)
 		return nil
 	}
 	if f.What == "cut" {
--- a/cmd/rig/faultcase/shots.go
+++ b/cmd/rig/faultcase/shots.go
@@ -44,7 +44,7 @@
 	began := s.Book.Now()
 	s.shotLoad()
 	for s.left(began) {
-		s.Book.Mark("web servers dark", false)
+		s.Book.AddAction("web servers dark", false)
 		for _, w := range s.Fleet.Webs {
 			w.Dark(true)
 		}
@@ -79,7 +79,7 @@
 	for s.left(began) {
 		crashed, dark, killed := s.model(), s.model(), s.frontOnly()
 		s.Fleet.CrashModel(crashed.Name)
-		s.Book.Mark("dark "+dark.Name, false)
+		s.Book.AddAction("dark "+dark.Name, false)
 		dark.Dark(true)
 		s.Wait(2 * time.Second)
 		killed.Kill()
--- a/cmd/rig/faultcase/stage.go
+++ b/cmd/rig/faultcase/stage.go
@@ -45,7 +45,7 @@
 type Stage struct {
 	Options
 	Fleet   *fleet.Fleet
-	Book    *history.Book
+	Book    *history.Recorder
 	Crowd   *loadgen.Crowd
 	Control *loadgen.Control
 	Random  *rand.Rand
@@ -55,7 +55,7 @@
 	running chan struct{}
 	parts   int
 	dir     string
-	Began   history.At // traffic began
+	Began   history.Instant // traffic began
 
 	// Rolling is the result of a rolling upgrade; nil in other cases.
 	Rolling *RollingSummary
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "temp folder")
 	}
-	s := &Stage{Options: o, dir: dir, Book: history.Open(int64(o.Seed)), Random: rand.New(rand.NewPCG(o.Seed, 5)), running: make(chan struct{}, 8)}
+	s := &Stage{Options: o, dir: dir, Book: history.NewRecorder(int64(o.Seed)), Random: rand.New(rand.NewPCG(o.Seed, 5)), running: make(chan struct{}, 8)}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	if s.Fleet, err = fleet.New(o.Spec, o.Binary, dir, s.Book, o.Seed); err != nil {
 		os.RemoveAll(dir)
@@ -105,14 +105,14 @@
 	sheet := loadgen.FirstSheet(s.Fleet, s.Tenants, key)
 	sheet.Settings = s.Sheet
 	order := s.Control.Put("ade", 0, sheet, key)
-	if told := s.Control.Push(ctx, order, s.Fleet.Nodes); !told.Won() {
+	if told := s.Control.Push(ctx, order, s.Fleet.Nodes); !told.Acknowledged() {
 		return errors.Errorf("the first sheet was not accepted: status %d code %d %s; node logs:\n%s", told.Status, told.Code, told.Detail, s.tails())
 	}
 	for _, n := range s.Fleet.Nodes {
 		for {
-			if p := s.Control.Probe(n, key); p.Passed() {
+			if p := s.Control.Probe(n, key); p.Accepted() {
 				break
-			} else if !owner.Wait(ctx, 100*time.Millisecond) {
+			} else if !owner.Sleep(ctx, 100*time.Millisecond) {
 				return errors.Errorf("node %s did not serve within 40 s: probe status %d code %d %s; node logs:\n%s", n.Name, p.Status, p.Code, p.Detail, s.tails())
 			}
 		}
@@ -149,7 +149,7 @@
 }
 
 // Wait lets time pass; false when the run is cut short.
-func (s *Stage) Wait(d time.Duration) bool { return owner.Wait(s.ctx, d) }
+func (s *Stage) Wait(d time.Duration) bool { return owner.Sleep(s.ctx, d) }
 
 // Seconds as a span.
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
@@ -159,16 +159,16 @@
 
 // Cut cuts both directions between two groups in silence.
 func (s *Stage) Cut(left, right []string) {
-	s.Book.Mark(fmt.Sprintf("cut %v from the rest", left), false)
-	s.Book.Cut(true)
+	s.Book.AddAction(fmt.Sprintf("cut %v from the rest", left), false)
+	s.Book.SetPartitioned(true)
 	s.Fleet.Links.Between(left, right, faultproxy.Mode{Silent: true})
 }
 
 // Heal lets all links pass again.
 func (s *Stage) Heal() {
-	s.Book.Mark("heal", false)
+	s.Book.AddAction("heal", false)
 	s.Fleet.Links.Heal()
-	s.Book.Cut(false)
+	s.Book.SetPartitioned(false)
 }
 
 // Others returns the nodes that are not in a group.
@@ -215,7 +215,7 @@
 		}
 		out[n.Name] = 0
 		for {
-			if p := s.Control.Probe(n, key); p.Passed() {
+			if p := s.Control.Probe(n, key); p.Accepted() {
 				out[n.Name] = version
 				break
 			}
@@ -228,13 +228,13 @@
 }
 
 // Close ends the load, waits for late runs, ends the fleet and returns the ledger.
-func (s *Stage) Close() history.Ledger {
+func (s *Stage) Close() history.Recording {
 	s.cancel()
 	for range s.parts {
 		<-s.running
 	}
-	owner.Wait(context.Background(), time.Second)
-	l := s.Book.Copy()
+	owner.Sleep(context.Background(), time.Second)
+	l := s.Book.Snapshot()
 	s.keep()
 	if s.Keep != "" {
 		if data, err := json.Marshal(l); err == nil {
@@ -267,7 +267,7 @@
 }
 
 // Sum sums a ledger up, from an instant on.
-func Sum(l *history.Ledger, from history.At) Summary {
+func Sum(l *history.Recording, from history.Instant) Summary {
 	s := Summary{ByCode: map[string]int{}}
 	first, shot := hdrhistogram.New(1, 120_000_000, 3), hdrhistogram.New(1, 120_000_000, 3)
 	last := from
@@ -276,10 +276,10 @@
 			continue
 		}
 		last = max(last, a.Sent)
-		switch a.End {
-		case history.Served, history.GaveUp:
+		switch a.Outcome {
+		case history.Served, history.Abandoned:
 			s.Served++
-		case history.Refused:
+		case history.Rejected:
 			s.Refused++
 		case history.Unsent:
 			s.Unsent++
@@ -288,10 +288,10 @@
 		}
 		if a.Code != 0 {
 			s.ByCode[apierror.Code(a.Code).String()]++
-		} else if a.End != history.Served {
-			s.ByCode[a.End]++
+		} else if a.Outcome != history.Served {
+			s.ByCode[string(a.Outcome)]++
 		}
-		if a.First > 0 && a.End == history.Served {
+		if a.First > 0 && a.Outcome == history.Served {
 			histogram := shot
 			if a.Kind == "stream" {
 				histogram = first
@@ -303,7 +303,7 @@
 	for _, r := range l.Runs {
 		if r.Kind == "model" && r.Ran && r.Arrived >= from {
 			asked++
-			if r.Hit {
+			if r.CacheHit {
 				hits++
 			}
 		}
@@ -314,7 +314,7 @@
 	}
 	won := map[string]bool{}
 	for _, o := range l.Orders {
-		if o.Won() {
+		if o.Acknowledged() {
 			won[o.ID] = true
 		}
 	}
--- a/cmd/rig/faultcase/tallies.go
+++ b/cmd/rig/faultcase/tallies.go
@@ -5,13 +5,13 @@
 func tallyTenfold(s *Stage) error {
 	began := s.Book.Now()
 	s.Wait(5 * time.Second)
-	s.Book.Mark("crews and grid ask tenfold", false)
+	s.Book.AddAction("crews and grid ask tenfold", false)
 	s.Crowd.Scale("crews", 10)
 	s.Crowd.Scale("grid", 6)
 	for i := 0; s.left(began); i++ {
 		s.Wait(12 * time.Second)
 		home := []string{"lagos/a", "abeokuta/a", "lagos/b"}[i%3]
-		s.Book.Mark("callers move to "+home, false)
+		s.Book.AddAction("callers move to "+home, false)
 		s.Crowd.From(map[string]float64{home: 1})
 	}
 	return nil
--- a/cmd/rig/faultproxy/relay.go
+++ b/cmd/rig/faultproxy/relay.go
@@ -48,7 +48,7 @@
 
 // Set gives links their modes at one instant; a zero mode passes.
 func (l *Links) Set(links map[[2]string]Mode) {
-	l.owner.Ask(func(all *map[[2]string]Mode) {
+	l.owner.Do(func(all *map[[2]string]Mode) {
 		next := make(map[[2]string]Mode, len(*all)+len(links))
 		for k, m := range *all {
 			next[k] = m
@@ -68,7 +68,7 @@
 
 // Heal lets all links pass.
 func (l *Links) Heal() {
-	l.owner.Ask(func(all *map[[2]string]Mode) {
+	l.owner.Do(func(all *map[[2]string]Mode) {
 		*all = map[[2]string]Mode{}
 		before := l.table.Swap(&table{modes: *all, changed: make(chan struct{})})
 		close(before.changed)
@@ -127,7 +127,7 @@
 // Open begins to listen.
 func (r *Relay) Open() error {
 	var err error
-	r.state.Ask(func(s *state) {
+	r.state.Do(func(s *state) {
 		if s.listener != nil {
 			return
 		}
@@ -147,7 +147,7 @@
 // stand. When it returns none stands any more.
 func (r *Relay) Shut() {
 	var carried *sync.WaitGroup
-	r.state.Ask(func(s *state) {
+	r.state.Do(func(s *state) {
 		if s.listener == nil {
 			return
 		}
@@ -161,7 +161,7 @@
 }
 
 // Close shuts the relay for good.
-func (r *Relay) Close() { r.Shut(); r.state.End() }
+func (r *Relay) Close() { r.Shut(); r.state.Close() }
 
 func (r *Relay) accept(ctx context.Context, l net.Listener, carried *sync.WaitGroup) {
 	for {
@@ -193,7 +193,7 @@
 				return false
 			}
 		}
-		return mode.Delay == 0 || owner.Wait(ctx, mode.Delay)
+		return mode.Delay == 0 || owner.Sleep(ctx, mode.Delay)
 	}
 }
 
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -85,7 +85,7 @@
 // Fleet is a running deployment.
 type Fleet struct {
 	Spec     Spec
-	Book     *history.Book
+	Book     *history.Recorder
 	Links    *faultproxy.Links
 	Platform *emulator.Platform
 	Nodes    []*Node
@@ -120,7 +120,7 @@
 
 // New lays a deployment out without starting it. The binary is that of Build,
 // the folder is the caller's to remove.
-func New(spec Spec, binary, dir string, book *history.Book, seed uint64) (*Fleet, error) {
+func New(spec Spec, binary, dir string, book *history.Recorder, seed uint64) (*Fleet, error) {
 	base, err := freeBase()
 	if err != nil {
 		return nil, err
@@ -264,14 +264,14 @@
 
 // CrashWeb ends a web server and has its address refuse.
 func (f *Fleet) CrashWeb(name string) {
-	f.Book.Mark("crash "+name, false)
+	f.Book.AddAction("crash "+name, false)
 	f.relays[name].Shut()
 	f.Web(name).Crash()
 }
 
 // ReturnWeb brings a web server back.
 func (f *Fleet) ReturnWeb(name string) error {
-	f.Book.Mark("return "+name, false)
+	f.Book.AddAction("return "+name, false)
 	if err := f.Web(name).Start(); err != nil {
 		return err
 	}
@@ -280,14 +280,14 @@
 
 // CrashModel ends a model server and has its address refuse.
 func (f *Fleet) CrashModel(name string) {
-	f.Book.Mark("crash "+name, false)
+	f.Book.AddAction("crash "+name, false)
 	f.relays[name].Shut()
 	f.Model(name).Crash()
 }
 
 // ReturnModel brings a model server back, cold.
 func (f *Fleet) ReturnModel(name string) error {
-	f.Book.Mark("cold return "+name, false)
+	f.Book.AddAction("cold return "+name, false)
 	if err := f.Model(name).Start(); err != nil {
 		return err
 	}
--- a/cmd/rig/fleet/node.go
+++ b/cmd/rig/fleet/node.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	n.state.Ask(func(s *nodeState) {
+	n.state.Do(func(s *nodeState) {
 		if s.cmd != nil {
 			return
 		}
@@ -123,7 +123,7 @@
 			log.Close()
 			n.fleet.relays[n.Name].Shut()
 			code := cmd.ProcessState.ExitCode()
-			n.state.Ask(func(s *nodeState) { s.cmd, s.code = nil, code })
+			n.state.Do(func(s *nodeState) { s.cmd, s.code = nil, code })
 			close(exited)
 		}()
 		go n.open(exited)
@@ -160,7 +160,7 @@
 
 // Running tells whether the process runs, and its number.
 func (n *Node) Running() (pid int, running bool) {
-	n.state.Ask(func(s *nodeState) {
+	n.state.Do(func(s *nodeState) {
 		if s.cmd != nil {
 			pid, running = s.cmd.Process.Pid, true
 		}
@@ -170,20 +170,20 @@
 
 // ExitCode is that of the last process that ended.
 func (n *Node) ExitCode() (code int) {
-	n.state.Ask(func(s *nodeState) { code = s.code })
+	n.state.Do(func(s *nodeState) { code = s.code })
 	return
 }
 
 // Kill ends the process at once and waits for its end.
 func (n *Node) Kill() {
-	n.fleet.Book.Mark("kill "+n.Name, false)
+	n.fleet.Book.AddAction("kill "+n.Name, false)
 	n.signal(kill, true)
 }
 
 // Term asks the process to leave and waits for its end, at most d, then kills it.
 // The process may be frozen.
 func (n *Node) Term(d time.Duration) (clean bool) {
-	n.fleet.Book.Mark("term "+n.Name, false)
+	n.fleet.Book.AddAction("term "+n.Name, false)
 	exited := n.signal(term, false)
 	if exited == nil {
 		return true
@@ -200,13 +200,13 @@
 }
 
 // Freeze stops the process without ending it; Thaw lets it go on.
-func (n *Node) Freeze() { n.fleet.Book.Mark("freeze "+n.Name, false); n.signal(freeze, false) }
+func (n *Node) Freeze() { n.fleet.Book.AddAction("freeze "+n.Name, false); n.signal(freeze, false) }
 
 // Thaw lets a frozen process go on.
-func (n *Node) Thaw() { n.fleet.Book.Mark("thaw "+n.Name, false); n.signal(thaw, false) }
+func (n *Node) Thaw() { n.fleet.Book.AddAction("thaw "+n.Name, false); n.signal(thaw, false) }
 
 func (n *Node) signal(sig os.Signal, wait bool) (exited chan struct{}) {
-	n.state.Ask(func(s *nodeState) {
+	n.state.Do(func(s *nodeState) {
 		if s.cmd == nil {
 			return
 		}
@@ -221,7 +221,7 @@
 
 // Wipe removes the node's data; the process must not run.
 func (n *Node) Wipe() error {
-	n.fleet.Book.Mark("wipe "+n.Name, false)
+	n.fleet.Book.AddAction("wipe "+n.Name, false)
 	if err := os.RemoveAll(n.data); err != nil {
 		return errors.Wrap(err, n.Name)
 	}
@@ -259,7 +259,7 @@
 
 // Tear appends half a record to the newest file of the log; the process must not run.
 func (n *Node) Tear() error {
-	n.fleet.Book.Mark("torn tail "+n.Name, false)
+	n.fleet.Book.AddAction("torn tail "+n.Name, false)
 	newest := ""
 	err := filepath.Walk(n.data, func(path string, info os.FileInfo, err error) error {
 		if err == nil && !info.IsDir() && (strings.Contains(info.Name(), "seg") || strings.HasSuffix(path, ".log")) {
@@ -283,5 +283,5 @@
 	if exited := n.signal(thaw, false); exited != nil {
 		n.signal(kill, true)
 	}
-	n.state.End()
+	n.state.Close()
 }
--- a/cmd/rig/loadgen/call.go
+++ b/cmd/rig/loadgen/call.go
@@ -42,14 +42,14 @@
 			address = c.front(call.Place, call.Pick+uint64(try), tried)
 		}
 		a := c.attempt(call, address, until)
-		c.Book.Attempt(a)
-		c.tally.Tell(func(t *Tally) { t.count(a) })
+		c.Book.AddAttempt(a)
+		c.tally.Post(func(t *Tally) { t.count(a) })
 		again := false
 		switch {
-		case a.End == history.Unsent:
+		case a.Outcome == history.Unsent:
 			c.shun(address, 2*time.Second)
 			again = true
-		case a.End == history.TimedOut, a.End == history.CutAbort:
+		case a.Outcome == history.TimedOut, a.Outcome == history.ConnectionBroken:
 			c.shun(address, time.Second)
 		case a.Code == int(apierror.NotRuling), a.Code == int(apierror.FrontLeaving):
 			c.shun(address, time.Second)
@@ -63,10 +63,10 @@
 }
 
 func (t *Tally) count(a history.Attempt) {
-	switch a.End {
-	case history.Served, history.GaveUp:
+	switch a.Outcome {
+	case history.Served, history.Abandoned:
 		t.Served++
-	case history.Refused:
+	case history.Rejected:
 		t.Refused++
 	case history.Unsent:
 		t.Unsent++
@@ -84,7 +84,7 @@
 	return address
 }
 
-func (c *Crowd) attempt(call Call, address string, until history.At) history.Attempt {
+func (c *Crowd) attempt(call Call, address string, until history.Instant) history.Attempt {
 	t := call.Tenant
 	token := fmt.Sprintf("t%d-%d", c.seed, c.serial.Add(1))
 	a := history.Attempt{Token: token, Kind: t.Kind, Tenant: t.Name, Service: t.Service, Front: c.nodeAt(address), Region: call.Place.Region,
@@ -136,7 +136,7 @@
 func (c *Crowd) perform(a *history.Attempt, req *http.Request, address string, most time.Duration, draw float64) {
 	l, err := c.lines.take(address)
 	if err != nil {
-		a.End = history.Unsent
+		a.Outcome = history.Unsent
 		return
 	}
 	clean := false
@@ -149,9 +149,9 @@
 	}()
 	resp, err := l.send(req, clock.System().Now().Add(most))
 	if err != nil {
-		a.End = history.CutAbort
+		a.Outcome = history.ConnectionBroken
 		if timedOut(err) {
-			a.End = history.TimedOut
+			a.Outcome = history.TimedOut
 		}
 		return
 	}
@@ -163,27 +163,27 @@
 	data, err := io.ReadAll(io.LimitReader(resp.Body, 8<<20))
 	a.First = c.Book.Now()
 	if err != nil {
-		a.End = history.CutAbort
+		a.Outcome = history.ConnectionBroken
 		if timedOut(err) {
-			a.End = history.TimedOut
+			a.Outcome = history.TimedOut
 		}
 		return
 	}
 	clean = !resp.Close
 	fault := resp.Header.Get("Stepwick-Code")
 	if a.Kind != "stream" && fault == "" && resp.StatusCode/100 == 2 {
-		a.End = history.Served
-		a.Body, a.Whole = emulator.CheckBody(string(data))
+		a.Outcome = history.Served
+		a.BodyToken, a.BodyIntact = emulator.CheckBody(string(data))
 		return
 	}
 	var body apierror.ErrorBody
 	_ = json.Unmarshal(data, &body)
-	a.Code, a.Retry, a.End = int(body.Code), string(body.Retry), history.Refused
+	a.Code, a.RetryAdvice, a.Outcome = int(body.Code), string(body.Retry), history.Rejected
 	if body.Code == apierror.OutcomeUnknown || body.Code == apierror.BadAnswer {
-		a.End = history.CutError
+		a.Outcome = history.EndedByError
 	}
 	if a.Code == 0 {
-		a.End = history.Malformed
+		a.Outcome = history.Malformed
 	}
 }
 
@@ -208,7 +208,7 @@
 		if isError {
 			var body apierror.ErrorBody
 			_ = json.Unmarshal([]byte(data), &body)
-			a.Code, a.Retry, a.End = int(body.Code), string(body.Retry), history.CutError
+			a.Code, a.RetryAdvice, a.Outcome = int(body.Code), string(body.Retry), history.EndedByError
 			continue
 		}
 		var event struct {
@@ -219,36 +219,36 @@
 			Count int    `json:"count"`
 		}
 		if json.Unmarshal([]byte(data), &event) != nil {
-			a.End = history.Malformed
+			a.Outcome = history.Malformed
 			return false
 		}
 		if event.Final {
-			a.Final, a.Count = true, event.Count
+			a.Final, a.EventCount = true, event.Count
 			continue
 		}
 		e := history.Event{ID: event.ID, Seq: event.Seq}
 		_, _ = fmt.Sscanf(event.Text, "%s %s %d", &e.Token, &e.Run, &e.Index)
 		a.Events = append(a.Events, e)
 		if draw < c.Mood.GoneOdds {
-			a.End = history.GaveUp
+			a.Outcome = history.Abandoned
 			return false
 		}
 		if draw > 1-c.Mood.SlowOdds {
-			owner.Wait(context.Background(), 60*time.Millisecond)
+			owner.Sleep(context.Background(), 60*time.Millisecond)
 		}
 	}
 	switch err := scan.Err(); {
-	case a.End == history.CutError:
+	case a.Outcome == history.EndedByError:
 		return false
 	case err != nil && timedOut(err):
-		a.End = history.TimedOut
+		a.Outcome = history.TimedOut
 	case err != nil:
-		a.End = history.CutAbort
+		a.Outcome = history.ConnectionBroken
 	case a.Final:
-		a.End = history.Served
+		a.Outcome = history.Served
 		return true
 	default:
-		a.End = history.CleanEnd
+		a.Outcome = history.EndedWithoutFinal
 	}
 	return false
 }
@@ -256,7 +256,7 @@
 // Ask sends one request on a connection of its own and reads the whole answer.
 func Ask(req *http.Request, address string, most time.Duration) (int, []byte, error) {
 	l := &lines{owner.New(map[string][]*line{}), 0}
-	defer l.idle.End()
+	defer l.idle.Close()
 	c, err := l.take(address)
 	if err != nil {
 		return 0, nil, err
--- a/cmd/rig/loadgen/caller.go
+++ b/cmd/rig/loadgen/caller.go
@@ -51,7 +51,7 @@
 // Crowd is the callers of all tenants.
 type Crowd struct {
 	Fleet   *fleet.Fleet
-	Book    *history.Book
+	Book    *history.Recorder
 	Tenants []Tenant
 	Mood    Mood
 
@@ -61,7 +61,7 @@
 	serial   atomic.Int64
 	inflight atomic.Int64
 	Skipped  atomic.Int64 // not sent since too many were open
-	bad      *owner.Owner[map[string]history.At]
+	bad      *owner.Owner[map[string]history.Instant]
 	near     *owner.Owner[map[string][]string]
 	seed     uint64
 	places   []fleet.Place
@@ -83,7 +83,7 @@
 // NewCrowd returns callers that are silent until Run.
 func NewCrowd(f *fleet.Fleet, tenants []Tenant, seed uint64) *Crowd {
 	c := &Crowd{Fleet: f, Book: f.Book, Tenants: tenants, Mood: Mood{Retries: 2}, lines: newLines(64), factors: make([]atomic.Uint64, len(tenants)),
-		bad: owner.New(map[string]history.At{}), near: owner.New(map[string][]string{}), seed: seed, tally: owner.New(Tally{})}
+		bad: owner.New(map[string]history.Instant{}), near: owner.New(map[string][]string{}), seed: seed, tally: owner.New(Tally{})}
 	seen := map[fleet.Place]bool{}
 	for _, n := range f.Nodes {
 		if !seen[n.Place] {
@@ -98,7 +98,7 @@
 	for _, t := range tenants {
 		allowances[t.Name] = t.Allowance
 	}
-	f.Book.Write(func(l *history.Ledger) {
+	f.Book.Update(func(l *history.Recording) {
 		for name, a := range allowances {
 			l.Allowances[name] = a
 		}
@@ -125,7 +125,7 @@
 }
 
 // Tally returns the counts so far.
-func (c *Crowd) Tally() (t Tally) { c.tally.Ask(func(all *Tally) { t = *all }); return }
+func (c *Crowd) Tally() (t Tally) { c.tally.Do(func(all *Tally) { t = *all }); return }
 
 // Run sends load until ctx ends, then waits for what is open.
 func (c *Crowd) Run(ctx context.Context) {
@@ -140,12 +140,12 @@
 		<-stopped
 	}
 	for i := 0; i < 300 && c.inflight.Load() > 0; i++ {
-		owner.Wait(context.Background(), 50*time.Millisecond)
+		owner.Sleep(context.Background(), 50*time.Millisecond)
 	}
 }
 
 // Close drops the callers' connections.
-func (c *Crowd) Close() { c.lines.close(); c.bad.End(); c.near.End(); c.tally.End() }
+func (c *Crowd) Close() { c.lines.close(); c.bad.Close(); c.near.Close(); c.tally.Close() }
 
 func (c *Crowd) tenant(ctx context.Context, i int) {
 	random := rand.New(rand.NewPCG(c.seed, uint64(i)+1000))
@@ -154,14 +154,14 @@
 	for {
 		rate := t.PerSecond * float64(c.factors[i].Load()) / 1000
 		if rate <= 0 {
-			if !owner.Wait(ctx, 50*time.Millisecond) {
+			if !owner.Sleep(ctx, 50*time.Millisecond) {
 				return
 			}
 			next = c.Book.Now()
 			continue
 		}
 		next += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-		if wait := next - c.Book.Now(); wait > 0 && !owner.Wait(ctx, wait) {
+		if wait := next - c.Book.Now(); wait > 0 && !owner.Sleep(ctx, wait) {
 			return
 		}
 		select {
@@ -218,11 +218,11 @@
 					list = append(list, n.Address)
 				}
 			}
-			c.near.Ask(func(all *map[string][]string) { (*all)[place.ZoneName()] = list })
+			c.near.Do(func(all *map[string][]string) { (*all)[place.ZoneName()] = list })
 		} else {
 			wait = 200 * time.Millisecond
 		}
-		if !owner.Wait(ctx, wait) {
+		if !owner.Sleep(ctx, wait) {
 			return
 		}
 	}
@@ -231,13 +231,13 @@
 // front picks where to send: among the nearest that have not just failed.
 func (c *Crowd) front(place fleet.Place, pick uint64, tried map[string]bool) string {
 	var list []string
-	c.near.Ask(func(all *map[string][]string) { list = (*all)[place.ZoneName()] })
+	c.near.Do(func(all *map[string][]string) { list = (*all)[place.ZoneName()] })
 	var every []string
 	for _, n := range c.Fleet.Nodes {
 		every = append(every, n.Caller)
 	}
 	now, chosen := c.Book.Now(), ""
-	c.bad.Ask(func(bad *map[string]history.At) {
+	c.bad.Do(func(bad *map[string]history.Instant) {
 		for _, group := range [][]string{list, every} {
 			var good []string
 			for _, address := range group {
@@ -259,5 +259,5 @@
 
 func (c *Crowd) shun(address string, d time.Duration) {
 	until := c.Book.Now() + d
-	c.bad.Tell(func(bad *map[string]history.At) { (*bad)[address] = until })
+	c.bad.Post(func(bad *map[string]history.Instant) { (*bad)[address] = until })
 }
--- a/cmd/rig/loadgen/line.go
+++ b/cmd/rig/loadgen/line.go
@@ -32,7 +32,7 @@
 func newLines(keep int) *lines { return &lines{owner.New(map[string][]*line{}), keep} }
 
 func (l *lines) take(address string) (taken *line, err error) {
-	l.idle.Ask(func(all *map[string][]*line) {
+	l.idle.Do(func(all *map[string][]*line) {
 		if list := (*all)[address]; len(list) > 0 {
 			taken = list[len(list)-1]
 			(*all)[address] = list[:len(list)-1]
@@ -50,7 +50,7 @@
 
 func (l *lines) give(address string, back *line) {
 	back.used = true
-	if !l.idle.Ask(func(all *map[string][]*line) {
+	if !l.idle.Do(func(all *map[string][]*line) {
 		if len((*all)[address]) < l.keep {
 			(*all)[address] = append((*all)[address], back)
 			return
@@ -62,14 +62,14 @@
 }
 
 func (l *lines) close() {
-	l.idle.Ask(func(all *map[string][]*line) {
+	l.idle.Do(func(all *map[string][]*line) {
 		for _, list := range *all {
 			for _, c := range list {
 				c.conn.Close()
 			}
 		}
 	})
-	l.idle.End()
+	l.idle.Close()
 }
 
 // send writes a request and reads the head of its answer by a wall-clock instant.
--- a/cmd/rig/loadgen/load_test.go
+++ b/cmd/rig/loadgen/load_test.go
@@ -53,7 +53,7 @@
 }
 
 type scene struct {
-	book  *history.Book
+	book  *history.Recorder
 	crowd *Crowd
 	model *emulator.Model
 	web   *emulator.Web
@@ -61,7 +61,7 @@
 }
 
 func set() *scene {
-	book := history.Open(3)
+	book := history.NewRecorder(3)
 	spec := fleet.Spec{Nodes: []fleet.NodeSpec{{Name: "front1", Place: fleet.Place{Region: "lagos", Zone: "a"}}}, Shape: emulator.Typical()}
 	spec.Shape.Tick = time.Millisecond
 	f, err := fleet.New(spec, "", "", book, 3)
@@ -101,7 +101,7 @@
 
 func (s *scene) judges() map[string]bool {
 	names := map[string]bool{}
-	l := s.book.Copy()
+	l := s.book.Snapshot()
 	for _, v := range checker.Find(&l) {
 		names[v.Judge] = true
 	}
@@ -113,7 +113,7 @@
 		s := set()
 		Convey("honest servers give whole answers and no violation", func() {
 			for _, tenant := range []string{"press", "press", "grid", "crews"} {
-				So(s.call(tenant).End, ShouldEqual, history.Served)
+				So(s.call(tenant).Outcome, ShouldEqual, history.Served)
 			}
 			So(s.judges(), ShouldBeEmpty)
 			hits, asked, _ := s.model.Counts()
@@ -128,7 +128,7 @@
 		}
 		Convey("an aborted stream does not look complete", func() {
 			s.model.Odds(emulator.Odds{emulator.Abort: 1})
-			So(s.call("press").End, ShouldBeIn, history.CutAbort, history.CutError, history.Malformed)
+			So(s.call("press").Outcome, ShouldBeIn, history.ConnectionBroken, history.EndedByError, history.Malformed)
 			So(s.judges(), ShouldBeEmpty)
 		})
 		Convey("a crossed body is seen by the judges", func() {
@@ -139,7 +139,7 @@
 		})
 		Convey("a truncated body is not taken for whole", func() {
 			s.web.Odds(emulator.Odds{emulator.Truncated: 1})
-			So(s.call("grid").End, ShouldNotEqual, history.Served)
+			So(s.call("grid").Outcome, ShouldNotEqual, history.Served)
 			So(s.judges(), ShouldBeEmpty)
 		})
 		Convey("a call resent by the front's transport over a kept-alive connection is seen by the judges", func() {
@@ -150,14 +150,14 @@
 		})
 		Convey("a front that is gone counts as unsent", func() {
 			s.front.Close()
-			So(s.call("grid").End, ShouldEqual, history.Unsent)
+			So(s.call("grid").Outcome, ShouldEqual, history.Unsent)
 		})
 	})
 }
 
 func TestPlatform(t *testing.T) {
 	Convey("The platform lists servers by name and notes what it showed", t, func() {
-		book := history.Open(1)
+		book := history.NewRecorder(1)
 		p := emulator.NewPlatform(free(), book)
 		So(p.Start(), ShouldBeNil)
 		Reset(func() { p.Close(); book.Close() })
@@ -170,6 +170,6 @@
 		var body struct{ Servers []emulator.Listed }
 		So(json.NewDecoder(resp.Body).Decode(&body), ShouldBeNil)
 		So(body.Servers[0].Name+body.Servers[1].State, ShouldEqual, "adraining")
-		So(len(book.Copy().Shows), ShouldEqual, 3)
+		So(len(book.Snapshot().ListingChanges), ShouldEqual, 3)
 	})
 }
--- a/cmd/rig/loadgen/operator.go
+++ b/cmd/rig/loadgen/operator.go
@@ -60,7 +60,7 @@
 // Control is what operators do; it numbers their orders and probe keys.
 type Control struct {
 	Fleet   *fleet.Fleet
-	Book    *history.Book
+	Book    *history.Recorder
 	prefix  string
 	serial  atomic.Int64
 	key     atomic.Int64
@@ -107,7 +107,7 @@
 	if key > 0 {
 		mark = fmt.Sprint(key)
 	}
-	return &Order{Order: history.Order{ID: id, Operator: operator, Verb: verb, Base: base, Mark: mark}, Body: body, Key: key}
+	return &Order{Order: history.Order{ID: id, Operator: operator, Verb: verb, Base: base, SheetMarker: mark}, Body: body, Key: key}
 }
 
 // Put makes an order with a whole sheet.
@@ -157,9 +157,9 @@
 		wait = lose
 	}
 	status, data, err := Ask(req, node.Caller, wait)
-	sent.Told = c.Book.Now()
+	sent.Answered = c.Book.Now()
 	if lose > 0 || err != nil {
-		sent.Lost = true
+		sent.AnswerLost = true
 		if err != nil {
 			sent.Detail = err.Error()
 		}
@@ -173,8 +173,8 @@
 		}
 		_ = json.Unmarshal(data, &body)
 		sent.Status, sent.Code, sent.Version, sent.InForce, sent.Detail = status, body.Code, body.Version, body.InForce, body.Detail
-		if sent.Won() && o.Key > 0 {
-			c.keyMark(o.Key, sent.Sent, sent.Told, sent.Version)
+		if sent.Acknowledged() && o.Key > 0 {
+			c.keyMark(o.Key, sent.Sent, sent.Answered, sent.Version)
 			for {
 				e := c.version.Load()
 				if sent.Version <= e {
@@ -187,34 +187,34 @@
 			}
 		}
 	}
-	c.Book.Write(func(l *history.Ledger) { l.Orders = append(l.Orders, sent) })
+	c.Book.Update(func(l *history.Recording) { l.Orders = append(l.Orders, sent) })
 	return sent
 }
 
-func (c *Control) keyMark(key int, sent, acked history.At, version uint64) {
-	c.Book.Write(func(l *history.Ledger) {
-		for i := range l.KeyMarks {
-			if l.KeyMarks[i].Key == key {
-				if acked > 0 && l.KeyMarks[i].Acked == 0 {
-					l.KeyMarks[i].Acked, l.KeyMarks[i].Version = acked, version
+func (c *Control) keyMark(key int, sent, acked history.Instant, version uint64) {
+	c.Book.Update(func(l *history.Recording) {
+		for i := range l.KeyRotations {
+			if l.KeyRotations[i].Key == key {
+				if acked > 0 && l.KeyRotations[i].Acknowledged == 0 {
+					l.KeyRotations[i].Acknowledged, l.KeyRotations[i].Version = acked, version
 				}
 				return
 			}
 		}
-		l.KeyMarks = append(l.KeyMarks, history.KeyMark{Key: key, Sent: sent, Acked: acked, Version: version})
+		l.KeyRotations = append(l.KeyRotations, history.KeyRotation{Key: key, Sent: sent, Acknowledged: acked, Version: version})
 	})
 }
 
 // Settled tells whether an answer ends an order for good.
 func Settled(o history.Order) bool {
-	return !o.Lost && (o.Won() || o.Status >= 400 && o.Status < 500)
+	return !o.AnswerLost && (o.Acknowledged() || o.Status >= 400 && o.Status < 500)
 }
 
 // Push sends an order through one node after another until it is settled.
 func (c *Control) Push(ctx context.Context, o *Order, nodes []*fleet.Node) (last history.Order) {
 	for i := 0; ctx.Err() == nil; i++ {
 		last = c.Send(o, nodes[i%len(nodes)], 0)
-		if Settled(last) || !owner.Wait(ctx, 200*time.Millisecond) {
+		if Settled(last) || !owner.Sleep(ctx, 200*time.Millisecond) {
 			return last
 		}
 	}
@@ -227,7 +227,7 @@
 	req.Header.Set("Authorization", "Bearer "+fleet.Operators["ade"])
 	back := history.ReadBack{Front: node.Name, Sent: c.Book.Now(), Final: final}
 	status, data, err := Ask(req, node.Caller, c.Wait)
-	back.Told = c.Book.Now()
+	back.Answered = c.Book.Now()
 	var body struct {
 		Code         int    `json:"code"`
 		Version      uint64 `json:"epoch"`
@@ -240,13 +240,13 @@
 		if keys := body.Sheet.Tenants["probe"].Keys; len(keys) == 1 {
 			for k := int(c.key.Load()); k >= 0; k-- {
 				if fleet.Hash(ProbeKey(k)) == keys[0] {
-					back.Mark = fmt.Sprint(k)
+					back.SheetMarker = fmt.Sprint(k)
 					break
 				}
 			}
 		}
 	}
-	c.Book.Write(func(l *history.Ledger) { l.ReadBacks = append(l.ReadBacks, back) })
+	c.Book.Update(func(l *history.Recording) { l.ReadBacks = append(l.ReadBacks, back) })
 	return back, body.Sheet
 }
 
@@ -256,7 +256,7 @@
 		if back, _ := c.Read(nodes[i%len(nodes)], false); back.Status == http.StatusOK {
 			return back.Version, true
 		}
-		owner.Wait(ctx, 200*time.Millisecond)
+		owner.Sleep(ctx, 200*time.Millisecond)
 	}
 	return 0, false
 }
--- a/cmd/rig/loadgen/probe.go
+++ b/cmd/rig/loadgen/probe.go
@@ -25,7 +25,7 @@
 			l := newLines(1)
 			defer func() { l.close(); done <- struct{}{} }()
 			var keys [2]int
-			for owner.Wait(ctx, every) {
+			for owner.Sleep(ctx, every) {
 				if newest, _ := c.Newest(); newest != keys[0] {
 					keys = [2]int{newest, keys[0]}
 				}
@@ -43,17 +43,17 @@
 }
 
 // Probe asks one node with one key on a connection of its own.
-func (c *Control) Probe(n *fleet.Node, key int) history.Probe {
+func (c *Control) Probe(n *fleet.Node, key int) history.KeyCheck {
 	l := newLines(0)
 	defer l.close()
 	return c.probe(n, key, l)
 }
 
-func (c *Control) probe(n *fleet.Node, key int, l *lines) history.Probe {
-	p := history.Probe{Front: n.Name, Key: key, Sent: c.Book.Now()}
+func (c *Control) probe(n *fleet.Node, key int, l *lines) history.KeyCheck {
+	p := history.KeyCheck{Front: n.Name, Key: key, Sent: c.Book.Now()}
 	conn, err := l.take(n.Caller)
 	if err == nil {
-		p.Kept = conn.used
+		p.ReusedConnection = conn.used
 		req, _ := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/call/%s/probe?token=p%d-%s", n.Caller, c.Fleet.Spec.Services.Web[0], c.serial.Add(1), c.prefix), nil)
 		req.Header.Set("Authorization", "Bearer "+ProbeKey(key))
 		req.Header.Set("Stepwick-Deadline-Ms", "2000")
@@ -77,6 +77,6 @@
 		}
 	}
 	p.Done = c.Book.Now()
-	c.Book.Write(func(l *history.Ledger) { l.Probes = append(l.Probes, p) })
+	c.Book.Update(func(l *history.Recording) { l.KeyChecks = append(l.KeyChecks, p) })
 	return p
 }
--- a/cmd/rig/measure.go
+++ b/cmd/rig/measure.go
@@ -140,7 +140,7 @@
 			} else {
 				a = s.Crowd.Call(s.Context(), call)
 			}
-			if a.End != history.Served {
+			if a.Outcome != history.Served {
 				c.Failed++
 				continue
 			}
--- a/cmd/rig/report/report.go
+++ b/cmd/rig/report/report.go
@@ -36,9 +36,9 @@
 }
 
 // Seconds folds a ledger into seconds.
-func Seconds(l *history.Ledger) []Second {
+func Seconds(l *history.Recording) []Second {
 	out := make([]Second, int(math.Ceil(l.End.Seconds())))
-	at := func(t history.At) *Second { return &out[min(max(int(t.Seconds()), 0), len(out)-1)] }
+	at := func(t history.Instant) *Second { return &out[min(max(int(t.Seconds()), 0), len(out)-1)] }
 	if len(out) == 0 {
 		return nil
 	}
@@ -51,20 +51,20 @@
 	}
 	for _, a := range l.Attempts {
 		s := at(a.Done)
-		switch a.End {
-		case history.Served, history.GaveUp:
+		switch a.Outcome {
+		case history.Served, history.Abandoned:
 			s.Served++
 			if sums, ok := tokens[a.Tenant]; ok {
 				sums[min(int(a.Sent.Seconds()), len(out)-1)] += a.Tokens
 			}
-		case history.Refused:
+		case history.Rejected:
 			s.Refused++
 		default:
 			s.Failed++
 		}
 	}
-	for _, m := range l.Marks {
-		at(m.At).Marks = append(at(m.At).Marks, m.What)
+	for _, m := range l.Actions {
+		at(m.At).Marks = append(at(m.At).Marks, m.Description)
 	}
 	span := int(checker.QuotaSpan.Seconds())
 	for name, sums := range tokens {
@@ -82,7 +82,7 @@
 }
 
 // Write puts seconds.jsonl, violations.jsonl, service.svg and spend.svg into a folder.
-func Write(folder, title string, l *history.Ledger, found []checker.Violation) error {
+func Write(folder, title string, l *history.Recording, found []checker.Violation) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Wrap(err, "report")
 	}
@@ -104,10 +104,10 @@
 			spend[name] = append(spend[name], plotter.XY{X: x, Y: y})
 		}
 	}
-	if err := draw(filepath.Join(folder, "service.svg"), title, "requests a second", service, l.Marks, false); err != nil {
+	if err := draw(filepath.Join(folder, "service.svg"), title, "requests a second", service, l.Actions, false); err != nil {
 		return err
 	}
-	return draw(filepath.Join(folder, "spend.svg"), title, "tokens got in the last 8 s / allowance", spend, l.Marks, true)
+	return draw(filepath.Join(folder, "spend.svg"), title, "tokens got in the last 8 s / allowance", spend, l.Actions, true)
 }
 
 func lines[T any](path string, rows []T) error {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func draw(path, title, unit string, rows map[string]plotter.XYs, marks []history.Mark, one bool) error {
+func draw(path, title, unit string, rows map[string]plotter.XYs, marks []history.Action, one bool) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
 	p.Legend.Top, p.Legend.Left = true, true
@@ -167,7 +167,7 @@
 		bar.Color, bar.Width = color.Gray{170}, vg.Points(0.5)
 		p.Add(bar)
 		if m.At-last > 700*time.Millisecond {
-			labels.XYs, labels.Labels = append(labels.XYs, plotter.XY{X: x, Y: top}), append(labels.Labels, m.What)
+			labels.XYs, labels.Labels = append(labels.XYs, plotter.XY{X: x, Y: top}), append(labels.Labels, m.Description)
 			last = m.At
 		}
 	}
--- a/cmd/rig/report/report_test.go
+++ b/cmd/rig/report/report_test.go
@@ -13,12 +13,12 @@
 
 func TestReport(t *testing.T) {
 	Convey("A ledger folds into seconds and plots", t, func() {
-		l := &history.Ledger{End: 10 * time.Second, Allowances: map[string]history.Allowance{"press": {Rate: 10, Burst: 20}},
-			Marks: []history.Mark{{At: 4 * time.Second, What: "kill core1"}}}
+		l := &history.Recording{End: 10 * time.Second, Allowances: map[string]history.Allowance{"press": {Rate: 10, Burst: 20}},
+			Actions: []history.Action{{At: 4 * time.Second, Description: "kill core1"}}}
 		for i := range 10 {
 			at := time.Duration(i) * time.Second
-			l.Attempts = append(l.Attempts, history.Attempt{Tenant: "press", Tokens: 10, Sent: at, Done: at, End: history.Served},
-				history.Attempt{Tenant: "press", Tokens: 10, Sent: at, Done: at, End: history.Refused})
+			l.Attempts = append(l.Attempts, history.Attempt{Tenant: "press", Tokens: 10, Sent: at, Done: at, Outcome: history.Served},
+				history.Attempt{Tenant: "press", Tokens: 10, Sent: at, Done: at, Outcome: history.Rejected})
 		}
 		rows := Seconds(l)
 		So(len(rows), ShouldEqual, 10)
--- a/cmd/rig/standins.go
+++ b/cmd/rig/standins.go
@@ -26,7 +26,7 @@
 }
 
 func standIns(ctx context.Context) error {
-	book := history.Open(1)
+	book := history.NewRecorder(1)
 	defer book.Close()
 	platform := emulator.NewPlatform(tourPlatform, book)
 	if err := platform.Start(); err != nil {
--- a/cmd/rig/up.go
+++ b/cmd/rig/up.go
@@ -29,7 +29,7 @@
 				return errors.Wrap(err, "temp folder")
 			}
 			defer os.RemoveAll(dir)
-			f, err := fleet.New(fleet.First(), binary, dir, history.Open(1), 1)
+			f, err := fleet.New(fleet.First(), binary, dir, history.NewRecorder(1), 1)
 			if err != nil {
 				return err
 			}
@@ -47,7 +47,7 @@
 				pid, _ := n.Running()
 				fmt.Printf("%-8s %-12s %s pid %d\n", n.Name, n.ZoneName(), n.Caller, pid)
 			}
-			owner.Wait(cmd.Context(), time.Duration(length)*time.Second)
+			owner.Sleep(cmd.Context(), time.Duration(length)*time.Second)
 			return nil
 		}}
 	c.Flags().IntVar(&length, "seconds", length, "how long to run")
