--- a/cmd/rig/checker/quota.go
+++ b/cmd/rig/checker/quota.go
@@ -1,118 +1,153 @@
 package checker
 
 import (
+	"slices"
 	"sort"
+	"strings"
 	"time"
 
 	"stepwick/cmd/rig/history"
 	"stepwick/internal/apierror"
 )
 
-// got tells whether a tenant got what an attempt asked for, in whole or in part.
-func got(a history.Attempt) bool {
-	return a.Outcome == history.Served || a.Outcome == history.Abandoned || len(a.Events) > 0
+const (
+	// rejectionStep is the distance of the windows before a rejection in which the
+	// tenant's demand is summed.
+	rejectionStep = QuotaWindow / 4
+	// excessDemand is the share of the allowance that a tenant must request in each
+	// second for its demand to count as excessive all the time.
+	excessDemand = 1.2
+)
+
+// served reports whether a tenant got what an attempt asked for, at least in part.
+func served(attempt history.Attempt) bool {
+	return attempt.Outcome == history.Served || attempt.Outcome == history.Abandoned || len(attempt.Events) > 0
 }
 
-func quotaRefusal(a history.Attempt) bool {
-	return a.Outcome == history.Rejected && (a.Code == int(apierror.QuotaExceeded) || a.Code == int(apierror.ShareExceeded))
+func rejectedByQuota(attempt history.Attempt) bool {
+	quotaCode := attempt.Code == int(apierror.QuotaExceeded) || attempt.Code == int(apierror.ShareExceeded)
+	return attempt.Outcome == history.Rejected && quotaCode
 }
 
-func byTenant(l *history.Recording) map[string][]history.Attempt {
-	by := map[string][]history.Attempt{}
-	for _, a := range l.Attempts {
-		if _, ok := l.Allowances[a.Tenant]; ok {
-			by[a.Tenant] = append(by[a.Tenant], a)
+// attemptsByTenant returns the attempts of tenants with an allowance, by the
+// time at which they were sent.
+func attemptsByTenant(recording *history.Recording) map[string][]history.Attempt {
+	attempts := map[string][]history.Attempt{}
+	for _, attempt := range recording.Attempts {
+		if _, ok := recording.Allowances[attempt.Tenant]; ok {
+			attempts[attempt.Tenant] = append(attempts[attempt.Tenant], attempt)
 		}
 	}
-	for _, list := range by {
+	for _, list := range attempts {
 		sort.Slice(list, func(i, j int) bool { return list[i].Sent < list[j].Sent })
 	}
-	return by
+	return attempts
 }
 
-func limit(a history.Allowance) float64 { return a.Rate*QuotaSpan.Seconds() + a.Burst }
+// windowLimit returns the tokens that an allowance gives in a quota window.
+func windowLimit(allowance history.Allowance) float64 {
+	return allowance.Rate*QuotaWindow.Seconds() + allowance.Burst
+}
 
-func cutNear(l *history.Recording, from, to history.Instant) bool {
-	for _, c := range l.Partitions {
-		if c.From <= to && (c.To == 0 || c.To+2*QuotaSpan >= from) {
-			return true
-		}
-	}
-	return false
+// partitionedNear reports whether links were partitioned between two instants or
+// up to two quota windows before.
+func partitionedNear(recording *history.Recording, from, to history.Instant) bool {
+	return slices.ContainsFunc(recording.Partitions, func(partition history.Interval) bool {
+		ongoing := partition.To == 0
+		return partition.From <= to && (ongoing || partition.To+2*QuotaWindow >= from)
+	})
 }
 
-func tenants(l *history.Recording) []string {
+func sortedTenants(recording *history.Recording) []string {
 	var names []string
-	for name := range l.Allowances {
+	for name := range recording.Allowances {
 		names = append(names, name)
 	}
-	sort.Strings(names)
+	slices.SortFunc(names, strings.Compare)
 	return names
 }
 
-// Worst is the most that a tenant got in any span, as a share of its limit, and
-// the span's end.
-func Worst(l *history.Recording, tenant string) (share float64, at history.Instant) {
-	list, first, sum := byTenant(l)[tenant], 0, 0.0
-	for i, a := range list {
-		if got(a) {
-			sum += a.Tokens
+// PeakQuotaUse returns the most that a tenant got in any quota window, as a share
+// of the window's limit, and the window's end.
+func PeakQuotaUse(recording *history.Recording, tenant string) (peak float64, at history.Instant) {
+	attempts := attemptsByTenant(recording)[tenant]
+	limit := windowLimit(recording.Allowances[tenant])
+	first := 0
+	sum := 0.0
+	for i, attempt := range attempts {
+		if served(attempt) {
+			sum += attempt.Tokens
 		}
-		for ; list[first].Sent <= a.Sent-QuotaSpan && first < i; first++ {
-			if got(list[first]) {
-				sum -= list[first].Tokens
+		for ; attempts[first].Sent <= attempt.Sent-QuotaWindow && first < i; first++ {
+			if served(attempts[first]) {
+				sum -= attempts[first].Tokens
 			}
 		}
-		if part := sum / limit(l.Allowances[tenant]); part > share {
-			share, at = part, a.Sent
+		if use := sum / limit; use > peak {
+			peak = use
+			at = attempt.Sent
 		}
 	}
-	return share, at
+	return peak, at
 }
 
-func overQuota(l *history.Recording) (found []string) {
-	for _, tenant := range tenants(l) {
-		most := QuotaMost
-		share, at := Worst(l, tenant)
-		if cutNear(l, at-QuotaSpan, at) {
-			most = QuotaMostCut
+// checkOverQuota finds tenants that got more than their allowance.
+func checkOverQuota(recording *history.Recording) findings {
+	var found findings
+	for _, tenant := range sortedTenants(recording) {
+		bound := MaxQuotaUse
+		peak, at := PeakQuotaUse(recording, tenant)
+		if partitionedNear(recording, at-QuotaWindow, at) {
+			bound = MaxQuotaUsePartitioned
 		}
-		if share > most {
-			say(&found, "tenant %s got %.2f of its allowance in the 8 s before %s; the bound is %.2f", tenant, share, sec(at), most)
+		if peak > bound {
+			found.add("tenant %s got %.2f of its allowance in the 8 s before %s; the bound is %.2f",
+				tenant, peak, seconds(at), bound)
 		}
 	}
 	return found
 }
 
-// demand is what was asked for in (from, to].
-func demand(list []history.Attempt, from, to history.Instant) (asked, passed float64, others int) {
-	i := sort.Search(len(list), func(i int) bool { return list[i].Sent > from })
-	for ; i < len(list) && list[i].Sent <= to; i++ {
-		asked += list[i].Tokens
-		if got(list[i]) {
-			passed += list[i].Tokens
-		} else if !quotaRefusal(list[i]) {
-			others++
+// demand sums up the attempts that were sent in a period.
+type demand struct {
+	requested     float64 // tokens
+	served        float64 // tokens
+	otherFailures int     // attempts not served for another reason than the quota
+}
+
+// demandIn returns the demand in (from, to] of attempts sorted by time.
+func demandIn(attempts []history.Attempt, from, to history.Instant) demand {
+	var sum demand
+	start := sort.Search(len(attempts), func(i int) bool { return attempts[i].Sent > from })
+	for _, attempt := range attempts[start:] {
+		if attempt.Sent > to {
+			break
+		}
+		sum.requested += attempt.Tokens
+		if served(attempt) {
+			sum.served += attempt.Tokens
+		} else if !rejectedByQuota(attempt) {
+			sum.otherFailures++
 		}
 	}
-	return
+	return sum
 }
 
-func underQuota(l *history.Recording) (found []string) {
-	by := byTenant(l)
-	for _, tenant := range tenants(l) {
-		list, most := by[tenant], limit(l.Allowances[tenant])
-		for _, a := range list {
-			if !quotaRefusal(a) || a.Code == int(apierror.ShareExceeded) && cutNear(l, a.Sent-2*QuotaSpan, a.Sent) {
+// checkUnderQuota finds rejections of tenants that requested well below their
+// allowance; the first of each tenant.
+func checkUnderQuota(recording *history.Recording) findings {
+	var found findings
+	attemptsOf := attemptsByTenant(recording)
+	for _, tenant := range sortedTenants(recording) {
+		attempts := attemptsOf[tenant]
+		limit := windowLimit(recording.Allowances[tenant])
+		for _, attempt := range attempts {
+			if !rejectedByQuota(attempt) || excusedByPartition(recording, attempt) {
 				continue
 			}
-			low, peak := true, 0.0
-			for back := history.Instant(0); back <= QuotaSpan && low; back += QuotaSpan / 4 {
-				asked, _, _ := demand(list, a.Sent-back-QuotaSpan, a.Sent-back)
-				low, peak = asked < QuotaNever*most, max(peak, asked)
-			}
-			if low {
-				say(&found, "tenant %s was refused with code %d at %s through %s; in no 8 s span of the last 16 s did it ask for more than %.2f of its allowance", tenant, a.Code, sec(a.Sent), a.Front, peak/most)
+			if peak := peakDemandBefore(attempts, attempt.Sent, MinRejectedDemand*limit); peak < MinRejectedDemand*limit {
+				found.add("tenant %s was refused with code %d at %s through %s; in no 8 s span of the last 16 s did it ask for more than %.2f of its allowance",
+					tenant, attempt.Code, seconds(attempt.Sent), attempt.Front, peak/limit)
 				break
 			}
 		}
@@ -120,23 +155,42 @@
 	return found
 }
 
-// starved looks at spans of steady excess demand in which nothing but quota
-// refused: a tenant must get its allowance.
-func starved(l *history.Recording) (found []string) {
-	by := byTenant(l)
-	for _, tenant := range tenants(l) {
-		list, most := by[tenant], limit(l.Allowances[tenant])
-		for to := 3 * QuotaSpan; to <= l.End; to += time.Second {
-			steady := true
-			for at := to - 2*QuotaSpan; at < to && steady; at += time.Second {
-				asked, _, _ := demand(list, at, at+time.Second)
-				steady = asked >= 1.2*most/QuotaSpan.Seconds()
-			}
-			if !steady || cutNear(l, to-2*QuotaSpan, to) {
+// excusedByPartition reports whether a node rejected by its share of the quota
+// while links were partitioned.
+func excusedByPartition(recording *history.Recording, attempt history.Attempt) bool {
+	return attempt.Code == int(apierror.ShareExceeded) &&
+		partitionedNear(recording, attempt.Sent-2*QuotaWindow, attempt.Sent)
+}
+
+// peakDemandBefore returns the most tokens requested in the windows that end up
+// to one window before an instant. It stops at the first window that reaches
+// enough.
+func peakDemandBefore(attempts []history.Attempt, at history.Instant, enough float64) float64 {
+	peak := 0.0
+	for back := history.Instant(0); back <= QuotaWindow && peak < enough; back += rejectionStep {
+		window := demandIn(attempts, at-back-QuotaWindow, at-back)
+		peak = max(peak, window.requested)
+	}
+	return peak
+}
+
+// checkStarvation finds tenants that got less than their allowance in a window of
+// steady excess demand in which nothing but the quota rejected; the first of each.
+func checkStarvation(recording *history.Recording) findings {
+	var found findings
+	attemptsOf := attemptsByTenant(recording)
+	for _, tenant := range sortedTenants(recording) {
+		attempts := attemptsOf[tenant]
+		limit := windowLimit(recording.Allowances[tenant])
+		for to := 3 * QuotaWindow; to <= recording.End; to += time.Second {
+			from := to - 2*QuotaWindow
+			if !steadyExcess(attempts, from, to, limit) || partitionedNear(recording, from, to) {
 				continue
 			}
-			if _, passed, others := demand(list, to-QuotaSpan, to); others == 0 && passed < QuotaLeast*most {
-				say(&found, "tenant %s got %.2f of its allowance in the 8 s before %s although it asked for more all the time", tenant, passed/most, sec(to))
+			window := demandIn(attempts, to-QuotaWindow, to)
+			if window.otherFailures == 0 && window.served < MinQuotaServed*limit {
+				found.add("tenant %s got %.2f of its allowance in the 8 s before %s although it asked for more all the time",
+					tenant, window.served/limit, seconds(to))
 				break
 			}
 		}
@@ -144,31 +198,12 @@
 	return found
 }
 
-// Level is the attempts served a second in a span.
-func Level(l *history.Recording, from, to history.Instant) float64 {
-	n := 0
-	for _, a := range l.Attempts {
-		if a.Outcome == history.Served && a.Done >= from && a.Done < to {
-			n++
+// steadyExcess reports whether demand exceeded the allowance in each second.
+func steadyExcess(attempts []history.Attempt, from, to history.Instant, limit float64) bool {
+	for at := from; at < to; at += time.Second {
+		if demandIn(attempts, at, at+time.Second).requested < excessDemand*limit/QuotaWindow.Seconds() {
+			return false
 		}
 	}
-	return float64(n) / (to - from).Seconds()
-}
-
-func service(l *history.Recording) (found []string) {
-	for _, m := range l.Actions {
-		if !m.Final {
-			continue
-		}
-		to := min(l.End, m.At+ServiceAfter+4*time.Second)
-		if to < m.At+ServiceAfter+time.Second {
-			say(&found, "the run ended %s after the final fault (%s): too early to judge", sec(l.End-m.At), m.Description)
-			continue
-		}
-		before := Level(l, m.At-6*time.Second, m.At)
-		if after := Level(l, m.At+ServiceAfter, to); after < ServiceShare*before {
-			say(&found, "%s at %s: %.1f served a second before, %.1f from 12 s after", m.Description, sec(m.At), before, after)
-		}
-	}
-	return found
+	return true
 }
--- a/cmd/rig/demo.go
+++ b/cmd/rig/demo.go
@@ -43,7 +43,7 @@
 	troubles := operate(s, length)
 	versions := s.Versions(5 * time.Second)
 	l := s.Close()
-	found := checker.Find(&l)
+	found := checker.Check(&l)
 	faultcase.Report(os.Stdout, "demo", found)
 	if folder != "" {
 		if err := report.Write(folder, "demo", &l, found); err != nil {
--- a/cmd/rig/faultcase/stage.go
+++ b/cmd/rig/faultcase/stage.go
@@ -336,9 +336,9 @@
 func Report(out io.Writer, name string, found []checker.Violation) {
 	by := map[string]int{}
 	for _, v := range found {
-		by[v.Judge]++
-		if by[v.Judge] <= 5 {
-			fmt.Fprintf(out, "VIOLATION case %s seed %d [%s] %s\n    point: %s\n", name, v.Seed, v.Judge, v.Evidence, v.Point)
+		by[v.Rule]++
+		if by[v.Rule] <= 5 {
+			fmt.Fprintf(out, "VIOLATION case %s seed %d [%s] %s\n    point: %s\n", name, v.Seed, v.Rule, v.Evidence, v.Point)
 		}
 	}
 	var names []string
--- a/cmd/rig/loadgen/load_test.go
+++ b/cmd/rig/loadgen/load_test.go
@@ -99,11 +99,11 @@
 	return history.Attempt{}
 }
 
-func (s *scene) judges() map[string]bool {
+func (s *scene) violations() map[string]bool {
 	names := map[string]bool{}
 	l := s.book.Snapshot()
-	for _, v := range checker.Find(&l) {
-		names[v.Judge] = true
+	for _, v := range checker.Check(&l) {
+		names[v.Rule] = true
 	}
 	return names
 }
@@ -115,7 +115,7 @@
 			for _, tenant := range []string{"press", "press", "grid", "crews"} {
 				So(s.call(tenant).Outcome, ShouldEqual, history.Served)
 			}
-			So(s.judges(), ShouldBeEmpty)
+			So(s.violations(), ShouldBeEmpty)
 			hits, asked, _ := s.model.Counts()
 			So([]int{hits, asked}, ShouldResemble, []int{1, 2})
 		})
@@ -123,30 +123,30 @@
 			Convey("a model server's "+fault+" is seen by the judges", func() {
 				s.model.Odds(emulator.Odds{fault: 1})
 				s.call("press")
-				So(s.judges()[judge], ShouldBeTrue)
+				So(s.violations()[judge], ShouldBeTrue)
 			})
 		}
 		Convey("an aborted stream does not look complete", func() {
 			s.model.Odds(emulator.Odds{emulator.Abort: 1})
 			So(s.call("press").Outcome, ShouldBeIn, history.ConnectionBroken, history.EndedByError, history.Malformed)
-			So(s.judges(), ShouldBeEmpty)
+			So(s.violations(), ShouldBeEmpty)
 		})
 		Convey("a crossed body is seen by the judges", func() {
 			s.call("grid")
 			s.web.Odds(emulator.Odds{emulator.CrossBody: 1})
 			s.call("crews")
-			So(s.judges()["body"], ShouldBeTrue)
+			So(s.violations()["body"], ShouldBeTrue)
 		})
 		Convey("a truncated body is not taken for whole", func() {
 			s.web.Odds(emulator.Odds{emulator.Truncated: 1})
 			So(s.call("grid").Outcome, ShouldNotEqual, history.Served)
-			So(s.judges(), ShouldBeEmpty)
+			So(s.violations(), ShouldBeEmpty)
 		})
 		Convey("a call resent by the front's transport over a kept-alive connection is seen by the judges", func() {
 			s.call("grid")
 			s.web.Odds(emulator.Odds{emulator.ResetRan: 1})
 			s.call("grid")
-			So(s.judges()["once"], ShouldBeTrue)
+			So(s.violations()["once"], ShouldBeTrue)
 		})
 		Convey("a front that is gone counts as unsent", func() {
 			s.front.Close()
--- a/cmd/rig/measure.go
+++ b/cmd/rig/measure.go
@@ -59,7 +59,7 @@
 				from := s.Book.Now()
 				s.Wait(time.Duration(length) * time.Second)
 				l := s.Close()
-				found := checker.Find(&l)
+				found := checker.Check(&l)
 				faultcase.Report(os.Stdout, strategy, found)
 				sum := faultcase.Sum(&l, from)
 				sum.Violations = len(found)
--- a/cmd/rig/prove_command.go
+++ b/cmd/rig/prove_command.go
@@ -149,7 +149,7 @@
 	s.Wait(2 * time.Second)
 	err = p.Run(s)
 	l := s.Close()
-	found := checker.Find(&l)
+	found := checker.Check(&l)
 	faultcase.Report(os.Stdout, p.Name, found)
 	if r.folder != "" {
 		name := fmt.Sprintf("%s-%d", p.Name, seed)
@@ -163,7 +163,7 @@
 	if p.Group == 7 {
 		v.Worst = map[string]float64{}
 		for name := range l.Allowances {
-			share, _ := checker.Worst(&l, name)
+			share, _ := checker.PeakQuotaUse(&l, name)
 			v.Worst[name] = float64(int(share*1000)) / 1000
 		}
 	}
--- a/cmd/rig/report/report.go
+++ b/cmd/rig/report/report.go
@@ -66,10 +66,10 @@
 	for _, m := range l.Actions {
 		at(m.At).Marks = append(at(m.At).Marks, m.Description)
 	}
-	span := int(checker.QuotaSpan.Seconds())
+	span := int(checker.QuotaWindow.Seconds())
 	for name, sums := range tokens {
 		allowance := l.Allowances[name]
-		limit := allowance.Rate*checker.QuotaSpan.Seconds() + allowance.Burst
+		limit := allowance.Rate*checker.QuotaWindow.Seconds() + allowance.Burst
 		for i := range out {
 			sum := 0.0
 			for j := max(0, i-span+1); j <= i; j++ {
--- a/cmd/rig/scenario.go
+++ b/cmd/rig/scenario.go
@@ -40,7 +40,7 @@
 			}
 			trouble := sc.Run(s)
 			l := s.Close()
-			found := checker.Find(&l)
+			found := checker.Check(&l)
 			faultcase.Report(os.Stdout, args[0], found)
 			if folder != "" {
 				if err := report.Write(folder, args[0], &l, found); err != nil {
