--- a/cmd/rig/faultcase/stage.go
+++ b/cmd/rig/faultcase/stage.go
@@ -161,7 +161,7 @@
 func (s *Stage) Cut(left, right []string) {
 	s.Book.AddAction(fmt.Sprintf("cut %v from the rest", left), false)
 	s.Book.SetPartitioned(true)
-	s.Fleet.Links.Between(left, right, faultproxy.Mode{Silent: true})
+	s.Fleet.Links.Between(left, right, faultproxy.Mode{Blocked: true})
 }
 
 // Heal lets all links pass again.
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -93,7 +93,7 @@
 	Webs     []*emulator.Web
 	Dir      string
 	spawn    chan spawnAsk
-	relays   map[string]*faultproxy.Relay
+	relays   map[string]*faultproxy.Proxy
 	base     int
 	places   map[string]Place
 	stop     context.CancelFunc
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	f := &Fleet{Spec: spec, Book: book, Links: faultproxy.NewLinks(), Dir: dir, base: base,
-		spawn: make(chan spawnAsk), relays: map[string]*faultproxy.Relay{}, places: map[string]Place{}}
+		spawn: make(chan spawnAsk), relays: map[string]*faultproxy.Proxy{}, places: map[string]Place{}}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go spawner(ctx, f.spawn)
@@ -158,7 +158,7 @@
 		f.places[name] = place
 		f.relays[name] = faultproxy.New(name, f.ip(41, i+1)+":8000", w.Address, f.Links)
 	}
-	f.Links.Names(sources)
+	f.Links.SetSources(sources)
 	return f, nil
 }
 
@@ -189,7 +189,7 @@
 		if f.Node(name) != nil {
 			continue
 		}
-		if err := r.Open(); err != nil {
+		if err := r.Start(); err != nil {
 			return err
 		}
 		f.List(name, "ready")
@@ -265,7 +265,7 @@
 // CrashWeb ends a web server and has its address refuse.
 func (f *Fleet) CrashWeb(name string) {
 	f.Book.AddAction("crash "+name, false)
-	f.relays[name].Shut()
+	f.relays[name].Stop()
 	f.Web(name).Crash()
 }
 
@@ -275,13 +275,13 @@
 	if err := f.Web(name).Start(); err != nil {
 		return err
 	}
-	return f.relays[name].Open()
+	return f.relays[name].Start()
 }
 
 // CrashModel ends a model server and has its address refuse.
 func (f *Fleet) CrashModel(name string) {
 	f.Book.AddAction("crash "+name, false)
-	f.relays[name].Shut()
+	f.relays[name].Stop()
 	f.Model(name).Crash()
 }
 
@@ -291,7 +291,7 @@
 	if err := f.Model(name).Start(); err != nil {
 		return err
 	}
-	return f.relays[name].Open()
+	return f.relays[name].Start()
 }
 
 // Close ends all that the fleet started.
--- a/cmd/rig/fleet/node.go
+++ b/cmd/rig/fleet/node.go
@@ -121,7 +121,7 @@
 		go func() {
 			_ = cmd.Wait()
 			log.Close()
-			n.fleet.relays[n.Name].Shut()
+			n.fleet.relays[n.Name].Stop()
 			code := cmd.ProcessState.ExitCode()
 			n.state.Do(func(s *nodeState) { s.cmd, s.code = nil, code })
 			close(exited)
@@ -142,7 +142,7 @@
 			select {
 			case <-exited:
 			default:
-				_ = n.fleet.relays[n.Name].Open()
+				_ = n.fleet.relays[n.Name].Start()
 			}
 			return
 		}
