--- /dev/null
+++ b/cmd/rig/emulator/batch.go
@@ -0,0 +1,220 @@
+package emulator
+
+import "stepwick/cmd/rig/history"
+
+// batch is the requests of a model server: those that run, at most as many as it
+// has slots, and those that wait.
+type batch struct {
+	queue   []*job
+	running []*job
+}
+
+func (b *batch) inFlight() int { return len(b.running) + len(b.queue) }
+
+// job is one request in a batch.
+type job struct {
+	run           history.Run
+	request       string // request ID
+	prefix        string
+	prefixTokens  int
+	prefillTokens float64 // still to prefill
+	remaining     int     // events still to send
+	sent          int     // events sent
+	eventCredit   float64 // events that decoding has earned
+	out           chan frame
+	canceled      <-chan struct{} // closed when the caller leaves
+	fault         Fault
+	faultAt       int // event at which the fault happens
+}
+
+// frame is one message of a job to its HTTP handler.
+type frame struct {
+	event history.Event
+	final bool
+	count int   // events in all, in the final frame
+	end   Fault // ends the stream without a final event
+}
+
+// push hands a frame to the handler; false when its channel is full.
+func (j *job) push(f frame) bool {
+	select {
+	case j.out <- f:
+		return true
+	default:
+		return false
+	}
+}
+
+func (j *job) isCanceled() bool {
+	select {
+	case <-j.canceled:
+		return true
+	default:
+		return false
+	}
+}
+
+// prefillBudget is the prompt tokens that a batch may still prefill in a step.
+type prefillBudget float64
+
+// spend prefills a job as far as the budget goes.
+func (b *prefillBudget) spend(j *job) {
+	part := min(float64(*b), j.prefillTokens)
+	j.prefillTokens -= part
+	*b -= prefillBudget(part)
+}
+
+// step advances the batch by one tick: queued jobs enter, then each running job
+// prefills within the shared budget or decodes.
+func (m *Model) step(s *modelState) {
+	if s.unresponsive || !s.isUp() {
+		return
+	}
+	m.fillBatch(s)
+	budget := prefillBudget(m.spec.PrefillRate * m.spec.Tick.Seconds())
+	if m.warmingUp(s) {
+		budget *= prefillBudget(m.spec.WarmUpFactor)
+	}
+	remaining := s.batch.running[:0]
+	for _, j := range s.batch.running {
+		if m.advance(s, j, &budget) {
+			remaining = append(remaining, j)
+		}
+	}
+	s.batch.running = remaining
+}
+
+func (m *Model) fillBatch(s *modelState) {
+	for len(s.batch.running) < m.spec.Slots && len(s.batch.queue) > 0 {
+		next := s.batch.queue[0]
+		s.batch.queue = s.batch.queue[1:]
+		m.admit(s, next)
+		s.batch.running = append(s.batch.running, next)
+	}
+}
+
+// admit begins to run a job. A prefix in the cache needs no prefill.
+func (m *Model) admit(s *modelState, j *job) {
+	s.prompts++
+	if _, ok := s.cache[j.prefix]; ok && j.prefix != "" {
+		s.cacheHits++
+		j.run.CacheHit = true
+		s.cache[j.prefix] = cacheEntry{j.prefixTokens, m.recorder.Now()}
+		j.prefillTokens -= float64(j.prefixTokens)
+	}
+	j.prefillTokens = max(j.prefillTokens, 1)
+	j.run.Ran = true
+	m.recorder.PutRun(j.run)
+}
+
+// advance prefills or decodes one job; false when it has ended.
+func (m *Model) advance(s *modelState, j *job, budget *prefillBudget) bool {
+	if j.isCanceled() {
+		m.finish(s, j, frame{})
+		return false
+	}
+	if j.prefillTokens > 0 {
+		budget.spend(j)
+		if j.prefillTokens > 0 {
+			return true
+		}
+		m.cachePrefix(s, j)
+	}
+	j.eventCredit += m.spec.DecodeRate * m.spec.Tick.Seconds()
+	for j.eventCredit >= 1 {
+		j.eventCredit--
+		if !m.emit(s, j) {
+			return false
+		}
+	}
+	return true
+}
+
+func (m *Model) cachePrefix(s *modelState, j *job) {
+	if j.prefix == "" {
+		return
+	}
+	s.cache[j.prefix] = cacheEntry{j.prefixTokens, m.recorder.Now()}
+	s.cache.evict(m.spec.CacheTokens)
+}
+
+// emit sends a job's next event, or what its fault makes of it; false when the
+// job has ended.
+func (m *Model) emit(s *modelState, j *job) bool {
+	atFault := j.sent == j.faultAt
+	switch {
+	case atFault && (j.fault == EarlyEnd || j.fault == AbortedStream):
+		m.finish(s, j, frame{end: j.fault})
+		return false
+	case atFault && j.fault == StalledStream:
+		return true
+	case atFault && j.fault == DroppedEvent && j.remaining > 1:
+		j.sent++
+		j.remaining--
+	}
+	event := j.nextEvent()
+	if atFault && j.fault == CrossedEvent {
+		event = s.batch.crossedEvent(j, event)
+	}
+	if !j.push(frame{event: event}) {
+		m.finish(s, j, frame{end: AbortedStream})
+		return false
+	}
+	if atFault && j.fault == DuplicatedEvent {
+		j.push(frame{event: event})
+	}
+	j.sent++
+	j.remaining--
+	if j.remaining > 0 {
+		return true
+	}
+	m.finish(s, j, frame{final: true, count: j.sent, event: history.Event{ID: event.ID}})
+	return false
+}
+
+func (j *job) nextEvent() history.Event {
+	id := j.request
+	if j.fault == WrongID {
+		id = wrongID(id)
+	}
+	return history.Event{
+		ID:    id,
+		Seq:   j.sent,
+		Token: j.run.Token,
+		Run:   j.run.ID,
+		Index: j.sent,
+	}
+}
+
+// crossedEvent returns an event of another job in a job's place, or the job's own
+// event if no other runs.
+func (b *batch) crossedEvent(j *job, own history.Event) history.Event {
+	for _, other := range b.running {
+		if other != j {
+			return history.Event{
+				ID:    other.request,
+				Seq:   j.sent,
+				Token: other.run.Token,
+				Run:   other.run.ID,
+				Index: other.sent,
+			}
+		}
+	}
+	return own
+}
+
+// finish ends a job with a last frame and records its run.
+func (m *Model) finish(s *modelState, j *job, last frame) {
+	if last.final || last.end != NoFault {
+		j.push(last)
+	}
+	close(j.out)
+	if last.final {
+		s.answered++
+	}
+	j.run.Sent = j.sent
+	j.run.Final = last.final
+	j.run.Done = m.recorder.Now()
+	j.run.Fault = string(j.fault)
+	m.recorder.PutRun(j.run)
+}
--- a/cmd/rig/faultcase/cases.go
+++ b/cmd/rig/faultcase/cases.go
@@ -89,10 +89,10 @@
 		drained, leaving := s.model(), s.model()
 		web := s.Fleet.Webs[s.Random.IntN(3)]
 		s.Book.AddAction("drain "+drained.Name, false)
-		s.Fleet.Platform.State(drained.Name, "draining", 0)
-		s.Fleet.Platform.State(web.Name, "draining", 0)
+		s.Fleet.Platform.SetState(drained.Name, "draining", 0)
+		s.Fleet.Platform.SetState(web.Name, "draining", 0)
 		if leaving != drained {
-			s.Fleet.Platform.State(leaving.Name, "leaving", clock.System().Now().Add(4*time.Second).UnixMilli())
+			s.Fleet.Platform.SetState(leaving.Name, "leaving", clock.System().Now().Add(4*time.Second).UnixMilli())
 		}
 		core, front := s.core(), s.frontOnly()
 		core.Kill()
@@ -105,7 +105,7 @@
 		}
 		s.Wait(2 * time.Second)
 		for _, name := range []string{drained.Name, leaving.Name, web.Name} {
-			s.Fleet.Platform.State(name, "ready", 0)
+			s.Fleet.Platform.SetState(name, "ready", 0)
 		}
 		s.Wait(2 * time.Second)
 	}
@@ -180,17 +180,17 @@
 			if s.Fleet.Model(name) == nil || !s.left(began) {
 				continue
 			}
-			s.Fleet.Platform.State(name, "draining", 0)
+			s.Fleet.Platform.SetState(name, "draining", 0)
 			s.Wait(3 * time.Second)
 			s.Fleet.CrashModel(name)
-			s.Fleet.Platform.Drop(name)
+			s.Fleet.Platform.RemoveServer(name)
 			s.Wait(time.Second)
 			if err := s.Fleet.ReturnModel(name); err != nil {
 				return err
 			}
 			s.Fleet.List(name, "cold")
 			s.Wait(2 * time.Second)
-			s.Fleet.Platform.State(name, "ready", 0)
+			s.Fleet.Platform.SetState(name, "ready", 0)
 		}
 	}
 	return nil
--- a/cmd/rig/faultcase/faults.go
+++ b/cmd/rig/faultcase/faults.go
@@ -117,15 +117,15 @@
 	return n.Start()
 }
 
-func (s *Stage) webOdds(odds emulator.Odds) {
+func (s *Stage) webOdds(odds emulator.FaultOdds) {
 	for _, w := range s.Fleet.Webs {
-		w.Odds(odds)
+		w.SetFaultOdds(odds)
 	}
 }
 
-func (s *Stage) modelOdds(odds emulator.Odds) {
+func (s *Stage) modelOdds(odds emulator.FaultOdds) {
 	for _, m := range s.Fleet.Models {
-		m.Odds(odds)
+		m.SetFaultOdds(odds)
 	}
 }
 
--- a/cmd/rig/faultcase/mix.go
+++ b/cmd/rig/faultcase/mix.go
@@ -48,20 +48,20 @@
 	{"a model server goes dark", func(s *Stage) func() error {
 		m := s.model()
 		s.Book.AddAction("dark "+m.Name, false)
-		m.Dark(true)
-		return func() error { m.Dark(false); return nil }
+		m.SetUnresponsive(true)
+		return func() error { m.SetUnresponsive(false); return nil }
 	}},
 	{"drain a model server", func(s *Stage) func() error {
 		name := s.model().Name
-		s.Fleet.Platform.State(name, "draining", 0)
-		return func() error { s.Fleet.Platform.State(name, "ready", 0); return nil }
+		s.Fleet.Platform.SetState(name, "draining", 0)
+		return func() error { s.Fleet.Platform.SetState(name, "ready", 0); return nil }
 	}},
 	{"faulty streams", func(s *Stage) func() error {
-		s.modelOdds(emulator.Odds{emulator.EarlyEnd: .02, emulator.TooLittle: .02, emulator.Repeat: .02, emulator.Cross: .02, emulator.WrongID: .01, emulator.Abort: .03, emulator.Busy: .03})
+		s.modelOdds(emulator.FaultOdds{emulator.EarlyEnd: .02, emulator.DroppedEvent: .02, emulator.DuplicatedEvent: .02, emulator.CrossedEvent: .02, emulator.WrongID: .01, emulator.AbortedStream: .03, emulator.Busy: .03})
 		return func() error { s.modelOdds(nil); return nil }
 	}},
 	{"faulty web servers", func(s *Stage) func() error {
-		s.webOdds(emulator.Odds{emulator.ResetEarly: .03, emulator.ResetRead: .03, emulator.ResetRan: .05, emulator.Truncated: .02, emulator.WrongID: .02, emulator.CrossBody: .02, emulator.Slow: .05})
+		s.webOdds(emulator.FaultOdds{emulator.ResetBeforeRead: .03, emulator.ResetBeforeRun: .03, emulator.ResetAfterRun: .05, emulator.TruncatedBody: .02, emulator.WrongID: .02, emulator.CrossedBody: .02, emulator.SlowAnswer: .05})
 		return func() error { s.webOdds(nil); return nil }
 	}},
 	{"one tenant asks sixfold", func(s *Stage) func() error {
--- a/cmd/rig/faultcase/scenario.go
+++ b/cmd/rig/faultcase/scenario.go
@@ -53,7 +53,7 @@
 var scenarioFaults = map[string]string{
 	"kill": "nodes", "stop": "nodes", "freeze": "nodes", "wipe": "cores", "cut": "nodes and servers, cut from all others in silence",
 	"crash": "servers", "dark": "model servers", "drain": "servers", "leave": "servers", "evacuate": "localities", "final": "nothing: service is judged from here on",
-	emulator.EarlyEnd: "model servers", emulator.Repeat: "model servers", emulator.Abort: "model servers", emulator.ResetRan: "web servers", emulator.ResetRead: "web servers",
+	string(emulator.EarlyEnd): "model servers", string(emulator.DuplicatedEvent): "model servers", string(emulator.AbortedStream): "model servers", string(emulator.ResetAfterRun): "web servers", string(emulator.ResetBeforeRun): "web servers",
 }
 
 // ParseScenario reads a scenario strictly.
@@ -159,7 +159,7 @@
 
 func (s *Stage) causeOne(f Fault, name string, mend bool) error {
 	node, model, web := s.Fleet.Node(name), s.Fleet.Model(name), s.Fleet.Web(name)
-	odds := emulator.Odds{f.What: f.Odds}
+	odds := emulator.FaultOdds{emulator.Fault(f.What): f.Odds}
 	if mend {
 		odds = nil
 	}
@@ -190,13 +190,13 @@
 	case (model != nil || web != nil) && f.What == "crash":
 		s.crash(name)
 	case (model != nil || web != nil) && (f.What == "drain" || f.What == "leave"):
-		s.Fleet.Platform.State(name, state, clock.System().Now().Add(5*time.Second).UnixMilli())
+		s.Fleet.Platform.SetState(name, state, clock.System().Now().Add(5*time.Second).UnixMilli())
 	case model != nil && f.What == "dark":
-		model.Dark(!mend)
+		model.SetUnresponsive(!mend)
 	case model != nil && f.Odds > 0:
-		model.Odds(odds)
+		model.SetFaultOdds(odds)
 	case web != nil && f.Odds > 0:
-		web.Odds(odds)
+		web.SetFaultOdds(odds)
 	default:
 		return errors.Errorf("the target must be of: %s", scenarioFaults[f.What])
 	}
--- a/cmd/rig/faultcase/shots.go
+++ b/cmd/rig/faultcase/shots.go
@@ -8,8 +8,8 @@
 
 func shotsReset(s *Stage) error {
 	s.shotLoad()
-	s.webOdds(emulator.Odds{emulator.ResetEarly: .05, emulator.ResetRead: .05, emulator.ResetRan: .05, emulator.Truncated: .03, emulator.WrongID: .03,
-		emulator.CrossBody: .03, emulator.Busy: .05, emulator.Slow: .02})
+	s.webOdds(emulator.FaultOdds{emulator.ResetBeforeRead: .05, emulator.ResetBeforeRun: .05, emulator.ResetAfterRun: .05, emulator.TruncatedBody: .03, emulator.WrongID: .03,
+		emulator.CrossedBody: .03, emulator.Busy: .05, emulator.SlowAnswer: .02})
 	s.rest(s.Book.Now())
 	return nil
 }
@@ -23,7 +23,7 @@
 func shotsFronts(s *Stage) error {
 	began := s.Book.Now()
 	s.shotLoad()
-	s.webOdds(emulator.Odds{emulator.Slow: .2, emulator.ResetRan: .02, emulator.ResetRead: .02})
+	s.webOdds(emulator.FaultOdds{emulator.SlowAnswer: .2, emulator.ResetAfterRun: .02, emulator.ResetBeforeRun: .02})
 	for s.left(began) {
 		killed, frozen := s.frontOnly(), s.node()
 		killed.Kill()
@@ -46,13 +46,13 @@
 	for s.left(began) {
 		s.Book.AddAction("web servers dark", false)
 		for _, w := range s.Fleet.Webs {
-			w.Dark(true)
+			w.SetUnresponsive(true)
 		}
 		s.Wait(4 * time.Second)
 		for _, w := range s.Fleet.Webs {
-			w.Dark(false)
+			w.SetUnresponsive(false)
 		}
-		s.webOdds(emulator.Odds{emulator.Slow: .6})
+		s.webOdds(emulator.FaultOdds{emulator.SlowAnswer: .6})
 		s.Wait(3 * time.Second)
 		s.webOdds(nil)
 		name := s.Fleet.Webs[s.Random.IntN(3)].Name
@@ -68,7 +68,7 @@
 
 func streamsFaults(s *Stage) error {
 	s.Crowd.Mood.GoneOdds, s.Crowd.Mood.SlowOdds = .03, .05
-	s.modelOdds(emulator.Odds{emulator.EarlyEnd: .02, emulator.TooLittle: .02, emulator.Repeat: .02, emulator.Cross: .03, emulator.WrongID: .02, emulator.Abort: .02, emulator.Busy: .05, emulator.Stall: .01})
+	s.modelOdds(emulator.FaultOdds{emulator.EarlyEnd: .02, emulator.DroppedEvent: .02, emulator.DuplicatedEvent: .02, emulator.CrossedEvent: .03, emulator.WrongID: .02, emulator.AbortedStream: .02, emulator.Busy: .05, emulator.StalledStream: .01})
 	s.rest(s.Book.Now())
 	return nil
 }
@@ -80,11 +80,11 @@
 		crashed, dark, killed := s.model(), s.model(), s.frontOnly()
 		s.Fleet.CrashModel(crashed.Name)
 		s.Book.AddAction("dark "+dark.Name, false)
-		dark.Dark(true)
+		dark.SetUnresponsive(true)
 		s.Wait(2 * time.Second)
 		killed.Kill()
 		s.Wait(2 * time.Second)
-		dark.Dark(false)
+		dark.SetUnresponsive(false)
 		if err := s.Fleet.ReturnModel(crashed.Name); err != nil {
 			return err
 		}
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -42,7 +42,7 @@
 	Nodes    []NodeSpec
 	Models   []Place
 	Webs     []Place
-	Shape    emulator.Shape
+	Shape    emulator.ModelSpec
 	Services struct{ Model, Web []string }
 	Settings map[string]string // of all nodes
 	Warm     bool              // servers begin warm
@@ -52,7 +52,7 @@
 // model and 3 web servers.
 func First() Spec {
 	zones := []Place{{"lagos", "a"}, {"lagos", "b"}, {"abeokuta", "a"}}
-	s := Spec{Shape: emulator.Typical(), Warm: true}
+	s := Spec{Shape: emulator.TypicalModel(), Warm: true}
 	for i, z := range zones {
 		s.Nodes = append(s.Nodes, NodeSpec{Name: fmt.Sprintf("core%d", i+1), Place: z, Core: true})
 	}
@@ -174,7 +174,7 @@
 			return err
 		}
 		if f.Spec.Warm {
-			m.Warm()
+			m.SkipWarmUp()
 		}
 	}
 	for _, w := range f.Webs {
@@ -182,7 +182,7 @@
 			return err
 		}
 		if f.Spec.Warm {
-			w.Warm()
+			w.SkipWarmUp()
 		}
 	}
 	for name, r := range f.relays {
@@ -209,7 +209,7 @@
 		kind, services = "web", f.Spec.Services.Web
 	}
 	place := f.places[name]
-	f.Platform.Show(emulator.Listed{Name: name, Address: f.relays[name].Address, Kind: kind, Services: services,
+	f.Platform.PutServer(emulator.ListedServer{Name: name, Address: f.relays[name].Address, Kind: kind, Services: services,
 		Region: place.Region, Zone: place.Zone, State: state})
 }
 
--- a/cmd/rig/fleet/node.go
+++ b/cmd/rig/fleet/node.go
@@ -129,7 +129,7 @@
 		go n.open(exited)
 	})
 	if err == nil {
-		n.fleet.Platform.Watch(n.Name, n.Caller)
+		n.fleet.Platform.CheckReadiness(n.Name, n.Caller)
 	}
 	return errors.Wrap(err, n.Name)
 }
--- a/cmd/rig/loadgen/call.go
+++ b/cmd/rig/loadgen/call.go
@@ -173,7 +173,7 @@
 	fault := resp.Header.Get("Stepwick-Code")
 	if a.Kind != "stream" && fault == "" && resp.StatusCode/100 == 2 {
 		a.Outcome = history.Served
-		a.BodyToken, a.BodyIntact = emulator.CheckBody(string(data))
+		a.BodyToken, a.BodyIntact = emulator.VerifyBody(string(data))
 		return
 	}
 	var body apierror.ErrorBody
