--- a/cmd/rig/demo.go
+++ b/cmd/rig/demo.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	defer remove()
-	s, err := faultcase.Open(ctx, faultcase.Options{Spec: fleet.First(), Tenants: loadgen.FirstTenants(), Binary: binary, Seed: seed, Seconds: length, Keep: keep, Out: os.Stdout, Table: true})
+	s, err := faultcase.Open(ctx, faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: loadgen.FirstTenants(), Binary: binary, Seed: seed, Seconds: length, Keep: keep, Out: os.Stdout, Table: true})
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	for _, t := range troubles {
 		fmt.Println("TROUBLE", t)
 	}
-	_, newest := s.Control.Newest()
+	_, newest := s.Control.NewestKey()
 	for node, version := range versions {
 		if version != newest {
 			troubles = append(troubles, node)
@@ -77,12 +77,12 @@
 	ctx, cancel := context.WithTimeout(s.Context(), time.Duration(length)*time.Second+20*time.Second)
 	defer cancel()
 	s.Wait(2 * time.Second)
-	base, ok := s.Control.Base(ctx, s.Fleet.Nodes)
+	base, ok := s.Control.SheetVersion(ctx, s.Fleet.Nodes)
 	if !ok {
 		return []string{"no node gave the sheet"}
 	}
 	for i := range 30 {
-		told := s.Control.Push(ctx, s.Control.Change("ade", base), s.Fleet.From(i))
+		told := s.Control.Submit(ctx, s.Control.Change("ade", base), s.Fleet.NodesFrom(i))
 		if !told.Acknowledged() {
 			return append(troubles, fmt.Sprintf("change %d: status %d code %d %s", i+1, told.Status, told.Code, told.Detail))
 		}
@@ -93,21 +93,21 @@
 	var both sync.WaitGroup
 	for i, o := range racers {
 		o.Race = "demo"
-		both.Go(func() { told[i] = s.Control.Push(ctx, o, s.Fleet.From(i*4)) })
+		both.Go(func() { told[i] = s.Control.Submit(ctx, o, s.Fleet.NodesFrom(i*4)) })
 	}
 	both.Wait()
 	if told[0].Acknowledged() == told[1].Acknowledged() {
 		troubles = append(troubles, fmt.Sprintf("race: %d/%d and %d/%d", told[0].Status, told[0].Code, told[1].Status, told[1].Code))
 	}
-	_, base = s.Control.Newest()
+	_, base = s.Control.NewestKey()
 	lost := s.Control.Change("bola", base)
 	s.Control.Send(lost, s.Fleet.Nodes[1], 5*time.Millisecond)
-	first := s.Control.Push(ctx, lost, s.Fleet.From(2))
-	again := s.Control.Push(ctx, lost, s.Fleet.From(5))
+	first := s.Control.Submit(ctx, lost, s.Fleet.NodesFrom(2))
+	again := s.Control.Submit(ctx, lost, s.Fleet.NodesFrom(5))
 	if !first.Acknowledged() || !again.Acknowledged() || first.Version != again.Version {
 		troubles = append(troubles, fmt.Sprintf("lost answer: %d/%d epoch %d, again %d/%d epoch %d", first.Status, first.Code, first.Version, again.Status, again.Code, again.Version))
 	}
-	if back, _ := s.Control.Read(s.Fleet.Nodes[3], true); back.Status != 200 {
+	if back, _ := s.Control.ReadSheet(s.Fleet.Nodes[3], true); back.Status != 200 {
 		troubles = append(troubles, fmt.Sprintf("read back: status %d code %d", back.Status, back.Code))
 	}
 	if left := until - s.Book.Now(); left > 0 {
--- a/cmd/rig/faultcase/cases.go
+++ b/cmd/rig/faultcase/cases.go
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func coldFleet(o *Options) { o.Spec.Warm = false }
+func coldFleet(o *Options) { o.Spec.ServersWarm = false }
 
 func coldStart(s *Stage) error {
 	s.rest(s.Book.Now())
@@ -150,20 +150,20 @@
 
 func cold(s *Stage) error {
 	began := s.Book.Now()
-	s.Crowd.Scale("", 1.5)
+	s.Crowd.SetLoadFactor("", 1.5)
 	for s.left(began) {
 		first, second := s.model(), s.model()
-		s.Fleet.CrashModel(first.Name)
+		s.Fleet.CrashModelServer(first.Name)
 		s.Wait(3 * time.Second)
-		if err := s.Fleet.ReturnModel(first.Name); err != nil {
+		if err := s.Fleet.RestartModelServer(first.Name); err != nil {
 			return err
 		}
 		s.Wait(seconds(0.5 + s.Random.Float64()))
 		if second != first {
-			s.Fleet.CrashModel(second.Name)
+			s.Fleet.CrashModelServer(second.Name)
 		}
 		s.Wait(5 * time.Second)
-		if err := s.Fleet.ReturnModel(second.Name); err != nil {
+		if err := s.Fleet.RestartModelServer(second.Name); err != nil {
 			return err
 		}
 		s.Wait(4 * time.Second)
@@ -182,13 +182,13 @@
 			}
 			s.Fleet.Platform.SetState(name, "draining", 0)
 			s.Wait(3 * time.Second)
-			s.Fleet.CrashModel(name)
+			s.Fleet.CrashModelServer(name)
 			s.Fleet.Platform.RemoveServer(name)
 			s.Wait(time.Second)
-			if err := s.Fleet.ReturnModel(name); err != nil {
+			if err := s.Fleet.RestartModelServer(name); err != nil {
 				return err
 			}
-			s.Fleet.List(name, "cold")
+			s.Fleet.PutServer(name, "cold")
 			s.Wait(2 * time.Second)
 			s.Fleet.Platform.SetState(name, "ready", 0)
 		}
@@ -199,15 +199,15 @@
 func crowd(s *Stage) error {
 	s.Wait(6 * time.Second)
 	s.Book.AddAction("crowd tenfold", false)
-	s.Crowd.Scale("desk", 10)
-	s.Crowd.Scale("grid", 10)
+	s.Crowd.SetLoadFactor("desk", 10)
+	s.Crowd.SetLoadFactor("grid", 10)
 	s.Wait(8 * time.Second)
-	s.Crowd.Scale("", 1)
+	s.Crowd.SetLoadFactor("", 1)
 	s.Book.AddAction("long answers", false)
-	s.Crowd.Scale("press", 0.2)
-	s.Crowd.Scale("helpdesk", 2)
+	s.Crowd.SetLoadFactor("press", 0.2)
+	s.Crowd.SetLoadFactor("helpdesk", 2)
 	s.Wait(8 * time.Second)
-	s.Crowd.Scale("", 1)
+	s.Crowd.SetLoadFactor("", 1)
 	s.Wait(6 * time.Second)
 	return nil
 }
--- a/cmd/rig/faultcase/faults.go
+++ b/cmd/rig/faultcase/faults.go
@@ -39,7 +39,7 @@
 
 // shuffled returns all nodes in an order that the number decides.
 func (s *Stage) shuffled(i uint64) []*fleet.Node {
-	return s.Fleet.From(int((i*7 + s.Seed*3) % uint64(len(s.Fleet.Nodes))))
+	return s.Fleet.NodesFrom(int((i*7 + s.Seed*3) % uint64(len(s.Fleet.Nodes))))
 }
 
 // running keeps the nodes whose process runs.
@@ -55,10 +55,10 @@
 // changing submits one change after another through changing nodes, loses
 // every fifth answer, and sends each order until it is settled. The order that
 // is open when ctx ends is left as it is.
-func (s *Stage) changing(ctx context.Context, every time.Duration, more func(i uint64) []map[string]any) {
-	_, base := s.Control.Newest()
+func (s *Stage) changing(ctx context.Context, every time.Duration, more func(i uint64) []loadgen.Change) {
+	_, base := s.Control.NewestKey()
 	for i := uint64(0); ctx.Err() == nil; i++ {
-		var extra []map[string]any
+		var extra []loadgen.Change
 		if more != nil {
 			extra = more(i)
 		}
@@ -68,12 +68,12 @@
 			s.Control.Send(o, nodes[0], time.Duration(1+i%40)*time.Millisecond)
 			nodes = nodes[1:]
 		}
-		told := s.Control.Push(ctx, o, nodes)
+		told := s.Control.Submit(ctx, o, nodes)
 		switch {
 		case told.Acknowledged():
 			base = told.Version
 		case ctx.Err() == nil:
-			if b, ok := s.Control.Base(ctx, nodes); ok {
+			if b, ok := s.Control.SheetVersion(ctx, nodes); ok {
 				base = b
 			}
 		}
@@ -87,7 +87,7 @@
 func (s *Stage) push(o *loadgen.Order, from uint64, within time.Duration) (won bool, version uint64) {
 	ctx, cancel := context.WithTimeout(s.ctx, within)
 	defer cancel()
-	told := s.Control.Push(ctx, o, s.shuffled(from))
+	told := s.Control.Submit(ctx, o, s.shuffled(from))
 	return told.Acknowledged(), told.Version
 }
 
@@ -98,7 +98,7 @@
 	for {
 		read := 0
 		for _, n := range running(s.Fleet.Nodes) {
-			if back, _ := s.Control.Read(n, true); back.Status == 200 {
+			if back, _ := s.Control.ReadSheet(n, true); back.Status == 200 {
 				read++
 			}
 		}
@@ -130,33 +130,33 @@
 }
 
 // zone returns the nodes and servers of a zone.
-func (s *Stage) zone(p fleet.Place) (nodes []*fleet.Node, servers []string) {
+func (s *Stage) zone(p fleet.Location) (nodes []*fleet.Node, servers []string) {
 	for _, n := range s.Fleet.Nodes {
-		if n.Place == p {
+		if n.Location == p {
 			nodes = append(nodes, n)
 		}
 	}
-	servers = s.Fleet.Names(func(name string, q fleet.Place) bool { return q == p && s.Fleet.Node(name) == nil })
+	servers = s.Fleet.Names(func(name string, q fleet.Location) bool { return q == p && s.Fleet.Node(name) == nil })
 	return nodes, servers
 }
 
 func (s *Stage) region(region string) []string {
-	return s.Fleet.Names(func(_ string, p fleet.Place) bool { return p.Region == region })
+	return s.Fleet.Names(func(_ string, p fleet.Location) bool { return p.Region == region })
 }
 
 func (s *Stage) crash(server string) {
 	if s.Fleet.Model(server) != nil {
-		s.Fleet.CrashModel(server)
+		s.Fleet.CrashModelServer(server)
 		return
 	}
-	s.Fleet.CrashWeb(server)
+	s.Fleet.CrashWebServer(server)
 }
 
 func (s *Stage) back(server string) error {
 	if s.Fleet.Model(server) != nil {
-		return s.Fleet.ReturnModel(server)
+		return s.Fleet.RestartModelServer(server)
 	}
-	return s.Fleet.ReturnWeb(server)
+	return s.Fleet.RestartWebServer(server)
 }
 
 // final notes that nothing is mended from now on, and waits until service can
@@ -182,7 +182,7 @@
 // restartGracefully stops a node, which must leave by itself with code 0, and
 // starts it again with its data kept.
 func restartGracefully(n *fleet.Node) error {
-	if !n.Term(gracefulStopTimeout) {
+	if !n.Terminate(gracefulStopTimeout) {
 		return fmt.Errorf("%s did not leave cleanly within %s: exit code %d", n.Name, gracefulStopTimeout, n.ExitCode())
 	}
 	return n.Start()
--- a/cmd/rig/faultcase/finals.go
+++ b/cmd/rig/faultcase/finals.go
@@ -56,7 +56,7 @@
 
 func finalZone(s *Stage) error {
 	s.Wait(8 * time.Second)
-	nodes, servers := s.zone(fleet.Place{Region: "lagos", Zone: "a"})
+	nodes, servers := s.zone(fleet.Location{Region: "lagos", Zone: "a"})
 	kill(nodes)
 	for _, name := range servers {
 		s.crash(name)
--- a/cmd/rig/faultcase/force.go
+++ b/cmd/rig/faultcase/force.go
@@ -41,7 +41,7 @@
 func forceCore(s *Stage) error { return force(s, []string{s.core().Name}) }
 
 func forceZone(s *Stage) error {
-	nodes, _ := s.zone(s.node().Place)
+	nodes, _ := s.zone(s.node().Location)
 	var names []string
 	for _, n := range nodes {
 		names = append(names, n.Name)
--- a/cmd/rig/faultcase/mix.go
+++ b/cmd/rig/faultcase/mix.go
@@ -28,7 +28,7 @@
 			return b.Start()
 		}
 	}},
-	{"stop and restart a node", func(s *Stage) func() error { n := s.node(); n.Term(12 * time.Second); return n.Start }},
+	{"stop and restart a node", func(s *Stage) func() error { n := s.node(); n.Terminate(12 * time.Second); return n.Start }},
 	{"freeze a node", func(s *Stage) func() error { n := s.node(); n.Freeze(); return func() error { n.Thaw(); return nil } }},
 	{"isolate a node", func(s *Stage) func() error {
 		group := []string{s.node().Name}
@@ -42,8 +42,8 @@
 	}},
 	{"crash a model server", func(s *Stage) func() error {
 		name := s.model().Name
-		s.Fleet.CrashModel(name)
-		return func() error { return s.Fleet.ReturnModel(name) }
+		s.Fleet.CrashModelServer(name)
+		return func() error { return s.Fleet.RestartModelServer(name) }
 	}},
 	{"a model server goes dark", func(s *Stage) func() error {
 		m := s.model()
@@ -65,12 +65,12 @@
 		return func() error { s.webOdds(nil); return nil }
 	}},
 	{"one tenant asks sixfold", func(s *Stage) func() error {
-		s.Crowd.Scale("crews", 6)
-		return func() error { s.Crowd.Scale("crews", 1); return nil }
+		s.Crowd.SetLoadFactor("crews", 6)
+		return func() error { s.Crowd.SetLoadFactor("crews", 1); return nil }
 	}},
 	{"callers move to one zone", func(s *Stage) func() error {
-		s.Crowd.From(map[string]float64{s.node().ZoneName(): 1})
-		return func() error { s.Crowd.From(nil); return nil }
+		s.Crowd.SetZoneShares(map[string]float64{s.node().ZoneName(): 1})
+		return func() error { s.Crowd.SetZoneShares(nil); return nil }
 	}},
 	{"evacuate a zone", func(s *Stage) func() error {
 		zone := []string{"lagos/a", "lagos/b"}[s.Random.IntN(2)]
--- a/cmd/rig/faultcase/orders.go
+++ b/cmd/rig/faultcase/orders.go
@@ -21,7 +21,7 @@
 		core.Kill()
 		s.Wait(seconds(0.2 + s.Random.Float64()*2))
 		if s.Random.IntN(3) == 0 {
-			if err := core.Tear(); err != nil {
+			if err := core.TearLog(); err != nil {
 				return err
 			}
 		}
@@ -52,7 +52,7 @@
 
 func ordersWipe(s *Stage) error {
 	began := s.Book.Now()
-	_, base := s.Control.Newest()
+	_, base := s.Control.NewestKey()
 	for i := uint64(0); s.left(began); i++ {
 		won, version := s.push(s.Control.Change("ade", base), i, 15*time.Second)
 		if !won {
@@ -87,8 +87,8 @@
 func (s *Stage) serves(n *fleet.Node, within time.Duration) bool {
 	until := s.Book.Now() + within
 	for s.Book.Now() < until {
-		key, _ := s.Control.Newest()
-		if s.Control.Probe(n, key).Accepted() {
+		key, _ := s.Control.NewestKey()
+		if s.Control.CheckKey(n, key).Accepted() {
 			return true
 		}
 		if !s.Wait(200 * time.Millisecond) {
@@ -100,7 +100,7 @@
 
 func (s *Stage) readAll() (ok int, err error) {
 	for _, n := range running(s.Fleet.Nodes) {
-		if back, _ := s.Control.Read(n, false); back.Status == 200 {
+		if back, _ := s.Control.ReadSheet(n, false); back.Status == 200 {
 			ok++
 		}
 	}
@@ -159,8 +159,8 @@
 // changed setting.
 func (s *Stage) restartWith(core *fleet.Node, name, value string) error {
 	core.Kill()
-	core.Set(name, value)
-	if err := core.Tear(); err != nil {
+	core.SetSetting(name, value)
+	if err := core.TearLog(); err != nil {
 		return err
 	}
 	return core.Start()
@@ -178,19 +178,19 @@
 }
 
 // fat makes some changes add many tenants, so that a small disk fills.
-func (s *Stage) fat(i uint64) (more []map[string]any) {
+func (s *Stage) fat(i uint64) (more []loadgen.Change) {
 	if i%4 != 0 {
 		return nil
 	}
 	for j := range 60 {
-		more = append(more, map[string]any{"path": fmt.Sprintf("tenants.extra%d", (i*60+uint64(j))%900), "value": map[string]any{"rate": 10 + i, "keys": []string{fleet.Hash(fmt.Sprint("x", i, j))}}})
+		more = append(more, loadgen.Change{Path: fmt.Sprintf("tenants.extra%d", (i*60+uint64(j))%900), Value: loadgen.SheetTenant{Rate: float64(10 + i), Keys: []string{fleet.HashKey(fmt.Sprint("x", i, j))}}})
 	}
 	return more
 }
 
 func ordersRace(s *Stage) error {
 	began := s.Book.Now()
-	_, base := s.Control.Newest()
+	_, base := s.Control.NewestKey()
 	for i := uint64(0); s.left(began); i++ {
 		if i%3 == 2 {
 			cut := []string{s.core().Name}
@@ -207,14 +207,14 @@
 				if lose {
 					s.Control.Send(o, nodes[0], 3*time.Millisecond)
 				}
-				s.Control.Push(ctx, o, nodes)
+				s.Control.Submit(ctx, o, nodes)
 			})
 		}
 		all.Wait()
 		if i%3 == 2 {
 			s.Heal()
 		}
-		next, ok := s.Control.Base(ctx, s.Fleet.Nodes)
+		next, ok := s.Control.SheetVersion(ctx, s.Fleet.Nodes)
 		cancel()
 		if ok {
 			base = next
@@ -224,12 +224,18 @@
 	return s.dayEnd(20 * time.Second)
 }
 
+// sheetWithUnknownField is a sheet with a field that no sheet has.
+type sheetWithUnknownField struct {
+	loadgen.Sheet
+	Colour string `json:"colour"`
+}
+
 func ordersInvalid(s *Stage) error {
 	began := s.Book.Now()
-	_, base := s.Control.Newest()
+	_, base := s.Control.NewestKey()
 	for i := uint64(0); s.left(began); i++ {
 		key := s.Control.NextKey()
-		sheet := loadgen.FirstSheet(s.Fleet, s.Tenants, key)
+		sheet := loadgen.NewSheet(s.Fleet, s.Tenants, key)
 		bad := s.Control.Put("bola", base, sheet, key)
 		bad.Invalid = true
 		switch i % 6 {
@@ -238,9 +244,9 @@
 		case 1:
 			sheet.Weights["digest"] = map[string]float64{"lagos": 0, "abeokuta": 0}
 		case 2:
-			bad.Body["sheet"] = map[string]any{"services": sheet.Services, "weights": sheet.Weights, "tenants": sheet.Tenants, "colour": "red"}
+			bad.Body.Sheet = sheetWithUnknownField{Sheet: sheet, Colour: "red"}
 		case 3:
-			sheet.Tenants["press"] = loadgen.SheetTenant{Rate: -5, Keys: []string{fleet.Hash("key-of-press")}}
+			sheet.Tenants["press"] = loadgen.SheetTenant{Rate: -5, Keys: []string{fleet.HashKey("key-of-press")}}
 		case 4:
 			sheet.Weights["nosuch"] = map[string]float64{"lagos": 1}
 		case 5:
@@ -251,9 +257,9 @@
 			return errors.Errorf("an invalid sheet got no answer: %s", told.Detail)
 		}
 		large := s.Control.NextKey()
-		big := loadgen.FirstSheet(s.Fleet, s.Tenants, large)
+		big := loadgen.NewSheet(s.Fleet, s.Tenants, large)
 		for j := range 3000 {
-			big.Tenants[fmt.Sprintf("town%d", j)] = loadgen.SheetTenant{Rate: float64(i + 1), Burst: 10, Keys: []string{fleet.Hash(fmt.Sprint("town", j))}}
+			big.Tenants[fmt.Sprintf("town%d", j)] = loadgen.SheetTenant{Rate: float64(i + 1), Burst: 10, Keys: []string{fleet.HashKey(fmt.Sprint("town", j))}}
 		}
 		won, version := s.push(s.Control.Put("ade", base, big, large), i, 15*time.Second)
 		if !won {
--- a/cmd/rig/faultcase/rolling_upgrade.go
+++ b/cmd/rig/faultcase/rolling_upgrade.go
@@ -9,6 +9,7 @@
 
 	"stepwick/cmd/rig/fleet"
 	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/loadgen"
 )
 
 // RollingUpgrade is the case that replaces the previous build by the new one,
@@ -29,6 +30,9 @@
 // tenants in a sheet is the number of orders in force.
 const stepTenantPrefix = "rollstep"
 
+// stepTenantRate is the allowance of those tenants in tokens a second.
+const stepTenantRate = 10
+
 // rollingPhase is the direction in which processes are replaced.
 type rollingPhase string
 
@@ -206,10 +210,13 @@
 // submitStepOrder submits the order of a step, which adds one tenant, and waits
 // for its acknowledgement.
 func (s *Stage) submitStepOrder(index int) error {
-	_, base := s.Control.Newest()
+	_, base := s.Control.NewestKey()
 	name := fmt.Sprintf("%s%d", stepTenantPrefix, index)
-	tenant := map[string]any{"rate": 10, "keys": []string{fleet.Hash("key-of-" + name)}}
-	order := s.Control.Change("ade", base, map[string]any{"path": "tenants." + name, "value": tenant})
+	tenant := loadgen.SheetTenant{
+		Rate: stepTenantRate,
+		Keys: []string{fleet.HashKey("key-of-" + name)},
+	}
+	order := s.Control.Change("ade", base, loadgen.Change{Path: "tenants." + name, Value: tenant})
 	if acknowledged, _ := s.push(order, uint64(index), orderTimeout); !acknowledged {
 		return errors.Errorf("the order was not acknowledged within %s", orderTimeout)
 	}
@@ -229,7 +236,7 @@
 
 // nodesInForce returns the number of nodes at which the newest order is in force.
 func (s *Stage) nodesInForce() int {
-	_, newest := s.Control.Newest()
+	_, newest := s.Control.NewestKey()
 	count := 0
 	for _, version := range s.Versions(inForceTimeout) {
 		if version == newest {
@@ -257,7 +264,7 @@
 
 // stepOrdersAt returns the number of step orders in the sheet read through a node.
 func (s *Stage) stepOrdersAt(n *fleet.Node) int {
-	_, sheet := s.Control.Read(n, false)
+	_, sheet := s.Control.ReadSheet(n, false)
 	count := 0
 	for i := range 2 * len(s.Fleet.Nodes) {
 		if _, present := sheet.Tenants[fmt.Sprintf("%s%d", stepTenantPrefix, i)]; present {
--- a/cmd/rig/faultcase/rolling_upgrade_test.go
+++ b/cmd/rig/faultcase/rolling_upgrade_test.go
@@ -14,7 +14,7 @@
 func TestRollingSteps(t *testing.T) {
 	Convey("Every node is upgraded once and then rolled back once, fronts before cores", t, func() {
 		var nodes []*fleet.Node
-		for _, spec := range fleet.First().Nodes {
+		for _, spec := range fleet.FirstDeployment().Nodes {
 			nodes = append(nodes, &fleet.Node{NodeSpec: spec})
 		}
 		steps := rollingSteps(nodes, "new", "previous")
@@ -54,7 +54,7 @@
 
 func TestStartOnPreviousBinary(t *testing.T) {
 	Convey("The whole fleet starts on the previous binary", t, func() {
-		o := Options{Spec: fleet.First(), Binary: "new", PreviousBinary: "previous"}
+		o := Options{Spec: fleet.FirstDeployment(), Binary: "new", PreviousBinary: "previous"}
 		startOnPreviousBinary(&o)
 		for _, spec := range o.Spec.Nodes {
 			So(spec.Binary, ShouldEqual, "previous")
--- a/cmd/rig/faultcase/scenario.go
+++ b/cmd/rig/faultcase/scenario.go
@@ -82,15 +82,15 @@
 
 // Options are those of a scenario's fleet.
 func (sc *Scenario) Options() Options {
-	spec := fleet.First()
+	spec := fleet.FirstDeployment()
 	if sc.Fleet.Fronts > 0 {
 		zones := spec.Nodes[:3]
 		spec.Nodes = append([]fleet.NodeSpec{}, zones...)
 		for i := range sc.Fleet.Fronts {
-			spec.Nodes = append(spec.Nodes, fleet.NodeSpec{Name: fmt.Sprintf("front%d", i+1), Place: zones[i%3].Place})
+			spec.Nodes = append(spec.Nodes, fleet.NodeSpec{Name: fmt.Sprintf("front%d", i+1), Location: zones[i%3].Location})
 		}
 	}
-	spec.Settings, spec.Warm = sc.Fleet.Settings, !sc.Fleet.Cold
+	spec.Settings, spec.ServersWarm = sc.Fleet.Settings, !sc.Fleet.Cold
 	return Options{Spec: spec, Sheet: sc.Settings, Seconds: sc.Seconds}
 }
 
@@ -105,10 +105,10 @@
 	for _, p := range sc.Load {
 		steps = append(steps, step{seconds(p.At), func() error {
 			if p.Factor != nil {
-				s.Crowd.Scale(p.Tenant, *p.Factor)
+				s.Crowd.SetLoadFactor(p.Tenant, *p.Factor)
 			}
 			if p.From != nil {
-				s.Crowd.From(p.From)
+				s.Crowd.SetZoneShares(p.From)
 			}
 			return nil
 		}})
@@ -146,7 +146,7 @@
 		for _, name := range f.Target {
 			in[name] = true
 		}
-		s.Cut(f.Target, s.Fleet.Names(func(name string, _ fleet.Place) bool { return !in[name] }))
+		s.Cut(f.Target, s.Fleet.Names(func(name string, _ fleet.Location) bool { return !in[name] }))
 		return nil
 	}
 	for _, name := range f.Target {
@@ -179,7 +179,7 @@
 	case node != nil && mend:
 		return node.Start()
 	case node != nil && f.What == "stop":
-		node.Term(12 * time.Second)
+		node.Terminate(12 * time.Second)
 	case node != nil && f.What == "wipe":
 		node.Kill()
 		return node.Wipe()
--- a/cmd/rig/faultcase/shots.go
+++ b/cmd/rig/faultcase/shots.go
@@ -15,9 +15,9 @@
 }
 
 func (s *Stage) shotLoad() {
-	s.Crowd.Scale("", 0.3)
-	s.Crowd.Scale("grid", 1.9)
-	s.Crowd.Scale("crews", 1.9)
+	s.Crowd.SetLoadFactor("", 0.3)
+	s.Crowd.SetLoadFactor("grid", 1.9)
+	s.Crowd.SetLoadFactor("crews", 1.9)
 }
 
 func shotsFronts(s *Stage) error {
@@ -67,7 +67,7 @@
 }
 
 func streamsFaults(s *Stage) error {
-	s.Crowd.Mood.GoneOdds, s.Crowd.Mood.SlowOdds = .03, .05
+	s.Crowd.Behavior.LeaveOdds, s.Crowd.Behavior.SlowReadOdds = .03, .05
 	s.modelOdds(emulator.FaultOdds{emulator.EarlyEnd: .02, emulator.DroppedEvent: .02, emulator.DuplicatedEvent: .02, emulator.CrossedEvent: .03, emulator.WrongID: .02, emulator.AbortedStream: .02, emulator.Busy: .05, emulator.StalledStream: .01})
 	s.rest(s.Book.Now())
 	return nil
@@ -75,17 +75,17 @@
 
 func streamsCrash(s *Stage) error {
 	began := s.Book.Now()
-	s.Crowd.Mood.GoneOdds, s.Crowd.Mood.SlowOdds = .03, .05
+	s.Crowd.Behavior.LeaveOdds, s.Crowd.Behavior.SlowReadOdds = .03, .05
 	for s.left(began) {
 		crashed, dark, killed := s.model(), s.model(), s.frontOnly()
-		s.Fleet.CrashModel(crashed.Name)
+		s.Fleet.CrashModelServer(crashed.Name)
 		s.Book.AddAction("dark "+dark.Name, false)
 		dark.SetUnresponsive(true)
 		s.Wait(2 * time.Second)
 		killed.Kill()
 		s.Wait(2 * time.Second)
 		dark.SetUnresponsive(false)
-		if err := s.Fleet.ReturnModel(crashed.Name); err != nil {
+		if err := s.Fleet.RestartModelServer(crashed.Name); err != nil {
 			return err
 		}
 		if err := killed.Start(); err != nil {
--- a/cmd/rig/faultcase/stage.go
+++ b/cmd/rig/faultcase/stage.go
@@ -46,8 +46,8 @@
 	Options
 	Fleet   *fleet.Fleet
 	Book    *history.Recorder
-	Crowd   *loadgen.Crowd
-	Control *loadgen.Control
+	Crowd   *loadgen.Callers
+	Control *loadgen.Operators
 	Random  *rand.Rand
 
 	ctx     context.Context
@@ -77,15 +77,15 @@
 		s.abort()
 		return nil, err
 	}
-	s.Control = loadgen.NewControl(s.Fleet, o.Seed)
-	s.Crowd = loadgen.NewCrowd(s.Fleet, o.Tenants, o.Seed)
+	s.Control = loadgen.NewOperators(s.Fleet, o.Seed)
+	s.Crowd = loadgen.NewCallers(s.Fleet, o.Tenants, o.Seed)
 	if err := s.first(); err != nil {
 		s.abort()
 		return nil, err
 	}
 	s.Began = s.Book.Now()
 	s.part(func() { s.Crowd.Run(s.ctx) })
-	s.part(func() { s.Control.Probes(s.ctx, 300*time.Millisecond) })
+	s.part(func() { s.Control.RunKeyChecks(s.ctx, 300*time.Millisecond) })
 	if o.Table {
 		s.part(s.table)
 	}
@@ -102,15 +102,15 @@
 	ctx, cancel := context.WithTimeout(s.ctx, 40*time.Second)
 	defer cancel()
 	key := s.Control.NextKey()
-	sheet := loadgen.FirstSheet(s.Fleet, s.Tenants, key)
+	sheet := loadgen.NewSheet(s.Fleet, s.Tenants, key)
 	sheet.Settings = s.Sheet
 	order := s.Control.Put("ade", 0, sheet, key)
-	if told := s.Control.Push(ctx, order, s.Fleet.Nodes); !told.Acknowledged() {
+	if told := s.Control.Submit(ctx, order, s.Fleet.Nodes); !told.Acknowledged() {
 		return errors.Errorf("the first sheet was not accepted: status %d code %d %s; node logs:\n%s", told.Status, told.Code, told.Detail, s.tails())
 	}
 	for _, n := range s.Fleet.Nodes {
 		for {
-			if p := s.Control.Probe(n, key); p.Accepted() {
+			if p := s.Control.CheckKey(n, key); p.Accepted() {
 				break
 			} else if !owner.Sleep(ctx, 100*time.Millisecond) {
 				return errors.Errorf("node %s did not serve within 40 s: probe status %d code %d %s; node logs:\n%s", n.Name, p.Status, p.Code, p.Detail, s.tails())
@@ -188,7 +188,7 @@
 func (s *Stage) table() {
 	ticker := clock.System().Ticker(time.Second)
 	defer ticker.Stop()
-	var last loadgen.Tally
+	var last loadgen.Counts
 	fmt.Fprintf(s.Out, "%6s %8s %9s %8s %8s %7s %8s\n", "second", "served", "refused", "failed", "unsent", "epoch", "skipped")
 	for i := 1; ; i++ {
 		select {
@@ -196,9 +196,9 @@
 		case <-s.ctx.Done():
 			return
 		}
-		now := s.Crowd.Tally()
-		_, version := s.Control.Newest()
-		fmt.Fprintf(s.Out, "%6d %8d %9d %8d %8d %7d %8d\n", i, now.Served-last.Served, now.Refused-last.Refused, now.Failed-last.Failed, now.Unsent-last.Unsent, version, s.Crowd.Skipped.Load())
+		now := s.Crowd.Counts()
+		_, version := s.Control.NewestKey()
+		fmt.Fprintf(s.Out, "%6d %8d %9d %8d %8d %7d %8d\n", i, now.Served-last.Served, now.Rejected-last.Rejected, now.Failed-last.Failed, now.Unsent-last.Unsent, version, s.Crowd.Skipped.Load())
 		last = now
 	}
 }
@@ -207,7 +207,7 @@
 // running node serves by; 0 for one that does not serve.
 func (s *Stage) Versions(within time.Duration) map[string]uint64 {
 	out := map[string]uint64{}
-	key, version := s.Control.Newest()
+	key, version := s.Control.NewestKey()
 	until := s.Book.Now() + within
 	for _, n := range s.Fleet.Nodes {
 		if _, runs := n.Running(); !runs {
@@ -215,7 +215,7 @@
 		}
 		out[n.Name] = 0
 		for {
-			if p := s.Control.Probe(n, key); p.Accepted() {
+			if p := s.Control.CheckKey(n, key); p.Accepted() {
 				out[n.Name] = version
 				break
 			}
--- a/cmd/rig/faultcase/tallies.go
+++ b/cmd/rig/faultcase/tallies.go
@@ -6,13 +6,13 @@
 	began := s.Book.Now()
 	s.Wait(5 * time.Second)
 	s.Book.AddAction("crews and grid ask tenfold", false)
-	s.Crowd.Scale("crews", 10)
-	s.Crowd.Scale("grid", 6)
+	s.Crowd.SetLoadFactor("crews", 10)
+	s.Crowd.SetLoadFactor("grid", 6)
 	for i := 0; s.left(began); i++ {
 		s.Wait(12 * time.Second)
 		home := []string{"lagos/a", "abeokuta/a", "lagos/b"}[i%3]
 		s.Book.AddAction("callers move to "+home, false)
-		s.Crowd.From(map[string]float64{home: 1})
+		s.Crowd.SetZoneShares(map[string]float64{home: 1})
 	}
 	return nil
 }
@@ -27,8 +27,8 @@
 
 func tallyRestart(s *Stage) error {
 	began := s.Book.Now()
-	s.Crowd.Scale("crews", 6)
-	s.Crowd.Scale("grid", 4)
+	s.Crowd.SetLoadFactor("crews", 6)
+	s.Crowd.SetLoadFactor("grid", 4)
 	s.Wait(18 * time.Second)
 	for i := 0; s.left(began); i++ {
 		n := s.Fleet.Nodes[(i*2)%9]
@@ -37,7 +37,7 @@
 				return err
 			}
 		} else {
-			n.Term(12 * time.Second)
+			n.Terminate(12 * time.Second)
 			if err := n.Start(); err != nil {
 				return err
 			}
@@ -49,8 +49,8 @@
 
 func tallyCut(s *Stage) error {
 	began := s.Book.Now()
-	s.Crowd.Scale("crews", 6)
-	s.Crowd.Scale("grid", 4)
+	s.Crowd.SetLoadFactor("crews", 6)
+	s.Crowd.SetLoadFactor("grid", 4)
 	s.Wait(18 * time.Second)
 	s.Cut(s.region("abeokuta"), s.region("lagos"))
 	s.Wait(16 * time.Second)
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -22,16 +22,16 @@
 	"stepwick/cmd/rig/owner"
 )
 
-// Place is where a machine stands.
-type Place struct{ Region, Zone string }
+// LocationOf is where a machine stands.
+type Location struct{ Region, Zone string }
 
 // ZoneName joins region and zone.
-func (p Place) ZoneName() string { return p.Region + "/" + p.Zone }
+func (p Location) ZoneName() string { return p.Region + "/" + p.Zone }
 
 // NodeSpec describes one node.
 type NodeSpec struct {
 	Name string
-	Place
+	Location
 	Core     bool
 	Settings map[string]string // over those that the fleet gives
 	Binary   string            // path of the node's program; empty for the fleet's
@@ -40,24 +40,24 @@
 // Spec describes a deployment.
 type Spec struct {
 	Nodes    []NodeSpec
-	Models   []Place
-	Webs     []Place
-	Shape    emulator.ModelSpec
+	Models   []Location
+	Webs     []Location
+	ModelSpec    emulator.ModelSpec
 	Services struct{ Model, Web []string }
 	Settings map[string]string // of all nodes
-	Warm     bool              // servers begin warm
+	ServersWarm     bool              // servers begin warm
 }
 
-// First is the first deployment: 9 nodes, 3 of them cores, in three zones; 18
+// FirstDeployment is the first deployment: 9 nodes, 3 of them cores, in three zones; 18
 // model and 3 web servers.
-func First() Spec {
-	zones := []Place{{"lagos", "a"}, {"lagos", "b"}, {"abeokuta", "a"}}
-	s := Spec{Shape: emulator.TypicalModel(), Warm: true}
+func FirstDeployment() Spec {
+	zones := []Location{{"lagos", "a"}, {"lagos", "b"}, {"abeokuta", "a"}}
+	s := Spec{ModelSpec: emulator.TypicalModel(), ServersWarm: true}
 	for i, z := range zones {
-		s.Nodes = append(s.Nodes, NodeSpec{Name: fmt.Sprintf("core%d", i+1), Place: z, Core: true})
+		s.Nodes = append(s.Nodes, NodeSpec{Name: fmt.Sprintf("core%d", i+1), Location: z, Core: true})
 	}
 	for i := range 6 {
-		s.Nodes = append(s.Nodes, NodeSpec{Name: fmt.Sprintf("front%d", i+1), Place: zones[i%3]})
+		s.Nodes = append(s.Nodes, NodeSpec{Name: fmt.Sprintf("front%d", i+1), Location: zones[i%3]})
 	}
 	for i := range 10 {
 		s.Models = append(s.Models, zones[i%2])
@@ -71,13 +71,13 @@
 	return s
 }
 
-// Operators and their keys.
-var Operators = map[string]string{"ade": "operator-key-of-ade", "bola": "operator-key-of-bola"}
+// OperatorKeys and their keys.
+var OperatorKeys = map[string]string{"ade": "operator-key-of-ade", "bola": "operator-key-of-bola"}
 
 const secret = "rig-fleet-secret-0123456789"
 
-// Hash is the hex SHA-256 of a key.
-func Hash(key string) string {
+// HashKey is the hex SHA-256 of a key.
+func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
@@ -85,7 +85,7 @@
 // Fleet is a running deployment.
 type Fleet struct {
 	Spec     Spec
-	Book     *history.Recorder
+	Recorder     *history.Recorder
 	Links    *faultproxy.Links
 	Platform *emulator.Platform
 	Nodes    []*Node
@@ -93,9 +93,9 @@
 	Webs     []*emulator.Web
 	Dir      string
 	spawn    chan spawnAsk
-	relays   map[string]*faultproxy.Proxy
+	proxies   map[string]*faultproxy.Proxy
 	base     int
-	places   map[string]Place
+	locations   map[string]Location
 	stop     context.CancelFunc
 }
 
@@ -125,8 +125,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Spec: spec, Book: book, Links: faultproxy.NewLinks(), Dir: dir, base: base,
-		spawn: make(chan spawnAsk), relays: map[string]*faultproxy.Proxy{}, places: map[string]Place{}}
+	f := &Fleet{Spec: spec, Recorder: book, Links: faultproxy.NewLinks(), Dir: dir, base: base,
+		spawn: make(chan spawnAsk), proxies: map[string]*faultproxy.Proxy{}, locations: map[string]Location{}}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go spawner(ctx, f.spawn)
@@ -135,28 +135,28 @@
 	for i, n := range spec.Nodes {
 		ip := f.ip(20, i+1)
 		sources[ip] = n.Name
-		f.places[n.Name] = n.Place
+		f.locations[n.Name] = n.Location
 		if n.Binary == "" {
 			n.Binary = binary
 		}
-		node := &Node{NodeSpec: n, fleet: f, Bind: ip, Caller: ip + ":7000", internal: ip + ":7001", advertised: f.ip(30, i+1) + ":7001",
+		node := &Node{NodeSpec: n, fleet: f, SourceIP: ip, CallerAddress: ip + ":7000", internal: ip + ":7001", advertised: f.ip(30, i+1) + ":7001",
 			data: filepath.Join(dir, n.Name), state: owner.New(nodeState{})}
-		f.relays[n.Name] = faultproxy.New(n.Name, node.advertised, node.internal, f.Links)
+		f.proxies[n.Name] = faultproxy.New(n.Name, node.advertised, node.internal, f.Links)
 		f.Nodes = append(f.Nodes, node)
 	}
 	for i, place := range spec.Models {
 		name := fmt.Sprintf("model%d", i+1)
-		m := emulator.NewModel(name, f.ip(50, i+1)+":8000", spec.Services.Model, spec.Shape, book, seed+uint64(i))
+		m := emulator.NewModel(name, f.ip(50, i+1)+":8000", spec.Services.Model, spec.ModelSpec, book, seed+uint64(i))
 		f.Models = append(f.Models, m)
-		f.places[name] = place
-		f.relays[name] = faultproxy.New(name, f.ip(40, i+1)+":8000", m.Address, f.Links)
+		f.locations[name] = place
+		f.proxies[name] = faultproxy.New(name, f.ip(40, i+1)+":8000", m.Address, f.Links)
 	}
 	for i, place := range spec.Webs {
 		name := fmt.Sprintf("web%d", i+1)
 		w := emulator.NewWeb(name, f.ip(51, i+1)+":8000", spec.Services.Web, book, seed+100+uint64(i))
 		f.Webs = append(f.Webs, w)
-		f.places[name] = place
-		f.relays[name] = faultproxy.New(name, f.ip(41, i+1)+":8000", w.Address, f.Links)
+		f.locations[name] = place
+		f.proxies[name] = faultproxy.New(name, f.ip(41, i+1)+":8000", w.Address, f.Links)
 	}
 	f.Links.SetSources(sources)
 	return f, nil
@@ -173,7 +173,7 @@
 		if err := m.Start(); err != nil {
 			return err
 		}
-		if f.Spec.Warm {
+		if f.Spec.ServersWarm {
 			m.SkipWarmUp()
 		}
 	}
@@ -181,18 +181,18 @@
 		if err := w.Start(); err != nil {
 			return err
 		}
-		if f.Spec.Warm {
+		if f.Spec.ServersWarm {
 			w.SkipWarmUp()
 		}
 	}
-	for name, r := range f.relays {
+	for name, r := range f.proxies {
 		if f.Node(name) != nil {
 			continue
 		}
 		if err := r.Start(); err != nil {
 			return err
 		}
-		f.List(name, "ready")
+		f.PutServer(name, "ready")
 	}
 	for _, n := range f.Nodes {
 		if err := n.Start(); err != nil {
@@ -202,22 +202,22 @@
 	return nil
 }
 
-// List shows a server on the platform's list in a state.
-func (f *Fleet) List(name, state string) {
+// PutServer shows a server on the platform's list in a state.
+func (f *Fleet) PutServer(name, state string) {
 	kind, services := "model", f.Spec.Services.Model
 	if strings.HasPrefix(name, "web") {
 		kind, services = "web", f.Spec.Services.Web
 	}
-	place := f.places[name]
-	f.Platform.PutServer(emulator.ListedServer{Name: name, Address: f.relays[name].Address, Kind: kind, Services: services,
+	place := f.locations[name]
+	f.Platform.PutServer(emulator.ListedServer{Name: name, Address: f.proxies[name].Address, Kind: kind, Services: services,
 		Region: place.Region, Zone: place.Zone, State: state})
 }
 
-// Address is where nodes reach a server: that of its relay.
-func (f *Fleet) Address(server string) string { return f.relays[server].Address }
+// ServerAddress is where nodes reach a server: that of its relay.
+func (f *Fleet) ServerAddress(server string) string { return f.proxies[server].Address }
 
-// Place tells where a node or server stands.
-func (f *Fleet) Place(name string) Place { return f.places[name] }
+// LocationOf tells where a node or server stands.
+func (f *Fleet) LocationOf(name string) Location { return f.locations[name] }
 
 // Model returns a model server by name, or nil.
 func (f *Fleet) Model(name string) *emulator.Model {
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// From returns all nodes, beginning with number i.
-func (f *Fleet) From(i int) []*Node {
+// NodesFrom returns all nodes, beginning with number i.
+func (f *Fleet) NodesFrom(i int) []*Node {
 	i %= len(f.Nodes)
 	return append(slices.Clone(f.Nodes[i:]), f.Nodes[:i]...)
 }
@@ -241,9 +241,9 @@
 }
 
 // Names returns the names of all nodes and servers that pass a filter.
-func (f *Fleet) Names(keep func(name string, p Place) bool) []string {
+func (f *Fleet) Names(keep func(name string, p Location) bool) []string {
 	var out []string
-	for name, place := range f.places {
+	for name, place := range f.locations {
 		if keep(name, place) {
 			out = append(out, name)
 		}
@@ -262,36 +262,36 @@
 	return nil
 }
 
-// CrashWeb ends a web server and has its address refuse.
-func (f *Fleet) CrashWeb(name string) {
-	f.Book.AddAction("crash "+name, false)
-	f.relays[name].Stop()
+// CrashWebServer ends a web server and has its address refuse.
+func (f *Fleet) CrashWebServer(name string) {
+	f.Recorder.AddAction("crash "+name, false)
+	f.proxies[name].Stop()
 	f.Web(name).Crash()
 }
 
-// ReturnWeb brings a web server back.
-func (f *Fleet) ReturnWeb(name string) error {
-	f.Book.AddAction("return "+name, false)
+// RestartWebServer brings a web server back.
+func (f *Fleet) RestartWebServer(name string) error {
+	f.Recorder.AddAction("return "+name, false)
 	if err := f.Web(name).Start(); err != nil {
 		return err
 	}
-	return f.relays[name].Start()
+	return f.proxies[name].Start()
 }
 
-// CrashModel ends a model server and has its address refuse.
-func (f *Fleet) CrashModel(name string) {
-	f.Book.AddAction("crash "+name, false)
-	f.relays[name].Stop()
+// CrashModelServer ends a model server and has its address refuse.
+func (f *Fleet) CrashModelServer(name string) {
+	f.Recorder.AddAction("crash "+name, false)
+	f.proxies[name].Stop()
 	f.Model(name).Crash()
 }
 
-// ReturnModel brings a model server back, cold.
-func (f *Fleet) ReturnModel(name string) error {
-	f.Book.AddAction("cold return "+name, false)
+// RestartModelServer brings a model server back, cold.
+func (f *Fleet) RestartModelServer(name string) error {
+	f.Recorder.AddAction("cold return "+name, false)
 	if err := f.Model(name).Start(); err != nil {
 		return err
 	}
-	return f.relays[name].Start()
+	return f.proxies[name].Start()
 }
 
 // Close ends all that the fleet started.
@@ -299,7 +299,7 @@
 	for _, n := range f.Nodes {
 		n.close()
 	}
-	for _, r := range f.relays {
+	for _, r := range f.proxies {
 		r.Close()
 	}
 	for _, m := range f.Models {
--- a/cmd/rig/fleet/node.go
+++ b/cmd/rig/fleet/node.go
@@ -30,8 +30,8 @@
 // Node is one node and its process, if that runs.
 type Node struct {
 	NodeSpec
-	Bind       string // address of its dials
-	Caller     string // address for callers
+	SourceIP       string // address of its dials
+	CallerAddress     string // address for callers
 	internal   string
 	advertised string
 	data       string
@@ -61,12 +61,12 @@
 	}
 	voters := len(f.Cores())
 	var keys []string
-	for name, key := range Operators {
-		keys = append(keys, name+":"+Hash(key))
+	for name, key := range OperatorKeys {
+		keys = append(keys, name+":"+HashKey(key))
 	}
 	slices.Sort(keys)
-	settings := map[string]string{"name": n.Name, "region": n.Region, "zone": n.Zone, "listen.caller": n.Caller, "listen.internal": n.internal,
-		"advertise.caller": n.Caller, "advertise.internal": n.advertised, "bind": n.Bind, "seeds": strings.Join(seeds, ","),
+	settings := map[string]string{"name": n.Name, "region": n.Region, "zone": n.Zone, "listen.caller": n.CallerAddress, "listen.internal": n.internal,
+		"advertise.caller": n.CallerAddress, "advertise.internal": n.advertised, "bind": n.SourceIP, "seeds": strings.Join(seeds, ","),
 		"core.voters": strconv.Itoa(voters), "platform.url": "http://" + f.Platform.Address + "/servers", "fleet.secret": secret,
 		"operator.keys": strings.Join(keys, ",")}
 	if n.Core {
@@ -121,7 +121,7 @@
 		go func() {
 			_ = cmd.Wait()
 			log.Close()
-			n.fleet.relays[n.Name].Stop()
+			n.fleet.proxies[n.Name].Stop()
 			code := cmd.ProcessState.ExitCode()
 			n.state.Do(func(s *nodeState) { s.cmd, s.code = nil, code })
 			close(exited)
@@ -129,7 +129,7 @@
 		go n.open(exited)
 	})
 	if err == nil {
-		n.fleet.Platform.CheckReadiness(n.Name, n.Caller)
+		n.fleet.Platform.CheckReadiness(n.Name, n.CallerAddress)
 	}
 	return errors.Wrap(err, n.Name)
 }
@@ -142,7 +142,7 @@
 			select {
 			case <-exited:
 			default:
-				_ = n.fleet.relays[n.Name].Start()
+				_ = n.fleet.proxies[n.Name].Start()
 			}
 			return
 		}
@@ -176,14 +176,14 @@
 
 // Kill ends the process at once and waits for its end.
 func (n *Node) Kill() {
-	n.fleet.Book.AddAction("kill "+n.Name, false)
+	n.fleet.Recorder.AddAction("kill "+n.Name, false)
 	n.signal(kill, true)
 }
 
-// Term asks the process to leave and waits for its end, at most d, then kills it.
+// Terminate asks the process to leave and waits for its end, at most d, then kills it.
 // The process may be frozen.
-func (n *Node) Term(d time.Duration) (clean bool) {
-	n.fleet.Book.AddAction("term "+n.Name, false)
+func (n *Node) Terminate(d time.Duration) (clean bool) {
+	n.fleet.Recorder.AddAction("term "+n.Name, false)
 	exited := n.signal(term, false)
 	if exited == nil {
 		return true
@@ -200,10 +200,10 @@
 }
 
 // Freeze stops the process without ending it; Thaw lets it go on.
-func (n *Node) Freeze() { n.fleet.Book.AddAction("freeze "+n.Name, false); n.signal(freeze, false) }
+func (n *Node) Freeze() { n.fleet.Recorder.AddAction("freeze "+n.Name, false); n.signal(freeze, false) }
 
 // Thaw lets a frozen process go on.
-func (n *Node) Thaw() { n.fleet.Book.AddAction("thaw "+n.Name, false); n.signal(thaw, false) }
+func (n *Node) Thaw() { n.fleet.Recorder.AddAction("thaw "+n.Name, false); n.signal(thaw, false) }
 
 func (n *Node) signal(sig os.Signal, wait bool) (exited chan struct{}) {
 	n.state.Do(func(s *nodeState) {
@@ -221,16 +221,16 @@
 
 // Wipe removes the node's data; the process must not run.
 func (n *Node) Wipe() error {
-	n.fleet.Book.AddAction("wipe "+n.Name, false)
+	n.fleet.Recorder.AddAction("wipe "+n.Name, false)
 	if err := os.RemoveAll(n.data); err != nil {
 		return errors.Wrap(err, n.Name)
 	}
 	return os.MkdirAll(n.data, 0o700)
 }
 
-// Set changes a setting of the node from its next start on; an empty value
+// SetSetting changes a setting of the node from its next start on; an empty value
 // takes it back.
-func (n *Node) Set(name, value string) {
+func (n *Node) SetSetting(name, value string) {
 	if n.Settings == nil {
 		n.Settings = map[string]string{}
 	}
@@ -257,9 +257,9 @@
 	return err == nil && os.SameFile(executed, wanted)
 }
 
-// Tear appends half a record to the newest file of the log; the process must not run.
-func (n *Node) Tear() error {
-	n.fleet.Book.AddAction("torn tail "+n.Name, false)
+// TearLog appends half a record to the newest file of the log; the process must not run.
+func (n *Node) TearLog() error {
+	n.fleet.Recorder.AddAction("torn tail "+n.Name, false)
 	newest := ""
 	err := filepath.Walk(n.data, func(path string, info os.FileInfo, err error) error {
 		if err == nil && !info.IsDir() && (strings.Contains(info.Name(), "seg") || strings.HasSuffix(path, ".log")) {
--- /dev/null
+++ b/cmd/rig/loadgen/answer.go
@@ -0,0 +1,186 @@
+package loadgen
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"stepwick/cmd/rig/emulator"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/owner"
+	"stepwick/internal/apierror"
+)
+
+const (
+	maxBodyBytes    = 8 << 20
+	eventBufferSize = 4096
+	maxEventBytes   = 1 << 20
+	slowReadPause   = 60 * time.Millisecond // for each event
+	successClass    = 2                     // of HTTP statuses
+)
+
+// perform sends a request once and fills in how the attempt ended.
+func (c *Callers) perform(attempt *history.Attempt, req *http.Request, address string, timeout time.Duration, chance float64) {
+	conn, err := c.connections.take(address)
+	if err != nil {
+		attempt.Outcome = history.Unsent
+		return
+	}
+	if c.exchangeOn(conn, attempt, req, timeout, chance) {
+		c.connections.put(address, conn)
+	} else {
+		conn.close()
+	}
+}
+
+// exchangeOn sends a request and reads its answer on a connection; it reports
+// whether the connection can be used again.
+func (c *Callers) exchangeOn(conn *connection, attempt *history.Attempt, req *http.Request, timeout time.Duration, chance float64) (reusable bool) {
+	resp, err := conn.roundTrip(req, timeout) //nolint:bodyclose // closing would read the rest of a stream that the caller leaves
+	if err != nil {
+		attempt.Outcome = failedOutcome(err)
+		return false
+	}
+	attempt.Status = resp.StatusCode
+	attempt.AnswerID = resp.Header.Get(requestIDHeader)
+	isStream := strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
+	if isStream && resp.StatusCode == http.StatusOK {
+		complete := c.readStream(attempt, resp.Body, chance)
+		return complete && !resp.Close
+	}
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
+	attempt.First = c.Recorder.Now()
+	if err != nil {
+		attempt.Outcome = failedOutcome(err)
+		return false
+	}
+	readBody(attempt, resp, data)
+	return !resp.Close
+}
+
+// failedOutcome returns the outcome of an attempt whose connection failed.
+func failedOutcome(err error) history.Outcome {
+	if isTimeout(err) {
+		return history.TimedOut
+	}
+	return history.ConnectionBroken
+}
+
+// readBody fills in the outcome of a complete answer that is no stream.
+func readBody(attempt *history.Attempt, resp *http.Response, data []byte) {
+	isError := resp.Header.Get(codeHeader) != "" || resp.StatusCode/100 != successClass
+	if attempt.Kind != history.KindStream && !isError {
+		attempt.Outcome = history.Served
+		attempt.BodyToken, attempt.BodyIntact = emulator.VerifyBody(string(data))
+		return
+	}
+	code := readError(attempt, data)
+	switch code {
+	case 0:
+		attempt.Outcome = history.Malformed
+	case apierror.OutcomeUnknown, apierror.BadAnswer:
+		attempt.Outcome = history.EndedByError
+	default:
+		attempt.Outcome = history.Rejected
+	}
+}
+
+// readError fills in the code and retry advice of an error; the code is 0 if the
+// data is none.
+func readError(attempt *history.Attempt, data []byte) apierror.Code {
+	var body apierror.ErrorBody
+	_ = json.Unmarshal(data, &body)
+	attempt.Code = int(body.Code)
+	attempt.RetryAdvice = string(body.Retry)
+	return body.Code
+}
+
+// streamEvent is the data of one event of a stream, or of its final one.
+type streamEvent struct {
+	ID    string `json:"id"`
+	Seq   int    `json:"seq"`
+	Text  string `json:"text"` // token, run and index
+	Final bool   `json:"final"`
+	Count int    `json:"count"`
+}
+
+// readStream reads events until the stream ends or the caller leaves; it reports
+// whether the stream is complete.
+func (c *Callers) readStream(attempt *history.Attempt, in io.Reader, chance float64) (complete bool) {
+	scanner := bufio.NewScanner(in)
+	scanner.Buffer(make([]byte, eventBufferSize), maxEventBytes)
+	isError := false
+	for scanner.Scan() {
+		line := scanner.Text()
+		if strings.HasPrefix(line, "event: error") {
+			isError = true
+			continue
+		}
+		data, ok := strings.CutPrefix(line, "data: ")
+		if !ok {
+			continue
+		}
+		if attempt.First == 0 {
+			attempt.First = c.Recorder.Now()
+		}
+		if isError {
+			readError(attempt, []byte(data))
+			attempt.Outcome = history.EndedByError
+			continue
+		}
+		if !c.readEvent(attempt, data, chance) {
+			return false
+		}
+	}
+	return endStream(attempt, scanner.Err())
+}
+
+// readEvent adds an event to the attempt; false when the caller reads no further.
+func (c *Callers) readEvent(attempt *history.Attempt, data string, chance float64) bool {
+	var event streamEvent
+	if json.Unmarshal([]byte(data), &event) != nil {
+		attempt.Outcome = history.Malformed
+		return false
+	}
+	if event.Final {
+		attempt.Final = true
+		attempt.EventCount = event.Count
+		return true
+	}
+	received := history.Event{
+		ID:  event.ID,
+		Seq: event.Seq,
+	}
+	_, _ = fmt.Sscanf(event.Text, "%s %s %d", &received.Token, &received.Run, &received.Index)
+	attempt.Events = append(attempt.Events, received)
+	if chance < c.Behavior.LeaveOdds {
+		attempt.Outcome = history.Abandoned
+		return false
+	}
+	if chance > 1-c.Behavior.SlowReadOdds {
+		owner.Sleep(context.Background(), slowReadPause)
+	}
+	return true
+}
+
+// endStream fills in the outcome at a stream's end; it reports whether the stream
+// is complete.
+func endStream(attempt *history.Attempt, err error) (complete bool) {
+	switch {
+	case attempt.Outcome == history.EndedByError:
+		return false
+	case err != nil:
+		attempt.Outcome = failedOutcome(err)
+		return false
+	case attempt.Final:
+		attempt.Outcome = history.Served
+		return true
+	}
+	attempt.Outcome = history.EndedWithoutFinal
+	return false
+}
--- a/cmd/rig/loadgen/load_test.go
+++ b/cmd/rig/loadgen/loadgen_test.go
@@ -19,8 +19,8 @@
 	"stepwick/cmd/rig/history"
 )
 
-// careless is a front that passes on whatever its servers say.
-func careless(model *emulator.Model, web *emulator.Web) http.Handler {
+// passThrough is a front that passes on whatever its servers send.
+func passThrough(model *emulator.Model, web *emulator.Web) http.Handler {
 	mux := http.NewServeMux()
 	pass := func(w http.ResponseWriter, r *http.Request, url string, body io.Reader) {
 		req, _ := http.NewRequest(r.Method, url, body)
@@ -29,10 +29,10 @@
 		if err != nil {
 			w.Header().Set("Stepwick-Code", "3002")
 			w.WriteHeader(http.StatusBadGateway)
-			fmt.Fprint(w, `{"code":3002,"retry":"check"}`)
+			_, _ = fmt.Fprint(w, `{"code":3002,"retry":"check"}`)
 			return
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		for _, name := range []string{"Content-Type", "Stepwick-Request-Id", "Content-Length"} {
 			if v := resp.Header.Get(name); v != "" {
 				w.Header().Set(name, v)
@@ -52,66 +52,66 @@
 	return mux
 }
 
-type scene struct {
-	book  *history.Recorder
-	crowd *Crowd
-	model *emulator.Model
-	web   *emulator.Web
-	front *httptest.Server
+type harness struct {
+	recorder *history.Recorder
+	callers  *Callers
+	model    *emulator.Model
+	web      *emulator.Web
+	front    *httptest.Server
 }
 
-func set() *scene {
-	book := history.NewRecorder(3)
-	spec := fleet.Spec{Nodes: []fleet.NodeSpec{{Name: "front1", Place: fleet.Place{Region: "lagos", Zone: "a"}}}, Shape: emulator.TypicalModel()}
-	spec.Shape.Tick = time.Millisecond
-	f, err := fleet.New(spec, "", "", book, 3)
+func newHarness() *harness {
+	recorder := history.NewRecorder(3)
+	spec := fleet.Spec{Nodes: []fleet.NodeSpec{{Name: "front1", Location: fleet.Location{Region: "lagos", Zone: "a"}}}, ModelSpec: emulator.TypicalModel()}
+	spec.ModelSpec.Tick = time.Millisecond
+	f, err := fleet.New(spec, "", "", recorder, 3)
 	So(err, ShouldBeNil)
-	s := &scene{book: book, model: emulator.NewModel("model1", "127.0.0.1:0", nil, spec.Shape, book, 3), web: emulator.NewWeb("web1", "127.0.0.1:0", nil, book, 3)}
-	s.model.Address, s.web.Address = free(), free()
+	s := &harness{recorder: recorder, model: emulator.NewModel("model1", "127.0.0.1:0", nil, spec.ModelSpec, recorder, 3), web: emulator.NewWeb("web1", "127.0.0.1:0", nil, recorder, 3)}
+	s.model.Address, s.web.Address = freeAddress(), freeAddress()
 	So(s.model.Start(), ShouldBeNil)
 	So(s.web.Start(), ShouldBeNil)
-	s.front = httptest.NewServer(careless(s.model, s.web))
-	f.Nodes[0].Caller = strings.TrimPrefix(s.front.URL, "http://")
-	s.crowd = NewCrowd(f, FirstTenants(), 3)
+	s.front = httptest.NewServer(passThrough(s.model, s.web))
+	f.Nodes[0].CallerAddress = strings.TrimPrefix(s.front.URL, "http://")
+	s.callers = NewCallers(f, FirstTenants(), 3)
 	Reset(func() {
 		s.front.Close()
 		s.model.Close()
 		s.web.Close()
-		s.crowd.Close()
-		book.Close()
+		s.callers.Close()
+		recorder.Close()
 	})
 	return s
 }
 
-func free() string {
+func freeAddress() string {
 	s := httptest.NewServer(nil)
 	defer s.Close()
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func (s *scene) call(tenant string) history.Attempt {
+func (s *harness) call(tenant string) history.Attempt {
 	for _, t := range FirstTenants() {
 		if t.Name == tenant {
 			t.Deadline = 3 * time.Second
-			return s.crowd.Call(context.Background(), Call{Tenant: t, Place: fleet.Place{Region: "lagos", Zone: "a"}, Draw: 0.5})
+			return s.callers.Do(context.Background(), Call{Tenant: t, Location: fleet.Location{Region: "lagos", Zone: "a"}, Chance: 0.5})
 		}
 	}
 	return history.Attempt{}
 }
 
-func (s *scene) violations() map[string]bool {
+func (s *harness) violations() map[string]bool {
 	names := map[string]bool{}
-	l := s.book.Snapshot()
-	for _, v := range checker.Check(&l) {
-		names[v.Rule] = true
+	recording := s.recorder.Snapshot()
+	for _, violation := range checker.Check(&recording) {
+		names[violation.Rule] = true
 	}
 	return names
 }
 
 func TestCallers(t *testing.T) {
 	Convey("Through a front that passes everything on", t, func() {
-		s := set()
-		Convey("honest servers give whole answers and no violation", func() {
+		s := newHarness()
+		Convey("honest servers give complete answers and no violation", func() {
 			for _, tenant := range []string{"press", "press", "grid", "crews"} {
 				So(s.call(tenant).Outcome, ShouldEqual, history.Served)
 			}
@@ -131,24 +131,24 @@
 			So(s.call("press").Outcome, ShouldBeIn, history.ConnectionBroken, history.EndedByError, history.Malformed)
 			So(s.violations(), ShouldBeEmpty)
 		})
-		Convey("a crossed body is seen by the judges", func() {
+		Convey("a crossed body is found by the checker", func() {
 			s.call("grid")
 			s.web.SetFaultOdds(emulator.FaultOdds{emulator.CrossedBody: 1})
 			s.call("crews")
 			So(s.violations()["body"], ShouldBeTrue)
 		})
-		Convey("a truncated body is not taken for whole", func() {
+		Convey("a truncated body is not taken for complete", func() {
 			s.web.SetFaultOdds(emulator.FaultOdds{emulator.TruncatedBody: 1})
 			So(s.call("grid").Outcome, ShouldNotEqual, history.Served)
 			So(s.violations(), ShouldBeEmpty)
 		})
-		Convey("a call resent by the front's transport over a kept-alive connection is seen by the judges", func() {
+		Convey("a call resent by the front's transport over a kept-alive connection is found by the checker", func() {
 			s.call("grid")
 			s.web.SetFaultOdds(emulator.FaultOdds{emulator.ResetAfterRun: 1})
 			s.call("grid")
 			So(s.violations()["once"], ShouldBeTrue)
 		})
-		Convey("a front that is gone counts as unsent", func() {
+		Convey("a call to a front that is down counts as unsent", func() {
 			s.front.Close()
 			So(s.call("grid").Outcome, ShouldEqual, history.Unsent)
 		})
@@ -156,20 +156,20 @@
 }
 
 func TestPlatform(t *testing.T) {
-	Convey("The platform lists servers by name and notes what it showed", t, func() {
-		book := history.NewRecorder(1)
-		p := emulator.NewPlatform(free(), book)
+	Convey("The platform lists servers by name and records each change", t, func() {
+		recorder := history.NewRecorder(1)
+		p := emulator.NewPlatform(freeAddress(), recorder)
 		So(p.Start(), ShouldBeNil)
-		Reset(func() { p.Close(); book.Close() })
+		Reset(func() { p.Close(); recorder.Close() })
 		p.PutServer(emulator.ListedServer{Name: "b", Region: "lagos", Zone: "a", State: "ready"})
 		p.PutServer(emulator.ListedServer{Name: "a", Region: "lagos", Zone: "a", State: "cold"})
 		p.SetState("b", "draining", 0)
 		resp, err := http.Get("http://" + p.Address + "/servers")
 		So(err, ShouldBeNil)
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		var body struct{ Servers []emulator.ListedServer }
 		So(json.NewDecoder(resp.Body).Decode(&body), ShouldBeNil)
 		So(body.Servers[0].Name+body.Servers[1].State, ShouldEqual, "adraining")
-		So(len(book.Snapshot().ListingChanges), ShouldEqual, 3)
+		So(len(recorder.Snapshot().ListingChanges), ShouldEqual, 3)
 	})
 }
--- a/cmd/rig/measure.go
+++ b/cmd/rig/measure.go
@@ -49,12 +49,12 @@
 			}
 			defer remove()
 			for _, strategy := range strategies {
-				s, err := faultcase.Open(cmd.Context(), faultcase.Options{Spec: fleet.First(), Tenants: longPrompts(), Binary: binary, Seed: seed, Seconds: length, Out: os.Stdout,
+				s, err := faultcase.Open(cmd.Context(), faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: longPrompts(), Binary: binary, Seed: seed, Seconds: length, Out: os.Stdout,
 					Sheet: map[string]string{"route.strategy": strategy}})
 				if err != nil {
 					return err
 				}
-				s.Crowd.Scale("", factor)
+				s.Crowd.SetLoadFactor("", factor)
 				s.Wait(5 * time.Second)
 				from := s.Book.Now()
 				s.Wait(time.Duration(length) * time.Second)
@@ -87,11 +87,11 @@
 				return err
 			}
 			defer remove()
-			s, err := faultcase.Open(cmd.Context(), faultcase.Options{Spec: fleet.First(), Tenants: loadgen.FirstTenants(), Binary: binary, Seed: 1, Out: os.Stdout})
+			s, err := faultcase.Open(cmd.Context(), faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: loadgen.FirstTenants(), Binary: binary, Seed: 1, Out: os.Stdout})
 			if err != nil {
 				return err
 			}
-			s.Crowd.Scale("", 0)
+			s.Crowd.SetLoadFactor("", 0)
 			s.Wait(6 * time.Second)
 			for _, t := range loadgen.FirstTenants() {
 				if t.Kind == "post" {
@@ -132,13 +132,13 @@
 		if s.Context().Err() != nil {
 			break
 		}
-		call := loadgen.Call{Tenant: t, Place: s.Fleet.Place(server), Prefix: 1, Draw: .5, Front: s.Fleet.Nodes[3].Caller, Pick: uint64(i)}
+		call := loadgen.Call{Tenant: t, Location: s.Fleet.LocationOf(server), Prefix: 1, Chance: .5, FrontAddress: s.Fleet.Nodes[3].CallerAddress, FrontIndex: uint64(i)}
 		for _, way := range []*hdrhistogram.Histogram{direct, through} {
 			var a history.Attempt
 			if way == direct {
-				a = s.Crowd.Direct(call, s.Fleet.Address(server))
+				a = s.Crowd.DoAtServer(call, s.Fleet.ServerAddress(server))
 			} else {
-				a = s.Crowd.Call(s.Context(), call)
+				a = s.Crowd.Do(s.Context(), call)
 			}
 			if a.Outcome != history.Served {
 				c.Failed++
--- a/cmd/rig/prove_command.go
+++ b/cmd/rig/prove_command.go
@@ -129,7 +129,7 @@
 // proveOne runs one case. A case that could not do its work, such as an order
 // that was never accepted, counts as a violation too.
 func proveOne(ctx context.Context, p faultcase.Case, seed uint64, length int, r run) verdict {
-	o := faultcase.Options{Spec: fleet.First(), Tenants: loadgen.FirstTenants(), Binary: r.binary, PreviousBinary: r.previousBinary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, Table: r.table}
+	o := faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: loadgen.FirstTenants(), Binary: r.binary, PreviousBinary: r.previousBinary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, Table: r.table}
 	if length > 0 {
 		o.Seconds = length
 	}
--- a/cmd/rig/simnode/hollow.go
+++ b/cmd/rig/simnode/hollow.go
@@ -137,7 +137,7 @@
 	s := map[string]string{"name": name, "region": fmt.Sprintf("r%02d", i%r.zones()%r.regions()), "zone": fmt.Sprintf("z%02d", i%r.zones()),
 		"listen.caller": r.address(group, i, 7000), "listen.internal": r.address(group, i, 7001), "bind": strings.Split(r.address(group, i, 0), ":")[0],
 		"seeds": strings.Join(seeds, ","), "core.voters": fmt.Sprint(r.options.Cores), "fleet.secret": secret,
-		"operator.keys": "ada:" + fleet.Hash("ada's key"), "log.level": "warn"}
+		"operator.keys": "ada:" + fleet.HashKey("ada's key"), "log.level": "warn"}
 	if core {
 		s["data"] = filepath.Join(r.options.Dir, name)
 	}
--- a/cmd/rig/simnode/orders.go
+++ b/cmd/rig/simnode/orders.go
@@ -63,7 +63,7 @@
 	}
 	for t := range r.options.Tenants {
 		name := fmt.Sprintf("tenant%05d", t)
-		s.Tenants[name] = sheet.Tenant{Rate: 1600, Burst: 1600, KeyHashes: []string{fleet.Hash("key of " + name)}}
+		s.Tenants[name] = sheet.Tenant{Rate: 1600, Burst: 1600, KeyHashes: []string{fleet.HashKey("key of " + name)}}
 	}
 	return s
 }
--- a/cmd/rig/up.go
+++ b/cmd/rig/up.go
@@ -29,7 +29,7 @@
 				return errors.Wrap(err, "temp folder")
 			}
 			defer os.RemoveAll(dir)
-			f, err := fleet.New(fleet.First(), binary, dir, history.NewRecorder(1), 1)
+			f, err := fleet.New(fleet.FirstDeployment(), binary, dir, history.NewRecorder(1), 1)
 			if err != nil {
 				return err
 			}
@@ -37,15 +37,15 @@
 			if err := f.Start(); err != nil {
 				return err
 			}
-			control := loadgen.NewControl(f, 1)
+			control := loadgen.NewOperators(f, 1)
 			key := control.NextKey()
 			ctx, cancel := context.WithTimeout(cmd.Context(), 40*time.Second)
 			defer cancel()
-			told := control.Push(ctx, control.Put("ade", 0, loadgen.FirstSheet(f, loadgen.FirstTenants(), key), key), f.Nodes)
-			fmt.Printf("program %s\nfolder %s\noperator key %s\ntenant key key-of-press\nfirst sheet: status %d code %d epoch %d\n", binary, dir, fleet.Operators["ade"], told.Status, told.Code, told.Version)
+			told := control.Submit(ctx, control.Put("ade", 0, loadgen.NewSheet(f, loadgen.FirstTenants(), key), key), f.Nodes)
+			fmt.Printf("program %s\nfolder %s\noperator key %s\ntenant key key-of-press\nfirst sheet: status %d code %d epoch %d\n", binary, dir, fleet.OperatorKeys["ade"], told.Status, told.Code, told.Version)
 			for _, n := range f.Nodes {
 				pid, _ := n.Running()
-				fmt.Printf("%-8s %-12s %s pid %d\n", n.Name, n.ZoneName(), n.Caller, pid)
+				fmt.Printf("%-8s %-12s %s pid %d\n", n.Name, n.ZoneName(), n.CallerAddress, pid)
 			}
 			owner.Sleep(cmd.Context(), time.Duration(length)*time.Second)
 			return nil
