--- /dev/null
+++ b/cmd/rig/fleet/fleet_test.go
@@ -0,0 +1,47 @@
+package fleet
+
+import (
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"stepwick/cmd/rig/history"
+)
+
+func TestNew(t *testing.T) {
+	Convey("The first deployment", t, func() {
+		recorder := history.NewRecorder(1)
+		f, err := New(FirstDeployment(), "stepwick", t.TempDir(), recorder, 1)
+		So(err, ShouldBeNil)
+		Reset(func() {
+			f.Close()
+			recorder.Close()
+		})
+		Convey("has 9 nodes, 3 of them cores, 18 model and 3 web servers in three zones", func() {
+			So(f.Nodes, ShouldHaveLength, 9)
+			So(f.Cores(), ShouldHaveLength, 3)
+			So(f.Models, ShouldHaveLength, 18)
+			So(f.Webs, ShouldHaveLength, 3)
+			inAbeokuta := f.Names(func(name string, location Location) bool {
+				return f.Node(name) == nil && location.ZoneName() == "abeokuta/a"
+			})
+			So(inAbeokuta, ShouldHaveLength, 9)
+		})
+		Convey("gives a node the last two other fronts and the last other core as seeds", func() {
+			So(f.Node("core3").seeds(), ShouldResemble, []string{
+				f.Node("front6").advertised, f.Node("front5").advertised, f.Node("core2").advertised})
+			So(f.Node("front6").seeds(), ShouldResemble, []string{
+				f.Node("front5").advertised, f.Node("front4").advertised, f.Node("core3").advertised})
+		})
+		Convey("lets a node's settings override the deployment's, and those the fleet's", func() {
+			f.Spec.Settings = map[string]string{"core.voters": "5", "disk.quota": "1MiB"}
+			node := f.Node("core1")
+			node.SetSetting("disk.quota", "256KiB")
+			settings := node.allSettings()
+			So(settings["core.voters"], ShouldEqual, "5")
+			So(settings["disk.quota"], ShouldEqual, "256KiB")
+			node.SetSetting("disk.quota", "")
+			So(node.allSettings()["disk.quota"], ShouldEqual, "1MiB")
+		})
+	})
+}
--- a/cmd/rig/fleet/spawn.go
+++ b/cmd/rig/fleet/spawn.go
@@ -8,36 +8,42 @@
 	"syscall"
 )
 
+// Signals to a node's process.
 var (
-	kill   os.Signal = syscall.SIGKILL
-	term   os.Signal = syscall.SIGTERM
-	freeze os.Signal = syscall.SIGSTOP
-	thaw   os.Signal = syscall.SIGCONT
+	kill      os.Signal = syscall.SIGKILL
+	terminate os.Signal = syscall.SIGTERM
+	freeze    os.Signal = syscall.SIGSTOP
+	thaw      os.Signal = syscall.SIGCONT
 )
 
-type spawnAsk struct {
-	cmd  *exec.Cmd
-	done chan error
+// spawnRequest is a process to start; done receives the result.
+type spawnRequest struct {
+	process *exec.Cmd
+	done    chan error
 }
 
-// spawner starts processes from one thread that lives as long as the fleet, so
-// that the kernel ends them should the rig die.
-func spawner(ctx context.Context, asks <-chan spawnAsk) {
+// runSpawner starts processes from one thread that lives as long as the fleet, so
+// that the kernel ends them if the rig dies: the signal of Pdeathsig is sent when
+// the thread that started the process ends.
+func runSpawner(ctx context.Context, requests <-chan spawnRequest) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
 		select {
-		case ask := <-asks:
-			ask.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-			ask.done <- ask.cmd.Start()
+		case request := <-requests:
+			request.process.SysProcAttr = &syscall.SysProcAttr{
+				Pdeathsig: syscall.SIGKILL,
+				Setpgid:   true,
+			}
+			request.done <- request.process.Start()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func start(asks chan<- spawnAsk, cmd *exec.Cmd) error {
+func startBySpawner(requests chan<- spawnRequest, process *exec.Cmd) error {
 	done := make(chan error, 1)
-	asks <- spawnAsk{cmd, done}
+	requests <- spawnRequest{process, done}
 	return <-done
 }
