--- /dev/null
+++ b/cmd/rig/faultcase/capacity.go
@@ -0,0 +1,87 @@
+package faultcase
+
+import "time"
+
+func startServersCold(options *Options) { options.Spec.ServersWarm = false }
+
+func serveFromColdStart(r *Run) error {
+	r.waitUntilEnd(r.Recorder.Now())
+	return nil
+}
+
+// crashDuringWarmUp crashes a model server, and a second one while the first
+// warms up again.
+func crashDuringWarmUp(r *Run) error {
+	start := r.Recorder.Now()
+	r.Callers.SetLoadFactor("", 1.5)
+	for r.hasTimeLeft(start) {
+		first := r.randomModelServer()
+		second := r.randomModelServer()
+		r.Fleet.CrashModelServer(first.Name)
+		r.Wait(3 * time.Second)
+		if err := r.Fleet.RestartModelServer(first.Name); err != nil {
+			return err
+		}
+		r.Wait(seconds(0.5 + r.Random.Float64()))
+		if second != first {
+			r.Fleet.CrashModelServer(second.Name)
+		}
+		r.Wait(5 * time.Second)
+		if err := r.Fleet.RestartModelServer(second.Name); err != nil {
+			return err
+		}
+		r.Wait(4 * time.Second)
+	}
+	return nil
+}
+
+// replaceZoneServers replaces the model servers of a zone one after another.
+func replaceZoneServers(r *Run) error {
+	start := r.Recorder.Now()
+	zone := r.Fleet.Spec.Models[r.Random.IntN(len(r.Fleet.Spec.Models))]
+	for r.hasTimeLeft(start) {
+		_, servers := r.inZone(zone)
+		for _, name := range servers {
+			if r.Fleet.Model(name) == nil || !r.hasTimeLeft(start) {
+				continue
+			}
+			if err := r.replaceModelServer(name); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+func (r *Run) replaceModelServer(name string) error {
+	r.Fleet.Platform.SetState(name, stateDraining, 0)
+	r.Wait(3 * time.Second)
+	r.Fleet.CrashModelServer(name)
+	r.Fleet.Platform.RemoveServer(name)
+	r.Wait(time.Second)
+	if err := r.Fleet.RestartModelServer(name); err != nil {
+		return err
+	}
+	r.Fleet.PutServer(name, stateCold)
+	r.Wait(2 * time.Second)
+	r.Fleet.Platform.SetState(name, stateReady, 0)
+	return nil
+}
+
+// burstOfCalls raises the load tenfold at once, and later the share of long
+// answers.
+func burstOfCalls(r *Run) error {
+	r.Wait(6 * time.Second)
+	r.Recorder.AddAction("crowd tenfold", false)
+	r.Callers.SetLoadFactor("desk", 10)
+	r.Callers.SetLoadFactor("grid", 10)
+	r.Wait(8 * time.Second)
+	r.Callers.SetLoadFactor("", 1)
+	r.Recorder.AddAction("long answers", false)
+	r.Callers.SetLoadFactor("press", 0.2)
+	r.Callers.SetLoadFactor("helpdesk", 2)
+	r.Wait(8 * time.Second)
+	r.Callers.SetLoadFactor("", 1)
+	r.Wait(6 * time.Second)
+	return nil
+}
--- a/cmd/rig/faultcase/cases.go
+++ b/cmd/rig/faultcase/cases.go
@@ -1,63 +1,251 @@
 package faultcase
 
-import (
-	"context"
-	"time"
-
-	"github.com/pkg/errors"
-
-	"stepwick/cmd/rig/fleet"
-	"stepwick/cmd/rig/history"
-	"stepwick/cmd/rig/owner"
-	"stepwick/internal/clock"
-)
-
-func wait(ctx context.Context, d time.Duration) bool { return owner.Sleep(ctx, d) }
-
-// Case causes one kind of trouble.
+// Case injects one kind of fault.
 type Case struct {
-	Name    string
-	Group   int // number in the list of what must never happen
-	Help    string
-	Seconds int // the usual length
-	Fleet   func(*Options)
-	Run     func(*Stage) error
+	Name      string
+	Group     int // number in the users' list of what must never happen
+	Help      string
+	Seconds   int            // the usual length
+	Configure func(*Options) // changes the options before the start; nil for none
+	Run       func(*Run) error
 }
 
+// quotaGroup is the group of the cases about quotas.
+const quotaGroup = 7
+
+// ChecksQuotas reports whether the case is about quotas.
+func (c Case) ChecksQuotas() bool { return c.Group == quotaGroup }
+
 // Cases are all cases, in the order of their groups.
 var Cases = []Case{
-	{"shots_reset", 1, "web servers reset kept-alive connections before reading, before and after running, truncate and cross answers", 20, nil, shotsReset},
-	{"shots_fronts", 1, "fronts killed and frozen 5 s in the middle of one-shots", 25, nil, shotsFronts},
-	{"shots_deadline", 1, "dark web servers, full pending, deadlines that pass while waiting", 25, nil, shotsDeadline},
-	{"streams_faults", 2, "model servers end early, leave out, repeat and cross events, answer under other ids", 20, nil, streamsFaults},
-	{"streams_crash", 2, "model servers crash and go dark, fronts are killed, callers are slow or leave", 25, nil, streamsCrash},
-	{"orders_kills", 3, "changes in quick succession with every core killed and restarted, then read back", 40, nil, ordersKills},
-	{"orders_wipe", 3, "an acknowledged order followed at once by a wiped disk on one core, then on another after repair", 40, nil, ordersWipe},
-	{"orders_disk", 3, "one core with a full disk, then one 2 s slow a sync, with torn tails", 40, ordersDiskFleet, ordersDisk},
-	{"orders_disks", 3, "one core with a full disk and one 2 s slow a sync at once", 45, ordersDiskFleet, ordersDisks},
-	{"orders_race", 3, "two operators on one base at all cores at once, with lost answers and cuts", 30, nil, ordersRace},
-	{"orders_invalid", 3, "invalid and very large sheets among good ones", 20, nil, ordersInvalid},
-	{"force_node", 4, "one node cut off in silence for 20 s while keys are revoked", 40, nil, forceNode},
-	{"force_core", 4, "one core cut off in silence for 20 s while keys are revoked", 40, nil, forceCore},
-	{"force_zone", 4, "a zone cut off in silence for 20 s while keys are revoked", 40, nil, forceZone},
-	{"force_cores", 4, "two cores and two fronts cut off from the rest in silence", 40, nil, forceCores},
-	{"force_freeze", 4, "nodes frozen and thawed, restarted into a partition", 40, nil, forceFreeze},
-	{"drain", 5, "servers drain and leave, with a core and a front killed in the same second", 30, nil, drains},
-	{"evacuate", 5, "a zone is evacuated and taken back, with a core and a front killed in the same second", 35, nil, evacuate},
-	{"cold_start", 6, "all servers begin cold, model and web", 25, coldFleet, coldStart},
-	{"cold", 6, "a server comes back cold; a second one is lost right after", 40, nil, cold},
-	{"replace", 6, "all model servers of a zone replaced one after another", 40, nil, replace},
-	{"crowd", 6, "a crowd tenfold at once; long prompts turn to long answers", 30, nil, crowd},
-	{"tally_tenfold", 7, "one tenant asks tenfold, clients move between zones", 50, nil, tallyTenfold},
-	{"tally_restart", 7, "nodes killed and restarted in turn under excess demand, one clock wrong", 50, tallyClock, tallyRestart},
-	{"tally_cut", 7, "a region cut off under excess demand", 50, nil, tallyCut},
-	{"rolling", 8, "machines stopped and restarted in turn; each leaves by itself and cuts nothing", 50, nil, rollingRestart},
-	{"final_nodes", 8, "half of the nodes killed at once", 30, nil, finalNodes},
-	{"final_cores", 8, "two of three cores killed", 30, nil, finalCores},
-	{"final_zone", 8, "one zone gone with its nodes and servers", 30, nil, finalZone},
-	{"final_region", 8, "one region cut off", 30, nil, finalRegion},
-	{"final_rolling", 8, "half of the nodes killed right after a rolling restart", 60, nil, finalRolling},
-	{"final_all_cores", 8, "all cores killed", 30, nil, finalAllCores},
+	{
+		Name:    "shots_reset",
+		Group:   1,
+		Help:    "web servers reset kept-alive connections before reading, before and after running, truncate and cross answers",
+		Seconds: 20,
+		Run:     shotsReset,
+	},
+	{
+		Name:    "shots_fronts",
+		Group:   1,
+		Help:    "fronts killed and frozen 5 s in the middle of one-shots",
+		Seconds: 25,
+		Run:     shotsFronts,
+	},
+	{
+		Name:    "shots_deadline",
+		Group:   1,
+		Help:    "dark web servers, full pending, deadlines that pass while waiting",
+		Seconds: 25,
+		Run:     shotsDeadline,
+	},
+	{
+		Name:    "streams_faults",
+		Group:   2,
+		Help:    "model servers end early, leave out, repeat and cross events, answer under other ids",
+		Seconds: 20,
+		Run:     streamsFaults,
+	},
+	{
+		Name:    "streams_crash",
+		Group:   2,
+		Help:    "model servers crash and go dark, fronts are killed, callers are slow or leave",
+		Seconds: 25,
+		Run:     streamsCrash,
+	},
+	{
+		Name:    "orders_kills",
+		Group:   3,
+		Help:    "changes in quick succession with every core killed and restarted, then read back",
+		Seconds: 40,
+		Run:     ordersKills,
+	},
+	{
+		Name:    "orders_wipe",
+		Group:   3,
+		Help:    "an acknowledged order followed at once by a wiped disk on one core, then on another after repair",
+		Seconds: 40,
+		Run:     ordersWipe,
+	},
+	{
+		Name:      "orders_disk",
+		Group:     3,
+		Help:      "one core with a full disk, then one 2 s slow a sync, with torn tails",
+		Seconds:   40,
+		Configure: limitOneDisk,
+		Run:       ordersDisk,
+	},
+	{
+		Name:      "orders_disks",
+		Group:     3,
+		Help:      "one core with a full disk and one 2 s slow a sync at once",
+		Seconds:   45,
+		Configure: limitOneDisk,
+		Run:       ordersDisks,
+	},
+	{
+		Name:    "orders_race",
+		Group:   3,
+		Help:    "two operators on one base at all cores at once, with lost answers and cuts",
+		Seconds: 30,
+		Run:     ordersRace,
+	},
+	{
+		Name:    "orders_invalid",
+		Group:   3,
+		Help:    "invalid and very large sheets among good ones",
+		Seconds: 20,
+		Run:     ordersInvalid,
+	},
+	{
+		Name:    "force_node",
+		Group:   4,
+		Help:    "one node cut off in silence for 20 s while keys are revoked",
+		Seconds: 40,
+		Run:     forceNode,
+	},
+	{
+		Name:    "force_core",
+		Group:   4,
+		Help:    "one core cut off in silence for 20 s while keys are revoked",
+		Seconds: 40,
+		Run:     forceCore,
+	},
+	{
+		Name:    "force_zone",
+		Group:   4,
+		Help:    "a zone cut off in silence for 20 s while keys are revoked",
+		Seconds: 40,
+		Run:     forceZone,
+	},
+	{
+		Name:    "force_cores",
+		Group:   4,
+		Help:    "two cores and two fronts cut off from the rest in silence",
+		Seconds: 40,
+		Run:     forceCores,
+	},
+	{
+		Name:    "force_freeze",
+		Group:   4,
+		Help:    "nodes frozen and thawed, restarted into a partition",
+		Seconds: 40,
+		Run:     forceFreeze,
+	},
+	{
+		Name:    "drain",
+		Group:   5,
+		Help:    "servers drain and leave, with a core and a front killed in the same second",
+		Seconds: 30,
+		Run:     drainServers,
+	},
+	{
+		Name:    "evacuate",
+		Group:   5,
+		Help:    "a zone is evacuated and taken back, with a core and a front killed in the same second",
+		Seconds: 35,
+		Run:     evacuateZone,
+	},
+	{
+		Name:      "cold_start",
+		Group:     6,
+		Help:      "all servers begin cold, model and web",
+		Seconds:   25,
+		Configure: startServersCold,
+		Run:       serveFromColdStart,
+	},
+	{
+		Name:    "cold",
+		Group:   6,
+		Help:    "a server comes back cold; a second one is lost right after",
+		Seconds: 40,
+		Run:     crashDuringWarmUp,
+	},
+	{
+		Name:    "replace",
+		Group:   6,
+		Help:    "all model servers of a zone replaced one after another",
+		Seconds: 40,
+		Run:     replaceZoneServers,
+	},
+	{
+		Name:    "crowd",
+		Group:   6,
+		Help:    "a crowd tenfold at once; long prompts turn to long answers",
+		Seconds: 30,
+		Run:     burstOfCalls,
+	},
+	{
+		Name:    "tally_tenfold",
+		Group:   7,
+		Help:    "one tenant asks tenfold, clients move between zones",
+		Seconds: 50,
+		Run:     quotaExcess,
+	},
+	{
+		Name:      "tally_restart",
+		Group:     7,
+		Help:      "nodes killed and restarted in turn under excess demand, one clock wrong",
+		Seconds:   50,
+		Configure: stepOneClock,
+		Run:       quotaRestarts,
+	},
+	{
+		Name:    "tally_cut",
+		Group:   7,
+		Help:    "a region cut off under excess demand",
+		Seconds: 50,
+		Run:     quotaPartition,
+	},
+	{
+		Name:    "rolling",
+		Group:   8,
+		Help:    "machines stopped and restarted in turn; each leaves by itself and cuts nothing",
+		Seconds: 50,
+		Run:     rollingRestart,
+	},
+	{
+		Name:    "final_nodes",
+		Group:   8,
+		Help:    "half of the nodes killed at once",
+		Seconds: 30,
+		Run:     finalNodes,
+	},
+	{
+		Name:    "final_cores",
+		Group:   8,
+		Help:    "two of three cores killed",
+		Seconds: 30,
+		Run:     finalCores,
+	},
+	{
+		Name:    "final_zone",
+		Group:   8,
+		Help:    "one zone gone with its nodes and servers",
+		Seconds: 30,
+		Run:     finalZone,
+	},
+	{
+		Name:    "final_region",
+		Group:   8,
+		Help:    "one region cut off",
+		Seconds: 30,
+		Run:     finalRegion,
+	},
+	{
+		Name:    "final_rolling",
+		Group:   8,
+		Help:    "half of the nodes killed right after a rolling restart",
+		Seconds: 60,
+		Run:     finalRolling,
+	},
+	{
+		Name:    "final_all_cores",
+		Group:   8,
+		Help:    "all cores killed",
+		Seconds: 30,
+		Run:     finalAllCores,
+	},
 }
 
 // Find returns a case by name.
@@ -65,149 +253,10 @@
 	if name == RollingUpgrade.Name {
 		return RollingUpgrade, true
 	}
-	for _, c := range Cases {
-		if c.Name == name {
-			return c, true
+	for _, known := range Cases {
+		if known.Name == name {
+			return known, true
 		}
 	}
 	return Case{}, false
 }
-
-func (s *Stage) rest(began history.Instant) {
-	if left := began + time.Duration(s.Seconds)*time.Second - s.Book.Now(); left > 0 {
-		s.Wait(left)
-	}
-}
-
-func (s *Stage) left(began history.Instant) bool {
-	return s.ctx.Err() == nil && s.Book.Now() < began+time.Duration(s.Seconds)*time.Second
-}
-
-func drains(s *Stage) error {
-	began := s.Book.Now()
-	for s.left(began) {
-		drained, leaving := s.model(), s.model()
-		web := s.Fleet.Webs[s.Random.IntN(3)]
-		s.Book.AddAction("drain "+drained.Name, false)
-		s.Fleet.Platform.SetState(drained.Name, "draining", 0)
-		s.Fleet.Platform.SetState(web.Name, "draining", 0)
-		if leaving != drained {
-			s.Fleet.Platform.SetState(leaving.Name, "leaving", clock.System().Now().Add(4*time.Second).UnixMilli())
-		}
-		core, front := s.core(), s.frontOnly()
-		core.Kill()
-		front.Kill()
-		s.Wait(6 * time.Second)
-		for _, n := range []*fleet.Node{core, front} {
-			if err := n.Start(); err != nil {
-				return err
-			}
-		}
-		s.Wait(2 * time.Second)
-		for _, name := range []string{drained.Name, leaving.Name, web.Name} {
-			s.Fleet.Platform.SetState(name, "ready", 0)
-		}
-		s.Wait(2 * time.Second)
-	}
-	return nil
-}
-
-func evacuate(s *Stage) error {
-	began := s.Book.Now()
-	for i := uint64(0); s.left(began); i++ {
-		zone := []string{"lagos/a", "lagos/b", "abeokuta/a"}[s.Random.IntN(3)]
-		core, front := s.core(), s.frontOnly()
-		kills := s.beside(func(ctx context.Context) {
-			wait(ctx, seconds(s.Random.Float64()*0.3))
-			core.Kill()
-			front.Kill()
-		})
-		if won, _ := s.push(s.Control.Evacuate("ade", zone), i, 15*time.Second); !won {
-			return errors.Errorf("the evacuation of %s was not acknowledged within 15 s", zone)
-		}
-		s.Wait(7 * time.Second)
-		kills()
-		for _, n := range []*fleet.Node{core, front} {
-			if err := n.Start(); err != nil {
-				return err
-			}
-		}
-		s.Wait(2 * time.Second)
-		if won, _ := s.push(s.Control.Restore("bola", zone), i, 15*time.Second); !won {
-			return errors.Errorf("the restore of %s was not acknowledged within 15 s", zone)
-		}
-		s.Wait(3 * time.Second)
-	}
-	return nil
-}
-
-func coldFleet(o *Options) { o.Spec.ServersWarm = false }
-
-func coldStart(s *Stage) error {
-	s.rest(s.Book.Now())
-	return nil
-}
-
-func cold(s *Stage) error {
-	began := s.Book.Now()
-	s.Crowd.SetLoadFactor("", 1.5)
-	for s.left(began) {
-		first, second := s.model(), s.model()
-		s.Fleet.CrashModelServer(first.Name)
-		s.Wait(3 * time.Second)
-		if err := s.Fleet.RestartModelServer(first.Name); err != nil {
-			return err
-		}
-		s.Wait(seconds(0.5 + s.Random.Float64()))
-		if second != first {
-			s.Fleet.CrashModelServer(second.Name)
-		}
-		s.Wait(5 * time.Second)
-		if err := s.Fleet.RestartModelServer(second.Name); err != nil {
-			return err
-		}
-		s.Wait(4 * time.Second)
-	}
-	return nil
-}
-
-func replace(s *Stage) error {
-	began := s.Book.Now()
-	zone := s.Fleet.Spec.Models[s.Random.IntN(len(s.Fleet.Spec.Models))]
-	for s.left(began) {
-		_, servers := s.zone(zone)
-		for _, name := range servers {
-			if s.Fleet.Model(name) == nil || !s.left(began) {
-				continue
-			}
-			s.Fleet.Platform.SetState(name, "draining", 0)
-			s.Wait(3 * time.Second)
-			s.Fleet.CrashModelServer(name)
-			s.Fleet.Platform.RemoveServer(name)
-			s.Wait(time.Second)
-			if err := s.Fleet.RestartModelServer(name); err != nil {
-				return err
-			}
-			s.Fleet.PutServer(name, "cold")
-			s.Wait(2 * time.Second)
-			s.Fleet.Platform.SetState(name, "ready", 0)
-		}
-	}
-	return nil
-}
-
-func crowd(s *Stage) error {
-	s.Wait(6 * time.Second)
-	s.Book.AddAction("crowd tenfold", false)
-	s.Crowd.SetLoadFactor("desk", 10)
-	s.Crowd.SetLoadFactor("grid", 10)
-	s.Wait(8 * time.Second)
-	s.Crowd.SetLoadFactor("", 1)
-	s.Book.AddAction("long answers", false)
-	s.Crowd.SetLoadFactor("press", 0.2)
-	s.Crowd.SetLoadFactor("helpdesk", 2)
-	s.Wait(8 * time.Second)
-	s.Crowd.SetLoadFactor("", 1)
-	s.Wait(6 * time.Second)
-	return nil
-}
--- /dev/null
+++ b/cmd/rig/faultcase/nodes.go
@@ -0,0 +1,147 @@
+package faultcase
+
+import (
+	"fmt"
+	"sync"
+	"time"
+
+	"stepwick/cmd/rig/emulator"
+	"stepwick/cmd/rig/fleet"
+)
+
+// uncheckedStopTimeout is how long a node may take to stop before it is killed, where a
+// clean stop is not checked.
+const uncheckedStopTimeout = 12 * time.Second
+
+func (r *Run) randomNode() *fleet.Node {
+	return r.Fleet.Nodes[r.Random.IntN(len(r.Fleet.Nodes))]
+}
+
+func (r *Run) randomCore() *fleet.Node {
+	cores := r.Fleet.Cores()
+	return cores[r.Random.IntN(len(cores))]
+}
+
+// randomFront returns a node without a disk.
+func (r *Run) randomFront() *fleet.Node {
+	for {
+		if node := r.randomNode(); !node.Core {
+			return node
+		}
+	}
+}
+
+func (r *Run) randomModelServer() *emulator.Model {
+	return r.Fleet.Models[r.Random.IntN(len(r.Fleet.Models))]
+}
+
+func (r *Run) randomWebServer() *emulator.Web {
+	return r.Fleet.Webs[r.Random.IntN(len(r.Fleet.Webs))]
+}
+
+// rotatedNodes returns all nodes, from one on that a number and the seed decide.
+func (r *Run) rotatedNodes(number uint64) []*fleet.Node {
+	return r.Fleet.NodesFrom(int((number*7 + r.Seed*3) % uint64(len(r.Fleet.Nodes))))
+}
+
+// runningNodes returns the nodes whose process runs.
+func runningNodes(nodes []*fleet.Node) []*fleet.Node {
+	var running []*fleet.Node
+	for _, node := range nodes {
+		if _, runs := node.Running(); runs {
+			running = append(running, node)
+		}
+	}
+	return running
+}
+
+// inZone returns the nodes and servers of a zone.
+func (r *Run) inZone(zone fleet.Location) (nodes []*fleet.Node, servers []string) {
+	for _, node := range r.Fleet.Nodes {
+		if node.Location == zone {
+			nodes = append(nodes, node)
+		}
+	}
+	servers = r.Fleet.Names(func(name string, location fleet.Location) bool {
+		return location == zone && r.Fleet.Node(name) == nil
+	})
+	return nodes, servers
+}
+
+// inRegion returns the names of the nodes and servers of a region.
+func (r *Run) inRegion(region string) []string {
+	return r.Fleet.Names(func(_ string, location fleet.Location) bool { return location.Region == region })
+}
+
+func startAll(nodes ...*fleet.Node) error {
+	for _, node := range nodes {
+		if err := node.Start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// killAll kills nodes at once and waits for their end.
+func killAll(nodes []*fleet.Node) {
+	var running sync.WaitGroup
+	for _, node := range nodes {
+		running.Go(node.Kill)
+	}
+	running.Wait()
+}
+
+func (r *Run) killAndRestart(node *fleet.Node, down time.Duration) error {
+	node.Kill()
+	r.Wait(down)
+	return node.Start()
+}
+
+// restartInTurn restarts every node; each must stop by itself with code 0.
+func (r *Run) restartInTurn(pause time.Duration) error {
+	for _, node := range r.Fleet.Nodes {
+		if err := restartGracefully(node); err != nil {
+			return err
+		}
+		if !r.Wait(pause) {
+			return nil
+		}
+	}
+	return nil
+}
+
+// restartGracefully stops a node, which must stop by itself with code 0, and
+// starts it again with its data kept.
+func restartGracefully(node *fleet.Node) error {
+	if !node.Terminate(gracefulStopTimeout) {
+		return fmt.Errorf("%s did not leave cleanly within %s: exit code %d", node.Name, gracefulStopTimeout, node.ExitCode())
+	}
+	return node.Start()
+}
+
+func (r *Run) setWebFaults(odds emulator.FaultOdds) {
+	for _, server := range r.Fleet.Webs {
+		server.SetFaultOdds(odds)
+	}
+}
+
+func (r *Run) setModelFaults(odds emulator.FaultOdds) {
+	for _, server := range r.Fleet.Models {
+		server.SetFaultOdds(odds)
+	}
+}
+
+func (r *Run) crashServer(name string) {
+	if r.Fleet.Model(name) != nil {
+		r.Fleet.CrashModelServer(name)
+		return
+	}
+	r.Fleet.CrashWebServer(name)
+}
+
+func (r *Run) restartServer(name string) error {
+	if r.Fleet.Model(name) != nil {
+		return r.Fleet.RestartModelServer(name)
+	}
+	return r.Fleet.RestartWebServer(name)
+}
--- /dev/null
+++ b/cmd/rig/faultcase/partitions.go
@@ -0,0 +1,94 @@
+package faultcase
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+const (
+	partitionChangeInterval = 700 * time.Millisecond
+	freezeChangeInterval    = 500 * time.Millisecond
+	minPartitionTime        = 20 * time.Second
+	partitionMargin         = 12 * time.Second // of the case, before and after the partition
+)
+
+// partitionDuringChanges isolates a group of nodes for most of the case while the
+// operators change keys.
+func partitionDuringChanges(r *Run, group []string) error {
+	start := r.Recorder.Now()
+	endChanges := r.runBeside(func(ctx context.Context) { r.submitChanges(ctx, partitionChangeInterval, nil) })
+	r.Wait(3 * time.Second)
+	r.isolate(group...)
+	r.Wait(max(minPartitionTime, time.Duration(r.Seconds)*time.Second-partitionMargin))
+	err := r.checkAcknowledged(fmt.Sprintf("%v was cut off", group), 10*time.Second)
+	if err != nil && !r.neitherSideCommits(group) {
+		return err
+	}
+	r.Heal()
+	r.waitUntilEnd(start)
+	r.Wait(3 * time.Second)
+	endChanges()
+	return r.readBack(readBackTimeout)
+}
+
+// neitherSideCommits reports whether a partition leaves neither side with most
+// cores and most nodes, so that no order can be acknowledged.
+func (r *Run) neitherSideCommits(group []string) bool {
+	cores := 0
+	for _, name := range group {
+		if r.Fleet.Node(name).Core {
+			cores++
+		}
+	}
+	hasMostCores := 2*cores > len(r.Fleet.Cores())
+	hasMostNodes := 2*len(group) > len(r.Fleet.Nodes)
+	return hasMostCores != hasMostNodes
+}
+
+func forceNode(r *Run) error { return partitionDuringChanges(r, []string{r.randomFront().Name}) }
+
+func forceCore(r *Run) error { return partitionDuringChanges(r, []string{r.randomCore().Name}) }
+
+func forceZone(r *Run) error {
+	nodes, _ := r.inZone(r.randomNode().Location)
+	var names []string
+	for _, node := range nodes {
+		names = append(names, node.Name)
+	}
+	return partitionDuringChanges(r, names)
+}
+
+func forceCores(r *Run) error {
+	cores := r.Fleet.Cores()
+	return partitionDuringChanges(r, []string{
+		cores[0].Name,
+		cores[1].Name,
+		r.Fleet.Nodes[3].Name,
+		r.Fleet.Nodes[4].Name,
+	})
+}
+
+// forceFreeze freezes nodes, and restarts others into a partition.
+func forceFreeze(r *Run) error {
+	start := r.Recorder.Now()
+	endChanges := r.runBeside(func(ctx context.Context) { r.submitChanges(ctx, freezeChangeInterval, nil) })
+	for r.hasTimeLeft(start) {
+		frozen := r.randomNode()
+		isolated := r.randomFront()
+		frozen.Freeze()
+		r.Wait(seconds(3 + r.Random.Float64()*4))
+		frozen.Thaw()
+		isolated.Kill()
+		r.isolate(isolated.Name)
+		if err := isolated.Start(); err != nil {
+			return err
+		}
+		r.Wait(4 * time.Second)
+		r.Heal()
+		r.Wait(2 * time.Second)
+	}
+	r.Wait(2 * time.Second)
+	endChanges()
+	return r.readBack(readBackTimeout)
+}
--- a/cmd/rig/faultcase/rolling_upgrade.go
+++ b/cmd/rig/faultcase/rolling_upgrade.go
@@ -15,7 +15,14 @@
 // RollingUpgrade is the case that replaces the previous build by the new one,
 // process by process, and then rolls back. It is not one of Cases because it
 // needs a second binary.
-var RollingUpgrade = Case{"roll", 8, "rolling upgrade from a previous build and rollback to it, an order after each process; needs --older", 40, startOnPreviousBinary, rollingUpgrade}
+var RollingUpgrade = Case{
+	Name:      "roll",
+	Group:     8,
+	Help:      "rolling upgrade from a previous build and rollback to it, an order after each process; needs --older",
+	Seconds:   40,
+	Configure: startOnPreviousBinary,
+	Run:       rollingUpgrade,
+}
 
 // Limits of one step of a rolling upgrade or rollback.
 const (
@@ -111,55 +118,55 @@
 // cores in the first phase, and previous fronts with new cores in the second.
 func rollingSteps(nodes []*fleet.Node, newBinary, previousBinary string) []rollingStep {
 	var fronts, cores []*fleet.Node
-	for _, n := range nodes {
-		if n.Core {
-			cores = append(cores, n)
+	for _, node := range nodes {
+		if node.Core {
+			cores = append(cores, node)
 		} else {
-			fronts = append(fronts, n)
+			fronts = append(fronts, node)
 		}
 	}
 	ordered := append(fronts, cores...)
 	var steps []rollingStep
-	for _, n := range ordered {
-		steps = append(steps, rollingStep{phaseUpgrade, n, newBinary})
+	for _, node := range ordered {
+		steps = append(steps, rollingStep{phaseUpgrade, node, newBinary})
 	}
-	for _, n := range ordered {
-		steps = append(steps, rollingStep{phaseRollback, n, previousBinary})
+	for _, node := range ordered {
+		steps = append(steps, rollingStep{phaseRollback, node, previousBinary})
 	}
 	return steps
 }
 
 // rollingUpgrade runs all steps, spread over the length of the case, or longer
 // if the steps themselves take longer.
-func rollingUpgrade(s *Stage) error {
-	began := s.Book.Now()
-	steps := rollingSteps(s.Fleet.Nodes, s.Binary, s.PreviousBinary)
+func rollingUpgrade(r *Run) error {
+	start := r.Recorder.Now()
+	steps := rollingSteps(r.Fleet.Nodes, r.Binary, r.PreviousBinary)
 	summary := &RollingSummary{Planned: len(steps)}
-	s.Rolling = summary
-	stored, err := newStoredDataCheck(s.Fleet.Nodes)
+	r.Rolling = summary
+	stored, err := newStoredDataCheck(r.Fleet.Nodes)
 	if err != nil {
 		return err
 	}
-	interval := time.Duration(s.Seconds) * time.Second / time.Duration(len(steps))
+	interval := time.Duration(r.Seconds) * time.Second / time.Duration(len(steps))
 	for i, step := range steps {
-		if err := s.runRollingStep(i, step, stored, summary); err != nil {
+		if err := r.runRollingStep(i, step, stored, summary); err != nil {
 			return errors.Wrapf(err, "step %d of %d, %s of %s", i+1, len(steps), step.phase, step.node.Name)
 		}
-		next := began + time.Duration(i+1)*interval
-		if pause := next - s.Book.Now(); pause > 0 && !s.Wait(pause) {
+		next := start + time.Duration(i+1)*interval
+		if pause := next - r.Recorder.Now(); pause > 0 && !r.Wait(pause) {
 			return nil
 		}
 	}
-	if err := s.dayEnd(restartTimeout); err != nil {
+	if err := r.readBack(restartTimeout); err != nil {
 		return err
 	}
-	for _, n := range s.Fleet.Nodes {
-		if err := stored.node(n); err != nil {
+	for _, node := range r.Fleet.Nodes {
+		if err := stored.node(node); err != nil {
 			return err
 		}
 	}
-	l := s.Book.Snapshot()
-	summary.CutStreams = cutStreams(&l)
+	recording := r.Recorder.Snapshot()
+	summary.CutStreams = cutStreams(&recording)
 	if summary.CutStreams > 0 {
 		return errors.Errorf("%d streams were cut although every node left by itself", summary.CutStreams)
 	}
@@ -168,14 +175,14 @@
 
 // runRollingStep restarts one node on the binary of the step, submits an order
 // and waits until every node shows it in force.
-func (s *Stage) runRollingStep(index int, step rollingStep, stored *storedDataCheck, summary *RollingSummary) error {
-	began := s.Book.Now()
-	s.Book.AddAction(fmt.Sprintf("%s %s", step.phase, step.node.Name), false)
+func (r *Run) runRollingStep(index int, step rollingStep, stored *storedDataCheck, summary *RollingSummary) error {
+	start := r.Recorder.Now()
+	r.Recorder.AddAction(fmt.Sprintf("%s %s", step.phase, step.node.Name), false)
 	step.node.UseBinary(step.binary)
 	if err := restartGracefully(step.node); err != nil {
 		return err
 	}
-	if !s.serves(step.node, restartTimeout) {
+	if !r.servesNewestSheet(step.node, restartTimeout) {
 		return errors.Errorf("%s did not serve within %s of its restart", step.node.Name, restartTimeout)
 	}
 	if step.phase == phaseUpgrade {
@@ -183,23 +190,23 @@
 	} else {
 		summary.RolledBack++
 	}
-	if err := s.submitStepOrder(index); err != nil {
+	if err := r.submitStepOrder(index); err != nil {
 		return err
 	}
 	if err := stored.node(step.node); err != nil {
 		return err
 	}
 	result := RollingStepResult{Phase: string(step.phase), Node: step.node.Name}
-	result.NodesOnNewBinary = s.nodesOn(s.Binary)
-	result.NodesInForce = s.nodesInForce()
-	result.OrdersInForce = s.stepOrdersInForce(index+1, inForceTimeout)
-	result.Milliseconds = (s.Book.Now() - began).Milliseconds()
+	result.NodesOnNewBinary = r.nodesOn(r.Binary)
+	result.NodesInForce = r.nodesInForce()
+	result.OrdersInForce = r.stepOrdersInForce(index+1, inForceTimeout)
+	result.Milliseconds = (r.Recorder.Now() - start).Milliseconds()
 	summary.Steps = append(summary.Steps, result)
-	if want := summary.Upgraded - summary.RolledBack; result.NodesOnNewBinary != want || s.nodesOn(s.PreviousBinary) != len(s.Fleet.Nodes)-want {
+	if want := summary.Upgraded - summary.RolledBack; result.NodesOnNewBinary != want || r.nodesOn(r.PreviousBinary) != len(r.Fleet.Nodes)-want {
 		return errors.Errorf("%d nodes execute the new binary instead of %d", result.NodesOnNewBinary, want)
 	}
-	if result.NodesInForce != len(s.Fleet.Nodes) {
-		return errors.Errorf("the order is in force at %d of %d nodes", result.NodesInForce, len(s.Fleet.Nodes))
+	if result.NodesInForce != len(r.Fleet.Nodes) {
+		return errors.Errorf("the order is in force at %d of %d nodes", result.NodesInForce, len(r.Fleet.Nodes))
 	}
 	if result.OrdersInForce != index+1 {
 		return errors.Errorf("%d of %d orders are in force", result.OrdersInForce, index+1)
@@ -209,25 +216,25 @@
 
 // submitStepOrder submits the order of a step, which adds one tenant, and waits
 // for its acknowledgement.
-func (s *Stage) submitStepOrder(index int) error {
-	_, base := s.Control.NewestKey()
+func (r *Run) submitStepOrder(index int) error {
+	_, base := r.Operators.NewestKey()
 	name := fmt.Sprintf("%s%d", stepTenantPrefix, index)
 	tenant := loadgen.SheetTenant{
 		Rate: stepTenantRate,
 		Keys: []string{fleet.HashKey("key-of-" + name)},
 	}
-	order := s.Control.Change("ade", base, loadgen.Change{Path: "tenants." + name, Value: tenant})
-	if acknowledged, _ := s.push(order, uint64(index), orderTimeout); !acknowledged {
+	order := r.Operators.Change(firstOperator, base, loadgen.Change{Path: "tenants." + name, Value: tenant})
+	if acknowledged, _ := r.submit(order, uint64(index), orderTimeout); !acknowledged {
 		return errors.Errorf("the order was not acknowledged within %s", orderTimeout)
 	}
 	return nil
 }
 
 // nodesOn returns the number of nodes whose process executes a binary.
-func (s *Stage) nodesOn(binary string) int {
+func (r *Run) nodesOn(binary string) int {
 	count := 0
-	for _, n := range s.Fleet.Nodes {
-		if n.RunsBinary(binary) {
+	for _, node := range r.Fleet.Nodes {
+		if node.RunsBinary(binary) {
 			count++
 		}
 	}
@@ -235,10 +242,10 @@
 }
 
 // nodesInForce returns the number of nodes at which the newest order is in force.
-func (s *Stage) nodesInForce() int {
-	_, newest := s.Control.NewestKey()
+func (r *Run) nodesInForce() int {
+	_, newest := r.Operators.NewestKey()
 	count := 0
-	for _, version := range s.Versions(inForceTimeout) {
+	for _, version := range r.NodeVersions(inForceTimeout) {
 		if version == newest {
 			count++
 		}
@@ -249,13 +256,13 @@
 // stepOrdersInForce reads the sheet through every node until each shows the
 // wanted number of step orders or the timeout has passed. It returns the
 // smallest number shown, which is zero if a node cannot be read.
-func (s *Stage) stepOrdersInForce(want int, timeout time.Duration) int {
-	deadline := s.Book.Now() + timeout
+func (r *Run) stepOrdersInForce(want int, timeout time.Duration) int {
+	deadline := r.Recorder.Now() + timeout
 	smallest := want
-	for _, n := range s.Fleet.Nodes {
-		shown := s.stepOrdersAt(n)
-		for shown != want && s.Book.Now() < deadline && s.Wait(200*time.Millisecond) {
-			shown = s.stepOrdersAt(n)
+	for _, node := range r.Fleet.Nodes {
+		shown := r.stepOrdersAt(node)
+		for shown != want && r.Recorder.Now() < deadline && r.Wait(pollInterval) {
+			shown = r.stepOrdersAt(node)
 		}
 		smallest = min(smallest, shown)
 	}
@@ -263,10 +270,10 @@
 }
 
 // stepOrdersAt returns the number of step orders in the sheet read through a node.
-func (s *Stage) stepOrdersAt(n *fleet.Node) int {
-	_, sheet := s.Control.ReadSheet(n, false)
+func (r *Run) stepOrdersAt(node *fleet.Node) int {
+	_, sheet := r.Operators.ReadSheet(node, false)
 	count := 0
-	for i := range 2 * len(s.Fleet.Nodes) {
+	for i := range 2 * len(r.Fleet.Nodes) {
 		if _, present := sheet.Tenants[fmt.Sprintf("%s%d", stepTenantPrefix, i)]; present {
 			count++
 		}
@@ -276,10 +283,11 @@
 
 // cutStreams returns the number of streams that ended before their final event
 // without the caller having left.
-func cutStreams(l *history.Recording) int {
+func cutStreams(recording *history.Recording) int {
 	count := 0
-	for _, a := range l.Attempts {
-		if len(a.Events) > 0 && a.Outcome != history.Served && a.Outcome != history.Abandoned {
+	for _, attempt := range recording.Attempts {
+		ended := attempt.Outcome == history.Served || attempt.Outcome == history.Abandoned
+		if len(attempt.Events) > 0 && !ended {
 			count++
 		}
 	}
--- /dev/null
+++ b/cmd/rig/faultcase/run.go
@@ -0,0 +1,323 @@
+// Package faultcase injects faults into a running fleet: the cases, each of one
+// kind of fault, a mix drawn by the seed, and scenarios from files. What callers,
+// operators, servers and the platform observed is recorded; package checker finds
+// the violations. The package itself decides only whether a case could do its
+// work, such as whether an order was acknowledged in time.
+package faultcase
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"stepwick/cmd/rig/faultproxy"
+	"stepwick/cmd/rig/fleet"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/loadgen"
+	"stepwick/cmd/rig/owner"
+	"stepwick/internal/clock"
+)
+
+const (
+	// caseStream is the second half of the seed of a run's random numbers.
+	caseStream = 5
+
+	firstSheetTimeout  = 40 * time.Second
+	keyCheckInterval   = 300 * time.Millisecond
+	readyCheckInterval = 100 * time.Millisecond
+	pollInterval       = 200 * time.Millisecond
+	lateRunsTime       = time.Second // for servers to record what still runs at the end
+	logTailBytes       = 600
+
+	keptFileMode = 0o644
+	keptDirMode  = 0o755
+)
+
+// Names of the two operators.
+const (
+	firstOperator  = "ade"
+	secondOperator = "bola"
+)
+
+// Options of a run.
+type Options struct {
+	Spec    fleet.Spec
+	Tenants []loadgen.Tenant
+	Binary  string
+	// PreviousBinary is that of an earlier build; only a rolling upgrade uses it.
+	PreviousBinary string
+	Seed           uint64
+	Seconds        int    // length of the case
+	KeepDir        string // gets the recording and the nodes' logs; empty for none
+	Out            io.Writer
+	PrintTable     bool              // a line each second
+	SheetSettings  map[string]string // run-time settings of the first sheet
+}
+
+// Run is a fleet that serves, with callers and operators.
+type Run struct {
+	Options
+	Fleet        *fleet.Fleet
+	Recorder     *history.Recorder
+	Callers      *loadgen.Callers
+	Operators    *loadgen.Operators
+	Random       *rand.Rand
+	TrafficStart history.Instant
+
+	// Rolling is the result of a rolling upgrade; nil in other cases.
+	Rolling *RollingSummary
+
+	ctx    context.Context // ends with the load
+	cancel context.CancelFunc
+	parts  sync.WaitGroup // load, key checks and table
+	dir    string
+}
+
+// Start starts a fleet, gives it a first sheet and starts the load.
+func Start(ctx context.Context, options Options) (*Run, error) {
+	dir, err := os.MkdirTemp("", "stepwick-rig-")
+	if err != nil {
+		return nil, errors.Wrap(err, "temp folder")
+	}
+	r := &Run{
+		Options:  options,
+		Recorder: history.NewRecorder(int64(options.Seed)),
+		Random:   rand.New(rand.NewPCG(options.Seed, caseStream)),
+		dir:      dir,
+	}
+	r.ctx, r.cancel = context.WithCancel(ctx)
+	if r.Fleet, err = fleet.New(options.Spec, options.Binary, dir, r.Recorder, options.Seed); err != nil {
+		_ = os.RemoveAll(dir)
+		return nil, err
+	}
+	if err := r.Fleet.Start(); err != nil {
+		r.abort()
+		return nil, err
+	}
+	r.Operators = loadgen.NewOperators(r.Fleet, options.Seed)
+	r.Callers = loadgen.NewCallers(r.Fleet, options.Tenants, options.Seed)
+	if err := r.submitFirstSheet(); err != nil {
+		r.abort()
+		return nil, err
+	}
+	r.startLoad()
+	return r, nil
+}
+
+func (r *Run) startLoad() {
+	r.TrafficStart = r.Recorder.Now()
+	r.parts.Go(func() { r.Callers.Run(r.ctx) })
+	r.parts.Go(func() { r.Operators.RunKeyChecks(r.ctx, keyCheckInterval) })
+	if r.PrintTable {
+		r.parts.Go(r.printTable)
+	}
+}
+
+// submitFirstSheet submits the first sheet and waits until every node uses it.
+func (r *Run) submitFirstSheet() error {
+	ctx, cancel := context.WithTimeout(r.ctx, firstSheetTimeout)
+	defer cancel()
+	key := r.Operators.NextKey()
+	sheet := loadgen.NewSheet(r.Fleet, r.Tenants, key)
+	sheet.Settings = r.SheetSettings
+	order := r.Operators.Put(firstOperator, 0, sheet, key)
+	if answer := r.Operators.Submit(ctx, order, r.Fleet.Nodes); !answer.Acknowledged() {
+		return errors.Errorf("the first sheet was not accepted: status %d code %d %s; node logs:\n%s",
+			answer.Status, answer.Code, answer.Detail, r.logTails())
+	}
+	for _, node := range r.Fleet.Nodes {
+		if err := r.awaitKey(ctx, node, key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// awaitKey waits until a node accepts a checked key.
+func (r *Run) awaitKey(ctx context.Context, node *fleet.Node, key int) error {
+	for {
+		check := r.Operators.CheckKey(node, key)
+		if check.Accepted() {
+			return nil
+		}
+		if !owner.Sleep(ctx, readyCheckInterval) {
+			return errors.Errorf("node %s did not serve within 40 s: probe status %d code %d %s; node logs:\n%s",
+				node.Name, check.Status, check.Code, check.Detail, r.logTails())
+		}
+	}
+}
+
+// logTails returns the ends of the nodes' logs.
+func (r *Run) logTails() string {
+	var text strings.Builder
+	for _, node := range r.Fleet.Nodes {
+		data, _ := os.ReadFile(node.LogFile())
+		tail := data[max(0, len(data)-logTailBytes):]
+		fmt.Fprintf(&text, "--- %s\n%s\n", node.Name, tail)
+	}
+	return text.String()
+}
+
+// abort ends a run whose load has not started.
+func (r *Run) abort() {
+	r.cancel()
+	r.saveLogs()
+	r.Fleet.Close()
+	r.Recorder.Close()
+	_ = os.RemoveAll(r.dir)
+}
+
+// saveLogs copies the nodes' logs to KeepDir, if that is set.
+func (r *Run) saveLogs() {
+	if r.KeepDir == "" {
+		return
+	}
+	_ = os.MkdirAll(r.KeepDir, keptDirMode)
+	for _, node := range r.Fleet.Nodes {
+		if data, err := os.ReadFile(node.LogFile()); err == nil {
+			_ = os.WriteFile(filepath.Join(r.KeepDir, node.Name+".log"), data, keptFileMode)
+		}
+	}
+}
+
+func (r *Run) saveRecording(recording history.Recording) {
+	if r.KeepDir == "" {
+		return
+	}
+	if data, err := json.Marshal(recording); err == nil {
+		_ = os.WriteFile(filepath.Join(r.KeepDir, "ledger.json"), data, keptFileMode)
+	}
+}
+
+// Close ends the load, waits for late runs, ends the fleet and returns the
+// recording.
+func (r *Run) Close() history.Recording {
+	r.cancel()
+	r.parts.Wait()
+	owner.Sleep(context.Background(), lateRunsTime)
+	recording := r.Recorder.Snapshot()
+	r.saveLogs()
+	r.saveRecording(recording)
+	r.Fleet.Close()
+	r.Callers.Close()
+	r.Recorder.Close()
+	_ = os.RemoveAll(r.dir)
+	return recording
+}
+
+// Context ends when the load ends.
+func (r *Run) Context() context.Context { return r.ctx }
+
+// Wait waits for a time; false when the run ends before.
+func (r *Run) Wait(d time.Duration) bool { return owner.Sleep(r.ctx, d) }
+
+// end returns when a case that started at an instant is over.
+func (r *Run) end(start history.Instant) history.Instant {
+	return start + time.Duration(r.Seconds)*time.Second
+}
+
+// waitUntilEnd waits until a case that started at an instant is over.
+func (r *Run) waitUntilEnd(start history.Instant) {
+	if remaining := r.end(start) - r.Recorder.Now(); remaining > 0 {
+		r.Wait(remaining)
+	}
+}
+
+// hasTimeLeft reports whether a case that started at an instant goes on.
+func (r *Run) hasTimeLeft(start history.Instant) bool {
+	return r.ctx.Err() == nil && r.Recorder.Now() < r.end(start)
+}
+
+// seconds returns a number of seconds as a duration.
+func seconds(number float64) time.Duration { return time.Duration(number * float64(time.Second)) }
+
+// Partition blocks the links between two groups, in both directions.
+func (r *Run) Partition(left, right []string) {
+	r.Recorder.AddAction(fmt.Sprintf("cut %v from the rest", left), false)
+	r.Recorder.SetPartitioned(true)
+	r.Fleet.Links.Between(left, right, faultproxy.Mode{Blocked: true})
+}
+
+// Heal lets all links pass again.
+func (r *Run) Heal() {
+	r.Recorder.AddAction("heal", false)
+	r.Fleet.Links.Heal()
+	r.Recorder.SetPartitioned(false)
+}
+
+// Others returns the nodes that are not in a group.
+func (r *Run) Others(group []string) []string {
+	var names []string
+	for _, node := range r.Fleet.Nodes {
+		if !slices.Contains(group, node.Name) {
+			names = append(names, node.Name)
+		}
+	}
+	return names
+}
+
+// isolate partitions a group of nodes from all other nodes.
+func (r *Run) isolate(group ...string) { r.Partition(group, r.Others(group)) }
+
+// printTable prints what happened in each second.
+func (r *Run) printTable() {
+	ticker := clock.System().Ticker(time.Second)
+	defer ticker.Stop()
+	var last loadgen.Counts
+	r.printf("%6s %8s %9s %8s %8s %7s %8s\n", "second", "served", "refused", "failed", "unsent", "epoch", "skipped")
+	for second := 1; ; second++ {
+		select {
+		case <-ticker.C():
+		case <-r.ctx.Done():
+			return
+		}
+		now := r.Callers.Counts()
+		_, version := r.Operators.NewestKey()
+		r.printf("%6d %8d %9d %8d %8d %7d %8d\n", second, now.Served-last.Served, now.Rejected-last.Rejected,
+			now.Failed-last.Failed, now.Unsent-last.Unsent, version, r.Callers.Skipped.Load())
+		last = now
+	}
+}
+
+func (r *Run) printf(format string, args ...any) { _, _ = fmt.Fprintf(r.Out, format, args...) }
+
+// NodeVersions returns the newest sheet version that each running node uses, by
+// key checks from outside; 0 for one that doesn't use the newest in time.
+func (r *Run) NodeVersions(timeout time.Duration) map[string]uint64 {
+	versions := map[string]uint64{}
+	key, version := r.Operators.NewestKey()
+	until := r.Recorder.Now() + timeout
+	for _, node := range r.Fleet.Nodes {
+		if _, runs := node.Running(); !runs {
+			continue
+		}
+		versions[node.Name] = 0
+		if r.acceptsKey(node, key, until) {
+			versions[node.Name] = version
+		}
+	}
+	return versions
+}
+
+// acceptsKey checks a key at a node until it is accepted; false when it isn't by
+// an instant. The first check is made even after that.
+func (r *Run) acceptsKey(node *fleet.Node, key int, until history.Instant) bool {
+	for {
+		if r.Operators.CheckKey(node, key).Accepted() {
+			return true
+		}
+		if r.Recorder.Now() > until || !r.Wait(pollInterval) {
+			return false
+		}
+	}
+}
--- a/cmd/rig/faultcase/scenario.go
+++ b/cmd/rig/faultcase/scenario.go
@@ -2,203 +2,142 @@
 
 import (
 	"bytes"
+	"cmp"
 	"fmt"
-	"sort"
-	"strings"
+	"slices"
 	"time"
 
 	"github.com/pkg/errors"
 	"go.yaml.in/yaml/v3"
 
-	"stepwick/cmd/rig/emulator"
 	"stepwick/cmd/rig/fleet"
-	"stepwick/internal/clock"
 )
 
-// Scenario is an experiment as a file says it. Times are seconds after traffic
-// began.
+// Limits of a scenario's length.
+const (
+	minScenarioSeconds = 1
+	maxScenarioSeconds = 3600
+)
+
+// Scenario is an experiment that a file describes. Times are in seconds after the
+// start of traffic.
 type Scenario struct {
 	Seconds  int               `yaml:"seconds"`
 	Fleet    ScenarioFleet     `yaml:"fleet"`
 	Settings map[string]string `yaml:"settings"` // run-time settings of the first sheet
-	Load     []Phase           `yaml:"load"`
+	Load     []LoadPhase       `yaml:"load"`
 	Faults   []Fault           `yaml:"faults"`
 }
 
-// ScenarioFleet says how the fleet differs from the first deployment.
+// ScenarioFleet describes how the fleet differs from the first deployment.
 type ScenarioFleet struct {
-	Fronts   int               `yaml:"fronts"` // beside the cores; 0 for six
-	Settings map[string]string `yaml:"settings"`
-	Cold     bool              `yaml:"cold"`
+	Fronts      int               `yaml:"fronts"` // beside the cores; 0 for six
+	Settings    map[string]string `yaml:"settings"`
+	ColdServers bool              `yaml:"cold"`
 }
 
-// Phase changes the load from an instant on.
-type Phase struct {
-	At     float64            `yaml:"at"`
-	Tenant string             `yaml:"tenant"` // empty for all
-	Factor *float64           `yaml:"factor"`
-	From   map[string]float64 `yaml:"from"` // share of callers by locality
+// LoadPhase changes the load from a time on.
+type LoadPhase struct {
+	At         float64            `yaml:"at"`
+	Tenant     string             `yaml:"tenant"` // empty for all
+	LoadFactor *float64           `yaml:"factor"` // nil for no change
+	ZoneShares map[string]float64 `yaml:"from"`   // share of callers by zone; nil for no change
 }
 
-// Fault happens at an instant and is mended after a span; never when For is zero.
+// Fault is injected at a time and repaired after a duration; never when that is
+// zero.
 type Fault struct {
-	At     float64  `yaml:"at"`
-	For    float64  `yaml:"for"`
-	What   string   `yaml:"what"`
-	Target []string `yaml:"target"`
-	Odds   float64  `yaml:"odds"`
+	At       float64   `yaml:"at"`
+	Duration float64   `yaml:"for"`
+	Kind     FaultKind `yaml:"what"`
+	Target   []string  `yaml:"target"`
+	Odds     float64   `yaml:"odds"` // for each request, of faults of servers
 }
 
-// Faults that a scenario may name.
-var scenarioFaults = map[string]string{
-	"kill": "nodes", "stop": "nodes", "freeze": "nodes", "wipe": "cores", "cut": "nodes and servers, cut from all others in silence",
-	"crash": "servers", "dark": "model servers", "drain": "servers", "leave": "servers", "evacuate": "localities", "final": "nothing: service is judged from here on",
-	string(emulator.EarlyEnd): "model servers", string(emulator.DuplicatedEvent): "model servers", string(emulator.AbortedStream): "model servers", string(emulator.ResetAfterRun): "web servers", string(emulator.ResetBeforeRun): "web servers",
-}
-
-// ParseScenario reads a scenario strictly.
+// ParseScenario reads a scenario and rejects fields and faults that it doesn't
+// know.
 func ParseScenario(data []byte) (*Scenario, error) {
-	var s Scenario
-	in := yaml.NewDecoder(bytes.NewReader(data))
-	in.KnownFields(true)
-	if err := in.Decode(&s); err != nil {
+	var scenario Scenario
+	decoder := yaml.NewDecoder(bytes.NewReader(data))
+	decoder.KnownFields(true)
+	if err := decoder.Decode(&scenario); err != nil {
 		return nil, errors.Wrap(err, "scenario")
 	}
-	if s.Seconds < 1 || s.Seconds > 3600 {
+	if scenario.Seconds < minScenarioSeconds || scenario.Seconds > maxScenarioSeconds {
 		return nil, errors.New("scenario: seconds must be 1 to 3600")
 	}
-	for i, f := range s.Faults {
-		if _, ok := scenarioFaults[f.What]; !ok {
-			var known []string
-			for name := range scenarioFaults {
-				known = append(known, name)
-			}
-			sort.Strings(known)
-			return nil, errors.Errorf("scenario: fault %d: %q is none of %s", i+1, f.What, strings.Join(known, ", "))
+	for i, fault := range scenario.Faults {
+		if _, ok := faultTargets[fault.Kind]; !ok {
+			return nil, errors.Errorf("scenario: fault %d: %q is none of %s", i+1, fault.Kind, faultKindNames())
 		}
 	}
-	return &s, nil
+	return &scenario, nil
 }
 
-// Options are those of a scenario's fleet.
-func (sc *Scenario) Options() Options {
+// Options returns those of the scenario's fleet.
+func (s *Scenario) Options() Options {
 	spec := fleet.FirstDeployment()
-	if sc.Fleet.Fronts > 0 {
-		zones := spec.Nodes[:3]
-		spec.Nodes = append([]fleet.NodeSpec{}, zones...)
-		for i := range sc.Fleet.Fronts {
-			spec.Nodes = append(spec.Nodes, fleet.NodeSpec{Name: fmt.Sprintf("front%d", i+1), Location: zones[i%3].Location})
+	if s.Fleet.Fronts > 0 {
+		cores := slices.DeleteFunc(slices.Clone(spec.Nodes), func(node fleet.NodeSpec) bool { return !node.Core })
+		spec.Nodes = slices.Clone(cores)
+		for i := range s.Fleet.Fronts {
+			spec.Nodes = append(spec.Nodes, fleet.NodeSpec{
+				Name:     fmt.Sprintf("front%d", i+1),
+				Location: cores[i%len(cores)].Location,
+			})
 		}
 	}
-	spec.Settings, spec.ServersWarm = sc.Fleet.Settings, !sc.Fleet.Cold
-	return Options{Spec: spec, Sheet: sc.Settings, Seconds: sc.Seconds}
+	spec.Settings = s.Fleet.Settings
+	spec.ServersWarm = !s.Fleet.ColdServers
+	return Options{
+		Spec:          spec,
+		SheetSettings: s.Settings,
+		Seconds:       s.Seconds,
+	}
 }
 
+// step is something that happens at a time of a scenario.
 type step struct {
-	at time.Duration
-	do func() error
+	at     time.Duration // after the start of traffic
+	effect func() error
 }
 
-// Run plays a scenario on a stage.
-func (sc *Scenario) Run(s *Stage) error {
-	var steps []step
-	for _, p := range sc.Load {
-		steps = append(steps, step{seconds(p.At), func() error {
-			if p.Factor != nil {
-				s.Crowd.SetLoadFactor(p.Tenant, *p.Factor)
-			}
-			if p.From != nil {
-				s.Crowd.SetZoneShares(p.From)
-			}
-			return nil
-		}})
-	}
-	for _, f := range sc.Faults {
-		steps = append(steps, step{seconds(f.At), func() error { return s.cause(f, false) }})
-		if f.For > 0 {
-			steps = append(steps, step{seconds(f.At + f.For), func() error { return s.cause(f, true) }})
-		}
-	}
-	sort.SliceStable(steps, func(i, j int) bool { return steps[i].at < steps[j].at })
-	for _, step := range steps {
-		if left := s.Began + step.at - s.Book.Now(); left > 0 && !s.Wait(left) {
+// Run runs the scenario's steps.
+func (s *Scenario) Run(r *Run) error {
+	for _, next := range s.steps(r) {
+		if wait := r.TrafficStart + next.at - r.Recorder.Now(); wait > 0 && !r.Wait(wait) {
 			return nil
 		}
-		if err := step.do(); err != nil {
+		if err := next.effect(); err != nil {
 			return err
 		}
 	}
-	s.rest(s.Began)
+	r.waitUntilEnd(r.TrafficStart)
 	return nil
 }
 
-func (s *Stage) cause(f Fault, mend bool) error {
-	if f.What == "final" {
-		s.Book.AddAction("final", true)
-		return nil
-	}
-	if f.What == "cut" {
-		if mend {
-			s.Heal()
-			return nil
-		}
-		in := map[string]bool{}
-		for _, name := range f.Target {
-			in[name] = true
-		}
-		s.Cut(f.Target, s.Fleet.Names(func(name string, _ fleet.Location) bool { return !in[name] }))
-		return nil
+// steps returns the steps sorted by time: load phases first, then faults.
+func (s *Scenario) steps(r *Run) []step {
+	var steps []step
+	for _, phase := range s.Load {
+		steps = append(steps, step{seconds(phase.At), noError(func() { r.changeLoad(phase) })})
 	}
-	for _, name := range f.Target {
-		if err := s.causeOne(f, name, mend); err != nil {
-			return errors.Wrapf(err, "%s %s", f.What, name)
+	for _, fault := range s.Faults {
+		steps = append(steps, step{seconds(fault.At), func() error { return r.causeFault(fault, false) }})
+		if fault.Duration > 0 {
+			repairTime := seconds(fault.At + fault.Duration)
+			steps = append(steps, step{repairTime, func() error { return r.causeFault(fault, true) }})
 		}
 	}
-	return nil
+	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
+	return steps
 }
 
-func (s *Stage) causeOne(f Fault, name string, mend bool) error {
-	node, model, web := s.Fleet.Node(name), s.Fleet.Model(name), s.Fleet.Web(name)
-	odds := emulator.FaultOdds{emulator.Fault(f.What): f.Odds}
-	if mend {
-		odds = nil
+func (r *Run) changeLoad(phase LoadPhase) {
+	if phase.LoadFactor != nil {
+		r.Callers.SetLoadFactor(phase.Tenant, *phase.LoadFactor)
 	}
-	state := map[string]string{"drain": "draining", "leave": "leaving"}[f.What]
-	if mend {
-		state = "ready"
+	if phase.ZoneShares != nil {
+		r.Callers.SetZoneShares(phase.ZoneShares)
 	}
-	switch {
-	case f.What == "evacuate" && mend:
-		s.push(s.Control.Restore("ade", name), 0, 15*time.Second)
-	case f.What == "evacuate":
-		s.push(s.Control.Evacuate("ade", name), 0, 15*time.Second)
-	case node != nil && f.What == "freeze" && mend:
-		node.Thaw()
-	case node != nil && f.What == "freeze":
-		node.Freeze()
-	case node != nil && mend:
-		return node.Start()
-	case node != nil && f.What == "stop":
-		node.Terminate(12 * time.Second)
-	case node != nil && f.What == "wipe":
-		node.Kill()
-		return node.Wipe()
-	case node != nil && f.What == "kill":
-		node.Kill()
-	case (model != nil || web != nil) && f.What == "crash" && mend:
-		return s.back(name)
-	case (model != nil || web != nil) && f.What == "crash":
-		s.crash(name)
-	case (model != nil || web != nil) && (f.What == "drain" || f.What == "leave"):
-		s.Fleet.Platform.SetState(name, state, clock.System().Now().Add(5*time.Second).UnixMilli())
-	case model != nil && f.What == "dark":
-		model.SetUnresponsive(!mend)
-	case model != nil && f.Odds > 0:
-		model.SetFaultOdds(odds)
-	case web != nil && f.Odds > 0:
-		web.SetFaultOdds(odds)
-	default:
-		return errors.Errorf("the target must be of: %s", scenarioFaults[f.What])
-	}
-	return nil
 }
--- /dev/null
+++ b/cmd/rig/faultcase/scenariofault.go
@@ -0,0 +1,182 @@
+package faultcase
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"stepwick/cmd/rig/emulator"
+	"stepwick/cmd/rig/fleet"
+)
+
+// FaultKind is a kind of fault that a scenario may name: one of those below, or a
+// fault of a server for some requests.
+type FaultKind string
+
+// Kinds of faults.
+const (
+	FaultKill      FaultKind = "kill"
+	FaultStop      FaultKind = "stop"
+	FaultFreeze    FaultKind = "freeze"
+	FaultWipe      FaultKind = "wipe"
+	FaultPartition FaultKind = "cut"
+	FaultCrash     FaultKind = "crash"
+	FaultDark      FaultKind = "dark" // unresponsive
+	FaultDrain     FaultKind = "drain"
+	FaultLeave     FaultKind = "leave"
+	FaultEvacuate  FaultKind = "evacuate"
+	FaultFinal     FaultKind = "final" // marks the instant from which recovery is checked
+)
+
+// scenarioLeaveAfter is the time from the listing of a server as draining or
+// leaving until it leaves.
+const scenarioLeaveAfter = 5 * time.Second
+
+// faultTargets says what may be the target of each kind of fault.
+var faultTargets = map[FaultKind]string{
+	FaultKill:      "nodes",
+	FaultStop:      "nodes",
+	FaultFreeze:    "nodes",
+	FaultWipe:      "cores",
+	FaultPartition: "nodes and servers, cut from all others in silence",
+	FaultCrash:     "servers",
+	FaultDark:      "model servers",
+	FaultDrain:     "servers",
+	FaultLeave:     "servers",
+	FaultEvacuate:  "localities",
+	FaultFinal:     "nothing: service is judged from here on",
+
+	FaultKind(emulator.EarlyEnd):        "model servers",
+	FaultKind(emulator.DuplicatedEvent): "model servers",
+	FaultKind(emulator.AbortedStream):   "model servers",
+	FaultKind(emulator.ResetAfterRun):   "web servers",
+	FaultKind(emulator.ResetBeforeRun):  "web servers",
+}
+
+func faultKindNames() string {
+	var names []string
+	for kind := range faultTargets {
+		names = append(names, string(kind))
+	}
+	slices.Sort(names)
+	return strings.Join(names, ", ")
+}
+
+// causeFault injects or repairs a fault of a scenario.
+func (r *Run) causeFault(fault Fault, repair bool) error {
+	switch {
+	case fault.Kind == FaultFinal:
+		r.Recorder.AddAction("final", true)
+		return nil
+	case fault.Kind == FaultPartition && repair:
+		r.Heal()
+		return nil
+	case fault.Kind == FaultPartition:
+		r.Partition(fault.Target, r.Fleet.Names(func(name string, _ fleet.Location) bool {
+			return !slices.Contains(fault.Target, name)
+		}))
+		return nil
+	}
+	for _, name := range fault.Target {
+		if err := r.causeFaultOf(name, fault, repair); err != nil {
+			return errors.Wrapf(err, "%s %s", fault.Kind, name)
+		}
+	}
+	return nil
+}
+
+// causeFaultOf injects or repairs a fault of one target.
+func (r *Run) causeFaultOf(name string, fault Fault, repair bool) error {
+	if fault.Kind == FaultEvacuate {
+		r.causeEvacuation(name, repair)
+		return nil
+	}
+	if node := r.Fleet.Node(name); node != nil {
+		return causeNodeFault(node, fault.Kind, repair)
+	}
+	if r.Fleet.Model(name) != nil || r.Fleet.Web(name) != nil {
+		return r.causeServerFault(name, fault, repair)
+	}
+	return wrongTarget(fault.Kind)
+}
+
+func wrongTarget(kind FaultKind) error {
+	return errors.Errorf("the target must be of: %s", faultTargets[kind])
+}
+
+func (r *Run) causeEvacuation(zone string, repair bool) {
+	if repair {
+		r.submit(r.Operators.Restore(firstOperator, zone), 0, zoneOrderLimit)
+		return
+	}
+	r.submit(r.Operators.Evacuate(firstOperator, zone), 0, zoneOrderLimit)
+}
+
+func causeNodeFault(node *fleet.Node, kind FaultKind, repair bool) error {
+	switch {
+	case kind == FaultFreeze && repair:
+		node.Thaw()
+	case kind == FaultFreeze:
+		node.Freeze()
+	case repair:
+		return node.Start()
+	case kind == FaultStop:
+		node.Terminate(uncheckedStopTimeout)
+	case kind == FaultWipe:
+		node.Kill()
+		return node.Wipe()
+	case kind == FaultKill:
+		node.Kill()
+	default:
+		return wrongTarget(kind)
+	}
+	return nil
+}
+
+func (r *Run) causeServerFault(name string, fault Fault, repair bool) error {
+	model := r.Fleet.Model(name)
+	switch {
+	case fault.Kind == FaultCrash && repair:
+		return r.restartServer(name)
+	case fault.Kind == FaultCrash:
+		r.crashServer(name)
+	case fault.Kind == FaultDrain || fault.Kind == FaultLeave:
+		r.Fleet.Platform.SetState(name, listedState(fault.Kind, repair), leaveTime(scenarioLeaveAfter))
+	case model != nil && fault.Kind == FaultDark:
+		model.SetUnresponsive(!repair)
+	case fault.Odds > 0:
+		r.setFaultOdds(name, requestFaultOdds(fault, repair))
+	default:
+		return wrongTarget(fault.Kind)
+	}
+	return nil
+}
+
+// listedState returns the state in which a server is listed.
+func listedState(kind FaultKind, repair bool) string {
+	switch {
+	case repair:
+		return stateReady
+	case kind == FaultDrain:
+		return stateDraining
+	}
+	return stateLeaving
+}
+
+// requestFaultOdds returns the odds of a fault of some requests.
+func requestFaultOdds(fault Fault, repair bool) emulator.FaultOdds {
+	if repair {
+		return nil
+	}
+	return emulator.FaultOdds{emulator.Fault(fault.Kind): fault.Odds}
+}
+
+func (r *Run) setFaultOdds(server string, odds emulator.FaultOdds) {
+	if model := r.Fleet.Model(server); model != nil {
+		model.SetFaultOdds(odds)
+		return
+	}
+	r.Fleet.Web(server).SetFaultOdds(odds)
+}
--- a/cmd/rig/faultcase/stored_data.go
+++ b/cmd/rig/faultcase/stored_data.go
@@ -36,25 +36,25 @@
 // newStoredDataCheck returns a check that ignores what was logged until now.
 func newStoredDataCheck(nodes []*fleet.Node) (*storedDataCheck, error) {
 	check := &storedDataCheck{logOffset: map[*fleet.Node]int{}}
-	for _, n := range nodes {
-		log, err := os.ReadFile(n.LogFile())
+	for _, node := range nodes {
+		log, err := os.ReadFile(node.LogFile())
 		if err != nil {
-			return nil, errors.Wrap(err, "log of "+n.Name)
+			return nil, errors.Wrap(err, "log of "+node.Name)
 		}
-		check.logOffset[n] = len(log)
+		check.logOffset[node] = len(log)
 	}
 	return check, nil
 }
 
-// node returns an error if the log of a node shows that it could not use its
+// randomNode returns an error if the log of a node shows that it could not use its
 // stored data.
-func (c *storedDataCheck) node(n *fleet.Node) error {
-	log, err := os.ReadFile(n.LogFile())
+func (c *storedDataCheck) node(node *fleet.Node) error {
+	log, err := os.ReadFile(node.LogFile())
 	if err != nil {
-		return errors.Wrap(err, "log of "+n.Name)
+		return errors.Wrap(err, "log of "+node.Name)
 	}
-	if line := findStoredDataEvent(log[c.logOffset[n]:]); line != "" {
-		return errors.Errorf("%s could not use its stored data: %s", n.Name, line)
+	if line := findStoredDataEvent(log[c.logOffset[node]:]); line != "" {
+		return errors.Errorf("%s could not use its stored data: %s", node.Name, line)
 	}
 	return nil
 }
--- /dev/null
+++ b/cmd/rig/faultcase/summary.go
@@ -0,0 +1,163 @@
+package faultcase
+
+import (
+	"fmt"
+	"io"
+	"sort"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"stepwick/cmd/rig/checker"
+	"stepwick/cmd/rig/history"
+	"stepwick/internal/apierror"
+)
+
+const (
+	maxLatency        = 2 * time.Minute // that a histogram holds
+	latencyDigits     = 3               // significant figures
+	maxPrintedPerRule = 5               // violations that are printed in full
+)
+
+// Summary is the result of a run. Goodput is the attempts served a second.
+type Summary struct {
+	Served             int               `json:"served"`
+	Rejected           int               `json:"refused"`
+	Failed             int               `json:"failed"`
+	Unsent             int               `json:"unsent"`
+	Violations         int               `json:"violations"`
+	Goodput            float64           `json:"goodput"`
+	TTFTP50            float64           `json:"ttft_p50_ms"` // time to the first event of a stream
+	TTFTP95            float64           `json:"ttft_p95_ms"`
+	OneShotP50         float64           `json:"one_shot_p50_ms"`
+	OneShotP95         float64           `json:"one_shot_p95_ms"`
+	CacheHitShare      float64           `json:"kv_hit_share"`
+	ByCode             map[string]int    `json:"by_code,omitempty"`
+	OrdersAcknowledged int               `json:"orders_won"`
+	Versions           map[string]uint64 `json:"epochs,omitempty"`
+}
+
+// Summarize summarizes a recording from an instant on.
+func Summarize(recording *history.Recording, from history.Instant) Summary {
+	summary := Summary{ByCode: map[string]int{}}
+	firstEvents := newLatencies()
+	oneShots := newLatencies()
+	last := from
+	for _, attempt := range recording.Attempts {
+		if attempt.Sent < from {
+			continue
+		}
+		last = max(last, attempt.Sent)
+		summary.count(attempt)
+		if attempt.First == 0 || attempt.Outcome != history.Served {
+			continue
+		}
+		if attempt.Kind == history.KindStream {
+			firstEvents.record(attempt.First - attempt.Sent)
+		} else {
+			oneShots.record(attempt.First - attempt.Sent)
+		}
+	}
+	if last > from {
+		summary.Goodput = oneDecimal(float64(summary.Served) / (last - from).Seconds())
+	}
+	summary.CacheHitShare = cacheHitShare(recording, from)
+	summary.OrdersAcknowledged = acknowledgedOrders(recording)
+	summary.TTFTP50 = firstEvents.quantile(50)
+	summary.TTFTP95 = firstEvents.quantile(95)
+	summary.OneShotP50 = oneShots.quantile(50)
+	summary.OneShotP95 = oneShots.quantile(95)
+	return summary
+}
+
+func (s *Summary) count(attempt history.Attempt) {
+	switch attempt.Outcome {
+	case history.Served, history.Abandoned:
+		s.Served++
+	case history.Rejected:
+		s.Rejected++
+	case history.Unsent:
+		s.Unsent++
+	default:
+		s.Failed++
+	}
+	if attempt.Code != 0 {
+		s.ByCode[apierror.Code(attempt.Code).String()]++
+	} else if attempt.Outcome != history.Served {
+		s.ByCode[string(attempt.Outcome)]++
+	}
+}
+
+// latencies is a histogram of durations, in microseconds.
+type latencies struct{ histogram *hdrhistogram.Histogram }
+
+func newLatencies() latencies {
+	return latencies{hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
+}
+
+func (l latencies) record(d time.Duration) { _ = l.histogram.RecordValue(d.Microseconds()) }
+
+// quantile returns a percentile in milliseconds.
+func (l latencies) quantile(percent float64) float64 {
+	return float64(l.histogram.ValueAtQuantile(percent)) / 1000
+}
+
+// cacheHitShare returns the share of prompts whose prefix a model server had in
+// its cache.
+func cacheHitShare(recording *history.Recording, from history.Instant) float64 {
+	prompts, hits := 0, 0
+	for _, run := range recording.Runs {
+		if run.Kind != history.KindModel || !run.Ran || run.Arrived < from {
+			continue
+		}
+		prompts++
+		if run.CacheHit {
+			hits++
+		}
+	}
+	return ratio(hits, prompts)
+}
+
+// acknowledgedOrders counts the different orders that were acknowledged.
+func acknowledgedOrders(recording *history.Recording) int {
+	acknowledged := map[string]bool{}
+	for _, order := range recording.Orders {
+		if order.Acknowledged() {
+			acknowledged[order.ID] = true
+		}
+	}
+	return len(acknowledged)
+}
+
+// ratio returns a part of a total, cut to three decimals; 0 if the total is 0.
+func ratio(part, total int) float64 {
+	if total == 0 {
+		return 0
+	}
+	return float64(part*1000/total) / 1000
+}
+
+// oneDecimal cuts a number to one decimal.
+func oneDecimal(number float64) float64 { return float64(int(number*10)) / 10 }
+
+// PrintViolations prints violations, at most a few of each rule in full.
+func PrintViolations(out io.Writer, name string, violations []checker.Violation) {
+	counts := map[string]int{}
+	for _, violation := range violations {
+		counts[violation.Rule]++
+		if counts[violation.Rule] <= maxPrintedPerRule {
+			_, _ = fmt.Fprintf(out, "VIOLATION case %s seed %d [%s] %s\n    point: %s\n",
+				name, violation.Seed, violation.Rule, violation.Evidence, violation.Point)
+		}
+	}
+	var rules []string
+	for rule := range counts {
+		rules = append(rules, rule)
+	}
+	sort.Strings(rules)
+	for _, rule := range rules {
+		if counts[rule] > maxPrintedPerRule {
+			_, _ = fmt.Fprintf(out, "    … %d by the judge %s in all\n", counts[rule], rule)
+		}
+	}
+}
--- a/cmd/rig/measure.go
+++ b/cmd/rig/measure.go
@@ -49,19 +49,19 @@
 			}
 			defer remove()
 			for _, strategy := range strategies {
-				s, err := faultcase.Open(cmd.Context(), faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: longPrompts(), Binary: binary, Seed: seed, Seconds: length, Out: os.Stdout,
-					Sheet: map[string]string{"route.strategy": strategy}})
+				s, err := faultcase.Start(cmd.Context(), faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: longPrompts(), Binary: binary, Seed: seed, Seconds: length, Out: os.Stdout,
+					SheetSettings: map[string]string{"route.strategy": strategy}})
 				if err != nil {
 					return err
 				}
-				s.Crowd.SetLoadFactor("", factor)
+				s.Callers.SetLoadFactor("", factor)
 				s.Wait(5 * time.Second)
-				from := s.Book.Now()
+				from := s.Recorder.Now()
 				s.Wait(time.Duration(length) * time.Second)
 				l := s.Close()
 				found := checker.Check(&l)
-				faultcase.Report(os.Stdout, strategy, found)
-				sum := faultcase.Sum(&l, from)
+				faultcase.PrintViolations(os.Stdout, strategy, found)
+				sum := faultcase.Summarize(&l, from)
 				sum.Violations = len(found)
 				line, _ := json.Marshal(struct {
 					Strategy string `json:"strategy"`
@@ -87,11 +87,11 @@
 				return err
 			}
 			defer remove()
-			s, err := faultcase.Open(cmd.Context(), faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: loadgen.FirstTenants(), Binary: binary, Seed: 1, Out: os.Stdout})
+			s, err := faultcase.Start(cmd.Context(), faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: loadgen.FirstTenants(), Binary: binary, Seed: 1, Out: os.Stdout})
 			if err != nil {
 				return err
 			}
-			s.Crowd.SetLoadFactor("", 0)
+			s.Callers.SetLoadFactor("", 0)
 			s.Wait(6 * time.Second)
 			for _, t := range loadgen.FirstTenants() {
 				if t.Kind == "post" {
@@ -120,7 +120,7 @@
 }
 
 // cost measures to the first byte of the answer; both ways pass one relay.
-func cost(s *faultcase.Stage, t loadgen.Tenant, count int) costs {
+func cost(s *faultcase.Run, t loadgen.Tenant, count int) costs {
 	direct, through := hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
 	c := costs{Tenant: t.Name, Kind: t.Kind, Requests: count}
 	server := "model1"
@@ -136,9 +136,9 @@
 		for _, way := range []*hdrhistogram.Histogram{direct, through} {
 			var a history.Attempt
 			if way == direct {
-				a = s.Crowd.DoAtServer(call, s.Fleet.ServerAddress(server))
+				a = s.Callers.DoAtServer(call, s.Fleet.ServerAddress(server))
 			} else {
-				a = s.Crowd.Do(s.Context(), call)
+				a = s.Callers.Do(s.Context(), call)
 			}
 			if a.Outcome != history.Served {
 				c.Failed++
--- a/cmd/rig/prove_command.go
+++ b/cmd/rig/prove_command.go
@@ -129,18 +129,18 @@
 // proveOne runs one case. A case that could not do its work, such as an order
 // that was never accepted, counts as a violation too.
 func proveOne(ctx context.Context, p faultcase.Case, seed uint64, length int, r run) verdict {
-	o := faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: loadgen.FirstTenants(), Binary: r.binary, PreviousBinary: r.previousBinary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, Table: r.table}
+	o := faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: loadgen.FirstTenants(), Binary: r.binary, PreviousBinary: r.previousBinary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, PrintTable: r.table}
 	if length > 0 {
 		o.Seconds = length
 	}
 	if r.keep != "" {
-		o.Keep = filepath.Join(r.keep, fmt.Sprintf("%s-%d", p.Name, seed))
+		o.KeepDir = filepath.Join(r.keep, fmt.Sprintf("%s-%d", p.Name, seed))
 	}
-	if p.Fleet != nil {
-		p.Fleet(&o)
+	if p.Configure != nil {
+		p.Configure(&o)
 	}
 	v := verdict{Case: p.Name, Seed: seed}
-	s, err := faultcase.Open(ctx, o)
+	s, err := faultcase.Start(ctx, o)
 	if err != nil {
 		v.Trouble, v.Violations = err.Error(), 1
 		fmt.Printf("TROUBLE case %s seed %d: %v\n", p.Name, seed, err)
@@ -150,7 +150,7 @@
 	err = p.Run(s)
 	l := s.Close()
 	found := checker.Check(&l)
-	faultcase.Report(os.Stdout, p.Name, found)
+	faultcase.PrintViolations(os.Stdout, p.Name, found)
 	if r.folder != "" {
 		name := fmt.Sprintf("%s-%d", p.Name, seed)
 		if err := report.Write(filepath.Join(r.folder, name), name, &l, found); err != nil {
@@ -158,9 +158,9 @@
 		}
 	}
 	v.Rolling = s.Rolling
-	sum := faultcase.Sum(&l, s.Began)
-	v.Violations, v.Served, v.Refused, v.Failed, v.Orders = len(found), sum.Served, sum.Refused, sum.Failed, sum.Orders
-	if p.Group == 7 {
+	sum := faultcase.Summarize(&l, s.TrafficStart)
+	v.Violations, v.Served, v.Refused, v.Failed, v.Orders = len(found), sum.Served, sum.Rejected, sum.Failed, sum.OrdersAcknowledged
+	if p.ChecksQuotas() {
 		v.Worst = map[string]float64{}
 		for name := range l.Allowances {
 			share, _ := checker.PeakQuotaUse(&l, name)
--- a/cmd/rig/scenario.go
+++ b/cmd/rig/scenario.go
@@ -33,21 +33,21 @@
 			}
 			defer remove()
 			o := sc.Options()
-			o.Tenants, o.Binary, o.Seed, o.Out, o.Table = loadgen.FirstTenants(), binary, seed, os.Stdout, true
-			s, err := faultcase.Open(cmd.Context(), o)
+			o.Tenants, o.Binary, o.Seed, o.Out, o.PrintTable = loadgen.FirstTenants(), binary, seed, os.Stdout, true
+			s, err := faultcase.Start(cmd.Context(), o)
 			if err != nil {
 				return err
 			}
 			trouble := sc.Run(s)
 			l := s.Close()
 			found := checker.Check(&l)
-			faultcase.Report(os.Stdout, args[0], found)
+			faultcase.PrintViolations(os.Stdout, args[0], found)
 			if folder != "" {
 				if err := report.Write(folder, args[0], &l, found); err != nil {
 					return err
 				}
 			}
-			sum := faultcase.Sum(&l, s.Began)
+			sum := faultcase.Summarize(&l, s.TrafficStart)
 			sum.Violations = len(found)
 			line, _ := json.Marshal(sum)
 			fmt.Println(string(line))
