--- /dev/null
+++ b/cmd/rig/report/chart.go
@@ -0,0 +1,167 @@
+package report
+
+import (
+	"fmt"
+	"image/color"
+	"math"
+	"sort"
+	"time"
+
+	"github.com/pkg/errors"
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/plotutil"
+	"gonum.org/v1/plot/vg"
+
+	"stepwick/cmd/rig/history"
+)
+
+const (
+	chartWidth  = 14 * vg.Inch
+	chartHeight = 6 * vg.Inch
+
+	// minLabelDistance is the time between two actions that are both labelled;
+	// labels nearer to each other would overlap.
+	minLabelDistance = 700 * time.Millisecond
+)
+
+// chart is lines over time, with a vertical line for each action.
+type chart struct {
+	title     string
+	unit      string
+	lines     map[string]plotter.XYs // by name
+	actions   []history.Action
+	boundLine bool // draw a dashed line at 1
+}
+
+// serviceLines returns the attempts a second, by how they ended.
+func serviceLines(seconds []Second) map[string]plotter.XYs {
+	lines := map[string]plotter.XYs{}
+	for _, second := range seconds {
+		counts := map[string]int{
+			"served":  second.Served,
+			"refused": second.Rejected,
+			"failed":  second.Failed,
+		}
+		for name, count := range counts {
+			lines[name] = append(lines[name], plotter.XY{X: float64(second.Second), Y: float64(count)})
+		}
+	}
+	return lines
+}
+
+// quotaLines returns the use of quotas, by tenant.
+func quotaLines(seconds []Second) map[string]plotter.XYs {
+	lines := map[string]plotter.XYs{}
+	for _, second := range seconds {
+		for tenant, use := range second.QuotaUse {
+			lines[tenant] = append(lines[tenant], plotter.XY{X: float64(second.Second), Y: use})
+		}
+	}
+	return lines
+}
+
+// save draws the chart into a file, in the format of its extension.
+func (c chart) save(path string) error {
+	p := plot.New()
+	p.Title.Text = c.title
+	p.X.Label.Text = "seconds"
+	p.Y.Label.Text = c.unit
+	p.Legend.Top = true
+	p.Legend.Left = true
+	p.Y.Min = 0
+	if err := c.addLines(p); err != nil {
+		return errors.Wrap(err, "plot")
+	}
+	if c.boundLine {
+		if err := addBoundLine(p); err != nil {
+			return errors.Wrap(err, "plot")
+		}
+	}
+	if err := c.addActions(p); err != nil {
+		return errors.Wrap(err, "plot")
+	}
+	return errors.Wrap(p.Save(chartWidth, chartHeight, path), fmt.Sprint("plot ", path))
+}
+
+func (c chart) addLines(p *plot.Plot) error {
+	names := make([]string, 0, len(c.lines))
+	for name := range c.lines {
+		names = append(names, name)
+	}
+	sort.Strings(names)
+	for i, name := range names {
+		line, err := plotter.NewLine(c.lines[name])
+		if err != nil {
+			return err
+		}
+		line.Color = plotutil.Color(i)
+		line.Width = vg.Points(1.2)
+		p.Add(line)
+		p.Legend.Add(name, line)
+	}
+	return nil
+}
+
+// addBoundLine draws a dashed line at 1 over the width of the lines before.
+func addBoundLine(p *plot.Plot) error {
+	bound, err := plotter.NewLine(plotter.XYs{{X: p.X.Min, Y: 1}, {X: p.X.Max, Y: 1}})
+	if err != nil {
+		return err
+	}
+	bound.Dashes = plotutil.Dashes(1)
+	p.Add(bound)
+	return nil
+}
+
+// top returns the highest value of all lines, at least 1.
+func (c chart) top() float64 {
+	top := 1.0
+	for _, line := range c.lines {
+		for _, point := range line {
+			top = max(top, point.Y)
+		}
+	}
+	return top
+}
+
+// addActions draws a vertical line for each action, and labels those that have
+// space.
+func (c chart) addActions(p *plot.Plot) error {
+	top := c.top()
+	labels := plotter.XYLabels{}
+	lastLabel := time.Duration(math.MinInt64 / 2)
+	for _, action := range c.actions {
+		x := action.At.Seconds()
+		bar, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: top}})
+		if err != nil {
+			return err
+		}
+		bar.Color = color.Gray{Y: 170}
+		bar.Width = vg.Points(0.5)
+		p.Add(bar)
+		if action.At-lastLabel <= minLabelDistance {
+			continue
+		}
+		labels.XYs = append(labels.XYs, plotter.XY{X: x, Y: top})
+		labels.Labels = append(labels.Labels, action.Description)
+		lastLabel = action.At
+	}
+	return addLabels(p, labels)
+}
+
+func addLabels(p *plot.Plot, labels plotter.XYLabels) error {
+	if len(labels.Labels) == 0 {
+		return nil
+	}
+	text, err := plotter.NewLabels(labels)
+	if err != nil {
+		return err
+	}
+	for i := range text.TextStyle {
+		text.TextStyle[i].Rotation = -math.Pi / 2
+		text.TextStyle[i].Font.Size = vg.Points(7)
+	}
+	p.Add(text)
+	return nil
+}
