--- a/cmd/rig/emulator/model.go
+++ b/cmd/rig/emulator/model.go
@@ -179,7 +179,7 @@
 func (m *Model) warmingUp(s *modelState) bool { return s.answered < m.spec.WarmUpAnswers }
 
 func (m *Model) status(w http.ResponseWriter, r *http.Request) {
-	var body status
+	var body Status
 	unresponsive := false
 	m.state.Do(func(s *modelState) {
 		unresponsive = s.unresponsive
@@ -188,7 +188,7 @@
 	writeStatus(w, r, body, unresponsive)
 }
 
-func (m *Model) currentStatus(s *modelState) status {
+func (m *Model) currentStatus(s *modelState) Status {
 	state := stateReady
 	prefillRate := m.spec.PrefillRate
 	if m.warmingUp(s) {
@@ -198,7 +198,7 @@
 	if s.draining {
 		state = stateDraining
 	}
-	return status{
+	return Status{
 		Server:           m.Name,
 		Incarnation:      s.incarnation,
 		State:            state,
--- a/cmd/rig/emulator/server.go
+++ b/cmd/rig/emulator/server.go
@@ -31,8 +31,8 @@
 	stateDraining = "draining"
 )
 
-// status is the answer of a server to GET /v1/status.
-type status struct {
+// Status is the answer of a server to GET /v1/status.
+type Status struct {
 	Answered         int     `json:"answered"`
 	Incarnation      uint64  `json:"incarnation"`
 	CacheUsed        float64 `json:"kv_used"`            // share of the cache
@@ -86,7 +86,7 @@
 
 // writeStatus answers a status request; an unresponsive server holds it until
 // the caller leaves.
-func writeStatus(w http.ResponseWriter, r *http.Request, body status, unresponsive bool) {
+func writeStatus(w http.ResponseWriter, r *http.Request, body Status, unresponsive bool) {
 	if unresponsive {
 		<-r.Context().Done()
 		return
--- a/cmd/rig/emulator/web.go
+++ b/cmd/rig/emulator/web.go
@@ -246,7 +246,7 @@
 }
 
 func (w *Web) status(out http.ResponseWriter, r *http.Request) {
-	var body status
+	var body Status
 	unresponsive := false
 	w.state.Do(func(s *webState) {
 		unresponsive = s.unresponsive
@@ -255,12 +255,12 @@
 	writeStatus(out, r, body, unresponsive)
 }
 
-func (w *Web) currentStatus(s *webState) status {
+func (w *Web) currentStatus(s *webState) Status {
 	state := stateReady
 	if s.draining {
 		state = stateDraining
 	}
-	return status{
+	return Status{
 		Server:           w.Name,
 		Incarnation:      s.incarnation,
 		State:            state,
--- a/cmd/rig/hollow_command.go
+++ b/cmd/rig/hollow_command.go
@@ -32,7 +32,7 @@
 							return err
 						}
 						result, err := simnode.Measure(cmd.Context(), simnode.Options{Binary: binary, Dir: dir, Fronts: n, Cores: cores, Tenants: t, Servers: m,
-							Warm: time.Duration(warm) * time.Second, Span: time.Duration(span) * time.Second, Orders: orders, Settings: settings, Profile: profile, Herd: herd})
+							WarmUp: time.Duration(warm) * time.Second, Duration: time.Duration(span) * time.Second, Orders: orders, Settings: settings, HeapProfile: profile, RestartFronts: herd})
 						os.RemoveAll(dir)
 						if err != nil {
 							return err
--- a/cmd/rig/simnode/orders.go
+++ b/cmd/rig/simnode/orders.go
@@ -13,107 +13,156 @@
 
 	"stepwick/cmd/rig/fleet"
 	"stepwick/internal/apierror"
-	"stepwick/internal/clock"
 	"stepwick/internal/decision/sheet"
 )
 
-type operator struct{ base string }
+const (
+	sheetPath          = "/v1/control/sheet"
+	orderTimeout       = 15 * time.Second
+	firstSheetTrials   = 60
+	firstSheetInterval = time.Second
 
+	modelServices    = 11
+	tenantAllowance  = 1600 // tokens a second, and burst
+	changedWeight    = "weights.model00.r00"
+	firstSheetOrder  = "first"
+	maxRegionWeight  = 10
+	minChangedWeight = 2
+)
+
+// operator sends orders through the front at an address.
+type operator struct{ address string }
+
+// putRequest is the body of an order that replaces the sheet.
+type putRequest struct {
+	Base    uint64       `json:"base"`
+	OrderID string       `json:"order_id"`
+	Sheet   *sheet.Sheet `json:"sheet"`
+}
+
+// patchRequest is the body of an order that changes the sheet.
+type patchRequest struct {
+	Base    uint64        `json:"base"`
+	Changes []weightPatch `json:"changes"`
+	OrderID string        `json:"order_id"`
+}
+
+type weightPatch struct {
+	Path  string `json:"path"`
+	Value int    `json:"value"`
+}
+
+// orderAnswer is the answer to an order or to the reading of the sheet.
 type orderAnswer struct {
 	Code    apierror.Code `json:"code"`
 	Version uint64        `json:"epoch"`
 	InForce bool          `json:"in_force"`
-	Sheet   uint64        `json:"sheet_epoch"`
+	Sheet   uint64        `json:"sheet_epoch"` // version of the sheet
 }
 
-func (o operator) call(ctx context.Context, method, path string, body any) (answer orderAnswer, err error) {
+func (a orderAnswer) isInForce() bool { return a.Code == apierror.OK && a.InForce }
+
+// call sends a request with an optional body and decodes the answer.
+func (o operator) call(ctx context.Context, method string, body any) (orderAnswer, error) {
+	var answer orderAnswer
 	var data []byte
 	if body != nil {
+		var err error
 		if data, err = json.Marshal(body); err != nil {
 			return answer, err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.base+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.address+sheetPath, bytes.NewReader(data))
 	if err != nil {
 		return answer, err
 	}
-	req.Header.Set("Authorization", "Bearer ada's key")
+	req.Header.Set("Authorization", "Bearer "+operatorKey)
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return answer, err
 	}
-	defer resp.Body.Close()
-	return answer, errors.Wrap(json.NewDecoder(resp.Body).Decode(&answer), "answer to an order")
+	defer func() { _ = resp.Body.Close() }()
+	err = json.NewDecoder(resp.Body).Decode(&answer)
+	return answer, errors.Wrap(err, "answer to an order")
 }
 
-// sheetOf is a sheet with a number of tenants, 11 models and shares in every
-// region.
-func (r *run) sheetOf() *sheet.Sheet {
-	s := &sheet.Sheet{Services: map[string]sheet.Service{}, Weights: map[string]map[string]float64{}, Tenants: map[string]sheet.Tenant{}}
-	for m := range 11 {
-		name := fmt.Sprintf("model%02d", m)
+// newSheet returns a sheet with a number of tenants, and with models that have
+// weights in every region.
+func newSheet(tenants int) *sheet.Sheet {
+	s := &sheet.Sheet{
+		Services: map[string]sheet.Service{},
+		Weights:  map[string]map[string]float64{},
+		Tenants:  map[string]sheet.Tenant{},
+	}
+	for model := range modelServices {
+		name := modelName(model)
 		s.Services[name] = sheet.Service{Kind: "model"}
 		s.Weights[name] = map[string]float64{}
-		for region := range regions {
-			s.Weights[name][fmt.Sprintf("r%02d", region)] = float64(1 + region%10)
+		for region := range siteRegions {
+			s.Weights[name][fmt.Sprintf("r%02d", region)] = float64(1 + region%maxRegionWeight)
 		}
 	}
-	for t := range r.options.Tenants {
-		name := fmt.Sprintf("tenant%05d", t)
-		s.Tenants[name] = sheet.Tenant{Rate: 1600, Burst: 1600, KeyHashes: []string{fleet.HashKey("key of " + name)}}
+	for i := range tenants {
+		name := fmt.Sprintf("tenant%05d", i)
+		s.Tenants[name] = sheet.Tenant{
+			Rate:      tenantAllowance,
+			Burst:     tenantAllowance,
+			KeyHashes: []string{fleet.HashKey("key of " + name)},
+		}
 	}
 	return s
 }
 
-// firstSheet waits until the sheet is in force everywhere, 60 s at the most.
-func (r *run) firstSheet(ctx context.Context, clock clock.Clock, o operator) error {
+func modelName(i int) string { return fmt.Sprintf("model%02d", i) }
+
+// submitFirstSheet submits the sheet until it is in force everywhere, for about a
+// minute at the most.
+func (f *simFleet) submitFirstSheet(through operator) error {
 	var last orderAnswer
 	var err error
-	for range 60 {
-		last, err = o.call(ctx, http.MethodPut, "/v1/control/sheet", map[string]any{"order_id": "first", "base": 0, "sheet": r.sheetOf()})
-		if err == nil && last.Code == apierror.OK && last.InForce {
+	for range firstSheetTrials {
+		last, err = through.call(f.ctx, http.MethodPut, putRequest{
+			OrderID: firstSheetOrder,
+			Sheet:   newSheet(f.options.Tenants),
+		})
+		if err == nil && last.isInForce() {
 			return nil
 		}
-		<-clock.After(time.Second)
+		<-f.clock.After(firstSheetInterval)
 	}
 	return errors.Errorf("first sheet not in force: %+v, %v", last, err)
 }
 
-// orders puts changes in force one after another and notes how long each took.
-func (r *run) orders(ctx context.Context, clock clock.Clock, o operator, result *Result) {
-	var took []float64
-	for i := range r.options.Orders {
-		current, err := o.call(ctx, http.MethodGet, "/v1/control/sheet", nil)
+// measureOrders puts changes in force one after another and measures how long each
+// takes.
+func (f *simFleet) measureOrders(through operator, result *Result) {
+	var milliseconds []float64
+	for i := range f.options.Orders {
+		current, err := through.call(f.ctx, http.MethodGet, nil)
 		if err != nil {
-			result.Unmet++
+			result.OrdersNotInForce++
 			continue
 		}
-		at := clock.Now()
-		answer, err := o.call(ctx, http.MethodPatch, "/v1/control/sheet", map[string]any{"order_id": fmt.Sprintf("change%d", i), "base": current.Sheet,
-			"changes": []map[string]any{{"path": "weights.model00.r00", "value": i + 2}}})
-		if err != nil || answer.Code != apierror.OK || !answer.InForce {
-			result.Unmet++
-			result.Why = fmt.Sprintf("on %+v: %+v %v", current, answer, err)
+		start := f.clock.Now()
+		answer, err := through.call(f.ctx, http.MethodPatch, patchRequest{
+			Base:    current.Sheet,
+			Changes: []weightPatch{{Path: changedWeight, Value: i + minChangedWeight}},
+			OrderID: fmt.Sprintf("change%d", i),
+		})
+		if err != nil || !answer.isInForce() {
+			result.OrdersNotInForce++
+			result.LastFailure = fmt.Sprintf("on %+v: %+v %v", current, answer, err)
 			continue
 		}
-		took = append(took, clock.Now().Sub(at).Seconds()*1000)
+		milliseconds = append(milliseconds, f.clock.Now().Sub(start).Seconds()*1000)
 	}
-	if len(took) == 0 {
+	if len(milliseconds) == 0 {
 		return
 	}
-	sort.Float64s(took)
-	result.InForceP50MS, result.InForceMaxMS = took[len(took)/2], took[len(took)-1]
-}
-
-// ruling counts the fronts that rule.
-func (r *run) ruling(ctx context.Context) (ruling int) {
-	for i := range r.options.Fronts {
-		if r.rules(ctx, i) {
-			ruling++
-		}
-	}
-	return ruling
+	sort.Float64s(milliseconds)
+	result.InForceP50MS = milliseconds[len(milliseconds)/2]
+	result.InForceMaxMS = milliseconds[len(milliseconds)-1]
 }
--- a/cmd/rig/simnode/servers.go
+++ b/cmd/rig/simnode/servers.go
@@ -5,54 +5,96 @@
 	"fmt"
 	"net"
 	"net/http"
+	"time"
 
+	"stepwick/cmd/rig/emulator"
 	"stepwick/internal/apierror"
-	"stepwick/internal/clock"
 )
 
-// startServers plays the platform and a number of servers that are listed,
-// answer for their status with a load that moves, and serve nothing. Each has
-// an address of its own.
-func (r *run) startServers(ctx context.Context) error {
-	type entry struct {
-		Name     string   `json:"name"`
-		Address  string   `json:"address"`
-		Kind     string   `json:"kind"`
-		Services []string `json:"services"`
-		Region   string   `json:"region"`
-		Zone     string   `json:"zone"`
-		State    string   `json:"state"`
-	}
-	var list []entry
-	clock, start := clock.System(), clock.System().Now()
-	for i := range r.options.Servers {
-		address := r.address(120, i, 8000)
-		name := fmt.Sprintf("server%05d", i)
-		list = append(list, entry{name, address, "model", []string{fmt.Sprintf("model%02d", i%11)},
-			fmt.Sprintf("r%02d", i%r.zones()%r.regions()), fmt.Sprintf("z%02d", i%r.zones()), "ready"})
-		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			tick := int(clock.Now().Sub(start).Seconds()) + i
-			apierror.WriteJSON(w, http.StatusOK, map[string]any{"server": name, "incarnation": 1, "state": "ready", "slots": 16, "running": tick % 13,
-				"queued": tick % 3, "tokens_per_second": 2000, "prefill_per_second": 24000, "kv_used": float64(tick%97) / 100, "answered": 1000 + tick})
-		})
-		if err := r.serve(ctx, address, handler); err != nil {
+// listTag is the entity tag of the platform's list, which never changes.
+const listTag = `"one list"`
+
+// listedServer is a server in the platform's list.
+type listedServer struct {
+	Name     string   `json:"name"`
+	Address  string   `json:"address"`
+	Kind     string   `json:"kind"`
+	Services []string `json:"services"`
+	Region   string   `json:"region"`
+	Zone     string   `json:"zone"`
+	State    string   `json:"state"`
+}
+
+// serverList is the platform's answer.
+type serverList struct {
+	Servers []listedServer `json:"servers"`
+}
+
+// startServers emulates the platform and a number of servers that are listed,
+// answer for their status with a changing load, and serve nothing. Each has an
+// address of its own.
+func (f *simFleet) startServers() error {
+	var list serverList
+	start := f.clock.Now()
+	for i := range f.options.Servers {
+		server := f.listedServer(i)
+		list.Servers = append(list.Servers, server)
+		handler := func(w http.ResponseWriter, _ *http.Request) {
+			age := f.clock.Now().Sub(start)
+			apierror.WriteJSON(w, http.StatusOK, statusAt(server.Name, age, i))
+		}
+		if err := serve(f.ctx, server.Address, handler); err != nil {
 			return err
 		}
 	}
-	return r.serve(ctx, r.platform(), http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		const tag = `"one list"`
-		w.Header().Set("ETag", tag)
-		if q.Header.Get("If-None-Match") == tag {
-			w.WriteHeader(http.StatusNotModified)
-			return
-		}
-		apierror.WriteJSON(w, http.StatusOK, map[string]any{"servers": list})
-	}))
+	return serve(f.ctx, f.platformAddress(), list.handle)
+}
+
+func (f *simFleet) listedServer(i int) listedServer {
+	return listedServer{
+		Name:     serverName(i),
+		Address:  f.address(serverGroup, i, serverPort),
+		Kind:     "model",
+		Services: []string{modelName(i % modelServices)},
+		Region:   f.regionOf(i),
+		Zone:     f.zoneOf(i),
+		State:    "ready",
+	}
+}
+
+func serverName(i int) string { return fmt.Sprintf("server%05d", i) }
+
+// statusAt returns a status whose load changes each second, differently for each
+// server.
+func statusAt(name string, age time.Duration, i int) emulator.Status {
+	tick := int(age.Seconds()) + i
+	return emulator.Status{
+		Server:           name,
+		Incarnation:      1,
+		State:            "ready",
+		Slots:            16,
+		Running:          tick % 13,
+		Queued:           tick % 3,
+		TokensPerSecond:  2000,
+		PrefillPerSecond: 24000,
+		CacheUsed:        float64(tick%97) / 100,
+		Answered:         1000 + tick,
+	}
+}
+
+func (l serverList) handle(w http.ResponseWriter, r *http.Request) {
+	w.Header().Set("ETag", listTag)
+	if r.Header.Get("If-None-Match") == listTag {
+		w.WriteHeader(http.StatusNotModified)
+		return
+	}
+	apierror.WriteJSON(w, http.StatusOK, l)
 }
 
-func (r *run) platform() string { return r.address(89, 0, 8000) }
+func (f *simFleet) platformAddress() string { return f.address(platformGroup, 0, serverPort) }
 
-func (r *run) serve(ctx context.Context, address string, handler http.Handler) error {
+// serve serves at an address until ctx ends.
+func serve(ctx context.Context, address string, handler http.HandlerFunc) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
--- a/cmd/rig/slopes_command.go
+++ b/cmd/rig/slopes_command.go
@@ -13,18 +13,18 @@
 	var servers, tenants []int
 	c := &cobra.Command{Use: "slopes", Short: "Measure what state costs as servers and tenants grow",
 		RunE: func(*cobra.Command, []string) error {
-			show := func(slope simnode.Slope) error {
+			show := func(slope simnode.StateCost) error {
 				line, err := json.Marshal(slope)
 				fmt.Println(string(line))
 				return err
 			}
 			for _, n := range servers {
-				if err := show(simnode.ServerSlope(n)); err != nil {
+				if err := show(simnode.MeasureServerState(n)); err != nil {
 					return err
 				}
 			}
 			for _, n := range tenants {
-				slope, err := simnode.TenantSlope(n)
+				slope, err := simnode.MeasureTenantState(n)
 				if err != nil {
 					return err
 				}
