--- /dev/null
+++ b/cmd/rig/demo_command.go
@@ -0,0 +1,174 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"stepwick/cmd/rig/faultcase"
+	"stepwick/cmd/rig/fleet"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/loadgen"
+)
+
+const (
+	demoChanges        = 30
+	demoOperatorsGrace = 20 * time.Second // for orders after the length of the demo
+	demoLossDelay      = 5 * time.Millisecond
+	demoVersionTimeout = 5 * time.Second
+)
+
+// demo serves the first deployment's load while operators submit changes.
+type demo struct {
+	seconds int
+	seed    uint64
+	keepDir string
+	report  string // folder
+}
+
+func demoCommand() *cobra.Command {
+	d := &demo{seconds: 15, seed: 1}
+	c := &cobra.Command{
+		Use:   "demo",
+		Short: "Serve the first deployment's load while operators submit changes",
+		RunE:  func(cmd *cobra.Command, _ []string) error { return d.run(cmd.Context()) },
+	}
+	c.Flags().IntVar(&d.seconds, "seconds", d.seconds, "how long to serve")
+	c.Flags().Uint64Var(&d.seed, "seed", d.seed, "seed of the load")
+	c.Flags().StringVar(&d.keepDir, "keep", d.keepDir, "folder for the ledger and the nodes' logs")
+	c.Flags().StringVar(&d.report, "report", d.report, "folder for JSON lines and plots")
+	return c
+}
+
+func (d *demo) run(ctx context.Context) error {
+	binary, remove, err := buildProgram()
+	if err != nil {
+		return err
+	}
+	defer remove()
+	run, err := faultcase.Start(ctx, faultcase.Options{
+		Spec:       fleet.FirstDeployment(),
+		Tenants:    loadgen.FirstTenants(),
+		Binary:     binary,
+		Seed:       d.seed,
+		Seconds:    d.seconds,
+		KeepDir:    d.keepDir,
+		Out:        os.Stdout,
+		PrintTable: true,
+	})
+	if err != nil {
+		return err
+	}
+	problems := operate(run, d.seconds)
+	versions := run.NodeVersions(demoVersionTimeout)
+	result := conclude(run, "demo")
+	if err := result.writeReport(d.report, "demo"); err != nil {
+		return err
+	}
+	_, newest := run.Operators.NewestKey()
+	for node, version := range versions {
+		if version != newest {
+			problems = append(problems, fmt.Sprintf("node %s is not at the newest sheet epoch %d", node, newest))
+		}
+	}
+	for _, problem := range problems {
+		fmt.Println("TROUBLE", problem)
+	}
+	summary := result.summarize(run.TrafficStart)
+	summary.Violations += len(problems)
+	summary.Versions = versions
+	if err := printJSON(summary); err != nil {
+		return err
+	}
+	return violationError(summary.Violations)
+}
+
+// operate submits changes in a row, one race and one order whose answer is lost,
+// while the fleet serves, and returns what did not go as it must.
+func operate(run *faultcase.Run, length int) []string {
+	duration := time.Duration(length) * time.Second
+	until := run.Recorder.Now() + duration
+	ctx, cancel := context.WithTimeout(run.Context(), duration+demoOperatorsGrace)
+	defer cancel()
+	run.Wait(2 * time.Second)
+	base, ok := run.Operators.SheetVersion(ctx, run.Fleet.Nodes)
+	if !ok {
+		return []string{"no node gave the sheet"}
+	}
+	base, problem := submitInRow(ctx, run, base)
+	if problem != "" {
+		return []string{problem}
+	}
+	var problems []string
+	for _, check := range []string{
+		raceOnBase(ctx, run, base),
+		resendAfterLostAnswer(ctx, run),
+		readBackOnce(run),
+	} {
+		if check != "" {
+			problems = append(problems, check)
+		}
+	}
+	if remaining := until - run.Recorder.Now(); remaining > 0 {
+		run.Wait(remaining)
+	}
+	return problems
+}
+
+// submitInRow submits changes one after another and returns the base of the next.
+// Like the checks below, it returns the problem it found, or an empty string.
+func submitInRow(ctx context.Context, run *faultcase.Run, base uint64) (next uint64, problem string) {
+	for i := range demoChanges {
+		answer := run.Operators.Submit(ctx, run.Operators.Change("ade", base), run.Fleet.NodesFrom(i))
+		if !answer.Acknowledged() {
+			return base, fmt.Sprintf("change %d: status %d code %d %s", i+1, answer.Status, answer.Code, answer.Detail)
+		}
+		base = answer.Version
+	}
+	return base, ""
+}
+
+// raceOnBase submits two changes on one base at once: one must be acknowledged.
+func raceOnBase(ctx context.Context, run *faultcase.Run, base uint64) (problem string) {
+	orders := []*loadgen.Order{run.Operators.Change("ade", base), run.Operators.Change("bola", base)}
+	answers := make([]history.Order, len(orders))
+	var racers sync.WaitGroup
+	for i, order := range orders {
+		order.Race = "demo"
+		racers.Go(func() { answers[i] = run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(i*4)) })
+	}
+	racers.Wait()
+	first, second := answers[0], answers[1]
+	if first.Acknowledged() == second.Acknowledged() {
+		return fmt.Sprintf("race: %d/%d and %d/%d", first.Status, first.Code, second.Status, second.Code)
+	}
+	return ""
+}
+
+// resendAfterLostAnswer sends one order three times, first with a lost answer: the
+// answers must be the same.
+func resendAfterLostAnswer(ctx context.Context, run *faultcase.Run) (problem string) {
+	_, base := run.Operators.NewestKey()
+	order := run.Operators.Change("bola", base)
+	run.Operators.Send(order, run.Fleet.Nodes[1], demoLossDelay)
+	first := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(2))
+	again := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(5))
+	if !first.Acknowledged() || !again.Acknowledged() || first.Version != again.Version {
+		return fmt.Sprintf("lost answer: %d/%d epoch %d, again %d/%d epoch %d",
+			first.Status, first.Code, first.Version, again.Status, again.Code, again.Version)
+	}
+	return ""
+}
+
+func readBackOnce(run *faultcase.Run) (problem string) {
+	read, _ := run.Operators.ReadSheet(run.Fleet.Nodes[3], true)
+	if read.Status != http.StatusOK {
+		return fmt.Sprintf("read back: status %d code %d", read.Status, read.Code)
+	}
+	return ""
+}
--- a/cmd/rig/experiment_command.go
+++ b/cmd/rig/experiment_command.go
@@ -17,31 +17,40 @@
 	model "stepwick/sim/balance"
 )
 
-// experiment is what the experiment command is asked for.
+const (
+	plotWidth    = 8 * vg.Inch
+	plotHeight   = 4 * vg.Inch
+	plotBarWidth = 16 // points
+)
+
+// experiment is the flags of the experiment command.
 type experiment struct {
-	site    string
-	off     []string
-	ablate  bool
-	seeds   int
-	from    uint64
-	scale   float64
-	seconds float64
-	plot    string
-	burst   model.Burst
+	site     string
+	disabled []string // mechanisms
+	ablate   bool
+	seeds    int
+	from     uint64
+	scale    float64
+	seconds  float64 // 0 for the site's own
+	plotFile string
+	burst    model.Burst
 }
 
 func experimentCommand() *cobra.Command {
 	e := &experiment{}
-	c := &cobra.Command{Use: "experiment", Short: "Compare policies of choosing servers in virtual time, paired by seed",
+	c := &cobra.Command{
+		Use:   "experiment",
+		Short: "Compare policies of choosing servers in virtual time, paired by seed",
 		Long: `Compare policies of choosing servers in virtual time, paired by seed.
 
 The choices are the product's own code for every front of a site; servers, links
 and clients are modelled (sim/balance). Without flags all mechanisms are compared
 with themselves: name those to be switched off, or ask for each in turn.`,
 		Example: "  rig experiment --site three-regions --off isolation --seeds 6\n  rig experiment --site two-regions --ablate",
-		RunE:    func(cmd *cobra.Command, _ []string) error { return e.run(cmd.OutOrStdout()) }}
+		RunE:    func(cmd *cobra.Command, _ []string) error { return e.run(cmd.OutOrStdout()) },
+	}
 	c.Flags().StringVar(&e.site, "site", "three-regions", "three-regions or two-regions")
-	c.Flags().StringSliceVar(&e.off, "off", nil, "mechanisms that the second policy has switched off")
+	c.Flags().StringSliceVar(&e.disabled, "off", nil, "mechanisms that the second policy has switched off")
 	c.Flags().BoolVar(&e.ablate, "ablate", false, "switch each mechanism off in turn")
 	c.Flags().IntVar(&e.seeds, "seeds", 6, "number of seeds")
 	c.Flags().Uint64Var(&e.from, "from", 1, "first seed")
@@ -51,82 +60,100 @@
 	c.Flags().Float64Var(&e.burst.Times, "burst-times", 4, "how many times as often")
 	c.Flags().Float64Var(&e.burst.At, "burst-at", 14, "from this second on")
 	c.Flags().Float64Var(&e.burst.For, "burst-for", 8, "for so many seconds")
-	c.Flags().StringVar(&e.plot, "plot", "", "file for a plot of the differences in worth by seed (svg, png or pdf)")
+	c.Flags().StringVar(&e.plotFile, "plot", "", "file for a plot of the differences in worth by seed (svg, png or pdf)")
 	return c
 }
 
 func (e *experiment) run(out io.Writer) error {
-	site, err := model.Load(e.site)
+	site, err := e.loadSite()
 	if err != nil {
 		return err
 	}
-	if e.scale <= 0 || e.seeds <= 0 {
-		return errors.New("scale and seeds must be above zero")
-	}
-	if e.scale != 1 {
-		site = site.Scaled(e.scale)
-	}
-	if e.burst.Kind != "" {
-		site.Burst = e.burst
-	}
-	if e.seconds > 0 {
-		site.Seconds = e.seconds
-	}
 	seeds := make([]uint64, e.seeds)
 	for i := range seeds {
 		seeds[i] = e.from + uint64(i)
 	}
 	if e.ablate {
-		return e.ablation(out, site, seeds)
+		return printAblation(out, site, seeds)
 	}
-	off, err := balance.ParseOff(e.off)
+	off, err := balance.ParseOff(e.disabled)
 	if err != nil {
 		return err
 	}
-	all := model.Compare(site, model.Policy{Name: "all"}, model.Policy{Name: "without", Off: off}, seeds)
-	if err := printDifferences(out, strings.Join(e.off, ","), all); err != nil {
+	label := strings.Join(e.disabled, ",")
+	differences := model.Compare(site, model.Policy{Name: "all"}, model.Policy{Name: "without", Off: off}, seeds)
+	if err := printDifferences(out, label, differences); err != nil {
 		return err
 	}
-	if e.plot == "" {
+	if e.plotFile == "" {
 		return nil
 	}
-	return plotWorth(e.plot, strings.Join(e.off, ","), all)
+	return plotValues(e.plotFile, label, differences[0])
+}
+
+// loadSite returns the site with the changes that the flags make.
+func (e *experiment) loadSite() (model.Site, error) {
+	site, err := model.Load(e.site)
+	if err != nil {
+		return site, err
+	}
+	if e.scale <= 0 || e.seeds <= 0 {
+		return site, errors.New("scale and seeds must be above zero")
+	}
+	if e.scale != 1 {
+		site = site.Scaled(e.scale)
+	}
+	if e.burst.Kind != "" {
+		site.Burst = e.burst
+	}
+	if e.seconds > 0 {
+		site.Seconds = e.seconds
+	}
+	return site, nil
+}
+
+func newTable(out io.Writer) *tabwriter.Writer {
+	return tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 }
 
-func printDifferences(out io.Writer, off string, all []model.Difference) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "figure\tall\twithout %s\tdifference\t95%%\t\n", off)
-	for _, d := range all {
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%+.4g\t±%.2g\t\n", d.Figure, d.A, d.B, d.Mean, d.Within)
+func printDifferences(out io.Writer, label string, differences []model.Difference) error {
+	table := newTable(out)
+	_, _ = fmt.Fprintf(table, "figure\tall\twithout %s\tdifference\t95%%\t\n", label)
+	for _, d := range differences {
+		_, _ = fmt.Fprintf(table, "%s\t%.4g\t%.4g\t%+.4g\t±%.2g\t\n", d.Figure, d.A, d.B, d.Mean, d.Within)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-// ablation switches each mechanism off in turn.
-func (e *experiment) ablation(out io.Writer, site model.Site, seeds []uint64) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "off\tworth\t95%%\tworst windows\t95%%\t1,000 tokens read again\tMB between regions\tconnections\tservers out\t\n")
+// printAblation switches each mechanism off in turn.
+func printAblation(out io.Writer, site model.Site, seeds []uint64) error {
+	table := newTable(out)
+	_, _ = fmt.Fprintf(table, "off\tworth\t95%%\tworst windows\t95%%\t1,000 tokens read again\tMB between regions\tconnections\tservers out\t\n")
 	for _, mechanism := range balance.Mechanisms {
-		all := model.Compare(site, model.Policy{}, model.Policy{Off: balance.Off{mechanism: true}}, seeds)
-		worth, worst := all[0], all[1]
-		fmt.Fprintf(w, "%s\t%+.4f\t±%.4f\t%+.3f\t±%.3f\t", mechanism, -worth.Mean, worth.Within, -worst.Mean, worst.Within)
-		for _, d := range all[2:6] {
-			fmt.Fprintf(w, "%+.4g\t", -d.Mean)
+		differences := model.Compare(site, model.Policy{}, model.Policy{Off: balance.Off{mechanism: true}}, seeds)
+		value, worstWindows := differences[0], differences[1]
+		_, _ = fmt.Fprintf(table, "%s\t%+.4f\t±%.4f\t%+.3f\t±%.3f\t",
+			mechanism, -value.Mean, value.Within, -worstWindows.Mean, worstWindows.Within)
+		for _, d := range differences[2:6] {
+			_, _ = fmt.Fprintf(table, "%+.4g\t", -d.Mean)
 		}
-		fmt.Fprintln(w)
+		_, _ = fmt.Fprintln(table)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func plotWorth(file, off string, all []model.Difference) error {
+// plotValues plots a difference by seed.
+func plotValues(file, label string, difference model.Difference) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "with and without "+off, "seed", "difference in worth"
-	values := make(plotter.Values, len(all[0].Each))
-	copy(values, all[0].Each)
-	bars, err := plotter.NewBarChart(values, vg.Points(16))
+	p.Title.Text = "with and without " + label
+	p.X.Label.Text = "seed"
+	p.Y.Label.Text = "difference in worth"
+	values := make(plotter.Values, len(difference.Each))
+	copy(values, difference.Each)
+	bars, err := plotter.NewBarChart(values, vg.Points(plotBarWidth))
 	if err != nil {
 		return errors.Wrap(err, "plot")
 	}
 	p.Add(bars, plotter.NewGrid())
-	return errors.Wrap(p.Save(8*vg.Inch, 4*vg.Inch, file), "plot")
+	return errors.Wrap(p.Save(plotWidth, plotHeight, file), "plot")
 }
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -1,6 +1,6 @@
-// Command rig proves stepwick from outside: it runs whole fleets as real
-// processes on loopback addresses, causes the faults of the brief and judges
-// what callers, servers, operators and the platform saw.
+// Command rig tests stepwick from outside: it runs whole fleets as real processes
+// on loopback addresses, injects faults, and checks what callers, servers,
+// operators and the platform observed.
 package main
 
 import (
@@ -16,8 +16,25 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{Use: "rig", Short: "Prove stepwick from outside", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(demoCommand(), proveCommand(), routeCommand(), costCommand(), scenarioCommand(), standinsCommand(), pagesCommand(), hollowCommand(), slopesCommand(), experimentCommand(), upCommand())
+	root := &cobra.Command{
+		Use:           "rig",
+		Short:         "Prove stepwick from outside",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	root.AddCommand(
+		demoCommand(),
+		proveCommand(),
+		routeCommand(),
+		costCommand(),
+		scenarioCommand(),
+		standInsCommand(),
+		pagesCommand(),
+		hollowCommand(),
+		slopesCommand(),
+		experimentCommand(),
+		upCommand(),
+	)
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "rig:", err)
 		stop()
--- /dev/null
+++ b/cmd/rig/pages_command.go
@@ -0,0 +1,155 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/spf13/cobra"
+)
+
+const (
+	pagesFolderPrefix = "stepwick-pages"
+	logTailLines      = 8
+)
+
+// pageRun is the flags of the pages command.
+type pageRun struct {
+	page    string
+	workDir string // empty for a temporary one
+	seconds int
+}
+
+func pagesCommand() *cobra.Command {
+	p := &pageRun{
+		page:    filepath.Join("docs", "OPERATING.md"),
+		seconds: 180,
+	}
+	c := &cobra.Command{
+		Use:   "pages",
+		Short: "Run the commands of docs/OPERATING.md as printed, in one shell",
+		Args:  cobra.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return p.run(cmd.Context()) },
+	}
+	c.Flags().IntVar(&p.seconds, "seconds", p.seconds, "bound of the whole run")
+	c.Flags().StringVar(&p.page, "page", p.page, "the page")
+	c.Flags().StringVar(&p.workDir, "keep", p.workDir, "an empty folder to work in and keep")
+	return c
+}
+
+// run runs the page's blocks under a shell that stops at the first command that
+// fails. The shell works in a folder of its own; what it leaves running ends with
+// its process group.
+func (p *pageRun) run(ctx context.Context) error {
+	text, err := os.ReadFile(p.page)
+	if err != nil {
+		return err
+	}
+	blocks := shellBlocks(string(text))
+	if len(blocks) == 0 {
+		return errors.Errorf("%s has no commands", p.page)
+	}
+	dir, remove, err := p.folder()
+	if err != nil {
+		return err
+	}
+	defer remove()
+	script, err := pageScript(blocks, dir)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.seconds)*time.Second)
+	defer cancel()
+	if err := runShell(ctx, script, dir); err != nil {
+		printLogTails(dir)
+		return errors.Wrap(err, p.page)
+	}
+	fmt.Printf("{\"page\":%q,\"blocks\":%d,\"failed\":0}\n", p.page, len(blocks))
+	return nil
+}
+
+// folder returns the absolute path of the folder to work in. The function returned
+// removes it if it is temporary.
+func (p *pageRun) folder() (dir string, remove func(), err error) {
+	dir = p.workDir
+	remove = func() {}
+	if dir == "" {
+		if dir, err = os.MkdirTemp("", pagesFolderPrefix); err != nil {
+			return "", nil, err
+		}
+		temporary := dir
+		remove = func() { _ = os.RemoveAll(temporary) }
+	}
+	dir, err = filepath.Abs(dir)
+	return dir, remove, err
+}
+
+// pageScript returns a script that prints and runs each block. In it the command
+// go works in the checkout, but writes to bin/ of the folder.
+func pageScript(blocks []string, dir string) (string, error) {
+	root, err := os.Getwd()
+	if err != nil {
+		return "", err
+	}
+	var script strings.Builder
+	fmt.Fprintf(&script, "set -e -o pipefail\nworkplace=%q\ngo() { (builtin cd %q && command go \"${@/#bin\\//$workplace/bin/}\"); }\n", dir, root)
+	for _, block := range blocks {
+		fmt.Fprintf(&script, "cat <<'STEPWICK-BLOCK'\n---\n%sSTEPWICK-BLOCK\n%s", block, block)
+	}
+	return script.String(), nil
+}
+
+// runShell runs a script in a process group of its own and kills the group when
+// the script or ctx ends.
+func runShell(ctx context.Context, script, dir string) error {
+	shell := exec.Command("bash", "-c", script)
+	shell.Dir = dir
+	shell.Stdout = os.Stdout
+	shell.Stderr = os.Stderr
+	shell.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := shell.Start(); err != nil {
+		return err
+	}
+	killGroup := func() { _ = syscall.Kill(-shell.Process.Pid, syscall.SIGKILL) }
+	defer killGroup()
+	stop := context.AfterFunc(ctx, killGroup)
+	defer stop()
+	return shell.Wait()
+}
+
+// shellBlocks returns the blocks of a page that are marked as sh.
+func shellBlocks(text string) []string {
+	var blocks []string
+	var block strings.Builder
+	inside := false
+	for _, line := range strings.SplitAfter(text, "\n") {
+		switch {
+		case !inside && strings.TrimSpace(line) == "```sh":
+			inside = true
+			block.Reset()
+		case inside && strings.TrimSpace(line) == "```":
+			inside = false
+			blocks = append(blocks, block.String())
+		case inside:
+			block.WriteString(line)
+		}
+	}
+	return blocks
+}
+
+// printLogTails prints the ends of the logs that the page's commands wrote.
+func printLogTails(dir string) {
+	logs, _ := filepath.Glob(filepath.Join(dir, "tour", "*.log"))
+	for _, log := range logs {
+		text, _ := os.ReadFile(log)
+		lines := strings.Split(strings.TrimSpace(string(text)), "\n")
+		tail := lines[max(0, len(lines)-logTailLines):]
+		fmt.Printf("--- the end of %s\n%s\n", filepath.Base(log), strings.Join(tail, "\n"))
+	}
+}
--- a/cmd/rig/prove_command.go
+++ b/cmd/rig/prove_command.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -14,163 +13,223 @@
 	"stepwick/cmd/rig/checker"
 	"stepwick/cmd/rig/faultcase"
 	"stepwick/cmd/rig/fleet"
+	"stepwick/cmd/rig/history"
 	"stepwick/cmd/rig/loadgen"
-	"stepwick/cmd/rig/report"
 )
 
+// allCases as a case's name stands for all of them.
+const allCases = "all"
+
+// trafficBeforeCase is how long traffic runs before the first fault.
+const trafficBeforeCase = 2 * time.Second
+
+// proof is the flags of the prove command.
+type proof struct {
+	list           bool
+	cases          []string
+	seed           uint64
+	seeds          int
+	seconds        int // 0 for the usual length of each case
+	keepDir        string
+	reportDir      string
+	binary         string // empty to build one
+	previousBinary string
+	printTable     bool
+}
+
 func proveCommand() *cobra.Command {
-	var (
-		list    bool
-		names   []string
-		seed    uint64
-		seeds   int
-		length  int
-		keep    string
-		folder  string
-		binary  string
-		older   string
-		verbose bool
-	)
-	c := &cobra.Command{Use: "prove", Short: "Cause faults and judge from outside what came of them",
+	p := &proof{}
+	c := &cobra.Command{
+		Use:     "prove",
+		Short:   "Cause faults and judge from outside what came of them",
 		Example: "  rig prove --list\n  rig prove --case force_core --seed 4\n  rig prove --seed 100 --seeds 20 --seconds 40",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if list {
-				for _, p := range faultcase.Cases {
-					fmt.Printf("%d  %-16s %3ds  %s\n", p.Group, p.Name, p.Seconds, p.Help)
-				}
-				rolling := faultcase.RollingUpgrade
-				fmt.Printf("%d  %-16s %3ds  %s (not one of all)\n", rolling.Group, rolling.Name, rolling.Seconds, rolling.Help)
-				fmt.Printf("-  %-16s %3ds  %s (the one without --case)\n", faultcase.Mix.Name, faultcase.Mix.Seconds, faultcase.Mix.Help)
-				return nil
-			}
-			chosen := []faultcase.Case{faultcase.Mix}
-			if len(names) > 0 {
-				chosen = nil
-				for _, name := range names {
-					if name == "all" {
-						chosen = append(chosen, faultcase.Cases...)
-						continue
-					}
-					p, ok := faultcase.Find(name)
-					if !ok {
-						return errors.Errorf("no case %q; see --list", name)
-					}
-					chosen = append(chosen, p)
-				}
-			}
-			if err := faultcase.CheckPreviousBinary(chosen, older); err != nil {
-				return err
-			}
-			return proveAll(cmd.Context(), chosen, seed, seeds, length, run{keep, folder, binary, older, verbose})
-		}}
-	c.Flags().BoolVar(&list, "list", false, "list the cases")
-	c.Flags().StringSliceVar(&names, "case", nil, "cases to run (all for every one); without it the seed draws a mix")
-	c.Flags().Uint64Var(&seed, "seed", 1, "seed")
-	c.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, from --seed on")
-	c.Flags().IntVar(&length, "seconds", 0, "length of a case; 0 for its usual one")
-	c.Flags().StringVar(&keep, "keep", "", "folder for ledgers and the nodes' logs")
-	c.Flags().StringVar(&folder, "report", "", "folder for JSON lines and plots")
-	c.Flags().StringVar(&binary, "binary", "", "a stepwick program that is built already")
-	c.Flags().StringVar(&older, "older", "", "the stepwick program of a previous build, for the case roll")
-	c.Flags().BoolVar(&verbose, "table", false, "print a line each second")
+		RunE:    func(cmd *cobra.Command, _ []string) error { return p.run(cmd.Context()) },
+	}
+	c.Flags().BoolVar(&p.list, "list", false, "list the cases")
+	c.Flags().StringSliceVar(&p.cases, "case", nil, "cases to run (all for every one); without it the seed draws a mix")
+	c.Flags().Uint64Var(&p.seed, "seed", 1, "seed")
+	c.Flags().IntVar(&p.seeds, "seeds", 1, "how many seeds, from --seed on")
+	c.Flags().IntVar(&p.seconds, "seconds", 0, "length of a case; 0 for its usual one")
+	c.Flags().StringVar(&p.keepDir, "keep", "", "folder for ledgers and the nodes' logs")
+	c.Flags().StringVar(&p.reportDir, "report", "", "folder for JSON lines and plots")
+	c.Flags().StringVar(&p.binary, "binary", "", "a stepwick program that is built already")
+	c.Flags().StringVar(&p.previousBinary, "older", "", "the stepwick program of a previous build, for the case roll")
+	c.Flags().BoolVar(&p.printTable, "table", false, "print a line each second")
 	return c
 }
 
-// run is what is kept and shown of each case.
-type run struct {
-	keep, folder, binary, previousBinary string
-	table                                bool
+func (p *proof) run(ctx context.Context) error {
+	if p.list {
+		listCases()
+		return nil
+	}
+	cases, err := chooseCases(p.cases)
+	if err != nil {
+		return err
+	}
+	if err := faultcase.CheckPreviousBinary(cases, p.previousBinary); err != nil {
+		return err
+	}
+	return p.runAll(ctx, cases)
+}
+
+func listCases() {
+	for _, c := range faultcase.Cases {
+		fmt.Printf("%d  %-16s %3ds  %s\n", c.Group, c.Name, c.Seconds, c.Help)
+	}
+	rolling := faultcase.RollingUpgrade
+	fmt.Printf("%d  %-16s %3ds  %s (not one of all)\n", rolling.Group, rolling.Name, rolling.Seconds, rolling.Help)
+	mix := faultcase.Mix
+	fmt.Printf("-  %-16s %3ds  %s (the one without --case)\n", mix.Name, mix.Seconds, mix.Help)
 }
 
-type verdict struct {
-	Case       string             `json:"case"`
-	Seed       uint64             `json:"seed"`
-	Violations int                `json:"violations"`
-	Trouble    string             `json:"trouble,omitempty"`
-	Served     int                `json:"served"`
-	Refused    int                `json:"refused"`
-	Failed     int                `json:"failed"`
-	Orders     int                `json:"orders_won"`
-	Worst      map[string]float64 `json:"worst_span,omitempty"`
-
-	Rolling *faultcase.RollingSummary `json:"rolling,omitempty"`
+// chooseCases returns the named cases; without a name the mix.
+func chooseCases(names []string) ([]faultcase.Case, error) {
+	if len(names) == 0 {
+		return []faultcase.Case{faultcase.Mix}, nil
+	}
+	var chosen []faultcase.Case
+	for _, name := range names {
+		if name == allCases {
+			chosen = append(chosen, faultcase.Cases...)
+			continue
+		}
+		found, ok := faultcase.Find(name)
+		if !ok {
+			return nil, errors.Errorf("no case %q; see --list", name)
+		}
+		chosen = append(chosen, found)
+	}
+	return chosen, nil
+}
+
+// proofTotals is the last line that is printed.
+type proofTotals struct {
+	Cases      int `json:"cases"`
+	Violations int `json:"violations"`
 }
 
-func proveAll(ctx context.Context, chosen []faultcase.Case, seed uint64, seeds, length int, r run) error {
-	if r.binary == "" {
-		binary, remove, err := built()
+func (p *proof) runAll(ctx context.Context, cases []faultcase.Case) error {
+	if p.binary == "" {
+		binary, remove, err := buildProgram()
 		if err != nil {
 			return err
 		}
 		defer remove()
-		r.binary = binary
+		p.binary = binary
 	}
-	cases, violations := 0, 0
-	for i := range seeds {
-		for _, p := range chosen {
+	var totals proofTotals
+	for i := range p.seeds {
+		for _, c := range cases {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			cases++
-			v := proveOne(ctx, p, seed+uint64(i), length, r)
-			violations += v.Violations
-			line, _ := json.Marshal(v)
-			fmt.Println(string(line))
+			verdict := p.runCase(ctx, c, p.seed+uint64(i))
+			totals.Cases++
+			totals.Violations += verdict.Violations
+			if err := printJSON(verdict); err != nil {
+				return err
+			}
 		}
 	}
-	line, _ := json.Marshal(map[string]int{"cases": cases, "violations": violations})
-	fmt.Println(string(line))
-	if violations > 0 {
-		return errors.Errorf("%d violations", violations)
+	if err := printJSON(totals); err != nil {
+		return err
 	}
-	return nil
+	return violationError(totals.Violations)
+}
+
+// verdict is the line that is printed for a case.
+type verdict struct {
+	Case               string                    `json:"case"`
+	Seed               uint64                    `json:"seed"`
+	Violations         int                       `json:"violations"`
+	Problem            string                    `json:"trouble,omitempty"` // why the case could not do its work
+	Served             int                       `json:"served"`
+	Rejected           int                       `json:"refused"`
+	Failed             int                       `json:"failed"`
+	OrdersAcknowledged int                       `json:"orders_won"`
+	PeakQuotaUse       map[string]float64        `json:"worst_span,omitempty"` // by tenant
+	Rolling            *faultcase.RollingSummary `json:"rolling,omitempty"`
 }
 
-// proveOne runs one case. A case that could not do its work, such as an order
-// that was never accepted, counts as a violation too.
-func proveOne(ctx context.Context, p faultcase.Case, seed uint64, length int, r run) verdict {
-	o := faultcase.Options{Spec: fleet.FirstDeployment(), Tenants: loadgen.FirstTenants(), Binary: r.binary, PreviousBinary: r.previousBinary, Seed: seed, Seconds: p.Seconds, Out: os.Stdout, PrintTable: r.table}
-	if length > 0 {
-		o.Seconds = length
+// setProblem notes that the case could not do its work, such as an order that was
+// never accepted. That counts as a violation.
+func (v *verdict) setProblem(err error) {
+	v.Problem = err.Error()
+	v.Violations++
+	fmt.Printf("TROUBLE case %s seed %d: %v\n", v.Case, v.Seed, err)
+}
+
+func (p *proof) options(c faultcase.Case, seed uint64) faultcase.Options {
+	options := faultcase.Options{
+		Spec:           fleet.FirstDeployment(),
+		Tenants:        loadgen.FirstTenants(),
+		Binary:         p.binary,
+		PreviousBinary: p.previousBinary,
+		Seed:           seed,
+		Seconds:        c.Seconds,
+		Out:            os.Stdout,
+		PrintTable:     p.printTable,
+	}
+	if p.seconds > 0 {
+		options.Seconds = p.seconds
 	}
-	if r.keep != "" {
-		o.KeepDir = filepath.Join(r.keep, fmt.Sprintf("%s-%d", p.Name, seed))
+	if p.keepDir != "" {
+		options.KeepDir = filepath.Join(p.keepDir, runName(c, seed))
 	}
-	if p.Configure != nil {
-		p.Configure(&o)
+	if c.Configure != nil {
+		c.Configure(&options)
 	}
-	v := verdict{Case: p.Name, Seed: seed}
-	s, err := faultcase.Start(ctx, o)
+	return options
+}
+
+// runName names the folders of a case's run.
+func runName(c faultcase.Case, seed uint64) string { return fmt.Sprintf("%s-%d", c.Name, seed) }
+
+func (p *proof) runCase(ctx context.Context, c faultcase.Case, seed uint64) verdict {
+	v := verdict{Case: c.Name, Seed: seed}
+	run, err := faultcase.Start(ctx, p.options(c, seed))
 	if err != nil {
-		v.Trouble, v.Violations = err.Error(), 1
-		fmt.Printf("TROUBLE case %s seed %d: %v\n", p.Name, seed, err)
+		v.setProblem(err)
 		return v
 	}
-	s.Wait(2 * time.Second)
-	err = p.Run(s)
-	l := s.Close()
-	found := checker.Check(&l)
-	faultcase.PrintViolations(os.Stdout, p.Name, found)
-	if r.folder != "" {
-		name := fmt.Sprintf("%s-%d", p.Name, seed)
-		if err := report.Write(filepath.Join(r.folder, name), name, &l, found); err != nil {
-			fmt.Fprintln(os.Stderr, "rig:", err)
-		}
-	}
-	v.Rolling = s.Rolling
-	sum := faultcase.Summarize(&l, s.TrafficStart)
-	v.Violations, v.Served, v.Refused, v.Failed, v.Orders = len(found), sum.Served, sum.Rejected, sum.Failed, sum.OrdersAcknowledged
-	if p.ChecksQuotas() {
-		v.Worst = map[string]float64{}
-		for name := range l.Allowances {
-			share, _ := checker.PeakQuotaUse(&l, name)
-			v.Worst[name] = float64(int(share*1000)) / 1000
-		}
+	run.Wait(trafficBeforeCase)
+	caseErr := c.Run(run)
+	result := conclude(run, c.Name)
+	p.writeReport(&result, runName(c, seed))
+	summary := result.summarize(run.TrafficStart)
+	v.Rolling = run.Rolling
+	v.Violations = summary.Violations
+	v.Served = summary.Served
+	v.Rejected = summary.Rejected
+	v.Failed = summary.Failed
+	v.OrdersAcknowledged = summary.OrdersAcknowledged
+	if c.ChecksQuotas() {
+		v.PeakQuotaUse = peakQuotaUse(&result.recording)
 	}
-	if err != nil && ctx.Err() == nil {
-		v.Trouble = err.Error()
-		v.Violations++
-		fmt.Printf("TROUBLE case %s seed %d: %v\n", p.Name, seed, err)
+	if caseErr != nil && ctx.Err() == nil {
+		v.setProblem(caseErr)
 	}
 	return v
 }
+
+// writeReport writes a case's report, if one is wanted; its failure is printed and
+// doesn't end the proof.
+func (p *proof) writeReport(result *outcome, name string) {
+	if p.reportDir == "" {
+		return
+	}
+	if err := result.writeReport(filepath.Join(p.reportDir, name), name); err != nil {
+		fmt.Fprintln(os.Stderr, "rig:", err)
+	}
+}
+
+// peakQuotaUse returns the peak use of each tenant's quota, cut to three decimals.
+func peakQuotaUse(recording *history.Recording) map[string]float64 {
+	peaks := map[string]float64{}
+	for tenant := range recording.Allowances {
+		peak, _ := checker.PeakQuotaUse(recording, tenant)
+		peaks[tenant] = float64(int(peak*1000)) / 1000
+	}
+	return peaks
+}
--- a/cmd/rig/slopes_command.go
+++ b/cmd/rig/slopes_command.go
@@ -1,9 +1,6 @@
 package main
 
 import (
-	"encoding/json"
-	"fmt"
-
 	"github.com/spf13/cobra"
 
 	"stepwick/cmd/rig/simnode"
@@ -11,30 +8,31 @@
 
 func slopesCommand() *cobra.Command {
 	var servers, tenants []int
-	c := &cobra.Command{Use: "slopes", Short: "Measure what state costs as servers and tenants grow",
-		RunE: func(*cobra.Command, []string) error {
-			show := func(slope simnode.StateCost) error {
-				line, err := json.Marshal(slope)
-				fmt.Println(string(line))
-				return err
-			}
-			for _, n := range servers {
-				if err := show(simnode.MeasureServerState(n)); err != nil {
-					return err
-				}
-			}
-			for _, n := range tenants {
-				slope, err := simnode.MeasureTenantState(n)
-				if err != nil {
-					return err
-				}
-				if err := show(slope); err != nil {
-					return err
-				}
-			}
-			return nil
-		}}
+	c := &cobra.Command{
+		Use:   "slopes",
+		Short: "Measure what state costs as servers and tenants grow",
+		RunE:  func(*cobra.Command, []string) error { return printStateCosts(servers, tenants) },
+	}
 	c.Flags().IntSliceVar(&servers, "servers", []int{21, 200, 1000, 12000}, "numbers of servers")
 	c.Flags().IntSliceVar(&tenants, "tenants", []int{5, 100, 1000, 14000}, "numbers of tenants")
 	return c
 }
+
+// printStateCosts prints one line for each number of servers and of tenants.
+func printStateCosts(servers, tenants []int) error {
+	for _, count := range servers {
+		if err := printJSON(simnode.MeasureServerState(count)); err != nil {
+			return err
+		}
+	}
+	for _, count := range tenants {
+		cost, err := simnode.MeasureTenantState(count)
+		if err != nil {
+			return err
+		}
+		if err := printJSON(cost); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/rig/up_command.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/spf13/cobra"
+
+	"stepwick/cmd/rig/fleet"
+	"stepwick/cmd/rig/history"
+	"stepwick/cmd/rig/loadgen"
+	"stepwick/cmd/rig/owner"
+)
+
+const upSheetTimeout = 40 * time.Second
+
+func upCommand() *cobra.Command {
+	seconds := 600
+	c := &cobra.Command{
+		Use:   "up",
+		Short: "Run the first deployment with its first sheet and no load, to try commands by hand",
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return runFleet(cmd.Context(), time.Duration(seconds)*time.Second)
+		},
+	}
+	c.Flags().IntVar(&seconds, "seconds", seconds, "how long to run")
+	return c
+}
+
+// runFleet runs the first deployment without load for a time.
+func runFleet(ctx context.Context, d time.Duration) error {
+	binary, remove, err := buildProgram()
+	if err != nil {
+		return err
+	}
+	defer remove()
+	dir, err := os.MkdirTemp("", "stepwick-rig-")
+	if err != nil {
+		return errors.Wrap(err, "temp folder")
+	}
+	defer func() { _ = os.RemoveAll(dir) }()
+	f, err := fleet.New(fleet.FirstDeployment(), binary, dir, history.NewRecorder(1), 1)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	if err := f.Start(); err != nil {
+		return err
+	}
+	answer := submitFirstSheet(ctx, f)
+	fmt.Printf("program %s\nfolder %s\noperator key %s\ntenant key key-of-press\nfirst sheet: status %d code %d epoch %d\n",
+		binary, dir, fleet.OperatorKeys["ade"], answer.Status, answer.Code, answer.Version)
+	for _, node := range f.Nodes {
+		pid, _ := node.Running()
+		fmt.Printf("%-8s %-12s %s pid %d\n", node.Name, node.ZoneName(), node.CallerAddress, pid)
+	}
+	owner.Sleep(ctx, d)
+	return nil
+}
+
+// submitFirstSheet submits the first deployment's sheet and returns the last answer.
+func submitFirstSheet(ctx context.Context, f *fleet.Fleet) history.Order {
+	ctx, cancel := context.WithTimeout(ctx, upSheetTimeout)
+	defer cancel()
+	operators := loadgen.NewOperators(f, 1)
+	key := operators.NextKey()
+	sheet := loadgen.NewSheet(f, loadgen.FirstTenants(), key)
+	return operators.Submit(ctx, operators.Put("ade", 0, sheet, key), f.Nodes)
+}
