--- a/internal/adapter/clientapi/api.go
+++ b/internal/adapter/clientapi/api.go
@@ -41,7 +41,7 @@
 // API answers callers.
 type API struct {
 	limits atomic.Pointer[Limits]
-	calls  Calls
+	calls  RequestHandler
 	clock  clock.Clock
 	mounts map[string]http.Handler
 	slots  chan struct{}
@@ -50,7 +50,7 @@
 
 // New returns the API in front of calls. Mounts answer whatever lies below
 // their path by their own rules.
-func New(limits Limits, calls Calls, clock clock.Clock, mounts map[string]http.Handler) *API {
+func New(limits Limits, calls RequestHandler, clock clock.Clock, mounts map[string]http.Handler) *API {
 	limits = limits.withDefaults()
 	a := &API{calls: calls, clock: clock, mounts: mounts, slots: make(chan struct{}, limits.Requests), bodies: stage.NewByteBudget(limits.BodiesMax)}
 	a.limits.Store(&limits)
@@ -112,7 +112,7 @@
 			return
 		}
 	}
-	x := &exchange{api: a, limits: a.limits.Load(), writer: w, r: r, head: Head{ID: id, Arrived: a.calls.Arrived()}}
+	x := &exchange{api: a, limits: a.limits.Load(), writer: w, r: r, head: Head{ID: id, Arrived: a.calls.EarliestArrival()}}
 	defer func() { a.bodies.Release(x.held) }()
 	defer x.recover()
 	if r.ContentLength != 0 {
@@ -155,7 +155,7 @@
 	if x.head.Key, apiErr = bearerKey(x.r.Header); apiErr != nil {
 		return apiErr
 	}
-	if apiErr = x.api.calls.Knows(&x.head); apiErr != nil {
+	if apiErr = x.api.calls.Authenticate(&x.head); apiErr != nil {
 		return apiErr
 	}
 	return route.serve(x)
@@ -182,7 +182,7 @@
 
 func (x *exchange) refuse(apiErr *apierror.Error) {
 	if !x.taken {
-		x.api.calls.Refused(apiErr)
+		x.api.calls.Rejected(apiErr)
 	}
 	if x.stream != nil && x.stream.begun {
 		x.stream.cut(apiErr)
@@ -231,7 +231,7 @@
 	if panicked == http.ErrAbortHandler {
 		panic(panicked)
 	}
-	x.api.calls.Broke(x.head.ID, panicked)
+	x.api.calls.Panicked(x.head.ID, panicked)
 	x.refuse(apierror.Errorf(apierror.Internal, "see the log event of request %s", x.head.ID))
 }
 
--- a/internal/adapter/clientapi/clientapi.go
+++ b/internal/adapter/clientapi/clientapi.go
@@ -134,13 +134,13 @@
 	Body   []byte
 }
 
-// Calls is what stands behind the API.
-type Calls interface {
-	// Arrived returns the earliest moment at which a request that is read now
+// RequestHandler is what stands behind the API.
+type RequestHandler interface {
+	// EarliestArrival returns the earliest moment at which a request that is read now
 	// may have reached the node.
-	Arrived() time.Time
-	// Knows tells, before a body is read, whether a call may be made at all.
-	Knows(head *Head) *apierror.Error
+	EarliestArrival() time.Time
+	// Authenticate tells, before a body is read, whether a call may be made at all.
+	Authenticate(head *Head) *apierror.Error
 	Connect(ctx context.Context, ask *Connect) (*Nearest, *apierror.Error)
 	// Prompt passes events on to the stream. A fault before the first event
 	// becomes the answer, one after it cuts the stream.
@@ -151,8 +151,8 @@
 	// Standing names the standing of the core beside this front, "" on a plain
 	// front. It rides the answer to the readiness check and doesn't decide it.
 	Standing() string
-	// Refused hears of each request that never became a call.
-	Refused(apiErr *apierror.Error)
-	// Broke hears of a panic while a request was served.
-	Broke(id string, panicked any)
+	// Rejected hears of each request that never became a call.
+	Rejected(apiErr *apierror.Error)
+	// Panicked hears of a panic while a request was served.
+	Panicked(id string, panicked any)
 }
--- a/internal/adapter/clientapi/clientapi_test.go
+++ b/internal/adapter/clientapi/clientapi_test.go
@@ -48,8 +48,8 @@
 	return near
 }
 
-// fakeCalls answers as the fields say.
-type fakeCalls struct {
+// fakeHandler answers as the fields say.
+type fakeHandler struct {
 	standing string
 	knows    *apierror.Error
 	ready    *apierror.Error
@@ -63,18 +63,18 @@
 	ended    chan error
 }
 
-func (f *fakeCalls) Arrived() time.Time          { return time.Now() }
-func (f *fakeCalls) Knows(*Head) *apierror.Error { return f.knows }
-func (f *fakeCalls) Ready() *apierror.Error      { return f.ready }
-func (f *fakeCalls) Standing() string            { return f.standing }
-func (f *fakeCalls) Refused(*apierror.Error)     {}
-func (f *fakeCalls) Broke(string, any)           { f.broke++ }
+func (f *fakeHandler) EarliestArrival() time.Time         { return time.Now() }
+func (f *fakeHandler) Authenticate(*Head) *apierror.Error { return f.knows }
+func (f *fakeHandler) Ready() *apierror.Error             { return f.ready }
+func (f *fakeHandler) Standing() string                   { return f.standing }
+func (f *fakeHandler) Rejected(*apierror.Error)           {}
+func (f *fakeHandler) Panicked(string, any)               { f.broke++ }
 
-func (f *fakeCalls) Connect(_ context.Context, ask *Connect) (*Nearest, *apierror.Error) {
+func (f *fakeHandler) Connect(_ context.Context, ask *Connect) (*Nearest, *apierror.Error) {
 	return &Nearest{RequestID: ask.ID, Service: ask.Service, Region: ask.Region, Nodes: []Node{{"n1", "127.0.0.1:1", "lagos", "a"}}}, nil
 }
 
-func (f *fakeCalls) Prompt(ctx context.Context, prompt *Prompt, stream *Stream) *apierror.Error {
+func (f *fakeHandler) Prompt(ctx context.Context, prompt *Prompt, stream *Stream) *apierror.Error {
 	f.asked = append(f.asked, prompt)
 	for _, event := range f.events {
 		if err := stream.Event([]byte(event)); err != nil {
@@ -94,7 +94,7 @@
 	return f.apiErr
 }
 
-func (f *fakeCalls) OneShot(_ context.Context, shot *OneShot) (*Answer, *apierror.Error) {
+func (f *fakeHandler) OneShot(_ context.Context, shot *OneShot) (*Answer, *apierror.Error) {
 	f.shots = append(f.shots, shot)
 	if f.panics != nil {
 		panic(f.panics)
@@ -115,7 +115,7 @@
 
 // exchangeRaw sends raw text on one connection and returns what came back until
 // the server closed.
-func exchangeRaw(t *testing.T, limits Limits, calls Calls, request string) (answer string) {
+func exchangeRaw(t *testing.T, limits Limits, calls RequestHandler, request string) (answer string) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := newPipeListener()
 		server := New(limits, calls, clock.System(), nil).Server()
@@ -150,22 +150,22 @@
 	later := apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(1200 * time.Millisecond)
 	rows := []struct {
 		name    string
-		calls   *fakeCalls
+		calls   *fakeHandler
 		request string
 	}{
-		{"prompt", &fakeCalls{events: []string{event, end}}, request("POST", "/v1/prompt", keyed, whole)},
-		{"prompt cut", &fakeCalls{events: []string{event}, apiErr: cut}, request("POST", "/v1/prompt", keyed, whole)},
-		{"prompt that breaks midway", &fakeCalls{events: []string{event}, panics: "oh"}, request("POST", "/v1/prompt", keyed, whole)},
-		{"prompt that breaks at once", &fakeCalls{panics: "oh"}, request("POST", "/v1/prompt", keyed, whole)},
-		{"prompt refused", &fakeCalls{apiErr: later}, request("POST", "/v1/prompt", keyed, whole)},
-		{"one-shot", &fakeCalls{answer: web}, request("GET", "/v1/call/outages/map/a%2Fb?x=1&y=%20", keyed, "")},
-		{"one-shot by HEAD", &fakeCalls{answer: web}, request("HEAD", "/v1/call/outages/map", keyed, "")},
-		{"one-shot of unknown outcome", &fakeCalls{apiErr: apierror.Errorf(apierror.OutcomeUnknown, "reset")}, request("POST", "/v1/call/orders", keyed, "{}")},
-		{"one-shot that breaks", &fakeCalls{panics: "oh"}, request("POST", "/v1/call/orders", keyed, "{}")},
-		{"connect", &fakeCalls{}, request("GET", "/v1/connect?service=chat&region=lagos", keyed, "")},
-		{"ready", &fakeCalls{}, request("GET", "/readyz", "", "")},
-		{"ready beside a core whose disk is full", &fakeCalls{standing: "disk_full"}, request("GET", "/readyz", "", "")},
-		{"not ready", &fakeCalls{ready: later}, request("GET", "/readyz", "", "")},
+		{"prompt", &fakeHandler{events: []string{event, end}}, request("POST", "/v1/prompt", keyed, whole)},
+		{"prompt cut", &fakeHandler{events: []string{event}, apiErr: cut}, request("POST", "/v1/prompt", keyed, whole)},
+		{"prompt that breaks midway", &fakeHandler{events: []string{event}, panics: "oh"}, request("POST", "/v1/prompt", keyed, whole)},
+		{"prompt that breaks at once", &fakeHandler{panics: "oh"}, request("POST", "/v1/prompt", keyed, whole)},
+		{"prompt refused", &fakeHandler{apiErr: later}, request("POST", "/v1/prompt", keyed, whole)},
+		{"one-shot", &fakeHandler{answer: web}, request("GET", "/v1/call/outages/map/a%2Fb?x=1&y=%20", keyed, "")},
+		{"one-shot by HEAD", &fakeHandler{answer: web}, request("HEAD", "/v1/call/outages/map", keyed, "")},
+		{"one-shot of unknown outcome", &fakeHandler{apiErr: apierror.Errorf(apierror.OutcomeUnknown, "reset")}, request("POST", "/v1/call/orders", keyed, "{}")},
+		{"one-shot that breaks", &fakeHandler{panics: "oh"}, request("POST", "/v1/call/orders", keyed, "{}")},
+		{"connect", &fakeHandler{}, request("GET", "/v1/connect?service=chat&region=lagos", keyed, "")},
+		{"ready", &fakeHandler{}, request("GET", "/readyz", "", "")},
+		{"ready beside a core whose disk is full", &fakeHandler{standing: "disk_full"}, request("GET", "/readyz", "", "")},
+		{"not ready", &fakeHandler{ready: later}, request("GET", "/readyz", "", "")},
 	}
 	transcript := ""
 	for _, row := range rows {
@@ -230,7 +230,7 @@
 	}
 	for _, row := range rows {
 		Convey("A request with "+row.name+" is refused by number and reaches no call", t, func() {
-			calls := &fakeCalls{answer: &Answer{Status: 200}}
+			calls := &fakeHandler{answer: &Answer{Status: 200}}
 			answer := exchangeRaw(t, Limits{BodyMax: 4096, HeaderMax: 1024}, calls, row.request)
 			So(answer, ShouldContainSubstring, fmt.Sprintf("Stepwick-Code: %d\r\n", row.code))
 			So(answer, ShouldContainSubstring, fmt.Sprintf("{\"code\":%d,", row.code))
@@ -243,7 +243,7 @@
 
 func TestParsed(t *testing.T) {
 	Convey("The shorter of two deadlines holds", t, func() {
-		calls := &fakeCalls{events: []string{"{}"}}
+		calls := &fakeHandler{events: []string{"{}"}}
 		exchangeRaw(t, Limits{}, calls, request("POST", "/v1/prompt", keyed+"Stepwick-Deadline-Ms: 500\n", whole))
 		exchangeRaw(t, Limits{}, calls, request("POST", "/v1/prompt", keyed+"Stepwick-Deadline-Ms: 5000\n", whole))
 		exchangeRaw(t, Limits{}, calls, request("POST", "/v1/prompt", keyed, whole))
@@ -255,7 +255,7 @@
 		So(calls.asked[0].Tokens(), ShouldEqual, 18)
 	})
 	Convey("A one-shot goes on as it came, but without the key and the fields of the connection", t, func() {
-		calls := &fakeCalls{answer: &Answer{Status: 204}}
+		calls := &fakeHandler{answer: &Answer{Status: 204}}
 		exchangeRaw(t, Limits{}, calls, request("PATCH", "/v1/call/orders/a%2Fb//../c?x=%20&x=1", keyed+"X-Own: 1\nConnection: X-Hop\nX-Hop: 1\n", "body"))
 		So(len(calls.shots), ShouldEqual, 1)
 		shot := calls.shots[0]
@@ -268,7 +268,7 @@
 	Convey("A header that doesn't end costs its connection after the bound", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			listener := newPipeListener()
-			server := New(Limits{HeaderTimeout: 3 * time.Second}, &fakeCalls{}, clock.System(), nil).Server()
+			server := New(Limits{HeaderTimeout: 3 * time.Second}, &fakeHandler{}, clock.System(), nil).Server()
 			go server.Serve(listener)
 			defer server.Close()
 			began, conn := time.Now(), listener.dial()
@@ -282,7 +282,7 @@
 	Convey("A refusal isn't held back by a body that doesn't come, which costs its connection after the bound", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			listener := newPipeListener()
-			server := New(Limits{BodyTimeout: 3 * time.Second}, &fakeCalls{}, clock.System(), nil).Server()
+			server := New(Limits{BodyTimeout: 3 * time.Second}, &fakeHandler{}, clock.System(), nil).Server()
 			go server.Serve(listener)
 			defer server.Close()
 			for _, head := range []string{"POST /v1/prompt HTTP/1.1\r\nContent-Length: 10", "POST /v1/prompt HTTP/1.1\r\nContent-Length: 9999999",
@@ -303,7 +303,7 @@
 	})
 	Convey("A caller that takes no events is given up after the bound, and one that goes away at once", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			calls := &fakeCalls{events: []string{`{"seq":0}`, `{"seq":1}`}, ended: make(chan error, 1)}
+			calls := &fakeHandler{events: []string{`{"seq":0}`, `{"seq":1}`}, ended: make(chan error, 1)}
 			listener := newPipeListener()
 			server := New(Limits{WriteTimeout: 3 * time.Second}, calls, clock.System(), nil).Server()
 			go server.Serve(listener)
@@ -330,7 +330,7 @@
 	})
 	Convey("Bodies beyond the bound of all are refused at once, and every end gives its bytes back", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			calls := &fakeCalls{events: []string{`{"seq":0}`}, ended: make(chan error, 1)}
+			calls := &fakeHandler{events: []string{`{"seq":0}`}, ended: make(chan error, 1)}
 			listener, bound := newPipeListener(), int64(2*len(whole)-1)
 			api := New(Limits{BodyMax: 1000, BodiesMax: bound}, calls, clock.System(), nil)
 			server := api.Server()
@@ -368,7 +368,7 @@
 	})
 	Convey("Requests beyond the bound are refused at once, and a connection outlives its answers", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			calls := &fakeCalls{events: []string{`{"seq":0}`}, ended: make(chan error, 1)}
+			calls := &fakeHandler{events: []string{`{"seq":0}`}, ended: make(chan error, 1)}
 			listener := newPipeListener()
 			mounts := map[string]http.Handler{"/metrics": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "up 1") })}
 			api := New(Limits{Requests: 1, Connections: 2}, calls, clock.System(), mounts)
--- a/internal/node/build_traffic.go
+++ b/internal/node/build_traffic.go
@@ -20,23 +20,23 @@
 // newFront returns the front with the API for clients and operators.
 func (p *process) newFront(inspector *inspector, registry *prometheus.Registry) (*front.Front, error) {
 	return front.New(front.Config{
-		Standing:    p.standing(),
-		Name:        p.identity.Name,
-		Address:     p.identity.CallerAddress,
-		Region:      p.identity.Region,
-		Zone:        p.identity.Zone,
-		Limits:      p.clientLimits(),
-		Backend:     backend.Config{Bind: p.values.String("bind"), Dial: p.environment.Dial},
-		PlainTokens: p.values.Float("plain_tokens"),
+		Standing:      p.standing(),
+		Name:          p.identity.Name,
+		Address:       p.identity.CallerAddress,
+		Region:        p.identity.Region,
+		Zone:          p.identity.Zone,
+		Limits:        p.clientLimits(),
+		Backend:       backend.Config{Bind: p.values.String("bind"), Dial: p.environment.Dial},
+		OneShotTokens: p.values.Float("plain_tokens"),
 		Route: route.Config{
 			Strategy:    route.Strategy(p.values.String("route.strategy")),
 			QueueBound:  p.values.Int("route.pending"),
 			Policy:      p.planPolicy(),
 			RetryBudget: p.values.Float("retry.budget"),
 		},
-		Tune:    p.tuned,
-		Control: p.newControlAPI(inspector),
-		Metrics: promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
+		ReadRuntimeSettings: p.tuned,
+		Control:             p.newControlAPI(inspector),
+		Metrics:             promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
 	}, p.follower, p.quota, p.clock, p.log, registry)
 }
 
@@ -72,9 +72,9 @@
 
 // tuned returns the run-time settings of the front: those of the sheet over those of
 // the settings file.
-func (p *process) tuned(sheetSettings map[string]string) front.Tuned {
+func (p *process) tuned(sheetSettings map[string]string) front.RuntimeSettings {
 	values := p.values.WithRuntime(sheetSettings)
-	return front.Tuned{
+	return front.RuntimeSettings{
 		DeadlineMax:     values.Duration("deadline.max"),
 		DeadlineDefault: values.Duration("deadline.default"),
 		Route: &route.Knobs{
--- a/internal/node/front/bench_test.go
+++ b/internal/node/front/bench_test.go
@@ -94,12 +94,12 @@
 						b.Error(apiErr)
 						return
 					}
-					s, _, apiErr := c.seat(ctx)
+					s, _, apiErr := c.acquireServer(ctx)
 					if apiErr != nil {
 						b.Error(apiErr)
 						return
 					}
-					front.router.giveUp(s, outcomeOf(nil))
+					front.router.release(s, outcomeOf(nil))
 				}
 			})
 		})
--- a/internal/node/front/connect.go
+++ b/internal/node/front/connect.go
@@ -9,63 +9,113 @@
 	"stepwick/internal/adapter/clientapi"
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/plan"
+	"stepwick/internal/decision/statemachine"
+	"stepwick/internal/node/follower"
 )
 
-// Connect tells which nodes a caller should talk to: those of its own
-// zone first, then of its region, then all others; evacuated ones last.
-// Equally near ones come in an order that differs from request to request.
-func (f *Front) Connect(_ context.Context, ask *clientapi.Connect) (*clientapi.Nearest, *apierror.Error) {
+// distance orders nodes by their failure domain as seen from a caller. Nodes in
+// an evacuated region or zone come last wherever they are.
+type distance int
+
+const (
+	sameZone distance = iota
+	sameRegion
+	otherRegion
+	evacuated
+)
+
+// rankedNode is a node with its position in the answer to a caller.
+type rankedNode struct {
+	node     clientapi.Node
+	distance distance
+	// tieBreak orders nodes at the same distance. It is a hash of the request and
+	// the node, so that callers spread over equally near nodes.
+	tieBreak uint64
+}
+
+// Connect returns the nodes that a caller should use: those of its own zone
+// first, then of its region, then all others; evacuated ones last. The order of
+// equally near nodes differs from request to request. A service that the sheet
+// does not name is rejected as UnknownService.
+func (f *Front) Connect(_ context.Context, request *clientapi.Connect) (*clientapi.Nearest, *apierror.Error) {
 	view := f.views.View()
-	if ask.Service != "" && view.State.Sheet != nil {
-		if _, known := view.State.Sheet.Services[ask.Service]; !known {
-			return nil, apierror.Errorf(apierror.UnknownService, "the sheet in force has no service %q", ask.Service)
+	if request.Service != "" && view.State.Sheet != nil {
+		if _, known := view.State.Sheet.Services[request.Service]; !known {
+			return nil, apierror.Errorf(apierror.UnknownService, "the sheet in force has no service %q", request.Service)
 		}
 	}
-	region, zone := ask.Region, ask.Zone
+	region, zone := request.Region, request.Zone
 	if region == "" {
 		region, zone = f.config.Region, f.config.Zone
 	}
-	type place struct {
-		node clientapi.Node
-		far  int
-		draw uint64
+	candidates := f.callerNodes(view)
+	ranked := make([]rankedNode, 0, len(candidates))
+	for _, node := range candidates {
+		ranked = append(ranked, rankedNode{
+			node:     node,
+			distance: distanceTo(node, view.State, region, zone),
+			tieBreak: xxhash.Sum64String(request.ID + "/" + node.Name),
+		})
 	}
-	places := []place{}
-	add := func(name, address, atRegion, atZone string) {
-		p := place{node: clientapi.Node{Name: name, Address: address, Region: atRegion, Zone: atZone}, draw: xxhash.Sum64String(ask.ID + "/" + name)}
-		switch {
-		case plan.IsEvacuated(view.State, atRegion, atZone):
-			p.far = 3
-		case atRegion != region:
-			p.far = 2
-		case atZone != zone:
-			p.far = 1
-		}
-		places = append(places, p)
+	slices.SortFunc(ranked, compareRanked)
+	nearest := &clientapi.Nearest{
+		RequestID: request.ID,
+		Service:   request.Service,
+		Region:    region,
+		Nodes:     []clientapi.Node{},
+	}
+	for _, candidate := range ranked {
+		nearest.Nodes = append(nearest.Nodes, candidate.node)
 	}
+	return nearest, nil
+}
+
+// callerNodes returns the nodes that callers may use: this one, and the other
+// ready fronts of the view that are not draining.
+func (f *Front) callerNodes(view *follower.View) []clientapi.Node {
+	nodes := []clientapi.Node{}
 	if f.config.Address != "" {
-		add(f.config.Name, f.config.Address, f.config.Region, f.config.Zone)
+		nodes = append(nodes, clientapi.Node{
+			Name:    f.config.Name,
+			Address: f.config.Address,
+			Region:  f.config.Region,
+			Zone:    f.config.Zone,
+		})
 	}
-	for _, front := range view.Fronts {
-		if front.Name == f.config.Name && f.config.Address != "" {
+	for _, process := range view.Fronts {
+		if process.Name == f.config.Name && f.config.Address != "" {
 			continue
 		}
-		if front.Front && front.Ready && !front.Leaving && front.CallerAddress != "" {
-			add(front.Name, front.CallerAddress, front.Region, front.Zone)
+		if process.Front && process.Ready && !process.Leaving && process.CallerAddress != "" {
+			nodes = append(nodes, clientapi.Node{
+				Name:    process.Name,
+				Address: process.CallerAddress,
+				Region:  process.Region,
+				Zone:    process.Zone,
+			})
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int {
-		if a.far != b.far {
-			return a.far - b.far
-		}
-		if a.draw < b.draw {
-			return -1
-		}
-		return 1
-	})
-	nearest := &clientapi.Nearest{RequestID: ask.ID, Service: ask.Service, Region: region, Nodes: []clientapi.Node{}}
-	for _, p := range places {
-		nearest.Nodes = append(nearest.Nodes, p.node)
+	return nodes
+}
+
+func distanceTo(node clientapi.Node, state statemachine.State, region, zone string) distance {
+	switch {
+	case plan.IsEvacuated(state, node.Region, node.Zone):
+		return evacuated
+	case node.Region != region:
+		return otherRegion
+	case node.Zone != zone:
+		return sameRegion
 	}
-	return nearest, nil
+	return sameZone
+}
+
+func compareRanked(a, b rankedNode) int {
+	if a.distance != b.distance {
+		return int(a.distance - b.distance)
+	}
+	if a.tieBreak < b.tieBreak {
+		return -1
+	}
+	return 1
 }
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -4,20 +4,27 @@
 	"context"
 	"time"
 
+	"stepwick/internal/adapter/backend"
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/quota"
 	"stepwick/internal/decision/route"
 )
 
 const (
-	journalBound   = 4 * 4096 // events of about 4,096 requests
-	candidatesKept = 24
+	// maxCandidates bounds the servers that are recorded of one choice.
+	maxCandidates = 24
+
+	explainQuestion = "explain"
+	explainTimeout  = time.Second
+
+	// endedComplete is Attempt.Ended of an attempt without a failure.
+	endedComplete = "whole"
 )
 
-// Entry is one event of a request's way, as the journal keeps it. One of the
-// pointers is set.
+// Entry is one event of a request in the journal. Exactly one of the pointers is
+// set.
 type Entry struct {
-	ID        string
+	ID        string // request id
 	At        time.Time
 	Admission *Admission
 	Routing   *Routing
@@ -25,14 +32,14 @@
 	Outcome   *Outcome
 }
 
-// Admission is what the front decided before routing. Tokens and the tally's
-// figures are in tokens.
+// Admission is what the front decided before routing. Tokens and the figures of
+// the quota decision (Blend, Prev, Cur, Recent, Limit) are in tokens.
 type Admission struct {
 	Service  string  `json:"service"`
 	Tenant   string  `json:"tenant,omitempty"`
-	Region   string  `json:"region"`
-	Home     string  `json:"home,omitempty"` // the region that it is bound to
-	Version  uint64  `json:"epoch"`
+	Region   string  `json:"region"`         // of the caller
+	Home     string  `json:"home,omitempty"` // the region that the request must be served in
+	Version  uint64  `json:"epoch"`          // of the configuration
 	PlanTerm uint64  `json:"plan_term"`
 	Plan     uint64  `json:"plan"`
 	Tokens   float64 `json:"tokens"`
@@ -46,7 +53,7 @@
 	Fault    string  `json:"fault,omitempty"`
 }
 
-// Routing is one answer of the routing table.
+// Routing is one choice of the routing table.
 type Routing struct {
 	Server     string      `json:"server,omitempty"`
 	Region     string      `json:"region,omitempty"`
@@ -59,20 +66,20 @@
 type Candidate struct {
 	Server   string  `json:"server"`
 	Score    float64 `json:"score"`
-	Excluded string  `json:"excluded,omitempty"`
+	Excluded string  `json:"excluded,omitempty"` // why the server was not eligible
 }
 
-// Attempt is one request sent to one server.
+// Attempt is one attempt of a request at one server.
 type Attempt struct {
 	Server       string  `json:"server"`
-	Ended        string  `json:"ended"` // whole, or the kind of failure
+	Ended        string  `json:"ended"` // "whole", or the kind of failure
 	Detail       string  `json:"detail,omitempty"`
 	Events       int     `json:"events,omitempty"`
 	FirstEventMS float64 `json:"first_event_ms,omitempty"`
 	TookMS       float64 `json:"took_ms"`
 }
 
-// Outcome is the answer that the caller got.
+// Outcome is the result that the caller got.
 type Outcome struct {
 	Code   apierror.Code `json:"code"`
 	Name   string        `json:"name"`
@@ -80,38 +87,40 @@
 	TookMS float64       `json:"took_ms"`
 }
 
-// Explanation is a request's whole way, folded from the journal.
+// Explanation is the history of one request, built from its journal entries.
 type Explanation struct {
 	RequestID string     `json:"request_id"`
 	Front     string     `json:"front"`
-	AtMS      int64      `json:"at_ms"`
+	AtMS      int64      `json:"at_ms"` // of its admission, in Unix milliseconds
 	Admission *Admission `json:"admission,omitempty"`
 	Routings  []*Routing `json:"routings,omitempty"`
 	Attempts  []*Attempt `json:"attempts,omitempty"`
 	Outcome   *Outcome   `json:"outcome,omitempty"`
 }
 
-// Inspect answers a question about the front with a value that has a JSON
-// form. The one it knows is explain: why the request with an id went where it
-// went, as an *Explanation; of several requests with one id the newest.
-func (f *Front) Inspect(what, argument string) (any, bool) {
-	if what != "explain" {
+// Inspect answers a question about the front with a value that has a JSON form,
+// and returns false if it has no answer. The only question is "explain": it
+// returns the *Explanation of a request id, of several such requests the newest.
+func (f *Front) Inspect(question, argument string) (any, bool) {
+	if question != explainQuestion {
 		return nil, false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), explainTimeout)
 	defer cancel()
-	entries, err := f.scribe.tell(ctx, argument)
+	entries, err := f.requestLog.find(ctx, argument)
 	if err != nil {
 		return nil, false
 	}
-	var told *Explanation
+	var explanation *Explanation
 	for _, entry := range entries {
-		told = told.with(entry, f.config.Name)
+		explanation = explanation.add(entry, f.config.Name)
 	}
-	return told, told != nil
+	return explanation, explanation != nil
 }
 
-func (e *Explanation) with(entry Entry, front string) *Explanation {
+// add returns the explanation with an entry added. An admission begins a new
+// request, and so a new explanation.
+func (e *Explanation) add(entry Entry, front string) *Explanation {
 	if e == nil || entry.Admission != nil {
 		e = &Explanation{RequestID: entry.ID, Front: front, AtMS: entry.At.UnixMilli()}
 	}
@@ -128,20 +137,63 @@
 	return e
 }
 
-func (a *Admission) tally(decision quota.Decision) {
-	a.Passed, a.Marked = decision.Pass, decision.Marked
-	a.Blend, a.Prev, a.Cur, a.Recent, a.Limit = decision.Blend, decision.Prev, decision.Cur, decision.Recent, decision.Limit
+// setTally copies the figures of a quota decision.
+func (a *Admission) setTally(decision quota.Decision) {
+	a.Passed = decision.Pass
+	a.Marked = decision.Marked
+	a.Blend = decision.Blend
+	a.Prev = decision.Prev
+	a.Cur = decision.Cur
+	a.Recent = decision.Recent
+	a.Limit = decision.Limit
 }
 
-func routingOf(choice route.Choice, waited time.Duration) *Routing {
-	r := &Routing{Server: choice.Server, Region: choice.Region, WaitedMS: inMS(waited)}
+func routingRecord(choice route.Choice, waited time.Duration) *Routing {
+	routing := &Routing{
+		Server:   choice.Server,
+		Region:   choice.Region,
+		WaitedMS: milliseconds(waited),
+	}
 	if choice.Fault != nil {
-		r.Fault = choice.Fault.Error()
+		routing.Fault = choice.Fault.Error()
+	}
+	for _, candidate := range choice.Candidates[:min(len(choice.Candidates), maxCandidates)] {
+		routing.Candidates = append(routing.Candidates, Candidate{
+			Server:   candidate.Server,
+			Score:    candidate.Score,
+			Excluded: candidate.Excluded,
+		})
+	}
+	return routing
+}
+
+func attemptRecord(server string, failure *backend.Failure, took time.Duration) *Attempt {
+	attempt := &Attempt{
+		Server: server,
+		Ended:  endedComplete,
+		TookMS: milliseconds(took),
+	}
+	if failure != nil {
+		attempt.Ended = string(failure.Kind)
+		attempt.Detail = failure.Detail
+	}
+	return attempt
+}
+
+// outcome returns the call's result; a nil error is success.
+func (c *call) outcome(apiErr *apierror.Error) *Outcome {
+	outcome := &Outcome{
+		Name:   apierror.OK.String(),
+		TookMS: milliseconds(c.front.clock.Now().Sub(c.arrived)),
 	}
-	for _, c := range choice.Candidates[:min(len(choice.Candidates), candidatesKept)] {
-		r.Candidates = append(r.Candidates, Candidate{c.Server, c.Score, c.Excluded})
+	if apiErr != nil {
+		outcome.Code = apiErr.Code
+		outcome.Name = apiErr.Code.String()
+		outcome.Detail = apiErr.Detail
 	}
-	return r
+	return outcome
 }
 
-func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(duration time.Duration) float64 {
+	return float64(duration) / float64(time.Millisecond)
+}
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -1,14 +1,32 @@
-// Package front is the traffic side of a node. A request's way has the stages
-// parse, admit, route, call and finish, joined by bounded queues: clientapi
-// parses within its bound of requests, the tally's owner admits, the routing
-// table's owner routes, a reader of the server's connection calls, and the
-// caller's own goroutine finishes.
+// Package front is the data path of a node: it serves prompts and one-shot calls
+// by the period plan. A request passes through these stages:
+//
+//   - parsing, within bounds, by clientapi;
+//   - admission by authority, API key, service and the tenant's quota
+//     (admission.go);
+//   - routing to a server by the router, which owns the routing table (router.go,
+//     dispatch.go);
+//   - one attempt or several at servers, by backend (attempt.go, prompt.go,
+//     stream_forwarder.go, oneshot.go);
+//   - the result: journal, metrics and log (call.go, explain.go, metrics.go,
+//     result_events.go).
+//
+// A request runs on its caller's goroutine. The state that requests share has one
+// owner goroutine each, reached over bounded queues: router, callRegistry,
+// requestJournal and pauseDetector. Control state is only read, as immutable
+// views.
+//
+// Invariants: nothing is sent to a server without authority. A prompt is retried
+// only while its caller has received nothing, a one-shot call only while no server
+// has received it. A call whose API key is revoked, or whose node has been without
+// authority for the grace period, is cancelled.
+//
+// The package holds no lease, makes no plan and checks no server's health; see the
+// follower, control and healthcheck packages.
 package front
 
 import (
 	"context"
-	"fmt"
-	"maps"
 	"net"
 	"net/http"
 	"sync"
@@ -21,170 +39,195 @@
 
 	"stepwick/internal/adapter/backend"
 	"stepwick/internal/adapter/clientapi"
-	"stepwick/internal/apierror"
 	"stepwick/internal/clock"
-	"stepwick/internal/decision/quota"
 	"stepwick/internal/decision/route"
-	"stepwick/internal/decision/sheet"
 	"stepwick/internal/events"
 	"stepwick/internal/node/follower"
 )
 
-// Config holds a front's place and bounds. Zero values take the defaults named.
+const (
+	defaultOneShotTokens  = 50
+	defaultStreamBuffer   = 64
+	defaultAuthorityGrace = 2 * time.Second
+
+	// shutdownTimeout bounds how long Listen lets answers that are being written
+	// complete.
+	shutdownTimeout = time.Second
+)
+
+// Config holds a front's settings. Zero values take the defaults named.
 type Config struct {
-	Name    string
-	Address string // advertised to callers, ip:port
-	Region  string
-	Zone    string
-
-	Limits      clientapi.Limits
-	Backend     backend.Config
-	Route       route.Config  // its place is taken from the fields above
-	PlainTokens float64       // of a one-shot whose service names none; default 50
-	Events      int           // events buffered between a server and a slow caller; default 64
-	CutAfter    time.Duration // from the loss of ruling to the cut of running calls; default 2s
-
-	// Tune reads what a sheet sets at run time; nil for nothing. It is asked
-	// when they change.
-	Tune func(settings map[string]string) Tuned
-
-	// Standing tells the standing of the core beside this front; nil on a plain one.
+	// Name is the node's name.
+	Name string
+	// Address is advertised to callers, as ip:port; "" for none.
+	Address string
+	// Region and Zone are the node's failure domain.
+	Region string
+	Zone   string
+
+	// Limits bounds what one caller can cost.
+	Limits clientapi.Limits
+	// Backend configures the connections to servers.
+	Backend backend.Config
+	// Route configures routing. Its name, region and zone are taken from the
+	// fields above.
+	Route route.Config
+	// OneShotTokens is the cost, in tokens, of a one-shot call whose service names
+	// none; default 50.
+	OneShotTokens float64
+	// StreamBuffer is the number of events buffered between a server and a slow
+	// caller; default 64.
+	StreamBuffer int
+	// AuthorityGrace is the time from the loss of authority to the cancellation
+	// of running calls; default 2s.
+	AuthorityGrace time.Duration
+
+	// ReadRuntimeSettings converts the settings of a sheet, by name, to those that
+	// change at run time. It is called when they change; nil if none does.
+	ReadRuntimeSettings func(settings map[string]string) RuntimeSettings
+
+	// Standing returns the standing of the core on this node; nil on a plain
+	// front.
 	Standing func() string
 
-	Control http.Handler // answers below /v1/control/; may be nil
-	Metrics http.Handler // answers /metrics; may be nil
+	// Control answers requests below /v1/control/; may be nil.
+	Control http.Handler
+	// Metrics answers /metrics; may be nil.
+	Metrics http.Handler
 }
 
-// Tuned is what a sheet can set at run time. Zero or nil leaves a value as it is.
-type Tuned struct {
-	Route           *route.Knobs
-	DeadlineMax     time.Duration
-	DeadlineDefault time.Duration
+func (c Config) withDefaults() Config {
+	if c.OneShotTokens <= 0 {
+		c.OneShotTokens = defaultOneShotTokens
+	}
+	if c.StreamBuffer <= 0 {
+		c.StreamBuffer = defaultStreamBuffer
+	}
+	if c.AuthorityGrace <= 0 {
+		c.AuthorityGrace = defaultAuthorityGrace
+	}
+	c.Route.Self = c.Name
+	c.Route.Region = c.Region
+	c.Route.Zone = c.Zone
+	return c
 }
 
-// Views is where a front reads the control state that it decides by.
+// Views provides the control state that a front decides by.
 type Views interface {
+	// View returns the newest view.
 	View() *follower.View
+	// Changed returns a channel that is closed when there is a newer view.
 	Changed() <-chan struct{}
+	// HasAuthority reports whether the node holds its lease and may decide.
 	HasAuthority() bool
 }
 
-// Admitter decides by the shared tally whether a tenant may spend tokens.
-type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, patience time.Duration) quota.Decision
-}
-
-// Front serves callers.
+// Front serves callers. It implements clientapi.RequestHandler.
 type Front struct {
-	config  Config
-	views   Views
-	admit   Admitter
-	clock   clock.Clock
-	log     events.Log
-	api     *clientapi.API
-	client  *backend.Client
-	router  *router
-	keeper  *keeper
-	scribe  *scribe
-	pulse   *pulse
-	metrics *metrics
-	tuned   map[string]string // by the sheet, as last applied
-	leaving atomic.Bool
-	ended   chan struct{}
-	once    sync.Once
+	config     Config
+	views      Views
+	admitter   Admitter
+	clock      clock.Clock
+	log        events.Log
+	api        *clientapi.API
+	client     *backend.Client
+	router     *router
+	calls      *callRegistry
+	requestLog *requestJournal
+	pauses     *pauseDetector
+	metrics    *metrics
+	// appliedSettings are the sheet's settings as last applied; nil before the
+	// first sheet. They belong to the router's goroutine.
+	appliedSettings map[string]string
+	draining        atomic.Bool
+	stopped         chan struct{} // closed when Serve has ended
+	stopOnce        sync.Once
 }
 
-// New returns a front. It takes no traffic before Serve runs.
-func New(config Config, views Views, admit Admitter, clock clock.Clock, log events.Log, registry prometheus.Registerer) (*Front, error) {
-	if config.PlainTokens <= 0 {
-		config.PlainTokens = 50
-	}
-	if config.Events <= 0 {
-		config.Events = 64
-	}
-	if config.CutAfter <= 0 {
-		config.CutAfter = 2 * time.Second
-	}
-	config.Route.Self, config.Route.Region, config.Route.Zone = config.Name, config.Region, config.Zone
+var _ clientapi.RequestHandler = (*Front)(nil)
+
+// New returns a front. It serves no request before Serve runs.
+func New(config Config, views Views, admitter Admitter, clock clock.Clock, log events.Log, registry prometheus.Registerer) (*Front, error) {
+	config = config.withDefaults()
 	client, err := backend.New(config.Backend)
 	if err != nil {
 		return nil, err
 	}
-	scribe := newScribe()
-	metrics, err := newMetrics(registry, scribe)
+	journal := newRequestJournal()
+	metrics, err := newMetrics(registry, journal)
 	if err != nil {
 		return nil, errors.Wrap(err, "register the front's metrics")
 	}
-	f := &Front{config: config, views: views, admit: admit, clock: clock, log: log, client: client, metrics: metrics, scribe: scribe, ended: make(chan struct{})}
-	f.pulse = newPulse(clock)
-	f.keeper = newKeeper(views, clock, config.CutAfter, f.ended)
-	f.router = newRouter(route.New(config.Route), config.Name, views, clock, log, f.ended)
+	f := &Front{
+		config:     config,
+		views:      views,
+		admitter:   admitter,
+		clock:      clock,
+		log:        log,
+		client:     client,
+		metrics:    metrics,
+		requestLog: journal,
+		stopped:    make(chan struct{}),
+	}
+	f.pauses = newPauseDetector(clock)
+	f.calls = newCallRegistry(views, clock, config.AuthorityGrace, f.stopped)
+	f.router = newRouter(route.New(config.Route), views, clock, log, f.stopped)
+	f.router.applySheet = f.applyRuntimeSettings
+	f.api = clientapi.New(config.Limits, f, clock, config.mounts())
+	return f, nil
+}
+
+// mounts returns the handlers beside the caller API, by path.
+func (c Config) mounts() map[string]http.Handler {
 	mounts := map[string]http.Handler{}
-	if config.Control != nil {
-		mounts["/v1/control/"] = config.Control
+	if c.Control != nil {
+		mounts["/v1/control/"] = c.Control
 	}
-	if config.Metrics != nil {
-		mounts["/metrics"] = config.Metrics
+	if c.Metrics != nil {
+		mounts["/metrics"] = c.Metrics
 	}
-	f.api = clientapi.New(config.Limits, f, clock, mounts)
-	f.router.tune = f.tune
-	return f, nil
+	return mounts
 }
 
-// Serve runs the front's owners until the context ends; after that the front
-// is of no more use.
+// Serve runs the front's owners until the context ends. The front cannot be used
+// after that.
 func (f *Front) Serve(ctx context.Context) error {
 	defer func() {
 		if ctx.Err() != nil {
-			f.once.Do(func() { close(f.ended) })
+			f.stopOnce.Do(func() { close(f.stopped) })
 		}
 	}()
-	supervisor := suture.New("front", suture.Spec{EventHook: func(event suture.Event) {
-		if failed, ok := event.(suture.EventServicePanic); ok {
-			f.log.Emit(events.OwnerPanicked, "owner", failed.ServiceName, "panic", failed.PanicMsg)
-		}
-	}})
-	supervisor.Add(f.pulse)
-	supervisor.Add(f.scribe)
-	supervisor.Add(f.keeper)
+	supervisor := suture.New("front", suture.Spec{EventHook: f.logPanic})
+	supervisor.Add(f.pauses)
+	supervisor.Add(f.requestLog)
+	supervisor.Add(f.calls)
 	supervisor.Add(f.router)
 	return supervisor.Serve(ctx)
 }
 
-func (f *Front) String() string { return "front" }
-
-// tune runs on the router's goroutine, which owns the table.
-func (f *Front) tune(sheet *sheet.Sheet, table *route.Table) {
-	if f.config.Tune == nil || sheet == nil || f.tuned != nil && maps.Equal(f.tuned, sheet.Settings) {
-		return
-	}
-	changed := f.tuned != nil || len(sheet.Settings) > 0
-	f.tuned = map[string]string{}
-	maps.Copy(f.tuned, sheet.Settings)
-	tuned := f.config.Tune(sheet.Settings)
-	f.api.Tune(tuned.DeadlineMax, tuned.DeadlineDefault)
-	if tuned.Route != nil {
-		table.Tune(*tuned.Route)
-	}
-	if changed {
-		f.log.Emit(events.SettingsChanged, "settings", fmt.Sprint(f.tuned))
+func (f *Front) logPanic(event suture.Event) {
+	if failed, ok := event.(suture.EventServicePanic); ok {
+		f.log.Emit(events.OwnerPanicked, "owner", failed.ServiceName, "panic", failed.PanicMsg)
 	}
 }
 
-// Handler answers callers.
+// String returns the owner's name in log events.
+func (f *Front) String() string { return "front" }
+
+// Handler returns the HTTP handler for callers.
 func (f *Front) Handler() http.Handler { return f.api }
 
-// Listen answers callers on a listener until the context ends; then it lets
-// answers that are being written go out, for a second at most, and closes what
-// is still open. Drain comes before.
+// Listen serves callers on a listener until the context ends. Then it lets answers
+// that are being written complete, for a second at most, closes the remaining
+// connections and returns the context's error. Call Drain first.
 func (f *Front) Listen(ctx context.Context, listener net.Listener) error {
 	server := f.api.Server()
 	closed := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(closed)
-		last, cancel := context.WithTimeout(context.Background(), time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		_ = server.Shutdown(last)
+		_ = server.Shutdown(shutdownCtx)
 		_ = server.Close()
 	})
 	err := server.Serve(f.api.Bounded(listener))
@@ -195,18 +238,7 @@
 	return errors.Wrap(err, "serve callers")
 }
 
-// Ready tells whether the node takes traffic: nil, or why not.
-func (f *Front) Ready() *apierror.Error {
-	if apiErr := f.rules(); apiErr != nil {
-		return apiErr
-	}
-	if f.views.View().Plan == nil {
-		return apierror.Errorf(apierror.NoPlan, "").WithRetryAfter(time.Second)
-	}
-	return nil
-}
-
-// Standing names the standing of the core beside this front.
+// Standing returns the standing of the core on this node, "" on a plain front.
 func (f *Front) Standing() string {
 	if f.config.Standing == nil {
 		return ""
@@ -214,31 +246,20 @@
 	return f.config.Standing()
 }
 
-// Drain lets no new request in and waits until the running ones have ended.
-// When the context ends first, the rest is cut, and Drain gives its error.
+// Drain rejects new requests and waits until the running ones have ended. When the
+// context ends first, the remaining ones are cancelled, and Drain returns the
+// context's error.
 func (f *Front) Drain(ctx context.Context) error {
-	f.leaving.Store(true)
-	return f.keeper.drain(ctx)
+	f.draining.Store(true)
+	return f.calls.drain(ctx)
 }
 
-// Arrived returns the earliest moment at which a request that is read now may
-// have reached this machine. A process that was frozen finds requests that
-// waited on their connections, and counts their deadlines from before.
-func (f *Front) Arrived() time.Time { return f.pulse.arrived() }
+// EarliestArrival returns the earliest time at which a request that is read now
+// may have reached this machine. After a pause of the process, requests may have
+// waited on their connections, and their deadlines count from before.
+func (f *Front) EarliestArrival() time.Time { return f.pauses.earliestArrival() }
 
-// Broke logs a panic while a request was served.
-func (f *Front) Broke(id string, panicked any) {
+// Panicked logs a panic while a request was served.
+func (f *Front) Panicked(id string, panicked any) {
 	f.log.Emit(events.RequestPanicked, "request", id, "panic", panicked)
 }
-
-// rules tells whether this node may decide on a new request now.
-func (f *Front) rules() *apierror.Error {
-	if f.leaving.Load() {
-		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(time.Second)
-	}
-	if !f.views.HasAuthority() {
-		wait := f.views.View().Authority.RetryAfter
-		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(max(wait, 100*time.Millisecond))
-	}
-	return nil
-}
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -94,7 +94,7 @@
 	return f.decide(tenant, tokens, terms)
 }
 
-// server is a stand-in behind pipes. It counts the runs of each request id.
+// lastServer is a stand-in behind pipes. It counts the runs of each request id.
 type server struct {
 	refuse bool
 	behave func(conn net.Conn, request *http.Request, id string)
@@ -151,7 +151,7 @@
 	f.views.view.Store(view)
 	f.views.publish(withKeys("k"))
 	f.views.ruling.Store(true)
-	front, err := New(Config{Name: "n1", Address: "127.0.0.1:1", Region: "lagos", Zone: "a", Backend: backend.Config{Dial: f.dial}, Tune: tuned}, f.views, f.tally,
+	front, err := New(Config{Name: "n1", Address: "127.0.0.1:1", Region: "lagos", Zone: "a", Backend: backend.Config{Dial: f.dial}, ReadRuntimeSettings: tuned}, f.views, f.tally,
 		f.clock, f, prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
@@ -165,9 +165,9 @@
 	return f
 }
 
-func tuned(settings map[string]string) Tuned {
+func tuned(settings map[string]string) RuntimeSettings {
 	most, _ := time.ParseDuration(settings["deadline.max"])
-	t := Tuned{DeadlineMax: most}
+	t := RuntimeSettings{DeadlineMax: most}
 	if len(settings) > 0 {
 		t.Route = &route.Knobs{Strategy: route.Strategy(settings["route.strategy"]), QueueBound: 0, RampStart: 2, RetryBudget: 0}
 	}
@@ -225,7 +225,7 @@
 	c.send("POST", "/v1/prompt", id, "", fmt.Sprintf(`{"service":"chat","prefix":"p","max_tokens":9,"deadline_ms":%d}`, deadline.Milliseconds()))
 }
 
-// answer is what a caller got: all of it, and whether the end was a clean one.
+// completeDrains is what a caller got: all of it, and whether the end was a clean one.
 type answer struct {
 	status int
 	code   apierror.Code
--- a/internal/node/front/metrics.go
+++ b/internal/node/front/metrics.go
@@ -3,44 +3,58 @@
 import (
 	"strconv"
 
-	"stepwick/internal/apierror"
-
 	"github.com/prometheus/client_golang/prometheus"
+
+	"stepwick/internal/apierror"
 )
 
+// metrics are the collectors of the data path.
 type metrics struct {
-	requests   *prometheus.CounterVec
-	firstEvent *prometheus.HistogramVec
-	eventGap   *prometheus.HistogramVec
-	inFlight   prometheus.Gauge
-	retries    *prometheus.CounterVec
-	quota      prometheus.Counter
-	store      prometheus.Counter
+	requests        *prometheus.CounterVec
+	firstEvent      *prometheus.HistogramVec
+	eventGap        *prometheus.HistogramVec
+	inFlight        prometheus.Gauge
+	retries         *prometheus.CounterVec
+	quotaRejections prometheus.Counter
+	tallyRejections prometheus.Counter
 }
 
-func newMetrics(registry prometheus.Registerer, scribe *scribe) (*metrics, error) {
+// newMetrics creates the collectors and registers them, in a fixed order. The
+// error is the registry's.
+func newMetrics(registry prometheus.Registerer, journal *requestJournal) (*metrics, error) {
 	m := &metrics{
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "stepwick_requests_total",
-			Help: "Requests by service and result code."}, []string{"service", "code"}),
-		firstEvent: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stepwick_first_event_seconds",
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "stepwick_requests_total",
+			Help: "Requests by service and result code.",
+		}, []string{"service", "code"}),
+		firstEvent: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name:    "stepwick_first_event_seconds",
 			Help:    "From a prompt's arrival until its first event was passed on.",
-			Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}, []string{"service"}),
-		eventGap: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stepwick_event_gap_seconds",
+			Buckets: prometheus.ExponentialBuckets(0.005, 2, 14),
+		}, []string{"service"}),
+		eventGap: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name:    "stepwick_event_gap_seconds",
 			Help:    "Between two events of a stream as passed on.",
-			Buckets: prometheus.ExponentialBuckets(0.001, 2, 14)}, []string{"service"}),
-		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{Name: "stepwick_requests_in_flight",
-			Help: "Requests admitted and not ended."}),
-		retries: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "stepwick_retries_total",
-			Help: "Attempts at a further server, by service."}, []string{"service"}),
-		quota: prometheus.NewCounter(prometheus.CounterOpts{Name: "stepwick_quota_refusals_total",
-			Help: "Requests refused because the tenant's allowance is spent."}),
-		store: prometheus.NewCounter(prometheus.CounterOpts{Name: "stepwick_tally_unreachable_refusals_total",
-			Help: "Requests refused because the tenant's count is out of reach and this node's share is spent."}),
+			Buckets: prometheus.ExponentialBuckets(0.001, 2, 14),
+		}, []string{"service"}),
+		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{
+			Name: "stepwick_requests_in_flight",
+			Help: "Requests admitted and not ended.",
+		}),
+		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "stepwick_retries_total",
+			Help: "Attempts at a further server, by service.",
+		}, []string{"service"}),
+		quotaRejections: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "stepwick_quota_refusals_total",
+			Help: "Requests refused because the tenant's allowance is spent.",
+		}),
+		tallyRejections: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "stepwick_tally_unreachable_refusals_total",
+			Help: "Requests refused because the tenant's count is out of reach and this node's share is spent.",
+		}),
 	}
-	for _, collector := range []prometheus.Collector{m.requests, m.firstEvent, m.eventGap, m.inFlight, m.retries, m.quota, m.store,
-		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "stepwick_explain_dropped_total",
-			Help: "Entries of the explain journal that were dropped because its owner was behind."},
-			func() float64 { return float64(scribe.dropped.Load()) })} {
+	for _, collector := range m.collectors(journal) {
 		if err := registry.Register(collector); err != nil {
 			return nil, err
 		}
@@ -48,16 +62,34 @@
 	return m, nil
 }
 
-func (m *metrics) ended(service string, apiErr *apierror.Error) {
+func (m *metrics) collectors(journal *requestJournal) []prometheus.Collector {
+	dropped := prometheus.NewCounterFunc(prometheus.CounterOpts{
+		Name: "stepwick_explain_dropped_total",
+		Help: "Entries of the explain journal that were dropped because its owner was behind.",
+	}, func() float64 { return float64(journal.dropped.Load()) })
+	return []prometheus.Collector{
+		m.requests,
+		m.firstEvent,
+		m.eventGap,
+		m.inFlight,
+		m.retries,
+		m.quotaRejections,
+		m.tallyRejections,
+		dropped,
+	}
+}
+
+// countResult counts a request by its result; nil is success.
+func (m *metrics) countResult(service string, apiErr *apierror.Error) {
 	code := apierror.OK
 	if apiErr != nil {
 		code = apiErr.Code
 	}
 	switch code {
 	case apierror.QuotaExceeded:
-		m.quota.Inc()
+		m.quotaRejections.Inc()
 	case apierror.ShareExceeded:
-		m.store.Inc()
+		m.tallyRejections.Inc()
 	}
 	m.requests.WithLabelValues(service, strconv.FormatUint(uint64(code), 10)).Inc()
 }
--- a/internal/node/front/oneshot.go
+++ b/internal/node/front/oneshot.go
@@ -2,80 +2,99 @@
 
 import (
 	"context"
-	"time"
 
 	"stepwick/internal/adapter/backend"
 	"stepwick/internal/adapter/clientapi"
 	"stepwick/internal/apierror"
 )
 
-func (c *call) oneShot(ctx context.Context, shot *clientapi.OneShot) (*clientapi.Answer, *apierror.Error) {
+// retryOneShot attempts a one-shot call at one server after another until a
+// server may have received it or the call fails for good.
+func (c *call) retryOneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Answer, *apierror.Error) {
 	for {
-		answer, server, apiErr := c.shoot(ctx, shot)
+		answer, server, apiErr := c.attemptOneShot(ctx, request)
 		if apiErr == nil {
 			return answer, nil
 		}
 		if server == "" || apiErr.Code != apierror.NotRun {
 			return nil, apiErr
 		}
-		c.retried(server)
+		c.recordRetry(server)
 	}
 }
 
-// shoot makes one attempt. NotRun with a server's name means that nothing was
-// written to that server, so another may be tried.
-func (c *call) shoot(ctx context.Context, shot *clientapi.OneShot) (*clientapi.Answer, string, *apierror.Error) {
-	f := c.front
-	s, choice, apiErr := c.seat(ctx)
+// attemptOneShot makes one attempt. NotRun with a server's name means that
+// nothing was written to that server, so another one may be tried.
+func (c *call) attemptOneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Answer, string, *apierror.Error) {
+	assigned, choice, apiErr := c.acquireServer(ctx)
 	if apiErr != nil {
-		return nil, "", c.notRun(apiErr)
+		return nil, "", c.notRunError(apiErr)
 	}
-	var failure = &backend.Failure{Kind: backend.Broken, Detail: "a fault of the program"}
-	began := f.clock.Now()
-	defer func() { c.giveUp(s, failure, began, 0) }()
-	calling, cancel := context.WithCancel(ctx)
+	// A panic leaves this failure to the routing table.
+	failure := &backend.Failure{Kind: backend.Broken, Detail: "a fault of the program"}
+	began := c.front.clock.Now()
+	defer func() { c.releaseServer(assigned, failure, began, 0) }()
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(s.lost, cancel)()
-	var got *backend.Answer
-	got, failure = f.client.Call(calling, c.attempt(choice), &backend.Shot{Method: shot.Method, Path: shot.Path, Query: shot.Query, Header: shot.Header, Body: shot.Body})
-	if failure != nil && s.lost.Err() != nil && ctx.Err() == nil {
-		failure = lost(failure)
+	defer context.AfterFunc(assigned.serverLost, cancel)()
+	var answer *backend.Answer
+	answer, failure = c.front.client.Call(attemptCtx, c.newAttempt(choice), &backend.Shot{
+		Method: request.Method,
+		Path:   request.Path,
+		Query:  request.Query,
+		Header: request.Header,
+		Body:   request.Body,
+	})
+	if failure != nil && assigned.serverLost.Err() != nil && ctx.Err() == nil {
+		failure = serverLostFailure(failure)
 	}
-	c.note(Entry{Attempt: attemptOf(choice.Server, failure, f.clock.Now().Sub(began))})
-	c.reportAnswer(failure)
+	c.record(Entry{Attempt: attemptRecord(choice.Server, failure, c.front.clock.Now().Sub(began))})
+	c.logFailure(failure)
+	if failure != nil {
+		return c.oneShotError(ctx, choice.Server, failure)
+	}
+	if apiErr := c.checkAnswer(); apiErr != nil {
+		return nil, "", outcomeUnknown(apiErr.Detail)
+	}
+	return &clientapi.Answer{
+		Server: choice.Server,
+		Status: answer.Status,
+		Header: answer.Header,
+		Body:   answer.Body,
+	}, "", nil
+}
+
+// oneShotError converts the failure of an attempt to what attemptOneShot returns.
+func (c *call) oneShotError(ctx context.Context, server string, failure *backend.Failure) (*clientapi.Answer, string, *apierror.Error) {
 	switch {
-	case failure == nil:
-		if apiErr := c.late(); apiErr != nil {
-			return nil, "", unknown(apiErr.Detail)
-		}
-		return &clientapi.Answer{Server: choice.Server, Status: got.Status, Header: got.Header, Body: got.Body}, "", nil
 	case failure.Kind == backend.Barred:
-		return nil, "", c.notRun(failure.Cause)
+		return nil, "", c.notRunError(failure.Cause)
 	case !failure.Unsent():
-		return nil, "", unknown(failure.Detail)
+		return nil, "", outcomeUnknown(failure.Detail)
 	case ctx.Err() != nil:
-		return nil, "", c.notRun(c.ended(ctx, "the deadline passed before the call was sent"))
+		return nil, "", c.notRunError(c.contextError(ctx, "the deadline passed before the call was sent"))
 	}
-	return nil, choice.Server, apierror.Errorf(apierror.NotRun, "%s", failure.Detail)
+	return nil, server, apierror.Errorf(apierror.NotRun, "%s", failure.Detail)
 }
 
-// late tells whether an answer that has arrived may no longer be passed on.
-func (c *call) late() *apierror.Error {
+// checkAnswer returns nil if an answer that has arrived may still be forwarded.
+func (c *call) checkAnswer() *apierror.Error {
 	if !c.front.clock.Now().Before(c.request.Deadline) {
 		return apierror.Errorf(apierror.DeadlinePassed, "the answer came after the deadline")
 	}
-	return c.front.keeper.stands(&c.running)
+	return c.front.calls.checkRunning(&c.runningCall)
 }
 
-func unknown(detail string) *apierror.Error {
+func outcomeUnknown(detail string) *apierror.Error {
 	return apierror.Errorf(apierror.OutcomeUnknown, "%s", detail)
 }
 
-// notRun says of a one-shot of which nothing was sent that it has not run. A
-// first refusal keeps its own code, which says so too.
-func (c *call) notRun(apiErr *apierror.Error) *apierror.Error {
+// notRunError returns the error of a one-shot call of which nothing was sent. A
+// first attempt keeps its own code, which implies that the call has not run,
+// except that DeadlinePassed becomes NotRun.
+func (c *call) notRunError(apiErr *apierror.Error) *apierror.Error {
 	if len(c.request.Tried) == 0 && apiErr.Code != apierror.DeadlinePassed {
 		return apiErr
 	}
-	return apierror.Errorf(apierror.NotRun, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, 100*time.Millisecond))
+	return apierror.Errorf(apierror.NotRun, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, shortRetryAfter))
 }
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -16,68 +16,82 @@
 )
 
 const (
-	routerBound   = 1024
-	routerTickMin = time.Millisecond
+	routerQueueCapacity = 1024
+	minRouterWait       = time.Millisecond
 )
 
-// router owns the routing table and the queued requests.
+// router owns the routing table, the requests that wait for a server, and the
+// assignments of requests to servers. The goroutine in Serve owns all fields but
+// requests, releases and nextID.
 type router struct {
-	table   *route.Table
-	self    string
-	views   Views
-	clock   clock.Clock
-	log     events.Log
-	asks    *stage.Queue[*seat]
-	ends    *stage.Queue[ended]
-	ended   chan struct{}
-	numbers atomic.Uint64
-	seen    *follower.View
-	queued  map[string]*seat
-	seated  map[string]map[*seat]struct{} // by server
-	survey  survey
-	tune    func(*sheet.Sheet, *route.Table) // takes in what a new sheet sets at run time
-	sheet   *sheet.Sheet
-}
-
-// seat is one request's place at a server, or among the queued requests.
-// Server and choice belong to the router until the choice is delivered.
-type seat struct {
-	request route.Request
-	choice  chan route.Choice
-	server  string
-	gone    bool
-	lost    context.Context // ends when the server is known to be lost
-	lose    context.CancelFunc
-}
-
-type ended struct {
-	seat    *seat
-	outcome route.Outcome
-}
-
-func newRouter(table *route.Table, self string, views Views, clock clock.Clock, log events.Log, over chan struct{}) *router {
-	return &router{table: table, self: self, views: views, clock: clock, log: log, ended: over, asks: stage.NewQueue[*seat](routerBound),
-		ends: stage.NewQueue[ended](routerBound), queued: map[string]*seat{}, seated: map[string]map[*seat]struct{}{}}
-}
-
-// ask hands a request to the router, unless its queue is full. The choice
-// comes on the seat's channel, and each seat that was asked for is to be given
-// up once, whatever came.
-func (r *router) ask(request route.Request) (*seat, *apierror.Error) {
-	request.ID = strconv.FormatUint(r.numbers.Add(1), 36)
-	s := &seat{request: request, choice: make(chan route.Choice, 1)}
-	s.lost, s.lose = context.WithCancel(context.Background())
-	if !r.asks.TryPut(s) {
-		return nil, apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", routerBound).WithRetryAfter(time.Second)
-	}
-	return s, nil
-}
-
-// giveUp frees the seat, with what came of it.
-func (r *router) giveUp(s *seat, outcome route.Outcome) {
+	table    *route.Table
+	views    Views
+	clock    clock.Clock
+	log      events.Log
+	requests *stage.Queue[*assignment]
+	releases *stage.Queue[release]
+	stopped  chan struct{} // closed when the front has stopped
+	nextID   atomic.Uint64
+	view     *follower.View // the one that the table has
+	sheet    *sheet.Sheet   // the one last given to applySheet
+	queued   map[string]*assignment
+	assigned map[string]map[*assignment]struct{} // by server
+	reporter routingReporter
+	// applySheet applies the run-time settings of a new sheet to the table.
+	applySheet func(*sheet.Sheet, *route.Table)
+}
+
+// assignment is one request's slot at a server, or its entry among the queued
+// requests. Server and released belong to the router's goroutine.
+type assignment struct {
+	request  route.Request
+	choice   chan route.Choice // holds one, so that the router never waits
+	server   string            // "" until one is chosen
+	released bool
+	// serverLost ends when the server is removed or unreachable, and when the
+	// assignment is released.
+	serverLost     context.Context
+	markServerLost context.CancelFunc
+}
+
+// release is the end of an assignment.
+type release struct {
+	assignment *assignment
+	outcome    route.Outcome
+}
+
+func newRouter(table *route.Table, views Views, clock clock.Clock, log events.Log, stopped chan struct{}) *router {
+	return &router{
+		table:    table,
+		views:    views,
+		clock:    clock,
+		log:      log,
+		stopped:  stopped,
+		requests: stage.NewQueue[*assignment](routerQueueCapacity),
+		releases: stage.NewQueue[release](routerQueueCapacity),
+		queued:   map[string]*assignment{},
+		assigned: map[string]map[*assignment]struct{}{},
+	}
+}
+
+// request submits a request for a server. The choice is sent on the assignment's
+// channel; every assignment must be released once, whatever was chosen. A full
+// queue is rejected as QueueFull.
+func (r *router) request(request route.Request) (*assignment, *apierror.Error) {
+	request.ID = strconv.FormatUint(r.nextID.Add(1), 36)
+	requested := &assignment{request: request, choice: make(chan route.Choice, 1)}
+	requested.serverLost, requested.markServerLost = context.WithCancel(context.Background())
+	if !r.requests.TryPut(requested) {
+		return nil, apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", routerQueueCapacity).WithRetryAfter(time.Second)
+	}
+	return requested, nil
+}
+
+// release ends an assignment and reports the outcome of its request.
+func (r *router) release(released *assignment, outcome route.Outcome) {
 	select {
-	case r.ends.Input() <- ended{s, outcome}:
-	case <-r.ended:
+	case r.releases.Input() <- release{assignment: released, outcome: outcome}:
+	case <-r.stopped:
 	}
 }
 
@@ -86,136 +100,164 @@
 	wake, stop := clock.NewTimer(time.Hour)
 	defer func() { stop() }()
 	for {
+		// The channel is taken before the view is read, so that no change is missed.
 		changed := r.views.Changed()
-		r.guarded(nil, r.look)
+		r.recoverPanic(nil, r.refreshView)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case s := <-r.asks.Items():
-			r.guarded(nil, r.endAll)
-			r.guarded(s, func() { r.look(); r.choose(s) })
-		case end := <-r.ends.Items():
-			r.guarded(nil, func() { r.end(end) })
+		case requested := <-r.requests.Items():
+			r.serveRequest(requested)
+		case ended := <-r.releases.Items():
+			r.recoverPanic(nil, func() { r.finish(ended) })
 		case <-changed:
 		case <-wake:
 		}
-		r.guarded(nil, r.advance)
-		r.guarded(nil, func() { r.survey.look(r.table, r.seen.Plan, r.clock.Now(), r.log) })
+		r.recoverPanic(nil, r.dispatchQueued)
+		r.recoverPanic(nil, func() { r.reporter.report(r.table, r.view.Plan, r.clock.Now(), r.log) })
 		stop()
-		wake, stop = clock.NewTimer(r.rest())
+		wake, stop = clock.NewTimer(r.nextWait())
 	}
 }
 
+// String returns the owner's name in log events.
 func (r *router) String() string { return "router" }
 
-func (r *router) guarded(s *seat, decide func()) {
+// serveRequest chooses a server for a request, by the newest view and with the
+// slots of all requests that have ended.
+func (r *router) serveRequest(requested *assignment) {
+	r.recoverPanic(nil, r.finishAll)
+	r.recoverPanic(requested, func() {
+		r.refreshView()
+		r.choose(requested)
+	})
+}
+
+// recoverPanic runs a decision and logs its panic. The request that it was made
+// for, if any, is rejected then, so that its caller does not wait.
+func (r *router) recoverPanic(requested *assignment, decide func()) {
 	defer func() {
 		panicked := recover()
 		if panicked == nil {
 			return
 		}
 		r.log.Emit(events.RoutePanicked, "panic", panicked)
-		if s != nil {
-			r.deliver(s, route.Choice{Fault: apierror.Errorf(apierror.NoServer, "a fault of the program; see the log").WithRetryAfter(time.Second)})
+		if requested != nil {
+			r.deliver(requested, route.Choice{Fault: apierror.Errorf(apierror.NoServer, "a fault of the program; see the log").WithRetryAfter(time.Second)})
 		}
 	}()
 	decide()
 }
 
-func (r *router) rest() time.Duration {
+// nextWait returns how long the router may sleep.
+func (r *router) nextWait() time.Duration {
 	now := r.clock.Now()
 	if at, ok := r.table.Wake(now); ok {
-		return max(at.Sub(now), routerTickMin)
+		return max(at.Sub(now), minRouterWait)
 	}
-	return surveyEvery
+	return routingReportInterval
 }
 
-// look takes the newest view in, so that no decision goes by an older one.
-func (r *router) look() {
+// refreshView applies the newest view to the table, so that no decision uses an
+// older one, and cancels the attempts at servers that it reports as lost.
+func (r *router) refreshView() {
 	view := r.views.View()
-	if view == r.seen {
+	if view == r.view {
 		return
 	}
-	r.seen = view
+	r.view = view
 	if view.State.Sheet != r.sheet {
 		r.sheet = view.State.Sheet
-		r.tune(r.sheet, r.table)
+		r.applySheet(r.sheet, r.table)
 	}
 	now := r.clock.Now()
-	r.table.Update(route.View{State: view.State, Plan: view.Plan, Servers: view.Servers, Fronts: view.Sharers()}, now)
-	for name, seats := range r.seated {
-		if r.table.Lost(name) {
-			for s := range seats {
-				s.lose()
-			}
+	r.table.Update(route.View{
+		State:   view.State,
+		Plan:    view.Plan,
+		Servers: view.Servers,
+		Fronts:  view.Sharers(),
+	}, now)
+	for server, assignments := range r.assigned {
+		if !r.table.Lost(server) {
+			continue
+		}
+		for assigned := range assignments {
+			assigned.markServerLost()
 		}
 	}
 }
 
-func (r *router) choose(s *seat) {
-	if s.gone {
+// choose delivers a server or a rejection to a request, or queues the request.
+func (r *router) choose(requested *assignment) {
+	if requested.released {
 		return
 	}
 	now := r.clock.Now()
-	choice := r.table.Choose(s.request, now)
+	choice := r.table.Choose(requested.request, now)
 	if choice.Queued {
-		if choice.Fault = r.table.Enqueue(s.request, now); choice.Fault == nil {
-			r.queued[s.request.ID] = s
+		if choice.Fault = r.table.Enqueue(requested.request, now); choice.Fault == nil {
+			r.queued[requested.request.ID] = requested
 			return
 		}
 	}
-	r.deliver(s, choice)
+	r.deliver(requested, choice)
 }
 
-func (r *router) deliver(s *seat, choice route.Choice) {
+// deliver takes a slot of the chosen server, if any, and sends the choice.
+func (r *router) deliver(requested *assignment, choice route.Choice) {
 	if choice.Fault == nil {
-		s.server = choice.Server
+		requested.server = choice.Server
 		r.table.Started(choice.Server)
-		if r.seated[s.server] == nil {
-			r.seated[s.server] = map[*seat]struct{}{}
+		if r.assigned[requested.server] == nil {
+			r.assigned[requested.server] = map[*assignment]struct{}{}
 		}
-		r.seated[s.server][s] = struct{}{}
+		r.assigned[requested.server][requested] = struct{}{}
 	}
-	s.choice <- choice
+	requested.choice <- choice
 }
 
-func (r *router) end(end ended) {
-	s := end.seat
-	s.gone = true
-	s.lose()
-	if _, waits := r.queued[s.request.ID]; waits {
-		delete(r.queued, s.request.ID)
-		r.table.Cancel(s.request.ID)
+// finish removes a queued request, or frees its slot and reports its outcome to
+// the table.
+func (r *router) finish(ended release) {
+	finished := ended.assignment
+	finished.released = true
+	finished.markServerLost()
+	if _, isQueued := r.queued[finished.request.ID]; isQueued {
+		delete(r.queued, finished.request.ID)
+		r.table.Cancel(finished.request.ID)
 		return
 	}
-	if s.server != "" {
-		delete(r.seated[s.server], s)
-		if len(r.seated[s.server]) == 0 {
-			delete(r.seated, s.server)
-		}
-		r.table.Finished(s.server, end.outcome, r.clock.Now())
+	if finished.server == "" {
+		return
+	}
+	delete(r.assigned[finished.server], finished)
+	if len(r.assigned[finished.server]) == 0 {
+		delete(r.assigned, finished.server)
 	}
+	r.table.Finished(finished.server, ended.outcome, r.clock.Now())
 }
 
-// endAll takes in what has ended before a choice is made.
-func (r *router) endAll() {
-	for waiting := r.ends.Len(); waiting > 0; waiting-- {
-		r.end(<-r.ends.Items())
+// finishAll finishes the assignments that are released by now.
+func (r *router) finishAll() {
+	for remaining := r.releases.Len(); remaining > 0; remaining-- {
+		r.finish(<-r.releases.Items())
 	}
 }
 
-func (r *router) advance() {
+// dispatchQueued delivers choices to the queued requests that the table has
+// decided on.
+func (r *router) dispatchQueued() {
 	for {
 		ready, ok := r.table.Next(r.clock.Now())
 		if !ok {
 			return
 		}
-		s := r.queued[ready.Request.ID]
-		if s == nil {
+		requested := r.queued[ready.Request.ID]
+		if requested == nil {
 			continue
 		}
 		delete(r.queued, ready.Request.ID)
 		ready.Choice.Wait = 0
-		r.deliver(s, ready.Choice)
+		r.deliver(requested, ready.Choice)
 	}
 }
--- /dev/null
+++ b/internal/node/front/routing_reporter.go
@@ -0,0 +1,84 @@
+package front
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"stepwick/internal/decision/route"
+	"stepwick/internal/events"
+	"stepwick/internal/wire"
+)
+
+// routingReportInterval is the least time between two reports, and the longest
+// that the router sleeps.
+const routingReportInterval = time.Second
+
+// routingReporter logs changes of the routing table's state: plans that are
+// applied or stale, servers that are ejected or readmitted, and regions without
+// servers. It belongs to the router's goroutine.
+type routingReporter struct {
+	reportedAt time.Time
+	plan       *wire.Plan
+	planSince  time.Time // when plan was first seen
+	ejected    map[string]bool
+	// regionsWithoutServers holds "service region" pairs.
+	regionsWithoutServers map[string]bool
+}
+
+// report logs a new plan at once, and the rest at most once in
+// routingReportInterval.
+func (r *routingReporter) report(table *route.Table, plan *wire.Plan, now time.Time, log events.Log) {
+	if plan != r.plan {
+		r.plan = plan
+		r.planSince = now
+		log.Emit(events.PlanApplied, "plan", plan.GetNumber(), "term", plan.GetTerm(), "cause", plan.GetCause())
+	}
+	if now.Sub(r.reportedAt) < routingReportInterval {
+		return
+	}
+	r.reportedAt = now
+	if age := now.Sub(r.planSince); plan != nil && age > 2*time.Duration(plan.PeriodMs)*time.Millisecond {
+		log.Emit(events.PlanStale, "plan", plan.Number, "term", plan.Term, "holder", plan.Holder, "age", age)
+	}
+	r.reportEjections(table, log)
+	r.reportRegionsWithoutServers(table, plan, log)
+}
+
+func (r *routingReporter) reportEjections(table *route.Table, log events.Log) {
+	ejected := setOf(table.Ejected())
+	forEachNew(ejected, r.ejected, func(name string) { log.Emit(events.ServerEjected, "server", name) })
+	forEachNew(r.ejected, ejected, func(name string) { log.Emit(events.ServerReadmitted, "server", name) })
+	r.ejected = ejected
+}
+
+func (r *routingReporter) reportRegionsWithoutServers(table *route.Table, plan *wire.Plan, log events.Log) {
+	without := map[string]bool{}
+	if plan != nil {
+		without = setOf(table.Short())
+	}
+	forEachNew(without, r.regionsWithoutServers, func(serviceAndRegion string) {
+		service, region, _ := strings.Cut(serviceAndRegion, " ")
+		log.Emit(events.PlanRegionWithoutServers, "service", service, "region", region)
+	})
+	r.regionsWithoutServers = without
+}
+
+func setOf(names []string) map[string]bool {
+	set := map[string]bool{}
+	for _, name := range names {
+		set[name] = true
+	}
+	return set
+}
+
+// forEachNew calls visit, in sorted order, for each name in now that is not in
+// before.
+func forEachNew(now, before map[string]bool, visit func(name string)) {
+	for _, name := range slices.Sorted(maps.Keys(now)) {
+		if !before[name] {
+			visit(name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/front/stream_forwarder.go
@@ -0,0 +1,74 @@
+package front
+
+import (
+	"time"
+
+	"stepwick/internal/adapter/backend"
+	"stepwick/internal/adapter/clientapi"
+	"stepwick/internal/apierror"
+)
+
+// streamForwarder forwards the events of one attempt to the caller and measures
+// their times.
+type streamForwarder struct {
+	call        *call
+	stream      *clientapi.Stream
+	began       time.Time     // start of the attempt
+	events      int           // forwarded so far
+	firstEvent  time.Duration // from the attempt's start to the first event
+	lastEventAt time.Time
+}
+
+// forwardAll forwards events until their channel is closed. It returns true if
+// the server was reported as lost before the first event; after that the events
+// themselves show whether the server works.
+func (s *streamForwarder) forwardAll(events <-chan backend.Event, serverLost <-chan struct{}) (bool, *apierror.Error) {
+	for {
+		select {
+		case event, open := <-events:
+			if !open {
+				return false, nil
+			}
+			serverLost = nil
+			if apiErr := s.forward(event); apiErr != nil {
+				return false, apiErr
+			}
+		case <-serverLost:
+			return true, nil
+		}
+	}
+}
+
+// forward writes one event to the caller, unless the call may no longer run or
+// its deadline has passed. Both are checked for each event, since the timers of a
+// process that was paused may be late.
+func (s *streamForwarder) forward(event backend.Event) *apierror.Error {
+	front := s.call.front
+	if apiErr := front.calls.checkRunning(&s.call.runningCall); apiErr != nil {
+		return apiErr
+	}
+	now := front.clock.Now()
+	if !now.Before(s.call.request.Deadline) {
+		if !s.stream.Begun() {
+			return apierror.Errorf(apierror.DeadlinePassed, "the first event came after the deadline").WithRetryAfter(shortRetryAfter)
+		}
+		return errDeadlineDuringStream()
+	}
+	if err := s.stream.Event(event.Data); err != nil {
+		return apierror.Errorf(apierror.CallerGone, "the caller takes no events: %s", err)
+	}
+	s.measure(now)
+	return nil
+}
+
+func (s *streamForwarder) measure(now time.Time) {
+	metrics := s.call.front.metrics
+	if s.events == 0 {
+		s.firstEvent = now.Sub(s.began)
+		metrics.firstEvent.WithLabelValues(s.call.service).Observe(now.Sub(s.call.arrived).Seconds())
+	} else {
+		metrics.eventGap.WithLabelValues(s.call.service).Observe(now.Sub(s.lastEventAt).Seconds())
+	}
+	s.events++
+	s.lastEventAt = now
+}
