--- a/internal/adapter/backend/backend_test.go
+++ b/internal/adapter/backend/backend_test.go
@@ -41,7 +41,7 @@
 			}
 			s.conns.Add(1)
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				reader := bufio.NewReader(conn)
 				for {
 					request, err := http.ReadRequest(reader)
@@ -59,14 +59,14 @@
 
 func raw(text string) func(*net.TCPConn, *http.Request) {
 	return func(conn *net.TCPConn, _ *http.Request) {
-		fmt.Fprint(conn, strings.ReplaceAll(text, "\n", "\r\n"))
-		conn.Close()
+		_, _ = fmt.Fprint(conn, strings.ReplaceAll(text, "\n", "\r\n"))
+		_ = conn.Close()
 	}
 }
 
 func reset(conn *net.TCPConn, _ *http.Request) {
 	_ = conn.SetLinger(0)
-	conn.Close()
+	_ = conn.Close()
 }
 
 func attemptAt(address string) *Attempt {
@@ -106,7 +106,7 @@
 						reset(conn, request)
 						return
 					}
-					fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nStepwick-Request-Id: r1\r\nContent-Length: 2\r\nConnection: keep-alive\r\n\r\nok")
+					_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nStepwick-Request-Id: r1\r\nContent-Length: 2\r\nConnection: keep-alive\r\n\r\nok")
 				})
 				answer, failure := client.Call(context.Background(), attemptAt(server.address), shot)
 				So(failure, ShouldBeNil)
@@ -119,7 +119,7 @@
 			Convey("to a port where nobody listens is known not to have run", func() {
 				listener, _ := net.Listen("tcp", "127.0.0.1:0")
 				address := listener.Addr().String()
-				listener.Close()
+				_ = listener.Close()
 				_, failure := client.Call(context.Background(), attemptAt(address), shot)
 				So(failure.Kind, ShouldEqual, Refused)
 				So(failure.Unsent(), ShouldBeTrue)
@@ -253,7 +253,7 @@
 	for _, row := range rows {
 		Convey("A stream "+row.name, t, func() {
 			server := newStandIn(t, func(conn *net.TCPConn, _ *http.Request) {
-				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: %d\r\n\r\n%s", len(row.events), row.events)
+				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: %d\r\n\r\n%s", len(row.events), row.events)
 			})
 			passed, failure := generate(context.Background(), newClient(t, Config{EventMax: 2000}), attemptAt(server.address))
 			So(len(passed), ShouldEqual, row.passed)
@@ -302,7 +302,7 @@
 	return func(context.Context, string, string) (net.Conn, error) {
 		far, near := net.Pipe()
 		go func() {
-			defer far.Close()
+			defer func() { _ = far.Close() }()
 			if _, err := http.ReadRequest(bufio.NewReader(far)); err == nil {
 				behave(far)
 			}
@@ -329,7 +329,7 @@
 		Convey("A server that is dark "+row.name+" is given up after its bound", t, func() {
 			synctest.Test(t, func(t *testing.T) {
 				client := newClient(t, Config{FirstEvent: 4 * time.Second, EventGap: 3 * time.Second, Dial: pipeDial(func(conn net.Conn) {
-					fmt.Fprint(conn, row.send)
+					_, _ = fmt.Fprint(conn, row.send)
 					hold(conn)
 				})})
 				began := time.Now()
@@ -343,11 +343,11 @@
 	Convey("A caller that is slow to take events doesn't make its server look dark", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			client := newClient(t, Config{EventGap: time.Second, Dial: pipeDial(func(conn net.Conn) {
-				fmt.Fprint(conn, head)
+				_, _ = fmt.Fprint(conn, head)
 				for i := range 8 {
-					fmt.Fprint(conn, event("r1", i))
+					_, _ = fmt.Fprint(conn, event("r1", i))
 				}
-				fmt.Fprint(conn, final("r1", 8))
+				_, _ = fmt.Fprint(conn, final("r1", 8))
 			})})
 			queue := stage.NewQueue[Event](1)
 			go client.Generate(context.Background(), attemptAt("server:1"), &Prompt{}, queue)
@@ -365,7 +365,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			freed := make(chan struct{})
 			client := newClient(t, Config{Dial: pipeDial(func(conn net.Conn) {
-				fmt.Fprint(conn, head+event("r1", 0))
+				_, _ = fmt.Fprint(conn, head+event("r1", 0))
 				hold(conn)
 				close(freed)
 			})})
@@ -391,7 +391,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -399,14 +399,14 @@
 				return
 			}
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				reader := bufio.NewReader(conn)
 				for {
 					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					fmt.Fprint(conn, answer)
+					_, _ = fmt.Fprint(conn, answer)
 					if request.Close {
 						return
 					}
--- a/internal/adapter/clientapi/clientapi_test.go
+++ b/internal/adapter/clientapi/clientapi_test.go
@@ -119,12 +119,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		listener := newPipeListener()
 		server := New(limits, calls, clock.System(), nil).Server()
-		go server.Serve(listener)
-		defer server.Close()
+		go func() { _ = server.Serve(listener) }()
+		defer func() { _ = server.Close() }()
 		conn := listener.dial()
-		go io.WriteString(conn, request)
+		go func() { _, _ = io.WriteString(conn, request) }()
 		got, _ := io.ReadAll(conn)
-		conn.Close()
+		_ = conn.Close()
 		answer = string(got)
 	})
 	return mask(answer)
@@ -269,11 +269,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			listener := newPipeListener()
 			server := New(Limits{HeaderTimeout: 3 * time.Second}, &fakeHandler{}, clock.System(), nil).Server()
-			go server.Serve(listener)
-			defer server.Close()
+			go func() { _ = server.Serve(listener) }()
+			defer func() { _ = server.Close() }()
 			began, conn := time.Now(), listener.dial()
-			go io.WriteString(conn, "GET / HTTP/1.1\r\nX: ")
-			io.ReadAll(conn)
+			go func() { _, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nX: ") }()
+			_, _ = io.ReadAll(conn)
 			if time.Since(began) != 3*time.Second {
 				t.Errorf("closed after %s", time.Since(began))
 			}
@@ -283,18 +283,18 @@
 		synctest.Test(t, func(t *testing.T) {
 			listener := newPipeListener()
 			server := New(Limits{BodyTimeout: 3 * time.Second}, &fakeHandler{}, clock.System(), nil).Server()
-			go server.Serve(listener)
-			defer server.Close()
+			go func() { _ = server.Serve(listener) }()
+			defer func() { _ = server.Close() }()
 			for _, head := range []string{"POST /v1/prompt HTTP/1.1\r\nContent-Length: 10", "POST /v1/prompt HTTP/1.1\r\nContent-Length: 9999999",
 				"POST /v1/prompt HTTP/1.1\r\nTransfer-Encoding: chunked", "GET /v1/connect HTTP/1.1\r\nContent-Length: 10"} {
 				began, conn := time.Now(), listener.dial()
-				go io.WriteString(conn, head+"\r\nHost: n\r\n\r\n")
+				go func() { _, _ = io.WriteString(conn, head+"\r\nHost: n\r\n\r\n") }()
 				reader := bufio.NewReader(conn)
 				answer, err := http.ReadResponse(reader, nil)
 				if err != nil || answer.StatusCode != 401 || time.Since(began) != 0 {
 					t.Errorf("%q: answered %v %v after %s", head, answer, err, time.Since(began))
 				}
-				io.ReadAll(reader)
+				_, _ = io.ReadAll(reader)
 				if took := time.Since(began); took > 4*time.Second {
 					t.Errorf("%q: closed after %s", head, took)
 				}
@@ -306,23 +306,23 @@
 			calls := &fakeHandler{events: []string{`{"seq":0}`, `{"seq":1}`}, ended: make(chan error, 1)}
 			listener := newPipeListener()
 			server := New(Limits{WriteTimeout: 3 * time.Second}, calls, clock.System(), nil).Server()
-			go server.Serve(listener)
-			defer server.Close()
+			go func() { _ = server.Serve(listener) }()
+			defer func() { _ = server.Close() }()
 			slow := listener.dial()
-			io.WriteString(slow, request("POST", "/v1/prompt", keyed, whole))
+			_, _ = io.WriteString(slow, request("POST", "/v1/prompt", keyed, whole))
 			began := time.Now()
 			if err := <-calls.ended; err == nil || time.Since(began) != 3*time.Second {
 				t.Errorf("ended by %v after %s", err, time.Since(began))
 			}
-			slow.Close()
+			_ = slow.Close()
 			gone := listener.dial()
-			io.WriteString(gone, request("POST", "/v1/prompt", keyed, whole))
+			_, _ = io.WriteString(gone, request("POST", "/v1/prompt", keyed, whole))
 			reader := bufio.NewReader(gone)
 			for line := ""; !strings.Contains(line, `"seq":1`); {
 				line, _ = reader.ReadString('\n')
 			}
 			began = time.Now()
-			gone.Close()
+			_ = gone.Close()
 			if err := <-calls.ended; err != context.Canceled || time.Since(began) != 0 {
 				t.Errorf("ended by %v after %s", err, time.Since(began))
 			}
@@ -334,31 +334,31 @@
 			listener, bound := newPipeListener(), int64(2*len(whole)-1)
 			api := New(Limits{BodyMax: 1000, BodiesMax: bound}, calls, clock.System(), nil)
 			server := api.Server()
-			go server.Serve(listener)
-			defer server.Close()
+			go func() { _ = server.Serve(listener) }()
+			defer func() { _ = server.Close() }()
 			first := listener.dial()
-			go io.WriteString(first, request("POST", "/v1/prompt", keyed, whole))
-			bufio.NewReader(first).ReadString('}')
+			go func() { _, _ = io.WriteString(first, request("POST", "/v1/prompt", keyed, whole)) }()
+			_, _ = bufio.NewReader(first).ReadString('}')
 			chunked := strings.ReplaceAll("POST /v1/call/s/ HTTP/1.1\nHost: n\n"+keyed+"Transfer-Encoding: chunked\n\n96\n"+strings.Repeat("x", 150)+"\n0\n\n", "\n", "\r\n")
 			for name, text := range map[string]string{"its length": request("POST", "/v1/prompt", keyed, whole), "no length": chunked} {
 				conn, began := listener.dial(), time.Now()
-				go io.WriteString(conn, text)
+				go func() { _, _ = io.WriteString(conn, text) }()
 				got, _ := io.ReadAll(conn)
 				for _, part := range []string{" 503 ", `"code":2003`, "Retry-After: 1", "Connection: close"} {
 					if !strings.Contains(string(got), part) || time.Since(began) != 0 {
 						t.Errorf("a body that tells %s: no %q in %q after %s", name, part, got, time.Since(began))
 					}
 				}
-				conn.Close()
+				_ = conn.Close()
 			}
 			half := listener.dial()
-			go io.WriteString(half, strings.TrimSuffix(request("POST", "/v1/prompt", keyed, whole[:110]), whole[100:110]))
+			go func() { _, _ = io.WriteString(half, strings.TrimSuffix(request("POST", "/v1/prompt", keyed, whole[:110]), whole[100:110])) }()
 			synctest.Wait()
 			if left := api.bodies.Available(); left != bound-int64(len(whole))-100 {
 				t.Errorf("%d bytes are left while bodies are held", left)
 			}
-			io.ReadAll(half)
-			first.Close()
+			_, _ = io.ReadAll(half)
+			_ = first.Close()
 			<-calls.ended
 			synctest.Wait()
 			if left := api.bodies.Available(); left != bound {
@@ -373,26 +373,26 @@
 			mounts := map[string]http.Handler{"/metrics": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "up 1") })}
 			api := New(Limits{Requests: 1, Connections: 2}, calls, clock.System(), mounts)
 			server := api.Server()
-			go server.Serve(api.Bounded(listener))
-			defer server.Close()
+			go func() { _ = server.Serve(api.Bounded(listener)) }()
+			defer func() { _ = server.Close() }()
 			first := listener.dial()
-			go io.WriteString(first, request("POST", "/v1/prompt", keyed, whole))
-			bufio.NewReader(first).ReadString('}')
+			go func() { _, _ = io.WriteString(first, request("POST", "/v1/prompt", keyed, whole)) }()
+			_, _ = bufio.NewReader(first).ReadString('}')
 			second := listener.dial()
 			reader := bufio.NewReader(second)
 			ask := func(target string) int {
-				go io.WriteString(second, "GET "+target+" HTTP/1.1\r\nHost: n\r\nAuthorization: Bearer k\r\n\r\n")
+				go func() { _, _ = io.WriteString(second, "GET "+target+" HTTP/1.1\r\nHost: n\r\nAuthorization: Bearer k\r\n\r\n") }()
 				answer, err := http.ReadResponse(reader, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
-				io.Copy(io.Discard, answer.Body)
+				_, _ = io.Copy(io.Discard, answer.Body)
 				return answer.StatusCode
 			}
 			if status := ask("/v1/connect"); status != 503 {
 				t.Errorf("status %d while the bound is reached", status)
 			}
-			first.Close()
+			_ = first.Close()
 			<-calls.ended
 			<-time.After(20 * time.Second)
 			for _, target := range []string{"/v1/connect", "/metrics"} {
@@ -401,7 +401,7 @@
 				}
 				<-time.After(20 * time.Second)
 			}
-			second.Close()
+			_ = second.Close()
 		})
 	})
 }
--- /dev/null
+++ b/internal/node/front/admission_test.go
@@ -0,0 +1,99 @@
+package front
+
+import (
+	"fmt"
+	"maps"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+	"google.golang.org/protobuf/proto"
+
+	"stepwick/internal/apierror"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/sheet"
+	"stepwick/internal/node/follower"
+)
+
+func TestAdmissionOrder(t *testing.T) {
+	Convey("Each request is decided by ruling, key, service and allowance, in this order", t, func() {
+		inBubble(t, func(t *testing.T) {
+			f := newFixture(t, "model", 8, streamingServer(1, 0))
+			defer f.stop()
+			spent := []any{}
+			f.admitter.decide = func(tenant string, tokens float64, terms quota.Terms) quota.Decision {
+				spent = append(spent, tenant, tokens, terms)
+				return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 3 * time.Second}
+			}
+			ask := func(target, body string) apierror.Code {
+				caller := f.connect()
+				defer func() { _ = caller.conn.Close() }()
+				caller.send("POST", target, "r1", "", body)
+				return caller.readResponse().code
+			}
+			f.checkEqual("service", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownService)
+			f.checkEqual("kind", ask("/v1/prompt", `{"service":"orders","max_tokens":1}`), apierror.WrongServiceKind)
+			f.checkEqual("kind", ask("/v1/call/chat/", ``), apierror.WrongServiceKind)
+			f.checkEqual("nothing spent so far", spent, []any{})
+			f.checkEqual("quota", ask("/v1/prompt", `{"service":"chat","prefix_tokens":1,"session_tokens":2,"max_tokens":4}`), apierror.QuotaExceeded)
+			f.checkEqual("quota", ask("/v1/call/orders/", ``), apierror.QuotaExceeded)
+			f.checkEqual("spent", spent, []any{"press", 7, quota.Terms{Rate: 100, Burst: 10}, "press", 5, quota.Terms{Rate: 100, Burst: 10}})
+			f.views.publish(withKeys("other"))
+			f.checkEqual("key", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownKey)
+			f.views.hasAuthority.Store(false)
+			f.checkEqual("ruling", ask("/v1/prompt", `{}`), apierror.NotRuling)
+		})
+	})
+}
+
+func TestRequestsBoundToAHomeRegion(t *testing.T) {
+	for kind, target := range map[string]string{"model": "/v1/prompt", "web": "/v1/call/orders/"} {
+		Convey("A request to a "+kind+" service that is bound to a home goes there, or is refused at once", t, func() {
+			inBubble(t, func(t *testing.T) {
+				near, far := streamingServer(1, 0), streamingServer(1, 0)
+				if kind == "web" {
+					near = respondingServer("HTTP/1.1 200 OK\nStepwick-Request-Id: ID\nContent-Length: 0\n\n")
+					far = near
+				}
+				f := newFixture(t, kind, 8, near, far)
+				defer f.stop()
+				f.views.publish(func(v *follower.View) {
+					v.Servers = maps.Clone(v.Servers)
+					v.Servers["s1"] = proto.CloneOf(v.Servers["s1"])
+					v.Servers["s1"].Region = "abeokuta"
+					next := *v.State.Sheet
+					next.Tenants = map[string]sheet.Tenant{"press": {KeyHashes: []string{sheet.HashKey("k")}, Home: "abeokuta"}}
+					next.Weights = map[string]map[string]float64{map[string]string{"model": "chat", "web": "orders"}[kind]: {"lagos": 1, "abeokuta": 1}}
+					v.State.Version, v.State.Sheet = 2, &next
+					v.Index = v.State.Index()
+				})
+				synctest.Wait()
+				caller := f.connect()
+				ask := func(home string) response {
+					caller.send("POST", target, "r1", "", fmt.Sprintf(`{"service":"chat","max_tokens":1%s}`, home))
+					return caller.readResponse()
+				}
+				for range 20 {
+					f.checkEqual("answer", ask("").status, 200)
+					told, _ := f.front.Inspect("explain", "r1")
+					f.checkEqual("server", told.(*Explanation).Attempts[0].Server, "s1")
+				}
+				if kind == "model" {
+					f.checkEqual("its own home", ask(`,"home":"abeokuta"`).status, 200)
+					f.checkEqual("another home", ask(`,"home":"lagos"`).code, apierror.BadField)
+				}
+				f.views.publish(func(v *follower.View) { v.State.Version, v.State.Evacuated = 3, map[string]uint64{"abeokuta": 3} })
+				synctest.Wait()
+				before, began := near.runs("r1")+far.runs("r1"), time.Now()
+				got := ask("")
+				f.checkEqual("evacuated", []any{got.code, strings.Contains(got.body, "retry_after_ms"), time.Since(began)}, []any{apierror.NoServer, true, 0 * time.Second})
+				f.checkEqual("runs", near.runs("r1")+far.runs("r1"), before)
+				f.checkEqual("capacity is told of too early", f.logged("plan_short"), false)
+				<-time.After(2 * time.Second)
+				f.checkEqual("events", []bool{f.logged("plan_taken"), f.logged("plan_short"), f.logged("plan_stale")}, []bool{true, true, true})
+			})
+		})
+	}
+}
--- a/internal/node/front/bench_test.go
+++ b/internal/node/front/bench_test.go
@@ -7,6 +7,7 @@
 	"net"
 	"net/http"
 	"strconv"
+	"sync"
 	"testing"
 	"time"
 
@@ -24,15 +25,15 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-type nobody struct{}
+type noPeers struct{}
 
-func (nobody) Process(string) (*wire.Process, bool) { return nil, false }
-func (n nobody) Cores() []*wire.Process             { return port.CoresOf(n.Processes()) }
+func (noPeers) Process(string) (*wire.Process, bool) { return nil, false }
+func (n noPeers) Cores() []*wire.Process             { return port.CoresOf(n.Processes()) }
 
-func (nobody) Processes() []*wire.Process           { return nil }
-func (nobody) Client(string) wireconnect.PeerClient { return nil }
+func (noPeers) Processes() []*wire.Process           { return nil }
+func (noPeers) Client(string) wireconnect.PeerClient { return nil }
 
-var _ port.Peers = nobody{}
+var _ port.Peers = noPeers{}
 
 // benchFront is a front with a real tally and routing table, for a sheet of
 // five tenants, and a plan over model servers and one web server.
@@ -59,21 +60,24 @@
 	views.view.Store(view)
 	never := make(chan struct{})
 	views.changed.Store(&never)
-	views.ruling.Store(true)
+	views.hasAuthority.Store(true)
 	registry := prometheus.NewRegistry()
-	purse, err := quotasync.New(quotasync.Config{Self: "n1", Incarnation: 1, Metrics: registry}, nobody{}, clock.System(), time.Now, func() []string { return []string{"n1"} }, events.Discard)
+	spend, err := quotasync.New(quotasync.Config{Self: "n1", Incarnation: 1, Metrics: registry}, noPeers{}, clock.System(), time.Now, func() []string { return []string{"n1"} }, events.Discard)
 	if err != nil {
 		b.Fatal(err)
 	}
-	front, err := New(Config{Name: "n1", Region: "lagos", Zone: "a"}, views, purse, clock.System(), events.Discard, registry)
+	front, err := New(Config{Name: "n1", Region: "lagos", Zone: "a"}, views, spend, clock.System(), events.Discard, registry)
 	if err != nil {
 		b.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	served := make(chan error, 2)
-	go func() { served <- purse.Serve(ctx) }()
-	go func() { served <- front.Serve(ctx) }()
-	b.Cleanup(func() { cancel(); <-served; <-served })
+	var owners sync.WaitGroup
+	owners.Go(func() { _ = spend.Serve(ctx) })
+	owners.Go(func() { _ = front.Serve(ctx) })
+	b.Cleanup(func() {
+		cancel()
+		owners.Wait()
+	})
 	return front
 }
 
@@ -111,7 +115,7 @@
 func BenchmarkOneShot(b *testing.B) {
 	standIn := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Stepwick-Request-Id", r.Header.Get("Stepwick-Request-Id"))
-		io.WriteString(w, "ok")
+		_, _ = io.WriteString(w, "ok")
 	})}
 	listen := func() net.Listener {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,12 +125,12 @@
 		return listener
 	}
 	direct, through := listen(), listen()
-	go standIn.Serve(direct)
-	defer standIn.Close()
+	go func() { _ = standIn.Serve(direct) }()
+	defer func() { _ = standIn.Close() }()
 	front := benchFront(b, 18, direct.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go front.Listen(ctx, through)
+	go func() { _ = front.Listen(ctx, through) }()
 	targets := map[string]string{"direct": "http://" + direct.Addr().String() + "/x", "through the front": "http://" + through.Addr().String() + "/v1/call/orders/x"}
 	for name, target := range targets {
 		b.Run(name, func(b *testing.B) {
--- a/internal/node/front/call.go
+++ b/internal/node/front/call.go
@@ -22,7 +22,7 @@
 	defaultRetryAfter = time.Second
 )
 
-// call is one request from its admission to its result. It belongs to the
+// connect is one request from its admission to its result. It belongs to the
 // caller's goroutine, but for the part that the callRegistry shares.
 type call struct {
 	runningCall
@@ -37,23 +37,23 @@
 // Prompt serves one streamed prompt. An error before the first event is the
 // answer; one after it ends the stream.
 func (f *Front) Prompt(ctx context.Context, prompt *clientapi.Prompt, stream *clientapi.Stream) *apierror.Error {
-	c := f.newCall(&prompt.Head, prompt.Service, prompt.Region, prompt.Home)
+	accepted := f.newCall(&prompt.Head, prompt.Service, prompt.Region, prompt.Home)
 	if prompt.Prefix != "" {
 		// Zero means that a request has no prefix.
-		c.request.Prefix = max(xxhash.Sum64String(prompt.Service+"\x00"+prompt.Prefix), 1)
+		accepted.request.Prefix = max(xxhash.Sum64String(prompt.Service+"\x00"+prompt.Prefix), 1)
 	}
-	return c.serve(ctx, sheet.KindModel, prompt.Tokens(), func(ctx context.Context) *apierror.Error {
-		return c.retryPrompt(ctx, prompt, stream)
+	return accepted.serve(ctx, sheet.KindModel, prompt.Tokens(), func(ctx context.Context) *apierror.Error {
+		return accepted.retryPrompt(ctx, prompt, stream)
 	})
 }
 
 // OneShot serves one call that runs at most once. OutcomeUnknown means that it
 // may have run.
 func (f *Front) OneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Answer, *apierror.Error) {
-	c := f.newCall(&request.Head, request.Service, request.Region, "")
+	accepted := f.newCall(&request.Head, request.Service, request.Region, "")
 	var answer *clientapi.Answer
-	apiErr := c.serve(ctx, sheet.KindWeb, 0, func(ctx context.Context) (apiErr *apierror.Error) {
-		answer, apiErr = c.retryOneShot(ctx, request)
+	apiErr := accepted.serve(ctx, sheet.KindWeb, 0, func(ctx context.Context) (apiErr *apierror.Error) {
+		answer, apiErr = accepted.retryOneShot(ctx, request)
 		return apiErr
 	})
 	return answer, apiErr
--- /dev/null
+++ b/internal/node/front/call_registry_test.go
@@ -0,0 +1,156 @@
+package front
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"stepwick/internal/apierror"
+	"stepwick/internal/node/follower"
+)
+
+func TestRunningStreamsFollowTheControlState(t *testing.T) {
+	Convey("A revoked key ends its running streams, and the connection's next request", t, func() {
+		inBubble(t, func(t *testing.T) {
+			f := newFixture(t, "model", 8, streamingServer(1, 30*time.Second))
+			defer f.stop()
+			silent, began := f.connect(), time.Now()
+			silent.prompt("r1", time.Minute)
+			idle := f.connect()
+			idle.send("GET", "/v1/connect", "r2", "", "")
+			f.checkEqual("before", idle.readResponse().status, 200)
+			f.views.publish(withKeys("k", "other"))
+			synctest.Wait()
+			f.checkEqual("running after an epoch that keeps the key", f.inFlight("s0"), 1)
+			f.views.publish(withKeys("other"))
+			got := silent.readResponse()
+			f.checkEqual("stream", []any{got.code, got.complete, time.Since(began)}, []any{apierror.KeyRevoked, false, time.Duration(0)})
+			f.checkEqual("in flight", f.inFlight("s0"), 0)
+			idle.prompt("r3", time.Minute)
+			f.checkEqual("next request", idle.readResponse().code, apierror.UnknownKey)
+		})
+	})
+	Convey("A node that stops ruling refuses at once, lets its streams run on for 2 s and then cuts them", t, func() {
+		inBubble(t, func(t *testing.T) {
+			f := newFixture(t, "model", 8, streamingServer(100, time.Second))
+			defer f.stop()
+			caller := f.connect()
+			caller.prompt("r1", time.Minute)
+			caller.readEvent()
+			lose := func(d time.Duration) {
+				f.views.publish(func(*follower.View) { f.views.hasAuthority.Store(false) })
+				<-time.After(d)
+			}
+			lose(time.Second)
+			f.checkEqual("ready", f.front.Ready().Code, apierror.NotRuling)
+			other := f.connect()
+			other.prompt("r2", time.Minute)
+			f.checkEqual("new request", other.readResponse().code, apierror.NotRuling)
+			f.views.publish(func(*follower.View) { f.views.hasAuthority.Store(true) })
+			for range 10 {
+				caller.readEvent()
+			}
+			f.checkEqual("running after a short loss", f.inFlight("s0"), 1)
+			began := time.Now()
+			lose(0)
+			for line := ""; !strings.Contains(line, "2006"); {
+				if line = caller.readEvent(); line == "" {
+					f.t.Fatal("the stream ended without an error event")
+				}
+			}
+			if took := time.Since(began); took < 1700*time.Millisecond || took > 2500*time.Millisecond {
+				f.t.Errorf("the stream ran on for %s", took)
+			}
+			f.checkEqual("runs of the refused one", f.runs("r2"), 0)
+		})
+	})
+	Convey("A process that was frozen, and thaws without ruling, passes no event on", t, func() {
+		inBubble(t, func(t *testing.T) {
+			f := newFixture(t, "model", 8, streamingServer(100, time.Second))
+			defer f.stop()
+			caller := f.connect()
+			caller.prompt("r1", 100*time.Second)
+			caller.readEvent()
+			f.views.hasAuthority.Store(false)
+			f.clock.offset.Add(int64(5 * time.Second))
+			f.checkEqual("cut", strings.Contains(caller.readEvent(), "2006"), true)
+		})
+	})
+	Convey("A process that was frozen past a stream's deadline passes no event on after the thaw", t, func() {
+		inBubble(t, func(t *testing.T) {
+			f := newFixture(t, "model", 8, streamingServer(100, time.Second))
+			defer f.stop()
+			caller := f.connect()
+			caller.prompt("r1", 30*time.Second)
+			caller.readEvent()
+			f.clock.offset.Add(int64(40 * time.Second))
+			got := caller.readEvent()
+			f.checkEqual("cut", strings.Contains(got, "3004"), true)
+		})
+	})
+}
+
+func TestDrainAndShutdown(t *testing.T) {
+	Convey("A front that is taken away finishes what runs, and takes nothing new", t, func() {
+		inBubble(t, func(t *testing.T) {
+			f := newFixture(t, "model", 8, streamingServer(5, time.Second))
+			defer f.stop()
+			caller := f.connect()
+			caller.prompt("r1", time.Minute)
+			caller.readEvent()
+			f.checkEqual("ready", f.front.Ready() == nil, true)
+			drained := make(chan error, 1)
+			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+			defer cancel()
+			go func() { drained <- f.front.Drain(ctx) }()
+			synctest.Wait()
+			f.checkEqual("ready", f.front.Ready().Code, apierror.FrontLeaving)
+			other := f.connect()
+			other.prompt("r2", time.Minute)
+			f.checkEqual("new request", other.readResponse().code, apierror.FrontLeaving)
+			for line := ""; !strings.Contains(line, "final"); line = caller.readEvent() {
+			}
+			f.checkEqual("drained", <-drained, nil)
+		})
+	})
+	Convey("An answer that is being written when the listener ends goes out whole", t, func() {
+		inBubble(t, func(t *testing.T) {
+			body := strings.Repeat("x", 1<<19)
+			f := newFixture(t, "web", 8, respondingServer("HTTP/1.1 200 OK\nStepwick-Request-Id: ID\nContent-Length: 524288\n\n"+body))
+			caller := f.connect()
+			caller.send("GET", "/v1/call/orders/", "r1", "", "")
+			if _, err := caller.reader.Peek(10); err != nil {
+				f.t.Fatal(err)
+			}
+			stopped := make(chan struct{})
+			go func() { f.stop(); close(stopped) }()
+			synctest.Wait()
+			f.checkEqual("answer", caller.readResponse() == response{200, 0, body, true}, true)
+			<-stopped
+		})
+	})
+	Convey("What outlasts the grace is cut with an error event", t, func() {
+		inBubble(t, func(t *testing.T) {
+			f := newFixture(t, "model", 8, streamingServer(50, time.Second))
+			defer f.stop()
+			caller := f.connect()
+			caller.prompt("r1", time.Minute)
+			caller.readEvent()
+			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+			defer cancel()
+			drained := make(chan error, 1)
+			go func() { drained <- f.front.Drain(ctx) }()
+			for line := ""; !strings.Contains(line, "2007"); {
+				if line = caller.readEvent(); line == "" {
+					f.t.Fatal("the stream ended without an error event")
+				}
+			}
+			f.checkEqual("drained", <-drained, context.DeadlineExceeded)
+			f.checkEqual("in flight", f.inFlight("s0"), 0)
+		})
+	})
+}
--- /dev/null
+++ b/internal/node/front/fixture_test.go
@@ -0,0 +1,332 @@
+package front
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"stepwick/internal/adapter/backend"
+	"stepwick/internal/apierror"
+	"stepwick/internal/clock"
+	"stepwick/internal/decision/quota"
+	"stepwick/internal/decision/route"
+	"stepwick/internal/decision/sheet"
+	"stepwick/internal/events"
+	"stepwick/internal/node/follower"
+	"stepwick/internal/wire"
+)
+
+// jumpingClock is the machine's clock plus an offset, which tests increase as a pause
+// of the process does before its timers fire.
+type jumpingClock struct {
+	clock.Clock
+	offset atomic.Int64
+}
+
+func (c *jumpingClock) Now() time.Time { return c.Clock.Now().Add(time.Duration(c.offset.Load())) }
+
+type fakeViews struct {
+	view         atomic.Pointer[follower.View]
+	changed      atomic.Pointer[chan struct{}]
+	hasAuthority atomic.Bool
+	panicOnce    atomic.Bool // the next question panics
+}
+
+func (v *fakeViews) View() *follower.View { return v.view.Load() }
+
+func (v *fakeViews) HasAuthority() bool {
+	if v.panicOnce.CompareAndSwap(true, false) {
+		panic("a trap")
+	}
+	return v.hasAuthority.Load()
+}
+
+func (v *fakeViews) Changed() <-chan struct{} { return *v.changed.Load() }
+
+func (v *fakeViews) publish(change func(*follower.View)) {
+	next := *v.view.Load()
+	change(&next)
+	v.view.Store(&next)
+	fresh := make(chan struct{})
+	close(*v.changed.Swap(&fresh))
+}
+
+func withKeys(keys ...string) func(*follower.View) {
+	return func(v *follower.View) {
+		hashes := []string{}
+		for _, key := range keys {
+			hashes = append(hashes, sheet.HashKey(key))
+		}
+		v.State.Version++
+		v.State.Sheet = &sheet.Sheet{
+			Services: map[string]sheet.Service{"chat": {Kind: "model"}, "orders": {Kind: "web", PlainTokens: 5}},
+			Tenants:  map[string]sheet.Tenant{"press": {Rate: 100, Burst: 10, KeyHashes: hashes}},
+		}
+		v.Index = v.State.Index()
+	}
+}
+
+type fakeAdmitter struct {
+	decide func(tenant string, tokens float64, terms quota.Terms) quota.Decision
+}
+
+func (f *fakeAdmitter) Admit(_ context.Context, tenant string, tokens float64, terms quota.Terms, _ time.Duration) quota.Decision {
+	if f.decide == nil {
+		return quota.Decision{Pass: true, Limit: 810}
+	}
+	return f.decide(tenant, tokens, terms)
+}
+
+// fakeServer is a server behind pipes. It counts the runs of each request id.
+type fakeServer struct {
+	refuseConnections bool
+	respond           func(conn net.Conn, request *http.Request, id string)
+	runCounts         sync.Map // request id to *atomic.Int64
+}
+
+func (s *fakeServer) countRun(id string) {
+	count, _ := s.runCounts.LoadOrStore(id, new(atomic.Int64))
+	count.(*atomic.Int64).Add(1)
+}
+
+func (s *fakeServer) runs(id string) int {
+	if count, ran := s.runCounts.Load(id); ran {
+		return int(count.(*atomic.Int64).Load())
+	}
+	return 0
+}
+
+// fixture is one front with fake servers and callers, in a synctest bubble.
+type fixture struct {
+	t           *testing.T
+	views       *fakeViews
+	clock       *jumpingClock
+	admitter    *fakeAdmitter
+	servers     map[string]*fakeServer
+	front       *Front
+	callers     chan net.Conn
+	connections sync.WaitGroup
+	events      sync.Map // offset name
+	stop        func()
+}
+
+func (f *fixture) Emit(event events.Event, _ ...any) { f.events.Store(event.Name, true) }
+
+func (f *fixture) logged(name string) bool {
+	_, told := f.events.Load(name)
+	return told
+}
+
+func newFixture(t *testing.T, kind string, slots int, servers ...*fakeServer) *fixture {
+	f := &fixture{t: t, views: &fakeViews{}, clock: &jumpingClock{Clock: clock.System()}, admitter: &fakeAdmitter{}, servers: map[string]*fakeServer{}, callers: make(chan net.Conn)}
+	service := map[string]string{"model": "chat", "web": "orders"}[kind]
+	view := &follower.View{Plan: &wire.Plan{Term: 1, Number: 7, Shares: []*wire.Share{{Service: service, FromRegion: "lagos", ToRegion: "lagos", Share: 1}}},
+		Servers: map[string]*wire.ServerStatus{}}
+	for i, s := range servers {
+		name := fmt.Sprintf("s%d", i)
+		f.servers[name] = s
+		view.Servers[name] = &wire.ServerStatus{Name: name, Address: name + ":1", Kind: kind, Services: []string{service}, Region: "lagos", Zone: "a",
+			State: wire.ServerState_SERVER_STATE_READY, Reachable: true, Slots: uint32(slots), Answered: 1000}
+		view.Plan.Caps = append(view.Plan.Caps, &wire.Cap{Server: name, InFlight: uint32(slots)})
+	}
+	fresh := make(chan struct{})
+	f.views.changed.Store(&fresh)
+	f.views.view.Store(view)
+	f.views.publish(withKeys("k"))
+	f.views.hasAuthority.Store(true)
+	front, err := New(Config{Name: "n1", Address: "127.0.0.1:1", Region: "lagos", Zone: "a", Backend: backend.Config{Dial: f.dial}, ReadRuntimeSettings: readRuntimeSettings}, f.views, f.admitter,
+		f.clock, f, prometheus.NewRegistry())
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.front = front
+	ctx, cancel := context.WithCancel(context.Background())
+	var owners sync.WaitGroup
+	owners.Go(func() { _ = front.Serve(ctx) })
+	owners.Go(func() { _ = front.Listen(ctx, f) })
+	f.stop = func() {
+		cancel()
+		owners.Wait()
+		f.connections.Wait()
+	}
+	return f
+}
+
+func readRuntimeSettings(settings map[string]string) RuntimeSettings {
+	most, _ := time.ParseDuration(settings["deadline.max"])
+	t := RuntimeSettings{DeadlineMax: most}
+	if len(settings) > 0 {
+		t.Route = &route.Knobs{Strategy: route.Strategy(settings["route.strategy"]), QueueBound: 0, RampStart: 2, RetryBudget: 0}
+	}
+	return t
+}
+
+func (f *fixture) Accept() (net.Conn, error) {
+	conn, open := <-f.callers
+	if !open {
+		return nil, net.ErrClosed
+	}
+	return conn, nil
+}
+
+func (f *fixture) Close() error   { close(f.callers); return nil }
+func (f *fixture) Addr() net.Addr { return &net.TCPAddr{} }
+
+func (f *fixture) dial(_ context.Context, _, address string) (net.Conn, error) {
+	s := f.servers[strings.TrimSuffix(address, ":1")]
+	if s.refuseConnections {
+		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
+	}
+	far, near := net.Pipe()
+	f.connections.Go(func() {
+		defer func() { _ = far.Close() }()
+		request, err := http.ReadRequest(bufio.NewReader(far))
+		if err != nil {
+			return
+		}
+		id := request.Header.Get("Stepwick-Request-Id")
+		_, _ = io.Copy(io.Discard, request.Body)
+		s.respond(far, request, id)
+	})
+	return near, nil
+}
+
+// client is one kept-alive connection of a caller.
+type client struct {
+	conn   net.Conn
+	reader *bufio.Reader
+}
+
+func (f *fixture) connect() *client {
+	near, far := net.Pipe()
+	f.callers <- far
+	return &client{near, bufio.NewReader(near)}
+}
+
+func (c *client) send(method, target, id, extra, body string) {
+	_, _ = fmt.Fprintf(c.conn, "%s %s HTTP/1.1\r\nHost: n\r\nAuthorization: Bearer k\r\nStepwick-Request-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s",
+		method, target, id, extra, len(body), body)
+}
+
+func (c *client) prompt(id string, deadline time.Duration) {
+	c.send("POST", "/v1/prompt", id, "", fmt.Sprintf(`{"service":"chat","prefix":"p","max_tokens":9,"deadline_ms":%d}`, deadline.Milliseconds()))
+}
+
+// response is what a caller got, and whether it was complete.
+type response struct {
+	status   int
+	code     apierror.Code
+	body     string
+	complete bool
+}
+
+func (c *client) readResponse() response {
+	httpResponse, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return response{}
+	}
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(httpResponse.Body)
+	got := response{status: httpResponse.StatusCode, body: string(body), complete: err == nil}
+	for _, line := range strings.Split(got.body, "\n") {
+		var fault apierror.ErrorBody
+		if json.Unmarshal([]byte(strings.TrimPrefix(line, "data: ")), &fault) == nil && fault.Code != 0 {
+			got.code = fault.Code
+		}
+	}
+	return got
+}
+
+func (c *client) readEvent() string {
+	for {
+		line, err := c.reader.ReadString('\n')
+		if err != nil || strings.HasPrefix(line, "data: ") {
+			return line
+		}
+	}
+}
+
+const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+
+func eventText(id string, seq int) string {
+	return fmt.Sprintf("data: {\"id\":%q,\"seq\":%d}\n\n", id, seq)
+}
+
+func finalEventText(id string, count int) string {
+	return fmt.Sprintf("data: {\"id\":%q,\"final\":true,\"count\":%d}\n\n", id, count)
+}
+
+// streamingServer returns a server that sends a number of events, with a pause after
+// each.
+func streamingServer(count int, each time.Duration) *fakeServer {
+	s := &fakeServer{}
+	s.respond = func(conn net.Conn, _ *http.Request, id string) {
+		s.countRun(id)
+		_, _ = fmt.Fprint(conn, streamHead)
+		for i := range count {
+			if _, err := fmt.Fprint(conn, eventText(id, i)); err != nil {
+				return
+			}
+			<-time.After(each)
+		}
+		_, _ = fmt.Fprint(conn, finalEventText(id, count))
+	}
+	return s
+}
+
+func respondingServer(format string) *fakeServer {
+	s := &fakeServer{}
+	s.respond = func(conn net.Conn, _ *http.Request, id string) {
+		s.countRun(id)
+		_, _ = fmt.Fprint(conn, strings.NewReplacer("ID", id, "\r\n", "\r\n", "\n", "\r\n").Replace(format))
+	}
+	return s
+}
+
+func inBubble(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
+
+func (f *fixture) runs(id string) (total int) {
+	for _, s := range f.servers {
+		total += s.runs(id)
+	}
+	return total
+}
+
+func (f *fixture) checkEqual(what string, got, want any) {
+	f.t.Helper()
+	if fmt.Sprint(got) != fmt.Sprint(want) {
+		f.t.Errorf("%s: got %v, want %v", what, got, want)
+	}
+}
+
+func (f *fixture) inFlight(name string) int {
+	synctest.Wait()
+	for _, s := range f.front.router.table.Servers() {
+		if s.Server == name {
+			return s.Own
+		}
+	}
+	return -1
+}
+
+func (f *fixture) cap(name string) int {
+	for _, s := range f.front.router.table.Servers() {
+		if s.Server == name {
+			return s.Cap
+		}
+	}
+	return -1
+}
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -158,7 +158,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "register the front's metrics")
 	}
-	f := &Front{
+	front := &Front{
 		config:     config,
 		views:      views,
 		admitter:   admitter,
@@ -169,12 +169,12 @@
 		requestLog: journal,
 		stopped:    make(chan struct{}),
 	}
-	f.pauses = newPauseDetector(clock)
-	f.calls = newCallRegistry(views, clock, config.AuthorityGrace, f.stopped)
-	f.router = newRouter(route.New(config.Route), views, clock, log, f.stopped)
-	f.router.applySheet = f.applyRuntimeSettings
-	f.api = clientapi.New(config.Limits, f, clock, config.mounts())
-	return f, nil
+	front.pauses = newPauseDetector(clock)
+	front.calls = newCallRegistry(views, clock, config.AuthorityGrace, front.stopped)
+	front.router = newRouter(route.New(config.Route), views, clock, log, front.stopped)
+	front.router.applySheet = front.applyRuntimeSettings
+	front.api = clientapi.New(config.Limits, front, clock, config.mounts())
+	return front, nil
 }
 
 // mounts returns the handlers beside the caller API, by path.
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -35,7 +35,7 @@
 	view     *follower.View // the one that the table has
 	sheet    *sheet.Sheet   // the one last given to applySheet
 	queued   map[string]*assignment
-	assigned map[string]map[*assignment]struct{} // by server
+	assigned map[string]map[*assignment]struct{} // offset server
 	reporter routingReporter
 	// applySheet applies the run-time settings of a new sheet to the table.
 	applySheet func(*sheet.Sheet, *route.Table)
