--- /dev/null
+++ b/internal/node/gateway/admission.go
@@ -0,0 +1,109 @@
+package gateway
+
+import (
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"stepwick/internal/apierror"
+	"stepwick/internal/decision/sheet"
+)
+
+// deadlineWriteMargin is for the last bytes to a client after the deadline.
+const deadlineWriteMargin = time.Second
+
+// admit checks the request against the configuration in force, reads its body,
+// prepares the selection of a server, and charges the tenant's quota.
+func (q *request) admit() *apierror.Error {
+	g := q.gateway
+	if g.closed.Load() {
+		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(noAuthorityRetryAfter)
+	}
+	var apiErr *apierror.Error
+	if q.call, apiErr = g.dialect.Read(q.http); apiErr != nil {
+		return apiErr
+	}
+	if apiErr = g.awaitAuthority(q.http.Context()); apiErr != nil {
+		return apiErr
+	}
+	if apiErr = q.match(g.views.View().Index); apiErr != nil {
+		return apiErr
+	}
+	q.setDeadline()
+	if apiErr = q.readBody(); apiErr != nil {
+		return apiErr
+	}
+	if apiErr = q.prepareSelection(); apiErr != nil {
+		return apiErr
+	}
+	return q.chargeQuota()
+}
+
+// match finds the route and the tenant of the request in a configuration.
+func (q *request) match(index *sheet.Index) *apierror.Error {
+	path, _, _ := strings.Cut(q.target(), "?")
+	route, found := index.Route(q.http.Host, path)
+	if !found {
+		return apierror.Errorf(apierror.UnknownRoute, "no route for %s%s", q.http.Host, path)
+	}
+	q.index = index
+	q.route = route
+	if len(index.Sheet().Tenants) == 0 {
+		return nil
+	}
+	return q.authenticate()
+}
+
+// authenticate finds the request's tenant by its key. Only a public route needs
+// none.
+func (q *request) authenticate() *apierror.Error {
+	if q.call.Key != "" {
+		if name, tenant, known := q.index.Tenant(q.call.Key); known {
+			q.tenant = name
+			q.tenantTerms = tenant
+			return nil
+		}
+	}
+	switch {
+	case q.route.Public:
+		return nil
+	case q.call.Key == "":
+		return apierror.Errorf(apierror.MissingKey, "")
+	}
+	return apierror.Errorf(apierror.UnknownKey, "the sheet in force has no such key")
+}
+
+// checkAdmission reports whether the configuration in force still lets the request
+// run as it was admitted. It is called before each attempt, since the
+// configuration may have changed while the request was queued.
+func (q *request) checkAdmission() *apierror.Error {
+	if apiErr := q.gateway.checkAuthority(); apiErr != nil {
+		return apiErr
+	}
+	index := q.gateway.views.View().Index
+	if index == q.index {
+		return nil
+	}
+	admittedTenant := q.tenant
+	if apiErr := q.match(index); apiErr != nil {
+		return apiErr
+	}
+	servesRoute := func(split sheet.Split) bool { return split.Service == q.service && split.Weight > 0 }
+	if q.tenant != admittedTenant || !slices.ContainsFunc(q.route.Splits, servesRoute) {
+		return apierror.Errorf(apierror.NotRun, "the route has changed").WithRetryAfter(noAuthorityRetryAfter)
+	}
+	return nil
+}
+
+// setDeadline sets the request's deadline: the earliest of the route's, the
+// client's and the gateway's.
+func (q *request) setDeadline() {
+	timeout := time.Duration(q.route.TimeoutMS) * time.Millisecond
+	if q.call.Deadline > 0 {
+		timeout = min(timeout, q.call.Deadline)
+	}
+	q.deadline = q.arrived.Add(min(timeout, q.gateway.config.MaxDeadline))
+	controller := http.NewResponseController(q.writer)
+	_ = controller.SetWriteDeadline(q.deadline.Add(deadlineWriteMargin))
+}
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -4,7 +4,6 @@
 	"context"
 	"io"
 	"net/http"
-	"slices"
 	"time"
 
 	"github.com/pkg/errors"
@@ -15,56 +14,63 @@
 	"stepwick/internal/port"
 )
 
-// wholeMost is how much of an answer that is no stream is read before any of it
-// is passed on, so that an attempt that fails until then can be repeated.
-const wholeMost = 1 << 20
+const (
+	// rejectionBodyLimit is how many bytes are read of a response which says that
+	// the request was not executed, so that its connection can be used again.
+	rejectionBodyLimit = 64 << 10
+	rejectedRetryAfter = 150 * time.Millisecond
+)
+
+// errStalled is the cause of an attempt that was cancelled because nothing arrived.
+var errStalled = errors.New("the server was silent for too long")
 
-// run sends the request to servers until one has answered it, or it may not be
-// sent any more. A nil fault means that the client got an answer.
+// startGateway sends the request to servers until one has answered it or it may not be
+// retried. It returns nil when the client got an answer.
 func (q *request) run() *apierror.Error {
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
 	defer cancel()
-	p := &passage{request: q, ctx: ctx, last: q.call.LastEventID}
-	var earlier *apierror.Error
+	p := &relay{request: q, ctx: ctx, lastEventID: q.call.LastEventID}
+	var previous *apierror.Error
 	for first := true; ; first = false {
-		apiErr, again := q.attempt(ctx, p, first)
+		apiErr, retry := q.attempt(ctx, p, first)
 		if apiErr == nil {
 			return nil
 		}
-		if !again {
-			return q.final(p, apiErr, earlier)
+		if !retry {
+			return q.finalError(p, apiErr, previous)
 		}
-		earlier = apiErr
+		previous = apiErr
 	}
 }
 
-// final returns the answer to a request that is given up. What is known of an
-// earlier attempt goes before the reason why there is no further one.
-func (q *request) final(p *passage, apiErr, earlier *apierror.Error) *apierror.Error {
+// finalError returns the error for a request that is not retried any more. What is
+// known of the previous attempt takes precedence over why there is no further one.
+// It panics with http.ErrAbortHandler when the client already got a part of an
+// answer, since only a broken connection shows that the rest is missing.
+func (q *request) finalError(p *relay, apiErr, previous *apierror.Error) *apierror.Error {
 	if q.http.Context().Err() != nil {
 		apiErr = apierror.Errorf(apierror.CallerGone, "the client closed the connection")
 	}
-	if p.begun {
+	if p.started {
 		panic(http.ErrAbortHandler)
 	}
-	if apiErr.Code == apierror.CallerGone {
+	switch {
+	case apiErr.Code == apierror.CallerGone:
 		return apiErr
-	}
-	if q.runs > 0 {
-		if earlier != nil && apiErr.Code != apierror.DeadlinePassed {
-			apiErr = earlier
+	case q.executions > 0:
+		if previous != nil && apiErr.Code != apierror.DeadlinePassed {
+			apiErr = previous
 		}
-		return q.unknown(apiErr)
-	}
-	if apiErr.Code == apierror.DeadlinePassed {
-		return apierror.Errorf(apierror.NotRun, "%s", apiErr.Detail).WithRetryAfter(leastPause)
+		return possiblyExecuted(apiErr)
+	case apiErr.Code == apierror.DeadlinePassed:
+		return apierror.Errorf(apierror.NotRun, "%s", apiErr.Detail).WithRetryAfter(minRetryAfter)
 	}
 	return apiErr
 }
 
-// unknown holds a fault to what is known of a request that a server may have
-// run: it makes no promise.
-func (q *request) unknown(apiErr *apierror.Error) *apierror.Error {
+// possiblyExecuted returns the error for a request that a server may have executed.
+// It must not say that the request can be sent again.
+func possiblyExecuted(apiErr *apierror.Error) *apierror.Error {
 	switch apiErr.Code {
 	case apierror.DeadlinePassed, apierror.OutcomeUnknown, apierror.BadAnswer:
 		return apiErr
@@ -72,133 +78,96 @@
 	return apierror.Errorf(apierror.OutcomeUnknown, "%s", apiErr.Detail)
 }
 
-// attempt sends the request to one server. again tells that another may be
-// tried.
-func (q *request) attempt(ctx context.Context, p *passage, first bool) (apiErr *apierror.Error, again bool) {
-	g := q.gateway
-	given := g.dispatch.assign(ctx, q.order, first)
-	if given.apiErr != nil {
-		return q.ended(ctx, given.apiErr), false
+// attempt sends the request to one server. retry reports that another may be tried.
+func (q *request) attempt(ctx context.Context, p *relay, first bool) (apiErr *apierror.Error, retry bool) {
+	dispatcher := q.gateway.dispatcher
+	assigned := dispatcher.assign(ctx, q.selection, first)
+	if assigned.apiErr != nil {
+		return q.contextError(ctx, assigned.apiErr), false
 	}
 	outcome := balance.Outcome{}
-	defer func() { g.dispatch.ended(given.attempt, outcome) }()
-	if apiErr := q.stands(); apiErr != nil {
+	defer func() { dispatcher.finished(assigned.attempt, outcome) }()
+	if apiErr := q.checkAdmission(); apiErr != nil {
 		return apiErr, false
 	}
-	sending, cancel := context.WithCancel(ctx)
+	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch := q.watchStall(q.runs+1, cancel)
-	answer, failure := g.client.Send(sending, given.server, q.outgoing(given.server, p.last))
-	watch.Stop()
+	response, failure := q.send(ctx, sendCtx, cancel, assigned.server, p.lastEventID)
 	if failure != nil {
-		if failure.Kind == upstream.Withdrawn && ctx.Err() == nil {
-			failure = &upstream.Failure{Kind: upstream.Lost, Sent: true, Cause: errStalled}
-		}
-		g.metrics.attempts.WithLabelValues(q.service, string(failure.Kind)).Inc()
-		return q.failed(ctx, given.server, failure, &outcome)
+		q.gateway.metrics.attemptFailed(q.service, failure.Kind)
+		return q.sendFailed(ctx, assigned.server, failure, &outcome)
 	}
-	defer answer.Close()
-	said := g.dialect.Said(answer.Status, answer.Header)
+	defer response.Close()
+	said := q.gateway.dialect.Said(response.Status, response.Header)
 	if said.NotExecuted || said.Elsewhere {
-		g.metrics.attempts.WithLabelValues(q.service, "rejected").Inc()
-		outcome.Rejected, outcome.Replaced = !said.Elsewhere, said.Elsewhere
-		_, _ = io.CopyN(io.Discard, answer, rejectionMost)
-		return q.rejected(given.server, said)
-	}
-	q.runs++
-	apiErr, again = p.pass(answer, given.attempt)
-	outcome.OK, outcome.Failed = apiErr == nil, apiErr != nil && ctx.Err() == nil && !p.clientGone
-	outcome.Erred = outcome.OK && answer.Status >= http.StatusInternalServerError
-	if again {
-		q.exclude(given.server)
-		again = q.mayRepeat()
-	}
-	return apiErr, again
+		return q.rejected(assigned.server, response, said, &outcome)
+	}
+	q.executions++
+	apiErr, retry = p.relay(response, assigned.attempt)
+	outcome.OK = apiErr == nil
+	outcome.Failed = apiErr != nil && ctx.Err() == nil && !p.clientDisconnected
+	outcome.Erred = outcome.OK && response.Status >= http.StatusInternalServerError
+	if retry {
+		q.exclude(assigned.server)
+		retry = q.mayRetry()
+	}
+	return apiErr, retry
 }
 
-// errStalled is the cause of an attempt that was given up because nothing came.
-var errStalled = errors.New("the server was silent for too long")
-
-const (
-	// A server may be silent on a repeatable request, before its answer or within
-	// a stream, for twice the route's objective or pause until another is tried.
-	stallFactor = 2
-	stallLeast  = 700 * time.Millisecond
-	stallNever  = time.Hour
-)
-
-// stallAfter returns how long a server may be silent until another is tried,
-// when so many servers were sent the request; very long where no further one
-// may be.
-func (q *request) stallAfter(sent int) time.Duration {
-	if !q.route.Idempotent() || sent >= max(q.route.Attempts, 1) || q.gateway.config.Balance.Off[balance.SecondAttempts] {
-		return stallNever
+// send sends the request by sendCtx, which it cancels when the server stalls. Only
+// a context that ended by itself is the caller's withdrawal.
+func (q *request) send(ctx, sendCtx context.Context, cancel func(), server upstream.Server, lastEventID string) (*upstream.Answer, *upstream.Failure) {
+	stall := q.startStallTimer(q.executions+1, cancel)
+	response, failure := q.gateway.client.Send(sendCtx, server, q.upstreamRequest(server, lastEventID))
+	stall.Stop()
+	if failure != nil && failure.Kind == upstream.Withdrawn && ctx.Err() == nil {
+		return nil, &upstream.Failure{Kind: upstream.Lost, Sent: true, Cause: errStalled}
 	}
-	span := max(q.route.ObjectiveMS, q.route.GapMS)
-	return max(stallFactor*time.Duration(span)*time.Millisecond, stallLeast)
-}
-
-// watchStall calls stop unless something comes in time.
-func (q *request) watchStall(sent int, stop func()) *time.Timer {
-	return time.AfterFunc(q.stallAfter(sent), stop)
+	return response, failure
 }
 
-// rejectionMost bounds what is read of an answer that says that the request was
-// not run.
-const rejectionMost = 64 << 10
-
-// outgoing builds the message for a server: as the client sent it, but for the
-// headers that concern one connection and what the dialect adds or takes away.
-func (q *request) outgoing(server upstream.Server, lastEventID string) *upstream.Request {
-	header := q.http.Header.Clone()
-	dropHopHeaders(header)
-	q.gateway.dialect.Dress(header, port.Sending{
-		Server: server.Name, Tenant: q.tenant, Left: q.deadline.Sub(q.gateway.clock.Now()),
-		Priority: q.order.Urgency, LastEventID: lastEventID,
-	})
-	id := q.call.ID
-	return &upstream.Request{
-		Method: q.http.Method, Target: q.target(), Host: q.http.Host, Header: header, Body: q.body,
-		Matches: func(status int, header http.Header) bool {
-			return q.gateway.dialect.Said(status, header).RequestID == id
-		},
+// sendFailed decides on an attempt without a response.
+func (q *request) sendFailed(ctx context.Context, server upstream.Server, failure *upstream.Failure, outcome *balance.Outcome) (apiErr *apierror.Error, retry bool) {
+	switch failure.Kind {
+	case upstream.Refused:
+		outcome.Refused = true
+	case upstream.Silent:
+		outcome.Silent = true
+	case upstream.Unsent, upstream.Lost, upstream.Garbled:
+		outcome.Failed = true
 	}
-}
-
-// failed decides on an attempt without an answer.
-func (q *request) failed(ctx context.Context, server upstream.Server, failure *upstream.Failure, outcome *balance.Outcome) (apiErr *apierror.Error, again bool) {
-	outcome.Refused = failure.Kind == upstream.Refused
-	outcome.Silent = failure.Kind == upstream.Silent
-	outcome.Failed = failure.Kind == upstream.Unsent || failure.Kind == upstream.Lost || failure.Kind == upstream.Garbled
 	if failure.Sent {
-		q.runs++
-		q.order.Repeat = true
+		q.executions++
+		q.selection.Repeat = true
 	}
 	if ctx.Err() != nil {
-		return q.ended(ctx, nil), false
+		return q.contextError(ctx, nil), false
 	}
 	q.exclude(server)
 	if !failure.Sent {
-		return apierror.Errorf(apierror.NotRun, "%s", failure).WithRetryAfter(leastPause), true
+		return apierror.Errorf(apierror.NotRun, "%s", failure).WithRetryAfter(minRetryAfter), true
 	}
-	return apierror.Errorf(apierror.OutcomeUnknown, "%s", failure), q.mayRepeat()
+	return apierror.Errorf(apierror.OutcomeUnknown, "%s", failure), q.mayRetry()
 }
 
-// rejected decides on an attempt that the server did not run.
-func (q *request) rejected(server upstream.Server, said port.Said) (apiErr *apierror.Error, again bool) {
+// rejected decides on an attempt that the server did not execute.
+func (q *request) rejected(server upstream.Server, response *upstream.Answer, said port.Said, outcome *balance.Outcome) (apiErr *apierror.Error, retry bool) {
+	q.gateway.metrics.attemptRejected(q.service)
+	outcome.Rejected = !said.Elsewhere
+	outcome.Replaced = said.Elsewhere
+	_, _ = io.CopyN(io.Discard, response, rejectionBodyLimit)
 	q.exclude(server)
-	q.order.Repeat = true
-	why := "the server is full"
+	q.selection.Repeat = true
+	reason := "the server is full"
 	if said.Elsewhere {
-		why = "the server is gone; another one has its address"
+		reason = "the server is gone; another one has its address"
 	}
-	return apierror.Errorf(apierror.NotRun, "%s", why).WithRetryAfter(rejectedPause), true
+	return apierror.Errorf(apierror.NotRun, "%s", reason).WithRetryAfter(rejectedRetryAfter), true
 }
 
-const rejectedPause = 150 * time.Millisecond
-
-// ended says why a context has ended, or keeps the fault where it has not.
-func (q *request) ended(ctx context.Context, apiErr *apierror.Error) *apierror.Error {
+// contextError returns the error for a context that has ended, or the given error
+// where it has not. A nil error stands for an ended context.
+func (q *request) contextError(ctx context.Context, apiErr *apierror.Error) *apierror.Error {
 	switch {
 	case q.http.Context().Err() != nil:
 		return apierror.Errorf(apierror.CallerGone, "the client closed the connection")
@@ -208,33 +177,16 @@
 	return apiErr
 }
 
+// exclude keeps further attempts from a server.
 func (q *request) exclude(server upstream.Server) {
-	q.order.Tried = append(q.order.Tried, server.Name)
+	q.selection.Tried = append(q.selection.Tried, server.Name)
 }
 
-// mayRepeat tells whether a request that a server may have run may be sent to
-// another one.
-func (q *request) mayRepeat() bool {
-	q.order.Repeat = true
-	return q.route.Idempotent() && q.runs < max(q.route.Attempts, 1)
-}
-
-// hopHeaders concern one connection only.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
-	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
-
-func dropHopHeaders(header http.Header) {
-	for _, named := range header["Connection"] {
-		for _, name := range splitList(named) {
-			if !slices.Contains(keptHeaders, http.CanonicalHeaderKey(name)) {
-				header.Del(name)
-			}
-		}
-	}
-	for _, name := range hopHeaders {
-		header.Del(name)
-	}
+// mayRetry reports whether a request that a server may have executed may be sent to
+// another one, and marks further attempts as retries for the retry budget.
+func (q *request) mayRetry() bool {
+	q.selection.Repeat = true
+	return q.route.Idempotent() && q.executions < q.maxAttempts()
 }
 
-// keptHeaders are passed on even where a Connection header names them.
-var keptHeaders = []string{"Host", "Content-Type"}
+func (q *request) maxAttempts() int { return max(q.route.Attempts, 1) }
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -28,10 +28,10 @@
 	"stepwick/internal/wire"
 )
 
-// plain is a dialect with short names.
-type plain struct{}
+// testDialect is a dialect with short names.
+type testDialect struct{}
 
-func (plain) Read(r *http.Request) (port.Call, *apierror.Error) {
+func (testDialect) Read(r *http.Request) (port.Call, *apierror.Error) {
 	call := port.Call{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), LastEventID: r.Header.Get("Last")}
 	if _, err := fmt.Sscan(r.Header.Get("Tokens"), &call.TokensIn); err == nil {
 		call.Sized = true
@@ -43,33 +43,33 @@
 	return call, nil
 }
 
-func (plain) Dress(header http.Header, sending port.Sending) {
+func (testDialect) Dress(header http.Header, sending port.Sending) {
 	header.Del("Key")
 	header.Set("Tenant", sending.Tenant)
 	header.Set("To", sending.Server)
 	header.Set("Last", sending.LastEventID)
 }
 
-func (plain) Said(status int, header http.Header) port.Said {
+func (testDialect) Said(status int, header http.Header) port.Said {
 	return port.Said{RequestID: header.Get("Id"), NotExecuted: header.Get("Not-Run") != "", Elsewhere: status == http.StatusMisdirectedRequest}
 }
 
-func (plain) Refuse(w http.ResponseWriter, id string, apiErr *apierror.Error) {
+func (testDialect) Refuse(w http.ResponseWriter, id string, apiErr *apierror.Error) {
 	apierror.WriteError(w, apiErr, id)
 }
 
-type fixedViews struct {
+type testViews struct {
 	view    atomic.Pointer[follower.View]
 	changed atomic.Pointer[chan struct{}]
 	ruling  atomic.Bool
 }
 
-func (v *fixedViews) View() *follower.View     { return v.view.Load() }
-func (v *fixedViews) Changed() <-chan struct{} { return *v.changed.Load() }
-func (v *fixedViews) Ruling() bool             { return v.ruling.Load() }
-func (v *fixedViews) FleetNow() time.Time      { return time.Now() }
+func (v *testViews) View() *follower.View     { return v.view.Load() }
+func (v *testViews) Changed() <-chan struct{} { return *v.changed.Load() }
+func (v *testViews) Ruling() bool             { return v.ruling.Load() }
+func (v *testViews) FleetNow() time.Time      { return time.Now() }
 
-func (v *fixedViews) publish(change func(*follower.View)) {
+func (v *testViews) publish(change func(*follower.View)) {
 	next := *v.view.Load()
 	change(&next)
 	next.State.Version++
@@ -79,44 +79,44 @@
 	close(*v.changed.Swap(&fresh))
 }
 
-type admitter struct {
-	refused  atomic.Bool
-	patience atomic.Int64 // of the last request, nanoseconds
+type testAdmitter struct {
+	refused     atomic.Bool
+	lastTimeout atomic.Int64 // of the last request, nanoseconds
 }
 
-func (a *admitter) Admit(_ context.Context, _ string, _ float64, _ quota.Terms, patience time.Duration) quota.Decision {
-	a.patience.Store(int64(patience))
+func (a *testAdmitter) Admit(_ context.Context, _ string, _ float64, _ quota.Terms, patience time.Duration) quota.Decision {
+	a.lastTimeout.Store(int64(patience))
 	if a.refused.Load() {
 		return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 700 * time.Millisecond}
 	}
 	return quota.Decision{Pass: true}
 }
 
-// stand is a gateway before stand-in servers.
-type stand struct {
-	t       *testing.T
-	views   *fixedViews
-	tally   *admitter
-	gateway *Gateway
-	address string
-	servers map[string]*wire.ServerStatus
-	clock   clock.Clock // the machine's when nil
+// testFleet is a gateway with emulated servers.
+type testFleet struct {
+	t        *testing.T
+	views    *testViews
+	admitter *testAdmitter
+	gateway  *Gateway
+	address  string
+	servers  map[string]*wire.ServerStatus
+	clock    clock.Clock // the machine's when nil
 }
 
-// patientClock is the machine's clock on which the hold of a start never ends.
-type patientClock struct{ clock.Clock }
+// endlessGraceClock is the machine's clock on which startupGrace never ends.
+type endlessGraceClock struct{ clock.Clock }
 
-func (c patientClock) After(d time.Duration) <-chan time.Time {
-	if d == startHold {
+func (c endlessGraceClock) After(d time.Duration) <-chan time.Time {
+	if d == startupGrace {
 		return nil
 	}
 	return c.Clock.After(d)
 }
 
-// script answers one request of a stand-in server.
-type script func(r *http.Request, conn net.Conn)
+// serverScript answers one request of an emulated server.
+type serverScript func(r *http.Request, conn net.Conn)
 
-func (s *stand) add(name string, answer script) {
+func (s *testFleet) addServer(name string, answer serverScript) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -129,7 +129,7 @@
 				return
 			}
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				in := bufio.NewReader(conn)
 				for {
 					r, err := http.ReadRequest(in)
@@ -147,8 +147,8 @@
 		Reachable: true, State: wire.ServerState_SERVER_STATE_READY, Region: "north", Zone: "z"}
 }
 
-func open(t *testing.T) *stand {
-	s := &stand{t: t, views: &fixedViews{}, tally: &admitter{}, servers: map[string]*wire.ServerStatus{}}
+func newTestFleet(t *testing.T) *testFleet {
+	s := &testFleet{t: t, views: &testViews{}, admitter: &testAdmitter{}, servers: map[string]*wire.ServerStatus{}}
 	state := statemachine.State{Version: 1, Sheet: &sheet.Sheet{
 		Services: map[string]sheet.Service{"pool": {Kind: sheet.KindHTTP}},
 		Tenants:  map[string]sheet.Tenant{"press": {Rate: 10, KeyHashes: []string{sheet.HashKey("k")}}},
@@ -169,14 +169,14 @@
 	return s
 }
 
-// run starts the gateway before the servers added so far.
-func (s *stand) run() *stand {
+// startGateway starts the gateway with the servers added so far.
+func (s *testFleet) startGateway() *testFleet {
 	var err error
 	if s.clock == nil {
 		s.clock = clock.System()
 	}
 	s.gateway, err = New(Config{Balance: balance.Config{Self: "f", Region: "north", Zone: "z", RetrySlack: 100}},
-		plain{}, s.views, s.tally, s.clock, events.Discard, prometheus.NewRegistry())
+		testDialect{}, s.views, s.admitter, s.clock, events.Discard, prometheus.NewRegistry())
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -193,14 +193,14 @@
 	return s
 }
 
-type result struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
-	cut    bool
+	broken bool
 }
 
-func (s *stand) ask(path, body string, headers ...string) result {
+func (s *testFleet) send(path, body string, headers ...string) response {
 	request, err := http.NewRequest(http.MethodPost, "http://"+s.address+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
@@ -214,34 +214,35 @@
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	answer, err := transport.RoundTrip(request)
 	if err != nil {
-		return result{cut: true}
+		return response{broken: true}
 	}
 	defer answer.Body.Close()
 	data, err := io.ReadAll(answer.Body)
-	return result{answer.StatusCode, answer.Header, string(data), err != nil}
+	return response{answer.StatusCode, answer.Header, string(data), err != nil}
 }
 
-func whole(body string) script {
+func respond(body string) serverScript {
 	return func(r *http.Request, conn net.Conn) {
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get("Id"), len(body), body)
+		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get("Id"), len(body), body)
 	}
 }
 
-func breaks(r *http.Request, conn net.Conn) { _ = conn.Close() }
+func closeConnection(_ *http.Request, conn net.Conn) { _ = conn.Close() }
 
-func says(status, headers string) script {
+func respondStatus(status, headers string) serverScript {
 	return func(r *http.Request, conn net.Conn) {
-		fmt.Fprintf(conn, "HTTP/1.1 %s\r\nId: %s\r\n%sContent-Length: 0\r\n\r\n", status, r.Header.Get("Id"), headers)
+		_, _ = fmt.Fprintf(conn, "HTTP/1.1 %s\r\nId: %s\r\n%sContent-Length: 0\r\n\r\n", status, r.Header.Get("Id"), headers)
 	}
 }
 
-// stream sends events of some ids, and then either ends or breaks off.
-func stream(broken bool, ids ...int) script {
+// respondStream sends events of some ids, and then ends the body, or closes the
+// connection inside an event.
+func respondStream(broken bool, ids ...int) serverScript {
 	return func(r *http.Request, conn net.Conn) {
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: %s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"), r.Header.Get("To"))
+		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: %s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"), r.Header.Get("To"))
 		for _, id := range ids {
 			event := fmt.Sprintf("id: %d\ndata: x\n\n", id)
-			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event)
+			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event)
 		}
 		if broken {
 			_, _ = io.WriteString(conn, "9\r\nid: 99\nda\r\n")
@@ -252,9 +253,9 @@
 	}
 }
 
-// either gives the first request that comes to any of its servers to one
-// script, and all later ones to another.
-func either(first, later script) script {
+// firstThen handles the first request at any of its servers by one script, and
+// all later ones by another.
+func firstThen(first, later serverScript) serverScript {
 	var count atomic.Int64
 	return func(r *http.Request, conn net.Conn) {
 		if count.Add(1) == 1 {
@@ -266,13 +267,13 @@
 }
 
 func TestAdmission(t *testing.T) {
-	Convey("Given a gateway before one server", t, func() {
+	Convey("Given a gateway with one server", t, func() {
 		seen := make(chan *http.Request, 10)
-		s := open(t)
-		s.add("s0", func(r *http.Request, conn net.Conn) { seen <- r; whole("ok")(r, conn) })
-		s.run()
-		Convey("the tenant's name replaces whatever the client sent, and the key goes no further", func() {
-			got := s.ask("/safe/a%2Fb?q=%20", "body", "Tenant", "other", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2")
+		s := newTestFleet(t)
+		s.addServer("s0", func(r *http.Request, conn net.Conn) { seen <- r; respond("ok")(r, conn) })
+		s.startGateway()
+		Convey("the tenant's name replaces whatever the client sent, and the key is not forwarded", func() {
+			got := s.send("/safe/a%2Fb?q=%20", "body", "Tenant", "other", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2")
 			So(got.status, ShouldEqual, http.StatusOK)
 			So(got.body, ShouldEqual, "ok")
 			So(got.header.Get("Seal"), ShouldEqual, "s")
@@ -286,50 +287,50 @@
 			body, _ := io.ReadAll(r.Body)
 			So(string(body), ShouldEqual, "body")
 		})
-		Convey("what may not pass is refused with its number, and reaches no server", func() {
+		Convey("a request that is not admitted is refused with a code and reaches no server", func() {
 			for _, c := range []struct {
 				status int
-				got    result
+				got    response
 			}{
-				{http.StatusNotFound, s.ask("/nowhere/", "")},
-				{http.StatusUnauthorized, s.ask("/safe/", "", "Key", "")},
-				{http.StatusForbidden, s.ask("/safe/", "", "Key", "wrong")},
-				{http.StatusRequestEntityTooLarge, s.ask("/safe/", strings.Repeat("x", 1001))},
-				{http.StatusServiceUnavailable, s.ask("/far/", "")},
+				{http.StatusNotFound, s.send("/nowhere/", "")},
+				{http.StatusUnauthorized, s.send("/safe/", "", "Key", "")},
+				{http.StatusForbidden, s.send("/safe/", "", "Key", "wrong")},
+				{http.StatusRequestEntityTooLarge, s.send("/safe/", strings.Repeat("x", 1001))},
+				{http.StatusServiceUnavailable, s.send("/far/", "")},
 			} {
 				So(c.got.status, ShouldEqual, c.status)
 				So(c.got.body, ShouldContainSubstring, `"code":`)
 			}
 			So(len(seen), ShouldEqual, 0)
-			So(s.ask("/public/", "", "Key", "wrong").status, ShouldEqual, http.StatusOK)
+			So(s.send("/public/", "", "Key", "wrong").status, ShouldEqual, http.StatusOK)
 		})
-		Convey("a tenant over its allowance is told when to come back", func() {
-			s.tally.refused.Store(true)
-			got := s.ask("/safe/", "")
+		Convey("a tenant over its quota gets a Retry-After", func() {
+			s.admitter.refused.Store(true)
+			got := s.send("/safe/", "")
 			So(got.status, ShouldEqual, http.StatusTooManyRequests)
 			So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 		})
-		Convey("a node that may not rule, or knows no sheet, promises nothing but to come back", func() {
+		Convey("a node without a lease or a configuration answers with a Retry-After only", func() {
 			s.views.ruling.Store(false)
-			got := s.ask("/nowhere/", "", "Key", "wrong")
+			got := s.send("/nowhere/", "", "Key", "wrong")
 			So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 			So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 			s.views.ruling.Store(true)
 			s.views.publish(func(v *follower.View) { v.State.Sheet = nil })
-			So(s.ask("/nowhere/", "").status, ShouldEqual, http.StatusServiceUnavailable)
+			So(s.send("/nowhere/", "").status, ShouldEqual, http.StatusServiceUnavailable)
 		})
 	})
 }
 
-func TestStart(t *testing.T) {
-	Convey("A request that comes before a node has ruled for the first time waits for it", t, func() {
-		s := open(t)
-		s.add("s0", whole("ok"))
+func TestAuthorityAfterStart(t *testing.T) {
+	Convey("A request that arrives before a node has its first lease waits for it", t, func() {
+		s := newTestFleet(t)
+		s.addServer("s0", respond("ok"))
 		s.views.ruling.Store(false)
-		s.clock = patientClock{clock.System()}
-		s.run()
-		answers := make(chan result, 1)
-		go func() { answers <- s.ask("/safe/", "") }()
+		s.clock = endlessGraceClock{clock.System()}
+		s.startGateway()
+		answers := make(chan response, 1)
+		go func() { answers <- s.send("/safe/", "") }()
 		for s.gateway.inFlight.Load() == 0 {
 			runtime.Gosched()
 		}
@@ -339,108 +340,108 @@
 }
 
 func TestAttempts(t *testing.T) {
-	two := func(first, later script) *stand {
-		s, both := open(t), either(first, later)
-		s.add("s0", both)
-		s.add("s1", both)
-		return s.run()
+	two := func(first, later serverScript) *testFleet {
+		s, both := newTestFleet(t), firstThen(first, later)
+		s.addServer("s0", both)
+		s.addServer("s1", both)
+		return s.startGateway()
 	}
-	Convey("A safe request is sent again after a loss, an unsafe one is not and makes no promise", t, func() {
-		So(two(breaks, whole("ok")).ask("/safe/", "").status, ShouldEqual, http.StatusOK)
-		So(two(breaks, whole("ok")).ask("/unsafe/", "").status, ShouldEqual, http.StatusBadGateway)
+	Convey("A safe request is retried after a lost connection; an unsafe one is not, and its outcome is unknown", t, func() {
+		So(two(closeConnection, respond("ok")).send("/safe/", "").status, ShouldEqual, http.StatusOK)
+		So(two(closeConnection, respond("ok")).send("/unsafe/", "").status, ShouldEqual, http.StatusBadGateway)
 	})
-	Convey("An unsafe request goes on to another server where the first did not run it", t, func() {
-		So(two(says("503 Full", "Not-Run: 1\r\n"), whole("ok")).ask("/unsafe/", "").status, ShouldEqual, http.StatusOK)
-		So(two(says("421 Elsewhere", ""), whole("ok")).ask("/unsafe/", "").status, ShouldEqual, http.StatusOK)
-		So(two(says("421 Elsewhere", "Not-Run: 1\r\n"), whole("ok")).ask("/unsafe/", "").status, ShouldEqual, http.StatusOK)
+	Convey("An unsafe request is retried at another server when the first did not execute it", t, func() {
+		So(two(respondStatus("503 Full", "Not-Run: 1\r\n"), respond("ok")).send("/unsafe/", "").status, ShouldEqual, http.StatusOK)
+		So(two(respondStatus("421 Elsewhere", ""), respond("ok")).send("/unsafe/", "").status, ShouldEqual, http.StatusOK)
+		So(two(respondStatus("421 Elsewhere", "Not-Run: 1\r\n"), respond("ok")).send("/unsafe/", "").status, ShouldEqual, http.StatusOK)
 	})
-	Convey("Where no server ran it, the client is told when to come back", t, func() {
-		full := says("503 Full", "Not-Run: 1\r\n")
-		got := two(full, full).ask("/unsafe/", "")
+	Convey("A request that no server executed is answered with a Retry-After", t, func() {
+		full := respondStatus("503 Full", "Not-Run: 1\r\n")
+		got := two(full, full).send("/unsafe/", "")
 		So(got.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 	})
-	Convey("A failure of the server's own is passed on as it is", t, func() {
-		got := two(says("500 Error", "Seal: s\r\n"), whole("ok")).ask("/unsafe/", "")
+	Convey("A server's own error response is relayed unchanged", t, func() {
+		got := two(respondStatus("500 Error", "Seal: s\r\n"), respond("ok")).send("/unsafe/", "")
 		So(got.status, ShouldEqual, http.StatusInternalServerError)
 		So(got.header.Get("Seal"), ShouldEqual, "s")
 	})
-	Convey("A server that nobody listens at gets nothing, so the request goes elsewhere", t, func() {
-		s := open(t)
-		s.add("s0", whole("ok"))
+	Convey("A request whose connection is refused is sent to another server", t, func() {
+		s := newTestFleet(t)
+		s.addServer("s0", respond("ok"))
 		s.servers["s1"] = &wire.ServerStatus{Name: "s1", Address: "127.0.0.1:1", Services: []string{"pool"}, Reachable: true,
 			State: wire.ServerState_SERVER_STATE_READY, Region: "north", Zone: "z"}
-		s.run()
+		s.startGateway()
 		for range 6 {
-			So(s.ask("/unsafe/", "").status, ShouldEqual, http.StatusOK)
+			So(s.send("/unsafe/", "").status, ShouldEqual, http.StatusOK)
 		}
 	})
-	Convey("A body that is cut is never passed on as whole", t, func() {
+	Convey("An incomplete body is never relayed as complete", t, func() {
 		short := func(r *http.Request, conn net.Conn) {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 10\r\n\r\nshort", r.Header.Get("Id"))
+			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 10\r\n\r\nshort", r.Header.Get("Id"))
 			_ = conn.Close()
 		}
-		So(two(short, whole("ok")).ask("/safe/", "").body, ShouldEqual, "ok")
-		So(two(short, whole("ok")).ask("/unsafe/", "").status, ShouldEqual, http.StatusBadGateway)
+		So(two(short, respond("ok")).send("/safe/", "").body, ShouldEqual, "ok")
+		So(two(short, respond("ok")).send("/unsafe/", "").status, ShouldEqual, http.StatusBadGateway)
 	})
-	Convey("A request whose time is over is answered at once, by what is known of it", t, func() {
+	Convey("A request is answered as soon as its deadline passes", t, func() {
 		never := func(*http.Request, net.Conn) {}
-		So(two(never, never).ask("/unsafe/", "", "Left", "2000").status, ShouldEqual, http.StatusGatewayTimeout)
+		So(two(never, never).send("/unsafe/", "", "Left", "2000").status, ShouldEqual, http.StatusGatewayTimeout)
 	})
 }
 
 func TestStreams(t *testing.T) {
-	two := func(first, later script) *stand {
-		s, both := open(t), either(first, later)
-		s.add("s0", both)
-		s.add("s1", both)
-		return s.run()
+	two := func(first, later serverScript) *testFleet {
+		s, both := newTestFleet(t), firstThen(first, later)
+		s.addServer("s0", both)
+		s.addServer("s1", both)
+		return s.startGateway()
 	}
-	Convey("A resumable stream goes on at another server after its last whole event, under the first one's head", t, func() {
+	Convey("A resumable stream is resumed at another server after its last complete event, under the first server's header", t, func() {
 		later := make(chan *http.Request, 1)
-		s := two(stream(true, 1, 2), func(r *http.Request, conn net.Conn) { later <- r; stream(false, 3, 4)(r, conn) })
-		got := s.ask("/stream/", "")
-		So(got.cut, ShouldBeFalse)
+		s := two(respondStream(true, 1, 2), func(r *http.Request, conn net.Conn) { later <- r; respondStream(false, 3, 4)(r, conn) })
+		got := s.send("/stream/", "")
+		So(got.broken, ShouldBeFalse)
 		So(got.body, ShouldEqual, "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\nid: 4\ndata: x\n\n")
 		r := <-later
 		So(r.Header.Get("Last"), ShouldEqual, "2")
 		So(got.header.Get("Seal"), ShouldNotEqual, r.Header.Get("To"))
 	})
-	Convey("A stream that may not run twice breaks where its server broke it", t, func() {
-		got := two(stream(true, 1), stream(false, 2)).ask("/once/", "")
-		So(got.cut, ShouldBeTrue)
+	Convey("A stream that may not be executed twice breaks where its server broke it", t, func() {
+		got := two(respondStream(true, 1), respondStream(false, 2)).send("/once/", "")
+		So(got.broken, ShouldBeTrue)
 		So(got.body, ShouldEqual, "id: 1\ndata: x\n\n")
 	})
-	Convey("A second break of a resumable stream ends it, as no further attempt is left", t, func() {
-		got := two(stream(true, 1), stream(true, 2)).ask("/stream/", "")
-		So(got.cut, ShouldBeTrue)
+	Convey("A resumable stream breaks when its attempts are exhausted", t, func() {
+		got := two(respondStream(true, 1), respondStream(true, 2)).send("/stream/", "")
+		So(got.broken, ShouldBeTrue)
 		So(got.body, ShouldEqual, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n")
 	})
-	Convey("What a stream has after its last event is passed on where the server says that it is whole", t, func() {
-		s := open(t)
-		s.add("s0", whole("id: 1\ndata: x\n\ndata: tail"))
-		s.run()
-		So(s.ask("/once/", "").body, ShouldEqual, "id: 1\ndata: x\n\ndata: tail")
+	Convey("Bytes after the last event are relayed when the response's framing shows that it is complete", t, func() {
+		s := newTestFleet(t)
+		s.addServer("s0", respond("id: 1\ndata: x\n\ndata: tail"))
+		s.startGateway()
+		So(s.send("/once/", "").body, ShouldEqual, "id: 1\ndata: x\n\ndata: tail")
 	})
-	Convey("A server that falls silent is given up where another may go on, before its answer and within it", t, func() {
+	Convey("A stalled server is abandoned for another where that is allowed, before its response and within it", t, func() {
 		never := func(*http.Request, net.Conn) {}
-		So(two(never, stream(false, 1)).ask("/stream/", "").body, ShouldEqual, "id: 1\ndata: x\n\n")
+		So(two(never, respondStream(false, 1)).send("/stream/", "").body, ShouldEqual, "id: 1\ndata: x\n\n")
 		halts := func(r *http.Request, conn net.Conn) {
 			event := "id: 1\ndata: x\n\n"
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", r.Header.Get("Id"), len(event), event)
+			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", r.Header.Get("Id"), len(event), event)
 		}
-		So(two(halts, stream(false, 2)).ask("/stream/", "").body, ShouldEqual, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n")
-		So(two(never, stream(false, 1)).ask("/once/", "", "Left", "1500").status, ShouldEqual, http.StatusGatewayTimeout)
+		So(two(halts, respondStream(false, 2)).send("/stream/", "").body, ShouldEqual, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n")
+		So(two(never, respondStream(false, 1)).send("/once/", "", "Left", "1500").status, ShouldEqual, http.StatusGatewayTimeout)
 	})
-	Convey("A client that leaves ends the work at the server", t, func() {
+	Convey("A client that disconnects cancels the request at the server", t, func() {
 		ended := make(chan struct{})
-		s := open(t)
-		s.add("s0", func(r *http.Request, conn net.Conn) {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\n\r\nid: 1\ndata: x\n\n", r.Header.Get("Id"))
+		s := newTestFleet(t)
+		s.addServer("s0", func(r *http.Request, conn net.Conn) {
+			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\n\r\nid: 1\ndata: x\n\n", r.Header.Get("Id"))
 			_, _ = conn.Read(make([]byte, 1))
 			close(ended)
 		})
-		s.run()
+		s.startGateway()
 		conn, err := net.Dial("tcp", s.address)
 		So(err, ShouldBeNil)
 		_, err = io.WriteString(conn, "POST /once/ HTTP/1.1\r\nHost: h\r\nId: 1\r\nKey: k\r\nContent-Length: 0\r\n\r\n")
@@ -452,38 +453,38 @@
 	})
 }
 
-func TestClientsThatLeave(t *testing.T) {
-	dial := func(s *stand, path string) net.Conn {
+func TestClientDisconnects(t *testing.T) {
+	dial := func(s *testFleet, path string) net.Conn {
 		conn, err := net.Dial("tcp", s.address)
 		So(err, ShouldBeNil)
 		_, err = io.WriteString(conn, "POST "+path+" HTTP/1.1\r\nHost: h\r\nId: 1\r\nKey: k\r\nContent-Length: 0\r\n\r\n")
 		So(err, ShouldBeNil)
 		return conn
 	}
-	Convey("A client that leaves before the answer begins ends the work at the server, whatever the kind of request", t, func() {
+	Convey("A client that disconnects before the response starts cancels the request at the server, for each kind of route", t, func() {
 		for _, path := range []string{"/safe/", "/unsafe/", "/once/", "/stream/"} {
 			reached, ended := make(chan struct{}), make(chan struct{})
-			s := open(t)
-			s.add("s0", func(_ *http.Request, conn net.Conn) {
+			s := newTestFleet(t)
+			s.addServer("s0", func(_ *http.Request, conn net.Conn) {
 				close(reached)
 				_, _ = conn.Read(make([]byte, 1))
 				close(ended)
 			})
-			s.run()
+			s.startGateway()
 			conn := dial(s, path)
 			<-reached
 			So(conn.Close(), ShouldBeNil)
 			<-ended
 		}
 	})
-	Convey("A request whose client leaves while it waits for room reaches no server", t, func() {
+	Convey("A queued request whose client disconnects reaches no server", t, func() {
 		var reached atomic.Int32
 		free := make(chan struct{})
-		s := open(t)
-		s.add("s0", func(r *http.Request, conn net.Conn) {
+		s := newTestFleet(t)
+		s.addServer("s0", func(r *http.Request, conn net.Conn) {
 			reached.Add(1)
 			<-free
-			whole("ok")(r, conn)
+			respond("ok")(r, conn)
 		})
 		s.views.publish(func(v *follower.View) {
 			v.State.Sheet.Services["pool"] = sheet.Service{Kind: sheet.KindHTTP, MaxConnections: 1}
@@ -491,13 +492,13 @@
 			safe.ObjectiveMS = 4000
 			v.State.Sheet.Routes["safe"] = safe
 		})
-		s.run()
-		first := make(chan result, 1)
-		go func() { first <- s.ask("/safe/", "") }()
+		s.startGateway()
+		first := make(chan response, 1)
+		go func() { first <- s.send("/safe/", "") }()
 		for reached.Load() == 0 {
 			runtime.Gosched()
 		}
-		So(time.Duration(s.tally.patience.Load()), ShouldEqual, 2*time.Second)
+		So(time.Duration(s.admitter.lastTimeout.Load()), ShouldEqual, 2*time.Second)
 		conn := dial(s, "/safe/")
 		for s.gateway.inFlight.Load() < 2 {
 			runtime.Gosched()
@@ -508,71 +509,71 @@
 		}
 		close(free)
 		So((<-first).status, ShouldEqual, http.StatusOK)
-		So(s.ask("/safe/", "").status, ShouldEqual, http.StatusOK)
+		So(s.send("/safe/", "").status, ShouldEqual, http.StatusOK)
 		So(reached.Load(), ShouldEqual, 2)
 	})
 }
 
-func TestWeights(t *testing.T) {
-	Convey("Each part of a split gets its share of the requests", t, func() {
+func TestServiceWeights(t *testing.T) {
+	Convey("Each service of a route gets requests by its weight", t, func() {
 		route := &sheet.NamedRoute{Route: sheet.Route{Splits: []sheet.Split{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}}
 		counts := map[string]int{}
 		for i := range 5000 {
-			q := &request{route: route, call: port.Call{ID: fmt.Sprintf("%016x", i*2654435761)}}
-			counts[q.split()]++
+			q := &request{admission: admission{route: route}, call: port.Call{ID: fmt.Sprintf("%016x", i*2654435761)}}
+			counts[q.selectService()]++
 		}
 		So(counts["b"], ShouldBeBetween, 420, 580)
 		So(counts["a"]+counts["b"], ShouldEqual, 5000)
 	})
 }
 
-func TestSplitter(t *testing.T) {
-	Convey("Whole events come out however the bytes are cut", t, func() {
+func TestEventSplitter(t *testing.T) {
+	Convey("Complete events are returned however the bytes are chunked", t, func() {
 		text := "id: 1\ndata: a\n\n: comment\n\nid:2\r\ndata: b\r\n\r\ndata: c\n\nid: 3\nda"
 		for size := 1; size <= len(text); size++ {
-			var s splitter
+			var s eventSplitter
 			out := ""
 			for at := 0; at < len(text); at += size {
 				out += string(s.add([]byte(text[at:min(at+size, len(text))])))
 			}
 			So(out, ShouldEqual, strings.TrimSuffix(text, "id: 3\nda"))
-			So(s.id, ShouldEqual, "2")
-			So(string(s.rest()), ShouldEqual, "id: 3\nda")
+			So(s.lastID, ShouldEqual, "2")
+			So(string(s.incomplete()), ShouldEqual, "id: 3\nda")
 		}
 	})
 }
 
 func TestUrgency(t *testing.T) {
-	Convey("A tenant's priority goes before the route's, within what servers are told", t, func() {
+	Convey("A tenant's priority takes precedence over the route's, within the urgencies that servers know", t, func() {
 		So(urgency(0, 2), ShouldBeLessThan, urgency(1, 0))
 		So(urgency(0, 0), ShouldBeLessThan, urgency(0, 1))
-		So(urgency(50, 50), ShouldEqual, leastUrgent)
+		So(urgency(50, 50), ShouldEqual, maxUrgency)
 	})
 }
 
 func TestQuota(t *testing.T) {
-	Convey("Less urgent requests have less of an allowance, but for small ones", t, func() {
-		quota, tenant := Quota{Part: 0.9, Reserve: 0.05}, sheet.Tenant{Rate: 100_000}
-		So(quota.part(5000, tenant, 0), ShouldEqual, 0.9)
-		So(quota.part(5000, tenant, 2), ShouldAlmostEqual, 0.8)
-		So(quota.part(5000, tenant, 99), ShouldAlmostEqual, 0.75)
-		So(quota.part(200, tenant, 2), ShouldEqual, 0.9)
+	Convey("Less urgent requests may use less of a quota, except for small ones", t, func() {
+		quota, tenant := QuotaPolicy{Fraction: 0.9, ReservePerStep: 0.05}, sheet.Tenant{Rate: 100_000}
+		So(quota.fraction(5000, tenant, 0), ShouldEqual, 0.9)
+		So(quota.fraction(5000, tenant, 2), ShouldAlmostEqual, 0.8)
+		So(quota.fraction(5000, tenant, 99), ShouldAlmostEqual, 0.75)
+		So(quota.fraction(200, tenant, 2), ShouldEqual, 0.9)
 	})
 }
 
 func TestDrain(t *testing.T) {
-	Convey("A node that is taken away is not ready at once, serves who still comes, and ends when all is done", t, func() {
-		s := open(t)
-		s.add("s0", whole("ok"))
-		s.run()
-		s.gateway.config.Linger = Linger{Least: 100 * time.Millisecond, Most: 300 * time.Millisecond, Quiet: 50 * time.Millisecond}
+	Convey("A draining node is not ready, serves late clients, and ends when no request is in flight", t, func() {
+		s := newTestFleet(t)
+		s.addServer("s0", respond("ok"))
+		s.startGateway()
+		s.gateway.config.DrainDelay = DrainDelay{Min: 100 * time.Millisecond, Max: 300 * time.Millisecond, IdleFor: 50 * time.Millisecond}
 		drained := make(chan error, 1)
 		go func() { drained <- s.gateway.Drain(context.Background()) }()
 		for s.gateway.Ready() == nil {
-			_ = s.ask("/safe/", "")
+			_ = s.send("/safe/", "")
 		}
 		So(s.gateway.Ready().Code, ShouldEqual, apierror.FrontLeaving)
 		So(<-drained, ShouldBeNil)
-		So(s.ask("/safe/", "").status, ShouldEqual, http.StatusServiceUnavailable)
+		So(s.send("/safe/", "").status, ShouldEqual, http.StatusServiceUnavailable)
 	})
 }
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -3,12 +3,18 @@
 import (
 	"strconv"
 
+	"stepwick/internal/adapter/upstream"
 	"stepwick/internal/apierror"
 
 	"github.com/pkg/errors"
 	"github.com/prometheus/client_golang/prometheus"
 )
 
+// endRejected is the value of the attempts metric's label "end" for an attempt
+// that the server reports as not executed; others are kinds of upstream failures.
+const endRejected = "rejected"
+
+// metrics are the gateway's Prometheus collectors.
 type metrics struct {
 	requests *prometheus.CounterVec
 	attempts *prometheus.CounterVec
@@ -17,12 +23,18 @@
 
 func newMetrics(registry prometheus.Registerer) (*metrics, error) {
 	m := &metrics{
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "stepwick_routed_requests_total",
-			Help: "Requests by route, by service and result code."}, []string{"service", "code"}),
-		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "stepwick_routed_attempts_total",
-			Help: "Attempts at servers, by service and how they ended."}, []string{"service", "end"}),
-		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{Name: "stepwick_routed_in_flight",
-			Help: "Requests by route that are being served."}),
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "stepwick_routed_requests_total",
+			Help: "Requests by route, by service and result code.",
+		}, []string{"service", "code"}),
+		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "stepwick_routed_attempts_total",
+			Help: "Attempts at servers, by service and how they ended.",
+		}, []string{"service", "end"}),
+		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{
+			Name: "stepwick_routed_in_flight",
+			Help: "Requests by route that are being served.",
+		}),
 	}
 	for _, collector := range []prometheus.Collector{m.requests, m.attempts, m.inFlight} {
 		if err := registry.Register(collector); err != nil {
@@ -32,10 +44,19 @@
 	return m, nil
 }
 
-func (m *metrics) ended(service string, apiErr *apierror.Error) {
+// requestFinished counts a request by its result; a nil error counts as OK.
+func (m *metrics) requestFinished(service string, apiErr *apierror.Error) {
 	code := apierror.OK
 	if apiErr != nil {
 		code = apiErr.Code
 	}
 	m.requests.WithLabelValues(service, strconv.FormatUint(uint64(code), 10)).Inc()
 }
+
+func (m *metrics) attemptFailed(service string, kind upstream.Kind) {
+	m.attempts.WithLabelValues(service, string(kind)).Inc()
+}
+
+func (m *metrics) attemptRejected(service string) {
+	m.attempts.WithLabelValues(service, endRejected).Inc()
+}
--- /dev/null
+++ b/internal/node/gateway/passive_health.go
@@ -0,0 +1,93 @@
+package gateway
+
+import (
+	"time"
+
+	"stepwick/internal/adapter/upstream"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/node/follower"
+)
+
+const (
+	suspicionInterval = 100 * time.Millisecond
+	// recentResponse is how recent a server's response to this node must be to
+	// contradict another node's report that the server is unresponsive.
+	recentResponse = 400 * time.Millisecond
+)
+
+// passiveHealth is what the dispatcher knows of unresponsive servers by the
+// requests that it sent them.
+type passiveHealth struct {
+	// unreachable are the servers that the newest view has as unreachable.
+	unreachable []string
+	// suspected are the servers that were found silent, with how long they were.
+	suspected map[string]balance.Silence
+}
+
+func (h *passiveHealth) recordUnreachable(view *follower.View) {
+	h.unreachable = h.unreachable[:0]
+	for name, status := range view.Servers {
+		if !status.Reachable {
+			h.unreachable = append(h.unreachable, name)
+		}
+	}
+}
+
+// checkSilences reports servers that have become silent on what this node sent
+// them, those that respond to it again, and those that are reported as unreachable
+// by others and have recently responded to this node.
+func (d *dispatcher) checkSilences() {
+	if d.off[balance.Suspects] {
+		return
+	}
+	now := d.clock.Now()
+	silent := d.table.Silences(now)
+	for name, server := range silent {
+		d.suspect(upstream.Server{Name: name, Address: server.Address}, server.Silence)
+	}
+	for name := range d.suspected {
+		if _, still := silent[name]; still {
+			continue
+		}
+		delete(d.suspected, name)
+		if d.respondedRecently(name, now) {
+			d.health.reportRecovered(upstream.Server{Name: name})
+		}
+	}
+	for _, name := range d.unreachable {
+		if _, still := silent[name]; !still && d.respondedRecently(name, now) {
+			d.health.report(upstream.Server{Name: name}, true)
+		}
+	}
+}
+
+func (d *dispatcher) respondedRecently(server string, now time.Time) bool {
+	return d.table.HeardSince(server, now.Add(-recentResponse))
+}
+
+// suspect acts once on each longer silence of a server: it has the server probed,
+// and reports one that is mute. Without probes it reports one that hangs.
+func (d *dispatcher) suspect(server upstream.Server, silence balance.Silence) {
+	previous := d.suspected[server.Name]
+	if silence <= previous {
+		return
+	}
+	probes := !d.off[balance.SuspectProbes]
+	switch {
+	case silence == balance.Mute, !probes && silence == balance.Hanging && previous < balance.Hanging:
+		d.health.report(server, false)
+	case probes && previous == balance.Usual:
+		d.health.suspect(server)
+	}
+	d.suspected[server.Name] = silence
+}
+
+// serverUnacknowledged ejects a server whose machine stopped to acknowledge, and
+// reports it unless its silence has been reported already.
+func (d *dispatcher) serverUnacknowledged(server string, now time.Time) {
+	d.table.Unacknowledged(server, now)
+	d.closeIdleConnections(server)
+	if status := d.view.Servers[server]; status != nil && d.suspected[server] < balance.Mute {
+		d.health.report(upstream.Server{Name: server, Address: status.Address}, false)
+	}
+}
--- /dev/null
+++ b/internal/node/gateway/relay.go
@@ -0,0 +1,158 @@
+package gateway
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+
+	"github.com/pkg/errors"
+
+	"stepwick/internal/adapter/upstream"
+	"stepwick/internal/apierror"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/sheet"
+)
+
+const (
+	// maxBufferedResponse is how many bytes of a response that is no stream are
+	// read before any of it is relayed, so that an attempt which fails until then
+	// can be retried.
+	maxBufferedResponse = 1 << 20
+	readChunkSize       = 8 << 10
+	copyChunkSize       = 16 << 10
+)
+
+// relay passes responses on to the client: a single one, or a stream that several
+// servers may carry one after the other.
+type relay struct {
+	request *request
+	// ctx ends when the client disconnects or the deadline passes.
+	ctx                context.Context
+	started            bool   // something was written to the client
+	lastEventID        string // of the last event that was relayed
+	clientDisconnected bool
+}
+
+// relay passes a response on. retry reports that the request may be sent to
+// another server, where its route allows that.
+func (p *relay) relay(response *upstream.Answer, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+	succeeded := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
+	if p.request.route.Kind == sheet.RouteStream && succeeded {
+		return p.relayStream(response, attempt)
+	}
+	if p.started {
+		return apierror.Errorf(apierror.StreamCut, "a server answered %d to a stream that was to go on", response.Status), true
+	}
+	return p.relaySingle(response, attempt)
+}
+
+// relaySingle relays a response that is no stream. One of at most
+// maxBufferedResponse bytes is relayed only once it is known to be complete.
+func (p *relay) relaySingle(response *upstream.Answer, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+	body := make([]byte, 0, max(min(response.Length(), maxBufferedResponse), 0))
+	body, err := readUpTo(response, body, maxBufferedResponse)
+	p.request.gateway.dispatcher.responseStarted(attempt)
+	switch {
+	case err == io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
+		return p.writeComplete(response, body), false
+	case err != nil:
+		return p.responseError(err), true
+	}
+	p.writeHeader(response)
+	if _, err := p.writer().Write(body); err != nil {
+		return p.clientError(err), false
+	}
+	if err := p.copyRest(response); err != nil {
+		return p.responseError(err), false
+	}
+	return nil, false
+}
+
+func (p *relay) writeComplete(response *upstream.Answer, body []byte) *apierror.Error {
+	p.copyHeader(response)
+	p.writer().Header().Set("Content-Length", strconv.Itoa(len(body)))
+	p.writer().WriteHeader(response.Status)
+	p.started = true
+	if _, err := p.writer().Write(body); err != nil {
+		return p.clientError(err)
+	}
+	return nil
+}
+
+// readUpTo appends to body until the reader ends, with io.EOF, or body has limit
+// bytes or more.
+func readUpTo(from io.Reader, body []byte, limit int) ([]byte, error) {
+	var chunk [readChunkSize]byte
+	for len(body) < limit {
+		count, err := from.Read(chunk[:])
+		body = append(body, chunk[:count]...)
+		if err != nil {
+			return body, err
+		}
+	}
+	return body, nil
+}
+
+func (p *relay) copyRest(response *upstream.Answer) error {
+	var chunk [copyChunkSize]byte
+	for {
+		count, err := response.Read(chunk[:])
+		if count > 0 {
+			if _, writeErr := p.writer().Write(chunk[:count]); writeErr != nil {
+				return p.clientError(writeErr)
+			}
+		}
+		switch {
+		case err == io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
+			return nil
+		case err != nil:
+			return err
+		}
+	}
+}
+
+// writeHeader writes the status and header of the first server's response, once.
+func (p *relay) writeHeader(response *upstream.Answer) {
+	if p.started {
+		return
+	}
+	p.started = true
+	p.copyHeader(response)
+	p.writer().WriteHeader(response.Status)
+}
+
+func (p *relay) copyHeader(response *upstream.Answer) {
+	header := p.writer().Header()
+	for name, values := range response.Header {
+		header[name] = values
+	}
+	dropHopHeaders(header)
+	if p.request.gateway.draining.Load() {
+		header.Set("Connection", "close")
+	}
+	// A nil value keeps net/http from adding a header that the server did not send.
+	for _, name := range []string{"Date", "Content-Type"} {
+		if _, present := response.Header[name]; !present {
+			header[name] = nil
+		}
+	}
+}
+
+func (p *relay) writer() http.ResponseWriter { return p.request.writer }
+
+// clientError returns the error for a write to the client that failed.
+func (p *relay) clientError(err error) *apierror.Error {
+	p.clientDisconnected = true
+	return apierror.Errorf(apierror.CallerGone, "the client takes no answer: %s", err)
+}
+
+// responseError returns the error for a response that could not be relayed to its
+// end.
+func (p *relay) responseError(err error) *apierror.Error {
+	var apiErr *apierror.Error
+	if errors.As(err, &apiErr) {
+		return apiErr
+	}
+	return p.request.contextError(p.ctx, apierror.Errorf(apierror.BadAnswer, "%s", err))
+}
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -39,11 +39,11 @@
 			Off: off,
 		},
 		Upstream: upstream.Config{Dial: world.serverDial(), ConnectTimeout: p.values.Duration("connect.timeout")},
-		BodyMax:  int64(p.values.Int("body.max")), HeaderMax: p.values.Int("header.max"),
+		MaxBodyBytes:  int64(p.values.Int("body.max")), MaxHeaderBytes: p.values.Int("header.max"),
 		HeaderTimeout: p.values.Duration("body.timeout"), BodyTimeout: p.values.Duration("body.timeout"),
-		Connections: p.values.Int("listen.connections"),
-		PlainTokens: p.values.Float("plain_tokens"), DeadlineMost: p.values.Duration("deadline.max"),
-		Quota:   gateway.Quota{Part: p.values.Float("tally.part"), Reserve: p.values.Float("tally.reserve")},
+		MaxConnections: p.values.Int("listen.connections"),
+		DefaultTokens: p.values.Float("plain_tokens"), MaxDeadline: p.values.Duration("deadline.max"),
+		Quota:   gateway.QuotaPolicy{Fraction: p.values.Float("tally.part"), ReservePerStep: p.values.Float("tally.reserve")},
 		Observe: func(ctx context.Context, server string, reachable bool) { p.watcher.Observe(ctx, server, reachable) },
 	}, world.Edge.Dialect(), p.follower, p.spend, p.clock, p.log, registry)
 	return err
