--- a/cmd/rig/experiment_command.go
+++ b/cmd/rig/experiment_command.go
@@ -79,11 +79,11 @@
 	if e.ablate {
 		return e.ablation(out, site, seeds)
 	}
-	off, err := balance.ParseOff(e.off)
+	off, err := balance.ParseDisabled(e.off)
 	if err != nil {
 		return err
 	}
-	all := model.Compare(site, model.Policy{Name: "all"}, model.Policy{Name: "without", Off: off}, seeds)
+	all := model.Compare(site, model.Policy{Name: "all"}, model.Policy{Name: "without", Disabled: off}, seeds)
 	if err := printDifferences(out, strings.Join(e.off, ","), all); err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "off\tworth\t95%%\tworst windows\t95%%\t1,000 tokens read again\tMB between regions\tconnections\tservers out\t\n")
 	for _, mechanism := range balance.Mechanisms {
-		all := model.Compare(site, model.Policy{}, model.Policy{Off: balance.Off{mechanism: true}}, seeds)
+		all := model.Compare(site, model.Policy{}, model.Policy{Disabled: balance.Disabled{mechanism: true}}, seeds)
 		worth, worst := all[0], all[1]
 		fmt.Fprintf(w, "%s\t%+.4f\t±%.4f\t%+.3f\t±%.3f\t", mechanism, -worth.Mean, worth.Within, -worst.Mean, worst.Within)
 		for _, d := range all[2:6] {
--- a/internal/decision/balance/mechanism.go
+++ b/internal/decision/balance/mechanism.go
@@ -6,53 +6,64 @@
 	"github.com/pkg/errors"
 )
 
-// Mechanism names a part of the way in which requests find a server that can be
-// switched off, to measure what it is worth.
+// Mechanism names a part of the selection of servers that can be switched off, to
+// measure its effect. Its value is the name in the setting balance.off.
 type Mechanism string
 
-// Mechanisms, all of which are on by default.
+// Mechanisms, all of which are enabled by default.
 const (
-	// Affinity sends requests that share a prompt to one server on which all
-	// nodes agree.
+	// Affinity sends requests that share a prefix to one server, which all nodes
+	// agree on.
 	Affinity Mechanism = "affinity"
-	// ReadAgain prices the reading of a shared prompt at a server that does not
-	// hold it.
-	ReadAgain Mechanism = "read-again"
-	// Isolation keeps long answers to short prompts on servers that long prompts
-	// avoid.
+	// PrefixMissCost adds the cost of the prefill of a shared prefix at a server that
+	// does not cache it.
+	PrefixMissCost Mechanism = "read-again"
+	// Isolation keeps decode-heavy routes on servers that long prompts avoid.
 	Isolation Mechanism = "isolation"
-	// Crossing prices the way to servers of other zones and regions.
-	Crossing Mechanism = "crossing"
-	// Hung avoids servers that are silent on what they were sent.
-	Hung Mechanism = "hung"
-	// Doubts avoids servers that failed requests of late.
-	Doubts Mechanism = "doubts"
-	// Ejection rests servers that refuse connections or fail in a row.
+	// NetworkCost adds a cost for servers of other zones and regions.
+	NetworkCost Mechanism = "crossing"
+	// StallAvoidance avoids servers that are stalled.
+	StallAvoidance Mechanism = "hung"
+	// SuspicionCost avoids servers that failed requests recently.
+	SuspicionCost Mechanism = "doubts"
+	// Ejection ejects servers that refuse connections or fail consecutively.
 	Ejection Mechanism = "ejection"
-	// Suspects tells the fleet of servers that this node found silent.
-	Suspects Mechanism = "suspects"
-	// SuspectProbes asks a silent server for a new connection before the fleet is
-	// told of it.
-	SuspectProbes Mechanism = "suspect-probes"
-	// SecondAttempts tries another server where one is silent on a request that may
-	// be repeated.
-	SecondAttempts Mechanism = "second-attempts"
+	// UnresponsiveReports reports servers to the fleet that this node found
+	// unresponsive.
+	UnresponsiveReports Mechanism = "suspects"
+	// ProbeBeforeReport probes a suspected server before it is reported.
+	ProbeBeforeReport Mechanism = "suspect-probes"
+	// StallRetries retries an idempotent request at another server when its server
+	// stalls.
+	StallRetries Mechanism = "second-attempts"
 )
 
-// Mechanisms lists all of them in the order of the docs.
-var Mechanisms = []Mechanism{Affinity, ReadAgain, Isolation, Crossing, Hung, Doubts, Ejection, Suspects, SuspectProbes, SecondAttempts}
+// Mechanisms lists all mechanisms in the order of the documentation.
+var Mechanisms = []Mechanism{
+	Affinity,
+	PrefixMissCost,
+	Isolation,
+	NetworkCost,
+	StallAvoidance,
+	SuspicionCost,
+	Ejection,
+	UnresponsiveReports,
+	ProbeBeforeReport,
+	StallRetries,
+}
 
-// Off is a set of mechanisms that are switched off.
-type Off map[Mechanism]bool
+// Disabled is a set of mechanisms that are switched off.
+type Disabled map[Mechanism]bool
 
-// ParseOff reads names of mechanisms.
-func ParseOff(names []string) (Off, error) {
-	off := Off{}
+// ParseDisabled returns the set of the named mechanisms. It fails on a name that is
+// none of Mechanisms.
+func ParseDisabled(names []string) (Disabled, error) {
+	disabled := Disabled{}
 	for _, name := range names {
 		if !slices.Contains(Mechanisms, Mechanism(name)) {
 			return nil, errors.Errorf("%q is none of %v", name, Mechanisms)
 		}
-		off[Mechanism(name)] = true
+		disabled[Mechanism(name)] = true
 	}
-	return off, nil
+	return disabled, nil
 }
--- a/internal/decision/balance/update.go
+++ b/internal/decision/balance/update.go
@@ -6,86 +6,110 @@
 	"time"
 
 	"stepwick/internal/decision/plan"
+	"stepwick/internal/wire"
 )
 
-// Update takes a new view in. Drains, evacuations and lost servers bite at once. A
-// server of which the view says what the last one did costs a comparison.
+// Update applies a new view. Drains, evacuations and lost servers take effect at
+// once. A server whose status is unchanged costs one comparison.
 func (t *Table) Update(view View, now time.Time) {
 	sameState := t.view.State.Version == view.State.Version && t.view.Servers != nil
-	sameFronts := slices.Equal(t.view.Fronts, view.Fronts) && slices.Equal(t.view.Members, view.Members)
+	sameNodes := slices.Equal(t.view.Fronts, view.Fronts) && slices.Equal(t.view.Members, view.Members)
 	t.view = view
-	if !sameFronts || t.coldRanked == nil {
+	if !sameNodes || t.slowStartNodes == nil {
 		t.fronts = withSelf(view.Fronts, t.config.Self)
-		t.coldRanked = union(t.fronts, view.Members)
+		t.slowStartNodes = union(t.fronts, view.Members)
 	}
-	moved := t.forget(view)
+	changed := t.removeMissing(view)
 	for name, status := range view.Servers {
-		s := t.servers[name]
-		if s == nil {
-			s = newServer(name)
-			t.servers[name] = s
-		} else if sameState && s.status == status && !s.left {
+		srv := t.servers[name]
+		if srv == nil {
+			srv = newServer(name)
+			t.servers[name] = srv
+		} else if sameState && srv.status == status && !srv.removed {
 			continue
 		}
-		s.left = false
-		before := placeOf(s)
-		t.learn(s, status, now)
-		moved = moved || !placeOf(s).same(before)
+		srv.removed = false
+		previous := membershipOf(srv)
+		t.applyStatus(srv, status, now)
+		changed = changed || !membershipOf(srv).equal(previous)
 	}
-	if moved {
-		t.pool()
+	if changed {
+		t.rebuildPools()
 		t.isolate(now)
 	}
 }
 
-// forget takes servers out that the view does not have; it tells whether there is
-// one.
-func (t *Table) forget(view View) (moved bool) {
-	for name, s := range t.servers {
+// removeMissing removes the servers that the view lacks. It reports whether one of
+// them was in a pool.
+func (t *Table) removeMissing(view View) (changed bool) {
+	for name, srv := range t.servers {
 		if view.Servers[name] != nil {
 			continue
 		}
-		moved = moved || s.excluded == ""
-		s.excluded, s.left = plan.ReasonGone, true
-		if s.inFlight == 0 {
+		changed = changed || srv.exclusion == ""
+		srv.exclusion = plan.ReasonGone
+		srv.removed = true
+		if srv.load.inFlight == 0 {
 			delete(t.servers, name)
 		}
 	}
-	return moved
+	return changed
 }
 
-// serverPlace is what decides in which pools a server is, and which of them are
-// set aside.
-type serverPlace struct {
-	excluded, region string
-	services         []string
-	slots            uint32
-	cold             time.Time
+func (t *Table) applyStatus(srv *server, status *wire.ServerStatus, now time.Time) {
+	srv.status = status
+	srv.exclusion = plan.ExclusionReason(t.view.State, status)
+	if srv.replaced {
+		srv.exclusion = plan.ReasonGone
+	}
+	srv.slowStart.until = time.Time{}
+	if status.ColdUntilMs != 0 {
+		left := time.UnixMilli(status.ColdUntilMs).Sub(t.view.FleetNow)
+		srv.slowStart.until = now.Add(left)
+	}
 }
 
-func placeOf(s *server) serverPlace {
-	if s.status == nil {
-		return serverPlace{excluded: plan.ReasonGone}
+// poolMembership is what decides in which pools a server is, and whether it may be
+// isolated.
+type poolMembership struct {
+	exclusion      string
+	region         string
+	services       []string
+	slots          uint32
+	slowStartUntil time.Time
+}
+
+func membershipOf(srv *server) poolMembership {
+	if srv.status == nil {
+		return poolMembership{exclusion: plan.ReasonGone}
+	}
+	return poolMembership{
+		exclusion:      srv.exclusion,
+		region:         srv.status.Region,
+		services:       srv.status.Services,
+		slots:          srv.status.Slots,
+		slowStartUntil: srv.slowStart.until,
 	}
-	return serverPlace{excluded: s.excluded, region: s.status.Region, services: s.status.Services, slots: s.status.Slots, cold: s.cold.until}
 }
 
-func (p serverPlace) same(other serverPlace) bool {
-	return p.excluded == other.excluded && p.region == other.region && p.slots == other.slots && p.cold.Equal(other.cold) &&
-		slices.Equal(p.services, other.services)
+func (m poolMembership) equal(other poolMembership) bool {
+	return m.exclusion == other.exclusion &&
+		m.region == other.region &&
+		m.slots == other.slots &&
+		m.slowStartUntil.Equal(other.slowStartUntil) &&
+		slices.Equal(m.services, other.services)
 }
 
-// pool parts the servers that may get requests by service, in the order of their
-// names.
-func (t *Table) pool() {
+// rebuildPools groups the servers that are not excluded by service, sorted by name.
+func (t *Table) rebuildPools() {
 	clear(t.pools)
 	for name := range t.view.Servers {
-		s := t.servers[name]
-		if s.excluded != "" {
+		srv := t.servers[name]
+		if srv.exclusion != "" {
 			continue
 		}
-		for _, service := range s.status.Services {
-			t.pools[service] = append(t.pools[service], s)
+		for _, service := range srv.status.Services {
+			t.pools[service] = append(t.pools[service], srv)
 		}
 	}
 	for _, pool := range t.pools {
@@ -100,7 +124,7 @@
 	return append(slices.Clone(fronts), self)
 }
 
-// union returns the names of both lists, each once.
+// union returns the names of both lists, sorted, each once.
 func union(a, b []string) []string {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -85,7 +85,7 @@
 	if assigned.apiErr != nil {
 		return q.contextError(ctx, assigned.apiErr), false
 	}
-	outcome := balance.Outcome{}
+	outcome := balance.OutcomeCancelled
 	defer func() { dispatcher.finished(assigned.attempt, outcome) }()
 	if apiErr := q.checkAdmission(); apiErr != nil {
 		return apiErr, false
@@ -104,9 +104,14 @@
 	}
 	q.executions++
 	apiErr, retry = p.relay(response, assigned.attempt)
-	outcome.OK = apiErr == nil
-	outcome.Failed = apiErr != nil && ctx.Err() == nil && !p.clientDisconnected
-	outcome.Erred = outcome.OK && response.Status >= http.StatusInternalServerError
+	switch {
+	case apiErr == nil && response.Status >= http.StatusInternalServerError:
+		outcome = balance.OutcomeServerError
+	case apiErr == nil:
+		outcome = balance.OutcomeSucceeded
+	case ctx.Err() == nil && !p.clientDisconnected:
+		outcome = balance.OutcomeFailed
+	}
 	if retry {
 		q.exclude(assigned.server)
 		retry = q.mayRetry()
@@ -130,15 +135,15 @@
 func (q *request) sendFailed(ctx context.Context, server upstream.Server, failure *upstream.Failure, outcome *balance.Outcome) (apiErr *apierror.Error, retry bool) {
 	switch failure.Kind {
 	case upstream.Refused:
-		outcome.Refused = true
+		*outcome = balance.OutcomeRefused
 	case upstream.Silent:
-		outcome.Silent = true
+		*outcome = balance.OutcomeUnresponsive
 	case upstream.Unsent, upstream.Lost, upstream.Garbled:
-		outcome.Failed = true
+		*outcome = balance.OutcomeFailed
 	}
 	if failure.Sent {
 		q.executions++
-		q.selection.Repeat = true
+		q.selection.Retry = true
 	}
 	if ctx.Err() != nil {
 		return q.contextError(ctx, nil), false
@@ -153,13 +158,13 @@
 // rejected decides on an attempt that the server did not execute.
 func (q *request) rejected(server upstream.Server, response *upstream.Answer, said port.Said, outcome *balance.Outcome) (apiErr *apierror.Error, retry bool) {
 	q.gateway.metrics.attemptRejected(q.service)
-	outcome.Rejected = !said.Elsewhere
-	outcome.Replaced = said.Elsewhere
 	_, _ = io.CopyN(io.Discard, response, rejectionBodyLimit)
 	q.exclude(server)
-	q.selection.Repeat = true
+	q.selection.Retry = true
+	*outcome = balance.OutcomeRejected
 	reason := "the server is full"
 	if said.Elsewhere {
+		*outcome = balance.OutcomeReplaced
 		reason = "the server is gone; another one has its address"
 	}
 	return apierror.Errorf(apierror.NotRun, "%s", reason).WithRetryAfter(rejectedRetryAfter), true
@@ -179,13 +184,13 @@
 
 // exclude keeps further attempts from a server.
 func (q *request) exclude(server upstream.Server) {
-	q.selection.Tried = append(q.selection.Tried, server.Name)
+	q.selection.ExcludedServers = append(q.selection.ExcludedServers, server.Name)
 }
 
 // mayRetry reports whether a request that a server may have executed may be sent to
 // another one, and marks further attempts as retries for the retry budget.
 func (q *request) mayRetry() bool {
-	q.selection.Repeat = true
+	q.selection.Retry = true
 	return q.route.Idempotent() && q.executions < q.maxAttempts()
 }
 
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -18,12 +18,12 @@
 // dispatcher owns the balancing table and the queue of requests that wait for
 // capacity. Requests reach it by submissions, the progress of attempts by updates.
 type dispatcher struct {
-	table  *balance.Table
-	views  Views
-	clock  clock.Clock
-	client *upstream.Client
-	health *serverHealth
-	off    balance.Off
+	table    *balance.Table
+	views    Views
+	clock    clock.Clock
+	client   *upstream.Client
+	health   *serverHealth
+	disabled balance.Disabled
 
 	submissions *stage.Queue[*assignmentRequest]
 	updates     *stage.Queue[attemptUpdate]
@@ -58,18 +58,18 @@
 	server  string             // of connectionUnacknowledged
 }
 
-func newDispatcher(table *balance.Table, views Views, clock clock.Clock, client *upstream.Client, health *serverHealth, off balance.Off) *dispatcher {
+func newDispatcher(table *balance.Table, views Views, clock clock.Clock, client *upstream.Client, health *serverHealth, disabled balance.Disabled) *dispatcher {
 	return &dispatcher{
 		table:         table,
 		views:         views,
 		clock:         clock,
 		client:        client,
 		health:        health,
-		off:           off,
+		disabled:      disabled,
 		submissions:   stage.NewQueue[*assignmentRequest](submissionsBound),
 		updates:       stage.NewQueue[attemptUpdate](attemptUpdatesBound),
 		stopped:       make(chan struct{}),
-		passiveHealth: passiveHealth{suspected: map[string]balance.Silence{}},
+		passiveHealth: passiveHealth{suspected: map[string]balance.StallLevel{}},
 	}
 }
 
@@ -142,7 +142,7 @@
 	if d.queue.empty() {
 		return nil, func() bool { return true }
 	}
-	return clock.NewTimer(d.table.Waits(d.clock.Now()))
+	return clock.NewTimer(d.table.NextCapacityCheck(d.clock.Now()))
 }
 
 // applyView applies the newest view to the table. It precedes each choice of a
@@ -186,13 +186,13 @@
 	case connectionUnacknowledged:
 		d.serverUnacknowledged(update.server, now)
 	case attemptResponseStarted:
-		d.table.Began(update.attempt, now)
+		d.table.ResponseStarted(update.attempt, now)
 	case attemptFinished:
-		d.table.Finished(update.attempt, update.outcome, now)
-		switch {
-		case update.outcome.Silent:
+		d.table.FinishAttempt(update.attempt, update.outcome, now)
+		switch update.outcome {
+		case balance.OutcomeUnresponsive:
 			d.serverUnacknowledged(update.attempt.Server(), now)
-		case update.outcome.Refused, update.outcome.Replaced:
+		case balance.OutcomeRefused, balance.OutcomeReplaced:
 			d.closeIdleConnections(update.attempt.Server())
 		}
 	}
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -106,7 +106,7 @@
 	}
 	g.client = upstream.New(config.Upstream)
 	g.health = newServerHealth(config.Observe, clock, g.client)
-	g.dispatcher = newDispatcher(balance.New(config.Balance), views, clock, g.client, g.health, config.Balance.Off)
+	g.dispatcher = newDispatcher(balance.New(config.Balance), views, clock, g.client, g.health, config.Balance.Disabled)
 	return g, nil
 }
 
--- a/internal/node/gateway/passive_health.go
+++ b/internal/node/gateway/passive_health.go
@@ -21,7 +21,7 @@
 	// unreachable are the servers that the newest view has as unreachable.
 	unreachable []string
 	// suspected are the servers that were found silent, with how long they were.
-	suspected map[string]balance.Silence
+	suspected map[string]balance.StallLevel
 }
 
 func (h *passiveHealth) recordUnreachable(view *follower.View) {
@@ -37,13 +37,13 @@
 // them, those that respond to it again, and those that are reported as unreachable
 // by others and have recently responded to this node.
 func (d *dispatcher) checkSilences() {
-	if d.off[balance.Suspects] {
+	if d.disabled[balance.UnresponsiveReports] {
 		return
 	}
 	now := d.clock.Now()
-	silent := d.table.Silences(now)
+	silent := d.table.StalledServers(now)
 	for name, server := range silent {
-		d.suspect(upstream.Server{Name: name, Address: server.Address}, server.Silence)
+		d.suspect(upstream.Server{Name: name, Address: server.Address}, server.Level)
 	}
 	for name := range d.suspected {
 		if _, still := silent[name]; still {
@@ -62,21 +62,21 @@
 }
 
 func (d *dispatcher) respondedRecently(server string, now time.Time) bool {
-	return d.table.HeardSince(server, now.Add(-recentResponse))
+	return d.table.RespondedSince(server, now.Add(-recentResponse))
 }
 
 // suspect acts once on each longer silence of a server: it has the server probed,
 // and reports one that is mute. Without probes it reports one that hangs.
-func (d *dispatcher) suspect(server upstream.Server, silence balance.Silence) {
+func (d *dispatcher) suspect(server upstream.Server, silence balance.StallLevel) {
 	previous := d.suspected[server.Name]
 	if silence <= previous {
 		return
 	}
-	probes := !d.off[balance.SuspectProbes]
+	probes := !d.disabled[balance.ProbeBeforeReport]
 	switch {
-	case silence == balance.Mute, !probes && silence == balance.Hanging && previous < balance.Hanging:
+	case silence == balance.Unresponsive, !probes && silence == balance.Stalled && previous < balance.Stalled:
 		d.health.report(server, false)
-	case probes && previous == balance.Usual:
+	case probes && previous == balance.NotStalled:
 		d.health.suspect(server)
 	}
 	d.suspected[server.Name] = silence
@@ -85,9 +85,9 @@
 // serverUnacknowledged ejects a server whose machine stopped to acknowledge, and
 // reports it unless its silence has been reported already.
 func (d *dispatcher) serverUnacknowledged(server string, now time.Time) {
-	d.table.Unacknowledged(server, now)
+	d.table.ServerUnacknowledged(server, now)
 	d.closeIdleConnections(server)
-	if status := d.view.Servers[server]; status != nil && d.suspected[server] < balance.Mute {
+	if status := d.view.Servers[server]; status != nil && d.suspected[server] < balance.Unresponsive {
 		d.health.report(upstream.Server{Name: server, Address: status.Address}, false)
 	}
 }
--- a/internal/node/gateway/queue.go
+++ b/internal/node/gateway/queue.go
@@ -60,7 +60,7 @@
 	}
 	now := d.clock.Now()
 	if submitted.first {
-		d.table.Count(submitted.request.Service, now)
+		d.table.CountRequest(submitted.request.Service, now)
 	}
 	if d.tryAssign(submitted, now) {
 		return
@@ -77,11 +77,11 @@
 	if choice.Wait {
 		return false
 	}
-	if choice.Fault != nil {
-		submitted.assigned <- assignment{apiErr: choice.Fault}
+	if choice.Err != nil {
+		submitted.assigned <- assignment{apiErr: choice.Err}
 		return true
 	}
-	submitted.attempt = d.table.Started(choice.Server, &submitted.request, now)
+	submitted.attempt = d.table.StartAttempt(choice.Server, &submitted.request, now)
 	submitted.assigned <- assignment{
 		server:  upstream.Server{Name: choice.Server, Address: choice.Address},
 		attempt: submitted.attempt,
@@ -100,7 +100,7 @@
 func (d *dispatcher) abandon(submitted *assignmentRequest, now time.Time) {
 	submitted.abandoned = true
 	if !d.queue.remove(submitted) {
-		d.table.Finished(submitted.attempt, balance.Outcome{}, now)
+		d.table.FinishAttempt(submitted.attempt, balance.OutcomeCancelled, now)
 	}
 }
 
--- a/internal/node/gateway/selection.go
+++ b/internal/node/gateway/selection.go
@@ -35,19 +35,19 @@
 	objective := time.Duration(q.route.ObjectiveMS) * time.Millisecond
 	q.service = q.selectService()
 	q.selection = balance.Request{
-		ID:      q.call.ID,
-		Service: q.service,
-		Regions: regions,
-		Urgency: urgency(q.tenantTerms.Priority, q.route.Priority),
-		Route:   q.route.Name,
-		Pause:   time.Duration(q.route.GapMS) * time.Millisecond,
-		Own:     q.call.TokensIn,
-		Out:     q.call.TokensOut,
-		Until:   q.arrived.Add(min(objective/queueTimeoutDivisor, maxQueueTimeout)),
+		ID:           q.call.ID,
+		Service:      q.service,
+		Regions:      regions,
+		Urgency:      urgency(q.tenantTerms.Priority, q.route.Priority),
+		Route:        q.route.Name,
+		MaxEventGap:  time.Duration(q.route.GapMS) * time.Millisecond,
+		OwnTokens:    q.call.TokensIn,
+		OutputTokens: q.call.TokensOut,
+		QueueUntil:   q.arrived.Add(min(objective/queueTimeoutDivisor, maxQueueTimeout)),
 	}
 	if q.route.Affinity {
-		q.selection.Affinity, q.selection.Shared = sharedPrefix(q.call.Parts)
-		q.selection.Own = max(q.call.TokensIn-q.selection.Shared, 0)
+		q.selection.Affinity, q.selection.SharedTokens = sharedPrefix(q.call.Parts)
+		q.selection.OwnTokens = max(q.call.TokensIn-q.selection.SharedTokens, 0)
 	}
 	return nil
 }
--- a/internal/node/gateway/stall.go
+++ b/internal/node/gateway/stall.go
@@ -19,7 +19,7 @@
 // stallTimeout returns how long a server may send nothing until another is tried,
 // for a request that was sent to a number of servers.
 func (q *request) stallTimeout(sent int) time.Duration {
-	disabled := q.gateway.config.Balance.Off[balance.SecondAttempts]
+	disabled := q.gateway.config.Balance.Disabled[balance.StallRetries]
 	if disabled || !q.route.Idempotent() || sent >= q.maxAttempts() {
 		return noStallTimeout
 	}
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -27,7 +27,7 @@
 	if world.Edge == nil {
 		return nil
 	}
-	off, err := balance.ParseOff(p.values.Strings("balance.off"))
+	off, err := balance.ParseDisabled(p.values.Strings("balance.off"))
 	if err != nil {
 		return err
 	}
@@ -35,8 +35,8 @@
 		Balance: balance.Config{
 			Self: p.base.Name, Region: p.base.Region, Zone: p.base.Zone,
 			RetryRatio: p.values.Float("retry.budget"), RetryWindow: p.values.Duration("retry.window"), RetrySlack: p.values.Float("retry.slack"),
-			ColdOverage: p.values.Float("cold.overage"), ColdSlack: p.values.Float("cold.slack"),
-			Off: off,
+			SlowStartOverage: p.values.Float("cold.overage"), SlowStartSlack: p.values.Float("cold.slack"),
+			Disabled: off,
 		},
 		Upstream: upstream.Config{Dial: world.serverDial(), ConnectTimeout: p.values.Duration("connect.timeout")},
 		MaxBodyBytes:  int64(p.values.Int("body.max")), MaxHeaderBytes: p.values.Int("header.max"),
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -58,7 +58,7 @@
 }
 
 func checkMechanisms(value any) error {
-	_, err := balance.ParseOff(value.([]string))
+	_, err := balance.ParseDisabled(value.([]string))
 	return err
 }
 
--- a/sim/balance/balance_test.go
+++ b/sim/balance/balance_test.go
@@ -10,10 +10,10 @@
 
 // mean plays a site under some seeds and returns the means of what a policy came
 // to.
-func mean(site Site, off balance.Off, seeds int) Result {
+func mean(site Site, off balance.Disabled, seeds int) Result {
 	var sum Result
 	for seed := range uint64(seeds) {
-		r := Play(site, Policy{Off: off}, seed+1)
+		r := Play(site, Policy{Disabled: off}, seed+1)
 		sum.Worth += r.Worth / float64(seeds)
 		sum.ReadAgain += r.ReadAgain / float64(seeds)
 		sum.Excluded += r.Excluded
@@ -52,7 +52,7 @@
 	})
 	Convey("Long answers to short prompts that are isolated pause less often, and nothing else suffers much", t, func() {
 		for name, kind := range map[string]string{"three-regions": "hint", "two-regions": "reply"} {
-			with, without := mean(site(name), nil, 2), mean(site(name), balance.Off{balance.Isolation: true}, 2)
+			with, without := mean(site(name), nil, 2), mean(site(name), balance.Disabled{balance.Isolation: true}, 2)
 			So(late(with, kind), ShouldBeLessThan, 0.6*late(without, kind))
 			So(with.Worth, ShouldBeGreaterThan, without.Worth+0.003)
 		}
@@ -63,11 +63,11 @@
 		So(Play(crowd, Policy{}, 1).Worth, ShouldBeGreaterThan, 0.9)
 	})
 	Convey("Requests that share a prompt and meet at one server read a fraction of what they read elsewhere", t, func() {
-		with, without := mean(site("three-regions"), nil, 1), mean(site("three-regions"), balance.Off{balance.Affinity: true}, 1)
+		with, without := mean(site("three-regions"), nil, 1), mean(site("three-regions"), balance.Disabled{balance.Affinity: true}, 1)
 		So(with.ReadAgain, ShouldBeLessThan, 0.3*without.ReadAgain)
 	})
 	Convey("Servers that are probed before the fleet is told are seldom out on a calm day", t, func() {
-		with, without := mean(site("three-regions"), nil, 1), mean(site("three-regions"), balance.Off{balance.SuspectProbes: true}, 1)
+		with, without := mean(site("three-regions"), nil, 1), mean(site("three-regions"), balance.Disabled{balance.ProbeBeforeReport: true}, 1)
 		So(with.Excluded, ShouldBeLessThan, without.Excluded/4)
 	})
 	Convey("A site that does not come with the program is refused", t, func() {
--- a/sim/balance/front.go
+++ b/sim/balance/front.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	suspectEvery  = 100.0  // ms
-	recentlyHeard = 400.0  // ms; see the gateway's dispatcher
-	reportDelay   = 80.0   // ms until one front's report is known to all
-	reportFresh   = 3000.0 // ms
-	retryEvery    = 5.0    // ms between looks at a request that waits for room
-	waitPart      = 4      // of its objective a request waits for room
-	probeTimeout  = 400.0  // ms
+	suspectEvery   = 100.0  // ms
+	recentResponse = 400.0  // ms; see the gateway's passive_health.go
+	reportDelay    = 80.0   // ms until one front's report is known to all
+	reportFresh    = 3000.0 // ms
+	retryEvery     = 5.0    // ms between looks at a request that waits for room
+	waitPart       = 4      // of its objective a request waits for room
+	probeTimeout   = 400.0  // ms
 )
 
 // front is a node that carries traffic: the product's table, and connections.
@@ -26,7 +26,7 @@
 	region, zone int
 	table        *balance.Table
 	idle         map[string]int // idle connections, by server
-	suspected    map[string]balance.Silence
+	suspected    map[string]balance.StallLevel
 }
 
 // report is what a front reported of a server.
@@ -46,11 +46,11 @@
 }
 
 func (f *front) order(q *request) *balance.Request {
-	order := &balance.Request{ID: string(rune(q.number)), Service: serviceName, Route: q.kind.Name, Pause: time.Duration(q.kind.Pause * float64(time.Millisecond)), Regions: q.kind.Homes, Own: q.own, Out: q.out,
-		Until: start.Add(time.Duration((q.came + q.kind.Objective/waitPart) * float64(time.Millisecond)))}
+	order := &balance.Request{ID: string(rune(q.number)), Service: serviceName, Route: q.kind.Name, MaxEventGap: time.Duration(q.kind.Pause * float64(time.Millisecond)), Regions: q.kind.Homes, OwnTokens: q.own, OutputTokens: q.out,
+		QueueUntil: start.Add(time.Duration((q.came + q.kind.Objective/waitPart) * float64(time.Millisecond)))}
 	for _, p := range q.chain {
 		order.Affinity = p.id
-		order.Shared += p.tokens
+		order.SharedTokens += p.tokens
 	}
 	return order
 }
@@ -65,7 +65,7 @@
 	case choice.Wait:
 		r.after(retryEvery, func() { f.try(q, order) })
 		return
-	case choice.Fault != nil:
+	case choice.Err != nil:
 		r.result.ended(q, outcome{})
 		return
 	}
@@ -74,7 +74,7 @@
 
 func (f *front) send(q *request, order *balance.Request, name string) {
 	r, s := f.run, f.run.servers[name]
-	attempt := f.table.Started(name, order, r.clock())
+	attempt := f.table.StartAttempt(name, order, r.clock())
 	way := r.oneWay(f, s)
 	setUp := 0.0
 	if f.idle[name] > 0 {
@@ -90,13 +90,13 @@
 	j := &job{own: q.own, out: q.out, chain: q.chain, number: q.number}
 	j.began = func() {
 		r.after(way, func() {
-			f.table.Began(attempt, r.clock())
+			f.table.ResponseStarted(attempt, r.clock())
 			answer.served, answer.took = true, r.now+r.site.ToClient-q.came
 		})
 	}
 	j.ended = func() {
 		r.after(way, func() {
-			f.table.Finished(attempt, balance.Outcome{OK: true}, r.clock())
+			f.table.FinishAttempt(attempt, balance.OutcomeSucceeded, r.clock())
 			f.idle[name]++
 			answer.pause = j.pause
 			r.result.ended(q, answer)
@@ -110,36 +110,36 @@
 func (f *front) suspect() {
 	r := f.run
 	r.after(suspectEvery, f.suspect)
-	if r.policy.Off[balance.Suspects] {
+	if r.policy.Disabled[balance.UnresponsiveReports] {
 		return
 	}
 	now := r.clock()
-	since := now.Add(-time.Duration(recentlyHeard * float64(time.Millisecond)))
-	hung := f.table.Silences(now)
-	for name, one := range hung {
-		if f.suspected[name] == balance.Usual {
+	since := now.Add(-time.Duration(recentResponse * float64(time.Millisecond)))
+	stalled := f.table.StalledServers(now)
+	for name, one := range stalled {
+		if f.suspected[name] == balance.NotStalled {
 			r.result.Suspicions++
 		}
-		told := balance.Mute
-		if r.policy.Off[balance.SuspectProbes] {
-			told = balance.Hanging
+		reportLevel := balance.Unresponsive
+		if r.policy.Disabled[balance.ProbeBeforeReport] {
+			reportLevel = balance.Stalled
 		}
-		if one.Silence >= told && f.suspected[name] < told {
+		if one.Level >= reportLevel && f.suspected[name] < reportLevel {
 			f.reportServer(name, false)
 		}
-		f.suspected[name] = max(f.suspected[name], one.Silence)
+		f.suspected[name] = max(f.suspected[name], one.Level)
 	}
 	for name := range f.suspected {
-		if _, still := hung[name]; still {
+		if _, still := stalled[name]; still {
 			continue
 		}
 		delete(f.suspected, name)
-		if f.table.HeardSince(name, since) {
+		if f.table.RespondedSince(name, since) {
 			f.reportServer(name, true)
 		}
 	}
 	for name, status := range r.view.Servers {
-		if _, mine := hung[name]; !status.Reachable && !mine && f.table.HeardSince(name, since) {
+		if _, mine := stalled[name]; !status.Reachable && !mine && f.table.RespondedSince(name, since) {
 			f.reportServer(name, true)
 		}
 	}
--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -17,8 +17,8 @@
 
 // Policy is what the fronts of a run decide by.
 type Policy struct {
-	Name string
-	Off  balance.Off
+	Name     string
+	Disabled balance.Disabled
 }
 
 // run is one day in virtual time.
@@ -104,8 +104,8 @@
 	for index, region := range r.site.Regions {
 		for i := range region.Fronts {
 			zone := i % r.site.Zones
-			f := &front{run: r, name: r.view.Fronts[at], region: index, zone: zone, idle: map[string]int{}, suspected: map[string]balance.Silence{}}
-			f.table = balance.New(balance.Config{Self: f.name, Region: region.Name, Zone: zoneName(region.Name, zone), Off: r.policy.Off})
+			f := &front{run: r, name: r.view.Fronts[at], region: index, zone: zone, idle: map[string]int{}, suspected: map[string]balance.StallLevel{}}
+			f.table = balance.New(balance.Config{Self: f.name, Region: region.Name, Zone: zoneName(region.Name, zone), Disabled: r.policy.Disabled})
 			f.table.Update(r.view, r.clock())
 			r.fronts = append(r.fronts, f)
 			at++
