--- a/internal/adapter/upstream/conn.go
+++ b/internal/adapter/upstream/conn.go
@@ -2,200 +2,193 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"io"
+	"math"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
-	"syscall"
 	"time"
-
-	"github.com/pkg/errors"
 )
 
 const (
 	readerSize = 4 << 10
-	// straysMost is how many whole answers to earlier requests are passed over
-	// in the place where an answer is due.
-	straysMost = 2
-	// strayBytes bounds the body of an answer that is passed over.
-	strayBytes = 1 << 20
-)
-
-var (
-	errStray    = errors.New("an answer that belongs to no request in flight")
-	errNoAnswer = errors.New("the connection ended before an answer")
+	// maxStrays is how many complete responses to earlier requests are skipped where
+	// a response is due.
+	maxStrays = 2
+	// maxStrayBytes limits the body of a response that is skipped.
+	maxStrayBytes = 1 << 20
+	unlimited     = math.MaxInt64
 )
 
-// conn is one connection. Its reader goroutine owns what is read until it has
-// handed an answer's header over; then the answer's user reads the body, and
-// gives the reading back through the exchange.
+// conn is one connection. Its reader goroutine owns the reading until it has
+// delivered a response's header; then the user of the response reads the body, and
+// returns the reading to the goroutine through the exchange. Bytes, or the end of the
+// connection, that arrive while no request is in flight are detected at once and end
+// the connection.
 type conn struct {
-	raw        net.Conn
-	bounded    *io.LimitedReader
-	reader     *bufio.Reader
-	headerMax  int64
-	asks       chan *exchange
-	gone       chan struct{} // closed when the reader has ended
-	silent     func()        // told when the far machine stopped to acknowledge at rest
-	once       sync.Once
-	restsUntil time.Time
+	raw            net.Conn
+	limited        *io.LimitedReader
+	reader         *bufio.Reader
+	maxHeaderBytes int64
+	exchanges      chan *exchange
+	readerEnded    chan struct{} // closed when the reader goroutine has ended
+	// onUnacknowledged is called when the other machine stopped to acknowledge while
+	// the connection was idle.
+	onUnacknowledged func()
+	closeOnce        sync.Once
+	idleUntil        time.Time // may not be used again after
 }
 
-// exchange is one request on a connection and the answer to it.
+// exchange is one request on a connection and its response.
 type exchange struct {
 	method  string
 	matches func(status int, header http.Header) bool
 	result  chan result
-	next    chan bool // whether the connection may carry another request
+	// reuse receives, when the response was read, whether the connection may carry
+	// another request.
+	reuse chan bool
 }
 
+// result is a response whose header has arrived, or the failure.
 type result struct {
 	response *http.Response
 	failure  *Failure
 }
 
 func newExchange(request *Request) *exchange {
-	return &exchange{method: request.Method, matches: request.Matches, result: make(chan result, 1), next: make(chan bool, 1)}
+	return &exchange{
+		method:  request.Method,
+		matches: request.Matches,
+		result:  make(chan result, 1),
+		reuse:   make(chan bool, 1),
+	}
 }
 
-func newConn(raw net.Conn, headerMax int64, silent func()) *conn {
-	bounded := &io.LimitedReader{R: raw, N: headerMax}
-	c := &conn{raw: raw, bounded: bounded, reader: bufio.NewReaderSize(bounded, readerSize), headerMax: headerMax, silent: silent,
-		asks: make(chan *exchange, 1), gone: make(chan struct{})}
+func newConn(raw net.Conn, maxHeaderBytes int64, onUnacknowledged func()) *conn {
+	limited := &io.LimitedReader{R: raw, N: maxHeaderBytes}
+	c := &conn{
+		raw:              raw,
+		limited:          limited,
+		reader:           bufio.NewReaderSize(limited, readerSize),
+		maxHeaderBytes:   maxHeaderBytes,
+		onUnacknowledged: onUnacknowledged,
+		exchanges:        make(chan *exchange, 1),
+		readerEnded:      make(chan struct{}),
+	}
 	go c.read()
 	return c
 }
 
-func (c *conn) close() { c.once.Do(func() { _ = c.raw.Close() }) }
+func (c *conn) close() { c.closeOnce.Do(func() { _ = c.raw.Close() }) }
 
+// ended reports whether the connection can carry no more requests.
 func (c *conn) ended() bool {
 	select {
-	case <-c.gone:
+	case <-c.readerEnded:
 		return true
 	default:
 		return false
 	}
 }
 
-// read hands each answer to the exchange that asked for it. What comes while
-// none is asked for, bytes or the end, ends the connection.
+// read delivers each response to the exchange that waits for it.
 func (c *conn) read() {
-	defer close(c.gone)
+	defer close(c.readerEnded)
 	defer c.close()
 	for {
-		c.bounded.N = c.headerMax
+		c.limited.N = c.maxHeaderBytes
 		_, err := c.reader.Peek(1)
 		select {
-		case ex := <-c.asks:
-			if !c.answer(ex, err) {
+		case current := <-c.exchanges:
+			if !c.serve(current, err) {
 				return
 			}
 		default:
-			if errors.Is(err, syscall.ETIMEDOUT) {
-				c.silent()
+			if isUnacknowledged(err) {
+				c.onUnacknowledged()
 			}
 			return
 		}
 	}
 }
 
-// answer reads the header of the answer to an exchange, and waits until its
-// body was read. It tells whether the connection may go on.
-func (c *conn) answer(ex *exchange, err error) bool {
+// serve reads the header of the response to an exchange and waits until its body was
+// read. err is the error of waiting for the first byte. It reports whether the
+// connection can carry another request.
+func (c *conn) serve(current *exchange, err error) (reuse bool) {
 	if err != nil {
 		kind := Lost
-		if errors.Is(err, syscall.ETIMEDOUT) {
-			kind = Silent
+		if isUnacknowledged(err) {
+			kind = Unresponsive
 		}
-		ex.result <- result{failure: &Failure{Kind: kind, Sent: true, Cause: errNoAnswer}}
+		current.result <- result{failure: &Failure{Kind: kind, Sent: true, Cause: errNoResponse}}
 		return false
 	}
-	response, failure := c.header(ex)
+	response, failure := c.readHeader(current)
 	if failure != nil {
-		ex.result <- result{failure: failure}
+		current.result <- result{failure: failure}
 		return false
 	}
-	c.bounded.N = 1<<63 - 1
-	ex.result <- result{response: response}
-	return <-ex.next
+	c.limited.N = unlimited
+	current.result <- result{response: response}
+	return <-current.reuse
 }
 
-// header reads until the header of the answer that matches. Interim answers
-// are passed over, and so are whole answers to requests that were given up.
-func (c *conn) header(ex *exchange) (*http.Response, *Failure) {
+// readHeader reads up to the header of the response that matches the request. It
+// skips interim responses and complete responses to cancelled requests.
+func (c *conn) readHeader(current *exchange) (*http.Response, *Failure) {
 	for strays := 0; ; {
-		response, err := http.ReadResponse(c.reader, &http.Request{Method: ex.method})
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: current.method}) //nolint:bodyclose // the caller or skip closes it
 		if err != nil {
-			return nil, &Failure{Kind: Garbled, Sent: true, Cause: err}
+			return nil, &Failure{Kind: Malformed, Sent: true, Cause: err}
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if ex.matches == nil || ex.matches(response.StatusCode, response.Header) {
+		if current.matches == nil || current.matches(response.StatusCode, response.Header) {
 			return response, nil
 		}
-		if strays++; strays > straysMost || !c.passOver(response) {
-			return nil, &Failure{Kind: Garbled, Sent: true, Cause: errStray}
+		strays++
+		if strays > maxStrays || !c.skip(response) {
+			return nil, &Failure{Kind: Malformed, Sent: true, Cause: errStray}
 		}
 	}
 }
 
-// passOver reads a stray answer to its end, where its end can be told.
-func (c *conn) passOver(stray *http.Response) bool {
+// skip reads a stray response to its end. It returns false where the end cannot be
+// determined.
+func (c *conn) skip(stray *http.Response) bool {
 	if stray.Close {
 		return false
 	}
-	c.bounded.N = strayBytes
+	c.limited.N = maxStrayBytes
 	_, err := io.Copy(io.Discard, stray.Body)
 	_ = stray.Body.Close()
-	c.bounded.N = c.headerMax
+	c.limited.N = c.maxHeaderBytes
 	return err == nil
 }
 
-// await waits for the answer to an exchange.
-func (c *conn) await(ctx context.Context, ex *exchange) (*http.Response, *Failure) {
-	var got result
-	select {
-	case got = <-ex.result:
-	case <-c.gone:
-		select {
-		case got = <-ex.result:
-		default:
-			got.failure = &Failure{Kind: Lost, Sent: true, Cause: errNoAnswer}
-		}
+// await waits for the header of the response to an exchange.
+func (c *conn) await(ctx context.Context, current *exchange) (*http.Response, *Failure) {
+	received := c.awaitResult(current)
+	if received.failure != nil && ctx.Err() != nil {
+		return nil, failureAfterSend(ctx, Cancelled, ctx.Err())
 	}
-	if got.failure != nil && ctx.Err() != nil {
-		return nil, sent(ctx, Withdrawn, ctx.Err())
-	}
-	return got.response, got.failure
+	return received.response, received.failure
 }
 
-var writeBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
-
-// write writes a whole request at once.
-func (c *conn) write(request *Request) error {
-	buffer := writeBuffers.Get().(*bytes.Buffer)
-	defer writeBuffers.Put(buffer)
-	buffer.Reset()
-	buffer.WriteString(request.Method)
-	buffer.WriteByte(' ')
-	buffer.WriteString(request.Target)
-	buffer.WriteString(" HTTP/1.1\r\nHost: ")
-	buffer.WriteString(request.Host)
-	buffer.WriteString("\r\n")
-	if err := request.Header.Write(buffer); err != nil {
-		return err
+func (c *conn) awaitResult(current *exchange) result {
+	select {
+	case received := <-current.result:
+		return received
+	case <-c.readerEnded:
 	}
-	if len(request.Body) > 0 || request.Method == http.MethodPost || request.Method == http.MethodPut || request.Method == http.MethodPatch {
-		buffer.WriteString("Content-Length: ")
-		buffer.WriteString(strconv.Itoa(len(request.Body)))
-		buffer.WriteString("\r\n")
+	// The reader may have delivered the result just before it ended.
+	select {
+	case received := <-current.result:
+		return received
+	default:
+		return result{failure: &Failure{Kind: Lost, Sent: true, Cause: errNoResponse}}
 	}
-	buffer.WriteString("\r\n")
-	buffer.Write(request.Body)
-	_, err := c.raw.Write(buffer.Bytes())
-	return err
 }
--- a/internal/adapter/upstream/upstream_test.go
+++ b/internal/adapter/upstream/upstream_test.go
@@ -12,24 +12,25 @@
 
 	"stepwick/internal/clock"
 
+	"github.com/pkg/errors"
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// scripted is a server that answers each connection by a script.
-type scripted struct {
+// scriptedServer is a server that responses each connection by a script.
+type scriptedServer struct {
 	address string
 	opened  chan int // the number of each connection that was opened
 }
 
-// serve runs a script for each connection: it gets the connection's number and
+// startServer runs a script for each connection: it gets the connection's number and
 // its reader, and may write what it likes.
-func serve(t *testing.T, script func(number int, in *bufio.Reader, conn net.Conn)) *scripted {
+func startServer(t *testing.T, script func(number int, in *bufio.Reader, conn net.Conn)) *scriptedServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	s := &scripted{address: listener.Addr().String(), opened: make(chan int, 100)}
+	s := &scriptedServer{address: listener.Addr().String(), opened: make(chan int, 100)}
 	go func() {
 		for number := 1; ; number++ {
 			conn, err := listener.Accept()
@@ -38,7 +39,7 @@
 			}
 			s.opened <- number
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				script(number, bufio.NewReader(conn), conn)
 			}()
 		}
@@ -46,10 +47,10 @@
 	return s
 }
 
-func (s *scripted) server() Server { return Server{Name: "s", Address: s.address} }
+func (s *scriptedServer) server() Server { return Server{Name: "s", Address: s.address} }
 
-// receive reads one request, and returns nil when there is none.
-func receive(in *bufio.Reader) *http.Request {
+// readRequest reads one request, and returns nil when there is none.
+func readRequest(in *bufio.Reader) *http.Request {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return nil
@@ -59,47 +60,56 @@
 	return r
 }
 
-func reply(id, extra, body string) string {
+func formatResponse(id, extra, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\n" + extra + "\r\n" + body
 }
 
-func request(id, body string) *Request {
+func newTestRequest(id, body string) *Request {
 	return &Request{Method: "POST", Target: "/a/%2f?q=1", Host: "h.example", Header: http.Header{"Id": {id}}, Body: []byte(body),
 		Matches: func(_ int, header http.Header) bool { return header.Get("Id") == id }}
 }
 
-func ctx(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	return c
 }
 
-// fetch sends a request and reads the whole answer.
+// failureOf returns the Failure that err is, or the zero one.
+func failureOf(err error) Failure {
+	var failure *Failure
+	if errors.As(err, &failure) {
+		return *failure
+	}
+	return Failure{}
+}
+
+// fetch sends a request and returns the body of the response.
 func fetch(t *testing.T, c *Client, server Server, id string) (string, error) {
-	answer, failure := c.Send(ctx(t), server, request(id, "body "+id))
+	response, failure := c.Send(testContext(t), server, newTestRequest(id, "body "+id))
 	if failure != nil {
 		return "", failure
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(answer)
+	defer response.Close()
+	body, err := io.ReadAll(response)
 	return string(body), err
 }
 
-func echo(extra string) func(int, *bufio.Reader, net.Conn) {
+func respondOK(extra string) func(int, *bufio.Reader, net.Conn) {
 	return func(_ int, in *bufio.Reader, conn net.Conn) {
-		for r := receive(in); r != nil; r = receive(in) {
-			_, _ = io.WriteString(conn, reply(r.Header.Get("Id"), extra+"Content-Length: 2\r\n", "ok"))
+		for r := readRequest(in); r != nil; r = readRequest(in) {
+			_, _ = io.WriteString(conn, formatResponse(r.Header.Get("Id"), extra+"Content-Length: 2\r\n", "ok"))
 		}
 	}
 }
 
 func TestSend(t *testing.T) {
-	Convey("A request arrives as it was given, and connections are used again", t, func() {
+	Convey("A request arrives unchanged, and connections are reused", t, func() {
 		got := make(chan *http.Request, 10)
-		s := serve(t, func(_ int, in *bufio.Reader, conn net.Conn) {
-			for r := receive(in); r != nil; r = receive(in) {
+		s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
+			for r := readRequest(in); r != nil; r = readRequest(in) {
 				got <- r
-				_, _ = io.WriteString(conn, reply(r.Header.Get("Id"), "Keep-Alive: timeout=5\r\nContent-Length: 2\r\n", "ok"))
+				_, _ = io.WriteString(conn, formatResponse(r.Header.Get("Id"), "Keep-Alive: timeout=5\r\nContent-Length: 2\r\n", "ok"))
 			}
 		})
 		c := New(Config{})
@@ -117,57 +127,57 @@
 		}
 		So(len(s.opened), ShouldEqual, 1)
 	})
-	Convey("A refused connection sends nothing", t, func() {
+	Convey("Nothing is sent when the connection is refused", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		address := listener.Addr().String()
 		So(listener.Close(), ShouldBeNil)
-		_, failure := New(Config{}).Send(ctx(t), Server{"s", address}, request("1", ""))
+		_, failure := New(Config{}).Send(testContext(t), Server{"s", address}, newTestRequest("1", ""))
 		So(failure.Kind, ShouldEqual, Refused)
 		So(failure.Sent, ShouldBeFalse)
 	})
-	Convey("A machine that does not answer a dial is silent, and nothing was sent", t, func() {
+	Convey("A machine that does not response a dial is unresponsive, and nothing was sent", t, func() {
 		c := New(Config{ConnectTimeout: time.Millisecond, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}})
-		_, failure := c.Send(ctx(t), Server{"s", "127.0.0.1:1"}, request("1", ""))
-		So(failure.Kind, ShouldEqual, Silent)
+		_, failure := c.Send(testContext(t), Server{"s", "127.0.0.1:1"}, newTestRequest("1", ""))
+		So(failure.Kind, ShouldEqual, Unresponsive)
 		So(failure.Sent, ShouldBeFalse)
 	})
 }
 
-func TestAnswersThatAreNotOurs(t *testing.T) {
-	Convey("A whole answer to another request is passed over, and the right one behind it is taken", t, func() {
-		s := serve(t, func(_ int, in *bufio.Reader, conn net.Conn) {
-			r := receive(in)
-			_, _ = io.WriteString(conn, reply("stray", "Content-Length: 5\r\n", "stray")+reply(r.Header.Get("Id"), "Content-Length: 2\r\n", "ok"))
-			receive(in)
+func TestStrayResponses(t *testing.T) {
+	Convey("A complete response to another request is skipped, and the right one after it is returned", t, func() {
+		s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
+			r := readRequest(in)
+			_, _ = io.WriteString(conn, formatResponse("stray", "Content-Length: 5\r\n", "stray")+formatResponse(r.Header.Get("Id"), "Content-Length: 2\r\n", "ok"))
+			readRequest(in)
 		})
 		body, err := fetch(t, New(Config{}), s.server(), "1")
 		So(err, ShouldBeNil)
 		So(body, ShouldEqual, "ok")
 	})
-	Convey("Bytes that are no answer, or a stray one without an end, make a garbled answer", t, func() {
-		for _, bytes := range []string{"no answer at all\r\n\r\n", reply("stray", "", "and on")} {
-			s := serve(t, func(_ int, in *bufio.Reader, conn net.Conn) {
-				receive(in)
+	Convey("Bytes that are no response, or a stray one without an end, fail as malformed", t, func() {
+		for _, bytes := range []string{"no response at all\r\n\r\n", formatResponse("stray", "", "and on")} {
+			s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
+				readRequest(in)
 				_, _ = io.WriteString(conn, bytes)
 			})
 			_, err := fetch(t, New(Config{}), s.server(), "1")
 			So(err, ShouldHaveSameTypeAs, &Failure{})
-			So(err.(*Failure).Kind, ShouldEqual, Garbled)
-			So(err.(*Failure).Sent, ShouldBeTrue)
+			So(failureOf(err).Kind, ShouldEqual, Malformed)
+			So(failureOf(err).Sent, ShouldBeTrue)
 		}
 	})
-	Convey("Bytes beyond an answer end its connection, and reach no later request", t, func() {
-		s := serve(t, func(number int, in *bufio.Reader, conn net.Conn) {
-			for r := receive(in); r != nil; r = receive(in) {
+	Convey("Bytes after a response end its connection, and reach no later request", t, func() {
+		s := startServer(t, func(number int, in *bufio.Reader, conn net.Conn) {
+			for r := readRequest(in); r != nil; r = readRequest(in) {
 				extra := ""
 				if number == 1 {
 					extra = "MORE"
 				}
-				_, _ = io.WriteString(conn, reply(r.Header.Get("Id"), "Keep-Alive: timeout=5\r\nContent-Length: 2\r\n", "ok"+extra))
+				_, _ = io.WriteString(conn, formatResponse(r.Header.Get("Id"), "Keep-Alive: timeout=5\r\nContent-Length: 2\r\n", "ok"+extra))
 			}
 		})
 		c := New(Config{})
@@ -179,11 +189,11 @@
 		}
 		So(len(s.opened), ShouldEqual, 2)
 	})
-	Convey("An interim answer is passed over", t, func() {
-		s := serve(t, func(_ int, in *bufio.Reader, conn net.Conn) {
-			r := receive(in)
-			_, _ = io.WriteString(conn, "HTTP/1.1 102 Processing\r\n\r\n"+reply(r.Header.Get("Id"), "Content-Length: 2\r\n", "ok"))
-			receive(in)
+	Convey("An interim response is skipped", t, func() {
+		s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
+			r := readRequest(in)
+			_, _ = io.WriteString(conn, "HTTP/1.1 102 Processing\r\n\r\n"+formatResponse(r.Header.Get("Id"), "Content-Length: 2\r\n", "ok"))
+			readRequest(in)
 		})
 		body, err := fetch(t, New(Config{}), s.server(), "1")
 		So(err, ShouldBeNil)
@@ -191,81 +201,81 @@
 	})
 }
 
-func TestAnswersThatEndEarly(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	cases := map[string]struct {
-		head  string
-		body  string
-		reset bool
-		whole bool
+		head     string
+		body     string
+		reset    bool
+		complete bool
 	}{
-		"by length":                    {"Content-Length: 10\r\n", "short", false, false},
-		"in chunks":                    {"Transfer-Encoding: chunked\r\n", "5\r\nshort\r\n", false, false},
-		"by the connection, reset":     {"", "short", true, false},
-		"by the connection, but whole": {"", "short", false, true},
+		"by length":                       {"Content-Length: 10\r\n", "short", false, false},
+		"in chunks":                       {"Transfer-Encoding: chunked\r\n", "5\r\nshort\r\n", false, false},
+		"by the connection, reset":        {"", "short", true, false},
+		"by the connection, but complete": {"", "short", false, true},
 	}
 	for name, c := range cases {
-		Convey("An answer that ends "+name, t, func() {
-			s := serve(t, func(_ int, in *bufio.Reader, conn net.Conn) {
-				r := receive(in)
-				_, _ = io.WriteString(conn, reply(r.Header.Get("Id"), c.head, c.body))
+		Convey("A response that ends "+name, t, func() {
+			s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
+				r := readRequest(in)
+				_, _ = io.WriteString(conn, formatResponse(r.Header.Get("Id"), c.head, c.body))
 				if c.reset {
 					_, _ = in.Peek(1)
 					_ = conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
 			client := New(Config{})
-			answer, failure := client.Send(ctx(t), s.server(), request("1", ""))
+			response, failure := client.Send(testContext(t), s.server(), newTestRequest("1", ""))
 			So(failure, ShouldBeNil)
 			if c.reset {
-				_, err := io.ReadFull(answer, make([]byte, len(c.body)))
+				_, err := io.ReadFull(response, make([]byte, len(c.body)))
 				So(err, ShouldBeNil)
-				_, err = answer.conn.raw.Write([]byte("x"))
+				_, err = response.conn.raw.Write([]byte("x"))
 				So(err, ShouldBeNil)
 			}
-			_, err := io.ReadAll(answer)
-			So(err == nil, ShouldEqual, c.whole)
-			if !c.whole {
-				So(err.(*Failure).Kind, ShouldEqual, Cut)
+			_, err := io.ReadAll(response)
+			So(err == nil, ShouldEqual, c.complete)
+			if !c.complete {
+				So(failureOf(err).Kind, ShouldEqual, Truncated)
 			}
-			answer.Close()
+			response.Close()
 		})
 	}
-	Convey("A connection that ends without an answer is lost, though the server may have got the request", t, func() {
-		s := serve(t, func(_ int, in *bufio.Reader, _ net.Conn) { receive(in) })
-		_, failure := New(Config{}).Send(ctx(t), s.server(), request("1", "x"))
+	Convey("A connection that ends without a response is lost, though the server may have received the request", t, func() {
+		s := startServer(t, func(_ int, in *bufio.Reader, _ net.Conn) { readRequest(in) })
+		_, failure := New(Config{}).Send(testContext(t), s.server(), newTestRequest("1", "x"))
 		So(failure.Kind, ShouldEqual, Lost)
 		So(failure.Sent, ShouldBeTrue)
 	})
-	Convey("A request that is given up closes its connection, so that the server can stop", t, func() {
+	Convey("A cancelled request closes its connection, so that the server can stop", t, func() {
 		stopped := make(chan struct{})
-		s := serve(t, func(_ int, in *bufio.Reader, _ net.Conn) {
-			receive(in)
+		s := startServer(t, func(_ int, in *bufio.Reader, _ net.Conn) {
+			readRequest(in)
 			_, _ = in.Peek(1)
 			close(stopped)
 		})
-		giving, cancel := context.WithCancel(ctx(t))
+		ctx, cancel := context.WithCancel(testContext(t))
 		go func() {
 			<-s.opened
 			cancel()
 		}()
-		_, failure := New(Config{}).Send(giving, s.server(), request("1", "x"))
-		So(failure.Kind, ShouldEqual, Withdrawn)
+		_, failure := New(Config{}).Send(ctx, s.server(), newTestRequest("1", "x"))
+		So(failure.Kind, ShouldEqual, Cancelled)
 		<-stopped
 	})
 }
 
-// handClock is a clock that moves by hand.
-type handClock struct {
+// manualClock is a clock that only the test advances.
+type manualClock struct {
 	clock.Clock
 	now time.Time
 }
 
-func (c *handClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
-func TestRest(t *testing.T) {
-	Convey("A connection rests as long as its server said, less a margin, and is not used after", t, func() {
-		s := serve(t, echo("Keep-Alive: timeout=2\r\n"))
-		clock := &handClock{clock.System(), time.Unix(1000, 0)}
+func TestIdleConnections(t *testing.T) {
+	Convey("An idle connection is reused as long as its server states, less a margin", t, func() {
+		s := startServer(t, respondOK("Keep-Alive: timeout=2\r\n"))
+		clock := &manualClock{clock.System(), time.Unix(1000, 0)}
 		c := New(Config{Clock: clock})
 		defer c.Close()
 		for i, pause := range []time.Duration{0, 1600 * time.Millisecond, 1700 * time.Millisecond} {
@@ -275,8 +285,8 @@
 			So(len(s.opened), ShouldEqual, []int{1, 1, 2}[i])
 		}
 	})
-	Convey("A server that says it closes is not used again", t, func() {
-		s := serve(t, echo("Connection: close\r\n"))
+	Convey("A connection that its server closes is not reused", t, func() {
+		s := startServer(t, respondOK("Connection: close\r\n"))
 		c := New(Config{})
 		for range 2 {
 			_, err := fetch(t, c, s.server(), "1")
@@ -284,27 +294,30 @@
 		}
 		So(len(s.opened), ShouldEqual, 2)
 	})
-	Convey("A connection that its server closed at rest costs no request", t, func() {
+	Convey("A connection that its server closed while idle loses no request", t, func() {
 		ended := make(chan struct{})
-		s := serve(t, func(_ int, in *bufio.Reader, conn net.Conn) {
-			r := receive(in)
-			_, _ = io.WriteString(conn, reply(r.Header.Get("Id"), "Keep-Alive: timeout=5\r\nContent-Length: 2\r\n", "ok"))
+		s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
+			r := readRequest(in)
+			_, _ = io.WriteString(conn, formatResponse(r.Header.Get("Id"), "Keep-Alive: timeout=5\r\nContent-Length: 2\r\n", "ok"))
 		})
 		c := New(Config{})
 		_, err := fetch(t, c, s.server(), "1")
 		So(err, ShouldBeNil)
-		held := <-(*c.endpoints.Load())["s"].idle
-		go func() { <-held.gone; close(ended) }()
+		idle := <-(*c.pools.Load())["s"].idle
+		go func() {
+			<-idle.readerEnded
+			close(ended)
+		}()
 		<-ended
-		(*c.endpoints.Load())["s"].idle <- held
+		(*c.pools.Load())["s"].idle <- idle
 		_, err = fetch(t, c, s.server(), "2")
 		So(err, ShouldBeNil)
 	})
-	Convey("A warmed connection serves the next request; a server under another address gets its own", t, func() {
-		one, other := serve(t, echo("")), serve(t, echo(""))
+	Convey("A preconnected connection carries the next request; a server under another address gets its own", t, func() {
+		one, other := startServer(t, respondOK("")), startServer(t, respondOK(""))
 		c := New(Config{})
 		defer c.Close()
-		So(c.Warm(ctx(t), one.server()), ShouldBeNil)
+		So(c.Preconnect(testContext(t), one.server()), ShouldBeNil)
 		_, err := fetch(t, c, one.server(), "1")
 		So(err, ShouldBeNil)
 		So(len(one.opened), ShouldEqual, 1)
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -121,11 +121,11 @@
 
 // send sends the request by sendCtx, which it cancels when the server stalls. Only
 // a context that ended by itself is the caller's withdrawal.
-func (q *request) send(ctx, sendCtx context.Context, cancel func(), server upstream.Server, lastEventID string) (*upstream.Answer, *upstream.Failure) {
+func (q *request) send(ctx, sendCtx context.Context, cancel func(), server upstream.Server, lastEventID string) (*upstream.Response, *upstream.Failure) {
 	stall := q.startStallTimer(q.executions+1, cancel)
 	response, failure := q.gateway.client.Send(sendCtx, server, q.upstreamRequest(server, lastEventID))
 	stall.Stop()
-	if failure != nil && failure.Kind == upstream.Withdrawn && ctx.Err() == nil {
+	if failure != nil && failure.Kind == upstream.Cancelled && ctx.Err() == nil {
 		return nil, &upstream.Failure{Kind: upstream.Lost, Sent: true, Cause: errStalled}
 	}
 	return response, failure
@@ -136,9 +136,9 @@
 	switch failure.Kind {
 	case upstream.Refused:
 		*outcome = balance.OutcomeRefused
-	case upstream.Silent:
+	case upstream.Unresponsive:
 		*outcome = balance.OutcomeUnresponsive
-	case upstream.Unsent, upstream.Lost, upstream.Garbled:
+	case upstream.NotSent, upstream.Lost, upstream.Malformed:
 		*outcome = balance.OutcomeFailed
 	}
 	if failure.Sent {
@@ -156,7 +156,7 @@
 }
 
 // rejected decides on an attempt that the server did not execute.
-func (q *request) rejected(server upstream.Server, response *upstream.Answer, said port.Said, outcome *balance.Outcome) (apiErr *apierror.Error, retry bool) {
+func (q *request) rejected(server upstream.Server, response *upstream.Response, said port.Said, outcome *balance.Outcome) (apiErr *apierror.Error, retry bool) {
 	q.gateway.metrics.attemptRejected(q.service)
 	_, _ = io.CopyN(io.Discard, response, rejectionBodyLimit)
 	q.exclude(server)
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -166,7 +166,7 @@
 		FleetNow: d.views.FleetNow(),
 	}, d.clock.Now())
 	if serversChanged {
-		d.client.Forget(func(server string) bool { return view.Servers[server] != nil })
+		d.client.CloseIdle(func(server string) bool { return view.Servers[server] != nil })
 	}
 }
 
@@ -201,5 +201,5 @@
 // closeIdleConnections closes the idle connections to a server: they may be dead,
 // and a fresh one shows whether the server is back before a request is sent.
 func (d *dispatcher) closeIdleConnections(server string) {
-	d.client.Forget(func(name string) bool { return name != server })
+	d.client.CloseIdle(func(name string) bool { return name != server })
 }
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -88,7 +88,7 @@
 	config = config.withDefaults()
 	config.Upstream.Clock = clock
 	var g *Gateway
-	config.Upstream.Silent = func(server string) { g.dispatcher.unacknowledged(server) }
+	config.Upstream.OnUnacknowledged = func(server string) { g.dispatcher.unacknowledged(server) }
 	metrics, err := newMetrics(registry)
 	if err != nil {
 		return nil, err
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -53,7 +53,7 @@
 	m.requests.WithLabelValues(service, strconv.FormatUint(uint64(code), 10)).Inc()
 }
 
-func (m *metrics) attemptFailed(service string, kind upstream.Kind) {
+func (m *metrics) attemptFailed(service string, kind upstream.FailureKind) {
 	m.attempts.WithLabelValues(service, string(kind)).Inc()
 }
 
--- a/internal/node/gateway/relay.go
+++ b/internal/node/gateway/relay.go
@@ -36,7 +36,7 @@
 
 // relay passes a response on. retry reports that the request may be sent to
 // another server, where its route allows that.
-func (p *relay) relay(response *upstream.Answer, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+func (p *relay) relay(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
 	succeeded := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
 	if p.request.route.Kind == sheet.RouteStream && succeeded {
 		return p.relayStream(response, attempt)
@@ -49,7 +49,7 @@
 
 // relaySingle relays a response that is no stream. One of at most
 // maxBufferedResponse bytes is relayed only once it is known to be complete.
-func (p *relay) relaySingle(response *upstream.Answer, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+func (p *relay) relaySingle(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
 	body := make([]byte, 0, max(min(response.Length(), maxBufferedResponse), 0))
 	body, err := readUpTo(response, body, maxBufferedResponse)
 	p.request.gateway.dispatcher.responseStarted(attempt)
@@ -69,7 +69,7 @@
 	return nil, false
 }
 
-func (p *relay) writeComplete(response *upstream.Answer, body []byte) *apierror.Error {
+func (p *relay) writeComplete(response *upstream.Response, body []byte) *apierror.Error {
 	p.copyHeader(response)
 	p.writer().Header().Set("Content-Length", strconv.Itoa(len(body)))
 	p.writer().WriteHeader(response.Status)
@@ -94,7 +94,7 @@
 	return body, nil
 }
 
-func (p *relay) copyRest(response *upstream.Answer) error {
+func (p *relay) copyRest(response *upstream.Response) error {
 	var chunk [copyChunkSize]byte
 	for {
 		count, err := response.Read(chunk[:])
@@ -113,7 +113,7 @@
 }
 
 // writeHeader writes the status and header of the first server's response, once.
-func (p *relay) writeHeader(response *upstream.Answer) {
+func (p *relay) writeHeader(response *upstream.Response) {
 	if p.started {
 		return
 	}
@@ -122,7 +122,7 @@
 	p.writer().WriteHeader(response.Status)
 }
 
-func (p *relay) copyHeader(response *upstream.Answer) {
+func (p *relay) copyHeader(response *upstream.Response) {
 	header := p.writer().Header()
 	for name, values := range response.Header {
 		header[name] = values
--- a/internal/node/gateway/server_health.go
+++ b/internal/node/gateway/server_health.go
@@ -156,7 +156,7 @@
 	go func() {
 		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
-		failure := h.client.Warm(probeCtx, server)
+		failure := h.client.Preconnect(probeCtx, server)
 		result := observation{server: server, kind: serverUnresponsive}
 		if failure == nil || failure.Kind == upstream.Refused {
 			result.kind = success
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -11,7 +11,7 @@
 
 // relayStream relays events as they arrive. Only complete events are relayed, so
 // that another server can resume the stream after the last of them.
-func (p *relay) relayStream(response *upstream.Answer, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+func (p *relay) relayStream(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
 	var events eventSplitter
 	var chunk [readChunkSize]byte
 	controller := http.NewResponseController(p.writer())
@@ -35,7 +35,7 @@
 	}
 }
 
-func (p *relay) relayEvents(response *upstream.Answer, events *eventSplitter, data []byte, controller *http.ResponseController) *apierror.Error {
+func (p *relay) relayEvents(response *upstream.Response, events *eventSplitter, data []byte, controller *http.ResponseController) *apierror.Error {
 	complete := events.add(data)
 	if len(complete) == 0 {
 		return nil
@@ -56,11 +56,11 @@
 // endStream decides on a stream whose body ended with err. Bytes after the last
 // complete event are relayed where the response's framing shows that its body is
 // complete.
-func (p *relay) endStream(response *upstream.Answer, incomplete []byte, err error) (apiErr *apierror.Error, retry bool) {
+func (p *relay) endStream(response *upstream.Response, incomplete []byte, err error) (apiErr *apierror.Error, retry bool) {
 	switch {
 	case err != io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
 		return p.responseError(err), true
-	case !response.Framed() && len(incomplete) > 0:
+	case !response.HasFraming() && len(incomplete) > 0:
 		return apierror.Errorf(apierror.StreamCut, "the stream ended inside an event"), true
 	}
 	p.writeHeader(response)
