--- a/internal/adapter/upstream/conn.go
+++ b/internal/adapter/upstream/conn.go
@@ -125,7 +125,7 @@
 		current.result <- result{failure: &Failure{Kind: kind, Sent: true, Cause: errNoResponse}}
 		return false
 	}
-	response, failure := c.readHeader(current)
+	response, failure := c.readHeader(current) //nolint:bodyclose // Response.Close ends the connection or keeps it
 	if failure != nil {
 		current.result <- result{failure: failure}
 		return false
@@ -139,7 +139,7 @@
 // skips interim responses and complete responses to cancelled requests.
 func (c *conn) readHeader(current *exchange) (*http.Response, *Failure) {
 	for strays := 0; ; {
-		response, err := http.ReadResponse(c.reader, &http.Request{Method: current.method}) //nolint:bodyclose // the caller or skip closes it
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: current.method})
 		if err != nil {
 			return nil, &Failure{Kind: Malformed, Sent: true, Cause: err}
 		}
--- a/internal/adapter/upstream/pool.go
+++ b/internal/adapter/upstream/pool.go
@@ -34,20 +34,20 @@
 	current := c.pools.Load()
 	next := make(map[string]*pool, len(*current))
 	var dropped []*pool
-	for name, p := range *current {
+	for name, idlePool := range *current {
 		if keep(name) {
-			next[name] = p
+			next[name] = idlePool
 			continue
 		}
-		dropped = append(dropped, p)
+		dropped = append(dropped, idlePool)
 	}
 	// Where another call has changed the pools meanwhile, the connections stay: each
 	// is checked before its use.
 	if len(dropped) == 0 || !c.pools.CompareAndSwap(current, &next) {
 		return
 	}
-	for _, p := range dropped {
-		p.closeIdle()
+	for _, idlePool := range dropped {
+		idlePool.closeIdle()
 	}
 }
 
--- a/internal/decision/balance/table.go
+++ b/internal/decision/balance/table.go
@@ -74,7 +74,8 @@
 	t.refreshIsolation(now)
 	budget := t.retryBudget(request.Service)
 	if request.Retry && !budget.allows(now, t.retrySlackPerNode()) {
-		return Choice{Err: apierror.Errorf(apierror.BudgetSpent, "repeated sends are bound to a share of the requests").WithRetryAfter(budgetRetryAfter)}
+		apiErr := apierror.Errorf(apierror.BudgetSpent, "repeated sends are bound to a share of the requests")
+		return Choice{Err: apiErr.WithRetryAfter(budgetRetryAfter)}
 	}
 	chosen, waits := t.leastCost(request, now)
 	switch {
@@ -83,9 +84,11 @@
 	case waits && now.Before(request.QueueUntil):
 		return Choice{Wait: true}
 	case waits:
-		return Choice{Err: apierror.Errorf(apierror.QueueFull, "the servers of %s have no room", request.Service).WithRetryAfter(queueFullRetryAfter)}
+		apiErr := apierror.Errorf(apierror.QueueFull, "the servers of %s have no room", request.Service)
+		return Choice{Err: apiErr.WithRetryAfter(queueFullRetryAfter)}
 	}
-	return Choice{Err: apierror.Errorf(apierror.NoServer, "no server of %s can take requests", request.Service).WithRetryAfter(noServerRetryAfter)}
+	apiErr := apierror.Errorf(apierror.NoServer, "no server of %s can take requests", request.Service)
+	return Choice{Err: apiErr.WithRetryAfter(noServerRetryAfter)}
 }
 
 // leastCost returns the server with the least cost among those that accept the
--- a/internal/node/gateway/admission.go
+++ b/internal/node/gateway/admission.go
@@ -16,18 +16,18 @@
 // admit checks the request against the configuration in force, reads its body,
 // prepares the selection of a server, and charges the tenant's quota.
 func (q *request) admit() *apierror.Error {
-	g := q.gateway
-	if g.closed.Load() {
+	gateway := q.gateway
+	if gateway.closed.Load() {
 		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(noAuthorityRetryAfter)
 	}
 	var apiErr *apierror.Error
-	if q.call, apiErr = g.dialect.Read(q.http); apiErr != nil {
+	if q.call, apiErr = gateway.dialect.Read(q.http); apiErr != nil {
 		return apiErr
 	}
-	if apiErr = g.awaitAuthority(q.http.Context()); apiErr != nil {
+	if apiErr = gateway.awaitAuthority(q.http.Context()); apiErr != nil {
 		return apiErr
 	}
-	if apiErr = q.match(g.views.View().Index); apiErr != nil {
+	if apiErr = q.match(gateway.views.View().Index); apiErr != nil {
 		return apiErr
 	}
 	q.setDeadline()
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -29,15 +29,15 @@
 func (q *request) run() *apierror.Error {
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
 	defer cancel()
-	p := &relay{request: q, ctx: ctx, lastEventID: q.call.LastEventID}
+	toClient := &relay{request: q, ctx: ctx, lastEventID: q.call.LastEventID}
 	var previous *apierror.Error
 	for first := true; ; first = false {
-		apiErr, retry := q.attempt(ctx, p, first)
+		apiErr, retry := q.attempt(ctx, toClient, first)
 		if apiErr == nil {
 			return nil
 		}
 		if !retry {
-			return q.finalError(p, apiErr, previous)
+			return q.finalError(toClient, apiErr, previous)
 		}
 		previous = apiErr
 	}
@@ -47,11 +47,11 @@
 // known of the previous attempt takes precedence over why there is no further one.
 // It panics with http.ErrAbortHandler when the client already got a part of an
 // answer, since only a broken connection shows that the rest is missing.
-func (q *request) finalError(p *relay, apiErr, previous *apierror.Error) *apierror.Error {
+func (q *request) finalError(toClient *relay, apiErr, previous *apierror.Error) *apierror.Error {
 	if q.http.Context().Err() != nil {
 		apiErr = apierror.Errorf(apierror.CallerGone, "the client closed the connection")
 	}
-	if p.started {
+	if toClient.started {
 		panic(http.ErrAbortHandler)
 	}
 	switch {
@@ -79,7 +79,7 @@
 }
 
 // attempt sends the request to one server. retry reports that another may be tried.
-func (q *request) attempt(ctx context.Context, p *relay, first bool) (apiErr *apierror.Error, retry bool) {
+func (q *request) attempt(ctx context.Context, toClient *relay, first bool) (apiErr *apierror.Error, retry bool) {
 	dispatcher := q.gateway.dispatcher
 	assigned := dispatcher.assign(ctx, q.selection, first)
 	if assigned.apiErr != nil {
@@ -92,7 +92,7 @@
 	}
 	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	response, failure := q.send(ctx, sendCtx, cancel, assigned.server, p.lastEventID)
+	response, failure := q.send(ctx, sendCtx, cancel, assigned.server, toClient.lastEventID)
 	if failure != nil {
 		q.gateway.metrics.attemptFailed(q.service, failure.Kind)
 		return q.sendFailed(ctx, assigned.server, failure, &outcome)
@@ -103,13 +103,13 @@
 		return q.rejected(assigned.server, response, said, &outcome)
 	}
 	q.executions++
-	apiErr, retry = p.relay(response, assigned.attempt)
+	apiErr, retry = toClient.relay(response, assigned.attempt)
 	switch {
 	case apiErr == nil && response.Status >= http.StatusInternalServerError:
 		outcome = balance.OutcomeServerError
 	case apiErr == nil:
 		outcome = balance.OutcomeSucceeded
-	case ctx.Err() == nil && !p.clientDisconnected:
+	case ctx.Err() == nil && !toClient.clientDisconnected:
 		outcome = balance.OutcomeFailed
 	}
 	if retry {
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -58,7 +58,14 @@
 	server  string             // of connectionUnacknowledged
 }
 
-func newDispatcher(table *balance.Table, views Views, clock clock.Clock, client *upstream.Client, health *serverHealth, disabled balance.Disabled) *dispatcher {
+func newDispatcher(
+	table *balance.Table,
+	views Views,
+	clock clock.Clock,
+	client *upstream.Client,
+	health *serverHealth,
+	disabled balance.Disabled,
+) *dispatcher {
 	return &dispatcher{
 		table:         table,
 		views:         views,
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -55,9 +55,9 @@
 }
 
 // Admitter decides whether a tenant may use tokens of its quota, which is counted
-// over all nodes. It waits for the decision for at most patience.
+// over all nodes. It waits for the decision for at most timeout.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, patience time.Duration) quota.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, timeout time.Duration) quota.Decision
 }
 
 // Gateway serves requests by routes. It is an http.Handler.
@@ -84,7 +84,15 @@
 
 // New returns a gateway. It serves no request before Serve runs. It fails when its
 // metrics are already registered.
-func New(config Config, dialect port.Dialect, views Views, admitter Admitter, clock clock.Clock, log events.Log, registry prometheus.Registerer) (*Gateway, error) {
+func New(
+	config Config,
+	dialect port.Dialect,
+	views Views,
+	admitter Admitter,
+	clock clock.Clock,
+	log events.Log,
+	registry prometheus.Registerer,
+) (*Gateway, error) {
 	config = config.withDefaults()
 	config.Upstream.Clock = clock
 	var g *Gateway
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -84,8 +84,8 @@
 	lastTimeout atomic.Int64 // of the last request, nanoseconds
 }
 
-func (a *testAdmitter) Admit(_ context.Context, _ string, _ float64, _ quota.Terms, patience time.Duration) quota.Decision {
-	a.lastTimeout.Store(int64(patience))
+func (a *testAdmitter) Admit(_ context.Context, _ string, _ float64, _ quota.Terms, timeout time.Duration) quota.Decision {
+	a.lastTimeout.Store(int64(timeout))
 	if a.refused.Load() {
 		return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 700 * time.Millisecond}
 	}
--- a/internal/node/gateway/headers.go
+++ b/internal/node/gateway/headers.go
@@ -62,7 +62,7 @@
 		Priority:    q.selection.Urgency,
 		LastEventID: lastEventID,
 	})
-	id := q.call.ID
+	requestID := q.call.ID
 	return &upstream.Request{
 		Method: q.http.Method,
 		Target: q.target(),
@@ -70,7 +70,7 @@
 		Header: header,
 		Body:   q.body,
 		Matches: func(status int, header http.Header) bool {
-			return q.gateway.dialect.Said(status, header).RequestID == id
+			return q.gateway.dialect.Said(status, header).RequestID == requestID
 		},
 	}
 }
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -22,7 +22,7 @@
 }
 
 func newMetrics(registry prometheus.Registerer) (*metrics, error) {
-	m := &metrics{
+	created := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "stepwick_routed_requests_total",
 			Help: "Requests by route, by service and result code.",
@@ -36,12 +36,12 @@
 			Help: "Requests by route that are being served.",
 		}),
 	}
-	for _, collector := range []prometheus.Collector{m.requests, m.attempts, m.inFlight} {
+	for _, collector := range []prometheus.Collector{created.requests, created.attempts, created.inFlight} {
 		if err := registry.Register(collector); err != nil {
 			return nil, errors.Wrap(err, "register the gateway's metrics")
 		}
 	}
-	return m, nil
+	return created, nil
 }
 
 // requestFinished counts a request by its result; a nil error counts as OK.
--- a/internal/node/gateway/queue.go
+++ b/internal/node/gateway/queue.go
@@ -40,7 +40,8 @@
 func (d *dispatcher) assign(ctx context.Context, request balance.Request, first bool) assignment {
 	submitted := &assignmentRequest{request: request, first: first, assigned: make(chan assignment, 1)}
 	if !d.submissions.Offer(submitted) {
-		return assignment{apiErr: apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", submissionsBound).WithRetryAfter(queueFullRetryAfter)}
+		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", submissionsBound)
+		return assignment{apiErr: apiErr.WithRetryAfter(queueFullRetryAfter)}
 	}
 	select {
 	case assigned := <-submitted.assigned:
@@ -66,7 +67,8 @@
 		return
 	}
 	if !d.queue.add(submitted) {
-		submitted.assigned <- assignment{apiErr: apierror.Errorf(apierror.QueueFull, "%d requests wait for room", queueBound).WithRetryAfter(queueFullRetryAfter)}
+		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests wait for room", queueBound)
+		submitted.assigned <- assignment{apiErr: apiErr.WithRetryAfter(queueFullRetryAfter)}
 	}
 }
 
--- a/internal/node/gateway/relay.go
+++ b/internal/node/gateway/relay.go
@@ -36,46 +36,46 @@
 
 // relay passes a response on. retry reports that the request may be sent to
 // another server, where its route allows that.
-func (p *relay) relay(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+func (r *relay) relay(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
 	succeeded := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
-	if p.request.route.Kind == sheet.RouteStream && succeeded {
-		return p.relayStream(response, attempt)
+	if r.request.route.Kind == sheet.RouteStream && succeeded {
+		return r.relayStream(response, attempt)
 	}
-	if p.started {
+	if r.started {
 		return apierror.Errorf(apierror.StreamCut, "a server answered %d to a stream that was to go on", response.Status), true
 	}
-	return p.relaySingle(response, attempt)
+	return r.relaySingle(response, attempt)
 }
 
 // relaySingle relays a response that is no stream. One of at most
 // maxBufferedResponse bytes is relayed only once it is known to be complete.
-func (p *relay) relaySingle(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+func (r *relay) relaySingle(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
 	body := make([]byte, 0, max(min(response.Length(), maxBufferedResponse), 0))
 	body, err := readUpTo(response, body, maxBufferedResponse)
-	p.request.gateway.dispatcher.responseStarted(attempt)
+	r.request.gateway.dispatcher.responseStarted(attempt)
 	switch {
 	case err == io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
-		return p.writeComplete(response, body), false
+		return r.writeComplete(response, body), false
 	case err != nil:
-		return p.responseError(err), true
+		return r.responseError(err), true
 	}
-	p.writeHeader(response)
-	if _, err := p.writer().Write(body); err != nil {
-		return p.clientError(err), false
+	r.writeHeader(response)
+	if _, err := r.writer().Write(body); err != nil {
+		return r.clientError(err), false
 	}
-	if err := p.copyRest(response); err != nil {
-		return p.responseError(err), false
+	if err := r.copyRest(response); err != nil {
+		return r.responseError(err), false
 	}
 	return nil, false
 }
 
-func (p *relay) writeComplete(response *upstream.Response, body []byte) *apierror.Error {
-	p.copyHeader(response)
-	p.writer().Header().Set("Content-Length", strconv.Itoa(len(body)))
-	p.writer().WriteHeader(response.Status)
-	p.started = true
-	if _, err := p.writer().Write(body); err != nil {
-		return p.clientError(err)
+func (r *relay) writeComplete(response *upstream.Response, body []byte) *apierror.Error {
+	r.copyHeader(response)
+	r.writer().Header().Set("Content-Length", strconv.Itoa(len(body)))
+	r.writer().WriteHeader(response.Status)
+	r.started = true
+	if _, err := r.writer().Write(body); err != nil {
+		return r.clientError(err)
 	}
 	return nil
 }
@@ -94,13 +94,13 @@
 	return body, nil
 }
 
-func (p *relay) copyRest(response *upstream.Response) error {
+func (r *relay) copyRest(response *upstream.Response) error {
 	var chunk [copyChunkSize]byte
 	for {
 		count, err := response.Read(chunk[:])
 		if count > 0 {
-			if _, writeErr := p.writer().Write(chunk[:count]); writeErr != nil {
-				return p.clientError(writeErr)
+			if _, writeErr := r.writer().Write(chunk[:count]); writeErr != nil {
+				return r.clientError(writeErr)
 			}
 		}
 		switch {
@@ -113,22 +113,22 @@
 }
 
 // writeHeader writes the status and header of the first server's response, once.
-func (p *relay) writeHeader(response *upstream.Response) {
-	if p.started {
+func (r *relay) writeHeader(response *upstream.Response) {
+	if r.started {
 		return
 	}
-	p.started = true
-	p.copyHeader(response)
-	p.writer().WriteHeader(response.Status)
+	r.started = true
+	r.copyHeader(response)
+	r.writer().WriteHeader(response.Status)
 }
 
-func (p *relay) copyHeader(response *upstream.Response) {
-	header := p.writer().Header()
+func (r *relay) copyHeader(response *upstream.Response) {
+	header := r.writer().Header()
 	for name, values := range response.Header {
 		header[name] = values
 	}
 	dropHopHeaders(header)
-	if p.request.gateway.draining.Load() {
+	if r.request.gateway.draining.Load() {
 		header.Set("Connection", "close")
 	}
 	// A nil value keeps net/http from adding a header that the server did not send.
@@ -139,20 +139,20 @@
 	}
 }
 
-func (p *relay) writer() http.ResponseWriter { return p.request.writer }
+func (r *relay) writer() http.ResponseWriter { return r.request.writer }
 
 // clientError returns the error for a write to the client that failed.
-func (p *relay) clientError(err error) *apierror.Error {
-	p.clientDisconnected = true
+func (r *relay) clientError(err error) *apierror.Error {
+	r.clientDisconnected = true
 	return apierror.Errorf(apierror.CallerGone, "the client takes no answer: %s", err)
 }
 
 // responseError returns the error for a response that could not be relayed to its
 // end.
-func (p *relay) responseError(err error) *apierror.Error {
+func (r *relay) responseError(err error) *apierror.Error {
 	var apiErr *apierror.Error
 	if errors.As(err, &apiErr) {
 		return apiErr
 	}
-	return p.request.contextError(p.ctx, apierror.Errorf(apierror.BadAnswer, "%s", err))
+	return r.request.contextError(r.ctx, apierror.Errorf(apierror.BadAnswer, "%s", err))
 }
--- a/internal/node/gateway/selection.go
+++ b/internal/node/gateway/selection.go
@@ -30,7 +30,8 @@
 func (q *request) prepareSelection() *apierror.Error {
 	regions, possible := allowedRegions(q.route.Homes, q.tenantTerms)
 	if !possible {
-		return apierror.Errorf(apierror.NoServer, "the homes of the route and of the tenant have no region in common").WithRetryAfter(noRegionRetryAfter)
+		apiErr := apierror.Errorf(apierror.NoServer, "the homes of the route and of the tenant have no region in common")
+		return apiErr.WithRetryAfter(noRegionRetryAfter)
 	}
 	objective := time.Duration(q.route.ObjectiveMS) * time.Millisecond
 	q.service = q.selectService()
--- a/sim/balance/front.go
+++ b/sim/balance/front.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	suspectEvery   = 100.0  // ms
-	recentResponse = 400.0  // ms; see the gateway's passive_health.go
-	reportDelay    = 80.0   // ms until one front's report is known to all
-	reportFresh    = 3000.0 // ms
-	retryEvery     = 5.0    // ms between looks at a request that waits for room
-	waitPart       = 4      // of its objective a request waits for room
-	probeTimeout   = 400.0  // ms
+	suspectEvery        = 100.0  // ms
+	recentResponse      = 400.0  // ms; see the gateway's passive_health.go
+	reportDelay         = 80.0   // ms until one front's report is known to all
+	reportFresh         = 3000.0 // ms
+	assignInterval      = 5.0    // ms between attempts to assign a queued request
+	queueTimeoutDivisor = 4      // a request is queued for at most 1/queueTimeoutDivisor of its objective
+	probeTimeout        = 400.0  // ms
 )
 
 // front is a node that carries traffic: the product's table, and connections.
@@ -47,7 +47,7 @@
 
 func (f *front) order(q *request) *balance.Request {
 	order := &balance.Request{ID: string(rune(q.number)), Service: serviceName, Route: q.kind.Name, MaxEventGap: time.Duration(q.kind.Pause * float64(time.Millisecond)), Regions: q.kind.Homes, OwnTokens: q.own, OutputTokens: q.out,
-		QueueUntil: start.Add(time.Duration((q.came + q.kind.Objective/waitPart) * float64(time.Millisecond)))}
+		QueueUntil: start.Add(time.Duration((q.came + q.kind.Objective/queueTimeoutDivisor) * float64(time.Millisecond)))}
 	for _, p := range q.chain {
 		order.Affinity = p.id
 		order.SharedTokens += p.tokens
@@ -63,7 +63,7 @@
 	choice := f.table.Choose(order, r.clock())
 	switch {
 	case choice.Wait:
-		r.after(retryEvery, func() { f.try(q, order) })
+		r.after(assignInterval, func() { f.try(q, order) })
 		return
 	case choice.Err != nil:
 		r.result.ended(q, outcome{})
@@ -73,7 +73,8 @@
 }
 
 func (f *front) send(q *request, order *balance.Request, name string) {
-	r, s := f.run, f.run.servers[name]
+	r := f.run
+	s := r.servers[name]
 	attempt := f.table.StartAttempt(name, order, r.clock())
 	way := r.oneWay(f, s)
 	setUp := 0.0
@@ -91,7 +92,8 @@
 	j.began = func() {
 		r.after(way, func() {
 			f.table.ResponseStarted(attempt, r.clock())
-			answer.served, answer.took = true, r.now+r.site.ToClient-q.came
+			answer.served = true
+			answer.took = r.now + r.site.ToClient - q.came
 		})
 	}
 	j.ended = func() {
