--- a/internal/node/gateway/admission.go
+++ b/internal/node/gateway/admission.go
@@ -21,7 +21,7 @@
 		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(noAuthorityRetryAfter)
 	}
 	var apiErr *apierror.Error
-	if q.call, apiErr = gateway.dialect.Read(q.http); apiErr != nil {
+	if q.call, apiErr = gateway.dialect.ReadRequest(q.http); apiErr != nil {
 		return apiErr
 	}
 	if apiErr = gateway.awaitAuthority(q.http.Context()); apiErr != nil {
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -98,9 +98,9 @@
 		return q.sendFailed(ctx, assigned.server, failure, &outcome)
 	}
 	defer response.Close()
-	said := q.gateway.dialect.Said(response.Status, response.Header)
-	if said.NotExecuted || said.Elsewhere {
-		return q.rejected(assigned.server, response, said, &outcome)
+	metadata := q.gateway.dialect.ReadResponse(response.Status, response.Header)
+	if metadata.NotExecuted || metadata.WrongServer {
+		return q.rejected(assigned.server, response, metadata, &outcome)
 	}
 	q.executions++
 	apiErr, retry = toClient.relay(response, assigned.attempt)
@@ -156,14 +156,14 @@
 }
 
 // rejected decides on an attempt that the server did not execute.
-func (q *request) rejected(server upstream.Server, response *upstream.Response, said port.Said, outcome *balance.Outcome) (apiErr *apierror.Error, retry bool) {
+func (q *request) rejected(server upstream.Server, response *upstream.Response, metadata port.ResponseMetadata, outcome *balance.Outcome) (apiErr *apierror.Error, retry bool) {
 	q.gateway.metrics.attemptRejected(q.service)
 	_, _ = io.CopyN(io.Discard, response, rejectionBodyLimit)
 	q.exclude(server)
 	q.selection.Retry = true
 	*outcome = balance.OutcomeRejected
 	reason := "the server is full"
-	if said.Elsewhere {
+	if metadata.WrongServer {
 		*outcome = balance.OutcomeReplaced
 		reason = "the server is gone; another one has its address"
 	}
--- a/internal/node/gateway/authority.go
+++ b/internal/node/gateway/authority.go
@@ -18,7 +18,7 @@
 // checkAuthority returns nil when this node may decide on requests now: it holds a
 // valid lease and has a configuration.
 func (g *Gateway) checkAuthority() *apierror.Error {
-	if !g.views.Ruling() {
+	if !g.views.HasAuthority() {
 		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(noAuthorityRetryAfter)
 	}
 	if g.views.View().State.Sheet == nil {
--- a/internal/node/gateway/body.go
+++ b/internal/node/gateway/body.go
@@ -84,7 +84,7 @@
 // reserveBuffer takes bytes from the gateway's budget until the request ends; it
 // returns false when the budget is exhausted.
 func (q *request) reserveBuffer(bytes int64) bool {
-	if !q.gateway.bodies.Take(bytes) {
+	if !q.gateway.bodies.TryReserve(bytes) {
 		return false
 	}
 	q.bufferedBytes += bytes
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -98,7 +98,7 @@
 
 func (d *dispatcher) send(update attemptUpdate) {
 	select {
-	case d.updates.In() <- update:
+	case d.updates.Input() <- update:
 	case <-d.stopped:
 	}
 }
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -48,8 +48,8 @@
 	View() *follower.View
 	// Changed returns a channel that is closed when a newer view exists.
 	Changed() <-chan struct{}
-	// Ruling reports whether this node holds a valid lease to decide by its view.
-	Ruling() bool
+	// HasAuthority reports whether this node holds a valid lease to decide by its view.
+	HasAuthority() bool
 	// FleetNow returns the fleet's time.
 	FleetNow() time.Time
 }
@@ -72,7 +72,7 @@
 	dispatcher *dispatcher
 	health     *serverHealth
 	metrics    *metrics
-	bodies     *stage.Budget
+	bodies     *stage.ByteBudget
 
 	hadAuthority atomic.Bool // has had authority since the start
 	draining     atomic.Bool // not ready any more
@@ -109,7 +109,7 @@
 		clock:    clock,
 		log:      log,
 		metrics:  metrics,
-		bodies:   stage.NewBudget(config.MaxBufferedBytes),
+		bodies:   stage.NewByteBudget(config.MaxBufferedBytes),
 		started:  clock.Now(),
 	}
 	g.client = upstream.New(config.Upstream)
@@ -147,7 +147,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	err := server.Serve(listen.Bounded(listener, g.config.MaxConnections))
+	err := server.Serve(listen.LimitConnections(listener, g.config.MaxConnections))
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -31,10 +31,10 @@
 // testDialect is a dialect with short names.
 type testDialect struct{}
 
-func (testDialect) Read(r *http.Request) (port.Call, *apierror.Error) {
-	call := port.Call{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), LastEventID: r.Header.Get("Last")}
+func (testDialect) ReadRequest(r *http.Request) (port.ClientRequest, *apierror.Error) {
+	call := port.ClientRequest{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), LastEventID: r.Header.Get("Last")}
 	if _, err := fmt.Sscan(r.Header.Get("Tokens"), &call.TokensIn); err == nil {
-		call.Sized = true
+		call.DeclaresTokens = true
 	}
 	var ms int
 	if _, err := fmt.Sscan(r.Header.Get("Left"), &ms); err == nil {
@@ -43,18 +43,18 @@
 	return call, nil
 }
 
-func (testDialect) Dress(header http.Header, sending port.Sending) {
+func (testDialect) SetAttemptHeaders(header http.Header, sending port.AttemptMetadata) {
 	header.Del("Key")
 	header.Set("Tenant", sending.Tenant)
 	header.Set("To", sending.Server)
 	header.Set("Last", sending.LastEventID)
 }
 
-func (testDialect) Said(status int, header http.Header) port.Said {
-	return port.Said{RequestID: header.Get("Id"), NotExecuted: header.Get("Not-Run") != "", Elsewhere: status == http.StatusMisdirectedRequest}
+func (testDialect) ReadResponse(status int, header http.Header) port.ResponseMetadata {
+	return port.ResponseMetadata{RequestID: header.Get("Id"), NotExecuted: header.Get("Not-Run") != "", WrongServer: status == http.StatusMisdirectedRequest}
 }
 
-func (testDialect) Refuse(w http.ResponseWriter, id string, apiErr *apierror.Error) {
+func (testDialect) WriteError(w http.ResponseWriter, id string, apiErr *apierror.Error) {
 	apierror.WriteError(w, apiErr, id)
 }
 
@@ -66,7 +66,7 @@
 
 func (v *testViews) View() *follower.View     { return v.view.Load() }
 func (v *testViews) Changed() <-chan struct{} { return *v.changed.Load() }
-func (v *testViews) Ruling() bool             { return v.ruling.Load() }
+func (v *testViews) HasAuthority() bool       { return v.ruling.Load() }
 func (v *testViews) FleetNow() time.Time      { return time.Now() }
 
 func (v *testViews) publish(change func(*follower.View)) {
@@ -519,7 +519,7 @@
 		route := &sheet.NamedRoute{Route: sheet.Route{Splits: []sheet.Split{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}}
 		counts := map[string]int{}
 		for i := range 5000 {
-			q := &request{admission: admission{route: route}, call: port.Call{ID: fmt.Sprintf("%016x", i*2654435761)}}
+			q := &request{admission: admission{route: route}, call: port.ClientRequest{ID: fmt.Sprintf("%016x", i*2654435761)}}
 			counts[q.selectService()]++
 		}
 		So(counts["b"], ShouldBeBetween, 420, 580)
--- a/internal/node/gateway/headers.go
+++ b/internal/node/gateway/headers.go
@@ -55,10 +55,10 @@
 func (q *request) upstreamRequest(server upstream.Server, lastEventID string) *upstream.Request {
 	header := q.http.Header.Clone()
 	dropHopHeaders(header)
-	q.gateway.dialect.Dress(header, port.Sending{
+	q.gateway.dialect.SetAttemptHeaders(header, port.AttemptMetadata{
 		Server:      server.Name,
 		Tenant:      q.tenant,
-		Left:        q.deadline.Sub(q.gateway.clock.Now()),
+		TimeLeft:    q.deadline.Sub(q.gateway.clock.Now()),
 		Priority:    q.selection.Urgency,
 		LastEventID: lastEventID,
 	})
@@ -70,7 +70,7 @@
 		Header: header,
 		Body:   q.body,
 		Matches: func(status int, header http.Header) bool {
-			return q.gateway.dialect.Said(status, header).RequestID == requestID
+			return q.gateway.dialect.ReadResponse(status, header).RequestID == requestID
 		},
 	}
 }
--- a/internal/node/gateway/queue.go
+++ b/internal/node/gateway/queue.go
@@ -39,7 +39,7 @@
 // assign waits until the request is assigned a server or is refused one.
 func (d *dispatcher) assign(ctx context.Context, request balance.Request, first bool) assignment {
 	submitted := &assignmentRequest{request: request, first: first, assigned: make(chan assignment, 1)}
-	if !d.submissions.Offer(submitted) {
+	if !d.submissions.TryPut(submitted) {
 		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", submissionsBound)
 		return assignment{apiErr: apiErr.WithRetryAfter(queueFullRetryAfter)}
 	}
--- a/internal/node/gateway/quota.go
+++ b/internal/node/gateway/quota.go
@@ -77,7 +77,7 @@
 // tokens returns the size at which the request is charged.
 func (q *request) tokens() float64 {
 	switch {
-	case q.call.Sized:
+	case q.call.DeclaresTokens:
 		return q.call.Tokens()
 	case q.tenantTerms.PlainTokens > 0:
 		return q.tenantTerms.PlainTokens
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -20,7 +20,7 @@
 	gateway *Gateway
 	writer  http.ResponseWriter
 	http    *http.Request
-	call    port.Call
+	call    port.ClientRequest
 	arrived time.Time
 
 	admission
@@ -47,7 +47,7 @@
 	g.inFlight.Add(1)
 	g.metrics.inFlight.Inc()
 	defer func() {
-		g.bodies.Give(q.bufferedBytes)
+		g.bodies.Release(q.bufferedBytes)
 		g.metrics.inFlight.Dec()
 		g.inFlight.Add(-1)
 	}()
@@ -85,5 +85,5 @@
 	}
 	q.gateway.log.Emit(events.RequestRefused, "request", q.call.ID, "service", q.service, "tenant", q.tenant,
 		"code", uint32(apiErr.Code), "detail", apiErr.Detail)
-	q.gateway.dialect.Refuse(q.writer, q.call.ID, apiErr)
+	q.gateway.dialect.WriteError(q.writer, q.call.ID, apiErr)
 }
--- a/internal/node/gateway/selection.go
+++ b/internal/node/gateway/selection.go
@@ -84,7 +84,7 @@
 // sharedPrefix returns the digest and the tokens of the prefix that a prompt shares
 // with others: all parts but the last, which belongs to the request or its session
 // alone; a prompt of one part shares that.
-func sharedPrefix(parts []port.Part) (digest uint64, tokens float64) {
+func sharedPrefix(parts []port.PromptPart) (digest uint64, tokens float64) {
 	if len(parts) > 1 {
 		parts = parts[:len(parts)-1]
 	}
