--- /dev/null
+++ b/internal/decision/balance/fixture_test.go
@@ -0,0 +1,47 @@
+package balance
+
+import (
+	"fmt"
+	"time"
+
+	"stepwick/internal/decision/sheet"
+	"stepwick/internal/decision/statemachine"
+	"stepwick/internal/wire"
+)
+
+var start = time.Unix(1_000_000, 0)
+
+func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+
+// newTestView returns a view of n servers of the service pool, alternating between two regions.
+func newTestView(n int, service sheet.Service, fronts ...string) View {
+	service.Kind = sheet.KindHTTP
+	view := View{State: statemachine.State{Version: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{"pool": service}}},
+		Servers: map[string]*wire.ServerStatus{}, Fronts: fronts, FleetNow: start}
+	for i := range n {
+		name := fmt.Sprintf("s%d", i)
+		view.Servers[name] = &wire.ServerStatus{Name: name, Address: "10.0.0.1:80", Services: []string{"pool"}, Reachable: true,
+			State: wire.ServerState_SERVER_STATE_READY, Region: []string{"north", "south"}[i%2], Zone: "z"}
+	}
+	return view
+}
+
+func newTestTable(view View, config Config) *Table {
+	if config.Self == "" {
+		config.Self = "f0"
+	}
+	config.Region, config.Zone = "north", "z"
+	t := New(config)
+	t.Update(view, start)
+	return t
+}
+
+// newTestRequest returns a request of 500 tokens of its own, beside 5000 of a shared prompt
+// where it has one.
+func newTestRequest(id string, shared uint64) *Request {
+	request := &Request{ID: id, Service: "pool", Affinity: shared, OwnTokens: 500, QueueUntil: at(1000)}
+	if shared != 0 {
+		request.SharedTokens = 5000
+	}
+	return request
+}
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -134,7 +134,7 @@
 		case <-retryQueue:
 			d.assignQueued()
 		case <-suspicion.C():
-			d.checkSilences()
+			d.checkStalled()
 		}
 		stop()
 	}
--- a/internal/node/gateway/passive_health.go
+++ b/internal/node/gateway/passive_health.go
@@ -20,7 +20,7 @@
 type passiveHealth struct {
 	// unreachable are the servers that the newest view has as unreachable.
 	unreachable []string
-	// suspected are the servers that were found silent, with how long they were.
+	// suspected are the servers that stall, with their levels.
 	suspected map[string]balance.StallLevel
 }
 
@@ -33,20 +33,20 @@
 	}
 }
 
-// checkSilences reports servers that have become silent on what this node sent
+// checkStalled reports servers that have stopped to respond to what this node sent
 // them, those that respond to it again, and those that are reported as unreachable
 // by others and have recently responded to this node.
-func (d *dispatcher) checkSilences() {
+func (d *dispatcher) checkStalled() {
 	if d.disabled[balance.UnresponsiveReports] {
 		return
 	}
 	now := d.clock.Now()
-	silent := d.table.StalledServers(now)
-	for name, server := range silent {
+	stalled := d.table.StalledServers(now)
+	for name, server := range stalled {
 		d.suspect(upstream.Server{Name: name, Address: server.Address}, server.Level)
 	}
 	for name := range d.suspected {
-		if _, still := silent[name]; still {
+		if _, still := stalled[name]; still {
 			continue
 		}
 		delete(d.suspected, name)
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, name := range d.unreachable {
-		if _, still := silent[name]; !still && d.respondedRecently(name, now) {
+		if _, still := stalled[name]; !still && d.respondedRecently(name, now) {
 			d.health.report(upstream.Server{Name: name}, true)
 		}
 	}
@@ -65,25 +65,25 @@
 	return d.table.RespondedSince(server, now.Add(-recentResponse))
 }
 
-// suspect acts once on each longer silence of a server: it has the server probed,
-// and reports one that is mute. Without probes it reports one that hangs.
-func (d *dispatcher) suspect(server upstream.Server, silence balance.StallLevel) {
+// suspect acts once on each higher stall level of a server: it has the server probed,
+// and reports one that is unresponsive. Without probes it reports one that stalls.
+func (d *dispatcher) suspect(server upstream.Server, level balance.StallLevel) {
 	previous := d.suspected[server.Name]
-	if silence <= previous {
+	if level <= previous {
 		return
 	}
 	probes := !d.disabled[balance.ProbeBeforeReport]
 	switch {
-	case silence == balance.Unresponsive, !probes && silence == balance.Stalled && previous < balance.Stalled:
+	case level == balance.Unresponsive, !probes && level == balance.Stalled && previous < balance.Stalled:
 		d.health.report(server, false)
 	case probes && previous == balance.NotStalled:
 		d.health.suspect(server)
 	}
-	d.suspected[server.Name] = silence
+	d.suspected[server.Name] = level
 }
 
 // serverUnacknowledged ejects a server whose machine stopped to acknowledge, and
-// reports it unless its silence has been reported already.
+// reports it unless it has been reported as such already.
 func (d *dispatcher) serverUnacknowledged(server string, now time.Time) {
 	d.table.ServerUnacknowledged(server, now)
 	d.closeIdleConnections(server)
--- a/internal/node/gateway/selection.go
+++ b/internal/node/gateway/selection.go
@@ -15,7 +15,7 @@
 const (
 	// maxUrgency is the least urgent of the ten urgencies that servers know.
 	maxUrgency = 9
-	// urgenciesPerTenantPriority is how many route priorities are told apart within
+	// urgenciesPerTenantPriority is how many route priorities are distinguished within
 	// a priority of tenants.
 	urgenciesPerTenantPriority = 3
 	// A request waits for a server's capacity for at most the part
