--- a/internal/node/build_traffic.go
+++ b/internal/node/build_traffic.go
@@ -88,36 +88,36 @@
 
 // newGateway returns the gateway for requests by routes, which a platform needs.
 func (p *process) newGateway(registry *prometheus.Registry) (*gateway.Gateway, error) {
-	off, err := balance.ParseOff(p.values.Strings("balance.off"))
+	off, err := balance.ParseDisabled(p.values.Strings("balance.off"))
 	if err != nil {
 		return nil, err
 	}
 	return gateway.New(gateway.Config{
 		Balance: balance.Config{
-			Self:        p.identity.Name,
-			Region:      p.identity.Region,
-			Zone:        p.identity.Zone,
-			RetryRatio:  p.values.Float("retry.budget"),
-			RetryWindow: p.values.Duration("retry.window"),
-			RetrySlack:  p.values.Float("retry.slack"),
-			ColdOverage: p.values.Float("cold.overage"),
-			ColdSlack:   p.values.Float("cold.slack"),
-			Off:         off,
+			Self:             p.identity.Name,
+			Region:           p.identity.Region,
+			Zone:             p.identity.Zone,
+			RetryRatio:       p.values.Float("retry.budget"),
+			RetryWindow:      p.values.Duration("retry.window"),
+			RetrySlack:       p.values.Float("retry.slack"),
+			SlowStartOverage: p.values.Float("cold.overage"),
+			SlowStartSlack:   p.values.Float("cold.slack"),
+			Disabled:         off,
 		},
 		Upstream: upstream.Config{
 			Dial:           p.environment.serverDial(),
 			ConnectTimeout: p.values.Duration("connect.timeout"),
 		},
-		BodyMax:       int64(p.values.Int("body.max")),
-		HeaderMax:     p.values.Int("header.max"),
-		HeaderTimeout: p.values.Duration("body.timeout"),
-		BodyTimeout:   p.values.Duration("body.timeout"),
-		Connections:   p.values.Int("listen.connections"),
-		PlainTokens:   p.values.Float("plain_tokens"),
-		DeadlineMost:  p.values.Duration("deadline.max"),
-		Quota: gateway.Quota{
-			Part:    p.values.Float("tally.part"),
-			Reserve: p.values.Float("tally.reserve"),
+		MaxBodyBytes:   int64(p.values.Int("body.max")),
+		MaxHeaderBytes: p.values.Int("header.max"),
+		HeaderTimeout:  p.values.Duration("body.timeout"),
+		BodyTimeout:    p.values.Duration("body.timeout"),
+		MaxConnections: p.values.Int("listen.connections"),
+		DefaultTokens:  p.values.Float("plain_tokens"),
+		MaxDeadline:    p.values.Duration("deadline.max"),
+		Quota: gateway.QuotaPolicy{
+			Fraction:       p.values.Float("tally.part"),
+			ReservePerStep: p.values.Float("tally.reserve"),
 		},
 		// The checker is built after the gateway.
 		Observe: func(ctx context.Context, server string, reachable bool) {
