--- /dev/null
+++ b/internal/adapter/clientapi/body.go
@@ -0,0 +1,88 @@
+package clientapi
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"stepwick/internal/apierror"
+)
+
+// budgetedBody reads a body and reserves the bytes in the budget of all bodies.
+type budgetedBody struct {
+	io.Reader
+	exchange *exchange
+}
+
+// Read reserves bytes as they arrive, not as the header announces them.
+func (b budgetedBody) Read(buffer []byte) (int, error) {
+	count, err := b.Reader.Read(buffer)
+	if apiErr := b.exchange.reserve(count); apiErr != nil {
+		return 0, apiErr
+	}
+	return count, err
+}
+
+// reserve takes bytes from the budget of all bodies. ServeHTTP releases them when
+// the exchange ends.
+func (x *exchange) reserve(bytes int) *apierror.Error {
+	if !x.api.bodyBudget.TryReserve(int64(bytes)) {
+		return x.errBodiesFull()
+	}
+	x.reservedBytes += int64(bytes)
+	return nil
+}
+
+func (x *exchange) errBodiesFull() *apierror.Error {
+	return apierror.Errorf(apierror.QueueFull, "the bodies that the node holds are at their bound of %d bytes", x.limits.BodiesMax).WithRetryAfter(defaultRetryAfter)
+}
+
+// readBody reads the complete body of the request, within the limits.
+func (x *exchange) readBody() ([]byte, *apierror.Error) {
+	body, apiErr := x.readLimitedBody()
+	x.bodyRead = apiErr == nil
+	return body, apiErr
+}
+
+func (x *exchange) readLimitedBody() ([]byte, *apierror.Error) {
+	source := x.request.Body
+	if source == nil || source == http.NoBody {
+		return nil, nil
+	}
+	if x.request.ContentLength > x.limits.BodyMax {
+		return nil, x.errBodyTooLarge()
+	}
+	if x.request.ContentLength > x.api.bodyBudget.Available() {
+		return nil, x.errBodiesFull()
+	}
+	limited := http.MaxBytesReader(x.writer, source, x.limits.BodyMax)
+	body, err := io.ReadAll(budgetedBody{Reader: limited, exchange: x})
+	if err != nil {
+		return nil, x.bodyError(err)
+	}
+	err = http.NewResponseController(x.writer).SetReadDeadline(time.Time{})
+	return body, apierror.From(errors.Wrap(err, "lift the body's bound of time"))
+}
+
+// bodyError converts an error of reading the body to the code that callers get.
+func (x *exchange) bodyError(err error) *apierror.Error {
+	var apiErr *apierror.Error
+	var tooLarge *http.MaxBytesError
+	var network net.Error
+	switch {
+	case errors.As(err, &apiErr):
+		return apiErr
+	case errors.As(err, &tooLarge):
+		return x.errBodyTooLarge()
+	case errors.As(err, &network) && network.Timeout():
+		return apierror.Errorf(apierror.SlowBody, "the body did not arrive within %s", x.limits.BodyTimeout)
+	}
+	return apierror.Errorf(apierror.BadJSON, "the body is not whole")
+}
+
+func (x *exchange) errBodyTooLarge() *apierror.Error {
+	return apierror.Errorf(apierror.BodyTooLarge, "a body has at most %d bytes", x.limits.BodyMax)
+}
--- /dev/null
+++ b/internal/adapter/clientapi/limits.go
@@ -0,0 +1,49 @@
+package clientapi
+
+import (
+	"time"
+
+	"stepwick/internal/clock"
+)
+
+// Limits bounds what one caller can cost. Zero values take the defaults named.
+type Limits struct {
+	BodyMax         int64         // bytes; default 1 MiB
+	BodiesMax       int64         // bytes of all bodies in memory at once; default 64 MiB, at least four bodies
+	HeaderMax       int           // bytes of all header fields together; default 16 KiB
+	BodyTimeout     time.Duration // for a complete body; default 5s
+	HeaderTimeout   time.Duration // for a complete header; default 5s
+	IdleTimeout     time.Duration // of a kept-alive connection; default 60s
+	WriteTimeout    time.Duration // for a caller to receive one event or one answer; default 5s
+	DeadlineMax     time.Duration // the longest that a caller may request; default 120s
+	DeadlineDefault time.Duration // of a request that names none; default 30s
+	Connections     int           // open at once; default 4096
+	Requests        int           // being served at once; default 1024
+	TokensMax       float64       // of one prompt; default 1,000,000
+}
+
+func (l Limits) withDefaults() Limits {
+	setDefault(&l.BodyMax, 1<<20)
+	setDefault(&l.BodiesMax, max(64<<20, 4*l.BodyMax))
+	setDefault(&l.HeaderMax, 16<<10)
+	setDefault(&l.BodyTimeout, 5*time.Second)
+	setDefault(&l.HeaderTimeout, 5*time.Second)
+	setDefault(&l.IdleTimeout, time.Minute)
+	setDefault(&l.WriteTimeout, 5*time.Second)
+	setDefault(&l.DeadlineMax, 120*time.Second)
+	setDefault(&l.DeadlineDefault, 30*time.Second)
+	setDefault(&l.Connections, 4096)
+	setDefault(&l.Requests, 1024)
+	setDefault(&l.TokensMax, 1e6)
+	return l
+}
+
+func setDefault[T int | int64 | float64 | time.Duration](value *T, fallback T) {
+	if *value <= 0 {
+		*value = fallback
+	}
+}
+
+// deadlineAfter returns a deadline for a connection. It is by the system clock,
+// which connections use even where the node's clock is stepped.
+func deadlineAfter(timeout time.Duration) time.Time { return clock.System().Now().Add(timeout) }
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -114,7 +114,7 @@
 	return map[string]any{
 		"error":       body,
 		"error least": apierror.Errorf(apierror.OperatorUnknown, "").Body(""),
-		"connect":     clientapi.Nearest{RequestID: "r-1", Service: "chat", Region: "lagos", Nodes: []clientapi.Node{{Name: "n1", Address: coreAddress, Region: "lagos", Zone: "a"}}},
+		"connect":     clientapi.NearestNodes{RequestID: "r-1", Service: "chat", Region: "lagos", Nodes: []clientapi.Node{{Name: "n1", Address: coreAddress, Region: "lagos", Zone: "a"}}},
 		"plan":        plan,
 		"tally": []quota.TenantView{{Tenant: "press", Limit: 12000, Blend: 5200.5, Recent: 5100, Own: 700, Share: 900, Reserved: 1,
 			Marked: true, Holder: "n1", Age: 120 * time.Millisecond}},
--- a/internal/node/front/connect.go
+++ b/internal/node/front/connect.go
@@ -37,7 +37,7 @@
 // first, then of its region, then all others; evacuated ones last. The order of
 // equally near nodes differs from request to request. A service that the sheet
 // does not name is rejected as UnknownService.
-func (f *Front) Connect(_ context.Context, request *clientapi.Connect) (*clientapi.Nearest, *apierror.Error) {
+func (f *Front) Connect(_ context.Context, request *clientapi.Connect) (*clientapi.NearestNodes, *apierror.Error) {
 	view := f.views.View()
 	if request.Service != "" && view.State.Sheet != nil {
 		if _, known := view.State.Sheet.Services[request.Service]; !known {
@@ -58,7 +58,7 @@
 		})
 	}
 	slices.SortFunc(ranked, compareRanked)
-	nearest := &clientapi.Nearest{
+	nearest := &clientapi.NearestNodes{
 		RequestID: request.ID,
 		Service:   request.Service,
 		Region:    region,
--- a/internal/node/front/explain_test.go
+++ b/internal/node/front/explain_test.go
@@ -34,7 +34,7 @@
 				caller := f.connect()
 				defer func() { _ = caller.conn.Close() }()
 				caller.send("GET", target, "r1", "", "")
-				var nearest clientapi.Nearest
+				var nearest clientapi.NearestNodes
 				if err := json.Unmarshal([]byte(caller.readResponse().body), &nearest); err != nil {
 					f.t.Fatal(err)
 				}
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -230,7 +230,7 @@
 		_ = server.Shutdown(shutdownCtx)
 		_ = server.Close()
 	})
-	err := server.Serve(f.api.Bounded(listener))
+	err := server.Serve(f.api.LimitConnections(listener))
 	if !stop() {
 		<-closed
 		return ctx.Err()
--- a/internal/node/front/runtime_settings.go
+++ b/internal/node/front/runtime_settings.go
@@ -33,7 +33,7 @@
 	f.appliedSettings = map[string]string{}
 	maps.Copy(f.appliedSettings, newSheet.Settings)
 	settings := f.config.ReadRuntimeSettings(newSheet.Settings)
-	f.api.Tune(settings.DeadlineMax, settings.DeadlineDefault)
+	f.api.SetDeadlines(settings.DeadlineMax, settings.DeadlineDefault)
 	if settings.Route != nil {
 		table.Tune(*settings.Route)
 	}
