--- a/internal/adapter/backend/backend.go
+++ b/internal/adapter/backend/backend.go
@@ -1,49 +1,57 @@
 // Package backend is the client of model servers and web servers.
 //
-// Each attempt has a connection of its own, which is closed when the attempt
-// ends. net/http's Transport sends a request again by itself only on a
-// connection that was kept alive, so here it never does, and no answer can be
-// another request's leftover.
+// Invariants: a request is sent at most once. Each attempt has a connection of its
+// own, which is closed when the attempt ends: net/http's Transport sends a request
+// again by itself only on a connection that was kept alive, so here it never does,
+// and no answer can be left over from another request. A Failure reports whether
+// the server may have received anything of the request.
+//
+// The package chooses no server and retries nothing; that is the front's concern.
 package backend
 
 import (
+	"bytes"
 	"context"
+	"io"
 	"net"
 	"net/http"
-	"sync/atomic"
+	"net/url"
+	"strconv"
 	"time"
 
-	"stepwick/internal/apierror"
-
 	"github.com/pkg/errors"
-)
 
-// HeaderRequestID carries the request's id to a server, which echoes it.
-const HeaderRequestID = "Stepwick-Request-Id"
+	"stepwick/internal/apierror"
+)
 
-// HeaderDeadline carries what is left of the deadline, in milliseconds.
-const HeaderDeadline = "Stepwick-Deadline-Ms"
+const (
+	// HeaderRequestID carries the request's id to a server, which echoes it.
+	HeaderRequestID = "Stepwick-Request-Id"
+	// HeaderDeadline carries the remaining time to the deadline, in milliseconds.
+	HeaderDeadline = "Stepwick-Deadline-Ms"
+)
 
-// Config holds a client's bounds. Zero values take the defaults named.
+// Config holds a client's limits. Zero values take the defaults named.
 type Config struct {
-	Bind           string        // source address of dials; "" for any
-	ConnectTimeout time.Duration // default 1s
-	FirstEvent     time.Duration // until a stream's first event; default 10s
-	EventGap       time.Duration // between two events; default 5s
-	HeaderMax      int64         // bytes; default 32 KiB
-	BodyMax        int64         // bytes of a whole answer; default 4 MiB
-	EventMax       int           // bytes of one event; default 64 KiB
-
-	Dial func(ctx context.Context, network, address string) (net.Conn, error) // nil dials from Bind
+	Bind              string        // source address of connections; "" for any
+	ConnectTimeout    time.Duration // default 1s
+	FirstEventTimeout time.Duration // from the send of a prompt to its first event; default 10s
+	EventGapTimeout   time.Duration // between two events; default 5s
+	HeaderMax         int64         // bytes; default 32 KiB
+	BodyMax           int64         // bytes of a complete answer; default 4 MiB
+	EventMax          int           // bytes of one event; default 64 KiB
+
+	// Dial opens a connection; nil dials TCP from Bind.
+	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 func (c Config) withDefaults() (Config, error) {
-	or(&c.ConnectTimeout, time.Second)
-	or(&c.FirstEvent, 10*time.Second)
-	or(&c.EventGap, 5*time.Second)
-	or(&c.HeaderMax, 32<<10)
-	or(&c.BodyMax, 4<<20)
-	or(&c.EventMax, 64<<10)
+	setDefault(&c.ConnectTimeout, time.Second)
+	setDefault(&c.FirstEventTimeout, 10*time.Second)
+	setDefault(&c.EventGapTimeout, 5*time.Second)
+	setDefault(&c.HeaderMax, 32<<10)
+	setDefault(&c.BodyMax, 4<<20)
+	setDefault(&c.EventMax, 64<<10)
 	if c.Dial != nil {
 		return c, nil
 	}
@@ -59,77 +67,49 @@
 	return c, nil
 }
 
-func or[T int | int64 | time.Duration](value *T, fallback T) {
+func setDefault[T int | int64 | time.Duration](value *T, fallback T) {
 	if *value <= 0 {
 		*value = fallback
 	}
 }
 
-// Kind tells what became of an attempt that gave no whole answer.
-type Kind string
-
-// Kinds of failures.
-const (
-	Unsent    Kind = "unsent"    // nothing was written and nothing will be
-	Refused   Kind = "refused"   // unsent, because the server refused the connection
-	Barred    Kind = "barred"    // unsent, because the request may no longer be sent
-	Withdrawn Kind = "withdrawn" // unsent, because the caller or the front gave the request up
-	Busy      Kind = "busy"      // the server said that it did not start
-	Dark      Kind = "dark"      // written; the server was silent for too long
-	Broken    Kind = "broken"    // written; the connection ended early
-	Short     Kind = "short"     // written; the answer's body is not whole
-	Crossed   Kind = "crossed"   // the answer is another request's or breaks the protocol
-	Amiss     Kind = "amiss"     // an event is missing or came twice, or the count is wrong
-	Gone      Kind = "gone"      // written; the caller or the front gave the request up
-)
-
-// Failure is what became of an attempt that gave no whole answer.
-type Failure struct {
-	Kind   Kind
-	Detail string
-	Cause  *apierror.Error // why the request was barred or given up, where known
-}
-
-func (f *Failure) Error() string { return string(f.Kind) + ": " + f.Detail }
-
-// Unsent tells that the server has got nothing of the request and never will.
-func (f *Failure) Unsent() bool {
-	return f.Kind == Unsent || f.Kind == Refused || f.Kind == Barred || f.Kind == Withdrawn
-}
-
 // Attempt is one request sent to one server.
 type Attempt struct {
-	ID       string
+	ID       string // request id
 	Server   string
 	Address  string // ip:port
 	Deadline time.Time
-	Now      func() time.Time
-	Allow    func() *apierror.Error // asked at the moment of the first write; may be nil
-
-	FirstEvent time.Duration // until a stream's first event, where shorter than the client's bound; 0 for that
+	// Now returns the time by the clock that Deadline is by.
+	Now func() time.Time
+	// Allow returns nil if the request may be sent, or why not. It is called just
+	// before the first write, on another goroutine; may be nil.
+	Allow func() *apierror.Error
+	// FirstEventTimeout replaces the client's where it is shorter; 0 for the
+	// client's.
+	FirstEventTimeout time.Duration
 }
 
-// Client speaks to servers.
+// Client sends requests to servers.
 type Client struct {
 	config    Config
 	transport *http.Transport
 }
 
-// New returns a client.
+// New returns a client. The error is that of a malformed bind address.
 func New(config Config) (*Client, error) {
 	config, err := config.withDefaults()
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{config: config}
-	c.transport = &http.Transport{
-		DialContext:            c.dial,
+	client := &Client{config: config}
+	client.transport = &http.Transport{
+		DialContext:            client.dial,
 		DisableKeepAlives:      true,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: config.HeaderMax,
 		Protocols:              http1(),
 	}
-	return c, nil
+	return client, nil
 }
 
 func http1() *http.Protocols {
@@ -138,8 +118,9 @@
 	return protocols
 }
 
+// dial opens the connection of the attempt whose guard the context carries.
 func (c *Client) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	record, ok := ctx.Value(ledgerKey{}).(*ledger)
+	guard, ok := ctx.Value(sendGuardKey{}).(*sendGuard)
 	if !ok {
 		return nil, errors.New("a dial without an attempt")
 	}
@@ -149,105 +130,55 @@
 	if err != nil {
 		return nil, err
 	}
-	return &recordedConn{Conn: conn, ledger: record}, nil
+	return &guardedConn{Conn: conn, guard: guard}, nil
 }
 
-type ledgerKey struct{}
-
-const (
-	open uint32 = iota
-	written
-	sealed
-)
-
-// ledger knows whether anything of an attempt's request was handed to its
-// connection. Once sealed, nothing ever will be, however late a dial ends or
-// a writer wakes.
-type ledger struct {
-	state  atomic.Uint32
-	allow  func() *apierror.Error
-	barred atomic.Pointer[apierror.Error]
+// outgoing is the content of a request to a server.
+type outgoing struct {
+	method string
+	target *url.URL
+	header http.Header // may be nil
+	body   []byte
 }
 
-func (l *ledger) mayWrite() bool {
-	if state := l.state.Load(); state != open {
-		return state == written
+// send sends a request and returns the response once its header has arrived. The
+// caller closes its body.
+func (c *Client) send(ctx context.Context, attempt *Attempt, content outgoing) (*http.Response, *sendGuard, *Failure) {
+	guard := attempt.newSendGuard()
+	remaining := attempt.Deadline.Sub(attempt.Now())
+	if remaining <= 0 {
+		return nil, guard, &Failure{Kind: CancelledBeforeSend, Detail: "the deadline passed"}
 	}
-	if apiErr := l.asked(); apiErr != nil {
-		l.barred.Store(apiErr)
-		l.state.CompareAndSwap(open, sealed)
-		return false
+	guardedCtx := context.WithValue(ctx, sendGuardKey{}, guard)
+	response, err := c.transport.RoundTrip(content.request(guardedCtx, attempt, remaining))
+	if err != nil {
+		return nil, guard, guard.failure(ctx, err)
 	}
-	return l.state.CompareAndSwap(open, written)
-}
-
-// asked runs on a goroutine of the transport's, where a panic would end the
-// process.
-func (l *ledger) asked() (apiErr *apierror.Error) {
-	defer func() {
-		if panicked := recover(); panicked != nil {
-			apiErr = apierror.Errorf(apierror.Internal, "a panic before the request was sent: %v", panicked)
-		}
-	}()
-	return l.allow()
-}
-
-func (l *ledger) seal() (unsent bool) {
-	l.state.CompareAndSwap(open, sealed)
-	return l.state.Load() == sealed
-}
-
-type recordedConn struct {
-	net.Conn
-	ledger *ledger
-}
-
-var errBarred = errors.New("the request may no longer be sent")
-
-func (c *recordedConn) Write(data []byte) (int, error) {
-	if !c.ledger.mayWrite() {
-		return 0, errBarred
+	return response, guard, nil
+}
+
+func (o outgoing) request(ctx context.Context, attempt *Attempt, remaining time.Duration) *http.Request {
+	request := &http.Request{
+		Method:     o.method,
+		URL:        o.target,
+		Host:       attempt.Address,
+		Header:     o.header.Clone(),
+		Proto:      "HTTP/1.1",
+		ProtoMajor: 1,
+		ProtoMinor: 1,
 	}
-	return c.Conn.Write(data)
-}
-
-func (a *Attempt) ledger() *ledger {
-	return &ledger{allow: func() *apierror.Error {
-		if !a.Now().Before(a.Deadline) {
-			return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed before the request was sent")
-		}
-		if a.Allow != nil {
-			return a.Allow()
-		}
-		return nil
-	}}
-}
-
-func (l *ledger) failure(ctx context.Context, err error) *Failure {
-	if l.seal() {
-		if apiErr := l.barred.Load(); apiErr != nil {
-			return &Failure{Kind: Barred, Detail: apiErr.Detail, Cause: apiErr}
-		}
-		if ctx.Err() != nil {
-			return &Failure{Kind: Withdrawn, Detail: cause(ctx, err)}
-		}
-		if refused(err) {
-			return &Failure{Kind: Refused, Detail: "the server refused the connection"}
-		}
-		return &Failure{Kind: Unsent, Detail: cause(ctx, err)}
+	if request.Header == nil {
+		request.Header = http.Header{}
 	}
-	if ctx.Err() != nil {
-		return &Failure{Kind: Gone, Detail: cause(ctx, err)}
+	if len(o.body) > 0 {
+		request.Body = io.NopCloser(bytes.NewReader(o.body))
+		request.ContentLength = int64(len(o.body))
 	}
-	return &Failure{Kind: Broken, Detail: cause(ctx, err)}
-}
-
-func cause(ctx context.Context, err error) string {
-	switch {
-	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return "the deadline passed"
-	case ctx.Err() != nil:
-		return "given up"
+	request.Header.Set(HeaderRequestID, attempt.ID)
+	request.Header.Set(HeaderDeadline, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
+	if request.Header.Get("User-Agent") == "" {
+		// A nil value keeps net/http from adding its own.
+		request.Header["User-Agent"] = nil
 	}
-	return err.Error()
+	return request.WithContext(ctx)
 }
--- a/internal/adapter/backend/backend_test.go
+++ b/internal/adapter/backend/backend_test.go
@@ -12,34 +12,35 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/pkg/errors"
 	. "github.com/smartystreets/goconvey/convey"
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/stage"
 )
 
-// standIn is a server on a raw listener. It counts the requests whose header
+// fakeServer is a server on a raw listener. It counts the requests whose header
 // has reached it, and hands each connection to behave.
-type standIn struct {
-	address string
-	conns   atomic.Int64
-	got     atomic.Int64
+type fakeServer struct {
+	address     string
+	connections atomic.Int64
+	requests    atomic.Int64
 }
 
-func newStandIn(t *testing.T, behave func(conn *net.TCPConn, request *http.Request)) *standIn {
+func newFakeServer(t *testing.T, behave func(conn *net.TCPConn, request *http.Request)) *fakeServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
-	s := &standIn{address: listener.Addr().String()}
+	t.Cleanup(func() { _ = listener.Close() })
+	s := &fakeServer{address: listener.Addr().String()}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.conns.Add(1)
+			s.connections.Add(1)
 			go func() {
 				defer func() { _ = conn.Close() }()
 				reader := bufio.NewReader(conn)
@@ -48,7 +49,7 @@
 					if err != nil {
 						return
 					}
-					s.got.Add(1)
+					s.requests.Add(1)
 					behave(conn.(*net.TCPConn), request)
 				}
 			}()
@@ -57,7 +58,7 @@
 	return s
 }
 
-func raw(text string) func(*net.TCPConn, *http.Request) {
+func rawAnswer(text string) func(*net.TCPConn, *http.Request) {
 	return func(conn *net.TCPConn, _ *http.Request) {
 		_, _ = fmt.Fprint(conn, strings.ReplaceAll(text, "\n", "\r\n"))
 		_ = conn.Close()
@@ -81,8 +82,8 @@
 	return client
 }
 
-func TestOneShotIsSentOnce(t *testing.T) {
-	shots := map[string]*Shot{
+func TestOneShotIsSentAtMostOnce(t *testing.T) {
+	shots := map[string]*OneShot{
 		"GET":  {Method: "GET", Path: "/map"},
 		"POST": {Method: "POST", Path: "/order", Body: []byte("{}")},
 		"PUT with an idempotency key": {Method: "PUT", Path: "/order", Body: []byte("{}"),
@@ -92,16 +93,16 @@
 		Convey("A "+name, t, func() {
 			client := newClient(t, Config{})
 			Convey("whose connection is reset after it was read has an unknown outcome and is not sent again", func() {
-				server := newStandIn(t, reset)
+				server := newFakeServer(t, reset)
 				_, failure := client.Call(context.Background(), attemptAt(server.address), shot)
-				So(failure.Kind, ShouldEqual, Broken)
-				So(failure.Unsent(), ShouldBeFalse)
-				So(server.got.Load(), ShouldEqual, 1)
-				So(server.conns.Load(), ShouldEqual, 1)
+				So(failure.Kind, ShouldEqual, ServerFailed)
+				So(failure.NotSent(), ShouldBeFalse)
+				So(server.requests.Load(), ShouldEqual, 1)
+				So(server.connections.Load(), ShouldEqual, 1)
 			})
 			Convey("is not put on a connection that the server kept alive and then reset", func() {
 				var served atomic.Int64
-				server := newStandIn(t, func(conn *net.TCPConn, request *http.Request) {
+				server := newFakeServer(t, func(conn *net.TCPConn, request *http.Request) {
 					if served.Add(1)%2 == 0 {
 						reset(conn, request)
 						return
@@ -112,26 +113,26 @@
 				So(failure, ShouldBeNil)
 				So(string(answer.Body), ShouldEqual, "ok")
 				_, failure = client.Call(context.Background(), attemptAt(server.address), shot)
-				So(failure.Unsent(), ShouldBeFalse)
-				So(server.got.Load(), ShouldEqual, 2)
-				So(server.conns.Load(), ShouldEqual, 2)
+				So(failure.NotSent(), ShouldBeFalse)
+				So(server.requests.Load(), ShouldEqual, 2)
+				So(server.connections.Load(), ShouldEqual, 2)
 			})
 			Convey("to a port where nobody listens is known not to have run", func() {
 				listener, _ := net.Listen("tcp", "127.0.0.1:0")
 				address := listener.Addr().String()
 				_ = listener.Close()
 				_, failure := client.Call(context.Background(), attemptAt(address), shot)
-				So(failure.Kind, ShouldEqual, Refused)
-				So(failure.Unsent(), ShouldBeTrue)
+				So(failure.Kind, ShouldEqual, ConnectionRefused)
+				So(failure.NotSent(), ShouldBeTrue)
 			})
 			Convey("that was barred meanwhile leaves the server without a byte", func() {
-				server := newStandIn(t, reset)
+				server := newFakeServer(t, reset)
 				attempt := attemptAt(server.address)
 				attempt.Allow = func() *apierror.Error { return apierror.Errorf(apierror.KeyRevoked, "revoked") }
 				_, failure := client.Call(context.Background(), attempt, shot)
-				So(failure.Kind, ShouldEqual, Barred)
+				So(failure.Kind, ShouldEqual, SendForbidden)
 				So(failure.Cause.Code, ShouldEqual, apierror.KeyRevoked)
-				So(server.got.Load(), ShouldEqual, 0)
+				So(server.requests.Load(), ShouldEqual, 0)
 			})
 		})
 	}
@@ -141,7 +142,7 @@
 	Convey("A dial that ends after its request was given up as not run writes nothing", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			server, near := net.Pipe()
-			client := newClient(t, Config{ConnectTimeout: time.Hour, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			client := newClient(t, Config{ConnectTimeout: time.Hour, Dial: func(context.Context, string, string) (net.Conn, error) {
 				<-time.After(10 * time.Second)
 				return near, nil
 			}})
@@ -155,8 +156,8 @@
 			attempt := attemptAt("server:1")
 			attempt.Deadline = time.Now().Add(time.Second)
 			began := time.Now()
-			_, failure := client.Call(ctx, attempt, &Shot{Method: "GET", Path: "/"})
-			if !failure.Unsent() || time.Since(began) != time.Second {
+			_, failure := client.Call(ctx, attempt, &OneShot{Method: "GET", Path: "/"})
+			if !failure.NotSent() || time.Since(began) != time.Second {
 				t.Errorf("got %v after %s", failure, time.Since(began))
 			}
 			if n := <-read; n != 0 {
@@ -166,93 +167,93 @@
 	})
 	Convey("Once sealed, the ledger lets nothing through; once written, it can't be sealed", t, func() {
 		attempt := attemptAt("")
-		sealedFirst, writtenFirst := attempt.ledger(), attempt.ledger()
-		So(sealedFirst.seal(), ShouldBeTrue)
-		So(sealedFirst.mayWrite(), ShouldBeFalse)
-		So(writtenFirst.mayWrite(), ShouldBeTrue)
-		So(writtenFirst.seal(), ShouldBeFalse)
-		So(writtenFirst.mayWrite(), ShouldBeTrue)
+		sealedFirst, writtenFirst := attempt.newSendGuard(), attempt.newSendGuard()
+		So(sealedFirst.prevent(), ShouldBeTrue)
+		So(sealedFirst.allowWrite(), ShouldBeFalse)
+		So(writtenFirst.allowWrite(), ShouldBeTrue)
+		So(writtenFirst.prevent(), ShouldBeFalse)
+		So(writtenFirst.allowWrite(), ShouldBeTrue)
 	})
 }
 
-func TestAnswersAreWhole(t *testing.T) {
+func TestAnswersAreComplete(t *testing.T) {
 	const id = "Stepwick-Request-Id: r1\n"
 	rows := []struct {
 		name, answer, method string
-		kind                 Kind
+		kind                 FailureKind
 	}{
 		{"a whole answer with its length", "HTTP/1.1 201 Made\n" + id + "Content-Length: 2\n\nok", "GET", ""},
 		{"a whole chunked answer", "HTTP/1.1 200 OK\n" + id + "Transfer-Encoding: chunked\n\n2\nok\n0\n\n", "GET", ""},
 		{"an interim answer first", "HTTP/1.1 103 Hints\n\nHTTP/1.1 200 OK\n" + id + "Content-Length: 2\n\nok", "GET", ""},
 		{"no body to a HEAD", "HTTP/1.1 200 OK\n" + id + "Content-Length: 200\n\n", "HEAD", ""},
 		{"no body by its status", "HTTP/1.1 204 None\n" + id + "\n", "GET", ""},
-		{"a body short of its length", "HTTP/1.1 200 OK\n" + id + "Content-Length: 9\n\nok", "GET", Short},
-		{"chunks without the last one", "HTTP/1.1 200 OK\n" + id + "Transfer-Encoding: chunked\n\n2\nok\n", "GET", Short},
-		{"a chunk cut short", "HTTP/1.1 200 OK\n" + id + "Transfer-Encoding: chunked\n\n9\nok", "GET", Short},
-		{"a body of no known length", "HTTP/1.1 200 OK\n" + id + "\nok", "GET", Short},
-		{"another request's id", "HTTP/1.1 200 OK\nStepwick-Request-Id: r2\nContent-Length: 2\n\nok", "GET", Crossed},
-		{"no id", "HTTP/1.1 200 OK\nContent-Length: 2\n\nok", "GET", Crossed},
-		{"a status that is none", "HTTP/1.1 777 What\n" + id + "Content-Length: 2\n\nok", "GET", Crossed},
-		{"a body over the bound", "HTTP/1.1 200 OK\n" + id + "Content-Length: 2000\n\n" + strings.Repeat("x", 2000), "GET", Crossed},
-		{"a header over the bound", "HTTP/1.1 200 OK\n" + id + "X: " + strings.Repeat("x", 9000) + "\nContent-Length: 2\n\nok", "GET", Broken},
-		{"no HTTP at all", "what?\n\n", "GET", Broken},
-		{"nothing", "", "GET", Broken},
+		{"a body short of its length", "HTTP/1.1 200 OK\n" + id + "Content-Length: 9\n\nok", "GET", Incomplete},
+		{"chunks without the last one", "HTTP/1.1 200 OK\n" + id + "Transfer-Encoding: chunked\n\n2\nok\n", "GET", Incomplete},
+		{"a chunk cut short", "HTTP/1.1 200 OK\n" + id + "Transfer-Encoding: chunked\n\n9\nok", "GET", Incomplete},
+		{"a body of no known length", "HTTP/1.1 200 OK\n" + id + "\nok", "GET", Incomplete},
+		{"another request's id", "HTTP/1.1 200 OK\nStepwick-Request-Id: r2\nContent-Length: 2\n\nok", "GET", ProtocolViolation},
+		{"no id", "HTTP/1.1 200 OK\nContent-Length: 2\n\nok", "GET", ProtocolViolation},
+		{"a status that is none", "HTTP/1.1 777 What\n" + id + "Content-Length: 2\n\nok", "GET", ProtocolViolation},
+		{"a body over the bound", "HTTP/1.1 200 OK\n" + id + "Content-Length: 2000\n\n" + strings.Repeat("x", 2000), "GET", ProtocolViolation},
+		{"a header over the bound", "HTTP/1.1 200 OK\n" + id + "X: " + strings.Repeat("x", 9000) + "\nContent-Length: 2\n\nok", "GET", ServerFailed},
+		{"no HTTP at all", "what?\n\n", "GET", ServerFailed},
+		{"nothing", "", "GET", ServerFailed},
 	}
 	for _, row := range rows {
 		Convey("An answer with "+row.name, t, func() {
-			server := newStandIn(t, raw(row.answer))
+			server := newFakeServer(t, rawAnswer(row.answer))
 			client := newClient(t, Config{BodyMax: 1000, HeaderMax: 4096})
-			answer, failure := client.Call(context.Background(), attemptAt(server.address), &Shot{Method: row.method, Path: "/"})
+			answer, failure := client.Call(context.Background(), attemptAt(server.address), &OneShot{Method: row.method, Path: "/"})
 			if row.kind == "" {
 				So(failure, ShouldBeNil)
 				So(answer, ShouldNotBeNil)
 			} else {
 				So(answer, ShouldBeNil)
 				So(failure.Kind, ShouldEqual, row.kind)
-				So(failure.Unsent(), ShouldBeFalse)
+				So(failure.NotSent(), ShouldBeFalse)
 			}
-			So(server.got.Load(), ShouldEqual, 1)
+			So(server.requests.Load(), ShouldEqual, 1)
 		})
 	}
 }
 
-func event(id string, seq int) string {
+func eventText(id string, seq int) string {
 	return fmt.Sprintf("data: {\"id\":%q,\"seq\":%d,\"text\":\"t\"}\n\n", id, seq)
 }
 
-func final(id string, count int) string {
+func finalEventText(id string, count int) string {
 	return fmt.Sprintf("data: {\"id\":%q,\"final\":true,\"count\":%d}\n\n", id, count)
 }
 
-func TestStreamIsChecked(t *testing.T) {
-	good := event("r1", 0) + event("r1", 1)
+func TestStreamEventsAreChecked(t *testing.T) {
+	good := eventText("r1", 0) + eventText("r1", 1)
 	rows := []struct {
 		name, events string
 		passed       int
-		kind         Kind
+		kind         FailureKind
 	}{
-		{"whole", good + final("r1", 2), 3, ""},
-		{"of a final event alone", final("r1", 0), 1, ""},
-		{"with comments and carriage returns", ": hello\r\n\r\n" + strings.ReplaceAll(good, "\n", "\r\n") + final("r1", 2), 3, ""},
-		{"with something after its final event", good + final("r1", 2) + event("r2", 0), 3, ""},
-		{"that repeats an event", good + event("r1", 1) + final("r1", 3), 2, Amiss},
-		{"that leaves an event out", event("r1", 0) + event("r1", 2) + final("r1", 2), 1, Amiss},
-		{"that begins late", event("r1", 1) + final("r1", 1), 0, Amiss},
-		{"with another request's event", event("r1", 0) + event("r2", 1) + final("r1", 2), 1, Crossed},
-		{"with another request's end", good + final("r2", 2), 2, Crossed},
-		{"with a wrong count", good + final("r1", 3), 2, Amiss},
-		{"with no count", good + "data: {\"id\":\"r1\",\"final\":true}\n\n", 2, Crossed},
-		{"with an event without id", "data: {\"seq\":0}\n\n", 0, Crossed},
-		{"with an event that is no JSON", event("r1", 0) + "data: what\n\n", 1, Crossed},
-		{"with an error event", event("r1", 0) + "event: error\ndata: {}\n\n", 1, Crossed},
-		{"with an event over the bound", event("r1", 0) + "data: " + strings.Repeat("x", 3000) + "\n\n", 1, Crossed},
-		{"that closes cleanly too early", good, 2, Broken},
-		{"that closes cleanly inside an event", good + "data: {\"id\":\"r1\",\"fi", 2, Crossed},
-		{"that is empty", "", 0, Broken},
+		{"whole", good + finalEventText("r1", 2), 3, ""},
+		{"of a final event alone", finalEventText("r1", 0), 1, ""},
+		{"with comments and carriage returns", ": hello\r\n\r\n" + strings.ReplaceAll(good, "\n", "\r\n") + finalEventText("r1", 2), 3, ""},
+		{"with something after its final event", good + finalEventText("r1", 2) + eventText("r2", 0), 3, ""},
+		{"that repeats an event", good + eventText("r1", 1) + finalEventText("r1", 3), 2, EventsOutOfOrder},
+		{"that leaves an event out", eventText("r1", 0) + eventText("r1", 2) + finalEventText("r1", 2), 1, EventsOutOfOrder},
+		{"that begins late", eventText("r1", 1) + finalEventText("r1", 1), 0, EventsOutOfOrder},
+		{"with another request's event", eventText("r1", 0) + eventText("r2", 1) + finalEventText("r1", 2), 1, ProtocolViolation},
+		{"with another request's end", good + finalEventText("r2", 2), 2, ProtocolViolation},
+		{"with a wrong count", good + finalEventText("r1", 3), 2, EventsOutOfOrder},
+		{"with no count", good + "data: {\"id\":\"r1\",\"final\":true}\n\n", 2, ProtocolViolation},
+		{"with an event without id", "data: {\"seq\":0}\n\n", 0, ProtocolViolation},
+		{"with an event that is no JSON", eventText("r1", 0) + "data: what\n\n", 1, ProtocolViolation},
+		{"with an error event", eventText("r1", 0) + "event: error\ndata: {}\n\n", 1, ProtocolViolation},
+		{"with an event over the bound", eventText("r1", 0) + "data: " + strings.Repeat("x", 3000) + "\n\n", 1, ProtocolViolation},
+		{"that closes cleanly too early", good, 2, ServerFailed},
+		{"that closes cleanly inside an event", good + "data: {\"id\":\"r1\",\"fi", 2, ProtocolViolation},
+		{"that is empty", "", 0, ServerFailed},
 	}
 	for _, row := range rows {
 		Convey("A stream "+row.name, t, func() {
-			server := newStandIn(t, func(conn *net.TCPConn, _ *http.Request) {
+			server := newFakeServer(t, func(conn *net.TCPConn, _ *http.Request) {
 				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: %d\r\n\r\n%s", len(row.events), row.events)
 			})
 			passed, failure := generate(context.Background(), newClient(t, Config{EventMax: 2000}), attemptAt(server.address))
@@ -264,22 +265,22 @@
 				So(failure, ShouldNotBeNil)
 				So(failure.Kind, ShouldEqual, row.kind)
 			}
-			So(server.got.Load(), ShouldEqual, 1)
+			So(server.requests.Load(), ShouldEqual, 1)
 		})
 	}
 	heads := []struct {
 		name, answer string
-		kind         Kind
+		kind         FailureKind
 	}{
-		{"503 busy", "HTTP/1.1 503 Busy\nContent-Length: 15\n\n{\"code\":\"busy\"}", Busy},
-		{"another 503", "HTTP/1.1 503 Busy\nContent-Length: 2\n\n{}", Broken},
-		{"an error", "HTTP/1.1 500 Oh\nContent-Length: 0\n\n", Broken},
-		{"another request's id", "HTTP/1.1 200 OK\nStepwick-Request-Id: r2\nContent-Type: text/event-stream\nContent-Length: 0\n\n", Crossed},
-		{"a page", "HTTP/1.1 200 OK\nContent-Type: text/html\nContent-Length: 0\n\n", Crossed},
+		{"503 busy", "HTTP/1.1 503 Busy\nContent-Length: 15\n\n{\"code\":\"busy\"}", ServerBusy},
+		{"another 503", "HTTP/1.1 503 Busy\nContent-Length: 2\n\n{}", ServerFailed},
+		{"an error", "HTTP/1.1 500 Oh\nContent-Length: 0\n\n", ServerFailed},
+		{"another request's id", "HTTP/1.1 200 OK\nStepwick-Request-Id: r2\nContent-Type: text/event-stream\nContent-Length: 0\n\n", ProtocolViolation},
+		{"a page", "HTTP/1.1 200 OK\nContent-Type: text/html\nContent-Length: 0\n\n", ProtocolViolation},
 	}
 	for _, row := range heads {
 		Convey("A server that answers a prompt with "+row.name, t, func() {
-			server := newStandIn(t, raw(row.answer))
+			server := newFakeServer(t, rawAnswer(row.answer))
 			passed, failure := generate(context.Background(), newClient(t, Config{}), attemptAt(server.address))
 			So(passed, ShouldBeEmpty)
 			So(failure.Kind, ShouldEqual, row.kind)
@@ -293,7 +294,7 @@
 	for event := range queue.Items() {
 		passed = append(passed, event)
 	}
-	failure, _ = queue.Cause().(*Failure)
+	errors.As(queue.Cause(), &failure)
 	return passed, failure
 }
 
@@ -311,7 +312,7 @@
 	}
 }
 
-func TestDarkServer(t *testing.T) {
+func TestUnresponsiveServer(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 	hold := func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) }
 	rows := []struct {
@@ -322,19 +323,19 @@
 	}{
 		{"from the start", "", 0, 4 * time.Second},
 		{"after the header", head, 0, 4 * time.Second},
-		{"after an event", head + event("r1", 0), 1, 3 * time.Second},
-		{"but for comments", head + event("r1", 0) + ": still here\n\n", 1, 3 * time.Second},
+		{"after an event", head + eventText("r1", 0), 1, 3 * time.Second},
+		{"but for comments", head + eventText("r1", 0) + ": still here\n\n", 1, 3 * time.Second},
 	}
 	for _, row := range rows {
 		Convey("A server that is dark "+row.name+" is given up after its bound", t, func() {
 			synctest.Test(t, func(t *testing.T) {
-				client := newClient(t, Config{FirstEvent: 4 * time.Second, EventGap: 3 * time.Second, Dial: pipeDial(func(conn net.Conn) {
+				client := newClient(t, Config{FirstEventTimeout: 4 * time.Second, EventGapTimeout: 3 * time.Second, Dial: pipeDial(func(conn net.Conn) {
 					_, _ = fmt.Fprint(conn, row.send)
 					hold(conn)
 				})})
 				began := time.Now()
 				passed, failure := generate(context.Background(), client, attemptAt("server:1"))
-				if len(passed) != row.passed || failure == nil || failure.Kind != Dark || time.Since(began) != row.after {
+				if len(passed) != row.passed || failure == nil || failure.Kind != TimedOut || time.Since(began) != row.after {
 					t.Errorf("passed %d events, then %v after %s", len(passed), failure, time.Since(began))
 				}
 			})
@@ -342,12 +343,12 @@
 	}
 	Convey("A caller that is slow to take events doesn't make its server look dark", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			client := newClient(t, Config{EventGap: time.Second, Dial: pipeDial(func(conn net.Conn) {
+			client := newClient(t, Config{EventGapTimeout: time.Second, Dial: pipeDial(func(conn net.Conn) {
 				_, _ = fmt.Fprint(conn, head)
 				for i := range 8 {
-					_, _ = fmt.Fprint(conn, event("r1", i))
+					_, _ = fmt.Fprint(conn, eventText("r1", i))
 				}
-				_, _ = fmt.Fprint(conn, final("r1", 8))
+				_, _ = fmt.Fprint(conn, finalEventText("r1", 8))
 			})})
 			queue := stage.NewQueue[Event](1)
 			go client.Generate(context.Background(), attemptAt("server:1"), &Prompt{}, queue)
@@ -365,7 +366,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			freed := make(chan struct{})
 			client := newClient(t, Config{Dial: pipeDial(func(conn net.Conn) {
-				_, _ = fmt.Fprint(conn, head+event("r1", 0))
+				_, _ = fmt.Fprint(conn, head+eventText("r1", 0))
 				hold(conn)
 				close(freed)
 			})})
@@ -378,7 +379,8 @@
 			if _, open := <-queue.Items(); open {
 				t.Error("an event came after the end")
 			}
-			if failure, _ := queue.Cause().(*Failure); failure == nil || failure.Kind != Gone {
+			var failure *Failure
+			if !errors.As(queue.Cause(), &failure) || failure.Kind != Cancelled {
 				t.Errorf("got %v", queue.Cause())
 			}
 		})
@@ -426,7 +428,7 @@
 			attempt.Deadline = time.Now().Add(time.Hour)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, failure := client.Call(context.Background(), attempt, &Shot{Method: "GET", Path: "/"}); failure != nil {
+				if _, failure := client.Call(context.Background(), attempt, &OneShot{Method: "GET", Path: "/"}); failure != nil {
 					b.Fatal(failure)
 				}
 			}
--- a/internal/adapter/backend/stream.go
+++ b/internal/adapter/backend/stream.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -10,16 +9,21 @@
 	"net/http"
 	"net/url"
 	"strconv"
-	"sync/atomic"
-	"time"
+	"strings"
 
 	"github.com/pkg/errors"
 
 	"stepwick/internal/stage"
 )
 
-// Prompt is the body that a model server gets. Deadline is in milliseconds
-// from its arrival.
+const (
+	// busyBodyMax bounds what is read of the body of a 503.
+	busyBodyMax      = 4 << 10
+	streamBufferSize = 4 << 10
+	busyCode         = "busy"
+)
+
+// Prompt is the JSON body of a prompt to a model server.
 type Prompt struct {
 	ID            string `json:"id"`
 	Service       string `json:"service"`
@@ -29,16 +33,18 @@
 	PrefixTokens  int    `json:"prefix_tokens"`
 	SessionTokens int    `json:"session_tokens"`
 	MaxTokens     int    `json:"max_tokens"`
-	DeadlineMS    int64  `json:"deadline_ms"`
+	DeadlineMS    int64  `json:"deadline_ms"` // from its arrival, in milliseconds
 }
 
-// Event is one checked event of a stream: its data as the server sent it.
+// Event is one checked event of a stream.
 type Event struct {
-	Data  []byte
-	Seq   int // -1 for the final event
+	Data  []byte // as the server sent it
+	Seq   int    // -1 for the final event
 	Final bool
 }
 
+// eventBody is the JSON form of an event. Pointers tell a missing field from a
+// zero.
 type eventBody struct {
 	ID    *string `json:"id"`
 	Seq   *int    `json:"seq"`
@@ -46,17 +52,18 @@
 	Count *int    `json:"count"`
 }
 
-// Generate sends a prompt to one server and puts the events of its answer
-// into the queue, the final event last; only checked ones get there, in their
-// order. It returns after the final event, or with a failure at the first
-// event that doesn't belong there. It closes the queue with what it returns.
+// Generate sends a prompt to one server and puts the events of its answer into the
+// queue, the final event last. Each event is checked: those in the queue are
+// complete and in order. It returns after the final event, or with a failure at
+// the first event that is wrong, and closes the queue with that *Failure or nil.
 func (c *Client) Generate(ctx context.Context, attempt *Attempt, prompt *Prompt, events *stage.Queue[Event]) {
 	var failure *Failure
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			failure = &Failure{Kind: Broken, Detail: fmt.Sprint("a panic while the answer was read: ", panicked)}
+			failure = &Failure{Kind: ServerFailed, Detail: fmt.Sprint("a panic while the answer was read: ", panicked)}
 		}
 		if failure == nil {
+			// A nil *Failure in an error would not be nil.
 			events.Close(nil)
 			return
 		}
@@ -68,172 +75,129 @@
 func (c *Client) generate(ctx context.Context, attempt *Attempt, prompt *Prompt, events *stage.Queue[Event]) *Failure {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	bound := c.config.FirstEvent
-	if attempt.FirstEvent > 0 {
-		bound = min(bound, attempt.FirstEvent)
+	timeout := c.config.FirstEventTimeout
+	if attempt.FirstEventTimeout > 0 {
+		timeout = min(timeout, attempt.FirstEventTimeout)
 	}
-	watch := newWatch(bound, cancel)
-	defer watch.stop()
+	timer := newResponseTimer(timeout, cancel)
+	defer timer.stop()
 
 	sent := *prompt
 	sent.ID = attempt.ID
 	sent.DeadlineMS = max(attempt.Deadline.Sub(attempt.Now()).Milliseconds(), 1)
 	body, err := json.Marshal(&sent)
 	if err != nil {
-		return &Failure{Kind: Unsent, Detail: err.Error()}
+		return &Failure{Kind: NotSent, Detail: err.Error()}
 	}
-	header := http.Header{"Content-Type": {"application/json"}, "Accept": {"text/event-stream"}}
-	target := &url.URL{Scheme: "http", Host: attempt.Address, Path: "/v1/generate"}
-	response, record, failure := c.send(ctx, attempt, http.MethodPost, target, header, body)
+	response, guard, failure := c.send(ctx, attempt, outgoing{
+		method: http.MethodPost,
+		target: &url.URL{Scheme: "http", Host: attempt.Address, Path: "/v1/generate"},
+		header: http.Header{"Content-Type": {"application/json"}, "Accept": {"text/event-stream"}},
+		body:   body,
+	})
 	if failure != nil {
-		return watch.judge(failure)
+		return timer.explain(failure)
 	}
 	defer response.Body.Close()
-	if failure := begun(attempt.ID, response); failure != nil {
+	if failure := checkResponse(attempt.ID, response); failure != nil {
 		return failure
 	}
-	return watch.judge(c.follow(ctx, attempt.ID, record, response.Body, events, watch))
+	reader := &streamReader{
+		id:     attempt.ID,
+		config: c.config,
+		guard:  guard,
+		timer:  timer,
+		body:   bufio.NewReaderSize(response.Body, streamBufferSize),
+	}
+	return timer.explain(reader.readAll(ctx, events))
 }
 
-func begun(id string, response *http.Response) *Failure {
-	if named := response.Header.Get(HeaderRequestID); named != "" && named != id {
-		return &Failure{Kind: Crossed, Detail: "the answer names request " + strconv.Quote(named)}
+// checkResponse returns nil if the header begins the request's own event stream.
+func checkResponse(id string, response *http.Response) *Failure {
+	if echoed := response.Header.Get(HeaderRequestID); echoed != "" && echoed != id {
+		return &Failure{Kind: ProtocolViolation, Detail: "the answer names request " + strconv.Quote(echoed)}
 	}
-	if response.StatusCode == http.StatusServiceUnavailable {
-		var said struct {
-			Code string `json:"code"`
-		}
-		body, err := io.ReadAll(io.LimitReader(response.Body, 4<<10))
-		if err == nil && json.Unmarshal(body, &said) == nil && said.Code == "busy" {
-			return &Failure{Kind: Busy, Detail: "the server is busy"}
-		}
+	if response.StatusCode == http.StatusServiceUnavailable && isBusy(response.Body) {
+		return &Failure{Kind: ServerBusy, Detail: "the server is busy"}
 	}
 	if response.StatusCode != http.StatusOK {
-		return &Failure{Kind: Broken, Detail: "status " + strconv.Itoa(response.StatusCode)}
+		return &Failure{Kind: ServerFailed, Detail: "status " + strconv.Itoa(response.StatusCode)}
 	}
-	if !eventStream(response) {
-		return &Failure{Kind: Crossed, Detail: "the answer is no event stream"}
+	if !isEventStream(response) {
+		return &Failure{Kind: ProtocolViolation, Detail: "the answer is no event stream"}
 	}
 	return nil
 }
 
-func (c *Client) follow(ctx context.Context, id string, record *ledger, body io.Reader, events *stage.Queue[Event], watch *watch) *Failure {
-	reader := bufio.NewReaderSize(body, 4<<10)
-	for next := 0; ; next++ {
-		data, err := readEvent(reader, c.config.EventMax)
+// isBusy reports whether the body of a 503 says that the server did not start.
+func isBusy(body io.Reader) bool {
+	var answer struct {
+		Code string `json:"code"`
+	}
+	data, err := io.ReadAll(io.LimitReader(body, busyBodyMax))
+	return err == nil && json.Unmarshal(data, &answer) == nil && answer.Code == busyCode
+}
+
+func isEventStream(response *http.Response) bool {
+	mediaType, _, _ := strings.Cut(response.Header.Get("Content-Type"), ";")
+	return strings.TrimSpace(mediaType) == "text/event-stream"
+}
+
+// streamReader reads the events of one attempt.
+type streamReader struct {
+	id     string
+	config Config
+	guard  *sendGuard
+	timer  *responseTimer
+	body   *bufio.Reader
+}
+
+// readAll puts the checked events into the queue until the final one. The timer
+// runs only while it waits for the server, so that a slow caller does not make the
+// server look unresponsive.
+func (s *streamReader) readAll(ctx context.Context, events *stage.Queue[Event]) *Failure {
+	for count := 0; ; count++ {
+		data, err := readEvent(s.body, s.config.EventMax)
 		switch {
 		case errors.Is(err, io.EOF):
-			return &Failure{Kind: Broken, Detail: "the stream ended after " + strconv.Itoa(next) + " events without its final one"}
+			return &Failure{Kind: ServerFailed, Detail: "the stream ended after " + strconv.Itoa(count) + " events without its final one"}
 		case errors.Is(err, errProtocol):
-			return &Failure{Kind: Crossed, Detail: err.Error()}
+			return &Failure{Kind: ProtocolViolation, Detail: err.Error()}
 		case err != nil:
-			return record.failure(ctx, err)
+			return s.guard.failure(ctx, err)
 		}
-		event, failure := check(id, next, data)
+		event, failure := checkEvent(s.id, count, data)
 		if failure != nil {
 			return failure
 		}
-		watch.stop()
+		s.timer.stop()
 		if err := events.Put(ctx, event); err != nil {
-			return record.failure(ctx, err)
+			return s.guard.failure(ctx, err)
 		}
 		if event.Final {
 			return nil
 		}
-		watch.start(c.config.EventGap)
+		s.timer.start(s.config.EventGapTimeout)
 	}
 }
 
-func check(id string, next int, data []byte) (Event, *Failure) {
+// checkEvent parses the event that follows count others of the request.
+func checkEvent(id string, count int, data []byte) (Event, *Failure) {
 	var body eventBody
 	if err := json.Unmarshal(data, &body); err != nil {
-		return Event{}, &Failure{Kind: Crossed, Detail: "an event is no JSON object"}
+		return Event{}, &Failure{Kind: ProtocolViolation, Detail: "an event is no JSON object"}
 	}
 	switch {
 	case body.ID == nil || *body.ID != id:
-		return Event{}, &Failure{Kind: Crossed, Detail: "an event is another request's"}
+		return Event{}, &Failure{Kind: ProtocolViolation, Detail: "an event is another request's"}
 	case body.Final && body.Count == nil:
-		return Event{}, &Failure{Kind: Crossed, Detail: "the final event has no count"}
-	case body.Final && *body.Count != next:
-		return Event{}, &Failure{Kind: Amiss, Detail: "the final event counts " + strconv.Itoa(*body.Count) + " of " + strconv.Itoa(next) + " events"}
+		return Event{}, &Failure{Kind: ProtocolViolation, Detail: "the final event has no count"}
+	case body.Final && *body.Count != count:
+		return Event{}, &Failure{Kind: EventsOutOfOrder, Detail: "the final event counts " + strconv.Itoa(*body.Count) + " of " + strconv.Itoa(count) + " events"}
 	case body.Final:
 		return Event{Data: data, Seq: -1, Final: true}, nil
-	case body.Seq == nil || *body.Seq != next:
-		return Event{}, &Failure{Kind: Amiss, Detail: "an event is out of its order after " + strconv.Itoa(next) + " events"}
-	}
-	return Event{Data: data, Seq: next}, nil
-}
-
-var errProtocol = errors.New("the event stream is malformed")
-
-// readEvent returns the data of the next event. Comments are passed over.
-func readEvent(reader *bufio.Reader, limit int) ([]byte, error) {
-	var data []byte
-	for passed := 0; passed <= limit; {
-		line, err := readLine(reader, limit)
-		if err != nil {
-			if err == io.EOF && (len(line) > 0 || data != nil) {
-				return nil, errors.Wrap(errProtocol, "it ends inside an event")
-			}
-			return nil, err
-		}
-		passed += len(line) + 1
-		switch {
-		case len(line) == 0 && data != nil:
-			return data, nil
-		case len(line) == 0, line[0] == ':':
-		case bytes.HasPrefix(line, []byte("data:")) && data == nil:
-			data = append([]byte{}, bytes.TrimPrefix(line[len("data:"):], []byte(" "))...)
-		case bytes.HasPrefix(line, []byte("event:")):
-			return nil, errors.Wrapf(errProtocol, "the server sent %.64q", line)
-		default:
-			return nil, errors.Wrapf(errProtocol, "it has the line %.64q", line)
-		}
-	}
-	return nil, errors.Wrapf(errProtocol, "an event is over %d bytes", limit)
-}
-
-func readLine(reader *bufio.Reader, limit int) ([]byte, error) {
-	var line []byte
-	for {
-		part, err := reader.ReadSlice('\n')
-		line = append(line, part...)
-		if len(line) > limit {
-			return nil, errors.Wrapf(errProtocol, "a line is over %d bytes", limit)
-		}
-		if err == bufio.ErrBufferFull {
-			continue
-		}
-		if err != nil {
-			return line, err
-		}
-		return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
-	}
-}
-
-// watch ends an attempt whose server is silent for too long.
-type watch struct {
-	timer  *time.Timer
-	struck atomic.Bool
-}
-
-func newWatch(bound time.Duration, cancel context.CancelFunc) *watch {
-	w := &watch{}
-	w.timer = time.AfterFunc(bound, func() { w.struck.Store(true); cancel() })
-	return w
-}
-
-func (w *watch) start(bound time.Duration) { w.timer.Reset(bound) }
-
-func (w *watch) stop() { w.timer.Stop() }
-
-// judge names silence as the cause where the watch has struck.
-func (w *watch) judge(failure *Failure) *Failure {
-	switch {
-	case !w.struck.Load() || failure == nil:
-		return failure
-	case failure.Unsent():
-		return &Failure{Kind: Unsent, Detail: "the server took no connection in time"}
+	case body.Seq == nil || *body.Seq != count:
+		return Event{}, &Failure{Kind: EventsOutOfOrder, Detail: "an event is out of its order after " + strconv.Itoa(count) + " events"}
 	}
-	return &Failure{Kind: Dark, Detail: "the server was silent for too long"}
+	return Event{Data: data, Seq: count}, nil
 }
--- a/internal/node/front/attempt.go
+++ b/internal/node/front/attempt.go
@@ -18,7 +18,7 @@
 		Deadline:   c.request.Deadline,
 		Now:        c.front.clock.Now,
 		Allow:      c.checkSend,
-		FirstEvent: choice.FirstEvent,
+		FirstEventTimeout: choice.FirstEvent,
 	}
 }
 
@@ -34,9 +34,9 @@
 // checks reported its server as removed or unreachable. Failure is what the
 // attempt itself returned.
 func serverLostFailure(failure *backend.Failure) *backend.Failure {
-	kind := backend.Dark
-	if failure.Unsent() {
-		kind = backend.Unsent
+	kind := backend.TimedOut
+	if failure.NotSent() {
+		kind = backend.NotSent
 	}
 	return &backend.Failure{Kind: kind, Detail: "the server is gone or dark, its watchers say"}
 }
@@ -60,13 +60,13 @@
 	if failure == nil {
 		return route.Outcome{OK: true}
 	}
-	outcome := route.Outcome{NothingWritten: failure.Unsent()}
+	outcome := route.Outcome{NothingWritten: failure.NotSent()}
 	switch failure.Kind {
-	case backend.Refused:
+	case backend.ConnectionRefused:
 		outcome.Refused = true
-	case backend.Busy:
+	case backend.ServerBusy:
 		outcome.Busy = true
-	case backend.Unsent, backend.Dark, backend.Broken, backend.Short, backend.Crossed, backend.Amiss:
+	case backend.NotSent, backend.TimedOut, backend.ServerFailed, backend.Incomplete, backend.ProtocolViolation, backend.EventsOutOfOrder:
 		outcome.Timeout = true
 	}
 	return outcome
--- a/internal/node/front/oneshot.go
+++ b/internal/node/front/oneshot.go
@@ -31,14 +31,14 @@
 		return nil, "", c.notRunError(apiErr)
 	}
 	// A panic leaves this failure to the routing table.
-	failure := &backend.Failure{Kind: backend.Broken, Detail: "a fault of the program"}
+	failure := &backend.Failure{Kind: backend.ServerFailed, Detail: "a fault of the program"}
 	began := c.front.clock.Now()
 	defer func() { c.releaseServer(assigned, failure, began, 0) }()
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(assigned.serverLost, cancel)()
 	var answer *backend.Answer
-	answer, failure = c.front.client.Call(attemptCtx, c.newAttempt(choice), &backend.Shot{
+	answer, failure = c.front.client.Call(attemptCtx, c.newAttempt(choice), &backend.OneShot{
 		Method: request.Method,
 		Path:   request.Path,
 		Query:  request.Query,
@@ -67,9 +67,9 @@
 // oneShotError converts the failure of an attempt to what attemptOneShot returns.
 func (c *call) oneShotError(ctx context.Context, server string, failure *backend.Failure) (*clientapi.Answer, string, *apierror.Error) {
 	switch {
-	case failure.Kind == backend.Barred:
+	case failure.Kind == backend.SendForbidden:
 		return nil, "", c.notRunError(failure.Cause)
-	case !failure.Unsent():
+	case !failure.NotSent():
 		return nil, "", outcomeUnknown(failure.Detail)
 	case ctx.Err() != nil:
 		return nil, "", c.notRunError(c.contextError(ctx, "the deadline passed before the call was sent"))
--- a/internal/node/front/prompt.go
+++ b/internal/node/front/prompt.go
@@ -34,7 +34,7 @@
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	began := c.front.clock.Now()
-	failure := &backend.Failure{Kind: backend.Gone, Detail: "given up"}
+	failure := &backend.Failure{Kind: backend.Cancelled, Detail: "given up"}
 	forwarder := &streamForwarder{call: c, stream: stream, began: began}
 	defer func() {
 		c.releaseServer(assigned, failure, began, forwarder.firstEvent)
@@ -77,7 +77,7 @@
 // returns the server's name if another server may be tried.
 func (c *call) promptError(ctx context.Context, server string, failure *backend.Failure, begun bool) (string, *apierror.Error) {
 	switch {
-	case failure.Kind == backend.Barred && !begun:
+	case failure.Kind == backend.SendForbidden && !begun:
 		return "", c.notBegunError(failure.Cause)
 	case ctx.Err() != nil && begun && c.rejection.Load() == nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return "", errDeadlineDuringStream()
--- a/internal/node/front/result_events.go
+++ b/internal/node/front/result_events.go
@@ -31,10 +31,10 @@
 }
 
 // failureEvents are the log events of answers that break the protocol.
-var failureEvents = map[backend.Kind]events.Event{
-	backend.Crossed: events.ResponseMismatched,
-	backend.Amiss:   events.EventOutOfOrder,
-	backend.Short:   events.ResponseIncomplete,
+var failureEvents = map[backend.FailureKind]events.Event{
+	backend.ProtocolViolation: events.ResponseMismatched,
+	backend.EventsOutOfOrder:   events.EventOutOfOrder,
+	backend.Incomplete:   events.ResponseIncomplete,
 }
 
 // logFailure logs a failure that is the server's fault.
