--- a/cmd/rig/faultcase/faults.go
+++ b/cmd/rig/faultcase/faults.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// pushAfter settles an order within a span and returns what was told last.
+// push submits an order within a span and returns what was told last.
 func (s *Stage) push(o *loadgen.Order, from uint64, within time.Duration) (won bool, version uint64) {
 	ctx, cancel := context.WithTimeout(s.ctx, within)
 	defer cancel()
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -24,7 +24,7 @@
 // errStalled is the cause of an attempt that was cancelled because nothing arrived.
 var errStalled = errors.New("the server was silent for too long")
 
-// startGateway sends the request to servers until one has answered it or it may not be
+// run sends the request to servers until one has answered it or it may not be
 // retried. It returns nil when the client got an answer.
 func (q *request) run() *apierror.Error {
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
--- a/internal/node/gateway/event_splitter.go
+++ b/internal/node/gateway/event_splitter.go
@@ -16,7 +16,7 @@
 // the format allows.
 var eventBoundaries = []string{"\n\n", "\r\n\r\n", "\r\r"}
 
-// addServer appends received bytes and returns those of the events that are complete
+// add appends received bytes and returns those of the events that are complete
 // by now. They are valid until the next call.
 func (s *eventSplitter) add(data []byte) []byte {
 	s.buffer = append(s.buffer, data...)
--- a/internal/node/gateway/queue.go
+++ b/internal/node/gateway/queue.go
@@ -115,7 +115,7 @@
 
 func (q *requestQueue) empty() bool { return len(q.requests) == 0 }
 
-// addServer returns false when the queue is full.
+// add returns false when the queue is full.
 func (q *requestQueue) add(added *assignmentRequest) bool {
 	if len(q.requests) >= queueBound {
 		return false
