--- a/internal/decision/quota/blend.go
+++ b/internal/decision/quota/blend.go
@@ -11,7 +11,7 @@
 	own    ring // this front's adds
 	all    ring // every front's, the others' as far as learned
 
-	terms    Terms
+	terms    Allowance
 	used     time.Time // last request
 	wanted   float64   // tokens asked of this front, fading over half a second
 	wantedAt time.Time
@@ -59,12 +59,12 @@
 	oldest := slice - g.slices
 	newest := max(a.all.top, slice)
 	early, late := a.all.sum(first-g.slices, oldest), a.all.sum(oldest+1, first-1)
-	e := estimate{limit: a.terms.Limit(c.Window), prev: early + late, cur: a.all.sum(first, newest)}
+	e := estimate{limit: a.terms.TokensPerWindow(c.Window), prev: early + late, cur: a.all.sum(first, newest)}
 	over := (float64(slice-first) + passed) / float64(g.slices)
 	e.blend = e.prev*(1-over) + e.cur
 	e.recent = late + e.cur + a.all.get(oldest)*(1-passed)
 
-	if sure, part := g.at(a.asOf.Add(-c.Lag)); sure > oldest && !a.asOf.IsZero() {
+	if sure, part := g.at(a.asOf.Add(-c.MaxLag)); sure > oldest && !a.asOf.IsZero() {
 		e.since = a.own.sum(sure+1, newest) + a.own.get(sure)*(1-part)
 	} else {
 		e.since = a.own.sum(oldest+1, newest) + a.own.get(oldest)*(1-passed)
@@ -80,7 +80,7 @@
 	if silent {
 		share = max(a.even, (share+a.even)/2)
 	}
-	e.slack, e.band = c.Slack*e.limit, c.Band*e.limit
+	e.slack, e.band = c.Overspend*e.limit, c.Overshoot*e.limit
 	if a.kept > 0 {
 		e.slack, e.band = e.slack/2, 0
 	}
@@ -110,11 +110,11 @@
 	}
 	end, half := e.recent+min(tokens, e.limit)+e.kept, min(tokens, e.limit)/2
 	switch {
-	case e.blend >= e.limit && !(c.has(Room) && end <= e.limit+max(e.slack, half)):
+	case e.blend >= e.limit && !(c.has(SlidingCapacity) && end <= e.limit+max(e.slack, half)):
 		return overLimit
-	case c.has(Bound) && end > e.limit+max(e.band, half) && e.recent > 0:
+	case c.has(SlidingBound) && end > e.limit+max(e.band, half) && e.recent > 0:
 		return overLimit
-	case c.has(Share) && e.since+tokens*a.turn+a.share*min(half, e.slack) > e.budget:
+	case c.has(FrontShares) && e.since+tokens*a.turn+a.share*min(half, e.slack) > e.budget:
 		return overShare
 	}
 	return passes
--- a/internal/decision/quota/book.go
+++ b/internal/decision/quota/book.go
@@ -26,10 +26,10 @@
 	standingKey = 0    // window number of a count whose own tokens are what was asked of the front of late, none when the tenant left, as of the microsecond in learned; and of a total that tells the part of the limit kept for silent fronts and, as acked, the front's share
 )
 
-// Book is one front's side of the tally: an account for each tenant that was
+// Limiter is one front's side of the tally: an account for each tenant that was
 // active on this front within the last two windows. A Book has one owner; to use
 // several cores, give each its own Book and part the tenants among them.
-type Book struct {
+type Limiter struct {
 	self     string
 	config   Config
 	grid     grid
@@ -45,16 +45,16 @@
 	fresh       bool
 }
 
-// NewBook returns an empty Book of the front named self.
-func NewBook(self string, config Config) *Book {
+// NewLimiter returns an empty Book of the front named self.
+func NewLimiter(self string, config Config) *Limiter {
 	config = config.withDefaults()
-	return &Book{self: self, config: config, grid: gridOf(config), roster: []string{self},
+	return &Limiter{self: self, config: config, grid: gridOf(config), roster: []string{self},
 		accounts: map[string]*account{}, holders: map[string]holderSight{}}
 }
 
-// SetRoster tells the names of all fronts on the roster; the floor of a front's
+// SetFronts tells the names of all fronts on the roster; the floor of a front's
 // share is counted over them.
-func (b *Book) SetRoster(names []string) {
+func (b *Limiter) SetFronts(names []string) {
 	if len(names) == 0 {
 		names = []string{b.self}
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-func (b *Book) turnOf(tenant string) float64 {
+func (b *Limiter) turnOf(tenant string) float64 {
 	own, rank := rendezvous.Weight(b.self, tenant), 0
 	for _, name := range b.roster {
 		if rendezvous.Weight(name, tenant) > own {
@@ -76,7 +76,7 @@
 
 // steady keeps time from running backwards over a small step of fleet time; a
 // step of more than a window starts the Book anew.
-func (b *Book) steady(now time.Time) time.Time {
+func (b *Limiter) steady(now time.Time) time.Time {
 	switch {
 	case !now.Before(b.newest):
 		if now.Sub(b.newest) > activeFor*b.config.Interval {
@@ -93,7 +93,7 @@
 
 // wake begins the asks anew that this process stood still in: their age says
 // nothing of the holder.
-func (b *Book) wake(now time.Time) {
+func (b *Limiter) wake(now time.Time) {
 	for _, a := range b.accounts {
 		if !a.asked.IsZero() {
 			a.asked = now
@@ -101,7 +101,7 @@
 	}
 }
 
-func (b *Book) open(tenant string, now time.Time) *account {
+func (b *Limiter) open(tenant string, now time.Time) *account {
 	a := b.accounts[tenant]
 	if a == nil {
 		a = &account{tenant: tenant, own: newRing(b.grid), all: newRing(b.grid),
@@ -120,25 +120,25 @@
 
 // Admit decides one request of so many tokens at fleet time now. A passed
 // request's tokens are added at once; a refused one adds nothing.
-func (b *Book) Admit(tenant string, tokens float64, terms Terms, now time.Time) Decision {
+func (b *Limiter) Admit(tenant string, tokens float64, terms Allowance, now time.Time) Decision {
 	now = b.steady(now)
 	a := b.open(tenant, now)
 	a.want(tokens, now)
 	return b.decide(a, tokens, terms, now)
 }
 
-// Again decides a request that was held before.
-func (b *Book) Again(tenant string, tokens float64, terms Terms, now time.Time) Decision {
+// AdmitQueued decides a request that was held before.
+func (b *Limiter) AdmitQueued(tenant string, tokens float64, terms Allowance, now time.Time) Decision {
 	now = b.steady(now)
 	return b.decide(b.open(tenant, now), tokens, terms, now)
 }
 
-func (b *Book) decide(a *account, tokens float64, terms Terms, now time.Time) Decision {
+func (b *Limiter) decide(a *account, tokens float64, terms Allowance, now time.Time) Decision {
 	a.terms = terms
 	e := a.at(&b.config, b.grid, now)
-	d := Decision{Blend: e.blend, Prev: e.prev, Cur: e.cur, Limit: e.limit, Recent: e.recent}
+	d := Decision{Estimate: e.blend, Previous: e.prev, Current: e.cur, Limit: e.limit, Recent: e.recent}
 	ruling := a.judge(&b.config, e, tokens)
-	if !b.config.has(MarkEnds) && now.Before(a.marked) {
+	if !b.config.has(EarlyUnblock) && now.Before(a.marked) {
 		ruling = overLimit
 	}
 	if ruling == passes {
@@ -146,9 +146,9 @@
 		a.own.add(slice, tokens)
 		a.all.add(slice, tokens)
 		a.unsent += tokens
-		d.Pass = true
-		d.Send = b.config.has(Share) && a.unsent > sendAt*e.budget
-		b.hurry(a, d.Send)
+		d.Allowed = true
+		d.SendNow = b.config.has(FrontShares) && a.unsent > sendAt*e.budget
+		b.hurry(a, d.SendNow)
 		return d
 	}
 	if ruling == overLimit && e.kept > 0 {
@@ -160,33 +160,33 @@
 	d.Code = apierror.QuotaExceeded
 	silent := a.silent(&b.config, now)
 	if ruling == overLimit {
-		d.Marked = true
+		d.OverLimit = true
 		a.marked = b.windowEnd(now)
 	} else if silent || a.asOf.IsZero() || e.kept > 0 {
 		d.Code = apierror.ShareExceeded
 	}
 	calm := e.prev < holdBelow*e.limit && !a.unanswered(&b.config, now, calmFor)
 	if ruling == overShare && (!silent || calm) {
-		d.Send = true
-		d.Hold = b.config.has(Hold) && e.recent+e.kept+tokens/2 <= holdBelow*e.limit
+		d.SendNow = true
+		d.Queue = b.config.has(Queueing) && e.recent+e.kept+tokens/2 <= holdBelow*e.limit
 		b.hurry(a, true)
 	}
-	if d.Hold {
+	if d.Queue {
 		d.RetryAfter = b.config.Interval
 		return d
 	}
-	if d.RetryAfter = a.opens(&b.config, b.grid, now, tokens); !b.config.has(MarkEnds) {
+	if d.RetryAfter = a.opens(&b.config, b.grid, now, tokens); !b.config.has(EarlyUnblock) {
 		d.RetryAfter = max(d.RetryAfter, a.marked.Sub(now))
 	}
 	return d
 }
 
-func (b *Book) windowEnd(now time.Time) time.Time {
+func (b *Limiter) windowEnd(now time.Time) time.Time {
 	window := b.config.Window.Microseconds()
 	return time.UnixMicro((now.UnixMicro()/window + 1) * window)
 }
 
-func (b *Book) hurry(a *account, urgent bool) {
+func (b *Limiter) hurry(a *account, urgent bool) {
 	if urgent && !a.urgent {
 		a.urgent = true
 		b.urgent = append(b.urgent, a)
@@ -201,10 +201,10 @@
 	return !a.asked.IsZero() && now.Sub(a.asked) > intervals*c.Interval
 }
 
-// Outgoing returns the counts to send, by holder, of all tenants that were just
+// CountsToSend returns the counts to send, by holder, of all tenants that were just
 // active or have adds to tell, and drops tenants that were idle for two windows. Counts are
 // cumulative: sending one twice, late or to another holder is harmless.
-func (b *Book) Outgoing(now time.Time, holderOf func(tenant string) string) map[string][]*wire.Count {
+func (b *Limiter) CountsToSend(now time.Time, holderOf func(tenant string) string) map[string][]*wire.Count {
 	now = b.steady(now)
 	batches := map[string][]*wire.Count{}
 	for tenant, a := range b.accounts {
@@ -237,7 +237,7 @@
 }
 
 // quiet tells that a tenant far below its limit was asked for just before.
-func (b *Book) quiet(a *account, now time.Time) bool {
+func (b *Limiter) quiet(a *account, now time.Time) bool {
 	if now.Sub(a.sent) >= (quietFor-1)*b.config.Interval+b.config.Interval/2 {
 		return false
 	}
@@ -245,12 +245,12 @@
 	return max(e.blend, e.recent) < quietBelow*e.limit
 }
 
-// Hurries tells whether some counts should not wait for the next interval.
-func (b *Book) Hurries() bool { return len(b.urgent) > 0 }
+// HasUrgent tells whether some counts should not wait for the next interval.
+func (b *Limiter) HasUrgent() bool { return len(b.urgent) > 0 }
 
-// Urgent returns the counts that should not wait for the next interval, by
+// UrgentCounts returns the counts that should not wait for the next interval, by
 // holder, for which ready holds; the others stay urgent.
-func (b *Book) Urgent(now time.Time, holderOf func(tenant string) string, ready func(holder string) bool) map[string][]*wire.Count {
+func (b *Limiter) UrgentCounts(now time.Time, holderOf func(tenant string) string, ready func(holder string) bool) map[string][]*wire.Count {
 	if len(b.urgent) == 0 {
 		return nil
 	}
@@ -269,7 +269,7 @@
 	return batches
 }
 
-func (b *Book) pack(batches map[string][]*wire.Count, a *account, now time.Time, holderOf func(string) string) {
+func (b *Limiter) pack(batches map[string][]*wire.Count, a *account, now time.Time, holderOf func(string) string) {
 	holder := holderOf(a.tenant)
 	if holder == "" {
 		return
@@ -291,7 +291,7 @@
 	batches[holder] = append(batches[holder], b.count(a, window, teach))
 }
 
-func (b *Book) count(a *account, window int64, teach bool) *wire.Count {
+func (b *Limiter) count(a *account, window int64, teach bool) *wire.Count {
 	first := window * b.grid.slices
 	last := first + b.grid.slices - 1
 	c := &wire.Count{Tenant: a.tenant, Window: window, Own: a.own.sum(first, last), Slices: a.own.window(b.grid, window)}
@@ -301,9 +301,9 @@
 	return c
 }
 
-// Learn takes a holder's answer to counts that left at fleet time sentAt.
+// ApplyTotals takes a holder's answer to counts that left at fleet time sentAt.
 // Answers may come late, twice or out of order.
-func (b *Book) Learn(resp *wire.AddResponse, sentAt, now time.Time) {
+func (b *Limiter) ApplyTotals(resp *wire.AddResponse, sentAt, now time.Time) {
 	now = b.steady(now)
 	if sentAt.After(now) {
 		sentAt = now
@@ -334,7 +334,7 @@
 	}
 }
 
-func (b *Book) learned(a *account, from source, sentAt time.Time) {
+func (b *Limiter) learned(a *account, from source, sentAt time.Time) {
 	a.asked = time.Time{}
 	a.from = from
 	if sentAt.Before(a.asOf) {
@@ -344,15 +344,15 @@
 }
 
 // Inspect returns what the Book knows, in the order of the tenants' names.
-func (b *Book) Inspect(now time.Time) []TenantView {
+func (b *Limiter) Inspect(now time.Time) []TenantUsage {
 	now = b.steady(now)
-	views := make([]TenantView, 0, len(b.accounts))
+	views := make([]TenantUsage, 0, len(b.accounts))
 	for tenant, a := range b.accounts {
 		e := a.at(&b.config, b.grid, now)
 		slice, _ := b.grid.at(now)
-		v := TenantView{Tenant: tenant, Limit: e.limit, Blend: e.blend, Recent: e.recent, Share: a.share,
-			Own: a.own.sum(slice-b.grid.slices, slice), Reserved: a.kept, Holder: a.from.name, Age: -1,
-			Marked: a.judge(&b.config, e, 0) == overLimit}
+		v := TenantUsage{Tenant: tenant, Limit: e.limit, Estimate: e.blend, Recent: e.recent, Share: a.share,
+			Own: a.own.sum(slice-b.grid.slices, slice), Reserved: a.kept, Owner: a.from.name, Age: -1,
+			OverLimit: a.judge(&b.config, e, 0) == overLimit}
 		if !a.asOf.IsZero() {
 			v.Age = now.Sub(a.asOf)
 		}
@@ -362,5 +362,5 @@
 	return views
 }
 
-// Active returns the number of tenants with an account.
-func (b *Book) Active() int { return len(b.accounts) }
+// ActiveTenants returns the number of tenants with an account.
+func (b *Limiter) ActiveTenants() int { return len(b.accounts) }
--- a/internal/decision/quota/book_test.go
+++ b/internal/decision/quota/book_test.go
@@ -27,57 +27,57 @@
 func one(string) string { return "a" }
 
 // exchange sends a Book's counts to a Ledger and takes the answer back at once.
-func exchange(b *Book, l *Ledger, now time.Time) {
-	for _, counts := range b.Outgoing(now, one) {
-		b.Learn(l.Add(&wire.AddRequest{Front: b.self, Incarnation: 1, Counts: counts}, now), now, now)
+func exchange(b *Limiter, l *Counter, now time.Time) {
+	for _, counts := range b.CountsToSend(now, one) {
+		b.ApplyTotals(l.Add(&wire.AddRequest{Front: b.self, Incarnation: 1, Counts: counts}, now), now, now)
 	}
 }
 
 func TestBlend(t *testing.T) {
 	Convey("The blend is the previous window's part that still overlaps and the current window", t, func() {
-		b := NewBook("a", Config{Without: Ordinary})
-		terms := Terms{Rate: 50.0 / 8}
-		So(b.Admit("t", 42, terms, after(1)).Pass, ShouldBeTrue)
-		So(b.Admit("t", 18, terms, after(8.5)).Pass, ShouldBeTrue)
+		b := NewLimiter("a", Config{Disabled: AllFeatures})
+		terms := Allowance{Rate: 50.0 / 8}
+		So(b.Admit("t", 42, terms, after(1)).Allowed, ShouldBeTrue)
+		So(b.Admit("t", 18, terms, after(8.5)).Allowed, ShouldBeTrue)
 		d := b.Admit("t", 1, terms, after(10))
-		So(d.Prev, ShouldEqual, 42)
-		So(d.Cur, ShouldEqual, 18)
-		So(d.Blend, ShouldAlmostEqual, 42*0.75+18)
-		So(d.Pass, ShouldBeTrue)
+		So(d.Previous, ShouldEqual, 42)
+		So(d.Current, ShouldEqual, 18)
+		So(d.Estimate, ShouldAlmostEqual, 42*0.75+18)
+		So(d.Allowed, ShouldBeTrue)
 		Convey("and a limit that is reached refuses, adds nothing and marks until the window's end", func() {
 			d := b.Admit("t", 1, terms, after(10))
-			So(d.Pass, ShouldBeFalse)
-			So(d.Marked, ShouldBeTrue)
+			So(d.Allowed, ShouldBeFalse)
+			So(d.OverLimit, ShouldBeTrue)
 			So(d.Code, ShouldEqual, apierror.QuotaExceeded)
-			So(b.Admit("t", 1, terms, after(15.9)).Pass, ShouldBeFalse)
-			So(b.Admit("t", 1, terms, after(16)).Pass, ShouldBeTrue)
+			So(b.Admit("t", 1, terms, after(15.9)).Allowed, ShouldBeFalse)
+			So(b.Admit("t", 1, terms, after(16)).Allowed, ShouldBeTrue)
 		})
 	})
 }
 
 func TestExceptions(t *testing.T) {
-	terms := Terms{Rate: 100, Burst: 200}
-	spend := func(b *Book, from, until float64) (passed float64) {
+	terms := Allowance{Rate: 100, Burst: 200}
+	spend := func(b *Limiter, from, until float64) (passed float64) {
 		for at := from; at < until; at += 0.01 {
-			if b.Admit("t", 10, terms, after(at)).Pass {
+			if b.Admit("t", 10, terms, after(at)).Allowed {
 				passed += 10
 			}
 		}
 		return passed
 	}
 	Convey("A mark ends when the blend falls below the limit", t, func() {
-		marked := NewBook("a", Config{Without: Ordinary})
-		ended := NewBook("a", Config{Without: Ordinary &^ MarkEnds})
+		marked := NewLimiter("a", Config{Disabled: AllFeatures})
+		ended := NewLimiter("a", Config{Disabled: AllFeatures &^ EarlyUnblock})
 		spend(marked, 0, 24)
 		spend(ended, 0, 24)
 		So(spend(marked, 24, 32), ShouldBeLessThan, 600)
 		So(spend(ended, 24, 32), ShouldBeGreaterThan, 900)
 	})
 	Convey("Late in one window and early in the next, the bound holds what the blend lets pass", t, func() {
-		for _, without := range []Exception{Ordinary &^ MarkEnds, Ordinary &^ (MarkEnds | Bound)} {
-			b := NewBook("a", Config{Without: without})
+		for _, without := range []Feature{AllFeatures &^ EarlyUnblock, AllFeatures &^ (EarlyUnblock | SlidingBound)} {
+			b := NewLimiter("a", Config{Disabled: without})
 			passed := spend(b, 7, 8) + spend(b, 8, 9) + spend(b, 14, 15)
-			if without&Bound != 0 {
+			if without&SlidingBound != 0 {
 				So(passed, ShouldBeGreaterThan, 1500)
 			} else {
 				So(passed, ShouldBeLessThanOrEqualTo, 1.15*1000)
@@ -85,60 +85,60 @@
 		}
 	})
 	Convey("A tenant below its limit passes although its early window makes the blend refuse", t, func() {
-		for _, without := range []Exception{Ordinary &^ (MarkEnds | Bound), Ordinary &^ (MarkEnds | Bound | Room)} {
-			b := NewBook("a", Config{Without: without})
-			So(b.Admit("t", 700, terms, after(0)).Pass, ShouldBeTrue)
-			So(b.Admit("t", 600, terms, after(8.3)).Pass, ShouldBeTrue)
-			So(b.Admit("t", 10, terms, after(8.4)).Pass, ShouldEqual, without&Room == 0)
+		for _, without := range []Feature{AllFeatures &^ (EarlyUnblock | SlidingBound), AllFeatures &^ (EarlyUnblock | SlidingBound | SlidingCapacity)} {
+			b := NewLimiter("a", Config{Disabled: without})
+			So(b.Admit("t", 700, terms, after(0)).Allowed, ShouldBeTrue)
+			So(b.Admit("t", 600, terms, after(8.3)).Allowed, ShouldBeTrue)
+			So(b.Admit("t", 10, terms, after(8.4)).Allowed, ShouldEqual, without&SlidingCapacity == 0)
 		}
 	})
 	Convey("Retry-after is when the request passes if nobody spends", t, func() {
-		b := NewBook("a", Config{})
-		b.SetRoster([]string{"a"})
-		l := NewLedger("a", 1, Config{})
-		l.SetReach([]string{"a"}, nil, start)
+		b := NewLimiter("a", Config{})
+		b.SetFronts([]string{"a"})
+		l := NewCounter("a", 1, Config{})
+		l.SetMembership([]string{"a"}, nil, start)
 		for at := 0.0; at < 3; at += 0.01 {
 			b.Admit("t", 10, terms, after(at))
 			exchange(b, l, after(at))
 		}
 		d := b.Admit("t", 10, terms, after(3))
-		So(d.Pass, ShouldBeFalse)
-		So(b.Admit("t", 10, terms, after(3).Add(d.RetryAfter/2)).Pass, ShouldBeFalse)
-		b.Learn(l.Add(&wire.AddRequest{Front: "a", Incarnation: 1, Counts: b.Outgoing(after(3).Add(d.RetryAfter), one)["a"]}, after(3).Add(d.RetryAfter)), after(3).Add(d.RetryAfter), after(3).Add(d.RetryAfter))
-		So(b.Admit("t", 10, terms, after(3).Add(d.RetryAfter)).Pass, ShouldBeTrue)
+		So(d.Allowed, ShouldBeFalse)
+		So(b.Admit("t", 10, terms, after(3).Add(d.RetryAfter/2)).Allowed, ShouldBeFalse)
+		b.ApplyTotals(l.Add(&wire.AddRequest{Front: "a", Incarnation: 1, Counts: b.CountsToSend(after(3).Add(d.RetryAfter), one)["a"]}, after(3).Add(d.RetryAfter)), after(3).Add(d.RetryAfter), after(3).Add(d.RetryAfter))
+		So(b.Admit("t", 10, terms, after(3).Add(d.RetryAfter)).Allowed, ShouldBeTrue)
 	})
 }
 
 func TestOutOfReach(t *testing.T) {
-	terms := Terms{Rate: 100, Burst: 200}
+	terms := Allowance{Rate: 100, Burst: 200}
 	roster := []string{"a", "b", "c", "d"}
 	Convey("With a silent holder a front spends its share and no more, and says that it is not the quota", t, func() {
-		b := NewBook("b", Config{})
-		b.SetRoster(roster)
+		b := NewLimiter("b", Config{})
+		b.SetFronts(roster)
 		passed, code := 0.0, apierror.OK
 		for at := 0.0; at < 30; at += 0.01 {
 			d := b.Admit("t", 5, terms, after(at))
-			if d.Pass && at > 16 && at <= 24 {
+			if d.Allowed && at > 16 && at <= 24 {
 				passed += 5
 			}
-			if !d.Pass {
+			if !d.Allowed {
 				code = d.Code
 			}
-			b.Outgoing(after(at), one)
+			b.CountsToSend(after(at), one)
 		}
 		So(code, ShouldEqual, apierror.ShareExceeded)
 		So(passed, ShouldBeBetween, 0.85*250, 1.15*250)
 	})
 	Convey("A tenant idle for two windows is dropped", t, func() {
-		b := NewBook("b", Config{})
+		b := NewLimiter("b", Config{})
 		b.Admit("t", 5, terms, start)
-		b.Outgoing(after(15.9), one)
-		So(b.Active(), ShouldEqual, 1)
-		b.Outgoing(after(16.1), one)
-		So(b.Active(), ShouldEqual, 0)
+		b.CountsToSend(after(15.9), one)
+		So(b.ActiveTenants(), ShouldEqual, 1)
+		b.CountsToSend(after(16.1), one)
+		So(b.ActiveTenants(), ShouldEqual, 0)
 	})
 	Convey("A small step back of fleet time takes nothing from what was spent; a step forth neither adds", t, func() {
-		b := NewBook("a", Config{})
+		b := NewLimiter("a", Config{})
 		b.Admit("t", 100, terms, after(4))
 		So(b.Admit("t", 0, terms, after(3)).Recent, ShouldEqual, 100)
 		So(b.Admit("t", 0, terms, after(5)).Recent, ShouldEqual, 100)
@@ -147,11 +147,11 @@
 
 func TestLedger(t *testing.T) {
 	count := func(own ...float64) *wire.Count { return &wire.Count{Tenant: "t", Window: 225_000_000, Slices: own} }
-	add := func(l *Ledger, front string, incarnation uint64, at float64, c *wire.Count) *wire.Total {
+	add := func(l *Counter, front string, incarnation uint64, at float64, c *wire.Count) *wire.Total {
 		return l.Add(&wire.AddRequest{Front: front, Incarnation: incarnation, Counts: []*wire.Count{c}}, after(at)).Totals[0]
 	}
 	Convey("Totals sum the fronts and stay true when counts come again, late or out of order", t, func() {
-		l := NewLedger("a", 1, Config{})
+		l := NewCounter("a", 1, Config{})
 		So(add(l, "a", 1, 1, count(10, 5)).Total, ShouldEqual, 15)
 		So(add(l, "b", 1, 1, count(7)).Total, ShouldEqual, 22)
 		So(add(l, "a", 1, 1, count(4)).Total, ShouldEqual, 22)
@@ -161,7 +161,7 @@
 		So(add(l, "a", 2, 2, count(1)).Total, ShouldEqual, 24)
 	})
 	Convey("A front with a clock far ahead pushes nobody's adds out", t, func() {
-		l := NewLedger("a", 1, Config{})
+		l := NewCounter("a", 1, Config{})
 		add(l, "a", 1, 1, count(10))
 		ahead := count(99)
 		ahead.Window += 10
@@ -169,32 +169,32 @@
 		So(add(l, "a", 1, 1, count(11)).Total, ShouldEqual, 11)
 	})
 	Convey("A new holder takes the highest totals learned, so that a dead front's adds stay counted", t, func() {
-		before, fresh := NewLedger("a", 1, Config{}), NewLedger("a", 2, Config{})
-		b := NewBook("b", Config{})
+		before, fresh := NewCounter("a", 1, Config{}), NewCounter("a", 2, Config{})
+		b := NewLimiter("b", Config{})
 		add(before, "dead", 1, 1, count(30))
-		b.Admit("t", 12, Terms{Rate: 100}, after(1))
-		for i, holder := range []*Ledger{before, fresh, fresh} {
+		b.Admit("t", 12, Allowance{Rate: 100}, after(1))
+		for i, holder := range []*Counter{before, fresh, fresh} {
 			now := after(1.1 + 0.6*float64(i))
-			b.Admit("t", 0, Terms{Rate: 100}, now)
-			for _, counts := range b.Outgoing(now, one) {
-				b.Learn(holder.Add(&wire.AddRequest{Front: "b", Incarnation: 1, Counts: counts}, now), now, now)
+			b.Admit("t", 0, Allowance{Rate: 100}, now)
+			for _, counts := range b.CountsToSend(now, one) {
+				b.ApplyTotals(holder.Add(&wire.AddRequest{Front: "b", Incarnation: 1, Counts: counts}, now), now, now)
 			}
 		}
 		So(add(fresh, "c", 1, 2.4, count(0)).Total, ShouldEqual, 42)
-		So(b.Admit("t", 0, Terms{Rate: 100}, after(2.4)).Recent, ShouldEqual, 42)
+		So(b.Admit("t", 0, Allowance{Rate: 100}, after(2.4)).Recent, ShouldEqual, 42)
 	})
 	Convey("A holder that stood still asks for totals anew, and doesn't take all others for silent", t, func() {
 		names := []string{"a", "b", "c"}
-		holder := HolderOf("t", names)
-		others := Reached(names, []string{holder})
-		l := NewLedger(holder, 1, Config{})
+		holder := OwnerOf("t", names)
+		others := Reachable(names, []string{holder})
+		l := NewCounter(holder, 1, Config{})
 		for at := 0.0; at < 4; at += 0.2 {
-			l.SetReach(names, nil, after(at))
+			l.SetMembership(names, nil, after(at))
 			add(l, others[0], 1, at, count(1))
 		}
 		ask := &wire.AddRequest{Front: others[0], Incarnation: 1, Counts: []*wire.Count{count(1)}}
 		So(l.Add(ask, after(4)).Fresh, ShouldBeFalse)
-		l.SetReach(names, others, after(9))
+		l.SetMembership(names, others, after(9))
 		back := l.Add(ask, after(9.1))
 		So(back.Fresh, ShouldBeTrue)
 		standing := back.Totals[len(back.Totals)-1]
@@ -203,35 +203,35 @@
 	})
 	Convey("A front that reaches the holder itself doesn't answer at once in its place", t, func() {
 		names := []string{"a", "b", "c"}
-		holder := HolderOf("t", names)
-		other := Reached(names, []string{holder})[0]
-		l := NewLedger(other, 1, Config{})
+		holder := OwnerOf("t", names)
+		other := Reachable(names, []string{holder})[0]
+		l := NewCounter(other, 1, Config{})
 		ask := &wire.AddRequest{Front: "x", Incarnation: 1, Counts: []*wire.Count{count(1)}}
 		standing := func(at float64, silent ...string) bool {
-			l.SetReach(names, silent, after(at))
+			l.SetMembership(names, silent, after(at))
 			totals := l.Add(ask, after(at)).Totals
 			return totals[len(totals)-1].Window == standingKey
 		}
-		others := Reached(names, []string{other})
+		others := Reachable(names, []string{other})
 		for at := 0.0; at < 2.5; at += 0.2 {
-			l.SetReach(names, nil, after(at))
+			l.SetMembership(names, nil, after(at))
 		}
 		So(standing(2.5), ShouldBeFalse)
 		So(standing(2.7, others...), ShouldBeTrue)
 	})
 	Convey("A holder that has just started doesn't take all others for silent", t, func() {
 		names := []string{"a", "b", "c"}
-		holder := HolderOf("t", names)
-		others := Reached(names, []string{holder})
-		l := NewLedger(holder, 2, Config{})
-		l.SetReach(names, others, start)
+		holder := OwnerOf("t", names)
+		others := Reachable(names, []string{holder})
+		l := NewCounter(holder, 2, Config{})
+		l.SetMembership(names, others, start)
 		ask := &wire.AddRequest{Front: others[0], Incarnation: 1, Counts: []*wire.Count{count(1)}}
 		totals := l.Add(ask, after(0.1)).Totals
 		So(totals[len(totals)-1].Window, ShouldEqual, standingKey)
 		So(totals[len(totals)-1].Total, ShouldEqual, 0)
 	})
 	Convey("A window that rises after it passed is told once more to fronts that no longer ask for it", t, func() {
-		l := NewLedger("a", 1, Config{})
+		l := NewCounter("a", 1, Config{})
 		now := count(1)
 		now.Window++
 		ask := &wire.AddRequest{Front: "b", Incarnation: 1, Counts: []*wire.Count{now}}
@@ -244,21 +244,21 @@
 		So(l.Add(ask, after(12.4)).Totals, ShouldHaveLength, 2)
 	})
 	Convey("Tenants idle for two windows are dropped", t, func() {
-		l := NewLedger("a", 1, Config{})
+		l := NewCounter("a", 1, Config{})
 		add(l, "a", 1, 1, count(1))
 		l.Expire(after(16))
-		So(l.Held(), ShouldEqual, 1)
+		So(l.Tenants(), ShouldEqual, 1)
 		l.Expire(after(17.1))
-		So(l.Held(), ShouldEqual, 0)
+		So(l.Tenants(), ShouldEqual, 0)
 	})
 	Convey("The holder moves for few tenants when the roster changes", t, func() {
 		nine := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}
 		held, moved := map[string]int{}, 0
 		for i := range 900 {
 			tenant := "t" + strconv.Itoa(i)
-			holder := HolderOf(tenant, nine)
+			holder := OwnerOf(tenant, nine)
 			held[holder]++
-			if holder != "i" && HolderOf(tenant, nine[:8]) != holder {
+			if holder != "i" && OwnerOf(tenant, nine[:8]) != holder {
 				moved++
 			}
 		}
@@ -318,17 +318,17 @@
 	})
 }
 
-func spread(tenants, fronts int) (*Book, *Ledger, []string) {
+func spread(tenants, fronts int) (*Limiter, *Counter, []string) {
 	roster := make([]string, fronts)
 	for i := range roster {
 		roster[i] = "front-" + strconv.Itoa(i)
 	}
-	b, l := NewBook(roster[0], Config{}), NewLedger("a", 1, Config{})
-	b.SetRoster(roster)
+	b, l := NewLimiter(roster[0], Config{}), NewCounter("a", 1, Config{})
+	b.SetFronts(roster)
 	for i := range tenants {
 		tenant := "tenant-" + strconv.Itoa(i)
 		for at := 0.0; at < 1; at += 0.25 {
-			b.Admit(tenant, 10, Terms{Rate: 1000, Burst: 1000}, after(4+at))
+			b.Admit(tenant, 10, Allowance{Rate: 1000, Burst: 1000}, after(4+at))
 		}
 	}
 	return b, l, roster
@@ -351,7 +351,7 @@
 				random := rand.New(rand.NewPCG(1, 1))
 				b.ReportAllocs()
 				for b.Loop() {
-					book.Admit(names[random.IntN(tenants)], 1, Terms{Rate: kind.rate}, after(5))
+					book.Admit(names[random.IntN(tenants)], 1, Allowance{Rate: kind.rate}, after(5))
 				}
 			})
 		}
@@ -371,7 +371,7 @@
 				book, ledger, roster := spread(tenants, fronts)
 				front := float64(heap()-base) / float64(tenants)
 				base = heap()
-				counts := book.Outgoing(after(5), one)["a"]
+				counts := book.CountsToSend(after(5), one)["a"]
 				out, back := 0, 0
 				for _, name := range roster {
 					req := &wire.AddRequest{Front: name, Incarnation: 1, Counts: counts}
@@ -380,7 +380,7 @@
 				}
 				holder := float64(heap()-base) / float64(tenants)
 				for b.Loop() {
-					book.Outgoing(after(5.2), one)
+					book.CountsToSend(after(5.2), one)
 				}
 				b.ReportMetric(front, "front-B/tenant")
 				b.ReportMetric(holder, "holder-B/tenant")
--- a/internal/decision/quota/ledger.go
+++ b/internal/decision/quota/ledger.go
@@ -7,9 +7,9 @@
 	"stepwick/internal/wire"
 )
 
-// Ledger is the holder's side: the counts of the tenants that this front holds,
+// Counter is the holder's side: the counts of the tenants that this front holds,
 // by front. It has one owner.
-type Ledger struct {
+type Counter struct {
 	self        string
 	incarnation uint64
 	config      Config
@@ -72,16 +72,16 @@
 	return c.told[0].tokens
 }
 
-// NewLedger returns an empty Ledger of the front named self.
-func NewLedger(self string, incarnation uint64, config Config) *Ledger {
+// NewCounter returns an empty Ledger of the front named self.
+func NewCounter(self string, incarnation uint64, config Config) *Counter {
 	config = config.withDefaults()
-	return &Ledger{self: self, incarnation: incarnation, config: config, grid: gridOf(config), silent: map[string]time.Time{}, tenants: map[string]*held{}}
+	return &Counter{self: self, incarnation: incarnation, config: config, grid: gridOf(config), silent: map[string]time.Time{}, tenants: map[string]*held{}}
 }
 
 // wake notices that this process has just started or stood still: its totals are from before, so
 // the fronts are asked for theirs, and whom it takes for silent itself is not
 // believed before it had time to hear them.
-func (l *Ledger) wake(now time.Time) {
+func (l *Counter) wake(now time.Time) {
 	if l.seen.IsZero() || now.Sub(l.seen) > activeFor*l.config.Interval {
 		l.began, l.thawed = now, now
 		clear(l.silent)
@@ -92,9 +92,9 @@
 	}
 }
 
-// SetReach tells the roster, and which of its fronts are silent without being
+// SetMembership tells the roster, and which of its fronts are silent without being
 // known to be gone: what they may be spending on their own is kept for them.
-func (l *Ledger) SetReach(roster, silent []string, now time.Time) {
+func (l *Counter) SetMembership(roster, silent []string, now time.Time) {
 	l.wake(now)
 	if !slices.Equal(roster, l.roster) {
 		l.roster, l.rostered = roster, make(map[string]bool, len(roster))
@@ -118,7 +118,7 @@
 	} else if l.cut.IsZero() {
 		l.cut = now
 	}
-	reached := Reached(roster, silent)
+	reached := Reachable(roster, silent)
 	if slices.Equal(reached, l.reached) {
 		return
 	}
@@ -132,14 +132,14 @@
 
 // isGuest tells that fronts bring a tenant's counts here though another front
 // is its holder by what this one can reach.
-func (l *Ledger) isGuest(tenant string) bool {
-	return len(l.reached) > 0 && HolderOf(tenant, l.reached) != l.self
+func (l *Counter) isGuest(tenant string) bool {
+	return len(l.reached) > 0 && OwnerOf(tenant, l.reached) != l.self
 }
 
 // Add takes a front's counts and answers with the totals over all fronts. Each
 // slice of a front keeps the highest count seen, so an Add may be sent again,
 // late or out of order.
-func (l *Ledger) Add(req *wire.AddRequest, now time.Time) *wire.AddResponse {
+func (l *Counter) Add(req *wire.AddRequest, now time.Time) *wire.AddResponse {
 	if l.began.IsZero() {
 		l.began = now
 	}
@@ -192,7 +192,7 @@
 
 // take adds what is new in a count, and nothing that lies in the future: a front
 // with a wrong clock must not push the others' slices out.
-func (l *Ledger) take(t *held, c *contribution, count *wire.Count, now time.Time) {
+func (l *Counter) take(t *held, c *contribution, count *wire.Count, now time.Time) {
 	first, bound := count.Window*l.grid.slices, l.grid.bound(now)
 	for k, tokens := range count.Slices[:min(len(count.Slices), int(l.grid.slices))] {
 		if slice := first + int64(k); slice >= 0 && slice <= bound {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (l *Ledger) open(tenant string, now time.Time) *held {
+func (l *Counter) open(tenant string, now time.Time) *held {
 	t := l.tenants[tenant]
 	if t == nil {
 		t = &held{fronts: map[source]*contribution{}, sum: newRing(l.grid), learned: newRing(l.grid), guest: l.isGuest(tenant), since: now}
@@ -233,7 +233,7 @@
 	return t
 }
 
-func (l *Ledger) total(t *held, c *contribution, count *wire.Count) *wire.Total {
+func (l *Counter) total(t *held, c *contribution, count *wire.Count) *wire.Total {
 	out := &wire.Total{Tenant: count.Tenant, Window: count.Window, Slices: t.sum.window(l.grid, count.Window),
 		AckedSlices: c.own.window(l.grid, count.Window)}
 	for k, tokens := range t.learned.window(l.grid, count.Window) {
@@ -254,12 +254,12 @@
 // standing tells a front where it stands beside the others: its share of the
 // room by demand, the part of the limit kept for silent fronts, and how much of that they
 // are known to have spent.
-func (l *Ledger) standing(t *held, c *contribution, tenant string, now time.Time) *wire.Total {
+func (l *Counter) standing(t *held, c *contribution, tenant string, now time.Time) *wire.Total {
 	if now.Sub(t.weighed) > l.config.Interval/4 || now.Before(t.weighed) {
 		l.weigh(t, now)
 	}
 	if c.share = 1 / float64(max(1, len(l.roster))); t.demand > 0 {
-		c.share = l.config.Floor/float64(max(1, t.active)) + (1-l.config.Floor)*c.demandAt(now.Add(-l.config.Lag))/t.demand
+		c.share = l.config.EvenFraction/float64(max(1, t.active)) + (1-l.config.EvenFraction)*c.demandAt(now.Add(-l.config.MaxLag))/t.demand
 	}
 	out := &wire.Total{Tenant: tenant, Window: standingKey, Total: t.kept, Acked: c.share}
 	if t.kept > 0 {
@@ -271,12 +271,12 @@
 // weigh looks at all fronts at once, among those where the tenant is active. A
 // front's own demand counts as it was when every front's is known, beside the
 // newest of all, so that the shares never sum to more than one for long.
-func (l *Ledger) weigh(t *held, now time.Time) {
+func (l *Counter) weigh(t *held, now time.Time) {
 	t.weighed, t.active, t.demand = now, 0, 0
 	for _, c := range t.fronts {
 		if !c.left && now.Sub(c.heard) <= missedFor*l.config.Interval {
 			t.active++
-			t.demand += max(c.told[len(c.told)-1].tokens, c.demandAt(now.Add(-l.config.Lag)))
+			t.demand += max(c.told[len(c.told)-1].tokens, c.demandAt(now.Add(-l.config.MaxLag)))
 		}
 	}
 	l.keep(t, now)
@@ -289,7 +289,7 @@
 // One that left the roster spends nothing. On a side of a cut where nobody knows
 // what the other has spent, the whole limit is kept first, and that runs out. What the silent ones are known to
 // have spent counts towards what is kept.
-func (l *Ledger) keep(t *held, now time.Time) {
+func (l *Counter) keep(t *held, now time.Time) {
 	t.kept, t.met = 0, 0
 	met := make(map[string]bool, len(t.fronts))
 	slice, _ := l.grid.at(now)
@@ -337,12 +337,12 @@
 	t.kept = max(t.kept, 1-over*over)
 }
 
-func (l *Ledger) toldSilent(front string, now time.Time) bool {
+func (l *Counter) toldSilent(front string, now time.Time) bool {
 	last, told := l.silent[front]
 	return told && now.Sub(last) <= silentAfter*l.config.Interval
 }
 
-func (l *Ledger) restarted(t *held, front source) bool {
+func (l *Counter) restarted(t *held, front source) bool {
 	for other := range t.fronts {
 		if other.name == front.name && other.incarnation > front.incarnation {
 			return true
@@ -352,7 +352,7 @@
 }
 
 // Expire drops tenants and fronts' counts that were idle for two windows.
-func (l *Ledger) Expire(now time.Time) {
+func (l *Counter) Expire(now time.Time) {
 	horizon := now.Add(-2 * l.config.Window)
 	for tenant, t := range l.tenants {
 		if t.touched.Before(horizon) {
@@ -367,5 +367,5 @@
 	}
 }
 
-// Held returns the number of tenants whose count is held here.
-func (l *Ledger) Held() int { return len(l.tenants) }
+// Tenants returns the number of tenants whose count is held here.
+func (l *Counter) Tenants() int { return len(l.tenants) }
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -51,9 +51,9 @@
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	var err error
 	p.spend, err = quotasync.New(quotasync.Config{
-		Self: p.base.Name, Incarnation: p.base.Incarnation, Metrics: registry, HoldFor: values.Duration("tally.hold"),
-		Silent: func() []string { return p.follower.View().Silent },
-		Tally:  quota.Config{Window: values.Duration("quota_window"), Slices: values.Int("quota_slices"), Interval: values.Duration("tally.interval")},
+		Self: p.base.Name, Incarnation: p.base.Incarnation, Metrics: registry, QueueTimeout: values.Duration("tally.hold"),
+		Unresponsive: func() []string { return p.follower.View().Silent },
+		Quota:        quota.Config{Window: values.Duration("quota_window"), Slices: values.Int("quota_slices"), Interval: values.Duration("tally.interval")},
 	}, p.directory, clock, p.follower.FleetNow, func() []string { return p.follower.View().Live }, log)
 	if err != nil {
 		return nil, err
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -129,8 +129,8 @@
 }
 
 func (a *Admission) tally(decision quota.Decision) {
-	a.Passed, a.Marked = decision.Pass, decision.Marked
-	a.Blend, a.Prev, a.Cur, a.Recent, a.Limit = decision.Blend, decision.Prev, decision.Cur, decision.Recent, decision.Limit
+	a.Passed, a.Marked = decision.Allowed, decision.OverLimit
+	a.Blend, a.Prev, a.Cur, a.Recent, a.Limit = decision.Estimate, decision.Previous, decision.Current, decision.Recent, decision.Limit
 }
 
 func routingOf(choice route.Choice, waited time.Duration) *Routing {
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -71,7 +71,7 @@
 
 // Admitter decides by the shared tally whether a tenant may spend tokens.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, patience time.Duration) quota.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Allowance, patience time.Duration) quota.Decision
 }
 
 // Front serves callers.
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -84,12 +84,12 @@
 }
 
 type fakeTally struct {
-	decide func(tenant string, tokens float64, terms quota.Terms) quota.Decision
+	decide func(tenant string, tokens float64, terms quota.Allowance) quota.Decision
 }
 
-func (f *fakeTally) Admit(_ context.Context, tenant string, tokens float64, terms quota.Terms, _ time.Duration) quota.Decision {
+func (f *fakeTally) Admit(_ context.Context, tenant string, tokens float64, terms quota.Allowance, _ time.Duration) quota.Decision {
 	if f.decide == nil {
-		return quota.Decision{Pass: true, Limit: 810}
+		return quota.Decision{Allowed: true, Limit: 810}
 	}
 	return f.decide(tenant, tokens, terms)
 }
@@ -583,7 +583,7 @@
 		within(t, func(t *testing.T) {
 			f := newFleet(t, "model", 1, streaming(50, 0))
 			defer f.stop()
-			f.tally.decide = func(string, float64, quota.Terms) quota.Decision { panic("oh") }
+			f.tally.decide = func(string, float64, quota.Allowance) quota.Decision { panic("oh") }
 			caller := f.call()
 			caller.prompt("r1", time.Minute)
 			f.expect("code", caller.answer().code, apierror.Internal)
@@ -648,7 +648,7 @@
 			f := newFleet(t, "model", 8, streaming(1, 0))
 			defer f.stop()
 			spent := []any{}
-			f.tally.decide = func(tenant string, tokens float64, terms quota.Terms) quota.Decision {
+			f.tally.decide = func(tenant string, tokens float64, terms quota.Allowance) quota.Decision {
 				spent = append(spent, tenant, tokens, terms)
 				return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 3 * time.Second}
 			}
@@ -664,7 +664,7 @@
 			f.expect("nothing spent so far", spent, []any{})
 			f.expect("quota", ask("/v1/prompt", `{"service":"chat","prefix_tokens":1,"session_tokens":2,"max_tokens":4}`), apierror.QuotaExceeded)
 			f.expect("quota", ask("/v1/call/orders/", ``), apierror.QuotaExceeded)
-			f.expect("spent", spent, []any{"press", 7, quota.Terms{Rate: 100, Burst: 10}, "press", 5, quota.Terms{Rate: 100, Burst: 10}})
+			f.expect("spent", spent, []any{"press", 7, quota.Allowance{Rate: 100, Burst: 10}, "press", 5, quota.Allowance{Rate: 100, Burst: 10}})
 			f.views.publish(withKeys("other"))
 			f.expect("key", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownKey)
 			f.views.ruling.Store(false)
--- a/internal/node/front/serve.go
+++ b/internal/node/front/serve.go
@@ -193,9 +193,9 @@
 		}
 	}
 	c.request.Tokens, a.Tokens = tokens, tokens
-	decision := f.admit.Admit(ctx, tenant, tokens, quota.Terms{Rate: row.Rate, Burst: row.Burst}, 0)
+	decision := f.admit.Admit(ctx, tenant, tokens, quota.Allowance{Rate: row.Rate, Burst: row.Burst}, 0)
 	a.tally(decision)
-	if !decision.Pass {
+	if !decision.Allowed {
 		return (&apierror.Error{Code: decision.Code, Detail: fmt.Sprintf("%s has %.0f tokens in a window", tenant, decision.Limit)}).WithRetryAfter(decision.RetryAfter)
 	}
 	return nil
--- a/internal/node/gateway/gateway_test.go
+++ b/internal/node/gateway/gateway_test.go
@@ -84,12 +84,12 @@
 	patience atomic.Int64 // of the last request, nanoseconds
 }
 
-func (a *admitter) Admit(_ context.Context, _ string, _ float64, _ quota.Terms, patience time.Duration) quota.Decision {
+func (a *admitter) Admit(_ context.Context, _ string, _ float64, _ quota.Allowance, patience time.Duration) quota.Decision {
 	a.patience.Store(int64(patience))
 	if a.refused.Load() {
 		return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 700 * time.Millisecond}
 	}
-	return quota.Decision{Pass: true}
+	return quota.Decision{Allowed: true}
 }
 
 // stand is a gateway before stand-in servers.
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -359,8 +359,8 @@
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
 	defer cancel()
 	part := q.gateway.config.Quota.part(units, q.terms, q.route.Priority)
-	decision := q.gateway.admitter.Admit(ctx, q.tenant, units, quota.Terms{Rate: q.terms.Rate * part, Burst: q.terms.Burst * part}, q.patience())
-	if decision.Pass {
+	decision := q.gateway.admitter.Admit(ctx, q.tenant, units, quota.Allowance{Rate: q.terms.Rate * part, Burst: q.terms.Burst * part}, q.patience())
+	if decision.Allowed {
 		return nil
 	}
 	apiErr := apierror.Errorf(decision.Code, "%s has %.0f in a window", q.tenant, decision.Limit)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -111,7 +111,7 @@
 	pool      *internalrpc.Pool
 	directory *internalrpc.Directory
 	follower  *follower.Follower
-	spend     *quotasync.Spend
+	spend     *quotasync.Service
 	front     *front.Front
 	gateway   *gateway.Gateway
 	edge      Edge
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -19,7 +19,7 @@
 type peer struct {
 	directory *internalrpc.Directory
 	follower  *follower.Follower
-	spend     *quotasync.Spend
+	spend     *quotasync.Service
 	inspector *inspector
 	replica   *replica.Replica
 	core      *control.Controller
--- a/internal/node/quotasync/keeper.go
+++ b/internal/node/quotasync/keeper.go
@@ -12,8 +12,8 @@
 
 // keeper owns the Ledger of the counts held here.
 type keeper struct {
-	spend  *Spend
-	ledger *quota.Ledger
+	spend  *Service
+	ledger *quota.Counter
 	adds   chan add
 }
 
@@ -22,15 +22,15 @@
 	answer chan *wire.AddResponse
 }
 
-func newKeeper(s *Spend) *keeper {
-	return &keeper{spend: s, ledger: quota.NewLedger(s.config.Self, s.config.Incarnation, s.config.Tally), adds: make(chan add, 64)}
+func newKeeper(s *Service) *keeper {
+	return &keeper{spend: s, ledger: quota.NewCounter(s.config.Self, s.config.Incarnation, s.config.Quota), adds: make(chan add, 64)}
 }
 
 func (k *keeper) String() string { return "spend-ledger" }
 
 // Serve runs the owner until the context ends.
 func (k *keeper) Serve(ctx context.Context) error {
-	ticker := k.spend.clock.Ticker(k.spend.config.Tally.Interval)
+	ticker := k.spend.clock.Ticker(k.spend.config.Quota.Interval)
 	defer ticker.Stop()
 	for tick := 0; ; {
 		select {
@@ -39,10 +39,10 @@
 		case a := <-k.adds:
 			a.answer <- k.ledger.Add(a.req, k.spend.fleetNow())
 		case <-ticker.C():
-			k.ledger.SetReach(k.spend.roster(), k.spend.config.Silent(), k.spend.fleetNow())
+			k.ledger.SetMembership(k.spend.roster(), k.spend.config.Unresponsive(), k.spend.fleetNow())
 			if tick++; tick%10 == 0 {
 				k.ledger.Expire(k.spend.fleetNow())
-				k.spend.metrics.holds(k.ledger.Held())
+				k.spend.metrics.holds(k.ledger.Tenants())
 			}
 		}
 	}
@@ -99,7 +99,7 @@
 
 func (m *metrics) count(d quota.Decision) {
 	switch {
-	case d.Pass:
+	case d.Allowed:
 		m.passed.Inc()
 	case d.Code == apierror.ShareExceeded:
 		m.share.Inc()
--- a/internal/node/quotasync/shard.go
+++ b/internal/node/quotasync/shard.go
@@ -23,7 +23,7 @@
 	ended  <-chan struct{}
 	tenant string
 	tokens float64
-	terms  quota.Terms
+	terms  quota.Allowance
 	// patience is how long it may be held.
 	patience time.Duration
 	answer   chan quota.Decision
@@ -48,11 +48,11 @@
 
 // shard owns the Book of its part of the tenants.
 type shard struct {
-	spend    *Spend
+	spend    *Service
 	name     string
-	book     *quota.Book
+	book     *quota.Limiter
 	asks     chan *ask
-	inspects chan chan []quota.TenantView
+	inspects chan chan []quota.TenantUsage
 	flushes  chan chan error
 	answers  chan learned
 
@@ -74,9 +74,9 @@
 	pending int
 }
 
-func newShard(s *Spend, number int) *shard {
-	return &shard{spend: s, name: "spend-" + strconv.Itoa(number), book: quota.NewBook(s.config.Self, s.config.Tally),
-		asks: make(chan *ask, 64), inspects: make(chan chan []quota.TenantView), flushes: make(chan chan error),
+func newShard(s *Service, number int) *shard {
+	return &shard{spend: s, name: "spend-" + strconv.Itoa(number), book: quota.NewLimiter(s.config.Self, s.config.Quota),
+		asks: make(chan *ask, 64), inspects: make(chan chan []quota.TenantUsage), flushes: make(chan chan error),
 		answers: make(chan learned, 64), holders: map[string]string{}, flying: map[string]int{},
 		paced: map[string]bool{}, rest: func() {}, silent: map[string]bool{}}
 }
@@ -85,7 +85,7 @@
 
 // Serve runs the owner until the context ends.
 func (o *shard) Serve(ctx context.Context) error {
-	ticker := o.spend.clock.Ticker(o.spend.config.Tally.Interval)
+	ticker := o.spend.clock.Ticker(o.spend.config.Quota.Interval)
 	defer ticker.Stop()
 	defer func() { o.rest() }()
 	o.follow()
@@ -100,8 +100,8 @@
 		case <-ticker.C():
 			o.follow()
 			o.beginPace()
-			o.send(ctx, o.book.Outgoing(o.spend.fleetNow(), o.holderOf))
-			o.spend.metrics.active(o.name, o.book.Active())
+			o.send(ctx, o.book.CountsToSend(o.spend.fleetNow(), o.holderOf))
+			o.spend.metrics.active(o.name, o.book.ActiveTenants())
 			o.hurry(ctx)
 			o.retry()
 		case <-o.paces:
@@ -115,7 +115,7 @@
 		case answer := <-o.inspects:
 			answer <- o.book.Inspect(o.spend.fleetNow())
 		case done := <-o.flushes:
-			sent := o.send(ctx, o.book.Outgoing(o.spend.fleetNow(), o.holderOf))
+			sent := o.send(ctx, o.book.CountsToSend(o.spend.fleetNow(), o.holderOf))
 			if o.flush = append(o.flush, flush{done, sent}); sent == 0 {
 				o.flushed(nil)
 			}
@@ -132,7 +132,7 @@
 // pace has the owner woken at each pace while it has tenants. Where fronts are many,
 // each of which has few requests, it is only while counts are urgent or requests held.
 func (o *shard) pace() {
-	busy := len(o.holds) > 0 || o.book.Hurries() || !o.many() && o.book.Active() > 0
+	busy := len(o.holds) > 0 || o.book.HasUrgent() || !o.many() && o.book.ActiveTenants() > 0
 	switch {
 	case busy && o.paces == nil:
 		pacer := o.spend.clock.Ticker(o.spend.paceEvery())
@@ -152,7 +152,7 @@
 // hurryIfPaced sends urgent counts at once, where fronts are many and the last pace
 // is over: none may be under way that would.
 func (o *shard) hurryIfPaced(ctx context.Context) {
-	if !o.many() || !o.book.Hurries() || o.spend.clock.Now().Sub(o.pacedAt) < o.spend.paceEvery() {
+	if !o.many() || !o.book.HasUrgent() || o.spend.clock.Now().Sub(o.pacedAt) < o.spend.paceEvery() {
 		return
 	}
 	o.beginPace()
@@ -161,23 +161,23 @@
 
 func (o *shard) follow() {
 	roster := o.spend.roster()
-	if reached := quota.Reached(roster, o.spend.config.Silent()); !slices.Equal(reached, o.reached) {
+	if reached := quota.Reachable(roster, o.spend.config.Unresponsive()); !slices.Equal(reached, o.reached) {
 		o.reached = slices.Clone(reached)
 		clear(o.holders)
 	}
 	if !slices.Equal(roster, o.roster) {
 		o.roster = slices.Clone(roster)
-		o.book.SetRoster(o.roster)
+		o.book.SetFronts(o.roster)
 	}
 }
 
 func (o *shard) holderOf(tenant string) string {
 	holder, known := o.holders[tenant]
 	if !known {
-		if len(o.holders) > 2*o.book.Active()+1024 {
+		if len(o.holders) > 2*o.book.ActiveTenants()+1024 {
 			clear(o.holders)
 		}
-		holder = quota.HolderOf(tenant, o.reached)
+		holder = quota.OwnerOf(tenant, o.reached)
 		o.holders[tenant] = holder
 	}
 	return holder
@@ -185,7 +185,7 @@
 
 func (o *shard) decide(ask *ask) {
 	decision := o.book.Admit(ask.tenant, ask.tokens, ask.terms, o.spend.fleetNow())
-	if !decision.Hold || len(o.holds) >= o.spend.config.HoldMost {
+	if !decision.Queue || len(o.holds) >= o.spend.config.MaxPending {
 		ask.answer <- decision
 		return
 	}
@@ -197,9 +197,9 @@
 // jump than there is room for.
 func (o *shard) patience(ask *ask) time.Duration {
 	if !o.many() {
-		return o.spend.config.HoldFor
+		return o.spend.config.QueueTimeout
 	}
-	return max(o.spend.config.HoldFor, min(ask.patience, holdMost))
+	return max(o.spend.config.QueueTimeout, min(ask.patience, holdMost))
 }
 
 // holdMost is how long a request may be held at most where fronts are many: until
@@ -217,12 +217,12 @@
 			continue
 		default:
 		}
-		h.last = o.book.Again(h.tenant, h.tokens, h.terms, o.spend.fleetNow())
-		if h.last.Hold && now.Before(h.until) {
+		h.last = o.book.AdmitQueued(h.tenant, h.tokens, h.terms, o.spend.fleetNow())
+		if h.last.Queue && now.Before(h.until) {
 			kept = append(kept, h)
 			continue
 		}
-		o.spend.metrics.held(h.last.Pass)
+		o.spend.metrics.held(h.last.Allowed)
 		h.answer <- h.last
 	}
 	clear(o.holds[len(kept):])
@@ -230,7 +230,7 @@
 }
 
 func (o *shard) hurry(ctx context.Context) {
-	o.send(ctx, o.book.Urgent(o.spend.fleetNow(), o.holderOf, func(holder string) bool {
+	o.send(ctx, o.book.UrgentCounts(o.spend.fleetNow(), o.holderOf, func(holder string) bool {
 		return !o.paced[holder] && o.flying[holder] < inFlight
 	}))
 }
@@ -262,7 +262,7 @@
 	}
 	o.spend.metrics.exchanged(answer.err)
 	if answer.err == nil {
-		o.book.Learn(answer.resp, answer.sentAt, o.spend.fleetNow())
+		o.book.ApplyTotals(answer.resp, answer.sentAt, o.spend.fleetNow())
 	}
 	if silent := answer.err != nil; silent != o.silent[answer.holder] {
 		if silent {
--- a/internal/node/quotasync/spend.go
+++ b/internal/node/quotasync/spend.go
@@ -26,21 +26,21 @@
 
 // Config holds a front's part in the tally. Zero values take the defaults named.
 type Config struct {
-	Self        string
-	Incarnation uint64
-	Tally       quota.Config
-	Shards      int             // owners of the Book; one for each processor, 4 at most
-	Timeout     time.Duration   // of one exchange, 1 s
-	HoldFor     time.Duration   // longest hold of a request for an exchange, 2.5 s
-	HoldMost    int             // requests held by one owner, 256
-	Silent      func() []string // fronts on the roster that are silent without being known to be gone; may be nil
-	Metrics     prometheus.Registerer
+	Self         string
+	Incarnation  uint64
+	Quota        quota.Config
+	Shards       int             // owners of the Book; one for each processor, 4 at most
+	Timeout      time.Duration   // of one exchange, 1 s
+	QueueTimeout time.Duration   // longest hold of a request for an exchange, 2.5 s
+	MaxPending   int             // requests held by one owner, 256
+	Unresponsive func() []string // fronts on the roster that are silent without being known to be gone; may be nil
+	Metrics      prometheus.Registerer
 }
 
 const mostShards = 4
 
-// Spend decides requests by the shared tally.
-type Spend struct {
+// Service decides requests by the shared tally.
+type Service struct {
 	config   Config
 	peers    port.Peers
 	clock    clock.Clock
@@ -55,30 +55,30 @@
 
 // New returns the tally's runtime; it decides nothing before Serve runs.
 // fleetNow tells the time that the fleet agrees on, roster the fronts' names.
-func New(config Config, peers port.Peers, clock clock.Clock, fleetNow func() time.Time, roster func() []string, log events.Log) (*Spend, error) {
+func New(config Config, peers port.Peers, clock clock.Clock, fleetNow func() time.Time, roster func() []string, log events.Log) (*Service, error) {
 	if config.Shards <= 0 {
 		config.Shards = min(mostShards, runtime.GOMAXPROCS(0))
 	}
 	if config.Timeout <= 0 {
 		config.Timeout = time.Second
 	}
-	if config.HoldFor <= 0 {
-		config.HoldFor = 2500 * time.Millisecond
+	if config.QueueTimeout <= 0 {
+		config.QueueTimeout = 2500 * time.Millisecond
 	}
-	if config.HoldMost <= 0 {
-		config.HoldMost = 256
+	if config.MaxPending <= 0 {
+		config.MaxPending = 256
 	}
-	if config.Tally.Interval <= 0 {
-		config.Tally.Interval = 200 * time.Millisecond
+	if config.Quota.Interval <= 0 {
+		config.Quota.Interval = 200 * time.Millisecond
 	}
-	if config.Silent == nil {
-		config.Silent = func() []string { return nil }
+	if config.Unresponsive == nil {
+		config.Unresponsive = func() []string { return nil }
 	}
 	metrics, err := newMetrics(config.Metrics)
 	if err != nil {
 		return nil, errors.Wrap(err, "register the tally's metrics")
 	}
-	s := &Spend{config: config, peers: peers, clock: clock, fleetNow: fleetNow, roster: roster, log: log, metrics: metrics, asks: newAsks()}
+	s := &Service{config: config, peers: peers, clock: clock, fleetNow: fleetNow, roster: roster, log: log, metrics: metrics, asks: newAsks()}
 	s.keeper = newKeeper(s)
 	for i := range config.Shards {
 		s.shards = append(s.shards, newShard(s, i))
@@ -87,7 +87,7 @@
 }
 
 // Serve runs the owners until the context ends.
-func (s *Spend) Serve(ctx context.Context) error {
+func (s *Service) Serve(ctx context.Context) error {
 	supervisor := suture.New("spend", suture.Spec{EventHook: func(event suture.Event) {
 		if failed, ok := event.(suture.EventServicePanic); ok {
 			s.log.Emit(events.ServiceFailed, "service", failed.ServiceName, "panic", failed.PanicMsg)
@@ -100,20 +100,20 @@
 	return supervisor.Serve(ctx)
 }
 
-func (s *Spend) String() string { return "spend" }
+func (s *Service) String() string { return "spend" }
 
 // paceEvery is the least time between two sends of urgent counts to a holder.
-func (s *Spend) paceEvery() time.Duration { return s.config.Tally.Interval / pacesPerInterval }
+func (s *Service) paceEvery() time.Duration { return s.config.Quota.Interval / pacesPerInterval }
 
-func (s *Spend) shardOf(tenant string) *shard {
+func (s *Service) shardOf(tenant string) *shard {
 	return s.shards[xxhash.Sum64String(tenant)%uint64(len(s.shards))]
 }
 
 // Admit decides one request of so many tokens. It may hold a tenant that is
-// well below its limit for an exchange with the holder, HoldFor at the longest or,
+// well below its limit for an exchange with the holder, QueueTimeout at the longest or,
 // where fronts are many, for patience. When ctx ends first the request is refused and
 // adds nothing.
-func (s *Spend) Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, patience time.Duration) quota.Decision {
+func (s *Service) Admit(ctx context.Context, tenant string, tokens float64, terms quota.Allowance, patience time.Duration) quota.Decision {
 	ask := s.asks.Get().(*ask)
 	ask.ended, ask.tenant, ask.tokens, ask.terms = ctx.Done(), tenant, tokens, terms
 	ask.patience = patience
@@ -133,7 +133,7 @@
 	}
 }
 
-func (s *Spend) ended(ctx context.Context) quota.Decision {
+func (s *Service) ended(ctx context.Context) quota.Decision {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return quota.Decision{Code: apierror.DeadlinePassed}
 	}
@@ -141,7 +141,7 @@
 }
 
 // Add answers another front's counts for tenants whose count is held here.
-func (s *Spend) Add(ctx context.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
+func (s *Service) Add(ctx context.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
 	wire.UnpackCounts(req.Counts)
 	resp, err := s.keeper.add(ctx, req)
 	if err == nil {
@@ -152,10 +152,10 @@
 
 // Inspect returns what this front knows of its active tenants, by owner and
 // name; with a tenant's name given, of that one alone.
-func (s *Spend) Inspect(ctx context.Context, tenant string) ([]quota.TenantView, error) {
-	var views []quota.TenantView
+func (s *Service) Inspect(ctx context.Context, tenant string) ([]quota.TenantUsage, error) {
+	var views []quota.TenantUsage
 	for _, owner := range s.shards {
-		answer := make(chan []quota.TenantView, 1)
+		answer := make(chan []quota.TenantUsage, 1)
 		select {
 		case owner.inspects <- answer:
 		case <-ctx.Done():
@@ -169,9 +169,9 @@
 		}
 	}
 	if tenant != "" {
-		views = slices.DeleteFunc(views, func(v quota.TenantView) bool { return v.Tenant != tenant })
+		views = slices.DeleteFunc(views, func(v quota.TenantUsage) bool { return v.Tenant != tenant })
 	}
-	slices.SortFunc(views, func(a, b quota.TenantView) int {
+	slices.SortFunc(views, func(a, b quota.TenantUsage) int {
 		if a.Tenant < b.Tenant {
 			return -1
 		}
@@ -182,7 +182,7 @@
 
 // Flush sends every count to its holder and waits for the answers, so that what
 // was spent here stays counted when the process ends.
-func (s *Spend) Flush(ctx context.Context) error {
+func (s *Service) Flush(ctx context.Context) error {
 	for _, owner := range s.shards {
 		done := make(chan error, 1)
 		select {
@@ -203,7 +203,7 @@
 }
 
 // exchange sends one batch to a holder and returns its answer.
-func (s *Spend) exchange(ctx context.Context, holder string, counts []*wire.Count) (*wire.AddResponse, error) {
+func (s *Service) exchange(ctx context.Context, holder string, counts []*wire.Count) (*wire.AddResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.Timeout)
 	defer cancel()
 	req := &wire.AddRequest{Front: s.config.Self, Incarnation: s.config.Incarnation, Counts: counts}
--- a/internal/node/quotasync/spend_test.go
+++ b/internal/node/quotasync/spend_test.go
@@ -24,7 +24,7 @@
 
 // fleet is an in-memory set of fronts; a front in away is silent.
 type fleet struct {
-	spends map[string]*Spend
+	spends map[string]*Service
 	away   atomic.Pointer[string]
 	known  atomic.Bool // the fronts know who is silent
 }
@@ -70,9 +70,9 @@
 }
 
 func startHolding(ctx context.Context, t testing.TB, hold time.Duration, names ...string) *fleet {
-	f := &fleet{spends: map[string]*Spend{}}
+	f := &fleet{spends: map[string]*Service{}}
 	for _, name := range names {
-		s, err := New(Config{Self: name, Incarnation: 1, Silent: f.silent, HoldFor: hold}, f, clock.System(), time.Now, func() []string { return names }, events.Discard)
+		s, err := New(Config{Self: name, Incarnation: 1, Unresponsive: f.silent, QueueTimeout: hold}, f, clock.System(), time.Now, func() []string { return names }, events.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -89,12 +89,12 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		names := []string{"a", "b", "c"}
 		f := start(ctx, t, names...)
-		terms := quota.Terms{Rate: 100, Burst: 200}
+		terms := quota.Allowance{Rate: 100, Burst: 200}
 		<-time.After(time.Second)
 		offer := func(name string, requests int, tokens float64) (passed float64, last apierror.Code) {
 			for range requests {
 				<-time.After(5 * time.Millisecond)
-				if d := f.spends[name].Admit(ctx, "press", tokens, terms, 0); d.Pass {
+				if d := f.spends[name].Admit(ctx, "press", tokens, terms, 0); d.Allowed {
 					passed += tokens
 				} else {
 					last = d.Code
@@ -127,7 +127,7 @@
 		})
 		Convey("With a silent holder a front spends its share, and says that the count is out of reach", t, func() {
 			<-time.After(40 * time.Second)
-			holder := quota.HolderOf("press", names)
+			holder := quota.OwnerOf("press", names)
 			f.away.Store(&holder)
 			other := names[0]
 			if other == holder {
@@ -146,8 +146,8 @@
 		})
 		Convey("Once a holder is known to be silent, the next one counts and a tenant under its limit passes", t, func() {
 			<-time.After(40 * time.Second)
-			holder := quota.HolderOf("press", names)
-			others := quota.Reached(names, []string{holder})
+			holder := quota.OwnerOf("press", names)
+			others := quota.Reachable(names, []string{holder})
 			for _, name := range others {
 				_, code := offer(name, 1, 1)
 				So(code, ShouldEqual, apierror.OK)
@@ -161,23 +161,23 @@
 			So(code, ShouldEqual, apierror.OK)
 			So(first+second, ShouldEqual, 500)
 			<-time.After(time.Second)
-			So(f.spends[others[0]].Admit(ctx, "press", 1, terms, 0).Pass, ShouldBeTrue)
+			So(f.spends[others[0]].Admit(ctx, "press", 1, terms, 0).Allowed, ShouldBeTrue)
 			<-time.After(time.Second)
 			views, err := f.spends[others[0]].Inspect(ctx, "press")
 			So(err, ShouldBeNil)
-			So(views[0].Holder, ShouldEqual, quota.HolderOf("press", others))
+			So(views[0].Owner, ShouldEqual, quota.OwnerOf("press", others))
 			So(views[0].Recent, ShouldAlmostEqual, 503, 1)
 			f.away.Store(nil)
 			f.known.Store(false)
 		})
 		Convey("Flush leaves what was spent with the holder", t, func() {
 			<-time.After(40 * time.Second)
-			holder := quota.HolderOf("press", names)
+			holder := quota.OwnerOf("press", names)
 			other := names[0]
 			if other == holder {
 				other = names[1]
 			}
-			So(f.spends[other].Admit(ctx, "press", 7, terms, 0).Pass, ShouldBeTrue)
+			So(f.spends[other].Admit(ctx, "press", 7, terms, 0).Allowed, ShouldBeTrue)
 			So(f.spends[other].Flush(ctx), ShouldBeNil)
 			f.spends[holder].Admit(ctx, "press", 1, terms, 0)
 			<-time.After(time.Second)
@@ -188,7 +188,7 @@
 		Convey("A caller whose deadline passed is refused as such", t, func() {
 			gone, stop := context.WithCancel(ctx)
 			stop()
-			So(f.spends["a"].Admit(gone, "press", 1e9, terms, 0).Pass, ShouldBeFalse)
+			So(f.spends["a"].Admit(gone, "press", 1e9, terms, 0).Allowed, ShouldBeFalse)
 		})
 		cancel()
 	})
@@ -206,7 +206,7 @@
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				f.spends["a"].Admit(ctx, names[i%tenants], 1, quota.Terms{Rate: 1e9}, 0)
+				f.spends["a"].Admit(ctx, names[i%tenants], 1, quota.Allowance{Rate: 1e9}, 0)
 			}
 		})
 	}
@@ -220,7 +220,7 @@
 			names = append(names, "f"+strconv.Itoa(i))
 		}
 		f := startHolding(ctx, t, 100*time.Millisecond, names...)
-		terms := quota.Terms{Rate: 1000}
+		terms := quota.Allowance{Rate: 1000}
 		<-time.After(time.Second)
 		spend := func() {
 			for _, name := range names[:30] {
@@ -232,7 +232,7 @@
 		spend()
 		Convey("Where many fronts spend, a large request at one that the tenant comes to anew waits for its share", t, func() {
 			large := func(name string, patience time.Duration) bool {
-				return f.spends[name].Admit(ctx, "press", 800, terms, patience).Pass
+				return f.spends[name].Admit(ctx, "press", 800, terms, patience).Allowed
 			}
 			passed, short := 0, 0
 			for _, name := range names[30:] {
--- a/sim/quota/checker.go
+++ b/sim/quota/checker.go
@@ -44,7 +44,7 @@
 	result := Result{Min: notMeasured, MinByRegion: [regions]float64{notMeasured, notMeasured}}
 	admissions := admitted(requests, firstRegion)
 	for _, r := range requests {
-		if r.Decision.Pass {
+		if r.Decision.Allowed {
 			result.Wait = max(result.Wait, r.Answered-r.At)
 		}
 	}
@@ -60,7 +60,7 @@
 func admitted(requests []Request, firstRegion int) []admission {
 	var admissions []admission
 	for _, r := range requests {
-		if !r.Decision.Pass {
+		if !r.Decision.Allowed {
 			continue
 		}
 		region := 0
@@ -90,7 +90,7 @@
 			continue
 		}
 		result.Offered += r.Tokens
-		if !r.Decision.Pass && r.Decision.Code != 0 {
+		if !r.Decision.Allowed && r.Decision.Code != 0 {
 			refused += r.Tokens
 		}
 	}
@@ -156,7 +156,7 @@
 	sum, oldest := 0.0, 0
 	for i, r := range requests {
 		for ; requests[oldest].At <= r.At-span; oldest++ {
-			if exact[oldest].Decision.Pass {
+			if exact[oldest].Decision.Allowed {
 				sum -= exact[oldest].Tokens
 			}
 		}
@@ -164,7 +164,7 @@
 		exact[i].Decision.Code = apierror.QuotaExceeded
 		if sum+exactTolerance*r.Tokens <= 1 {
 			sum += r.Tokens
-			exact[i].Decision.Pass = true
+			exact[i].Decision.Allowed = true
 		}
 	}
 	return exact
--- a/sim/quota/fleet_test.go
+++ b/sim/quota/fleet_test.go
@@ -25,14 +25,14 @@
 )
 
 func play(scenario Scenario, seed uint64) (result, exact Result) {
-	return playWithout(scenario, seed, quota.Exception(*without))
+	return playWithout(scenario, seed, quota.Feature(*without))
 }
 
-func playWithout(scenario Scenario, seed uint64, without quota.Exception) (result, exact Result) {
+func playWithout(scenario Scenario, seed uint64, without quota.Feature) (result, exact Result) {
 	setup := scenario.Draw(rand.New(rand.NewPCG(seed, 1)))
 	fleet := setup.Fleet
 	fleet.Seed = seed
-	fleet.Config = quota.Config{Without: without, Slices: *windowSlices}
+	fleet.Config = quota.Config{Disabled: without, Slices: *windowSlices}
 	firstRegion := fleet.withDefaults().FirstRegion
 	requests := fleet.Run()
 	result = Check(requests, firstRegion, setup.ExcessFrom, setup.ExcessUntil)
@@ -87,8 +87,8 @@
 // one, and looks whether the checker sees it in one of the scenarios. The bound on a
 // span is not among them: with shares in place no scenario needs it at this seed.
 func TestEachExceptionIsNeeded(t *testing.T) {
-	for name, exception := range map[string]quota.Exception{"the mark's early end": quota.MarkEnds,
-		"the room": quota.Room, "shares": quota.Share, "holding": quota.Hold} {
+	for name, exception := range map[string]quota.Feature{"the mark's early end": quota.EarlyUnblock,
+		"the room": quota.SlidingCapacity, "shares": quota.FrontShares, "holding": quota.Queueing} {
 		Convey("Without "+name+" a tenant gets too much or too little", t, func() {
 			So(firstBroken(exception), ShouldNotBeEmpty)
 		})
@@ -97,7 +97,7 @@
 
 // firstBroken returns what breaks in the first scenario that does not hold
 // without an exception.
-func firstBroken(without quota.Exception) []string {
+func firstBroken(without quota.Feature) []string {
 	for _, scenario := range Scenarios() {
 		result, exact := playWithout(scenario, 1, without)
 		if broken := scenario.Broken(result, exact); len(broken) > 0 {
@@ -117,7 +117,7 @@
 
 func TestChecker(t *testing.T) {
 	pass := func(at time.Duration, tokens float64) Request {
-		return Request{At: at, Answered: at, Tokens: tokens, Decision: quota.Decision{Pass: true}}
+		return Request{At: at, Answered: at, Tokens: tokens, Decision: quota.Decision{Allowed: true}}
 	}
 	var even []Request
 	for at := time.Duration(0); at < 40*second; at += 80 * time.Millisecond {
--- a/sim/quota/front.go
+++ b/sim/quota/front.go
@@ -17,8 +17,8 @@
 // owns, its counter.
 type front struct {
 	name        string
-	limiter     *quota.Book
-	counter     *quota.Ledger
+	limiter     *quota.Limiter
+	counter     *quota.Counter
 	incarnation uint64
 	down        bool
 	frozen      bool
@@ -41,8 +41,8 @@
 	f := r.fronts[i]
 	f.down = false
 	f.incarnation++
-	f.limiter = quota.NewBook(f.name, r.Config)
-	f.counter = quota.NewLedger(f.name, f.incarnation, r.Config)
+	f.limiter = quota.NewLimiter(f.name, r.Config)
+	f.counter = quota.NewCounter(f.name, f.incarnation, r.Config)
 	f.sentTo = map[string]bool{}
 	f.inFlight = map[string]int{}
 	f.pending = nil
@@ -59,9 +59,9 @@
 	clear(f.sentTo)
 	if number%paceDivisor == 0 {
 		live, unresponsive := r.reachability(i)
-		f.limiter.SetRoster(live)
-		f.counter.SetReach(live, unresponsive, r.clock(i))
-		r.send(i, f.limiter.Outgoing(r.clock(i), r.ownerOf(i)))
+		f.limiter.SetFronts(live)
+		f.counter.SetMembership(live, unresponsive, r.clock(i))
+		r.send(i, f.limiter.CountsToSend(r.clock(i), r.ownerOf(i)))
 	}
 	if number%expireTicks == 0 {
 		f.counter.Expire(r.clock(i))
@@ -96,7 +96,7 @@
 func (r *run) stop(i int) {
 	f := r.fronts[i]
 	if r.FlushOnStop {
-		r.send(i, f.limiter.Outgoing(r.clock(i), r.ownerOf(i)))
+		r.send(i, f.limiter.CountsToSend(r.clock(i), r.ownerOf(i)))
 	}
 	f.down = true
 }
@@ -105,7 +105,7 @@
 func (r *run) sendUrgent(i int) {
 	f := r.fronts[i]
 	ready := func(owner string) bool { return !f.sentTo[owner] && f.inFlight[owner] < maxInFlight }
-	r.send(i, f.limiter.Urgent(r.clock(i), r.ownerOf(i), ready))
+	r.send(i, f.limiter.UrgentCounts(r.clock(i), r.ownerOf(i), ready))
 }
 
 // request admits, queues or rejects a request at front i or, when that one
@@ -116,7 +116,7 @@
 	number := len(r.requests)
 	r.requests = append(r.requests, Request{At: r.now, Answered: r.now, Front: i, Tokens: tokens})
 	decision := f.limiter.Admit(tenant, tokens*r.limit, r.Terms, r.clock(i))
-	if decision.Hold && len(f.pending) < maxPending {
+	if decision.Queue && len(f.pending) < maxPending {
 		f.pending = append(f.pending, pendingRequest{request: number, tokens: tokens, deadline: r.now + r.QueueTimeout})
 		return
 	}
@@ -138,8 +138,8 @@
 	f := r.fronts[i]
 	stillPending := f.pending[:0]
 	for _, p := range f.pending {
-		decision := f.limiter.Again(tenant, p.tokens*r.limit, r.Terms, r.clock(i))
-		if decision.Hold && r.now < p.deadline {
+		decision := f.limiter.AdmitQueued(tenant, p.tokens*r.limit, r.Terms, r.clock(i))
+		if decision.Queue && r.now < p.deadline {
 			stillPending = append(stillPending, p)
 			continue
 		}
@@ -155,7 +155,7 @@
 	if f.down || f.incarnation != incarnation {
 		return
 	}
-	f.limiter.Learn(resp, sentAt, r.clock(i))
+	f.limiter.ApplyTotals(resp, sentAt, r.clock(i))
 	r.sendUrgent(i)
 	r.retryPending(i)
 }
--- a/sim/quota/network.go
+++ b/sim/quota/network.go
@@ -64,8 +64,8 @@
 
 // ownerOf returns front i's choice of a tenant's owner.
 func (r *run) ownerOf(i int) func(tenant string) string {
-	reached := quota.Reached(r.reachability(i))
-	return func(tenant string) string { return quota.HolderOf(tenant, reached) }
+	reached := quota.Reachable(r.reachability(i))
+	return func(tenant string) string { return quota.OwnerOf(tenant, reached) }
 }
 
 // exchange is one request with counts from a front to an owner, by index.
