--- /dev/null
+++ b/internal/decision/quota/account.go
@@ -0,0 +1,193 @@
+package quota
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// uncertainBudgetFraction is the fraction of its budget that a front spends
+	// while its totals are stale though the owner is not known to be unresponsive.
+	uncertainBudgetFraction = 0.1
+
+	// demandDecayRate is the rate per second at which demand decays exponentially.
+	demandDecayRate = 2
+
+	retrySearchSteps = 256 // of a window, the precision of RetryAfter
+)
+
+// account is a limiter's state of one tenant.
+type account struct {
+	tenant       string
+	allowance    Allowance
+	lastUsed     time.Time // last request
+	blockedUntil time.Time // in effect without EarlyUnblock
+	spend        spendCounters
+	demand       decayingDemand
+	allocation   allocation
+	sync         ownerSync
+}
+
+// spendCounters count a tenant's tokens by slice.
+type spendCounters struct {
+	own sliceRing // spent at this front
+	all sliceRing // spent at all fronts, at the others as far as known
+}
+
+func (s *spendCounters) add(slice int64, tokens float64) {
+	s.own.add(slice, tokens)
+	s.all.add(slice, tokens)
+}
+
+// decayingDemand sums the tokens requested of this front, decaying by demandDecayRate.
+type decayingDemand struct {
+	tokens    float64
+	decayedAt time.Time
+}
+
+func (d *decayingDemand) decay(now time.Time) {
+	if elapsed := now.Sub(d.decayedAt); elapsed > 0 {
+		d.tokens *= math.Exp(-demandDecayRate * elapsed.Seconds())
+		d.decayedAt = now
+	}
+}
+
+func (d *decayingDemand) add(tokens float64, now time.Time) {
+	d.decay(now)
+	d.tokens += tokens
+}
+
+// allocation is this front's part in a tenant's limit.
+type allocation struct {
+	allocationReport         // as last reported by the owner
+	evenShare        float64 // share if all fronts' were equal
+	rank             float64 // of this front in the tenant's order of fronts, 0 to 1
+}
+
+// estimate is what an account amounts to at one instant.
+type estimate struct {
+	limit    float64
+	previous float64 // total of the previous window
+	current  float64 // total of the current window
+	weighted float64 // sliding window counter
+	recent   float64 // spend within one window's length
+
+	reserved  float64 // for unresponsive fronts, beyond what they are known to have spent
+	overspend float64 // by which fronts may exceed the limit by their shares
+	overshoot float64 // by which recent may exceed the limit
+
+	unconfirmed float64 // spent at this front, possibly missing in the owner's totals
+	budget      float64 // bound of unconfirmed
+}
+
+func (a *account) estimate(c *Config, g timeGrid, now time.Time) estimate {
+	e := estimate{limit: a.allowance.TokensPerWindow(c.Window)}
+	a.estimateSpend(&e, g, now)
+	e.unconfirmed = a.unconfirmedSpend(c, g, now)
+	e.reserved = max(0, a.allocation.reserved*e.limit-a.allocation.reservedSpent)
+	e.overspend = c.Overspend * e.limit
+	e.overshoot = c.Overshoot * e.limit
+	if a.allocation.reserved > 0 {
+		e.overspend /= 2
+		e.overshoot = 0
+	}
+	e.budget = a.budget(c, &e, now)
+	return e
+}
+
+// estimateSpend sets the totals of the windows and the estimates made of them.
+func (a *account) estimateSpend(e *estimate, g timeGrid, now time.Time) {
+	slice, elapsed := g.position(now)
+	first, _ := g.windowSlices(g.windowOf(slice))
+	oldest := slice - g.slicesPerWindow
+	newest := max(a.spend.all.newest, slice)
+
+	outside := a.spend.all.sum(first-g.slicesPerWindow, oldest)
+	overlapping := a.spend.all.sum(oldest+1, first-1)
+	e.previous = outside + overlapping
+	e.current = a.spend.all.sum(first, newest)
+
+	windowElapsed := (float64(slice-first) + elapsed) / float64(g.slicesPerWindow)
+	e.weighted = e.previous*(1-windowElapsed) + e.current
+	e.recent = overlapping + e.current + a.spend.all.get(oldest)*(1-elapsed)
+}
+
+// unconfirmedSpend returns what this front has spent since the instant up to which
+// the owner's totals are complete, or within one window's length if that is later.
+func (a *account) unconfirmedSpend(c *Config, g timeGrid, now time.Time) float64 {
+	slice, elapsed := g.position(now)
+	oldest := slice - g.slicesPerWindow
+	newest := max(a.spend.all.newest, slice)
+	if confirmed, part := g.position(a.sync.totalsAsOf.Add(-c.MaxLag)); confirmed > oldest && a.sync.hasTotals() {
+		return a.spend.own.sum(confirmed+1, newest) + a.spend.own.get(confirmed)*(1-part)
+	}
+	return a.spend.own.sum(oldest+1, newest) + a.spend.own.get(oldest)*(1-elapsed)
+}
+
+// budget returns how much this front may spend before the owner's totals include it.
+func (a *account) budget(c *Config, e *estimate, now time.Time) float64 {
+	unresponsive := a.sync.ownerUnresponsive(c, now)
+	uninformed := !a.sync.hasTotals() || a.sync.waitingSince.Sub(a.sync.totalsAsOf) > ownerUnresponsiveAfter.in(c)
+	spent := e.recent - e.unconfirmed
+	if unresponsive && uninformed {
+		spent = max(spent, e.limit*assumedSpent(a.sync.waitingSince, now, c.Window))
+	}
+	share := a.allocation.share
+	if unresponsive {
+		share = max(a.allocation.evenShare, (share+a.allocation.evenShare)/2)
+	}
+	budget := share * max(0, e.limit+e.overspend-e.reserved-spent)
+	stale := uninformed || now.Sub(a.sync.totalsAsOf) > ownerUnresponsiveAfter.in(c)
+	if stale && !unresponsive {
+		budget *= uncertainBudgetFraction
+	}
+	return budget
+}
+
+// verdict is the outcome of comparing a request with the limit and the front's share.
+type verdict uint8
+
+const (
+	withinLimit verdict = iota
+	overLimit
+	overShare
+)
+
+// judge compares a request with the estimate. A large request may exceed the bound by
+// half of itself, so that a tenant of large requests gets its limit and not always
+// less. Against the front's share it counts by the front's rank: of many fronts whose
+// shares are below one request's size, only as many allow one as there is capacity for.
+func (a *account) judge(c *Config, e *estimate, tokens float64) verdict {
+	if e.limit <= 0 {
+		return overLimit
+	}
+	bounded := min(tokens, e.limit)
+	half := bounded / 2
+	after := e.recent + bounded + e.reserved
+	hasCapacity := c.enabled(SlidingCapacity) && after <= e.limit+max(e.overspend, half)
+	switch {
+	case e.weighted >= e.limit && !hasCapacity:
+		return overLimit
+	case c.enabled(SlidingBound) && after > e.limit+max(e.overshoot, half) && e.recent > 0:
+		return overLimit
+	case c.enabled(FrontShares) && e.unconfirmed+tokens*a.allocation.rank+a.allocation.share*min(half, e.overspend) > e.budget:
+		return overShare
+	}
+	return withinLimit
+}
+
+// retryAfter returns how long it takes until a request is within the limit if nobody
+// spends meanwhile.
+func (a *account) retryAfter(c *Config, g timeGrid, now time.Time, tokens float64) time.Duration {
+	low, high := time.Duration(0), 2*c.Window
+	for high-low > c.Window/retrySearchSteps {
+		middle := (low + high) / 2
+		e := a.estimate(c, g, now.Add(middle))
+		if a.judge(c, &e, tokens) == withinLimit {
+			high = middle
+		} else {
+			low = middle
+		}
+	}
+	return max(high, c.Interval/4)
+}
--- a/internal/decision/quota/book_test.go
+++ b/internal/decision/quota/book_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestBlend(t *testing.T) {
+func TestSlidingWindowEstimate(t *testing.T) {
 	Convey("The blend is the previous window's part that still overlaps and the current window", t, func() {
 		b := NewLimiter("a", Config{Disabled: AllFeatures})
 		terms := Allowance{Rate: 50.0 / 8}
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestExceptions(t *testing.T) {
+func TestFeatures(t *testing.T) {
 	terms := Allowance{Rate: 100, Burst: 200}
 	spend := func(b *Limiter, from, until float64) (passed float64) {
 		for at := from; at < until; at += 0.01 {
@@ -109,7 +109,7 @@
 	})
 }
 
-func TestOutOfReach(t *testing.T) {
+func TestUnresponsiveOwner(t *testing.T) {
 	terms := Allowance{Rate: 100, Burst: 200}
 	roster := []string{"a", "b", "c", "d"}
 	Convey("With a silent holder a front spends its share and no more, and says that it is not the quota", t, func() {
@@ -145,7 +145,7 @@
 	})
 }
 
-func TestLedger(t *testing.T) {
+func TestCounter(t *testing.T) {
 	count := func(own ...float64) *wire.Count { return &wire.Count{Tenant: "t", Window: 225_000_000, Slices: own} }
 	add := func(l *Counter, front string, incarnation uint64, at float64, c *wire.Count) *wire.Total {
 		return l.Add(&wire.AddRequest{Front: front, Incarnation: incarnation, Counts: []*wire.Count{c}}, after(at)).Totals[0]
@@ -198,7 +198,7 @@
 		back := l.Add(ask, after(9.1))
 		So(back.Fresh, ShouldBeTrue)
 		standing := back.Totals[len(back.Totals)-1]
-		So(standing.Window, ShouldEqual, standingKey)
+		So(standing.Window, ShouldEqual, reportWindow)
 		So(standing.Total, ShouldEqual, 0)
 	})
 	Convey("A front that reaches the holder itself doesn't answer at once in its place", t, func() {
@@ -210,7 +210,7 @@
 		standing := func(at float64, silent ...string) bool {
 			l.SetMembership(names, silent, after(at))
 			totals := l.Add(ask, after(at)).Totals
-			return totals[len(totals)-1].Window == standingKey
+			return totals[len(totals)-1].Window == reportWindow
 		}
 		others := Reachable(names, []string{other})
 		for at := 0.0; at < 2.5; at += 0.2 {
@@ -227,7 +227,7 @@
 		l.SetMembership(names, others, start)
 		ask := &wire.AddRequest{Front: others[0], Incarnation: 1, Counts: []*wire.Count{count(1)}}
 		totals := l.Add(ask, after(0.1)).Totals
-		So(totals[len(totals)-1].Window, ShouldEqual, standingKey)
+		So(totals[len(totals)-1].Window, ShouldEqual, reportWindow)
 		So(totals[len(totals)-1].Total, ShouldEqual, 0)
 	})
 	Convey("A window that rises after it passed is told once more to fronts that no longer ask for it", t, func() {
@@ -269,10 +269,10 @@
 	})
 }
 
-func TestRing(t *testing.T) {
+func TestSliceRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := grid{slice: 1, slices: 4}
-		r, model := newRing(g), map[int64]float64{}
+		g := timeGrid{sliceMicros: 1, slicesPerWindow: 4}
+		r, model := newSliceRing(g), map[int64]float64{}
 		top := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			slice := max(0, top+rapid.Int64Range(-8, 12).Draw(t, "slice"))
@@ -296,10 +296,10 @@
 	})
 }
 
-func TestSparse(t *testing.T) {
+func TestSparseSlices(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := grid{slice: 1, slices: 4}
-		s, dense, top := sparse{}, newRing(g), int64(0)
+		g := timeGrid{sliceMicros: 1, slicesPerWindow: 4}
+		s, dense, top := sparseSlices{}, newSliceRing(g), int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			slice := max(0, top+rapid.Int64Range(-12, 12).Draw(t, "slice"))
 			top = max(top, slice)
@@ -307,11 +307,11 @@
 			if got, want := s.raise(g, slice, tokens), dense.raise(slice, tokens); got != want {
 				t.Fatalf("rose by %v, want %v", got, want)
 			}
-			window := g.window(top) - rapid.Int64Range(0, 1).Draw(t, "window")
+			window := g.windowOf(top) - rapid.Int64Range(0, 1).Draw(t, "window")
 			if got, want := s.sum(top-7, top), dense.sum(top-7, top); got != want {
 				t.Fatalf("sum %v, want %v", got, want)
 			}
-			if got, want := s.window(g, window), dense.window(g, window); !slices.Equal(got, want) {
+			if got, want := s.windowTokens(g, window), dense.windowTokens(g, window); !slices.Equal(got, want) {
 				t.Fatalf("window %v, want %v", got, want)
 			}
 		}
--- /dev/null
+++ b/internal/decision/quota/counter.go
@@ -0,0 +1,293 @@
+package quota
+
+import (
+	"time"
+
+	"stepwick/internal/wire"
+)
+
+// demandReportSpacing is the fraction of an interval in which at most one demand
+// report of a front is retained and the fronts' demand is summed at most once.
+const demandReportSpacing = 4
+
+// relevantExcess is the factor above the reported spend at which a total that a front
+// knows counts as news; less may be rounding.
+const relevantExcess = 1.000001
+
+// Counter counts, by front, the spend of the tenants that this front owns.
+type Counter struct {
+	self        string
+	incarnation uint64
+	config      Config
+	grid        timeGrid
+	membership  membership
+	uptime      uptime
+	tenants     map[string]*tenantCount
+}
+
+// NewCounter returns an empty Counter of the front named self.
+func NewCounter(self string, incarnation uint64, config Config) *Counter {
+	config = config.withDefaults()
+	return &Counter{
+		self:        self,
+		incarnation: incarnation,
+		config:      config,
+		grid:        newTimeGrid(config),
+		membership:  membership{unresponsive: map[string]time.Time{}},
+		tenants:     map[string]*tenantCount{},
+	}
+}
+
+// uptime detects that the process has just started or was suspended.
+type uptime struct {
+	lastCall     time.Time
+	runningSince time.Time
+}
+
+// observe records a call and reports whether it is the first one or comes after a gap.
+func (u *uptime) observe(now time.Time, maxGap time.Duration) (resumed bool) {
+	if u.lastCall.IsZero() || now.Sub(u.lastCall) > maxGap {
+		u.runningSince = now
+		resumed = true
+	}
+	if now.After(u.lastCall) {
+		u.lastCall = now
+	}
+	return resumed
+}
+
+// observe has to be called first at each entry. After a start or suspension the totals
+// are out of date, and this process hasn't had time to hear the other fronts: its own
+// view of who is unresponsive is discarded.
+func (c *Counter) observe(now time.Time) {
+	if c.uptime.observe(now, frontUnheardAfter.in(&c.config)) {
+		c.membership.assumeResponsive()
+	}
+}
+
+// justStarted reports whether the process started or resumed so recently that it
+// doesn't know all fronts' spend and state.
+func (c *Counter) justStarted(now time.Time) bool {
+	return now.Sub(c.uptime.runningSince) < startupGrace.in(&c.config)
+}
+
+// SetMembership sets the names of all fronts, and which of them are unresponsive
+// without being known to be down: capacity is reserved for what these may be spending.
+func (c *Counter) SetMembership(fronts, unresponsive []string, now time.Time) {
+	c.observe(now)
+	c.membership.setFronts(fronts)
+	if c.justStarted(now) {
+		unresponsive = nil
+	}
+	c.membership.setUnresponsive(unresponsive, now, c.config.Window)
+	c.membership.detectPartition(len(unresponsive), now)
+	if !c.membership.setReachable(Reachable(fronts, unresponsive)) {
+		return
+	}
+	for tenant, count := range c.tenants {
+		count.setInterim(c.isInterim(tenant), now)
+	}
+}
+
+// isInterim reports whether this front counts a tenant's spend on behalf of another
+// front, which is the owner by this front's own view of the membership.
+func (c *Counter) isInterim(tenant string) bool {
+	reachable := c.membership.reachable
+	return len(reachable) > 0 && OwnerOf(tenant, reachable) != c.self
+}
+
+// Add applies a front's counts and returns the totals over all fronts. Each slice of
+// a front keeps the highest count received, so that a request may be repeated, late
+// or out of order.
+func (c *Counter) Add(req *wire.AddRequest, now time.Time) *wire.AddResponse {
+	c.observe(now)
+	addition := addition{
+		counter: c,
+		front:   frontID{req.Front, req.Incarnation},
+		window:  c.grid.window(now),
+		now:     now,
+		response: &wire.AddResponse{
+			Holder:      c.self,
+			Incarnation: c.incarnation,
+			Fresh:       c.justStarted(now),
+		},
+	}
+	for i, count := range req.Counts {
+		lastOfTenant := i+1 == len(req.Counts) || req.Counts[i+1].Tenant != count.Tenant
+		addition.apply(count, lastOfTenant)
+	}
+	return addition.response
+}
+
+// addition is the state of one Add.
+type addition struct {
+	counter  *Counter
+	front    frontID
+	window   int64 // current window
+	now      time.Time
+	newcomer *contribution // added last by this addition
+	response *wire.AddResponse
+}
+
+func (a *addition) apply(count *wire.Count, lastOfTenant bool) {
+	tenant := a.counter.open(count.Tenant, a.now)
+	contribution := a.contribution(tenant)
+	if isDemandReport(count) {
+		a.applyDemand(contribution, readDemandReport(count))
+		return
+	}
+	if contribution == a.newcomer && count.Learned > 0 {
+		tenant.informed = true
+	}
+	a.counter.merge(tenant, contribution, count, a.now)
+	a.respond(tenant, contribution, count.Tenant, count.Window)
+	if count.Window < a.window {
+		contribution.previousSentAt = a.now
+	}
+	if lastOfTenant {
+		a.complete(tenant, contribution, count.Tenant)
+	}
+}
+
+// contribution returns the front's contribution to a tenant's count, now active.
+func (a *addition) contribution(tenant *tenantCount) *contribution {
+	c := tenant.fronts[a.front]
+	if c == nil {
+		c = &contribution{}
+		tenant.fronts[a.front] = c
+		tenant.demand.invalidate()
+		a.newcomer = c
+	}
+	if c.idle {
+		c.demand = demandHistory{}
+		tenant.demand.invalidate()
+	}
+	c.lastHeard = a.now
+	c.idle = false
+	return c
+}
+
+func (a *addition) applyDemand(c *contribution, report demandReport) {
+	c.idle = report.idle
+	at := report.at
+	if at.After(a.now) {
+		at = a.now
+	}
+	c.demand.record(report.tokens, at, a.counter.config.Interval/demandReportSpacing)
+}
+
+func (a *addition) respond(tenant *tenantCount, c *contribution, name string, window int64) {
+	a.response.Totals = append(a.response.Totals, a.counter.total(tenant, c, name, window))
+}
+
+// complete ends a tenant's part of the response: with the previous window's total if
+// it rose after the front received it last, and with the front's allocation.
+func (a *addition) complete(tenant *tenantCount, c *contribution, name string) {
+	if !c.previousSentAt.After(tenant.previousRoseAt) {
+		c.previousSentAt = a.now
+		a.respond(tenant, c, name, a.window-1)
+	}
+	// Before the grace ends this front's view, not the caller's, may be out of date.
+	if !tenant.interim || a.now.Sub(tenant.since) > ownerUnresponsiveAfter.in(&a.counter.config) {
+		report := a.counter.allocate(tenant, c, a.now)
+		a.response.Totals = append(a.response.Totals, report.total(name))
+	}
+}
+
+// open returns a tenant's count, new if there is none.
+func (c *Counter) open(name string, now time.Time) *tenantCount {
+	tenant := c.tenants[name]
+	if tenant == nil {
+		tenant = &tenantCount{
+			fronts:   map[frontID]*contribution{},
+			reported: newSliceRing(c.grid),
+			learned:  newSliceRing(c.grid),
+			interim:  c.isInterim(name),
+			since:    now,
+		}
+		c.tenants[name] = tenant
+	}
+	if tenant.interim && now.Sub(tenant.lastCounted) > ownerUnresponsiveAfter.in(&c.config) {
+		tenant.since = now
+	}
+	tenant.lastCounted = now
+	return tenant
+}
+
+// merge adds what is new in a count.
+func (c *Counter) merge(tenant *tenantCount, from *contribution, count *wire.Count, now time.Time) {
+	first, _ := c.grid.windowSlices(count.Window)
+	newest := c.grid.newestPlausible(now)
+	for i, tokens := range c.withinWindow(count.Slices) {
+		slice := first + int64(i)
+		if slice < 0 || slice > newest {
+			continue
+		}
+		if increase := from.spend.raise(c.grid, slice, tokens); increase > 0 {
+			tenant.reported.add(slice, increase)
+			c.noteIncrease(tenant, slice, now)
+		}
+	}
+	for i, tokens := range c.withinWindow(count.LearnedSlices) {
+		slice := first + int64(i)
+		if slice < 0 || slice > newest {
+			continue
+		}
+		if tenant.learned.raise(slice, tokens) > 0 {
+			c.noteIncrease(tenant, slice, now)
+			tenant.informed = tenant.informed || tokens > relevantExcess*tenant.reported.get(slice)
+		}
+	}
+}
+
+func (c *Counter) withinWindow(tokens []float64) []float64 {
+	return tokens[:min(len(tokens), int(c.grid.slicesPerWindow))]
+}
+
+// noteIncrease records when a window rose after its end: fronts that no longer
+// request its total receive it once more.
+func (c *Counter) noteIncrease(tenant *tenantCount, slice int64, now time.Time) {
+	if c.grid.windowOf(slice) < c.grid.window(now) {
+		tenant.previousRoseAt = now
+	}
+}
+
+// total returns the total of a window: for each slice the higher of the fronts' sum and
+// of what a front knew of it.
+func (c *Counter) total(tenant *tenantCount, from *contribution, name string, window int64) *wire.Total {
+	total := &wire.Total{
+		Tenant:      name,
+		Window:      window,
+		Slices:      tenant.reported.windowTokens(c.grid, window),
+		AckedSlices: from.spend.windowTokens(c.grid, window),
+	}
+	for i, tokens := range tenant.learned.windowTokens(c.grid, window) {
+		if i >= len(total.Slices) {
+			total.Slices = append(total.Slices, 0)
+		}
+		total.Slices[i] = max(total.Slices[i], tokens)
+	}
+	total.Total = accumulate(0, total.Slices)
+	total.Acked = accumulate(0, total.AckedSlices)
+	return total
+}
+
+// Expire drops the tenants and the fronts' contributions that were idle for two
+// windows. Contributions of unresponsive fronts are retained.
+func (c *Counter) Expire(now time.Time) {
+	horizon := now.Add(-2 * c.config.Window)
+	for name, tenant := range c.tenants {
+		if tenant.lastCounted.Before(horizon) {
+			delete(c.tenants, name)
+			continue
+		}
+		for front, contribution := range tenant.fronts {
+			if !c.membership.tracksUnresponsive(front.name) && contribution.lastHeard.Before(horizon) {
+				delete(tenant.fronts, front)
+			}
+		}
+	}
+}
+
+// Tenants returns the number of tenants counted.
+func (c *Counter) Tenants() int { return len(c.tenants) }
--- /dev/null
+++ b/internal/decision/quota/limiter_exchange.go
@@ -0,0 +1,193 @@
+package quota
+
+import (
+	"sort"
+	"time"
+
+	"stepwick/internal/wire"
+)
+
+const (
+	// calmBelow is the fraction of the limit below which a tenant's counts are sent
+	// less often: once in calmSendIntervals.
+	calmBelow = 0.5
+
+	calmSendIntervals intervals = 3
+
+	// previousWindowSteps divides a window: totals older than one step, or the first
+	// quarter of a window, require the previous window's count as well.
+	previousWindowSteps = 8
+)
+
+// CountsToSend returns the counts to send, by owner, of all tenants that were
+// requested recently, have unsent tokens or have become idle, and drops tenants that
+// were idle for two windows.
+func (l *Limiter) CountsToSend(now time.Time, ownerOf func(tenant string) string) map[string][]*wire.Count {
+	now = l.advance(now)
+	batches := countBatches{}
+	for tenant, a := range l.accounts {
+		if now.Sub(a.lastUsed) > 2*l.config.Window {
+			delete(l.accounts, tenant)
+			continue
+		}
+		switch {
+		case l.sentRecently(a, now):
+		case l.hasNews(a, now):
+			l.appendCounts(batches, ownerOf(tenant), a, now)
+		case !a.sync.reportedIdle:
+			a.sync.reportedIdle = true
+			batches.add(ownerOf(tenant), demandReport{idle: true}.count(tenant))
+		}
+	}
+	for _, a := range l.urgent {
+		a.sync.urgent = false
+	}
+	l.urgent = l.urgent[:0]
+	batches.sort()
+	return batches
+}
+
+// hasNews reports whether a tenant's counts have to be sent: it is active, has unsent
+// tokens or a request for its totals is unanswered.
+func (l *Limiter) hasNews(a *account, now time.Time) bool {
+	return now.Sub(a.lastUsed) <= requestTotalsFor.in(&l.config) || a.sync.unsent > 0 || a.sync.waiting()
+}
+
+// sentRecently reports whether the counts of a tenant far below its limit were sent
+// so recently that they can wait.
+func (l *Limiter) sentRecently(a *account, now time.Time) bool {
+	if now.Sub(a.sync.lastSent) >= (calmSendIntervals-1).in(&l.config)+l.config.Interval/2 {
+		return false
+	}
+	e := a.estimate(&l.config, l.grid, now)
+	return max(e.weighted, e.recent) < calmBelow*e.limit
+}
+
+// HasUrgent reports whether some counts should not wait for the next interval.
+func (l *Limiter) HasUrgent() bool { return len(l.urgent) > 0 }
+
+// UrgentCounts returns the counts, by owner, that should not wait for the next
+// interval and whose owner is ready; the others stay urgent.
+func (l *Limiter) UrgentCounts(now time.Time, ownerOf func(tenant string) string, ready func(owner string) bool) map[string][]*wire.Count {
+	if len(l.urgent) == 0 {
+		return nil
+	}
+	now = l.advance(now)
+	batches := countBatches{}
+	waiting := l.urgent[:0]
+	for _, a := range l.urgent {
+		if !ready(ownerOf(a.tenant)) {
+			waiting = append(waiting, a)
+			continue
+		}
+		a.sync.urgent = false
+		l.appendCounts(batches, ownerOf(a.tenant), a, now)
+	}
+	l.urgent = waiting
+	return batches
+}
+
+// countBatches are counts by owner.
+type countBatches map[string][]*wire.Count
+
+// add appends counts unless there is no owner to send them to.
+func (b countBatches) add(owner string, counts ...*wire.Count) {
+	if owner != "" {
+		b[owner] = append(b[owner], counts...)
+	}
+}
+
+func (b countBatches) sort() {
+	for _, counts := range b {
+		sort.Slice(counts, func(i, j int) bool {
+			if counts[i].Tenant != counts[j].Tenant {
+				return counts[i].Tenant < counts[j].Tenant
+			}
+			return counts[i].Window < counts[j].Window
+		})
+	}
+}
+
+// appendCounts adds an account's demand and its counts of the current window and, if
+// the owner may lack it or its total is needed, of the previous one.
+func (l *Limiter) appendCounts(batches countBatches, owner string, a *account, now time.Time) {
+	if owner == "" {
+		return
+	}
+	a.sync.sent(now)
+	a.demand.decay(now)
+	batches.add(owner, demandReport{tokens: a.demand.tokens, at: now}.count(a.tenant))
+
+	withTotals := a.sync.hasTotals() && l.needsTotals(owner, a)
+	window := l.grid.window(now)
+	if withTotals || l.needsPreviousWindow(a, now) {
+		batches.add(owner, l.count(a, window-1, withTotals))
+	}
+	batches.add(owner, l.count(a, window, withTotals))
+}
+
+// needsTotals reports whether an owner may lack what this front knows of the other
+// fronts' spend: it has just started, or another one reported the totals.
+func (l *Limiter) needsTotals(owner string, a *account) bool {
+	state := l.owners[owner]
+	return state.fresh || a.sync.owner != frontID{owner, state.incarnation}
+}
+
+func (l *Limiter) needsPreviousWindow(a *account, now time.Time) bool {
+	slice := l.grid.slice(now)
+	first, _ := l.grid.windowSlices(l.grid.windowOf(slice))
+	staleBefore := now.Add(-l.config.Window / previousWindowSteps)
+	return a.sync.totalsAsOf.Before(staleBefore) || slice-first < l.grid.slicesPerWindow/4
+}
+
+func (l *Limiter) count(a *account, window int64, withTotals bool) *wire.Count {
+	first, last := l.grid.windowSlices(window)
+	count := &wire.Count{
+		Tenant: a.tenant,
+		Window: window,
+		Own:    a.spend.own.sum(first, last),
+		Slices: a.spend.own.windowTokens(l.grid, window),
+	}
+	if withTotals {
+		count.Learned = a.spend.all.sum(first, last)
+		count.LearnedSlices = a.spend.all.windowTokens(l.grid, window)
+	}
+	return count
+}
+
+// ApplyTotals applies an owner's response to counts that were sent at sentAt.
+// Responses may be late, repeated or out of order.
+func (l *Limiter) ApplyTotals(resp *wire.AddResponse, sentAt, now time.Time) {
+	now = l.advance(now)
+	if sentAt.After(now) {
+		sentAt = now
+	}
+	l.owners[resp.Holder] = ownerState{incarnation: resp.Incarnation, fresh: resp.Fresh}
+	for _, total := range resp.Totals {
+		a := l.accounts[total.Tenant]
+		switch {
+		case a == nil:
+		case isAllocationReport(total):
+			a.allocation.allocationReport = readAllocationReport(total)
+			a.sync.answered(frontID{resp.Holder, resp.Incarnation}, sentAt)
+		default:
+			l.applyTotal(a, total, now)
+		}
+	}
+}
+
+// applyTotal raises the slices of a window to the other fronts' spend, as reported,
+// and this front's, as it is now.
+func (l *Limiter) applyTotal(a *account, total *wire.Total, now time.Time) {
+	first, _ := l.grid.windowSlices(total.Window)
+	newest := l.grid.newestPlausible(now)
+	for i, tokens := range total.Slices {
+		slice := first + int64(i)
+		if i < len(total.AckedSlices) {
+			tokens -= total.AckedSlices[i]
+		}
+		if tokens > 0 && slice >= 0 && slice <= newest {
+			a.spend.all.raise(slice, tokens+a.spend.own.get(slice))
+		}
+	}
+}
