--- a/internal/decision/quota/account.go
+++ b/internal/decision/quota/account.go
@@ -80,64 +80,64 @@
 	budget      float64 // bound of unconfirmed
 }
 
-func (a *account) estimate(c *Config, g timeGrid, now time.Time) estimate {
-	e := estimate{limit: a.allowance.TokensPerWindow(c.Window)}
-	a.estimateSpend(&e, g, now)
-	e.unconfirmed = a.unconfirmedSpend(c, g, now)
-	e.reserved = max(0, a.allocation.reserved*e.limit-a.allocation.reservedSpent)
-	e.overspend = c.Overspend * e.limit
-	e.overshoot = c.Overshoot * e.limit
+func (a *account) estimate(config *Config, grid timeGrid, now time.Time) estimate {
+	result := estimate{limit: a.allowance.TokensPerWindow(config.Window)}
+	a.estimateSpend(&result, grid, now)
+	result.unconfirmed = a.unconfirmedSpend(config, grid, now)
+	result.reserved = max(0, a.allocation.reserved*result.limit-a.allocation.reservedSpent)
+	result.overspend = config.Overspend * result.limit
+	result.overshoot = config.Overshoot * result.limit
 	if a.allocation.reserved > 0 {
-		e.overspend /= 2
-		e.overshoot = 0
+		result.overspend /= 2
+		result.overshoot = 0
 	}
-	e.budget = a.budget(c, &e, now)
-	return e
+	result.budget = a.budget(config, &result, now)
+	return result
 }
 
 // estimateSpend sets the totals of the windows and the estimates made of them.
-func (a *account) estimateSpend(e *estimate, g timeGrid, now time.Time) {
-	slice, elapsed := g.position(now)
-	first, _ := g.windowSlices(g.windowOf(slice))
-	oldest := slice - g.slicesPerWindow
+func (a *account) estimateSpend(estimate *estimate, grid timeGrid, now time.Time) {
+	slice, elapsed := grid.position(now)
+	first, _ := grid.windowSlices(grid.windowOf(slice))
+	oldest := slice - grid.slicesPerWindow
 	newest := max(a.spend.all.newest, slice)
 
-	outside := a.spend.all.sum(first-g.slicesPerWindow, oldest)
+	outside := a.spend.all.sum(first-grid.slicesPerWindow, oldest)
 	overlapping := a.spend.all.sum(oldest+1, first-1)
-	e.previous = outside + overlapping
-	e.current = a.spend.all.sum(first, newest)
+	estimate.previous = outside + overlapping
+	estimate.current = a.spend.all.sum(first, newest)
 
-	windowElapsed := (float64(slice-first) + elapsed) / float64(g.slicesPerWindow)
-	e.weighted = e.previous*(1-windowElapsed) + e.current
-	e.recent = overlapping + e.current + a.spend.all.get(oldest)*(1-elapsed)
+	windowElapsed := (float64(slice-first) + elapsed) / float64(grid.slicesPerWindow)
+	estimate.weighted = estimate.previous*(1-windowElapsed) + estimate.current
+	estimate.recent = overlapping + estimate.current + a.spend.all.get(oldest)*(1-elapsed)
 }
 
 // unconfirmedSpend returns what this front has spent since the instant up to which
 // the owner's totals are complete, or within one window's length if that is later.
-func (a *account) unconfirmedSpend(c *Config, g timeGrid, now time.Time) float64 {
-	slice, elapsed := g.position(now)
-	oldest := slice - g.slicesPerWindow
+func (a *account) unconfirmedSpend(config *Config, grid timeGrid, now time.Time) float64 {
+	slice, elapsed := grid.position(now)
+	oldest := slice - grid.slicesPerWindow
 	newest := max(a.spend.all.newest, slice)
-	if confirmed, part := g.position(a.sync.totalsAsOf.Add(-c.MaxLag)); confirmed > oldest && a.sync.hasTotals() {
+	if confirmed, part := grid.position(a.sync.totalsAsOf.Add(-config.MaxLag)); confirmed > oldest && a.sync.hasTotals() {
 		return a.spend.own.sum(confirmed+1, newest) + a.spend.own.get(confirmed)*(1-part)
 	}
 	return a.spend.own.sum(oldest+1, newest) + a.spend.own.get(oldest)*(1-elapsed)
 }
 
 // budget returns how much this front may spend before the owner's totals include it.
-func (a *account) budget(c *Config, e *estimate, now time.Time) float64 {
-	unresponsive := a.sync.ownerUnresponsive(c, now)
-	uninformed := !a.sync.hasTotals() || a.sync.waitingSince.Sub(a.sync.totalsAsOf) > ownerUnresponsiveAfter.in(c)
-	spent := e.recent - e.unconfirmed
+func (a *account) budget(config *Config, estimate *estimate, now time.Time) float64 {
+	unresponsive := a.sync.ownerUnresponsive(config, now)
+	uninformed := !a.sync.hasTotals() || a.sync.waitingSince.Sub(a.sync.totalsAsOf) > ownerUnresponsiveAfter.in(config)
+	spent := estimate.recent - estimate.unconfirmed
 	if unresponsive && uninformed {
-		spent = max(spent, e.limit*assumedSpent(a.sync.waitingSince, now, c.Window))
+		spent = max(spent, estimate.limit*assumedSpent(a.sync.waitingSince, now, config.Window))
 	}
 	share := a.allocation.share
 	if unresponsive {
 		share = max(a.allocation.evenShare, (share+a.allocation.evenShare)/2)
 	}
-	budget := share * max(0, e.limit+e.overspend-e.reserved-spent)
-	stale := uninformed || now.Sub(a.sync.totalsAsOf) > ownerUnresponsiveAfter.in(c)
+	budget := share * max(0, estimate.limit+estimate.overspend-estimate.reserved-spent)
+	stale := uninformed || now.Sub(a.sync.totalsAsOf) > ownerUnresponsiveAfter.in(config)
 	if stale && !unresponsive {
 		budget *= uncertainBudgetFraction
 	}
@@ -157,20 +157,20 @@
 // half of itself, so that a tenant of large requests gets its limit and not always
 // less. Against the front's share it counts by the front's rank: of many fronts whose
 // shares are below one request's size, only as many allow one as there is capacity for.
-func (a *account) judge(c *Config, e *estimate, tokens float64) verdict {
-	if e.limit <= 0 {
+func (a *account) judge(config *Config, estimate *estimate, tokens float64) verdict {
+	if estimate.limit <= 0 {
 		return overLimit
 	}
-	bounded := min(tokens, e.limit)
+	bounded := min(tokens, estimate.limit)
 	half := bounded / 2
-	after := e.recent + bounded + e.reserved
-	hasCapacity := c.enabled(SlidingCapacity) && after <= e.limit+max(e.overspend, half)
+	after := estimate.recent + bounded + estimate.reserved
+	hasCapacity := config.enabled(SlidingCapacity) && after <= estimate.limit+max(estimate.overspend, half)
 	switch {
-	case e.weighted >= e.limit && !hasCapacity:
+	case estimate.weighted >= estimate.limit && !hasCapacity:
 		return overLimit
-	case c.enabled(SlidingBound) && after > e.limit+max(e.overshoot, half) && e.recent > 0:
+	case config.enabled(SlidingLimit) && after > estimate.limit+max(estimate.overshoot, half) && estimate.recent > 0:
 		return overLimit
-	case c.enabled(FrontShares) && e.unconfirmed+tokens*a.allocation.rank+a.allocation.share*min(half, e.overspend) > e.budget:
+	case config.enabled(FrontShares) && estimate.unconfirmed+tokens*a.allocation.rank+a.allocation.share*min(half, estimate.overspend) > estimate.budget:
 		return overShare
 	}
 	return withinLimit
@@ -178,16 +178,16 @@
 
 // retryAfter returns how long it takes until a request is within the limit if nobody
 // spends meanwhile.
-func (a *account) retryAfter(c *Config, g timeGrid, now time.Time, tokens float64) time.Duration {
-	low, high := time.Duration(0), 2*c.Window
-	for high-low > c.Window/retrySearchSteps {
+func (a *account) retryAfter(config *Config, grid timeGrid, now time.Time, tokens float64) time.Duration {
+	low, high := time.Duration(0), 2*config.Window
+	for high-low > config.Window/retrySearchSteps {
 		middle := (low + high) / 2
-		e := a.estimate(c, g, now.Add(middle))
-		if a.judge(c, &e, tokens) == withinLimit {
+		estimate := a.estimate(config, grid, now.Add(middle))
+		if a.judge(config, &estimate, tokens) == withinLimit {
 			high = middle
 		} else {
 			low = middle
 		}
 	}
-	return max(high, c.Interval/4)
+	return max(high, config.Interval/4)
 }
--- a/internal/decision/quota/allocation.go
+++ b/internal/decision/quota/allocation.go
@@ -38,7 +38,7 @@
 func (c *Counter) sumDemand(tenant *tenantCount, now time.Time) {
 	sum := demandSum{summedAt: now}
 	for _, front := range tenant.fronts {
-		if !front.idle && now.Sub(front.lastHeard) <= frontActiveFor.in(&c.config) {
+		if !front.idle && now.Sub(front.lastReceived) <= frontActiveFor.in(&c.config) {
 			sum.fronts++
 			sum.tokens += max(front.demand.newest(), front.demand.at(now.Add(-c.config.MaxLag)))
 		}
@@ -50,10 +50,10 @@
 // for each, less a part that is released, and less still for few fronts. In a
 // partition, fronts that last had a larger share get more.
 func (c *Counter) reserve(tenant *tenantCount, now time.Time) {
-	unheard := c.unheardFronts(tenant, now)
+	missing := c.missingFronts(tenant, now)
 	tenant.reservation = reservation{
-		fraction: c.reservedFor(unheard),
-		spent:    unheard.spent,
+		fraction: c.reservedFor(missing),
+		spent:    missing.spent,
 	}
 	since, uninformed := c.uninformedSince(tenant)
 	if uninformed {
@@ -62,14 +62,14 @@
 	}
 }
 
-func (c *Counter) reservedFor(unheard unheardFronts) float64 {
-	part := float64(unheard.count) * c.membership.evenShare()
+func (c *Counter) reservedFor(missing missingFronts) float64 {
+	part := float64(missing.count) * c.membership.evenShare()
 	fraction := reservedFraction * part
 	if part < partitionFraction {
 		fraction = reservedFraction * part * part / partitionFraction
 	}
 	if c.membership.partitioned() {
-		fraction += reservedFraction * unheard.excessShare
+		fraction += reservedFraction * missing.excessShare
 	}
 	return fraction
 }
@@ -88,23 +88,23 @@
 	return since, !countedBefore
 }
 
-// unheardFronts sums up the fronts that may spend without this counter's knowledge.
-type unheardFronts struct {
+// missingFronts sums up the fronts that may spend without this counter's knowledge.
+type missingFronts struct {
 	count       int
 	excessShare float64 // half of what their shares exceed even ones by
 	spent       float64 // tokens that they are known to have spent
 }
 
-// unheardFronts returns the fronts that are unresponsive or, if the tenant is counted
+// missingFronts returns the fronts that are unresponsive or, if the tenant is counted
 // on behalf of another front, just not heard. Fronts that were removed or restarted, or
 // where the tenant is idle, spend nothing.
-func (c *Counter) unheardFronts(tenant *tenantCount, now time.Time) unheardFronts {
-	var unheard unheardFronts
+func (c *Counter) missingFronts(tenant *tenantCount, now time.Time) missingFronts {
+	var missing missingFronts
 	considered := make(map[string]bool, len(tenant.fronts))
 	newest := c.grid.slice(now)
 	oldest := newest - c.grid.slicesPerWindow + 1
 	for front, contribution := range tenant.fronts {
-		if now.Sub(contribution.lastHeard) <= frontUnheardAfter.in(&c.config) {
+		if now.Sub(contribution.lastReceived) <= frontMissingAfter.in(&c.config) {
 			considered[front.name] = true
 			continue
 		}
@@ -113,17 +113,17 @@
 			continue
 		}
 		considered[front.name] = true
-		unheard.count++
-		unheard.excessShare += max(0, contribution.share-c.membership.evenShare()) / 2
-		unheard.spent += contribution.spend.sum(oldest, newest)
+		missing.count++
+		missing.excessShare += max(0, contribution.share-c.membership.evenShare()) / 2
+		missing.spent += contribution.spend.sum(oldest, newest)
 	}
-	c.addUnknownFronts(tenant, now, considered, &unheard)
-	return unheard
+	c.addUnknownFronts(tenant, now, considered, &missing)
+	return missing
 }
 
 // addUnknownFronts adds the fronts without a contribution. Of their spend no more is
 // known than the excess of the learned totals over the reported ones.
-func (c *Counter) addUnknownFronts(tenant *tenantCount, now time.Time, considered map[string]bool, unheard *unheardFronts) {
+func (c *Counter) addUnknownFronts(tenant *tenantCount, now time.Time, considered map[string]bool, missing *missingFronts) {
 	unknown := 0
 	for _, name := range c.membership.fronts {
 		if !considered[name] && c.mayBeSpending(tenant, name, now) {
@@ -133,12 +133,12 @@
 	if unknown > 0 {
 		newest := c.grid.slice(now)
 		oldest := newest - c.grid.slicesPerWindow + 1
-		unheard.spent += max(0, tenant.learned.sum(oldest, newest)-tenant.reported.sum(oldest, newest))
+		missing.spent += max(0, tenant.learned.sum(oldest, newest)-tenant.reported.sum(oldest, newest))
 	}
-	unheard.count += unknown
+	missing.count += unknown
 }
 
-// mayBeSpending reports whether an unheard front may be spending a tenant's tokens.
+// mayBeSpending reports whether a missing front may be spending a tenant's tokens.
 func (c *Counter) mayBeSpending(tenant *tenantCount, front string, now time.Time) bool {
 	return tenant.interim || c.membership.isUnresponsive(front, now, ownerUnresponsiveAfter.in(&c.config))
 }
--- a/internal/decision/quota/config.go
+++ b/internal/decision/quota/config.go
@@ -15,9 +15,9 @@
 	// EarlyUnblock ends the rejection of a tenant when its estimate falls below the limit.
 	EarlyUnblock Feature = 1 << iota
 
-	// SlidingBound rejects requests once the spend within one window's length
+	// SlidingLimit rejects requests once the spend within one window's length
 	// exceeds the limit by Config.Overshoot, whatever the estimate.
-	SlidingBound
+	SlidingLimit
 
 	// SlidingCapacity allows requests in spite of the estimate while the spend
 	// within one window's length is below the limit.
@@ -32,7 +32,7 @@
 	Queueing
 
 	// AllFeatures disabled leaves the plain sliding window counter.
-	AllFeatures = EarlyUnblock | SlidingBound | SlidingCapacity | FrontShares | Queueing
+	AllFeatures = EarlyUnblock | SlidingLimit | SlidingCapacity | FrontShares | Queueing
 )
 
 // Config configures Limiters and Counters, which have to agree on it. The zero value
@@ -104,9 +104,9 @@
 	// limiter keeps requesting its totals.
 	requestTotalsFor intervals = 2
 
-	// frontUnheardAfter is the time without counts after which a front counts as
-	// unheard, and without calls after which this process was suspended.
-	frontUnheardAfter intervals = 4
+	// frontMissingAfter is the time without counts after which a front counts as
+	// missing, and without calls after which this process was suspended.
+	frontMissingAfter intervals = 4
 
 	// frontActiveFor is the time without counts in which a front still takes part in
 	// the division of the capacity.
--- a/internal/decision/quota/counter.go
+++ b/internal/decision/quota/counter.go
@@ -60,7 +60,7 @@
 // are out of date, and this process hasn't had time to hear the other fronts: its own
 // view of who is unresponsive is discarded.
 func (c *Counter) observe(now time.Time) {
-	if c.uptime.observe(now, frontUnheardAfter.in(&c.config)) {
+	if c.uptime.observe(now, frontMissingAfter.in(&c.config)) {
 		c.membership.assumeResponsive()
 	}
 }
@@ -151,45 +151,45 @@
 
 // contribution returns the front's contribution to a tenant's count, now active.
 func (a *addition) contribution(tenant *tenantCount) *contribution {
-	c := tenant.fronts[a.front]
-	if c == nil {
-		c = &contribution{}
-		tenant.fronts[a.front] = c
+	existing := tenant.fronts[a.front]
+	if existing == nil {
+		existing = &contribution{}
+		tenant.fronts[a.front] = existing
 		tenant.demand.invalidate()
-		a.newcomer = c
+		a.newcomer = existing
 	}
-	if c.idle {
-		c.demand = demandHistory{}
+	if existing.idle {
+		existing.demand = demandHistory{}
 		tenant.demand.invalidate()
 	}
-	c.lastHeard = a.now
-	c.idle = false
-	return c
+	existing.lastReceived = a.now
+	existing.idle = false
+	return existing
 }
 
-func (a *addition) applyDemand(c *contribution, report demandReport) {
-	c.idle = report.idle
+func (a *addition) applyDemand(from *contribution, report demandReport) {
+	from.idle = report.idle
 	at := report.at
 	if at.After(a.now) {
 		at = a.now
 	}
-	c.demand.record(report.tokens, at, a.counter.config.Interval/demandReportSpacing)
+	from.demand.record(report.tokens, at, a.counter.config.Interval/demandReportSpacing)
 }
 
-func (a *addition) respond(tenant *tenantCount, c *contribution, name string, window int64) {
-	a.response.Totals = append(a.response.Totals, a.counter.total(tenant, c, name, window))
+func (a *addition) respond(tenant *tenantCount, from *contribution, name string, window int64) {
+	a.response.Totals = append(a.response.Totals, a.counter.total(tenant, from, name, window))
 }
 
 // complete ends a tenant's part of the response: with the previous window's total if
 // it rose after the front received it last, and with the front's allocation.
-func (a *addition) complete(tenant *tenantCount, c *contribution, name string) {
-	if !c.previousSentAt.After(tenant.previousRoseAt) {
-		c.previousSentAt = a.now
-		a.respond(tenant, c, name, a.window-1)
+func (a *addition) complete(tenant *tenantCount, from *contribution, name string) {
+	if !from.previousSentAt.After(tenant.previousRoseAt) {
+		from.previousSentAt = a.now
+		a.respond(tenant, from, name, a.window-1)
 	}
 	// Before the grace ends this front's view, not the caller's, may be out of date.
 	if !tenant.interim || a.now.Sub(tenant.since) > ownerUnresponsiveAfter.in(&a.counter.config) {
-		report := a.counter.allocate(tenant, c, a.now)
+		report := a.counter.allocate(tenant, from, a.now)
 		a.response.Totals = append(a.response.Totals, report.total(name))
 	}
 }
@@ -225,7 +225,7 @@
 		}
 		if increase := from.spend.raise(c.grid, slice, tokens); increase > 0 {
 			tenant.reported.add(slice, increase)
-			c.noteIncrease(tenant, slice, now)
+			c.recordIncrease(tenant, slice, now)
 		}
 	}
 	for i, tokens := range c.withinWindow(count.LearnedSlices) {
@@ -234,7 +234,7 @@
 			continue
 		}
 		if tenant.learned.raise(slice, tokens) > 0 {
-			c.noteIncrease(tenant, slice, now)
+			c.recordIncrease(tenant, slice, now)
 			tenant.informed = tenant.informed || tokens > relevantExcess*tenant.reported.get(slice)
 		}
 	}
@@ -244,9 +244,9 @@
 	return tokens[:min(len(tokens), int(c.grid.slicesPerWindow))]
 }
 
-// noteIncrease records when a window rose after its end: fronts that no longer
+// recordIncrease records when a window rose after its end: fronts that no longer
 // request its total receive it once more.
-func (c *Counter) noteIncrease(tenant *tenantCount, slice int64, now time.Time) {
+func (c *Counter) recordIncrease(tenant *tenantCount, slice int64, now time.Time) {
 	if c.grid.windowOf(slice) < c.grid.window(now) {
 		tenant.previousRoseAt = now
 	}
@@ -282,7 +282,7 @@
 			continue
 		}
 		for front, contribution := range tenant.fronts {
-			if !c.membership.tracksUnresponsive(front.name) && contribution.lastHeard.Before(horizon) {
+			if !c.membership.tracksUnresponsive(front.name) && contribution.lastReceived.Before(horizon) {
 				delete(tenant.fronts, front)
 			}
 		}
--- a/internal/decision/quota/limiter.go
+++ b/internal/decision/quota/limiter.go
@@ -4,19 +4,9 @@
 	"sort"
 	"time"
 
-	"stepwick/internal/apierror"
 	"stepwick/internal/decision/rendezvous"
 )
 
-const (
-	// queueBelow is the fraction of the limit below which a request is queued.
-	queueBelow = 0.9
-
-	// sendAtBudget is the fraction of the budget that is spent before counts are sent
-	// without waiting for the next interval.
-	sendAtBudget = 0.25
-)
-
 // Limiter decides the requests of one front. It keeps an account of each tenant that
 // was active there within the last two windows. To use several cores, give each a
 // Limiter of its own and shard the tenants among them.
@@ -56,9 +46,9 @@
 		names = []string{l.self}
 	}
 	l.fronts = names
-	for _, a := range l.accounts {
-		a.allocation.rank = l.rank(a.tenant)
-		a.allocation.evenShare = l.evenShare()
+	for _, account := range l.accounts {
+		account.allocation.rank = l.rank(account.tenant)
+		account.allocation.evenShare = l.evenShare()
 	}
 }
 
@@ -83,7 +73,7 @@
 func (l *Limiter) advance(now time.Time) time.Time {
 	switch {
 	case !now.Before(l.now):
-		if now.Sub(l.now) > frontUnheardAfter.in(&l.config) {
+		if now.Sub(l.now) > frontMissingAfter.in(&l.config) {
 			l.resume(now)
 		}
 		l.now = now
@@ -97,21 +87,21 @@
 
 // resume handles the end of a suspension of this process.
 func (l *Limiter) resume(now time.Time) {
-	for _, a := range l.accounts {
-		a.sync.restartWaiting(now)
+	for _, account := range l.accounts {
+		account.sync.restartWaiting(now)
 	}
 }
 
 // accountOf returns a tenant's account for a request, and opens it if necessary.
 func (l *Limiter) accountOf(tenant string, now time.Time) *account {
-	a := l.accounts[tenant]
-	if a == nil {
-		a = l.newAccount(tenant)
-		l.accounts[tenant] = a
+	account := l.accounts[tenant]
+	if account == nil {
+		account = l.newAccount(tenant)
+		l.accounts[tenant] = account
 	}
-	a.sync.reactivate(&l.config, a.lastUsed)
-	a.lastUsed = now
-	return a
+	account.sync.reactivate(&l.config, account.lastUsed)
+	account.lastUsed = now
+	return account
 }
 
 func (l *Limiter) newAccount(tenant string) *account {
@@ -133,9 +123,9 @@
 // rejected one counts nothing.
 func (l *Limiter) Admit(tenant string, tokens float64, allowance Allowance, now time.Time) Decision {
 	now = l.advance(now)
-	a := l.accountOf(tenant, now)
-	a.demand.add(tokens, now)
-	return l.decide(a, tokens, allowance, now)
+	account := l.accountOf(tenant, now)
+	account.demand.add(tokens, now)
+	return l.decide(account, tokens, allowance, now)
 }
 
 // AdmitQueued decides a request that was queued before.
@@ -144,106 +134,22 @@
 	return l.decide(l.accountOf(tenant, now), tokens, allowance, now)
 }
 
-func (l *Limiter) decide(a *account, tokens float64, allowance Allowance, now time.Time) Decision {
-	a.allowance = allowance
-	e := a.estimate(&l.config, l.grid, now)
-	decision := Decision{
-		Estimate: e.weighted,
-		Previous: e.previous,
-		Current:  e.current,
-		Limit:    e.limit,
-		Recent:   e.recent,
-	}
-	outcome := l.judge(a, &e, tokens, now)
-	if outcome == withinLimit {
-		l.allow(a, &e, tokens, now, &decision)
-		return decision
-	}
-	l.reject(a, &e, outcome, now, &decision)
-	l.queue(a, &e, outcome, tokens, now, &decision)
-	if decision.Queue {
-		decision.RetryAfter = l.config.Interval
-	} else {
-		decision.RetryAfter = l.retryAfter(a, tokens, now)
-	}
-	return decision
-}
-
-// judge compares a request with the estimate. A request that only the capacity
-// reserved for unresponsive fronts puts over the limit is over this front's share.
-func (l *Limiter) judge(a *account, e *estimate, tokens float64, now time.Time) verdict {
-	outcome := a.judge(&l.config, e, tokens)
-	if !l.config.enabled(EarlyUnblock) && now.Before(a.blockedUntil) {
-		outcome = overLimit
-	}
-	if outcome == overLimit && e.reserved > 0 {
-		unreserved := *e
-		unreserved.reserved = 0
-		if a.judge(&l.config, &unreserved, tokens) != overLimit {
-			outcome = overShare
-		}
+func (l *Limiter) decide(account *account, tokens float64, allowance Allowance, now time.Time) Decision {
+	account.allowance = allowance
+	admission := admission{
+		limiter:  l,
+		account:  account,
+		tokens:   tokens,
+		now:      now,
+		estimate: account.estimate(&l.config, l.grid, now),
 	}
-	return outcome
-}
-
-func (l *Limiter) allow(a *account, e *estimate, tokens float64, now time.Time, decision *Decision) {
-	a.spend.add(l.grid.slice(now), tokens)
-	a.sync.unsent += tokens
-	decision.Allowed = true
-	decision.SendNow = l.config.enabled(FrontShares) && a.sync.unsent > sendAtBudget*e.budget
-	if decision.SendNow {
-		l.markUrgent(a)
-	}
-}
-
-// reject sets the reason of a rejection.
-func (l *Limiter) reject(a *account, e *estimate, outcome verdict, now time.Time, decision *Decision) {
-	decision.Code = apierror.QuotaExceeded
-	if outcome == overLimit {
-		decision.OverLimit = true
-		a.blockedUntil = l.windowEnd(now)
-		return
-	}
-	if a.sync.ownerUnresponsive(&l.config, now) || !a.sync.hasTotals() || e.reserved > 0 {
-		decision.Code = apierror.ShareExceeded
-	}
-}
-
-// queue decides whether a request over the front's share waits for an exchange: with
-// the owner if it answers, or with the next owner while the tenant is well below its
-// limit and the owner has become unresponsive only recently.
-func (l *Limiter) queue(a *account, e *estimate, outcome verdict, tokens float64, now time.Time, decision *Decision) {
-	if outcome != overShare {
-		return
-	}
-	if a.sync.ownerUnresponsive(&l.config, now) {
-		wellBelow := e.previous < queueBelow*e.limit
-		if !wellBelow || a.sync.waitingLongerThan(queueingEndsAfter, &l.config, now) {
-			return
-		}
-	}
-	decision.SendNow = true
-	decision.Queue = l.config.enabled(Queueing) && e.recent+e.reserved+tokens/2 <= queueBelow*e.limit
-	l.markUrgent(a)
-}
-
-func (l *Limiter) retryAfter(a *account, tokens float64, now time.Time) time.Duration {
-	delay := a.retryAfter(&l.config, l.grid, now, tokens)
-	if !l.config.enabled(EarlyUnblock) {
-		delay = max(delay, a.blockedUntil.Sub(now))
-	}
-	return delay
-}
-
-func (l *Limiter) windowEnd(now time.Time) time.Time {
-	window := l.config.Window.Microseconds()
-	return time.UnixMicro((now.UnixMicro()/window + 1) * window)
+	return admission.decide()
 }
 
-func (l *Limiter) markUrgent(a *account) {
-	if !a.sync.urgent {
-		a.sync.urgent = true
-		l.urgent = append(l.urgent, a)
+func (l *Limiter) setUrgent(account *account) {
+	if !account.sync.urgent {
+		account.sync.urgent = true
+		l.urgent = append(l.urgent, account)
 	}
 }
 
@@ -251,30 +157,30 @@
 func (l *Limiter) Inspect(now time.Time) []TenantUsage {
 	now = l.advance(now)
 	usages := make([]TenantUsage, 0, len(l.accounts))
-	for _, a := range l.accounts {
-		usages = append(usages, l.usage(a, now))
+	for _, account := range l.accounts {
+		usages = append(usages, l.usage(account, now))
 	}
 	sort.Slice(usages, func(i, j int) bool { return usages[i].Tenant < usages[j].Tenant })
 	return usages
 }
 
-func (l *Limiter) usage(a *account, now time.Time) TenantUsage {
-	e := a.estimate(&l.config, l.grid, now)
+func (l *Limiter) usage(account *account, now time.Time) TenantUsage {
+	estimate := account.estimate(&l.config, l.grid, now)
 	slice := l.grid.slice(now)
 	usage := TenantUsage{
-		Tenant:    a.tenant,
-		Limit:     e.limit,
-		Estimate:  e.weighted,
-		Recent:    e.recent,
-		Own:       a.spend.own.sum(slice-l.grid.slicesPerWindow, slice),
-		Share:     a.allocation.share,
-		Reserved:  a.allocation.reserved,
-		OverLimit: a.judge(&l.config, &e, 0) == overLimit,
-		Owner:     a.sync.owner.name,
+		Tenant:    account.tenant,
+		Limit:     estimate.limit,
+		Estimate:  estimate.weighted,
+		Recent:    estimate.recent,
+		Own:       account.spend.own.sum(slice-l.grid.slicesPerWindow, slice),
+		Share:     account.allocation.share,
+		Reserved:  account.allocation.reserved,
+		OverLimit: account.judge(&l.config, &estimate, 0) == overLimit,
+		Owner:     account.sync.owner.name,
 		Age:       -1,
 	}
-	if a.sync.hasTotals() {
-		usage.Age = now.Sub(a.sync.totalsAsOf)
+	if account.sync.hasTotals() {
+		usage.Age = now.Sub(account.sync.totalsAsOf)
 	}
 	return usage
 }
--- a/internal/decision/quota/limiter_exchange.go
+++ b/internal/decision/quota/limiter_exchange.go
@@ -25,42 +25,42 @@
 func (l *Limiter) CountsToSend(now time.Time, ownerOf func(tenant string) string) map[string][]*wire.Count {
 	now = l.advance(now)
 	batches := countBatches{}
-	for tenant, a := range l.accounts {
-		if now.Sub(a.lastUsed) > 2*l.config.Window {
+	for tenant, account := range l.accounts {
+		if now.Sub(account.lastUsed) > 2*l.config.Window {
 			delete(l.accounts, tenant)
 			continue
 		}
 		switch {
-		case l.sentRecently(a, now):
-		case l.hasNews(a, now):
-			l.appendCounts(batches, ownerOf(tenant), a, now)
-		case !a.sync.reportedIdle:
-			a.sync.reportedIdle = true
+		case l.sentRecently(account, now):
+		case l.needsSending(account, now):
+			l.appendCounts(batches, ownerOf(tenant), account, now)
+		case !account.sync.reportedIdle:
+			account.sync.reportedIdle = true
 			batches.add(ownerOf(tenant), demandReport{idle: true}.count(tenant))
 		}
 	}
-	for _, a := range l.urgent {
-		a.sync.urgent = false
+	for _, account := range l.urgent {
+		account.sync.urgent = false
 	}
 	l.urgent = l.urgent[:0]
 	batches.sort()
 	return batches
 }
 
-// hasNews reports whether a tenant's counts have to be sent: it is active, has unsent
+// needsSending reports whether a tenant's counts have to be sent: it is active, has unsent
 // tokens or a request for its totals is unanswered.
-func (l *Limiter) hasNews(a *account, now time.Time) bool {
-	return now.Sub(a.lastUsed) <= requestTotalsFor.in(&l.config) || a.sync.unsent > 0 || a.sync.waiting()
+func (l *Limiter) needsSending(account *account, now time.Time) bool {
+	return now.Sub(account.lastUsed) <= requestTotalsFor.in(&l.config) || account.sync.unsent > 0 || account.sync.waiting()
 }
 
 // sentRecently reports whether the counts of a tenant far below its limit were sent
 // so recently that they can wait.
-func (l *Limiter) sentRecently(a *account, now time.Time) bool {
-	if now.Sub(a.sync.lastSent) >= (calmSendIntervals-1).in(&l.config)+l.config.Interval/2 {
+func (l *Limiter) sentRecently(account *account, now time.Time) bool {
+	if now.Sub(account.sync.lastSent) >= (calmSendIntervals-1).in(&l.config)+l.config.Interval/2 {
 		return false
 	}
-	e := a.estimate(&l.config, l.grid, now)
-	return max(e.weighted, e.recent) < calmBelow*e.limit
+	estimate := account.estimate(&l.config, l.grid, now)
+	return max(estimate.weighted, estimate.recent) < calmBelow*estimate.limit
 }
 
 // HasUrgent reports whether some counts should not wait for the next interval.
@@ -75,13 +75,13 @@
 	now = l.advance(now)
 	batches := countBatches{}
 	waiting := l.urgent[:0]
-	for _, a := range l.urgent {
-		if !ready(ownerOf(a.tenant)) {
-			waiting = append(waiting, a)
+	for _, account := range l.urgent {
+		if !ready(ownerOf(account.tenant)) {
+			waiting = append(waiting, account)
 			continue
 		}
-		a.sync.urgent = false
-		l.appendCounts(batches, ownerOf(a.tenant), a, now)
+		account.sync.urgent = false
+		l.appendCounts(batches, ownerOf(account.tenant), account, now)
 	}
 	l.urgent = waiting
 	return batches
@@ -110,47 +110,47 @@
 
 // appendCounts adds an account's demand and its counts of the current window and, if
 // the owner may lack it or its total is needed, of the previous one.
-func (l *Limiter) appendCounts(batches countBatches, owner string, a *account, now time.Time) {
+func (l *Limiter) appendCounts(batches countBatches, owner string, account *account, now time.Time) {
 	if owner == "" {
 		return
 	}
-	a.sync.sent(now)
-	a.demand.decay(now)
-	batches.add(owner, demandReport{tokens: a.demand.tokens, at: now}.count(a.tenant))
+	account.sync.sent(now)
+	account.demand.decay(now)
+	batches.add(owner, demandReport{tokens: account.demand.tokens, at: now}.count(account.tenant))
 
-	withTotals := a.sync.hasTotals() && l.needsTotals(owner, a)
+	withTotals := account.sync.hasTotals() && l.needsTotals(owner, account)
 	window := l.grid.window(now)
-	if withTotals || l.needsPreviousWindow(a, now) {
-		batches.add(owner, l.count(a, window-1, withTotals))
+	if withTotals || l.needsPreviousWindow(account, now) {
+		batches.add(owner, l.count(account, window-1, withTotals))
 	}
-	batches.add(owner, l.count(a, window, withTotals))
+	batches.add(owner, l.count(account, window, withTotals))
 }
 
 // needsTotals reports whether an owner may lack what this front knows of the other
 // fronts' spend: it has just started, or another one reported the totals.
-func (l *Limiter) needsTotals(owner string, a *account) bool {
+func (l *Limiter) needsTotals(owner string, account *account) bool {
 	state := l.owners[owner]
-	return state.fresh || a.sync.owner != frontID{owner, state.incarnation}
+	return state.fresh || account.sync.owner != frontID{owner, state.incarnation}
 }
 
-func (l *Limiter) needsPreviousWindow(a *account, now time.Time) bool {
+func (l *Limiter) needsPreviousWindow(account *account, now time.Time) bool {
 	slice := l.grid.slice(now)
 	first, _ := l.grid.windowSlices(l.grid.windowOf(slice))
 	staleBefore := now.Add(-l.config.Window / previousWindowSteps)
-	return a.sync.totalsAsOf.Before(staleBefore) || slice-first < l.grid.slicesPerWindow/4
+	return account.sync.totalsAsOf.Before(staleBefore) || slice-first < l.grid.slicesPerWindow/4
 }
 
-func (l *Limiter) count(a *account, window int64, withTotals bool) *wire.Count {
+func (l *Limiter) count(account *account, window int64, withTotals bool) *wire.Count {
 	first, last := l.grid.windowSlices(window)
 	count := &wire.Count{
-		Tenant: a.tenant,
+		Tenant: account.tenant,
 		Window: window,
-		Own:    a.spend.own.sum(first, last),
-		Slices: a.spend.own.windowTokens(l.grid, window),
+		Own:    account.spend.own.sum(first, last),
+		Slices: account.spend.own.windowTokens(l.grid, window),
 	}
 	if withTotals {
-		count.Learned = a.spend.all.sum(first, last)
-		count.LearnedSlices = a.spend.all.windowTokens(l.grid, window)
+		count.Learned = account.spend.all.sum(first, last)
+		count.LearnedSlices = account.spend.all.windowTokens(l.grid, window)
 	}
 	return count
 }
@@ -164,21 +164,21 @@
 	}
 	l.owners[resp.Holder] = ownerState{incarnation: resp.Incarnation, fresh: resp.Fresh}
 	for _, total := range resp.Totals {
-		a := l.accounts[total.Tenant]
+		account := l.accounts[total.Tenant]
 		switch {
-		case a == nil:
+		case account == nil:
 		case isAllocationReport(total):
-			a.allocation.allocationReport = readAllocationReport(total)
-			a.sync.answered(frontID{resp.Holder, resp.Incarnation}, sentAt)
+			account.allocation.allocationReport = readAllocationReport(total)
+			account.sync.answered(frontID{resp.Holder, resp.Incarnation}, sentAt)
 		default:
-			l.applyTotal(a, total, now)
+			l.applyTotal(account, total, now)
 		}
 	}
 }
 
 // applyTotal raises the slices of a window to the other fronts' spend, as reported,
 // and this front's, as it is now.
-func (l *Limiter) applyTotal(a *account, total *wire.Total, now time.Time) {
+func (l *Limiter) applyTotal(account *account, total *wire.Total, now time.Time) {
 	first, _ := l.grid.windowSlices(total.Window)
 	newest := l.grid.newestPlausible(now)
 	for i, tokens := range total.Slices {
@@ -187,7 +187,7 @@
 			tokens -= total.AckedSlices[i]
 		}
 		if tokens > 0 && slice >= 0 && slice <= newest {
-			a.spend.all.raise(slice, tokens+a.spend.own.get(slice))
+			account.spend.all.raise(slice, tokens+account.spend.own.get(slice))
 		}
 	}
 }
--- a/internal/decision/quota/owner_sync.go
+++ b/internal/decision/quota/owner_sync.go
@@ -17,23 +17,23 @@
 
 func (s *ownerSync) waiting() bool { return !s.waitingSince.IsZero() }
 
-func (s *ownerSync) waitingLongerThan(n intervals, c *Config, now time.Time) bool {
-	return s.waiting() && now.Sub(s.waitingSince) > n.in(c)
+func (s *ownerSync) waitingLongerThan(n intervals, config *Config, now time.Time) bool {
+	return s.waiting() && now.Sub(s.waitingSince) > n.in(config)
 }
 
-func (s *ownerSync) ownerUnresponsive(c *Config, now time.Time) bool {
-	return s.waitingLongerThan(ownerUnresponsiveAfter, c, now)
+func (s *ownerSync) ownerUnresponsive(config *Config, now time.Time) bool {
+	return s.waitingLongerThan(ownerUnresponsiveAfter, config, now)
 }
 
 // reactivate ends a tenant's idleness. Unless the owner was unresponsive when the
 // tenant was last used, a request without an answer from before is forgotten: no
 // others followed that could have been answered.
-func (s *ownerSync) reactivate(c *Config, lastUsed time.Time) {
+func (s *ownerSync) reactivate(config *Config, lastUsed time.Time) {
 	if !s.reportedIdle {
 		return
 	}
 	s.reportedIdle = false
-	if s.waiting() && lastUsed.Sub(s.waitingSince) <= ownerUnresponsiveAfter.in(c) {
+	if s.waiting() && lastUsed.Sub(s.waitingSince) <= ownerUnresponsiveAfter.in(config) {
 		s.waitingSince = time.Time{}
 	}
 }
--- a/internal/decision/quota/slices.go
+++ b/internal/decision/quota/slices.go
@@ -55,7 +55,9 @@
 	tokens []float64
 }
 
-func newSliceRing(g timeGrid) sliceRing { return sliceRing{tokens: make([]float64, g.retained())} }
+func newSliceRing(grid timeGrid) sliceRing {
+	return sliceRing{tokens: make([]float64, grid.retained())}
+}
 
 func (r *sliceRing) advance(newest int64) {
 	size := int64(len(r.tokens))
@@ -122,8 +124,8 @@
 }
 
 // windowTokens copies the slices of one window, without the empty ones at its end.
-func (r *sliceRing) windowTokens(g timeGrid, window int64) []float64 {
-	first, last := g.windowSlices(window)
+func (r *sliceRing) windowTokens(grid timeGrid, window int64) []float64 {
+	first, last := grid.windowSlices(window)
 	for last >= first && r.get(last) == 0 {
 		last--
 	}
@@ -155,9 +157,9 @@
 }
 
 // raise sets a slice to tokens if it has less, and returns the increase.
-func (s *sparseSlices) raise(g timeGrid, slice int64, tokens float64) float64 {
+func (s *sparseSlices) raise(grid timeGrid, slice int64, tokens float64) float64 {
 	s.newest = max(s.newest, slice)
-	oldest := s.newest - g.retained() + 1
+	oldest := s.newest - grid.retained() + 1
 	if slice < oldest || tokens <= 0 {
 		return 0
 	}
@@ -181,8 +183,8 @@
 }
 
 // windowTokens copies the slices of one window, without the empty ones at its end.
-func (s *sparseSlices) windowTokens(g timeGrid, window int64) []float64 {
-	first, last := g.windowSlices(window)
+func (s *sparseSlices) windowTokens(grid timeGrid, window int64) []float64 {
+	first, last := grid.windowSlices(window)
 	cells := s.cells[s.indexFrom(first):s.indexFrom(last+1)]
 	if len(cells) == 0 {
 		return nil
--- a/internal/decision/quota/tenant_count.go
+++ b/internal/decision/quota/tenant_count.go
@@ -39,7 +39,7 @@
 // contribution is one front's part of a tenant's count.
 type contribution struct {
 	spend          sparseSlices
-	lastHeard      time.Time
+	lastReceived   time.Time
 	previousSentAt time.Time // when the front last received the previous window's total
 	idle           bool      // the tenant is not active at the front
 	share          float64   // of the remaining capacity, as last allocated
