--- a/sim/quota/fleet.go
+++ b/sim/quota/fleet.go
@@ -19,7 +19,7 @@
 type Fleet struct {
 	Seed         uint64
 	Config       quota.Config
-	Terms        quota.Allowance
+	Allowance    quota.Allowance
 	Fronts       int           // defaults to 9
 	FirstRegion  int           // number of fronts in the first region, the others are in the second; defaults to 6
 	RegionDelay  time.Duration // longest delay between regions; defaults to 150 ms
@@ -106,12 +106,12 @@
 	f.QueueTimeout = cmp.Or(f.QueueTimeout, 2500*time.Millisecond)
 	f.Config.Window = cmp.Or(f.Config.Window, defaultWindow)
 	f.Config.Interval = cmp.Or(f.Config.Interval, 200*time.Millisecond)
-	f.Terms = cmp.Or(f.Terms, quota.Allowance{Rate: 1000, Burst: 2000})
+	f.Allowance = cmp.Or(f.Allowance, quota.Allowance{Rate: 1000, Burst: 2000})
 	return f
 }
 
 func newRun(f Fleet) *run {
-	r := &run{Fleet: f, random: rand.New(rand.NewPCG(f.Seed, 7)), limit: f.Terms.TokensPerWindow(f.Config.Window)}
+	r := &run{Fleet: f, random: rand.New(rand.NewPCG(f.Seed, 7)), limit: f.Allowance.TokensPerWindow(f.Config.Window)}
 	for i := range f.Fronts {
 		r.names = append(r.names, fmt.Sprintf("front-%d-%d", i, f.Seed))
 	}
--- a/sim/quota/fleet_test.go
+++ b/sim/quota/fleet_test.go
@@ -18,21 +18,21 @@
 var (
 	seeds        = flag.Int("seeds", 2, "seeds of each scenario")
 	first        = flag.Uint64("first", 1, "first seed")
-	without      = flag.Uint("without", 0, "exceptions left out, as a mask: 1 mark ends, 2 bound, 4 room, 8 share, 16 hold")
+	without      = flag.Uint("without", 0, "features disabled, as a mask: 1 early unblock, 2 sliding limit, 4 sliding capacity, 8 front shares, 16 queueing")
 	only         = flag.String("only", "", "part of the names of the scenarios to run")
 	report       = flag.Bool("report", false, "print the figures")
 	windowSlices = flag.Int("slices", 0, "slices of a window")
 )
 
 func play(scenario Scenario, seed uint64) (result, exact Result) {
-	return playWithout(scenario, seed, quota.Feature(*without))
+	return playDisabled(scenario, seed, quota.Feature(*without))
 }
 
-func playWithout(scenario Scenario, seed uint64, without quota.Feature) (result, exact Result) {
+func playDisabled(scenario Scenario, seed uint64, disabled quota.Feature) (result, exact Result) {
 	setup := scenario.Draw(rand.New(rand.NewPCG(seed, 1)))
 	fleet := setup.Fleet
 	fleet.Seed = seed
-	fleet.Config = quota.Config{Disabled: without, Slices: *windowSlices}
+	fleet.Config = quota.Config{Disabled: disabled, Slices: *windowSlices}
 	firstRegion := fleet.withDefaults().FirstRegion
 	requests := fleet.Run()
 	result = Check(requests, firstRegion, setup.ExcessFrom, setup.ExcessUntil)
@@ -83,23 +83,27 @@
 	}
 }
 
-// TestEachExceptionIsNeeded takes the tally's defences against crowds out one by
-// one, and looks whether the checker sees it in one of the scenarios. The bound on a
-// span is not among them: with shares in place no scenario needs it at this seed.
-func TestEachExceptionIsNeeded(t *testing.T) {
-	for name, exception := range map[string]quota.Feature{"the mark's early end": quota.EarlyUnblock,
-		"the room": quota.SlidingCapacity, "shares": quota.FrontShares, "holding": quota.Queueing} {
+// TestEachFeatureIsNeeded disables the features one by one and expects the checker to
+// find a violation in one of the scenarios. SlidingLimit is not among them: with
+// FrontShares no scenario needs it at this seed.
+func TestEachFeatureIsNeeded(t *testing.T) {
+	for name, feature := range map[string]quota.Feature{
+		"early unblocking": quota.EarlyUnblock,
+		"sliding capacity": quota.SlidingCapacity,
+		"shares":           quota.FrontShares,
+		"queueing":         quota.Queueing,
+	} {
 		Convey("Without "+name+" a tenant gets too much or too little", t, func() {
-			So(firstBroken(exception), ShouldNotBeEmpty)
+			So(firstBroken(feature), ShouldNotBeEmpty)
 		})
 	}
 }
 
-// firstBroken returns what breaks in the first scenario that does not hold
-// without an exception.
-func firstBroken(without quota.Feature) []string {
+// firstBroken returns the violations of the first scenario that has any with features
+// disabled.
+func firstBroken(disabled quota.Feature) []string {
 	for _, scenario := range Scenarios() {
-		result, exact := playWithout(scenario, 1, without)
+		result, exact := playDisabled(scenario, 1, disabled)
 		if broken := scenario.Broken(result, exact); len(broken) > 0 {
 			return broken
 		}
@@ -107,7 +111,7 @@
 	return nil
 }
 
-func TestRunsAgain(t *testing.T) {
+func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	Convey("A seed gives the same run again", t, func() {
 		one, _ := play(Scenarios()[0], 5)
 		two, _ := play(Scenarios()[0], 5)
--- a/sim/quota/front.go
+++ b/sim/quota/front.go
@@ -115,7 +115,7 @@
 	f := r.fronts[i]
 	number := len(r.requests)
 	r.requests = append(r.requests, Request{At: r.now, Answered: r.now, Front: i, Tokens: tokens})
-	decision := f.limiter.Admit(tenant, tokens*r.limit, r.Terms, r.clock(i))
+	decision := f.limiter.Admit(tenant, tokens*r.limit, r.Allowance, r.clock(i))
 	if decision.Queue && len(f.pending) < maxPending {
 		f.pending = append(f.pending, pendingRequest{request: number, tokens: tokens, deadline: r.now + r.QueueTimeout})
 		return
@@ -138,7 +138,7 @@
 	f := r.fronts[i]
 	stillPending := f.pending[:0]
 	for _, p := range f.pending {
-		decision := f.limiter.AdmitQueued(tenant, p.tokens*r.limit, r.Terms, r.clock(i))
+		decision := f.limiter.AdmitQueued(tenant, p.tokens*r.limit, r.Allowance, r.clock(i))
 		if decision.Queue && r.now < p.deadline {
 			stillPending = append(stillPending, p)
 			continue
@@ -149,8 +149,8 @@
 	f.pending = stillPending
 }
 
-// learn applies an owner's response at front i.
-func (r *run) learn(i int, incarnation uint64, resp *wire.AddResponse, sentAt time.Time) {
+// applyTotals applies an owner's response at front i.
+func (r *run) applyTotals(i int, incarnation uint64, resp *wire.AddResponse, sentAt time.Time) {
 	f := r.fronts[i]
 	if f.down || f.incarnation != incarnation {
 		return
--- a/sim/quota/network.go
+++ b/sim/quota/network.go
@@ -64,8 +64,8 @@
 
 // ownerOf returns front i's choice of a tenant's owner.
 func (r *run) ownerOf(i int) func(tenant string) string {
-	reached := quota.Reachable(r.reachability(i))
-	return func(tenant string) string { return quota.OwnerOf(tenant, reached) }
+	reachable := quota.Reachable(r.reachability(i))
+	return func(tenant string) string { return quota.OwnerOf(tenant, reachable) }
 }
 
 // exchange is one request with counts from a front to an owner, by index.
@@ -125,7 +125,7 @@
 
 func (x *exchange) respond(resp *wire.AddResponse) {
 	x.done()
-	x.run.whenResumed(x.from, func() { x.run.learn(x.from, x.incarnation, resp, x.sentAt) })
+	x.run.whenResumed(x.from, func() { x.run.applyTotals(x.from, x.incarnation, resp, x.sentAt) })
 }
 
 func (x *exchange) timeOut() { x.run.after(exchangeTimeout, x.done) }
