--- a/internal/decision/route/bench_test.go
+++ b/internal/decision/route/bench_test.go
@@ -22,7 +22,7 @@
 	for b.Loop() {
 		c := table.Choose(reqs[i%len(reqs)], start)
 		table.Started(c.Server)
-		table.Finished(c.Server, Outcome{OK: true}, start)
+		table.Finished(c.Server, Outcome{Result: Answered}, start)
 		i++
 	}
 }
--- a/internal/decision/route/choose.go
+++ b/internal/decision/route/choose.go
@@ -1,106 +1,95 @@
 package route
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 
 	"stepwick/internal/apierror"
 	"stepwick/internal/decision/plan"
-	"stepwick/internal/decision/statemachine"
-	"stepwick/internal/wire"
 )
 
+// Bounds of the delays after which callers are asked to retry.
 const (
-	comeBack     = time.Second
-	leastBack    = 100 * time.Millisecond
-	mostBack     = 5 * time.Second
-	wheelPhase   = 1024
-	leastCredits = 2
-	mostCredits  = 20
+	retryAfterDefault = time.Second
+	minRetryAfter     = 100 * time.Millisecond
+	maxRetryAfter     = 5 * time.Second
 )
 
-// Choose decides where a request goes now. A retry (with Tried) spends from the
-// retry budget, a first attempt adds to it. The caller calls Started when it
-// follows the choice, before it asks again.
+// Choose decides where a request goes now. A retry (with Tried) spends from the retry
+// budget, a first attempt adds to it. The caller calls Started when it follows the
+// choice, before it calls Choose again.
 func (t *Table) Choose(req Request, now time.Time) Choice {
 	if len(req.Tried) == 0 {
-		t.budget.add()
-	} else if !t.budget.has() {
-		return Choice{Fault: apierror.Errorf(apierror.BudgetSpent, "retries are bound to a share of the requests").WithRetryAfter(comeBack)}
+		t.retries.addRequest()
+	} else if !t.retries.available() {
+		return Choice{Err: apierror.Errorf(apierror.BudgetSpent, "retries are bound to a share of the requests").WithRetryAfter(retryAfterDefault)}
 	}
 	if req.Prefix != 0 {
-		t.popular.add(req.Prefix)
+		t.popularity.add(req.Prefix)
 	}
-	c, _ := t.choose(&req, now, now, true)
-	if c.Server != "" && len(req.Tried) > 0 {
-		t.budget.spend()
+	choice := t.chooseNew(&req, now)
+	if choice.Server != "" && len(req.Tried) > 0 {
+		t.retries.spend()
 	}
-	return c
+	return choice
 }
 
-// choose also tells whether some server has room, though not for this request,
-// which has waited since an instant.
-func (t *Table) choose(req *Request, since, now time.Time, fresh bool) (c Choice, room bool) {
+// chooseNew decides a new request. It doesn't overtake queued ones that may have
+// become ready.
+func (t *Table) chooseNew(req *Request, now time.Time) Choice {
+	if err := t.unroutable(req, now); err != nil {
+		return Choice{Err: err}
+	}
+	if t.queue.unserved && len(t.queue.requests) > 0 {
+		return t.queueOrReject(req, now, Choice{})
+	}
+	selection := newSelection(t, req, now, now)
+	found := selection.selectServer()
+	switch found {
+	case available:
+		return selection.choice
+	case noServer:
+		selection.choice.Err = t.noServerError(req)
+		return selection.choice
+	}
+	return t.queueOrReject(req, now, selection.choice)
+}
+
+// chooseQueued decides a request that was queued at since. It also reports whether the
+// request has to wait although some server has capacity for others.
+func (t *Table) chooseQueued(req *Request, since, now time.Time) (choice Choice, onlyForOthers bool) {
+	if err := t.unroutable(req, now); err != nil {
+		return Choice{Err: err}, false
+	}
+	selection := newSelection(t, req, since, now)
+	found := selection.selectServer()
+	switch found {
+	case available:
+	case noServer:
+		selection.choice.Err = t.noServerError(req)
+	default:
+		selection.choice.Queued = true
+	}
+	return selection.choice, found == availableToOthers
+}
+
+// unroutable returns why a request can go to no server, whatever their state, or nil.
+func (t *Table) unroutable(req *Request, now time.Time) *apierror.Error {
 	switch {
 	case t.view.Plan == nil || t.view.State.Sheet == nil:
-		c.Fault = apierror.Errorf(apierror.NoPlan, "no plan has arrived").WithRetryAfter(comeBack)
-		return c, false
+		return apierror.Errorf(apierror.NoPlan, "no plan has arrived").WithRetryAfter(retryAfterDefault)
 	case !now.Before(req.Deadline):
-		c.Fault = apierror.Errorf(apierror.DeadlinePassed, "the deadline has passed").WithRetryAfter(leastBack)
-		return c, false
+		return apierror.Errorf(apierror.DeadlinePassed, "the deadline has passed").WithRetryAfter(minRetryAfter)
 	}
 	if _, known := t.view.State.Sheet.Services[req.Service]; !known {
-		c.Fault = apierror.Errorf(apierror.UnknownService, "no service %q", req.Service)
-		return c, false
-	}
-	if fresh && t.queue.unserved && len(t.queue.line) > 0 {
-		return t.wait(req, now, c), false
-	}
-	key := req.Prefix
-	if key == 0 {
-		key = xxhash.Sum64String(req.ID) | 1
-	}
-	var found fit
-	if req.Home != "" {
-		if p := t.pools[poolKey{req.Service, req.Home}]; p != nil {
-			s, here := t.pick(p, req, key, now.Sub(since), now, &c)
-			if s != nil {
-				return t.seated(c, s, req), true
-			}
-			found = here
-		}
-	} else {
-		w := t.wheel(req)
-		first := w.peek()
-		for i := range w.spokes {
-			at := i
-			if first > 0 {
-				at = spill(i, first)
-			}
-			k := &w.spokes[at]
-			if k.pool == nil {
-				continue
-			}
-			s, here := t.pick(k.pool, req, key, now.Sub(since), now, &c)
-			if s != nil {
-				w.commit(first)
-				return t.seated(c, s, req), true
-			}
-			found = max(found, here)
-		}
-	}
-	switch {
-	case found > none && fresh:
-		return t.wait(req, now, c), false
-	case found > none:
-		c.Queued = true
-		return c, found == elsewhere
+		return apierror.Errorf(apierror.UnknownService, "no service %q", req.Service)
 	}
-	c.Fault = apierror.Errorf(apierror.NoServer, "no server of %s can take requests%s", req.Service, t.homeNote(req.Home)).WithRetryAfter(comeBack)
-	return c, false
+	return nil
+}
+
+func (t *Table) noServerError(req *Request) *apierror.Error {
+	return apierror.Errorf(apierror.NoServer, "no server of %s can take requests%s", req.Service, t.homeNote(req.Home)).WithRetryAfter(retryAfterDefault)
 }
 
 func (t *Table) homeNote(home string) string {
@@ -113,153 +102,92 @@
 	return " in " + home + ", its home"
 }
 
-// spill puts the first spoke first and leaves the others in their order.
-func spill(i, first int) int {
-	switch {
-	case i == 0:
-		return first
-	case i <= first:
-		return i - 1
-	}
-	return i
-}
-
-func (t *Table) seated(c Choice, s *server, req *Request) Choice {
-	c.FirstEvent = t.firstEvent(s, req)
-	c.Server, c.Address, c.Region = s.name, s.status.Address, s.status.Region
-	c.Queued, c.Fault = false, nil
-	return c
-}
-
-// wheel is a smooth weighted round robin over the regions of one service and
-// region of origin: over any short span the shares hold to within one request.
-type wheel struct {
-	spokes []spoke
-	total  float64
-}
-
-type spoke struct {
-	region  string
-	weight  float64
-	current float64
-	pool    *pool
-}
+// availability is what the servers of a pool have for a request.
+type availability int
 
-func (w *wheel) peek() int {
-	best := -1
-	for i := range w.spokes {
-		k := &w.spokes[i]
-		if k.pool != nil && (best < 0 || k.current+k.weight > w.spokes[best].current+w.spokes[best].weight) {
-			best = i
-		}
-	}
-	return best
-}
+const (
+	noServer          availability = iota // no server that it may go to
+	noCapacity                            // servers, all without capacity
+	availableToOthers                     // capacity at servers that it should not go to
+	available
+)
 
-func (w *wheel) commit(at int) {
-	for i := range w.spokes {
-		if k := &w.spokes[i]; k.pool != nil {
-			k.current += k.weight
-		}
-	}
-	w.spokes[at].current -= w.total
+// selection is the state of one choice of a server.
+type selection struct {
+	table   *Table
+	request Request       // by value: a pointer here would escape to the heap
+	key     uint64        // hash that servers are ranked by
+	waited  time.Duration // in the queue
+	now     time.Time
+	choice  Choice
 }
 
-// wheel returns the wheel of a request; an origin that the plan doesn't name
-// goes by the shares of the front's own region.
-func (t *Table) wheel(req *Request) *wheel {
-	if w := t.shares[shareKey{req.Service, req.FromRegion}]; w != nil {
-		return w
+func newSelection(t *Table, req *Request, since, now time.Time) selection {
+	key := req.Prefix
+	if key == 0 {
+		key = xxhash.Sum64String(req.ID) | 1
 	}
-	if w := t.shares[shareKey{req.Service, t.cfg.Region}]; w != nil {
-		return w
+	return selection{
+		table:   t,
+		request: *req,
+		key:     key,
+		waited:  now.Sub(since),
+		now:     now,
 	}
-	return &noWheel
 }
 
-var noWheel wheel
-
-// turnWheels sets the wheels by the plan's shares, minus the regions that have
-// no server left. Two things are worked out here from the sheet in force: all
-// shares, when the plan is older than the sheet, so that no older sheet rules on
-// through its plan; and those of a service to which the plan gives no region
-// that has a server.
-func (t *Table) turnWheels() {
-	old := t.shares
-	t.shares = map[shareKey]*wheel{}
-	if t.view.Plan == nil || t.view.State.Sheet == nil {
-		return
-	}
-	if t.view.Plan.Epoch >= t.view.State.SheetVersion {
-		t.spoke(t.view.Plan.Shares, func(string) bool { return true })
+// selectServer chooses a server in the request's home, or in the regions in the order
+// of the plan's shares.
+func (s *selection) selectServer() availability {
+	if s.request.Home == "" {
+		return s.selectInRegions(s.table.regionsOf(&s.request))
 	}
-	stranded := map[string]bool{}
-	for service := range t.view.State.Sheet.Services {
-		w := t.shares[shareKey{service, t.cfg.Region}]
-		if w == nil || w.peek() < 0 {
-			stranded[service] = true
-		}
+	pool := s.table.pools[poolKey{s.request.Service, s.request.Home}]
+	if pool == nil {
+		return noServer
 	}
-	if len(stranded) > 0 {
-		here := []statemachine.Member{{Name: t.cfg.Self, Region: t.cfg.Region}}
-		t.spoke(plan.Shares(t.view.State, t.view.Servers, here, t.cfg.Policy), func(service string) bool { return stranded[service] })
-	}
-	for key, w := range t.shares {
-		t.settle(key, w, old[key])
+	server, found := s.pick(pool)
+	if server != nil {
+		s.assign(server)
+		return available
 	}
+	return found
 }
 
-// spoke replaces the wheels of the wanted services by those of the shares.
-func (t *Table) spoke(shares []*wire.Share, wanted func(service string) bool) {
-	fresh := map[shareKey]*wheel{}
-	for _, share := range shares {
-		if share.Share <= 0 || !wanted(share.Service) {
+func (s *selection) selectInRegions(regions *weightedRoundRobin) availability {
+	found := noServer
+	first := regions.next()
+	for i := range regions.entries {
+		entry := &regions.entries[firstThenOthers(i, first)]
+		if entry.pool == nil {
 			continue
 		}
-		key := shareKey{share.Service, share.FromRegion}
-		w := fresh[key]
-		if w == nil {
-			w = &wheel{}
-			fresh[key] = w
+		server, foundHere := s.pick(entry.pool)
+		if server != nil {
+			regions.advance(first)
+			s.assign(server)
+			return available
 		}
-		w.spokes = append(w.spokes, spoke{region: share.ToRegion, weight: share.Share,
-			pool: t.pools[poolKey{share.Service, share.ToRegion}]})
+		found = max(found, foundHere)
 	}
-	maps.Copy(t.shares, fresh)
+	return found
 }
 
-func (t *Table) settle(key shareKey, w, old *wheel) {
-	for i := range w.spokes {
-		k := &w.spokes[i]
-		if k.pool != nil {
-			w.total += k.weight
-		}
-		if old == nil {
-			phase := mix(t.self^xxhash.Sum64String(key.service+"/"+key.from+"/"+k.region)) % wheelPhase
-			k.current = k.weight * (float64(phase)/wheelPhase - 0.5)
-			continue
-		}
-		at := slices.IndexFunc(old.spokes, func(o spoke) bool { return o.region == k.region })
-		if at >= 0 && k.pool != nil {
-			k.current = min(max(old.spokes[at].current, -1), 1)
-		}
+// firstThenOthers returns the index at a position in an order that begins with first
+// and continues with the others as they are. Without a first one (-1) it is the same.
+func firstThenOthers(position, first int) int {
+	switch {
+	case first < 0 || position > first:
+		return position
+	case position == 0:
+		return first
 	}
+	return position - 1
 }
 
-// budget bounds retries to a share of the requests.
-type budget struct {
-	ratio, credits float64
-}
-
-func newBudget(ratio float64) budget { return budget{ratio, mostCredits / 2} }
-
-func (b *budget) tune(ratio float64) {
-	b.ratio = ratio
-	if ratio == 0 {
-		b.credits = 0
-	}
+func (s *selection) assign(server *server) {
+	s.choice.Server = server.name
+	s.choice.Address = server.status.Address
+	s.choice.Region = server.status.Region
+	s.choice.FirstEventTimeout = s.table.firstEventTimeout(server, &s.request)
 }
-
-func (b *budget) add()      { b.credits = min(mostCredits, b.credits+b.ratio) }
-func (b *budget) has() bool { return b.credits >= 1 }
-func (b *budget) spend()    { b.credits-- }
--- a/internal/decision/route/pool.go
+++ b/internal/decision/route/pool.go
@@ -5,254 +5,190 @@
 	"math"
 	"math/bits"
 	"slices"
-	"time"
 )
 
 const (
-	groupSize  = 32
-	groupsSeen = 4
-	topServers = 8
-	holders    = 2
-	holderGain = 1.5
-	overMean   = 1.25
-	freeRein   = 2.0 / 3
-	idleBelow  = 0.3
-	idleMost   = 0.8
-	idleWait   = time.Second
-	zoneWorth  = 0.25
-	kvFull     = 0.95
-	kvWorth    = 0.1
+	groupSize       = 32 // least mean number of servers in a group
+	maxGroupsTried  = 4
+	maxCandidates   = 8
+	zoneAdvantage   = 0.25 // in relative load, of a server in the front's zone
+	kvNearlyFull    = 0.95 // fraction of the KV cache in use
+	kvNearlyFullAdd = 0.1  // to the relative load of a server with such a cache
 )
 
-// pool holds the servers of one service and region that may get requests. Up
-// to 64 are one group; beyond that they are dealt over a power of two of groups
-// by the hash of their names, so that a choice looks at a few dozen whatever
-// the region's size.
+type poolKey struct{ service, region string }
+
+// pool holds the servers of one service and region that get requests. Up to 64 are
+// one group; more are divided by the hash of their names over a power of two of
+// groups, so that a choice considers a few dozen whatever the region's size.
 type pool struct {
 	groups [][]*server
 	size   int
-	cap    int
-	load   int
-	cursor int
+	cap    int // sum over the servers
+	load   int // sum over the servers
+	cursor int // of RoundRobin
 	rate   *rate
 }
 
-func newPool(all []*server) *pool {
-	slices.SortFunc(all, func(a, b *server) int { return cmp.Compare(a.name, b.name) })
-	count := 1
-	if len(all) > 2*groupSize {
-		count = 1 << (bits.Len(uint(len(all)/groupSize)) - 1)
+func newPool(servers []*server) *pool {
+	slices.SortFunc(servers, func(a, b *server) int { return cmp.Compare(a.name, b.name) })
+	groups := 1
+	if len(servers) > 2*groupSize {
+		groups = 1 << (bits.Len(uint(len(servers)/groupSize)) - 1)
+	}
+	p := &pool{
+		groups: make([][]*server, groups),
+		size:   len(servers),
+		rate:   &rate{},
 	}
-	p := &pool{groups: make([][]*server, count), size: len(all), rate: &rate{}}
-	for _, s := range all {
-		at := mix(s.seed) & uint64(count-1)
-		p.groups[at] = append(p.groups[at], s)
-		p.cap += s.cap
-		p.load += s.own + s.others
+	for _, s := range servers {
+		group := mix(s.hash) & uint64(groups-1)
+		p.groups[group] = append(p.groups[group], s)
+		p.cap += s.capacity.cap
+		p.load += s.load.total()
 	}
 	return p
 }
 
-type ranked struct {
-	s     *server
-	score float64
+func (p *pool) server(index int) *server {
+	for _, group := range p.groups {
+		if index < len(group) {
+			return group[index]
+		}
+		index -= len(group)
+	}
+	return nil
 }
 
-// fit tells what a pool has for a request: no server at all that it may go to,
-// servers without room, room at servers that it should not go to, or room.
-type fit int
+// meanLoad returns the load in relation to the cap.
+func (p *pool) meanLoad() float64 {
+	if p.cap <= 0 {
+		return 0
+	}
+	return float64(p.load) / float64(p.cap)
+}
 
-const (
-	none fit = iota
-	noRoom
-	elsewhere
-	fits
-)
+// relativeLoad returns the load with one more request in relation to the cap.
+func (s *server) relativeLoad() float64 {
+	return float64(s.load.total()+1) / float64(max(1, s.capacity.cap))
+}
 
-// pick returns the server for a key within one pool, or nil.
-func (t *Table) pick(p *pool, req *Request, key uint64, waited time.Duration, now time.Time, c *Choice) (chosen *server, found fit) {
-	switch t.cfg.Strategy {
+// pick returns a server of a pool, or nil and what the pool has instead.
+func (s *selection) pick(p *pool) (*server, availability) {
+	switch s.table.config.Strategy {
 	case RoundRobin:
-		return t.pickInTurn(p, req, now, c)
+		return s.pickNext(p)
 	case LeastLoaded:
-		for _, group := range p.groups {
-			s, here := t.pickLeast(group, req, key, false, now, c)
-			found = max(found, here)
-			if s != nil && (chosen == nil || relative(s) < relative(chosen)) {
-				chosen = s
-			}
-		}
-		return chosen, found
+		return s.pickLeastLoaded(p)
 	}
-	for i := range min(len(p.groups), groupsSeen) {
-		group := p.groups[(mix(key)+uint64(i))&uint64(len(p.groups)-1)]
-		s, here := t.pickRanked(p, group, req, key, waited, now, c)
-		if s != nil {
-			return s, fits
-		}
-		found = max(found, here)
-	}
-	return nil, found
+	return s.pickByAffinity(p)
 }
 
-// pickRanked goes by rank for the prefix: to the first server that is not
-// loaded beyond the others, else to the least loaded of the first holders that
-// this front may use, else to any server that is mostly idle. In a crowd the request rather waits for its
-// holders: a prefix spread over all servers would push the others' out of their
-// caches, and the misses would keep the crowd going.
-func (t *Table) pickRanked(p *pool, group []*server, req *Request, key uint64, waited time.Duration, now time.Time, c *Choice) (*server, fit) {
-	if req.Prefix == 0 {
-		return t.pickLeast(group, req, key, true, now, c)
-	}
-	var top [topServers]ranked
-	n := 0
-	for _, s := range group {
-		score := rendezvous(key, s)
-		at := n
-		for at > 0 && top[at-1].score < score {
-			at--
+// pickNext implements RoundRobin.
+func (s *selection) pickNext(p *pool) (*server, availability) {
+	found := noServer
+	for range p.size {
+		index := p.cursor % p.size
+		p.cursor = index + 1
+		server := p.server(index)
+		reason := s.exclusion(server)
+		s.consider(server, 0, reason)
+		if reason == "" {
+			return server, available
 		}
-		if at == topServers {
-			continue
+		if reason != AlreadyTried {
+			found = noCapacity
 		}
-		n = min(n+1, topServers)
-		copy(top[at+1:n], top[at:n-1])
-		top[at] = ranked{s, score}
 	}
-	mean := 0.0
-	if p.cap > 0 {
-		mean = float64(p.load) / float64(p.cap)
-	}
-	var first [topServers]*server
-	held, most := 0, t.popular.holders(req.Prefix, p.size)
-	for i := 0; i < n && held < most; i++ {
-		s := top[i].s
-		why := t.unfit(s, req, now)
-		switch why {
-		case Tried, NoPart, Ejected, Probing:
-			c.consider(s, top[i].score, why)
-			continue
-		case "":
-			if float64(s.own+s.others+1) > bound(s, mean) {
-				why = Loaded
-			}
-		}
-		c.consider(s, top[i].score, why)
-		if why == "" {
-			return s, fits
+	return nil, found
+}
+
+// pickLeastLoaded implements LeastLoaded.
+func (s *selection) pickLeastLoaded(p *pool) (chosen *server, found availability) {
+	for _, group := range p.groups {
+		server, foundHere := s.leastLoaded(group, considerChosen)
+		found = max(found, foundHere)
+		if server != nil && (chosen == nil || server.relativeLoad() < chosen.relativeLoad()) {
+			chosen = server
 		}
-		first[held] = s
-		held++
-	}
-	if s, _ := t.pickLeast(first[:held], req, key, false, now, c); s != nil {
-		return s, fits
-	}
-	s, found := t.pickLeast(group, req, key, false, now, nil)
-	if s == nil || held > 0 && relative(s) >= idle(waited) {
-		return nil, min(found, elsewhere)
 	}
-	c.consider(s, relative(s), "")
-	return s, fits
+	return chosen, found
 }
 
-func idle(waited time.Duration) float64 {
-	return idleBelow + (idleMost-idleBelow)*min(1, float64(waited)/float64(idleWait))
-}
+// leastLoadedMode says which servers leastLoaded records as candidates, and whether it
+// prefers those in the front's zone.
+type leastLoadedMode uint8
 
-func bound(s *server, mean float64) float64 {
-	return max(float64(s.cap)*freeRein, math.Ceil(overMean*mean*float64(s.cap))+1)
-}
+const (
+	considerNone leastLoadedMode = iota
+	considerChosen
+	considerAllPreferZone
+)
 
-func (t *Table) pickLeast(group []*server, req *Request, key uint64, local bool, now time.Time, c *Choice) (chosen *server, found fit) {
-	best, tie := math.Inf(1), uint64(0)
-	for _, s := range group {
-		switch why := t.unfit(s, req, now); why {
-		case "":
-		case Tried:
+// leastLoaded returns the server with the least relative load of those that can take
+// the request. Of equal ones the request's key chooses.
+func (s *selection) leastLoaded(servers []*server, mode leastLoadedMode) (chosen *server, found availability) {
+	lowest, highestHash := math.Inf(1), uint64(0)
+	for _, server := range servers {
+		reason := s.exclusion(server)
+		if reason == AlreadyTried {
 			continue
-		default:
-			found = max(found, noRoom)
-			if local {
-				c.consider(s, relative(s), why)
+		}
+		if reason != "" {
+			found = max(found, noCapacity)
+			if mode == considerAllPreferZone {
+				s.consider(server, server.relativeLoad(), reason)
 			}
 			continue
 		}
-		cost := relative(s)
-		if s.status.KvUsed > kvFull {
-			cost += kvWorth
-		}
-		if local && s.status.Zone == t.cfg.Zone {
-			cost -= zoneWorth
-		}
-		hash := mix(key ^ s.seed)
-		if cost < best || cost == best && hash > tie {
-			chosen, best, tie = s, cost, hash
+		cost := s.cost(server, mode)
+		hash := mix(s.key ^ server.hash)
+		if cost < lowest || cost == lowest && hash > highestHash {
+			chosen = server
+			lowest = cost
+			highestHash = hash
 		}
 	}
 	if chosen == nil {
 		return nil, found
 	}
-	if c != nil {
-		c.consider(chosen, best, "")
+	if mode != considerNone {
+		s.consider(chosen, lowest, "")
 	}
-	return chosen, fits
+	return chosen, available
 }
 
-func (t *Table) pickInTurn(p *pool, req *Request, now time.Time, c *Choice) (*server, fit) {
-	found := none
-	for range p.size {
-		at := p.cursor % p.size
-		p.cursor = at + 1
-		s := p.at(at)
-		why := t.unfit(s, req, now)
-		c.consider(s, 0, why)
-		if why == "" {
-			return s, fits
-		}
-		if why != Tried {
-			found = noRoom
-		}
+func (s *selection) cost(server *server, mode leastLoadedMode) float64 {
+	cost := server.relativeLoad()
+	if server.status.KvUsed > kvNearlyFull {
+		cost += kvNearlyFullAdd
 	}
-	return nil, found
-}
-
-func (p *pool) at(i int) *server {
-	for _, group := range p.groups {
-		if i < len(group) {
-			return group[i]
-		}
-		i -= len(group)
+	if mode == considerAllPreferZone && server.status.Zone == s.table.config.Zone {
+		cost -= zoneAdvantage
 	}
-	return nil
+	return cost
 }
 
-func (t *Table) unfit(s *server, req *Request, now time.Time) string {
-	if len(req.Tried) > 0 && slices.Contains(req.Tried, s.name) {
-		return Tried
+// exclusion returns why a server can't take the request now, or "".
+func (s *selection) exclusion(server *server) string {
+	if len(s.request.Tried) > 0 && slices.Contains(s.request.Tried, server.name) {
+		return AlreadyTried
 	}
-	return t.closed(s, now)
-}
-
-func relative(s *server) float64 {
-	return float64(s.own+s.others+1) / float64(max(1, s.cap))
+	return s.table.unavailableFor(server, s.now)
 }
 
-// rendezvous is the weighted highest-random-weight score: servers get keys in
-// proportion to their full caps, so a ramp moves no key.
-func rendezvous(key uint64, s *server) float64 {
-	u := (float64(mix(key^s.seed)>>11) + 0.5) / (1 << 53)
-	return -float64(s.full) / math.Log(u)
-}
-
-func (c *Choice) consider(s *server, score float64, why string) {
-	if c.Candidates == nil {
-		c.Candidates = make([]Candidate, 0, topServers)
-	}
-	if len(c.Candidates) < topServers {
-		c.Candidates = append(c.Candidates, Candidate{s.name, score, why})
-		return
+// consider records a candidate. The chosen one replaces the last of too many.
+func (s *selection) consider(server *server, score float64, reason string) {
+	candidate := Candidate{server.name, score, reason}
+	candidates := s.choice.Candidates
+	if candidates == nil {
+		candidates = make([]Candidate, 0, maxCandidates)
 	}
-	if why == "" {
-		c.Candidates[topServers-1] = Candidate{s.name, score, why}
+	switch {
+	case len(candidates) < maxCandidates:
+		candidates = append(candidates, candidate)
+	case reason == "":
+		candidates[maxCandidates-1] = candidate
 	}
+	s.choice.Candidates = candidates
 }
--- a/internal/decision/route/queue.go
+++ b/internal/decision/route/queue.go
@@ -2,306 +2,196 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 
 	"stepwick/internal/apierror"
-	"stepwick/internal/wire"
 )
 
 const (
-	rateSpan   = 5 * time.Second
-	rateWarmUp = 2 * time.Second
-	mostHope   = 4.0
-	lookAhead  = 64
+	// maxExamined is the number of queued requests that Next considers.
+	maxExamined = 64
+
+	// wakeInterval is the time after which Next is called while requests are queued.
+	wakeInterval = 50 * time.Millisecond
+
 	// startMargin is how many mean durations must be left after the wait for a
-	// request to be let in: one that starts with less ends too late every other
+	// request to be queued: one that starts with less would end too late every other
 	// time.
 	startMargin = 1.5
-	tookWeight  = 0.05
-	wakeStep    = 50 * time.Millisecond
-
-	firstLeast  = time.Second
-	firstMeans  = 5
-	firstTwice  = 2
-	coldPrefill = 4
 )
 
-// class is a set of queued requests that wait for the same servers.
-type class struct{ service, home, from string }
+// requestClass is a set of requests that wait for the same servers.
+type requestClass struct{ service, home, from string }
 
-func classOf(req *Request) class { return class{req.Service, req.Home, req.FromRegion} }
+func classOf(req *Request) requestClass {
+	return requestClass{req.Service, req.Home, req.FromRegion}
+}
 
-type waiter struct {
-	req   Request
-	since time.Time
-	order uint64
+type queuedRequest struct {
+	request Request
+	since   time.Time
+	number  uint64 // in the order of arrival
 }
 
-func compare(a, b *waiter) int {
-	return cmp.Or(a.req.Deadline.Compare(b.req.Deadline), cmp.Compare(a.order, b.order))
+func compareQueued(a, b *queuedRequest) int {
+	return cmp.Or(a.request.Deadline.Compare(b.request.Deadline), cmp.Compare(a.number, b.number))
 }
 
-// waitQueue holds what waits, in the order of the deadlines. unserved says that
-// room may have come since Next found nothing to go.
-type waitQueue struct {
-	line     []*waiter
-	byID     map[string]*waiter
-	order    uint64
+// requestQueue holds queued requests, the earliest deadline first.
+type requestQueue struct {
+	requests []*queuedRequest
+	byID     map[string]*queuedRequest
+	arrivals uint64
+
+	// unserved is set while capacity may have become available since Next found none.
 	unserved bool
 }
 
-func newWaitQueue() waitQueue { return waitQueue{byID: map[string]*waiter{}} }
+func newRequestQueue() requestQueue { return requestQueue{byID: map[string]*queuedRequest{}} }
+
+func (q *requestQueue) size() int { return len(q.byID) }
 
-func (p *waitQueue) place(w *waiter) int {
-	at, _ := slices.BinarySearchFunc(p.line, w, compare)
-	return at
+func (q *requestQueue) index(queued *queuedRequest) int {
+	index, _ := slices.BinarySearchFunc(q.requests, queued, compareQueued)
+	return index
 }
 
-func (p *waitQueue) add(req Request, now time.Time) {
-	p.order++
-	w := &waiter{req, now, p.order}
-	p.line = slices.Insert(p.line, p.place(w), w)
-	p.byID[req.ID] = w
+func (q *requestQueue) add(req Request, now time.Time) {
+	q.arrivals++
+	queued := &queuedRequest{
+		request: req,
+		since:   now,
+		number:  q.arrivals,
+	}
+	q.requests = slices.Insert(q.requests, q.index(queued), queued)
+	q.byID[req.ID] = queued
 }
 
-func (p *waitQueue) remove(w *waiter) {
-	at := p.place(w)
-	p.line = slices.Delete(p.line, at, at+1)
-	delete(p.byID, w.req.ID)
+func (q *requestQueue) remove(queued *queuedRequest) {
+	index := q.index(queued)
+	q.requests = slices.Delete(q.requests, index, index+1)
+	delete(q.byID, queued.request.ID)
 }
 
-func (p *waitQueue) ahead(deadline time.Time) int {
-	at, _ := slices.BinarySearchFunc(p.line, deadline, func(w *waiter, deadline time.Time) int {
-		if w.req.Deadline.After(deadline) {
+// ahead returns the number of requests whose deadline isn't later.
+func (q *requestQueue) ahead(deadline time.Time) int {
+	index, _ := slices.BinarySearchFunc(q.requests, deadline, func(queued *queuedRequest, deadline time.Time) int {
+		if queued.request.Deadline.After(deadline) {
 			return 1
 		}
 		return -1
 	})
-	return at
+	return index
 }
 
-// Ready is a request that leaves the queued requests: with a server, or with
-// the fault to answer.
+// Ready is a request that leaves the queue, with a server or an error.
 type Ready struct {
 	Request Request
 	Choice  Choice
 }
 
-// wait turns a choice into the word to wait, or into a fault when the pending
-// requests are at their bound or the wait would outlast the deadline.
-func (t *Table) wait(req *Request, now time.Time, c Choice) Choice {
-	ahead := t.queue.ahead(req.Deadline)
-	c.Wait = t.estimate(req, ahead+1, now)
+// queueOrReject completes a choice without a server: the request is queued unless the
+// queue is full or the wait would outlast the deadline.
+func (t *Table) queueOrReject(req *Request, now time.Time, choice Choice) Choice {
+	choice.EstimatedWait = t.estimatedWait(req, t.queue.ahead(req.Deadline)+1, now)
 	left := req.Deadline.Sub(now)
 	switch {
-	case len(t.queue.byID) >= t.cfg.QueueBound:
-		whole := t.estimate(req, len(t.queue.byID)/2, now)
-		c.Fault = apierror.Errorf(apierror.QueueFull, "%d requests are queued", len(t.queue.byID)).WithRetryAfter(back(whole))
-	case c.Wait+t.lasts(req, startMargin) >= left:
-		c.Fault = t.tooShort(req, c.Wait, left)
+	case t.queue.size() >= t.config.MaxQueued:
+		retryAfter := t.estimatedWait(req, t.queue.size()/2, now)
+		choice.Err = apierror.Errorf(apierror.QueueFull, "%d requests are queued", t.queue.size()).WithRetryAfter(boundRetryAfter(retryAfter))
+	case choice.EstimatedWait+t.expectedDuration(req, startMargin) >= left:
+		choice.Err = t.deadlineError(req, choice.EstimatedWait, left)
 	default:
-		c.Queued = true
-	}
-	return c
-}
-
-func (t *Table) tooShort(req *Request, wait, left time.Duration) *apierror.Error {
-	takes := t.lasts(req, 1)
-	return apierror.Errorf(apierror.DeadlineTooShort, "the wait is about %s and the answer takes %s, the deadline is in %s",
-		wait.Round(time.Millisecond), takes.Round(time.Millisecond), left.Round(time.Millisecond)).WithRetryAfter(back(wait + takes - left))
-}
-
-// mean is an exponentially weighted mean of durations.
-type mean struct{ value float64 }
-
-func (t *Table) learnTook(o Outcome) {
-	if o.Service == "" || o.Took <= 0 || !o.OK && o.FirstToken <= 0 {
-		return
-	}
-	learn(t.took, o.Service, o.Took)
-	if o.FirstToken > 0 {
-		learn(t.first, o.Service, o.FirstToken)
-	}
-}
-
-func learn(means map[string]*mean, service string, d time.Duration) {
-	m := means[service]
-	if m == nil {
-		m = &mean{float64(d)}
-		means[service] = m
-	}
-	m.value += (float64(d) - m.value) * tookWeight
-}
-
-// firstEvent bounds the time to a first event: several times the mean, and
-// twice what it takes the server to prefill all that it may have in flight as if
-// each request were like this one and none in its cache, and to free a slot.
-func (t *Table) firstEvent(s *server, req *Request) time.Duration {
-	if s.status.PrefillPerSecond <= 0 || req.Tokens <= 0 {
-		return 0
-	}
-	ahead := max(s.own+s.others, int(s.status.Running+s.status.Queued)) + 1
-	seconds := float64(ahead) * req.Tokens / s.status.PrefillPerSecond
-	if s.status.State == wire.ServerState_SERVER_STATE_COLD {
-		seconds *= coldPrefill
-	}
-	explained := firstTwice * seconds * float64(time.Second)
-	if ahead > int(s.status.Slots) {
-		explained += float64(t.lasts(req, firstTwice))
+		choice.Queued = true
 	}
-	if m := t.first[req.Service]; m != nil {
-		explained = max(explained, firstMeans*m.value)
-	}
-	return max(firstLeast, time.Duration(min(explained, float64(time.Minute))))
+	return choice
 }
 
-// lasts returns what a request takes once started, times a margin; 0 when
-// nothing is known.
-func (t *Table) lasts(req *Request, margin float64) time.Duration {
-	if m := t.took[req.Service]; m != nil {
-		return time.Duration(m.value * margin)
-	}
-	return 0
+func (t *Table) deadlineError(req *Request, wait, left time.Duration) *apierror.Error {
+	duration := t.expectedDuration(req, 1)
+	err := apierror.Errorf(apierror.DeadlineTooShort, "the wait is about %s and the answer takes %s, the deadline is in %s",
+		wait.Round(time.Millisecond), duration.Round(time.Millisecond), left.Round(time.Millisecond))
+	return err.WithRetryAfter(boundRetryAfter(wait + duration - left))
 }
 
-func back(d time.Duration) time.Duration { return min(max(d, leastBack), mostBack) }
-
-// estimate tells how long it takes until n more requests have been answered by
-// the servers that could take this one; 0 while too little has been seen.
-func (t *Table) estimate(req *Request, n int, now time.Time) time.Duration {
-	perSecond := 0.0
-	count := func(p *pool) {
-		if p == nil {
-			return
-		}
-		full := 0
-		for _, group := range p.groups {
-			for _, s := range group {
-				full += s.full
-			}
-			if len(p.groups) > 1 {
-				full *= len(p.groups)
-				break
-			}
-		}
-		perSecond += p.rate.perSecond(now) * min(mostHope, max(1, float64(full)/float64(max(1, p.cap))))
-	}
-	if req.Home != "" {
-		count(t.pools[poolKey{req.Service, req.Home}])
-	} else {
-		for _, k := range t.wheel(req).spokes {
-			count(k.pool)
-		}
-	}
-	if perSecond <= 0 {
-		return 0
-	}
-	return time.Duration(min(float64(n)/perSecond, 3600) * float64(time.Second))
+func boundRetryAfter(delay time.Duration) time.Duration {
+	return min(max(delay, minRetryAfter), maxRetryAfter)
 }
 
-// Enqueue puts a request in the queue, as Choose said. It refuses a
-// request whose id already waits, and any beyond the bound.
+// Enqueue queues a request, as Choose has decided. It returns an error for a request
+// whose ID is queued already (BadField) and if the queue is full (QueueFull).
 func (t *Table) Enqueue(req Request, now time.Time) *apierror.Error {
 	if t.queue.byID[req.ID] != nil {
 		return apierror.Errorf(apierror.BadField, "a request with this id is queued")
 	}
-	if len(t.queue.byID) >= t.cfg.QueueBound {
-		return t.wait(&req, now, Choice{}).Fault
+	if t.queue.size() >= t.config.MaxQueued {
+		return t.queueOrReject(&req, now, Choice{}).Err
 	}
 	t.queue.add(req, now)
 	return nil
 }
 
-// Next takes one request out of the queue that can go now, or that must
-// be refused because its servers are gone or no answer could come by its
-// deadline: in a crowd, work on requests that end too late would starve those
-// that could still be met. The caller calls Started for a choice and then Next again, after each Finished,
-// each Update and at Wake.
+// Next removes one request from the queue that can go to a server now, or that has to
+// be rejected because its servers are gone or no answer could come by its deadline:
+// work on requests that end too late would starve those that can still be met. The
+// caller calls Started for a choice and then Next again; also after each Finished and
+// Update, and at NextWake.
 func (t *Table) Next(now time.Time) (Ready, bool) {
-	var held [8]class
-	passed := held[:0]
-	for i, w := range t.queue.line {
-		if i == lookAhead {
+	var classes [8]requestClass
+	blocked := classes[:0] // without capacity
+	for i, queued := range t.queue.requests {
+		if i == maxExamined {
 			break
 		}
-		if slices.Contains(passed, classOf(&w.req)) && now.Before(w.req.Deadline) {
+		req := &queued.request
+		if slices.Contains(blocked, classOf(req)) && now.Before(req.Deadline) {
 			continue
 		}
-		if left := w.req.Deadline.Sub(now); left > 0 && left < t.lasts(&w.req, 1) {
-			t.queue.remove(w)
-			return Ready{w.req, Choice{Fault: t.tooShort(&w.req, 0, left)}}, true
+		if left := req.Deadline.Sub(now); left > 0 && left < t.expectedDuration(req, 1) {
+			t.queue.remove(queued)
+			return Ready{Request: *req, Choice: Choice{Err: t.deadlineError(req, 0, left)}}, true
 		}
-		c, room := t.choose(&w.req, w.since, now, false)
-		if c.Queued {
-			if !room {
-				passed = append(passed, classOf(&w.req))
+		choice, onlyForOthers := t.chooseQueued(req, queued.since, now)
+		if choice.Queued {
+			if !onlyForOthers {
+				blocked = append(blocked, classOf(req))
 			}
 			continue
 		}
-		t.queue.remove(w)
-		if c.Server != "" && len(w.req.Tried) > 0 {
-			t.budget.spend()
+		t.queue.remove(queued)
+		if choice.Server != "" && len(req.Tried) > 0 {
+			t.retries.spend()
 		}
-		return Ready{w.req, c}, true
+		return Ready{Request: *req, Choice: choice}, true
 	}
 	t.queue.unserved = false
 	return Ready{}, false
 }
 
-// Cancel takes a request out of the queue, as when its caller is gone.
+// Cancel removes a request from the queue and reports whether it was queued.
 func (t *Table) Cancel(id string) bool {
-	w := t.queue.byID[id]
-	if w == nil {
+	queued := t.queue.byID[id]
+	if queued == nil {
 		return false
 	}
-	t.queue.remove(w)
+	t.queue.remove(queued)
 	return true
 }
 
-// Waiting returns the number of queued requests.
-func (t *Table) Waiting() int { return len(t.queue.byID) }
+// Queued returns the number of queued requests.
+func (t *Table) Queued() int { return t.queue.size() }
 
-// Wake returns when Next should be called even if nothing happens: at the
-// earliest deadline, and each 50 ms while anything is queued, since ejections
-// end by time alone.
-func (t *Table) Wake(now time.Time) (time.Time, bool) {
-	if len(t.queue.line) == 0 {
+// NextWake returns when Next should be called even if nothing happens: at the earliest
+// deadline, and each 50 ms while anything is queued, since ejections end by time alone.
+// It returns false if nothing is queued.
+func (t *Table) NextWake(now time.Time) (time.Time, bool) {
+	if len(t.queue.requests) == 0 {
 		return time.Time{}, false
 	}
-	soon := now.Add(wakeStep)
-	if first := t.queue.line[0].req.Deadline; first.Before(soon) {
-		return first, true
-	}
-	return soon, true
-}
-
-// rate is an exponentially weighted count of events a second.
-type rate struct {
-	value       float64
-	first, last time.Time
-}
-
-func (r *rate) hit(now time.Time) {
-	if r.first.IsZero() {
-		r.first, r.last = now, now
-	}
-	r.decay(now)
-	r.value += 1 / rateSpan.Seconds()
-}
-
-func (r *rate) decay(now time.Time) {
-	if dt := now.Sub(r.last); dt > 0 {
-		r.value *= math.Exp(-dt.Seconds() / rateSpan.Seconds())
-		r.last = now
-	}
-}
-
-func (r *rate) perSecond(now time.Time) float64 {
-	if r.first.IsZero() || now.Sub(r.first) < rateWarmUp {
-		return 0
+	wake := now.Add(wakeInterval)
+	if earliest := t.queue.requests[0].request.Deadline; earliest.Before(wake) {
+		return earliest, true
 	}
-	r.decay(now)
-	return r.value / (1 - math.Exp(-now.Sub(r.first).Seconds()/rateSpan.Seconds()))
+	return wake, true
 }
--- a/internal/decision/route/queue_test.go
+++ b/internal/decision/route/queue_test.go
@@ -14,7 +14,7 @@
 
 func crowded(bound int) *Table {
 	servers := map[string]*wire.ServerStatus{"m0": model("m0", "lagos", "a")}
-	table := New(Config{Self: "n1", Region: "lagos", Zone: "a", QueueBound: bound})
+	table := New(Config{Self: "n1", Region: "lagos", Zone: "a", MaxQueued: bound})
 	table.Update(viewOf(servers), start)
 	for i := range 20 {
 		if table.Choose(ask(i), start).Server == "" {
@@ -36,7 +36,7 @@
 		Convey("leave by deadline, as room comes", func() {
 			_, ok := table.Next(start)
 			So(ok, ShouldBeFalse)
-			table.Finished("m0", Outcome{OK: true}, start)
+			table.Finished("m0", Outcome{Result: Answered}, start)
 			ready, ok := table.Next(start)
 			So(ok, ShouldBeTrue)
 			So(ready.Request.ID, ShouldEqual, soon.ID)
@@ -46,23 +46,23 @@
 			So(ok, ShouldBeFalse)
 		})
 		Convey("let no new request overtake", func() {
-			table.Finished("m0", Outcome{OK: true}, start)
+			table.Finished("m0", Outcome{Result: Answered}, start)
 			So(table.Choose(ask(200), start).Queued, ShouldBeTrue)
 		})
 		Convey("are bounded", func() {
 			So(table.Enqueue(ask(102), start), ShouldBeNil)
 			c := table.Choose(ask(103), start)
 			So(c.Queued, ShouldBeFalse)
-			So(c.Fault.Code, ShouldEqual, apierror.QueueFull)
-			So(c.Fault.RetryAfter, ShouldBeGreaterThan, 0)
+			So(c.Err.Code, ShouldEqual, apierror.QueueFull)
+			So(c.Err.RetryAfter, ShouldBeGreaterThan, 0)
 			So(table.Enqueue(ask(103), start).Code, ShouldEqual, apierror.QueueFull)
 		})
 		Convey("end with their deadline", func() {
 			ready, ok := table.Next(start.Add(10 * time.Second))
 			So(ok, ShouldBeTrue)
 			So(ready.Request.ID, ShouldEqual, soon.ID)
-			So(ready.Choice.Fault.Code, ShouldEqual, apierror.DeadlinePassed)
-			wake, ok := table.Wake(late.Deadline.Add(-time.Millisecond))
+			So(ready.Choice.Err.Code, ShouldEqual, apierror.DeadlinePassed)
+			wake, ok := table.NextWake(late.Deadline.Add(-time.Millisecond))
 			So(ok, ShouldBeTrue)
 			So(wake, ShouldEqual, late.Deadline)
 		})
@@ -70,18 +70,18 @@
 			table.Update(viewOf(map[string]*wire.ServerStatus{}), start)
 			ready, ok := table.Next(start)
 			So(ok, ShouldBeTrue)
-			So(ready.Choice.Fault.Code, ShouldEqual, apierror.NoServer)
+			So(ready.Choice.Err.Code, ShouldEqual, apierror.NoServer)
 		})
 		Convey("forget a caller that is gone", func() {
 			So(table.Cancel(soon.ID), ShouldBeTrue)
 			So(table.Cancel(soon.ID), ShouldBeFalse)
-			So(table.Waiting(), ShouldEqual, 1)
+			So(table.Queued(), ShouldEqual, 1)
 		})
 		Convey("refuse at once what would wait beyond its deadline", func() {
 			table = crowded(256)
 			for i := range 40 {
 				at := start.Add(time.Duration(i) * 100 * time.Millisecond)
-				table.Finished("m0", Outcome{OK: true}, at)
+				table.Finished("m0", Outcome{Result: Answered}, at)
 				table.Started("m0")
 			}
 			now := start.Add(4 * time.Second)
@@ -90,11 +90,11 @@
 			}
 			hasty := ask(400)
 			hasty.Deadline = now.Add(50 * time.Millisecond)
-			So(table.Choose(hasty, now).Fault.Code, ShouldEqual, apierror.DeadlineTooShort)
+			So(table.Choose(hasty, now).Err.Code, ShouldEqual, apierror.DeadlineTooShort)
 			calm := ask(401)
 			c := table.Choose(calm, now)
 			So(c.Queued, ShouldBeTrue)
-			So(c.Wait, ShouldBeBetween, time.Second, 6*time.Second)
+			So(c.EstimatedWait, ShouldBeBetween, time.Second, 6*time.Second)
 		})
 	})
 }
@@ -113,7 +113,7 @@
 					waiting[req.ID] = req.Deadline
 				}
 			case 2:
-				table.Finished("m0", Outcome{OK: true}, start)
+				table.Finished("m0", Outcome{Result: Answered}, start)
 				ready, ok := table.Next(start)
 				if ok != (len(waiting) > 0) {
 					t.Fatalf("%d wait, next says %v", len(waiting), ok)
@@ -142,8 +142,8 @@
 					break
 				}
 			}
-			if table.Waiting() != len(waiting) || table.Waiting() > 64 {
-				t.Fatalf("%d pending, %d wait", table.Waiting(), len(waiting))
+			if table.Queued() != len(waiting) || table.Queued() > 64 {
+				t.Fatalf("%d pending, %d wait", table.Queued(), len(waiting))
 			}
 		}
 	})
@@ -212,7 +212,7 @@
 					answered[f.server]++
 					for k, name := range fronts {
 						if name == f.front {
-							tables[k].Finished(f.server, Outcome{OK: true}, start)
+							tables[k].Finished(f.server, Outcome{Result: Answered}, start)
 						}
 					}
 				}
--- a/internal/decision/route/route_test.go
+++ b/internal/decision/route/route_test.go
@@ -62,7 +62,7 @@
 	c := t.Choose(req, now)
 	if c.Server != "" {
 		t.Started(c.Server)
-		t.Finished(c.Server, Outcome{OK: true}, now)
+		t.Finished(c.Server, Outcome{Result: Answered}, now)
 	}
 	return c
 }
@@ -95,7 +95,7 @@
 			v := viewOf(fleet(4))
 			v.State.Version, v.State.Evacuated = 8, map[string]uint64{"abeokuta": 8}
 			table.Update(v, start)
-			So(table.Choose(req, start).Fault.Code, ShouldEqual, apierror.NoServer)
+			So(table.Choose(req, start).Err.Code, ShouldEqual, apierror.NoServer)
 			So(table.Choose(ask(2), start).Region, ShouldEqual, "lagos")
 		})
 		Convey("goes where servers are when the plan names none of their regions", func() {
@@ -152,13 +152,13 @@
 			}
 		})
 		Convey("refuses with when to come back while it knows no plan, service or server", func() {
-			So(New(Config{Self: "n1"}).Choose(ask(1), start).Fault.Code, ShouldEqual, apierror.NoPlan)
+			So(New(Config{Self: "n1"}).Choose(ask(1), start).Err.Code, ShouldEqual, apierror.NoPlan)
 			req := ask(1)
 			req.Service = "none"
-			So(table.Choose(req, start).Fault.Code, ShouldEqual, apierror.UnknownService)
+			So(table.Choose(req, start).Err.Code, ShouldEqual, apierror.UnknownService)
 			v.Servers = map[string]*wire.ServerStatus{}
 			table.Update(v, start)
-			apiErr := table.Choose(ask(1), start).Fault
+			apiErr := table.Choose(ask(1), start).Err
 			So(apiErr.Code, ShouldEqual, apierror.NoServer)
 			So(apiErr.RetryAfter, ShouldBeGreaterThan, 0)
 		})
@@ -167,7 +167,7 @@
 			req.Prefix, req.Home = 77, "lagos"
 			first := table.Choose(req, start).Server
 			table.Started(first)
-			table.Finished(first, Outcome{Refused: true, NothingWritten: true}, start)
+			table.Finished(first, Outcome{Result: Refused}, start)
 			second := table.Choose(req, start)
 			So(second.Server, ShouldNotEqual, first)
 			So(second.Candidates, ShouldContain, Candidate{first, second.Candidates[0].Score, Ejected})
@@ -175,12 +175,12 @@
 			So(table.Choose(req, later).Server, ShouldEqual, first)
 			table.Started(first)
 			So(table.Choose(req, later).Server, ShouldNotEqual, first)
-			table.Finished(first, Outcome{Timeout: true}, later)
+			table.Finished(first, Outcome{Result: TimedOut}, later)
 			So(table.Choose(req, later.Add(time.Second)).Server, ShouldNotEqual, first)
 			later = later.Add(2100 * time.Millisecond)
 			So(table.Choose(req, later).Server, ShouldEqual, first)
 			table.Started(first)
-			table.Finished(first, Outcome{OK: true}, later)
+			table.Finished(first, Outcome{Result: Answered}, later)
 			table.Started(first)
 			So(table.Choose(req, later).Server, ShouldEqual, first)
 			table.Started(first)
@@ -189,7 +189,7 @@
 		Convey("ejects a server after three timeouts in a row over a second, not one that answers others", func() {
 			timeout := func(at time.Duration) bool {
 				table.Started("m0")
-				table.Finished("m0", Outcome{Timeout: true}, start.Add(at))
+				table.Finished("m0", Outcome{Result: TimedOut}, start.Add(at))
 				return table.Servers()[0].Ejected
 			}
 			So(timeout(0), ShouldBeFalse)
@@ -205,20 +205,20 @@
 			retry := ask(1)
 			retry.Tried = []string{"m0"}
 			spent := 0
-			for table.Choose(retry, start).Fault == nil {
+			for table.Choose(retry, start).Err == nil {
 				So(table.Choose(ask(spent), start).Server, ShouldNotEqual, "")
 				spent++
 				So(spent, ShouldBeLessThan, 100)
 			}
-			So(table.Choose(retry, start).Fault.Code, ShouldEqual, apierror.BudgetSpent)
+			So(table.Choose(retry, start).Err.Code, ShouldEqual, apierror.BudgetSpent)
 			for i := range 10 {
 				table.Choose(ask(i), start)
 			}
 			c := table.Choose(retry, start)
 			So(c.Server, ShouldNotEqual, "m0")
 			So(c.Server, ShouldNotEqual, "")
-			table.Tune(Knobs{Strategy: Affinity, QueueBound: 1, RampStart: 2})
-			So(table.Choose(retry, start).Fault.Code, ShouldEqual, apierror.BudgetSpent)
+			table.Reconfigure(RuntimeConfig{Strategy: Affinity, MaxQueued: 1, SlowStartCap: 2})
+			So(table.Choose(retry, start).Err.Code, ShouldEqual, apierror.BudgetSpent)
 		})
 		Convey("follows the knobs, the plan's caps with the start of the ramp", func() {
 			servers := with(map[string]*wire.ServerStatus{"m0": model("m0", "lagos", "a")}, "m0", func(s *wire.ServerStatus) { s.Answered = 0 })
@@ -229,12 +229,12 @@
 				v.State.Sheet = &sheets
 				v.Plan = plan.Compute(plan.Input{State: v.State, Servers: servers})
 				table = tableOf(v)
-				table.Tune(Knobs{Strategy: RoundRobin, QueueBound: 0, RampStart: begin})
+				table.Reconfigure(RuntimeConfig{Strategy: RoundRobin, MaxQueued: 0, SlowStartCap: begin})
 				for i := range begin {
 					So(table.Choose(ask(i), start).Server, ShouldEqual, "m0")
 					table.Started("m0")
 				}
-				So(table.Choose(ask(9), start).Fault.Code, ShouldEqual, apierror.QueueFull)
+				So(table.Choose(ask(9), start).Err.Code, ShouldEqual, apierror.QueueFull)
 			}
 		})
 	})
--- a/internal/decision/route/server.go
+++ b/internal/decision/route/server.go
@@ -11,199 +11,137 @@
 	"stepwick/internal/wire"
 )
 
-// Reasons of exclusion besides those of the plan.
+// Reasons of exclusion of a candidate, besides those of the plan.
 const (
-	AtCap     = "at cap"
-	NoPart    = "no part of the cap"
-	Ejected   = "ejected"
-	Probing   = "probed by another request"
-	Busy      = "said busy"
-	Tried     = "tried before"
-	Loaded    = "loaded beyond the others"
-	NotChosen = "not first"
+	AtCap        = "at cap"
+	NoShare      = "no part of the cap"
+	Ejected      = "ejected"
+	UnderProbe   = "probed by another request"
+	ReportedBusy = "said busy"
+	AlreadyTried = "tried before"
+	Overloaded   = "loaded beyond the others"
 )
 
-const (
-	busyFor       = 200 * time.Millisecond
-	timeoutsToEnd = 3
-	timeoutsFor   = time.Second
-)
+// busyPause is how long a server that reported itself busy gets no requests.
+const busyPause = 200 * time.Millisecond
 
+// server is what a front knows of one server.
 type server struct {
 	name     string
-	seed     uint64
+	hash     uint64 // of the name
 	status   *wire.ServerStatus
-	excluded string
+	excluded string // reason why it gets no requests, "" if it does
 	pools    []*pool
 
-	full, cap int
-	base      uint64
-	floor     int
-	seen      uint64
-	planned   int
-	planBase  uint64
+	load      load
+	capacity  capacity
+	borrowing borrowing
+	rank      cachedRank
+	ejection  ejection
+	busyUntil time.Time
+}
 
-	own, others int
-	low, lowOld int
-	extra       float64
-	wanted      bool
-	limited     bool
+// load is the number of requests in flight at a server.
+type load struct {
+	own    int // from this front
+	others int // from other fronts, as far as the last status tells
 
-	rankGen, rank int
+	// minOwn and priorMinOwn are the least own requests since the last status and
+	// between the last two: as many are surely part of what a status reports.
+	minOwn, priorMinOwn int
+}
 
-	timeouts  int
-	timeoutAt time.Time
-	ejections int
-	ejected   bool
-	until     time.Time
-	probing   bool
-	healing   bool
-	healed    int
-	busyUntil time.Time
+func (l *load) total() int { return l.own + l.others }
+
+// othersIn returns the other fronts' part of what a status reports.
+func (l *load) othersIn(status *wire.ServerStatus) int {
+	return max(0, int(status.Running+status.Queued)-min(l.minOwn, l.priorMinOwn))
+}
+
+func (l *load) startPeriod() {
+	l.priorMinOwn = l.minOwn
+	l.minOwn = l.own
 }
 
 func newServer(name string) *server {
-	return &server{name: name, seed: xxhash.Sum64String(name)}
+	return &server{name: name, hash: xxhash.Sum64String(name)}
 }
 
-// learn takes a status in and tells whether the server's place in the pools moved.
-func (t *Table) learn(s *server, status *wire.ServerStatus, now time.Time) bool {
-	old, before := s.status, s.excluded
+func (s *server) isCold() bool { return s.status.State == wire.ServerState_SERVER_STATE_COLD }
+
+// updateServer applies a status and reports whether the pools have to be rebuilt.
+func (t *Table) updateServer(s *server, status *wire.ServerStatus) bool {
+	old, priorExclusion := s.status, s.excluded
 	s.status = status
 	s.excluded = plan.ExclusionReason(t.view.State, status)
-	s.full = t.cfg.Policy.FullCap(status)
-	reborn := old != nil && status.Incarnation != old.Incarnation && status.Incarnation != 0
-	cold := status.State == wire.ServerState_SERVER_STATE_COLD
-	switch {
-	case old == nil:
-		if cold && status.Answered >= uint64(s.full) {
-			s.base = status.Answered
-		}
-	case reborn:
-		s.base, s.floor, s.seen, s.extra, s.planBase = 0, 0, 0, 0, 0
-		s.heal()
-		s.healing = false
-	case cold && old.State != wire.ServerState_SERVER_STATE_COLD:
-		s.base, s.floor, s.seen, s.extra = status.Answered, 0, 0, 0
-	case before != "" && s.excluded == "":
-		s.base, s.floor, s.seen, s.extra = status.Answered, t.cfg.Policy.RecoveryCap(s.full), 0, 0
-	}
+	s.capacity.full = t.config.Policy.FullCap(status)
+	t.restartSlowStart(s, old, priorExclusion)
 	if old != nil && status.Answered > old.Answered {
-		s.timeouts = 0
+		s.ejection.timeouts = 0
 	}
-	t.setCap(s)
+	t.updateCap(s)
 	if status != old {
-		t.setLoad(s, s.own, max(0, int(status.Running+status.Queued)-min(s.low, s.lowOld)))
-		s.low, s.lowOld = s.own, s.low
-		t.lend(s)
+		t.setLoad(s, s.load.own, s.load.othersIn(status))
+		s.load.startPeriod()
+		t.adjustBorrowing(s)
 	}
-	return before != s.excluded || old == nil || old.Region != status.Region || !slices.Equal(old.Services, status.Services)
+	return priorExclusion != s.excluded || old == nil || old.Region != status.Region || !slices.Equal(old.Services, status.Services)
 }
 
-func (t *Table) setCap(s *server) {
-	answered := s.seen
-	if s.status.Answered > s.base {
-		answered = max(answered, s.status.Answered-s.base)
-	}
-	next := min(s.full, max(t.cfg.Policy.SlowStartCap, s.floor)+int(min(answered, 1<<20)))
-	if s.planned > 0 {
-		since := s.seen
-		if s.status.Answered > s.planBase {
-			since = max(since, s.status.Answered-s.planBase)
+// restartSlowStart restarts the slow start of a server that has restarted, turned cold
+// or returned.
+func (t *Table) restartSlowStart(s *server, old *wire.ServerStatus, priorExclusion string) {
+	status := s.status
+	switch {
+	case old == nil:
+		if s.isCold() && status.Answered >= uint64(s.capacity.full) {
+			s.capacity.answeredBase = status.Answered
 		}
-		next = min(next, s.planned+int(min(since, 1<<20)))
-	}
-	for _, p := range s.pools {
-		p.cap += next - s.cap
+	case status.Incarnation != old.Incarnation && status.Incarnation != 0:
+		s.capacity.restart(0, 0)
+		s.capacity.plannedAnswered = 0
+		s.borrowing.extra = 0
+		s.ejection.end()
+		s.ejection.recovering = false
+	case s.isCold() && old.State != wire.ServerState_SERVER_STATE_COLD:
+		s.capacity.restart(status.Answered, 0)
+		s.borrowing.extra = 0
+	case priorExclusion != "" && s.excluded == "":
+		s.capacity.restart(status.Answered, t.config.Policy.RecoveryCap(s.capacity.full))
+		s.borrowing.extra = 0
 	}
-	s.cap = next
 }
 
 func (t *Table) setLoad(s *server, own, others int) {
-	for _, p := range s.pools {
-		p.load += own + others - s.own - s.others
-	}
-	s.own, s.others = own, others
-	s.low = min(s.low, own)
-}
-
-func (s *server) ramping() bool { return s.cap < s.full }
-
-// lend moves the part that a front may use beyond its share of the cap. At each
-// status of a server with room, the fronts that are at their limit divide half
-// of the room in proportion to what they have in flight; the others give back half of
-// what they don't use. So the limits of all fronts add up to no more than three
-// caps, and to the cap itself while the server ramps.
-func (t *Table) lend(s *server) {
-	share := t.share(s)
-	free := s.cap - s.own - s.others
-	before := s.limited
-	s.limited = s.wanted && s.own >= t.limit(s, share)
-	switch {
-	case s.ramping():
-		s.extra = 0
-	case free > 0 && s.limited && before:
-		s.extra = min(s.extra+float64(free)/2*float64(s.own)/float64(max(1, s.own+s.others)), float64(s.cap))
-	default:
-		s.extra = max(float64(s.own-share), s.extra/2, 0)
-	}
-	s.wanted = false
-}
-
-func (t *Table) limit(s *server, share int) int { return min(share+int(s.extra), s.cap) }
-
-// share is the part of the cap that is this front's alone. The parts of all
-// fronts add up to the cap: what doesn't divide goes to the fronts that rank
-// first for the server.
-func (t *Table) share(s *server) int {
-	n := len(t.fronts)
-	whole, rest := s.cap/n, s.cap%n
-	if rest > 0 && t.rank(s) < rest {
-		whole++
+	for _, pool := range s.pools {
+		pool.load += own + others - s.load.total()
 	}
-	return whole
+	s.load.own = own
+	s.load.others = others
+	s.load.minOwn = min(s.load.minOwn, own)
 }
 
-func (t *Table) rank(s *server) int {
-	if s.rankGen != t.frontsGen {
-		mine := mix(t.self ^ s.seed)
-		s.rank, s.rankGen = 0, t.frontsGen
-		for _, front := range t.fronts {
-			if mix(front^s.seed) > mine {
-				s.rank++
-			}
-		}
-	}
-	return s.rank
-}
-
-// closed returns why the server has no room for this front, or "".
-func (t *Table) closed(s *server, now time.Time) string {
-	if s.ejected {
-		if now.Before(s.until) {
-			return Ejected
-		}
-		if s.probing {
-			return Probing
-		}
-		return ""
+// unavailableFor returns why a server can take no request of this front now, or "".
+func (t *Table) unavailableFor(s *server, now time.Time) string {
+	if s.ejection.active() {
+		return s.ejection.reason(now)
 	}
 	if now.Before(s.busyUntil) {
-		return Busy
+		return ReportedBusy
 	}
-	if s.healing && s.own > s.healed {
+	if s.ejection.recovering && s.load.own > s.ejection.recoveryAnswers {
 		return AtCap
 	}
 	share := t.share(s)
-	if s.own < share {
+	if s.load.own < share {
 		return ""
 	}
-	s.wanted = true
-	if s.own < t.limit(s, share) && s.own+s.others < s.cap {
+	s.borrowing.requested = true
+	if s.load.own < t.limit(s, share) && s.load.total() < s.capacity.cap {
 		return ""
 	}
-	if share == 0 && s.own == 0 && s.extra < 1 {
-		return NoPart
+	if share == 0 && s.load.own == 0 && s.borrowing.extra < 1 {
+		return NoShare
 	}
 	return AtCap
 }
@@ -214,109 +152,120 @@
 	if s == nil {
 		return
 	}
-	if s.ejected {
-		s.probing = true
-	}
-	t.setLoad(s, s.own+1, s.others)
+	s.ejection.requestStarted()
+	t.setLoad(s, s.load.own+1, s.load.others)
 }
 
-// Finished ends a request that Started counted. Answers seen raise the cap of a
-// ramping server. A refusal ejects the server until one request has probed it;
-// so do three timeouts in a row over a second, unless the server is known to
-// have answered others meanwhile: then it is slow, not dead.
-func (t *Table) Finished(name string, o Outcome, now time.Time) {
+// Finished ends a request that Started counted. An answer raises the cap during slow
+// start and ends an ejection. A refused connection ejects the server; so do three
+// time-outs in a row over a second, unless the server has answered others meanwhile:
+// then it is slow, not down.
+func (t *Table) Finished(name string, outcome Outcome, now time.Time) {
 	s := t.servers[name]
 	if s == nil {
 		return
 	}
-	t.setLoad(s, max(0, s.own-1), s.others)
+	t.setLoad(s, max(0, s.load.own-1), s.load.others)
 	t.queue.unserved = true
-	s.probing = false
-	t.learnTook(o)
-	switch {
-	case o.OK:
-		s.seen++
-		s.healed++
-		s.healing = s.healing && s.healed < s.cap
-		s.heal()
-		t.setCap(s)
-		for _, p := range s.pools {
-			p.rate.hit(now)
-		}
-	case o.Busy:
-		s.extra = 0
-		s.busyUntil = now.Add(busyFor)
-	case o.Refused:
+	s.ejection.requestFinished()
+	t.recordDurations(outcome)
+	switch outcome.Result {
+	case Answered:
+		t.recordAnswer(s, now)
+	case Busy:
+		s.borrowing.extra = 0
+		s.busyUntil = now.Add(busyPause)
+	case Refused:
 		t.eject(s, now)
-	case o.Timeout:
-		if s.timeouts == 0 {
-			s.timeoutAt = now
+	case TimedOut:
+		if s.ejection.recordTimeout(now) || s.ejection.active() {
+			t.eject(s, now)
 		}
-		s.timeouts++
-		if s.ejected || s.timeouts >= timeoutsToEnd && now.Sub(s.timeoutAt) >= timeoutsFor {
+	case Inconclusive:
+		if s.ejection.active() {
 			t.eject(s, now)
 		}
-	case s.ejected:
-		t.eject(s, now)
 	}
-	if s.own == 0 && s.excluded == plan.ReasonGone {
-		if _, listed := t.view.Servers[name]; !listed {
-			delete(t.servers, name)
-		}
+	t.forgetIfRemoved(s)
+}
+
+func (t *Table) recordAnswer(s *server, now time.Time) {
+	s.capacity.answersSeen++
+	s.ejection.recordAnswer(s.capacity.cap)
+	t.updateCap(s)
+	for _, pool := range s.pools {
+		pool.rate.add(now)
 	}
 }
 
-func (t *Table) eject(s *server, now time.Time) {
-	if s.ejected && now.Before(s.until) {
+// forgetIfRemoved drops a server that is no longer listed once nothing is in flight.
+func (t *Table) forgetIfRemoved(s *server) {
+	if s.load.own != 0 || s.excluded != plan.ReasonGone {
 		return
 	}
-	span := t.cfg.EjectFor << min(s.ejections, 8)
-	s.ejections++
-	s.ejected, s.probing = true, false
-	s.until = now.Add(min(span, t.cfg.EjectMost))
-	s.healing, s.healed, s.extra = true, 0, 0
+	if _, listed := t.view.Servers[s.name]; !listed {
+		delete(t.servers, s.name)
+	}
 }
 
-func (s *server) heal() {
-	s.timeouts, s.ejections = 0, 0
-	s.ejected, s.probing = false, false
+func (t *Table) eject(s *server, now time.Time) {
+	if s.ejection.start(now, t.config.BaseEjectionTime, t.config.MaxEjectionTime) {
+		s.borrowing.extra = 0
+	}
 }
 
-// ServerView is one server as the table sees it, for inspection.
+// ServerView is the state of one server, for inspection.
 type ServerView struct {
-	Server   string `json:"server"`
-	Excluded string `json:"excluded,omitempty"`
-	Cap      int    `json:"cap"`
-	Full     int    `json:"full"`
-	Part     int    `json:"part"`
-	Own      int    `json:"own"`
-	Others   int    `json:"others"`
-	Ramping  bool   `json:"ramping,omitempty"`
-	Ejected  bool   `json:"ejected,omitempty"`
+	Server    string `json:"server"`
+	Excluded  string `json:"excluded,omitempty"`
+	Cap       int    `json:"cap"`               // requests in flight over all fronts
+	FullCap   int    `json:"full"`              // cap after slow start
+	Limit     int    `json:"part"`              // requests in flight from this front
+	Own       int    `json:"own"`               // in flight from this front
+	Others    int    `json:"others"`            // in flight from other fronts
+	SlowStart bool   `json:"ramping,omitempty"` // the cap is below FullCap
+	Ejected   bool   `json:"ejected,omitempty"`
 }
 
-// Servers returns every known server in the order of the names.
+// Servers returns every known server, sorted by name.
 func (t *Table) Servers() []ServerView {
-	all := make([]ServerView, 0, len(t.servers))
+	views := make([]ServerView, 0, len(t.servers))
 	for _, s := range t.servers {
-		all = append(all, ServerView{Server: s.name, Excluded: s.excluded, Cap: s.cap, Full: s.full,
-			Part: t.limit(s, t.share(s)), Own: s.own, Others: s.others, Ramping: s.ramping(), Ejected: s.ejected})
+		views = append(views, ServerView{
+			Server:    s.name,
+			Excluded:  s.excluded,
+			Cap:       s.capacity.cap,
+			FullCap:   s.capacity.full,
+			Limit:     t.limit(s, t.share(s)),
+			Own:       s.load.own,
+			Others:    s.load.others,
+			SlowStart: s.capacity.inSlowStart(),
+			Ejected:   s.ejection.active(),
+		})
 	}
-	slices.SortFunc(all, func(a, b ServerView) int { return cmp.Compare(a.Server, b.Server) })
-	return all
+	slices.SortFunc(views, func(a, b ServerView) int { return cmp.Compare(a.Server, b.Server) })
+	return views
 }
 
-// Ejected returns the names of the servers that rest, in no order.
+// Ejected returns the names of the ejected servers, unsorted.
 func (t *Table) Ejected() []string {
 	var names []string
 	for name, s := range t.servers {
-		if s.ejected {
+		if s.ejection.active() {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
+// Unavailable reports whether a server is known to answer nobody: it refuses
+// connections, is unresponsive to health checks, or is no longer listed.
+func (t *Table) Unavailable(name string) bool {
+	s := t.servers[name]
+	return s == nil || s.excluded == plan.ReasonGone || s.status.State == wire.ServerState_SERVER_STATE_GONE || !s.status.Reachable
+}
+
+// mix is a bijective hash of 64 bits, the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/decision/route/table.go
+++ b/internal/decision/route/table.go
@@ -1,12 +1,14 @@
-// Package route chooses the server of each request at a front. All state is in
-// the Table, which has one owner and takes no locks; every decision is a
-// function of the Table, its arguments and now.
+// Package route chooses the server of each request at a front.
 //
-// A request goes to a region by the plan's shares, and within the region to the
-// server that holds its prefix, as long as that one is not loaded beyond the
-// others. Each server has a cap of requests in flight over all fronts; a front
-// admits its part of it. Where no server has room the request waits in the
-// queued requests, ordered by deadline, or is refused at once.
+// A request goes to a region by the plan's shares, and within the region to the server
+// that holds its prompt prefix unless that one is overloaded. Each server has a cap of
+// requests in flight over all fronts, of which a front uses its share. Where no server
+// has capacity the request is queued, the earliest deadline first, or rejected at once.
+// Servers that fail are ejected until a request has probed them.
+//
+// All state is in the Table, which has one owner and takes no locks; every decision is
+// a function of the Table, its arguments and now. Nothing here does I/O or reads a
+// clock. docs/ROUTING.md gives the alternatives and figures.
 package route
 
 import (
@@ -17,7 +19,6 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"stepwick/internal/apierror"
 	"stepwick/internal/decision/plan"
 	"stepwick/internal/decision/statemachine"
 	"stepwick/internal/wire"
@@ -26,65 +27,69 @@
 // Strategy names how a server is chosen within a region.
 type Strategy string
 
-// Strategies. Affinity is the product's; the other two are baselines that obey
-// the same caps.
+// Strategies. Affinity is the default; the others are baselines with the same caps.
 const (
 	Affinity    Strategy = "affinity"
 	RoundRobin  Strategy = "round_robin"
 	LeastLoaded Strategy = "least_loaded"
 )
 
-// Config is a front's place and bounds. QueueBound is the number of requests
-// that may wait (256 when zero); RetryBudget the retries as a share of the
-// requests (0.1 when zero); EjectFor the first ejection of a server that failed
-// (1 s when zero), doubled up to EjectMost (5 s when zero).
+const (
+	defaultMaxQueued        = 256
+	defaultRetryBudget      = 0.1
+	defaultBaseEjectionTime = time.Second
+	defaultMaxEjectionTime  = 5 * time.Second
+
+	// maxPlannedCap bounds the caps of a plan, against overflow.
+	maxPlannedCap = 1 << 20
+)
+
+// Config configures a Table. The zero value of a field stands for its default.
 type Config struct {
+	// Self, Region and Zone are this front's.
 	Self, Region, Zone string
-	Strategy           Strategy
-	Policy             plan.Policy
-	QueueBound         int
-	RetryBudget        float64
-	EjectFor           time.Duration
-	EjectMost          time.Duration
+
+	// Strategy is Affinity by default.
+	Strategy Strategy
+
+	// Policy sets the servers' caps.
+	Policy plan.Policy
+
+	// MaxQueued is the number of requests that may be queued; 256 by default.
+	MaxQueued int
+
+	// RetryBudget is the number of retries as a fraction of the requests; 0.1 by
+	// default.
+	RetryBudget float64
+
+	// BaseEjectionTime is that of a server's first ejection; 1 s by default. It
+	// doubles with each one in a row up to MaxEjectionTime, 5 s by default.
+	BaseEjectionTime time.Duration
+	MaxEjectionTime  time.Duration
 }
 
-func (c Config) orDefaults() Config {
+func (c Config) withDefaults() Config {
 	c.Strategy = cmp.Or(c.Strategy, Affinity)
 	c.Policy = c.Policy.WithDefaults()
-	c.QueueBound = cmp.Or(c.QueueBound, 256)
-	c.RetryBudget = cmp.Or(c.RetryBudget, 0.1)
-	c.EjectFor = cmp.Or(c.EjectFor, time.Second)
-	c.EjectMost = cmp.Or(c.EjectMost, 5*time.Second)
+	c.MaxQueued = cmp.Or(c.MaxQueued, defaultMaxQueued)
+	c.RetryBudget = cmp.Or(c.RetryBudget, defaultRetryBudget)
+	c.BaseEjectionTime = cmp.Or(c.BaseEjectionTime, defaultBaseEjectionTime)
+	c.MaxEjectionTime = cmp.Or(c.MaxEjectionTime, defaultMaxEjectionTime)
 	return c
 }
 
-// Knobs are what a sheet can set at run time: as the fields of Config, but zero
-// means zero.
-type Knobs struct {
-	Strategy    Strategy
-	QueueBound  int
-	RampStart   int
-	RetryBudget float64
-}
-
-// Tune sets the knobs. What is queued stays, also beyond a lower bound; caps
-// follow the new start of the ramp at once.
-func (t *Table) Tune(k Knobs) {
-	t.cfg.Strategy, t.cfg.QueueBound, t.cfg.RetryBudget = k.Strategy, k.QueueBound, k.RetryBudget
-	t.budget.tune(k.RetryBudget)
-	t.queue.unserved = true
-	if t.cfg.Policy.SlowStartCap == k.RampStart {
-		return
-	}
-	t.cfg.Policy.SlowStartCap = k.RampStart
-	for _, s := range t.servers {
-		t.setCap(s)
-	}
+// RuntimeConfig is the part of the configuration that a sheet can change while the
+// front runs. Its fields are those of Config and plan.Policy, but zero means zero.
+type RuntimeConfig struct {
+	Strategy     Strategy
+	MaxQueued    int
+	SlowStartCap int
+	RetryBudget  float64
 }
 
-// View is what the front knows of the fleet. Fronts are the names of the ready
-// fronts that share the caps; the front itself counts even when it is missing.
-// The maps and messages are never changed after they were handed over.
+// View is what the front knows of the fleet. Fronts are the names of the ready fronts
+// that share the caps; the front itself counts even if it is missing. The maps and
+// messages must not change once passed to Update.
 type View struct {
 	State   statemachine.State
 	Plan    *wire.Plan
@@ -92,201 +97,160 @@
 	Fronts  []string
 }
 
-// Request is what the choice depends on. Prefix is the digest of the shared
-// prefix, 0 for none; Home the region that the request is bound to, "" for
-// none; Tried the servers that were tried before, so that it is a retry.
-type Request struct {
-	ID         string
-	Service    string
-	FromRegion string
-	Home       string
-	Prefix     uint64
-	Deadline   time.Time
-	Tokens     float64
-	Tried      []string
-}
-
-// Candidate is a server that was considered; Excluded says why it was not
-// chosen, "" for the chosen one.
-type Candidate struct {
-	Server   string
-	Score    float64
-	Excluded string
-}
-
-// Choice is a server, or a fault, or the word to wait: then the caller calls
-// Enqueue. Wait is how long the wait is expected to be; FirstEvent how long the
-// server's load can explain that no first event comes, 0 when that is unknown.
-type Choice struct {
-	Server     string
-	Address    string
-	Region     string
-	Fault      *apierror.Error
-	Queued     bool
-	Wait       time.Duration
-	FirstEvent time.Duration
-	Candidates []Candidate
-}
-
-// Outcome is how a request ended at a server. OK: answered in whole. Refused:
-// the connection was refused. Timeout: no answer within its bound. Busy: the
-// server refused before it began. NothingWritten: no byte reached the server.
-// FirstToken is the time to the first event, 0 when none came. Service and Took,
-// the time from the start to the end, teach the table how long a service's
-// requests take; without them it refuses nothing on that account.
-type Outcome struct {
-	OK             bool
-	NothingWritten bool
-	Refused        bool
-	Timeout        bool
-	Busy           bool
-	FirstToken     time.Duration
-	Service        string
-	Took           time.Duration
-}
-
-type poolKey struct{ service, region string }
-
-type shareKey struct{ service, from string }
-
 // Table is the routing state of one front. It has one owner.
 type Table struct {
-	cfg       Config
-	view      View
-	fronts    []uint64
-	frontsGen int
-	servers   map[string]*server
-	pools     map[poolKey]*pool
-	shares    map[shareKey]*wheel
-	queue     waitQueue
-	budget    budget
-	popular   *popularity
-	took      map[string]*mean
-	first     map[string]*mean
-	self      uint64
-	mapID     uintptr
+	config        Config
+	self          uint64 // hash of this front's name
+	view          View
+	serversID     uintptr  // identity of the view's map of servers
+	fronts        []uint64 // hashes of the names, sorted
+	frontsVersion int
+	servers       map[string]*server
+	pools         map[poolKey]*pool
+	regions       map[shareKey]*weightedRoundRobin
+	queue         requestQueue
+	retries       retryBudget
+	popularity    *popularity
+	durations     meanDurations // from start to end
+	firstEvents   meanDurations // from start to the first event
 }
 
-// Lost tells whether a server is known to answer nobody: it refuses, is silent
-// to its watchers, or is no longer listed.
-func (t *Table) Lost(name string) bool {
-	s := t.servers[name]
-	return s == nil || s.excluded == plan.ReasonGone || s.status.State == wire.ServerState_SERVER_STATE_GONE || !s.status.Reachable
-}
-
-// Short returns the services and regions, as "service region" in their order,
-// to which the weights of the sheet in force give a share and in which no server
-// can take requests.
-func (t *Table) Short() []string {
-	var short []string
-	if t.view.State.Sheet == nil {
-		return nil
-	}
-	for service, weights := range t.view.State.Sheet.Weights {
-		for region, weight := range weights {
-			if weight > 0 && t.pools[poolKey{service, region}] == nil {
-				short = append(short, service+" "+region)
-			}
-		}
+// New returns an empty table: it rejects requests until the first Update.
+func New(config Config) *Table {
+	config = config.withDefaults()
+	self := xxhash.Sum64String(config.Self)
+	return &Table{
+		config:        config,
+		self:          self,
+		fronts:        []uint64{self},
+		frontsVersion: 1,
+		servers:       map[string]*server{},
+		pools:         map[poolKey]*pool{},
+		regions:       map[shareKey]*weightedRoundRobin{},
+		queue:         newRequestQueue(),
+		retries:       newRetryBudget(config.RetryBudget),
+		popularity:    newPopularity(),
+		durations:     meanDurations{},
+		firstEvents:   meanDurations{},
 	}
-	slices.Sort(short)
-	return short
-}
-
-// New returns a table that knows nothing: it refuses until the first Update.
-func New(cfg Config) *Table {
-	cfg = cfg.orDefaults()
-	return &Table{cfg: cfg, servers: map[string]*server{}, pools: map[poolKey]*pool{}, shares: map[shareKey]*wheel{},
-		queue: newWaitQueue(), budget: newBudget(cfg.RetryBudget), popular: newPopularity(), took: map[string]*mean{}, first: map[string]*mean{}, self: xxhash.Sum64String(cfg.Self), frontsGen: 1,
-		fronts: []uint64{xxhash.Sum64String(cfg.Self)}}
 }
 
-// Update takes a new view in. Drains, evacuations and servers that are gone
-// bite at once, whatever the plan says.
-func (t *Table) Update(v View, now time.Time) {
-	fronts := t.frontHashes(v.Fronts)
-	if !slices.Equal(fronts, t.fronts) {
-		t.fronts = fronts
-		t.frontsGen++
-	}
-	stateMoved := v.State.Version != t.view.State.Version || v.State.Sheet != t.view.State.Sheet
-	planMoved := v.Plan != t.view.Plan
-	id := reflect.ValueOf(v.Servers).Pointer()
-	serversMoved := id != t.mapID || id == 0
-	t.mapID = id
-	t.view = v
+// Reconfigure applies a runtime configuration. Queued requests remain queued, also
+// beyond a lower MaxQueued; the servers' caps follow a new SlowStartCap at once.
+func (t *Table) Reconfigure(config RuntimeConfig) {
+	t.config.Strategy = config.Strategy
+	t.config.MaxQueued = config.MaxQueued
+	t.config.RetryBudget = config.RetryBudget
+	t.retries.setRatio(config.RetryBudget)
 	t.queue.unserved = true
-	if serversMoved || stateMoved {
-		t.learnAll(v, now, stateMoved)
-	}
-	if planMoved {
-		t.takeCaps(v.Plan)
+	if t.config.Policy.SlowStartCap == config.SlowStartCap {
+		return
 	}
-	if serversMoved || stateMoved || planMoved {
-		t.turnWheels()
+	t.config.Policy.SlowStartCap = config.SlowStartCap
+	for _, s := range t.servers {
+		t.updateCap(s)
 	}
 }
 
-// takeCaps binds the servers to the plan's caps. Within the period a cap grows
-// by the answers seen since; a server that the plan doesn't know ramps alone.
-func (t *Table) takeCaps(p *wire.Plan) {
-	caps := make(map[string]int, len(p.GetCaps()))
-	for _, c := range p.GetCaps() {
-		caps[c.Server] = int(min(c.InFlight, 1<<20))
+// Update applies a view. Servers that drain, are evacuated or gone are excluded at
+// once, whatever the plan says.
+func (t *Table) Update(view View, now time.Time) {
+	t.updateFronts(view.Fronts)
+	stateChanged := view.State.Version != t.view.State.Version || view.State.Sheet != t.view.State.Sheet
+	planChanged := view.Plan != t.view.Plan
+	// The same map is the same servers, since it must not change once passed.
+	id := reflect.ValueOf(view.Servers).Pointer()
+	serversChanged := id != t.serversID || id == 0
+	t.serversID = id
+	t.view = view
+	t.queue.unserved = true
+	if serversChanged || stateChanged {
+		t.updateServers(stateChanged)
 	}
-	for name, s := range t.servers {
-		s.planned, s.planBase = caps[name], s.status.Answered
-		t.setCap(s)
+	if planChanged {
+		t.applyPlannedCaps(view.Plan)
+	}
+	if serversChanged || stateChanged || planChanged {
+		t.updateRegions()
 	}
 }
 
-func (t *Table) frontHashes(names []string) []uint64 {
+func (t *Table) updateFronts(names []string) {
 	hashes := make([]uint64, 0, len(names)+1)
 	for _, name := range names {
 		hashes = append(hashes, xxhash.Sum64String(name))
 	}
 	hashes = append(hashes, t.self)
 	slices.Sort(hashes)
-	return slices.Compact(hashes)
+	hashes = slices.Compact(hashes)
+	if !slices.Equal(hashes, t.fronts) {
+		t.fronts = hashes
+		t.frontsVersion++
+	}
 }
 
-func (t *Table) learnAll(v View, now time.Time, recheck bool) {
-	moved := false
-	for name, status := range v.Servers {
+// updateServers applies the status of the view's servers, of all of them if the state
+// changed.
+func (t *Table) updateServers(all bool) {
+	changed := false
+	for name, status := range t.view.Servers {
 		s := t.servers[name]
 		if s == nil {
 			s = newServer(name)
 			t.servers[name] = s
-		} else if s.status == status && !recheck {
+		} else if s.status == status && !all {
 			continue
 		}
-		moved = t.learn(s, status, now) || moved
+		if t.updateServer(s, status) {
+			changed = true
+		}
+	}
+	if t.removeUnlisted() {
+		changed = true
 	}
+	if changed {
+		t.rebuildPools()
+	}
+}
+
+// removeUnlisted excludes the servers that the view doesn't list, removes them unless
+// requests are in flight, and reports whether the pools have to be rebuilt.
+func (t *Table) removeUnlisted() bool {
+	changed := false
 	for name, s := range t.servers {
-		if len(t.servers) == len(v.Servers) {
+		if len(t.servers) == len(t.view.Servers) {
 			break
 		}
-		if _, listed := v.Servers[name]; listed {
+		if _, listed := t.view.Servers[name]; listed {
 			continue
 		}
 		if s.excluded == "" {
-			moved = true
+			changed = true
 		}
 		s.excluded = plan.ReasonGone
-		if s.own == 0 {
+		if s.load.own == 0 {
 			delete(t.servers, name)
 		}
 	}
-	if moved {
-		t.rebuild()
-	}
+	return changed
 }
 
-func (t *Table) rebuild() {
-	rates := map[poolKey]*pool{}
-	for key, p := range t.pools {
-		rates[key] = p
+// applyPlannedCaps bounds the servers' caps by the plan's. Until the next plan a cap
+// grows by the answers since; a server without a planned cap has its slow start alone.
+func (t *Table) applyPlannedCaps(p *wire.Plan) {
+	caps := make(map[string]int, len(p.GetCaps()))
+	for _, planned := range p.GetCaps() {
+		caps[planned.Server] = int(min(planned.InFlight, maxPlannedCap))
+	}
+	for name, s := range t.servers {
+		s.capacity.plannedCap = caps[name]
+		s.capacity.plannedAnswered = s.status.Answered
+		t.updateCap(s)
 	}
+}
+
+// rebuildPools divides the servers into pools, which keep their rates and cursors.
+func (t *Table) rebuildPools() {
 	members := map[poolKey][]*server{}
 	for _, s := range t.servers {
 		s.pools = nil
@@ -298,23 +262,42 @@
 			members[key] = append(members[key], s)
 		}
 	}
+	old := t.pools
 	t.pools = make(map[poolKey]*pool, len(members))
-	for key, all := range members {
-		p := newPool(all)
-		if old := rates[key]; old != nil {
-			p.rate = old.rate
-			p.cursor = old.cursor
+	for key, servers := range members {
+		p := newPool(servers)
+		if prior := old[key]; prior != nil {
+			p.rate = prior.rate
+			p.cursor = prior.cursor
 		}
-		for _, s := range all {
+		for _, s := range servers {
 			s.pools = append(s.pools, p)
 		}
 		t.pools[key] = p
 	}
 }
 
-// Ready tells whether the table could choose at all: it has a plan and some
-// server that may get requests.
+// ServicesWithoutServers returns the services and regions, as sorted strings "service
+// region", to which the weights of the current sheet give a share and in which no
+// server can take requests.
+func (t *Table) ServicesWithoutServers() []string {
+	if t.view.State.Sheet == nil {
+		return nil
+	}
+	var found []string
+	for service, weights := range t.view.State.Sheet.Weights {
+		for region, weight := range weights {
+			if weight > 0 && t.pools[poolKey{service, region}] == nil {
+				found = append(found, service+" "+region)
+			}
+		}
+	}
+	slices.Sort(found)
+	return found
+}
+
+// Ready reports whether the table has a plan and some server that gets requests.
 func (t *Table) Ready() bool { return t.view.Plan != nil && len(t.pools) > 0 }
 
-// Version returns the version of the state that the table rules by.
+// Version returns the version of the state that decisions are based on.
 func (t *Table) Version() uint64 { return t.view.State.Version }
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -160,7 +160,7 @@
 		Backend:     backend.Config{Bind: p.values.String("bind"), Dial: world.Dial},
 		PlainTokens: p.values.Float("plain_tokens"),
 		Route: route.Config{
-			Strategy: route.Strategy(p.values.String("route.strategy")), QueueBound: p.values.Int("route.pending"), Policy: p.policy(),
+			Strategy: route.Strategy(p.values.String("route.strategy")), MaxQueued: p.values.Int("route.pending"), Policy: p.policy(),
 			RetryBudget: p.values.Float("retry.budget"),
 		},
 		Tune:    p.tuned,
@@ -174,9 +174,9 @@
 	v := p.values.WithRuntime(settings)
 	return front.Tuned{
 		DeadlineMax: v.Duration("deadline.max"), DeadlineDefault: v.Duration("deadline.default"),
-		Route: &route.Knobs{
-			Strategy: route.Strategy(v.String("route.strategy")), QueueBound: v.Int("route.pending"),
-			RampStart: v.Int("route.ramp_start"), RetryBudget: v.Float("retry.budget"),
+		Route: &route.RuntimeConfig{
+			Strategy: route.Strategy(v.String("route.strategy")), MaxQueued: v.Int("route.pending"),
+			SlowStartCap: v.Int("route.ramp_start"), RetryBudget: v.Float("retry.budget"),
 		},
 	}
 }
--- a/internal/node/front/attempts.go
+++ b/internal/node/front/attempts.go
@@ -11,7 +11,7 @@
 func (c *call) attempt(choice route.Choice) *backend.Attempt {
 	c.server = choice.Server
 	return &backend.Attempt{ID: c.id, Server: choice.Server, Address: choice.Address, Deadline: c.request.Deadline,
-		Now: c.front.clock.Now, Allow: c.maySend, FirstEvent: choice.FirstEvent}
+		Now: c.front.clock.Now, Allow: c.maySend, FirstEvent: choice.FirstEventTimeout}
 }
 
 func (c *call) retried(server string) {
@@ -41,18 +41,17 @@
 // breaks off or isn't this request's weighs as much as none.
 func outcomeOf(failure *backend.Failure) route.Outcome {
 	if failure == nil {
-		return route.Outcome{OK: true}
+		return route.Outcome{Result: route.Answered}
 	}
-	outcome := route.Outcome{NothingWritten: failure.Unsent()}
 	switch failure.Kind {
 	case backend.Refused:
-		outcome.Refused = true
+		return route.Outcome{Result: route.Refused}
 	case backend.Busy:
-		outcome.Busy = true
+		return route.Outcome{Result: route.Busy}
 	case backend.Unsent, backend.Dark, backend.Broken, backend.Short, backend.Crossed, backend.Amiss:
-		outcome.Timeout = true
+		return route.Outcome{Result: route.TimedOut}
 	}
-	return outcome
+	return route.Outcome{Result: route.Inconclusive}
 }
 
 func attemptOf(server string, failure *backend.Failure, took time.Duration) *Attempt {
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -135,8 +135,8 @@
 
 func routingOf(choice route.Choice, waited time.Duration) *Routing {
 	r := &Routing{Server: choice.Server, Region: choice.Region, WaitedMS: inMS(waited)}
-	if choice.Fault != nil {
-		r.Fault = choice.Fault.Error()
+	if choice.Err != nil {
+		r.Fault = choice.Err.Error()
 	}
 	for _, c := range choice.Candidates[:min(len(choice.Candidates), candidatesKept)] {
 		r.Candidates = append(r.Candidates, Candidate{c.Server, c.Score, c.Excluded})
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -57,7 +57,7 @@
 
 // Tuned is what a sheet can set at run time. Zero or nil leaves a value as it is.
 type Tuned struct {
-	Route           *route.Knobs
+	Route           *route.RuntimeConfig
 	DeadlineMax     time.Duration
 	DeadlineDefault time.Duration
 }
@@ -164,7 +164,7 @@
 	tuned := f.config.Tune(sheet.Settings)
 	f.api.Tune(tuned.DeadlineMax, tuned.DeadlineDefault)
 	if tuned.Route != nil {
-		table.Tune(*tuned.Route)
+		table.Reconfigure(*tuned.Route)
 	}
 	if changed {
 		f.log.Emit(events.SettingsChanged, "settings", fmt.Sprint(f.tuned))
--- a/internal/node/front/front_test.go
+++ b/internal/node/front/front_test.go
@@ -169,7 +169,7 @@
 	most, _ := time.ParseDuration(settings["deadline.max"])
 	t := Tuned{DeadlineMax: most}
 	if len(settings) > 0 {
-		t.Route = &route.Knobs{Strategy: route.Strategy(settings["route.strategy"]), QueueBound: 0, RampStart: 2, RetryBudget: 0}
+		t.Route = &route.RuntimeConfig{Strategy: route.Strategy(settings["route.strategy"]), MaxQueued: 0, SlowStartCap: 2, RetryBudget: 0}
 	}
 	return t
 }
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -116,7 +116,7 @@
 		}
 		r.log.Emit(events.RoutePanicked, "panic", panicked)
 		if s != nil {
-			r.deliver(s, route.Choice{Fault: apierror.Errorf(apierror.NoServer, "a fault of the program; see the log").WithRetryAfter(time.Second)})
+			r.deliver(s, route.Choice{Err: apierror.Errorf(apierror.NoServer, "a fault of the program; see the log").WithRetryAfter(time.Second)})
 		}
 	}()
 	decide()
@@ -124,7 +124,7 @@
 
 func (r *router) rest() time.Duration {
 	now := r.clock.Now()
-	if at, ok := r.table.Wake(now); ok {
+	if at, ok := r.table.NextWake(now); ok {
 		return max(at.Sub(now), routerTickMin)
 	}
 	return surveyEvery
@@ -144,7 +144,7 @@
 	now := r.clock.Now()
 	r.table.Update(route.View{State: view.State, Plan: view.Plan, Servers: view.Servers, Fronts: view.Sharers()}, now)
 	for name, seats := range r.seated {
-		if r.table.Lost(name) {
+		if r.table.Unavailable(name) {
 			for s := range seats {
 				s.lose()
 			}
@@ -159,7 +159,7 @@
 	now := r.clock.Now()
 	choice := r.table.Choose(s.request, now)
 	if choice.Queued {
-		if choice.Fault = r.table.Enqueue(s.request, now); choice.Fault == nil {
+		if choice.Err = r.table.Enqueue(s.request, now); choice.Err == nil {
 			r.queued[s.request.ID] = s
 			return
 		}
@@ -168,7 +168,7 @@
 }
 
 func (r *router) deliver(s *seat, choice route.Choice) {
-	if choice.Fault == nil {
+	if choice.Err == nil {
 		s.server = choice.Server
 		r.table.Started(choice.Server)
 		if r.seated[s.server] == nil {
@@ -215,7 +215,7 @@
 			continue
 		}
 		delete(r.queued, ready.Request.ID)
-		ready.Choice.Wait = 0
+		ready.Choice.EstimatedWait = 0
 		r.deliver(s, ready.Choice)
 	}
 }
--- a/internal/node/front/serve.go
+++ b/internal/node/front/serve.go
@@ -227,18 +227,18 @@
 	select {
 	case choice = <-s.choice:
 	case <-ctx.Done():
-		choice.Fault = c.ended(ctx, "the deadline passed while the request was queued")
+		choice.Err = c.ended(ctx, "the deadline passed while the request was queued")
 	}
 	c.note(Entry{Routing: routingOf(choice, f.clock.Now().Sub(asked))})
-	if choice.Fault != nil && choice.Fault.Code == apierror.BudgetSpent {
+	if choice.Err != nil && choice.Err.Code == apierror.BudgetSpent {
 		f.log.Emit(events.RetryBudgetExhausted, "request", c.id, "service", c.service, "tried", len(c.request.Tried))
 	}
-	if choice.Fault == nil {
-		choice.Fault = c.maySend()
+	if choice.Err == nil {
+		choice.Err = c.maySend()
 	}
-	if choice.Fault != nil {
-		f.router.giveUp(s, route.Outcome{NothingWritten: true})
-		return nil, choice, choice.Fault
+	if choice.Err != nil {
+		f.router.giveUp(s, route.Outcome{Result: route.Inconclusive})
+		return nil, choice, choice.Err
 	}
 	return s, choice, nil
 }
--- a/internal/node/front/survey.go
+++ b/internal/node/front/survey.go
@@ -39,7 +39,7 @@
 		ejected[name] = true
 	}
 	if plan != nil {
-		for _, place := range table.Short() {
+		for _, place := range table.ServicesWithoutServers() {
 			short[place] = true
 		}
 	}
--- a/sim/route/request.go
+++ b/sim/route/request.go
@@ -67,8 +67,8 @@
 }
 
 func (s *sim) startAttempt(c *call, choice route.Choice) {
-	if choice.Fault != nil {
-		s.reject(c, choice.Fault)
+	if choice.Err != nil {
+		s.reject(c, choice.Err)
 		return
 	}
 	c.front.table.Started(choice.Server)
@@ -104,9 +104,12 @@
 	name := c.server
 	s.at(s.now+hop, func() {
 		f := c.front
-		f.table.Finished(name, route.Outcome{OK: how == answered, Refused: how == refused, Busy: how == busy,
-			NothingWritten: how == refused,
-			Timeout:        how == late && !c.begun, Service: "chat", FirstToken: c.first, Took: s.now - c.started}, s.clock())
+		f.table.Finished(name, route.Outcome{
+			Result:     resultOf(how, c.begun),
+			Service:    "chat",
+			FirstToken: c.first,
+			Took:       s.now - c.started,
+		}, s.clock())
 		s.drain(f)
 		if c.over || attempt != c.attempt {
 			return
@@ -137,3 +140,18 @@
 		}
 	})
 }
+
+// resultOf returns what the end of an attempt tells the front's table.
+func resultOf(how ending, begun bool) route.Result {
+	switch {
+	case how == answered:
+		return route.Answered
+	case how == refused:
+		return route.Refused
+	case how == busy:
+		return route.Busy
+	case how == late && !begun:
+		return route.TimedOut
+	}
+	return route.Inconclusive
+}
--- a/sim/route/sim.go
+++ b/sim/route/sim.go
@@ -183,7 +183,7 @@
 		region, zone := []string{"lagos", "lagos", "abeokuta"}[i%3], []string{"a", "b", "a"}[i%3]
 		s.fronts = append(s.fronts, &front{name: name, calls: map[string]*call{},
 			table: route.New(route.Config{Self: name, Region: region, Zone: zone, Strategy: cfg.Strategy,
-				Policy: cfg.Policy, QueueBound: cmp.Or(cfg.Queued, 256)})})
+				Policy: cfg.Policy, MaxQueued: cmp.Or(cfg.Queued, 256)})})
 	}
 	s.drawZipf()
 	s.publishStatus(names)
