--- a/internal/decision/route/bench_test.go
+++ b/internal/decision/route/bench_test.go
@@ -20,9 +20,9 @@
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		c := table.Choose(reqs[i%len(reqs)], start)
-		table.Started(c.Server)
-		table.Finished(c.Server, Outcome{Result: Answered}, start)
+		choice := table.Choose(reqs[i%len(reqs)], start)
+		table.Started(choice.Server)
+		table.Finished(choice.Server, Outcome{Result: Answered}, start)
 		i++
 	}
 }
@@ -34,15 +34,15 @@
 
 func BenchmarkUpdateOneOf12000(b *testing.B) {
 	servers := fleet(12000)
-	v := viewOf(servers, "n1")
-	table := tableOf(v)
+	view := viewOf(servers, "n1")
+	table := tableOf(view)
 	b.ReportAllocs()
 	i := uint32(0)
 	for b.Loop() {
 		b.StopTimer()
 		i++
-		v.Servers = with(servers, "m7", func(s *wire.ServerStatus) { s.Running = i % 16 })
+		view.Servers = with(servers, "m7", func(s *wire.ServerStatus) { s.Running = i % 16 })
 		b.StartTimer()
-		table.Update(v, start)
+		table.Update(view, start)
 	}
 }
--- a/internal/decision/route/queue_test.go
+++ b/internal/decision/route/queue_test.go
@@ -12,13 +12,14 @@
 	"stepwick/internal/wire"
 )
 
-func crowded(bound int) *Table {
+// fullTable returns a table whose only server has no capacity left.
+func fullTable(maxQueued int) *Table {
 	servers := map[string]*wire.ServerStatus{"m0": model("m0", "lagos", "a")}
-	table := New(Config{Self: "n1", Region: "lagos", Zone: "a", MaxQueued: bound})
+	table := New(Config{Self: "n1", Region: "lagos", Zone: "a", MaxQueued: maxQueued})
 	table.Update(viewOf(servers), start)
 	for i := range 20 {
-		if table.Choose(ask(i), start).Server == "" {
-			panic("the server has room for 20")
+		if table.Choose(requestNumber(i), start).Server == "" {
+			panic("the server has capacity for 20")
 		}
 		table.Started("m0")
 	}
@@ -27,13 +28,13 @@
 
 func TestQueue(t *testing.T) {
 	Convey("The queued requests", t, func() {
-		table := crowded(3)
-		late, soon := ask(100), ask(101)
+		table := fullTable(3)
+		late, soon := requestNumber(100), requestNumber(101)
 		soon.Deadline = start.Add(10 * time.Second)
 		So(table.Choose(late, start).Queued, ShouldBeTrue)
 		So(table.Enqueue(late, start), ShouldBeNil)
 		So(table.Enqueue(soon, start), ShouldBeNil)
-		Convey("leave by deadline, as room comes", func() {
+		Convey("leave by deadline as capacity becomes available", func() {
 			_, ok := table.Next(start)
 			So(ok, ShouldBeFalse)
 			table.Finished("m0", Outcome{Result: Answered}, start)
@@ -45,17 +46,17 @@
 			_, ok = table.Next(start)
 			So(ok, ShouldBeFalse)
 		})
-		Convey("let no new request overtake", func() {
+		Convey("are not overtaken by a new request", func() {
 			table.Finished("m0", Outcome{Result: Answered}, start)
-			So(table.Choose(ask(200), start).Queued, ShouldBeTrue)
+			So(table.Choose(requestNumber(200), start).Queued, ShouldBeTrue)
 		})
 		Convey("are bounded", func() {
-			So(table.Enqueue(ask(102), start), ShouldBeNil)
-			c := table.Choose(ask(103), start)
-			So(c.Queued, ShouldBeFalse)
-			So(c.Err.Code, ShouldEqual, apierror.QueueFull)
-			So(c.Err.RetryAfter, ShouldBeGreaterThan, 0)
-			So(table.Enqueue(ask(103), start).Code, ShouldEqual, apierror.QueueFull)
+			So(table.Enqueue(requestNumber(102), start), ShouldBeNil)
+			choice := table.Choose(requestNumber(103), start)
+			So(choice.Queued, ShouldBeFalse)
+			So(choice.Err.Code, ShouldEqual, apierror.QueueFull)
+			So(choice.Err.RetryAfter, ShouldBeGreaterThan, 0)
+			So(table.Enqueue(requestNumber(103), start).Code, ShouldEqual, apierror.QueueFull)
 		})
 		Convey("end with their deadline", func() {
 			ready, ok := table.Next(start.Add(10 * time.Second))
@@ -66,19 +67,19 @@
 			So(ok, ShouldBeTrue)
 			So(wake, ShouldEqual, late.Deadline)
 		})
-		Convey("are refused at once when their servers are gone", func() {
+		Convey("are rejected at once when their servers are gone", func() {
 			table.Update(viewOf(map[string]*wire.ServerStatus{}), start)
 			ready, ok := table.Next(start)
 			So(ok, ShouldBeTrue)
 			So(ready.Choice.Err.Code, ShouldEqual, apierror.NoServer)
 		})
-		Convey("forget a caller that is gone", func() {
+		Convey("are removed when the caller cancels", func() {
 			So(table.Cancel(soon.ID), ShouldBeTrue)
 			So(table.Cancel(soon.ID), ShouldBeFalse)
 			So(table.Queued(), ShouldEqual, 1)
 		})
-		Convey("refuse at once what would wait beyond its deadline", func() {
-			table = crowded(256)
+		Convey("are not joined by a request that would wait beyond its deadline", func() {
+			table = fullTable(256)
 			for i := range 40 {
 				at := start.Add(time.Duration(i) * 100 * time.Millisecond)
 				table.Finished("m0", Outcome{Result: Answered}, at)
@@ -86,28 +87,28 @@
 			}
 			now := start.Add(4 * time.Second)
 			for i := range 30 {
-				So(table.Enqueue(ask(300+i), now), ShouldBeNil)
+				So(table.Enqueue(requestNumber(300+i), now), ShouldBeNil)
 			}
-			hasty := ask(400)
-			hasty.Deadline = now.Add(50 * time.Millisecond)
-			So(table.Choose(hasty, now).Err.Code, ShouldEqual, apierror.DeadlineTooShort)
-			calm := ask(401)
-			c := table.Choose(calm, now)
-			So(c.Queued, ShouldBeTrue)
-			So(c.EstimatedWait, ShouldBeBetween, time.Second, 6*time.Second)
+			short := requestNumber(400)
+			short.Deadline = now.Add(50 * time.Millisecond)
+			So(table.Choose(short, now).Err.Code, ShouldEqual, apierror.DeadlineTooShort)
+			long := requestNumber(401)
+			choice := table.Choose(long, now)
+			So(choice.Queued, ShouldBeTrue)
+			So(choice.EstimatedWait, ShouldBeBetween, time.Second, 6*time.Second)
 		})
 	})
 }
 
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := crowded(64)
+		table := fullTable(64)
 		waiting := map[string]time.Time{}
 		last := map[string]bool{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				req := ask(1000 + i)
+				req := requestNumber(1000 + i)
 				req.Deadline = start.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "deadline")) * time.Second)
 				if table.Enqueue(req, start) == nil {
 					waiting[req.ID] = req.Deadline
@@ -149,10 +150,10 @@
 	})
 }
 
-// TestCaps runs fronts that share servers which ramp, report, restart and come
-// back, and counts what is in flight: at a server that ramps, over all fronts,
-// never more than the ramp's start and one for each answer given.
-func TestCaps(t *testing.T) {
+// TestCapsOverAllFronts runs fronts that share servers in slow start and counts the
+// requests in flight: over all fronts, a server has never more than the first cap of
+// slow start and one for each answer given.
+func TestCapsOverAllFronts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fronts := make([]string, rapid.IntRange(1, 12).Draw(t, "fronts"))
 		tables := make([]*Table, len(fronts))
@@ -173,9 +174,9 @@
 					next.Incarnation, next.Answered, next.Running = s.Incarnation, answered[name], uint32(running[name])
 				})
 			}
-			v := viewOf(servers, fronts...)
+			view := viewOf(servers, fronts...)
 			for _, table := range tables {
-				table.Update(v, start)
+				table.Update(view, start)
 			}
 		}
 		publish()
@@ -183,21 +184,21 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1, 2:
 				at := rapid.IntRange(0, len(tables)-1).Draw(t, "front")
-				req := ask(rapid.IntRange(0, 9).Draw(t, "id"))
+				req := requestNumber(rapid.IntRange(0, 9).Draw(t, "id"))
 				req.Prefix = uint64(rapid.IntRange(0, 3).Draw(t, "prefix"))
-				for range rapid.IntRange(1, 30).Draw(t, "crowd") {
-					c := tables[at].Choose(req, start)
-					if c.Server == "" {
+				for range rapid.IntRange(1, 30).Draw(t, "burst") {
+					choice := tables[at].Choose(req, start)
+					if choice.Server == "" {
 						break
 					}
-					tables[at].Started(c.Server)
-					running[c.Server]++
-					flights = append(flights, flight{fronts[at], c.Server})
-					if answered[c.Server] < 18 && running[c.Server] > 2+int(answered[c.Server]) {
-						t.Fatalf("%s has %d in flight after %d answers", c.Server, running[c.Server], answered[c.Server])
+					tables[at].Started(choice.Server)
+					running[choice.Server]++
+					flights = append(flights, flight{fronts[at], choice.Server})
+					if answered[choice.Server] < 18 && running[choice.Server] > 2+int(answered[choice.Server]) {
+						t.Fatalf("%s has %d in flight after %d answers", choice.Server, running[choice.Server], answered[choice.Server])
 					}
-					if running[c.Server] > 20*min(len(tables), 3) {
-						t.Fatalf("%s has %d in flight of 20", c.Server, running[c.Server])
+					if running[choice.Server] > 20*min(len(tables), 3) {
+						t.Fatalf("%s has %d in flight of 20", choice.Server, running[choice.Server])
 					}
 				}
 			case 3, 4:
--- a/internal/decision/route/route_test.go
+++ b/internal/decision/route/route_test.go
@@ -48,32 +48,34 @@
 	return View{State: state, Servers: servers, Fronts: fronts, Plan: plan.Compute(plan.Input{State: state, Servers: servers, Term: 1, Number: 1})}
 }
 
-func tableOf(v View) *Table {
+func tableOf(view View) *Table {
 	t := New(Config{Self: "n1", Region: "lagos", Zone: "a"})
-	t.Update(v, start)
+	t.Update(view, start)
 	return t
 }
 
-func ask(i int) Request {
+// requestNumber returns a request of the region lagos.
+func requestNumber(i int) Request {
 	return Request{ID: fmt.Sprintf("r%d", i), Service: "chat", FromRegion: "lagos", Deadline: start.Add(30 * time.Second)}
 }
 
+// serve routes a request and answers it at once.
 func (t *Table) serve(req Request, now time.Time) Choice {
-	c := t.Choose(req, now)
-	if c.Server != "" {
-		t.Started(c.Server)
-		t.Finished(c.Server, Outcome{Result: Answered}, now)
+	choice := t.Choose(req, now)
+	if choice.Server != "" {
+		t.Started(choice.Server)
+		t.Finished(choice.Server, Outcome{Result: Answered}, now)
 	}
-	return c
+	return choice
 }
 
-func TestShares(t *testing.T) {
-	Convey("The wheel", t, func() {
+func TestRegionShares(t *testing.T) {
+	Convey("The choice of a region", t, func() {
 		table := tableOf(viewOf(fleet(4)))
 		Convey("holds the plan's shares within one request over every span", func() {
 			var lagos []int
 			for i := range 400 {
-				region := table.serve(ask(i), start).Region
+				region := table.serve(requestNumber(i), start).Region
 				lagos = append(lagos, map[string]int{"lagos": 1}[region])
 			}
 			for from := range lagos {
@@ -86,51 +88,51 @@
 				}
 			}
 		})
-		Convey("sends a bound request home only, and refuses it when home is empty", func() {
-			req := ask(1)
+		Convey("sends a bound request to its home only, and rejects it when that has no servers", func() {
+			req := requestNumber(1)
 			req.Home = "abeokuta"
 			for range 20 {
 				So(table.serve(req, start).Region, ShouldEqual, "abeokuta")
 			}
-			v := viewOf(fleet(4))
-			v.State.Version, v.State.Evacuated = 8, map[string]uint64{"abeokuta": 8}
-			table.Update(v, start)
+			view := viewOf(fleet(4))
+			view.State.Version, view.State.Evacuated = 8, map[string]uint64{"abeokuta": 8}
+			table.Update(view, start)
 			So(table.Choose(req, start).Err.Code, ShouldEqual, apierror.NoServer)
-			So(table.Choose(ask(2), start).Region, ShouldEqual, "lagos")
+			So(table.Choose(requestNumber(2), start).Region, ShouldEqual, "lagos")
 		})
-		Convey("goes where servers are when the plan names none of their regions", func() {
+		Convey("chooses a region with servers when the plan names none", func() {
 			servers := fleet(4)
 			for _, name := range []string{"m1", "m3"} {
 				servers = with(servers, name, func(s *wire.ServerStatus) { s.Reachable = false })
 			}
-			v := viewOf(servers)
-			v.Servers = fleet(4)
-			table.Update(v, start)
-			So(table.serve(ask(1), start).Region, ShouldEqual, "lagos")
+			view := viewOf(servers)
+			view.Servers = fleet(4)
+			table.Update(view, start)
+			So(table.serve(requestNumber(1), start).Region, ShouldEqual, "lagos")
 			for _, name := range []string{"m0", "m2"} {
-				v.Servers = with(v.Servers, name, func(s *wire.ServerStatus) { s.Reachable = false })
+				view.Servers = with(view.Servers, name, func(s *wire.ServerStatus) { s.Reachable = false })
 			}
-			table.Update(v, start)
-			So(table.serve(ask(2), start).Region, ShouldEqual, "abeokuta")
+			table.Update(view, start)
+			So(table.serve(requestNumber(2), start).Region, ShouldEqual, "abeokuta")
 		})
-		Convey("goes by a newer sheet at once although the plan is older", func() {
-			v := viewOf(fleet(4))
-			v.State.Version, v.State.SheetVersion = 9, 9
-			v.State.Sheet = &sheet.Sheet{Services: v.State.Sheet.Services, Weights: map[string]map[string]float64{"chat": {"lagos": 0, "abeokuta": 1}}}
-			table.Update(v, start)
+		Convey("follows a newer sheet at once although the plan is older", func() {
+			view := viewOf(fleet(4))
+			view.State.Version, view.State.SheetVersion = 9, 9
+			view.State.Sheet = &sheet.Sheet{Services: view.State.Sheet.Services, Weights: map[string]map[string]float64{"chat": {"lagos": 0, "abeokuta": 1}}}
+			table.Update(view, start)
 			for i := range 20 {
-				So(table.serve(ask(i), start).Region, ShouldEqual, "abeokuta")
+				So(table.serve(requestNumber(i), start).Region, ShouldEqual, "abeokuta")
 			}
 		})
 	})
 }
 
-func TestExclusions(t *testing.T) {
+func TestExcludedServers(t *testing.T) {
 	Convey("A table", t, func() {
 		servers := fleet(4)
-		v := viewOf(servers)
-		table := tableOf(v)
-		Convey("sends nothing to what drains, leaves, is gone, dark or evacuated, under the old plan", func() {
+		view := viewOf(servers)
+		table := tableOf(view)
+		Convey("sends nothing to servers that drain, leave, are gone, unreachable or evacuated, under the old plan", func() {
 			changes := map[string]func(*wire.ServerStatus){
 				plan.ReasonDraining:    func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_DRAINING },
 				plan.ReasonLeaving:     func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_LEAVING },
@@ -138,32 +140,32 @@
 				plan.ReasonUnreachable: func(s *wire.ServerStatus) { s.Reachable = false },
 			}
 			for why, change := range changes {
-				v.Servers = with(servers, "m0", change)
-				table.Update(v, start)
+				view.Servers = with(servers, "m0", change)
+				table.Update(view, start)
 				So(table.Servers()[0].Excluded, ShouldEqual, why)
 				for i := range 50 {
-					So(table.serve(ask(i), start).Server, ShouldNotEqual, "m0")
+					So(table.serve(requestNumber(i), start).Server, ShouldNotEqual, "m0")
 				}
 			}
-			v.Servers, v.State.Version, v.State.Evacuated = servers, 8, map[string]uint64{"lagos/a": 8}
-			table.Update(v, start)
+			view.Servers, view.State.Version, view.State.Evacuated = servers, 8, map[string]uint64{"lagos/a": 8}
+			table.Update(view, start)
 			for i := range 50 {
-				So(table.serve(ask(i), start).Server, ShouldNotEqual, "m0")
+				So(table.serve(requestNumber(i), start).Server, ShouldNotEqual, "m0")
 			}
 		})
-		Convey("refuses with when to come back while it knows no plan, service or server", func() {
-			So(New(Config{Self: "n1"}).Choose(ask(1), start).Err.Code, ShouldEqual, apierror.NoPlan)
-			req := ask(1)
+		Convey("rejects with a retry delay without a plan, the service or a server", func() {
+			So(New(Config{Self: "n1"}).Choose(requestNumber(1), start).Err.Code, ShouldEqual, apierror.NoPlan)
+			req := requestNumber(1)
 			req.Service = "none"
 			So(table.Choose(req, start).Err.Code, ShouldEqual, apierror.UnknownService)
-			v.Servers = map[string]*wire.ServerStatus{}
-			table.Update(v, start)
-			apiErr := table.Choose(ask(1), start).Err
+			view.Servers = map[string]*wire.ServerStatus{}
+			table.Update(view, start)
+			apiErr := table.Choose(requestNumber(1), start).Err
 			So(apiErr.Code, ShouldEqual, apierror.NoServer)
 			So(apiErr.RetryAfter, ShouldBeGreaterThan, 0)
 		})
-		Convey("ejects a server that refuses and probes it with one request", func() {
-			req := ask(1)
+		Convey("ejects a server that refuses connections and probes it with one request", func() {
+			req := requestNumber(1)
 			req.Prefix, req.Home = 77, "lagos"
 			first := table.Choose(req, start).Server
 			table.Started(first)
@@ -186,7 +188,7 @@
 			table.Started(first)
 			So(table.Choose(req, later).Server, ShouldNotEqual, first)
 		})
-		Convey("ejects a server after three timeouts in a row over a second, not one that answers others", func() {
+		Convey("ejects a server after three time-outs in a row over a second, unless it answers others", func() {
 			timeout := func(at time.Duration) bool {
 				table.Started("m0")
 				table.Finished("m0", Outcome{Result: TimedOut}, start.Add(at))
@@ -195,46 +197,46 @@
 			So(timeout(0), ShouldBeFalse)
 			So(timeout(0), ShouldBeFalse)
 			So(timeout(900*time.Millisecond), ShouldBeFalse)
-			v.Servers = with(servers, "m0", func(s *wire.ServerStatus) { s.Answered = 1001 })
-			table.Update(v, start)
+			view.Servers = with(servers, "m0", func(s *wire.ServerStatus) { s.Answered = 1001 })
+			table.Update(view, start)
 			So(timeout(time.Second), ShouldBeFalse)
 			So(timeout(1500*time.Millisecond), ShouldBeFalse)
 			So(timeout(2*time.Second), ShouldBeTrue)
 		})
 		Convey("bounds retries to a share of the requests and tries no server twice", func() {
-			retry := ask(1)
+			retry := requestNumber(1)
 			retry.Tried = []string{"m0"}
 			spent := 0
 			for table.Choose(retry, start).Err == nil {
-				So(table.Choose(ask(spent), start).Server, ShouldNotEqual, "")
+				So(table.Choose(requestNumber(spent), start).Server, ShouldNotEqual, "")
 				spent++
 				So(spent, ShouldBeLessThan, 100)
 			}
 			So(table.Choose(retry, start).Err.Code, ShouldEqual, apierror.BudgetSpent)
 			for i := range 10 {
-				table.Choose(ask(i), start)
+				table.Choose(requestNumber(i), start)
 			}
-			c := table.Choose(retry, start)
-			So(c.Server, ShouldNotEqual, "m0")
-			So(c.Server, ShouldNotEqual, "")
+			choice := table.Choose(retry, start)
+			So(choice.Server, ShouldNotEqual, "m0")
+			So(choice.Server, ShouldNotEqual, "")
 			table.Reconfigure(RuntimeConfig{Strategy: Affinity, MaxQueued: 1, SlowStartCap: 2})
 			So(table.Choose(retry, start).Err.Code, ShouldEqual, apierror.BudgetSpent)
 		})
-		Convey("follows the knobs, the plan's caps with the start of the ramp", func() {
+		Convey("applies the runtime configuration, with SlowStartCap to the plan's caps", func() {
 			servers := with(map[string]*wire.ServerStatus{"m0": model("m0", "lagos", "a")}, "m0", func(s *wire.ServerStatus) { s.Answered = 0 })
-			v := viewOf(servers)
+			view := viewOf(servers)
 			for _, begin := range []int{5, 1} {
-				sheets := *v.State.Sheet
+				sheets := *view.State.Sheet
 				sheets.Settings = map[string]string{"route.ramp_start": fmt.Sprint(begin)}
-				v.State.Sheet = &sheets
-				v.Plan = plan.Compute(plan.Input{State: v.State, Servers: servers})
-				table = tableOf(v)
+				view.State.Sheet = &sheets
+				view.Plan = plan.Compute(plan.Input{State: view.State, Servers: servers})
+				table = tableOf(view)
 				table.Reconfigure(RuntimeConfig{Strategy: RoundRobin, MaxQueued: 0, SlowStartCap: begin})
 				for i := range begin {
-					So(table.Choose(ask(i), start).Server, ShouldEqual, "m0")
+					So(table.Choose(requestNumber(i), start).Server, ShouldEqual, "m0")
 					table.Started("m0")
 				}
-				So(table.Choose(ask(9), start).Err.Code, ShouldEqual, apierror.QueueFull)
+				So(table.Choose(requestNumber(9), start).Err.Code, ShouldEqual, apierror.QueueFull)
 			}
 		})
 	})
@@ -243,8 +245,8 @@
 func TestAffinity(t *testing.T) {
 	Convey("Prefix affinity", t, func() {
 		servers := fleet(16)
-		v := viewOf(servers)
-		table := tableOf(v)
+		view := viewOf(servers)
+		table := tableOf(view)
 		home := func(prefix uint64) string {
 			return table.serve(Request{ID: "x", Service: "chat", Home: "lagos", Prefix: mix(prefix + 1), Deadline: start.Add(time.Minute)}, start).Server
 		}
@@ -263,22 +265,22 @@
 				So(home(p), ShouldEqual, before[p])
 			}
 		})
-		Convey("moves the prefixes of a lost server only", func() {
-			v.Servers = with(servers, "m0", func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_GONE })
-			table.Update(v, start)
+		Convey("moves only the prefixes of a server that is gone", func() {
+			view.Servers = with(servers, "m0", func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_GONE })
+			table.Update(view, start)
 			for p := range uint64(800) {
 				if before[p] != "m0" {
 					So(home(p), ShouldEqual, before[p])
 				}
 			}
 		})
-		Convey("spills a hot prefix once its server is loaded beyond the others", func() {
+		Convey("spreads a hot prefix once its server is overloaded", func() {
 			req := Request{ID: "x", Service: "chat", Home: "lagos", Prefix: 99, Deadline: start.Add(time.Minute)}
 			seen := map[string]int{}
 			for range 60 {
-				c := table.Choose(req, start)
-				table.Started(c.Server)
-				seen[c.Server]++
+				choice := table.Choose(req, start)
+				table.Started(choice.Server)
+				seen[choice.Server]++
 			}
 			So(len(seen), ShouldBeGreaterThan, 2)
 			for _, n := range seen {
@@ -287,29 +289,29 @@
 		})
 		Convey("prefers the front's own zone for requests without a prefix", func() {
 			for i := range 100 {
-				So(servers[table.serve(ask(i), start).Server].Zone, ShouldEqual, "a")
+				So(servers[table.serve(requestNumber(i), start).Server].Zone, ShouldEqual, "a")
 			}
 		})
 	})
 }
 
-func TestStrategies(t *testing.T) {
-	Convey("The baselines obey caps and exclusions too", t, func() {
+func TestBaselineStrategies(t *testing.T) {
+	Convey("The baselines respect caps and exclusions", t, func() {
 		for _, strategy := range []Strategy{RoundRobin, LeastLoaded} {
 			table := New(Config{Self: "n1", Region: "lagos", Strategy: strategy})
 			servers := with(fleet(6), "m0", func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_DRAINING })
 			table.Update(viewOf(with(servers, "m2", func(s *wire.ServerStatus) { s.Answered = 0; s.Incarnation = 2 })), start)
 			seen := map[string]int{}
 			for i := range 62 {
-				req := ask(i)
+				req := requestNumber(i)
 				req.Prefix = 5
-				c := table.Choose(req, start)
-				if c.Server == "" {
-					So(c.Queued, ShouldBeTrue)
+				choice := table.Choose(req, start)
+				if choice.Server == "" {
+					So(choice.Queued, ShouldBeTrue)
 					continue
 				}
-				table.Started(c.Server)
-				seen[c.Server]++
+				table.Started(choice.Server)
+				seen[choice.Server]++
 			}
 			So(seen["m0"], ShouldEqual, 0)
 			So(seen["m2"], ShouldEqual, 2)
