--- a/cmd/rig/simnode/slopes.go
+++ b/cmd/rig/simnode/slopes.go
@@ -111,7 +111,7 @@
 	var table *route.Table
 	s.TableHeapKiB = grown(func() any {
 		table = route.New(route.Config{Self: "front000", Region: "r00", Zone: "z00"})
-		table.Update(view, now)
+		table.Update(view)
 		return table
 	})
 	counter := uint64(n)
@@ -121,7 +121,7 @@
 		report.Counter, report.AtMs, report.Status.Running = counter, 1000+int64(counter), uint32(counter%13)
 		folds.Add(report, now)
 		view.Servers = folds.Servers()
-		table.Update(view, now)
+		table.Update(view)
 	})
 	return s
 }
--- a/internal/decision/route/bench_test.go
+++ b/internal/decision/route/bench_test.go
@@ -43,6 +43,6 @@
 		i++
 		view.Servers = with(servers, "m7", func(s *wire.ServerStatus) { s.Running = i % 16 })
 		b.StartTimer()
-		table.Update(view, start)
+		table.Update(view)
 	}
 }
--- a/internal/decision/route/queue_test.go
+++ b/internal/decision/route/queue_test.go
@@ -16,7 +16,7 @@
 func fullTable(maxQueued int) *Table {
 	servers := map[string]*wire.ServerStatus{"m0": model("m0", "lagos", "a")}
 	table := New(Config{Self: "n1", Region: "lagos", Zone: "a", MaxQueued: maxQueued})
-	table.Update(viewOf(servers), start)
+	table.Update(viewOf(servers))
 	for i := range 20 {
 		if table.Choose(requestNumber(i), start).Server == "" {
 			panic("the server has capacity for 20")
@@ -68,7 +68,7 @@
 			So(wake, ShouldEqual, late.Deadline)
 		})
 		Convey("are rejected at once when their servers are gone", func() {
-			table.Update(viewOf(map[string]*wire.ServerStatus{}), start)
+			table.Update(viewOf(map[string]*wire.ServerStatus{}))
 			ready, ok := table.Next(start)
 			So(ok, ShouldBeTrue)
 			So(ready.Choice.Err.Code, ShouldEqual, apierror.NoServer)
@@ -176,7 +176,7 @@
 			}
 			view := viewOf(servers, fronts...)
 			for _, table := range tables {
-				table.Update(view, start)
+				table.Update(view)
 			}
 		}
 		publish()
--- a/internal/decision/route/route_test.go
+++ b/internal/decision/route/route_test.go
@@ -50,7 +50,7 @@
 
 func tableOf(view View) *Table {
 	t := New(Config{Self: "n1", Region: "lagos", Zone: "a"})
-	t.Update(view, start)
+	t.Update(view)
 	return t
 }
 
@@ -96,7 +96,7 @@
 			}
 			view := viewOf(fleet(4))
 			view.State.Version, view.State.Evacuated = 8, map[string]uint64{"abeokuta": 8}
-			table.Update(view, start)
+			table.Update(view)
 			So(table.Choose(req, start).Err.Code, ShouldEqual, apierror.NoServer)
 			So(table.Choose(requestNumber(2), start).Region, ShouldEqual, "lagos")
 		})
@@ -107,19 +107,19 @@
 			}
 			view := viewOf(servers)
 			view.Servers = fleet(4)
-			table.Update(view, start)
+			table.Update(view)
 			So(table.serve(requestNumber(1), start).Region, ShouldEqual, "lagos")
 			for _, name := range []string{"m0", "m2"} {
 				view.Servers = with(view.Servers, name, func(s *wire.ServerStatus) { s.Reachable = false })
 			}
-			table.Update(view, start)
+			table.Update(view)
 			So(table.serve(requestNumber(2), start).Region, ShouldEqual, "abeokuta")
 		})
 		Convey("follows a newer sheet at once although the plan is older", func() {
 			view := viewOf(fleet(4))
 			view.State.Version, view.State.SheetVersion = 9, 9
 			view.State.Sheet = &sheet.Sheet{Services: view.State.Sheet.Services, Weights: map[string]map[string]float64{"chat": {"lagos": 0, "abeokuta": 1}}}
-			table.Update(view, start)
+			table.Update(view)
 			for i := range 20 {
 				So(table.serve(requestNumber(i), start).Region, ShouldEqual, "abeokuta")
 			}
@@ -141,14 +141,14 @@
 			}
 			for why, change := range changes {
 				view.Servers = with(servers, "m0", change)
-				table.Update(view, start)
+				table.Update(view)
 				So(table.Servers()[0].Excluded, ShouldEqual, why)
 				for i := range 50 {
 					So(table.serve(requestNumber(i), start).Server, ShouldNotEqual, "m0")
 				}
 			}
 			view.Servers, view.State.Version, view.State.Evacuated = servers, 8, map[string]uint64{"lagos/a": 8}
-			table.Update(view, start)
+			table.Update(view)
 			for i := range 50 {
 				So(table.serve(requestNumber(i), start).Server, ShouldNotEqual, "m0")
 			}
@@ -159,7 +159,7 @@
 			req.Service = "none"
 			So(table.Choose(req, start).Err.Code, ShouldEqual, apierror.UnknownService)
 			view.Servers = map[string]*wire.ServerStatus{}
-			table.Update(view, start)
+			table.Update(view)
 			apiErr := table.Choose(requestNumber(1), start).Err
 			So(apiErr.Code, ShouldEqual, apierror.NoServer)
 			So(apiErr.RetryAfter, ShouldBeGreaterThan, 0)
@@ -198,7 +198,7 @@
 			So(timeout(0), ShouldBeFalse)
 			So(timeout(900*time.Millisecond), ShouldBeFalse)
 			view.Servers = with(servers, "m0", func(s *wire.ServerStatus) { s.Answered = 1001 })
-			table.Update(view, start)
+			table.Update(view)
 			So(timeout(time.Second), ShouldBeFalse)
 			So(timeout(1500*time.Millisecond), ShouldBeFalse)
 			So(timeout(2*time.Second), ShouldBeTrue)
@@ -267,7 +267,7 @@
 		})
 		Convey("moves only the prefixes of a server that is gone", func() {
 			view.Servers = with(servers, "m0", func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_GONE })
-			table.Update(view, start)
+			table.Update(view)
 			for p := range uint64(800) {
 				if before[p] != "m0" {
 					So(home(p), ShouldEqual, before[p])
@@ -300,7 +300,7 @@
 		for _, strategy := range []Strategy{RoundRobin, LeastLoaded} {
 			table := New(Config{Self: "n1", Region: "lagos", Strategy: strategy})
 			servers := with(fleet(6), "m0", func(s *wire.ServerStatus) { s.State = wire.ServerState_SERVER_STATE_DRAINING })
-			table.Update(viewOf(with(servers, "m2", func(s *wire.ServerStatus) { s.Answered = 0; s.Incarnation = 2 })), start)
+			table.Update(viewOf(with(servers, "m2", func(s *wire.ServerStatus) { s.Answered = 0; s.Incarnation = 2 })))
 			seen := map[string]int{}
 			for i := range 62 {
 				req := requestNumber(i)
--- a/internal/decision/route/table.go
+++ b/internal/decision/route/table.go
@@ -154,7 +154,7 @@
 
 // Update applies a view. Servers that drain, are evacuated or gone are excluded at
 // once, whatever the plan says.
-func (t *Table) Update(view View, now time.Time) {
+func (t *Table) Update(view View) {
 	t.updateFronts(view.Fronts)
 	stateChanged := view.State.Version != t.view.State.Version || view.State.Sheet != t.view.State.Sheet
 	planChanged := view.Plan != t.view.Plan
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -141,8 +141,7 @@
 		r.sheet = view.State.Sheet
 		r.tune(r.sheet, r.table)
 	}
-	now := r.clock.Now()
-	r.table.Update(route.View{State: view.State, Plan: view.Plan, Servers: view.Servers, Fronts: view.Sharers()}, now)
+	r.table.Update(route.View{State: view.State, Plan: view.Plan, Servers: view.Servers, Fronts: view.Sharers()})
 	for name, seats := range r.seated {
 		if r.table.Unavailable(name) {
 			for s := range seats {
--- a/sim/route/request.go
+++ b/sim/route/request.go
@@ -11,138 +11,197 @@
 	"stepwick/internal/decision/route"
 )
 
-func (s *sim) arrive(n int) {
-	if s.now >= s.cfg.Span {
+const (
+	networkDelay = time.Millisecond // between front and server, one way
+	maxAttempts  = 3
+)
+
+// request is one request of a caller.
+type request struct {
+	id            string
+	front         *front
+	prefix        uint64
+	prefixTokens  int
+	sessionTokens int
+	outputTokens  int
+	arrivedAt     time.Duration
+	deadline      time.Duration
+
+	attempt   attempt
+	tried     []string
+	streaming bool // the caller has received the first token
+	ended     bool
+}
+
+// attempt is the current attempt of a request at a server.
+type attempt struct {
+	number     int
+	server     string
+	startedAt  time.Duration
+	firstToken time.Duration // time to it; zero: none yet
+}
+
+// ending is how an attempt ended.
+type ending int
+
+const (
+	answered ending = iota
+	refused
+	busy
+	interrupted
+	late
+)
+
+// arrive offers a request and schedules the next one.
+func (r *run) arrive(number int) {
+	if r.now >= r.Length {
 		return
 	}
-	rate := s.cfg.Rate
-	if s.cfg.Crowd > 0 && s.now >= s.cfg.CrowdFrom && s.now < s.cfg.CrowdTo {
-		rate *= s.cfg.Crowd
+	r.after(seconds(r.random.ExpFloat64()/r.currentRate()), func() { r.arrive(number + 1) })
+	r.result.Offered++
+	r.route(r.newRequest(number))
+}
+
+func (r *run) currentRate() float64 {
+	if r.Surge > 0 && r.now >= r.SurgeFrom && r.now < r.SurgeTo {
+		return r.Rate * r.Surge
+	}
+	return r.Rate
+}
+
+func (r *run) newRequest(number int) *request {
+	index, _ := slices.BinarySearch(r.zipf, r.random.Float64()*r.zipf[len(r.zipf)-1])
+	prefix := xxhash.Sum64String(fmt.Sprintf("prefix %d", index))
+	req := &request{
+		id:           fmt.Sprintf("r%d", number),
+		prefix:       prefix,
+		prefixTokens: r.PrefixTokens/2 + int(prefix%uint64(r.PrefixTokens+1)),
+		arrivedAt:    r.now,
+		deadline:     r.now + r.Deadline,
 	}
-	s.at(s.now+seconds(s.rng.ExpFloat64()/rate), func() { s.arrive(n + 1) })
-	which, _ := slices.BinarySearch(s.zipf, s.rng.Float64()*s.zipf[len(s.zipf)-1])
-	spread := func(mean int) int { return max(1, mean/2+s.rng.IntN(mean+1)) }
-	prefix := xxhash.Sum64String(fmt.Sprintf("prefix %d", which))
-	c := &call{id: fmt.Sprintf("r%d", n), front: s.pickFront(), prefix: prefix,
-		prefixTokens: s.cfg.PrefixTokens/2 + int(prefix%uint64(s.cfg.PrefixTokens+1)),
-		session:      spread(s.cfg.SessionTokens), output: spread(s.cfg.OutputTokens), born: s.now, deadline: s.now + s.cfg.Deadline}
-	s.result.Offered++
-	s.route(c)
+	// The order of these random draws is part of a seed's result.
+	req.front = r.drawFront()
+	req.sessionTokens = r.drawTokens(r.SessionTokens)
+	req.outputTokens = r.drawTokens(r.OutputTokens)
+	return req
 }
 
-func (s *sim) pickFront() *front {
-	if s.cfg.FrontWeights == nil {
-		return s.fronts[s.rng.IntN(len(s.fronts))]
+func (r *run) drawTokens(mean int) int { return max(1, mean/2+r.random.IntN(mean+1)) }
+
+func (r *run) drawFront() *front {
+	if r.FrontWeights == nil {
+		return r.fronts[r.random.IntN(len(r.fronts))]
 	}
 	total := 0.0
-	for _, w := range s.cfg.FrontWeights {
-		total += w
+	for _, weight := range r.FrontWeights {
+		total += weight
 	}
-	at := s.rng.Float64() * total
-	for i, w := range s.cfg.FrontWeights {
-		if at < w {
-			return s.fronts[i]
+	drawn := r.random.Float64() * total
+	for i, weight := range r.FrontWeights {
+		if drawn < weight {
+			return r.fronts[i]
 		}
-		at -= w
+		drawn -= weight
 	}
-	return s.fronts[0]
-}
-
-func (s *sim) request(c *call) route.Request {
-	return route.Request{ID: c.id, Service: "chat", Prefix: c.prefix, Deadline: version.Add(c.deadline), Tried: c.tried}
+	return r.fronts[0]
 }
 
-func (s *sim) route(c *call) {
-	req := s.request(c)
-	choice := c.front.table.Choose(req, s.clock())
-	if choice.Queued {
-		if apiErr := c.front.table.Enqueue(req, s.clock()); apiErr != nil {
-			s.reject(c, apiErr)
-			return
-		}
-		c.front.calls[c.id] = c
+// route sends a request to a server, queues or rejects it.
+func (r *run) route(req *request) {
+	routed := route.Request{
+		ID:       req.id,
+		Service:  service,
+		Prefix:   req.prefix,
+		Deadline: origin.Add(req.deadline),
+		Tried:    req.tried,
+	}
+	choice := req.front.table.Choose(routed, r.clock())
+	if !choice.Queued {
+		r.startAttempt(req, choice)
+		return
+	}
+	if err := req.front.table.Enqueue(routed, r.clock()); err != nil {
+		r.reject(req, err)
 		return
 	}
-	s.startAttempt(c, choice)
+	req.front.queued[req.id] = req
 }
 
-func (s *sim) startAttempt(c *call, choice route.Choice) {
+func (r *run) startAttempt(req *request, choice route.Choice) {
 	if choice.Err != nil {
-		s.reject(c, choice.Err)
+		r.reject(req, choice.Err)
 		return
 	}
-	c.front.table.Started(choice.Server)
-	c.server = choice.Server
-	c.attempt++
-	c.started, c.first = s.now, 0
-	v := s.byName[choice.Server]
-	attempt := c.attempt
-	s.at(c.deadline, func() {
-		if !c.over && c.attempt == attempt && v.cancel(c) {
-			s.finishAttempt(c, attempt, late)
+	req.front.table.Started(choice.Server)
+	req.attempt = attempt{
+		number:    req.attempt.number + 1,
+		server:    choice.Server,
+		startedAt: r.now,
+	}
+	s := r.byName[choice.Server]
+	number := req.attempt.number
+	r.at(req.deadline, func() {
+		if !req.ended && req.attempt.number == number && s.cancel(req) {
+			r.finishAttempt(req, number, late)
 		}
 	})
-	s.at(s.now+hop, func() { v.arrive(c) })
+	r.after(networkDelay, func() { s.receive(req) })
 }
 
-func (s *sim) reject(c *call, apiErr *apierror.Error) {
-	c.over = true
-	s.result.Refused++
-	s.result.Codes[apiErr.Code.String()]++
+func (r *run) reject(req *request, err *apierror.Error) {
+	req.ended = true
+	r.result.Refused++
+	r.result.Codes[err.Code.String()]++
 }
 
-func (s *sim) firstToken(c *call, attempt int) {
-	if !c.begun && !c.over && attempt == c.attempt {
-		c.begun = true
-		c.first = s.now - c.started
-		s.result.TTFT = append(s.result.TTFT, s.now-c.born)
+// receiveFirstToken records the first token that the caller gets.
+func (r *run) receiveFirstToken(req *request, number int) {
+	if req.streaming || req.ended || number != req.attempt.number {
+		return
 	}
+	req.streaming = true
+	req.attempt.firstToken = r.now - req.attempt.startedAt
+	r.result.TTFT = append(r.result.TTFT, r.now-req.arrivedAt)
 }
 
 // finishAttempt reports the end of an attempt to the front.
-func (s *sim) finishAttempt(c *call, attempt int, how ending) {
-	name := c.server
-	s.at(s.now+hop, func() {
-		f := c.front
-		f.table.Finished(name, route.Outcome{
-			Result:     resultOf(how, c.begun),
-			Service:    "chat",
-			FirstToken: c.first,
-			Took:       s.now - c.started,
-		}, s.clock())
-		s.drain(f)
-		if c.over || attempt != c.attempt {
-			return
-		}
-		switch {
-		case how == answered:
-			c.over = true
-			if s.now > c.deadline {
-				s.result.Late++
-				return
-			}
-			s.result.Served++
-			if at := int(s.now / time.Second); at < len(s.result.PerSecond) {
-				s.result.PerSecond[at]++
-			}
-		case how == late:
-			c.over = true
-			s.result.Late++
-		case how == interrupted && c.begun:
-			c.over = true
-			s.result.Cut++
-		case len(c.tried)+1 >= maxAttempts:
-			c.over = true
-			s.result.Rejected++
-		default:
-			c.tried = append(c.tried, name)
-			s.route(c)
+func (r *run) finishAttempt(req *request, number int, how ending) {
+	server := req.attempt.server
+	r.after(networkDelay, func() {
+		req.front.table.Finished(server, route.Outcome{
+			Result:     resultOf(how, req.streaming),
+			Service:    service,
+			FirstToken: req.attempt.firstToken,
+			Took:       r.now - req.attempt.startedAt,
+		}, r.clock())
+		r.startReady(req.front)
+		if !req.ended && number == req.attempt.number {
+			r.endOrRetry(req, server, how)
 		}
 	})
 }
 
+// endOrRetry ends a request by the end of its last attempt, or routes it again.
+func (r *run) endOrRetry(req *request, server string, how ending) {
+	req.ended = true
+	switch {
+	case how == late || how == answered && r.now > req.deadline:
+		r.result.Late++
+	case how == answered:
+		r.result.countServed(r.now)
+	case how == interrupted && req.streaming:
+		r.result.Interrupted++
+	case len(req.tried)+1 >= maxAttempts:
+		r.result.Rejected++
+	default:
+		req.ended = false
+		req.tried = append(req.tried, server)
+		r.route(req)
+	}
+}
+
 // resultOf returns what the end of an attempt tells the front's table.
-func resultOf(how ending, begun bool) route.Result {
+func resultOf(how ending, streaming bool) route.Result {
 	switch {
 	case how == answered:
 		return route.Answered
@@ -150,7 +209,7 @@
 		return route.Refused
 	case how == busy:
 		return route.Busy
-	case how == late && !begun:
+	case how == late && !streaming:
 		return route.TimedOut
 	}
 	return route.Inconclusive
--- a/sim/route/sim_test.go
+++ b/sim/route/run_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	fullCap  = 20
-	mostPeak = 2 * fullCap
+	fullCap = 20
+	maxPeak = 2 * fullCap
 )
 
-var modelServer = ServerConfig{Slots: 16, Queue: 8, Prefill: 12000, Decode: 1600, PerCall: 120, KV: 120_000, ColdCalls: 10, ColdPace: 0.5}
+var modelServer = ServerConfig{Slots: 16, Queue: 8, Prefill: 12000, Decode: 1600, DecodePerRequest: 120, CacheTokens: 120_000, ColdAnswers: 10, ColdSpeed: 0.5}
 
-func today(seed uint64) Config {
-	return Config{Seed: seed, Strategy: route.Affinity, Fronts: 9, Servers: 18, Server: modelServer, Span: 60 * time.Second, Rate: 150,
-		Prefixes: 200, Skew: 0.9, PrefixTokens: 3000, SessionTokens: 200, OutputTokens: 100, Deadline: 15 * time.Second, Warm: true}
+func baseConfig(seed uint64) Config {
+	return Config{Seed: seed, Strategy: route.Affinity, Fronts: 9, Servers: 18, Server: modelServer, Length: 60 * time.Second, Rate: 150,
+		Prefixes: 200, Skew: 0.9, PrefixTokens: 3000, SessionTokens: 200, OutputTokens: 100, Deadline: 15 * time.Second, StartWarm: true}
 }
 
 // seeds gives the fixed seeds of CI, or 1 to STEPWICK_SEEDS.
@@ -40,23 +40,23 @@
 	return Fault{time.Duration(at) * time.Second, server, RestartCold}
 }
 
-func TestFloods(t *testing.T) {
+func TestCapsHoldUnderFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Config)
 		from   int
 	}{
-		{"all start cold", func(c *Config) { c.Warm = false }, 12},
+		{"all start cold", func(c *Config) { c.StartWarm = false }, 12},
 		{"cold return and second loss", func(c *Config) { c.Faults = []Fault{crash(20, 3), cold(30, 3), crash(33, 5)} }, 45},
 		{"the same in a crowd, with no bound at the servers", func(c *Config) {
 			c.Server.Queue = 10000
-			c.Crowd, c.CrowdFrom, c.CrowdTo = 10, 20*time.Second, 30*time.Second
+			c.Surge, c.SurgeFrom, c.SurgeTo = 10, 20*time.Second, 30*time.Second
 			c.Faults = []Fault{crash(15, 3), cold(22, 3), crash(25, 5)}
 		}, 37},
 		{"a crowd of long answers", func(c *Config) {
 			c.Server.Queue = 10000
 			c.OutputTokens, c.PrefixTokens = 400, 500
-			c.Crowd, c.CrowdFrom, c.CrowdTo = 10, 20*time.Second, 30*time.Second
+			c.Surge, c.SurgeFrom, c.SurgeTo = 10, 20*time.Second, 30*time.Second
 			c.Faults = []Fault{crash(25, 5)}
 		}, 37},
 		{"all replaced in turn", func(c *Config) {
@@ -77,36 +77,36 @@
 	}
 	for _, c := range cases {
 		for _, seed := range seeds(2) {
-			cfg := today(seed)
-			c.change(&cfg)
-			r := Run(cfg)
+			config := baseConfig(seed)
+			c.change(&config)
+			result := Run(config)
 			peak := 0
-			for _, l := range r.Servers {
-				peak = max(peak, l.Peak)
+			for _, report := range result.Servers {
+				peak = max(peak, report.Peak)
 			}
-			t.Logf("%s, seed %d: %v peak %d %v", c.name, seed, r, peak, r.Codes)
-			for _, v := range Check(cfg, r, mostPeak, time.Duration(c.from)*time.Second) {
+			t.Logf("%s, seed %d: %v peak %d %v", c.name, seed, result, peak, result.Codes)
+			for _, v := range Check(config, result, maxPeak, time.Duration(c.from)*time.Second) {
 				t.Errorf("%s, seed %d: %s", c.name, seed, v)
 			}
 		}
 	}
 }
 
-// TestQuickRestart crashes servers that are back, cold, before any watcher saw
-// them gone. Until their new status arrives the fronts know them only by the
-// refusals, so that the ramp's bound may be passed, but by few.
-func TestQuickRestart(t *testing.T) {
-	const most = 8
+// TestRestartBeforeDetection crashes servers that restart, cold, before any health
+// check has found them down. Until their new status arrives the fronts know of it only
+// by refused connections, so that the bound of slow start may be exceeded, but by few.
+func TestRestartBeforeDetection(t *testing.T) {
+	const maxExcess = 8
 	worst := 0
 	for _, seed := range seeds(4) {
-		cfg := today(seed)
+		config := baseConfig(seed)
 		for i := range 6 {
-			cfg.Faults = append(cfg.Faults, crash(20+4*i, 3*i), Fault{time.Duration(20+4*i)*time.Second + 200*time.Millisecond, 3 * i, RestartCold})
+			config.Faults = append(config.Faults, crash(20+4*i, 3*i), Fault{time.Duration(20+4*i)*time.Second + 200*time.Millisecond, 3 * i, RestartCold})
 		}
-		for _, l := range Run(cfg).Servers {
-			worst = max(worst, l.Excess)
-			if l.Excess > most {
-				t.Errorf("seed %d: %s had %d in flight beyond its ramp", seed, l.Server, l.Excess)
+		for _, report := range Run(config).Servers {
+			worst = max(worst, report.MaxExcess)
+			if report.MaxExcess > maxExcess {
+				t.Errorf("seed %d: %s had %d in flight beyond its ramp", seed, report.Server, report.MaxExcess)
 			}
 		}
 	}
@@ -114,41 +114,41 @@
 }
 
 func TestCheckerFindsFloods(t *testing.T) {
-	cfg := today(1)
-	cfg.Faults = []Fault{crash(20, 3), cold(22, 3)}
-	cfg.Policy = plan.Policy{SlowStartCap: fullCap}
-	if len(Check(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
+	config := baseConfig(1)
+	config.Faults = []Fault{crash(20, 3), cold(22, 3)}
+	config.Policy = plan.Policy{SlowStartCap: fullCap}
+	if len(Check(config, Run(config), maxPeak, 45*time.Second)) == 0 {
 		t.Error("a server without a ramp was not seen to be flooded")
 	}
-	cfg = today(1)
-	cfg.Server.Queue = 10000
-	cfg.Crowd, cfg.CrowdFrom, cfg.CrowdTo = 10, 20*time.Second, 30*time.Second
-	cfg.Policy = plan.Policy{QueueFraction: 10}
-	if len(Check(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
+	config = baseConfig(1)
+	config.Server.Queue = 10000
+	config.Surge, config.SurgeFrom, config.SurgeTo = 10, 20*time.Second, 30*time.Second
+	config.Policy = plan.Policy{QueueFraction: 10}
+	if len(Check(config, Run(config), maxPeak, 45*time.Second)) == 0 {
 		t.Error("servers without a cap were not seen to be flooded")
 	}
-	cfg = today(1)
+	config = baseConfig(1)
 	for i := range 18 {
-		cfg.Faults = append(cfg.Faults, crash(30, i))
+		config.Faults = append(config.Faults, crash(30, i))
 	}
-	if len(Check(cfg, Run(cfg), mostPeak, 45*time.Second)) == 0 {
+	if len(Check(config, Run(config), maxPeak, 45*time.Second)) == 0 {
 		t.Error("a fleet without servers was not seen to serve nothing")
 	}
 }
 
-func TestAffinityPays(t *testing.T) {
+func TestAffinityBeatsBaselines(t *testing.T) {
 	for _, rate := range []float64{60, 150} {
 		for _, seed := range seeds(2) {
 			results := map[route.Strategy]Result{}
 			for _, strategy := range []route.Strategy{route.Affinity, route.RoundRobin, route.LeastLoaded} {
-				cfg := today(seed)
-				cfg.Strategy, cfg.Rate = strategy, rate
-				results[strategy] = Run(cfg)
+				config := baseConfig(seed)
+				config.Strategy, config.Rate = strategy, rate
+				results[strategy] = Run(config)
 				t.Logf("%.0f/s seed %d %s: %v", rate, seed, strategy, results[strategy])
 			}
 			for _, base := range []route.Strategy{route.RoundRobin, route.LeastLoaded} {
 				a, b := results[route.Affinity], results[base]
-				if a.HitShare() <= b.HitShare() || a.Quantile(0.5) > b.Quantile(0.5) || a.Quantile(0.95) >= b.Quantile(0.95) || a.Served < b.Served {
+				if a.HitRatio() <= b.HitRatio() || a.Quantile(0.5) > b.Quantile(0.5) || a.Quantile(0.95) >= b.Quantile(0.95) || a.Served < b.Served {
 					t.Errorf("%.0f/s seed %d: affinity %v, %s %v", rate, seed, a, base, b)
 				}
 			}
@@ -157,9 +157,9 @@
 }
 
 func TestEqualRunsAreEqual(t *testing.T) {
-	cfg := today(1)
-	cfg.Faults = []Fault{crash(20, 3), cold(30, 3)}
-	if !reflect.DeepEqual(Run(cfg), Run(cfg)) {
+	config := baseConfig(1)
+	config.Faults = []Fault{crash(20, 3), cold(30, 3)}
+	if !reflect.DeepEqual(Run(config), Run(config)) {
 		t.Error("equal runs differ")
 	}
 }
--- a/sim/route/server.go
+++ b/sim/route/server.go
@@ -1,6 +1,7 @@
 package route
 
 import (
+	"cmp"
 	"container/list"
 	"slices"
 	"time"
@@ -8,199 +9,279 @@
 	"stepwick/internal/wire"
 )
 
-// server is a model server in virtual time: one prefill at a time, decode in a
-// batch, prefixes in a KV cache of bounded tokens, the least recently
-// used evicted first.
+// firstCap is the bound of a server's requests in flight at the begin of slow start.
+const firstCap = 2
+
+// ServerConfig configures the model servers.
+type ServerConfig struct {
+	Slots            int     // requests that decode at once
+	Queue            int     // requests that wait for a slot
+	Prefill          float64 // prompt tokens a second
+	Decode           float64 // tokens a second over the batch
+	DecodePerRequest float64 // tokens a second for one request at most
+	CacheTokens      int     // size of the KV cache
+
+	// Until a server has given ColdAnswers answers after a restart it works at the
+	// fraction ColdSpeed of its speed.
+	ColdAnswers uint64
+	ColdSpeed   float64
+}
+
+// ServerReport counts the requests of one server.
+type ServerReport struct {
+	Server        string
+	Peak          int // most requests in flight
+	PeakCold      int // most in flight during slow start after a restart
+	OverSlowStart int // arrivals beyond the bound of slow start
+	MaxExcess     int // most requests by which that bound was exceeded
+	Busy          int
+	Served        int
+	Hits          int
+	Misses        int
+}
+
+// server is a model server in virtual time: one prefill at a time, decode in a batch.
 type server struct {
-	name, region, zone string
-	cfg                ServerConfig
-	sim                *sim
+	name   string
+	region string
+	zone   string
+	config ServerConfig
+	run    *run
+	report ServerReport
 
-	up, listed  bool
+	up          bool
+	draining    bool
 	incarnation uint64
 	answered    uint64
-	warmAfter   uint64
-	draining    bool
-	running     map[*call]bool
-	queue       []*call
+	warmAfter   uint64 // answers
 	prefillFree time.Duration
-	cache       map[uint64]*list.Element
-	recent      *list.List
-	cached      int
+	cache       prefixCache
+	inFlight    map[*request]bool
+	decoding    map[*request]bool // have a slot, as a part of inFlight
+	queue       []*request
+}
 
-	inFlight map[*call]bool
-	report   ServerReport
+func newServer(r *run, name, region, zone string) *server {
+	s := &server{
+		name:     name,
+		region:   region,
+		zone:     zone,
+		config:   r.Server,
+		run:      r,
+		inFlight: map[*request]bool{},
+		report:   ServerReport{Server: name},
+	}
+	s.boot(0)
+	return s
 }
 
-type cachedPrefix struct {
-	prefix uint64
-	tokens int
+// boot starts a new incarnation that is cold for a number of answers.
+func (s *server) boot(coldAnswers uint64) {
+	s.up = true
+	s.incarnation++
+	s.answered = 0
+	s.warmAfter = coldAnswers
+	s.decoding = map[*request]bool{}
+	s.queue = nil
+	s.prefillFree = 0
+	s.cache = newPrefixCache(s.config.CacheTokens)
 }
 
-// ServerConfig is a model server's size: Slots requests decode at once and
-// Queue more wait; Prefill is prompt tokens a second, Decode tokens a second
-// over the batch and PerCall for one request; KV is the cache in tokens. Until a
-// server has given ColdCalls answers it works at ColdPace of its speed.
-type ServerConfig struct {
-	Slots, Queue    int
-	Prefill, Decode float64
-	PerCall         float64
-	KV              int
-	ColdCalls       uint64
-	ColdPace        float64
+func (s *server) cold() bool { return s.answered < s.warmAfter }
+
+// speed returns the fraction of its speed that the server works at.
+func (s *server) speed() float64 {
+	if s.cold() {
+		return s.config.ColdSpeed
+	}
+	return 1
 }
 
-// ServerReport counts the requests of one server.
-type ServerReport struct {
-	Server       string
-	Peak         int // most requests in flight
-	PeakCold     int // most in flight during slow start after a restart
-	Over         int // arrivals beyond the bound of slow start
-	Excess       int // most requests by which that bound was exceeded
-	Busy, Served int
-	Hits, Misses int
-}
-
-func newServer(s *sim, name, region, zone string, cfg ServerConfig) *server {
-	v := &server{name: name, region: region, zone: zone, cfg: cfg, sim: s, inFlight: map[*call]bool{}}
-	v.report.Server = name
-	v.boot(0)
-	return v
-}
-
-func (v *server) boot(cold uint64) {
-	v.up, v.listed, v.answered, v.warmAfter = true, true, 0, cold
-	v.incarnation++
-	v.running, v.queue, v.prefillFree = map[*call]bool{}, nil, 0
-	v.cache, v.recent, v.cached = map[uint64]*list.Element{}, list.New(), 0
-}
-
-func (v *server) status() *wire.ServerStatus {
-	status := &wire.ServerStatus{Name: v.name, Address: v.name, Kind: "model", Services: []string{"chat"}, Region: v.region, Zone: v.zone,
-		State: wire.ServerState_SERVER_STATE_READY, Incarnation: v.incarnation, Slots: uint32(v.cfg.Slots), Running: uint32(len(v.running)),
-		Queued: uint32(len(v.queue)), TokensPerSecond: v.cfg.Decode, PrefillPerSecond: v.cfg.Prefill,
-		KvUsed: float64(v.cached) / float64(v.cfg.KV), Reachable: true, Answered: v.answered}
+func (s *server) status() *wire.ServerStatus {
+	status := &wire.ServerStatus{
+		Name:             s.name,
+		Address:          s.name,
+		Kind:             "model",
+		Services:         []string{service},
+		Region:           s.region,
+		Zone:             s.zone,
+		State:            wire.ServerState_SERVER_STATE_READY,
+		Incarnation:      s.incarnation,
+		Slots:            uint32(s.config.Slots),
+		Running:          uint32(len(s.decoding)),
+		Queued:           uint32(len(s.queue)),
+		TokensPerSecond:  s.config.Decode,
+		PrefillPerSecond: s.config.Prefill,
+		KvUsed:           float64(s.cache.tokens) / float64(s.config.CacheTokens),
+		Reachable:        true,
+		Answered:         s.answered,
+	}
 	switch {
-	case !v.up:
-		status.State, status.Reachable = wire.ServerState_SERVER_STATE_GONE, false
-	case v.draining:
+	case !s.up:
+		status.State = wire.ServerState_SERVER_STATE_GONE
+		status.Reachable = false
+	case s.draining:
 		status.State = wire.ServerState_SERVER_STATE_DRAINING
-	case v.answered < v.warmAfter:
+	case s.cold():
 		status.State = wire.ServerState_SERVER_STATE_COLD
 	}
 	return status
 }
 
-func (v *server) arrive(c *call) {
-	if !v.up {
-		v.sim.finishAttempt(c, c.attempt, refused)
+func (s *server) receive(req *request) {
+	if !s.up {
+		s.run.finishAttempt(req, req.attempt.number, refused)
 		return
 	}
-	if len(v.running) >= v.cfg.Slots && len(v.queue) >= v.cfg.Queue {
-		v.report.Busy++
-		v.sim.finishAttempt(c, c.attempt, busy)
+	if len(s.decoding) >= s.config.Slots && len(s.queue) >= s.config.Queue {
+		s.report.Busy++
+		s.run.finishAttempt(req, req.attempt.number, busy)
 		return
 	}
-	v.inFlight[c] = true
-	v.countInFlight()
-	v.queue = append(v.queue, c)
-	v.admit()
+	s.inFlight[req] = true
+	s.countInFlight()
+	s.queue = append(s.queue, req)
+	s.startQueued()
 }
 
 // countInFlight compares the requests in flight to the bounds of slow start.
-func (v *server) countInFlight() {
-	n := len(v.inFlight)
-	v.report.Peak = max(v.report.Peak, n)
-	if v.incarnation > 1 && v.answered < uint64(v.cfg.Slots) {
-		v.report.PeakCold = max(v.report.PeakCold, n)
-	}
-	if allowed := rampStart + int(v.answered); v.answered < uint64(v.cfg.Slots) && n > allowed {
-		v.report.Over++
-		v.report.Excess = max(v.report.Excess, n-allowed)
-	}
-}
-
-// admit starts queued requests while there are free slots.
-func (v *server) admit() {
-	for len(v.queue) > 0 && len(v.running) < v.cfg.Slots {
-		c := v.queue[0]
-		v.queue = v.queue[1:]
-		v.running[c] = true
-		pace := 1.0
-		if v.answered < v.warmAfter {
-			pace = v.cfg.ColdPace
+func (s *server) countInFlight() {
+	count := len(s.inFlight)
+	s.report.Peak = max(s.report.Peak, count)
+	if s.answered >= uint64(s.config.Slots) {
+		return
+	}
+	if s.incarnation > 1 {
+		s.report.PeakCold = max(s.report.PeakCold, count)
+	}
+	if allowed := firstCap + int(s.answered); count > allowed {
+		s.report.OverSlowStart++
+		s.report.MaxExcess = max(s.report.MaxExcess, count-allowed)
+	}
+}
+
+// startQueued starts queued requests while there are free slots.
+func (s *server) startQueued() {
+	for len(s.queue) > 0 && len(s.decoding) < s.config.Slots {
+		req := s.queue[0]
+		s.queue = s.queue[1:]
+		s.decoding[req] = true
+		s.start(req)
+	}
+}
+
+// start schedules the first token and the end of a request.
+func (s *server) start(req *request) {
+	s.prefillFree = max(s.prefillFree, s.run.now) + seconds(s.prefillTokens(req)/(s.config.Prefill*s.speed()))
+	decodeRate := min(s.config.DecodePerRequest, s.config.Decode/float64(len(s.decoding))) * s.speed()
+	firstToken := s.prefillFree + seconds(1/decodeRate)
+	incarnation, number := s.incarnation, req.attempt.number
+	s.run.at(firstToken, func() {
+		if s.up && s.incarnation == incarnation {
+			s.run.receiveFirstToken(req, number)
 		}
-		work := float64(c.session)
-		if v.lookUpPrefix(c.prefix, c.prefixTokens) {
-			v.report.Hits++
-		} else {
-			v.report.Misses++
-			work += float64(c.prefixTokens)
+	})
+	s.run.at(firstToken+seconds(float64(req.outputTokens)/decodeRate), func() {
+		if s.up && s.incarnation == incarnation {
+			s.finish(req, number)
 		}
-		v.prefillFree = max(v.prefillFree, v.sim.now) + seconds(work/(v.cfg.Prefill*pace))
-		rate := min(v.cfg.PerCall, v.cfg.Decode/float64(len(v.running))) * pace
-		first := v.prefillFree + seconds(1/rate)
-		incarnation, attempt := v.incarnation, c.attempt
-		v.sim.at(first, func() {
-			if v.up && v.incarnation == incarnation {
-				v.sim.firstToken(c, attempt)
-			}
-		})
-		v.sim.at(first+seconds(float64(c.output)/rate), func() {
-			if v.up && v.incarnation == incarnation {
-				v.finish(c, attempt)
-			}
-		})
-	}
-}
-
-func (v *server) cancel(c *call) bool {
-	if !v.inFlight[c] {
+	})
+}
+
+// prefillTokens returns the tokens of a request's prompt that are not cached.
+func (s *server) prefillTokens(req *request) float64 {
+	if s.cache.lookUpOrAdd(req.prefix, req.prefixTokens) {
+		s.report.Hits++
+		return float64(req.sessionTokens)
+	}
+	s.report.Misses++
+	return float64(req.sessionTokens) + float64(req.prefixTokens)
+}
+
+// cancel ends a request and reports whether it was in flight.
+func (s *server) cancel(req *request) bool {
+	if !s.inFlight[req] {
 		return false
 	}
-	delete(v.inFlight, c)
-	delete(v.running, c)
-	v.queue = slices.DeleteFunc(v.queue, func(q *call) bool { return q == c })
-	v.admit()
+	delete(s.inFlight, req)
+	delete(s.decoding, req)
+	s.queue = slices.DeleteFunc(s.queue, func(queued *request) bool { return queued == req })
+	s.startQueued()
 	return true
 }
 
-func (v *server) finish(c *call, attempt int) {
-	if !v.running[c] {
+func (s *server) finish(req *request, number int) {
+	if !s.decoding[req] {
 		return
 	}
-	delete(v.running, c)
-	delete(v.inFlight, c)
-	v.answered++
-	v.report.Served++
-	v.sim.finishAttempt(c, attempt, answered)
-	v.admit()
+	delete(s.decoding, req)
+	delete(s.inFlight, req)
+	s.answered++
+	s.report.Served++
+	s.run.finishAttempt(req, number, answered)
+	s.startQueued()
 }
 
-// lookUpPrefix reports whether a prefix is cached, and caches it if not.
-func (v *server) lookUpPrefix(prefix uint64, tokens int) bool {
-	if e := v.cache[prefix]; e != nil {
-		v.recent.MoveToFront(e)
+// crash ends the process and interrupts all of its requests.
+func (s *server) crash() {
+	s.up = false
+	lost := s.inFlight
+	s.inFlight = map[*request]bool{}
+	s.decoding = map[*request]bool{}
+	s.queue = nil
+	for _, req := range sortedByID(lost) {
+		s.run.finishAttempt(req, req.attempt.number, interrupted)
+	}
+}
+
+func sortedByID(requests map[*request]bool) []*request {
+	var sorted []*request
+	for req := range requests {
+		sorted = append(sorted, req)
+	}
+	slices.SortFunc(sorted, func(a, b *request) int { return cmp.Compare(a.id, b.id) })
+	return sorted
+}
+
+// prefixCache is a KV cache of a bounded number of tokens that evicts the least
+// recently used prefix first.
+type prefixCache struct {
+	maxTokens int
+	tokens    int
+	entries   map[uint64]*list.Element
+	recent    *list.List // of cachedPrefix, the most recently used first
+}
+
+type cachedPrefix struct {
+	prefix uint64
+	tokens int
+}
+
+func newPrefixCache(maxTokens int) prefixCache {
+	return prefixCache{
+		maxTokens: maxTokens,
+		entries:   map[uint64]*list.Element{},
+		recent:    list.New(),
+	}
+}
+
+// lookUpOrAdd reports whether a prefix is cached, and adds it if not.
+func (c *prefixCache) lookUpOrAdd(prefix uint64, tokens int) bool {
+	if entry := c.entries[prefix]; entry != nil {
+		c.recent.MoveToFront(entry)
 		return true
 	}
-	for v.cached+tokens > v.cfg.KV && v.recent.Len() > 0 {
-		last := v.recent.Back()
-		v.recent.Remove(last)
-		evicted := last.Value.(cachedPrefix)
-		delete(v.cache, evicted.prefix)
-		v.cached -= evicted.tokens
+	for c.tokens+tokens > c.maxTokens && c.recent.Len() > 0 {
+		c.evict(c.recent.Back())
 	}
-	v.cache[prefix] = v.recent.PushFront(cachedPrefix{prefix, tokens})
-	v.cached += tokens
+	c.entries[prefix] = c.recent.PushFront(cachedPrefix{prefix, tokens})
+	c.tokens += tokens
 	return false
 }
 
-// crash ends the process and interrupts all of its requests.
-func (v *server) crash() {
-	v.up = false
-	lost := v.inFlight
-	v.inFlight, v.running, v.queue = map[*call]bool{}, map[*call]bool{}, nil
-	for _, c := range v.sim.inOrder(lost) {
-		v.sim.finishAttempt(c, c.attempt, interrupted)
-	}
+func (c *prefixCache) evict(entry *list.Element) {
+	c.recent.Remove(entry)
+	evicted := entry.Value.(cachedPrefix)
+	delete(c.entries, evicted.prefix)
+	c.tokens -= evicted.tokens
 }
