--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -84,7 +84,7 @@
 type Views interface {
 	View() *follower.View
 	Changed() <-chan struct{}
-	Ruling() bool
+	HasAuthority() bool
 	FleetNow() time.Time
 }
 
@@ -105,7 +105,7 @@
 	dispatch *dispatcher
 	suspects *suspects
 	metrics  *metrics
-	bodies   *stage.Budget
+	bodies   *stage.ByteBudget
 
 	ruled    atomic.Bool  // has been seen to rule since its start
 	leaving  atomic.Bool  // not ready any more
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	g = &Gateway{config: config, dialect: dialect, views: views, admitter: admitter, clock: clock, log: log,
-		metrics: metrics, bodies: stage.NewBudget(config.BodiesMax), started: clock.Now()}
+		metrics: metrics, bodies: stage.NewByteBudget(config.BodiesMax), started: clock.Now()}
 	g.client = upstream.New(config.Upstream)
 	g.suspects = newSuspects(config.Observe, clock, g.client)
 	g.dispatch = newDispatcher(balance.New(config.Balance), views, clock, log, g.client, g.suspects, config.Balance.Off)
@@ -159,7 +159,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	err := server.Serve(listen.Bounded(listener, g.config.Connections))
+	err := server.Serve(listen.LimitConnections(listener, g.config.Connections))
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -176,7 +176,7 @@
 
 // rules tells whether this node may decide on a request now.
 func (g *Gateway) rules() *apierror.Error {
-	if !g.views.Ruling() {
+	if !g.views.HasAuthority() {
 		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(notRulingPause)
 	}
 	if g.views.View().State.Sheet == nil {
