--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -114,14 +114,14 @@
 	}, p.directory, p.clock, p.log)
 }
 
-func (p *process) newQuota(registry *prometheus.Registry) (*quotasync.Spend, error) {
+func (p *process) newQuota(registry *prometheus.Registry) (*quotasync.Service, error) {
 	return quotasync.New(quotasync.Config{
-		Self:        p.identity.Name,
-		Incarnation: p.identity.Incarnation,
-		Metrics:     registry,
-		HoldFor:     p.values.Duration("tally.hold"),
-		Silent:      func() []string { return p.follower.View().Unresponsive },
-		Tally: quota.Config{
+		Self:         p.identity.Name,
+		Incarnation:  p.identity.Incarnation,
+		Metrics:      registry,
+		QueueTimeout: p.values.Duration("tally.hold"),
+		Unresponsive: func() []string { return p.follower.View().Unresponsive },
+		Quota: quota.Config{
 			Window:   p.values.Duration("quota_window"),
 			Slices:   p.values.Int("quota_slices"),
 			Interval: p.values.Duration("tally.interval"),
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -129,14 +129,14 @@
 }
 
 func (a *Admission) tally(decision quota.Decision) {
-	a.Passed, a.Marked = decision.Pass, decision.Marked
-	a.Blend, a.Prev, a.Cur, a.Recent, a.Limit = decision.Blend, decision.Prev, decision.Cur, decision.Recent, decision.Limit
+	a.Passed, a.Marked = decision.Allowed, decision.OverLimit
+	a.Blend, a.Prev, a.Cur, a.Recent, a.Limit = decision.Estimate, decision.Previous, decision.Current, decision.Recent, decision.Limit
 }
 
 func routingOf(choice route.Choice, waited time.Duration) *Routing {
 	r := &Routing{Server: choice.Server, Region: choice.Region, WaitedMS: inMS(waited)}
-	if choice.Fault != nil {
-		r.Fault = choice.Fault.Error()
+	if choice.Err != nil {
+		r.Fault = choice.Err.Error()
 	}
 	for _, c := range choice.Candidates[:min(len(choice.Candidates), candidatesKept)] {
 		r.Candidates = append(r.Candidates, Candidate{c.Server, c.Score, c.Excluded})
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -57,7 +57,7 @@
 
 // Tuned is what a sheet can set at run time. Zero or nil leaves a value as it is.
 type Tuned struct {
-	Route           *route.Knobs
+	Route           *route.RuntimeConfig
 	DeadlineMax     time.Duration
 	DeadlineDefault time.Duration
 }
@@ -71,7 +71,7 @@
 
 // Admitter decides by the shared tally whether a tenant may spend tokens.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, patience time.Duration) quota.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Allowance, patience time.Duration) quota.Decision
 }
 
 // Front serves callers.
@@ -164,7 +164,7 @@
 	tuned := f.config.Tune(sheet.Settings)
 	f.api.Tune(tuned.DeadlineMax, tuned.DeadlineDefault)
 	if tuned.Route != nil {
-		table.Tune(*tuned.Route)
+		table.Reconfigure(*tuned.Route)
 	}
 	if changed {
 		f.log.Emit(events.SettingsChanged, "settings", fmt.Sprint(f.tuned))
