--- a/internal/decision/route/affinity.go
+++ b/internal/decision/route/affinity.go
@@ -26,10 +26,10 @@
 
 // pickByAffinity implements Affinity: it ranks the servers of some groups for the
 // request's key.
-func (s *selection) pickByAffinity(p *pool) (chosen *server, found availability) {
-	for i := range min(len(p.groups), maxGroupsTried) {
-		group := p.groups[(mix(s.key)+uint64(i))&uint64(len(p.groups)-1)]
-		server, foundHere := s.pickInGroup(p, group)
+func (s *selection) pickByAffinity(pool *pool) (chosen *server, found availability) {
+	for i := range min(len(pool.groups), maxGroupsTried) {
+		group := pool.groups[(mix(s.key)+uint64(i))&uint64(len(pool.groups)-1)]
+		server, foundHere := s.pickInGroup(pool, group)
 		if server != nil {
 			return server, available
 		}
@@ -42,12 +42,12 @@
 // or else the least loaded of the holders, or else any server that is mostly idle. When
 // all are busy the request waits for its holders: a prefix spread over all servers
 // would evict others from their caches, and the misses would keep the servers busy.
-func (s *selection) pickInGroup(p *pool, group []*server) (*server, availability) {
+func (s *selection) pickInGroup(pool *pool, group []*server) (*server, availability) {
 	if s.request.Prefix == 0 {
 		return s.leastLoaded(group, considerAllPreferZone)
 	}
 	var holders [maxCandidates]*server
-	chosen, count := s.pickHolder(p, group, &holders)
+	chosen, count := s.pickHolder(pool, group, &holders)
 	if chosen != nil {
 		return chosen, available
 	}
@@ -64,11 +64,11 @@
 
 // pickHolder returns the first holder of the prefix that isn't overloaded. Otherwise
 // it returns nil and fills in the holders.
-func (s *selection) pickHolder(p *pool, group []*server, holders *[maxCandidates]*server) (chosen *server, count int) {
+func (s *selection) pickHolder(pool *pool, group []*server, holders *[maxCandidates]*server) (chosen *server, count int) {
 	var ranked [maxCandidates]rankedServer
 	rankedCount := rankServers(s.key, group, &ranked)
-	mean := p.meanLoad()
-	wanted := s.table.popularity.holders(s.request.Prefix, p.size)
+	mean := pool.meanLoad()
+	wanted := s.table.popularity.holders(s.request.Prefix, pool.size)
 	for i := 0; i < rankedCount && count < wanted; i++ {
 		server, score := ranked[i].server, ranked[i].score
 		reason := s.exclusion(server)
--- a/internal/decision/route/capacity.go
+++ b/internal/decision/route/capacity.go
@@ -44,12 +44,12 @@
 	return int(min(count, maxCountedAnswers))
 }
 
-func (t *Table) updateCap(s *server) {
-	next := s.capacity.limit(s.status.Answered, t.config.Policy.SlowStartCap)
-	for _, pool := range s.pools {
-		pool.cap += next - s.capacity.cap
+func (t *Table) updateCap(server *server) {
+	next := server.capacity.limit(server.status.Answered, t.config.Policy.SlowStartCap)
+	for _, pool := range server.pools {
+		pool.cap += next - server.capacity.cap
 	}
-	s.capacity.cap = next
+	server.capacity.cap = next
 }
 
 // borrowing is the part of a server's cap that a front uses beyond its share.
@@ -64,34 +64,34 @@
 // proportion to what they have in flight; the others return half of what they don't
 // use. The limits of all fronts add up to no more than three caps, and to the cap
 // itself during slow start.
-func (t *Table) adjustBorrowing(s *server) {
-	share := t.share(s)
-	free := s.capacity.cap - s.load.own - s.load.others
-	wasLimited := s.borrowing.limited
-	s.borrowing.limited = s.borrowing.requested && s.load.own >= t.limit(s, share)
-	s.borrowing.requested = false
+func (t *Table) adjustBorrowing(server *server) {
+	share := t.share(server)
+	free := server.capacity.cap - server.load.own - server.load.others
+	wasLimited := server.borrowing.limited
+	server.borrowing.limited = server.borrowing.requested && server.load.own >= t.limit(server, share)
+	server.borrowing.requested = false
 	switch {
-	case s.capacity.inSlowStart():
-		s.borrowing.extra = 0
-	case free > 0 && s.borrowing.limited && wasLimited:
-		gain := float64(free) / 2 * float64(s.load.own) / float64(max(1, s.load.total()))
-		s.borrowing.extra = min(s.borrowing.extra+gain, float64(s.capacity.cap))
+	case server.capacity.inSlowStart():
+		server.borrowing.extra = 0
+	case free > 0 && server.borrowing.limited && wasLimited:
+		gain := float64(free) / 2 * float64(server.load.own) / float64(max(1, server.load.total()))
+		server.borrowing.extra = min(server.borrowing.extra+gain, float64(server.capacity.cap))
 	default:
-		s.borrowing.extra = max(float64(s.load.own-share), s.borrowing.extra/2, 0)
+		server.borrowing.extra = max(float64(server.load.own-share), server.borrowing.extra/2, 0)
 	}
 }
 
 // limit returns the requests that this front may have in flight at a server.
-func (t *Table) limit(s *server, share int) int {
-	return min(share+int(s.borrowing.extra), s.capacity.cap)
+func (t *Table) limit(server *server, share int) int {
+	return min(share+int(server.borrowing.extra), server.capacity.cap)
 }
 
 // share returns the part of a server's cap that is this front's alone. The shares of
 // all fronts add up to the cap: the remainder goes to the fronts that rank first.
-func (t *Table) share(s *server) int {
+func (t *Table) share(server *server) int {
 	fronts := len(t.fronts)
-	share, remainder := s.capacity.cap/fronts, s.capacity.cap%fronts
-	if remainder > 0 && t.rank(s) < remainder {
+	share, remainder := server.capacity.cap/fronts, server.capacity.cap%fronts
+	if remainder > 0 && t.rank(server) < remainder {
 		share++
 	}
 	return share
@@ -104,15 +104,15 @@
 	rank    int
 }
 
-func (t *Table) rank(s *server) int {
-	if s.rank.version != t.frontsVersion {
-		own := mix(t.self ^ s.hash)
-		s.rank = cachedRank{version: t.frontsVersion}
+func (t *Table) rank(server *server) int {
+	if server.rank.version != t.frontsVersion {
+		own := mix(t.self ^ server.hash)
+		server.rank = cachedRank{version: t.frontsVersion}
 		for _, front := range t.fronts {
-			if mix(front^s.hash) > own {
-				s.rank.rank++
+			if mix(front^server.hash) > own {
+				server.rank.rank++
 			}
 		}
 	}
-	return s.rank.rank
+	return server.rank.rank
 }
--- a/internal/decision/route/durations.go
+++ b/internal/decision/route/durations.go
@@ -65,17 +65,17 @@
 // firstEventTimeout returns a bound of the time to the first event: several times the
 // mean, and twice what the server takes to prefill all that it may have in flight, as
 // if each request were like this one and none in its cache, and to free a slot.
-func (t *Table) firstEventTimeout(s *server, req *Request) time.Duration {
-	if s.status.PrefillPerSecond <= 0 || req.Tokens <= 0 {
+func (t *Table) firstEventTimeout(server *server, req *Request) time.Duration {
+	if server.status.PrefillPerSecond <= 0 || req.Tokens <= 0 {
 		return 0
 	}
-	ahead := max(s.load.total(), int(s.status.Running+s.status.Queued)) + 1
-	seconds := float64(ahead) * req.Tokens / s.status.PrefillPerSecond
-	if s.status.State == wire.ServerState_SERVER_STATE_COLD {
+	ahead := max(server.load.total(), int(server.status.Running+server.status.Queued)) + 1
+	seconds := float64(ahead) * req.Tokens / server.status.PrefillPerSecond
+	if server.status.State == wire.ServerState_SERVER_STATE_COLD {
 		seconds *= coldPrefillSlowFactor
 	}
 	explained := firstEventLoadFactor * seconds * float64(time.Second)
-	if ahead > int(s.status.Slots) {
+	if ahead > int(server.status.Slots) {
 		explained += float64(t.expectedDuration(req, firstEventLoadFactor))
 	}
 	if mean := t.firstEvents[req.Service]; mean != nil {
--- a/internal/decision/route/pool.go
+++ b/internal/decision/route/pool.go
@@ -74,23 +74,23 @@
 }
 
 // pick returns a server of a pool, or nil and what the pool has instead.
-func (s *selection) pick(p *pool) (*server, availability) {
+func (s *selection) pick(pool *pool) (*server, availability) {
 	switch s.table.config.Strategy {
 	case RoundRobin:
-		return s.pickNext(p)
+		return s.pickNext(pool)
 	case LeastLoaded:
-		return s.pickLeastLoaded(p)
+		return s.pickLeastLoaded(pool)
 	}
-	return s.pickByAffinity(p)
+	return s.pickByAffinity(pool)
 }
 
 // pickNext implements RoundRobin.
-func (s *selection) pickNext(p *pool) (*server, availability) {
+func (s *selection) pickNext(pool *pool) (*server, availability) {
 	found := noServer
-	for range p.size {
-		index := p.cursor % p.size
-		p.cursor = index + 1
-		server := p.server(index)
+	for range pool.size {
+		index := pool.cursor % pool.size
+		pool.cursor = index + 1
+		server := pool.server(index)
 		reason := s.exclusion(server)
 		s.consider(server, 0, reason)
 		if reason == "" {
@@ -104,8 +104,8 @@
 }
 
 // pickLeastLoaded implements LeastLoaded.
-func (s *selection) pickLeastLoaded(p *pool) (chosen *server, found availability) {
-	for _, group := range p.groups {
+func (s *selection) pickLeastLoaded(pool *pool) (chosen *server, found availability) {
+	for _, group := range pool.groups {
 		server, foundHere := s.leastLoaded(group, considerChosen)
 		found = max(found, foundHere)
 		if server != nil && (chosen == nil || server.relativeLoad() < chosen.relativeLoad()) {
--- a/internal/decision/route/server.go
+++ b/internal/decision/route/server.go
@@ -70,77 +70,77 @@
 func (s *server) isCold() bool { return s.status.State == wire.ServerState_SERVER_STATE_COLD }
 
 // updateServer applies a status and reports whether the pools have to be rebuilt.
-func (t *Table) updateServer(s *server, status *wire.ServerStatus) bool {
-	old, priorExclusion := s.status, s.excluded
-	s.status = status
-	s.excluded = plan.ExclusionReason(t.view.State, status)
-	s.capacity.full = t.config.Policy.FullCap(status)
-	t.restartSlowStart(s, old, priorExclusion)
+func (t *Table) updateServer(server *server, status *wire.ServerStatus) bool {
+	old, priorExclusion := server.status, server.excluded
+	server.status = status
+	server.excluded = plan.ExclusionReason(t.view.State, status)
+	server.capacity.full = t.config.Policy.FullCap(status)
+	t.restartSlowStart(server, old, priorExclusion)
 	if old != nil && status.Answered > old.Answered {
-		s.ejection.timeouts = 0
+		server.ejection.timeouts = 0
 	}
-	t.updateCap(s)
+	t.updateCap(server)
 	if status != old {
-		t.setLoad(s, s.load.own, s.load.othersIn(status))
-		s.load.startPeriod()
-		t.adjustBorrowing(s)
+		t.setLoad(server, server.load.own, server.load.othersIn(status))
+		server.load.startPeriod()
+		t.adjustBorrowing(server)
 	}
-	return priorExclusion != s.excluded || old == nil || old.Region != status.Region || !slices.Equal(old.Services, status.Services)
+	return priorExclusion != server.excluded || old == nil || old.Region != status.Region || !slices.Equal(old.Services, status.Services)
 }
 
 // restartSlowStart restarts the slow start of a server that has restarted, turned cold
 // or returned.
-func (t *Table) restartSlowStart(s *server, old *wire.ServerStatus, priorExclusion string) {
-	status := s.status
+func (t *Table) restartSlowStart(server *server, old *wire.ServerStatus, priorExclusion string) {
+	status := server.status
 	switch {
 	case old == nil:
-		if s.isCold() && status.Answered >= uint64(s.capacity.full) {
-			s.capacity.answeredBase = status.Answered
+		if server.isCold() && status.Answered >= uint64(server.capacity.full) {
+			server.capacity.answeredBase = status.Answered
 		}
 	case status.Incarnation != old.Incarnation && status.Incarnation != 0:
-		s.capacity.restart(0, 0)
-		s.capacity.plannedAnswered = 0
-		s.borrowing.extra = 0
-		s.ejection.end()
-		s.ejection.recovering = false
-	case s.isCold() && old.State != wire.ServerState_SERVER_STATE_COLD:
-		s.capacity.restart(status.Answered, 0)
-		s.borrowing.extra = 0
-	case priorExclusion != "" && s.excluded == "":
-		s.capacity.restart(status.Answered, t.config.Policy.RecoveryCap(s.capacity.full))
-		s.borrowing.extra = 0
+		server.capacity.restart(0, 0)
+		server.capacity.plannedAnswered = 0
+		server.borrowing.extra = 0
+		server.ejection.end()
+		server.ejection.recovering = false
+	case server.isCold() && old.State != wire.ServerState_SERVER_STATE_COLD:
+		server.capacity.restart(status.Answered, 0)
+		server.borrowing.extra = 0
+	case priorExclusion != "" && server.excluded == "":
+		server.capacity.restart(status.Answered, t.config.Policy.RecoveryCap(server.capacity.full))
+		server.borrowing.extra = 0
 	}
 }
 
-func (t *Table) setLoad(s *server, own, others int) {
-	for _, pool := range s.pools {
-		pool.load += own + others - s.load.total()
+func (t *Table) setLoad(server *server, own, others int) {
+	for _, pool := range server.pools {
+		pool.load += own + others - server.load.total()
 	}
-	s.load.own = own
-	s.load.others = others
-	s.load.minOwn = min(s.load.minOwn, own)
+	server.load.own = own
+	server.load.others = others
+	server.load.minOwn = min(server.load.minOwn, own)
 }
 
 // unavailableFor returns why a server can take no request of this front now, or "".
-func (t *Table) unavailableFor(s *server, now time.Time) string {
-	if s.ejection.active() {
-		return s.ejection.reason(now)
+func (t *Table) unavailableFor(server *server, now time.Time) string {
+	if server.ejection.active() {
+		return server.ejection.reason(now)
 	}
-	if now.Before(s.busyUntil) {
+	if now.Before(server.busyUntil) {
 		return ReportedBusy
 	}
-	if s.ejection.recovering && s.load.own > s.ejection.recoveryAnswers {
+	if server.ejection.recovering && server.load.own > server.ejection.recoveryAnswers {
 		return AtCap
 	}
-	share := t.share(s)
-	if s.load.own < share {
+	share := t.share(server)
+	if server.load.own < share {
 		return ""
 	}
-	s.borrowing.requested = true
-	if s.load.own < t.limit(s, share) && s.load.total() < s.capacity.cap {
+	server.borrowing.requested = true
+	if server.load.own < t.limit(server, share) && server.load.total() < server.capacity.cap {
 		return ""
 	}
-	if share == 0 && s.load.own == 0 && s.borrowing.extra < 1 {
+	if share == 0 && server.load.own == 0 && server.borrowing.extra < 1 {
 		return NoShare
 	}
 	return AtCap
@@ -148,12 +148,12 @@
 
 // Started counts a request in flight at the chosen server.
 func (t *Table) Started(name string) {
-	s := t.servers[name]
-	if s == nil {
+	server := t.servers[name]
+	if server == nil {
 		return
 	}
-	s.ejection.requestStarted()
-	t.setLoad(s, s.load.own+1, s.load.others)
+	server.ejection.requestStarted()
+	t.setLoad(server, server.load.own+1, server.load.others)
 }
 
 // Finished ends a request that Started counted. An answer raises the cap during slow
@@ -161,56 +161,56 @@
 // time-outs in a row over a second, unless the server has answered others meanwhile:
 // then it is slow, not down.
 func (t *Table) Finished(name string, outcome Outcome, now time.Time) {
-	s := t.servers[name]
-	if s == nil {
+	server := t.servers[name]
+	if server == nil {
 		return
 	}
-	t.setLoad(s, max(0, s.load.own-1), s.load.others)
+	t.setLoad(server, max(0, server.load.own-1), server.load.others)
 	t.queue.unserved = true
-	s.ejection.requestFinished()
+	server.ejection.requestFinished()
 	t.recordDurations(outcome)
 	switch outcome.Result {
 	case Answered:
-		t.recordAnswer(s, now)
+		t.recordAnswer(server, now)
 	case Busy:
-		s.borrowing.extra = 0
-		s.busyUntil = now.Add(busyPause)
+		server.borrowing.extra = 0
+		server.busyUntil = now.Add(busyPause)
 	case Refused:
-		t.eject(s, now)
+		t.eject(server, now)
 	case TimedOut:
-		if s.ejection.recordTimeout(now) || s.ejection.active() {
-			t.eject(s, now)
+		if server.ejection.recordTimeout(now) || server.ejection.active() {
+			t.eject(server, now)
 		}
 	case Inconclusive:
-		if s.ejection.active() {
-			t.eject(s, now)
+		if server.ejection.active() {
+			t.eject(server, now)
 		}
 	}
-	t.forgetIfRemoved(s)
+	t.forgetIfRemoved(server)
 }
 
-func (t *Table) recordAnswer(s *server, now time.Time) {
-	s.capacity.answersSeen++
-	s.ejection.recordAnswer(s.capacity.cap)
-	t.updateCap(s)
-	for _, pool := range s.pools {
+func (t *Table) recordAnswer(server *server, now time.Time) {
+	server.capacity.answersSeen++
+	server.ejection.recordAnswer(server.capacity.cap)
+	t.updateCap(server)
+	for _, pool := range server.pools {
 		pool.rate.add(now)
 	}
 }
 
 // forgetIfRemoved drops a server that is no longer listed once nothing is in flight.
-func (t *Table) forgetIfRemoved(s *server) {
-	if s.load.own != 0 || s.excluded != plan.ReasonGone {
+func (t *Table) forgetIfRemoved(server *server) {
+	if server.load.own != 0 || server.excluded != plan.ReasonGone {
 		return
 	}
-	if _, listed := t.view.Servers[s.name]; !listed {
-		delete(t.servers, s.name)
+	if _, listed := t.view.Servers[server.name]; !listed {
+		delete(t.servers, server.name)
 	}
 }
 
-func (t *Table) eject(s *server, now time.Time) {
-	if s.ejection.start(now, t.config.BaseEjectionTime, t.config.MaxEjectionTime) {
-		s.borrowing.extra = 0
+func (t *Table) eject(server *server, now time.Time) {
+	if server.ejection.start(now, t.config.BaseEjectionTime, t.config.MaxEjectionTime) {
+		server.borrowing.extra = 0
 	}
 }
 
@@ -230,17 +230,17 @@
 // Servers returns every known server, sorted by name.
 func (t *Table) Servers() []ServerView {
 	views := make([]ServerView, 0, len(t.servers))
-	for _, s := range t.servers {
+	for _, server := range t.servers {
 		views = append(views, ServerView{
-			Server:    s.name,
-			Excluded:  s.excluded,
-			Cap:       s.capacity.cap,
-			FullCap:   s.capacity.full,
-			Limit:     t.limit(s, t.share(s)),
-			Own:       s.load.own,
-			Others:    s.load.others,
-			SlowStart: s.capacity.inSlowStart(),
-			Ejected:   s.ejection.active(),
+			Server:    server.name,
+			Excluded:  server.excluded,
+			Cap:       server.capacity.cap,
+			FullCap:   server.capacity.full,
+			Limit:     t.limit(server, t.share(server)),
+			Own:       server.load.own,
+			Others:    server.load.others,
+			SlowStart: server.capacity.inSlowStart(),
+			Ejected:   server.ejection.active(),
 		})
 	}
 	slices.SortFunc(views, func(a, b ServerView) int { return cmp.Compare(a.Server, b.Server) })
@@ -250,8 +250,8 @@
 // Ejected returns the names of the ejected servers, unsorted.
 func (t *Table) Ejected() []string {
 	var names []string
-	for name, s := range t.servers {
-		if s.ejection.active() {
+	for name, server := range t.servers {
+		if server.ejection.active() {
 			names = append(names, name)
 		}
 	}
@@ -261,8 +261,8 @@
 // Unavailable reports whether a server is known to answer nobody: it refuses
 // connections, is unresponsive to health checks, or is no longer listed.
 func (t *Table) Unavailable(name string) bool {
-	s := t.servers[name]
-	return s == nil || s.excluded == plan.ReasonGone || s.status.State == wire.ServerState_SERVER_STATE_GONE || !s.status.Reachable
+	server := t.servers[name]
+	return server == nil || server.excluded == plan.ReasonGone || server.status.State == wire.ServerState_SERVER_STATE_GONE || !server.status.Reachable
 }
 
 // mix is a bijective hash of 64 bits, the finalizer of SplitMix64.
--- a/internal/decision/route/table.go
+++ b/internal/decision/route/table.go
@@ -147,8 +147,8 @@
 		return
 	}
 	t.config.Policy.SlowStartCap = config.SlowStartCap
-	for _, s := range t.servers {
-		t.updateCap(s)
+	for _, server := range t.servers {
+		t.updateCap(server)
 	}
 }
 
@@ -194,14 +194,14 @@
 func (t *Table) updateServers(all bool) {
 	changed := false
 	for name, status := range t.view.Servers {
-		s := t.servers[name]
-		if s == nil {
-			s = newServer(name)
-			t.servers[name] = s
-		} else if s.status == status && !all {
+		server := t.servers[name]
+		if server == nil {
+			server = newServer(name)
+			t.servers[name] = server
+		} else if server.status == status && !all {
 			continue
 		}
-		if t.updateServer(s, status) {
+		if t.updateServer(server, status) {
 			changed = true
 		}
 	}
@@ -217,18 +217,18 @@
 // requests are in flight, and reports whether the pools have to be rebuilt.
 func (t *Table) removeUnlisted() bool {
 	changed := false
-	for name, s := range t.servers {
+	for name, server := range t.servers {
 		if len(t.servers) == len(t.view.Servers) {
 			break
 		}
 		if _, listed := t.view.Servers[name]; listed {
 			continue
 		}
-		if s.excluded == "" {
+		if server.excluded == "" {
 			changed = true
 		}
-		s.excluded = plan.ReasonGone
-		if s.load.own == 0 {
+		server.excluded = plan.ReasonGone
+		if server.load.own == 0 {
 			delete(t.servers, name)
 		}
 	}
@@ -242,24 +242,24 @@
 	for _, planned := range p.GetCaps() {
 		caps[planned.Server] = int(min(planned.InFlight, maxPlannedCap))
 	}
-	for name, s := range t.servers {
-		s.capacity.plannedCap = caps[name]
-		s.capacity.plannedAnswered = s.status.Answered
-		t.updateCap(s)
+	for name, server := range t.servers {
+		server.capacity.plannedCap = caps[name]
+		server.capacity.plannedAnswered = server.status.Answered
+		t.updateCap(server)
 	}
 }
 
 // rebuildPools divides the servers into pools, which keep their rates and cursors.
 func (t *Table) rebuildPools() {
 	members := map[poolKey][]*server{}
-	for _, s := range t.servers {
-		s.pools = nil
-		if s.excluded != "" {
+	for _, server := range t.servers {
+		server.pools = nil
+		if server.excluded != "" {
 			continue
 		}
-		for _, service := range s.status.Services {
-			key := poolKey{service, s.status.Region}
-			members[key] = append(members[key], s)
+		for _, service := range server.status.Services {
+			key := poolKey{service, server.status.Region}
+			members[key] = append(members[key], server)
 		}
 	}
 	old := t.pools
@@ -270,8 +270,8 @@
 			p.rate = prior.rate
 			p.cursor = prior.cursor
 		}
-		for _, s := range servers {
-			s.pools = append(s.pools, p)
+		for _, server := range servers {
+			server.pools = append(server.pools, p)
 		}
 		t.pools[key] = p
 	}
