--- a/internal/decision/quota/limiter_exchange.go
+++ b/internal/decision/quota/limiter_exchange.go
@@ -14,9 +14,9 @@
 
 	calmSendIntervals intervals = 3
 
-	// previousWindowSteps divides a window: totals older than one step, or the first
-	// quarter of a window, require the previous window's count as well.
-	previousWindowSteps = 8
+	// The previous window's count is sent as well while its total may be needed: with
+	// totals older than Window/staleTotalsDivisor, and in the first quarter of a window.
+	staleTotalsDivisor = 8
 )
 
 // CountsToSend returns the counts to send, by owner, of all tenants that were
@@ -136,7 +136,7 @@
 func (l *Limiter) needsPreviousWindow(account *account, now time.Time) bool {
 	slice := l.grid.slice(now)
 	first, _ := l.grid.windowSlices(l.grid.windowOf(slice))
-	staleBefore := now.Add(-l.config.Window / previousWindowSteps)
+	staleBefore := now.Add(-l.config.Window / staleTotalsDivisor)
 	return account.sync.totalsAsOf.Before(staleBefore) || slice-first < l.grid.slicesPerWindow/4
 }
 
