--- a/internal/node/build_traffic.go
+++ b/internal/node/build_traffic.go
@@ -30,7 +30,7 @@
 		OneShotTokens: p.values.Float("plain_tokens"),
 		Route: route.Config{
 			Strategy:    route.Strategy(p.values.String("route.strategy")),
-			QueueBound:  p.values.Int("route.pending"),
+			MaxQueued:   p.values.Int("route.pending"),
 			Policy:      p.planPolicy(),
 			RetryBudget: p.values.Float("retry.budget"),
 		},
@@ -77,11 +77,11 @@
 	return front.RuntimeSettings{
 		DeadlineMax:     values.Duration("deadline.max"),
 		DeadlineDefault: values.Duration("deadline.default"),
-		Route: &route.Knobs{
-			Strategy:    route.Strategy(values.String("route.strategy")),
-			QueueBound:  values.Int("route.pending"),
-			RampStart:   values.Int("route.ramp_start"),
-			RetryBudget: values.Float("retry.budget"),
+		Route: &route.RuntimeConfig{
+			Strategy:     route.Strategy(values.String("route.strategy")),
+			MaxQueued:    values.Int("route.pending"),
+			SlowStartCap: values.Int("route.ramp_start"),
+			RetryBudget:  values.Float("retry.budget"),
 		},
 	}
 }
--- a/internal/node/front/admission_test.go
+++ b/internal/node/front/admission_test.go
@@ -23,8 +23,8 @@
 			f := newFixture(t, "model", 8, streamingServer(1, 0))
 			defer f.stop()
 			spent := []any{}
-			f.admitter.decide = func(tenant string, tokens float64, terms quota.Terms) quota.Decision {
-				spent = append(spent, tenant, tokens, terms)
+			f.admitter.decide = func(tenant string, tokens float64, allowance quota.Allowance) quota.Decision {
+				spent = append(spent, tenant, tokens, allowance)
 				return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 3 * time.Second}
 			}
 			ask := func(target, body string) apierror.Code {
@@ -39,7 +39,7 @@
 			f.checkEqual("nothing spent so far", spent, []any{})
 			f.checkEqual("quota", ask("/v1/prompt", `{"service":"chat","prefix_tokens":1,"session_tokens":2,"max_tokens":4}`), apierror.QuotaExceeded)
 			f.checkEqual("quota", ask("/v1/call/orders/", ``), apierror.QuotaExceeded)
-			f.checkEqual("spent", spent, []any{"press", 7, quota.Terms{Rate: 100, Burst: 10}, "press", 5, quota.Terms{Rate: 100, Burst: 10}})
+			f.checkEqual("spent", spent, []any{"press", 7, quota.Allowance{Rate: 100, Burst: 10}, "press", 5, quota.Allowance{Rate: 100, Burst: 10}})
 			f.views.publish(withKeys("other"))
 			f.checkEqual("key", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownKey)
 			f.views.hasAuthority.Store(false)
--- a/internal/node/front/attempt.go
+++ b/internal/node/front/attempt.go
@@ -18,7 +18,7 @@
 		Deadline:   c.request.Deadline,
 		Now:        c.front.clock.Now,
 		Allow:      c.checkSend,
-		FirstEventTimeout: choice.FirstEvent,
+		FirstEventTimeout: choice.FirstEventTimeout,
 	}
 }
 
@@ -58,16 +58,15 @@
 // timeout.
 func outcomeOf(failure *backend.Failure) route.Outcome {
 	if failure == nil {
-		return route.Outcome{OK: true}
+		return route.Outcome{Result: route.Answered}
 	}
-	outcome := route.Outcome{NothingWritten: failure.NotSent()}
 	switch failure.Kind {
 	case backend.ConnectionRefused:
-		outcome.Refused = true
+		return route.Outcome{Result: route.Refused}
 	case backend.ServerBusy:
-		outcome.Busy = true
+		return route.Outcome{Result: route.Busy}
 	case backend.NotSent, backend.TimedOut, backend.ServerFailed, backend.Incomplete, backend.ProtocolViolation, backend.EventsOutOfOrder:
-		outcome.Timeout = true
+		return route.Outcome{Result: route.TimedOut}
 	}
-	return outcome
+	return route.Outcome{Result: route.Inconclusive}
 }
--- a/internal/node/front/dispatch.go
+++ b/internal/node/front/dispatch.go
@@ -23,19 +23,19 @@
 	select {
 	case choice = <-requested.choice:
 	case <-ctx.Done():
-		choice.Fault = c.contextError(ctx, "the deadline passed while the request was queued")
+		choice.Err = c.contextError(ctx, "the deadline passed while the request was queued")
 	}
 	c.record(Entry{Routing: routingRecord(choice, c.front.clock.Now().Sub(requestedAt))})
-	if choice.Fault != nil && choice.Fault.Code == apierror.BudgetSpent {
+	if choice.Err != nil && choice.Err.Code == apierror.BudgetSpent {
 		c.front.log.Emit(events.RetryBudgetExhausted, "request", c.id, "service", c.service, "tried", len(c.request.Tried))
 	}
-	if choice.Fault == nil {
+	if choice.Err == nil {
 		// Authority or the API key may have been lost while the request waited.
-		choice.Fault = c.checkSend()
+		choice.Err = c.checkSend()
 	}
-	if choice.Fault != nil {
-		c.front.router.release(requested, route.Outcome{NothingWritten: true})
-		return nil, choice, choice.Fault
+	if choice.Err != nil {
+		c.front.router.release(requested, route.Outcome{Result: route.Inconclusive})
+		return nil, choice, choice.Err
 	}
 	return requested, choice, nil
 }
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -139,11 +139,11 @@
 
 // setTally copies the figures of a quota decision.
 func (a *Admission) setTally(decision quota.Decision) {
-	a.Passed = decision.Pass
-	a.Marked = decision.Marked
-	a.Blend = decision.Blend
-	a.Prev = decision.Prev
-	a.Cur = decision.Cur
+	a.Passed = decision.Allowed
+	a.Marked = decision.OverLimit
+	a.Blend = decision.Estimate
+	a.Prev = decision.Previous
+	a.Cur = decision.Current
 	a.Recent = decision.Recent
 	a.Limit = decision.Limit
 }
@@ -154,8 +154,8 @@
 		Region:   choice.Region,
 		WaitedMS: milliseconds(waited),
 	}
-	if choice.Fault != nil {
-		routing.Fault = choice.Fault.Error()
+	if choice.Err != nil {
+		routing.Fault = choice.Err.Error()
 	}
 	for _, candidate := range choice.Candidates[:min(len(choice.Candidates), maxCandidates)] {
 		routing.Candidates = append(routing.Candidates, Candidate{
--- a/internal/node/front/fixture_test.go
+++ b/internal/node/front/fixture_test.go
@@ -80,14 +80,14 @@
 }
 
 type fakeAdmitter struct {
-	decide func(tenant string, tokens float64, terms quota.Terms) quota.Decision
+	decide func(tenant string, tokens float64, allowance quota.Allowance) quota.Decision
 }
 
-func (f *fakeAdmitter) Admit(_ context.Context, tenant string, tokens float64, terms quota.Terms, _ time.Duration) quota.Decision {
+func (f *fakeAdmitter) Admit(_ context.Context, tenant string, tokens float64, allowance quota.Allowance, _ time.Duration) quota.Decision {
 	if f.decide == nil {
-		return quota.Decision{Pass: true, Limit: 810}
+		return quota.Decision{Allowed: true, Limit: 810}
 	}
-	return f.decide(tenant, tokens, terms)
+	return f.decide(tenant, tokens, allowance)
 }
 
 // fakeServer is a server behind pipes. It counts the runs of each request id.
@@ -169,7 +169,7 @@
 	most, _ := time.ParseDuration(settings["deadline.max"])
 	t := RuntimeSettings{DeadlineMax: most}
 	if len(settings) > 0 {
-		t.Route = &route.Knobs{Strategy: route.Strategy(settings["route.strategy"]), QueueBound: 0, RampStart: 2, RetryBudget: 0}
+		t.Route = &route.RuntimeConfig{Strategy: route.Strategy(settings["route.strategy"]), MaxQueued: 0, SlowStartCap: 2, RetryBudget: 0}
 	}
 	return t
 }
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -143,7 +143,7 @@
 		}
 		r.log.Emit(events.RoutePanicked, "panic", panicked)
 		if requested != nil {
-			r.deliver(requested, route.Choice{Fault: apierror.Errorf(apierror.NoServer, "a fault of the program; see the log").WithRetryAfter(time.Second)})
+			r.deliver(requested, route.Choice{Err: apierror.Errorf(apierror.NoServer, "a fault of the program; see the log").WithRetryAfter(time.Second)})
 		}
 	}()
 	decide()
@@ -152,7 +152,7 @@
 // nextWait returns how long the router may sleep.
 func (r *router) nextWait() time.Duration {
 	now := r.clock.Now()
-	if at, ok := r.table.Wake(now); ok {
+	if at, ok := r.table.NextWake(now); ok {
 		return max(at.Sub(now), minRouterWait)
 	}
 	return routingReportInterval
@@ -170,15 +170,14 @@
 		r.sheet = view.State.Sheet
 		r.applySheet(r.sheet, r.table)
 	}
-	now := r.clock.Now()
 	r.table.Update(route.View{
 		State:   view.State,
 		Plan:    view.Plan,
 		Servers: view.Servers,
 		Fronts:  view.Sharers(),
-	}, now)
+	})
 	for server, assignments := range r.assigned {
-		if !r.table.Lost(server) {
+		if !r.table.Unavailable(server) {
 			continue
 		}
 		for assigned := range assignments {
@@ -195,7 +194,7 @@
 	now := r.clock.Now()
 	choice := r.table.Choose(requested.request, now)
 	if choice.Queued {
-		if choice.Fault = r.table.Enqueue(requested.request, now); choice.Fault == nil {
+		if choice.Err = r.table.Enqueue(requested.request, now); choice.Err == nil {
 			r.queued[requested.request.ID] = requested
 			return
 		}
@@ -205,7 +204,7 @@
 
 // deliver takes a slot of the chosen server, if any, and sends the choice.
 func (r *router) deliver(requested *assignment, choice route.Choice) {
-	if choice.Fault == nil {
+	if choice.Err == nil {
 		requested.server = choice.Server
 		r.table.Started(choice.Server)
 		if r.assigned[requested.server] == nil {
@@ -257,7 +256,7 @@
 			continue
 		}
 		delete(r.queued, ready.Request.ID)
-		ready.Choice.Wait = 0
+		ready.Choice.EstimatedWait = 0
 		r.deliver(requested, ready.Choice)
 	}
 }
--- a/internal/node/front/router_test.go
+++ b/internal/node/front/router_test.go
@@ -75,7 +75,7 @@
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 1, streamingServer(50, 0))
 			defer f.stop()
-			f.admitter.decide = func(string, float64, quota.Terms) quota.Decision { panic("oh") }
+			f.admitter.decide = func(string, float64, quota.Allowance) quota.Decision { panic("oh") }
 			caller := f.connect()
 			caller.prompt("r1", time.Minute)
 			f.checkEqual("code", caller.readResponse().code, apierror.Internal)
--- a/internal/node/front/routing_reporter.go
+++ b/internal/node/front/routing_reporter.go
@@ -56,7 +56,7 @@
 func (r *routingReporter) reportRegionsWithoutServers(table *route.Table, plan *wire.Plan, log events.Log) {
 	without := map[string]bool{}
 	if plan != nil {
-		without = setOf(table.Short())
+		without = setOf(table.ServicesWithoutServers())
 	}
 	forEachNew(without, r.regionsWithoutServers, func(serviceAndRegion string) {
 		service, region, _ := strings.Cut(serviceAndRegion, " ")
--- a/internal/node/front/runtime_settings.go
+++ b/internal/node/front/runtime_settings.go
@@ -13,7 +13,7 @@
 // RuntimeSettings are the settings that a sheet changes while the front runs. A
 // nil or zero value leaves the setting as it is.
 type RuntimeSettings struct {
-	Route *route.Knobs
+	Route *route.RuntimeConfig
 	// DeadlineMax is the longest deadline that a caller may request.
 	DeadlineMax time.Duration
 	// DeadlineDefault is the deadline of a request that names none.
@@ -35,7 +35,7 @@
 	settings := f.config.ReadRuntimeSettings(newSheet.Settings)
 	f.api.SetDeadlines(settings.DeadlineMax, settings.DeadlineDefault)
 	if settings.Route != nil {
-		table.Tune(*settings.Route)
+		table.Reconfigure(*settings.Route)
 	}
 	if !isFirst || len(newSheet.Settings) > 0 {
 		f.log.Emit(events.SettingsChanged, "settings", fmt.Sprint(f.appliedSettings))
--- a/internal/node/gateway/fixture_test.go
+++ b/internal/node/gateway/fixture_test.go
@@ -85,12 +85,12 @@
 	lastTimeout atomic.Int64 // of the last request, nanoseconds
 }
 
-func (a *testAdmitter) Admit(_ context.Context, _ string, _ float64, _ quota.Terms, timeout time.Duration) quota.Decision {
+func (a *testAdmitter) Admit(_ context.Context, _ string, _ float64, _ quota.Allowance, timeout time.Duration) quota.Decision {
 	a.lastTimeout.Store(int64(timeout))
 	if a.refused.Load() {
 		return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 700 * time.Millisecond}
 	}
-	return quota.Decision{Pass: true}
+	return quota.Decision{Allowed: true}
 }
 
 // testFleet is a gateway with emulated servers.
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -57,7 +57,7 @@
 // Admitter decides whether a tenant may use tokens of its quota, which is counted
 // over all nodes. It waits for the decision for at most timeout.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Terms, timeout time.Duration) quota.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Allowance, timeout time.Duration) quota.Decision
 }
 
 // Gateway serves requests by routes. It is an http.Handler.
--- a/internal/node/gateway/quota.go
+++ b/internal/node/gateway/quota.go
@@ -56,12 +56,12 @@
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
 	defer cancel()
 	fraction := q.gateway.config.Quota.fraction(units, q.tenantTerms, q.route.Priority)
-	terms := quota.Terms{
+	terms := quota.Allowance{
 		Rate:  q.tenantTerms.Rate * fraction,
 		Burst: q.tenantTerms.Burst * fraction,
 	}
 	decision := q.gateway.admitter.Admit(ctx, q.tenant, units, terms, q.quotaTimeout())
-	if decision.Pass {
+	if decision.Allowed {
 		return nil
 	}
 	apiErr := apierror.Errorf(decision.Code, "%s has %.0f in a window", q.tenant, decision.Limit)
