--- a/internal/node/front/call.go
+++ b/internal/node/front/call.go
@@ -22,7 +22,7 @@
 	defaultRetryAfter = time.Second
 )
 
-// connect is one request from its admission to its result. It belongs to the
+// call is one request from its admission to its result. It belongs to the
 // caller's goroutine, but for the part that the callRegistry shares.
 type call struct {
 	runningCall
