--- a/internal/node/front/attempt.go
+++ b/internal/node/front/attempt.go
@@ -12,12 +12,12 @@
 func (c *call) newAttempt(choice route.Choice) *backend.Attempt {
 	c.lastServer = choice.Server
 	return &backend.Attempt{
-		ID:         c.id,
-		Server:     choice.Server,
-		Address:    choice.Address,
-		Deadline:   c.request.Deadline,
-		Now:        c.front.clock.Now,
-		Allow:      c.checkSend,
+		ID:                c.id,
+		Server:            choice.Server,
+		Address:           choice.Address,
+		Deadline:          c.request.Deadline,
+		Now:               c.front.clock.Now,
+		Allow:             c.checkSend,
 		FirstEventTimeout: choice.FirstEventTimeout,
 	}
 }
--- a/internal/node/front/result_events.go
+++ b/internal/node/front/result_events.go
@@ -33,8 +33,8 @@
 // failureEvents are the log events of answers that break the protocol.
 var failureEvents = map[backend.FailureKind]events.Event{
 	backend.ProtocolViolation: events.ResponseMismatched,
-	backend.EventsOutOfOrder:   events.EventOutOfOrder,
-	backend.Incomplete:   events.ResponseIncomplete,
+	backend.EventsOutOfOrder:  events.EventOutOfOrder,
+	backend.Incomplete:        events.ResponseIncomplete,
 }
 
 // logFailure logs a failure that is the server's fault.
