--- a/internal/adapter/backend/backend_test.go
+++ b/internal/adapter/backend/backend_test.go
@@ -20,14 +20,14 @@
 )
 
 // fakeServer is a server on a raw listener. It counts the requests whose header
-// has reached it, and hands each connection to behave.
+// has reached it, and calls respond for each request.
 type fakeServer struct {
 	address     string
 	connections atomic.Int64
 	requests    atomic.Int64
 }
 
-func newFakeServer(t *testing.T, behave func(conn *net.TCPConn, request *http.Request)) *fakeServer {
+func newFakeServer(t *testing.T, respond func(conn *net.TCPConn, request *http.Request)) *fakeServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 						return
 					}
 					s.requests.Add(1)
-					behave(conn.(*net.TCPConn), request)
+					respond(conn.(*net.TCPConn), request)
 				}
 			}()
 		}
@@ -165,14 +165,14 @@
 			}
 		})
 	})
-	Convey("Once sealed, the ledger lets nothing through; once written, it can't be sealed", t, func() {
+	Convey("Once sending is prevented, the guard allows no write; once started, it cannot be prevented", t, func() {
 		attempt := attemptAt("")
-		sealedFirst, writtenFirst := attempt.newSendGuard(), attempt.newSendGuard()
-		So(sealedFirst.prevent(), ShouldBeTrue)
-		So(sealedFirst.allowWrite(), ShouldBeFalse)
-		So(writtenFirst.allowWrite(), ShouldBeTrue)
-		So(writtenFirst.prevent(), ShouldBeFalse)
-		So(writtenFirst.allowWrite(), ShouldBeTrue)
+		preventedFirst, startedFirst := attempt.newSendGuard(), attempt.newSendGuard()
+		So(preventedFirst.prevent(), ShouldBeTrue)
+		So(preventedFirst.allowWrite(), ShouldBeFalse)
+		So(startedFirst.allowWrite(), ShouldBeTrue)
+		So(startedFirst.prevent(), ShouldBeFalse)
+		So(startedFirst.allowWrite(), ShouldBeTrue)
 	})
 }
 
@@ -298,14 +298,14 @@
 	return passed, failure
 }
 
-// pipeDial serves each dial by behave at the far end of a pipe.
-func pipeDial(behave func(conn net.Conn)) func(context.Context, string, string) (net.Conn, error) {
+// pipeDial serves each dial by respond at the far end of a pipe.
+func pipeDial(respond func(conn net.Conn)) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		far, near := net.Pipe()
 		go func() {
 			defer func() { _ = far.Close() }()
 			if _, err := http.ReadRequest(bufio.NewReader(far)); err == nil {
-				behave(far)
+				respond(far)
 			}
 		}()
 		return near, nil
--- a/internal/node/front/bench_test.go
+++ b/internal/node/front/bench_test.go
@@ -111,9 +111,9 @@
 }
 
 // BenchmarkOneShot compares a one-shot through the front with the same call to
-// the stand-in itself, both on a caller's kept-alive connection.
+// the server itself, both on a caller's kept-alive connection.
 func BenchmarkOneShot(b *testing.B) {
-	standIn := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Stepwick-Request-Id", r.Header.Get("Stepwick-Request-Id"))
 		_, _ = io.WriteString(w, "ok")
 	})}
@@ -125,8 +125,8 @@
 		return listener
 	}
 	direct, through := listen(), listen()
-	go func() { _ = standIn.Serve(direct) }()
-	defer func() { _ = standIn.Close() }()
+	go func() { _ = server.Serve(direct) }()
+	defer func() { _ = server.Close() }()
 	front := benchFront(b, 18, direct.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
