--- a/internal/node/front/admission.go
+++ b/internal/node/front/admission.go
@@ -17,7 +17,7 @@
 // tokens. It may wait for an exchange with other fronts, in a large fleet for
 // patience at most. When the context ends first it rejects.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Allowance, patience time.Duration) quota.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, patience time.Duration) quota.Decision
 }
 
 // Ready returns nil if the node takes traffic, or why not.
@@ -164,8 +164,8 @@
 func (c *call) spend(ctx context.Context, tenant sheet.Tenant, tokens float64, admission *Admission) *apierror.Error {
 	c.request.Tokens = tokens
 	admission.Tokens = tokens
-	terms := quota.Allowance{Rate: tenant.Rate, Burst: tenant.Burst}
-	decision := c.front.admitter.Admit(ctx, c.tenant, tokens, terms, 0)
+	allowance := quota.Allowance{Rate: tenant.Rate, Burst: tenant.Burst}
+	decision := c.front.admitter.Admit(ctx, c.tenant, tokens, allowance, 0)
 	admission.setTally(decision)
 	if decision.Allowed {
 		return nil
--- a/internal/node/front/admission_test.go
+++ b/internal/node/front/admission_test.go
@@ -23,8 +23,8 @@
 			f := newFixture(t, "model", 8, streamingServer(1, 0))
 			defer f.stop()
 			spent := []any{}
-			f.admitter.decide = func(tenant string, tokens float64, terms quota.Allowance) quota.Decision {
-				spent = append(spent, tenant, tokens, terms)
+			f.admitter.decide = func(tenant string, tokens float64, allowance quota.Allowance) quota.Decision {
+				spent = append(spent, tenant, tokens, allowance)
 				return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 3 * time.Second}
 			}
 			ask := func(target, body string) apierror.Code {
--- a/internal/node/front/attempt.go
+++ b/internal/node/front/attempt.go
@@ -12,13 +12,13 @@
 func (c *call) newAttempt(choice route.Choice) *backend.Attempt {
 	c.lastServer = choice.Server
 	return &backend.Attempt{
-		ID:         c.id,
-		Server:     choice.Server,
-		Address:    choice.Address,
-		Deadline:   c.request.Deadline,
-		Now:        c.front.clock.Now,
-		Allow:      c.checkSend,
-		FirstEvent: choice.FirstEventTimeout,
+		ID:                c.id,
+		Server:            choice.Server,
+		Address:           choice.Address,
+		Deadline:          c.request.Deadline,
+		Now:               c.front.clock.Now,
+		Allow:             c.checkSend,
+		FirstEventTimeout: choice.FirstEventTimeout,
 	}
 }
 
@@ -34,9 +34,9 @@
 // checks reported its server as removed or unreachable. Failure is what the
 // attempt itself returned.
 func serverLostFailure(failure *backend.Failure) *backend.Failure {
-	kind := backend.Dark
-	if failure.Unsent() {
-		kind = backend.Unsent
+	kind := backend.TimedOut
+	if failure.NotSent() {
+		kind = backend.NotSent
 	}
 	return &backend.Failure{Kind: kind, Detail: "the server is gone or dark, its watchers say"}
 }
@@ -61,11 +61,11 @@
 		return route.Outcome{Result: route.Answered}
 	}
 	switch failure.Kind {
-	case backend.Refused:
+	case backend.ConnectionRefused:
 		return route.Outcome{Result: route.Refused}
-	case backend.Busy:
+	case backend.ServerBusy:
 		return route.Outcome{Result: route.Busy}
-	case backend.Unsent, backend.Dark, backend.Broken, backend.Short, backend.Crossed, backend.Amiss:
+	case backend.NotSent, backend.TimedOut, backend.ServerFailed, backend.Incomplete, backend.ProtocolViolation, backend.EventsOutOfOrder:
 		return route.Outcome{Result: route.TimedOut}
 	}
 	return route.Outcome{Result: route.Inconclusive}
--- a/internal/node/front/fixture_test.go
+++ b/internal/node/front/fixture_test.go
@@ -80,14 +80,14 @@
 }
 
 type fakeAdmitter struct {
-	decide func(tenant string, tokens float64, terms quota.Allowance) quota.Decision
+	decide func(tenant string, tokens float64, allowance quota.Allowance) quota.Decision
 }
 
-func (f *fakeAdmitter) Admit(_ context.Context, tenant string, tokens float64, terms quota.Allowance, _ time.Duration) quota.Decision {
+func (f *fakeAdmitter) Admit(_ context.Context, tenant string, tokens float64, allowance quota.Allowance, _ time.Duration) quota.Decision {
 	if f.decide == nil {
 		return quota.Decision{Allowed: true, Limit: 810}
 	}
-	return f.decide(tenant, tokens, terms)
+	return f.decide(tenant, tokens, allowance)
 }
 
 // fakeServer is a server behind pipes. It counts the runs of each request id.
