--- a/cmd/rig/emulator/model.go
+++ b/cmd/rig/emulator/model.go
@@ -16,7 +16,8 @@
 	"stepwick/internal/clock"
 )
 
-// Faults of a server, drawn for each request by their odds.
+// Faults of a server, drawn for each request by their odds. A new one has to be in
+// the list of modelState.draw too, or it is never drawn.
 const (
 	EarlyEnd   = "early_end"   // ends cleanly without a final event
 	TooLittle  = "too_little"  // leaves one event out
--- a/cmd/rig/faultcase/cases.go
+++ b/cmd/rig/faultcase/cases.go
@@ -24,7 +24,10 @@
 	Run     func(*Stage) error
 }
 
-// Cases are all cases, in the order of their groups.
+// Cases are all cases, in the order of their groups. Faults also have two other
+// tables: those that the mix draws at random (troubles) and those that a scenario's
+// file may name (scenarioFaults, caused by Stage.causeOne). What a single server does
+// wrong is in package emulator.
 var Cases = []Case{
 	{"shots_reset", 1, "web servers reset kept-alive connections before reading, before and after running, truncate and cross answers", 20, nil, shotsReset},
 	{"shots_fronts", 1, "fronts killed and frozen 5 s in the middle of one-shots", 25, nil, shotsFronts},
--- a/cmd/rig/faultcase/mix.go
+++ b/cmd/rig/faultcase/mix.go
@@ -15,6 +15,7 @@
 	do   func(s *Stage) (mend func() error)
 }
 
+// troubles are the faults that a mix draws from, at the seed's choice.
 var troubles = []trouble{
 	{"kill a front", func(s *Stage) func() error { n := s.frontOnly(); n.Kill(); return n.Start }},
 	{"kill a core", func(s *Stage) func() error { n := s.core(); n.Kill(); return n.Start }},
--- a/cmd/rig/faultcase/scenario.go
+++ b/cmd/rig/faultcase/scenario.go
@@ -49,7 +49,9 @@
 	Odds   float64  `yaml:"odds"`
 }
 
-// Faults that a scenario may name.
+// scenarioFaults are the faults that a scenario's file may name, each with what its
+// target must be, for the message of a wrong one. A new one is caused and mended in
+// Stage.causeOne; those of the emulator need no more than this row.
 var scenarioFaults = map[string]string{
 	"kill": "nodes", "stop": "nodes", "freeze": "nodes", "wipe": "cores", "cut": "nodes and servers, cut from all others in silence",
 	"crash": "servers", "dark": "model servers", "drain": "servers", "leave": "servers", "evacuate": "localities", "final": "nothing: service is judged from here on",
--- a/internal/decision/balance/health.go
+++ b/internal/decision/balance/health.go
@@ -15,7 +15,8 @@
 	suspicionRecovery = 0.25
 )
 
-// suspicion is how far a server's recent failures raise its cost.
+// suspicion is how far a server's recent failures raise its cost. A server that does
+// not respond at all is found by its StallLevel, without a failure.
 type suspicion struct {
 	failures float64 // recent ones, less what successes took back
 	until    time.Time
--- a/internal/decision/balance/load.go
+++ b/internal/decision/balance/load.go
@@ -44,7 +44,9 @@
 }
 
 // StallLevel is how long a server has not responded to what this node sent it,
-// against what is expected of it.
+// against what is expected of it. By itself it only raises the cost of the server,
+// from Stalled on. The gateway has the server probed from Slow on, and reports it to
+// the fleet as Unresponsive or when a probe fails.
 type StallLevel int
 
 // Stall levels, in ascending order.
--- a/internal/decision/balance/retry_budget.go
+++ b/internal/decision/balance/retry_budget.go
@@ -3,7 +3,10 @@
 import "time"
 
 // retryBudget limits this node's retries to one service, within any window, to a
-// fraction of its requests in that window and a fixed number.
+// fraction of its requests in that window and a fixed number. Nodes exchange nothing
+// for it: a limit by a fraction holds over the fleet where each node keeps it for its
+// own requests, and of the fixed number, RetrySlack, each node has an even part
+// (Table.retrySlackPerNode).
 type retryBudget struct {
 	ratio   float64
 	window  time.Duration
--- a/internal/decision/lease/authority.go
+++ b/internal/decision/lease/authority.go
@@ -24,7 +24,9 @@
 	Source  Source
 	// RetryAfter is when a rejected caller should retry; zero when granted.
 	RetryAfter time.Duration
-	// Until is the earliest instant at which the authority can expire without
-	// further input; the zero time when it is not granted.
+	// Until is the instant at which the authority lapses if nothing else is
+	// recorded; the zero time when it is not granted. Readers compare their clock
+	// with it and need not evaluate the Holder again. What is recorded meanwhile may
+	// move it: a grant or answered ping later, a newer version of a peer earlier.
 	Until time.Time
 }
--- a/internal/decision/lease/holder.go
+++ b/internal/decision/lease/holder.go
@@ -109,7 +109,12 @@
 // never adds authority: such a message may have been delayed in a buffer.
 func (h *Holder) ObserveVersion(version uint64) { h.newest = max(h.newest, version) }
 
-// Authority returns whether the front may serve by its version at an instant.
+// Authority returns whether the front may serve by its version at an instant. It
+// is here that a lease lapses on the front's side, by time alone and without a
+// message; the core's side is memberLease.active. The follower evaluates it after
+// each answer and at each ping interval, and requests compare the clock with the
+// result's Until.
+//
 // While a lease has more than half of a TTL left the roster is not evaluated,
 // whose cost grows with its size; it is again before the lease can expire.
 func (h *Holder) Authority(now time.Time) Authority {
--- a/internal/decision/lease/table.go
+++ b/internal/decision/lease/table.go
@@ -39,7 +39,9 @@
 	contactAt time.Time
 }
 
-// active reports whether the lease has not expired.
+// active reports whether the lease has not expired. It alone decides on the core's
+// side that a lease has lapsed, and since the core counts from the arrival of the
+// renewal, no earlier than the holder decides it by Holder.Authority.
 func (l *memberLease) active(now time.Time) bool { return now.Before(l.expiresAt) }
 
 // refusalStreak is a run of refused connections, each within a TTL of the last.
@@ -205,8 +207,9 @@
 	t.refusals[tried.Name] = streak
 }
 
-// Expire removes members whose lease has expired and without contact for two
-// TTLs, refusals that ended, and releases past their retention.
+// Expire frees the memory of what no longer counts: members whose lease has expired
+// and without contact for two TTLs, refusals that ended, and releases past their
+// retention. It ends no lease; see memberLease.active.
 func (t *Table) Expire(now time.Time) {
 	for name, lease := range t.leases {
 		if !lease.active(now) && now.Sub(lease.contactAt) >= 2*t.ttl {
--- a/internal/decision/paxos/recovery.go
+++ b/internal/decision/paxos/recovery.go
@@ -15,7 +15,10 @@
 	secondIncarnation = firstIncarnation + 1
 )
 
-// Recover answers a core that enters the formation with an empty disk. The new
+// Recover answers a core that enters the formation with an empty disk: for the first
+// time, or after its disk was lost. Once this answer has left, Accept and Proposer
+// count no promise or vote of an earlier incarnation of that core, and so nothing
+// that the core has forgotten can complete a quorum any more. The new
 // incarnation must be synced before the answer leaves. A core that doesn't vote
 // answers too if its disk proves that it never voted; one that lost its disk
 // refuses, and marks its answer to a probe with CoreAmnesiac.
--- a/internal/decision/paxos/state.go
+++ b/internal/decision/paxos/state.go
@@ -37,7 +37,8 @@
 func (s State) Incarnation() uint64 { return s.Incarnations[s.Self] }
 
 // Standing is Blank, Amnesiac or Voting; whether the disk is full is not known
-// here.
+// here. Amnesiac is every core of a formation that doesn't vote yet: one whose disk
+// was lost, and one that enters its first formation.
 func (s State) Standing() wire.Standing {
 	switch {
 	case s.Formation == "":
--- a/internal/decision/quota/account.go
+++ b/internal/decision/quota/account.go
@@ -124,7 +124,11 @@
 	return a.spend.own.sum(oldest+1, newest) + a.spend.own.get(oldest)*(1-elapsed)
 }
 
-// budget returns how much this front may spend before the owner's totals include it.
+// budget returns how much this front may spend before the owner's totals include it:
+// its share of the capacity that is known to be left. While the owner is unresponsive
+// the share is the middle between the last one and an even one, at least an even one;
+// and a front that had no recent totals when the owner stopped answering takes the
+// limit for spent, less and less over one window (assumedSpent).
 func (a *account) budget(config *Config, estimate *estimate, now time.Time) float64 {
 	unresponsive := a.sync.ownerUnresponsive(config, now)
 	uninformed := !a.sync.hasTotals() || a.sync.waitingSince.Sub(a.sync.totalsAsOf) > ownerUnresponsiveAfter.in(config)
--- a/internal/decision/quota/admission.go
+++ b/internal/decision/quota/admission.go
@@ -87,6 +87,9 @@
 }
 
 // rejectByShare rejects a request over the front's share, for now if it can be queued.
+// The code is ShareExceeded where this front can't tell whether the quota is
+// exhausted: without an answer of the owner, or with capacity reserved for fronts
+// that are out of reach.
 func (a *admission) rejectByShare(decision *Decision) {
 	sync := &a.account.sync
 	decision.Code = apierror.QuotaExceeded
--- a/internal/decision/quota/counter.go
+++ b/internal/decision/quota/counter.go
@@ -10,8 +10,8 @@
 // report of a front is retained and the fronts' demand is summed at most once.
 const demandReportSpacing = 4
 
-// relevantExcess is the factor above the reported spend at which a total that a front
-// knows counts as news; less may be rounding.
+// relevantExcess is the factor by which a total that a front knows must exceed the
+// reported spend to show spend that was not reported here; less may be rounding.
 const relevantExcess = 1.000001
 
 // Counter counts, by front, the spend of the tenants that this front owns.
--- a/internal/decision/quota/quota.go
+++ b/internal/decision/quota/quota.go
@@ -25,7 +25,9 @@
 	"stepwick/internal/decision/rendezvous"
 )
 
-// Allowance is what a tenant may spend: Rate in tokens a second, Burst in tokens.
+// Allowance is what a tenant may spend: Rate in tokens a second, Burst in tokens. For
+// a tenant whose unit is requests (sheet.UnitRequests) the gateway charges one for
+// each request, and all that is said of tokens here holds for requests.
 type Allowance struct{ Rate, Burst float64 }
 
 // TokensPerWindow returns the limit of one window: Rate times the window plus Burst.
--- a/internal/decision/route/ejection.go
+++ b/internal/decision/route/ejection.go
@@ -10,7 +10,8 @@
 	maxEjectionDoublings = 8
 )
 
-// ejection is the outlier detection of one server. An ejected server gets no requests
+// ejection is the outlier detection of one server; that of requests by route is in
+// package balance and has other rules. An ejected server gets no requests
 // for a time that doubles with each ejection in a row, then a single request that
 // probes it. After the ejection the front limits its requests in flight by the number
 // of answers since.
--- a/internal/decision/route/retry_budget.go
+++ b/internal/decision/route/retry_budget.go
@@ -1,8 +1,11 @@
 package route
 
+// maxRetryCredits bounds the credits that a front saves up; it starts with half.
 const maxRetryCredits = 20
 
-// retryBudget bounds retries to a fraction of the requests.
+// retryBudget is a token bucket that bounds a front's retries to a fraction of its
+// requests. A retry costs one credit. Each front has its own and nothing is divided
+// over the fleet, unlike the budget of requests by route in package balance.
 type retryBudget struct {
 	ratio   float64 // credits for each request
 	credits float64
--- a/internal/decision/serverstatus/merge.go
+++ b/internal/decision/serverstatus/merge.go
@@ -153,7 +153,8 @@
 
 // mergePolled merges the reports from the server itself into a status. The server
 // is gone when every watcher's connection was refused, and unreachable when more
-// than half of the watchers got no answer.
+// than half of the watchers were refused or got no answer: one report suffices where
+// no other watcher reports, and of two that differ the one that reached it counts.
 func mergePolled(status *wire.ServerStatus, polled []datedReport) {
 	refused := 0
 	timedOut := 0
--- a/internal/decision/sheet/route.go
+++ b/internal/decision/sheet/route.go
@@ -44,7 +44,7 @@
 	ObjectiveMS int      `json:"objective_ms,omitempty"`
 	GapMS       int      `json:"gap_ms,omitempty"`
 	Priority    int      `json:"priority,omitempty"` // 0 is the most urgent
-	Attempts    int      `json:"attempts,omitempty"` // most servers for one request; 0 means 1
+	Attempts    int      `json:"attempts,omitempty"` // most servers that may execute one request; 0 means 1
 	Public      bool     `json:"public,omitempty"`   // needs no key
 	Affinity    bool     `json:"affinity,omitempty"` // requests with a common prompt prefix go to one server
 	Resumable   bool     `json:"resumable,omitempty"`
--- a/internal/events/catalogue.go
+++ b/internal/events/catalogue.go
@@ -15,7 +15,9 @@
 // catalogue has the events in the order of their declaration.
 var catalogue []Event
 
-// add declares an event.
+// add declares an event. Numbers are grouped by the thousands below; a new event takes
+// one that was never used. They are unrelated to the numbers of result codes (package
+// apierror): 5007 is one of each.
 func add(number int, name string, level Level, help, action string) Event {
 	event := Event{
 		Number: number,
--- a/internal/node/control/config.go
+++ b/internal/node/control/config.go
@@ -42,7 +42,8 @@
 	OrderTimeout time.Duration
 	// FeedWaitMax is the longest wait of a long poll of the feed. Default 5 s.
 	FeedWaitMax time.Duration
-	// FeedCapacity is how many changes the feed retains. Default 4096.
+	// FeedCapacity is how many changes the feed retains; a follower that is further
+	// behind gets a snapshot. Default 4096.
 	FeedCapacity int
 	// SheetMaxBytes is the largest sheet accepted, in bytes. Default 16 MiB.
 	SheetMaxBytes int
@@ -50,7 +51,8 @@
 	ServerStatus serverstatus.Config
 	// PlanPolicy sets the caps of servers in plans.
 	PlanPolicy plan.Policy
-	// CheckSetting validates a run-time setting of a sheet; nil accepts all.
+	// CheckSetting validates a run-time setting of a sheet; nil accepts all, as the
+	// node does, whose control API has validated them (controlapi.Config).
 	CheckSetting func(name, value string) error
 	// FleetNow returns fleet time; the clock's own when nil.
 	FleetNow func() time.Time
--- a/internal/node/control/feed.go
+++ b/internal/node/control/feed.go
@@ -14,7 +14,13 @@
 
 // feed is the numbered log of changes that fronts follow. Its id changes whenever
 // the numbering restarts, so that a follower's offset is never taken for one of
-// another numbering. It belongs to the controller's owner.
+// another numbering. It belongs to the controller's owner, the goroutine of
+// Controller.Serve.
+//
+// The feed never waits for a follower. One that is behind by more than the capacity
+// gets a snapshot in place of the changes (Controller.snapshotAnswer). Meanwhile it
+// loses its lease where a change was a version, as a core renews only members that
+// have confirmed the newest.
 type feed struct {
 	self        string
 	incarnation uint64
--- a/internal/node/follower/authority.go
+++ b/internal/node/follower/authority.go
@@ -13,10 +13,14 @@
 }
 
 // HasAuthority reports whether the front may decide by its view at this very
-// moment. A process that was suspended and resumed finds its lease expired.
+// moment. It compares the clock with the instant that updateAuthority published, so
+// a reader waits for nobody, and a process that was suspended and resumed finds its
+// lease expired.
 func (f *Follower) HasAuthority() bool { return f.clock.Now().Before(*f.validUntil.Load()) }
 
-// updateAuthority publishes until when the front may decide.
+// updateAuthority publishes until when the front may decide. The owner calls it
+// after whatever may change that: an answer to a renewal or ping, a new version, the
+// tick of the pings and the end of the process.
 func (f *Follower) updateAuthority() {
 	f.checkFleetTime()
 	authority := f.holder.Authority(f.clock.Now())
--- a/internal/node/follower/configuration.go
+++ b/internal/node/follower/configuration.go
@@ -18,7 +18,9 @@
 	fetching bool // a call of Fetch is in flight
 }
 
-// Fetch returns the complete configuration to a process whose version is lower.
+// Fetch returns the complete configuration to a process whose version is lower. A
+// front retains no commands, so it answers with a snapshot where a core's replica
+// answers with the commands that are missing.
 func (f *Follower) Fetch(_ context.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
 	state := f.View().State
 	if state.Version <= req.After {
--- a/internal/node/front/admission.go
+++ b/internal/node/front/admission.go
@@ -14,8 +14,9 @@
 )
 
 // Admitter decides by the fleet's shared token counts whether a tenant may spend
-// tokens. It may wait for an exchange with other fronts, in a large fleet for
-// patience at most. When the context ends first it rejects.
+// tokens. It may wait for an exchange with the owner of the tenant's count, by its
+// own configuration; in a large fleet also longer, for patience at most. When the
+// context ends first it rejects.
 type Admitter interface {
 	Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, patience time.Duration) quota.Decision
 }
--- a/internal/node/front/metrics.go
+++ b/internal/node/front/metrics.go
@@ -79,7 +79,9 @@
 	}
 }
 
-// countResult counts a request by its result; nil is success.
+// countResult counts a request by its result; nil is success. Its two counters of
+// rejections by quota are of calls of the product's own API alone; those of package
+// quotasync count the decisions on requests by route too.
 func (m *metrics) countResult(service string, apiErr *apierror.Error) {
 	code := apierror.OK
 	if apiErr != nil {
--- a/internal/node/front/prompt.go
+++ b/internal/node/front/prompt.go
@@ -34,6 +34,7 @@
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	began := c.front.clock.Now()
+	// An early return or a panic leaves this failure to the routing table.
 	failure := &backend.Failure{Kind: backend.Cancelled, Detail: "given up"}
 	forwarder := &streamForwarder{call: c, stream: stream, began: began}
 	defer func() {
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -26,6 +26,12 @@
 
 // run sends the request to servers until one has answered it or it may not be
 // retried. It returns nil when the client got an answer.
+//
+// Three limits end the attempts: the deadline; the retry budget, by which the
+// dispatcher rejects an attempt (balance.Table.Choose); and, once a server may have
+// executed the request, the route's kind and its number of attempts (mayRetry). An
+// attempt that was certainly not executed, since nothing was sent or the server said
+// so, is not one of that number. No server is tried twice.
 func (q *request) run() *apierror.Error {
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.gateway.clock.Now()))
 	defer cancel()
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -48,14 +48,16 @@
 	View() *follower.View
 	// Changed returns a channel that is closed when a newer view exists.
 	Changed() <-chan struct{}
-	// HasAuthority reports whether this node holds a valid lease to decide by its view.
+	// HasAuthority reports whether this node may decide by its view now: by a lease
+	// or, while the cores are lost, by a majority of the roster.
 	HasAuthority() bool
 	// FleetNow returns the fleet's time.
 	FleetNow() time.Time
 }
 
 // Admitter decides whether a tenant may use tokens of its quota, which is counted
-// over all nodes. It waits for the decision for at most timeout.
+// over all nodes. It may wait for an exchange with the owner of the count, by its own
+// configuration; in a large fleet also longer, for at most timeout.
 type Admitter interface {
 	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Allowance, timeout time.Duration) quota.Decision
 }
--- a/internal/node/gateway/passive_health.go
+++ b/internal/node/gateway/passive_health.go
@@ -20,7 +20,8 @@
 type passiveHealth struct {
 	// unreachable are the servers that the newest view has as unreachable.
 	unreachable []string
-	// suspected are the servers that stall, with their levels.
+	// suspected are the servers that stall, with their levels: the highest that was
+	// acted on. It is not the suspicion of package balance, which counts failures.
 	suspected map[string]balance.StallLevel
 }
 
--- a/internal/node/gateway/quota.go
+++ b/internal/node/gateway/quota.go
@@ -27,8 +27,9 @@
 	// costs which is exempt from ReservePerStep, as refusing it would gain little.
 	smallRequestFraction = 0.003
 	// quotaTimeoutFraction of a request's latency objective is how long it may wait
-	// for the owner of its tenant's counter, so that it can still be answered in
-	// time after that.
+	// in a large fleet for the owner of its tenant's counter, so that it can still be
+	// answered in time after that. The setting tally.hold allows the same or longer
+	// for every request.
 	quotaTimeoutFraction = 0.5
 	// minRetryAfter is the shortest Retry-After that a client gets.
 	minRetryAfter = 50 * time.Millisecond
@@ -68,8 +69,9 @@
 	return apiErr.WithRetryAfter(max(decision.RetryAfter, minRetryAfter))
 }
 
-// quotaTimeout returns how long the request may wait for a quota decision; zero
-// where its route has no latency objective.
+// quotaTimeout returns how long the request may wait for a quota decision in a large
+// fleet, where that is longer than tally.hold; zero where its route has no latency
+// objective.
 func (q *request) quotaTimeout() time.Duration {
 	return time.Duration(quotaTimeoutFraction * float64(q.route.ObjectiveMS) * float64(time.Millisecond))
 }
--- a/internal/node/healthcheck/checker.go
+++ b/internal/node/healthcheck/checker.go
@@ -161,7 +161,10 @@
 }
 
 // Observe reports what this node's own requests showed of a server (passive health
-// check): whether it is reachable. It waits for the owner until the context ends.
+// check): whether it is reachable. It takes the place of this front's last poll of
+// the server, as both report from SourceServer, and reaches this front's own view at
+// once and the others through the cores. It waits for the owner until the context
+// ends.
 func (c *Checker) Observe(ctx context.Context, server string, reachable bool) {
 	at := c.config.FleetNow()
 	step := func() {
--- a/internal/node/quotasync/exchange.go
+++ b/internal/node/quotasync/exchange.go
@@ -120,7 +120,9 @@
 	}
 }
 
-// logOwnerState logs an owner that has become unresponsive, or has recovered.
+// logOwnerState logs an owner that has become unresponsive, or has recovered. In the
+// events the tenants' owner is the key "holder"; the key "owner" is the name of this
+// shard, the goroutine that owns the limiter.
 func (s *shard) logOwnerState(result exchangeResult) {
 	unresponsive := result.err != nil
 	if !s.exchanges.setUnresponsive(result.owner, unresponsive) {
--- a/internal/node/quotasync/pending.go
+++ b/internal/node/quotasync/pending.go
@@ -17,7 +17,7 @@
 	tenant    string
 	tokens    float64
 	allowance quota.Allowance
-	maxWait   time.Duration // in the queue, for large fleets
+	maxWait   time.Duration // in the queue of a large fleet; see queueTimeout
 	decision  chan quota.Decision
 }
 
@@ -51,9 +51,10 @@
 	s.pending = append(s.pending, pendingRequest{request, deadline})
 }
 
-// queueTimeout returns how long a request may be queued. In a small fleet a front has
-// a share by demand of nearly each tenant, and a longer queue allows more at once than
-// there is capacity for.
+// queueTimeout returns how long a request may be queued: QueueTimeout, or in a large
+// fleet what the request allows where that is longer, up to maxLargeFleetWait. In a
+// small fleet a front has a share by demand of nearly each tenant, and a longer queue
+// allows more at once than there is capacity for.
 func (s *shard) queueTimeout(request *admitRequest) time.Duration {
 	if !s.inLargeFleet() {
 		return s.service.config.QueueTimeout
--- a/internal/node/quotasync/service.go
+++ b/internal/node/quotasync/service.go
@@ -61,7 +61,8 @@
 	Timeout time.Duration
 
 	// QueueTimeout is how long a request waits for an exchange at most; 2.5 s by
-	// default.
+	// default. Since zero stands for the default, the setting tally.hold can't turn
+	// the queue off.
 	QueueTimeout time.Duration
 
 	// MaxPending is the number of requests that a shard queues; 256 by default.
@@ -162,8 +163,9 @@
 
 // Admit decides a request of a number of tokens. The request of a tenant well below
 // its limit may be queued for an exchange with the owner, for Config.QueueTimeout at
-// most or, in a large fleet, for maxWait. When ctx ends first the request is rejected
-// with DeadlinePassed or CallerGone.
+// most. In a large fleet a maxWait longer than that counts instead, up to
+// maxLargeFleetWait; it never shortens the wait. When ctx ends first the request is
+// rejected with DeadlinePassed or CallerGone.
 func (s *Service) Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, maxWait time.Duration) quota.Decision {
 	request := s.requests.Get().(*admitRequest)
 	request.done = ctx.Done()
--- a/internal/node/replica/configuration.go
+++ b/internal/node/replica/configuration.go
@@ -20,7 +20,7 @@
 // configuration is the replicated state machine: the learned commands, applied
 // in the order of their slots. A command's slot is the version that it makes.
 type configuration struct {
-	sheet statemachine.State
+	sheet statemachine.State // the whole state, of which the sheet is one part
 	// recent holds the last commands, and results their results, index by index.
 	recent  []*wire.Chosen
 	results []statemachine.Result
--- a/internal/node/replica/recovery.go
+++ b/internal/node/replica/recovery.go
@@ -12,7 +12,7 @@
 )
 
 // firstIncarnation is announced by a core that has never voted; any later one
-// means that its disk was lost.
+// means that its disk was lost. It is that of package paxos.
 const firstIncarnation = 1
 
 // probeCores requests from cores their formation and the incarnations they know.
@@ -23,9 +23,11 @@
 	})
 }
 
-// recoverState recovers the core from the other voters, or from those that can
-// be reached where they suffice: it finds its next disk incarnation, announces
-// it, and merges what each of them syncs and answers.
+// recoverState brings a core into its formation, the first time as after the loss of
+// its disk. It recovers the core from the other voters, or from those that can be
+// reached where they suffice (paxos.State.RecoveryQuorum): it finds its next disk
+// incarnation, announces it, and merges what each of them syncs and answers. It is
+// one attempt, which maintenance repeats until the core votes.
 func (r *Replica) recoverState(ctx context.Context, state paxos.State) {
 	probes := r.probeCores(ctx, state.Others())
 	for _, resp := range probes {
--- a/internal/settings/table.go
+++ b/internal/settings/table.go
@@ -41,7 +41,9 @@
 	Check func(value any) error
 	Help  string
 	// Runtime settings may be set in the sheet and then change while the
-	// fleet runs.
+	// fleet runs. They reach the parts that the node applies WithRuntime for,
+	// which is the front; the gateway, for requests by route, reads its
+	// settings once at the start.
 	Runtime bool
 	// Secret values are never printed.
 	Secret bool
