--- a/cmd/rig/emulator/fault.go
+++ b/cmd/rig/emulator/fault.go
@@ -5,7 +5,8 @@
 // Fault is what a server does wrong with one request.
 type Fault string
 
-// Faults of a server, drawn for each request by their odds.
+// Faults of a server, drawn for each request by their odds. A new one has to be in
+// drawOrder too, or it is never drawn.
 const (
 	NoFault         Fault = ""
 	EarlyEnd        Fault = "early_end"   // model: ends cleanly without a final event
--- a/cmd/rig/experiment_command.go
+++ b/cmd/rig/experiment_command.go
@@ -76,12 +76,12 @@
 	if e.ablate {
 		return printAblation(out, site, seeds)
 	}
-	off, err := balance.ParseOff(e.disabled)
+	disabled, err := balance.ParseDisabled(e.disabled)
 	if err != nil {
 		return err
 	}
 	label := strings.Join(e.disabled, ",")
-	differences := model.Compare(site, model.Policy{Name: "all"}, model.Policy{Name: "without", Off: off}, seeds)
+	differences := model.Compare(site, model.Policy{Name: "all"}, model.Policy{Name: "without", Disabled: disabled}, seeds)
 	if err := printDifferences(out, label, differences); err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 	table := newTable(out)
 	_, _ = fmt.Fprintf(table, "off\tworth\t95%%\tworst windows\t95%%\t1,000 tokens read again\tMB between regions\tconnections\tservers out\t\n")
 	for _, mechanism := range balance.Mechanisms {
-		differences := model.Compare(site, model.Policy{}, model.Policy{Off: balance.Off{mechanism: true}}, seeds)
+		differences := model.Compare(site, model.Policy{}, model.Policy{Disabled: balance.Disabled{mechanism: true}}, seeds)
 		value, worstWindows := differences[0], differences[1]
 		_, _ = fmt.Fprintf(table, "%s\t%+.4f\t±%.4f\t%+.3f\t±%.3f\t",
 			mechanism, -value.Mean, value.Within, -worstWindows.Mean, worstWindows.Within)
--- a/cmd/rig/faultcase/cases.go
+++ b/cmd/rig/faultcase/cases.go
@@ -16,7 +16,10 @@
 // ChecksQuotas reports whether the case is about quotas.
 func (c Case) ChecksQuotas() bool { return c.Group == quotaGroup }
 
-// Cases are all cases, in the order of their groups.
+// Cases are all cases, in the order of their groups. Faults also have two other
+// tables: those that the mix draws at random (randomFaults) and those that a
+// scenario's file may name (faultTargets, caused by Run.causeFault). What a single
+// server does wrong is in package emulator.
 var Cases = []Case{
 	{
 		Name:    "shots_reset",
--- a/cmd/rig/faultcase/scenariofault.go
+++ b/cmd/rig/faultcase/scenariofault.go
@@ -34,7 +34,9 @@
 // leaving until it leaves.
 const scenarioLeaveAfter = 5 * time.Second
 
-// faultTargets says what may be the target of each kind of fault.
+// faultTargets says what the target of each kind of fault must be, for the message
+// of a wrong one. A new kind is caused and repaired in causeNodeFault or
+// causeServerFault; the faults of package emulator need no more than their row.
 var faultTargets = map[FaultKind]string{
 	FaultKill:      "nodes",
 	FaultStop:      "nodes",
--- a/cmd/rig/simnode/state_cost.go
+++ b/cmd/rig/simnode/state_cost.go
@@ -180,7 +180,7 @@
 	var table *route.Table
 	c.RouteTableHeapKiB = heapOf(func() any {
 		table = route.New(route.Config{Self: "front000", Region: "r00", Zone: "z00"})
-		table.Update(view, now)
+		table.Update(view)
 		return table
 	})
 	counter := uint64(c.Servers)
@@ -192,7 +192,7 @@
 		report.Status.Running = uint32(counter % 13)
 		reports.Add(report, now)
 		view.Servers = reports.Servers()
-		table.Update(view, now)
+		table.Update(view)
 	})
 }
 
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -114,10 +114,10 @@
 	return map[string]any{
 		"error":       body,
 		"error least": apierror.Errorf(apierror.OperatorUnknown, "").Body(""),
-		"connect":     clientapi.Nearest{RequestID: "r-1", Service: "chat", Region: "lagos", Nodes: []clientapi.Node{{Name: "n1", Address: coreAddress, Region: "lagos", Zone: "a"}}},
+		"connect":     clientapi.NearestNodes{RequestID: "r-1", Service: "chat", Region: "lagos", Nodes: []clientapi.Node{{Name: "n1", Address: coreAddress, Region: "lagos", Zone: "a"}}},
 		"plan":        plan,
-		"tally": []quota.TenantView{{Tenant: "press", Limit: 12000, Blend: 5200.5, Recent: 5100, Own: 700, Share: 900, Reserved: 1,
-			Marked: true, Holder: "n1", Age: 120 * time.Millisecond}},
+		"tally": []quota.TenantUsage{{Tenant: "press", Limit: 12000, Estimate: 5200.5, Recent: 5100, Own: 700, Share: 900, Reserved: 1,
+			OverLimit: true, Owner: "n1", Age: 120 * time.Millisecond}},
 		"explain": front.Explanation{RequestID: "r-1", Front: "n2", AtMS: at.UnixMilli(),
 			Admission: &front.Admission{Service: "chat", Tenant: "press", Region: "lagos", Home: "lagos", Version: 21, PlanTerm: 2, Plan: 44,
 				Tokens: 700, Passed: true, Blend: 5200, Prev: 6000, Cur: 2200, Recent: 5100, Limit: 12000, Marked: true, Fault: "2001 quota_exceeded"},
--- a/internal/decision/route/server.go
+++ b/internal/decision/route/server.go
@@ -11,312 +11,261 @@
 	"stepwick/internal/wire"
 )
 
-// Reasons of exclusion besides those of the plan.
+// Reasons of exclusion of a candidate, besides those of the plan.
 const (
-	AtCap     = "at cap"
-	NoPart    = "no part of the cap"
-	Ejected   = "ejected"
-	Probing   = "probed by another request"
-	Busy      = "said busy"
-	Tried     = "tried before"
-	Loaded    = "loaded beyond the others"
-	NotChosen = "not first"
+	AtCap        = "at cap"
+	NoShare      = "no part of the cap"
+	Ejected      = "ejected"
+	UnderProbe   = "probed by another request"
+	ReportedBusy = "said busy"
+	AlreadyTried = "tried before"
+	Overloaded   = "loaded beyond the others"
 )
 
-const (
-	busyFor       = 200 * time.Millisecond
-	timeoutsToEnd = 3
-	timeoutsFor   = time.Second
-)
+// busyPause is how long a server that reported itself busy gets no requests.
+const busyPause = 200 * time.Millisecond
 
+// server is what a front knows of one server.
 type server struct {
 	name     string
-	seed     uint64
+	hash     uint64 // of the name
 	status   *wire.ServerStatus
-	excluded string
+	excluded string // reason why it gets no requests, "" if it does
 	pools    []*pool
 
-	full, cap int
-	base      uint64
-	floor     int
-	seen      uint64
-	planned   int
-	planBase  uint64
-
-	own, others int
-	low, lowOld int
-	extra       float64
-	wanted      bool
-	limited     bool
-
-	rankGen, rank int
-
-	timeouts  int
-	timeoutAt time.Time
-	ejections int
-	ejected   bool
-	until     time.Time
-	probing   bool
-	healing   bool
-	healed    int
+	load      load
+	capacity  capacity
+	borrowing borrowing
+	rank      cachedRank
+	ejection  ejection
 	busyUntil time.Time
 }
 
-func newServer(name string) *server {
-	return &server{name: name, seed: xxhash.Sum64String(name)}
+// load is the number of requests in flight at a server.
+type load struct {
+	own    int // from this front
+	others int // from other fronts, as far as the last status tells
+
+	// minOwn and priorMinOwn are the least own requests since the last status and
+	// between the last two: as many are surely part of what a status reports.
+	minOwn, priorMinOwn int
 }
 
-// learn takes a status in and tells whether the server's place in the pools moved.
-func (t *Table) learn(s *server, status *wire.ServerStatus, now time.Time) bool {
-	old, before := s.status, s.excluded
-	s.status = status
-	s.excluded = plan.ExclusionReason(t.view.State, status)
-	s.full = t.cfg.Policy.FullCap(status)
-	reborn := old != nil && status.Incarnation != old.Incarnation && status.Incarnation != 0
-	cold := status.State == wire.ServerState_SERVER_STATE_COLD
-	switch {
-	case old == nil:
-		if cold && status.Answered >= uint64(s.full) {
-			s.base = status.Answered
-		}
-	case reborn:
-		s.base, s.floor, s.seen, s.extra, s.planBase = 0, 0, 0, 0, 0
-		s.heal()
-		s.healing = false
-	case cold && old.State != wire.ServerState_SERVER_STATE_COLD:
-		s.base, s.floor, s.seen, s.extra = status.Answered, 0, 0, 0
-	case before != "" && s.excluded == "":
-		s.base, s.floor, s.seen, s.extra = status.Answered, t.cfg.Policy.RecoveryCap(s.full), 0, 0
-	}
-	if old != nil && status.Answered > old.Answered {
-		s.timeouts = 0
-	}
-	t.setCap(s)
-	if status != old {
-		t.setLoad(s, s.own, max(0, int(status.Running+status.Queued)-min(s.low, s.lowOld)))
-		s.low, s.lowOld = s.own, s.low
-		t.lend(s)
-	}
-	return before != s.excluded || old == nil || old.Region != status.Region || !slices.Equal(old.Services, status.Services)
+func (l *load) total() int { return l.own + l.others }
+
+// othersIn returns the other fronts' part of what a status reports.
+func (l *load) othersIn(status *wire.ServerStatus) int {
+	return max(0, int(status.Running+status.Queued)-min(l.minOwn, l.priorMinOwn))
 }
 
-func (t *Table) setCap(s *server) {
-	answered := s.seen
-	if s.status.Answered > s.base {
-		answered = max(answered, s.status.Answered-s.base)
-	}
-	next := min(s.full, max(t.cfg.Policy.SlowStartCap, s.floor)+int(min(answered, 1<<20)))
-	if s.planned > 0 {
-		since := s.seen
-		if s.status.Answered > s.planBase {
-			since = max(since, s.status.Answered-s.planBase)
-		}
-		next = min(next, s.planned+int(min(since, 1<<20)))
-	}
-	for _, p := range s.pools {
-		p.cap += next - s.cap
-	}
-	s.cap = next
+func (l *load) startPeriod() {
+	l.priorMinOwn = l.minOwn
+	l.minOwn = l.own
 }
 
-func (t *Table) setLoad(s *server, own, others int) {
-	for _, p := range s.pools {
-		p.load += own + others - s.own - s.others
-	}
-	s.own, s.others = own, others
-	s.low = min(s.low, own)
+func newServer(name string) *server {
+	return &server{name: name, hash: xxhash.Sum64String(name)}
 }
 
-func (s *server) ramping() bool { return s.cap < s.full }
+func (s *server) isCold() bool { return s.status.State == wire.ServerState_SERVER_STATE_COLD }
 
-// lend moves the part that a front may use beyond its share of the cap. At each
-// status of a server with room, the fronts that are at their limit divide half
-// of the room in proportion to what they have in flight; the others give back half of
-// what they don't use. So the limits of all fronts add up to no more than three
-// caps, and to the cap itself while the server ramps.
-func (t *Table) lend(s *server) {
-	share := t.share(s)
-	free := s.cap - s.own - s.others
-	before := s.limited
-	s.limited = s.wanted && s.own >= t.limit(s, share)
-	switch {
-	case s.ramping():
-		s.extra = 0
-	case free > 0 && s.limited && before:
-		s.extra = min(s.extra+float64(free)/2*float64(s.own)/float64(max(1, s.own+s.others)), float64(s.cap))
-	default:
-		s.extra = max(float64(s.own-share), s.extra/2, 0)
+// updateServer applies a status and reports whether the pools have to be rebuilt.
+func (t *Table) updateServer(server *server, status *wire.ServerStatus) bool {
+	old, priorExclusion := server.status, server.excluded
+	server.status = status
+	server.excluded = plan.ExclusionReason(t.view.State, status)
+	server.capacity.full = t.config.Policy.FullCap(status)
+	t.restartSlowStart(server, old, priorExclusion)
+	if old != nil && status.Answered > old.Answered {
+		server.ejection.timeouts = 0
+	}
+	t.updateCap(server)
+	if status != old {
+		t.setLoad(server, server.load.own, server.load.othersIn(status))
+		server.load.startPeriod()
+		t.adjustBorrowing(server)
 	}
-	s.wanted = false
+	return priorExclusion != server.excluded || old == nil || old.Region != status.Region || !slices.Equal(old.Services, status.Services)
 }
 
-func (t *Table) limit(s *server, share int) int { return min(share+int(s.extra), s.cap) }
-
-// share is the part of the cap that is this front's alone. The parts of all
-// fronts add up to the cap: what doesn't divide goes to the fronts that rank
-// first for the server.
-func (t *Table) share(s *server) int {
-	n := len(t.fronts)
-	whole, rest := s.cap/n, s.cap%n
-	if rest > 0 && t.rank(s) < rest {
-		whole++
+// restartSlowStart restarts the slow start of a server that has restarted, turned cold
+// or returned.
+func (t *Table) restartSlowStart(server *server, old *wire.ServerStatus, priorExclusion string) {
+	status := server.status
+	switch {
+	case old == nil:
+		if server.isCold() && status.Answered >= uint64(server.capacity.full) {
+			server.capacity.answeredBase = status.Answered
+		}
+	case status.Incarnation != old.Incarnation && status.Incarnation != 0:
+		server.capacity.restart(0, 0)
+		server.capacity.plannedAnswered = 0
+		server.borrowing.extra = 0
+		server.ejection.end()
+		server.ejection.recovering = false
+	case server.isCold() && old.State != wire.ServerState_SERVER_STATE_COLD:
+		server.capacity.restart(status.Answered, 0)
+		server.borrowing.extra = 0
+	case priorExclusion != "" && server.excluded == "":
+		server.capacity.restart(status.Answered, t.config.Policy.RecoveryCap(server.capacity.full))
+		server.borrowing.extra = 0
 	}
-	return whole
 }
 
-func (t *Table) rank(s *server) int {
-	if s.rankGen != t.frontsGen {
-		mine := mix(t.self ^ s.seed)
-		s.rank, s.rankGen = 0, t.frontsGen
-		for _, front := range t.fronts {
-			if mix(front^s.seed) > mine {
-				s.rank++
-			}
-		}
+func (t *Table) setLoad(server *server, own, others int) {
+	for _, pool := range server.pools {
+		pool.load += own + others - server.load.total()
 	}
-	return s.rank
+	server.load.own = own
+	server.load.others = others
+	server.load.minOwn = min(server.load.minOwn, own)
 }
 
-// closed returns why the server has no room for this front, or "".
-func (t *Table) closed(s *server, now time.Time) string {
-	if s.ejected {
-		if now.Before(s.until) {
-			return Ejected
-		}
-		if s.probing {
-			return Probing
-		}
-		return ""
+// unavailableFor returns why a server can take no request of this front now, or "".
+func (t *Table) unavailableFor(server *server, now time.Time) string {
+	if server.ejection.active() {
+		return server.ejection.reason(now)
 	}
-	if now.Before(s.busyUntil) {
-		return Busy
+	if now.Before(server.busyUntil) {
+		return ReportedBusy
 	}
-	if s.healing && s.own > s.healed {
+	if server.ejection.recovering && server.load.own > server.ejection.recoveryAnswers {
 		return AtCap
 	}
-	share := t.share(s)
-	if s.own < share {
+	share := t.share(server)
+	if server.load.own < share {
 		return ""
 	}
-	s.wanted = true
-	if s.own < t.limit(s, share) && s.own+s.others < s.cap {
+	server.borrowing.requested = true
+	if server.load.own < t.limit(server, share) && server.load.total() < server.capacity.cap {
 		return ""
 	}
-	if share == 0 && s.own == 0 && s.extra < 1 {
-		return NoPart
+	if share == 0 && server.load.own == 0 && server.borrowing.extra < 1 {
+		return NoShare
 	}
 	return AtCap
 }
 
 // Started counts a request in flight at the chosen server.
 func (t *Table) Started(name string) {
-	s := t.servers[name]
-	if s == nil {
+	server := t.servers[name]
+	if server == nil {
 		return
 	}
-	if s.ejected {
-		s.probing = true
-	}
-	t.setLoad(s, s.own+1, s.others)
+	server.ejection.requestStarted()
+	t.setLoad(server, server.load.own+1, server.load.others)
 }
 
-// Finished ends a request that Started counted. Answers seen raise the cap of a
-// ramping server. A refusal ejects the server until one request has probed it;
-// so do three timeouts in a row over a second, unless the server is known to
-// have answered others meanwhile: then it is slow, not dead.
-func (t *Table) Finished(name string, o Outcome, now time.Time) {
-	s := t.servers[name]
-	if s == nil {
+// Finished ends a request that Started counted. An answer raises the cap during slow
+// start and ends an ejection. A refused connection ejects the server; so do three
+// time-outs in a row over a second, unless the server has answered others meanwhile:
+// then it is slow, not down.
+func (t *Table) Finished(name string, outcome Outcome, now time.Time) {
+	server := t.servers[name]
+	if server == nil {
 		return
 	}
-	t.setLoad(s, max(0, s.own-1), s.others)
+	t.setLoad(server, max(0, server.load.own-1), server.load.others)
 	t.queue.unserved = true
-	s.probing = false
-	t.learnTook(o)
-	switch {
-	case o.OK:
-		s.seen++
-		s.healed++
-		s.healing = s.healing && s.healed < s.cap
-		s.heal()
-		t.setCap(s)
-		for _, p := range s.pools {
-			p.rate.hit(now)
+	server.ejection.requestFinished()
+	t.recordDurations(outcome)
+	switch outcome.Result {
+	case Answered:
+		t.recordAnswer(server, now)
+	case Busy:
+		server.borrowing.extra = 0
+		server.busyUntil = now.Add(busyPause)
+	case Refused:
+		t.eject(server, now)
+	case TimedOut:
+		if server.ejection.recordTimeout(now) || server.ejection.active() {
+			t.eject(server, now)
 		}
-	case o.Busy:
-		s.extra = 0
-		s.busyUntil = now.Add(busyFor)
-	case o.Refused:
-		t.eject(s, now)
-	case o.Timeout:
-		if s.timeouts == 0 {
-			s.timeoutAt = now
+	case Inconclusive:
+		if server.ejection.active() {
+			t.eject(server, now)
 		}
-		s.timeouts++
-		if s.ejected || s.timeouts >= timeoutsToEnd && now.Sub(s.timeoutAt) >= timeoutsFor {
-			t.eject(s, now)
-		}
-	case s.ejected:
-		t.eject(s, now)
 	}
-	if s.own == 0 && s.excluded == plan.ReasonGone {
-		if _, listed := t.view.Servers[name]; !listed {
-			delete(t.servers, name)
-		}
+	t.forgetIfRemoved(server)
+}
+
+func (t *Table) recordAnswer(server *server, now time.Time) {
+	server.capacity.answersSeen++
+	server.ejection.recordAnswer(server.capacity.cap)
+	t.updateCap(server)
+	for _, pool := range server.pools {
+		pool.rate.add(now)
 	}
 }
 
-func (t *Table) eject(s *server, now time.Time) {
-	if s.ejected && now.Before(s.until) {
+// forgetIfRemoved drops a server that is no longer listed once nothing is in flight.
+func (t *Table) forgetIfRemoved(server *server) {
+	if server.load.own != 0 || server.excluded != plan.ReasonGone {
 		return
 	}
-	span := t.cfg.EjectFor << min(s.ejections, 8)
-	s.ejections++
-	s.ejected, s.probing = true, false
-	s.until = now.Add(min(span, t.cfg.EjectMost))
-	s.healing, s.healed, s.extra = true, 0, 0
+	if _, listed := t.view.Servers[server.name]; !listed {
+		delete(t.servers, server.name)
+	}
 }
 
-func (s *server) heal() {
-	s.timeouts, s.ejections = 0, 0
-	s.ejected, s.probing = false, false
+func (t *Table) eject(server *server, now time.Time) {
+	if server.ejection.start(now, t.config.BaseEjectionTime, t.config.MaxEjectionTime) {
+		server.borrowing.extra = 0
+	}
 }
 
-// ServerView is one server as the table sees it, for inspection.
+// ServerView is the state of one server, for inspection.
 type ServerView struct {
-	Server   string `json:"server"`
-	Excluded string `json:"excluded,omitempty"`
-	Cap      int    `json:"cap"`
-	Full     int    `json:"full"`
-	Part     int    `json:"part"`
-	Own      int    `json:"own"`
-	Others   int    `json:"others"`
-	Ramping  bool   `json:"ramping,omitempty"`
-	Ejected  bool   `json:"ejected,omitempty"`
+	Server    string `json:"server"`
+	Excluded  string `json:"excluded,omitempty"`
+	Cap       int    `json:"cap"`               // requests in flight over all fronts
+	FullCap   int    `json:"full"`              // cap after slow start
+	Limit     int    `json:"part"`              // requests in flight from this front
+	Own       int    `json:"own"`               // in flight from this front
+	Others    int    `json:"others"`            // in flight from other fronts
+	SlowStart bool   `json:"ramping,omitempty"` // the cap is below FullCap
+	Ejected   bool   `json:"ejected,omitempty"`
 }
 
-// Servers returns every known server in the order of the names.
+// Servers returns every known server, sorted by name.
 func (t *Table) Servers() []ServerView {
-	all := make([]ServerView, 0, len(t.servers))
-	for _, s := range t.servers {
-		all = append(all, ServerView{Server: s.name, Excluded: s.excluded, Cap: s.cap, Full: s.full,
-			Part: t.limit(s, t.share(s)), Own: s.own, Others: s.others, Ramping: s.ramping(), Ejected: s.ejected})
+	views := make([]ServerView, 0, len(t.servers))
+	for _, server := range t.servers {
+		views = append(views, ServerView{
+			Server:    server.name,
+			Excluded:  server.excluded,
+			Cap:       server.capacity.cap,
+			FullCap:   server.capacity.full,
+			Limit:     t.limit(server, t.share(server)),
+			Own:       server.load.own,
+			Others:    server.load.others,
+			SlowStart: server.capacity.inSlowStart(),
+			Ejected:   server.ejection.active(),
+		})
 	}
-	slices.SortFunc(all, func(a, b ServerView) int { return cmp.Compare(a.Server, b.Server) })
-	return all
+	slices.SortFunc(views, func(a, b ServerView) int { return cmp.Compare(a.Server, b.Server) })
+	return views
 }
 
-// Ejected returns the names of the servers that rest, in no order.
+// Ejected returns the names of the ejected servers, unsorted.
 func (t *Table) Ejected() []string {
 	var names []string
-	for name, s := range t.servers {
-		if s.ejected {
+	for name, server := range t.servers {
+		if server.ejection.active() {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
+// Unavailable reports whether a server is known to answer nobody: it refuses
+// connections, is unresponsive to health checks, or is no longer listed.
+func (t *Table) Unavailable(name string) bool {
+	server := t.servers[name]
+	return server == nil || server.excluded == plan.ReasonGone || server.status.State == wire.ServerState_SERVER_STATE_GONE || !server.status.Reachable
+}
+
+// mix is a bijective hash of 64 bits, the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- /dev/null
+++ b/internal/node/gateway/relay.go
@@ -0,0 +1,158 @@
+package gateway
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+
+	"github.com/pkg/errors"
+
+	"stepwick/internal/adapter/upstream"
+	"stepwick/internal/apierror"
+	"stepwick/internal/decision/balance"
+	"stepwick/internal/decision/sheet"
+)
+
+const (
+	// maxBufferedResponse is how many bytes of a response that is no stream are
+	// read before any of it is relayed, so that an attempt which fails until then
+	// can be retried.
+	maxBufferedResponse = 1 << 20
+	readChunkSize       = 8 << 10
+	copyChunkSize       = 16 << 10
+)
+
+// relay passes responses on to the client: a single one, or a stream that several
+// servers may carry one after the other.
+type relay struct {
+	request *request
+	// ctx ends when the client disconnects or the deadline passes.
+	ctx                context.Context
+	started            bool   // something was written to the client
+	lastEventID        string // of the last event that was relayed
+	clientDisconnected bool
+}
+
+// relay passes a response on. retry reports that the request may be sent to
+// another server, where its route allows that.
+func (r *relay) relay(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+	succeeded := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
+	if r.request.route.Kind == sheet.RouteStream && succeeded {
+		return r.relayStream(response, attempt)
+	}
+	if r.started {
+		return apierror.Errorf(apierror.StreamCut, "a server answered %d to a stream that was to go on", response.Status), true
+	}
+	return r.relaySingle(response, attempt)
+}
+
+// relaySingle relays a response that is no stream. One of at most
+// maxBufferedResponse bytes is relayed only once it is known to be complete.
+func (r *relay) relaySingle(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+	body := make([]byte, 0, max(min(response.Length(), maxBufferedResponse), 0))
+	body, err := readUpTo(response, body, maxBufferedResponse)
+	r.request.gateway.dispatcher.responseStarted(attempt)
+	switch {
+	case err == io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
+		return r.writeComplete(response, body), false
+	case err != nil:
+		return r.responseError(err), true
+	}
+	r.writeHeader(response)
+	if _, err := r.writer().Write(body); err != nil {
+		return r.clientError(err), false
+	}
+	if err := r.copyRest(response); err != nil {
+		return r.responseError(err), false
+	}
+	return nil, false
+}
+
+func (r *relay) writeComplete(response *upstream.Response, body []byte) *apierror.Error {
+	r.copyHeader(response)
+	r.writer().Header().Set("Content-Length", strconv.Itoa(len(body)))
+	r.writer().WriteHeader(response.Status)
+	r.started = true
+	if _, err := r.writer().Write(body); err != nil {
+		return r.clientError(err)
+	}
+	return nil
+}
+
+// readUpTo appends to body until the reader ends, with io.EOF, or body has limit
+// bytes or more.
+func readUpTo(from io.Reader, body []byte, limit int) ([]byte, error) {
+	var chunk [readChunkSize]byte
+	for len(body) < limit {
+		count, err := from.Read(chunk[:])
+		body = append(body, chunk[:count]...)
+		if err != nil {
+			return body, err
+		}
+	}
+	return body, nil
+}
+
+func (r *relay) copyRest(response *upstream.Response) error {
+	var chunk [copyChunkSize]byte
+	for {
+		count, err := response.Read(chunk[:])
+		if count > 0 {
+			if _, writeErr := r.writer().Write(chunk[:count]); writeErr != nil {
+				return r.clientError(writeErr)
+			}
+		}
+		switch {
+		case err == io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
+			return nil
+		case err != nil:
+			return err
+		}
+	}
+}
+
+// writeHeader writes the status and header of the first server's response, once.
+func (r *relay) writeHeader(response *upstream.Response) {
+	if r.started {
+		return
+	}
+	r.started = true
+	r.copyHeader(response)
+	r.writer().WriteHeader(response.Status)
+}
+
+func (r *relay) copyHeader(response *upstream.Response) {
+	header := r.writer().Header()
+	for name, values := range response.Header {
+		header[name] = values
+	}
+	dropHopHeaders(header)
+	if r.request.gateway.draining.Load() {
+		header.Set("Connection", "close")
+	}
+	// A nil value keeps net/http from adding a header that the server did not send.
+	for _, name := range []string{"Date", "Content-Type"} {
+		if _, present := response.Header[name]; !present {
+			header[name] = nil
+		}
+	}
+}
+
+func (r *relay) writer() http.ResponseWriter { return r.request.writer }
+
+// clientError returns the error for a write to the client that failed.
+func (r *relay) clientError(err error) *apierror.Error {
+	r.clientDisconnected = true
+	return apierror.Errorf(apierror.CallerGone, "the client takes no answer: %s", err)
+}
+
+// responseError returns the error for a response that could not be relayed to its
+// end.
+func (r *relay) responseError(err error) *apierror.Error {
+	var apiErr *apierror.Error
+	if errors.As(err, &apiErr) {
+		return apiErr
+	}
+	return r.request.contextError(r.ctx, apierror.Errorf(apierror.BadAnswer, "%s", err))
+}
--- /dev/null
+++ b/internal/node/gateway/stream.go
@@ -0,0 +1,77 @@
+package gateway
+
+import (
+	"io"
+	"net/http"
+
+	"stepwick/internal/adapter/upstream"
+	"stepwick/internal/apierror"
+	"stepwick/internal/decision/balance"
+)
+
+// relayStream relays events as they arrive. Only complete events are relayed, so
+// that another server can resume the stream after the last of them.
+func (r *relay) relayStream(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
+	var events eventSplitter
+	var chunk [readChunkSize]byte
+	controller := http.NewResponseController(r.writer())
+	stall := r.request.startStallTimer(r.request.executions, response.Abort)
+	defer stall.Stop()
+	for first := true; ; {
+		count, err := response.Read(chunk[:])
+		if count > 0 {
+			stall.Reset(r.request.stallTimeout(r.request.executions))
+			if first {
+				r.request.gateway.dispatcher.responseStarted(attempt)
+				first = false
+			}
+			if apiErr := r.relayEvents(response, &events, chunk[:count], controller); apiErr != nil {
+				return apiErr, false
+			}
+		}
+		if err != nil {
+			return r.endStream(response, events.incomplete(), err)
+		}
+	}
+}
+
+// relayEvents relays the events that data completes.
+func (r *relay) relayEvents(
+	response *upstream.Response,
+	events *eventSplitter,
+	data []byte,
+	controller *http.ResponseController,
+) *apierror.Error {
+	complete := events.add(data)
+	if len(complete) == 0 {
+		return nil
+	}
+	r.writeHeader(response)
+	if _, err := r.writer().Write(complete); err != nil {
+		return r.clientError(err)
+	}
+	if err := controller.Flush(); err != nil {
+		return r.clientError(err)
+	}
+	if events.lastID != "" {
+		r.lastEventID = events.lastID
+	}
+	return nil
+}
+
+// endStream decides on a stream whose body ended with err. Bytes after the last
+// complete event are relayed where the response's framing shows that its body is
+// complete.
+func (r *relay) endStream(response *upstream.Response, incomplete []byte, err error) (apiErr *apierror.Error, retry bool) {
+	switch {
+	case err != io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
+		return r.responseError(err), true
+	case !response.HasFraming() && len(incomplete) > 0:
+		return apierror.Errorf(apierror.StreamCut, "the stream ended inside an event"), true
+	}
+	r.writeHeader(response)
+	if _, err := r.writer().Write(incomplete); err != nil {
+		return r.clientError(err), false
+	}
+	return nil, false
+}
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -19,7 +19,7 @@
 type peer struct {
 	directory  *internalrpc.Directory
 	follower   *follower.Follower
-	quota      *quotasync.Spend
+	quota      *quotasync.Service
 	inspector  *inspector
 	replica    *replica.Replica
 	controller *control.Controller
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -52,7 +52,7 @@
 	pool      *internalrpc.Pool
 	directory *internalrpc.Directory
 	follower  *follower.Follower
-	quota     *quotasync.Spend
+	quota     *quotasync.Service
 	checker   *healthcheck.Checker
 	front     *front.Front
 	gateway   *gateway.Gateway // nil without a platform
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -89,7 +89,7 @@
 }
 
 // tally returns the counters of a tenant's quota.
-func (p *process) tally(tenant string) ([]quota.TenantView, bool) {
+func (p *process) tally(tenant string) ([]quota.TenantUsage, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), tallyTimeout)
 	defer cancel()
 	views, err := p.quota.Inspect(ctx, tenant)
