--- a/cmd/rig/emulator/batch.go
+++ b/cmd/rig/emulator/batch.go
@@ -186,9 +186,9 @@
 	}
 }
 
-// crossedEvent returns an event of another job in a job's place, or the job's own
+// crossedEvent returns an event of another job in a job's place, or the original
 // event if no other runs.
-func (b *batch) crossedEvent(j *job, own history.Event) history.Event {
+func (b *batch) crossedEvent(j *job, original history.Event) history.Event {
 	for _, other := range b.running {
 		if other != j {
 			return history.Event{
@@ -200,7 +200,7 @@
 			}
 		}
 	}
-	return own
+	return original
 }
 
 // finish ends a job with a last frame and records its run.
--- a/cmd/rig/faultcase/capacity.go
+++ b/cmd/rig/faultcase/capacity.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-func startServersCold(options *Options) { options.Spec.ServersWarm = false }
+func startServersWarmingUp(options *Options) { options.Spec.ServersWarm = false }
 
-func serveFromColdStart(r *Run) error {
+func serveDuringWarmUp(r *Run) error {
 	r.waitUntilEnd(r.Recorder.Now())
 	return nil
 }
--- a/cmd/rig/faultcase/disks.go
+++ b/cmd/rig/faultcase/disks.go
@@ -14,7 +14,7 @@
 const (
 	diskChangeInterval = 20 * time.Millisecond
 	recoveryTimeout    = 20 * time.Second
-	settleTime         = 2 * time.Second // after a core has recovered
+	afterRecovery      = 2 * time.Second // after a core has recovered
 
 	// largeChangeEvery is how many changes there are for each that adds many
 	// tenants, and tenantsPerLargeChange how many it adds.
@@ -59,7 +59,7 @@
 // isRecovered waits until a restarted core uses the newest sheet, and a little
 // longer.
 func (r *Run) isRecovered(core *fleet.Node) bool {
-	return r.servesNewestSheet(core, recoveryTimeout) && r.Wait(settleTime)
+	return r.servesNewestSheet(core, recoveryTimeout) && r.Wait(afterRecovery)
 }
 
 // limitOneDisk gives the first core a small disk.
--- a/cmd/rig/faultcase/final.go
+++ b/cmd/rig/faultcase/final.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	recording := r.Recorder.Snapshot()
-	if broken := cutStreams(&recording); broken > 0 {
+	if broken := brokenStreams(&recording); broken > 0 {
 		return errors.Errorf("%d streams were cut although every node left by itself", broken)
 	}
 	return nil
--- a/cmd/rig/faultcase/nodes.go
+++ b/cmd/rig/faultcase/nodes.go
@@ -98,12 +98,12 @@
 }
 
 // restartInTurn restarts every node; each must stop by itself with code 0.
-func (r *Run) restartInTurn(pause time.Duration) error {
+func (r *Run) restartInTurn(interval time.Duration) error {
 	for _, node := range r.Fleet.Nodes {
 		if err := restartGracefully(node); err != nil {
 			return err
 		}
-		if !r.Wait(pause) {
+		if !r.Wait(interval) {
 			return nil
 		}
 	}
--- a/cmd/rig/faultcase/partitions.go
+++ b/cmd/rig/faultcase/partitions.go
@@ -46,11 +46,11 @@
 	return hasMostCores != hasMostNodes
 }
 
-func forceNode(r *Run) error { return partitionDuringChanges(r, []string{r.randomFront().Name}) }
+func partitionNode(r *Run) error { return partitionDuringChanges(r, []string{r.randomFront().Name}) }
 
-func forceCore(r *Run) error { return partitionDuringChanges(r, []string{r.randomCore().Name}) }
+func partitionCore(r *Run) error { return partitionDuringChanges(r, []string{r.randomCore().Name}) }
 
-func forceZone(r *Run) error {
+func partitionZone(r *Run) error {
 	nodes, _ := r.inZone(r.randomNode().Location)
 	var names []string
 	for _, node := range nodes {
@@ -59,7 +59,7 @@
 	return partitionDuringChanges(r, names)
 }
 
-func forceCores(r *Run) error {
+func partitionTwoCores(r *Run) error {
 	cores := r.Fleet.Cores()
 	return partitionDuringChanges(r, []string{
 		cores[0].Name,
@@ -69,8 +69,8 @@
 	})
 }
 
-// forceFreeze freezes nodes, and restarts others into a partition.
-func forceFreeze(r *Run) error {
+// freezeDuringChanges freezes nodes, and restarts others into a partition.
+func freezeDuringChanges(r *Run) error {
 	start := r.Recorder.Now()
 	endChanges := r.runBeside(func(ctx context.Context) { r.submitChanges(ctx, freezeChangeInterval, nil) })
 	for r.hasTimeLeft(start) {
--- a/cmd/rig/faultcase/requests.go
+++ b/cmd/rig/faultcase/requests.go
@@ -13,7 +13,7 @@
 	r.Callers.SetLoadFactor("crews", 1.9)
 }
 
-func shotsReset(r *Run) error {
+func oneShotsReset(r *Run) error {
 	r.favorOneShots()
 	r.setWebFaults(emulator.FaultOdds{
 		emulator.ResetBeforeRead: .05,
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func shotsFronts(r *Run) error {
+func oneShotsThroughFaultyFronts(r *Run) error {
 	start := r.Recorder.Now()
 	r.favorOneShots()
 	r.setWebFaults(emulator.FaultOdds{
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func shotsDeadline(r *Run) error {
+func oneShotsPastDeadline(r *Run) error {
 	start := r.Recorder.Now()
 	r.favorOneShots()
 	for r.hasTimeLeft(start) {
--- a/cmd/rig/faultcase/rolling_upgrade.go
+++ b/cmd/rig/faultcase/rolling_upgrade.go
@@ -73,11 +73,11 @@
 
 // RollingSummary is the result of a rolling upgrade and rollback.
 type RollingSummary struct {
-	Planned    int                 `json:"planned"`
-	Upgraded   int                 `json:"upgraded"`
-	RolledBack int                 `json:"rolled_back"`
-	CutStreams int                 `json:"cut_streams"`
-	Steps      []RollingStepResult `json:"steps"`
+	Planned       int                 `json:"planned"`
+	Upgraded      int                 `json:"upgraded"`
+	RolledBack    int                 `json:"rolled_back"`
+	BrokenStreams int                 `json:"cut_streams"`
+	Steps         []RollingStepResult `json:"steps"`
 }
 
 // CheckPreviousBinary returns an error if one of the cases needs a previous
@@ -166,9 +166,9 @@
 		}
 	}
 	recording := r.Recorder.Snapshot()
-	summary.CutStreams = cutStreams(&recording)
-	if summary.CutStreams > 0 {
-		return errors.Errorf("%d streams were cut although every node left by itself", summary.CutStreams)
+	summary.BrokenStreams = brokenStreams(&recording)
+	if summary.BrokenStreams > 0 {
+		return errors.Errorf("%d streams were cut although every node left by itself", summary.BrokenStreams)
 	}
 	return nil
 }
@@ -281,9 +281,9 @@
 	return count
 }
 
-// cutStreams returns the number of streams that ended before their final event
+// brokenStreams returns the number of streams that ended before their final event
 // without the caller having left.
-func cutStreams(recording *history.Recording) int {
+func brokenStreams(recording *history.Recording) int {
 	count := 0
 	for _, attempt := range recording.Attempts {
 		ended := attempt.Outcome == history.Served || attempt.Outcome == history.Abandoned
--- a/cmd/rig/faultcase/rolling_upgrade_test.go
+++ b/cmd/rig/faultcase/rolling_upgrade_test.go
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestCutStreams(t *testing.T) {
+func TestBrokenStreams(t *testing.T) {
 	Convey("Streams count as cut if they began and neither ended nor were left by the caller", t, func() {
 		events := []history.Event{{}}
 		l := &history.Recording{Attempts: []history.Attempt{
@@ -72,6 +72,6 @@
 			{Events: events, Outcome: history.ConnectionBroken},
 			{Events: events, Outcome: history.EndedByError},
 		}}
-		So(cutStreams(l), ShouldEqual, 2)
+		So(brokenStreams(l), ShouldEqual, 2)
 	})
 }
--- a/cmd/rig/faultcase/run.go
+++ b/cmd/rig/faultcase/run.go
@@ -39,8 +39,8 @@
 	lateRunsTime       = time.Second // for servers to record what still runs at the end
 	logTailBytes       = 600
 
-	keptFileMode = 0o644
-	keptDirMode  = 0o755
+	savedFileMode = 0o644
+	savedDirMode  = 0o755
 )
 
 // Names of the two operators.
@@ -182,10 +182,10 @@
 	if r.KeepDir == "" {
 		return
 	}
-	_ = os.MkdirAll(r.KeepDir, keptDirMode)
+	_ = os.MkdirAll(r.KeepDir, savedDirMode)
 	for _, node := range r.Fleet.Nodes {
 		if data, err := os.ReadFile(node.LogFile()); err == nil {
-			_ = os.WriteFile(filepath.Join(r.KeepDir, node.Name+".log"), data, keptFileMode)
+			_ = os.WriteFile(filepath.Join(r.KeepDir, node.Name+".log"), data, savedFileMode)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		return
 	}
 	if data, err := json.Marshal(recording); err == nil {
-		_ = os.WriteFile(filepath.Join(r.KeepDir, "ledger.json"), data, keptFileMode)
+		_ = os.WriteFile(filepath.Join(r.KeepDir, "ledger.json"), data, savedFileMode)
 	}
 }
 
--- a/cmd/rig/faultcase/scenario.go
+++ b/cmd/rig/faultcase/scenario.go
@@ -31,9 +31,9 @@
 
 // ScenarioFleet describes how the fleet differs from the first deployment.
 type ScenarioFleet struct {
-	Fronts      int               `yaml:"fronts"` // beside the cores; 0 for six
-	Settings    map[string]string `yaml:"settings"`
-	ColdServers bool              `yaml:"cold"`
+	Fronts        int               `yaml:"fronts"` // beside the cores; 0 for six
+	Settings      map[string]string `yaml:"settings"`
+	ServersWarmUp bool              `yaml:"cold"`
 }
 
 // LoadPhase changes the load from a time on.
@@ -88,7 +88,7 @@
 		}
 	}
 	spec.Settings = s.Fleet.Settings
-	spec.ServersWarm = !s.Fleet.ColdServers
+	spec.ServersWarm = !s.Fleet.ServersWarmUp
 	return Options{
 		Spec:          spec,
 		SheetSettings: s.Settings,
--- a/cmd/rig/faultcase/summary.go
+++ b/cmd/rig/faultcase/summary.go
@@ -31,7 +31,7 @@
 	TTFTP95            float64           `json:"ttft_p95_ms"`
 	OneShotP50         float64           `json:"one_shot_p50_ms"`
 	OneShotP95         float64           `json:"one_shot_p95_ms"`
-	CacheHitShare      float64           `json:"kv_hit_share"`
+	CacheHitRatio      float64           `json:"kv_hit_share"`
 	ByCode             map[string]int    `json:"by_code,omitempty"`
 	OrdersAcknowledged int               `json:"orders_won"`
 	Versions           map[string]uint64 `json:"epochs,omitempty"`
@@ -61,7 +61,7 @@
 	if last > from {
 		summary.Goodput = oneDecimal(float64(summary.Served) / (last - from).Seconds())
 	}
-	summary.CacheHitShare = cacheHitShare(recording, from)
+	summary.CacheHitRatio = cacheHitRatio(recording, from)
 	summary.OrdersAcknowledged = acknowledgedOrders(recording)
 	summary.TTFTP50 = firstEvents.quantile(50)
 	summary.TTFTP95 = firstEvents.quantile(95)
@@ -102,9 +102,9 @@
 	return float64(l.histogram.ValueAtQuantile(percent)) / 1000
 }
 
-// cacheHitShare returns the share of prompts whose prefix a model server had in
+// cacheHitRatio returns the share of prompts whose prefix a model server had in
 // its cache.
-func cacheHitShare(recording *history.Recording, from history.Instant) float64 {
+func cacheHitRatio(recording *history.Recording, from history.Instant) float64 {
 	prompts, hits := 0, 0
 	for _, run := range recording.Runs {
 		if run.Kind != history.KindModel || !run.Ran || run.Arrived < from {
--- a/cmd/rig/loadgen/answer.go
+++ b/cmd/rig/loadgen/answer.go
@@ -20,7 +20,7 @@
 	maxBodyBytes    = 8 << 20
 	eventBufferSize = 4096
 	maxEventBytes   = 1 << 20
-	slowReadPause   = 60 * time.Millisecond // for each event
+	slowReadDelay   = 60 * time.Millisecond // for each event
 	successClass    = 2                     // of HTTP statuses
 )
 
@@ -163,7 +163,7 @@
 		return false
 	}
 	if chance > 1-c.Behavior.SlowReadOdds {
-		owner.Sleep(context.Background(), slowReadPause)
+		owner.Sleep(context.Background(), slowReadDelay)
 	}
 	return true
 }
--- a/cmd/rig/loadgen/callers.go
+++ b/cmd/rig/loadgen/callers.go
@@ -24,9 +24,9 @@
 	// a seed.
 	tenantStreams = 1000
 
-	idlePause     = 50 * time.Millisecond // between looks at a load factor of zero
-	drainPause    = 50 * time.Millisecond
-	maxDrainLooks = 300 // for calls in flight at the end, drainPause apart
+	idlePollInterval  = 50 * time.Millisecond // between polls of a load factor of zero
+	drainPollInterval = 50 * time.Millisecond
+	maxDrainPolls     = 300 // for calls in flight at the end, drainPollInterval apart
 )
 
 // Callers send the requests of all tenants.
@@ -156,8 +156,8 @@
 		running.Go(func() { c.discoverFronts(ctx, zone) })
 	}
 	running.Wait()
-	for i := 0; i < maxDrainLooks && c.inFlight.Load() > 0; i++ {
-		owner.Sleep(context.Background(), drainPause)
+	for i := 0; i < maxDrainPolls && c.inFlight.Load() > 0; i++ {
+		owner.Sleep(context.Background(), drainPollInterval)
 	}
 }
 
@@ -176,7 +176,7 @@
 	for {
 		rate := tenant.PerSecond * float64(c.loadFactors[index].Load()) / loadUnit
 		if rate <= 0 {
-			if !owner.Sleep(ctx, idlePause) {
+			if !owner.Sleep(ctx, idlePollInterval) {
 				return
 			}
 			next = c.Recorder.Now()
--- a/cmd/rig/loadgen/operators.go
+++ b/cmd/rig/loadgen/operators.go
@@ -16,7 +16,7 @@
 
 const (
 	defaultAnswerTimeout = 8 * time.Second
-	resendPause          = 200 * time.Millisecond
+	resendInterval       = 200 * time.Millisecond
 	readingOperator      = "ade" // who reads the sheet
 )
 
@@ -165,7 +165,7 @@
 	var last history.Order
 	for i := 0; ctx.Err() == nil; i++ {
 		last = o.Send(order, nodes[i%len(nodes)], 0)
-		if Final(last) || !owner.Sleep(ctx, resendPause) {
+		if Final(last) || !owner.Sleep(ctx, resendInterval) {
 			return last
 		}
 	}
@@ -219,7 +219,7 @@
 		if read, _ := o.ReadSheet(nodes[i%len(nodes)], false); read.Status == http.StatusOK {
 			return read.Version, true
 		}
-		owner.Sleep(ctx, resendPause)
+		owner.Sleep(ctx, resendInterval)
 	}
 	return 0, false
 }
--- a/cmd/rig/loadgen/tenant.go
+++ b/cmd/rig/loadgen/tenant.go
@@ -35,7 +35,9 @@
 
 // FirstTenants returns the five tenants of the first deployment, who send about
 // 170 requests a second.
-func FirstTenants() []Tenant {
+func FirstTenants() []Tenant { return append(firstStreamTenants(), firstOneShotTenants()...) }
+
+func firstStreamTenants() []Tenant {
 	return []Tenant{
 		{
 			Name:          "press",
@@ -77,6 +79,11 @@
 			Deadline:      6 * time.Second,
 			Allowance:     history.Allowance{Rate: 50000, Burst: 60000},
 		},
+	}
+}
+
+func firstOneShotTenants() []Tenant {
+	return []Tenant{
 		{
 			Name:      "grid",
 			Key:       "key-of-grid",
--- a/cmd/rig/report/chart.go
+++ b/cmd/rig/report/chart.go
@@ -31,7 +31,7 @@
 	unit      string
 	lines     map[string]plotter.XYs // by name
 	actions   []history.Action
-	boundLine bool // draw a dashed line at 1
+	limitLine bool // draw a dashed line at 1
 }
 
 // serviceLines returns the attempts a second, by how they ended.
@@ -73,8 +73,8 @@
 	if err := c.addLines(p); err != nil {
 		return errors.Wrap(err, "plot")
 	}
-	if c.boundLine {
-		if err := addBoundLine(p); err != nil {
+	if c.limitLine {
+		if err := addLimitLine(p); err != nil {
 			return errors.Wrap(err, "plot")
 		}
 	}
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// addBoundLine draws a dashed line at 1 over the width of the lines before.
-func addBoundLine(p *plot.Plot) error {
+// addLimitLine draws a dashed line at 1 over the width of the lines before.
+func addLimitLine(p *plot.Plot) error {
 	bound, err := plotter.NewLine(plotter.XYs{{X: p.X.Min, Y: 1}, {X: p.X.Max, Y: 1}})
 	if err != nil {
 		return err
--- a/cmd/rig/report/report.go
+++ b/cmd/rig/report/report.go
@@ -43,7 +43,7 @@
 		unit:      "tokens got in the last 8 s / allowance",
 		lines:     quotaLines(seconds),
 		actions:   recording.Actions,
-		boundLine: true,
+		limitLine: true,
 	}
 	return quota.save(filepath.Join(folder, "spend.svg"))
 }
--- a/cmd/rig/simnode/simnode.go
+++ b/cmd/rig/simnode/simnode.go
@@ -24,7 +24,7 @@
 
 	stopTimeout        = 15 * time.Second // of a front
 	startBatch         = 20               // fronts that start at once
-	pauseBetweenStarts = 200 * time.Millisecond
+	startBatchInterval = 200 * time.Millisecond
 )
 
 // Options of one measurement.
@@ -193,7 +193,7 @@
 	}
 	return f.startFronts(func(started int) {
 		if started%startBatch == 0 {
-			<-f.clock.After(pauseBetweenStarts)
+			<-f.clock.After(startBatchInterval)
 		}
 	})
 }
