--- a/cmd/rig/checker/quota.go
+++ b/cmd/rig/checker/quota.go
@@ -96,13 +96,13 @@
 	var found findings
 	for _, tenant := range sortedTenants(recording) {
 		bound := MaxQuotaUse
-		peak, at := PeakQuotaUse(recording, tenant)
-		if partitionedNear(recording, at-QuotaWindow, at) {
+		peak, peakEnd := PeakQuotaUse(recording, tenant)
+		if partitionedNear(recording, peakEnd-QuotaWindow, peakEnd) {
 			bound = MaxQuotaUsePartitioned
 		}
 		if peak > bound {
 			found.add("tenant %s got %.2f of its allowance in the 8 s before %s; the bound is %.2f",
-				tenant, peak, seconds(at), bound)
+				tenant, peak, seconds(peakEnd), bound)
 		}
 	}
 	return found
@@ -182,15 +182,15 @@
 	for _, tenant := range sortedTenants(recording) {
 		attempts := attemptsOf[tenant]
 		limit := windowLimit(recording.Allowances[tenant])
-		for to := 3 * QuotaWindow; to <= recording.End; to += time.Second {
-			from := to - 2*QuotaWindow
-			if !steadyExcess(attempts, from, to, limit) || partitionedNear(recording, from, to) {
+		for windowEnd := 3 * QuotaWindow; windowEnd <= recording.End; windowEnd += time.Second {
+			from := windowEnd - 2*QuotaWindow
+			if !steadyExcess(attempts, from, windowEnd, limit) || partitionedNear(recording, from, windowEnd) {
 				continue
 			}
-			window := demandIn(attempts, to-QuotaWindow, to)
+			window := demandIn(attempts, windowEnd-QuotaWindow, windowEnd)
 			if window.otherFailures == 0 && window.served < MinQuotaServed*limit {
 				found.add("tenant %s got %.2f of its allowance in the 8 s before %s although it asked for more all the time",
-					tenant, window.served/limit, seconds(to))
+					tenant, window.served/limit, seconds(windowEnd))
 				break
 			}
 		}
--- a/cmd/rig/checker/recovery.go
+++ b/cmd/rig/checker/recovery.go
@@ -34,14 +34,14 @@
 			continue
 		}
 		recovered := action.At + RecoveryTime
-		to := min(recording.End, recovered+recoveredTime)
-		if to < recovered+minRecoveredTime {
+		until := min(recording.End, recovered+recoveredTime)
+		if until < recovered+minRecoveredTime {
 			found.add("the run ended %s after the final fault (%s): too early to judge",
 				seconds(recording.End-action.At), action.Description)
 			continue
 		}
 		before := ServedPerSecond(recording, action.At-baselineTime, action.At)
-		after := ServedPerSecond(recording, recovered, to)
+		after := ServedPerSecond(recording, recovered, until)
 		if after < MinServiceLevel*before {
 			found.add("%s at %s: %.1f served a second before, %.1f from 12 s after",
 				action.Description, seconds(action.At), before, after)
--- a/cmd/rig/checker/servers.go
+++ b/cmd/rig/checker/servers.go
@@ -98,9 +98,11 @@
 		if run.Kind != history.KindModel {
 			continue
 		}
-		bound, description := slotsFactor*run.Slots, "a server that was left"
+		bound := slotsFactor * run.Slots
+		description := "a server that was left"
 		if run.WarmingUp {
-			bound, description = min(bound, SlowStartInFlight+SlowStartGrowth*run.Answered), "a cold server"
+			bound = min(bound, SlowStartInFlight+SlowStartGrowth*run.Answered)
+			description = "a cold server"
 		}
 		if run.InFlight <= bound || reported[run.Server+description] {
 			continue
--- a/cmd/rig/checker/sheets.go
+++ b/cmd/rig/checker/sheets.go
@@ -78,9 +78,9 @@
 		if !ok {
 			continue
 		}
-		if at, over := superseded[check.Key]; over && check.Accepted() && check.Sent >= at+MaxSheetLag {
+		if supersededAt, over := superseded[check.Key]; over && check.Accepted() && check.Sent >= supersededAt+MaxSheetLag {
 			found.add("%s passed probe key %d (epoch %d) at %s; a newer sheet was acknowledged at %s, %s before",
-				check.Front, check.Key, rotation.Version, seconds(check.Sent), seconds(at), seconds(check.Sent-at))
+				check.Front, check.Key, rotation.Version, seconds(check.Sent), seconds(supersededAt), seconds(check.Sent-supersededAt))
 		}
 		if check.RejectedAsUnknown() && check.Sent >= rotation.Acknowledged+MaxSheetLag && !newerSent(recording, rotation, check.Done) {
 			found.add("%s did not know probe key %d (epoch %d) at %s; its sheet was acknowledged at %s, %s before",
@@ -106,7 +106,8 @@
 	for _, rotation := range recording.KeyRotations {
 		newer := rotation.Acknowledged > 0 && rotation.Version > than.Version
 		if newer && (!ok || rotation.Acknowledged < first.Acknowledged) {
-			first, ok = rotation, true
+			first = rotation
+			ok = true
 		}
 	}
 	return first, ok
--- a/cmd/rig/cost_command.go
+++ b/cmd/rig/cost_command.go
@@ -25,13 +25,13 @@
 
 func costCommand() *cobra.Command {
 	requests := 400
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "cost",
 		Short: "Measure what a front adds to a request against calling the server itself",
 		RunE:  func(cmd *cobra.Command, _ []string) error { return measureCosts(cmd.Context(), requests) },
 	}
-	c.Flags().IntVar(&requests, "requests", requests, "requests of each kind, one after another, direct and through a front in turns")
-	return c
+	command.Flags().IntVar(&requests, "requests", requests, "requests of each kind, one after another, direct and through a front in turns")
+	return command
 }
 
 func measureCosts(ctx context.Context, requests int) error {
--- a/cmd/rig/demo_command.go
+++ b/cmd/rig/demo_command.go
@@ -32,17 +32,17 @@
 }
 
 func demoCommand() *cobra.Command {
-	d := &demo{seconds: 15, seed: 1}
-	c := &cobra.Command{
+	flags := &demo{seconds: 15, seed: 1}
+	command := &cobra.Command{
 		Use:   "demo",
 		Short: "Serve the first deployment's load while operators submit changes",
-		RunE:  func(cmd *cobra.Command, _ []string) error { return d.run(cmd.Context()) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
 	}
-	c.Flags().IntVar(&d.seconds, "seconds", d.seconds, "how long to serve")
-	c.Flags().Uint64Var(&d.seed, "seed", d.seed, "seed of the load")
-	c.Flags().StringVar(&d.keepDir, "keep", d.keepDir, "folder for the ledger and the nodes' logs")
-	c.Flags().StringVar(&d.report, "report", d.report, "folder for JSON lines and plots")
-	return c
+	command.Flags().IntVar(&flags.seconds, "seconds", flags.seconds, "how long to serve")
+	command.Flags().Uint64Var(&flags.seed, "seed", flags.seed, "seed of the load")
+	command.Flags().StringVar(&flags.keepDir, "keep", flags.keepDir, "folder for the ledger and the nodes' logs")
+	command.Flags().StringVar(&flags.report, "report", flags.report, "folder for JSON lines and plots")
+	return command
 }
 
 func (d *demo) run(ctx context.Context) error {
--- a/cmd/rig/emulator/batch.go
+++ b/cmd/rig/emulator/batch.go
@@ -76,9 +76,9 @@
 		budget *= prefillBudget(m.spec.WarmUpFactor)
 	}
 	remaining := s.batch.running[:0]
-	for _, j := range s.batch.running {
-		if m.advance(s, j, &budget) {
-			remaining = append(remaining, j)
+	for _, running := range s.batch.running {
+		if m.advance(s, running, &budget) {
+			remaining = append(remaining, running)
 		}
 	}
 	s.batch.running = remaining
--- a/cmd/rig/emulator/cache.go
+++ b/cmd/rig/emulator/cache.go
@@ -26,10 +26,12 @@
 }
 
 func (c prefixCache) leastRecentlyUsed() string {
-	oldest, at := "", history.Instant(math.MaxInt64)
+	oldest := ""
+	oldestUse := history.Instant(math.MaxInt64)
 	for prefix, entry := range c {
-		if entry.lastUsed < at {
-			oldest, at = prefix, entry.lastUsed
+		if entry.lastUsed < oldestUse {
+			oldest = prefix
+			oldestUse = entry.lastUsed
 		}
 	}
 	return oldest
--- a/cmd/rig/emulator/generate.go
+++ b/cmd/rig/emulator/generate.go
@@ -36,11 +36,11 @@
 		http.Error(w, `{"code":"bad"}`, http.StatusBadRequest)
 		return
 	}
-	j := m.newJob(r, body)
+	accepted := m.newJob(r, body)
 	busy := false
-	m.state.Do(func(s *modelState) { busy = !m.enqueue(s, j, body) })
-	answerID := j.request
-	if j.fault == WrongID {
+	m.state.Do(func(s *modelState) { busy = !m.enqueue(s, accepted, body) })
+	answerID := accepted.request
+	if accepted.fault == WrongID {
 		answerID = wrongID(answerID)
 	}
 	w.Header().Set(requestIDHeader, answerID)
@@ -48,17 +48,17 @@
 		writeBusy(w)
 		return
 	}
-	j.stream(w, r)
+	accepted.stream(w, r)
 }
 
 func (m *Model) newJob(r *http.Request, body generateRequest) *job {
-	id := r.Header.Get(requestIDHeader)
-	if id == "" {
-		id = body.ID
+	requestID := r.Header.Get(requestIDHeader)
+	if requestID == "" {
+		requestID = body.ID
 	}
 	events := max(1, body.MaxTokens/m.spec.EventTokens)
 	return &job{
-		request:       id,
+		request:       requestID,
 		prefix:        body.Prefix,
 		prefixTokens:  body.PrefixTokens,
 		prefillTokens: float64(body.PrefixTokens + body.SessionTokens),
--- a/cmd/rig/experiment_command.go
+++ b/cmd/rig/experiment_command.go
@@ -37,8 +37,8 @@
 }
 
 func experimentCommand() *cobra.Command {
-	e := &experiment{}
-	c := &cobra.Command{
+	flags := &experiment{}
+	command := &cobra.Command{
 		Use:   "experiment",
 		Short: "Compare policies of choosing servers in virtual time, paired by seed",
 		Long: `Compare policies of choosing servers in virtual time, paired by seed.
@@ -47,21 +47,21 @@
 and clients are modelled (sim/balance). Without flags all mechanisms are compared
 with themselves: name those to be switched off, or ask for each in turn.`,
 		Example: "  rig experiment --site three-regions --off isolation --seeds 6\n  rig experiment --site two-regions --ablate",
-		RunE:    func(cmd *cobra.Command, _ []string) error { return e.run(cmd.OutOrStdout()) },
+		RunE:    func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.OutOrStdout()) },
 	}
-	c.Flags().StringVar(&e.site, "site", "three-regions", "three-regions or two-regions")
-	c.Flags().StringSliceVar(&e.disabled, "off", nil, "mechanisms that the second policy has switched off")
-	c.Flags().BoolVar(&e.ablate, "ablate", false, "switch each mechanism off in turn")
-	c.Flags().IntVar(&e.seeds, "seeds", 6, "number of seeds")
-	c.Flags().Uint64Var(&e.from, "from", 1, "first seed")
-	c.Flags().Float64Var(&e.scale, "scale", 1, "times the site's fronts, servers and load")
-	c.Flags().Float64Var(&e.seconds, "seconds", 0, "length of a run; the site's own when zero")
-	c.Flags().StringVar(&e.burst.Kind, "burst", "", "kind of requests that comes more often for a while")
-	c.Flags().Float64Var(&e.burst.Times, "burst-times", 4, "how many times as often")
-	c.Flags().Float64Var(&e.burst.At, "burst-at", 14, "from this second on")
-	c.Flags().Float64Var(&e.burst.For, "burst-for", 8, "for so many seconds")
-	c.Flags().StringVar(&e.plotFile, "plot", "", "file for a plot of the differences in worth by seed (svg, png or pdf)")
-	return c
+	command.Flags().StringVar(&flags.site, "site", "three-regions", "three-regions or two-regions")
+	command.Flags().StringSliceVar(&flags.disabled, "off", nil, "mechanisms that the second policy has switched off")
+	command.Flags().BoolVar(&flags.ablate, "ablate", false, "switch each mechanism off in turn")
+	command.Flags().IntVar(&flags.seeds, "seeds", 6, "number of seeds")
+	command.Flags().Uint64Var(&flags.from, "from", 1, "first seed")
+	command.Flags().Float64Var(&flags.scale, "scale", 1, "times the site's fronts, servers and load")
+	command.Flags().Float64Var(&flags.seconds, "seconds", 0, "length of a run; the site's own when zero")
+	command.Flags().StringVar(&flags.burst.Kind, "burst", "", "kind of requests that comes more often for a while")
+	command.Flags().Float64Var(&flags.burst.Times, "burst-times", 4, "how many times as often")
+	command.Flags().Float64Var(&flags.burst.At, "burst-at", 14, "from this second on")
+	command.Flags().Float64Var(&flags.burst.For, "burst-for", 8, "for so many seconds")
+	command.Flags().StringVar(&flags.plotFile, "plot", "", "file for a plot of the differences in worth by seed (svg, png or pdf)")
+	return command
 }
 
 func (e *experiment) run(out io.Writer) error {
@@ -134,8 +134,8 @@
 		value, worstWindows := differences[0], differences[1]
 		_, _ = fmt.Fprintf(table, "%s\t%+.4f\t±%.4f\t%+.3f\t±%.3f\t",
 			mechanism, -value.Mean, value.Within, -worstWindows.Mean, worstWindows.Within)
-		for _, d := range differences[2:6] {
-			_, _ = fmt.Fprintf(table, "%+.4g\t", -d.Mean)
+		for _, difference := range differences[2:6] {
+			_, _ = fmt.Fprintf(table, "%+.4g\t", -difference.Mean)
 		}
 		_, _ = fmt.Fprintln(table)
 	}
--- a/cmd/rig/faultcase/disks.go
+++ b/cmd/rig/faultcase/disks.go
@@ -133,13 +133,13 @@
 		return nil
 	}
 	var changes []loadgen.Change
-	for j := range tenantsPerLargeChange {
-		tenant := (number*tenantsPerLargeChange + uint64(j)) % maxExtraTenants
+	for index := range tenantsPerLargeChange {
+		tenant := (number*tenantsPerLargeChange + uint64(index)) % maxExtraTenants
 		changes = append(changes, loadgen.Change{
 			Path: fmt.Sprintf("tenants.extra%d", tenant),
 			Value: loadgen.SheetTenant{
 				Rate: float64(10 + number),
-				Keys: []string{fleet.HashKey(fmt.Sprint("x", number, j))},
+				Keys: []string{fleet.HashKey(fmt.Sprint("x", number, index))},
 			},
 		})
 	}
--- a/cmd/rig/faultcase/rolling_upgrade.go
+++ b/cmd/rig/faultcase/rolling_upgrade.go
@@ -83,12 +83,12 @@
 // CheckPreviousBinary returns an error if one of the cases needs a previous
 // binary and the path does not name an executable file.
 func CheckPreviousBinary(cases []Case, path string) error {
-	for _, c := range cases {
-		if c.Name != RollingUpgrade.Name {
+	for _, chosen := range cases {
+		if chosen.Name != RollingUpgrade.Name {
 			continue
 		}
 		if path == "" {
-			return errors.Errorf("case %q needs the binary of a previous build: --older PATH", c.Name)
+			return errors.Errorf("case %q needs the binary of a previous build: --older PATH", chosen.Name)
 		}
 		info, err := os.Stat(path)
 		if err != nil {
--- a/cmd/rig/faultcase/run.go
+++ b/cmd/rig/faultcase/run.go
@@ -89,29 +89,29 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "temp folder")
 	}
-	r := &Run{
+	run := &Run{
 		Options:  options,
 		Recorder: history.NewRecorder(int64(options.Seed)),
 		Random:   rand.New(rand.NewPCG(options.Seed, caseStream)),
 		dir:      dir,
 	}
-	r.ctx, r.cancel = context.WithCancel(ctx)
-	if r.Fleet, err = fleet.New(options.Spec, options.Binary, dir, r.Recorder, options.Seed); err != nil {
+	run.ctx, run.cancel = context.WithCancel(ctx)
+	if run.Fleet, err = fleet.New(options.Spec, options.Binary, dir, run.Recorder, options.Seed); err != nil {
 		_ = os.RemoveAll(dir)
 		return nil, err
 	}
-	if err := r.Fleet.Start(); err != nil {
-		r.abort()
+	if err := run.Fleet.Start(); err != nil {
+		run.abort()
 		return nil, err
 	}
-	r.Operators = loadgen.NewOperators(r.Fleet, options.Seed)
-	r.Callers = loadgen.NewCallers(r.Fleet, options.Tenants, options.Seed)
-	if err := r.submitFirstSheet(); err != nil {
-		r.abort()
+	run.Operators = loadgen.NewOperators(run.Fleet, options.Seed)
+	run.Callers = loadgen.NewCallers(run.Fleet, options.Tenants, options.Seed)
+	if err := run.submitFirstSheet(); err != nil {
+		run.abort()
 		return nil, err
 	}
-	r.startLoad()
-	return r, nil
+	run.startLoad()
+	return run, nil
 }
 
 func (r *Run) startLoad() {
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	ctx, stopSpawn := context.WithCancel(context.Background())
-	f := &Fleet{
+	fleet := &Fleet{
 		Spec:      spec,
 		Recorder:  recorder,
 		Links:     faultproxy.NewLinks(),
@@ -95,12 +95,12 @@
 		spawn:     make(chan spawnRequest),
 		stopSpawn: stopSpawn,
 	}
-	go runSpawner(ctx, f.spawn)
-	f.Platform = emulator.NewPlatform(f.ip(platformGroup, 1)+platformPort, recorder)
-	f.addNodes(binary)
-	f.addModelServers(seed)
-	f.addWebServers(seed)
-	return f, nil
+	go runSpawner(ctx, fleet.spawn)
+	fleet.Platform = emulator.NewPlatform(fleet.ip(platformGroup, 1)+platformPort, recorder)
+	fleet.addNodes(binary)
+	fleet.addModelServers(seed)
+	fleet.addWebServers(seed)
+	return fleet, nil
 }
 
 // freeLoopback returns the second number of a loopback range that no other fleet
@@ -122,16 +122,16 @@
 func (f *Fleet) addNodes(binary string) {
 	sources := map[string]string{}
 	for i, spec := range f.Spec.Nodes {
-		ip := f.ip(nodeGroup, i+1)
-		sources[ip] = spec.Name
+		sourceIP := f.ip(nodeGroup, i+1)
+		sources[sourceIP] = spec.Name
 		if spec.Binary == "" {
 			spec.Binary = binary
 		}
 		node := &Node{
 			NodeSpec:      spec,
-			SourceIP:      ip,
-			CallerAddress: ip + callerPort,
-			internal:      ip + internalPort,
+			SourceIP:      sourceIP,
+			CallerAddress: sourceIP + callerPort,
+			internal:      sourceIP + internalPort,
 			advertised:    f.ip(nodeProxyGroup, i+1) + internalPort,
 			dataDir:       filepath.Join(f.Dir, spec.Name),
 			fleet:         f,
--- a/cmd/rig/fleet/servers.go
+++ b/cmd/rig/fleet/servers.go
@@ -29,9 +29,11 @@
 
 // PutServer lists a server on the platform in a state.
 func (f *Fleet) PutServer(name, state string) {
-	kind, services := history.KindModel, f.Spec.Services.Model
+	kind := history.KindModel
+	services := f.Spec.Services.Model
 	if strings.HasPrefix(name, "web") {
-		kind, services = history.KindWeb, f.Spec.Services.Web
+		kind = history.KindWeb
+		services = f.Spec.Services.Web
 	}
 	location := f.locations[name]
 	f.Platform.PutServer(emulator.ListedServer{
--- a/cmd/rig/hollow_command.go
+++ b/cmd/rig/hollow_command.go
@@ -21,23 +21,23 @@
 }
 
 func hollowCommand() *cobra.Command {
-	m := &controlCost{}
-	c := &cobra.Command{
+	flags := &controlCost{}
+	command := &cobra.Command{
 		Use:   "hollow",
 		Short: "Measure what control costs a node and a core as the fleet grows",
-		RunE:  func(cmd *cobra.Command, _ []string) error { return m.run(cmd.Context()) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
 	}
-	c.Flags().IntSliceVar(&m.fronts, "fronts", []int{10, 50, 100}, "numbers of fronts")
-	c.Flags().IntSliceVar(&m.tenants, "tenants", []int{5}, "numbers of tenants in the sheet")
-	c.Flags().IntSliceVar(&m.servers, "servers", []int{0}, "numbers of servers")
-	c.Flags().StringToStringVar(&m.options.Settings, "set", nil, "settings of every process, NAME=VALUE")
-	c.Flags().StringVar(&m.options.HeapProfile, "profile", "", "file for a heap profile of the fronts")
-	c.Flags().BoolVar(&m.options.RestartFronts, "herd", false, "last, stop all fronts and start them anew at once")
-	c.Flags().IntVar(&m.options.Cores, "cores", 3, "number of cores")
-	c.Flags().IntVar(&m.warmUp, "warm", 10, "seconds before the measurement")
-	c.Flags().IntVar(&m.seconds, "seconds", 15, "seconds of the measurement")
-	c.Flags().IntVar(&m.options.Orders, "orders", 10, "changes put in force after it")
-	return c
+	command.Flags().IntSliceVar(&flags.fronts, "fronts", []int{10, 50, 100}, "numbers of fronts")
+	command.Flags().IntSliceVar(&flags.tenants, "tenants", []int{5}, "numbers of tenants in the sheet")
+	command.Flags().IntSliceVar(&flags.servers, "servers", []int{0}, "numbers of servers")
+	command.Flags().StringToStringVar(&flags.options.Settings, "set", nil, "settings of every process, NAME=VALUE")
+	command.Flags().StringVar(&flags.options.HeapProfile, "profile", "", "file for a heap profile of the fronts")
+	command.Flags().BoolVar(&flags.options.RestartFronts, "herd", false, "last, stop all fronts and start them anew at once")
+	command.Flags().IntVar(&flags.options.Cores, "cores", 3, "number of cores")
+	command.Flags().IntVar(&flags.warmUp, "warm", 10, "seconds before the measurement")
+	command.Flags().IntVar(&flags.seconds, "seconds", 15, "seconds of the measurement")
+	command.Flags().IntVar(&flags.options.Orders, "orders", 10, "changes put in force after it")
+	return command
 }
 
 // run measures every combination of the numbers given.
--- a/cmd/rig/loadgen/callers.go
+++ b/cmd/rig/loadgen/callers.go
@@ -79,7 +79,7 @@
 // NewCallers returns callers that send nothing until Run, and records the
 // tenants' allowances.
 func NewCallers(f *fleet.Fleet, tenants []Tenant, seed uint64) *Callers {
-	c := &Callers{
+	callers := &Callers{
 		Fleet:       f,
 		Recorder:    f.Recorder,
 		Tenants:     tenants,
@@ -91,8 +91,8 @@
 		fronts:      newFrontSelector(f),
 		counts:      owner.New(Counts{}),
 	}
-	for i := range c.loadFactors {
-		c.loadFactors[i].Store(loadUnit)
+	for i := range callers.loadFactors {
+		callers.loadFactors[i].Store(loadUnit)
 	}
 	allowances := map[string]history.Allowance{}
 	for _, tenant := range tenants {
@@ -103,7 +103,7 @@
 			recording.Allowances[name] = allowance
 		}
 	})
-	return c
+	return callers
 }
 
 // nodeZones returns the zones that have nodes, in the order of the nodes.
--- a/cmd/rig/pages_command.go
+++ b/cmd/rig/pages_command.go
@@ -27,20 +27,20 @@
 }
 
 func pagesCommand() *cobra.Command {
-	p := &pageRun{
+	flags := &pageRun{
 		page:    filepath.Join("docs", "OPERATING.md"),
 		seconds: 180,
 	}
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "pages",
 		Short: "Run the commands of docs/OPERATING.md as printed, in one shell",
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return p.run(cmd.Context()) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
 	}
-	c.Flags().IntVar(&p.seconds, "seconds", p.seconds, "bound of the whole run")
-	c.Flags().StringVar(&p.page, "page", p.page, "the page")
-	c.Flags().StringVar(&p.workDir, "keep", p.workDir, "an empty folder to work in and keep")
-	return c
+	command.Flags().IntVar(&flags.seconds, "seconds", flags.seconds, "bound of the whole run")
+	command.Flags().StringVar(&flags.page, "page", flags.page, "the page")
+	command.Flags().StringVar(&flags.workDir, "keep", flags.workDir, "an empty folder to work in and keep")
+	return command
 }
 
 // run runs the page's blocks under a shell that stops at the first command that
--- a/cmd/rig/prove_command.go
+++ b/cmd/rig/prove_command.go
@@ -38,24 +38,24 @@
 }
 
 func proveCommand() *cobra.Command {
-	p := &proof{}
-	c := &cobra.Command{
+	flags := &proof{}
+	command := &cobra.Command{
 		Use:     "prove",
 		Short:   "Cause faults and judge from outside what came of them",
 		Example: "  rig prove --list\n  rig prove --case force_core --seed 4\n  rig prove --seed 100 --seeds 20 --seconds 40",
-		RunE:    func(cmd *cobra.Command, _ []string) error { return p.run(cmd.Context()) },
-	}
-	c.Flags().BoolVar(&p.list, "list", false, "list the cases")
-	c.Flags().StringSliceVar(&p.cases, "case", nil, "cases to run (all for every one); without it the seed draws a mix")
-	c.Flags().Uint64Var(&p.seed, "seed", 1, "seed")
-	c.Flags().IntVar(&p.seeds, "seeds", 1, "how many seeds, from --seed on")
-	c.Flags().IntVar(&p.seconds, "seconds", 0, "length of a case; 0 for its usual one")
-	c.Flags().StringVar(&p.keepDir, "keep", "", "folder for ledgers and the nodes' logs")
-	c.Flags().StringVar(&p.reportDir, "report", "", "folder for JSON lines and plots")
-	c.Flags().StringVar(&p.binary, "binary", "", "a stepwick program that is built already")
-	c.Flags().StringVar(&p.previousBinary, "older", "", "the stepwick program of a previous build, for the case roll")
-	c.Flags().BoolVar(&p.printTable, "table", false, "print a line each second")
-	return c
+		RunE:    func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
+	}
+	command.Flags().BoolVar(&flags.list, "list", false, "list the cases")
+	command.Flags().StringSliceVar(&flags.cases, "case", nil, "cases to run (all for every one); without it the seed draws a mix")
+	command.Flags().Uint64Var(&flags.seed, "seed", 1, "seed")
+	command.Flags().IntVar(&flags.seeds, "seeds", 1, "how many seeds, from --seed on")
+	command.Flags().IntVar(&flags.seconds, "seconds", 0, "length of a case; 0 for its usual one")
+	command.Flags().StringVar(&flags.keepDir, "keep", "", "folder for ledgers and the nodes' logs")
+	command.Flags().StringVar(&flags.reportDir, "report", "", "folder for JSON lines and plots")
+	command.Flags().StringVar(&flags.binary, "binary", "", "a stepwick program that is built already")
+	command.Flags().StringVar(&flags.previousBinary, "older", "", "the stepwick program of a previous build, for the case roll")
+	command.Flags().BoolVar(&flags.printTable, "table", false, "print a line each second")
+	return command
 }
 
 func (p *proof) run(ctx context.Context) error {
@@ -120,11 +120,11 @@
 	}
 	var totals proofTotals
 	for i := range p.seeds {
-		for _, c := range cases {
+		for _, chosen := range cases {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			verdict := p.runCase(ctx, c, p.seed+uint64(i))
+			verdict := p.runCase(ctx, chosen, p.seed+uint64(i))
 			totals.Cases++
 			totals.Violations += verdict.Violations
 			if err := printJSON(verdict); err != nil {
@@ -187,30 +187,30 @@
 func runName(c faultcase.Case, seed uint64) string { return fmt.Sprintf("%s-%d", c.Name, seed) }
 
 func (p *proof) runCase(ctx context.Context, c faultcase.Case, seed uint64) verdict {
-	v := verdict{Case: c.Name, Seed: seed}
+	caseVerdict := verdict{Case: c.Name, Seed: seed}
 	run, err := faultcase.Start(ctx, p.options(c, seed))
 	if err != nil {
-		v.setProblem(err)
-		return v
+		caseVerdict.setProblem(err)
+		return caseVerdict
 	}
 	run.Wait(trafficBeforeCase)
 	caseErr := c.Run(run)
 	result := conclude(run, c.Name)
 	p.writeReport(&result, runName(c, seed))
 	summary := result.summarize(run.TrafficStart)
-	v.Rolling = run.Rolling
-	v.Violations = summary.Violations
-	v.Served = summary.Served
-	v.Rejected = summary.Rejected
-	v.Failed = summary.Failed
-	v.OrdersAcknowledged = summary.OrdersAcknowledged
+	caseVerdict.Rolling = run.Rolling
+	caseVerdict.Violations = summary.Violations
+	caseVerdict.Served = summary.Served
+	caseVerdict.Rejected = summary.Rejected
+	caseVerdict.Failed = summary.Failed
+	caseVerdict.OrdersAcknowledged = summary.OrdersAcknowledged
 	if c.ChecksQuotas() {
-		v.PeakQuotaUse = peakQuotaUse(&result.recording)
+		caseVerdict.PeakQuotaUse = peakQuotaUse(&result.recording)
 	}
 	if caseErr != nil && ctx.Err() == nil {
-		v.setProblem(caseErr)
+		caseVerdict.setProblem(caseErr)
 	}
-	return v
+	return caseVerdict
 }
 
 // writeReport writes a case's report, if one is wanted; its failure is printed and
--- a/cmd/rig/report/chart.go
+++ b/cmd/rig/report/chart.go
@@ -63,25 +63,25 @@
 
 // save draws the chart into a file, in the format of its extension.
 func (c chart) save(path string) error {
-	p := plot.New()
-	p.Title.Text = c.title
-	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = c.unit
-	p.Legend.Top = true
-	p.Legend.Left = true
-	p.Y.Min = 0
-	if err := c.addLines(p); err != nil {
+	canvas := plot.New()
+	canvas.Title.Text = c.title
+	canvas.X.Label.Text = "seconds"
+	canvas.Y.Label.Text = c.unit
+	canvas.Legend.Top = true
+	canvas.Legend.Left = true
+	canvas.Y.Min = 0
+	if err := c.addLines(canvas); err != nil {
 		return errors.Wrap(err, "plot")
 	}
 	if c.limitLine {
-		if err := addLimitLine(p); err != nil {
+		if err := addLimitLine(canvas); err != nil {
 			return errors.Wrap(err, "plot")
 		}
 	}
-	if err := c.addActions(p); err != nil {
+	if err := c.addActions(canvas); err != nil {
 		return errors.Wrap(err, "plot")
 	}
-	return errors.Wrap(p.Save(chartWidth, chartHeight, path), fmt.Sprint("plot ", path))
+	return errors.Wrap(canvas.Save(chartWidth, chartHeight, path), fmt.Sprint("plot ", path))
 }
 
 func (c chart) addLines(p *plot.Plot) error {
@@ -132,8 +132,8 @@
 	labels := plotter.XYLabels{}
 	lastLabel := time.Duration(math.MinInt64 / 2)
 	for _, action := range c.actions {
-		x := action.At.Seconds()
-		bar, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: top}})
+		atSecond := action.At.Seconds()
+		bar, err := plotter.NewLine(plotter.XYs{{X: atSecond, Y: 0}, {X: atSecond, Y: top}})
 		if err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 		if action.At-lastLabel <= minLabelDistance {
 			continue
 		}
-		labels.XYs = append(labels.XYs, plotter.XY{X: x, Y: top})
+		labels.XYs = append(labels.XYs, plotter.XY{X: atSecond, Y: top})
 		labels.Labels = append(labels.Labels, action.Description)
 		lastLabel = action.At
 	}
--- a/cmd/rig/route_command.go
+++ b/cmd/rig/route_command.go
@@ -24,22 +24,22 @@
 }
 
 func routeCommand() *cobra.Command {
-	r := &routeComparison{
+	flags := &routeComparison{
 		seconds:    20,
 		seed:       1,
 		loadFactor: 1,
 		strategies: []string{"affinity", "round_robin", "least_loaded"},
 	}
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "route",
 		Short: "Compare prefix affinity with the baselines on long prompts with shared prefixes",
-		RunE:  func(cmd *cobra.Command, _ []string) error { return r.run(cmd.Context()) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
 	}
-	c.Flags().IntVar(&r.seconds, "seconds", r.seconds, "how long to measure each strategy, after 5 s")
-	c.Flags().Uint64Var(&r.seed, "seed", r.seed, "seed of the load, the same for each")
-	c.Flags().Float64Var(&r.loadFactor, "load", r.loadFactor, "load as a factor of 110 prompts a second")
-	c.Flags().StringSliceVar(&r.strategies, "strategies", r.strategies, "strategies to compare")
-	return c
+	command.Flags().IntVar(&flags.seconds, "seconds", flags.seconds, "how long to measure each strategy, after 5 s")
+	command.Flags().Uint64Var(&flags.seed, "seed", flags.seed, "seed of the load, the same for each")
+	command.Flags().Float64Var(&flags.loadFactor, "load", flags.loadFactor, "load as a factor of 110 prompts a second")
+	command.Flags().StringSliceVar(&flags.strategies, "strategies", flags.strategies, "strategies to compare")
+	return command
 }
 
 // longPromptTenants returns tenants whose prefixes do not all fit into one
--- a/cmd/rig/scenario_command.go
+++ b/cmd/rig/scenario_command.go
@@ -14,7 +14,7 @@
 func scenarioCommand() *cobra.Command {
 	seed := uint64(1)
 	reportDir := ""
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:     "scenario FILE",
 		Short:   "Play an experiment from a YAML file: fleet, load phases, faults at times",
 		Args:    cobra.ExactArgs(1),
@@ -23,9 +23,9 @@
 			return runScenario(cmd.Context(), args[0], seed, reportDir)
 		},
 	}
-	c.Flags().Uint64Var(&seed, "seed", seed, "seed of the load")
-	c.Flags().StringVar(&reportDir, "report", reportDir, "folder for JSON lines and plots")
-	return c
+	command.Flags().Uint64Var(&seed, "seed", seed, "seed of the load")
+	command.Flags().StringVar(&reportDir, "report", reportDir, "folder for JSON lines and plots")
+	return command
 }
 
 func runScenario(ctx context.Context, path string, seed uint64, reportDir string) error {
--- a/cmd/rig/simnode/orders.go
+++ b/cmd/rig/simnode/orders.go
@@ -92,28 +92,28 @@
 // newSheet returns a sheet with a number of tenants, and with models that have
 // weights in every region.
 func newSheet(tenants int) *sheet.Sheet {
-	s := &sheet.Sheet{
+	built := &sheet.Sheet{
 		Services: map[string]sheet.Service{},
 		Weights:  map[string]map[string]float64{},
 		Tenants:  map[string]sheet.Tenant{},
 	}
 	for model := range modelServices {
 		name := modelName(model)
-		s.Services[name] = sheet.Service{Kind: "model"}
-		s.Weights[name] = map[string]float64{}
+		built.Services[name] = sheet.Service{Kind: "model"}
+		built.Weights[name] = map[string]float64{}
 		for region := range siteRegions {
-			s.Weights[name][fmt.Sprintf("r%02d", region)] = float64(1 + region%maxRegionWeight)
+			built.Weights[name][fmt.Sprintf("r%02d", region)] = float64(1 + region%maxRegionWeight)
 		}
 	}
 	for i := range tenants {
 		name := fmt.Sprintf("tenant%05d", i)
-		s.Tenants[name] = sheet.Tenant{
+		built.Tenants[name] = sheet.Tenant{
 			Rate:      tenantAllowance,
 			Burst:     tenantAllowance,
 			KeyHashes: []string{fleet.HashKey("key of " + name)},
 		}
 	}
-	return s
+	return built
 }
 
 func modelName(i int) string { return fmt.Sprintf("model%02d", i) }
--- a/cmd/rig/simnode/simnode.go
+++ b/cmd/rig/simnode/simnode.go
@@ -69,27 +69,27 @@
 // Measure starts the cores and the fronts, waits, and measures. It ends what it
 // started.
 func Measure(ctx context.Context, options Options) (Result, error) {
-	f := newFleet(ctx, options)
-	defer f.close()
+	sim := newFleet(ctx, options)
+	defer sim.close()
 	heapBefore := heapBytes()
-	if err := f.start(); err != nil {
+	if err := sim.start(); err != nil {
 		return Result{}, err
 	}
-	firstFront := operator{f.address(frontGroup, 0, callerPort)}
-	if err := f.submitFirstSheet(firstFront); err != nil {
+	firstFront := operator{sim.address(frontGroup, 0, callerPort)}
+	if err := sim.submitFirstSheet(firstFront); err != nil {
 		return Result{}, err
 	}
-	<-f.clock.After(options.WarmUp)
-	result := f.measureUsage(heapBefore)
+	<-sim.clock.After(options.WarmUp)
+	result := sim.measureUsage(heapBefore)
 	if options.HeapProfile != "" {
 		if err := writeHeapProfile(options.HeapProfile); err != nil {
 			return result, err
 		}
 	}
-	result.ReadyFronts = f.readyFronts()
-	f.measureOrders(firstFront, &result)
+	result.ReadyFronts = sim.readyFronts()
+	sim.measureOrders(firstFront, &result)
 	if options.RestartFronts {
-		return result, f.measureRestart(&result)
+		return result, sim.measureRestart(&result)
 	}
 	return result, nil
 }
--- a/cmd/rig/slopes_command.go
+++ b/cmd/rig/slopes_command.go
@@ -8,14 +8,14 @@
 
 func slopesCommand() *cobra.Command {
 	var servers, tenants []int
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "slopes",
 		Short: "Measure what state costs as servers and tenants grow",
 		RunE:  func(*cobra.Command, []string) error { return printStateCosts(servers, tenants) },
 	}
-	c.Flags().IntSliceVar(&servers, "servers", []int{21, 200, 1000, 12000}, "numbers of servers")
-	c.Flags().IntSliceVar(&tenants, "tenants", []int{5, 100, 1000, 14000}, "numbers of tenants")
-	return c
+	command.Flags().IntSliceVar(&servers, "servers", []int{21, 200, 1000, 12000}, "numbers of servers")
+	command.Flags().IntSliceVar(&tenants, "tenants", []int{5, 100, 1000, 14000}, "numbers of tenants")
+	return command
 }
 
 // printStateCosts prints one line for each number of servers and of tenants.
--- a/cmd/rig/up_command.go
+++ b/cmd/rig/up_command.go
@@ -19,15 +19,15 @@
 
 func upCommand() *cobra.Command {
 	seconds := 600
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "up",
 		Short: "Run the first deployment with its first sheet and no load, to try commands by hand",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runFleet(cmd.Context(), time.Duration(seconds)*time.Second)
 		},
 	}
-	c.Flags().IntVar(&seconds, "seconds", seconds, "how long to run")
-	return c
+	command.Flags().IntVar(&seconds, "seconds", seconds, "how long to run")
+	return command
 }
 
 // runFleet runs the first deployment without load for a time.
@@ -42,18 +42,18 @@
 		return errors.Wrap(err, "temp folder")
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	f, err := fleet.New(fleet.FirstDeployment(), binary, dir, history.NewRecorder(1), 1)
+	deployment, err := fleet.New(fleet.FirstDeployment(), binary, dir, history.NewRecorder(1), 1)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	if err := f.Start(); err != nil {
+	defer deployment.Close()
+	if err := deployment.Start(); err != nil {
 		return err
 	}
-	answer := submitFirstSheet(ctx, f)
+	answer := submitFirstSheet(ctx, deployment)
 	fmt.Printf("program %s\nfolder %s\noperator key %s\ntenant key key-of-press\nfirst sheet: status %d code %d epoch %d\n",
 		binary, dir, fleet.OperatorKeys["ade"], answer.Status, answer.Code, answer.Version)
-	for _, node := range f.Nodes {
+	for _, node := range deployment.Nodes {
 		pid, _ := node.Running()
 		fmt.Printf("%-8s %-12s %s pid %d\n", node.Name, node.ZoneName(), node.CallerAddress, pid)
 	}
