--- a/internal/node/replica/commit.go
+++ b/internal/node/replica/commit.go
@@ -96,7 +96,7 @@
 		return nil
 	}
 	if learned && !moved && before.SnapshotSlot == o.state.SnapshotSlot {
-		o.applyAll(o.state.Chosen[o.configuration.sheet.Version-o.state.SnapshotSlot:])
+		o.applyAll(o.state.Chosen[o.configuration.state.Version-o.state.SnapshotSlot:])
 	} else if err := o.rebuildConfiguration(); err != nil {
 		return err
 	}
--- a/internal/node/replica/compaction.go
+++ b/internal/node/replica/compaction.go
@@ -30,7 +30,7 @@
 	}
 	o.compacting = true
 	version := o.state.Learned()
-	configuration := o.configuration.sheet
+	configuration := o.configuration.state
 	go func() {
 		data := encodeConfiguration(version, configuration)
 		o.enqueue(func(o *owner) { o.writeSnapshot(version, data) })
--- a/internal/node/replica/configuration.go
+++ b/internal/node/replica/configuration.go
@@ -20,7 +20,7 @@
 // configuration is the replicated state machine: the learned commands, applied
 // in the order of their slots. A command's slot is the version that it makes.
 type configuration struct {
-	sheet statemachine.State // the whole state, of which the sheet is one part
+	state statemachine.State // after the last applied command
 	// recent holds the last commands, and results their results, index by index.
 	recent  []*wire.Chosen
 	results []statemachine.Result
@@ -28,8 +28,8 @@
 
 // apply applies the command of the next version.
 func (c *configuration) apply(chosen *wire.Chosen) statemachine.Result {
-	next, result := c.sheet.Step(chosen.Epoch, chosen.Command)
-	c.sheet = next
+	next, result := c.state.Step(chosen.Epoch, chosen.Command)
+	c.state = next
 	c.results = append(c.results, result)
 	c.recent = append(c.recent, chosen)
 	if drop := c.excess(); drop > 0 {
@@ -57,8 +57,8 @@
 // find returns the first version after the given one whose command matches, with
 // its result, if it is still kept.
 func (c *configuration) find(after uint64, match func(command []byte) bool) (version uint64, result statemachine.Result, found bool) {
-	for version := after + 1; version <= c.sheet.Version; version++ {
-		age := c.sheet.Version - version
+	for version := after + 1; version <= c.state.Version; version++ {
+		age := c.state.Version - version
 		if age >= uint64(len(c.recent)) {
 			continue
 		}
@@ -70,10 +70,10 @@
 	return 0, statemachine.Result{}, false
 }
 
-// snapshotSheet decodes the configuration in the snapshot of the agreement; the
+// snapshotState decodes the state machine in the snapshot of the agreement; the
 // empty one when there is none. It returns a *SnapshotVersionError when that is
 // of another version than the snapshot's slot.
-func snapshotSheet(state paxos.State) (statemachine.State, error) {
+func snapshotState(state paxos.State) (statemachine.State, error) {
 	if state.SnapshotSlot == 0 {
 		return statemachine.State{}, nil
 	}
--- a/internal/node/replica/firstsheet.go
+++ b/internal/node/replica/firstsheet.go
@@ -20,7 +20,7 @@
 // one. It reports whether that is done: a sheet exists, or the configured one is
 // invalid.
 func (r *Replica) proposeFirstSheet(ctx context.Context) (done bool) {
-	current, err := r.currentSheet(ctx)
+	current, err := r.appliedState(ctx)
 	if err != nil {
 		return false
 	}
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -97,7 +97,7 @@
 
 // configurationOf applies the learned commands to the snapshot.
 func configurationOf(state paxos.State) (statemachine.State, error) {
-	configuration, err := snapshotSheet(state)
+	configuration, err := snapshotState(state)
 	if err != nil {
 		return statemachine.State{}, err
 	}
--- a/internal/node/replica/owner.go
+++ b/internal/node/replica/owner.go
@@ -116,11 +116,11 @@
 // rebuildConfiguration applies the commands to the snapshot from the beginning.
 func (o *owner) rebuildConfiguration() error {
 	o.configuration = configuration{}
-	snapshot, err := snapshotSheet(o.state)
+	snapshot, err := snapshotState(o.state)
 	if err != nil {
 		return err
 	}
-	o.configuration.sheet = snapshot
+	o.configuration.state = snapshot
 	o.applyAll(o.state.Chosen)
 	return nil
 }
--- a/internal/node/replica/read.go
+++ b/internal/node/replica/read.go
@@ -17,7 +17,7 @@
 
 // voterPoll is what the voters answered to a Read.
 type voterPoll struct {
-	answered    int    // voters that answered without a refusal
+	answered    int    // voters that answered without rejecting the read
 	highest     uint64 // the highest slot that one of them has learned or accepted
 	learned     uint64 // the highest slot that one of them has learned
 	learnedBy   string
@@ -37,7 +37,7 @@
 		return statemachine.State{}, apierror.Errorf(apierror.NoMajority, "%d of %d cores answered", poll.answered, len(state.Voters))
 	}
 	for {
-		current, err := r.currentSheet(ctx)
+		current, err := r.appliedState(ctx)
 		if err != nil {
 			return statemachine.State{}, err
 		}
@@ -134,12 +134,13 @@
 	}
 }
 
-// currentState returns the core's state, which may be ahead of the disk.
+// currentState returns the state of the agreement, which may be ahead of the disk.
 func (r *Replica) currentState(ctx context.Context) (paxos.State, error) {
 	return callOwner(ctx, r, func(o *owner, reply func(paxos.State, error)) { reply(o.state, nil) })
 }
 
-// currentSheet returns the configuration, which may be ahead of the disk.
-func (r *Replica) currentSheet(ctx context.Context) (statemachine.State, error) {
-	return callOwner(ctx, r, func(o *owner, reply func(statemachine.State, error)) { reply(o.configuration.sheet, nil) })
+// appliedState returns the state after the last applied command, which may be ahead
+// of the disk.
+func (r *Replica) appliedState(ctx context.Context) (statemachine.State, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(statemachine.State, error)) { reply(o.configuration.state, nil) })
 }
--- a/internal/node/replica/view.go
+++ b/internal/node/replica/view.go
@@ -12,7 +12,7 @@
 // view is an immutable snapshot of what is synced here, for readers on other
 // goroutines. Its version never goes back.
 type view struct {
-	sheet       statemachine.State
+	state       statemachine.State
 	recent      []*wire.Chosen // the commands of the last versions
 	standing    wire.Standing
 	formation   string
@@ -27,8 +27,8 @@
 func (r *Replica) publish(next view) {
 	previous := r.view.Load()
 	next.changed = make(chan struct{})
-	if next.sheet.Version < previous.sheet.Version {
-		next.sheet = previous.sheet
+	if next.state.Version < previous.state.Version {
+		next.state = previous.state
 		next.recent = previous.recent
 	}
 	r.view.Store(&next)
@@ -67,7 +67,7 @@
 
 func (o *owner) view() view {
 	return view{
-		sheet:       o.configuration.sheet,
+		state:       o.configuration.state,
 		recent:      slices.Clip(o.configuration.recent),
 		formation:   o.state.Formation,
 		voters:      o.state.Voters,
@@ -92,7 +92,7 @@
 }
 
 // Current returns the newest configuration that is applied and synced here.
-func (r *Replica) Current() statemachine.State { return r.view.Load().sheet }
+func (r *Replica) Current() statemachine.State { return r.view.Load().state }
 
 // Changed returns a channel that is closed when a newer version or standing is
 // published. Call it before Current, so that no change is missed.
@@ -103,10 +103,10 @@
 // after Current's.
 func (r *Replica) Learned(after uint64) (chosen []*wire.Chosen, complete bool) {
 	v := r.view.Load()
-	if after > v.sheet.Version {
+	if after > v.state.Version {
 		return nil, false
 	}
-	missing := v.sheet.Version - after
+	missing := v.state.Version - after
 	if missing > uint64(len(v.recent)) {
 		return nil, false
 	}
