--- a/internal/decision/lease/status_tracker_test.go
+++ b/internal/decision/lease/status_tracker_test.go
@@ -53,7 +53,7 @@
 		Convey("one that released its lease and is not listed is published as gone, then removed", func() {
 			table.Release("z", 1, at(200))
 			So(tracker.Update(table, "z", members, at(200)).Gone, ShouldBeTrue)
-			table.Expire(at(61_000))
+			table.Prune(at(61_000))
 			So(tracker.Update(table, "z", members, at(61_000)), ShouldBeNil)
 			for _, status := range tracker.Published() {
 				So(status.Process.Name, ShouldNotEqual, "z")
--- a/internal/decision/lease/table.go
+++ b/internal/decision/lease/table.go
@@ -207,10 +207,9 @@
 	t.refusals[tried.Name] = streak
 }
 
-// Expire frees the memory of what no longer counts: members whose lease has expired
-// and without contact for two TTLs, refusals that ended, and releases past their
-// retention. It ends no lease; see memberLease.active.
-func (t *Table) Expire(now time.Time) {
+// Prune forgets what no longer counts: members whose lease has expired and without
+// contact for two TTLs, refusals that ended, and releases past their retention. It ends no lease; see memberLease.active.
+func (t *Table) Prune(now time.Time) {
 	for name, lease := range t.leases {
 		if !lease.active(now) && now.Sub(lease.contactAt) >= 2*t.ttl {
 			delete(t.leases, name)
--- a/internal/decision/quota/counter.go
+++ b/internal/decision/quota/counter.go
@@ -272,9 +272,9 @@
 	return total
 }
 
-// Expire drops the tenants and the fronts' contributions that were idle for two
+// Prune forgets the tenants and the fronts' contributions that were idle for two
 // windows. Contributions of unresponsive fronts are retained.
-func (c *Counter) Expire(now time.Time) {
+func (c *Counter) Prune(now time.Time) {
 	horizon := now.Add(-2 * c.config.Window)
 	for name, tenant := range c.tenants {
 		if tenant.lastCounted.Before(horizon) {
--- a/internal/decision/quota/counter_test.go
+++ b/internal/decision/quota/counter_test.go
@@ -113,9 +113,9 @@
 	Convey("Tenants idle for two windows are dropped", t, func() {
 		counter := NewCounter("a", 1, Config{})
 		add(counter, "a", 1, 1, count(1))
-		counter.Expire(after(16))
+		counter.Prune(after(16))
 		So(counter.Tenants(), ShouldEqual, 1)
-		counter.Expire(after(17.1))
+		counter.Prune(after(17.1))
 		So(counter.Tenants(), ShouldEqual, 0)
 	})
 	Convey("The owner changes for few tenants when the fronts change", t, func() {
--- a/internal/decision/quota/membership.go
+++ b/internal/decision/quota/membership.go
@@ -15,7 +15,7 @@
 	isFront          map[string]bool
 	reachable        []string             // fronts without the unresponsive ones
 	unresponsive     map[string]time.Time // when a front was last reported unresponsive
-	partitionedSince time.Time            // zero: no partition is suspected
+	partitionedSince time.Time            // zero: no partition
 }
 
 func (m *membership) setFronts(fronts []string) {
--- a/internal/decision/serverstatus/merged_test.go
+++ b/internal/decision/serverstatus/merged_test.go
@@ -21,7 +21,7 @@
 	Convey("A core's merged report is valid without repeats; what this front observed since makes it worse at once", t, func() {
 		store := NewReportStore(Config{})
 		So(store.Add(report("c1/fold", 1, 50_000, ready, 2), now), ShouldBeTrue)
-		store.Expire(now)
+		store.Prune(now)
 		So(state(store), ShouldEqual, ready)
 
 		store.Add(report("f1/list", 1, 99_000, draining, 0), now)
--- a/internal/decision/serverstatus/store.go
+++ b/internal/decision/serverstatus/store.go
@@ -189,10 +189,10 @@
 	return time.UnixMilli(r.listedAtMS)
 }
 
-// Expire drops reports that are outdated by RetainFor, and servers that have been
+// Prune drops reports that are outdated by RetainFor, and servers that have been
 // gone for RetainFor. The last report on a server that is not gone is never
 // dropped. now is fleet time.
-func (r *ReportStore) Expire(now time.Time) {
+func (r *ReportStore) Prune(now time.Time) {
 	retainMS := r.config.RetainFor.Milliseconds()
 	// The statuses decide which servers are gone.
 	r.Servers()
--- a/internal/decision/serverstatus/store_test.go
+++ b/internal/decision/serverstatus/store_test.go
@@ -54,7 +54,7 @@
 		Convey("keeps the last report when all watchers stopped", func() {
 			store := NewReportStore(Config{})
 			store.Add(listReport("n1", 1, draining, 0), start)
-			store.Expire(start.Add(time.Hour))
+			store.Prune(start.Add(time.Hour))
 			So(store.Servers()["m1"].State, ShouldEqual, draining)
 		})
 		Convey("takes the most severe state of the list and the server itself, and the newest load", func() {
@@ -90,9 +90,9 @@
 		Convey("drops a server that has been gone for long, and no other", func() {
 			store := NewReportStore(Config{})
 			store.Add(listReport("n1", 1, gone, 0), start)
-			store.Expire(start.Add(29 * time.Second))
+			store.Prune(start.Add(29 * time.Second))
 			So(store.Servers(), ShouldContainKey, "m1")
-			store.Expire(start.Add(31 * time.Second))
+			store.Prune(start.Add(31 * time.Second))
 			So(store.Servers(), ShouldNotContainKey, "m1")
 			So(store.Reports(), ShouldBeEmpty)
 		})
--- a/internal/node/control/controller.go
+++ b/internal/node/control/controller.go
@@ -143,7 +143,7 @@
 
 func (c *Controller) tick(now time.Time) {
 	c.catchUp()
-	c.leases.Expire(now)
+	c.leases.Prune(now)
 	c.feed.dropEndedWaiters()
 	c.publishDueReports(now)
 	c.pingIdleMembers(now)
--- a/internal/node/control/report_exchange.go
+++ b/internal/node/control/report_exchange.go
@@ -110,7 +110,7 @@
 func (c *Controller) publishDueReports(now time.Time) {
 	loadDue := now.Sub(c.reports.loadsPublishedAt) >= c.config.LoadInterval
 	if loadDue {
-		c.reports.store.Expire(c.config.FleetNow())
+		c.reports.store.Prune(c.config.FleetNow())
 		c.reports.loadsPublishedAt = now
 	}
 	c.publishReports(loadDue)
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -230,5 +230,5 @@
 		return
 	}
 	f.reportsExpiry = now
-	f.reports.Expire(f.FleetNow())
+	f.reports.Prune(f.FleetNow())
 }
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -29,7 +29,7 @@
 //
 // Three limits end the attempts: the deadline; the retry budget, by which the
 // dispatcher rejects an attempt (balance.Table.Choose); and, once a server may have
-// executed the request, the route's kind and its number of attempts (mayRetry). An
+// executed the request, the route's kind and its number of attempts (prepareRetry). An
 // attempt that was certainly not executed, since nothing was sent or the server said
 // so, is not one of that number. No server is tried twice.
 func (q *request) run() *apierror.Error {
@@ -120,7 +120,7 @@
 	}
 	if retry {
 		q.exclude(assigned.server)
-		retry = q.mayRetry()
+		retry = q.prepareRetry()
 	}
 	return apiErr, retry
 }
@@ -158,7 +158,7 @@
 	if !failure.Sent {
 		return apierror.Errorf(apierror.NotRun, "%s", failure).WithRetryAfter(minRetryAfter), true
 	}
-	return apierror.Errorf(apierror.OutcomeUnknown, "%s", failure), q.mayRetry()
+	return apierror.Errorf(apierror.OutcomeUnknown, "%s", failure), q.prepareRetry()
 }
 
 // rejected decides on an attempt that the server did not execute.
@@ -193,9 +193,9 @@
 	q.selection.ExcludedServers = append(q.selection.ExcludedServers, server.Name)
 }
 
-// mayRetry reports whether a request that a server may have executed may be sent to
-// another one, and marks further attempts as retries for the retry budget.
-func (q *request) mayRetry() bool {
+// prepareRetry marks further attempts as retries for the retry budget, and reports
+// whether a request that a server may have executed may be sent to another one.
+func (q *request) prepareRetry() bool {
 	q.selection.Retry = true
 	return q.route.Idempotent() && q.executions < q.maxAttempts()
 }
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -76,7 +76,7 @@
 		submissions:   stage.NewQueue[*assignmentRequest](submissionsBound),
 		updates:       stage.NewQueue[attemptUpdate](attemptUpdatesBound),
 		stopped:       make(chan struct{}),
-		passiveHealth: passiveHealth{suspected: map[string]balance.StallLevel{}},
+		passiveHealth: passiveHealth{stalled: map[string]balance.StallLevel{}},
 	}
 }
 
@@ -110,7 +110,7 @@
 			close(d.stopped)
 		}
 	}()
-	suspicion := d.clock.Ticker(suspicionInterval)
+	suspicion := d.clock.Ticker(stallCheckInterval)
 	defer suspicion.Stop()
 	for {
 		changed := d.views.Changed()
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -78,7 +78,7 @@
 
 	hadAuthority atomic.Bool // has had authority since the start
 	draining     atomic.Bool // not ready any more
-	closed       atomic.Bool // refuses new requests
+	closed       atomic.Bool // rejects new requests
 	inFlight     atomic.Int64
 	lastArrival  atomic.Int64 // of a request, nanoseconds since started
 	started      time.Time
--- a/internal/node/gateway/passive_health.go
+++ b/internal/node/gateway/passive_health.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	suspicionInterval = 100 * time.Millisecond
+	stallCheckInterval = 100 * time.Millisecond
 	// recentResponse is how recent a server's response to this node must be to
 	// contradict another node's report that the server is unresponsive.
 	recentResponse = 400 * time.Millisecond
@@ -20,9 +20,9 @@
 type passiveHealth struct {
 	// unreachable are the servers that the newest view has as unreachable.
 	unreachable []string
-	// suspected are the servers that stall, with their levels: the highest that was
-	// acted on. It is not the suspicion of package balance, which counts failures.
-	suspected map[string]balance.StallLevel
+	// stalled has the servers that stall, with the highest level that was acted on.
+	// The suspicion of package balance is another thing: it counts failures.
+	stalled map[string]balance.StallLevel
 }
 
 func (h *passiveHealth) recordUnreachable(view *follower.View) {
@@ -44,13 +44,13 @@
 	now := d.clock.Now()
 	stalled := d.table.StalledServers(now)
 	for name, server := range stalled {
-		d.suspect(upstream.Server{Name: name, Address: server.Address}, server.Level)
+		d.handleStall(upstream.Server{Name: name, Address: server.Address}, server.Level)
 	}
-	for name := range d.suspected {
+	for name := range d.stalled {
 		if _, still := stalled[name]; still {
 			continue
 		}
-		delete(d.suspected, name)
+		delete(d.stalled, name)
 		if d.respondedRecently(name, now) {
 			d.health.reportRecovered(upstream.Server{Name: name})
 		}
@@ -66,10 +66,10 @@
 	return d.table.RespondedSince(server, now.Add(-recentResponse))
 }
 
-// suspect acts once on each higher stall level of a server: it has the server probed,
+// handleStall acts once on each higher stall level of a server: it has the server probed,
 // and reports one that is unresponsive. Without probes it reports one that stalls.
-func (d *dispatcher) suspect(server upstream.Server, level balance.StallLevel) {
-	previous := d.suspected[server.Name]
+func (d *dispatcher) handleStall(server upstream.Server, level balance.StallLevel) {
+	previous := d.stalled[server.Name]
 	if level <= previous {
 		return
 	}
@@ -78,9 +78,9 @@
 	case level == balance.Unresponsive, !probes && level == balance.Stalled && previous < balance.Stalled:
 		d.health.report(server, false)
 	case probes && previous == balance.NotStalled:
-		d.health.suspect(server)
+		d.health.probeStalled(server)
 	}
-	d.suspected[server.Name] = level
+	d.stalled[server.Name] = level
 }
 
 // serverUnacknowledged ejects a server whose machine stopped to acknowledge, and
@@ -88,7 +88,7 @@
 func (d *dispatcher) serverUnacknowledged(server string, now time.Time) {
 	d.table.ServerUnacknowledged(server, now)
 	d.closeIdleConnections(server)
-	if status := d.view.Servers[server]; status != nil && d.suspected[server] < balance.Unresponsive {
+	if status := d.view.Servers[server]; status != nil && d.stalled[server] < balance.Unresponsive {
 		d.health.report(upstream.Server{Name: server, Address: status.Address}, false)
 	}
 }
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -61,7 +61,7 @@
 	}
 	g.metrics.requestFinished(q.service, apiErr)
 	if apiErr != nil {
-		q.refuse(apiErr)
+		q.reject(apiErr)
 	}
 }
 
@@ -77,9 +77,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// refuse answers the client with an error. It panics with http.ErrAbortHandler
+// reject answers the client with an error. It panics with http.ErrAbortHandler
 // when the client has disconnected.
-func (q *request) refuse(apiErr *apierror.Error) {
+func (q *request) reject(apiErr *apierror.Error) {
 	if apiErr.Code == apierror.CallerGone {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/node/gateway/server_health.go
+++ b/internal/node/gateway/server_health.go
@@ -28,9 +28,9 @@
 	// serverRecovered: the server responds again, which is reported only if this
 	// node has reported it as unresponsive.
 	serverRecovered
-	// serverSuspected: the server is slower than expected and is probed before
+	// serverStalled: the server is slower than expected and is probed before
 	// anything is reported.
-	serverSuspected
+	serverStalled
 )
 
 type observation struct {
@@ -84,9 +84,9 @@
 	h.offer(observation{server: server, kind: serverRecovered})
 }
 
-// suspect has a server probed, and reported if it does not accept the connection.
-func (h *serverHealth) suspect(server upstream.Server) {
-	h.offer(observation{server: server, kind: serverSuspected})
+// probeStalled has a server probed, and reported if it does not accept the connection.
+func (h *serverHealth) probeStalled(server upstream.Server) {
+	h.offer(observation{server: server, kind: serverStalled})
 }
 
 // offer drops an observation when the queue is full, as later ones repeat it.
@@ -123,7 +123,7 @@
 func (h *serverHealth) apply(ctx context.Context, received observation) {
 	name := received.server.Name
 	switch received.kind {
-	case serverSuspected:
+	case serverStalled:
 		h.probe(ctx, received.server, serverRecovered)
 		return
 	case serverRecovered:
--- a/internal/node/gateway/server_health_test.go
+++ b/internal/node/gateway/server_health_test.go
@@ -55,11 +55,11 @@
 	})
 }
 
-func TestSuspectedServers(t *testing.T) {
+func TestStalledServers(t *testing.T) {
 	type fixture struct {
-		suspects *serverHealth
-		reports  chan healthReport
-		end      func()
+		health  *serverHealth
+		reports chan healthReport
+		end     func()
 	}
 	start := func(answers func() bool) fixture {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -89,9 +89,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A server that is slower than expected and accepts connections is not reported, nor that it responds again", t, func() {
 			f := start(func() bool { return true })
-			f.suspects.suspect(server)
+			f.health.probeStalled(server)
 			<-clock.System().After(time.Second)
-			f.suspects.reportRecovered(server)
+			f.health.reportRecovered(server)
 			<-clock.System().After(time.Second)
 			So(len(f.reports), ShouldEqual, 0)
 			f.end()
@@ -99,7 +99,7 @@
 		Convey("A server that accepts no connection is reported as soon as the probe fails, and as soon as one succeeds", t, func() {
 			begun := time.Now()
 			f := start(func() bool { return time.Since(begun) >= time.Second })
-			f.suspects.suspect(server)
+			f.health.probeStalled(server)
 			So(<-f.reports, ShouldResemble, healthReport{"s0", false, probeTimeout})
 			So(<-f.reports, ShouldResemble, healthReport{"s0", false, 500*time.Millisecond + probeTimeout})
 			So(<-f.reports, ShouldResemble, healthReport{"s0", true, time.Second})
@@ -107,9 +107,9 @@
 		})
 		Convey("A response of a server that was reported as unresponsive is reported", t, func() {
 			f := start(func() bool { return true })
-			f.suspects.report(server, false)
+			f.health.report(server, false)
 			So(<-f.reports, ShouldResemble, healthReport{"s0", false, 0})
-			f.suspects.reportRecovered(server)
+			f.health.reportRecovered(server)
 			So(<-f.reports, ShouldResemble, healthReport{"s0", true, 0})
 			f.end()
 		})
--- a/internal/node/quotasync/counter_owner.go
+++ b/internal/node/quotasync/counter_owner.go
@@ -52,14 +52,14 @@
 			c.counter.SetMembership(c.service.fronts(), c.service.config.Unresponsive(), c.service.fleetNow())
 			interval++
 			if interval%expireIntervals == 0 {
-				c.expire()
+				c.prune()
 			}
 		}
 	}
 }
 
-func (c *counterOwner) expire() {
-	c.counter.Expire(c.service.fleetNow())
+func (c *counterOwner) prune() {
+	c.counter.Prune(c.service.fleetNow())
 	c.service.metrics.setCounts(c.counter.Tenants())
 }
 
--- a/sim/confirm/core.go
+++ b/sim/confirm/core.go
@@ -95,7 +95,7 @@
 // pingIdleMembers pings the members without recent contact.
 func (w *world) pingIdleMembers(proc *process) {
 	leases := proc.core.leases
-	leases.Expire(w.clock(proc.node))
+	leases.Prune(w.clock(proc.node))
 	for _, target := range leases.PingTargets(w.log[proc.core.learned].Roster, pingAfter, w.clock(proc.node)) {
 		for _, node := range w.nodes {
 			if node.name == target.Name && node != proc.node {
--- a/sim/quota/front.go
+++ b/sim/quota/front.go
@@ -64,7 +64,7 @@
 		r.send(i, f.limiter.CountsToSend(r.clock(i), r.ownerOf(i)))
 	}
 	if number%expireTicks == 0 {
-		f.counter.Expire(r.clock(i))
+		f.counter.Prune(r.clock(i))
 	}
 	r.sendUrgent(i)
 	r.retryPending(i)
