--- a/internal/decision/quota/allocation.go
+++ b/internal/decision/quota/allocation.go
@@ -78,13 +78,13 @@
 // spending without any front here knowing how much.
 func (c *Counter) uninformedSince(tenant *tenantCount) (since time.Time, uninformed bool) {
 	since = c.membership.partitionedSince
-	if tenant.interim {
-		since = tenant.since
+	if tenant.countedForOther {
+		since = tenant.startedAt
 	}
-	if since.IsZero() || tenant.informed {
+	if since.IsZero() || tenant.totalsReported {
 		return since, false
 	}
-	countedBefore := tenant.since.Before(since.Add(-startupGrace.in(&c.config)))
+	countedBefore := tenant.startedAt.Before(since.Add(-startupGrace.in(&c.config)))
 	return since, !countedBefore
 }
 
@@ -140,5 +140,5 @@
 
 // mayBeSpending reports whether a missing front may be spending a tenant's tokens.
 func (c *Counter) mayBeSpending(tenant *tenantCount, front string, now time.Time) bool {
-	return tenant.interim || c.membership.isUnresponsive(front, now, ownerUnresponsiveAfter.in(&c.config))
+	return tenant.countedForOther || c.membership.isUnresponsive(front, now, ownerUnresponsiveAfter.in(&c.config))
 }
--- a/internal/decision/quota/counter.go
+++ b/internal/decision/quota/counter.go
@@ -85,13 +85,13 @@
 		return
 	}
 	for tenant, count := range c.tenants {
-		count.setInterim(c.isInterim(tenant), now)
+		count.setForOther(c.countedForOther(tenant), now)
 	}
 }
 
-// isInterim reports whether this front counts a tenant's spend on behalf of another
-// front, which is the owner by this front's own view of the membership.
-func (c *Counter) isInterim(tenant string) bool {
+// countedForOther reports whether this front counts a tenant's spend on behalf of
+// another front, which is the owner by this front's own view of the membership.
+func (c *Counter) countedForOther(tenant string) bool {
 	reachable := c.membership.reachable
 	return len(reachable) > 0 && OwnerOf(tenant, reachable) != c.self
 }
@@ -137,7 +137,7 @@
 		return
 	}
 	if contribution == a.newcomer && count.Learned > 0 {
-		tenant.informed = true
+		tenant.totalsReported = true
 	}
 	a.counter.merge(tenant, contribution, count, a.now)
 	a.respond(tenant, contribution, count.Tenant, count.Window)
@@ -188,7 +188,7 @@
 		a.respond(tenant, from, name, a.window-1)
 	}
 	// Before the grace ends this front's view, not the caller's, may be out of date.
-	if !tenant.interim || a.now.Sub(tenant.since) > ownerUnresponsiveAfter.in(&a.counter.config) {
+	if !tenant.countedForOther || a.now.Sub(tenant.startedAt) > ownerUnresponsiveAfter.in(&a.counter.config) {
 		report := a.counter.allocate(tenant, from, a.now)
 		a.response.Totals = append(a.response.Totals, report.total(name))
 	}
@@ -199,16 +199,16 @@
 	tenant := c.tenants[name]
 	if tenant == nil {
 		tenant = &tenantCount{
-			fronts:   map[frontID]*contribution{},
-			reported: newSliceRing(c.grid),
-			learned:  newSliceRing(c.grid),
-			interim:  c.isInterim(name),
-			since:    now,
+			fronts:          map[frontID]*contribution{},
+			reported:        newSliceRing(c.grid),
+			learned:         newSliceRing(c.grid),
+			countedForOther: c.countedForOther(name),
+			startedAt:       now,
 		}
 		c.tenants[name] = tenant
 	}
-	if tenant.interim && now.Sub(tenant.lastCounted) > ownerUnresponsiveAfter.in(&c.config) {
-		tenant.since = now
+	if tenant.countedForOther && now.Sub(tenant.lastCounted) > ownerUnresponsiveAfter.in(&c.config) {
+		tenant.startedAt = now
 	}
 	tenant.lastCounted = now
 	return tenant
@@ -235,7 +235,7 @@
 		}
 		if tenant.learned.raise(slice, tokens) > 0 {
 			c.recordIncrease(tenant, slice, now)
-			tenant.informed = tenant.informed || tokens > relevantExcess*tenant.reported.get(slice)
+			tenant.totalsReported = tenant.totalsReported || tokens > relevantExcess*tenant.reported.get(slice)
 		}
 	}
 }
--- a/internal/decision/quota/tenant_count.go
+++ b/internal/decision/quota/tenant_count.go
@@ -10,19 +10,19 @@
 	previousRoseAt time.Time // when a window last rose after its end
 	lastCounted    time.Time
 
-	interim  bool      // counted on behalf of another front, the owner by this front's view
-	since    time.Time // when the count began, or interim changed
-	informed bool      // a front has reported totals from another owner
+	countedForOther bool      // counted on behalf of another front, the owner by this front's view
+	startedAt       time.Time // when the count began, or countedForOther changed
+	totalsReported  bool      // a front has reported totals from another owner
 
 	demand      demandSum
 	reservation reservation
 }
 
-// setInterim changes whether the tenant is counted on behalf of another front.
-func (t *tenantCount) setInterim(interim bool, now time.Time) {
-	if interim != t.interim {
-		t.interim = interim
-		t.since = now
+// setForOther changes whether the tenant is counted on behalf of another front.
+func (t *tenantCount) setForOther(forOther bool, now time.Time) {
+	if forOther != t.countedForOther {
+		t.countedForOther = forOther
+		t.startedAt = now
 	}
 }
 
--- a/internal/node/follower/feed.go
+++ b/internal/node/follower/feed.go
@@ -11,8 +11,8 @@
 	"stepwick/internal/wire"
 )
 
-// feed is the state of the long poll by which a core's changes are received.
-type feed struct {
+// feedReader is the state of the long poll by which a core's changes are received.
+type feedReader struct {
 	position   feedPosition
 	pollOpen   bool
 	failedCore string // the one whose poll failed last
@@ -84,7 +84,7 @@
 
 // failPoll takes that a poll of a core failed: the next may go to another core.
 func (f *Follower) failPoll(core string, err error) {
-	f.feed = feed{failedCore: core}
+	f.feed = feedReader{failedCore: core}
 	f.log.Emit(events.FeedStalled, "core", core, "error", err)
 }
 
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -103,7 +103,7 @@
 	reportsExpiry time.Time // when old reports were last removed
 
 	renewals     renewals
-	feed         feed
+	feed         feedReader
 	membership   membership
 	pinger       pinger
 	members      memberLists
--- a/internal/node/front/admission.go
+++ b/internal/node/front/admission.go
@@ -15,10 +15,10 @@
 
 // Admitter decides by the fleet's shared token counts whether a tenant may spend
 // tokens. It may wait for an exchange with the owner of the tenant's count, by its
-// own configuration; in a large fleet also longer, for patience at most. When the
+// own configuration; in a large fleet also longer, for maxWait at most. When the
 // context ends first it rejects.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, patience time.Duration) quota.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, maxWait time.Duration) quota.Decision
 }
 
 // Ready returns nil if the node takes traffic, or why not.
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -55,11 +55,12 @@
 	FleetNow() time.Time
 }
 
-// Admitter decides whether a tenant may use tokens of its quota, which is counted
-// over all nodes. It may wait for an exchange with the owner of the count, by its own
-// configuration; in a large fleet also longer, for at most timeout.
+// Admitter decides by the fleet's shared counts whether a tenant may spend tokens
+// of its quota. It may wait for an exchange with the owner of the tenant's count, by
+// its own configuration; in a large fleet also longer, for maxWait at most. When the
+// context ends first it rejects.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Allowance, timeout time.Duration) quota.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, maxWait time.Duration) quota.Decision
 }
 
 // Gateway serves requests by routes. It is an http.Handler.
--- a/internal/node/quotasync/service.go
+++ b/internal/node/quotasync/service.go
@@ -163,9 +163,9 @@
 
 // Admit decides a request of a number of tokens. The request of a tenant well below
 // its limit may be queued for an exchange with the owner, for Config.QueueTimeout at
-// most. In a large fleet a maxWait longer than that counts instead, up to
-// maxLargeFleetWait; it never shortens the wait. When ctx ends first the request is
-// rejected with DeadlinePassed or CallerGone.
+// most; in a large fleet for maxWait at most, where that is longer, and never beyond
+// maxLargeFleetWait. When ctx ends first the request is rejected with DeadlinePassed
+// or CallerGone.
 func (s *Service) Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, maxWait time.Duration) quota.Decision {
 	request := s.requests.Get().(*admitRequest)
 	request.done = ctx.Done()
