--- a/internal/adapter/upstream/conn.go
+++ b/internal/adapter/upstream/conn.go
@@ -67,7 +67,7 @@
 
 func newConn(raw net.Conn, maxHeaderBytes int64, onUnacknowledged func()) *conn {
 	limited := &io.LimitedReader{R: raw, N: maxHeaderBytes}
-	c := &conn{
+	connection := &conn{
 		raw:              raw,
 		limited:          limited,
 		reader:           bufio.NewReaderSize(limited, readerSize),
@@ -76,8 +76,8 @@
 		exchanges:        make(chan *exchange, 1),
 		readerEnded:      make(chan struct{}),
 	}
-	go c.read()
-	return c
+	go connection.read()
+	return connection
 }
 
 func (c *conn) close() { c.closeOnce.Do(func() { _ = c.raw.Close() }) }
--- a/internal/decision/paxos/key.go
+++ b/internal/decision/paxos/key.go
@@ -19,51 +19,51 @@
 // AppendKey appends a canonical form of the proposer, by which a model checker
 // recognizes one that it has visited: two with the same key behave alike from
 // here on. Incarnations are reduced to one byte: a checked model stays below 256.
-func (p Proposer) AppendKey(to []byte) []byte {
-	to = append(to, byte(p.Phase))
+func (p Proposer) AppendKey(buffer []byte) []byte {
+	buffer = append(buffer, byte(p.Phase))
 	if p.Phase == Ended {
-		return to
+		return buffer
 	}
-	to = append(p.Ballot.appendKey(to), p.value...)
+	buffer = append(p.Ballot.appendKey(buffer), p.value...)
 	for _, core := range p.Voters {
 		if promise, promised := p.promises[core]; promised {
-			to = append(to, promiseTag, byte(promise.incarnation))
-			to = promise.accepted.appendKey(to)
-			to = append(to, promise.value...)
+			buffer = append(buffer, promiseTag, byte(promise.incarnation))
+			buffer = promise.accepted.appendKey(buffer)
+			buffer = append(buffer, promise.value...)
 		}
 		if incarnation, accepted := p.acceptedBy[core]; accepted {
-			to = append(to, acceptTag, byte(incarnation))
+			buffer = append(buffer, acceptTag, byte(incarnation))
 		}
-		to = append(to, incarnationTag, byte(p.incarnations[core]))
+		buffer = append(buffer, incarnationTag, byte(p.incarnations[core]))
 		if p.answered[core] {
-			to = append(to, answeredTag)
+			buffer = append(buffer, answeredTag)
 		}
 	}
-	return to
+	return buffer
 }
 
 // AppendKey appends a canonical form of the state, as Proposer.AppendKey does
 // of a proposer.
-func (s State) AppendKey(to []byte) []byte {
-	to = append(to, s.Formation...)
+func (s State) AppendKey(buffer []byte) []byte {
+	buffer = append(buffer, s.Formation...)
 	for _, core := range s.Voters {
-		to = binary.AppendUvarint(to, s.Incarnations[core])
+		buffer = binary.AppendUvarint(buffer, s.Incarnations[core])
 	}
-	to = binary.AppendUvarint(to, s.AnnouncedIncarnation)
-	to = binary.AppendUvarint(to, s.SnapshotSlot)
+	buffer = binary.AppendUvarint(buffer, s.AnnouncedIncarnation)
+	buffer = binary.AppendUvarint(buffer, s.SnapshotSlot)
 	for _, chosen := range s.Chosen {
-		to = append(to, chosenTag)
-		to = append(to, chosen.Command...)
+		buffer = append(buffer, chosenTag)
+		buffer = append(buffer, chosen.Command...)
 	}
 	for _, number := range slices.Sorted(maps.Keys(s.OpenSlots)) {
 		slot := s.OpenSlots[number]
-		to = append(to, openSlotTag)
-		to = binary.AppendUvarint(to, number)
-		to = slot.Promised.appendKey(to)
-		to = slot.Accepted.appendKey(to)
-		to = append(to, slot.Value...)
+		buffer = append(buffer, openSlotTag)
+		buffer = binary.AppendUvarint(buffer, number)
+		buffer = slot.Promised.appendKey(buffer)
+		buffer = slot.Accepted.appendKey(buffer)
+		buffer = append(buffer, slot.Value...)
 	}
-	return to
+	return buffer
 }
 
 func (b Ballot) appendKey(to []byte) []byte {
--- a/internal/decision/paxos/proposer.go
+++ b/internal/decision/paxos/proposer.go
@@ -70,18 +70,18 @@
 }
 
 // NewProposer opens a ballot in a slot and returns the request for every voter.
-func NewProposer(s State, slot, number uint64, initialValue []byte) (Proposer, *wire.PrepareRequest) {
-	ballot := Ballot{Number: number, Core: s.Self}
+func NewProposer(state State, slot, number uint64, initialValue []byte) (Proposer, *wire.PrepareRequest) {
+	ballot := Ballot{Number: number, Core: state.Self}
 	proposer := Proposer{
-		Formation:     s.Formation,
+		Formation:     state.Formation,
 		Slot:          slot,
 		Ballot:        ballot,
 		InitialValue:  initialValue,
-		Voters:        s.Voters,
+		Voters:        state.Voters,
 		HighestBallot: ballot,
-		incarnations:  maps.Clone(s.Incarnations),
+		incarnations:  maps.Clone(state.Incarnations),
 	}
-	request := &wire.PrepareRequest{Formation: s.Formation, Slot: slot, Ballot: ballot.ToWire(), From: s.Self}
+	request := &wire.PrepareRequest{Formation: state.Formation, Slot: slot, Ballot: ballot.ToWire(), From: state.Self}
 	return proposer, request
 }
 
--- a/internal/decision/route/pool.go
+++ b/internal/decision/route/pool.go
@@ -36,18 +36,18 @@
 	if len(servers) > 2*groupSize {
 		groups = 1 << (bits.Len(uint(len(servers)/groupSize)) - 1)
 	}
-	p := &pool{
+	created := &pool{
 		groups: make([][]*server, groups),
 		size:   len(servers),
 		rate:   &rate{},
 	}
-	for _, s := range servers {
-		group := mix(s.hash) & uint64(groups-1)
-		p.groups[group] = append(p.groups[group], s)
-		p.cap += s.capacity.cap
-		p.load += s.load.total()
+	for _, server := range servers {
+		group := mix(server.hash) & uint64(groups-1)
+		created.groups[group] = append(created.groups[group], server)
+		created.cap += server.capacity.cap
+		created.load += server.load.total()
 	}
-	return p
+	return created
 }
 
 func (p *pool) server(index int) *server {
--- a/internal/decision/sheet/index.go
+++ b/internal/decision/sheet/index.go
@@ -38,17 +38,17 @@
 }
 
 // NewIndex builds the index of a sheet, which may be nil.
-func NewIndex(s *Sheet) *Index {
-	index := &Index{sheet: s}
-	if s == nil {
+func NewIndex(sheet *Sheet) *Index {
+	index := &Index{sheet: sheet}
+	if sheet == nil {
 		return index
 	}
-	index.routes = routesByHost(s.Routes)
-	index.keys = make(map[uint64][]tenantKey, len(s.Tenants))
-	for name, tenant := range s.Tenants {
+	index.routes = routesByHost(sheet.Routes)
+	index.keys = make(map[uint64][]tenantKey, len(sheet.Tenants))
+	for name, tenant := range sheet.Tenants {
 		for _, text := range tenant.KeyHashes {
 			key := tenantKey{tenant: name}
-			if n, err := hex.Decode(key.hash[:], []byte(text)); err != nil || n != len(key.hash) {
+			if length, err := hex.Decode(key.hash[:], []byte(text)); err != nil || length != len(key.hash) {
 				continue
 			}
 			bucket := keyBucket(key.hash)
--- a/internal/decision/sheet/patch.go
+++ b/internal/decision/sheet/patch.go
@@ -100,11 +100,11 @@
 }
 
 // editRow sets or deletes a row that is one value.
-func editRow[V any](e *editor, path cellPath, rows *map[string]V, change Change, schema *strictjson.Schema, unknown string) string {
+func editRow[V any](editor *editor, path cellPath, rows *map[string]V, change Change, schema *strictjson.Schema, unknown string) string {
 	if _, known := (*rows)[path.row]; !known && change.Delete {
 		return unknown
 	}
-	makeWritable(e, path.table, rows)
+	makeWritable(editor, path.table, rows)
 	if change.Delete {
 		delete(*rows, path.row)
 		return ""
--- a/internal/decision/statemachine/role.go
+++ b/internal/decision/statemachine/role.go
@@ -25,17 +25,17 @@
 
 // Apply gives the role to the holder if the term is the next one, or is the
 // holder's already; otherwise the code is BaseMoved.
-func (c AcquireRole) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
-	current := s.Roles[c.Role]
+func (c AcquireRole) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
+	current := state.Roles[c.Role]
 	claimed := RoleTerm{Term: c.Term, Holder: c.Holder}
 	if current == claimed {
-		return s, s.result(apierror.OK, "")
+		return state, state.result(apierror.OK, "")
 	}
 	if c.Term != current.Term+1 || c.Role == "" || c.Holder == "" {
-		return s, s.result(apierror.BaseMoved, "term %d of %s is %s's", current.Term, c.Role, current.Holder)
+		return state, state.result(apierror.BaseMoved, "term %d of %s is %s's", current.Term, c.Role, current.Holder)
 	}
-	s.Roles = cloned(s.Roles)
-	s.Roles[c.Role] = claimed
-	return s, s.result(apierror.OK, "")
+	state.Roles = cloned(state.Roles)
+	state.Roles[c.Role] = claimed
+	return state, state.result(apierror.OK, "")
 }
--- a/internal/decision/statemachine/roster.go
+++ b/internal/decision/statemachine/roster.go
@@ -60,21 +60,21 @@
 func (CommitRoster) Verb() string { return VerbCommitRoster }
 
 // Apply adds those of the members that are new.
-func (c AddMembers) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
-	roster := s.Roster
+func (c AddMembers) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
+	roster := state.Roster
 	for _, member := range c.Members {
-		if _, known := s.Roster[member.Name]; known || member.Name == "" {
+		if _, known := state.Roster[member.Name]; known || member.Name == "" {
 			continue
 		}
-		if len(roster) == len(s.Roster) {
+		if len(roster) == len(state.Roster) {
 			roster = cloned(roster)
 		}
 		if _, repeated := roster[member.Name]; !repeated {
 			roster[member.Name] = member
 		}
 	}
-	return s.changeRoster(roster)
+	return state.changeRoster(roster)
 }
 
 // Apply removes the names.
@@ -87,24 +87,24 @@
 }
 
 // applyAtOnce removes the names from the roster and from the prior one.
-func (c RemoveMembers) applyAtOnce(s State) (State, Result) {
+func (c RemoveMembers) applyAtOnce(state State) (State, Result) {
 	order := c.order()
-	if result, known := s.checkReplay(order); known {
-		return s, result
+	if result, known := state.checkReplay(order); known {
+		return state, result
 	}
-	roster := withoutMembers(s.Roster, c.Names)
-	prior := withoutMembers(s.PriorRoster, c.Names)
+	roster := withoutMembers(state.Roster, c.Names)
+	prior := withoutMembers(state.PriorRoster, c.Names)
 	names := strictjson.Excerpt(strings.Join(c.Names, ", "))
-	if len(roster) == len(s.Roster) && len(prior) == len(s.PriorRoster) {
-		return s, s.result(apierror.UnknownMember, "none of %s is on the roster", names)
+	if len(roster) == len(state.Roster) && len(prior) == len(state.PriorRoster) {
+		return state, state.result(apierror.UnknownMember, "none of %s is on the roster", names)
 	}
 	if sameNames(roster, prior) {
 		prior = nil
 	}
-	s.Roster = roster
-	s.PriorRoster = prior
-	s.RosterVersion = s.Version
-	return s.accepted(order, c.Verb(), names)
+	state.Roster = roster
+	state.PriorRoster = prior
+	state.RosterVersion = state.Version
+	return state.accepted(order, c.Verb(), names)
 }
 
 // Apply commits the roster if its version is the one named.
--- a/internal/node/front/metrics.go
+++ b/internal/node/front/metrics.go
@@ -22,7 +22,7 @@
 // newMetrics creates the collectors and registers them, in a fixed order. The
 // error is the registry's.
 func newMetrics(registry prometheus.Registerer, journal *requestJournal) (*metrics, error) {
-	m := &metrics{
+	created := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "stepwick_requests_total",
 			Help: "Requests by service and result code.",
@@ -54,12 +54,12 @@
 			Help: "Requests refused because the tenant's count is out of reach and this node's share is spent.",
 		}),
 	}
-	for _, collector := range m.collectors(journal) {
+	for _, collector := range created.collectors(journal) {
 		if err := registry.Register(collector); err != nil {
 			return nil, err
 		}
 	}
-	return m, nil
+	return created, nil
 }
 
 func (m *metrics) collectors(journal *requestJournal) []prometheus.Collector {
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -98,13 +98,13 @@
 ) (*Gateway, error) {
 	config = config.withDefaults()
 	config.Upstream.Clock = clock
-	var g *Gateway
-	config.Upstream.OnUnacknowledged = func(server string) { g.dispatcher.unacknowledged(server) }
+	var gateway *Gateway
+	config.Upstream.OnUnacknowledged = func(server string) { gateway.dispatcher.unacknowledged(server) }
 	metrics, err := newMetrics(registry)
 	if err != nil {
 		return nil, err
 	}
-	g = &Gateway{
+	gateway = &Gateway{
 		config:   config,
 		dialect:  dialect,
 		views:    views,
@@ -115,10 +115,10 @@
 		bodies:   stage.NewByteBudget(config.MaxBufferedBytes),
 		started:  clock.Now(),
 	}
-	g.client = upstream.New(config.Upstream)
-	g.health = newServerHealth(config.Observe, clock, g.client)
-	g.dispatcher = newDispatcher(balance.New(config.Balance), views, clock, g.client, g.health, config.Balance.Disabled)
-	return g, nil
+	gateway.client = upstream.New(config.Upstream)
+	gateway.health = newServerHealth(config.Observe, clock, gateway.client)
+	gateway.dispatcher = newDispatcher(balance.New(config.Balance), views, clock, gateway.client, gateway.health, config.Balance.Disabled)
+	return gateway, nil
 }
 
 // Serve runs the gateway's owners until the context ends.
--- a/internal/node/quotasync/metrics.go
+++ b/internal/node/quotasync/metrics.go
@@ -23,7 +23,7 @@
 	counter := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
 	}
-	m := &metrics{
+	created := &metrics{
 		allowed:        counter("stepwick_tally_passed_total", "Requests passed by the tally."),
 		overQuota:      counter("stepwick_tally_quota_refused_total", "Requests refused as the tenant's allowance is spent."),
 		overShare:      counter("stepwick_tally_share_refused_total", "Requests refused as the count is out of reach and this node's share is spent."),
@@ -35,14 +35,14 @@
 		counts:         prometheus.NewGauge(prometheus.GaugeOpts{Name: "stepwick_tally_held_counts", Help: "Tenants whose count this front holds."}),
 	}
 	if registry == nil {
-		return m, nil
+		return created, nil
 	}
-	for _, collector := range m.collectors() {
+	for _, collector := range created.collectors() {
 		if err := registry.Register(collector); err != nil {
 			return nil, err
 		}
 	}
-	return m, nil
+	return created, nil
 }
 
 func (m *metrics) collectors() []prometheus.Collector {
--- a/internal/node/quotasync/service.go
+++ b/internal/node/quotasync/service.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "register the tally's metrics")
 	}
-	s := &Service{
+	service := &Service{
 		config:   config,
 		peers:    peers,
 		clock:    clock,
@@ -131,11 +131,11 @@
 		metrics:  metrics,
 		requests: newRequestPool(),
 	}
-	s.counter = newCounterOwner(s)
+	service.counter = newCounterOwner(service)
 	for i := range config.Shards {
-		s.shards = append(s.shards, newShard(s, i))
+		service.shards = append(service.shards, newShard(service, i))
 	}
-	return s, nil
+	return service, nil
 }
 
 // Serve runs the shards and the counter until the context ends.
--- a/internal/node/quotasync/shard.go
+++ b/internal/node/quotasync/shard.go
@@ -35,17 +35,17 @@
 	flushing  []pendingFlush
 }
 
-func newShard(s *Service, number int) *shard {
+func newShard(service *Service, number int) *shard {
 	return &shard{
-		service:   s,
+		service:   service,
 		name:      shardNamePrefix + strconv.Itoa(number),
-		limiter:   quota.NewLimiter(s.config.Self, s.config.Quota),
+		limiter:   quota.NewLimiter(service.config.Self, service.config.Quota),
 		requests:  make(chan *admitRequest, maxQueuedRequests),
 		inspects:  make(chan chan []quota.TenantUsage),
 		flushes:   make(chan chan error),
 		responses: make(chan exchangeResult, maxQueuedResponses),
 		owners:    ownerTable{byTenant: map[string]string{}},
-		ticker:    newUrgentTicker(s.clock, s.config.Quota.Interval/ticksPerInterval),
+		ticker:    newUrgentTicker(service.clock, service.config.Quota.Interval/ticksPerInterval),
 		exchanges: newExchanges(),
 	}
 }
--- a/internal/node/replica/call.go
+++ b/internal/node/replica/call.go
@@ -46,14 +46,14 @@
 
 // callVoter calls this core directly, and others through the peers. It returns
 // an *UnknownCoreError for one that the peers don't know.
-func callVoter[Q, A any](ctx context.Context, r *Replica, to string, req *Q, local func(context.Context, *Q) (*A, error),
+func callVoter[Q, A any](ctx context.Context, r *Replica, voter string, req *Q, local func(context.Context, *Q) (*A, error),
 	remote func(wireconnect.PeerClient, context.Context, *connect.Request[Q]) (*connect.Response[A], error)) (*A, error) {
-	if to == r.cfg.Self {
+	if voter == r.cfg.Self {
 		return local(ctx, req)
 	}
-	process, known := r.peers.Process(to)
+	process, known := r.peers.Process(voter)
 	if !known {
-		return nil, &UnknownCoreError{Core: to}
+		return nil, &UnknownCoreError{Core: voter}
 	}
 	resp, err := remote(r.peers.Client(process.Address), ctx, connect.NewRequest(req))
 	if err != nil {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -23,7 +23,7 @@
 
 // parseFile parses a settings file: YAML, nested or with dotted names.
 func parseFile(name string, data []byte) *settingsFile {
-	f := &settingsFile{
+	file := &settingsFile{
 		name:        name,
 		texts:       make(layer),
 		lines:       make(map[string]int),
@@ -31,19 +31,19 @@
 	}
 	var document yaml.Node
 	if err := yaml.Unmarshal(data, &document); err != nil {
-		f.addProblem(0, "file", "%s", strings.TrimPrefix(err.Error(), "yaml: "))
-		return f
+		file.addProblem(0, "file", "%s", strings.TrimPrefix(err.Error(), "yaml: "))
+		return file
 	}
 	if len(document.Content) == 0 {
-		return f
+		return file
 	}
 	root := document.Content[0]
 	if root.Kind != yaml.MappingNode {
-		f.addProblem(root.Line, "file", "must be a mapping of setting names to values")
-		return f
+		file.addProblem(root.Line, "file", "must be a mapping of setting names to values")
+		return file
 	}
-	f.readMapping("", root)
-	return f
+	file.readMapping("", root)
+	return file
 }
 
 func (f *settingsFile) addProblem(line int, name, format string, args ...any) {
--- a/internal/settings/suggest.go
+++ b/internal/settings/suggest.go
@@ -9,9 +9,9 @@
 	closest := ""
 	distance := maxSuggestionDistance + 1
 	for _, row := range Table {
-		if d := editDistance(name, row.Name); d < distance {
+		if candidate := editDistance(name, row.Name); candidate < distance {
 			closest = row.Name
-			distance = d
+			distance = candidate
 		}
 	}
 	if closest == "" {
