--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -103,7 +103,7 @@
 	reportsExpiry time.Time // when old reports were last removed
 
 	renewals     renewals
-	feed         feed
+	feed         feedReader
 	membership   membership
 	pinger       pinger
 	members      memberLists
@@ -230,5 +230,5 @@
 		return
 	}
 	f.reportsExpiry = now
-	f.reports.Expire(f.FleetNow())
+	f.reports.Prune(f.FleetNow())
 }
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -55,11 +55,12 @@
 	FleetNow() time.Time
 }
 
-// Admitter decides whether a tenant may use tokens of its quota, which is counted
-// over all nodes. It may wait for an exchange with the owner of the count, by its own
-// configuration; in a large fleet also longer, for at most timeout.
+// Admitter decides by the fleet's shared counts whether a tenant may spend tokens
+// of its quota. It may wait for an exchange with the owner of the tenant's count, by
+// its own configuration; in a large fleet also longer, for maxWait at most. When the
+// context ends first it rejects.
 type Admitter interface {
-	Admit(ctx context.Context, tenant string, tokens float64, terms quota.Allowance, timeout time.Duration) quota.Decision
+	Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, maxWait time.Duration) quota.Decision
 }
 
 // Gateway serves requests by routes. It is an http.Handler.
@@ -78,7 +79,7 @@
 
 	hadAuthority atomic.Bool // has had authority since the start
 	draining     atomic.Bool // not ready any more
-	closed       atomic.Bool // refuses new requests
+	closed       atomic.Bool // rejects new requests
 	inFlight     atomic.Int64
 	lastArrival  atomic.Int64 // of a request, nanoseconds since started
 	started      time.Time
@@ -97,13 +98,13 @@
 ) (*Gateway, error) {
 	config = config.withDefaults()
 	config.Upstream.Clock = clock
-	var g *Gateway
-	config.Upstream.OnUnacknowledged = func(server string) { g.dispatcher.unacknowledged(server) }
+	var gateway *Gateway
+	config.Upstream.OnUnacknowledged = func(server string) { gateway.dispatcher.unacknowledged(server) }
 	metrics, err := newMetrics(registry)
 	if err != nil {
 		return nil, err
 	}
-	g = &Gateway{
+	gateway = &Gateway{
 		config:   config,
 		dialect:  dialect,
 		views:    views,
@@ -114,10 +115,10 @@
 		bodies:   stage.NewByteBudget(config.MaxBufferedBytes),
 		started:  clock.Now(),
 	}
-	g.client = upstream.New(config.Upstream)
-	g.health = newServerHealth(config.Observe, clock, g.client)
-	g.dispatcher = newDispatcher(balance.New(config.Balance), views, clock, g.client, g.health, config.Balance.Disabled)
-	return g, nil
+	gateway.client = upstream.New(config.Upstream)
+	gateway.health = newServerHealth(config.Observe, clock, gateway.client)
+	gateway.dispatcher = newDispatcher(balance.New(config.Balance), views, clock, gateway.client, gateway.health, config.Balance.Disabled)
+	return gateway, nil
 }
 
 // Serve runs the gateway's owners until the context ends.
--- a/internal/node/quotasync/service.go
+++ b/internal/node/quotasync/service.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "register the tally's metrics")
 	}
-	s := &Service{
+	service := &Service{
 		config:   config,
 		peers:    peers,
 		clock:    clock,
@@ -131,11 +131,11 @@
 		metrics:  metrics,
 		requests: newRequestPool(),
 	}
-	s.counter = newCounterOwner(s)
+	service.counter = newCounterOwner(service)
 	for i := range config.Shards {
-		s.shards = append(s.shards, newShard(s, i))
+		service.shards = append(service.shards, newShard(service, i))
 	}
-	return s, nil
+	return service, nil
 }
 
 // Serve runs the shards and the counter until the context ends.
@@ -163,9 +163,9 @@
 
 // Admit decides a request of a number of tokens. The request of a tenant well below
 // its limit may be queued for an exchange with the owner, for Config.QueueTimeout at
-// most. In a large fleet a maxWait longer than that counts instead, up to
-// maxLargeFleetWait; it never shortens the wait. When ctx ends first the request is
-// rejected with DeadlinePassed or CallerGone.
+// most; in a large fleet for maxWait at most, where that is longer, and never beyond
+// maxLargeFleetWait. When ctx ends first the request is rejected with DeadlinePassed
+// or CallerGone.
 func (s *Service) Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, maxWait time.Duration) quota.Decision {
 	request := s.requests.Get().(*admitRequest)
 	request.done = ctx.Done()
