--- a/internal/adapter/backend/stream.go
+++ b/internal/adapter/backend/stream.go
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// isBusy reports whether the body of a 503 says that the server did not start.
+// isBusy reports whether the body of a 503 has the code of a busy server, which did not
+// start the request.
 func isBusy(body io.Reader) bool {
 	var answer struct {
 		Code string `json:"code"`
--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -15,7 +15,7 @@
 	typicalRecordBytes = 1024
 )
 
-// Priority of records says which room they may take.
+// Priority is whether records may use the disk's reserve.
 type Priority int
 
 // Priorities of records.
--- a/internal/adapter/internalrpc/directory.go
+++ b/internal/adapter/internalrpc/directory.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// isNotable reports whether a record tells of a restart, or of something else that
+// isNotable reports whether a record shows a restart, or of something else that
 // others should learn soon.
 func isNotable(record, known *wire.Process) bool {
 	if !isNewer(record, known) {
--- a/internal/adapter/platform/list.go
+++ b/internal/adapter/platform/list.go
@@ -113,7 +113,7 @@
 	return listing, nil
 }
 
-// status returns what an entry says of its server, or the reason why it is invalid.
+// status returns the status of an entry's server, or the reason why it is invalid.
 func (e listEntry) status() (status *wire.ServerStatus, reason string) {
 	state, known := serverStates[e.State]
 	switch {
--- a/internal/apierror/codes.go
+++ b/internal/apierror/codes.go
@@ -75,7 +75,7 @@
 	NotFound        Code = 5101
 )
 
-// RetryAdvice tells a client what to do after a result.
+// RetryAdvice is what a client should do after a result.
 type RetryAdvice string
 
 // Retry advice.
--- a/internal/apierror/error.go
+++ b/internal/apierror/error.go
@@ -8,7 +8,7 @@
 )
 
 // Error is an error with a result code. RetryAfter is how long the client
-// should wait before it asks again; zero where the code's advice is not to.
+// should wait before it retries; zero where the code's advice is not to.
 type Error struct {
 	Code       Code
 	Detail     string
--- a/internal/cli/fleet_client.go
+++ b/internal/cli/fleet_client.go
@@ -159,7 +159,7 @@
 	return nil, unreachable
 }
 
-// failureReason says in few words why a node didn't answer.
+// failureReason returns in few words why a node didn't answer.
 func failureReason(err error) string {
 	var network net.Error
 	switch {
--- a/internal/cli/sheet_files.go
+++ b/internal/cli/sheet_files.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// encodeFor returns the sheet in the form that a file's name asks for.
+// encodeFor returns the sheet in the form that a file's extension selects.
 func (s *sheetState) encodeFor(file string) ([]byte, error) {
 	switch {
 	case strings.HasSuffix(file, ".csv"):
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -17,7 +17,7 @@
 const standingVoting = "voting"
 
 // statusReport is the fleet as a core sees it, and the called node as it sees
-// itself. Fleet is nil where no core answered; Fault then says why.
+// itself. Fleet is nil where no core answered; Fault is then the reason.
 type statusReport struct {
 	Fleet *fleetStatus        `json:"fleet"`
 	Fault *apierror.ErrorBody `json:"fleet_fault"`
@@ -183,7 +183,7 @@
 	}
 }
 
-// notReadyReason says what keeps the fleet from being ready; empty if nothing
+// notReadyReason returns what keeps the fleet from being ready; empty if nothing
 // does.
 func (s *statusReport) notReadyReason() string {
 	switch {
--- a/internal/compat/adapt_settings_test.go
+++ b/internal/compat/adapt_settings_test.go
@@ -33,7 +33,7 @@
 // runtimeSettings returns the names that a sheet may set.
 func runtimeSettings() []string { return settings.RuntimeNames() }
 
-// runtimeRefusal tells why a sheet may not set a value, or nil.
+// runtimeRefusal returns why a sheet may not set a value, or nil.
 func runtimeRefusal(name, value string) error { return settings.ValidateRuntime(name, value) }
 
 // formerNames returns the names that settings had before.
@@ -46,7 +46,7 @@
 	return names
 }
 
-// refusal tells why a setting does not take a text, or nil.
+// refusal returns why a setting does not accept a text, or nil.
 func refusal(name, text string) error {
 	row, known := settings.Lookup(name)
 	if !known {
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -70,7 +70,7 @@
 	return string(state.Encode()), err
 }
 
-// applyCommands folds commands into the empty configuration and tells the code
+// applyCommands applies commands to the empty configuration and returns the code
 // and epochs of each result, and the last state's bytes.
 func applyCommands(commands []string) (results []string, state string) {
 	var current statemachine.State
@@ -82,7 +82,7 @@
 	return results, string(current.Encode())
 }
 
-// sampleRecords returns one record of each kind, by what it says.
+// sampleRecords returns one record of each kind, by a description of it.
 func sampleRecords() map[string][]byte {
 	ballotOfB := paxos.Ballot{Number: 5, Core: "b"}
 	chosen := []*wire.Chosen{{Epoch: 18, Command: []byte("eighteen")}, {Epoch: 19, Command: []byte("nineteen")}}
@@ -129,7 +129,7 @@
 	return fmt.Sprintf("%d bytes %s", len(data), hex.EncodeToString(sum[:8]))
 }
 
-// describeFolder tells what a core's data folder holds: the log, the state of
+// describeFolder describes what a core's data folder holds: the log, the state of
 // the agreement and the configuration.
 func describeFolder(t testing.TB, folder, core string) string {
 	t.Helper()
--- a/internal/compat/calls_test.go
+++ b/internal/compat/calls_test.go
@@ -209,7 +209,7 @@
 	return "=== " + what + "\n" + strings.Join(slices.Sorted(maps.Keys(set)), "\n") + "\n"
 }
 
-// TestAnswersOfANodeKeepTheirKeys asks whole nodes each call of the operators'
+// TestAnswersOfANodeKeepTheirKeys sends complete nodes each call of the operators'
 // and callers' interfaces, and each command that prints JSON.
 func TestAnswersOfANodeKeepTheirKeys(t *testing.T) {
 	var out strings.Builder
--- a/internal/compat/commands_test.go
+++ b/internal/compat/commands_test.go
@@ -10,7 +10,7 @@
 // groups are the commands that only hold others.
 var groups = []string{"", "sheet", "locality", "member", "key", "data", "settings"}
 
-// TestCommandsAndFlagsKeepTheirNames asks the command line what may follow each
+// TestCommandsAndFlagsKeepTheirNames requests from the command line what may follow each
 // command, as a shell's completion does.
 func TestCommandsAndFlagsKeepTheirNames(t *testing.T) {
 	var out strings.Builder
--- a/internal/compat/doc.go
+++ b/internal/compat/doc.go
@@ -6,7 +6,7 @@
 // compared byte for byte. They are never written again: no test here can change
 // them, and a difference is a fault of the code. A form that is new (a setting, an
 // event, a result code, a field of a message, a metric) is added to its fixture by
-// hand, in the commit that adds it; a line that stands is never changed or removed.
+// hand, in the commit that adds it; an existing line is never changed or removed.
 // Names of Go types and packages are used in the files adapt_*_test.go only, so that
 // a renaming touches no expectation.
 //
--- a/internal/decision/balance/config.go
+++ b/internal/decision/balance/config.go
@@ -12,7 +12,7 @@
 	Self, Region, Zone string
 	// RetryRatio limits the retries to a service within RetryWindow to a fraction of
 	// its requests, plus RetrySlack retries over all nodes; 0.1, 10 s and 0. Since a
-	// zero ratio stands for the default, it can't turn retries off.
+	// zero ratio means the default, it can't turn retries off.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
--- a/internal/decision/balance/prefill_speed.go
+++ b/internal/decision/balance/prefill_speed.go
@@ -51,15 +51,15 @@
 	if tokens <= 0 {
 		return
 	}
-	ms := milliseconds(took)
+	tookMS := milliseconds(took)
 	for _, sum := range []*float64{&s.weight, &s.tokens, &s.time, &s.square, &s.product} {
 		*sum *= sampleDecay
 	}
 	s.weight++
 	s.tokens += tokens
-	s.time += ms
+	s.time += tookMS
 	s.square += tokens * tokens
-	s.product += tokens * ms
+	s.product += tokens * tookMS
 }
 
 // perToken returns the milliseconds of prefill per token, the slope of the line.
--- a/internal/decision/lease/member_id.go
+++ b/internal/decision/lease/member_id.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// unknownIncarnation stands for a member whose incarnation is not known, such as
+// unknownIncarnation is used for a member whose incarnation is not known, such as
 // one that has not renewed since the core started. Real incarnations are positive.
 const unknownIncarnation uint64 = 0
 
--- a/internal/decision/lease/table.go
+++ b/internal/decision/lease/table.go
@@ -109,7 +109,7 @@
 	return ok && record.Incarnation < lease.incarnation
 }
 
-// recordMember records contact with a member and what it says of itself. A later
+// recordMember records contact with a member and the record that it sent. A later
 // incarnation starts without the lease of the one before.
 func (t *Table) recordMember(record *wire.Process, now time.Time) *memberLease {
 	lease, ok := t.leases[record.Name]
--- a/internal/decision/paxos/recordcodec.go
+++ b/internal/decision/paxos/recordcodec.go
@@ -19,8 +19,8 @@
 	kindRecoveryCompleted
 )
 
-// asAcceptedMark in a stored Learned record's From says that the value is the
-// one accepted last.
+// asAcceptedMark in a stored Learned record's From marks the value as the one
+// accepted last.
 const asAcceptedMark = "accepted"
 
 // EncodeRecord returns a record's bytes for the log: its kind, then a message in
--- a/internal/decision/quota/config.go
+++ b/internal/decision/quota/config.go
@@ -36,7 +36,7 @@
 )
 
 // Config configures Limiters and Counters, which have to agree on it. The zero value
-// of a field stands for its default.
+// of a field means its default.
 type Config struct {
 	// Window is the length of a counting window; 8 s by default.
 	Window time.Duration
--- a/internal/decision/quota/messages.go
+++ b/internal/decision/quota/messages.go
@@ -10,7 +10,7 @@
 // place of a window's tokens. This file alone reads and writes these.
 const reportWindow = 0
 
-// minReportedDemand stands for no demand in an active tenant's report, since zero
+// minReportedDemand encodes no demand in an active tenant's report, since zero
 // means that the tenant is idle.
 const minReportedDemand = 1e-9
 
--- a/internal/decision/quota/owner_sync.go
+++ b/internal/decision/quota/owner_sync.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// restartWaiting discards the age of a request, which says nothing about the owner
+// restartWaiting discards the age of a request, which is no evidence about the owner
 // after this process was suspended.
 func (s *ownerSync) restartWaiting(now time.Time) {
 	if s.waiting() {
--- a/internal/decision/route/pool.go
+++ b/internal/decision/route/pool.go
@@ -115,7 +115,7 @@
 	return chosen, found
 }
 
-// leastLoadedMode says which servers leastLoaded records as candidates, and whether it
+// leastLoadedMode is which servers leastLoaded records as candidates, and whether it
 // prefers those in the front's zone.
 type leastLoadedMode uint8
 
--- a/internal/decision/route/request.go
+++ b/internal/decision/route/request.go
@@ -43,7 +43,7 @@
 	Candidates []Candidate
 }
 
-// Result says how a request ended at its server.
+// Result is how a request ended at its server.
 type Result uint8
 
 // Results.
--- a/internal/decision/route/server.go
+++ b/internal/decision/route/server.go
@@ -44,7 +44,7 @@
 // load is the number of requests in flight at a server.
 type load struct {
 	own    int // from this front
-	others int // from other fronts, as far as the last status tells
+	others int // from other fronts, by the last status
 
 	// minOwn and priorMinOwn are the least own requests since the last status and
 	// between the last two: as many are surely part of what a status reports.
--- a/internal/decision/route/table.go
+++ b/internal/decision/route/table.go
@@ -44,7 +44,7 @@
 	maxPlannedCap = 1 << 20
 )
 
-// Config configures a Table. The zero value of a field stands for its default.
+// Config configures a Table. The zero value of a field means its default.
 type Config struct {
 	// Self, Region and Zone are this front's.
 	Self, Region, Zone string
@@ -153,7 +153,7 @@
 }
 
 // Update applies a view. Servers that drain, are evacuated or gone are excluded at
-// once, whatever the plan says.
+// once, whatever the plan has.
 func (t *Table) Update(view View) {
 	t.updateFronts(view.Fronts)
 	stateChanged := view.State.Version != t.view.State.Version || view.State.Sheet != t.view.State.Sheet
@@ -265,15 +265,15 @@
 	old := t.pools
 	t.pools = make(map[poolKey]*pool, len(members))
 	for key, servers := range members {
-		p := newPool(servers)
+		rebuilt := newPool(servers)
 		if prior := old[key]; prior != nil {
-			p.rate = prior.rate
-			p.cursor = prior.cursor
+			rebuilt.rate = prior.rate
+			rebuilt.cursor = prior.cursor
 		}
 		for _, server := range servers {
-			server.pools = append(server.pools, p)
+			server.pools = append(server.pools, rebuilt)
 		}
-		t.pools[key] = p
+		t.pools[key] = rebuilt
 	}
 }
 
--- a/internal/decision/serverstatus/merge.go
+++ b/internal/decision/serverstatus/merge.go
@@ -105,7 +105,7 @@
 	status.KvUsed = reported.KvUsed
 }
 
-// earlierLeave returns the earlier instant at which a server leaves; 0 stands for
+// earlierLeave returns the earlier instant at which a server leaves; 0 means
 // none.
 func earlierLeave(a, b int64) int64 {
 	if b > 0 && (a == 0 || b < a) {
--- a/internal/decision/statemachine/order.go
+++ b/internal/decision/statemachine/order.go
@@ -7,8 +7,8 @@
 
 // Order is the part that the commands of operators have in common.
 //
-// OrderID identifies the order when it is sent again, and Digest tells another
-// order under the same id apart; Digest is computed from the content where it is
+// OrderID identifies the order when it is sent again, and Digest distinguishes
+// it from another order under the same id; Digest is computed from the content where it is
 // empty. An order that changes the sheet and has no id takes its digest as its
 // id. Other orders without an id are not recognised when they are sent again:
 // they are idempotent, and to evacuate a zone, restore it and evacuate it again
--- a/internal/node/control/core_views.go
+++ b/internal/node/control/core_views.go
@@ -76,7 +76,7 @@
 	return observations
 }
 
-// counts reports whether a core's view says something of the leader: it is recent,
+// counts reports whether a core's view is evidence about the leader: it is recent,
 // of a settled core, and about the leader's lease or from the leader itself.
 func (c *Controller) counts(observed coreView, core, leader string, now time.Time) bool {
 	if now.Sub(observed.receivedAt) >= c.config.LeaseTTL || !observed.view.Settled {
--- a/internal/node/control/server_reports.go
+++ b/internal/node/control/server_reports.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// reportScope says which changes may be published.
+// reportScope is which changes may be published.
 type reportScope struct {
 	// load allows changes of load alone.
 	load bool
--- a/internal/node/follower/feed.go
+++ b/internal/node/follower/feed.go
@@ -158,7 +158,7 @@
 
 // applyPlan replaces the plan by one of a higher (term, number), and reports
 // whether it did. One that repeats the shares and caps of a plan which this front
-// doesn't have is ignored; the next poll then asks for a snapshot.
+// doesn't have is ignored; the next poll then requests a snapshot.
 func (f *Follower) applyPlan(plan *wire.Plan) bool {
 	if plan == nil {
 		return false
--- a/internal/node/follower/pinger.go
+++ b/internal/node/follower/pinger.go
@@ -39,7 +39,7 @@
 // nextTurn moves the cursor to the next member of the roster.
 func (p *pinger) nextTurn(roster []string) { p.cursor = (p.cursor + 1) % len(roster) }
 
-// queueAll queues the whole roster.
+// queueAll queues all members of the roster.
 func (p *pinger) queueAll(roster []string) { p.queue = append(p.queue[:0], roster...) }
 
 // queueSparse queues the member whose turn it is, if any, and some others.
@@ -53,7 +53,7 @@
 	p.queue = append(p.queue, others...)
 }
 
-// queueRound queues the whole roster from the member whose turn it is on.
+// queueRound queues all members of the roster, from the one whose turn it is.
 func (p *pinger) queueRound(roster []string, now time.Time) {
 	p.nextTurn(roster)
 	p.queue = append(p.queue, roster[p.cursor:]...)
--- a/internal/node/front/attempt.go
+++ b/internal/node/front/attempt.go
@@ -53,7 +53,7 @@
 }
 
 // outcomeOf converts the result of an attempt to what the routing table learns
-// of the server. A cancellation by the caller or by the front says nothing about
+// of the server. A cancellation by the caller or by the front is no evidence about
 // the server. An incomplete answer, or one of another request, counts like a
 // timeout.
 func outcomeOf(failure *backend.Failure) route.Outcome {
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// rejectionBodyLimit is how many bytes are read of a response which says that
-	// the request was not executed, so that its connection can be used again.
+	// rejectionBodyLimit is how many bytes are read of a response that reports
+	// the request as not executed, so that its connection can be used again.
 	rejectionBodyLimit = 64 << 10
 	rejectedRetryAfter = 150 * time.Millisecond
 )
@@ -176,8 +176,8 @@
 	return apierror.Errorf(apierror.NotRun, "%s", reason).WithRetryAfter(rejectedRetryAfter), true
 }
 
-// contextError returns the error for a context that has ended, or the given error
-// where it has not. A nil error stands for an ended context.
+// contextError returns CallerGone when the client has disconnected, DeadlinePassed
+// when the deadline has passed or apiErr is nil, and apiErr otherwise.
 func (q *request) contextError(ctx context.Context, apiErr *apierror.Error) *apierror.Error {
 	switch {
 	case q.http.Context().Err() != nil:
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -11,7 +11,7 @@
 // unresponsive.
 //
 // Invariants: a request that a server may have executed is sent to another one only
-// if its route is idempotent, and the client is never told that it was not
+// if its route is idempotent, and it is never reported to the client as not
 // executed; an incomplete response never reaches a client as a complete one; a
 // client's connection is broken rather than its answer ended early.
 //
--- a/internal/node/healthcheck/observation.go
+++ b/internal/node/healthcheck/observation.go
@@ -95,7 +95,7 @@
 		previous.LeaveAtMs != status.LeaveAtMs
 }
 
-// isEntryChanged reports whether what the list says of a server differs.
+// isEntryChanged reports whether a server's entry in the list has changed.
 func isEntryChanged(previous, status *wire.ServerStatus) bool {
 	return previous.Address != status.Address ||
 		previous.Region != status.Region ||
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -89,7 +89,7 @@
 		self.Voters = p.replica.Voters()
 		self.DiskLife = p.replica.Incarnation()
 	}
-	// The front is built after the directory, which asks for this record.
+	// The front is built after the directory, which requests this record.
 	if p.front != nil {
 		apiErr := p.readiness()
 		self.Ready = apiErr == nil
--- a/internal/node/quotasync/service.go
+++ b/internal/node/quotasync/service.go
@@ -43,7 +43,7 @@
 	defaultInterval     = 200 * time.Millisecond
 )
 
-// Config configures a Service. The zero value of a field stands for its default.
+// Config configures a Service. The zero value of a field means its default.
 type Config struct {
 	// Self is this front's name.
 	Self string
@@ -61,7 +61,7 @@
 	Timeout time.Duration
 
 	// QueueTimeout is how long a request waits for an exchange at most; 2.5 s by
-	// default. Since zero stands for the default, the setting tally.hold can't turn
+	// default. Since zero means the default, the setting tally.hold can't turn
 	// the queue off.
 	QueueTimeout time.Duration
 
--- a/internal/port/ingress.go
+++ b/internal/port/ingress.go
@@ -55,7 +55,7 @@
 	LastEventID string
 }
 
-// ResponseMetadata is what a server's response says beside its content.
+// ResponseMetadata is what a server's response holds besides its content.
 type ResponseMetadata struct {
 	RequestID   string
 	NotExecuted bool // the server did not execute the request and will not
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -1,13 +1,13 @@
-// Package wire holds the messages that stepwick's processes say to each other,
+// Package wire holds the messages that stepwick's processes exchange,
 // generated from wire.proto, and the shorter form of some on their way.
 package wire
 
 import "math"
 
-// wholeMost is the highest whole number that a double holds exactly.
+// wholeMost is the highest integer that a double holds exactly.
 const wholeMost = 1 << 53
 
-// PackCounts puts slices of whole tokens into the shorter form that they have
+// PackCounts puts slices of integral tokens into the shorter form that they have
 // on the wire. The counts must not be in use elsewhere.
 func PackCounts(counts []*Count) {
 	for _, count := range counts {
@@ -24,7 +24,7 @@
 	}
 }
 
-// PackTotals puts slices of whole tokens into the shorter form that they have
+// PackTotals puts slices of integral tokens into the shorter form that they have
 // on the wire. The totals must not be in use elsewhere.
 func PackTotals(totals []*Total) {
 	for _, total := range totals {
@@ -41,8 +41,8 @@
 	}
 }
 
-// pack returns the values as whole numbers, or as they are where one is not
-// whole.
+// pack returns the values as integers, or as they are where one is not
+// an integer.
 func pack(values []float64) (rest []float64, whole []uint64) {
 	whole = make([]uint64, len(values))
 	for i, value := range values {
