--- a/internal/adapter/controlapi/exchange.go
+++ b/internal/adapter/controlapi/exchange.go
@@ -92,7 +92,7 @@
 		}
 	}
 	if x.operator == "" {
-		x.api.log.Emit(events.OperatorRefused, "from", x.r.RemoteAddr, "path", x.call.Path)
+		x.api.log.Emit(events.OperatorRejected, "from", x.r.RemoteAddr, "path", x.call.Path)
 		return apierror.Errorf(apierror.OperatorUnknown, "")
 	}
 	return nil
--- a/internal/adapter/internalrpc/gossip.go
+++ b/internal/adapter/internalrpc/gossip.go
@@ -120,7 +120,7 @@
 func (d *Directory) logHelloFailure(address string, err error) {
 	switch {
 	case connect.CodeOf(err) == connect.CodePermissionDenied:
-		d.log.Emit(events.SecretRefused, "address", address)
+		d.log.Emit(events.SecretRejected, "address", address)
 	case d.isAlone():
 		d.log.Emit(events.SeedsUnreachable, "address", address, "error", err)
 	}
--- a/internal/decision/route/choose.go
+++ b/internal/decision/route/choose.go
@@ -89,10 +89,10 @@
 }
 
 func (t *Table) noServerError(req *Request) *apierror.Error {
-	return apierror.Errorf(apierror.NoServer, "no server of %server can take requests%s", req.Service, t.homeNote(req.Home)).WithRetryAfter(retryAfterDefault)
+	return apierror.Errorf(apierror.NoServer, "no server of %server can take requests%s", req.Service, t.homeDetail(req.Home)).WithRetryAfter(retryAfterDefault)
 }
 
-func (t *Table) homeNote(home string) string {
+func (t *Table) homeDetail(home string) string {
 	switch {
 	case home == "":
 		return ""
--- a/internal/decision/route/queue.go
+++ b/internal/decision/route/queue.go
@@ -99,7 +99,7 @@
 	switch {
 	case t.queue.size() >= t.config.MaxQueued:
 		retryAfter := t.estimatedWait(req, t.queue.size()/2, now)
-		choice.Err = apierror.Errorf(apierror.QueueFull, "%d requests are queued", t.queue.size()).WithRetryAfter(boundRetryAfter(retryAfter))
+		choice.Err = apierror.Errorf(apierror.QueueFull, "%d requests are queued", t.queue.size()).WithRetryAfter(limitRetryAfter(retryAfter))
 	case choice.EstimatedWait+t.expectedDuration(req, startMargin) >= left:
 		choice.Err = t.deadlineError(req, choice.EstimatedWait, left)
 	default:
@@ -112,10 +112,10 @@
 	duration := t.expectedDuration(req, 1)
 	err := apierror.Errorf(apierror.DeadlineTooShort, "the wait is about %server and the answer takes %server, the deadline is in %s",
 		wait.Round(time.Millisecond), duration.Round(time.Millisecond), left.Round(time.Millisecond))
-	return err.WithRetryAfter(boundRetryAfter(wait + duration - left))
+	return err.WithRetryAfter(limitRetryAfter(wait + duration - left))
 }
 
-func boundRetryAfter(delay time.Duration) time.Duration {
+func limitRetryAfter(delay time.Duration) time.Duration {
 	return min(max(delay, minRetryAfter), maxRetryAfter)
 }
 
--- a/internal/decision/route/server.go
+++ b/internal/decision/route/server.go
@@ -22,8 +22,8 @@
 	Overloaded   = "loaded beyond the others"
 )
 
-// busyPause is how long a server that reported itself busy gets no requests.
-const busyPause = 200 * time.Millisecond
+// busyBackoff is how long a server that reported itself busy gets no requests.
+const busyBackoff = 200 * time.Millisecond
 
 // server is what a front knows of one server.
 type server struct {
@@ -174,7 +174,7 @@
 		t.recordAnswer(server, now)
 	case Busy:
 		server.borrowing.extra = 0
-		server.busyUntil = now.Add(busyPause)
+		server.busyUntil = now.Add(busyBackoff)
 	case Refused:
 		t.eject(server, now)
 	case TimedOut:
--- a/internal/events/catalogue.go
+++ b/internal/events/catalogue.go
@@ -65,8 +65,8 @@
 	FeedStalled       = add(2016, "feed_behind", Warn, "The feed has brought nothing for some time.", "See which cores can't be reached.")
 	FeedSwitched      = add(2017, "feed_switched", Info, "The feed is now followed at another core.", "")
 	LeaseReleased     = add(2019, "lease_released", Info, "A member's lease was released, by itself or as it refuses connections.", "")
-	LeaseRefused      = add(2020, "lease_refused", Debug, "A core didn't renew a lease; code says why.", "")
-	SecretRefused     = add(2021, "secret_refused", Warn, "A process showed another fleet secret.", "Mend fleet.secret of the process at the address.")
+	LeaseRejected     = add(2020, "lease_refused", Debug, "A core didn't renew a lease; code says why.", "")
+	SecretRejected    = add(2021, "secret_refused", Warn, "A process showed another fleet secret.", "Mend fleet.secret of the process at the address.")
 	SeedsUnreachable  = add(2022, "seeds_unreachable", Warn, "No seed answers.", "Check seeds and the links.")
 	NameConflict      = add(2023, "name_taken", Error, "Two processes with one name answer at different addresses.", "Give each process a name of its own.")
 	MemberJoined      = add(2025, "member_joined", Info, "A process not on the roster renews a lease; the roster will take it in.", "")
@@ -111,14 +111,14 @@
 // 4xxx: orders of operators.
 var (
 	OrderProposed     = add(4001, "order_taken", Info, "An operator's order passed its checks and goes to a ballot.", "")
-	OrderRefused      = add(4002, "order_refused", Info, "An order was refused; code says why.", "")
+	OrderRejected     = add(4002, "order_refused", Info, "An order was refused; code says why.", "")
 	OrderChosen       = add(4003, "order_chosen", Info, "An order is agreed.", "")
 	OrderAcknowledged = add(4004, "order_acknowledged", Info, "An order is in force everywhere and was acknowledged.", "")
 	OrderPending      = add(4005, "order_pending", Warn, "An order isn't known to be in force yet; waiting names the members it waits for.", "Send it again with the same id; look at the members named.")
 	OrderReplayed     = add(4006, "order_repeated", Info, "An order came again and got the same answer as the first time.", "")
 	OrderConflicted   = add(4007, "order_lost", Info, "An order lost a race on its base epoch.", "")
 	OrderForwarded    = add(4008, "order_relayed", Debug, "An order was relayed to a core.", "")
-	OperatorRefused   = add(4009, "operator_refused", Warn, "A control call carried no operator's key.", "When unexpected, see who calls from the address.")
+	OperatorRejected  = add(4009, "operator_refused", Warn, "A control call carried no operator's key.", "When unexpected, see who calls from the address.")
 	KeyRevoked        = add(4010, "key_revoked", Info, "A tenant's key ended with an epoch; its streams get an error event.", "")
 	ZoneEvacuated     = add(4011, "locality_evacuated", Warn, "A locality takes no more requests.", "")
 	ZoneRestored      = add(4012, "locality_restored", Info, "A locality takes requests again.", "")
@@ -149,7 +149,7 @@
 
 // 6xxx: calls.
 var (
-	RequestRefused       = add(6001, "request_refused", Debug, "A request was refused; code says why.", "")
+	RequestRejected      = add(6001, "request_refused", Debug, "A request was refused; code says why.", "")
 	RequestRetried       = add(6002, "request_retried", Debug, "A request that had not begun went to another server.", "")
 	OutcomeUnknown       = add(6003, "outcome_unknown", Warn, "A one-shot call may have run and its answer was lost; it was not sent again.", "Look at the server named.")
 	StreamAborted        = add(6004, "stream_cut", Warn, "A stream ended before its final event; its caller was told.", "Look at the server named.")
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -44,7 +44,7 @@
 		}
 		asyncLog.Emit(PeerRecovered, "peer", "n4")
 		asyncLog.Emit(PeerUnresponsive, "peer", "n5")
-		asyncLog.Emit(RequestRefused, "code", 2001)
+		asyncLog.Emit(RequestRejected, "code", 2001)
 		<-time.After(1100 * time.Millisecond)
 		synctest.Wait()
 		atOnce := out.String()
--- a/internal/node/control/orders.go
+++ b/internal/node/control/orders.go
@@ -51,7 +51,7 @@
 	}
 	command, apiErr := c.parseOrder(req)
 	if apiErr != nil {
-		c.log.Emit(events.OrderRefused, "verb", req.Verb, "operator", req.Operator, "code", apiErr.Code)
+		c.log.Emit(events.OrderRejected, "verb", req.Verb, "operator", req.Operator, "code", apiErr.Code)
 		return errorResponse(apiErr, c.replica.Current().Version, ""), nil
 	}
 	return c.executeOrder(ctx, req, command), nil
@@ -161,7 +161,7 @@
 }
 
 func (c *Controller) rejectOrder(req *wire.OrderRequest, result statemachine.Result, orderID string) *wire.OrderResponse {
-	event := events.OrderRefused
+	event := events.OrderRejected
 	if result.Code == apierror.BaseMoved {
 		event = events.OrderConflicted
 	}
--- a/internal/node/control/renewals.go
+++ b/internal/node/control/renewals.go
@@ -92,7 +92,7 @@
 	}
 	name := lease.RenewedMember(req)
 	if !resp.Granted {
-		c.log.Emit(events.LeaseRefused, "member", name, "code", apierror.Code(resp.Refusal), "epoch", req.Epoch, "learned", resp.Learned)
+		c.log.Emit(events.LeaseRejected, "member", name, "code", apierror.Code(resp.Refusal), "epoch", req.Epoch, "learned", resp.Learned)
 	}
 	c.publishMemberStatus(name, now)
 	return resp
--- a/internal/node/follower/membership.go
+++ b/internal/node/follower/membership.go
@@ -114,12 +114,12 @@
 }
 
 // applyReport takes the feed's report of one process.
-func (m *membership) applyReport(sight *wire.Sight, now time.Time) {
-	process := sight.GetProcess()
+func (m *membership) applyReport(status *wire.Sight, now time.Time) {
+	process := status.GetProcess()
 	if process.GetName() == "" {
 		return
 	}
-	next := feedReport{process: process, state: reportedState(sight), since: now}
+	next := feedReport{process: process, state: reportedState(status), since: now}
 	previous, known := m.reports[process.Name]
 	if known && previous.state == next.state && lease.SameProcess(previous.process, process) {
 		next.since = previous.since
@@ -127,11 +127,11 @@
 	m.reports[process.Name] = next
 }
 
-func reportedState(sight *wire.Sight) memberState {
+func reportedState(status *wire.Sight) memberState {
 	switch {
-	case sight.Gone:
+	case status.Gone:
 		return memberLeft
-	case sight.Silent:
+	case status.Silent:
 		return memberUnresponsive
 	}
 	return memberLive
--- a/internal/node/front/result_events.go
+++ b/internal/node/front/result_events.go
@@ -24,7 +24,7 @@
 	}
 	event, found := resultEvents[apiErr.Code]
 	if !found {
-		event = events.RequestRefused
+		event = events.RequestRejected
 	}
 	c.front.log.Emit(event, "request", c.id, "service", c.service, "tenant", c.tenant, "server", c.lastServer,
 		"code", uint32(apiErr.Code), "detail", apiErr.Detail)
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -11,9 +11,9 @@
 	"stepwick/internal/stage"
 )
 
-// attemptUpdatesBound limits the updates that wait for the dispatcher; more block
+// maxAttemptUpdates limits the updates that wait for the dispatcher; more block
 // their senders.
-const attemptUpdatesBound = 1024
+const maxAttemptUpdates = 1024
 
 // dispatcher owns the balancing table and the queue of requests that wait for
 // capacity. Requests reach it by submissions, the progress of attempts by updates.
@@ -73,8 +73,8 @@
 		client:        client,
 		health:        health,
 		disabled:      disabled,
-		submissions:   stage.NewQueue[*assignmentRequest](submissionsBound),
-		updates:       stage.NewQueue[attemptUpdate](attemptUpdatesBound),
+		submissions:   stage.NewQueue[*assignmentRequest](maxSubmissions),
+		updates:       stage.NewQueue[attemptUpdate](maxAttemptUpdates),
 		stopped:       make(chan struct{}),
 		passiveHealth: passiveHealth{stalled: map[string]balance.StallLevel{}},
 	}
--- a/internal/node/gateway/queue.go
+++ b/internal/node/gateway/queue.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	submissionsBound    = 1024 // requests that the dispatcher has not processed yet
-	queueBound          = 4096 // requests that wait for capacity
+	maxSubmissions      = 1024 // requests that the dispatcher has not processed yet
+	maxQueued           = 4096 // requests that wait for capacity
 	queueFullRetryAfter = time.Second
 )
 
@@ -40,7 +40,7 @@
 func (d *dispatcher) assign(ctx context.Context, request balance.Request, first bool) assignment {
 	submitted := &assignmentRequest{request: request, first: first, assigned: make(chan assignment, 1)}
 	if !d.submissions.TryPut(submitted) {
-		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", submissionsBound)
+		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", maxSubmissions)
 		return assignment{apiErr: apiErr.WithRetryAfter(queueFullRetryAfter)}
 	}
 	select {
@@ -67,7 +67,7 @@
 		return
 	}
 	if !d.queue.add(submitted) {
-		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests wait for room", queueBound)
+		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests wait for room", maxQueued)
 		submitted.assigned <- assignment{apiErr: apiErr.WithRetryAfter(queueFullRetryAfter)}
 	}
 }
@@ -117,7 +117,7 @@
 
 // add returns false when the queue is full.
 func (q *requestQueue) add(added *assignmentRequest) bool {
-	if len(q.requests) >= queueBound {
+	if len(q.requests) >= maxQueued {
 		return false
 	}
 	q.sequence++
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -83,7 +83,7 @@
 	if apiErr.Code == apierror.CallerGone {
 		panic(http.ErrAbortHandler)
 	}
-	q.gateway.log.Emit(events.RequestRefused, "request", q.call.ID, "service", q.service, "tenant", q.tenant,
+	q.gateway.log.Emit(events.RequestRejected, "request", q.call.ID, "service", q.service, "tenant", q.tenant,
 		"code", uint32(apiErr.Code), "detail", apiErr.Detail)
 	q.gateway.dialect.WriteError(q.writer, q.call.ID, apiErr)
 }
--- a/internal/node/gateway/server_health.go
+++ b/internal/node/gateway/server_health.go
@@ -11,9 +11,9 @@
 const (
 	// probeInterval is the time between probes of an unresponsive server. Only the
 	// nodes that found it unresponsive probe it.
-	probeInterval     = 500 * time.Millisecond
-	probeTimeout      = 400 * time.Millisecond
-	observationsBound = 256
+	probeInterval   = 500 * time.Millisecond
+	probeTimeout    = 400 * time.Millisecond
+	maxObservations = 256
 )
 
 // observationKind is what requests or a probe showed of a server.
@@ -62,8 +62,8 @@
 		observe:      observe,
 		clock:        clock,
 		client:       client,
-		observations: make(chan observation, observationsBound),
-		probeResults: make(chan observation, observationsBound),
+		observations: make(chan observation, maxObservations),
+		probeResults: make(chan observation, maxObservations),
 		unresponsive: map[string]string{},
 		probing:      map[string]bool{},
 	}
--- a/internal/node/replica/commit.go
+++ b/internal/node/replica/commit.go
@@ -28,13 +28,13 @@
 // commitAndReply commits records and replies once they are synced. When they
 // can't be kept, it replies with the refusal by the error's code or, without
 // one, with the error.
-func commitAndReply[T any](o *owner, records []paxos.Record, purpose purpose, resp T, refusal func(apierror.Code) T, reply func(T, error)) {
+func commitAndReply[T any](o *owner, records []paxos.Record, purpose purpose, resp T, rejection func(apierror.Code) T, reply func(T, error)) {
 	if err := o.commit(records, purpose); err != nil {
-		if refusal == nil {
+		if rejection == nil {
 			reply(resp, err)
 			return
 		}
-		reply(refusal(apierror.From(err).Code), nil)
+		reply(rejection(apierror.From(err).Code), nil)
 		return
 	}
 	o.whenSynced(func(err error) { reply(resp, err) })
--- a/internal/node/replica/firstsheet.go
+++ b/internal/node/replica/firstsheet.go
@@ -29,7 +29,7 @@
 	}
 	first, apiErr := sheet.ParseSheet(r.cfg.FirstSheet, r.cfg.MaxSheetBytes)
 	if apiErr != nil {
-		r.events.Emit(events.OrderRefused, "order", firstSheetOrder, "code", apiErr.Code, "detail", apiErr.Detail)
+		r.events.Emit(events.OrderRejected, "order", firstSheetOrder, "code", apiErr.Code, "detail", apiErr.Detail)
 		return true
 	}
 	order := statemachine.Order{OrderID: firstSheetOrder, Operator: firstSheetOrder, AtMS: r.clock.Now().UnixMilli()}
--- a/internal/node/replica/rpc.go
+++ b/internal/node/replica/rpc.go
@@ -24,11 +24,11 @@
 func (r *Replica) Prepare(ctx context.Context, req *wire.PrepareRequest) (*wire.PrepareResponse, error) {
 	return callOwner(ctx, r, func(o *owner, reply func(*wire.PrepareResponse, error)) {
 		records, resp := o.state.Prepare(req)
-		refusal := func(code apierror.Code) *wire.PrepareResponse {
+		rejection := func(code apierror.Code) *wire.PrepareResponse {
 			return &wire.PrepareResponse{Core: resp.Core, Learned: resp.Learned, Lives: resp.Lives, Refusal: uint32(code)}
 		}
 		o.reportWrongFormation(req.From, resp.Refusal)
-		replyVote(o, records, resp.Promised, resp, refusal, reply)
+		replyVote(o, records, resp.Promised, resp, rejection, reply)
 	})
 }
 
@@ -36,22 +36,22 @@
 func (r *Replica) Accept(ctx context.Context, req *wire.AcceptRequest) (*wire.AcceptResponse, error) {
 	return callOwner(ctx, r, func(o *owner, reply func(*wire.AcceptResponse, error)) {
 		records, resp := o.state.Accept(req)
-		refusal := func(code apierror.Code) *wire.AcceptResponse {
+		rejection := func(code apierror.Code) *wire.AcceptResponse {
 			return &wire.AcceptResponse{Core: resp.Core, Learned: resp.Learned, Lives: resp.Lives, Refusal: uint32(code)}
 		}
 		o.reportWrongFormation(req.From, resp.Refusal)
-		replyVote(o, records, resp.Accepted, resp, refusal, reply)
+		replyVote(o, records, resp.Accepted, resp, rejection, reply)
 	})
 }
 
 // replyVote replies at once when there is no vote to be kept. A vote leaves only
 // when it is synced, or is refused when there is no room for it.
-func replyVote[T any](o *owner, records []paxos.Record, voted bool, resp T, refusal func(apierror.Code) T, reply func(T, error)) {
+func replyVote[T any](o *owner, records []paxos.Record, voted bool, resp T, rejection func(apierror.Code) T, reply func(T, error)) {
 	if !voted {
 		reply(resp, nil)
 		return
 	}
-	commitAndReply(o, records, forVote, resp, refusal, reply)
+	commitAndReply(o, records, forVote, resp, rejection, reply)
 }
 
 // Learn takes in chosen values.
@@ -62,8 +62,8 @@
 			r.requestFetch(req.From)
 		}
 		learned := o.state.Learned()
-		refusal := func(apierror.Code) *wire.LearnResponse { return &wire.LearnResponse{Learned: learned} }
-		commitAndReply(o, records, forLearning, resp, refusal, reply)
+		rejection := func(apierror.Code) *wire.LearnResponse { return &wire.LearnResponse{Learned: learned} }
+		commitAndReply(o, records, forLearning, resp, rejection, reply)
 	})
 }
 
@@ -78,10 +78,10 @@
 		if len(records) > 0 {
 			r.events.Emit(events.DiskIncarnationRaised, "core", req.Core, "life", req.Life)
 		}
-		refusal := func(code apierror.Code) *wire.RecoverResponse {
+		rejection := func(code apierror.Code) *wire.RecoverResponse {
 			return &wire.RecoverResponse{Core: resp.Core, Formation: resp.Formation, Voters: resp.Voters, Refusal: uint32(code)}
 		}
-		commitAndReply(o, records, forIncarnation, resp, refusal, reply)
+		commitAndReply(o, records, forIncarnation, resp, rejection, reply)
 	})
 }
 
@@ -105,8 +105,8 @@
 	})
 }
 
-func (o *owner) reportWrongFormation(from string, refusal uint32) {
-	if apierror.Code(refusal) == apierror.WrongFormation {
+func (o *owner) reportWrongFormation(from string, code uint32) {
+	if apierror.Code(code) == apierror.WrongFormation {
 		o.replica.events.Emit(events.WrongFormation, "core", o.replica.cfg.Self, "from", from, "formation", o.state.Formation)
 	}
 }
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -4,8 +4,8 @@
 
 import "math"
 
-// wholeMost is the highest integer that a double holds exactly.
-const wholeMost = 1 << 53
+// maxExactInteger is the highest integer that a double holds exactly.
+const maxExactInteger = 1 << 53
 
 // PackCounts puts slices of integral tokens into the shorter form that they have
 // on the wire. The counts must not be in use elsewhere.
@@ -46,7 +46,7 @@
 func pack(values []float64) (rest []float64, whole []uint64) {
 	whole = make([]uint64, len(values))
 	for i, value := range values {
-		if value < 0 || value > wholeMost || value != math.Trunc(value) {
+		if value < 0 || value > maxExactInteger || value != math.Trunc(value) {
 			return values, nil
 		}
 		whole[i] = uint64(value)
