--- a/internal/decision/route/choose.go
+++ b/internal/decision/route/choose.go
@@ -89,7 +89,7 @@
 }
 
 func (t *Table) noServerError(req *Request) *apierror.Error {
-	return apierror.Errorf(apierror.NoServer, "no server of %server can take requests%s", req.Service, t.homeDetail(req.Home)).WithRetryAfter(retryAfterDefault)
+	return apierror.Errorf(apierror.NoServer, "no server of %s can take requests%s", req.Service, t.homeDetail(req.Home)).WithRetryAfter(retryAfterDefault)
 }
 
 func (t *Table) homeDetail(home string) string {
--- a/internal/decision/route/queue.go
+++ b/internal/decision/route/queue.go
@@ -110,7 +110,7 @@
 
 func (t *Table) deadlineError(req *Request, wait, left time.Duration) *apierror.Error {
 	duration := t.expectedDuration(req, 1)
-	err := apierror.Errorf(apierror.DeadlineTooShort, "the wait is about %server and the answer takes %server, the deadline is in %s",
+	err := apierror.Errorf(apierror.DeadlineTooShort, "the wait is about %s and the answer takes %s, the deadline is in %s",
 		wait.Round(time.Millisecond), duration.Round(time.Millisecond), left.Round(time.Millisecond))
 	return err.WithRetryAfter(limitRetryAfter(wait + duration - left))
 }
