--- a/internal/decision/route/queue_test.go
+++ b/internal/decision/route/queue_test.go
@@ -91,7 +91,10 @@
 			}
 			short := requestNumber(400)
 			short.Deadline = now.Add(50 * time.Millisecond)
-			So(table.Choose(short, now).Err.Code, ShouldEqual, apierror.DeadlineTooShort)
+			tooShort := table.Choose(short, now).Err
+			So(tooShort.Code, ShouldEqual, apierror.DeadlineTooShort)
+			So(tooShort.Detail, ShouldNotContainSubstring, "server")
+			So(tooShort.Detail, ShouldContainSubstring, "the deadline is in "+short.Deadline.Sub(now).String())
 			long := requestNumber(401)
 			choice := table.Choose(long, now)
 			So(choice.Queued, ShouldBeTrue)
--- a/internal/decision/route/route_test.go
+++ b/internal/decision/route/route_test.go
@@ -98,6 +98,7 @@
 			view.State.Version, view.State.Evacuated = 8, map[string]uint64{"abeokuta": 8}
 			table.Update(view)
 			So(table.Choose(req, start).Err.Code, ShouldEqual, apierror.NoServer)
+			So(table.Choose(req, start).Err.Detail, ShouldStartWith, "no server of "+req.Service+" can take requests")
 			So(table.Choose(requestNumber(2), start).Region, ShouldEqual, "lagos")
 		})
 		Convey("chooses a region with servers when the plan names none", func() {
