--- a/internal/decision/paxos/acceptor.go
+++ b/internal/decision/paxos/acceptor.go
@@ -8,34 +8,34 @@
 	"stepwick/internal/wire"
 )
 
-// slotAnswer is how a core answers about a slot in which it no longer takes
-// part in ballots, or may not vote.
-type slotAnswer struct {
-	code   apierror.Code
+// nonVoteAnswer is the answer about a slot in which the core may not vote, or for
+// which it has already learned the chosen value.
+type nonVoteAnswer struct {
+	code   apierror.Code // why the core may not vote, or OK
 	chosen bool
-	value  []byte // when chosen
+	value  []byte // set if chosen
 }
 
-// answerWithoutVote returns the answer about a slot in which this core can't
-// vote: it is not a voter of the formation now, or has learned the slot. The
-// code is VersionBehind when the value was already compacted.
-func (s State) answerWithoutVote(formation string, slot uint64) (answer slotAnswer, final bool) {
+// answerWithoutVote returns the final answer about a slot in which this core does
+// not vote, because it is not a voting member of the formation or has learned the
+// slot. The code is VersionBehind if the value is already compacted.
+func (s State) answerWithoutVote(formation string, slot uint64) (answer nonVoteAnswer, final bool) {
 	if code := s.checkVoting(formation); code != apierror.OK {
-		return slotAnswer{code: code}, true
+		return nonVoteAnswer{code: code}, true
 	}
 	if slot > s.Learned() {
-		return slotAnswer{}, false
+		return nonVoteAnswer{}, false
 	}
 	value, found := s.Command(slot)
 	if !found {
-		return slotAnswer{code: apierror.VersionBehind}, true
+		return nonVoteAnswer{code: apierror.VersionBehind}, true
 	}
-	return slotAnswer{chosen: true, value: value}, true
+	return nonVoteAnswer{chosen: true, value: value}, true
 }
 
-// Prepare answers phase 1a of a ballot. A ballot is promised once: the same one
-// is refused the second time, so that a core that forgot its own unsynced
-// ballot in a crash can't open it twice.
+// Prepare handles the phase 1a message of a ballot. A ballot is promised only once:
+// the same one is refused the second time, so that a core that lost its own unsynced
+// ballot in a crash can't open it again.
 func (s State) Prepare(req *wire.PrepareRequest) ([]Record, *wire.PrepareResponse) {
 	resp := &wire.PrepareResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Incarnations)}
 	if answer, final := s.answerWithoutVote(req.Formation, req.Slot); final {
@@ -57,9 +57,9 @@
 	return []Record{Promised{Slot: req.Slot, Ballot: ballot}}, resp
 }
 
-// Accept answers phase 2a of a ballot. The value is refused when a higher
-// ballot is promised, and when it rests on the promise of a core that is known
-// to have lost its disk since.
+// Accept handles the phase 2a message of a ballot. The value is refused if a higher
+// ballot is promised, or if the proposal depends on the promise of a core that is
+// known to have lost its disk since.
 func (s State) Accept(req *wire.AcceptRequest) ([]Record, *wire.AcceptResponse) {
 	resp := &wire.AcceptResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Incarnations)}
 	if answer, final := s.answerWithoutVote(req.Formation, req.Slot); final {
@@ -68,7 +68,7 @@
 		resp.ChosenValue = answer.value
 		return nil, resp
 	}
-	if s.outdated(req.PromisedLives) {
+	if s.anyOutdated(req.PromisedLives) {
 		resp.Refusal = uint32(apierror.CoreAmnesiac)
 		return nil, resp
 	}
@@ -90,9 +90,9 @@
 	return []Record{Accepted{Slot: req.Slot, Ballot: ballot, Value: req.Value}}, resp
 }
 
-// outdated reports whether one of the incarnations is earlier than the one
-// known here.
-func (s State) outdated(incarnations map[string]uint64) bool {
+// anyOutdated reports whether any of the incarnations is lower than the one that
+// this core knows.
+func (s State) anyOutdated(incarnations map[string]uint64) bool {
 	for core, incarnation := range incarnations {
 		if s.Incarnations[core] > incarnation {
 			return true
--- a/internal/decision/paxos/ballot.go
+++ b/internal/decision/paxos/ballot.go
@@ -6,16 +6,16 @@
 	"stepwick/internal/wire"
 )
 
-// Ballot orders the attempts to have a value chosen in a slot, by number, then
-// by the name of the core that opened it. "The Part-Time Parliament" calls it a
-// ballot number, "Paxos Made Simple" a proposal number. The zero Ballot is less
-// than all others and means none.
+// Ballot identifies an attempt to have a value chosen in a slot. Ballots are
+// ordered by number, then by the name of the core that opened them. "The Part-Time
+// Parliament" calls this a ballot number, "Paxos Made Simple" a proposal number.
+// The zero Ballot means no ballot and is less than all others.
 type Ballot struct {
 	Number uint64
 	Core   string
 }
 
-// BallotFromWire returns the ballot of a message; nil is the zero Ballot.
+// BallotFromWire converts a message to a Ballot; nil becomes the zero Ballot.
 func BallotFromWire(message *wire.Ballot) Ballot {
 	if message == nil {
 		return Ballot{}
@@ -23,7 +23,7 @@
 	return Ballot{Number: message.Number, Core: message.Core}
 }
 
-// ToWire returns the message form; the zero Ballot is nil.
+// ToWire converts the ballot to a message; the zero Ballot becomes nil.
 func (b Ballot) ToWire() *wire.Ballot {
 	if b.IsZero() {
 		return nil
@@ -31,11 +31,11 @@
 	return &wire.Ballot{Number: b.Number, Core: b.Core}
 }
 
-// IsZero reports whether b is the zero Ballot, which means none.
+// IsZero reports whether b is the zero Ballot, which means no ballot.
 func (b Ballot) IsZero() bool { return b == Ballot{} }
 
-// Compare returns a negative number when b is less than other, zero when they
-// are equal, and a positive number otherwise.
+// Compare returns a negative number if b is less than other, zero if they are
+// equal, and a positive number otherwise.
 func (b Ballot) Compare(other Ballot) int {
 	return cmp.Or(cmp.Compare(b.Number, other.Number), cmp.Compare(b.Core, other.Core))
 }
--- a/internal/decision/paxos/errors.go
+++ b/internal/decision/paxos/errors.go
@@ -5,34 +5,36 @@
 	"fmt"
 )
 
-// ErrEmptyRecord is returned for a record without a byte, which names no kind.
-var ErrEmptyRecord = errors.New("empty record")
+// ErrEmptyRecord is returned for a record of zero bytes, which lacks the kind.
+var ErrEmptyRecord = errors.New("decode record: no bytes, expected at least the record kind")
 
-// UnknownKindError is returned for a record of a kind that this version does
-// not know.
-type UnknownKindError struct {
+// UnknownRecordKindError is returned for a record whose kind this version does
+// not support.
+type UnknownRecordKindError struct {
 	Kind byte
 }
 
-func (e *UnknownKindError) Error() string { return fmt.Sprintf("record of unknown kind %d", e.Kind) }
+func (e *UnknownRecordKindError) Error() string {
+	return fmt.Sprintf("decode record: unknown kind %d, this version supports kinds %d to %d", e.Kind, kindFormationJoined, kindRecoveryCompleted)
+}
 
-// LearnedCountError is returned for a Learned record that does not hold exactly
-// one value.
-type LearnedCountError struct {
+// LearnedValueCountError is returned for a Learned record that does not hold
+// exactly one value.
+type LearnedValueCountError struct {
 	Count int
 }
 
-func (e *LearnedCountError) Error() string {
-	return fmt.Sprintf("a learned record of %d epochs", e.Count)
+func (e *LearnedValueCountError) Error() string {
+	return fmt.Sprintf("decode Learned record: got %d chosen values, expected exactly 1", e.Count)
 }
 
-// SlotGapError is returned for a list of chosen values that are not those of
-// consecutive slots.
+// SlotGapError is returned for a list of chosen values whose slots are not
+// consecutive.
 type SlotGapError struct {
-	Slot     uint64 // the slot found
+	Slot     uint64 // the slot of the value in the list
 	Expected uint64
 }
 
 func (e *SlotGapError) Error() string {
-	return fmt.Sprintf("epoch %d where %d was due", e.Slot, e.Expected)
+	return fmt.Sprintf("chosen values are not consecutive: got slot %d, expected slot %d", e.Slot, e.Expected)
 }
--- a/internal/decision/paxos/formation.go
+++ b/internal/decision/paxos/formation.go
@@ -8,7 +8,8 @@
 	"stepwick/internal/wire"
 )
 
-// Found answers an invitation into a first formation.
+// Found handles the founder's invitation to join a new formation. It joins only
+// if it is blank and one of the formation's voters.
 func (s State) Found(req *wire.FoundRequest) ([]Record, *wire.FoundResponse) {
 	if s.Formation != "" || !slices.Contains(req.Voters, s.Self) {
 		return nil, &wire.FoundResponse{
@@ -25,12 +26,13 @@
 	}
 }
 
-// JoinProbed decides whether a core that doesn't vote yet joins the formation of
-// a probe's answer. A blank core joins any that names it. One that waits in
-// another formation changes over only if that one has voting cores and its own
-// has none or, with none in either, if that one's id is the lower. It stays
-// once it has announced its own disk incarnation, which others may have recorded: it
-// would forget it, and come back as a core that lost its disk.
+// JoinProbed decides whether a core that does not vote yet joins the formation that
+// another core reported in its answer to a probe. A blank core joins any formation
+// that lists it as a voter. A core that has joined a formation switches only if it
+// knows of no announced incarnation in its own and either the answer reports one in
+// the other formation or the other ID is lower. A core that has announced its own
+// incarnation never switches: other cores may have recorded the incarnation, and since
+// switching discards it, the core would return as one that lost its disk.
 func (s State) JoinProbed(probe *wire.RecoverResponse) (Record, bool) {
 	if s.Incarnation() != 0 || probe.Formation == "" || probe.Formation == s.Formation {
 		return nil, false
@@ -39,33 +41,32 @@
 		return nil, false
 	}
 	if s.Formation != "" {
-		enteredHere := len(s.Incarnations) > 0 || s.AnnouncedIncarnation > 0
-		enteredThere := len(probe.Lives) > 0
-		if enteredHere || !enteredThere && probe.Formation > s.Formation {
+		announcedHere := len(s.Incarnations) > 0 || s.AnnouncedIncarnation > 0
+		announcedThere := len(probe.Lives) > 0
+		if announcedHere || !announcedThere && probe.Formation > s.Formation {
 			return nil, false
 		}
 	}
 	return FormationJoined{Formation: probe.Formation, Voters: probe.Voters}, true
 }
 
-// FoundFormation decides whether this core founds the first formation: it needs
-// the given number of cores, all of them present and blank, and the lowest name
-// among them. Present holds the answers of every other known core to a probe; a
-// missing answer is nil. The snapshot, at its slot, is the highest agreed state
-// that any process still has, if there is one.
-func (s State) FoundFormation(id string, count int, present map[string]*wire.RecoverResponse, slot uint64, snapshot []byte) (Record, bool) {
+// FoundFormation decides whether this core founds the first formation. That requires
+// voterCount cores, all of them reachable and blank, of which this core has the lowest
+// name. Probes holds the answers of all other known cores to a probe; a missing answer
+// is nil. The snapshot is the latest agreed state that any process still holds, or nil.
+func (s State) FoundFormation(formationID string, voterCount int, probes map[string]*wire.RecoverResponse, snapshotSlot uint64, snapshot []byte) (Record, bool) {
 	if s.Formation != "" {
 		return nil, false
 	}
-	names := append(slices.Collect(maps.Keys(present)), s.Self)
+	names := append(slices.Collect(maps.Keys(probes)), s.Self)
 	slices.Sort(names)
-	if len(names) < count || names[0] != s.Self {
+	if len(names) < voterCount || names[0] != s.Self {
 		return nil, false
 	}
-	for _, answer := range present {
+	for _, answer := range probes {
 		if answer == nil || apierror.Code(answer.Refusal) != apierror.CoreBlank {
 			return nil, false
 		}
 	}
-	return FormationJoined{Formation: id, Voters: names[:count], SnapshotSlot: slot, Snapshot: snapshot}, true
+	return FormationJoined{Formation: formationID, Voters: names[:voterCount], SnapshotSlot: snapshotSlot, Snapshot: snapshot}, true
 }
--- a/internal/decision/paxos/formation_test.go
+++ b/internal/decision/paxos/formation_test.go
@@ -10,13 +10,13 @@
 )
 
 func TestFoundFormation(t *testing.T) {
-	Convey("A first formation needs every core, blank, and the lowest name", t, func() {
+	Convey("The first formation is founded by the core with the lowest name once all cores answer as blank", t, func() {
 		blank := &wire.RecoverResponse{Refusal: uint32(apierror.CoreBlank)}
 		record, ok := Blank("a").FoundFormation("id", 3, map[string]*wire.RecoverResponse{"b": blank, "c": blank}, 0, nil)
 		So(ok, ShouldBeTrue)
 		So(record.(FormationJoined).Voters, ShouldResemble, voters)
-		for _, present := range []map[string]*wire.RecoverResponse{{"b": blank}, {"b": blank, "c": nil}, {"b": blank, "c": {Ok: true}}} {
-			_, ok = Blank("a").FoundFormation("id", 3, present, 0, nil)
+		for _, probes := range []map[string]*wire.RecoverResponse{{"b": blank}, {"b": blank, "c": nil}, {"b": blank, "c": {Ok: true}}} {
+			_, ok = Blank("a").FoundFormation("id", 3, probes, 0, nil)
 			So(ok, ShouldBeFalse)
 		}
 		_, ok = Blank("b").FoundFormation("id", 3, map[string]*wire.RecoverResponse{"a": blank, "c": blank}, 0, nil)
@@ -32,19 +32,19 @@
 		_, ok := s.JoinProbed(probe)
 		return ok
 	}
-	Convey("A core that waits in a formation changes over to the lower one", t, func() {
+	Convey("A core in a formation without announced incarnations switches to one with a lower ID that lists it as a voter", t, func() {
 		So(joins(Blank("b"), higher), ShouldBeTrue)
 		So(joins(waiting, lower), ShouldBeTrue)
 		So(joins(waiting, higher), ShouldBeFalse)
 		So(joins(waiting, &wire.RecoverResponse{Ok: true, Formation: "a-1", Voters: []string{"a", "c", "d"}}), ShouldBeFalse)
 	})
-	Convey("A core that has announced its incarnation, or recorded another one's, stays", t, func() {
-		entered := &wire.RecoverResponse{Ok: true, Formation: "a-1", Voters: voters, Lives: map[string]uint64{"a": 1}}
+	Convey("A core that has announced its incarnation, or recorded that of another core, stays in its formation", t, func() {
+		announced := &wire.RecoverResponse{Ok: true, Formation: "a-1", Voters: voters, Lives: map[string]uint64{"a": 1}}
 		for _, core := range []string{"a", "b"} {
-			bound := IncarnationRecorded{Core: core, Incarnation: firstIncarnation}.Apply(waiting)
-			So(joins(bound, lower), ShouldBeFalse)
-			So(joins(bound, entered), ShouldBeFalse)
+			recorded := IncarnationRecorded{Core: core, Incarnation: firstIncarnation}.Apply(waiting)
+			So(joins(recorded, lower), ShouldBeFalse)
+			So(joins(recorded, announced), ShouldBeFalse)
 		}
-		So(joins(waiting, entered), ShouldBeTrue)
+		So(joins(waiting, announced), ShouldBeTrue)
 	})
 }
--- a/internal/decision/paxos/helpers_test.go
+++ b/internal/decision/paxos/helpers_test.go
@@ -2,10 +2,10 @@
 
 import "stepwick/internal/wire"
 
-// voters are the cores of the formation f in most tests.
+// voters are the voters of the formation f in most tests.
 var voters = []string{"a", "b", "c"}
 
-// votingCore returns a core of the formation f that has entered it.
+// votingCore returns the state of a core that votes in the formation f.
 func votingCore(name string) State {
 	joined := FormationJoined{Formation: "f", Voters: voters}.Apply(Blank(name))
 	return RecoveryCompleted{Incarnations: map[string]uint64{"a": 1, "b": 1, "c": 1}}.Apply(joined)
--- a/internal/decision/paxos/key.go
+++ b/internal/decision/paxos/key.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Tags separate the parts of a key, so that no two states share one.
+// Tags separate the parts of a key, so that different states have different keys.
 const (
 	promiseTag byte = 1 + iota
 	acceptTag
@@ -16,9 +16,10 @@
 	openSlotTag
 )
 
-// AppendKey appends a canonical form of the proposer, by which a model checker
-// recognizes one that it has visited: two with the same key behave alike from
-// here on. Incarnations are reduced to one byte: a checked model stays below 256.
+// AppendKey appends a canonical encoding of the proposer, by which a model checker
+// recognizes states that it has already visited: proposers with equal keys behave
+// identically from here on. Incarnations are truncated to one byte; a checked
+// model stays below 256.
 func (p Proposer) AppendKey(buffer []byte) []byte {
 	buffer = append(buffer, byte(p.Phase))
 	if p.Phase == Ended {
@@ -31,7 +32,7 @@
 			buffer = promise.accepted.appendKey(buffer)
 			buffer = append(buffer, promise.value...)
 		}
-		if incarnation, accepted := p.acceptedBy[core]; accepted {
+		if incarnation, accepted := p.acceptances[core]; accepted {
 			buffer = append(buffer, acceptTag, byte(incarnation))
 		}
 		buffer = append(buffer, incarnationTag, byte(p.incarnations[core]))
@@ -42,8 +43,8 @@
 	return buffer
 }
 
-// AppendKey appends a canonical form of the state, as Proposer.AppendKey does
-// of a proposer.
+// AppendKey appends a canonical encoding of the state, for the same use as
+// Proposer.AppendKey.
 func (s State) AppendKey(buffer []byte) []byte {
 	buffer = append(buffer, s.Formation...)
 	for _, core := range s.Voters {
@@ -55,10 +56,10 @@
 		buffer = append(buffer, chosenTag)
 		buffer = append(buffer, chosen.Command...)
 	}
-	for _, number := range slices.Sorted(maps.Keys(s.OpenSlots)) {
-		slot := s.OpenSlots[number]
+	for _, slotNumber := range slices.Sorted(maps.Keys(s.OpenSlots)) {
+		slot := s.OpenSlots[slotNumber]
 		buffer = append(buffer, openSlotTag)
-		buffer = binary.AppendUvarint(buffer, number)
+		buffer = binary.AppendUvarint(buffer, slotNumber)
 		buffer = slot.Promised.appendKey(buffer)
 		buffer = slot.Accepted.appendKey(buffer)
 		buffer = append(buffer, slot.Value...)
@@ -66,8 +67,8 @@
 	return buffer
 }
 
-func (b Ballot) appendKey(to []byte) []byte {
-	to = binary.AppendUvarint(to, b.Number)
-	to = append(to, b.Core...)
-	return append(to, 0)
+func (b Ballot) appendKey(buffer []byte) []byte {
+	buffer = binary.AppendUvarint(buffer, b.Number)
+	buffer = append(buffer, b.Core...)
+	return append(buffer, 0)
 }
--- a/internal/decision/paxos/learner.go
+++ b/internal/decision/paxos/learner.go
@@ -7,32 +7,33 @@
 	"stepwick/internal/wire"
 )
 
-// maxFetchBytes limits the commands in one response to a Fetch. A single larger
-// command is still returned.
+// maxFetchBytes limits the total size of the commands in a FetchResponse. A single
+// larger command is still returned.
 const maxFetchBytes = 4 << 20
 
-// Learn takes in chosen values. Behind reports that the values of slots before
-// them are missing here, to be fetched from the sender.
+// Learn handles chosen values. Behind reports whether this core lacks values of
+// earlier slots, which must be fetched from the sender.
 func (s State) Learn(req *wire.LearnRequest) (records []Record, resp *wire.LearnResponse, behind bool) {
 	if s.checkVoting(req.Formation) != apierror.OK {
 		return nil, &wire.LearnResponse{Learned: s.Learned()}, false
 	}
-	next := s.Learned() + 1
+	nextSlot := s.Learned() + 1
 	for _, chosen := range req.Chosen {
 		switch {
-		case chosen.Epoch > next:
+		case chosen.Epoch > nextSlot:
 			behind = true
-		case chosen.Epoch == next:
-			slot := s.OpenSlots[next]
-			accepted := !slot.Accepted.IsZero() && bytes.Equal(slot.Value, chosen.Command)
-			records = append(records, Learned{Slot: next, Command: chosen.Command, AsAccepted: accepted})
-			next++
+		case chosen.Epoch == nextSlot:
+			slot := s.OpenSlots[nextSlot]
+			asAccepted := !slot.Accepted.IsZero() && bytes.Equal(slot.Value, chosen.Command)
+			records = append(records, Learned{Slot: nextSlot, Command: chosen.Command, AsAccepted: asAccepted})
+			nextSlot++
 		}
 	}
-	return records, &wire.LearnResponse{Learned: next - 1}, behind
+	return records, &wire.LearnResponse{Learned: nextSlot - 1}, behind
 }
 
-// Read returns the highest slots that this core has learned and accepted.
+// Read returns the highest slot that this core has learned, and the highest in
+// which it has learned or accepted a value.
 func (s State) Read(req *wire.ReadRequest) *wire.ReadResponse {
 	resp := &wire.ReadResponse{
 		Core:    s.Self,
@@ -46,25 +47,26 @@
 	return resp
 }
 
-// Fetch returns the chosen values after a slot, and a snapshot before them when
-// some of them are already compacted. The response is limited in size: there is
-// more to fetch when its Learned is above its last slot.
+// Fetch returns the chosen values after a slot, preceded by a snapshot if some of
+// them are already compacted. The size of the response is limited: if its Learned
+// is above its last slot, there are more values to fetch. Fetch returns an error if
+// the core does not vote in the formation.
 func (s State) Fetch(req *wire.FetchRequest) (*wire.FetchResponse, *apierror.Error) {
 	if code := s.checkVoting(req.Formation); code != apierror.OK {
-		return nil, apierror.Errorf(code, "core %s", s.Self)
+		return nil, apierror.Errorf(code, "fetch from core %s for formation %q refused: the core is in formation %q with disk incarnation %d", s.Self, req.Formation, s.Formation, s.Incarnation())
 	}
 	resp := &wire.FetchResponse{Learned: s.Learned()}
-	after := req.After
-	if after < s.SnapshotSlot {
+	precedingSlot := req.After
+	if precedingSlot < s.SnapshotSlot {
 		resp.SnapshotEpoch = s.SnapshotSlot
 		resp.Snapshot = s.Snapshot
-		after = s.SnapshotSlot
+		precedingSlot = s.SnapshotSlot
 	}
-	if after >= s.Learned() {
+	if precedingSlot >= s.Learned() {
 		return resp, nil
 	}
 	size := 0
-	for _, chosen := range s.Chosen[after-s.SnapshotSlot:] {
+	for _, chosen := range s.Chosen[precedingSlot-s.SnapshotSlot:] {
 		size += len(chosen.Command)
 		if size > maxFetchBytes && len(resp.Chosen) > 0 {
 			break
@@ -74,7 +76,8 @@
 	return resp, nil
 }
 
-// HandleFetch returns the records that a response to a Fetch makes durable.
+// HandleFetch returns the records to persist for a FetchResponse; none if the core
+// does not vote yet.
 func (s State) HandleFetch(resp *wire.FetchResponse) []Record {
 	if s.Incarnation() == 0 {
 		return nil
--- a/internal/decision/paxos/proposer.go
+++ b/internal/decision/paxos/proposer.go
@@ -8,29 +8,29 @@
 	"stepwick/internal/wire"
 )
 
-// Phase of a proposer.
+// Phase is the phase of a proposer's ballot.
 type Phase int
 
-// Phases of a proposer, in their order.
+// Phases of a ballot, in order.
 const (
 	Preparing Phase = iota // phase 1: collects promises
 	Accepting              // phase 2: collects acceptances
-	Ended
+	Ended                  // the outcome was returned
 )
 
-// Action is what a proposer requires of its caller after an answer.
+// Action is what the caller of a proposer must do after a response.
 type Action int
 
 // Actions of a proposer.
 const (
-	AwaitAnswers Action = iota // nothing until the next answer
+	AwaitAnswers Action = iota // nothing until the next response
 	SendAccept                 // send Step.Accept to every voter
 	ValueChosen                // Step.Value is chosen in the slot
-	FetchChosen                // the slot's value is compacted at Step.LearnedBy: fetch a snapshot from there
-	BallotLost                 // no quorum is possible in this ballot: open a higher one
+	FetchChosen                // the slot's value is compacted at core Step.LearnedBy: fetch a snapshot from it
+	BallotLost                 // this ballot can't reach a quorum: open a higher one
 )
 
-// Step is the result of an answer. The zero Step is to await more answers.
+// Step is the result of handling a response. The zero Step awaits more responses.
 type Step struct {
 	Action    Action
 	Accept    *wire.AcceptRequest // set with SendAccept
@@ -38,38 +38,40 @@
 	LearnedBy string              // set with FetchChosen
 }
 
-// countedPromise is a voter's promise, with what it had accepted before.
-type countedPromise struct {
+// receivedPromise is a voter's promise, with the value that it had accepted in an
+// earlier ballot, if any.
+type receivedPromise struct {
 	incarnation uint64
 	accepted    Ballot
 	value       []byte
 }
 
-// Proposer runs one ballot in one slot. It is a value: each answer returns the
-// next one. Answers that come late, of an earlier phase, are still observed for
-// the disk incarnations, ballots and learned slots that they report.
+// Proposer runs one ballot in one slot. It is an immutable value: handling a
+// response returns the next Proposer. Late responses of an earlier phase still
+// contribute the disk incarnations, ballots and learned slots that they report.
 //
-// A promise or acceptance counts only while no other answer reports a later
-// incarnation of the core that gave it.
+// A promise or acceptance counts only as long as no response reports a later
+// incarnation of the core that sent it.
 type Proposer struct {
 	Formation        string
 	Slot             uint64
 	Ballot           Ballot
-	InitialValue     []byte // proposed when no voter has accepted a value
+	InitialValue     []byte // proposed if no promise reports an accepted value
 	Voters           []string
 	Phase            Phase
 	HighestBallot    Ballot // the highest ballot observed
-	HighestLearned   uint64 // the highest learned slot observed
-	HighestLearnedBy string // the core that reported it
-
-	value        []byte                    // proposed in phase 2
-	promises     map[string]countedPromise // by core
-	acceptedBy   map[string]uint64         // incarnation by core
-	answered     map[string]bool           // by core, in the present phase; failures included
-	incarnations map[string]uint64         // the highest known, by core
+	HighestLearned   uint64 // the highest learned slot reported
+	HighestLearnedBy string // the core that reported HighestLearned
+
+	value        []byte                     // proposed in phase 2
+	promises     map[string]receivedPromise // by core
+	acceptances  map[string]uint64          // incarnation in which each core accepted
+	answered     map[string]bool            // by core, in the current phase; includes failed calls
+	incarnations map[string]uint64          // the highest known incarnation, by core
 }
 
-// NewProposer opens a ballot in a slot and returns the request for every voter.
+// NewProposer opens a ballot in a slot and returns the request to send to every
+// voter.
 func NewProposer(state State, slot, number uint64, initialValue []byte) (Proposer, *wire.PrepareRequest) {
 	ballot := Ballot{Number: number, Core: state.Self}
 	proposer := Proposer{
@@ -85,9 +87,9 @@
 	return proposer, request
 }
 
-// HandlePrepare takes in an answer to the Prepare. With the last promise of a
-// quorum it proposes the value accepted in the highest ballot among them, or
-// InitialValue when there is none.
+// HandlePrepare handles a response to the PrepareRequest. Once a quorum has promised,
+// it proposes the value accepted in the highest ballot that the promises report, or
+// InitialValue if they report none.
 func (p Proposer) HandlePrepare(resp *wire.PrepareResponse) (Proposer, Step) {
 	p = p.observe(resp.Lives, BallotFromWire(resp.PromisedBallot), resp.Learned, resp.Core)
 	if p.Phase == Ended {
@@ -101,7 +103,7 @@
 	}
 	p.answered = withEntry(p.answered, resp.Core, true)
 	if resp.Promised && BallotFromWire(resp.PromisedBallot) == p.Ballot && slices.Contains(p.Voters, resp.Core) {
-		p.promises = withEntry(p.promises, resp.Core, countedPromise{
+		p.promises = withEntry(p.promises, resp.Core, receivedPromise{
 			incarnation: resp.Lives[resp.Core],
 			accepted:    BallotFromWire(resp.AcceptedBallot),
 			value:       resp.AcceptedValue,
@@ -114,12 +116,12 @@
 	return p.beginAccepting(promises)
 }
 
-// beginAccepting enters phase 2 on the promises of a quorum.
-func (p Proposer) beginAccepting(promises map[string]countedPromise) (Proposer, Step) {
-	var highest countedPromise
-	promised := make(map[string]uint64, len(promises))
+// beginAccepting starts phase 2 with the promises of a quorum.
+func (p Proposer) beginAccepting(promises map[string]receivedPromise) (Proposer, Step) {
+	var highest receivedPromise
+	promisedIncarnations := make(map[string]uint64, len(promises))
 	for core, promise := range promises {
-		promised[core] = promise.incarnation
+		promisedIncarnations[core] = promise.incarnation
 		if highest.accepted.Less(promise.accepted) {
 			highest = promise
 		}
@@ -136,11 +138,11 @@
 		Ballot:        p.Ballot.ToWire(),
 		Value:         p.value,
 		From:          p.Ballot.Core,
-		PromisedLives: promised,
+		PromisedLives: promisedIncarnations,
 	}}
 }
 
-// HandleAccept takes in an answer to the Accept.
+// HandleAccept handles a response to the AcceptRequest.
 func (p Proposer) HandleAccept(resp *wire.AcceptResponse) (Proposer, Step) {
 	p = p.observe(resp.Lives, BallotFromWire(resp.PromisedBallot), resp.Learned, resp.Core)
 	if p.Phase != Accepting {
@@ -151,15 +153,15 @@
 	}
 	p.answered = withEntry(p.answered, resp.Core, true)
 	if resp.Accepted && slices.Contains(p.Voters, resp.Core) {
-		p.acceptedBy = withEntry(p.acceptedBy, resp.Core, resp.Lives[resp.Core])
+		p.acceptances = withEntry(p.acceptances, resp.Core, resp.Lives[resp.Core])
 	}
-	if accepts := p.validAccepts(); accepts < p.quorum() {
-		return p.awaitQuorum(accepts)
+	if validAcceptances := p.countValidAcceptances(); validAcceptances < p.quorum() {
+		return p.awaitQuorum(validAcceptances)
 	}
 	return p.end(Step{Action: ValueChosen, Value: p.value})
 }
 
-// HandleFailure records that a voter gave no answer in the present phase.
+// HandleFailure records that the call to a voter failed in the current phase.
 func (p Proposer) HandleFailure(core string) (Proposer, Step) {
 	if p.Phase == Ended {
 		return p, Step{}
@@ -168,10 +170,10 @@
 	if p.Phase == Preparing {
 		return p.awaitQuorum(len(p.validPromises()))
 	}
-	return p.awaitQuorum(p.validAccepts())
+	return p.awaitQuorum(p.countValidAcceptances())
 }
 
-// learnedStep returns the final step when the answering core has learned the
+// learnedStep returns the final step if the responding core has already learned the
 // slot.
 func learnedStep(chosen bool, value []byte, refusal uint32, core string) (step Step, final bool) {
 	if chosen {
@@ -183,9 +185,10 @@
 	return Step{}, false
 }
 
-// validPromises returns the promises that no later incarnation invalidates.
-func (p Proposer) validPromises() map[string]countedPromise {
-	valid := make(map[string]countedPromise, len(p.promises))
+// validPromises returns the promises of cores of which no later incarnation is
+// known.
+func (p Proposer) validPromises() map[string]receivedPromise {
+	valid := make(map[string]receivedPromise, len(p.promises))
 	for core, promise := range p.promises {
 		if promise.incarnation >= p.incarnations[core] {
 			valid[core] = promise
@@ -194,10 +197,11 @@
 	return valid
 }
 
-// validAccepts counts the acceptances that no later incarnation invalidates.
-func (p Proposer) validAccepts() int {
+// countValidAcceptances counts the acceptances of cores of which no later
+// incarnation is known.
+func (p Proposer) countValidAcceptances() int {
 	valid := 0
-	for core, incarnation := range p.acceptedBy {
+	for core, incarnation := range p.acceptances {
 		if incarnation >= p.incarnations[core] {
 			valid++
 		}
@@ -207,7 +211,7 @@
 
 func (p Proposer) quorum() int { return quorumOf(len(p.Voters)) }
 
-// awaitQuorum awaits more answers, or ends the ballot when those outstanding
+// awaitQuorum awaits more responses, or ends the ballot if the outstanding ones
 // can't complete a quorum.
 func (p Proposer) awaitQuorum(valid int) (Proposer, Step) {
 	outstanding := len(p.Voters) - len(p.answered)
@@ -222,24 +226,24 @@
 	return p, step
 }
 
-// observe takes in what every answer reports, whether or not it counts.
+// observe records what every response reports, whether or not its vote counts.
 func (p Proposer) observe(incarnations map[string]uint64, promised Ballot, learned uint64, core string) Proposer {
 	p.HighestBallot = maxBallot(p.HighestBallot, promised)
 	if learned > p.HighestLearned {
 		p.HighestLearned = learned
 		p.HighestLearnedBy = core
 	}
-	known := make(map[string]uint64, len(p.incarnations)+len(incarnations))
-	maps.Copy(known, p.incarnations)
-	raiseIncarnations(known, incarnations)
-	p.incarnations = known
+	merged := make(map[string]uint64, len(p.incarnations)+len(incarnations))
+	maps.Copy(merged, p.incarnations)
+	mergeIncarnations(merged, incarnations)
+	p.incarnations = merged
 	return p
 }
 
-// withEntry returns a copy of the map with one entry set.
+// withEntry returns a copy of the map with one entry added or replaced.
 func withEntry[V any](entries map[string]V, key string, value V) map[string]V {
-	next := make(map[string]V, len(entries)+1)
-	maps.Copy(next, entries)
-	next[key] = value
-	return next
+	updated := make(map[string]V, len(entries)+1)
+	maps.Copy(updated, entries)
+	updated[key] = value
+	return updated
 }
--- a/internal/decision/paxos/proposer_test.go
+++ b/internal/decision/paxos/proposer_test.go
@@ -19,7 +19,7 @@
 		_, step = p.HandlePrepare(&wire.PrepareResponse{Core: "a", Promised: true, PromisedBallot: p.Ballot.ToWire(), Lives: map[string]uint64{"a": 1, "b": 1, "c": 1}})
 		So(step.Accept.PromisedLives, ShouldResemble, map[string]uint64{"a": 1, "c": 1})
 	})
-	Convey("Without a possible quorum the ballot is lost; a learned slot ends it at once", t, func() {
+	Convey("A ballot is lost once no quorum is possible, and ends as soon as an answer shows that the slot is learned", t, func() {
 		p, _ := NewProposer(votingCore("a"), 1, 1, []byte("own"))
 		afterFailure, step := p.HandleFailure("b")
 		So(step.Action, ShouldEqual, AwaitAnswers)
--- a/internal/decision/paxos/record.go
+++ b/internal/decision/paxos/record.go
@@ -9,18 +9,18 @@
 	"stepwick/internal/wire"
 )
 
-// Record is an event that a core makes durable, named for what happened.
-// Applying it is the only way in which a State changes, apart from compaction.
+// Record is an event that a core persists in its log. Except for compaction, a
+// State changes only by applying records.
 type Record interface {
-	// Apply returns the state after the event. A record that the state already
-	// includes changes nothing.
+	// Apply returns the state after the event. A record whose effect the state
+	// already contains changes nothing.
 	Apply(s State) State
 	message() (kind byte, body proto.Message)
 }
 
-// FormationJoined makes the core a voter of a formation, in which it can't vote
-// before RecoveryCompleted. The founder's record may carry the highest agreed
-// state that outlived the loss of every disk.
+// FormationJoined makes the core a member of a formation. It must not vote there
+// before RecoveryCompleted. The founder's record may carry a snapshot: the latest
+// agreed state that survived the loss of every disk.
 type FormationJoined struct {
 	Formation    string
 	Voters       []string
@@ -28,43 +28,43 @@
 	Snapshot     []byte
 }
 
-// IncarnationRecorded holds the disk incarnation that another core announced or,
-// of the core itself, the one that it is about to announce.
+// IncarnationRecorded records the disk incarnation that another core announced,
+// or the one that this core is about to announce.
 type IncarnationRecorded struct {
 	Core        string
 	Incarnation uint64
 }
 
-// Promised binds the core to accept no ballot less than this one in the slot.
+// Promised is the core's promise to accept no lower ballot in the slot.
 type Promised struct {
 	Slot   uint64
 	Ballot Ballot
 }
 
-// Accepted is the core's vote for a value.
+// Accepted is the core's vote for a value in a ballot.
 type Accepted struct {
 	Slot   uint64
 	Ballot Ballot
 	Value  []byte
 }
 
-// Learned is a value known to be chosen in the slot after the last learned one.
-// AsAccepted leaves the command out of the encoding: it is the value that this
-// core accepted last in the slot.
+// Learned is a value known to be chosen in the slot after the highest learned one.
+// With AsAccepted, the command is the value that this core accepted last in the
+// slot, and the encoding omits it.
 type Learned struct {
 	Slot       uint64
 	Command    []byte
 	AsAccepted bool
 }
 
-// SnapshotInstalled replaces the learned values by a snapshot of a later slot.
+// SnapshotInstalled replaces the learned values by a snapshot at a later slot.
 type SnapshotInstalled struct {
 	Slot     uint64
 	Snapshot []byte
 }
 
-// RecoveryCompleted is the result of a recovery. It is one record, so that a
-// crash leaves either none of it or all.
+// RecoveryCompleted is the result of a recovery. It is a single record, so that it
+// takes effect either completely or, after a crash, not at all.
 type RecoveryCompleted struct {
 	Incarnations map[string]uint64
 	SnapshotSlot uint64
@@ -101,13 +101,13 @@
 func (r Promised) Apply(s State) State {
 	slot := s.OpenSlots[r.Slot]
 	slot.Promised = maxBallot(slot.Promised, r.Ballot)
-	return s.withSlot(r.Slot, slot)
+	return s.withOpenSlot(r.Slot, slot)
 }
 
 // Apply implements Record.
 func (r Accepted) Apply(s State) State {
 	accepted := SlotState{Promised: r.Ballot, Accepted: r.Ballot, Value: r.Value}
-	return s.withSlot(r.Slot, s.OpenSlots[r.Slot].merge(accepted))
+	return s.withOpenSlot(r.Slot, s.OpenSlots[r.Slot].merge(accepted))
 }
 
 // Apply implements Record.
@@ -119,7 +119,7 @@
 	if r.AsAccepted {
 		command = s.OpenSlots[r.Slot].Value
 	}
-	// Clip makes append copy: another state may share the array behind Chosen.
+	// Clip forces append to copy: other states may share the backing array of Chosen.
 	s.Chosen = append(slices.Clip(s.Chosen), &wire.Chosen{Epoch: r.Slot, Command: command})
 	return s.withoutLearnedSlots()
 }
@@ -145,21 +145,22 @@
 	return s.withoutLearnedSlots()
 }
 
-func (s State) withSlot(number uint64, slot SlotState) State {
+func (s State) withOpenSlot(slotNumber uint64, slot SlotState) State {
 	openSlots := make(map[uint64]SlotState, len(s.OpenSlots)+1)
 	maps.Copy(openSlots, s.OpenSlots)
-	openSlots[number] = slot
+	openSlots[slotNumber] = slot
 	s.OpenSlots = openSlots
 	return s
 }
 
-// withoutLearnedSlots drops the acceptor's state of slots that are learned.
+// withoutLearnedSlots returns the state without the open slots up to the highest
+// learned slot.
 func (s State) withoutLearnedSlots() State {
 	learned := s.Learned()
 	openSlots := make(map[uint64]SlotState, len(s.OpenSlots))
-	for number, slot := range s.OpenSlots {
-		if number > learned {
-			openSlots[number] = slot
+	for slotNumber, slot := range s.OpenSlots {
+		if slotNumber > learned {
+			openSlots[slotNumber] = slot
 		}
 	}
 	s.OpenSlots = openSlots
--- a/internal/decision/paxos/record_test.go
+++ b/internal/decision/paxos/record_test.go
@@ -15,7 +15,7 @@
 func drawRecord(t *rapid.T) Record {
 	ballot := Ballot{rapid.Uint64().Draw(t, "number"), rapid.SampledFrom(voters).Draw(t, "core")}
 	slot, value := rapid.Uint64Range(1, 1<<40).Draw(t, "slot"), rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(t, "value")
-	incarnations := map[string]uint64{"a": rapid.Uint64().Draw(t, "life")}
+	incarnations := map[string]uint64{"a": rapid.Uint64().Draw(t, "incarnation")}
 	return rapid.SampledFrom([]Record{
 		FormationJoined{Formation: "f", Voters: voters, SnapshotSlot: slot, Snapshot: value},
 		IncarnationRecorded{Core: "b", Incarnation: slot}, Promised{Slot: slot, Ballot: ballot}, Accepted{Slot: slot, Ballot: ballot, Value: value},
@@ -29,20 +29,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		record := drawRecord(t)
 		data := EncodeRecord(record)
-		decodedRecord, err := DecodeRecord(data)
+		decoded, err := DecodeRecord(data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again := EncodeRecord(decodedRecord); !reflect.DeepEqual(again, data) {
-			t.Fatalf("%#v was decoded as %#v", record, decodedRecord)
+		if reencoded := EncodeRecord(decoded); !reflect.DeepEqual(reencoded, data) {
+			t.Fatalf("record %#v is decoded as %#v", record, decoded)
 		}
 		s := votingCore("a")
-		if !proto.Equal(record.Apply(s).recoverResponse(), decodedRecord.Apply(s).recoverResponse()) {
-			t.Fatalf("%#v applies otherwise when decoded", record)
+		if !proto.Equal(record.Apply(s).recoverResponse(), decoded.Apply(s).recoverResponse()) {
+			t.Fatalf("record %#v has a different effect after decoding", record)
 		}
-		decoded, err := DecodeState(record.Apply(s).Encode())
-		if err != nil || !proto.Equal(decoded.recoverResponse(), record.Apply(s).recoverResponse()) {
-			t.Fatalf("a state with %#v is not decoded: %v", record, err)
+		decodedState, err := DecodeState(record.Apply(s).Encode())
+		if err != nil || !proto.Equal(decodedState.recoverResponse(), record.Apply(s).recoverResponse()) {
+			t.Fatalf("state after %#v is not decoded as encoded: error %v", record, err)
 		}
 		for length := range data {
 			_, _ = DecodeRecord(data[:length])
@@ -51,16 +51,16 @@
 }
 
 func TestDecodeErrorsAreTyped(t *testing.T) {
-	Convey("Records that can't be decoded are told apart by their errors", t, func() {
+	Convey("Each kind of decoding failure has its own error", t, func() {
 		_, err := DecodeRecord(nil)
 		So(errors.Is(err, ErrEmptyRecord), ShouldBeTrue)
 
-		var unknown *UnknownKindError
+		var unknown *UnknownRecordKindError
 		_, err = Replay(Blank("a"), [][]byte{{99}})
 		So(errors.As(err, &unknown), ShouldBeTrue)
 		So(unknown.Kind, ShouldEqual, 99)
 
-		var count *LearnedCountError
+		var count *LearnedValueCountError
 		_, err = DecodeRecord([]byte{kindLearned})
 		So(errors.As(err, &count), ShouldBeTrue)
 		So(count.Count, ShouldEqual, 0)
--- a/internal/decision/paxos/recordcodec.go
+++ b/internal/decision/paxos/recordcodec.go
@@ -7,8 +7,8 @@
 	"stepwick/internal/wire"
 )
 
-// The first byte of an encoded record. They are stored: a number never changes
-// its meaning.
+// Record kinds, the first byte of an encoded record. The values are stored in logs
+// and must not change.
 const (
 	kindFormationJoined byte = 1 + iota
 	kindIncarnationRecorded
@@ -19,24 +19,24 @@
 	kindRecoveryCompleted
 )
 
-// asAcceptedMark in a stored Learned record's From marks the value as the one
-// accepted last.
+// asAcceptedMark in the From field of a stored Learned record sets AsAccepted.
 const asAcceptedMark = "accepted"
 
-// EncodeRecord returns a record's bytes for the log: its kind, then a message in
-// deterministic protobuf. It panics when the record holds a string that is not
-// UTF-8, which no message can have brought here.
+// EncodeRecord encodes a record for the log: its kind, then a message in
+// deterministic protobuf. It panics if the record holds a string that is not valid
+// UTF-8; protobuf rejects such strings in received messages.
 func EncodeRecord(record Record) []byte {
 	kind, body := record.message()
 	data, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend([]byte{kind}, body)
 	if err != nil {
-		panic(errors.Wrap(err, "a record holds no value that cannot be encoded"))
+		panic(errors.Wrapf(err, "marshal record of kind %d", kind))
 	}
 	return data
 }
 
-// DecodeRecord reads what EncodeRecord returned. Its errors are ErrEmptyRecord,
-// *UnknownKindError, *LearnedCountError, *SlotGapError or protobuf's.
+// DecodeRecord decodes the result of EncodeRecord. It returns ErrEmptyRecord, an
+// *UnknownRecordKindError, a *LearnedValueCountError, a *SlotGapError or a protobuf
+// error.
 func DecodeRecord(data []byte) (Record, error) {
 	if len(data) == 0 {
 		return nil, ErrEmptyRecord
@@ -58,15 +58,16 @@
 	case kindRecoveryCompleted:
 		return decodeRecoveryCompleted(body)
 	}
-	return nil, &UnknownKindError{Kind: kind}
+	return nil, &UnknownRecordKindError{Kind: kind}
 }
 
-// Replay applies encoded records to a state, in their order.
+// Replay decodes records and applies them to a state in order. It returns the
+// errors of DecodeRecord, and with them the state before the failed record.
 func Replay(s State, records [][]byte) (State, error) {
 	for i, data := range records {
 		record, err := DecodeRecord(data)
 		if err != nil {
-			return s, errors.Wrapf(err, "record %d of the replay", i)
+			return s, errors.Wrapf(err, "replay record %d", i)
 		}
 		s = record.Apply(s)
 	}
@@ -74,7 +75,7 @@
 }
 
 func unmarshal(kind byte, body []byte, message proto.Message) error {
-	return errors.Wrapf(proto.Unmarshal(body, message), "record of kind %d", kind)
+	return errors.Wrapf(proto.Unmarshal(body, message), "unmarshal record of kind %d", kind)
 }
 
 func (r FormationJoined) message() (byte, proto.Message) {
@@ -140,7 +141,7 @@
 		return nil, err
 	}
 	if len(message.Chosen) != 1 {
-		return nil, &LearnedCountError{Count: len(message.Chosen)}
+		return nil, &LearnedValueCountError{Count: len(message.Chosen)}
 	}
 	chosen := message.Chosen[0]
 	return Learned{Slot: chosen.Epoch, Command: chosen.Command, AsAccepted: message.From != ""}, nil
--- a/internal/decision/paxos/recovery.go
+++ b/internal/decision/paxos/recovery.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	firstIncarnation  = 1 // announced by a core that proves that it has never voted
+	firstIncarnation  = 1 // announced by a core that has proved that it never voted
 	secondIncarnation = firstIncarnation + 1
 )
 
-// Recover answers a core that enters the formation with an empty disk: for the first
-// time, or after its disk was lost. Once this answer has left, Accept and Proposer
-// count no promise or vote of an earlier incarnation of that core, and so nothing
-// that the core has forgotten can complete a quorum any more. The new
-// incarnation must be synced before the answer leaves. A core that doesn't vote
-// answers too if its disk proves that it never voted; one that lost its disk
-// refuses, and marks its answer to a probe with CoreAmnesiac.
+// Recover handles the request of a core that recovers with an empty disk: on its
+// first start in the formation, or after it lost its disk. The returned record holds
+// the new incarnation and must be synced before the response is sent. From then on,
+// Accept and Proposer count no promise or vote of an earlier incarnation of that core,
+// so a vote that the core has lost can no longer complete a quorum.
+//
+// A core that does not vote yet also serves the request if its disk proves that it
+// never voted. A core that lost its disk refuses, and answers a probe with the refusal
+// code CoreAmnesiac.
 func (s State) Recover(req *wire.RecoverRequest) ([]Record, *wire.RecoverResponse) {
 	if req.Probe && s.Formation != "" {
 		return nil, s.answerProbe()
@@ -47,8 +49,8 @@
 	return resp
 }
 
-// checkRecovery returns OK when a core may recover from this one, and otherwise
-// the code with which it is refused.
+// checkRecovery returns OK if the requesting core may recover from this one, and
+// otherwise the refusal code.
 func (s State) checkRecovery(req *wire.RecoverRequest) apierror.Code {
 	switch {
 	case s.Formation == "":
@@ -65,7 +67,7 @@
 	return apierror.OK
 }
 
-// recoverSummary is a response to a Recover without the agreed state.
+// recoverSummary returns a RecoverResponse without the agreed state and the votes.
 func (s State) recoverSummary() *wire.RecoverResponse {
 	return &wire.RecoverResponse{
 		Core:      s.Self,
@@ -76,8 +78,8 @@
 	}
 }
 
-// reportedIncarnations returns the incarnations that the core reports to others,
-// with its own from when it is announced.
+// reportedIncarnations returns the incarnations that the core reports to the other
+// voters. They include its own once it is recorded for the announcement.
 func (s State) reportedIncarnations() map[string]uint64 {
 	reported := make(map[string]uint64, len(s.Incarnations)+1)
 	maps.Copy(reported, s.Incarnations)
@@ -87,35 +89,35 @@
 	return reported
 }
 
-// lostDisk reports whether the core knows that its disk forgot an incarnation in
-// which it may have voted.
+// lostDisk reports whether the core knows that it lost a disk on which it may have
+// voted.
 func (s State) lostDisk() bool {
 	return s.Incarnation() == 0 && s.AnnouncedIncarnation >= secondIncarnation
 }
 
-// probeSummary is what the other voters' answers to a probe say together.
+// probeSummary combines the other voters' answers to a probe.
 type probeSummary struct {
-	highest    uint64 // incarnation of the probing core that any of them knows
-	missing    string // the first voter without an answer; empty when all answered
-	voting     int    // voters that vote
-	anyCertain bool   // one knows its own disk to be complete
-	anyLost    bool   // one has lost its disk
+	highestIncarnation uint64 // highest incarnation of the probing core that any voter reports
+	firstMissing       string // the first voter without a usable answer, or empty
+	voting             int    // number of voting cores
+	anyDiskIntact      bool   // some voter knows that its own disk is complete
+	anyDiskLost        bool   // some voter has lost its disk
 }
 
-func (s State) summarize(probes map[string]*wire.RecoverResponse) probeSummary {
+func (s State) summarizeProbes(probes map[string]*wire.RecoverResponse) probeSummary {
 	var summary probeSummary
 	for _, name := range s.Others() {
 		probe := probes[name]
-		if !s.inFormation(probe) {
-			summary.missing = cmp.Or(summary.missing, name)
+		if !s.isFromFormation(probe) {
+			summary.firstMissing = cmp.Or(summary.firstMissing, name)
 			continue
 		}
-		summary.highest = max(summary.highest, probe.Lives[s.Self])
+		summary.highestIncarnation = max(summary.highestIncarnation, probe.Lives[s.Self])
 		if probe.Refusal == 0 && probe.Lives[name] > 0 {
-			summary.anyCertain = true
+			summary.anyDiskIntact = true
 		}
 		if probe.Refusal != 0 {
-			summary.anyLost = true
+			summary.anyDiskLost = true
 		}
 		if probe.Voting {
 			summary.voting++
@@ -124,42 +126,43 @@
 	return summary
 }
 
-// NextIncarnation returns the incarnation with which to recover, from a probe of
-// the other voters; it must be synced in an IncarnationRecorded before it is
-// announced. All of them must answer, or a recovery quorum if it knows an
-// earlier incarnation of this core; otherwise missing names the first that is
-// waited for.
+// NextIncarnation returns the incarnation with which this core recovers, given the
+// other voters' answers to a probe. It must be synced in an IncarnationRecorded before
+// it is announced. All other voters must have answered; a recovery quorum of voting
+// cores suffices if an earlier incarnation of this core is known. Otherwise missing
+// describes the first core that is still needed.
 //
-// A first incarnation, which proves that this core never voted, needs the answer
-// of one that is certain of its own disk once any other core has lost its disk.
+// The first incarnation proves that this core never voted. If any other core has lost
+// its disk, it also requires an answer from a core whose own disk is proved intact.
 //
-// Salt is random to the process, so that no two processes that use one name ever
-// announce the same incarnation: the votes of both would count as one core's.
+// Salt is a random number of the process, so that two processes with the same name
+// never announce the same later incarnation: their votes would count as those of one
+// core.
 func (s State) NextIncarnation(probes map[string]*wire.RecoverResponse, salt uint64) (incarnation uint64, missing string) {
-	summary := s.summarize(probes)
+	summary := s.summarizeProbes(probes)
 	switch {
-	case s.AnnouncedIncarnation > 0 && summary.highest <= s.AnnouncedIncarnation:
+	case s.AnnouncedIncarnation > 0 && summary.highestIncarnation <= s.AnnouncedIncarnation:
 		incarnation = s.AnnouncedIncarnation
-	case summary.highest > 0:
-		incarnation = summary.highest + 1 + salt
+	case summary.highestIncarnation > 0:
+		incarnation = summary.highestIncarnation + 1 + salt
 	default:
 		incarnation = firstIncarnation
 	}
-	if summary.missing != "" && (incarnation == firstIncarnation || summary.voting < s.RecoveryQuorum()) {
-		return 0, summary.missing
+	if summary.firstMissing != "" && (incarnation == firstIncarnation || summary.voting < s.RecoveryQuorum()) {
+		return 0, summary.firstMissing
 	}
-	if incarnation == firstIncarnation && s.AnnouncedIncarnation == 0 && summary.anyLost && !summary.anyCertain {
-		return 0, "a core that has its disk"
+	if incarnation == firstIncarnation && s.AnnouncedIncarnation == 0 && summary.anyDiskLost && !summary.anyDiskIntact {
+		return 0, "a core whose disk is intact"
 	}
 	return incarnation, ""
 }
 
-// RecoverySources returns the voters from which a core recovers in an
-// incarnation, by their answers to a probe, and how many answers are enough;
-// zero is all. A first incarnation needs the answers of all others, also of
-// those that don't vote yet: two cores that are the last to enter need each
-// other's.
-func (s State) RecoverySources(incarnation uint64, probes map[string]*wire.RecoverResponse) (cores []string, enough int) {
+// RecoverySources returns the voters from which this core recovers with an
+// incarnation, given their answers to a probe, and how many of them must answer; zero
+// means all. The first incarnation requires all other voters, including those that do
+// not vote yet: the last two cores to recover in a new formation need each other's
+// answers.
+func (s State) RecoverySources(incarnation uint64, probes map[string]*wire.RecoverResponse) (cores []string, required int) {
 	if incarnation < secondIncarnation {
 		return s.Others(), 0
 	}
@@ -175,17 +178,17 @@
 	return voting, s.RecoveryQuorum()
 }
 
-// CompleteRecovery merges the answers of other voters to a Recover into the
-// record by which this core enters the formation. Until all of them have
-// answered or, in a later incarnation than the first, a recovery quorum of
-// voting cores, there is no record and missing names the first that is waited
-// for. The answer of a core that has lost its disk since does not count.
+// CompleteRecovery merges the other voters' responses to a RecoverRequest into the
+// record after which this core may vote. It requires the responses of all of them or,
+// in a later incarnation than the first, of a recovery quorum of voting cores;
+// otherwise the record is nil and missing describes the first core that is still
+// needed. The response of a core that has lost its disk since does not count.
 func (s State) CompleteRecovery(incarnation uint64, answers map[string]*wire.RecoverResponse) (record Record, missing string) {
-	known := s.knownIncarnations(answers)
-	if known[s.Self] > incarnation {
+	knownIncarnations := s.knownIncarnations(answers)
+	if knownIncarnations[s.Self] > incarnation {
 		return nil, s.Self
 	}
-	usable, missing := s.usableAnswers(incarnation, answers, known)
+	usable, missing := s.usableAnswers(incarnation, answers, knownIncarnations)
 	if missing != "" {
 		return nil, missing
 	}
@@ -197,8 +200,8 @@
 	}
 	learned := s.Learned()
 	for _, answer := range usable {
-		if theirs := answer.SnapshotEpoch + uint64(len(answer.Chosen)); theirs > learned {
-			learned = theirs
+		if answerLearned := answer.SnapshotEpoch + uint64(len(answer.Chosen)); answerLearned > learned {
+			learned = answerLearned
 			completed.SnapshotSlot = answer.SnapshotEpoch
 			completed.Snapshot = answer.Snapshot
 			completed.Chosen = answer.Chosen
@@ -207,23 +210,23 @@
 			completed.OpenSlots[vote.Slot] = completed.OpenSlots[vote.Slot].merge(slotStateFromWire(vote))
 		}
 	}
-	known[s.Self] = incarnation
-	completed.Incarnations = known
+	knownIncarnations[s.Self] = incarnation
+	completed.Incarnations = knownIncarnations
 	return completed, ""
 }
 
-// usableAnswers returns the answers on which a recovery may rest, or the first
-// voter that is waited for.
-func (s State) usableAnswers(incarnation uint64, answers map[string]*wire.RecoverResponse, known map[string]uint64) (usable []*wire.RecoverResponse, missing string) {
+// usableAnswers returns the answers from which a recovery can be completed, or
+// describes the first voter that is still needed.
+func (s State) usableAnswers(incarnation uint64, answers map[string]*wire.RecoverResponse, knownIncarnations map[string]uint64) (usable []*wire.RecoverResponse, missing string) {
 	voting := 0
 	for _, name := range s.Others() {
 		answer := answers[name]
-		if !s.inFormation(answer) {
+		if !s.isFromFormation(answer) {
 			missing = cmp.Or(missing, name)
 			continue
 		}
-		if answer.Lives[name] < known[name] {
-			missing = cmp.Or(missing, fmt.Sprintf("%s (lost its disk too)", name))
+		if answer.Lives[name] < knownIncarnations[name] {
+			missing = cmp.Or(missing, fmt.Sprintf("%s (its disk was lost too)", name))
 			continue
 		}
 		if answer.Voting {
@@ -231,35 +234,36 @@
 		}
 		usable = append(usable, answer)
 	}
-	enoughVoting := incarnation >= secondIncarnation && voting >= s.RecoveryQuorum()
-	if missing == "" || enoughVoting {
+	recoveryQuorumReached := incarnation >= secondIncarnation && voting >= s.RecoveryQuorum()
+	if missing == "" || recoveryQuorumReached {
 		return usable, ""
 	}
 	return nil, missing
 }
 
-// knownIncarnations returns the highest incarnations known here or to any of the
-// answers.
+// knownIncarnations returns, for each voter, the highest incarnation that this core
+// knows or any of the answers reports.
 func (s State) knownIncarnations(answers map[string]*wire.RecoverResponse) map[string]uint64 {
 	known := make(map[string]uint64, len(s.Voters))
 	maps.Copy(known, s.Incarnations)
 	for _, name := range s.Others() {
-		if answer := answers[name]; s.inFormation(answer) {
-			raiseIncarnations(known, answer.Lives)
+		if answer := answers[name]; s.isFromFormation(answer) {
+			mergeIncarnations(known, answer.Lives)
 		}
 	}
 	return known
 }
 
-// inFormation reports whether there is an answer and it is of the core's own
-// formation.
-func (s State) inFormation(answer *wire.RecoverResponse) bool {
+// isFromFormation reports whether an answer was received, without an error, from a
+// member of this core's formation.
+func (s State) isFromFormation(answer *wire.RecoverResponse) bool {
 	return answer != nil && answer.Ok && answer.Formation == s.Formation
 }
 
-// raiseIncarnations raises each core's known incarnation to the other one.
-func raiseIncarnations(known, other map[string]uint64) {
-	for core, incarnation := range other {
+// mergeIncarnations raises the known incarnations to the reported ones where these
+// are higher.
+func mergeIncarnations(known, reported map[string]uint64) {
+	for core, incarnation := range reported {
 		known[core] = max(known[core], incarnation)
 	}
 }
--- a/internal/decision/paxos/recovery_test.go
+++ b/internal/decision/paxos/recovery_test.go
@@ -19,7 +19,7 @@
 		records, resp := s.Recover(&wire.RecoverRequest{Formation: "f", Core: "a", Life: incarnation})
 		return applyAll(s, records), resp
 	}
-	Convey("A wiped core takes the next incarnation and the highest ballots of both others", t, func() {
+	Convey("A core that lost its disk takes the next incarnation and the highest ballots of the two others", t, func() {
 		b, _ := prepare(votingCore("b"), 1, 3, "b")
 		b, _ = accept(b, 1, 3, "b", "three", nil)
 		c, _ := prepare(votingCore("c"), 1, 5, "c")
@@ -36,15 +36,15 @@
 		s := record.Apply(wiped)
 		So(s.Incarnation(), ShouldEqual, 2)
 		So(s.OpenSlots[1], ShouldResemble, SlotState{Promised: Ballot{5, "c"}, Accepted: Ballot{3, "b"}, Value: []byte("three")})
-		_, late := announceA(b, 1)
-		So(apierror.Code(late.Refusal), ShouldEqual, apierror.VersionBehind)
+		_, lateResp := announceA(b, 1)
+		So(apierror.Code(lateResp.Refusal), ShouldEqual, apierror.VersionBehind)
 	})
-	Convey("No core recovers from one that lost its disk, nor is proved new by it alone", t, func() {
+	Convey("A core that lost its disk serves no recovery, and its answer does not prove that another core never voted", t, func() {
 		lost := IncarnationRecorded{Core: "c", Incarnation: 2}.Apply(FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("c")))
 		_, resp := announceA(lost, 2)
 		So(apierror.Code(resp.Refusal), ShouldEqual, apierror.CoreAmnesiac)
-		unsure := FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("b"))
-		_, missing := wiped.NextIncarnation(map[string]*wire.RecoverResponse{"b": probe(unsure), "c": probe(lost)}, 0)
+		unannounced := FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("b"))
+		_, missing := wiped.NextIncarnation(map[string]*wire.RecoverResponse{"b": probe(unannounced), "c": probe(lost)}, 0)
 		So(missing, ShouldNotBeEmpty)
 		_, fromB := announceA(votingCore("b"), 2)
 		stale := IncarnationRecorded{Core: "c", Incarnation: 1}.Apply(FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("c")))
@@ -76,7 +76,7 @@
 		}
 		return answers
 	}
-	Convey("Of five cores two that are wiped at once recover from the other three, with the value that a majority accepted", t, func() {
+	Convey("Two of five cores that lose their disks at once recover the value that a majority accepted from the other three", t, func() {
 		c, _ := accept(voting("c"), 1, 3, "a", "chosen by a, b and c", nil)
 		d, e := voting("d"), voting("e")
 		incarnation, missing := wiped("a").NextIncarnation(probes("a", wiped("b"), c, d, e), 0)
@@ -90,7 +90,7 @@
 		So(missing, ShouldBeEmpty)
 		So(string(record.Apply(wiped("b")).OpenSlots[1].Value), ShouldEqual, "chosen by a, b and c")
 	})
-	Convey("Two others are too few, and so are three of which one has lost its disk", t, func() {
+	Convey("A recovery does not complete with two other cores, or with three of which one has lost its disk", t, func() {
 		d, e := voting("d"), voting("e")
 		_, missing := wiped("a").NextIncarnation(probes("a", d, e), 0)
 		So(missing, ShouldEqual, "b")
@@ -103,31 +103,31 @@
 		_, missing = wiped("a").CompleteRecovery(2, announceTo("a", 2, c, d, e))
 		So(missing, ShouldEqual, "b")
 	})
-	Convey("A first incarnation needs the answers of all, as only the founder may hold what outlived an earlier formation", t, func() {
-		first := func(name string) State { return IncarnationRecorded{Core: name, Incarnation: 1}.Apply(wiped(name)) }
-		_, missing := wiped("a").NextIncarnation(probes("a", first("b"), first("c"), first("d")), 0)
+	Convey("The first incarnation requires answers of all cores, as only the founder may hold the state of an earlier formation", t, func() {
+		announcedFirst := func(name string) State { return IncarnationRecorded{Core: name, Incarnation: 1}.Apply(wiped(name)) }
+		_, missing := wiped("a").NextIncarnation(probes("a", announcedFirst("b"), announcedFirst("c"), announcedFirst("d")), 0)
 		So(missing, ShouldEqual, "e")
-		_, missing = first("a").NextIncarnation(probes("a", voting("b"), voting("c"), voting("d")), 0)
+		_, missing = announcedFirst("a").NextIncarnation(probes("a", voting("b"), voting("c"), voting("d")), 0)
 		So(missing, ShouldEqual, "e")
-		_, missing = first("a").CompleteRecovery(1, announceTo("a", 1, voting("b"), voting("c"), voting("d")))
+		_, missing = announcedFirst("a").CompleteRecovery(1, announceTo("a", 1, voting("b"), voting("c"), voting("d")))
 		So(missing, ShouldEqual, "e")
-		_, missing = wiped("a").NextIncarnation(probes("a", first("b"), first("c"), first("d"), voting("e")), 0)
+		_, missing = wiped("a").NextIncarnation(probes("a", announcedFirst("b"), announcedFirst("c"), announcedFirst("d"), voting("e")), 0)
 		So(missing, ShouldBeEmpty)
 	})
-	Convey("Two cores that are the last to enter a first formation need each other, however many vote already", t, func() {
-		first := func(name string) State { return IncarnationRecorded{Core: name, Incarnation: 1}.Apply(wiped(name)) }
-		cores, enough := first("a").RecoverySources(1, probes("a", first("b"), voting("c"), voting("d"), voting("e")))
+	Convey("The last two cores to recover in a new formation need each other's answers, however many cores vote already", t, func() {
+		announcedFirst := func(name string) State { return IncarnationRecorded{Core: name, Incarnation: 1}.Apply(wiped(name)) }
+		cores, required := announcedFirst("a").RecoverySources(1, probes("a", announcedFirst("b"), voting("c"), voting("d"), voting("e")))
 		So(cores, ShouldResemble, []string{"b", "c", "d", "e"})
-		So(enough, ShouldEqual, 0)
-		_, missing := first("a").CompleteRecovery(1, announceTo("a", 1, first("b"), voting("c"), voting("d"), voting("e")))
+		So(required, ShouldEqual, 0)
+		_, missing := announcedFirst("a").CompleteRecovery(1, announceTo("a", 1, announcedFirst("b"), voting("c"), voting("d"), voting("e")))
 		So(missing, ShouldBeEmpty)
 	})
-	Convey("A core that lost its disk recovers from the voting cores when they are enough, and else from all", t, func() {
-		cores, enough := wiped("a").RecoverySources(2, probes("a", wiped("b"), voting("c"), voting("d"), voting("e")))
+	Convey("A core that lost its disk recovers from the voting cores if they form a recovery quorum, and otherwise from all", t, func() {
+		cores, required := wiped("a").RecoverySources(2, probes("a", wiped("b"), voting("c"), voting("d"), voting("e")))
 		So(cores, ShouldResemble, []string{"c", "d", "e"})
-		So(enough, ShouldEqual, 3)
-		cores, enough = wiped("a").RecoverySources(2, probes("a", wiped("b"), voting("d"), voting("e")))
+		So(required, ShouldEqual, 3)
+		cores, required = wiped("a").RecoverySources(2, probes("a", wiped("b"), voting("d"), voting("e")))
 		So(cores, ShouldResemble, []string{"b", "c", "d", "e"})
-		So(enough, ShouldEqual, 0)
+		So(required, ShouldEqual, 0)
 	})
 }
--- a/internal/decision/paxos/slot.go
+++ b/internal/decision/paxos/slot.go
@@ -7,12 +7,12 @@
 	"stepwick/internal/wire"
 )
 
-// SlotState is an acceptor's state in a slot of which no value is learned yet.
+// SlotState is an acceptor's state in a slot whose chosen value is not learned yet.
 // Promised is never less than Accepted.
 type SlotState struct {
-	Promised Ballot // no ballot less than this one is accepted any more
-	Accepted Ballot // zero when no value is accepted
-	Value    []byte // the value accepted in Accepted
+	Promised Ballot // lower ballots are no longer accepted
+	Accepted Ballot // the highest ballot in which a value was accepted, or zero
+	Value    []byte // the value accepted in ballot Accepted
 }
 
 func slotStateFromWire(message *wire.SlotVote) SlotState {
@@ -23,16 +23,17 @@
 	}
 }
 
-func (slot SlotState) toWire(number uint64) *wire.SlotVote {
+func (slot SlotState) toWire(slotNumber uint64) *wire.SlotVote {
 	return &wire.SlotVote{
-		Slot:     number,
+		Slot:     slotNumber,
 		Promised: slot.Promised.ToWire(),
 		Accepted: slot.Accepted.ToWire(),
 		Value:    slot.Value,
 	}
 }
 
-// merge returns the highest promise and the highest accepted value of both.
+// merge returns the higher promise of the two states, and the value accepted in
+// the higher ballot.
 func (slot SlotState) merge(other SlotState) SlotState {
 	if slot.Accepted.Less(other.Accepted) {
 		slot.Accepted = other.Accepted
@@ -42,7 +43,7 @@
 	return slot
 }
 
-// openSlotsFromWire returns the slots of a message by their numbers.
+// openSlotsFromWire returns the slot states of a message by slot number.
 func openSlotsFromWire(messages []*wire.SlotVote) map[uint64]SlotState {
 	openSlots := make(map[uint64]SlotState, len(messages))
 	for _, message := range messages {
@@ -51,11 +52,11 @@
 	return openSlots
 }
 
-// openSlotsToWire returns the slots' messages in the order of their numbers.
+// openSlotsToWire returns the messages of the slots in ascending order.
 func openSlotsToWire(openSlots map[uint64]SlotState) []*wire.SlotVote {
 	messages := make([]*wire.SlotVote, 0, len(openSlots))
-	for _, number := range slices.Sorted(maps.Keys(openSlots)) {
-		messages = append(messages, openSlots[number].toWire(number))
+	for _, slotNumber := range slices.Sorted(maps.Keys(openSlots)) {
+		messages = append(messages, openSlots[slotNumber].toWire(slotNumber))
 	}
 	return messages
 }
--- a/internal/decision/paxos/state.go
+++ b/internal/decision/paxos/state.go
@@ -7,38 +7,39 @@
 	"stepwick/internal/wire"
 )
 
-// State is everything that one core knows of the agreement. It is immutable:
-// applying a record copies what it changes and shares the rest.
+// State is the consensus state of one core. It is immutable: applying a record
+// copies what it changes and shares the rest.
 type State struct {
 	Self      string
 	Formation string   // empty on a blank core
 	Voters    []string // sorted names
-	// Incarnations holds the highest known disk incarnation of each voter; a
-	// core's own is zero until it has entered the formation by recovery from
-	// the others.
+	// Incarnations holds the highest known disk incarnation of each voter. The
+	// core's own is zero until its recovery from the other voters has completed.
 	Incarnations map[string]uint64
-	// AnnouncedIncarnation is the core's own, set before it is announced to the
-	// others. The first one proves that the core has never voted; a later one
-	// proves that its votes of an earlier incarnation are lost.
+	// AnnouncedIncarnation is the core's own incarnation, set before it is
+	// announced to the other voters. The first one proves that the core has never
+	// voted; a later one proves that its votes of earlier incarnations are lost.
 	AnnouncedIncarnation uint64
 	SnapshotSlot         uint64
-	Snapshot             []byte               // the agreed state at SnapshotSlot; opaque here
+	Snapshot             []byte               // the agreed state at SnapshotSlot; opaque to this package
 	Chosen               []*wire.Chosen       // the learned values of all slots after SnapshotSlot
-	OpenSlots            map[uint64]SlotState // by slot; all above Learned
+	OpenSlots            map[uint64]SlotState // by slot number; all above Learned
 }
 
 // Blank returns the state of a core with an empty disk.
 func Blank(self string) State { return State{Self: self} }
 
-// Learned is the highest slot up to which all slots are known to be chosen.
+// Learned returns the highest learned slot: all slots up to it are known to be
+// chosen.
 func (s State) Learned() uint64 { return s.SnapshotSlot + uint64(len(s.Chosen)) }
 
-// Incarnation is the core's own disk incarnation; zero until it votes.
+// Incarnation returns the core's own disk incarnation, or zero if the core does not
+// vote yet.
 func (s State) Incarnation() uint64 { return s.Incarnations[s.Self] }
 
-// Standing is Blank, Amnesiac or Voting; whether the disk is full is not known
-// here. Amnesiac is every core of a formation that doesn't vote yet: one whose disk
-// was lost, and one that enters its first formation.
+// Standing returns Blank, Amnesiac or Voting; a full disk is not detected here.
+// Amnesiac stands for any core of a formation that does not vote yet: one that has
+// lost its disk, or one that is joining its first formation.
 func (s State) Standing() wire.Standing {
 	switch {
 	case s.Formation == "":
@@ -49,26 +50,26 @@
 	return wire.Standing_STANDING_VOTING
 }
 
-// Quorum is the size of a majority of the voters: any two sets of this size
-// share a voter.
+// Quorum returns the size of a majority of the voters: any two sets of this size
+// have a voter in common.
 func (s State) Quorum() int { return quorumOf(len(s.Voters)) }
 
 func quorumOf(voters int) int { return voters/2 + 1 }
 
-// RecoveryQuorum is the smallest number of voting cores from which a lost disk
-// can be recovered. A value that a quorum accepted is known to one of them,
-// however many of that quorum have lost their disks meanwhile: of n voters, f of
-// them wiped, quorum-f of the n-f left have accepted it, and any n-quorum+1 of
-// these n-f include one that did.
+// RecoveryQuorum returns the smallest number of voting cores from which a core can
+// recover after it lost its disk. At least one of them knows any value that a quorum
+// accepted, even if members of that quorum have lost their disks since: if f of n
+// voters lost their disks, at least quorum-f of the other n-f accepted the value, and
+// any n-quorum+1 of these n-f include one of those.
 func (s State) RecoveryQuorum() int { return len(s.Voters) - s.Quorum() + 1 }
 
-// Others returns the voters besides the core itself.
+// Others returns the voters other than the core itself.
 func (s State) Others() []string {
 	return slices.DeleteFunc(slices.Clone(s.Voters), func(name string) bool { return name == s.Self })
 }
 
-// Command returns the value of a slot that is learned and not compacted into the
-// snapshot.
+// Command returns the value chosen in a slot. Found is false if the slot is not
+// learned or is already compacted into the snapshot.
 func (s State) Command(slot uint64) (command []byte, found bool) {
 	if slot <= s.SnapshotSlot || slot > s.Learned() {
 		return nil, false
@@ -76,24 +77,24 @@
 	return s.Chosen[slot-s.SnapshotSlot-1].Command, true
 }
 
-// HighestSlot is the highest slot in which a value is accepted or learned.
+// HighestSlot returns the highest slot in which a value is accepted or learned.
 func (s State) HighestSlot() uint64 {
 	highest := s.Learned()
-	for number, slot := range s.OpenSlots {
-		if !slot.Accepted.IsZero() && number > highest {
-			highest = number
+	for slotNumber, slot := range s.OpenSlots {
+		if !slot.Accepted.IsZero() && slotNumber > highest {
+			highest = slotNumber
 		}
 	}
 	return highest
 }
 
-// NextBallotNumber is above all ballot numbers that the core has promised in the
-// slot.
+// NextBallotNumber returns a number above that of the ballot which the core has
+// promised in the slot.
 func (s State) NextBallotNumber(slot uint64) uint64 { return s.OpenSlots[slot].Promised.Number + 1 }
 
-// Compacted returns the state with a snapshot at a learned slot in place of the
-// values up to it. It returns the state unchanged when the slot is not learned,
-// or already in the snapshot.
+// Compacted returns the state with the values up to a learned slot replaced by a
+// snapshot at that slot. It returns the state unchanged if the slot is not learned
+// or is already compacted.
 func (s State) Compacted(slot uint64, snapshot []byte) State {
 	if slot <= s.SnapshotSlot || slot > s.Learned() {
 		return s
@@ -104,8 +105,8 @@
 	return s
 }
 
-// checkVoting returns OK when the core may vote in the formation, and otherwise
-// the code with which it refuses.
+// checkVoting returns OK if the core may vote in the formation, and otherwise the
+// refusal code.
 func (s State) checkVoting(formation string) apierror.Code {
 	switch {
 	case s.Formation == "":
--- a/internal/decision/paxos/statecodec.go
+++ b/internal/decision/paxos/statecodec.go
@@ -7,23 +7,23 @@
 	"stepwick/internal/wire"
 )
 
-// Encode returns the state of a core that votes, for the snapshot of its log. It
-// panics when the state holds a string that is not UTF-8, which no message can
-// have brought here.
+// Encode encodes the state of a voting core for the snapshot of its log. It panics
+// if the state holds a string that is not valid UTF-8; protobuf rejects such strings
+// in received messages.
 func (s State) Encode() []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(s.recoverResponse())
 	if err != nil {
-		panic(errors.Wrap(err, "a ballot state holds no value that cannot be encoded"))
+		panic(errors.Wrap(err, "marshal Paxos state"))
 	}
 	return data
 }
 
-// DecodeState reads what Encode returned. Its errors are a *SlotGapError or
-// protobuf's.
+// DecodeState decodes the result of State.Encode. It returns a *SlotGapError or a
+// protobuf error.
 func DecodeState(data []byte) (State, error) {
 	var message wire.RecoverResponse
 	if err := proto.Unmarshal(data, &message); err != nil {
-		return State{}, errors.Wrap(err, "ballot state")
+		return State{}, errors.Wrap(err, "unmarshal Paxos state")
 	}
 	if err := checkContiguous(message.SnapshotEpoch, message.Chosen); err != nil {
 		return State{}, err
@@ -40,8 +40,8 @@
 	}, nil
 }
 
-// recoverResponse is the message in which a state is sent to a recovering core
-// and stored in a snapshot.
+// recoverResponse returns the state as the message that is sent to a recovering
+// core and stored in the snapshot of the log.
 func (s State) recoverResponse() *wire.RecoverResponse {
 	return &wire.RecoverResponse{
 		Ok:            true,
@@ -57,11 +57,11 @@
 	}
 }
 
-// checkContiguous returns a *SlotGapError unless the values are those of the
-// slots that follow one another after the given one.
-func checkContiguous(after uint64, chosen []*wire.Chosen) error {
+// checkContiguous returns a *SlotGapError unless the slots of the values are
+// consecutive and start right after precedingSlot.
+func checkContiguous(precedingSlot uint64, chosen []*wire.Chosen) error {
 	for i, value := range chosen {
-		expected := after + uint64(i) + 1
+		expected := precedingSlot + uint64(i) + 1
 		if value.Epoch != expected {
 			return &SlotGapError{Slot: value.Epoch, Expected: expected}
 		}
--- a/internal/decision/paxos/transcript_test.go
+++ b/internal/decision/paxos/transcript_test.go
@@ -12,59 +12,61 @@
 	"stepwick/internal/wire"
 )
 
-// exchange runs the decisions of three cores on each other's messages and writes
-// a transcript.
+// exchange passes messages between the states of three cores and writes a
+// transcript of the messages and of the records that they sync.
 type exchange struct {
-	cores map[string]State
-	text  strings.Builder
+	cores      map[string]State
+	transcript strings.Builder
 }
 
-func (e *exchange) printf(format string, args ...any) { fmt.Fprintf(&e.text, format+"\n", args...) }
+func (e *exchange) printf(format string, args ...any) {
+	fmt.Fprintf(&e.transcript, format+"\n", args...)
+}
 
-// sync applies the records that a core makes durable.
+// sync applies records to the state of a core, as after syncing them to disk.
 func (e *exchange) sync(name string, records []Record) {
 	for _, record := range records {
 		e.cores[name] = record.Apply(e.cores[name])
-		e.printf("    %s syncs %s", name, describe(record))
+		e.printf("    %s syncs %s", name, describeRecord(record))
 	}
 }
 
-func describe(record Record) string {
+func describeRecord(record Record) string {
 	switch r := record.(type) {
 	case FormationJoined:
-		return fmt.Sprintf("joined %s of %v", r.Formation, r.Voters)
+		return fmt.Sprintf("joined formation %s with voters %v", r.Formation, r.Voters)
 	case IncarnationRecorded:
-		return fmt.Sprintf("life %d of %s", r.Incarnation, r.Core)
+		return fmt.Sprintf("incarnation %d of %s", r.Incarnation, r.Core)
 	case Promised:
-		return fmt.Sprintf("slot %d promised to %s", r.Slot, ballotName(r.Ballot))
+		return fmt.Sprintf("slot %d promised to %s", r.Slot, formatBallot(r.Ballot))
 	case Accepted:
-		return fmt.Sprintf("slot %d accepted %q by %s", r.Slot, r.Value, ballotName(r.Ballot))
+		return fmt.Sprintf("slot %d accepted %q by %s", r.Slot, r.Value, formatBallot(r.Ballot))
 	case Learned:
-		return fmt.Sprintf("epoch %d learned: %q", r.Slot, r.Command)
+		return fmt.Sprintf("slot %d learned: %q", r.Slot, r.Command)
 	case RecoveryCompleted:
-		text := fmt.Sprintf("entered: lives %v, learned %d", r.Incarnations, r.SnapshotSlot+uint64(len(r.Chosen)))
+		text := fmt.Sprintf("completed recovery: incarnations %v, learned %d", r.Incarnations, r.SnapshotSlot+uint64(len(r.Chosen)))
 		for _, vote := range openSlotsToWire(r.OpenSlots) {
-			text += fmt.Sprintf(", slot %d promised to %s, accepted %q by %s", vote.Slot, ballotName(BallotFromWire(vote.Promised)), vote.Value, ballotName(BallotFromWire(vote.Accepted)))
+			text += fmt.Sprintf(", slot %d promised to %s, accepted %q by %s", vote.Slot, formatBallot(BallotFromWire(vote.Promised)), vote.Value, formatBallot(BallotFromWire(vote.Accepted)))
 		}
 		return text
 	}
 	return fmt.Sprintf("%T", record)
 }
 
-func ballotName(b Ballot) string {
+func formatBallot(b Ballot) string {
 	if b.IsZero() {
 		return "none"
 	}
 	return fmt.Sprintf("%d.%s", b.Number, b.Core)
 }
 
-// recover has a core enter its formation from the other voters.
+// recover runs the recovery of a core from the other voters.
 func (e *exchange) recover(core string) {
 	s := e.cores[core]
 	probes, answers := map[string]*wire.RecoverResponse{}, map[string]*wire.RecoverResponse{}
 	for _, other := range s.Others() {
 		_, probes[other] = e.cores[other].Recover(&wire.RecoverRequest{Core: core, Probe: true})
-		e.printf("%s probes %s: %s", core, other, refusalOr(probes[other].Refusal, "lives %v", probes[other].Lives))
+		e.printf("%s probes %s: %s", core, other, formatAnswer(probes[other].Refusal, "incarnations %v", probes[other].Lives))
 	}
 	incarnation, missing := s.NextIncarnation(probes, 0)
 	if missing != "" {
@@ -74,7 +76,7 @@
 	e.sync(core, []Record{IncarnationRecorded{Core: core, Incarnation: incarnation}})
 	for _, other := range s.Others() {
 		records, answer := e.cores[other].Recover(&wire.RecoverRequest{Formation: s.Formation, Core: core, Life: incarnation})
-		e.printf("%s announces life %d to %s: %s", core, incarnation, other, refusalOr(answer.Refusal, "learned %d, %d open slots, lives %v", len(answer.Chosen), len(answer.Votes), answer.Lives))
+		e.printf("%s announces incarnation %d to %s: %s", core, incarnation, other, formatAnswer(answer.Refusal, "learned %d, %d open slots, incarnations %v", len(answer.Chosen), len(answer.Votes), answer.Lives))
 		e.sync(other, records)
 		answers[other] = answer
 	}
@@ -86,15 +88,15 @@
 	e.sync(core, []Record{record})
 }
 
-// refusalOr describes the refusal, or else formats the answer.
-func refusalOr(refusal uint32, format string, args ...any) string {
+// formatAnswer returns the code of a refusal, or formats the answer if there is none.
+func formatAnswer(refusal uint32, format string, args ...any) string {
 	if refusal != 0 {
 		return "refuses, " + apierror.Code(refusal).String()
 	}
 	return fmt.Sprintf(format, args...)
 }
 
-// propose runs a ballot among the cores that can be reached.
+// propose runs a ballot among the reachable cores.
 func (e *exchange) propose(from string, value string, unreachable ...string) {
 	s := e.cores[from]
 	slot := s.Learned() + 1
@@ -105,8 +107,8 @@
 			continue
 		}
 		records, resp := e.cores[core].Prepare(request)
-		e.printf("%s prepares %s in slot %d at %s: %s", from, ballotName(proposer.Ballot), slot, core,
-			refusalOr(resp.Refusal, "promised %v, accepted %q by %s", resp.Promised, resp.AcceptedValue, ballotName(BallotFromWire(resp.AcceptedBallot))))
+		e.printf("%s prepares %s in slot %d at %s: %s", from, formatBallot(proposer.Ballot), slot, core,
+			formatAnswer(resp.Refusal, "promised %v, accepted %q by %s", resp.Promised, resp.AcceptedValue, formatBallot(BallotFromWire(resp.AcceptedBallot))))
 		e.sync(core, records)
 		if proposer, step = proposer.HandlePrepare(resp); step.Action == SendAccept {
 			break
@@ -122,8 +124,8 @@
 			continue
 		}
 		records, resp := e.cores[core].Accept(accept)
-		e.printf("%s asks %s to accept %q by %s on lives %v: %s", from, core, accept.Value, ballotName(proposer.Ballot), accept.PromisedLives,
-			refusalOr(resp.Refusal, "accepted %v", resp.Accepted))
+		e.printf("%s asks %s to accept %q by %s with promises of incarnations %v: %s", from, core, accept.Value, formatBallot(proposer.Ballot), accept.PromisedLives,
+			formatAnswer(resp.Refusal, "accepted %v", resp.Accepted))
 		e.sync(core, records)
 		proposer, step = proposer.HandleAccept(resp)
 	}
@@ -140,14 +142,14 @@
 	}
 }
 
-func TestExchangeMatchesTranscript(t *testing.T) {
+func TestMessageExchangeMatchesGoldenTranscript(t *testing.T) {
 	e := &exchange{cores: map[string]State{"a": Blank("a"), "b": Blank("b"), "c": Blank("c")}}
-	e.printf("# Three blank cores found a formation; all enter it")
-	present := map[string]*wire.RecoverResponse{}
+	e.printf("# Three blank cores found a formation and complete their recovery")
+	probes := map[string]*wire.RecoverResponse{}
 	for _, other := range []string{"b", "c"} {
-		_, present[other] = e.cores[other].Recover(&wire.RecoverRequest{Core: "a", Probe: true})
+		_, probes[other] = e.cores[other].Recover(&wire.RecoverRequest{Core: "a", Probe: true})
 	}
-	record, _ := e.cores["a"].FoundFormation("f", 3, present, 0, nil)
+	record, _ := e.cores["a"].FoundFormation("f", 3, probes, 0, nil)
 	e.sync("a", []Record{record})
 	for _, other := range []string{"b", "c"} {
 		records, _ := e.cores[other].Found(&wire.FoundRequest{Formation: "f", Voters: voters, Founder: "a"})
@@ -158,9 +160,9 @@
 			e.recover(core)
 		}
 	}
-	e.printf("\n# c does not hear of the first epoch")
+	e.printf("\n# The value chosen in slot 1 does not reach c")
 	e.propose("a", "one", "c")
-	e.printf("\n# a's value for the second reaches b alone; a's disk is wiped")
+	e.printf("\n# Only b accepts a's value for slot 2; then a loses its disk")
 	p, prepare := NewProposer(e.cores["a"], 2, 1, []byte("two"))
 	for _, core := range []string{"a", "b"} {
 		records, resp := e.cores[core].Prepare(prepare)
@@ -171,12 +173,12 @@
 	e.sync("b", records)
 	e.cores["a"] = FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("a"))
 	e.propose("c", "three", "b")
-	e.printf("\n# a rebuilds from both others")
+	e.printf("\n# a recovers from b and c")
 	e.recover("a")
-	e.printf("\n# and now it finishes what b accepted before it has its own way")
+	e.printf("\n# a completes slot 2 with the value that b accepted, then proposes its own")
 	e.propose("a", "four", "c")
 	e.propose("a", "four", "c")
-	e.printf("\n# the disks of b and c are lost at once: neither is rebuilt from the other")
+	e.printf("\n# b and c lose their disks at once: neither recovers from the other")
 	for _, core := range []string{"c", "b"} {
 		e.cores[core] = FormationJoined{Formation: "f", Voters: voters}.Apply(Blank(core))
 	}
@@ -184,5 +186,5 @@
 	e.recover("b")
 	e.recover("c")
 	e.propose("a", "five")
-	goldie.New(t).Assert(t, "exchange", []byte(e.text.String()))
+	goldie.New(t).Assert(t, "exchange", []byte(e.transcript.String()))
 }
