--- a/internal/decision/lease/confirmation.go
+++ b/internal/decision/lease/confirmation.go
@@ -9,165 +9,172 @@
 	"stepwick/internal/wire"
 )
 
-// ConfirmationCheck is the input of the rules of confirmation.
+// ConfirmationCheck is the input of VersionConfirmed, RosterChangeConfirmed and
+// CountConfirmations.
 type ConfirmationCheck struct {
 	Version uint64
 	// Voters is the number of voting cores.
 	Voters int
-	// Views are the cores' answers of one round. Nil ones, repeated ones of a core
-	// and those of cores that have not learned the version are left out.
+	// Views are the cores' answers of one round. Nil views, further views of the
+	// same core, views of cores that have not learned the version and views of
+	// cores still in their startup grace are ignored.
 	Views []*wire.LeaseViewResponse
-	// Roster and PriorRoster are those of the state at the version or later;
-	// PriorRoster is nil or empty when the last roster change is settled.
+	// Roster and PriorRoster come from the state at the version or a later one;
+	// PriorRoster is nil or empty once the last roster change is committed.
 	Roster      map[string]statemachine.Member
 	PriorRoster map[string]statemachine.Member
 }
 
-// ConfirmationCount is how many members of a roster have confirmed a version, of
-// those that do not refuse connections.
+// ConfirmationCount counts the fronts of a roster that have confirmed a version.
+// Eligible excludes those that refuse connections and hold no lease.
 type ConfirmationCount struct {
 	Confirmed int
 	Eligible  int
 }
 
-// IsMajority reports whether more than half has confirmed. A roster of which no
-// member is left to serve sets no condition.
+// IsMajority reports whether more than half of the eligible fronts have confirmed.
+// A roster without an eligible front imposes no condition.
 func (c ConfirmationCount) IsMajority() bool { return c.Eligible <= 0 || c.Confirmed*2 > c.Eligible }
 
-// VersionConfirmed reports whether a version is in force, so that a configuration
-// change may be acknowledged: no front serves by an older one. Its conditions are
-// that a majority of cores, up for longer than a TTL, has learned the version;
-// that every lease known to them is confirmed at it or has expired; and that more
-// than half of the roster, and of the prior one while a change of it is not
-// settled, has confirmed it. Missing describes the first condition that is not
-// met, for operators.
+// VersionConfirmed reports whether a version is in force, that is, no front serves
+// with an older one, so that a configuration change may be acknowledged. The
+// conditions are: a majority of cores, each up for longer than a TTL, has learned
+// the version; every lease that these cores granted is confirmed at the version
+// or has expired; and more than half of the roster has confirmed the version, as
+// has more than half of the prior roster while a roster change is uncommitted.
+// Missing describes the first unmet condition to an operator; it is empty when
+// all are met.
 func VersionConfirmed(check ConfirmationCheck) (confirmed bool, missing string) {
-	joined := joinViews(check)
-	if missing := joined.missingCores(check.Voters); missing != "" {
+	merged := mergeViews(check)
+	if missing := merged.missingCoreMajority(check.Voters); missing != "" {
 		return false, missing
 	}
-	if len(joined.unconfirmed) > 0 {
-		return false, "leases not confirmed and not lapsed: " + strings.Join(joined.unconfirmed, ", ")
+	if len(merged.unconfirmedMembers) > 0 {
+		return false, "leases not confirmed and not lapsed: " + strings.Join(merged.unconfirmedMembers, ", ")
 	}
-	return rostersConfirmed(check, joined)
+	return rostersConfirmed(check, merged)
 }
 
-// RosterChangeConfirmed reports whether a roster change may be settled: a majority
-// of cores has learned its version, and more than half of the roster and of the
-// prior one has confirmed it. Missing is as for VersionConfirmed.
+// RosterChangeConfirmed reports whether a roster change may be committed: a
+// majority of cores, each up for longer than a TTL, has learned its version, and
+// more than half of the roster and of the prior roster has confirmed it. Missing
+// is as for VersionConfirmed.
 func RosterChangeConfirmed(check ConfirmationCheck) (confirmed bool, missing string) {
-	joined := joinViews(check)
-	if missing := joined.missingCores(check.Voters); missing != "" {
+	merged := mergeViews(check)
+	if missing := merged.missingCoreMajority(check.Voters); missing != "" {
 		return false, missing
 	}
-	return rostersConfirmed(check, joined)
+	return rostersConfirmed(check, merged)
 }
 
-// CountConfirmations counts the members of the roster that confirmed the version.
+// CountConfirmations counts the fronts of the roster that confirmed the version.
 func CountConfirmations(check ConfirmationCheck) ConfirmationCount {
-	return joinViews(check).count(check.Roster)
+	return mergeViews(check).countConfirmations(check.Roster)
 }
 
-func rostersConfirmed(check ConfirmationCheck, joined joinedViews) (confirmed bool, missing string) {
-	if count := joined.count(check.Roster); !count.IsMajority() {
+func rostersConfirmed(check ConfirmationCheck, merged mergedViews) (confirmed bool, missing string) {
+	if count := merged.countConfirmations(check.Roster); !count.IsMajority() {
 		return false, fmt.Sprintf("confirmed by %d of %d of the roster", count.Confirmed, count.Eligible)
 	}
-	if count := joined.count(check.PriorRoster); !count.IsMajority() {
+	if count := merged.countConfirmations(check.PriorRoster); !count.IsMajority() {
 		return false, fmt.Sprintf("confirmed by %d of %d of the prior roster", count.Confirmed, count.Eligible)
 	}
 	return true, ""
 }
 
-// joinedViews is what the lease views of several cores say together.
-type joinedViews struct {
-	cores int
-	// newest is the newest incarnation of each member that holds a lease,
-	// confirmed the newest one that confirmed the version.
-	newest    map[string]uint64
-	confirmed map[string]uint64
-	// refusing are the members that refuse connections of at least one core.
-	refusing map[string]bool
-	// unconfirmed names, in order, the members whose newest incarnation holds a
-	// lease without having confirmed the version.
-	unconfirmed []string
+// mergedViews combines the lease views of several cores.
+type mergedViews struct {
+	coreCount int
+	// newestIncarnation has, for each member, the newest incarnation that holds a
+	// lease; confirmedIncarnation has the newest that also confirmed the version.
+	newestIncarnation    map[string]uint64
+	confirmedIncarnation map[string]uint64
+	// refusingMembers are those that refuse connections from at least one core.
+	refusingMembers map[string]bool
+	// unconfirmedMembers has the sorted names of the members whose newest
+	// incarnation holds a lease but has not confirmed the version.
+	unconfirmedMembers []string
 }
 
-// joinViews joins the views of the cores that count. The newest incarnation of a
-// member is the one that must confirm; a confirmation of an earlier one is void.
-func joinViews(check ConfirmationCheck) joinedViews {
-	views := countedViews(check)
-	joined := joinedViews{
-		cores:     len(views),
-		newest:    map[string]uint64{},
-		confirmed: map[string]uint64{},
-		refusing:  map[string]bool{},
+// mergeViews merges the eligible views. Only the newest incarnation of a member
+// can confirm; confirmations by earlier incarnations are disregarded.
+func mergeViews(check ConfirmationCheck) mergedViews {
+	views := eligibleViews(check)
+	merged := mergedViews{
+		coreCount:            len(views),
+		newestIncarnation:    map[string]uint64{},
+		confirmedIncarnation: map[string]uint64{},
+		refusingMembers:      map[string]bool{},
 	}
 	for _, view := range views {
-		joined.add(view)
+		merged.merge(view)
 	}
 	for _, view := range views {
 		for _, text := range view.Waiting {
 			id := ParseMemberID(text)
-			if joined.newest[id.Name] == id.Incarnation && joined.confirmed[id.Name] != id.Incarnation {
-				joined.unconfirmed = append(joined.unconfirmed, id.Name)
+			if merged.newestIncarnation[id.Name] == id.Incarnation && merged.confirmedIncarnation[id.Name] != id.Incarnation {
+				merged.unconfirmedMembers = append(merged.unconfirmedMembers, id.Name)
 			}
 		}
 	}
-	slices.Sort(joined.unconfirmed)
-	joined.unconfirmed = slices.Compact(joined.unconfirmed)
-	return joined
+	slices.Sort(merged.unconfirmedMembers)
+	merged.unconfirmedMembers = slices.Compact(merged.unconfirmedMembers)
+	return merged
 }
 
-// countedViews returns the first view of each core that has learned the version
-// and whose own earlier leases have expired.
-func countedViews(check ConfirmationCheck) []*wire.LeaseViewResponse {
+// eligibleViews returns the first view of each core that has learned the version
+// and whose startup grace is over, so that the leases granted by its former
+// incarnation have expired.
+func eligibleViews(check ConfirmationCheck) []*wire.LeaseViewResponse {
 	seen := map[string]bool{}
-	var counted []*wire.LeaseViewResponse
+	var eligible []*wire.LeaseViewResponse
 	for _, view := range check.Views {
 		if view == nil || !view.Settled || view.Learned < check.Version || seen[view.Core] {
 			continue
 		}
 		seen[view.Core] = true
-		counted = append(counted, view)
+		eligible = append(eligible, view)
 	}
-	return counted
+	return eligible
 }
 
-func (j *joinedViews) add(view *wire.LeaseViewResponse) {
+func (m *mergedViews) merge(view *wire.LeaseViewResponse) {
 	for _, text := range view.Confirmed {
 		id := ParseMemberID(text)
-		j.newest[id.Name] = max(j.newest[id.Name], id.Incarnation)
-		j.confirmed[id.Name] = max(j.confirmed[id.Name], id.Incarnation)
+		m.newestIncarnation[id.Name] = max(m.newestIncarnation[id.Name], id.Incarnation)
+		m.confirmedIncarnation[id.Name] = max(m.confirmedIncarnation[id.Name], id.Incarnation)
 	}
 	for _, text := range view.Waiting {
 		id := ParseMemberID(text)
-		j.newest[id.Name] = max(j.newest[id.Name], id.Incarnation)
+		m.newestIncarnation[id.Name] = max(m.newestIncarnation[id.Name], id.Incarnation)
 	}
 	for _, name := range view.Gone {
-		j.refusing[name] = true
+		m.refusingMembers[name] = true
 	}
 }
 
-// missingCores describes the lack of a majority of cores, "" when there is one.
-func (j joinedViews) missingCores(voters int) string {
-	if j.cores >= Majority(voters) {
+// missingCoreMajority describes the lack of a majority of cores; it returns "" when
+// there is a majority.
+func (m mergedViews) missingCoreMajority(voters int) string {
+	if m.coreCount >= Majority(voters) {
 		return ""
 	}
-	return fmt.Sprintf("learned and settled at %d of %d cores", j.cores, voters)
+	return fmt.Sprintf("version learned by %d of %d cores past their startup grace", m.coreCount, voters)
 }
 
-// count counts the fronts of a roster. One that refuses connections leaves the
-// count only if it holds no lease at any core.
-func (j joinedViews) count(roster map[string]statemachine.Member) ConfirmationCount {
+// countConfirmations counts the fronts of a roster and their confirmations. A front
+// that refuses connections is excluded only if it holds no lease at any core;
+// otherwise it remains eligible but does not count as confirmed.
+func (m mergedViews) countConfirmations(roster map[string]statemachine.Member) ConfirmationCount {
 	var count ConfirmationCount
 	for name := range frontNames(roster) {
-		newest, hasLease := j.newest[name]
-		incarnation, hasConfirmed := j.confirmed[name]
-		if !hasLease && j.refusing[name] {
+		newestIncarnation, hasLease := m.newestIncarnation[name]
+		confirmedIncarnation, hasConfirmed := m.confirmedIncarnation[name]
+		if !hasLease && m.refusingMembers[name] {
 			continue
 		}
 		count.Eligible++
-		if hasConfirmed && incarnation == newest && !j.refusing[name] {
+		if hasConfirmed && confirmedIncarnation == newestIncarnation && !m.refusingMembers[name] {
 			count.Confirmed++
 		}
 	}
--- a/internal/decision/lease/confirmation_test.go
+++ b/internal/decision/lease/confirmation_test.go
@@ -12,53 +12,53 @@
 	view := func(core string, confirmed, waiting, gone []string) *wire.LeaseViewResponse {
 		return &wire.LeaseViewResponse{Core: core, Learned: 9, Settled: true, Confirmed: confirmed, Waiting: waiting, Gone: gone}
 	}
-	Convey("Given two of three cores that learned version 9, and a roster of five", t, func() {
-		check := ConfirmationCheck{Version: 9, Voters: 3, Roster: roster("a", "b", "c", "d", "e")}
+	Convey("Given three cores that have learned version 9 and a roster of five members", t, func() {
+		check := ConfirmationCheck{Version: 9, Voters: 3, Roster: newRoster("a", "b", "c", "d", "e")}
 		missing := func(views ...*wire.LeaseViewResponse) string {
 			check.Views = views
 			_, missing := VersionConfirmed(check)
 			return missing
 		}
-		three := []string{"a#1", "b#1", "c#1"}
-		Convey("a version confirmed by three is in force once the leases of two have expired", func() {
-			So(missing(view("c1", three, nil, nil), view("c2", three, nil, nil)), ShouldEqual, "")
+		threeConfirmed := []string{"a#1", "b#1", "c#1"}
+		Convey("a version confirmed by three members is in force once the other two hold no lease", func() {
+			So(missing(view("c1", threeConfirmed, nil, nil), view("c2", threeConfirmed, nil, nil)), ShouldEqual, "")
 		})
-		Convey("one core is not enough, nor twice the same, nor one that is behind or not settled", func() {
-			So(missing(view("c1", three, nil, nil)), ShouldEqual, "learned and settled at 1 of 3 cores")
-			So(missing(view("c1", three, nil, nil), view("c1", three, nil, nil)), ShouldEqual, "learned and settled at 1 of 3 cores")
-			behind := view("c2", three, nil, nil)
+		Convey("one core is no majority; repeated views, older versions and cores in their startup grace do not count", func() {
+			So(missing(view("c1", threeConfirmed, nil, nil)), ShouldEqual, "version learned by 1 of 3 cores past their startup grace")
+			So(missing(view("c1", threeConfirmed, nil, nil), view("c1", threeConfirmed, nil, nil)), ShouldEqual, "version learned by 1 of 3 cores past their startup grace")
+			behind := view("c2", threeConfirmed, nil, nil)
 			behind.Learned = 8
-			young := view("c3", three, nil, nil)
-			young.Settled = false
-			So(missing(view("c1", three, nil, nil), behind, young), ShouldEqual, "learned and settled at 1 of 3 cores")
+			inStartupGrace := view("c3", threeConfirmed, nil, nil)
+			inStartupGrace.Settled = false
+			So(missing(view("c1", threeConfirmed, nil, nil), behind, inStartupGrace), ShouldEqual, "version learned by 1 of 3 cores past their startup grace")
 		})
-		Convey("an unconfirmed lease is waited for, unless that incarnation confirmed elsewhere or a later one renews", func() {
-			So(missing(view("c1", three, []string{"d#1"}, nil), view("c2", three, nil, nil)), ShouldEqual, "leases not confirmed and not lapsed: d")
-			So(missing(view("c1", three, []string{"d#1"}, nil), view("c2", append(three, "d#1"), nil, nil)), ShouldEqual, "")
-			So(missing(view("c1", three, []string{"d#1"}, nil), view("c2", append(three, "d#2"), nil, nil)), ShouldEqual, "")
-			So(missing(view("c1", three, []string{"d#2"}, nil), view("c2", append(three, "d#1"), nil, nil)), ShouldEqual, "leases not confirmed and not lapsed: d")
+		Convey("an unconfirmed lease blocks confirmation unless that incarnation confirmed at another core or a later one confirmed", func() {
+			So(missing(view("c1", threeConfirmed, []string{"d#1"}, nil), view("c2", threeConfirmed, nil, nil)), ShouldEqual, "leases not confirmed and not lapsed: d")
+			So(missing(view("c1", threeConfirmed, []string{"d#1"}, nil), view("c2", append(threeConfirmed, "d#1"), nil, nil)), ShouldEqual, "")
+			So(missing(view("c1", threeConfirmed, []string{"d#1"}, nil), view("c2", append(threeConfirmed, "d#2"), nil, nil)), ShouldEqual, "")
+			So(missing(view("c1", threeConfirmed, []string{"d#2"}, nil), view("c2", append(threeConfirmed, "d#1"), nil, nil)), ShouldEqual, "leases not confirmed and not lapsed: d")
 		})
-		Convey("half of the roster is not enough, unless the others refuse", func() {
-			two := three[:2]
-			So(missing(view("c1", two, nil, nil), view("c2", two, nil, nil)), ShouldEqual, "confirmed by 2 of 5 of the roster")
-			So(missing(view("c1", two, nil, []string{"d"}), view("c2", two, nil, []string{"e"})), ShouldEqual, "")
-			So(missing(view("c1", two, nil, []string{"d"}), view("c2", two, nil, nil)), ShouldEqual, "confirmed by 2 of 4 of the roster")
+		Convey("a minority of the roster does not confirm a version unless enough others refuse connections", func() {
+			twoConfirmed := threeConfirmed[:2]
+			So(missing(view("c1", twoConfirmed, nil, nil), view("c2", twoConfirmed, nil, nil)), ShouldEqual, "confirmed by 2 of 5 of the roster")
+			So(missing(view("c1", twoConfirmed, nil, []string{"d"}), view("c2", twoConfirmed, nil, []string{"e"})), ShouldEqual, "")
+			So(missing(view("c1", twoConfirmed, nil, []string{"d"}), view("c2", twoConfirmed, nil, nil)), ShouldEqual, "confirmed by 2 of 4 of the roster")
 		})
-		Convey("a member that refuses one core and is granted by another counts as neither dead nor confirmed", func() {
-			So(missing(view("c1", three[:2], nil, []string{"c"}), view("c2", three, nil, nil)), ShouldEqual, "confirmed by 2 of 5 of the roster")
+		Convey("a member that refuses connections from one core and holds a lease at another is eligible but not confirmed", func() {
+			So(missing(view("c1", threeConfirmed[:2], nil, []string{"c"}), view("c2", threeConfirmed, nil, nil)), ShouldEqual, "confirmed by 2 of 5 of the roster")
 		})
-		Convey("a confirmation of a former incarnation settles no roster change", func() {
-			check.Views = []*wire.LeaseViewResponse{view("c1", three[:2], []string{"c#2"}, nil), view("c2", three, nil, nil)}
+		Convey("a confirmation by a former incarnation does not confirm a roster change", func() {
+			check.Views = []*wire.LeaseViewResponse{view("c1", threeConfirmed[:2], []string{"c#2"}, nil), view("c2", threeConfirmed, nil, nil)}
 			confirmed, missing := RosterChangeConfirmed(check)
 			So(confirmed, ShouldBeFalse)
 			So(missing, ShouldEqual, "confirmed by 2 of 5 of the roster")
 		})
-		Convey("while a change isn't settled the prior roster must have confirmed too", func() {
-			check.PriorRoster = roster("a", "f", "g")
-			So(missing(view("c1", three, nil, nil), view("c2", three, nil, nil)), ShouldEqual, "confirmed by 1 of 3 of the prior roster")
+		Convey("while a roster change is uncommitted, a majority of the prior roster must have confirmed too", func() {
+			check.PriorRoster = newRoster("a", "f", "g")
+			So(missing(view("c1", threeConfirmed, nil, nil), view("c2", threeConfirmed, nil, nil)), ShouldEqual, "confirmed by 1 of 3 of the prior roster")
 			confirmed, _ := RosterChangeConfirmed(check)
 			So(confirmed, ShouldBeFalse)
-			So(missing(view("c1", append(three, "f#1"), nil, nil), view("c2", three, nil, nil)), ShouldEqual, "")
+			So(missing(view("c1", append(threeConfirmed, "f#1"), nil, nil), view("c2", threeConfirmed, nil, nil)), ShouldEqual, "")
 		})
 	})
 }
--- a/internal/decision/lease/helpers_test.go
+++ b/internal/decision/lease/helpers_test.go
@@ -10,13 +10,13 @@
 const ttl = 2 * time.Second
 
 var (
-	begin = time.UnixMilli(1_700_000_000_000)
-	cores = []string{"c1", "c2", "c3"}
+	startTime = time.UnixMilli(1_700_000_000_000)
+	coreNames = []string{"c1", "c2", "c3"}
 )
 
-func at(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
+func atMS(ms int) time.Time { return startTime.Add(time.Duration(ms) * time.Millisecond) }
 
-func roster(names ...string) map[string]statemachine.Member {
+func newRoster(names ...string) map[string]statemachine.Member {
 	members := map[string]statemachine.Member{}
 	for _, name := range names {
 		members[name] = statemachine.Member{Name: name, Front: true}
@@ -24,6 +24,6 @@
 	return members
 }
 
-func renewal(name string, incarnation, version uint64) *wire.RenewRequest {
+func newRenewal(name string, incarnation, version uint64) *wire.RenewRequest {
 	return &wire.RenewRequest{Self: &wire.Process{Name: name, Incarnation: incarnation, Front: true}, Epoch: version}
 }
--- a/internal/decision/lease/holder.go
+++ b/internal/decision/lease/holder.go
@@ -7,34 +7,36 @@
 	"stepwick/internal/decision/statemachine"
 )
 
-// Holder is a front's side of leases: it records the answers of cores and peers
-// and derives whether the front may serve by its version. It has one owner.
+// Holder is the front's side of the lease protocol: it records the answers of
+// cores and peers and derives whether the front may serve with its version. It is
+// not safe for concurrent use.
 type Holder struct {
 	self string
 	ttl  time.Duration
-	// version is the highest version whose state this front holds; newest is the
-	// highest one it knows to exist.
-	version uint64
-	newest  uint64
-	// unconfirmed is true until a majority of cores has confirmed, since this
-	// start, that the version held is not outdated.
+	// version is the highest version whose state this front holds; newestVersion is
+	// the highest version that any message has shown to exist.
+	version       uint64
+	newestVersion uint64
+	// unconfirmed is true until a majority of cores has confirmed, since the front
+	// started, that the version it holds is not outdated.
 	unconfirmed bool
 	cores       []string
 	grants      map[string]coreGrant
-	// rosters holds the names of the fronts of the current roster and, while its
-	// last change is not settled, of the one before.
+	// rosters has the names of the fronts on the current roster and, while the last
+	// roster change is uncommitted, of those on the prior roster.
 	rosters []map[string]bool
-	peers   map[string]*peer
+	peers   map[string]*peerState
 }
 
-// coreGrant is what a core granted last: when the newest granted request was
-// sent, and the highest version the core had learned.
+// coreGrant describes the renewals that a core has granted.
 type coreGrant struct {
-	sentAt  time.Time
-	learned uint64
+	// sentAt is when the newest granted request was sent.
+	sentAt time.Time
+	// coreVersion is the highest version that the core reported with a grant.
+	coreVersion uint64
 }
 
-// NewHolder returns the side of a front that has just started: it is unconfirmed
+// NewHolder returns the Holder of a front that has just started: it is unconfirmed
 // and has no authority.
 func NewHolder(self string, ttl time.Duration) *Holder {
 	return &Holder{
@@ -42,13 +44,13 @@
 		ttl:         ttl,
 		unconfirmed: true,
 		grants:      map[string]coreGrant{},
-		peers:       map[string]*peer{},
+		peers:       map[string]*peerState{},
 	}
 }
 
-// SetRoster sets the roster of the state that the front serves by and, while
-// its last change is not settled, the prior one (nil or empty otherwise). Only
-// members with a front count.
+// SetRoster sets the roster of the state that the front holds and, while the last
+// roster change is uncommitted, the prior roster (nil or empty otherwise). Only
+// members that run a front are counted.
 func (h *Holder) SetRoster(current, prior map[string]statemachine.Member) {
 	h.rosters = h.rosters[:0]
 	for _, roster := range []map[string]statemachine.Member{current, prior} {
@@ -58,69 +60,73 @@
 	}
 }
 
-// SetCores sets the names of the cores that a majority is counted over.
+// SetCores sets the names of the cores of which a majority must grant a lease.
 func (h *Holder) SetCores(cores []string) {
 	h.cores = append(h.cores[:0], cores...)
 	h.updateConfirmed()
 }
 
-// AdvanceTo records that the front holds the state of a version. A lower version
-// than the current one is ignored: a front never steps back.
+// AdvanceTo records that the front holds the state of a version. A version lower
+// than the current one is ignored: a front never reverts to an older version.
 func (h *Holder) AdvanceTo(version uint64) {
 	h.version = max(h.version, version)
-	h.newest = max(h.newest, version)
+	h.newestVersion = max(h.newestVersion, version)
 	h.updateConfirmed()
 }
 
 // Version returns the highest version whose state the front holds.
 func (h *Holder) Version() uint64 { return h.version }
 
-// Unconfirmed reports whether, since this start, no majority of cores has yet
-// granted a lease for what the front holds. Such a front has no authority, and
-// its peers don't count it towards their roster majority.
+// Unconfirmed reports whether no majority of cores has granted a lease for the
+// version that the front holds since the front started. Such a front has no
+// authority, and its peers don't count it towards their roster majority.
 func (h *Holder) Unconfirmed() bool { return h.unconfirmed }
 
-// RenewedAt returns when the newest renewal that a core granted was sent; the
-// zero time when there is none.
+// RenewedAt returns when the newest renewal granted by a core was sent; the zero
+// time when the core has granted none.
 func (h *Holder) RenewedAt(core string) time.Time { return h.grants[core].sentAt }
 
-// RecordGrant records a core's granted renewal: sentAt is when the request was
-// sent, requested the version it named, learned the core's version in the
-// answer. An answer that knows a newer version than requested gives no lease.
-func (h *Holder) RecordGrant(core string, sentAt time.Time, requested, learned uint64) {
-	h.ObserveVersion(learned)
-	if learned > requested || requested == 0 || requested > h.version {
+// RecordGrant records a renewal granted by a core: sentAt is when the request was
+// sent, requestedVersion the version that it named, and coreVersion the version in
+// the core's answer. An answer with a version newer than the requested one gives
+// no lease, nor does an answer to a request for version 0 or for a version newer
+// than the front holds.
+func (h *Holder) RecordGrant(core string, sentAt time.Time, requestedVersion, coreVersion uint64) {
+	h.ObserveVersion(coreVersion)
+	if coreVersion > requestedVersion || requestedVersion == 0 || requestedVersion > h.version {
 		return
 	}
 	grant := h.grants[core]
 	if sentAt.After(grant.sentAt) {
 		grant.sentAt = sentAt
 	}
-	grant.learned = max(grant.learned, learned)
+	grant.coreVersion = max(grant.coreVersion, coreVersion)
 	h.grants[core] = grant
 	h.updateConfirmed()
 }
 
-// RecordDenial records a core's answer that granted no lease; it only makes the
-// core's version known.
-func (h *Holder) RecordDenial(_ string, learned uint64) { h.ObserveVersion(learned) }
+// RecordDenial records a core's answer that granted no lease. Its only effect is
+// that of ObserveVersion with the core's version.
+func (h *Holder) RecordDenial(_ string, coreVersion uint64) { h.ObserveVersion(coreVersion) }
 
-// ObserveVersion records that a version exists, as from a peer's own ping. It
-// never adds authority: such a message may have been delayed in a buffer.
-func (h *Holder) ObserveVersion(version uint64) { h.newest = max(h.newest, version) }
+// ObserveVersion records that a version exists, for example when a peer's ping
+// names it. It never grants or extends authority, since such a message may have
+// been delayed in a buffer.
+func (h *Holder) ObserveVersion(version uint64) { h.newestVersion = max(h.newestVersion, version) }
 
-// Authority returns whether the front may serve by its version at an instant. It
-// is here that a lease lapses on the front's side, by time alone and without a
-// message; the core's side is memberLease.active. The follower evaluates it after
-// each answer and at each ping interval, and requests compare the clock with the
-// result's Until.
+// Authority returns whether the front may serve with its version at the given
+// instant. This is where a lease expires on the front's side, by time alone and
+// without a message; on the core's side it is memberLease.active. The follower
+// evaluates it after each answer and at each ping interval, and requests compare
+// the clock with Authority.Until.
 //
-// While a lease has more than half of a TTL left the roster is not evaluated,
-// whose cost grows with its size; it is again before the lease can expire.
+// While a lease has more than half of a TTL left, the roster majority is not
+// evaluated, because its cost grows with the size of the roster. It is evaluated
+// again before the lease can expire.
 func (h *Holder) Authority(now time.Time) Authority {
-	none := Authority{Source: SourceNone, RetryAfter: h.ttl / 2}
+	denied := Authority{Source: SourceNone, RetryAfter: h.ttl / 2}
 	if h.unconfirmed || h.version == 0 {
-		return none
+		return denied
 	}
 	leaseExpiry := h.leaseExpiry()
 	if leaseExpiry.Sub(now) > h.ttl/2 {
@@ -133,26 +139,27 @@
 	case now.Before(rosterExpiry):
 		return Authority{Granted: true, Source: SourceRoster, Until: rosterExpiry}
 	}
-	return none
+	return denied
 }
 
-// updateConfirmed ends the unconfirmed phase once a majority of cores has granted
-// a lease and none of these has learned more than the front holds.
+// updateConfirmed clears unconfirmed once a majority of cores has granted a lease
+// with a core version that is not newer than the version the front holds.
 func (h *Holder) updateConfirmed() {
 	if !h.unconfirmed || h.version == 0 || len(h.cores) == 0 {
 		return
 	}
 	confirming := 0
 	for _, core := range h.cores {
-		if grant, ok := h.grants[core]; ok && grant.learned <= h.version {
+		if grant, ok := h.grants[core]; ok && grant.coreVersion <= h.version {
 			confirming++
 		}
 	}
 	h.unconfirmed = confirming < Majority(len(h.cores))
 }
 
-// leaseExpiry returns when the lease of a majority of cores expires; the zero
-// time when no majority has granted one.
+// leaseExpiry returns when the lease of the front expires: a TTL after the oldest
+// of the newest granted requests that make up a majority of cores was sent. It
+// returns the zero time when no majority has granted a lease.
 func (h *Holder) leaseExpiry() time.Time {
 	if len(h.cores) == 0 {
 		return time.Time{}
--- a/internal/decision/lease/member_id.go
+++ b/internal/decision/lease/member_id.go
@@ -5,20 +5,21 @@
 	"strings"
 )
 
-// unknownIncarnation is used for a member whose incarnation is not known, such as
-// one that has not renewed since the core started. Real incarnations are positive.
+// unknownIncarnation stands for an incarnation that is not known, such as that of
+// a member that has not renewed since the core started. Real incarnations are
+// positive.
 const unknownIncarnation uint64 = 0
 
 const incarnationSeparator = '#'
 
-// MemberID identifies one incarnation of a member: the process that runs from
-// one start to the next stop. Its text is "name#incarnation".
+// MemberID identifies one incarnation of a member, that is, one run of its
+// process. Its text form is "name#incarnation".
 type MemberID struct {
 	Name        string
 	Incarnation uint64
 }
 
-// String returns the form that lease views carry.
+// String returns the text form, which lease views carry.
 func (id MemberID) String() string {
 	return id.Name + string(incarnationSeparator) + strconv.FormatUint(id.Incarnation, 10)
 }
@@ -26,8 +27,8 @@
 // HasIncarnation reports whether the incarnation is known.
 func (id MemberID) HasIncarnation() bool { return id.Incarnation != unknownIncarnation }
 
-// ParseMemberID is the reverse of MemberID.String. A text without a valid
-// incarnation is a name whose incarnation is unknown.
+// ParseMemberID is the inverse of MemberID.String. A text without a valid
+// incarnation is taken as the name of a member whose incarnation is unknown.
 func ParseMemberID(text string) MemberID {
 	separator := strings.LastIndexByte(text, incarnationSeparator)
 	if separator < 0 {
--- a/internal/decision/lease/roster_majority.go
+++ b/internal/decision/lease/roster_majority.go
@@ -7,69 +7,73 @@
 	"stepwick/internal/decision/statemachine"
 )
 
-// peer is what a front knows of another one from its own pings.
-type peer struct {
+// peerState is what a front's own pings have shown about another front.
+type peerState struct {
 	incarnation uint64
-	// contactAt is the newest contact: an answer or a counted refusal.
+	// contactAt is the time of the newest contact: the sending of an answered ping
+	// or a refusal that counted.
 	contactAt time.Time
-	// confirmedAt is when the newest ping was sent that a confirmed incarnation
-	// answered; zero when the peer does not count as heard.
-	confirmedAt time.Time
-	// refusedAt is the newest refusal in unbroken contact; zero when none counts.
+	// answeredAt is when the newest ping answered by a confirmed incarnation was
+	// sent; zero when the peer does not count as responding.
+	answeredAt time.Time
+	// refusedAt is the time of the newest refusal that counted; zero when there is
+	// none. See RecordRefusal.
 	refusedAt time.Time
 }
 
-// RecordPingResponse records a peer's answer to a ping sent at sentAt: it proves
-// what the peer was at that instant or later. Answers to earlier pings than the
-// last one counted are dropped.
+// RecordPingResponse records a peer's answer to a ping sent at sentAt. The answer
+// reflects the peer's state at that instant or later. An answer to a ping sent
+// before the newest recorded contact is ignored.
 func (h *Holder) RecordPingResponse(name string, incarnation uint64, sentAt time.Time, version uint64, unconfirmed bool) {
-	member := h.peer(name)
-	if sentAt.Before(member.contactAt) {
+	peer := h.ensurePeer(name)
+	if sentAt.Before(peer.contactAt) {
 		return
 	}
-	if incarnation != member.incarnation {
-		member.incarnation = incarnation
-		member.confirmedAt = time.Time{}
+	if incarnation != peer.incarnation {
+		peer.incarnation = incarnation
+		peer.answeredAt = time.Time{}
 	}
-	member.refusedAt = time.Time{}
-	member.contactAt = sentAt
+	peer.refusedAt = time.Time{}
+	peer.contactAt = sentAt
 	if unconfirmed {
-		member.confirmedAt = time.Time{}
+		peer.answeredAt = time.Time{}
 		return
 	}
 	h.ObserveVersion(version)
-	member.confirmedAt = sentAt
+	peer.answeredAt = sentAt
 }
 
-// RecordRefusal records a refused connection, at the instant it was observed. The
-// peer leaves the count only in unbroken contact: it answered or so refused
-// within the last TTL. Otherwise it may have been cut off, served by a newer
-// version and stopped since.
+// RecordRefusal records a connection refused by a peer, at the instant it was
+// observed. The peer is excluded from the roster majority only if contact was
+// unbroken, that is, it answered or was so excluded within the last TTL. Otherwise
+// it may have been partitioned from this front, served with a newer version and
+// stopped since.
 func (h *Holder) RecordRefusal(name string, refusedAt time.Time) {
-	member := h.peer(name)
-	member.confirmedAt = time.Time{}
-	if member.contactAt.IsZero() || refusedAt.Sub(member.contactAt) >= h.ttl {
-		member.refusedAt = time.Time{}
+	peer := h.ensurePeer(name)
+	peer.answeredAt = time.Time{}
+	if peer.contactAt.IsZero() || refusedAt.Sub(peer.contactAt) >= h.ttl {
+		peer.refusedAt = time.Time{}
 		return
 	}
-	member.refusedAt = refusedAt
-	member.contactAt = refusedAt
+	peer.refusedAt = refusedAt
+	peer.contactAt = refusedAt
 }
 
-func (h *Holder) peer(name string) *peer {
-	member, ok := h.peers[name]
+// ensurePeer returns the state of a peer and creates it if there is none.
+func (h *Holder) ensurePeer(name string) *peerState {
+	peer, ok := h.peers[name]
 	if !ok {
-		member = &peer{}
-		h.peers[name] = member
+		peer = &peerState{}
+		h.peers[name] = peer
 	}
-	return member
+	return peer
 }
 
-// rosterExpiry returns when the authority by the roster expires if no further
-// answer arrives; the zero time when there is none now. While a roster change is
-// not settled a majority of both rosters is required.
+// rosterExpiry returns when the authority by roster majority expires if no further
+// answer arrives; the zero time when there is no such authority now. While a roster
+// change is uncommitted, a majority of each of the two rosters is required.
 func (h *Holder) rosterExpiry(now time.Time) time.Time {
-	if h.newest > h.version || len(h.rosters) == 0 {
+	if h.newestVersion > h.version || len(h.rosters) == 0 {
 		return time.Time{}
 	}
 	earliest := time.Time{}
@@ -85,67 +89,68 @@
 	return earliest
 }
 
-// contactCount counts the members of a roster that answered and those that
-// refuse connections; the latter leave the count.
+// contactCount counts the members of a roster that respond to pings and those that
+// refuse connections. The latter are excluded from the size of the roster.
 type contactCount struct {
-	confirmed int
-	refusing  int
+	responding int
+	refusing   int
 }
 
 func (c contactCount) isMajorityOf(rosterSize int) bool {
-	return c.confirmed*2 > rosterSize-c.refusing
+	return c.responding*2 > rosterSize-c.refusing
 }
 
-// contactExpiry is an instant at which contacts stop counting.
+// contactExpiry is an instant at which the given contacts stop counting.
 type contactExpiry struct {
-	at time.Time
+	expiresAt time.Time
 	contactCount
 }
 
-// majorityExpiry returns the first instant at which no more than half of a roster
-// counts as heard if no further answer arrives; the zero time when that is so now.
+// majorityExpiry returns the first instant at which the responding members are no
+// longer a majority of the roster if no further answer arrives; the zero time when
+// they are none now.
 func (h *Holder) majorityExpiry(roster map[string]bool, now time.Time) time.Time {
 	count, expiries := h.countContacts(roster, now)
 	if !count.isMajorityOf(len(roster)) {
 		return time.Time{}
 	}
-	slices.SortFunc(expiries, func(a, b contactExpiry) int { return a.at.Compare(b.at) })
+	slices.SortFunc(expiries, func(a, b contactExpiry) int { return a.expiresAt.Compare(b.expiresAt) })
 	for _, expiry := range expiries {
-		count.confirmed -= expiry.confirmed
+		count.responding -= expiry.responding
 		count.refusing -= expiry.refusing
 		if !count.isMajorityOf(len(roster)) {
-			return expiry.at
+			return expiry.expiresAt
 		}
 	}
 	return now.Add(h.ttl)
 }
 
-// countContacts counts the contacts within the TTL, the front itself included,
-// and returns when each of the others' expires.
+// countContacts counts the contacts within the last TTL. The front itself counts as
+// responding. It also returns when the contact of each other member expires.
 func (h *Holder) countContacts(roster map[string]bool, now time.Time) (contactCount, []contactExpiry) {
 	var count contactCount
 	var expiries []contactExpiry
 	if roster[h.self] {
-		count.confirmed++
+		count.responding++
 	}
 	for name := range roster {
-		member, ok := h.peers[name]
+		peer, ok := h.peers[name]
 		if !ok || name == h.self {
 			continue
 		}
-		if at := member.confirmedAt.Add(h.ttl); !member.confirmedAt.IsZero() && now.Before(at) {
-			count.confirmed++
-			expiries = append(expiries, contactExpiry{at: at, contactCount: contactCount{confirmed: 1}})
+		if expiresAt := peer.answeredAt.Add(h.ttl); !peer.answeredAt.IsZero() && now.Before(expiresAt) {
+			count.responding++
+			expiries = append(expiries, contactExpiry{expiresAt: expiresAt, contactCount: contactCount{responding: 1}})
 		}
-		if at := member.refusedAt.Add(h.ttl); !member.refusedAt.IsZero() && now.Before(at) {
+		if expiresAt := peer.refusedAt.Add(h.ttl); !peer.refusedAt.IsZero() && now.Before(expiresAt) {
 			count.refusing++
-			expiries = append(expiries, contactExpiry{at: at, contactCount: contactCount{refusing: 1}})
+			expiries = append(expiries, contactExpiry{expiresAt: expiresAt, contactCount: contactCount{refusing: 1}})
 		}
 	}
 	return count, expiries
 }
 
-// Majority returns the least count that is more than half of n.
+// Majority returns the smallest integer greater than half of n.
 func Majority(n int) int { return n/2 + 1 }
 
 // frontNames returns the names of the members of a roster that run a front.
--- a/internal/decision/lease/status_tracker.go
+++ b/internal/decision/lease/status_tracker.go
@@ -8,19 +8,19 @@
 	"stepwick/internal/wire"
 )
 
-// StatusTracker holds the status of each member that a core published last, so
-// that only changes are published. It has one owner.
+// StatusTracker records the last status that a core published for each member, so
+// that only changes are published. It is not safe for concurrent use.
 type StatusTracker struct {
 	published map[string]*wire.Sight
 }
 
-// NewStatusTracker returns a tracker of a core that has published nothing.
+// NewStatusTracker returns the tracker of a core that has published no status.
 func NewStatusTracker() *StatusTracker {
 	return &StatusTracker{published: map[string]*wire.Sight{}}
 }
 
-// Published returns the status that was published last of each member that is
-// still tracked, in no order.
+// Published returns the last published status of each tracked member, in no
+// particular order.
 func (s *StatusTracker) Published() []*wire.Sight {
 	statuses := make([]*wire.Sight, 0, len(s.published))
 	for _, status := range s.published {
@@ -29,8 +29,9 @@
 	return statuses
 }
 
-// Update returns the status of a member if it differs from the one published
-// last, and records it as published; nil otherwise.
+// Update returns the status of a member and records it as published if it differs
+// from the last published one; otherwise it returns nil. A member without a status
+// is no longer tracked.
 func (s *StatusTracker) Update(table *Table, name string, roster map[string]statemachine.Member, now time.Time) *wire.Sight {
 	_, listed := roster[name]
 	current := table.memberStatus(name, listed, now)
@@ -45,8 +46,8 @@
 	return current
 }
 
-// UpdateAll is Update for every member that renews, is on the roster or is
-// tracked.
+// UpdateAll calls Update for every member that has a lease record in the table, is
+// on the roster or is tracked, and returns the changed statuses.
 func (s *StatusTracker) UpdateAll(table *Table, roster map[string]statemachine.Member, now time.Time) []*wire.Sight {
 	var changed []*wire.Sight
 	update := func(name string) {
@@ -70,9 +71,9 @@
 	return changed
 }
 
-// memberStatus returns the status of one member, nil when nothing is known of it:
-// a listed member without contact since the core started is unresponsive only
-// once the startup grace is over.
+// memberStatus returns the status of a member, nil when the table has no
+// information about it. A listed member without contact since the core started is
+// reported as unresponsive only once the startup grace is over.
 func (t *Table) memberStatus(name string, listed bool, now time.Time) *wire.Sight {
 	if lease, ok := t.leases[name]; ok {
 		return &wire.Sight{Process: lease.process, Silent: now.Sub(lease.contactAt) >= t.ttl}
@@ -92,8 +93,8 @@
 	return a.Gone == b.Gone && a.Silent == b.Silent && SameProcess(a.Process, b.Process)
 }
 
-// SameProcess reports whether two records of a process are equal but for the
-// counter, which only orders them.
+// SameProcess reports whether two process records are equal in every field except
+// the counter, which only orders records of one incarnation.
 func SameProcess(a, b *wire.Process) bool {
 	if a == b {
 		return true
@@ -107,8 +108,9 @@
 		a.DiskLife == b.DiskLife && slices.Equal(a.Voters, b.Voters)
 }
 
-// olderRecord reports whether a record precedes another of the same process.
-func olderRecord(record, other *wire.Process) bool {
+// isOlderRecord reports whether a record precedes another record of the same
+// member, by incarnation and then by counter.
+func isOlderRecord(record, other *wire.Process) bool {
 	return other != nil && (record.Incarnation < other.Incarnation ||
 		(record.Incarnation == other.Incarnation && record.Counter < other.Counter))
 }
--- a/internal/decision/lease/table.go
+++ b/internal/decision/lease/table.go
@@ -8,14 +8,14 @@
 	"stepwick/internal/wire"
 )
 
-// releaseRetention is how long a release is remembered, so that a renewal that
-// was on its way when the member released its lease doesn't restore it.
+// releaseRetention is how long a release is kept, so that a renewal in flight when
+// the member released its lease doesn't restore the lease.
 const releaseRetention = time.Minute
 
-// Table is a core's side of leases: what it granted, and which members refuse
-// connections. It is kept in memory alone: after a restart, whatever the former
-// incarnation granted has expired once the core has been up for a TTL. It has
-// one owner.
+// Table is the core's side of the lease protocol: it tracks the leases that the
+// core granted and the members that refuse connections. It is kept in memory only:
+// after a restart, the leases granted by the core's former incarnation have expired
+// once the core has been up for a TTL. It is not safe for concurrent use.
 type Table struct {
 	core      string
 	ttl       time.Duration
@@ -25,35 +25,36 @@
 	releases  map[string]release
 }
 
-// memberLease is what a core knows of a member that renews: its newest
-// incarnation, what that said of itself and confirmed, and its lease.
+// memberLease is a core's record of a member that renews: its newest incarnation,
+// the process record and version that this incarnation reported, and its lease.
 type memberLease struct {
 	member      statemachine.Member
 	process     *wire.Process
 	incarnation uint64
-	// version is the highest one that this incarnation has confirmed.
-	version uint64
-	// expiresAt is when the lease ends; in the past, or zero, without a lease.
+	// confirmedVersion is the highest version that this incarnation has confirmed.
+	confirmedVersion uint64
+	// expiresAt is when the lease expires; zero when none was granted.
 	expiresAt time.Time
 	// contactAt is when the member last renewed or answered a ping.
 	contactAt time.Time
 }
 
-// active reports whether the lease has not expired. It alone decides on the core's
-// side that a lease has lapsed, and since the core counts from the arrival of the
-// renewal, no earlier than the holder decides it by Holder.Authority.
+// active reports whether the lease has not expired. It is the only expiry check on
+// the core's side. The core counts from the arrival of the renewal, so the lease
+// expires here no earlier than at the holder; see Holder.Authority.
 func (l *memberLease) active(now time.Time) bool { return now.Before(l.expiresAt) }
 
-// refusalStreak is a run of refused connections, each within a TTL of the last.
+// refusalStreak is a series of refused connections, each within a TTL of the
+// previous one.
 type refusalStreak struct {
-	first time.Time
-	last  time.Time
+	firstAt time.Time
+	lastAt  time.Time
 }
 
-// release is a lease that its holder gave up.
+// release records that a member released its lease.
 type release struct {
 	incarnation uint64
-	at          time.Time
+	releasedAt  time.Time
 }
 
 // NewTable returns the empty table of a core that starts now.
@@ -68,29 +69,30 @@
 	}
 }
 
-// Renew renews the lease of a member that has confirmed the version that the core
-// learned; any other gets the code VersionBehind and the learned version. A
-// request without a process record, of an incarnation that is unknown here, is
-// answered with Who, which requests the record. Renew must not be called before
-// the core has caught up with a majority since its own start.
-func (t *Table) Renew(req *wire.RenewRequest, learned uint64, now time.Time) *wire.RenewResponse {
-	record := t.requestRecord(req)
+// Renew renews the lease of a member that has confirmed coreVersion, the newest
+// version that the core has learned, or a later one. Any other member, and any
+// stale incarnation, is refused with the code VersionBehind and coreVersion. If a
+// request carries no process record and the table has none of that incarnation,
+// the response has Who set, which requests the record. Renew must not be called
+// before the core has caught up with a majority of cores since it started.
+func (t *Table) Renew(req *wire.RenewRequest, coreVersion uint64, now time.Time) *wire.RenewResponse {
+	record := t.renewalRecord(req)
 	if record == nil {
 		return &wire.RenewResponse{Core: t.core, TimeUs: now.UnixMicro(), Who: true}
 	}
 	resp := &wire.RenewResponse{
 		Core:    t.core,
-		Learned: learned,
+		Learned: coreVersion,
 		TtlMs:   uint32(t.ttl.Milliseconds()),
 		TimeUs:  now.UnixMicro(),
 	}
-	if t.outdated(record) {
+	if t.isStaleIncarnation(record) {
 		resp.Refusal = uint32(apierror.VersionBehind)
 		return resp
 	}
 	lease := t.recordMember(record, now)
-	lease.version = max(lease.version, req.Epoch)
-	if req.Epoch == 0 || req.Epoch < learned {
+	lease.confirmedVersion = max(lease.confirmedVersion, req.Epoch)
+	if req.Epoch == 0 || req.Epoch < coreVersion {
 		resp.Refusal = uint32(apierror.VersionBehind)
 		return resp
 	}
@@ -99,9 +101,9 @@
 	return resp
 }
 
-// outdated reports whether a record is of an incarnation that was released or
-// that a later one replaced.
-func (t *Table) outdated(record *wire.Process) bool {
+// isStaleIncarnation reports whether a record belongs to an incarnation that has
+// released its lease or was replaced by a later one.
+func (t *Table) isStaleIncarnation(record *wire.Process) bool {
 	if released, ok := t.releases[record.Name]; ok && record.Incarnation <= released.incarnation {
 		return true
 	}
@@ -109,15 +111,15 @@
 	return ok && record.Incarnation < lease.incarnation
 }
 
-// recordMember records contact with a member and the record that it sent. A later
-// incarnation starts without the lease of the one before.
+// recordMember records a contact with a member and its process record. A later
+// incarnation does not inherit the lease of the previous one.
 func (t *Table) recordMember(record *wire.Process, now time.Time) *memberLease {
 	lease, ok := t.leases[record.Name]
 	if !ok || record.Incarnation > lease.incarnation {
 		lease = &memberLease{incarnation: record.Incarnation}
 		t.leases[record.Name] = lease
 	}
-	if !SameProcess(lease.process, record) && !olderRecord(record, lease.process) {
+	if !SameProcess(lease.process, record) && !isOlderRecord(record, lease.process) {
 		lease.process = record
 	}
 	lease.member = statemachine.Member{
@@ -132,7 +134,8 @@
 	return lease
 }
 
-// RenewedMember returns the name of the member that a renewal is for, "" for none.
+// RenewedMember returns the name of the member whose lease a request renews; "" when
+// the request names none.
 func RenewedMember(req *wire.RenewRequest) string {
 	if req.Self != nil {
 		return req.Self.Name
@@ -140,17 +143,18 @@
 	return req.Name
 }
 
-// requestRecord returns the record that a renewal carries or refers to, nil where
-// the latter is unknown.
-func (t *Table) requestRecord(req *wire.RenewRequest) *wire.Process {
+// renewalRecord returns the process record that a renewal carries or refers to; nil
+// when the table has no record of the incarnation referred to.
+func (t *Table) renewalRecord(req *wire.RenewRequest) *wire.Process {
 	if req.Self != nil {
 		return req.Self
 	}
 	return t.ProcessRecord(req.Name, req.Incarnation)
 }
 
-// ProcessRecord returns what a member said of itself in one incarnation, nil when
-// that is unknown. It must not be changed.
+// ProcessRecord returns the process record that a member sent in the given
+// incarnation; nil when the table has none or the incarnation is not the member's
+// newest. Callers must not modify it.
 func (t *Table) ProcessRecord(name string, incarnation uint64) *wire.Process {
 	lease, ok := t.leases[name]
 	if !ok || lease.process == nil || lease.process.Incarnation != incarnation || lease.incarnation != incarnation {
@@ -159,19 +163,19 @@
 	return lease.process
 }
 
-// Release ends the lease of a member that shuts down. Renewals of that
-// incarnation that arrive later get no lease.
+// Release ends the lease of a member that shuts down. Renewals by that incarnation
+// or an earlier one that arrive afterwards get no lease.
 func (t *Table) Release(name string, incarnation uint64, now time.Time) {
 	if lease, ok := t.leases[name]; ok && lease.incarnation <= incarnation {
 		delete(t.leases, name)
 	}
 	if released, ok := t.releases[name]; !ok || released.incarnation <= incarnation {
-		t.releases[name] = release{incarnation: incarnation, at: now}
+		t.releases[name] = release{incarnation: incarnation, releasedAt: now}
 	}
 }
 
-// RecordPingResponse records a member's answer to the core's own ping. A later
-// incarnation ends the lease of the one before.
+// RecordPingResponse records a member's answer to a ping from this core. An answer
+// by a later incarnation ends the lease of the previous one.
 func (t *Table) RecordPingResponse(name string, incarnation uint64, now time.Time) {
 	delete(t.refusals, name)
 	lease, ok := t.leases[name]
@@ -189,26 +193,28 @@
 	}
 }
 
-// RecordRefusal records a refused connection: no process listens there, so its
-// lease ends at once. Tried is the member as it was known when the connection was
-// tried; one that has renewed as another incarnation since keeps its lease.
-func (t *Table) RecordRefusal(tried MemberID, now time.Time) {
-	if lease, ok := t.leases[tried.Name]; ok {
-		if lease.incarnation != tried.Incarnation {
+// RecordRefusal records a connection refused by a member: no process listens at its
+// address, so its lease ends immediately. Target identifies the member as it was
+// known when the connection was attempted; if it has renewed as another incarnation
+// since then, the refusal is ignored and the member keeps its lease.
+func (t *Table) RecordRefusal(target MemberID, now time.Time) {
+	if lease, ok := t.leases[target.Name]; ok {
+		if lease.incarnation != target.Incarnation {
 			return
 		}
-		delete(t.leases, tried.Name)
+		delete(t.leases, target.Name)
 	}
-	streak, ok := t.refusals[tried.Name]
-	if !ok || now.Sub(streak.last) >= t.ttl {
-		streak.first = now
+	streak, ok := t.refusals[target.Name]
+	if !ok || now.Sub(streak.lastAt) >= t.ttl {
+		streak.firstAt = now
 	}
-	streak.last = now
-	t.refusals[tried.Name] = streak
+	streak.lastAt = now
+	t.refusals[target.Name] = streak
 }
 
-// Prune forgets what no longer counts: members whose lease has expired and without
-// contact for two TTLs, refusals that ended, and releases past their retention. It ends no lease; see memberLease.active.
+// Prune deletes obsolete entries: members whose lease has expired and that had no
+// contact for two TTLs, refusal streaks whose last refusal is two TTLs old, and
+// releases older than releaseRetention. It ends no lease; see memberLease.active.
 func (t *Table) Prune(now time.Time) {
 	for name, lease := range t.leases {
 		if !lease.active(now) && now.Sub(lease.contactAt) >= 2*t.ttl {
@@ -216,12 +222,12 @@
 		}
 	}
 	for name, streak := range t.refusals {
-		if now.Sub(streak.last) >= 2*t.ttl {
+		if now.Sub(streak.lastAt) >= 2*t.ttl {
 			delete(t.refusals, name)
 		}
 	}
 	for name, released := range t.releases {
-		if now.Sub(released.at) >= releaseRetention {
+		if now.Sub(released.releasedAt) >= releaseRetention {
 			delete(t.releases, name)
 		}
 	}
--- a/internal/decision/lease/table_view.go
+++ b/internal/decision/lease/table_view.go
@@ -16,26 +16,26 @@
 }
 
 // StartupGraceOver reports whether the core has been up for longer than a TTL, so
-// that no lease of its former incarnation is left.
+// that all leases granted by its former incarnation have expired.
 func (t *Table) StartupGraceOver(now time.Time) bool { return now.Sub(t.startedAt) > t.ttl }
 
-// View returns the core's part of the check whether a version is confirmed.
-// Leases are named by MemberID.
-func (t *Table) View(version, learned uint64, now time.Time) *wire.LeaseViewResponse {
-	view := t.newView(learned, now)
+// View returns this core's contribution to the check of whether a version is
+// confirmed. Leases are listed by the text form of MemberID.
+func (t *Table) View(version, coreVersion uint64, now time.Time) *wire.LeaseViewResponse {
+	view := t.newView(coreVersion, now)
 	for name, lease := range t.leases {
 		if !lease.active(now) {
 			continue
 		}
 		id := MemberID{Name: name, Incarnation: lease.incarnation}.String()
-		if lease.version >= version {
+		if lease.confirmedVersion >= version {
 			view.Confirmed = append(view.Confirmed, id)
 		} else {
 			view.Waiting = append(view.Waiting, id)
 		}
 	}
 	for name, streak := range t.refusals {
-		if now.Sub(streak.last) < t.ttl {
+		if now.Sub(streak.lastAt) < t.ttl {
 			view.Gone = append(view.Gone, name)
 		}
 	}
@@ -45,30 +45,31 @@
 	return view
 }
 
-// MemberView returns a view reduced to the lease of one member, at any version.
-func (t *Table) MemberView(name string, learned uint64, now time.Time) *wire.LeaseViewResponse {
-	view := t.newView(learned, now)
+// MemberView returns a view that lists only the lease of one member, as confirmed
+// whatever version it confirmed.
+func (t *Table) MemberView(name string, coreVersion uint64, now time.Time) *wire.LeaseViewResponse {
+	view := t.newView(coreVersion, now)
 	if lease, ok := t.leases[name]; ok && lease.active(now) {
 		view.Confirmed = []string{MemberID{Name: name, Incarnation: lease.incarnation}.String()}
 	}
 	return view
 }
 
-func (t *Table) newView(learned uint64, now time.Time) *wire.LeaseViewResponse {
-	return &wire.LeaseViewResponse{Core: t.core, Learned: learned, Settled: t.StartupGraceOver(now)}
+func (t *Table) newView(coreVersion uint64, now time.Time) *wire.LeaseViewResponse {
+	return &wire.LeaseViewResponse{Core: t.core, Learned: coreVersion, Settled: t.StartupGraceOver(now)}
 }
 
-// ConfirmedAt reports whether every lease here is confirmed at a version, and
-// their holders are more than half of the members of the roster that do not
-// refuse connections. It is this core's part of VersionConfirmed, without the
-// cost of a view.
+// ConfirmedAt reports whether every active lease of this core is confirmed at a
+// version, and the number of these leases is more than half the number of roster
+// members that do not refuse connections. It evaluates this core's part of
+// VersionConfirmed without the cost of building a view.
 func (t *Table) ConfirmedAt(version uint64, roster map[string]statemachine.Member, now time.Time) bool {
 	confirmed := 0
 	for _, lease := range t.leases {
 		if !lease.active(now) {
 			continue
 		}
-		if lease.version < version {
+		if lease.confirmedVersion < version {
 			return false
 		}
 		confirmed++
@@ -82,13 +83,13 @@
 	return confirmed*2 > eligible
 }
 
-// PingTargets returns the members, on the roster or known here, without contact
-// for a span, sorted by name. A member that has not renewed since the core started
-// has no known incarnation.
-func (t *Table) PingTargets(roster map[string]statemachine.Member, span time.Duration, now time.Time) []MemberID {
+// PingTargets returns, sorted by name, the members that have had no contact with
+// this core for at least quietPeriod, and the members of the roster that have no
+// lease record here. The incarnation of the latter is unknown.
+func (t *Table) PingTargets(roster map[string]statemachine.Member, quietPeriod time.Duration, now time.Time) []MemberID {
 	var targets []MemberID
 	for name, lease := range t.leases {
-		if now.Sub(lease.contactAt) >= span {
+		if now.Sub(lease.contactAt) >= quietPeriod {
 			targets = append(targets, MemberID{Name: name, Incarnation: lease.incarnation})
 		}
 	}
@@ -101,8 +102,8 @@
 	return targets
 }
 
-// UnlistedMembers returns the members that renew here but are not on the roster,
-// sorted by name.
+// UnlistedMembers returns the members that have been in contact with this core
+// within the last TTL but are not on the roster, sorted by name.
 func (t *Table) UnlistedMembers(roster map[string]statemachine.Member, now time.Time) []statemachine.Member {
 	var members []statemachine.Member
 	for name, lease := range t.leases {
@@ -114,12 +115,12 @@
 	return members
 }
 
-// RefusingMembers returns the members of the roster that have refused connections
-// without interruption for a span, sorted.
-func (t *Table) RefusingMembers(roster map[string]statemachine.Member, span time.Duration, now time.Time) []string {
+// RefusingMembers returns the sorted names of the roster members whose current
+// streak of refused connections has lasted at least minDuration.
+func (t *Table) RefusingMembers(roster map[string]statemachine.Member, minDuration time.Duration, now time.Time) []string {
 	var names []string
 	for name, streak := range t.refusals {
-		if _, listed := roster[name]; listed && now.Sub(streak.last) < t.ttl && streak.last.Sub(streak.first) >= span {
+		if _, listed := roster[name]; listed && now.Sub(streak.lastAt) < t.ttl && streak.lastAt.Sub(streak.firstAt) >= minDuration {
 			names = append(names, name)
 		}
 	}
