--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -23,7 +23,7 @@
 	records := []paxos.Record{
 		paxos.FormationJoined{Formation: "core-1-f", Voters: []string{"core-1", "core-2", "core-3"}},
 		paxos.RecoveryCompleted{Incarnations: map[string]uint64{"core-1": 1, "core-2": 1, "core-3": 1}},
-		paxos.Learned{Slot: 1, Command: put},
+		paxos.Learned{Slot: 1, Value: put},
 		paxos.Accepted{Slot: 2, Ballot: paxos.Ballot{Number: 4, Core: "core-2"}, Value: []byte("open")},
 	}
 	log, _, err := disklog.Open(disklog.Config{Folder: folder, ReserveBytes: 1})
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -96,7 +96,7 @@
 		"2 disk life":                   paxos.IncarnationRecorded{Core: "b", Incarnation: 3},
 		"3 promise":                     paxos.Promised{Slot: 20, Ballot: ballotOfB},
 		"4 vote":                        paxos.Accepted{Slot: 20, Ballot: ballotOfB, Value: []byte("twenty")},
-		"5 learned":                     paxos.Learned{Slot: 18, Command: []byte("eighteen")},
+		"5 learned":                     paxos.Learned{Slot: 18, Value: []byte("eighteen")},
 		"5 learned as voted":            paxos.Learned{Slot: 18, AsAccepted: true},
 		"6 snapshot installed":          paxos.SnapshotInstalled{Slot: 17, Snapshot: []byte("state")},
 		"7 recovery": paxos.RecoveryCompleted{Incarnations: map[string]uint64{"a": 1, "b": 2, "c": 1}, SnapshotSlot: 17,
@@ -143,7 +143,7 @@
 	for i, record := range replay.Records {
 		fmt.Fprintf(&out, "record %d: kind %d, %s\n", i, record[0], digest(record))
 	}
-	state := paxos.Blank(core)
+	state := paxos.BlankState(core)
 	if replay.Snapshot != nil {
 		if state, err = paxos.DecodeState(replay.Snapshot); err != nil {
 			t.Fatal(err)
--- a/internal/decision/lease/status_tracker.go
+++ b/internal/decision/lease/status_tracker.go
@@ -90,12 +90,12 @@
 }
 
 func sameStatus(a, b *wire.Sight) bool {
-	return a.Gone == b.Gone && a.Silent == b.Silent && SameProcess(a.Process, b.Process)
+	return a.Gone == b.Gone && a.Silent == b.Silent && SameProcessRecord(a.Process, b.Process)
 }
 
-// SameProcess reports whether two process records are equal in every field except
+// SameProcessRecord reports whether two process records are equal in every field except
 // the counter, which only orders records of one incarnation.
-func SameProcess(a, b *wire.Process) bool {
+func SameProcessRecord(a, b *wire.Process) bool {
 	if a == b {
 		return true
 	}
--- a/internal/decision/lease/status_tracker_test.go
+++ b/internal/decision/lease/status_tracker_test.go
@@ -72,8 +72,8 @@
 		for i := range fields.Len() {
 			other := fullRecord()
 			other.ProtoReflect().Clear(fields.Get(i))
-			So(SameProcess(fullRecord(), other), ShouldEqual, fields.Get(i).Name() == "counter")
+			So(SameProcessRecord(fullRecord(), other), ShouldEqual, fields.Get(i).Name() == "counter")
 		}
-		So(SameProcess(fullRecord(), nil), ShouldBeFalse)
+		So(SameProcessRecord(fullRecord(), nil), ShouldBeFalse)
 	})
 }
--- a/internal/decision/lease/table.go
+++ b/internal/decision/lease/table.go
@@ -119,7 +119,7 @@
 		lease = &memberLease{incarnation: record.Incarnation}
 		t.leases[record.Name] = lease
 	}
-	if !SameProcess(lease.process, record) && !isOlderRecord(record, lease.process) {
+	if !SameProcessRecord(lease.process, record) && !isOlderRecord(record, lease.process) {
 		lease.process = record
 	}
 	lease.member = statemachine.Member{
@@ -134,9 +134,9 @@
 	return lease
 }
 
-// RenewedMember returns the name of the member whose lease a request renews; "" when
+// RenewalMemberName returns the name of the member whose lease a request renews; "" when
 // the request names none.
-func RenewedMember(req *wire.RenewRequest) string {
+func RenewalMemberName(req *wire.RenewRequest) string {
 	if req.Self != nil {
 		return req.Self.Name
 	}
--- a/internal/decision/lease/table_view.go
+++ b/internal/decision/lease/table_view.go
@@ -59,11 +59,11 @@
 	return &wire.LeaseViewResponse{Core: t.core, Learned: coreVersion, Settled: t.StartupGraceOver(now)}
 }
 
-// ConfirmedAt reports whether every active lease of this core is confirmed at a
+// ConfirmsVersion reports whether every active lease of this core is confirmed at a
 // version, and the number of these leases is more than half the number of roster
 // members that do not refuse connections. It evaluates this core's part of
 // VersionConfirmed without the cost of building a view.
-func (t *Table) ConfirmedAt(version uint64, roster map[string]statemachine.Member, now time.Time) bool {
+func (t *Table) ConfirmsVersion(version uint64, roster map[string]statemachine.Member, now time.Time) bool {
 	confirmed := 0
 	for _, lease := range t.leases {
 		if !lease.active(now) {
--- a/internal/decision/paxos/acceptor.go
+++ b/internal/decision/paxos/acceptor.go
@@ -23,10 +23,10 @@
 	if code := s.checkVoting(formation); code != apierror.OK {
 		return nonVoteAnswer{code: code}, true
 	}
-	if slot > s.Learned() {
+	if slot > s.HighestLearnedSlot() {
 		return nonVoteAnswer{}, false
 	}
-	value, found := s.Command(slot)
+	value, found := s.LearnedValue(slot)
 	if !found {
 		return nonVoteAnswer{code: apierror.VersionBehind}, true
 	}
@@ -37,7 +37,7 @@
 // the same one is refused the second time, so that a core that lost its own unsynced
 // ballot in a crash can't open it again.
 func (s State) Prepare(req *wire.PrepareRequest) ([]Record, *wire.PrepareResponse) {
-	resp := &wire.PrepareResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Incarnations)}
+	resp := &wire.PrepareResponse{Core: s.Self, Learned: s.HighestLearnedSlot(), Lives: maps.Clone(s.Incarnations)}
 	if answer, final := s.answerWithoutVote(req.Formation, req.Slot); final {
 		resp.Refusal = uint32(answer.code)
 		resp.Chosen = answer.chosen
@@ -61,7 +61,7 @@
 // ballot is promised, or if the proposal depends on the promise of a core that is
 // known to have lost its disk since.
 func (s State) Accept(req *wire.AcceptRequest) ([]Record, *wire.AcceptResponse) {
-	resp := &wire.AcceptResponse{Core: s.Self, Learned: s.Learned(), Lives: maps.Clone(s.Incarnations)}
+	resp := &wire.AcceptResponse{Core: s.Self, Learned: s.HighestLearnedSlot(), Lives: maps.Clone(s.Incarnations)}
 	if answer, final := s.answerWithoutVote(req.Formation, req.Slot); final {
 		resp.Refusal = uint32(answer.code)
 		resp.Chosen = answer.chosen
--- a/internal/decision/paxos/acceptor_test.go
+++ b/internal/decision/paxos/acceptor_test.go
@@ -38,10 +38,10 @@
 		So(resp.Accepted, ShouldBeTrue)
 	})
 	Convey("A core that is blank, amnesiac or in another formation neither promises nor accepts nor serves reads", t, func() {
-		joined := FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("a"))
+		joined := FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState("a"))
 		foreign := votingCore("a")
 		foreign.Formation = "g"
-		for code, s := range map[apierror.Code]State{apierror.CoreBlank: Blank("a"), apierror.CoreAmnesiac: joined, apierror.WrongFormation: foreign} {
+		for code, s := range map[apierror.Code]State{apierror.CoreBlank: BlankState("a"), apierror.CoreAmnesiac: joined, apierror.WrongFormation: foreign} {
 			_, prepareResp := prepare(s, 1, 1, "b")
 			So(apierror.Code(prepareResp.Refusal), ShouldEqual, code)
 			_, acceptResp := accept(s, 1, 1, "b", "x", nil)
--- a/internal/decision/paxos/formation.go
+++ b/internal/decision/paxos/formation.go
@@ -26,14 +26,14 @@
 	}
 }
 
-// JoinProbed decides whether a core that does not vote yet joins the formation that
+// JoinProbedFormation decides whether a core that does not vote yet joins the formation that
 // another core reported in its answer to a probe. A blank core joins any formation
 // that lists it as a voter. A core that has joined a formation switches only if it
 // knows of no announced incarnation in its own and either the answer reports one in
 // the other formation or the other ID is lower. A core that has announced its own
 // incarnation never switches: other cores may have recorded the incarnation, and since
 // switching discards it, the core would return as one that lost its disk.
-func (s State) JoinProbed(probe *wire.RecoverResponse) (Record, bool) {
+func (s State) JoinProbedFormation(probe *wire.RecoverResponse) (Record, bool) {
 	if s.Incarnation() != 0 || probe.Formation == "" || probe.Formation == s.Formation {
 		return nil, false
 	}
--- a/internal/decision/paxos/formation_test.go
+++ b/internal/decision/paxos/formation_test.go
@@ -12,28 +12,28 @@
 func TestFoundFormation(t *testing.T) {
 	Convey("The first formation is founded by the core with the lowest name once all cores answer as blank", t, func() {
 		blank := &wire.RecoverResponse{Refusal: uint32(apierror.CoreBlank)}
-		record, ok := Blank("a").FoundFormation("id", 3, map[string]*wire.RecoverResponse{"b": blank, "c": blank}, 0, nil)
+		record, ok := BlankState("a").FoundFormation("id", 3, map[string]*wire.RecoverResponse{"b": blank, "c": blank}, 0, nil)
 		So(ok, ShouldBeTrue)
 		So(record.(FormationJoined).Voters, ShouldResemble, voters)
 		for _, probes := range []map[string]*wire.RecoverResponse{{"b": blank}, {"b": blank, "c": nil}, {"b": blank, "c": {Ok: true}}} {
-			_, ok = Blank("a").FoundFormation("id", 3, probes, 0, nil)
+			_, ok = BlankState("a").FoundFormation("id", 3, probes, 0, nil)
 			So(ok, ShouldBeFalse)
 		}
-		_, ok = Blank("b").FoundFormation("id", 3, map[string]*wire.RecoverResponse{"a": blank, "c": blank}, 0, nil)
+		_, ok = BlankState("b").FoundFormation("id", 3, map[string]*wire.RecoverResponse{"a": blank, "c": blank}, 0, nil)
 		So(ok, ShouldBeFalse)
 	})
 }
 
 func TestJoinProbed(t *testing.T) {
-	waiting := FormationJoined{Formation: "b-1", Voters: voters}.Apply(Blank("b"))
+	waiting := FormationJoined{Formation: "b-1", Voters: voters}.Apply(BlankState("b"))
 	lower := &wire.RecoverResponse{Ok: true, Formation: "a-1", Voters: voters}
 	higher := &wire.RecoverResponse{Ok: true, Formation: "c-1", Voters: voters}
 	joins := func(s State, probe *wire.RecoverResponse) bool {
-		_, ok := s.JoinProbed(probe)
+		_, ok := s.JoinProbedFormation(probe)
 		return ok
 	}
 	Convey("A core in a formation without announced incarnations switches to one with a lower ID that lists it as a voter", t, func() {
-		So(joins(Blank("b"), higher), ShouldBeTrue)
+		So(joins(BlankState("b"), higher), ShouldBeTrue)
 		So(joins(waiting, lower), ShouldBeTrue)
 		So(joins(waiting, higher), ShouldBeFalse)
 		So(joins(waiting, &wire.RecoverResponse{Ok: true, Formation: "a-1", Voters: []string{"a", "c", "d"}}), ShouldBeFalse)
--- a/internal/decision/paxos/helpers_test.go
+++ b/internal/decision/paxos/helpers_test.go
@@ -7,7 +7,7 @@
 
 // votingCore returns the state of a core that votes in the formation f.
 func votingCore(name string) State {
-	joined := FormationJoined{Formation: "f", Voters: voters}.Apply(Blank(name))
+	joined := FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState(name))
 	return RecoveryCompleted{Incarnations: map[string]uint64{"a": 1, "b": 1, "c": 1}}.Apply(joined)
 }
 
--- a/internal/decision/paxos/learner.go
+++ b/internal/decision/paxos/learner.go
@@ -15,9 +15,9 @@
 // earlier slots, which must be fetched from the sender.
 func (s State) Learn(req *wire.LearnRequest) (records []Record, resp *wire.LearnResponse, behind bool) {
 	if s.checkVoting(req.Formation) != apierror.OK {
-		return nil, &wire.LearnResponse{Learned: s.Learned()}, false
+		return nil, &wire.LearnResponse{Learned: s.HighestLearnedSlot()}, false
 	}
-	nextSlot := s.Learned() + 1
+	nextSlot := s.HighestLearnedSlot() + 1
 	for _, chosen := range req.Chosen {
 		switch {
 		case chosen.Epoch > nextSlot:
@@ -25,7 +25,7 @@
 		case chosen.Epoch == nextSlot:
 			slot := s.OpenSlots[nextSlot]
 			asAccepted := !slot.Accepted.IsZero() && bytes.Equal(slot.Value, chosen.Command)
-			records = append(records, Learned{Slot: nextSlot, Command: chosen.Command, AsAccepted: asAccepted})
+			records = append(records, Learned{Slot: nextSlot, Value: chosen.Command, AsAccepted: asAccepted})
 			nextSlot++
 		}
 	}
@@ -37,7 +37,7 @@
 func (s State) Read(req *wire.ReadRequest) *wire.ReadResponse {
 	resp := &wire.ReadResponse{
 		Core:    s.Self,
-		Learned: s.Learned(),
+		Learned: s.HighestLearnedSlot(),
 		Highest: s.HighestSlot(),
 		Life:    s.Incarnations[req.Core],
 	}
@@ -55,14 +55,14 @@
 	if code := s.checkVoting(req.Formation); code != apierror.OK {
 		return nil, apierror.Errorf(code, "fetch from core %s for formation %q refused: the core is in formation %q with disk incarnation %d", s.Self, req.Formation, s.Formation, s.Incarnation())
 	}
-	resp := &wire.FetchResponse{Learned: s.Learned()}
+	resp := &wire.FetchResponse{Learned: s.HighestLearnedSlot()}
 	precedingSlot := req.After
 	if precedingSlot < s.SnapshotSlot {
 		resp.SnapshotEpoch = s.SnapshotSlot
 		resp.Snapshot = s.Snapshot
 		precedingSlot = s.SnapshotSlot
 	}
-	if precedingSlot >= s.Learned() {
+	if precedingSlot >= s.HighestLearnedSlot() {
 		return resp, nil
 	}
 	size := 0
@@ -83,7 +83,7 @@
 		return nil
 	}
 	var records []Record
-	if resp.SnapshotEpoch > s.Learned() {
+	if resp.SnapshotEpoch > s.HighestLearnedSlot() {
 		installed := SnapshotInstalled{Slot: resp.SnapshotEpoch, Snapshot: resp.Snapshot}
 		records = append(records, installed)
 		s = installed.Apply(s)
--- a/internal/decision/paxos/learner_test.go
+++ b/internal/decision/paxos/learner_test.go
@@ -25,7 +25,7 @@
 		fetched, apiErr := s.Fetch(&wire.FetchRequest{Formation: "f", After: 0})
 		So(apiErr, ShouldBeNil)
 		learner := applyAll(votingCore("b"), votingCore("b").HandleFetch(fetched))
-		So(learner.Learned(), ShouldEqual, 2)
+		So(learner.HighestLearnedSlot(), ShouldEqual, 2)
 		So(string(learner.Snapshot), ShouldEqual, "both")
 	})
 }
@@ -34,11 +34,11 @@
 	Convey("Large commands are fetched in several responses", t, func() {
 		s := votingCore("a")
 		for index := range uint64(6) {
-			s = Learned{Slot: index + 1, Command: fmt.Appendf(make([]byte, maxFetchBytes/2), "%d", index)}.Apply(s)
+			s = Learned{Slot: index + 1, Value: fmt.Appendf(make([]byte, maxFetchBytes/2), "%d", index)}.Apply(s)
 		}
 		learner, rounds := votingCore("b"), 0
-		for ; learner.Learned() < 6; rounds++ {
-			resp, apiErr := s.Fetch(&wire.FetchRequest{Formation: "f", After: learner.Learned()})
+		for ; learner.HighestLearnedSlot() < 6; rounds++ {
+			resp, apiErr := s.Fetch(&wire.FetchRequest{Formation: "f", After: learner.HighestLearnedSlot()})
 			So(apiErr, ShouldBeNil)
 			So(len(resp.Chosen), ShouldBeBetween, 0, 3)
 			learner = applyAll(learner, learner.HandleFetch(resp))
--- a/internal/decision/paxos/proposer.go
+++ b/internal/decision/paxos/proposer.go
@@ -53,15 +53,15 @@
 // A promise or acceptance counts only as long as no response reports a later
 // incarnation of the core that sent it.
 type Proposer struct {
-	Formation        string
-	Slot             uint64
-	Ballot           Ballot
-	InitialValue     []byte // proposed if no promise reports an accepted value
-	Voters           []string
-	Phase            Phase
-	HighestBallot    Ballot // the highest ballot observed
-	HighestLearned   uint64 // the highest learned slot reported
-	HighestLearnedBy string // the core that reported HighestLearned
+	Formation              string
+	Slot                   uint64
+	Ballot                 Ballot
+	InitialValue           []byte // proposed if no promise reports an accepted value
+	Voters                 []string
+	Phase                  Phase
+	HighestBallot          Ballot // the highest ballot observed
+	HighestLearnedSlot     uint64 // the highest learned slot reported
+	HighestLearnedSlotCore string // the core that reported HighestLearnedSlot
 
 	value        []byte                     // proposed in phase 2
 	promises     map[string]receivedPromise // by core
@@ -229,9 +229,9 @@
 // observe records what every response reports, whether or not its vote counts.
 func (p Proposer) observe(incarnations map[string]uint64, promised Ballot, learned uint64, core string) Proposer {
 	p.HighestBallot = maxBallot(p.HighestBallot, promised)
-	if learned > p.HighestLearned {
-		p.HighestLearned = learned
-		p.HighestLearnedBy = core
+	if learned > p.HighestLearnedSlot {
+		p.HighestLearnedSlot = learned
+		p.HighestLearnedSlotCore = core
 	}
 	merged := make(map[string]uint64, len(p.incarnations)+len(incarnations))
 	maps.Copy(merged, p.incarnations)
--- a/internal/decision/paxos/record.go
+++ b/internal/decision/paxos/record.go
@@ -53,7 +53,7 @@
 // slot, and the encoding omits it.
 type Learned struct {
 	Slot       uint64
-	Command    []byte
+	Value      []byte
 	AsAccepted bool
 }
 
@@ -112,10 +112,10 @@
 
 // Apply implements Record.
 func (r Learned) Apply(s State) State {
-	if r.Slot != s.Learned()+1 {
+	if r.Slot != s.HighestLearnedSlot()+1 {
 		return s
 	}
-	command := r.Command
+	command := r.Value
 	if r.AsAccepted {
 		command = s.OpenSlots[r.Slot].Value
 	}
@@ -126,7 +126,7 @@
 
 // Apply implements Record.
 func (r SnapshotInstalled) Apply(s State) State {
-	if r.Slot <= s.Learned() {
+	if r.Slot <= s.HighestLearnedSlot() {
 		return s
 	}
 	s.SnapshotSlot = r.Slot
@@ -156,7 +156,7 @@
 // withoutLearnedSlots returns the state without the open slots up to the highest
 // learned slot.
 func (s State) withoutLearnedSlots() State {
-	learned := s.Learned()
+	learned := s.HighestLearnedSlot()
 	openSlots := make(map[uint64]SlotState, len(s.OpenSlots))
 	for slotNumber, slot := range s.OpenSlots {
 		if slotNumber > learned {
--- a/internal/decision/paxos/record_test.go
+++ b/internal/decision/paxos/record_test.go
@@ -19,7 +19,7 @@
 	return rapid.SampledFrom([]Record{
 		FormationJoined{Formation: "f", Voters: voters, SnapshotSlot: slot, Snapshot: value},
 		IncarnationRecorded{Core: "b", Incarnation: slot}, Promised{Slot: slot, Ballot: ballot}, Accepted{Slot: slot, Ballot: ballot, Value: value},
-		Learned{Slot: slot, Command: value}, Learned{Slot: slot, AsAccepted: true}, SnapshotInstalled{Slot: slot, Snapshot: value},
+		Learned{Slot: slot, Value: value}, Learned{Slot: slot, AsAccepted: true}, SnapshotInstalled{Slot: slot, Snapshot: value},
 		RecoveryCompleted{Incarnations: incarnations, SnapshotSlot: slot, Snapshot: value, Chosen: []*wire.Chosen{{Epoch: slot + 1, Command: value}},
 			OpenSlots: map[uint64]SlotState{slot + 2: {Promised: ballot, Accepted: ballot, Value: value}}},
 	}).Draw(t, "record")
@@ -56,7 +56,7 @@
 		So(errors.Is(err, ErrEmptyRecord), ShouldBeTrue)
 
 		var unknown *UnknownRecordKindError
-		_, err = Replay(Blank("a"), [][]byte{{99}})
+		_, err = Replay(BlankState("a"), [][]byte{{99}})
 		So(errors.As(err, &unknown), ShouldBeTrue)
 		So(unknown.Kind, ShouldEqual, 99)
 
--- a/internal/decision/paxos/recordcodec.go
+++ b/internal/decision/paxos/recordcodec.go
@@ -132,7 +132,7 @@
 	if r.AsAccepted {
 		return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Slot}}, From: asAcceptedMark}
 	}
-	return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Slot, Command: r.Command}}}
+	return kindLearned, &wire.LearnRequest{Chosen: []*wire.Chosen{{Epoch: r.Slot, Command: r.Value}}}
 }
 
 func decodeLearned(body []byte) (Record, error) {
@@ -144,7 +144,7 @@
 		return nil, &LearnedValueCountError{Count: len(message.Chosen)}
 	}
 	chosen := message.Chosen[0]
-	return Learned{Slot: chosen.Epoch, Command: chosen.Command, AsAccepted: message.From != ""}, nil
+	return Learned{Slot: chosen.Epoch, Value: chosen.Command, AsAccepted: message.From != ""}, nil
 }
 
 func (r SnapshotInstalled) message() (byte, proto.Message) {
--- a/internal/decision/paxos/recovery.go
+++ b/internal/decision/paxos/recovery.go
@@ -106,7 +106,7 @@
 
 func (s State) summarizeProbes(probes map[string]*wire.RecoverResponse) probeSummary {
 	var summary probeSummary
-	for _, name := range s.Others() {
+	for _, name := range s.OtherVoters() {
 		probe := probes[name]
 		if !s.isFromFormation(probe) {
 			summary.firstMissing = cmp.Or(summary.firstMissing, name)
@@ -164,16 +164,16 @@
 // answers.
 func (s State) RecoverySources(incarnation uint64, probes map[string]*wire.RecoverResponse) (cores []string, required int) {
 	if incarnation < secondIncarnation {
-		return s.Others(), 0
+		return s.OtherVoters(), 0
 	}
 	var voting []string
-	for _, core := range s.Others() {
+	for _, core := range s.OtherVoters() {
 		if probe := probes[core]; probe != nil && probe.Voting {
 			voting = append(voting, core)
 		}
 	}
 	if len(voting) < s.RecoveryQuorum() {
-		return s.Others(), 0
+		return s.OtherVoters(), 0
 	}
 	return voting, s.RecoveryQuorum()
 }
@@ -198,7 +198,7 @@
 		Chosen:       s.Chosen,
 		OpenSlots:    map[uint64]SlotState{},
 	}
-	learned := s.Learned()
+	learned := s.HighestLearnedSlot()
 	for _, answer := range usable {
 		if answerLearned := answer.SnapshotEpoch + uint64(len(answer.Chosen)); answerLearned > learned {
 			learned = answerLearned
@@ -219,7 +219,7 @@
 // describes the first voter that is still needed.
 func (s State) usableAnswers(incarnation uint64, answers map[string]*wire.RecoverResponse, knownIncarnations map[string]uint64) (usable []*wire.RecoverResponse, missing string) {
 	voting := 0
-	for _, name := range s.Others() {
+	for _, name := range s.OtherVoters() {
 		answer := answers[name]
 		if !s.isFromFormation(answer) {
 			missing = cmp.Or(missing, name)
@@ -246,7 +246,7 @@
 func (s State) knownIncarnations(answers map[string]*wire.RecoverResponse) map[string]uint64 {
 	known := make(map[string]uint64, len(s.Voters))
 	maps.Copy(known, s.Incarnations)
-	for _, name := range s.Others() {
+	for _, name := range s.OtherVoters() {
 		if answer := answers[name]; s.isFromFormation(answer) {
 			mergeIncarnations(known, answer.Lives)
 		}
--- a/internal/decision/paxos/recovery_test.go
+++ b/internal/decision/paxos/recovery_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestRecoveryOfOneOfThree(t *testing.T) {
-	wiped := FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("a"))
+	wiped := FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState("a"))
 	probe := func(s State) *wire.RecoverResponse {
 		_, resp := s.Recover(&wire.RecoverRequest{Core: "a", Probe: true})
 		return resp
@@ -40,14 +40,14 @@
 		So(apierror.Code(lateResp.Refusal), ShouldEqual, apierror.VersionBehind)
 	})
 	Convey("A core that lost its disk serves no recovery, and its answer does not prove that another core never voted", t, func() {
-		lost := IncarnationRecorded{Core: "c", Incarnation: 2}.Apply(FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("c")))
+		lost := IncarnationRecorded{Core: "c", Incarnation: 2}.Apply(FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState("c")))
 		_, resp := announceA(lost, 2)
 		So(apierror.Code(resp.Refusal), ShouldEqual, apierror.CoreAmnesiac)
-		unannounced := FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("b"))
+		unannounced := FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState("b"))
 		_, missing := wiped.NextIncarnation(map[string]*wire.RecoverResponse{"b": probe(unannounced), "c": probe(lost)}, 0)
 		So(missing, ShouldNotBeEmpty)
 		_, fromB := announceA(votingCore("b"), 2)
-		stale := IncarnationRecorded{Core: "c", Incarnation: 1}.Apply(FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("c")))
+		stale := IncarnationRecorded{Core: "c", Incarnation: 1}.Apply(FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState("c")))
 		_, fromC := announceA(stale, 2)
 		fromB.Lives["c"] = 2
 		_, missing = wiped.CompleteRecovery(2, map[string]*wire.RecoverResponse{"b": fromB, "c": fromC})
@@ -59,9 +59,9 @@
 	five := []string{"a", "b", "c", "d", "e"}
 	incarnations := map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1, "e": 1}
 	voting := func(name string) State {
-		return RecoveryCompleted{Incarnations: incarnations}.Apply(FormationJoined{Formation: "f", Voters: five}.Apply(Blank(name)))
+		return RecoveryCompleted{Incarnations: incarnations}.Apply(FormationJoined{Formation: "f", Voters: five}.Apply(BlankState(name)))
 	}
-	wiped := func(name string) State { return FormationJoined{Formation: "f", Voters: five}.Apply(Blank(name)) }
+	wiped := func(name string) State { return FormationJoined{Formation: "f", Voters: five}.Apply(BlankState(name)) }
 	probes := func(name string, cores ...State) map[string]*wire.RecoverResponse {
 		answers := map[string]*wire.RecoverResponse{}
 		for _, core := range cores {
--- a/internal/decision/paxos/state.go
+++ b/internal/decision/paxos/state.go
@@ -26,12 +26,12 @@
 	OpenSlots            map[uint64]SlotState // by slot number; all above Learned
 }
 
-// Blank returns the state of a core with an empty disk.
-func Blank(self string) State { return State{Self: self} }
+// BlankState returns the state of a core with an empty disk.
+func BlankState(self string) State { return State{Self: self} }
 
-// Learned returns the highest learned slot: all slots up to it are known to be
+// HighestLearnedSlot returns the highest learned slot: all slots up to it are known to be
 // chosen.
-func (s State) Learned() uint64 { return s.SnapshotSlot + uint64(len(s.Chosen)) }
+func (s State) HighestLearnedSlot() uint64 { return s.SnapshotSlot + uint64(len(s.Chosen)) }
 
 // Incarnation returns the core's own disk incarnation, or zero if the core does not
 // vote yet.
@@ -63,15 +63,15 @@
 // any n-quorum+1 of these n-f include one of those.
 func (s State) RecoveryQuorum() int { return len(s.Voters) - s.Quorum() + 1 }
 
-// Others returns the voters other than the core itself.
-func (s State) Others() []string {
+// OtherVoters returns the voters other than the core itself.
+func (s State) OtherVoters() []string {
 	return slices.DeleteFunc(slices.Clone(s.Voters), func(name string) bool { return name == s.Self })
 }
 
-// Command returns the value chosen in a slot. Found is false if the slot is not
+// LearnedValue returns the value chosen in a slot. Found is false if the slot is not
 // learned or is already compacted into the snapshot.
-func (s State) Command(slot uint64) (command []byte, found bool) {
-	if slot <= s.SnapshotSlot || slot > s.Learned() {
+func (s State) LearnedValue(slot uint64) (command []byte, found bool) {
+	if slot <= s.SnapshotSlot || slot > s.HighestLearnedSlot() {
 		return nil, false
 	}
 	return s.Chosen[slot-s.SnapshotSlot-1].Command, true
@@ -79,7 +79,7 @@
 
 // HighestSlot returns the highest slot in which a value is accepted or learned.
 func (s State) HighestSlot() uint64 {
-	highest := s.Learned()
+	highest := s.HighestLearnedSlot()
 	for slotNumber, slot := range s.OpenSlots {
 		if !slot.Accepted.IsZero() && slotNumber > highest {
 			highest = slotNumber
@@ -96,7 +96,7 @@
 // snapshot at that slot. It returns the state unchanged if the slot is not learned
 // or is already compacted.
 func (s State) Compacted(slot uint64, snapshot []byte) State {
-	if slot <= s.SnapshotSlot || slot > s.Learned() {
+	if slot <= s.SnapshotSlot || slot > s.HighestLearnedSlot() {
 		return s
 	}
 	s.Chosen = slices.Clone(s.Chosen[slot-s.SnapshotSlot:])
--- a/internal/decision/paxos/transcript_test.go
+++ b/internal/decision/paxos/transcript_test.go
@@ -42,7 +42,7 @@
 	case Accepted:
 		return fmt.Sprintf("slot %d accepted %q by %s", r.Slot, r.Value, formatBallot(r.Ballot))
 	case Learned:
-		return fmt.Sprintf("slot %d learned: %q", r.Slot, r.Command)
+		return fmt.Sprintf("slot %d learned: %q", r.Slot, r.Value)
 	case RecoveryCompleted:
 		text := fmt.Sprintf("completed recovery: incarnations %v, learned %d", r.Incarnations, r.SnapshotSlot+uint64(len(r.Chosen)))
 		for _, vote := range openSlotsToWire(r.OpenSlots) {
@@ -64,7 +64,7 @@
 func (e *exchange) recover(core string) {
 	s := e.cores[core]
 	probes, answers := map[string]*wire.RecoverResponse{}, map[string]*wire.RecoverResponse{}
-	for _, other := range s.Others() {
+	for _, other := range s.OtherVoters() {
 		_, probes[other] = e.cores[other].Recover(&wire.RecoverRequest{Core: core, Probe: true})
 		e.printf("%s probes %s: %s", core, other, formatAnswer(probes[other].Refusal, "incarnations %v", probes[other].Lives))
 	}
@@ -74,7 +74,7 @@
 		return
 	}
 	e.sync(core, []Record{IncarnationRecorded{Core: core, Incarnation: incarnation}})
-	for _, other := range s.Others() {
+	for _, other := range s.OtherVoters() {
 		records, answer := e.cores[other].Recover(&wire.RecoverRequest{Formation: s.Formation, Core: core, Life: incarnation})
 		e.printf("%s announces incarnation %d to %s: %s", core, incarnation, other, formatAnswer(answer.Refusal, "learned %d, %d open slots, incarnations %v", len(answer.Chosen), len(answer.Votes), answer.Lives))
 		e.sync(other, records)
@@ -99,7 +99,7 @@
 // propose runs a ballot among the reachable cores.
 func (e *exchange) propose(from string, value string, unreachable ...string) {
 	s := e.cores[from]
-	slot := s.Learned() + 1
+	slot := s.HighestLearnedSlot() + 1
 	proposer, request := NewProposer(s, slot, s.NextBallotNumber(slot), []byte(value))
 	var step Step
 	for _, core := range voters {
@@ -143,7 +143,7 @@
 }
 
 func TestMessageExchangeMatchesGoldenTranscript(t *testing.T) {
-	e := &exchange{cores: map[string]State{"a": Blank("a"), "b": Blank("b"), "c": Blank("c")}}
+	e := &exchange{cores: map[string]State{"a": BlankState("a"), "b": BlankState("b"), "c": BlankState("c")}}
 	e.printf("# Three blank cores found a formation and complete their recovery")
 	probes := map[string]*wire.RecoverResponse{}
 	for _, other := range []string{"b", "c"} {
@@ -171,7 +171,7 @@
 	}
 	records, _ := e.cores["b"].Accept(&wire.AcceptRequest{Formation: "f", Slot: 2, Ballot: p.Ballot.ToWire(), Value: []byte("two")})
 	e.sync("b", records)
-	e.cores["a"] = FormationJoined{Formation: "f", Voters: voters}.Apply(Blank("a"))
+	e.cores["a"] = FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState("a"))
 	e.propose("c", "three", "b")
 	e.printf("\n# a recovers from b and c")
 	e.recover("a")
@@ -180,7 +180,7 @@
 	e.propose("a", "four", "c")
 	e.printf("\n# b and c lose their disks at once: neither recovers from the other")
 	for _, core := range []string{"c", "b"} {
-		e.cores[core] = FormationJoined{Formation: "f", Voters: voters}.Apply(Blank(core))
+		e.cores[core] = FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState(core))
 	}
 	e.recover("c")
 	e.recover("b")
--- a/internal/node/control/lease_views.go
+++ b/internal/node/control/lease_views.go
@@ -100,7 +100,7 @@
 }
 
 func (c *Controller) confirmedHere(version uint64, now time.Time) bool {
-	return c.learned() >= version && c.leases.ConfirmedAt(version, c.state.Roster, now)
+	return c.learned() >= version && c.leases.ConfirmsVersion(version, c.state.Roster, now)
 }
 
 // collectViews requests one round of lease views from all cores, this one
--- a/internal/node/control/renewal_relay.go
+++ b/internal/node/control/renewal_relay.go
@@ -213,7 +213,7 @@
 		return apierror.Errorf(apierror.BadField, "a batch of %d renewals, at most %d", len(req.Renewals), maxRelayBatch)
 	}
 	for _, renewal := range req.Renewals {
-		if renewal.Unconfirmed || lease.RenewedMember(renewal) == "" {
+		if renewal.Unconfirmed || lease.RenewalMemberName(renewal) == "" {
 			return apierror.Errorf(apierror.BadField, "a batch holds renewals of members that are confirmed, by name")
 		}
 	}
--- a/internal/node/control/renewals.go
+++ b/internal/node/control/renewals.go
@@ -27,7 +27,7 @@
 // renewal with relay set is answered with the answers of the other cores. The
 // error is an *apierror.Error, or the context's.
 func (c *Controller) Renew(ctx context.Context, req *wire.RenewRequest) (*wire.RenewResponse, error) {
-	if lease.RenewedMember(req) == "" {
+	if lease.RenewalMemberName(req) == "" {
 		return nil, apierror.Errorf(apierror.MissingField, "name")
 	}
 	accepted, err := c.highestAccepted(ctx, req)
@@ -90,7 +90,7 @@
 	if resp.Who {
 		return resp
 	}
-	name := lease.RenewedMember(req)
+	name := lease.RenewalMemberName(req)
 	if !resp.Granted {
 		c.log.Emit(events.LeaseRejected, "member", name, "code", apierror.Code(resp.Refusal), "epoch", req.Epoch, "learned", resp.Learned)
 	}
--- a/internal/node/follower/membership.go
+++ b/internal/node/follower/membership.go
@@ -121,7 +121,7 @@
 	}
 	next := feedReport{process: process, state: reportedState(status), since: now}
 	previous, known := m.reports[process.Name]
-	if known && previous.state == next.state && lease.SameProcess(previous.process, process) {
+	if known && previous.state == next.state && lease.SameProcessRecord(previous.process, process) {
 		next.since = previous.since
 	}
 	m.reports[process.Name] = next
--- a/internal/node/follower/publication.go
+++ b/internal/node/follower/publication.go
@@ -28,7 +28,7 @@
 	f.collectFronts()
 	f.classifyRoster(view.Roster)
 	previous := f.view.Load()
-	view.Fronts = reuseEqual(previous.Fronts, f.members.fronts, lease.SameProcess)
+	view.Fronts = reuseEqual(previous.Fronts, f.members.fronts, lease.SameProcessRecord)
 	view.Live = reuseEqual(previous.Live, f.members.live, sameName)
 	view.Unresponsive = reuseEqual(previous.Unresponsive, f.members.unresponsive, sameName)
 	f.storeView(view)
--- a/internal/node/follower/renewal.go
+++ b/internal/node/follower/renewal.go
@@ -157,7 +157,7 @@
 		Unconfirmed: f.holder.Unconfirmed(),
 		Relay:       relay,
 	}
-	if lease.SameProcess(state.recorded, self) {
+	if lease.SameProcessRecord(state.recorded, self) {
 		req.Name = self.Name
 		req.Incarnation = self.Incarnation
 	} else {
--- a/internal/node/replica/ballot.go
+++ b/internal/node/replica/ballot.go
@@ -97,7 +97,7 @@
 }
 
 func (r *Replica) sendLearn(serving context.Context, state paxos.State, req *wire.LearnRequest) {
-	callEach(serving, state.Others(), r.cfg.RecoveryTimeout, func(ctx context.Context, core string) {
+	callEach(serving, state.OtherVoters(), r.cfg.RecoveryTimeout, func(ctx context.Context, core string) {
 		_, _ = callVoter(ctx, r, core, req, r.Learn, wireconnect.PeerClient.Learn)
 	})
 }
--- a/internal/node/replica/commit.go
+++ b/internal/node/replica/commit.go
@@ -90,7 +90,7 @@
 // advanceConfiguration applies what was learned since the state before, and
 // publishes a change once it is synced.
 func (o *owner) advanceConfiguration(before paxos.State) error {
-	learned := before.Learned() != o.state.Learned()
+	learned := before.HighestLearnedSlot() != o.state.HighestLearnedSlot()
 	moved := before.Formation != o.state.Formation || before.Incarnation() != o.state.Incarnation()
 	if !learned && !moved {
 		return nil
--- a/internal/node/replica/compaction.go
+++ b/internal/node/replica/compaction.go
@@ -29,7 +29,7 @@
 		return
 	}
 	o.compacting = true
-	version := o.state.Learned()
+	version := o.state.HighestLearnedSlot()
 	configuration := o.configuration.state
 	go func() {
 		data := encodeConfiguration(version, configuration)
--- a/internal/node/replica/formation.go
+++ b/internal/node/replica/formation.go
@@ -23,7 +23,7 @@
 	}
 	for core, resp := range r.probeCores(ctx, others) {
 		present[core] = resp
-		if _, ok := state.JoinProbed(resp); ok {
+		if _, ok := state.JoinProbedFormation(resp); ok {
 			r.joinProbed(ctx, state, resp)
 			return
 		}
@@ -46,7 +46,7 @@
 		if state.Formation != probing.Formation {
 			return nil, false
 		}
-		return state.JoinProbed(resp)
+		return state.JoinProbedFormation(resp)
 	})
 }
 
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -81,7 +81,7 @@
 // an error of the code WrongFormation when the snapshot is another core's; an
 // empty name accepts any.
 func decodeReplay(replay Replay, name string) (paxos.State, error) {
-	state := paxos.Blank(name)
+	state := paxos.BlankState(name)
 	if replay.Snapshot != nil {
 		decoded, err := paxos.DecodeState(replay.Snapshot)
 		if err != nil {
--- a/internal/node/replica/maintenance.go
+++ b/internal/node/replica/maintenance.go
@@ -73,9 +73,9 @@
 	hasMajority := poll.answered >= state.Quorum()
 	r.quorumReached.Store(hasMajority)
 	m.reportMajority(ctx, hasMajority, poll.answered)
-	if poll.learned > state.Learned() {
+	if poll.learned > state.HighestLearnedSlot() {
 		_ = r.catchUp(ctx, poll.learnedBy)
-	} else if m.openSlot.stalled(state.Learned(), poll.highest) {
+	} else if m.openSlot.stalled(state.HighestLearnedSlot(), poll.highest) {
 		r.completeSlotsLater(ctx, poll.highest)
 	}
 	if !m.firstSheetDone && len(r.cfg.FirstSheet) > 0 && m.hasMajority {
--- a/internal/node/replica/proposalloop.go
+++ b/internal/node/replica/proposalloop.go
@@ -102,10 +102,10 @@
 	if err != nil {
 		return outcome{err: err}, true
 	}
-	if out, decided := p.findOutcome(ctx, state.Learned()); decided {
+	if out, decided := p.findOutcome(ctx, state.HighestLearnedSlot()); decided {
 		return out, true
 	}
-	slot := state.Learned() + 1
+	slot := state.HighestLearnedSlot() + 1
 	number := max(state.NextBallotNumber(slot), p.highestNumber+1)
 	value := p.value()
 	beganAt := p.replica.clock.Now()
@@ -166,10 +166,10 @@
 func (p *proposalRun) fetchLearned(ctx context.Context, slot uint64, ballot ballotResult) bool {
 	from := ballot.step.LearnedBy
 	if from == "" {
-		if ballot.proposer.HighestLearned < slot {
+		if ballot.proposer.HighestLearnedSlot < slot {
 			return false
 		}
-		from = ballot.proposer.HighestLearnedBy
+		from = ballot.proposer.HighestLearnedSlotCore
 	}
 	return p.replica.catchUp(ctx, from) == nil
 }
--- a/internal/node/replica/read.go
+++ b/internal/node/replica/read.go
@@ -90,14 +90,14 @@
 		if err != nil {
 			return err
 		}
-		learned, err := r.installFetched(ctx, from, state.Learned(), resp)
+		learned, err := r.installFetched(ctx, from, state.HighestLearnedSlot(), resp)
 		if err != nil {
 			return err
 		}
 		if learned >= resp.Learned {
 			return nil
 		}
-		if learned == state.Learned() {
+		if learned == state.HighestLearnedSlot() {
 			return apierror.Errorf(apierror.VersionBehind, "core %s gave nothing after epoch %d", from, learned)
 		}
 	}
@@ -106,7 +106,7 @@
 func (r *Replica) fetch(ctx context.Context, from string, state paxos.State) (*wire.FetchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	req := &wire.FetchRequest{Formation: state.Formation, After: state.Learned()}
+	req := &wire.FetchRequest{Formation: state.Formation, After: state.HighestLearnedSlot()}
 	return callVoter(ctx, r, from, req, r.Fetch, wireconnect.PeerClient.Fetch)
 }
 
@@ -120,9 +120,9 @@
 			if resp.SnapshotEpoch > after {
 				r.events.Emit(events.SnapshotInstalled, "core", r.cfg.Self, "from", from, "epoch", resp.SnapshotEpoch)
 			}
-			r.events.Emit(events.SlotFetched, "core", r.cfg.Self, "from", from, "epoch", o.state.Learned())
+			r.events.Emit(events.SlotFetched, "core", r.cfg.Self, "from", from, "epoch", o.state.HighestLearnedSlot())
 		}
-		reply(o.state.Learned(), err)
+		reply(o.state.HighestLearnedSlot(), err)
 	})
 }
 
--- a/internal/node/replica/recovery.go
+++ b/internal/node/replica/recovery.go
@@ -29,9 +29,9 @@
 // incarnation, announces it, and merges what each of them syncs and answers. It is
 // one attempt, which maintenance repeats until the core votes.
 func (r *Replica) recoverState(ctx context.Context, state paxos.State) {
-	probes := r.probeCores(ctx, state.Others())
+	probes := r.probeCores(ctx, state.OtherVoters())
 	for _, resp := range probes {
-		if _, ok := state.JoinProbed(resp); ok {
+		if _, ok := state.JoinProbedFormation(resp); ok {
 			r.joinProbed(ctx, state, resp)
 			return
 		}
--- a/internal/node/replica/rpc.go
+++ b/internal/node/replica/rpc.go
@@ -61,7 +61,7 @@
 		if behind {
 			r.requestFetch(req.From)
 		}
-		learned := o.state.Learned()
+		learned := o.state.HighestLearnedSlot()
 		rejection := func(apierror.Code) *wire.LearnResponse { return &wire.LearnResponse{Learned: learned} }
 		commitAndReply(o, records, forLearning, resp, rejection, reply)
 	})
--- a/sim/paxos/model.go
+++ b/sim/paxos/model.go
@@ -133,7 +133,7 @@
 	cache := &handlerCache{requests: map[handling]requestResult{}, answers: map[handling]answerResult{}}
 	w := world{bounds: b, cache: cache}
 	for i, name := range names {
-		state := paxos.FormationJoined{Formation: modelFormation, Voters: names}.Apply(paxos.Blank(name))
+		state := paxos.FormationJoined{Formation: modelFormation, Voters: names}.Apply(paxos.BlankState(name))
 		state = paxos.RecoveryCompleted{Incarnations: firstIncarnations}.Apply(state)
 		w.cores[i] = node{state: state, proposals: b.Ballots[i]}.hashed()
 	}
@@ -188,7 +188,7 @@
 		return ""
 	}
 	for _, n := range w.cores {
-		if value, learned := n.state.Command(slot); learned && !bytes.Equal(value, w.decided) {
+		if value, learned := n.state.LearnedValue(slot); learned && !bytes.Equal(value, w.decided) {
 			return fmt.Sprintf("%s took %q for chosen after %q", n.state.Self, value, w.decided)
 		}
 	}
@@ -209,7 +209,7 @@
 		if state.Incarnation() == 0 {
 			return nil, false
 		}
-		if command, learned := state.Command(slot); learned {
+		if command, learned := state.LearnedValue(slot); learned {
 			return command, true
 		}
 		if accepted := state.OpenSlots[slot]; highest.Less(accepted.Accepted) {
--- a/sim/paxos/process.go
+++ b/sim/paxos/process.go
@@ -54,7 +54,7 @@
 // boot starts a process from its disk.
 func (s *sim) boot(c *core) {
 	if c.base.Self == "" {
-		c.base = paxos.Blank(s.names[c.index])
+		c.base = paxos.BlankState(s.names[c.index])
 	}
 	c.up = true
 	c.state = c.base
@@ -126,7 +126,7 @@
 
 // loseDisk replaces the disk by a blank one.
 func (c *core) loseDisk() {
-	c.base = paxos.Blank(c.state.Self)
+	c.base = paxos.BlankState(c.state.Self)
 	c.log = nil
 	c.synced = 0
 }
@@ -163,14 +163,14 @@
 
 // check checks what the core has learned since before.
 func (c *core) check(before paxos.State) {
-	if c.state.SnapshotSlot > before.Learned() {
+	if c.state.SnapshotSlot > before.HighestLearnedSlot() {
 		version := c.state.SnapshotSlot
 		if version > uint64(len(c.sim.digests)) || !bytes.Equal(c.state.Snapshot, binary.LittleEndian.AppendUint64(nil, c.sim.digest(version))) {
 			c.sim.violate("%s took a snapshot of epoch %d that is not the agreed one", c.state.Self, version)
 		}
 	}
 	for _, chosen := range c.state.Chosen {
-		if chosen.Epoch > before.Learned() {
+		if chosen.Epoch > before.HighestLearnedSlot() {
 			c.sim.checkChosen(c.state.Self, chosen.Epoch, chosen.Command)
 		}
 	}
--- a/sim/paxos/proposal.go
+++ b/sim/paxos/proposal.go
@@ -22,7 +22,7 @@
 func (c *core) propose() {
 	c.proposals++
 	c.proposing = c.proposals
-	slot := c.state.Learned() + 1
+	slot := c.state.HighestLearnedSlot() + 1
 	command := fmt.Appendf(nil, "%s/%d/%d", c.state.Self, c.processIncarnation, c.proposing)
 	proposer, prepare := paxos.NewProposer(c.state, slot, max(c.state.NextBallotNumber(slot), c.highestNumber+1), command)
 	p := &proposal{core: c, processIncarnation: c.processIncarnation, number: c.proposing, slot: slot, proposer: proposer}
--- a/sim/paxos/protocol.go
+++ b/sim/paxos/protocol.go
@@ -44,7 +44,7 @@
 		if probes[name] == nil {
 			continue
 		}
-		if record, ok := c.state.JoinProbed(probes[name]); ok {
+		if record, ok := c.state.JoinProbedFormation(probes[name]); ok {
 			c.commit([]paxos.Record{record})
 			return true
 		}
@@ -178,7 +178,7 @@
 }
 
 func (c *core) fetch(from *core) {
-	req := &wire.FetchRequest{Formation: c.state.Formation, After: c.state.Learned()}
+	req := &wire.FetchRequest{Formation: c.state.Formation, After: c.state.HighestLearnedSlot()}
 	rpc(c, from, func(o *core) ([]paxos.Record, *wire.FetchResponse) {
 		resp, apiErr := o.state.Fetch(req)
 		if apiErr != nil {
--- a/sim/paxos/random.go
+++ b/sim/paxos/random.go
@@ -66,7 +66,7 @@
 		detached: make([]*core, faults.Cores),
 	}
 	for i, name := range s.names {
-		s.cores = append(s.cores, &core{sim: s, index: i, state: paxos.Blank(name)})
+		s.cores = append(s.cores, &core{sim: s, index: i, state: paxos.BlankState(name)})
 	}
 	for _, c := range s.cores {
 		s.boot(c)
@@ -136,7 +136,7 @@
 func (s *sim) summary() string {
 	text := ""
 	for _, c := range s.cores {
-		text += fmt.Sprintf("%s %s learned %d; ", c.state.Self, c.state.Standing(), c.state.Learned())
+		text += fmt.Sprintf("%s %s learned %d; ", c.state.Self, c.state.Standing(), c.state.HighestLearnedSlot())
 	}
 	return text
 }
@@ -148,7 +148,7 @@
 		return false
 	}
 	for _, c := range s.cores {
-		if c.state.Incarnation() == 0 || c.state.Learned() < s.target {
+		if c.state.Incarnation() == 0 || c.state.HighestLearnedSlot() < s.target {
 			return false
 		}
 	}
--- a/sim/paxos/transitions.go
+++ b/sim/paxos/transitions.go
@@ -17,7 +17,7 @@
 // openBallot has a core open a ballot in the slot.
 func (w world) openBallot(i int, visit func(step, world) bool) bool {
 	proposing := w.cores[i]
-	if proposing.proposals == 0 || proposing.state.Incarnation() == 0 || proposing.state.Learned() >= slot {
+	if proposing.proposals == 0 || proposing.state.Incarnation() == 0 || proposing.state.HighestLearnedSlot() >= slot {
 		return false
 	}
 	proposing.run++
@@ -74,7 +74,7 @@
 	}
 	w.bounds.Wipes--
 	wiped := w.cores[i]
-	state := paxos.FormationJoined{Formation: modelFormation, Voters: names}.Apply(paxos.Blank(names[i]))
+	state := paxos.FormationJoined{Formation: modelFormation, Voters: names}.Apply(paxos.BlankState(names[i]))
 	if w.bounds.Flaw == VoteWithoutRecovery {
 		state = paxos.RecoveryCompleted{Incarnations: wiped.state.Incarnations}.Apply(state)
 	}
@@ -266,7 +266,7 @@
 	answers[names[msg.from]] = msg.recovered
 	receiver.recovery = &recovery{incarnation: receiver.recovery.incarnation, answers: answers}
 	if w.bounds.Flaw == PartialRecovery {
-		for _, other := range receiver.state.Others() {
+		for _, other := range receiver.state.OtherVoters() {
 			if answers[other] == nil {
 				answers[other] = &wire.RecoverResponse{Ok: true, Formation: modelFormation, Lives: msg.recovered.Lives}
 			}
