--- a/internal/decision/statemachine/codec.go
+++ b/internal/decision/statemachine/codec.go
@@ -16,7 +16,7 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// decoders has the decoder of each command's body, by verb.
+// decoders maps each verb to the decoder of its command's body.
 var decoders = map[string]func(body json.RawMessage) (Command, error){
 	sheet.VerbPut:      decodeAs[PutSheet],
 	sheet.VerbPatch:    decodeAs[PatchSheet],
@@ -30,9 +30,9 @@
 	VerbNoop:           decodeNoop,
 }
 
-// Encode returns the command's bytes, with the digest of an order in them. It
-// panics on a command that JSON can't represent, such as one with a weight that
-// is not finite; the sheet's checks reject those before a command is encoded.
+// Encode returns the stored form of a command. For an operator's order it fills
+// in the digest first. Encode panics on a command that JSON can't represent, such
+// as one with a non-finite weight; the sheet's validation rejects those earlier.
 func Encode(command Command) []byte {
 	if order, ok := command.(orderCommand); ok {
 		command = withOrderDigest(order)
@@ -50,15 +50,16 @@
 	return append(data, '}')
 }
 
-// Decode reads what Encode wrote.
+// Decode is the inverse of Encode. It returns an error for malformed JSON or an
+// unknown verb.
 func Decode(data []byte) (Command, error) {
 	var stored envelope
 	if err := json.Unmarshal(data, &stored); err != nil {
 		return nil, errors.Wrap(err, "decode command")
 	}
-	decode, known := decoders[stored.Verb]
-	if !known {
-		return nil, errors.Errorf("decode command: no verb %s", strconv.Quote(strictjson.Excerpt(stored.Verb)))
+	decode, ok := decoders[stored.Verb]
+	if !ok {
+		return nil, errors.Errorf("decode command: unknown verb %s", strconv.Quote(strictjson.Excerpt(stored.Verb)))
 	}
 	return decode(stored.Body)
 }
--- a/internal/decision/statemachine/command.go
+++ b/internal/decision/statemachine/command.go
@@ -7,19 +7,21 @@
 	"stepwick/internal/apierror"
 )
 
-// Command is one entry of the log of agreed commands.
+// Command is one entry of the replicated log.
 type Command interface {
-	// Verb names the type of the command in the log.
+	// Verb returns the name of the command's type in the stored log.
 	Verb() string
-	// Apply returns the state at the given version and the outcome. A rejected
-	// command uses its version and changes nothing else.
-	Apply(s State, version uint64) (State, Result)
+	// Apply returns the state at the given version and the result. A rejected
+	// command advances the version and changes nothing else.
+	Apply(state State, version uint64) (State, Result)
 }
 
-// Result is the outcome of a command, the same on every replica. Version is the
-// version that the order made (for an order that is sent again, the earlier
-// one), or for BaseMoved the one that changed its base first. SheetVersion is
-// the sheet's version after the command.
+// Result is the outcome of a command. It is the same on every replica.
+//
+// Version is the version at which the command was applied. For a replayed order
+// it is the version of the first application, and for BaseMoved on a base version
+// it is the first version that changed the sheet after that base. SheetVersion is
+// the version of the sheet after the command.
 type Result struct {
 	Code         apierror.Code
 	Version      uint64
@@ -27,7 +29,7 @@
 	Detail       string
 }
 
-// APIError returns the result as an error with its code, or nil for OK.
+// APIError returns the result as an API error, or nil if the code is OK.
 func (r Result) APIError() *apierror.Error {
 	if r.Code == apierror.OK {
 		return nil
@@ -35,7 +37,7 @@
 	return &apierror.Error{Code: r.Code, Detail: r.Detail}
 }
 
-// result returns an outcome at the state's versions.
+// result returns a result with the state's versions.
 func (s State) result(code apierror.Code, format string, args ...any) Result {
 	return Result{
 		Code:         code,
@@ -45,8 +47,8 @@
 	}
 }
 
-// rejected returns the outcome of a command that failed a check.
-func (s State) rejected(apiErr *apierror.Error) Result {
+// rejection returns the result of a command that failed validation.
+func (s State) rejection(apiErr *apierror.Error) Result {
 	return Result{
 		Code:         apiErr.Code,
 		Version:      s.Version,
@@ -58,20 +60,21 @@
 // VerbNoop is the verb of Noop.
 const VerbNoop = "noop"
 
-// Noop fills a slot for which a new leader found no command.
+// Noop fills a log slot when there is no command to propose in it.
 type Noop struct{}
 
 // Verb implements Command.
 func (Noop) Verb() string { return VerbNoop }
 
-// Apply changes nothing but the version.
-func (Noop) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
-	return s, s.result(apierror.OK, "")
+// Apply advances the version and changes nothing else.
+func (Noop) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
+	return state, state.result(apierror.OK, "")
 }
 
-// cloned returns a copy of a map that may be written; of nil, an empty one.
-func cloned[V any](entries map[string]V) map[string]V {
+// cloneMap returns a shallow copy of a map. The copy of a nil map is empty and
+// writable.
+func cloneMap[V any](entries map[string]V) map[string]V {
 	if entries == nil {
 		return make(map[string]V)
 	}
--- a/internal/decision/statemachine/digest.go
+++ b/internal/decision/statemachine/digest.go
@@ -9,10 +9,10 @@
 	"stepwick/internal/decision/sheet"
 )
 
-// withDigest fills in the digest where it is empty: the SHA-256 over operator,
-// verb, base and the JSON of the content. It is stored and compared, so the form
-// of the content must never change. Orders that change the sheet and have no id
-// get the digest as their id.
+// withDigest returns the order with an empty digest filled in: the SHA-256 of
+// operator, verb, base, revisions if set, and the content as JSON. Digests are
+// stored and compared, so the encoding must never change. An order without an id
+// that changes the sheet takes the digest as its id.
 func (o Order) withDigest(verb string, content func() any) Order {
 	if o.Digest == "" {
 		o.Digest = o.contentDigest(verb, content())
@@ -28,16 +28,17 @@
 	if err != nil {
 		body = []byte(err.Error())
 	}
-	digest := sha256.New()
-	_, _ = fmt.Fprintf(digest, "%q %q %d ", o.Operator, verb, o.Base)
+	hash := sha256.New()
+	_, _ = fmt.Fprintf(hash, "%q %q %d ", o.Operator, verb, o.Base)
 	if o.Revision > 0 {
-		_, _ = fmt.Fprintf(digest, "%d on %d ", o.Revision, o.BaseRevision)
+		_, _ = fmt.Fprintf(hash, "%d on %d ", o.Revision, o.BaseRevision)
 	}
-	_, _ = digest.Write(body)
-	return hex.EncodeToString(digest.Sum(nil))
+	_, _ = hash.Write(body)
+	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// changesSheet reports whether orders of the verb are built on a base.
+// changesSheet reports whether orders with the verb change the sheet, and so
+// depend on the version that they were built on.
 func changesSheet(verb string) bool {
 	return verb == sheet.VerbPut || verb == sheet.VerbPatch || verb == sheet.VerbMerge
 }
--- a/internal/decision/statemachine/evacuation.go
+++ b/internal/decision/statemachine/evacuation.go
@@ -8,7 +8,7 @@
 	"stepwick/internal/decision/strictjson"
 )
 
-// Evacuate drains a region, or a zone written as region/zone. It is idempotent.
+// Evacuate drains a region, or a zone given as region/zone. It is idempotent.
 type Evacuate struct {
 	Order
 	Zone string `json:"locality"`
@@ -26,37 +26,36 @@
 // Verb implements Command.
 func (Restore) Verb() string { return sheet.VerbRestore }
 
-// Apply evacuates the zone; for one that is evacuated already, the version of
-// the first evacuation stays.
-func (c Evacuate) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
+// Apply evacuates the zone. If the zone is already evacuated, the recorded version
+// remains that of the first evacuation.
+func (c Evacuate) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
 	order := c.order()
-	if result, decided := s.checkZoneOrder(order, c.Zone); decided {
-		return s, result
+	if result, decided := state.checkZoneOrder(order, c.Zone); decided {
+		return state, result
 	}
-	if _, evacuated := s.Evacuated[c.Zone]; !evacuated {
-		s.Evacuated = cloned(s.Evacuated)
-		s.Evacuated[c.Zone] = version
+	if _, evacuated := state.Evacuated[c.Zone]; !evacuated {
+		state.Evacuated = cloneMap(state.Evacuated)
+		state.Evacuated[c.Zone] = version
 	}
-	return s.accepted(order, c.Verb(), c.Zone)
+	return state.recordAccepted(order, c.Verb(), c.Zone)
 }
 
-// Apply ends the evacuation of the zone, if there is one.
-func (c Restore) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
+// Apply ends the evacuation of the zone, if it is evacuated.
+func (c Restore) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
 	order := c.order()
-	if result, decided := s.checkZoneOrder(order, c.Zone); decided {
-		return s, result
+	if result, decided := state.checkZoneOrder(order, c.Zone); decided {
+		return state, result
 	}
-	if _, evacuated := s.Evacuated[c.Zone]; evacuated {
-		s.Evacuated = cloned(s.Evacuated)
-		delete(s.Evacuated, c.Zone)
+	if _, evacuated := state.Evacuated[c.Zone]; evacuated {
+		state.Evacuated = cloneMap(state.Evacuated)
+		delete(state.Evacuated, c.Zone)
 	}
-	return s.accepted(order, c.Verb(), c.Zone)
+	return state.recordAccepted(order, c.Verb(), c.Zone)
 }
 
-// IsEvacuated reports whether a zone, or the region that it is in, is
-// evacuated.
+// IsEvacuated reports whether the zone or its region is evacuated.
 func (s State) IsEvacuated(region, zone string) bool {
 	if len(s.Evacuated) == 0 {
 		return false
@@ -68,19 +67,21 @@
 	return evacuated
 }
 
-// checkZoneOrder returns the result of an order on a zone that changes nothing:
-// one that was accepted before, or whose zone has no valid name.
+// checkZoneOrder returns the result of an order on a zone that is not to be
+// applied, because it is a replay or the zone's name is invalid. The second result
+// is false if the order is to be applied.
 func (s State) checkZoneOrder(order Order, zone string) (Result, bool) {
-	if result, known := s.checkReplay(order); known {
+	if result, replayed := s.checkReplay(order); replayed {
 		return result, true
 	}
 	if apiErr := checkZone(zone); apiErr != nil {
-		return s.rejected(apiErr), true
+		return s.rejection(apiErr), true
 	}
 	return Result{}, false
 }
 
-// checkZone rejects a text that is neither the name of a region nor of a zone.
+// checkZone returns an UnknownZone error unless name has the form of a region or
+// region/zone.
 func checkZone(name string) *apierror.Error {
 	if sheet.ValidZoneName(name) {
 		return nil
--- a/internal/decision/statemachine/history.go
+++ b/internal/decision/statemachine/history.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// MaxHistory bounds how many accepted orders a state retains. An order that is
-// sent again is recognised while it is among them.
+// MaxHistory bounds the number of accepted orders that a state retains. Replays
+// of older orders are no longer recognised.
 const MaxHistory = 512
 
-// Record is an accepted order: who gave it, what it did, and the versions that
-// it made. AtMS is in Unix milliseconds by the proposing replica's clock.
+// Record describes an accepted order: its operator, its effect, and the versions
+// of the state and the sheet after it. AtMS is the time of arrival in Unix
+// milliseconds on the proposing replica's clock.
 type Record struct {
 	Version      uint64 `json:"epoch"`
 	SheetVersion uint64 `json:"sheet_epoch"`
@@ -19,7 +20,8 @@
 	Summary      string `json:"summary,omitempty"`
 }
 
-// AppliedOrder returns the record of an accepted order that is still retained.
+// AppliedOrder returns the record of an accepted order, or false if the history
+// doesn't contain it.
 func (s State) AppliedOrder(orderID string) (Record, bool) {
 	for i := len(s.History) - 1; i >= 0; i-- {
 		if s.History[i].OrderID == orderID {
@@ -29,20 +31,20 @@
 	return Record{}, false
 }
 
-// withRecord appends a record to the history and drops the oldest one where the
-// history is full.
+// withRecord appends a record to the history and drops the oldest if the history
+// is full.
 func (s State) withRecord(record Record) State {
 	retained := s.History
 	if len(retained) >= MaxHistory {
 		retained = retained[len(retained)-MaxHistory+1:]
 	}
-	// Clip makes append copy: the array is shared with earlier states.
+	// Clip forces append to copy: earlier states share the backing array.
 	s.History = append(slices.Clip(retained), record)
 	return s
 }
 
-// sheetVersionAfter returns the first version after the base at which the sheet
-// changed, as far as the history reaches.
+// sheetVersionAfter returns the first retained version after base that changed the
+// sheet, or the current sheet version if there is none.
 func (s State) sheetVersionAfter(base uint64) uint64 {
 	for _, record := range s.History {
 		if record.Version > base && record.SheetVersion == record.Version {
--- a/internal/decision/statemachine/order.go
+++ b/internal/decision/statemachine/order.go
@@ -5,19 +5,18 @@
 	"stepwick/internal/decision/strictjson"
 )
 
-// Order is the part that the commands of operators have in common.
+// Order holds the fields that all operators' commands share.
 //
-// OrderID identifies the order when it is sent again, and Digest distinguishes
-// it from another order under the same id; Digest is computed from the content where it is
-// empty. An order that changes the sheet and has no id takes its digest as its
-// id. Other orders without an id are not recognised when they are sent again:
-// they are idempotent, and to evacuate a zone, restore it and evacuate it again
-// is three orders.
+// OrderID makes retries idempotent: an order with the id and Digest of an accepted
+// one is a replay, and one with the same id and another digest is rejected. An
+// empty Digest is computed from the content. An order without an id that changes
+// the sheet takes its digest as its id. Replays of other orders without an id are
+// not detected: these orders are idempotent, and evacuating a zone, restoring it
+// and evacuating it again must count as three orders.
 //
-// Base is the version of the sheet that the order was built on. An order with a
-// Revision numbers the sheet that it makes, by a number of the operator's own
-// choice above the current one; it is built on BaseRevision, and Base does not
-// count.
+// Base is the version of the sheet that the order was built on. If Revision is
+// set, it is the operator's own number for the resulting sheet and must exceed the
+// current revision; the order is then built on BaseRevision, and Base is ignored.
 type Order struct {
 	OrderID  string `json:"order_id,omitempty"`
 	Operator string `json:"operator,omitempty"`
@@ -27,24 +26,24 @@
 	Revision     uint64 `json:"revision,omitempty"`
 	BaseRevision uint64 `json:"base_revision,omitempty"`
 
-	// AtMS is when the order arrived, in Unix milliseconds.
+	// AtMS is the time of arrival in Unix milliseconds.
 	AtMS int64 `json:"at_ms,omitempty"`
 }
 
 // orderCommand is a command that an operator may send.
 type orderCommand interface {
 	Command
-	// order returns the order part with its digest and id.
+	// order returns the command's Order with its digest and id filled in.
 	order() Order
-	// byOperator reports whether an operator sent the command, rather than a
-	// replica of its own accord.
+	// byOperator reports whether the command comes from an operator rather than
+	// from a replica.
 	byOperator() bool
-	// withOrder returns the command with another order part.
+	// withOrder returns a copy of the command with the given Order.
 	withOrder(order Order) Command
 }
 
-// OrderOf returns the order part of an operator's command, with its digest;
-// false for commands that no operator sent.
+// OrderOf returns the Order of a command with its digest filled in. The second
+// result is false if the command does not come from an operator.
 func OrderOf(command Command) (Order, bool) {
 	c, ok := command.(orderCommand)
 	if !ok {
@@ -53,19 +52,20 @@
 	return c.order(), c.byOperator()
 }
 
-// withOrderDigest returns the command with the digest of its order filled in.
+// withOrderDigest returns the command with its order's digest and id filled in.
 func withOrderDigest(command orderCommand) Command {
 	return command.withOrder(command.order())
 }
 
-// checkReplay returns the earlier result of an order that was accepted before,
-// or the rejection of another order under its id; false if the id is new.
+// checkReplay returns the earlier result of an order that has already been
+// accepted, or a rejection if its id belongs to another accepted order. The second
+// result is false if the order has no id or the id is not in the history.
 func (s State) checkReplay(order Order) (Result, bool) {
 	if order.OrderID == "" {
 		return Result{}, false
 	}
-	earlier, known := s.AppliedOrder(order.OrderID)
-	if !known {
+	earlier, ok := s.AppliedOrder(order.OrderID)
+	if !ok {
 		return Result{}, false
 	}
 	if earlier.Digest != order.Digest {
@@ -75,10 +75,11 @@
 	return Result{Code: apierror.OK, Version: earlier.Version, SheetVersion: earlier.SheetVersion}, true
 }
 
-// checkSheetOrder returns the result of an order on the sheet that is decided
-// without its content: one that was accepted before, or whose base has changed.
+// checkSheetOrder returns the result of an order on the sheet that is not to be
+// applied regardless of its content: a replay, or an order whose base or revision
+// is rejected. The second result is false if the order is to be applied.
 func (s State) checkSheetOrder(order Order) (Result, bool) {
-	if result, known := s.checkReplay(order); known {
+	if result, replayed := s.checkReplay(order); replayed {
 		return result, true
 	}
 	if order.Revision > 0 {
@@ -87,34 +88,35 @@
 	return s.checkBase(order)
 }
 
-// checkBase rejects an order that was not built on the current sheet.
+// checkBase rejects an order whose base is not the current sheet version.
 func (s State) checkBase(order Order) (Result, bool) {
 	if order.Base == s.SheetVersion {
 		return Result{}, false
 	}
-	changedAt := s.sheetVersionAfter(order.Base)
-	moved := s.result(apierror.BaseMoved, "base %d was taken by epoch %d; the sheet is at %d", order.Base, changedAt, s.SheetVersion)
+	changeVersion := s.sheetVersionAfter(order.Base)
+	rejection := s.result(apierror.BaseMoved, "base %d was taken by epoch %d; the sheet is at %d", order.Base, changeVersion, s.SheetVersion)
 	if order.Base > s.SheetVersion {
-		moved = s.result(apierror.BaseMoved, "base %d is not the sheet's; it is at %d", order.Base, s.SheetVersion)
+		rejection = s.result(apierror.BaseMoved, "base %d is above the sheet's epoch %d", order.Base, s.SheetVersion)
 	}
-	moved.Version = changedAt
-	return moved, true
+	rejection.Version = changeVersion
+	return rejection, true
 }
 
-// checkRevision rejects an order that numbers its sheet and was not built on
-// the current revision, or whose number is not above it.
+// checkRevision rejects an order whose base revision is not the current one or
+// whose new revision does not exceed it.
 func (s State) checkRevision(order Order) (Result, bool) {
 	switch {
 	case order.BaseRevision != s.Revision:
 		return s.result(apierror.BaseMoved, "base revision %d is not the sheet's; it is at %d", order.BaseRevision, s.Revision), true
 	case order.Revision <= s.Revision:
-		return s.result(apierror.InvalidSheet, "revision %d is not above the sheet's, %d", order.Revision, s.Revision), true
+		return s.result(apierror.InvalidSheet, "revision %d is not above the sheet's revision %d", order.Revision, s.Revision), true
 	}
 	return Result{}, false
 }
 
-// accepted records an order whose change is in the state already.
-func (s State) accepted(order Order, verb, summary string) (State, Result) {
+// recordAccepted adds an order to the history of a state that already contains
+// the order's change, and returns its result.
+func (s State) recordAccepted(order Order, verb, summary string) (State, Result) {
 	s = s.withRecord(Record{
 		Version:      s.Version,
 		SheetVersion: s.SheetVersion,
--- a/internal/decision/statemachine/parse.go
+++ b/internal/decision/statemachine/parse.go
@@ -9,19 +9,19 @@
 	"stepwick/internal/decision/strictjson"
 )
 
-// MaxOrderID bounds an order's id in bytes.
-const MaxOrderID = 256
+// MaxOrderIDBytes bounds the length of an order's id.
+const MaxOrderIDBytes = 256
 
-// OrderLimits bounds what an order may contain.
+// OrderLimits restricts the orders that ParseOrder accepts.
 type OrderLimits struct {
-	// MaxBytes bounds the order's body.
+	// MaxBytes bounds the size of the order's body.
 	MaxBytes int
-	// ValidateSetting checks a run-time setting's name and value; nil accepts
-	// all.
+	// ValidateSetting checks the name and value of a run-time setting. If it is
+	// nil, all settings are accepted.
 	ValidateSetting sheet.SettingValidator
 }
 
-// orderSchemas has the form of each order's body, by verb.
+// orderSchemas maps each verb to the schema of its order's body.
 var orderSchemas = map[string]*strictjson.Schema{
 	sheet.VerbPut: strictjson.Record(strictjson.Fields{
 		"order_id":      strictjson.String,
@@ -51,13 +51,13 @@
 	}),
 }
 
-// zoneOrderSchema is the form of an order that concerns a region or zone.
+// zoneOrderSchema is the schema of an order on a region or zone.
 var zoneOrderSchema = strictjson.Record(strictjson.Fields{
 	"order_id": strictjson.String,
 	"locality": strictjson.String,
 })
 
-// orderBody has the fields of all orders' bodies.
+// orderBody is the union of the fields of all orders' bodies.
 type orderBody struct {
 	OrderID      string         `json:"order_id"`
 	Base         *uint64        `json:"base"`
@@ -71,22 +71,24 @@
 	Names        []string       `json:"names"`
 }
 
-// ParseOrder reads the JSON body of an operator's order and checks all of it
-// that needs no state. Times are in Unix milliseconds. The bodies are:
+// ParseOrder decodes the JSON body of an operator's order and performs all checks
+// that don't depend on the state. receivedAtMS is the time of arrival in Unix
+// milliseconds. The bodies are:
 //
 //	put      {"order_id":"…","base":17,"sheet":{…}}
 //	merge    {"order_id":"…","base":17,"upsert":{…},"remove":{"routes":["r-1"]}}
 //	patch    {"order_id":"…","base":17,"changes":[{"path":"weights.chat.lagos","value":30}]}
-//	evacuate {"order_id":"…","locality":"lagos/a"}, and so restore
+//	evacuate {"order_id":"…","locality":"lagos/a"}
+//	restore  {"order_id":"…","locality":"lagos/a"}
 //	remove   {"order_id":"…","names":["node-4"]}
 //
-// A put, merge or patch without an order id takes its digest as its id, which is
-// over operator, verb, base and content and is the same for any spelling of the
-// same content. A put or merge may number its sheet, with
-// "revision":9,"base_revision":7 in place of the base.
-func ParseOrder(verb, operator string, body []byte, limits OrderLimits, atMS int64) (Command, *apierror.Error) {
-	schema, known := orderSchemas[verb]
-	if !known {
+// A put, merge or patch without an order id takes its digest as its id. The digest
+// covers operator, verb, base and content, and does not depend on the order of
+// fields or on white space in the body. A put or merge may give
+// "revision":9,"base_revision":7 instead of the base.
+func ParseOrder(verb, operator string, body []byte, limits OrderLimits, receivedAtMS int64) (Command, *apierror.Error) {
+	schema, ok := orderSchemas[verb]
+	if !ok {
 		return nil, apierror.Errorf(apierror.UnknownPath, "no order %s", strconv.Quote(strictjson.Excerpt(verb)))
 	}
 	if len(body) > limits.MaxBytes {
@@ -96,15 +98,15 @@
 	if apiErr := strictjson.Decode(body, schema, apierror.BadField, &fields); apiErr != nil {
 		return nil, apiErr
 	}
-	if len(fields.OrderID) > MaxOrderID || !utf8.ValidString(fields.OrderID) {
-		return nil, apierror.Errorf(apierror.BadField, "order_id: over %d bytes", MaxOrderID)
+	if len(fields.OrderID) > MaxOrderIDBytes || !utf8.ValidString(fields.OrderID) {
+		return nil, apierror.Errorf(apierror.BadField, "order_id: got %d bytes, want valid UTF-8 of at most %d bytes", len(fields.OrderID), MaxOrderIDBytes)
 	}
 	order := Order{
 		OrderID:      fields.OrderID,
 		Operator:     operator,
 		Revision:     fields.Revision,
 		BaseRevision: fields.BaseRevision,
-		AtMS:         atMS,
+		AtMS:         receivedAtMS,
 	}
 	if changesSheet(verb) && fields.Revision == 0 {
 		if fields.Base == nil {
@@ -112,24 +114,25 @@
 		}
 		order.Base = *fields.Base
 	}
-	command, apiErr := fields.command(verb, order, limits.ValidateSetting)
+	command, apiErr := fields.newCommand(verb, order, limits.ValidateSetting)
 	if apiErr != nil {
 		return nil, apiErr
 	}
 	return withOrderDigest(command), nil
 }
 
-// command builds the command of the verb, which is a key of orderSchemas.
-func (b orderBody) command(verb string, order Order, validate sheet.SettingValidator) (orderCommand, *apierror.Error) {
+// newCommand builds the command for the verb, which must be a key of
+// orderSchemas.
+func (b orderBody) newCommand(verb string, order Order, validate sheet.SettingValidator) (orderCommand, *apierror.Error) {
 	switch verb {
 	case sheet.VerbPut:
-		return b.put(order, validate)
+		return b.putCommand(order, validate)
 	case sheet.VerbMerge:
-		return b.merge(order, validate)
+		return b.mergeCommand(order, validate)
 	case sheet.VerbPatch:
-		return b.patch(order, validate)
+		return b.patchCommand(order, validate)
 	case VerbRemoveMembers:
-		return b.removeMembers(order)
+		return b.removeMembersCommand(order)
 	}
 	if b.Zone == "" {
 		return nil, apierror.Errorf(apierror.MissingField, "locality")
@@ -143,7 +146,7 @@
 	return Restore{Order: order, Zone: b.Zone}, nil
 }
 
-func (b orderBody) put(order Order, validate sheet.SettingValidator) (orderCommand, *apierror.Error) {
+func (b orderBody) putCommand(order Order, validate sheet.SettingValidator) (orderCommand, *apierror.Error) {
 	if b.Sheet == nil {
 		return nil, apierror.Errorf(apierror.MissingField, "sheet")
 	}
@@ -156,8 +159,8 @@
 	return PutSheet{Order: order, Sheet: b.Sheet}, nil
 }
 
-func (b orderBody) merge(order Order, validate sheet.SettingValidator) (orderCommand, *apierror.Error) {
-	// The merged sheet as a whole can be checked only against the state.
+func (b orderBody) mergeCommand(order Order, validate sheet.SettingValidator) (orderCommand, *apierror.Error) {
+	// The merged sheet can be validated only once the state is known, in Apply.
 	if b.Upsert != nil {
 		if apiErr := b.Upsert.CheckSettings(validate); apiErr != nil {
 			return nil, apiErr
@@ -166,7 +169,7 @@
 	return MergeSheet{Order: order, Upsert: b.Upsert, Remove: b.Remove}, nil
 }
 
-func (b orderBody) patch(order Order, validate sheet.SettingValidator) (orderCommand, *apierror.Error) {
+func (b orderBody) patchCommand(order Order, validate sheet.SettingValidator) (orderCommand, *apierror.Error) {
 	if len(b.Changes) == 0 {
 		return nil, apierror.Errorf(apierror.MissingField, "changes")
 	}
@@ -176,7 +179,7 @@
 	return PatchSheet{Order: order, Changes: b.Changes}, nil
 }
 
-func (b orderBody) removeMembers(order Order) (orderCommand, *apierror.Error) {
+func (b orderBody) removeMembersCommand(order Order) (orderCommand, *apierror.Error) {
 	if len(b.Names) == 0 {
 		return nil, apierror.Errorf(apierror.MissingField, "names")
 	}
--- a/internal/decision/statemachine/role.go
+++ b/internal/decision/statemachine/role.go
@@ -2,18 +2,18 @@
 
 import "stepwick/internal/apierror"
 
-// VerbAcquireRole is the verb of AcquireRole, as the stored log has it.
+// VerbAcquireRole is the verb of AcquireRole in the stored log.
 const VerbAcquireRole = "duty"
 
-// RoleTerm is the current term of a singleton role and the member that holds
+// RoleTerm is a term of a singleton role and the member that holds the role in
 // it.
 type RoleTerm struct {
 	Term   uint64 `json:"term"`
 	Holder string `json:"holder"`
 }
 
-// AcquireRole claims the next term of a singleton role. The first claim in the
-// log wins; the log's order is the fence between holders.
+// AcquireRole claims the next term of a singleton role. The first claim of a term
+// in the log wins, so the order of the log fences successive holders.
 type AcquireRole struct {
 	Role   string `json:"duty"`
 	Term   uint64 `json:"term"`
@@ -23,8 +23,9 @@
 // Verb implements Command.
 func (AcquireRole) Verb() string { return VerbAcquireRole }
 
-// Apply gives the role to the holder if the term is the next one, or is the
-// holder's already; otherwise the code is BaseMoved.
+// Apply assigns the role to the claimant if the claim is for the next term. It
+// also succeeds if the claimant already holds the claimed term. All other claims
+// are rejected with BaseMoved.
 func (c AcquireRole) Apply(state State, version uint64) (State, Result) {
 	state.Version = version
 	current := state.Roles[c.Role]
@@ -33,9 +34,9 @@
 		return state, state.result(apierror.OK, "")
 	}
 	if c.Term != current.Term+1 || c.Role == "" || c.Holder == "" {
-		return state, state.result(apierror.BaseMoved, "term %d of %s is %s's", current.Term, c.Role, current.Holder)
+		return state, state.result(apierror.BaseMoved, "%q can't claim term %d of role %q: the current term is %d, held by %q", c.Holder, c.Term, c.Role, current.Term, current.Holder)
 	}
-	state.Roles = cloned(state.Roles)
+	state.Roles = cloneMap(state.Roles)
 	state.Roles[c.Role] = claimed
 	return state, state.result(apierror.OK, "")
 }
--- a/internal/decision/statemachine/roster.go
+++ b/internal/decision/statemachine/roster.go
@@ -8,16 +8,15 @@
 	"stepwick/internal/decision/strictjson"
 )
 
-// Verbs of the commands that change the roster, as requests and the stored log
-// have them.
+// Verbs of the commands that change the roster, in requests and in the stored log.
 const (
 	VerbAddMembers    = "add"
 	VerbRemoveMembers = "remove"
 	VerbCommitRoster  = "settle"
 )
 
-// Member is one process of the roster. Names are identities: a restart under
-// the same name is the same member.
+// Member is one process of the roster, identified by its name: a process that
+// restarts under the same name is the same member.
 type Member struct {
 	Name   string `json:"name"`
 	Region string `json:"region,omitempty"`
@@ -26,26 +25,26 @@
 	Front  bool   `json:"front,omitempty"`
 }
 
-// AddMembers adds processes to the roster. Members whose names are on it stay as
-// they are. While an earlier change is uncommitted, it is rejected with
-// VersionBehind, to be retried later.
+// AddMembers adds processes to the roster. Members that the roster already
+// contains are left unchanged. While an earlier change of the roster is
+// uncommitted, the command is rejected with VersionBehind and may be retried.
 type AddMembers struct {
 	Members    []Member `json:"members"`
 	ProposedBy string   `json:"by,omitempty"`
 }
 
-// RemoveMembers removes names from the roster. Proposed by a replica, it is a
-// change that must be committed. Ordered by an operator, who vouches that the
-// machines are off, it takes effect at once: the names leave the prior roster
-// too, and count for no quorum.
+// RemoveMembers removes members from the roster. If a replica proposes it, the
+// change must be committed like any other. If an operator orders it, having made
+// sure that the machines are off, it takes effect immediately: the members are
+// removed from the prior roster as well and count toward no quorum.
 type RemoveMembers struct {
 	Order
 	Names      []string `json:"names"`
 	ProposedBy string   `json:"by,omitempty"`
 }
 
-// CommitRoster ends the change of the roster that was made at RosterVersion; for
-// any other version it has no effect.
+// CommitRoster commits the change of the roster that was made at RosterVersion. It
+// has no effect if RosterVersion is not the state's.
 type CommitRoster struct {
 	RosterVersion uint64 `json:"roster_epoch"`
 }
@@ -59,16 +58,16 @@
 // Verb implements Command.
 func (CommitRoster) Verb() string { return VerbCommitRoster }
 
-// Apply adds those of the members that are new.
+// Apply adds those members that are not on the roster yet.
 func (c AddMembers) Apply(state State, version uint64) (State, Result) {
 	state.Version = version
 	roster := state.Roster
 	for _, member := range c.Members {
-		if _, known := state.Roster[member.Name]; known || member.Name == "" {
+		if _, exists := state.Roster[member.Name]; exists || member.Name == "" {
 			continue
 		}
 		if len(roster) == len(state.Roster) {
-			roster = cloned(roster)
+			roster = cloneMap(roster)
 		}
 		if _, repeated := roster[member.Name]; !repeated {
 			roster[member.Name] = member
@@ -77,19 +76,19 @@
 	return state.changeRoster(roster)
 }
 
-// Apply removes the names.
-func (c RemoveMembers) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
+// Apply removes the members with the given names.
+func (c RemoveMembers) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
 	if c.byOperator() {
-		return c.applyAtOnce(s)
+		return c.applyByOperator(state)
 	}
-	return s.changeRoster(withoutMembers(s.Roster, c.Names))
+	return state.changeRoster(withoutMembers(state.Roster, c.Names))
 }
 
-// applyAtOnce removes the names from the roster and from the prior one.
-func (c RemoveMembers) applyAtOnce(state State) (State, Result) {
+// applyByOperator removes the members from both the roster and the prior roster.
+func (c RemoveMembers) applyByOperator(state State) (State, Result) {
 	order := c.order()
-	if result, known := state.checkReplay(order); known {
+	if result, replayed := state.checkReplay(order); replayed {
 		return state, result
 	}
 	roster := withoutMembers(state.Roster, c.Names)
@@ -104,29 +103,30 @@
 	state.Roster = roster
 	state.PriorRoster = prior
 	state.RosterVersion = state.Version
-	return state.accepted(order, c.Verb(), names)
+	return state.recordAccepted(order, c.Verb(), names)
 }
 
-// Apply commits the roster if its version is the one named.
-func (c CommitRoster) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
-	if c.RosterVersion == s.RosterVersion {
-		s.PriorRoster = nil
+// Apply commits the roster if it is at the command's RosterVersion.
+func (c CommitRoster) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
+	if c.RosterVersion == state.RosterVersion {
+		state.PriorRoster = nil
 	}
-	return s, s.result(apierror.OK, "")
+	return state, state.result(apierror.OK, "")
 }
 
 // RosterCommitted reports whether the last change of the roster is committed.
 func (s State) RosterCommitted() bool { return len(s.PriorRoster) == 0 }
 
-// changeRoster starts a change to a roster that has members more or fewer; a
-// roster of the same size is the current one.
+// changeRoster starts a change to the given roster, which contains either all of
+// the current members or some of them only. A roster of the current size is
+// therefore the current roster, and needs no change.
 func (s State) changeRoster(roster map[string]Member) (State, Result) {
 	if len(roster) == len(s.Roster) {
 		return s, s.result(apierror.OK, "")
 	}
 	if !s.RosterCommitted() {
-		return s, s.result(apierror.VersionBehind, "the roster's change of epoch %d is not settled", s.RosterVersion)
+		return s, s.result(apierror.VersionBehind, "the roster change of epoch %d is not committed yet", s.RosterVersion)
 	}
 	s.PriorRoster = s.Roster
 	s.Roster = roster
@@ -134,22 +134,23 @@
 	return s, s.result(apierror.OK, "")
 }
 
-// withoutMembers returns the roster without the names: the same map if it has
-// none of them, otherwise a copy.
+// withoutMembers returns the roster without the named members. If it contains none
+// of them, the same map is returned, otherwise a copy.
 func withoutMembers(roster map[string]Member, names []string) map[string]Member {
 	remaining := roster
 	for _, name := range names {
-		if _, known := remaining[name]; !known {
+		if _, exists := remaining[name]; !exists {
 			continue
 		}
 		if len(remaining) == len(roster) {
-			remaining = cloned(roster)
+			remaining = cloneMap(roster)
 		}
 		delete(remaining, name)
 	}
 	return remaining
 }
 
+// sameNames reports whether two rosters contain members of the same names.
 func sameNames(a, b map[string]Member) bool {
 	return maps.EqualFunc(a, b, func(Member, Member) bool { return true })
 }
--- a/internal/decision/statemachine/sheet_commands.go
+++ b/internal/decision/statemachine/sheet_commands.go
@@ -12,14 +12,13 @@
 	Sheet *sheet.Sheet `json:"sheet"`
 }
 
-// PatchSheet changes some cells of the sheet.
+// PatchSheet changes individual cells of the sheet.
 type PatchSheet struct {
 	Order
 	Changes []sheet.Change `json:"changes"`
 }
 
-// MergeSheet removes rows from the sheet, then adds rows or replaces them by
-// name.
+// MergeSheet removes rows from the sheet, then adds or replaces rows by name.
 type MergeSheet struct {
 	Order
 	Upsert *sheet.Sheet  `json:"upsert,omitempty"`
@@ -37,51 +36,51 @@
 
 // Apply replaces the sheet if the order's base is current and the new sheet is
 // valid.
-func (c PutSheet) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
+func (c PutSheet) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
 	order := c.order()
-	if result, decided := s.checkSheetOrder(order); decided {
-		return s, result
+	if result, decided := state.checkSheetOrder(order); decided {
+		return state, result
 	}
 	if apiErr := c.Sheet.Check(); apiErr != nil {
-		return s, s.rejected(apiErr)
+		return state, state.rejection(apiErr)
 	}
 	summary := fmt.Sprintf("%d services, %d tenants", len(c.Sheet.Services), len(c.Sheet.Tenants))
-	return s.withSheet(c.Sheet, order).accepted(order, c.Verb(), summary)
+	return state.withSheet(c.Sheet, order).recordAccepted(order, c.Verb(), summary)
 }
 
-// Apply changes the cells if the order's base is current and the sheet stays
-// valid.
-func (c PatchSheet) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
+// Apply changes the cells if the order's base is current and the resulting sheet
+// is valid.
+func (c PatchSheet) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
 	order := c.order()
-	if result, decided := s.checkSheetOrder(order); decided {
-		return s, result
+	if result, decided := state.checkSheetOrder(order); decided {
+		return state, result
 	}
-	patched, apiErr := s.Sheet.Patch(c.Changes)
+	patched, apiErr := state.Sheet.Patch(c.Changes)
 	if apiErr != nil {
-		return s, s.rejected(apiErr)
+		return state, state.rejection(apiErr)
 	}
-	return s.withSheet(patched, order).accepted(order, c.Verb(), sheet.Summarize(c.Changes))
+	return state.withSheet(patched, order).recordAccepted(order, c.Verb(), sheet.Summarize(c.Changes))
 }
 
-// Apply merges the rows if the order's base is current and the sheet stays
+// Apply merges the rows if the order's base is current and the resulting sheet is
 // valid.
-func (c MergeSheet) Apply(s State, version uint64) (State, Result) {
-	s.Version = version
+func (c MergeSheet) Apply(state State, version uint64) (State, Result) {
+	state.Version = version
 	order := c.order()
-	if result, decided := s.checkSheetOrder(order); decided {
-		return s, result
+	if result, decided := state.checkSheetOrder(order); decided {
+		return state, result
 	}
-	merged := s.Sheet.Merge(c.Upsert, c.Remove)
+	merged := state.Sheet.Merge(c.Upsert, c.Remove)
 	if apiErr := merged.Check(); apiErr != nil {
-		return s, s.rejected(apiErr)
+		return state, state.rejection(apiErr)
 	}
 	summary := fmt.Sprintf("%d routes, %d services, %d tenants", len(merged.Routes), len(merged.Services), len(merged.Tenants))
-	return s.withSheet(merged, order).accepted(order, c.Verb(), summary)
+	return state.withSheet(merged, order).recordAccepted(order, c.Verb(), summary)
 }
 
-// withSheet makes a sheet the current one as of the state's version.
+// withSheet returns the state with a new sheet, whose version is the state's.
 func (s State) withSheet(current *sheet.Sheet, order Order) State {
 	s.Sheet = current
 	s.SheetVersion = s.Version
@@ -101,7 +100,7 @@
 
 func (c MergeSheet) order() Order {
 	return c.withDigest(sheet.VerbMerge, func() any {
-		// Stored digests cover these field names: they must stay spelled so.
+		// Stored digests cover these field names, so they must not be renamed.
 		return struct {
 			Upsert *sheet.Sheet
 			Remove sheet.Removal
--- a/internal/decision/statemachine/state_test.go
+++ b/internal/decision/statemachine/state_test.go
@@ -26,7 +26,7 @@
 		s.Weights[name] = map[string]float64{"lagos": rapid.Float64Range(0.1, 100).Draw(t, "weight"), "abeokuta": rapid.Float64Range(0, 100).Draw(t, "weight")}
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "tenants") {
-		s.Tenants[fmt.Sprintf("t%d", i)] = sheet.Tenant{Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"), KeyHashes: []string{hashOf(fmt.Sprint(i))}}
+		s.Tenants[fmt.Sprintf("t%d", i)] = sheet.Tenant{Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"), KeyHashes: []string{hashKey(fmt.Sprint(i))}}
 	}
 	return s
 }
@@ -41,11 +41,11 @@
 	return sheet.Change{Path: path, Value: json.RawMessage(value)}
 }
 
-func drawCommand(t *rapid.T, s State) Command {
+func drawCommand(t *rapid.T, state State) Command {
 	order := Order{Operator: rapid.SampledFrom([]string{"ada", "bola"}).Draw(t, "operator"),
 		OrderID: rapid.SampledFrom([]string{"", "o1", "o2", "o3", "o4"}).Draw(t, "id"),
-		Base:    s.SheetVersion - min(s.SheetVersion, uint64(rapid.IntRange(0, 1).Draw(t, "behind")))}
-	place := rapid.SampledFrom([]string{"lagos", "lagos/a", "abeokuta/c", "no/such/place"}).Draw(t, "place")
+		Base:    state.SheetVersion - min(state.SheetVersion, uint64(rapid.IntRange(0, 1).Draw(t, "behind")))}
+	zone := rapid.SampledFrom([]string{"lagos", "lagos/a", "abeokuta/c", "no/such/place"}).Draw(t, "zone")
 	names := rapid.SliceOfN(rapid.SampledFrom([]string{"n1", "n2", "n3", "n4"}), 1, 3).Draw(t, "names")
 	switch rapid.IntRange(0, 9).Draw(t, "verb") {
 	case 0, 1:
@@ -53,9 +53,9 @@
 	case 2, 3:
 		return PatchSheet{Order: order, Changes: rapid.SliceOfN(rapid.Custom(drawChange), 0, 3).Draw(t, "changes")}
 	case 4:
-		return Evacuate{Order: order, Zone: place}
+		return Evacuate{Order: order, Zone: zone}
 	case 5:
-		return Restore{Order: order, Zone: place}
+		return Restore{Order: order, Zone: zone}
 	case 6:
 		var members []Member
 		for _, name := range names {
@@ -68,74 +68,74 @@
 		}
 		return RemoveMembers{Order: order, Names: names}
 	case 8:
-		return CommitRoster{RosterVersion: s.RosterVersion}
+		return CommitRoster{RosterVersion: state.RosterVersion}
 	}
-	return AcquireRole{Role: "planner", Term: s.Roles["planner"].Term + uint64(rapid.IntRange(0, 2).Draw(t, "term")), Holder: names[0]}
+	return AcquireRole{Role: "planner", Term: state.Roles["planner"].Term + uint64(rapid.IntRange(0, 2).Draw(t, "term")), Holder: names[0]}
 }
 
-func encodeWithoutVersion(s State) string { s.Version = 0; return string(s.Encode()) }
+func encodeIgnoringVersion(state State) string { state.Version = 0; return string(state.Encode()) }
 
 func TestStepIsDeterministicAndAppliesAnOrderOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var live, reread State
+		var state, restored State
 		results := make(map[string]Result)
 		for range rapid.IntRange(1, 40).Draw(t, "commands") {
-			command := drawCommand(t, live)
+			command := drawCommand(t, state)
 			data := Encode(command)
-			before, base := live.Encode(), live
-			next, result := live.Step(live.Version+1, data)
-			if seen, sure := live.Predict(command); sure && (seen.Code != result.Code || seen.SheetVersion != result.SheetVersion) {
-				t.Fatalf("%s: foreseen %+v, got %+v", command.Verb(), seen, result)
+			previousBytes, previous := state.Encode(), state
+			next, result := state.Step(state.Version+1, data)
+			if predicted, decided := state.Predict(command); decided && (predicted.Code != result.Code || predicted.SheetVersion != result.SheetVersion) {
+				t.Fatalf("%s: Predict returned %+v, Step returned %+v", command.Verb(), predicted, result)
 			}
-			again, replayed := reread.Step(reread.Version+1, data)
-			if !bytes.Equal(before, base.Encode()) {
-				t.Fatalf("%s changed an earlier state", command.Verb())
+			restoredNext, restoredResult := restored.Step(restored.Version+1, data)
+			if !bytes.Equal(previousBytes, previous.Encode()) {
+				t.Fatalf("%s modified the state that it was applied to", command.Verb())
 			}
-			if !bytes.Equal(next.Encode(), again.Encode()) || result != replayed {
-				t.Fatalf("%s: a state read back steps elsewhere", command.Verb())
+			if !bytes.Equal(next.Encode(), restoredNext.Encode()) || result != restoredResult {
+				t.Fatalf("%s: applying it to a decoded state gave another state or result", command.Verb())
 			}
-			if next.Version != base.Version+1 || next.SheetVersion < base.SheetVersion || next.RosterVersion < base.RosterVersion {
-				t.Fatalf("%s: an epoch went back", command.Verb())
+			if next.Version != previous.Version+1 || next.SheetVersion < previous.SheetVersion || next.RosterVersion < previous.RosterVersion {
+				t.Fatalf("%s: a version decreased", command.Verb())
 			}
-			if result.Code != apierror.OK && encodeWithoutVersion(next) != encodeWithoutVersion(base) {
-				t.Fatalf("%s was refused with %v and left a trace", command.Verb(), result.Code)
+			if result.Code != apierror.OK && encodeIgnoringVersion(next) != encodeIgnoringVersion(previous) {
+				t.Fatalf("%s was rejected with %v but changed the state", command.Verb(), result.Code)
 			}
-			if next.Sheet != base.Sheet && next.Sheet.Check() != nil {
+			if next.Sheet != previous.Sheet && next.Sheet.Check() != nil {
 				t.Fatalf("%s: an invalid sheet was accepted", command.Verb())
 			}
-			if !base.RosterCommitted() && !next.RosterCommitted() && next.RosterVersion != base.RosterVersion && command.Verb() != VerbRemoveMembers {
-				t.Fatalf("%s: a change of the roster overtook one that is not settled", command.Verb())
+			if !previous.RosterCommitted() && !next.RosterCommitted() && next.RosterVersion != previous.RosterVersion && command.Verb() != VerbRemoveMembers {
+				t.Fatalf("%s: the roster changed while an earlier change was uncommitted", command.Verb())
 			}
 			if order, ok := OrderOf(command); ok && order.OrderID != "" && result.Code == apierror.OK {
-				if first, known := results[order.OrderID+order.Digest]; known && first != result {
-					t.Fatalf("order %s was answered %v, then %v", order.OrderID, first, result)
+				if first, recorded := results[order.OrderID+order.Digest]; recorded && first != result {
+					t.Fatalf("order %s: the first result was %v, a later one %v", order.OrderID, first, result)
 				}
 				results[order.OrderID+order.Digest] = result
-				repeated, answer := next.Step(next.Version+1, data)
-				if answer != result || encodeWithoutVersion(repeated) != encodeWithoutVersion(next) {
+				afterReplay, replayResult := next.Step(next.Version+1, data)
+				if replayResult != result || encodeIgnoringVersion(afterReplay) != encodeIgnoringVersion(next) {
 					t.Fatalf("order %s was applied twice", order.OrderID)
 				}
 			}
 			var err error
-			if reread, err = DecodeState(again.Encode()); err != nil {
+			if restored, err = DecodeState(restoredNext.Encode()); err != nil {
 				t.Fatal(err)
 			}
-			live = next
+			state = next
 		}
-		for _, record := range live.History {
-			if first, known := results[record.OrderID+record.Digest]; record.OrderID != "" && known && first.Version != record.Version {
+		for _, record := range state.History {
+			if first, recorded := results[record.OrderID+record.Digest]; record.OrderID != "" && recorded && first.Version != record.Version {
 				t.Fatalf("order %s was applied at %d and at %d", record.OrderID, first.Version, record.Version)
 			}
 		}
 	})
 }
 
-func TestOneOrderWinsOnABase(t *testing.T) {
+func TestOnlyOneOrderPerBaseIsAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := PutSheet{Sheet: drawSheet(t)}.Apply(State{}, 1)
 		base := s.SheetVersion
-		var won []uint64
-		for i := range rapid.IntRange(2, 6).Draw(t, "rivals") {
+		var accepted []uint64
+		for i := range rapid.IntRange(2, 6).Draw(t, "orders") {
 			order := Order{Operator: fmt.Sprintf("op%d", i), Base: base}
 			var command Command = PutSheet{Order: order, Sheet: drawSheet(t)}
 			if rapid.Bool().Draw(t, "patch") {
@@ -144,13 +144,13 @@
 			var result Result
 			s, result = s.Step(s.Version+1, Encode(command))
 			if result.Code == apierror.OK {
-				won = append(won, result.Version)
-			} else if result.Code != apierror.BaseMoved || result.Version != won[0] {
-				t.Fatalf("the losing order got %+v", result)
+				accepted = append(accepted, result.Version)
+			} else if result.Code != apierror.BaseMoved || result.Version != accepted[0] {
+				t.Fatalf("a rejected order returned %+v", result)
 			}
 		}
-		if len(won) != 1 {
-			t.Fatalf("%d orders won on one base", len(won))
+		if len(accepted) != 1 {
+			t.Fatalf("%d orders were accepted on one base, want 1", len(accepted))
 		}
 	})
 }
@@ -165,27 +165,27 @@
 		}
 		put, result := PutSheet{Order: Order{Base: 1}, Sheet: patched.Sheet}.Apply(s, 2)
 		if result.Code != apierror.OK || mustEncode(put.Sheet) != mustEncode(patched.Sheet) {
-			t.Fatalf("put of the patched sheet gave %+v", result)
+			t.Fatalf("put of the patched sheet returned %+v", result)
 		}
-		back, apiErr := sheet.ImportCSV(patched.Sheet.ExportCSV(), 1<<20)
-		if apiErr != nil || len(sheet.Diff(patched.Sheet, back)) != 0 {
-			t.Fatalf("the spreadsheet lost cells: %v %v", apiErr, sheet.Diff(patched.Sheet, back))
+		imported, apiErr := sheet.ImportCSV(patched.Sheet.ExportCSV(), 1<<20)
+		if apiErr != nil || len(sheet.Diff(patched.Sheet, imported)) != 0 {
+			t.Fatalf("CSV export and import changed the sheet: %v %v", apiErr, sheet.Diff(patched.Sheet, imported))
 		}
 	})
 }
 
-func TestMalformedBytesAreRejected(t *testing.T) {
+func TestMalformedOrdersAndCommandsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := []byte(mustEncode(drawSheet(t)))
 		if rapid.Bool().Draw(t, "envelope") {
 			data = []byte(`{"base":0,"sheet":` + string(data) + `,"changes":[{"path":"tenants.a.keys","value":["x"]}],"names":["a"],"locality":"x"}`)
 		}
-		for range rapid.IntRange(0, 3).Draw(t, "cuts") {
-			at := rapid.IntRange(0, len(data)).Draw(t, "at")
-			data = append(append(bytes.Clone(data[:at]), rapid.SliceOfN(rapid.Byte(), 0, 3).Draw(t, "junk")...), data[min(len(data), at+1):]...)
+		for range rapid.IntRange(0, 3).Draw(t, "edits") {
+			offset := rapid.IntRange(0, len(data)).Draw(t, "offset")
+			data = append(append(bytes.Clone(data[:offset]), rapid.SliceOfN(rapid.Byte(), 0, 3).Draw(t, "junk")...), data[min(len(data), offset+1):]...)
 		}
 		if s, apiErr := sheet.ParseSheet(data, 1<<20); apiErr == nil && s.Check() != nil {
-			t.Fatal("an invalid sheet was read")
+			t.Fatal("ParseSheet returned an invalid sheet")
 		}
 		for verb := range orderSchemas {
 			if command, apiErr := ParseOrder(verb, "ada", data, OrderLimits{MaxBytes: 1 << 20}, 1); apiErr == nil {
@@ -196,14 +196,14 @@
 		}
 		before := State{Version: 4, SheetVersion: 2}
 		after, result := before.Step(5, data)
-		if result.Code != apierror.Internal || encodeWithoutVersion(after) != encodeWithoutVersion(before) || after.Version != 5 {
-			t.Fatalf("bytes that are no command gave %+v", result)
+		if result.Code != apierror.Internal || encodeIgnoringVersion(after) != encodeIgnoringVersion(before) || after.Version != 5 {
+			t.Fatalf("Step with malformed bytes returned %+v", result)
 		}
 	})
 }
 
 func TestStateTransitions(t *testing.T) {
-	Convey("Steps are taken in order only", t, func() {
+	Convey("Step applies a command only at the version after the state's", t, func() {
 		s := State{Version: 4}
 		for _, version := range []uint64{0, 3, 4, 6} {
 			next, result := s.Step(version, Encode(Noop{}))
@@ -211,7 +211,7 @@
 			So(next.Version, ShouldEqual, 4)
 		}
 	})
-	Convey("The memory of orders is bounded and the same from the log", t, func() {
+	Convey("The history is bounded by MaxHistory and drops the oldest orders first", t, func() {
 		var s State
 		for i := range 3 * MaxHistory {
 			s, _ = Evacuate{Order: Order{OrderID: fmt.Sprint(i), Operator: "ada"}, Zone: "lagos"}.Apply(s, s.Version+1)
@@ -220,7 +220,7 @@
 		So(s.History[0].OrderID, ShouldEqual, fmt.Sprint(2*MaxHistory))
 		So(s.Evacuated["lagos"], ShouldEqual, 1)
 	})
-	Convey("An evacuation of a region covers its zones, and is independent of theirs", t, func() {
+	Convey("An evacuation of a region covers its zones and is independent of zone evacuations", t, func() {
 		s, _ := Evacuate{Zone: "lagos"}.Apply(State{}, 1)
 		s, _ = Evacuate{Zone: "abeokuta/c"}.Apply(s, 2)
 		So(s.IsEvacuated("lagos", "a"), ShouldBeTrue)
@@ -229,22 +229,22 @@
 		s, _ = Restore{Zone: "lagos"}.Apply(s, 3)
 		So(s.IsEvacuated("lagos", "a"), ShouldBeFalse)
 	})
-	Convey("A change of the roster waits until the one before it is committed, unless an operator orders it", t, func() {
-		add := func(names ...string) AddMembers {
+	Convey("A roster change is rejected until the previous one is committed, unless an operator orders it", t, func() {
+		addMembers := func(names ...string) AddMembers {
 			var c AddMembers
 			for _, name := range names {
 				c.Members = append(c.Members, Member{Name: name, Front: true})
 			}
 			return c
 		}
-		s, _ := add("n1", "n2", "n3").Apply(State{}, 1)
+		s, _ := addMembers("n1", "n2", "n3").Apply(State{}, 1)
 		So(s.RosterCommitted(), ShouldBeTrue)
-		s, _ = add("n3", "n4", "n5").Apply(s, 2)
+		s, _ = addMembers("n3", "n4", "n5").Apply(s, 2)
 		So(len(s.PriorRoster), ShouldEqual, 3)
 		So(len(s.Roster), ShouldEqual, 5)
 		s, result := RemoveMembers{Names: []string{"n1"}, ProposedBy: "n2"}.Apply(s, 3)
 		So(result.Code, ShouldEqual, apierror.VersionBehind)
-		s, result = add("n5").Apply(s, 4)
+		s, result = addMembers("n5").Apply(s, 4)
 		So(result.Code, ShouldEqual, apierror.OK)
 		So(s.RosterVersion, ShouldEqual, 2)
 		s, result = RemoveMembers{Order: Order{Operator: "ada"}, Names: []string{"n1", "n4"}}.Apply(s, 5)
@@ -258,7 +258,7 @@
 		_, result = RemoveMembers{Order: Order{Operator: "ada"}, Names: []string{"n9"}}.Apply(s, 8)
 		So(result.Code, ShouldEqual, apierror.UnknownMember)
 	})
-	Convey("A term of a role has one holder, whose repeated claim succeeds", t, func() {
+	Convey("A term of a role has one holder, and the holder's repeated claim succeeds", t, func() {
 		s, first := AcquireRole{"planner", 1, "n1"}.Apply(State{}, 1)
 		So(first.Code, ShouldEqual, apierror.OK)
 		s, again := AcquireRole{"planner", 1, "n1"}.Apply(s, 2)
@@ -294,15 +294,15 @@
 			fmt.Fprintf(&out, "< %v, before any ballot\n", apiErr)
 			continue
 		}
-		result, sure := s.Predict(command)
-		if !sure {
+		result, decided := s.Predict(command)
+		if !decided {
 			s, result = s.Step(s.Version+1, Encode(command))
 		}
 		fmt.Fprintf(&out, "< %d %s epoch=%d sheet_epoch=%d %s\n", result.Code, result.Code, result.Version, result.SheetVersion, result.Detail)
 	}
 	fmt.Fprintf(&out, "\nepoch %d, sheet epoch %d, evacuated %s\n", s.Version, s.SheetVersion, mustEncode(s.Evacuated))
-	for _, r := range s.History {
-		fmt.Fprintf(&out, "%d %s %s %.12s: %s\n", r.Version, r.Operator, r.Verb, r.OrderID, r.Summary)
+	for _, record := range s.History {
+		fmt.Fprintf(&out, "%d %s %s %.12s: %s\n", record.Version, record.Operator, record.Verb, record.OrderID, record.Summary)
 	}
 	out.Write(s.Sheet.ExportCSV())
 	goldie.New(t).Assert(t, "exchange", []byte(out.String()))
@@ -312,7 +312,7 @@
 	s := sampleSheet()
 	for i := range tenants {
 		name := fmt.Sprintf("tenant-%05d", i)
-		s.Tenants[name] = sheet.Tenant{Rate: 100, Burst: 50, Home: "lagos", KeyHashes: []string{hashOf(name)}}
+		s.Tenants[name] = sheet.Tenant{Rate: 100, Burst: 50, Home: "lagos", KeyHashes: []string{hashKey(name)}}
 	}
 	state, result := PutSheet{Sheet: s}.Apply(State{}, 1)
 	if result.Code != apierror.OK {
@@ -340,8 +340,8 @@
 		run("StateDecode", func() { _, _ = DecodeState(data) })
 		run("ParseSheet", func() { _, _ = sheet.ParseSheet(document, sheet.MaxBytes) })
 		run("Index", func() { s.Index() })
-		x := s.Index()
-		run("TenantOfKey", func() { x.Tenant("press-1") })
+		index := s.Index()
+		run("TenantOfKey", func() { index.Tenant("press-1") })
 		b.Logf("tenants=%d state=%d bytes patch=%d bytes", tenants, len(data), len(patch))
 	}
 }
--- a/internal/decision/strictjson/decode.go
+++ b/internal/decision/strictjson/decode.go
@@ -8,25 +8,26 @@
 	"github.com/pkg/errors"
 )
 
-// maxExcerpt bounds, in bytes, how much of an operator's text an error repeats.
-const maxExcerpt = 64
+// maxExcerptBytes bounds how much of an operator's input an error repeats.
+const maxExcerptBytes = 64
 
-// Excerpt shortens a text that came from outside, for use in an error.
+// Excerpt truncates external input for use in an error message.
 func Excerpt(text string) string {
-	if len(text) > maxExcerpt {
-		return text[:maxExcerpt] + "…"
+	if len(text) > maxExcerptBytes {
+		return text[:maxExcerptBytes] + "…"
 	}
 	return text
 }
 
-// Decode validates data against the schema and unmarshals it into the value
-// that into points to. Faults of form have the given code, BadJSON or
-// UnknownField; on a fault, the value may be partly written.
-func Decode(data []byte, schema *Schema, code apierror.Code, into any) *apierror.Error {
+// Decode validates data against the schema and unmarshals it into the value that
+// target points to. Invalid JSON is reported as BadJSON, an unknown field as
+// UnknownField, and any other violation under the given code (see
+// Schema.WithCode). On error, the value may be partly written.
+func Decode(data []byte, schema *Schema, code apierror.Code, target any) *apierror.Error {
 	if apiErr := Validate(data, schema, code); apiErr != nil {
 		return apiErr
 	}
-	if err := json.Unmarshal(data, into); err != nil {
+	if err := json.Unmarshal(data, target); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
 			return apierror.Errorf(code, "%s: %s is out of bounds", typeError.Field, Excerpt(typeError.Value))
@@ -36,17 +37,18 @@
 	return nil
 }
 
-// Validate checks that data is exactly one JSON value that follows the schema,
-// with no name unknown or repeated.
+// Validate checks that data is exactly one JSON value that conforms to the schema,
+// without unknown or repeated names. Its errors have the same codes as Decode's.
 func Validate(data []byte, schema *Schema, code apierror.Code) *apierror.Error {
 	if !json.Valid(data) {
 		return syntaxError(data)
 	}
 	s := scanner{data: data}
-	return s.value(schema, code, nil, 0)
+	return s.checkValue(schema, code, nil, 0)
 }
 
-// syntaxError reports where data, which is not valid JSON, breaks the syntax.
+// syntaxError returns the error for invalid JSON, with the offset of the first
+// syntax error.
 func syntaxError(data []byte) *apierror.Error {
 	var raw json.RawMessage
 	err := json.Unmarshal(data, &raw)
--- a/internal/decision/strictjson/position.go
+++ b/internal/decision/strictjson/position.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// position is the path of a value in a body; nil is the body itself.
-type position struct {
-	parent *position
-	// name is the member's name if the parent is an object, which named
-	// reports; otherwise index is the element's index in a list.
-	name  string
-	named bool
-	index int
+// valuePath is the path of a value within a body; nil denotes the body itself.
+type valuePath struct {
+	parent *valuePath
+	// name is the value's name if inObject is set, which means that the value is
+	// a member of an object. Otherwise index is the value's index in a list.
+	name     string
+	inObject bool
+	index    int
 }
 
-// String returns the path with dots, followed by ": ", or nothing for the body
-// itself, so that it can precede any message.
-func (p *position) String() string {
+// String returns the path as a prefix for error messages: its elements separated
+// by dots and followed by ": ", or an empty string for the body itself.
+func (p *valuePath) String() string {
 	if p == nil {
 		return ""
 	}
 	name := Excerpt(p.name)
-	if !p.named {
+	if !p.inObject {
 		name = strconv.Itoa(p.index)
 	}
 	if p.parent == nil {
--- a/internal/decision/strictjson/scanner.go
+++ b/internal/decision/strictjson/scanner.go
@@ -11,15 +11,15 @@
 // maxDepth bounds the nesting of objects and lists.
 const maxDepth = 16
 
-// scanner walks data that is known to be valid JSON.
+// scanner reads data that has been checked to be valid JSON.
 type scanner struct {
 	data   []byte
 	offset int
 }
 
-// peek skips white space and separators and returns the first byte of the next
-// value, name or closing bracket.
-func (s *scanner) peek() byte {
+// peekToken skips white space and separators and returns the first byte of the
+// next value, name or closing bracket without consuming it.
+func (s *scanner) peekToken() byte {
 	for {
 		switch c := s.data[s.offset]; c {
 		case ' ', '\t', '\n', '\r', ',', ':':
@@ -30,8 +30,8 @@
 	}
 }
 
-// scalar consumes a string, number, bool or null and returns its bytes.
-func (s *scanner) scalar() []byte {
+// readScalar consumes a string, number, boolean or null and returns its bytes.
+func (s *scanner) readScalar() []byte {
 	start := s.offset
 	if s.data[s.offset] == '"' {
 		for s.offset++; s.data[s.offset] != '"'; s.offset++ {
@@ -48,45 +48,45 @@
 	return s.data[start:s.offset]
 }
 
-// unquoted consumes a string and returns it without quotes and escapes.
-func (s *scanner) unquoted() string {
-	quoted := s.scalar()
+// readString consumes a string and returns it unquoted and unescaped.
+func (s *scanner) readString() string {
+	quoted := s.readScalar()
 	if bytes.IndexByte(quoted, '\\') < 0 {
 		return string(quoted[1 : len(quoted)-1])
 	}
-	var name string
-	_ = json.Unmarshal(quoted, &name)
-	return name
+	var text string
+	_ = json.Unmarshal(quoted, &text)
+	return text
 }
 
-// value consumes one value and checks it against the schema.
-func (s *scanner) value(schema *Schema, code apierror.Code, at *position, depth int) *apierror.Error {
-	first := s.peek()
+// checkValue consumes one value and validates it against the schema.
+func (s *scanner) checkValue(schema *Schema, code apierror.Code, path *valuePath, depth int) *apierror.Error {
+	first := s.peekToken()
 	if schema.kind == KindOpaque {
-		return s.opaque()
+		return s.skipValue()
 	}
 	if schema.code != apierror.OK {
 		code = schema.code
 	}
 	if depth > maxDepth {
-		return apierror.Errorf(code, "%sit is nested too deep", at)
+		return apierror.Errorf(code, "%svalue is nested too deeply", path)
 	}
-	found, isNull := kindOf(first)
-	if isNull || !schema.accepts(found) {
-		return apierror.Errorf(code, "%swant %s, not %s", at, kindNames[schema.kind], s.describe(found, isNull))
+	kind, isNull := kindOf(first)
+	if isNull || !schema.accepts(kind) {
+		return apierror.Errorf(code, "%swant %s, not %s", path, kindNames[schema.kind], s.describeValue(kind, isNull))
 	}
-	switch found {
+	switch kind {
 	case KindMap:
-		return s.object(schema, code, at, depth)
+		return s.checkObject(schema, code, path, depth)
 	case KindList:
-		return s.list(schema, code, at, depth)
+		return s.checkList(schema, code, path, depth)
 	}
-	s.scalar()
+	s.readScalar()
 	return nil
 }
 
-// opaque consumes one value without inspecting it.
-func (s *scanner) opaque() *apierror.Error {
+// skipValue consumes one value without validating it.
+func (s *scanner) skipValue() *apierror.Error {
 	decoder := json.NewDecoder(bytes.NewReader(s.data[s.offset:]))
 	var raw json.RawMessage
 	if err := decoder.Decode(&raw); err != nil {
@@ -96,14 +96,15 @@
 	return nil
 }
 
-func (s *scanner) list(schema *Schema, code apierror.Code, at *position, depth int) *apierror.Error {
+// checkList consumes a list and validates its elements.
+func (s *scanner) checkList(schema *Schema, code apierror.Code, path *valuePath, depth int) *apierror.Error {
 	items := schema.items
 	if schema.kind == KindAny {
 		items = Any
 	}
 	s.offset++
-	for i := 0; s.peek() != ']'; i++ {
-		if apiErr := s.value(items, code, &position{parent: at, index: i}, depth+1); apiErr != nil {
+	for i := 0; s.peekToken() != ']'; i++ {
+		if apiErr := s.checkValue(items, code, &valuePath{parent: path, index: i}, depth+1); apiErr != nil {
 			return apiErr
 		}
 	}
@@ -111,20 +112,21 @@
 	return nil
 }
 
-func (s *scanner) object(schema *Schema, code apierror.Code, at *position, depth int) *apierror.Error {
+// checkObject consumes an object and validates its members.
+func (s *scanner) checkObject(schema *Schema, code apierror.Code, path *valuePath, depth int) *apierror.Error {
 	seen := make(map[string]struct{})
 	s.offset++
-	for s.peek() != '}' {
-		member := position{parent: at, name: s.unquoted(), named: true}
-		if _, repeated := seen[member.name]; repeated {
-			return apierror.Errorf(code, "%sgiven twice", &member)
+	for s.peekToken() != '}' {
+		memberPath := valuePath{parent: path, name: s.readString(), inObject: true}
+		if _, repeated := seen[memberPath.name]; repeated {
+			return apierror.Errorf(code, "%sgiven twice", &memberPath)
 		}
-		seen[member.name] = struct{}{}
-		memberSchema := schema.member(member.name)
+		seen[memberPath.name] = struct{}{}
+		memberSchema := schema.member(memberPath.name)
 		if memberSchema == nil {
-			return apierror.Errorf(apierror.UnknownField, "%sno such field", &member)
+			return apierror.Errorf(apierror.UnknownField, "%sno such field", &memberPath)
 		}
-		if apiErr := s.value(memberSchema, code, &member, depth+1); apiErr != nil {
+		if apiErr := s.checkValue(memberSchema, code, &memberPath, depth+1); apiErr != nil {
 			return apiErr
 		}
 	}
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// member returns the schema of an object's member; nil for an unknown field of
+// member returns the schema of an object's member, or nil for an unknown field of
 // a record.
 func (s *Schema) member(name string) *Schema {
 	switch s.kind {
@@ -144,20 +146,22 @@
 	return s.items
 }
 
-// describe returns what was found in place of the wanted value.
-func (s *scanner) describe(found Kind, isNull bool) string {
+// describeValue consumes a value that doesn't conform to its schema and describes
+// it for an error message. Lists and objects are not consumed.
+func (s *scanner) describeValue(kind Kind, isNull bool) string {
 	switch {
 	case isNull:
 		return "null"
-	case found == KindList || found == KindMap:
-		return kindNames[found]
-	case found == KindString:
-		return Excerpt(s.unquoted())
+	case kind == KindList || kind == KindMap:
+		return kindNames[kind]
+	case kind == KindString:
+		return Excerpt(s.readString())
 	}
-	return Excerpt(string(s.scalar()))
+	return Excerpt(string(s.readScalar()))
 }
 
-// kindOf returns the kind of a value by its first byte, or that it is null.
+// kindOf returns the kind of a value with the given first byte, or that the value
+// is null.
 func kindOf(first byte) (kind Kind, isNull bool) {
 	switch first {
 	case '"':
--- a/internal/decision/strictjson/schema.go
+++ b/internal/decision/strictjson/schema.go
@@ -1,10 +1,10 @@
-// Package strictjson decodes JSON from operators against a schema and rejects
-// what encoding/json would let pass: unknown and repeated names, nulls, values
-// of another type, deep nesting and trailing data. An error names the position
-// of the first fault in the body.
+// Package strictjson decodes JSON from operators against a schema. It rejects what
+// encoding/json may accept: unknown and repeated names, nulls, values of another
+// type, deep nesting and trailing data. An error contains the path of the first
+// violation in the body.
 //
-// It checks the form of a body only. Bounds and relations between fields are
-// checked by the packages whose documents these are.
+// Only the structure of a body is validated. The packages that define the
+// documents check bounds and relations between fields.
 package strictjson
 
 import "stepwick/internal/apierror"
@@ -12,35 +12,36 @@
 // Kind is the type of a JSON value.
 type Kind int
 
-// Kinds of values.
+// Kinds of JSON values.
 const (
 	KindString Kind = iota
 	KindNumber
 	KindBool
 	KindList
 	KindMap    // an object with any names
-	KindRecord // an object with known fields
-	KindAny    // a value of any type except null, whose objects repeat no name
-	KindOpaque // any valid JSON; its content is not inspected
+	KindRecord // an object with a fixed set of optional fields
+	KindAny    // any value except null; its objects must not repeat names
+	KindOpaque // any valid JSON, not validated further
 )
 
-var kindNames = [...]string{"a text", "a number", "true or false", "a list", "an object", "an object", "a value", "a value"}
+var kindNames = [...]string{"a string", "a number", "true or false", "a list", "an object", "an object", "a value", "a value"}
 
-// Schema describes one JSON value. It is immutable once it is in use.
+// Schema describes a JSON value. It must not be modified once it is in use.
 type Schema struct {
 	kind Kind
-	// items describes the elements of a list or the values of a map.
+	// items is the schema of a list's elements or a map's values.
 	items  *Schema
 	fields Fields
-	// code replaces the caller's result code for faults within this value; OK
-	// leaves the caller's code in place.
+	// code replaces the caller's error code for violations within this value. OK
+	// leaves the caller's code in effect.
 	code apierror.Code
 }
 
-// Fields are the fields that a record may have, by name. All are optional.
+// Fields maps the names of a record's fields to their schemas. All fields are
+// optional.
 type Fields map[string]*Schema
 
-// Schemas of values without parameters.
+// Predefined schemas.
 var (
 	String     = &Schema{kind: KindString}
 	Number     = &Schema{kind: KindNumber}
@@ -50,30 +51,32 @@
 	StringList = List(String)
 )
 
-// List returns the schema of a list whose elements follow items.
+// List returns the schema of a list whose elements conform to items.
 func List(items *Schema) *Schema { return &Schema{kind: KindList, items: items} }
 
-// Map returns the schema of an object with any names whose values follow items.
+// Map returns the schema of an object with arbitrary names, whose values conform
+// to items.
 func Map(items *Schema) *Schema { return &Schema{kind: KindMap, items: items} }
 
-// Record returns the schema of an object with no fields but these.
+// Record returns the schema of an object that may have only the given fields.
 func Record(fields Fields) *Schema { return &Schema{kind: KindRecord, fields: fields} }
 
-// WithCode returns a copy of the schema that reports faults under the code.
+// WithCode returns a copy of the schema that reports violations under the given
+// code, except unknown fields, which are always UnknownField.
 func (s *Schema) WithCode(code apierror.Code) *Schema {
-	withCode := *s
-	withCode.code = code
-	return &withCode
+	copied := *s
+	copied.code = code
+	return &copied
 }
 
-// accepts reports whether a value of the kind, as its first byte shows it,
-// fits the schema.
-func (s *Schema) accepts(found Kind) bool {
+// accepts reports whether the schema allows a value of the kind that kindOf
+// returned.
+func (s *Schema) accepts(kind Kind) bool {
 	switch s.kind {
 	case KindAny:
 		return true
 	case KindRecord:
-		return found == KindMap
+		return kind == KindMap
 	}
-	return found == s.kind
+	return kind == s.kind
 }
--- a/internal/decision/strictjson/strictjson_test.go
+++ b/internal/decision/strictjson/strictjson_test.go
@@ -30,21 +30,21 @@
 		{"trailing data", `{} {}`, apierror.BadJSON, "at byte 4: invalid character '{' after top-level value"},
 		{"null", `null`, apierror.BadField, "want an object, not null"},
 		{"another type", `{"on":"yes"}`, apierror.BadField, "on: want true or false, not yes"},
-		{"an element's type", `{"names":["a",2]}`, apierror.BadField, "names.1: want a text, not 2"},
+		{"an element's type", `{"names":["a",2]}`, apierror.BadField, "names.1: want a string, not 2"},
 		{"an unknown field", `{"rows":{"a":{"sise":1}}}`, apierror.UnknownField, "rows.a.sise: no such field"},
 		{"a repeated name", `{"names":[],"names":[]}`, apierror.BadField, "names: given twice"},
 		{"a repeated name within any value", `{"value":{"x":1,"x":2}}`, apierror.BadField, "value.x: given twice"},
 		{"a fault under a schema with a code", `{"rows":{"a":1}}`, apierror.InvalidSheet, "rows.a: want an object, not 1"},
 		{"a number out of bounds", `{"rows":{"a":{"size":1e999}}}`, apierror.BadField, "rows.size: number 1e999 is out of bounds"},
-		{"deep nesting", `{"value":` + strings.Repeat("[", 20) + strings.Repeat("]", 20) + `}`, apierror.BadField, "it is nested too deep"},
+		{"deep nesting", `{"value":` + strings.Repeat("[", 20) + strings.Repeat("]", 20) + `}`, apierror.BadField, "value is nested too deeply"},
 	} {
 		Convey("Decode rejects "+test.name, t, func() {
-			var into struct {
+			var target struct {
 				Rows map[string]struct {
 					Size float64 `json:"size"`
 				} `json:"rows"`
 			}
-			apiErr := Decode([]byte(test.body), bodySchema, apierror.BadField, &into)
+			apiErr := Decode([]byte(test.body), bodySchema, apierror.BadField, &target)
 			So(apiErr, ShouldNotBeNil)
 			So(apiErr.Code, ShouldEqual, test.code)
 			So(apiErr.Detail, ShouldContainSubstring, test.detail)
@@ -52,9 +52,9 @@
 	}
 }
 
-func TestDecodeReadsWhatTheSchemaAllows(t *testing.T) {
-	Convey("Escaped names, opaque values and any order of fields are read", t, func() {
-		var into struct {
+func TestDecodeAcceptsWhatTheSchemaAllows(t *testing.T) {
+	Convey("Escaped names, opaque values and fields in any order are accepted", t, func() {
+		var target struct {
 			Rows map[string]struct {
 				Size  float64 `json:"size"`
 				Extra any     `json:"extra"`
@@ -62,9 +62,9 @@
 			Names []string `json:"names"`
 		}
 		body := `{"names":["a"],"rows":{"x":{"extra":[null,{"a":1,"a":2}],"siz\u0065":3}},"on":true,"value":[1]}`
-		So(Decode([]byte(body), bodySchema, apierror.BadField, &into), ShouldBeNil)
-		So(into.Rows["x"].Size, ShouldEqual, 3)
-		So(into.Rows["x"].Extra, ShouldNotBeNil)
-		So(into.Names, ShouldResemble, []string{"a"})
+		So(Decode([]byte(body), bodySchema, apierror.BadField, &target), ShouldBeNil)
+		So(target.Rows["x"].Size, ShouldEqual, 3)
+		So(target.Rows["x"].Extra, ShouldNotBeNil)
+		So(target.Names, ShouldResemble, []string{"a"})
 	})
 }
