--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -19,7 +19,7 @@
 	if apiErr != nil {
 		t.Fatal(apiErr)
 	}
-	put := statemachine.Encode(statemachine.PutSheet{Order: statemachine.Order{OrderID: "first", Operator: "ada", AtMS: 1}, Sheet: first})
+	put := statemachine.Encode(statemachine.PutSheet{Order: statemachine.Order{OrderID: "first", Operator: "ada", ReceivedAtMS: 1}, Sheet: first})
 	records := []paxos.Record{
 		paxos.FormationJoined{Formation: "core-1-f", Voters: []string{"core-1", "core-2", "core-3"}},
 		paxos.RecoveryCompleted{Incarnations: map[string]uint64{"core-1": 1, "core-2": 1, "core-3": 1}},
--- a/internal/cli/sheet_history.go
+++ b/internal/cli/sheet_history.go
@@ -46,7 +46,7 @@
 func (a *App) printHistory(orders []statemachine.Record) error {
 	rows := a.newTable("EPOCH", "TIME", "OPERATOR", "ORDER", "WHAT", "ORDER ID")
 	for _, order := range orders {
-		rows.row(order.Version, formatTimestamp(order.AtMS), order.Operator, order.Verb, order.Summary, order.OrderID)
+		rows.row(order.Version, formatTimestamp(order.ReceivedAtMS), order.Operator, order.Verb, order.Summary, order.OrderID)
 	}
 	return rows.print()
 }
--- a/internal/decision/statemachine/history.go
+++ b/internal/decision/statemachine/history.go
@@ -7,7 +7,7 @@
 const MaxHistory = 512
 
 // Record describes an accepted order: its operator, its effect, and the versions
-// of the state and the sheet after it. AtMS is the time of arrival in Unix
+// of the state and the sheet after it. ReceivedAtMS is the time of arrival in Unix
 // milliseconds on the proposing replica's clock.
 type Record struct {
 	Version      uint64 `json:"epoch"`
@@ -16,7 +16,7 @@
 	Verb         string `json:"verb"`
 	OrderID      string `json:"order_id"`
 	Digest       string `json:"digest"`
-	AtMS         int64  `json:"at_ms"`
+	ReceivedAtMS int64  `json:"at_ms"`
 	Summary      string `json:"summary,omitempty"`
 }
 
--- a/internal/decision/statemachine/order.go
+++ b/internal/decision/statemachine/order.go
@@ -26,8 +26,8 @@
 	Revision     uint64 `json:"revision,omitempty"`
 	BaseRevision uint64 `json:"base_revision,omitempty"`
 
-	// AtMS is the time of arrival in Unix milliseconds.
-	AtMS int64 `json:"at_ms,omitempty"`
+	// ReceivedAtMS is the time of arrival in Unix milliseconds.
+	ReceivedAtMS int64 `json:"at_ms,omitempty"`
 }
 
 // orderCommand is a command that an operator may send.
@@ -124,7 +124,7 @@
 		Verb:         verb,
 		OrderID:      order.OrderID,
 		Digest:       order.Digest,
-		AtMS:         order.AtMS,
+		ReceivedAtMS: order.ReceivedAtMS,
 		Summary:      summary,
 	})
 	return s, s.result(apierror.OK, "")
--- a/internal/decision/statemachine/parse.go
+++ b/internal/decision/statemachine/parse.go
@@ -106,7 +106,7 @@
 		Operator:     operator,
 		Revision:     fields.Revision,
 		BaseRevision: fields.BaseRevision,
-		AtMS:         receivedAtMS,
+		ReceivedAtMS: receivedAtMS,
 	}
 	if changesSheet(verb) && fields.Revision == 0 {
 		if fields.Base == nil {
--- a/internal/node/replica/firstsheet.go
+++ b/internal/node/replica/firstsheet.go
@@ -32,7 +32,7 @@
 		r.events.Emit(events.OrderRejected, "order", firstSheetOrder, "code", apiErr.Code, "detail", apiErr.Detail)
 		return true
 	}
-	order := statemachine.Order{OrderID: firstSheetOrder, Operator: firstSheetOrder, AtMS: r.clock.Now().UnixMilli()}
+	order := statemachine.Order{OrderID: firstSheetOrder, Operator: firstSheetOrder, ReceivedAtMS: r.clock.Now().UnixMilli()}
 	ctx, cancel := context.WithTimeout(ctx, firstSheetTimeout)
 	defer cancel()
 	_, result, err := r.Propose(ctx, statemachine.Encode(statemachine.PutSheet{Order: order, Sheet: first}))
