--- a/internal/decision/quota/account.go
+++ b/internal/decision/quota/account.go
@@ -6,32 +6,33 @@
 )
 
 const (
-	// uncertainBudgetFraction is the fraction of its budget that a front spends
-	// while its totals are stale though the owner is not known to be unresponsive.
-	uncertainBudgetFraction = 0.1
+	// staleBudgetFraction is the fraction of its budget that a front may spend while
+	// its totals are stale but the owner is not yet considered unresponsive.
+	staleBudgetFraction = 0.1
 
-	// demandDecayRate is the rate per second at which demand decays exponentially.
+	// demandDecayRate is the rate of the exponential decay of demand, per second.
 	demandDecayRate = 2
 
-	retrySearchSteps = 256 // of a window, the precision of RetryAfter
+	// retrySearchSteps is the precision of RetryAfter, in steps per window.
+	retrySearchSteps = 256
 )
 
-// account is a limiter's state of one tenant.
+// account is a limiter's state for one tenant.
 type account struct {
 	tenant       string
 	allowance    Allowance
-	lastUsed     time.Time // last request
-	blockedUntil time.Time // in effect without EarlyUnblock
+	lastUsedAt   time.Time // last request
+	blockedUntil time.Time // used only if EarlyUnblock is disabled
 	spend        spendCounters
 	demand       decayingDemand
 	allocation   allocation
 	sync         ownerSync
 }
 
-// spendCounters count a tenant's tokens by slice.
+// spendCounters holds a tenant's spend per slice.
 type spendCounters struct {
-	own sliceRing // spent at this front
-	all sliceRing // spent at all fronts, at the others as far as known
+	own sliceRing // spend at this front
+	all sliceRing // spend at this front plus the reported spend of all others
 }
 
 func (s *spendCounters) add(slice int64, tokens float64) {
@@ -39,7 +40,8 @@
 	s.all.add(slice, tokens)
 }
 
-// decayingDemand sums the tokens requested of this front, decaying by demandDecayRate.
+// decayingDemand is the sum of the tokens requested at this front, decaying
+// exponentially at demandDecayRate.
 type decayingDemand struct {
 	tokens    float64
 	decayedAt time.Time
@@ -57,27 +59,27 @@
 	d.tokens += tokens
 }
 
-// allocation is this front's part in a tenant's limit.
+// allocation is the part of a tenant's limit that this front may spend.
 type allocation struct {
-	allocationReport         // as last reported by the owner
-	evenShare        float64 // share if all fronts' were equal
-	rank             float64 // of this front in the tenant's order of fronts, 0 to 1
+	allocationReport         // last one received from the owner
+	evenShare        float64 // share if it were equal for all fronts
+	rank             float64 // position of this front in the tenant's rendezvous order, 0 to 1
 }
 
-// estimate is what an account amounts to at one instant.
+// estimate is a tenant's spend, limit and budget at one instant, in tokens.
 type estimate struct {
 	limit    float64
 	previous float64 // total of the previous window
 	current  float64 // total of the current window
-	weighted float64 // sliding window counter
-	recent   float64 // spend within one window's length
+	weighted float64 // value of the sliding window counter
+	recent   float64 // spend during the last Config.Window
 
-	reserved  float64 // for unresponsive fronts, beyond what they are known to have spent
-	overspend float64 // by which fronts may exceed the limit by their shares
+	reserved  float64 // reserved for unresponsive fronts, less their known spend
+	overspend float64 // by which all fronts' shares together may exceed the limit
 	overshoot float64 // by which recent may exceed the limit
 
-	unconfirmed float64 // spent at this front, possibly missing in the owner's totals
-	budget      float64 // bound of unconfirmed
+	unconfirmed float64 // spend at this front that the owner's totals may lack
+	budget      float64 // upper bound of unconfirmed
 }
 
 func (a *account) estimate(config *Config, grid timeGrid, now time.Time) estimate {
@@ -95,7 +97,7 @@
 	return result
 }
 
-// estimateSpend sets the totals of the windows and the estimates made of them.
+// estimateSpend sets the fields previous, current, weighted and recent.
 func (a *account) estimateSpend(estimate *estimate, grid timeGrid, now time.Time) {
 	slice, elapsed := grid.position(now)
 	first, _ := grid.windowSlices(grid.windowOf(slice))
@@ -112,89 +114,91 @@
 	estimate.recent = overlapping + estimate.current + a.spend.all.get(oldest)*(1-elapsed)
 }
 
-// unconfirmedSpend returns what this front has spent since the instant up to which
-// the owner's totals are complete, or within one window's length if that is later.
+// unconfirmedSpend returns this front's spend since the instant up to which the
+// owner's totals are complete, but at most that of the last Config.Window.
 func (a *account) unconfirmedSpend(config *Config, grid timeGrid, now time.Time) float64 {
 	slice, elapsed := grid.position(now)
 	oldest := slice - grid.slicesPerWindow
 	newest := max(a.spend.all.newest, slice)
-	if confirmed, part := grid.position(a.confirmedUntil(config)); confirmed > oldest && a.sync.hasTotals() {
-		return a.spend.own.sum(confirmed+1, newest) + a.spend.own.get(confirmed)*(1-part)
+	if confirmed, fraction := grid.position(a.confirmedUntil(config)); confirmed > oldest && a.sync.hasTotals() {
+		return a.spend.own.sum(confirmed+1, newest) + a.spend.own.get(confirmed)*(1-fraction)
 	}
 	return a.spend.own.sum(oldest+1, newest) + a.spend.own.get(oldest)*(1-elapsed)
 }
 
-// confirmedUntil returns the instant up to which the totals have all fronts' spend.
+// confirmedUntil returns the instant up to which the totals include all fronts' spend.
 func (a *account) confirmedUntil(config *Config) time.Time {
 	return a.sync.totalsAsOf.Add(-config.MaxLag - a.allocation.sendSpacing)
 }
 
 // budget returns how much this front may spend before the owner's totals include it:
-// its share of the capacity that is known to be left. While the owner is unresponsive
-// the share is an even one, since the last ones may add up to more than one: a front
-// where the tenant was idle retains its own. A front that had no recent totals when the
-// owner stopped answering takes the limit for spent, less and less over one window
-// (assumedSpent).
+// its share of the remaining capacity. While the owner is unresponsive, each front uses
+// an even share, since the last reported shares may add up to more than 1: a front
+// where the tenant was idle keeps the share it had. A front whose totals were already
+// stale when the owner stopped responding assumes that the limit is spent, to a
+// fraction that falls to 0 over one window (assumedSpentFraction).
 func (a *account) budget(config *Config, estimate *estimate, now time.Time) float64 {
 	unresponsive := a.sync.ownerUnresponsive(config, now)
-	maxAge := ownerUnresponsiveAfter.in(config) + a.allocation.sendSpacing
-	uninformed := !a.sync.hasTotals() || a.sync.waitingSince.Sub(a.sync.totalsAsOf) > maxAge
+	maxAge := ownerUnresponsiveAfter.duration(config) + a.allocation.sendSpacing
+	totalsWereStale := !a.sync.hasTotals() || a.sync.waitingSince.Sub(a.sync.totalsAsOf) > maxAge
 	spent := estimate.recent - estimate.unconfirmed
-	if unresponsive && uninformed {
-		spent = max(spent, estimate.limit*assumedSpent(a.sync.waitingSince, now, config.Window))
+	if unresponsive && totalsWereStale {
+		spent = max(spent, estimate.limit*assumedSpentFraction(a.sync.waitingSince, now, config.Window))
 	}
 	share := a.allocation.share
 	if unresponsive {
 		share = a.allocation.evenShare
 	}
 	budget := share * max(0, estimate.limit+estimate.overspend-estimate.reserved-spent)
-	stale := uninformed || now.Sub(a.sync.totalsAsOf) > maxAge
+	stale := totalsWereStale || now.Sub(a.sync.totalsAsOf) > maxAge
 	if stale && !unresponsive {
-		budget *= uncertainBudgetFraction
+		budget *= staleBudgetFraction
 	}
 	return budget
 }
 
-// verdict is the outcome of comparing a request with the limit and the front's share.
-type verdict uint8
+// limitStatus is the result of checking a request against the tenant's limit and the
+// front's share.
+type limitStatus uint8
 
 const (
-	withinLimit verdict = iota
+	withinLimit limitStatus = iota
 	overLimit
 	overShare
 )
 
-// judge compares a request with the estimate. A large request may exceed the bound by
-// half of itself, so that a tenant of large requests gets its limit and not always
-// less. Against the front's share it counts by the front's rank: of many fronts whose
-// shares are below one request's size, only as many allow one as there is capacity for.
-func (a *account) judge(config *Config, estimate *estimate, tokens float64) verdict {
+// checkLimits checks a request against the tenant's limit and the front's share. A
+// request may exceed the limit by half of its size; otherwise a tenant with large
+// requests would always stay below its limit. For the front's share, the request's size
+// is scaled by the front's rank: if the shares of many fronts are smaller than one
+// request, only as many fronts allow one as the capacity permits.
+func (a *account) checkLimits(config *Config, estimate *estimate, tokens float64) limitStatus {
 	if estimate.limit <= 0 {
 		return overLimit
 	}
-	bounded := min(tokens, estimate.limit)
-	half := bounded / 2
-	after := estimate.recent + bounded + estimate.reserved
-	hasCapacity := config.enabled(SlidingCapacity) && after <= estimate.limit+max(estimate.overspend, half)
+	cappedTokens := min(tokens, estimate.limit)
+	halfRequest := cappedTokens / 2
+	recentAfter := estimate.recent + cappedTokens + estimate.reserved
+	hasCapacity := config.enabled(SlidingCapacity) && recentAfter <= estimate.limit+max(estimate.overspend, halfRequest)
 	switch {
 	case estimate.weighted >= estimate.limit && !hasCapacity:
 		return overLimit
-	case config.enabled(SlidingLimit) && after > estimate.limit+max(estimate.overshoot, half) && estimate.recent > 0:
+	case config.enabled(SlidingLimit) && recentAfter > estimate.limit+max(estimate.overshoot, halfRequest) && estimate.recent > 0:
 		return overLimit
-	case config.enabled(FrontShares) && estimate.unconfirmed+tokens*a.allocation.rank+a.allocation.share*min(half, estimate.overspend) > estimate.budget:
+	case config.enabled(FrontShares) && estimate.unconfirmed+tokens*a.allocation.rank+a.allocation.share*min(halfRequest, estimate.overspend) > estimate.budget:
 		return overShare
 	}
 	return withinLimit
 }
 
-// retryAfter returns how long it takes until a request is within the limit if nobody
-// spends meanwhile.
+// retryAfter returns the time until a request is within the limits if nothing else is
+// spent, found by binary search.
 func (a *account) retryAfter(config *Config, grid timeGrid, now time.Time, tokens float64) time.Duration {
 	low, high := time.Duration(0), 2*config.Window
 	for high-low > config.Window/retrySearchSteps {
 		middle := (low + high) / 2
 		estimate := a.estimate(config, grid, now.Add(middle))
-		if a.judge(config, &estimate, tokens) == withinLimit {
+		if a.checkLimits(config, &estimate, tokens) == withinLimit {
 			high = middle
 		} else {
 			low = middle
--- a/internal/decision/quota/add_rate_test.go
+++ b/internal/decision/quota/add_rate_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	addRateFronts = 300
-	addRateSpan   = 6.0  // seconds that are counted
-	addRateFrom   = 4.0  // until then shares and spacings settle
-	addRateTick   = 0.02 // between two sends of urgent counts
+	addRateFronts   = 300
+	measuredSeconds = 6.0  // duration of the measurement
+	settlingSeconds = 4.0  // before the measurement, for shares and spacings to stabilize
+	tickSeconds     = 0.02 // time between two sends of urgent counts
 )
 
-// addRateFleet has the fronts of a large fleet send the counts of tenants with one
-// owner, at once and without loss.
+// addRateFleet simulates the fronts of a large fleet, which send the counts of tenants of
+// one owner without delay or loss.
 type addRateFleet struct {
 	names    []string
 	limiters []*Limiter
@@ -41,7 +41,7 @@
 	return fleet
 }
 
-// tenants returns the names of some tenants whose owner is the counter's front.
+// tenants returns the names of a number of tenants whose owner is the counter's front.
 func (f *addRateFleet) tenants(number int) []string {
 	var names []string
 	for i := 0; len(names) < number; i++ {
@@ -56,47 +56,48 @@
 	for _, counts := range batches {
 		f.requests++
 		req := &wire.AddRequest{Front: f.names[front], Incarnation: 1, Counts: counts}
-		f.limiters[front].ApplyTotals(f.counter.Add(req, after(second)), after(second), after(second))
+		f.limiters[front].ApplyTotals(f.counter.Add(req, atSecond(second)), atSecond(second), atSecond(second))
 	}
 }
 
-// run plays tenants that are over their limit and returns the requests with counts
-// that the owner received in a second.
+// run simulates tenants over their limit and returns the number of Add requests per
+// second that the owner received.
 func (f *addRateFleet) run(tenants []string) float64 {
 	random := rand.New(rand.NewPCG(1, 1))
 	ownerOf := func(string) string { return "f0" }
 	always := func(string) bool { return true }
-	for tick := 0; float64(tick)*addRateTick < addRateFrom+addRateSpan; tick++ {
-		second := float64(tick) * addRateTick
-		if second < addRateFrom {
+	for tick := 0; float64(tick)*tickSeconds < settlingSeconds+measuredSeconds; tick++ {
+		second := float64(tick) * tickSeconds
+		if second < settlingSeconds {
 			f.requests = 0
 		}
 		if tick%10 == 0 {
-			f.counter.SetMembership(f.names, nil, after(second))
+			f.counter.SetMembership(f.names, nil, atSecond(second))
 		}
 		for i, limiter := range f.limiters {
 			for _, tenant := range tenants {
-				if random.Float64() < 4*addRateTick {
-					limiter.Admit(tenant, 100, Allowance{Rate: 10_000}, after(second))
+				if random.Float64() < 4*tickSeconds {
+					limiter.Admit(tenant, 100, Allowance{Rate: 10_000}, atSecond(second))
 				}
 			}
 			if tick%10 == i%10 {
-				f.send(i, second, limiter.CountsToSend(after(second), ownerOf))
+				f.send(i, second, limiter.CountsToSend(atSecond(second), ownerOf))
 			}
-			f.send(i, second, limiter.UrgentCounts(after(second), ownerOf, always))
+			f.send(i, second, limiter.UrgentCounts(atSecond(second), ownerOf, always))
 		}
 	}
-	return float64(f.requests) / addRateSpan
+	return float64(f.requests) / measuredSeconds
 }
 
-// Guards against an owner of several tenants that gets MaxAddRate requests for each of them.
+// Guards against fronts that send an owner of several tenants MaxAddRate requests per
+// second for each of them.
 func TestOwnerOfSeveralTenantsIsSentNoMoreThanMaxAddRate(t *testing.T) {
 	config := Config{}.withDefaults()
-	// Fronts may send half an interval before the spacing is over.
-	early := (config.Interval / 2).Seconds()
-	bound := addRateFronts / (addRateFronts/config.MaxAddRate - early)
+	// Fronts may send up to half an interval before the spacing has elapsed.
+	tolerance := (config.Interval / 2).Seconds()
+	bound := addRateFronts / (addRateFronts/config.MaxAddRate - tolerance)
 	for _, number := range []int{1, 2, 4} {
-		Convey(fmt.Sprintf("An owner of %d tenants receives the requests that its configuration allows", number), t, func() {
+		Convey(fmt.Sprintf("An owner of %d tenants receives no more requests than its configuration allows", number), t, func() {
 			fleet := newAddRateFleet()
 			So(fleet.run(fleet.tenants(number)), ShouldBeLessThanOrEqualTo, bound)
 		})
--- a/internal/decision/quota/admission.go
+++ b/internal/decision/quota/admission.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// queueBelow is the fraction of the limit below which a request is queued.
-	queueBelow = 0.9
+	// queueBelowFraction is the fraction of the limit up to which requests are queued.
+	queueBelowFraction = 0.9
 
-	// sendAtBudget is the fraction of the budget that is spent before counts are sent
-	// without waiting for the next interval.
-	sendAtBudget = 0.25
+	// urgentBudgetFraction is the fraction of the budget whose spend causes counts to be
+	// sent without waiting for the next interval.
+	urgentBudgetFraction = 0.25
 )
 
-// admission is the state of one request's decision.
+// admission holds the state for deciding one request.
 type admission struct {
 	limiter  *Limiter
 	account  *account
@@ -32,7 +32,7 @@
 		Limit:    a.estimate.limit,
 		Recent:   a.estimate.recent,
 	}
-	switch a.judge() {
+	switch a.checkLimits() {
 	case withinLimit:
 		a.allow(&decision)
 		return decision
@@ -49,33 +49,33 @@
 	return decision
 }
 
-// judge compares the request with the estimate. A request that only the capacity
-// reserved for unresponsive fronts puts over the limit is over this front's share.
-func (a *admission) judge() verdict {
+// checkLimits checks the request against the limits. A request that would be within the
+// limit without the capacity reserved for unresponsive fronts is over this front's share.
+func (a *admission) checkLimits() limitStatus {
 	config := &a.limiter.config
-	outcome := a.account.judge(config, &a.estimate, a.tokens)
+	status := a.account.checkLimits(config, &a.estimate, a.tokens)
 	if !config.enabled(EarlyUnblock) && a.now.Before(a.account.blockedUntil) {
-		outcome = overLimit
+		status = overLimit
 	}
-	if outcome == overLimit && a.estimate.reserved > 0 {
+	if status == overLimit && a.estimate.reserved > 0 {
 		unreserved := a.estimate
 		unreserved.reserved = 0
-		if a.account.judge(config, &unreserved, a.tokens) != overLimit {
-			outcome = overShare
+		if a.account.checkLimits(config, &unreserved, a.tokens) != overLimit {
+			status = overShare
 		}
 	}
-	return outcome
+	return status
 }
 
-// allow counts the request's tokens.
+// allow allows the request and counts its tokens.
 func (a *admission) allow(decision *Decision) {
 	sync := &a.account.sync
 	a.account.spend.add(a.limiter.grid.slice(a.now), a.tokens)
 	sync.unsent += a.tokens
 	decision.Allowed = true
-	decision.SendNow = a.limiter.config.enabled(FrontShares) && sync.unsent > sendAtBudget*a.estimate.budget
+	decision.SendNow = a.limiter.config.enabled(FrontShares) && sync.unsent > urgentBudgetFraction*a.estimate.budget
 	if decision.SendNow {
-		a.limiter.setUrgent(a.account)
+		a.limiter.markUrgent(a.account)
 	}
 }
 
@@ -86,10 +86,9 @@
 	a.account.blockedUntil = a.limiter.windowEnd(a.now)
 }
 
-// rejectByShare rejects a request over the front's share, for now if it can be queued.
-// The code is ShareExceeded where this front can't tell whether the quota is
-// exhausted: without an answer of the owner, or with capacity reserved for fronts
-// that are out of reach.
+// rejectByShare rejects a request over the front's share, or queues it. The code is
+// ShareExceeded if this front can't determine whether the quota is exhausted: the owner
+// does not respond, or capacity is reserved for unresponsive fronts.
 func (a *admission) rejectByShare(decision *Decision) {
 	sync := &a.account.sync
 	decision.Code = apierror.QuotaExceeded
@@ -98,8 +97,8 @@
 	}
 	if a.exchangeExpected() {
 		decision.SendNow = true
-		decision.Queue = a.limiter.config.enabled(Queueing) && a.wellBelowLimit() && a.exchangeSoon()
-		a.limiter.setUrgent(a.account)
+		decision.Queue = a.limiter.config.enabled(Queueing) && a.wellBelowLimit() && a.canSendSoon()
+		a.limiter.markUrgent(a.account)
 	}
 }
 
@@ -107,25 +106,25 @@
 	return a.account.sync.ownerUnresponsive(&a.limiter.config, a.now)
 }
 
-// exchangeExpected reports whether an exchange will soon tell more: the owner is
-// responsive, or it failed only recently, so that another one takes over, and the
-// tenant spent little before.
+// exchangeExpected reports whether an exchange of counts is likely to succeed soon: the
+// owner is responsive, or it failed recently, so that another front takes over, and the
+// tenant was well below its limit in the previous window.
 func (a *admission) exchangeExpected() bool {
 	if !a.ownerUnresponsive() {
 		return true
 	}
 	failedLongAgo := a.account.sync.waitingLongerThan(queueingEndsAfter, &a.limiter.config, a.now)
-	return a.estimate.previous < queueBelow*a.estimate.limit && !failedLongAgo
+	return a.estimate.previous < queueBelowFraction*a.estimate.limit && !failedLongAgo
 }
 
-// exchangeSoon reports whether counts may be sent within an interval.
-func (a *admission) exchangeSoon() bool {
+// canSendSoon reports whether the send spacing permits sending counts within an interval.
+func (a *admission) canSendSoon() bool {
 	owner := a.account.sync.owner.name
 	return owner == "" || a.limiter.untilNextSend(owner, a.now) <= a.limiter.config.Interval
 }
 
 func (a *admission) wellBelowLimit() bool {
-	return a.estimate.recent+a.estimate.reserved+a.tokens/2 <= queueBelow*a.estimate.limit
+	return a.estimate.recent+a.estimate.reserved+a.tokens/2 <= queueBelowFraction*a.estimate.limit
 }
 
 func (a *admission) retryAfter() time.Duration {
--- a/internal/decision/quota/bench_test.go
+++ b/internal/decision/quota/bench_test.go
@@ -11,8 +11,8 @@
 	"stepwick/internal/wire"
 )
 
-// newFleet returns a front's limiter with active tenants, an empty counter and the
-// fronts' names.
+// newFleet returns the limiter of the first front with active tenants, an empty counter
+// and the fronts' names.
 func newFleet(tenants, fronts int) (*Limiter, *Counter, []string) {
 	names := make([]string, fronts)
 	for i := range names {
@@ -23,8 +23,8 @@
 	limiter.SetFronts(names)
 	for i := range tenants {
 		tenant := "tenant-" + strconv.Itoa(i)
-		for at := 0.0; at < 1; at += 0.25 {
-			limiter.Admit(tenant, 10, Allowance{Rate: 1000, Burst: 1000}, after(4+at))
+		for seconds := 0.0; seconds < 1; seconds += 0.25 {
+			limiter.Admit(tenant, 10, Allowance{Rate: 1000, Burst: 1000}, atSecond(4+seconds))
 		}
 	}
 	return limiter, counter, names
@@ -42,20 +42,20 @@
 		for _, kind := range []struct {
 			name string
 			rate float64
-		}{{"passed", 1e9}, {"refused", 1e-3}} {
+		}{{"allowed", 1e9}, {"rejected", 1e-3}} {
 			b.Run(kind.name+"/tenants="+strconv.Itoa(tenants), func(b *testing.B) {
 				random := rand.New(rand.NewPCG(1, 1))
 				b.ReportAllocs()
 				for b.Loop() {
-					limiter.Admit(names[random.IntN(tenants)], 1, Allowance{Rate: kind.rate}, after(5))
+					limiter.Admit(names[random.IntN(tenants)], 1, Allowance{Rate: kind.rate}, atSecond(5))
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkExchange reports the cost of one exchange of all tenants: bytes sent and
-// received, and bytes of memory per tenant at the front and at the owner.
+// BenchmarkExchange measures an exchange of the counts of all tenants. It reports the
+// bytes sent and received, and the memory per tenant at the front and at the owner.
 func BenchmarkExchange(b *testing.B) {
 	for _, tenants := range sizes {
 		for _, fronts := range []int{9, 410} {
@@ -67,17 +67,17 @@
 				limiter, counter, names := newFleet(tenants, fronts)
 				frontBytes := float64(heapBytes()-base) / float64(tenants)
 				base = heapBytes()
-				counts := limiter.CountsToSend(after(5), ownerA)["a"]
+				counts := limiter.CountsToSend(atSecond(5), ownerA)["a"]
 				requestBytes, responseBytes := 0, 0
 				for _, name := range names {
 					req := &wire.AddRequest{Front: name, Incarnation: 1, Counts: counts}
-					resp := counter.Add(req, after(5))
+					resp := counter.Add(req, atSecond(5))
 					requestBytes = proto.Size(req)
 					responseBytes = proto.Size(resp)
 				}
 				ownerBytes := float64(heapBytes()-base) / float64(tenants)
 				for b.Loop() {
-					limiter.CountsToSend(after(5.2), ownerA)
+					limiter.CountsToSend(atSecond(5.2), ownerA)
 				}
 				b.ReportMetric(frontBytes, "front-B/tenant")
 				b.ReportMetric(ownerBytes, "holder-B/tenant")
--- a/internal/decision/quota/config.go
+++ b/internal/decision/quota/config.go
@@ -5,70 +5,69 @@
 	"time"
 )
 
-// Feature is a departure from the plain sliding window counter, in which a tenant
-// over its limit is rejected until the window's end. docs/TALLY.md gives the cause
-// and the figures of each.
+// Feature is a bit set of extensions to the plain sliding window counter, which
+// rejects a tenant over its limit until the window ends. docs/TALLY.md gives the
+// reason and the measurements for each.
 type Feature uint8
 
-// Features, in the order in which they were added.
 const (
-	// EarlyUnblock ends the rejection of a tenant when its estimate falls below the limit.
+	// EarlyUnblock stops rejecting a tenant as soon as its estimate falls below the limit.
 	EarlyUnblock Feature = 1 << iota
 
-	// SlidingLimit rejects requests once the spend within one window's length
-	// exceeds the limit by Config.Overshoot, whatever the estimate.
+	// SlidingLimit rejects requests once the spend during the last Config.Window
+	// exceeds the limit by Config.Overshoot, regardless of the estimate.
 	SlidingLimit
 
-	// SlidingCapacity allows requests in spite of the estimate while the spend
-	// within one window's length is below the limit.
+	// SlidingCapacity allows requests while the spend during the last Config.Window
+	// is below the limit, even if the estimate is not.
 	SlidingCapacity
 
-	// FrontShares lets a front spend no more than its share of the capacity that is
-	// known to be left.
+	// FrontShares limits a front to its share of the remaining capacity.
 	FrontShares
 
-	// Queueing keeps a request over the front's share pending until the next
-	// exchange if its tenant is well below the limit.
+	// Queueing holds a request that exceeds the front's share until the next exchange
+	// if its tenant is well below the limit.
 	Queueing
 
-	// AllFeatures disabled leaves the plain sliding window counter.
+	// AllFeatures is the set of all features. Disabling it leaves the plain sliding
+	// window counter.
 	AllFeatures = EarlyUnblock | SlidingLimit | SlidingCapacity | FrontShares | Queueing
 )
 
-// Config configures Limiters and Counters, which have to agree on it. The zero value
-// of a field means its default.
+// Config configures Limiters and Counters. All fronts must use the same values. A
+// field that is zero takes its default.
 type Config struct {
 	// Window is the length of a counting window; 8 s by default.
 	Window time.Duration
 
-	// Slices is the number of slices in a window; 50 by default.
+	// Slices is the number of slices into which a window is divided; 50 by default.
 	Slices int
 
-	// Interval is the time between two exchanges with an owner; 200 ms by default.
+	// Interval is the period of a front's exchanges with an owner; 200 ms by default.
 	Interval time.Duration
 
-	// MaxLag is how long a front's spend may take to appear in the totals that an
-	// owner reports, beyond the spacing of its requests; 300 ms by default.
+	// MaxLag is the maximum time until a front's spend appears in the totals that an
+	// owner reports, in addition to the front's send spacing; 300 ms by default.
 	MaxLag time.Duration
 
-	// MaxAddRate is how many requests with counts an owner receives in a second from
-	// all fronts together; 500 by default. With more active fronts than that allows in
-	// an interval each of them sends less often.
+	// MaxAddRate is the maximum number of Add requests per second that an owner
+	// receives from all fronts together; 500 by default. If the active fronts would
+	// exceed it by sending once per Interval, each of them sends less often.
 	MaxAddRate float64
 
-	// Overshoot is the fraction of the limit by which the spend within one window's
-	// length may exceed it while the estimate is below; 0.08 by default.
+	// Overshoot is the fraction of the limit by which the spend during the last Window
+	// may exceed the limit while the estimate is below it; 0.08 by default.
 	Overshoot float64
 
 	// EvenFraction is the fraction of the remaining capacity that is divided evenly
-	// among the active fronts, the rest being divided by demand; 0.5 by default.
+	// among the active fronts; the rest is divided by demand. 0.5 by default.
 	EvenFraction float64
 
 	// Overspend is the fraction of the limit by which all fronts together may exceed
-	// it; 0.07 by default.
+	// the limit through their shares; 0.07 by default.
 	Overspend float64
 
-	// Disabled holds the features to leave out, for measurements; none by default.
+	// Disabled is the set of features to turn off, for measurements; none by default.
 	Disabled Feature
 }
 
@@ -84,10 +83,10 @@
 	return c
 }
 
-func positiveOr[T cmp.Ordered](value, otherwise T) T {
+func positiveOr[T cmp.Ordered](value, fallback T) T {
 	var zero T
 	if value <= zero {
-		return otherwise
+		return fallback
 	}
 	return value
 }
@@ -98,29 +97,30 @@
 type intervals int64
 
 const (
-	// ownerUnresponsiveAfter is the time without an answer after which a front or
-	// owner is taken for unresponsive.
+	// ownerUnresponsiveAfter is the time without a response after which a front or
+	// owner is considered unresponsive.
 	ownerUnresponsiveAfter intervals = 5
 
-	// queueingEndsAfter is the time without an answer after which requests are no
-	// longer queued in expectation of the next owner.
+	// queueingEndsAfter is the time without a response after which requests are no
+	// longer queued to wait for a new owner.
 	queueingEndsAfter intervals = 15
 
-	// requestTotalsFor is the time after a tenant's last request in which the
-	// limiter keeps requesting its totals.
+	// requestTotalsFor is how long after a tenant's last request the limiter continues
+	// to request its totals.
 	requestTotalsFor intervals = 2
 
-	// frontMissingAfter is the time without counts after which a front counts as
-	// missing, and without calls after which this process was suspended.
+	// frontMissingAfter is the time without counts after which a front is considered
+	// missing, and the time without calls after which this process is assumed to have
+	// been suspended.
 	frontMissingAfter intervals = 4
 
-	// frontActiveFor is the time without counts in which a front still takes part in
-	// the division of the capacity.
-	frontActiveFor intervals = 12
+	// frontInactiveAfter is the time without counts after which a front no longer
+	// receives a part of the capacity.
+	frontInactiveAfter intervals = 12
 
-	// startupGrace is the time after start or resumption in which a counter doesn't
-	// know all fronts' spend and distrusts its own view of who is unresponsive.
+	// startupGrace is the time after a start or resumption during which a counter may
+	// lack other fronts' spend, and ignores its own view of which are unresponsive.
 	startupGrace = 2 * ownerUnresponsiveAfter
 )
 
-func (n intervals) in(c *Config) time.Duration { return time.Duration(n) * c.Interval }
+func (n intervals) duration(c *Config) time.Duration { return time.Duration(n) * c.Interval }
--- a/internal/decision/quota/counter.go
+++ b/internal/decision/quota/counter.go
@@ -6,15 +6,17 @@
 	"stepwick/internal/wire"
 )
 
-// demandReportSpacing is the fraction of an interval in which at most one demand
-// report of a front is retained and the fronts' demand is summed at most once.
-const demandReportSpacing = 4
+// demandReportsPerInterval limits how many demand reports of a front are kept, and how
+// often the fronts' demand is summed, per interval.
+const demandReportsPerInterval = 4
 
-// relevantExcess is the factor by which a total that a front knows must exceed the
-// reported spend to show spend that was not reported here; less may be rounding.
-const relevantExcess = 1.000001
+// minExcessFactor is the factor by which another owner's total must exceed the reported
+// spend to indicate spend that was not reported here. A smaller excess may be due to
+// rounding.
+const minExcessFactor = 1.000001
 
-// Counter counts, by front, the spend of the tenants that this front owns.
+// Counter counts the spend, per front, of the tenants that this front owns, and divides
+// their remaining capacity among the fronts.
 type Counter struct {
 	self        string
 	incarnation uint64
@@ -22,7 +24,7 @@
 	grid        timeGrid
 	membership  membership
 	uptime      uptime
-	load        addLoad
+	load        loadControl
 	tenants     map[string]*tenantCount
 }
 
@@ -35,19 +37,20 @@
 		config:      config,
 		grid:        newTimeGrid(config),
 		membership:  membership{unresponsive: map[string]time.Time{}},
-		load:        newAddLoad(),
+		load:        newLoadControl(),
 		tenants:     map[string]*tenantCount{},
 	}
 }
 
-// uptime detects that the process has just started or was suspended.
+// uptime detects starts and suspensions of the process by gaps between calls.
 type uptime struct {
 	lastCall     time.Time
 	runningSince time.Time
 }
 
-// observe records a call and reports whether it is the first one or comes after a gap.
-func (u *uptime) observe(now time.Time, maxGap time.Duration) (resumed bool) {
+// recordCall records a call and reports whether it is the first one or the previous one
+// was longer than maxGap ago.
+func (u *uptime) recordCall(now time.Time, maxGap time.Duration) (resumed bool) {
 	if u.lastCall.IsZero() || now.Sub(u.lastCall) > maxGap {
 		u.runningSince = now
 		resumed = true
@@ -58,25 +61,24 @@
 	return resumed
 }
 
-// observe has to be called first at each entry. After a start or suspension the totals
-// are out of date, and this process hasn't had time to hear the other fronts: its own
-// view of who is unresponsive is discarded.
-func (c *Counter) observe(now time.Time) {
-	if c.uptime.observe(now, frontMissingAfter.in(&c.config)) {
+// recordCall must be called first by each exported method that receives counts or the
+// membership. After a start or suspension the totals are out of date and the other
+// fronts have had no time to respond, so it discards which fronts are unresponsive.
+func (c *Counter) recordCall(now time.Time) {
+	if c.uptime.recordCall(now, frontMissingAfter.duration(&c.config)) {
 		c.membership.assumeResponsive()
 	}
 }
 
-// justStarted reports whether the process started or resumed so recently that it
-// doesn't know all fronts' spend and state.
+// justStarted reports whether the process started or resumed less than startupGrace ago.
 func (c *Counter) justStarted(now time.Time) bool {
-	return now.Sub(c.uptime.runningSince) < startupGrace.in(&c.config)
+	return now.Sub(c.uptime.runningSince) < startupGrace.duration(&c.config)
 }
 
-// SetMembership sets the names of all fronts, and which of them are unresponsive
-// without being known to be down: capacity is reserved for what these may be spending.
+// SetMembership sets the names of all fronts, and which of them are unresponsive but not
+// known to be down: capacity is reserved for what these may be spending.
 func (c *Counter) SetMembership(fronts, unresponsive []string, now time.Time) {
-	c.observe(now)
+	c.recordCall(now)
 	c.load.update(&c.config, now)
 	c.membership.setFronts(fronts)
 	if c.justStarted(now) {
@@ -88,23 +90,23 @@
 		return
 	}
 	for tenant, count := range c.tenants {
-		count.setForOther(c.countedForOther(tenant), now)
+		count.setCountedForOther(c.countedForOther(tenant), now)
 	}
 }
 
 // countedForOther reports whether this front counts a tenant's spend on behalf of
-// another front, which is the owner by this front's own view of the membership.
+// another front, which is the owner according to this front's view of the membership.
 func (c *Counter) countedForOther(tenant string) bool {
 	reachable := c.membership.reachable
 	return len(reachable) > 0 && OwnerOf(tenant, reachable) != c.self
 }
 
-// Add applies a front's counts and returns the totals over all fronts. Each slice of
-// a front keeps the highest count received, so that a request may be repeated, late
-// or out of order.
+// Add applies a front's counts and returns the totals over all fronts. For each slice of
+// a front, the highest count received is kept, so that requests may be repeated, late or
+// out of order.
 func (c *Counter) Add(req *wire.AddRequest, now time.Time) *wire.AddResponse {
-	c.observe(now)
-	addition := addition{
+	c.recordCall(now)
+	call := addCall{
 		counter: c,
 		front:   frontID{req.Front, req.Incarnation},
 		window:  c.grid.window(now),
@@ -115,172 +117,174 @@
 			Fresh:       c.justStarted(now),
 		},
 	}
-	c.load.observeSender(addition.front, now)
+	c.load.observeSender(call.front, now)
 	for i, count := range req.Counts {
 		lastOfTenant := i+1 == len(req.Counts) || req.Counts[i+1].Tenant != count.Tenant
-		addition.apply(count, lastOfTenant)
+		call.apply(count, lastOfTenant)
 	}
-	return addition.response
+	return call.response
 }
 
-// addition is the state of one Add.
-type addition struct {
-	counter  *Counter
-	front    frontID
-	window   int64 // current window
-	now      time.Time
-	newcomer *contribution // added last by this addition
-	response *wire.AddResponse
+// addCall is the state of one call of Add.
+type addCall struct {
+	counter   *Counter
+	front     frontID
+	window    int64 // current window
+	now       time.Time
+	lastAdded *contribution // last contribution that this call added
+	response  *wire.AddResponse
 }
 
-func (a *addition) apply(count *wire.Count, lastOfTenant bool) {
-	tenant := a.counter.open(count.Tenant, a.now)
+func (a *addCall) apply(count *wire.Count, lastOfTenant bool) {
+	tenant := a.counter.openCount(count.Tenant, a.now)
 	contribution := a.contribution(tenant)
 	if isDemandReport(count) {
 		a.applyDemand(contribution, readDemandReport(count))
 		return
 	}
-	if contribution == a.newcomer && count.Learned > 0 {
-		tenant.totalsReported = true
+	if contribution == a.lastAdded && count.Learned > 0 {
+		tenant.hasOtherOwnerTotals = true
 	}
 	a.counter.merge(tenant, contribution, count, a.now)
-	a.respond(tenant, contribution, count.Tenant, count.Window)
+	a.appendTotal(tenant, contribution, count.Tenant, count.Window)
 	if count.Window < a.window {
-		contribution.previousSentAt = a.now
+		contribution.previousWindowSentAt = a.now
 	}
 	if lastOfTenant {
-		a.complete(tenant, contribution, count.Tenant)
+		a.finishTenant(tenant, contribution, count.Tenant)
 	}
 }
 
-// contribution returns the front's contribution to a tenant's count, now active.
-func (a *addition) contribution(tenant *tenantCount) *contribution {
-	existing := tenant.fronts[a.front]
+// contribution returns the front's contribution to a tenant's count, marked as active,
+// and adds it if there is none.
+func (a *addCall) contribution(tenant *tenantCount) *contribution {
+	existing := tenant.contributions[a.front]
 	if existing == nil {
 		existing = &contribution{}
-		tenant.fronts[a.front] = existing
+		tenant.contributions[a.front] = existing
 		tenant.demand.invalidate()
-		a.newcomer = existing
+		a.lastAdded = existing
 	}
 	if existing.idle {
 		existing.demand = demandHistory{}
 		tenant.demand.invalidate()
 	}
-	existing.lastReceived = a.now
+	existing.lastReceivedAt = a.now
 	existing.idle = false
 	return existing
 }
 
-func (a *addition) applyDemand(from *contribution, report demandReport) {
-	from.idle = report.idle
-	at := report.at
-	if at.After(a.now) {
-		at = a.now
+func (a *addCall) applyDemand(sender *contribution, report demandReport) {
+	sender.idle = report.idle
+	sampledAt := report.sampledAt
+	if sampledAt.After(a.now) {
+		sampledAt = a.now
 	}
 	if !report.idle && !a.counter.justStarted(a.now) {
-		a.counter.load.observeLag(&a.counter.config, a.now.Sub(at))
+		a.counter.load.observeLag(&a.counter.config, a.now.Sub(sampledAt))
 	}
-	from.demand.record(report.tokens, at, a.counter.config.Interval/demandReportSpacing)
+	sender.demand.record(report.tokens, sampledAt, a.counter.config.Interval/demandReportsPerInterval)
 }
 
-func (a *addition) respond(tenant *tenantCount, from *contribution, name string, window int64) {
-	a.response.Totals = append(a.response.Totals, a.counter.total(tenant, from, name, window))
+func (a *addCall) appendTotal(tenant *tenantCount, sender *contribution, name string, window int64) {
+	a.response.Totals = append(a.response.Totals, a.counter.total(tenant, sender, name, window))
 }
 
-// complete ends a tenant's part of the response: with the previous window's total if
-// it rose after the front received it last, and with the front's allocation.
-func (a *addition) complete(tenant *tenantCount, from *contribution, name string) {
-	if !from.previousSentAt.After(tenant.previousRoseAt) {
-		from.previousSentAt = a.now
-		a.respond(tenant, from, name, a.window-1)
+// finishTenant appends the last entries for a tenant to the response: the previous
+// window's total, if it was raised after it was last sent to the front, and the front's
+// allocation.
+func (a *addCall) finishTenant(tenant *tenantCount, sender *contribution, name string) {
+	if !sender.previousWindowSentAt.After(tenant.previousWindowRaisedAt) {
+		sender.previousWindowSentAt = a.now
+		a.appendTotal(tenant, sender, name, a.window-1)
 	}
 	if a.counter.mayAllocate(tenant, a.now) {
-		report := a.counter.allocate(tenant, from, a.now)
-		a.response.Totals = append(a.response.Totals, report.total(name))
+		report := a.counter.allocate(tenant, sender, a.now)
+		a.response.Totals = append(a.response.Totals, report.wireTotal(name))
 	}
 }
 
-// mayAllocate reports whether the count is complete enough to divide the capacity. At
-// first a count on behalf of another front isn't, since this front's view, not the
-// caller's, may be out of date; nor is one taken over from another owner before each
-// front has sent its part.
+// mayAllocate reports whether the count is complete enough to divide the capacity. A
+// count on behalf of another front isn't at first, since this front's view of the
+// membership, rather than the sender's, may be out of date. A count taken over from
+// another owner isn't until each front has had time to send its counts.
 func (c *Counter) mayAllocate(tenant *tenantCount, now time.Time) bool {
-	age := now.Sub(tenant.startedAt)
+	age := now.Sub(tenant.countStartedAt)
 	if tenant.countedForOther {
-		return age > ownerUnresponsiveAfter.in(&c.config)
+		return age > ownerUnresponsiveAfter.duration(&c.config)
 	}
 	spacing := baseSpacing(&c.config, len(c.membership.fronts))
-	return !tenant.totalsReported || spacing == 0 || age > spacing+c.config.Interval
+	return !tenant.hasOtherOwnerTotals || spacing == 0 || age > spacing+c.config.Interval
 }
 
-// open returns a tenant's count, new if there is none.
-func (c *Counter) open(name string, now time.Time) *tenantCount {
+// openCount returns a tenant's count and creates it if there is none.
+func (c *Counter) openCount(name string, now time.Time) *tenantCount {
 	tenant := c.tenants[name]
 	if tenant == nil {
 		tenant = &tenantCount{
-			fronts:          map[frontID]*contribution{},
-			reported:        newSliceRing(c.grid),
-			learned:         newSliceRing(c.grid),
-			countedForOther: c.countedForOther(name),
-			startedAt:       now,
+			contributions:    map[frontID]*contribution{},
+			reportedSpend:    newSliceRing(c.grid),
+			otherOwnerTotals: newSliceRing(c.grid),
+			countedForOther:  c.countedForOther(name),
+			countStartedAt:   now,
 		}
 		c.tenants[name] = tenant
 	}
-	if tenant.countedForOther && now.Sub(tenant.lastCounted) > ownerUnresponsiveAfter.in(&c.config) {
-		tenant.startedAt = now
+	if tenant.countedForOther && now.Sub(tenant.lastCountedAt) > ownerUnresponsiveAfter.duration(&c.config) {
+		tenant.countStartedAt = now
 	}
-	tenant.lastCounted = now
+	tenant.lastCountedAt = now
 	return tenant
 }
 
-// merge adds what is new in a count.
-func (c *Counter) merge(tenant *tenantCount, from *contribution, count *wire.Count, now time.Time) {
+// merge raises the contribution's spend and the other owners' totals to those in count.
+func (c *Counter) merge(tenant *tenantCount, sender *contribution, count *wire.Count, now time.Time) {
 	first, _ := c.grid.windowSlices(count.Window)
-	newest := c.grid.newestPlausible(now)
-	for i, tokens := range c.withinWindow(count.Slices) {
+	newest := c.grid.newestAcceptedSlice(now)
+	for i, tokens := range c.truncateToWindow(count.Slices) {
 		slice := first + int64(i)
 		if slice < 0 || slice > newest {
 			continue
 		}
-		if increase := from.spend.raise(c.grid, slice, tokens); increase > 0 {
-			tenant.reported.add(slice, increase)
+		if increase := sender.spend.raise(c.grid, slice, tokens); increase > 0 {
+			tenant.reportedSpend.add(slice, increase)
 			c.recordIncrease(tenant, slice, now)
 		}
 	}
-	for i, tokens := range c.withinWindow(count.LearnedSlices) {
+	for i, tokens := range c.truncateToWindow(count.LearnedSlices) {
 		slice := first + int64(i)
 		if slice < 0 || slice > newest {
 			continue
 		}
-		if tenant.learned.raise(slice, tokens) > 0 {
+		if tenant.otherOwnerTotals.raise(slice, tokens) > 0 {
 			c.recordIncrease(tenant, slice, now)
-			tenant.totalsReported = tenant.totalsReported || tokens > relevantExcess*tenant.reported.get(slice)
+			tenant.hasOtherOwnerTotals = tenant.hasOtherOwnerTotals || tokens > minExcessFactor*tenant.reportedSpend.get(slice)
 		}
 	}
 }
 
-func (c *Counter) withinWindow(tokens []float64) []float64 {
+func (c *Counter) truncateToWindow(tokens []float64) []float64 {
 	return tokens[:min(len(tokens), int(c.grid.slicesPerWindow))]
 }
 
-// recordIncrease records when a window rose after its end: fronts that no longer
-// request its total receive it once more.
+// recordIncrease records the time of an increase in a window that has ended, so that
+// fronts that no longer request the window's total receive it once more.
 func (c *Counter) recordIncrease(tenant *tenantCount, slice int64, now time.Time) {
 	if c.grid.windowOf(slice) < c.grid.window(now) {
-		tenant.previousRoseAt = now
+		tenant.previousWindowRaisedAt = now
 	}
 }
 
-// total returns the total of a window: for each slice the higher of the fronts' sum and
-// of what a front knew of it.
-func (c *Counter) total(tenant *tenantCount, from *contribution, name string, window int64) *wire.Total {
+// total returns the total of a window: for each slice, the higher of the sum of the
+// fronts' spend and the total reported by other owners.
+func (c *Counter) total(tenant *tenantCount, sender *contribution, name string, window int64) *wire.Total {
 	total := &wire.Total{
 		Tenant:      name,
 		Window:      window,
-		Slices:      tenant.reported.windowTokens(c.grid, window),
-		AckedSlices: from.spend.windowTokens(c.grid, window),
+		Slices:      tenant.reportedSpend.windowTokens(c.grid, window),
+		AckedSlices: sender.spend.windowTokens(c.grid, window),
 	}
-	for i, tokens := range tenant.learned.windowTokens(c.grid, window) {
+	for i, tokens := range tenant.otherOwnerTotals.windowTokens(c.grid, window) {
 		if i >= len(total.Slices) {
 			total.Slices = append(total.Slices, 0)
 		}
@@ -291,22 +295,22 @@
 	return total
 }
 
-// Prune forgets the tenants and the fronts' contributions that were idle for two
-// windows. Contributions of unresponsive fronts are retained.
+// Prune removes tenants and contributions of fronts without counts for two windows.
+// Contributions of unresponsive fronts are kept.
 func (c *Counter) Prune(now time.Time) {
-	horizon := now.Add(-2 * c.config.Window)
+	idleBefore := now.Add(-2 * c.config.Window)
 	for name, tenant := range c.tenants {
-		if tenant.lastCounted.Before(horizon) {
+		if tenant.lastCountedAt.Before(idleBefore) {
 			delete(c.tenants, name)
 			continue
 		}
-		for front, contribution := range tenant.fronts {
-			if !c.membership.tracksUnresponsive(front.name) && contribution.lastReceived.Before(horizon) {
-				delete(tenant.fronts, front)
+		for front, contribution := range tenant.contributions {
+			if !c.membership.tracksUnresponsive(front.name) && contribution.lastReceivedAt.Before(idleBefore) {
+				delete(tenant.contributions, front)
 			}
 		}
 	}
 }
 
-// Tenants returns the number of tenants counted.
+// Tenants returns the number of tenants with a count.
 func (c *Counter) Tenants() int { return len(c.tenants) }
--- a/internal/decision/quota/counter_test.go
+++ b/internal/decision/quota/counter_test.go
@@ -10,115 +10,115 @@
 )
 
 func TestCounter(t *testing.T) {
-	count := func(own ...float64) *wire.Count { return &wire.Count{Tenant: "t", Window: 225_000_000, Slices: own} }
-	add := func(counter *Counter, front string, incarnation uint64, at float64, counts ...*wire.Count) *wire.Total {
+	countOf := func(own ...float64) *wire.Count { return &wire.Count{Tenant: "t", Window: 225_000_000, Slices: own} }
+	addCounts := func(counter *Counter, front string, incarnation uint64, seconds float64, counts ...*wire.Count) *wire.Total {
 		req := &wire.AddRequest{Front: front, Incarnation: incarnation, Counts: counts}
-		return counter.Add(req, after(at)).Totals[0]
+		return counter.Add(req, atSecond(seconds)).Totals[0]
 	}
-	Convey("Totals sum the fronts' counts, also when these are repeated, late or out of order", t, func() {
+	Convey("Totals are the sum of the fronts' counts, even if these are repeated, late or out of order", t, func() {
 		counter := NewCounter("a", 1, Config{})
-		So(add(counter, "a", 1, 1, count(10, 5)).Total, ShouldEqual, 15)
-		So(add(counter, "b", 1, 1, count(7)).Total, ShouldEqual, 22)
-		So(add(counter, "a", 1, 1, count(4)).Total, ShouldEqual, 22)
-		got := add(counter, "a", 1, 1, count(10, 6))
+		So(addCounts(counter, "a", 1, 1, countOf(10, 5)).Total, ShouldEqual, 15)
+		So(addCounts(counter, "b", 1, 1, countOf(7)).Total, ShouldEqual, 22)
+		So(addCounts(counter, "a", 1, 1, countOf(4)).Total, ShouldEqual, 22)
+		got := addCounts(counter, "a", 1, 1, countOf(10, 6))
 		So(got.Total, ShouldEqual, 23)
 		So(got.Acked, ShouldEqual, 16)
-		So(add(counter, "a", 2, 2, count(1)).Total, ShouldEqual, 24)
+		So(addCounts(counter, "a", 2, 2, countOf(1)).Total, ShouldEqual, 24)
 	})
-	Convey("A front whose clock is far ahead doesn't push out other fronts' counts", t, func() {
+	Convey("A front whose clock is far ahead doesn't evict other fronts' counts", t, func() {
 		counter := NewCounter("a", 1, Config{})
-		add(counter, "a", 1, 1, count(10))
-		ahead := count(99)
+		addCounts(counter, "a", 1, 1, countOf(10))
+		ahead := countOf(99)
 		ahead.Window += 10
-		So(add(counter, "b", 1, 1, ahead).Total, ShouldEqual, 0)
-		So(add(counter, "a", 1, 1, count(11)).Total, ShouldEqual, 11)
+		So(addCounts(counter, "b", 1, 1, ahead).Total, ShouldEqual, 0)
+		So(addCounts(counter, "a", 1, 1, countOf(11)).Total, ShouldEqual, 11)
 	})
-	Convey("A new owner applies the highest totals known to fronts, so that a dead front's spend stays counted", t, func() {
-		before := NewCounter("a", 1, Config{})
-		fresh := NewCounter("a", 2, Config{})
+	Convey("A new owner applies the highest totals that fronts know, so that a failed front's spend remains counted", t, func() {
+		oldOwner := NewCounter("a", 1, Config{})
+		newOwner := NewCounter("a", 2, Config{})
 		limiter := NewLimiter("b", Config{})
-		add(before, "dead", 1, 1, count(30))
-		limiter.Admit("t", 12, Allowance{Rate: 100}, after(1))
-		for i, owner := range []*Counter{before, fresh, fresh} {
-			now := after(1.1 + 0.6*float64(i))
+		addCounts(oldOwner, "dead", 1, 1, countOf(30))
+		limiter.Admit("t", 12, Allowance{Rate: 100}, atSecond(1))
+		for i, owner := range []*Counter{oldOwner, newOwner, newOwner} {
+			now := atSecond(1.1 + 0.6*float64(i))
 			limiter.Admit("t", 0, Allowance{Rate: 100}, now)
 			for _, counts := range limiter.CountsToSend(now, ownerA) {
 				resp := owner.Add(&wire.AddRequest{Front: "b", Incarnation: 1, Counts: counts}, now)
 				limiter.ApplyTotals(resp, now, now)
 			}
 		}
-		So(add(fresh, "c", 1, 2.4, count(0)).Total, ShouldEqual, 42)
-		So(limiter.Admit("t", 0, Allowance{Rate: 100}, after(2.4)).Recent, ShouldEqual, 42)
+		So(addCounts(newOwner, "c", 1, 2.4, countOf(0)).Total, ShouldEqual, 42)
+		So(limiter.Admit("t", 0, Allowance{Rate: 100}, atSecond(2.4)).Recent, ShouldEqual, 42)
 	})
-	Convey("An owner that was suspended requests totals again, and doesn't take all others for unresponsive", t, func() {
+	Convey("An owner that was suspended requests totals again, and doesn't consider all other fronts unresponsive", t, func() {
 		names := []string{"a", "b", "c"}
 		owner := OwnerOf("t", names)
 		others := Reachable(names, []string{owner})
 		counter := NewCounter(owner, 1, Config{})
-		for at := 0.0; at < 4; at += 0.2 {
-			counter.SetMembership(names, nil, after(at))
-			add(counter, others[0], 1, at, count(1))
+		for seconds := 0.0; seconds < 4; seconds += 0.2 {
+			counter.SetMembership(names, nil, atSecond(seconds))
+			addCounts(counter, others[0], 1, seconds, countOf(1))
 		}
-		req := &wire.AddRequest{Front: others[0], Incarnation: 1, Counts: []*wire.Count{count(1)}}
-		So(counter.Add(req, after(4)).Fresh, ShouldBeFalse)
-		counter.SetMembership(names, others, after(9))
-		resp := counter.Add(req, after(9.1))
+		req := &wire.AddRequest{Front: others[0], Incarnation: 1, Counts: []*wire.Count{countOf(1)}}
+		So(counter.Add(req, atSecond(4)).Fresh, ShouldBeFalse)
+		counter.SetMembership(names, others, atSecond(9))
+		resp := counter.Add(req, atSecond(9.1))
 		So(resp.Fresh, ShouldBeTrue)
 		report := resp.Totals[len(resp.Totals)-1]
 		So(report.Window, ShouldEqual, reportWindow)
 		So(report.Total, ShouldEqual, 0)
 	})
-	Convey("A front that itself reaches the owner doesn't allocate in its place at once", t, func() {
+	Convey("A front that still reaches the owner doesn't immediately allocate on its behalf", t, func() {
 		names := []string{"a", "b", "c"}
 		owner := OwnerOf("t", names)
 		other := Reachable(names, []string{owner})[0]
 		counter := NewCounter(other, 1, Config{})
-		req := &wire.AddRequest{Front: "x", Incarnation: 1, Counts: []*wire.Count{count(1)}}
-		allocates := func(at float64, unresponsive ...string) bool {
-			counter.SetMembership(names, unresponsive, after(at))
-			totals := counter.Add(req, after(at)).Totals
+		req := &wire.AddRequest{Front: "x", Incarnation: 1, Counts: []*wire.Count{countOf(1)}}
+		allocates := func(seconds float64, unresponsive ...string) bool {
+			counter.SetMembership(names, unresponsive, atSecond(seconds))
+			totals := counter.Add(req, atSecond(seconds)).Totals
 			return totals[len(totals)-1].Window == reportWindow
 		}
 		others := Reachable(names, []string{other})
-		for at := 0.0; at < 2.5; at += 0.2 {
-			counter.SetMembership(names, nil, after(at))
+		for seconds := 0.0; seconds < 2.5; seconds += 0.2 {
+			counter.SetMembership(names, nil, atSecond(seconds))
 		}
 		So(allocates(2.5), ShouldBeFalse)
 		So(allocates(2.7, others...), ShouldBeTrue)
 	})
-	Convey("An owner that has just started doesn't take all others for unresponsive", t, func() {
+	Convey("An owner that has just started doesn't consider all other fronts unresponsive", t, func() {
 		names := []string{"a", "b", "c"}
 		owner := OwnerOf("t", names)
 		others := Reachable(names, []string{owner})
 		counter := NewCounter(owner, 2, Config{})
 		counter.SetMembership(names, others, start)
-		req := &wire.AddRequest{Front: others[0], Incarnation: 1, Counts: []*wire.Count{count(1)}}
-		totals := counter.Add(req, after(0.1)).Totals
+		req := &wire.AddRequest{Front: others[0], Incarnation: 1, Counts: []*wire.Count{countOf(1)}}
+		totals := counter.Add(req, atSecond(0.1)).Totals
 		So(totals[len(totals)-1].Window, ShouldEqual, reportWindow)
 		So(totals[len(totals)-1].Total, ShouldEqual, 0)
 	})
-	Convey("A window that rises after its end is reported once more to fronts that no longer request it", t, func() {
+	Convey("A window whose total increases after its end is reported once more to fronts that no longer request it", t, func() {
 		counter := NewCounter("a", 1, Config{})
-		next := count(1)
+		next := countOf(1)
 		next.Window++
 		req := &wire.AddRequest{Front: "b", Incarnation: 1, Counts: []*wire.Count{next}}
-		counter.Add(req, after(12))
-		So(counter.Add(req, after(12.1)).Totals, ShouldHaveLength, 2)
-		add(counter, "c", 1, 12.2, count(7))
-		totals := counter.Add(req, after(12.3)).Totals
+		counter.Add(req, atSecond(12))
+		So(counter.Add(req, atSecond(12.1)).Totals, ShouldHaveLength, 2)
+		addCounts(counter, "c", 1, 12.2, countOf(7))
+		totals := counter.Add(req, atSecond(12.3)).Totals
 		So(totals, ShouldHaveLength, 3)
 		So(totals[1].Total, ShouldEqual, 7)
-		So(counter.Add(req, after(12.4)).Totals, ShouldHaveLength, 2)
+		So(counter.Add(req, atSecond(12.4)).Totals, ShouldHaveLength, 2)
 	})
-	Convey("Tenants idle for two windows are dropped", t, func() {
+	Convey("Tenants idle for two windows are removed", t, func() {
 		counter := NewCounter("a", 1, Config{})
-		add(counter, "a", 1, 1, count(1))
-		counter.Prune(after(16))
+		addCounts(counter, "a", 1, 1, countOf(1))
+		counter.Prune(atSecond(16))
 		So(counter.Tenants(), ShouldEqual, 1)
-		counter.Prune(after(17.1))
+		counter.Prune(atSecond(17.1))
 		So(counter.Tenants(), ShouldEqual, 0)
 	})
-	Convey("The owner changes for few tenants when the fronts change", t, func() {
+	Convey("Tenants are spread over the fronts, and removing a front changes the owner of its own tenants only", t, func() {
 		nine := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}
 		tenantsByOwner := map[string]int{}
 		moved := 0
--- a/internal/decision/quota/limiter.go
+++ b/internal/decision/quota/limiter.go
@@ -7,9 +7,9 @@
 	"stepwick/internal/decision/rendezvous"
 )
 
-// Limiter decides the requests of one front. It keeps an account of each tenant that
-// was active there within the last two windows. To use several cores, give each a
-// Limiter of its own and shard the tenants among them.
+// Limiter admits or rejects the requests of one front. It keeps an account for each
+// tenant that was active there within the last two windows. To use several cores, shard
+// the tenants among several Limiters.
 type Limiter struct {
 	self     string
 	config   Config
@@ -18,15 +18,16 @@
 	accounts map[string]*account
 	urgent   []*account
 	owners   map[string]*ownerState
-	now      time.Time // latest instant of a call
+	now      time.Time // latest instant passed to a call
 }
 
-// ownerState is what an owner last reported of itself, and when it was last sent to.
+// ownerState is the last reported state of an owner, and the time of the last request
+// to it.
 type ownerState struct {
 	incarnation uint64
-	fresh       bool          // it has just started and needs the totals that fronts know
+	justStarted bool          // it recently started and needs the totals that fronts know
 	sendSpacing time.Duration // least time between two requests to it
-	lastSent    time.Time
+	lastSentAt  time.Time
 }
 
 // NewLimiter returns an empty Limiter of the front named self.
@@ -42,7 +43,7 @@
 	}
 }
 
-// SetFronts sets the names of all fronts. Without any, this front is the only one.
+// SetFronts sets the names of all fronts. If names is empty, this front is the only one.
 func (l *Limiter) SetFronts(names []string) {
 	if len(names) == 0 {
 		names = []string{l.self}
@@ -56,8 +57,8 @@
 
 func (l *Limiter) evenShare() float64 { return 1 / float64(len(l.fronts)) }
 
-// rank returns this front's position, 0 to 1, among the fronts in the order of
-// rendezvous hashing for a tenant.
+// rank returns this front's position, 0 to 1, in the order of the fronts by rendezvous
+// weight for a tenant.
 func (l *Limiter) rank(tenant string) float64 {
 	own := rendezvous.Weight(l.self, tenant)
 	higher := 0
@@ -69,13 +70,13 @@
 	return (float64(higher) + 0.5) / float64(max(1, len(l.fronts)))
 }
 
-// advance returns the instant to use for a call made at now: time doesn't run
-// backwards over a small step of the fleet's time, and a step of more than a window
+// advance returns the instant to use for a call made at now. If the fleet's time steps
+// back by at most a window, the latest instant is used instead; a larger step back
 // discards all accounts.
 func (l *Limiter) advance(now time.Time) time.Time {
 	switch {
 	case !now.Before(l.now):
-		if now.Sub(l.now) > frontMissingAfter.in(&l.config) {
+		if now.Sub(l.now) > frontMissingAfter.duration(&l.config) {
 			l.resume(now)
 		}
 		l.now = now
@@ -87,22 +88,23 @@
 	return l.now
 }
 
-// resume handles the end of a suspension of this process.
+// resume restarts the timeouts of pending requests after this process was suspended.
 func (l *Limiter) resume(now time.Time) {
 	for _, account := range l.accounts {
 		account.sync.restartWaiting(now)
 	}
 }
 
-// accountOf returns a tenant's account for a request, and opens it if necessary.
+// accountOf returns the account of a tenant that received a request, and creates it if
+// there is none.
 func (l *Limiter) accountOf(tenant string, now time.Time) *account {
 	account := l.accounts[tenant]
 	if account == nil {
 		account = l.newAccount(tenant)
 		l.accounts[tenant] = account
 	}
-	account.sync.reactivate(&l.config, account.lastUsed)
-	account.lastUsed = now
+	account.sync.reactivate(&l.config, account.lastUsedAt)
+	account.lastUsedAt = now
 	return account
 }
 
@@ -124,8 +126,8 @@
 	}
 }
 
-// Admit decides a request. An allowed request's tokens are counted at once; a
-// rejected one counts nothing.
+// Admit decides whether to allow a request. The tokens of an allowed request are counted
+// immediately; a rejected request's tokens are not counted.
 func (l *Limiter) Admit(tenant string, tokens float64, allowance Allowance, now time.Time) Decision {
 	now = l.advance(now)
 	account := l.accountOf(tenant, now)
@@ -133,7 +135,7 @@
 	return l.decide(account, tokens, allowance, now)
 }
 
-// AdmitQueued decides a request that was queued before.
+// AdmitQueued decides again on a request that was queued.
 func (l *Limiter) AdmitQueued(tenant string, tokens float64, allowance Allowance, now time.Time) Decision {
 	now = l.advance(now)
 	return l.decide(l.accountOf(tenant, now), tokens, allowance, now)
@@ -151,14 +153,14 @@
 	return admission.decide()
 }
 
-func (l *Limiter) setUrgent(account *account) {
+func (l *Limiter) markUrgent(account *account) {
 	if !account.sync.urgent {
 		account.sync.urgent = true
 		l.urgent = append(l.urgent, account)
 	}
 }
 
-// Inspect returns what the Limiter knows, sorted by tenant.
+// Inspect returns the usage of all tenants with an account, sorted by tenant.
 func (l *Limiter) Inspect(now time.Time) []TenantUsage {
 	now = l.advance(now)
 	usages := make([]TenantUsage, 0, len(l.accounts))
@@ -180,7 +182,7 @@
 		Own:       account.spend.own.sum(slice-l.grid.slicesPerWindow, slice),
 		Share:     account.allocation.share,
 		Reserved:  account.allocation.reserved,
-		OverLimit: account.judge(&l.config, &estimate, 0) == overLimit,
+		OverLimit: account.checkLimits(&l.config, &estimate, 0) == overLimit,
 		Owner:     account.sync.owner.name,
 		Age:       -1,
 	}
--- a/internal/decision/quota/limiter_exchange.go
+++ b/internal/decision/quota/limiter_exchange.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// calmBelow is the fraction of the limit below which a tenant's counts are sent
-	// less often: once in calmSendIntervals.
-	calmBelow = 0.5
+	// lowUsageFraction is the fraction of the limit below which a tenant's counts are
+	// sent less often: once per lowUsageSendIntervals.
+	lowUsageFraction = 0.5
 
-	calmSendIntervals intervals = 3
+	lowUsageSendIntervals intervals = 3
 
-	// The previous window's count is sent as well while its total may be needed: with
-	// totals older than Window/staleTotalsDivisor, and in the first quarter of a window.
+	// staleTotalsDivisor sets the age of totals, Window/staleTotalsDivisor, above which
+	// the previous window's count is sent as well. It is also sent in the first quarter
+	// of a window.
 	staleTotalsDivisor = 8
 )
 
-// CountsToSend returns the counts to send, by owner, of all tenants that were
-// requested recently, have unsent tokens or have become idle, and drops tenants that
+// CountsToSend returns the counts to send, by owner, of all tenants that recently
+// received requests, have unsent tokens or have become idle. It removes tenants that
 // were idle for two windows.
 func (l *Limiter) CountsToSend(now time.Time, ownerOf func(tenant string) string) map[string][]*wire.Count {
 	now = l.advance(now)
 	batches := countBatches{}
-	early := l.config.Interval / 2
+	tolerance := l.config.Interval / 2
 	for tenant, account := range l.accounts {
-		if now.Sub(account.lastUsed) > 2*l.config.Window {
+		if now.Sub(account.lastUsedAt) > 2*l.config.Window {
 			delete(l.accounts, tenant)
 			continue
 		}
 		owner := ownerOf(tenant)
 		switch {
-		case l.untilNextSend(owner, now) > early:
-		case l.sentRecently(account, now):
+		case l.untilNextSend(owner, now) > tolerance:
+		case l.canDefer(account, now):
 		case l.needsSending(account, now):
 			account.sync.urgent = false
 			l.appendCounts(batches, owner, account, now)
 		case !account.sync.reportedIdle:
 			account.sync.reportedIdle = true
-			batches.add(owner, demandReport{idle: true}.count(tenant))
+			batches.add(owner, demandReport{idle: true}.wireCount(tenant))
 		}
 	}
 	l.retainUrgent(ownerOf)
@@ -49,7 +50,7 @@
 	return batches
 }
 
-// owner returns the state of an owner, added if it is new.
+// owner returns the state of an owner and creates it if there is none.
 func (l *Limiter) owner(name string) *ownerState {
 	state := l.owners[name]
 	if state == nil {
@@ -59,34 +60,34 @@
 	return state
 }
 
-// untilNextSend returns how long it takes until counts may be sent to an owner; zero or
-// less if they may be now.
+// untilNextSend returns the time until counts may be sent to an owner. It is zero or
+// negative if they may be sent now.
 func (l *Limiter) untilNextSend(owner string, now time.Time) time.Duration {
 	state := l.owner(owner)
-	return state.sendSpacing - now.Sub(state.lastSent)
+	return state.sendSpacing - now.Sub(state.lastSentAt)
 }
 
 func (l *Limiter) recordSent(batches countBatches, now time.Time) {
 	for owner := range batches {
-		l.owner(owner).lastSent = now
+		l.owner(owner).lastSentAt = now
 	}
 }
 
-// retainUrgent leaves among the urgent accounts those that were not sent because of
-// their owner's spacing.
+// retainUrgent keeps only those urgent accounts whose counts were not sent because of
+// their owner's send spacing.
 func (l *Limiter) retainUrgent(ownerOf func(tenant string) string) {
-	waiting := l.urgent[:0]
+	remaining := l.urgent[:0]
 	for _, account := range l.urgent {
 		account.sync.urgent = account.sync.urgent && l.owner(ownerOf(account.tenant)).sendSpacing > 0
 		if account.sync.urgent {
-			waiting = append(waiting, account)
+			remaining = append(remaining, account)
 		}
 	}
-	l.urgent = waiting
+	l.urgent = remaining
 }
 
 // CountsToFlush returns, by owner, the counts of all tenants with tokens that no owner
-// is known to have.
+// has acknowledged.
 func (l *Limiter) CountsToFlush(now time.Time, ownerOf func(tenant string) string) map[string][]*wire.Count {
 	now = l.advance(now)
 	batches := countBatches{}
@@ -100,49 +101,49 @@
 	return batches
 }
 
-// needsSending reports whether a tenant's counts have to be sent: it is active, has unsent
-// tokens or a request for its totals is unanswered.
+// needsSending reports whether a tenant's counts must be sent: it is active, has unsent
+// tokens, or awaits the response to an earlier request.
 func (l *Limiter) needsSending(account *account, now time.Time) bool {
-	return now.Sub(account.lastUsed) <= requestTotalsFor.in(&l.config) || account.sync.unsent > 0 || account.sync.waiting()
+	return now.Sub(account.lastUsedAt) <= requestTotalsFor.duration(&l.config) || account.sync.unsent > 0 || account.sync.waiting()
 }
 
-// sentRecently reports whether the counts of a tenant far below its limit were sent
-// so recently that they can wait.
-func (l *Limiter) sentRecently(account *account, now time.Time) bool {
-	if now.Sub(account.sync.lastSent) >= (calmSendIntervals-1).in(&l.config)+l.config.Interval/2 {
+// canDefer reports whether sending a tenant's counts can wait: it is far below its limit
+// and its counts were sent recently.
+func (l *Limiter) canDefer(account *account, now time.Time) bool {
+	if now.Sub(account.sync.lastSentAt) >= (lowUsageSendIntervals-1).duration(&l.config)+l.config.Interval/2 {
 		return false
 	}
 	estimate := account.estimate(&l.config, l.grid, now)
-	return max(estimate.weighted, estimate.recent) < calmBelow*estimate.limit
+	return max(estimate.weighted, estimate.recent) < lowUsageFraction*estimate.limit
 }
 
-// HasUrgent reports whether some counts should not wait for the next interval.
+// HasUrgent reports whether any counts should be sent before the next interval.
 func (l *Limiter) HasUrgent() bool { return len(l.urgent) > 0 }
 
-// UrgentCounts returns the counts, by owner, that should not wait for the next
-// interval and whose owner is ready; the others stay urgent.
+// UrgentCounts returns, by owner, the counts that should be sent before the next
+// interval and whose owner is ready. The others remain urgent.
 func (l *Limiter) UrgentCounts(now time.Time, ownerOf func(tenant string) string, ready func(owner string) bool) map[string][]*wire.Count {
 	if len(l.urgent) == 0 {
 		return nil
 	}
 	now = l.advance(now)
 	batches := countBatches{}
-	waiting := l.urgent[:0]
+	remaining := l.urgent[:0]
 	for _, account := range l.urgent {
 		owner := ownerOf(account.tenant)
 		if l.untilNextSend(owner, now) > 0 || !ready(owner) {
-			waiting = append(waiting, account)
+			remaining = append(remaining, account)
 			continue
 		}
 		account.sync.urgent = false
 		l.appendCounts(batches, owner, account, now)
 	}
-	l.urgent = waiting
+	l.urgent = remaining
 	l.recordSent(batches, now)
 	return batches
 }
 
-// countBatches are counts by owner.
+// countBatches holds the counts to send, by owner.
 type countBatches map[string][]*wire.Count
 
 // add appends counts unless there is no owner to send them to.
@@ -163,17 +164,18 @@
 	}
 }
 
-// appendCounts adds an account's demand and its counts of the current window and, if
-// the owner may lack it or its total is needed, of the previous one.
+// appendCounts appends an account's demand and its count of the current window. It
+// appends the count of the previous window if the owner may lack it or its total is
+// needed.
 func (l *Limiter) appendCounts(batches countBatches, owner string, account *account, now time.Time) {
 	if owner == "" {
 		return
 	}
-	account.sync.sent(now)
+	account.sync.recordSend(now)
 	account.demand.decay(now)
-	batches.add(owner, demandReport{tokens: account.demand.tokens, at: now}.count(account.tenant))
+	batches.add(owner, demandReport{tokens: account.demand.tokens, sampledAt: now}.wireCount(account.tenant))
 
-	withTotals := account.sync.hasTotals() && l.needsTotals(owner, account)
+	withTotals := account.sync.hasTotals() && l.ownerNeedsTotals(owner, account)
 	window := l.grid.window(now)
 	if withTotals || l.needsPreviousWindow(account, now) {
 		batches.add(owner, l.count(account, window-1, withTotals))
@@ -181,11 +183,11 @@
 	batches.add(owner, l.count(account, window, withTotals))
 }
 
-// needsTotals reports whether an owner may lack what this front knows of the other
-// fronts' spend: it has just started, or another one reported the totals.
-func (l *Limiter) needsTotals(owner string, account *account) bool {
+// ownerNeedsTotals reports whether an owner may lack spend of other fronts that this
+// front knows of: it has just started, or this front's totals are from another owner.
+func (l *Limiter) ownerNeedsTotals(owner string, account *account) bool {
 	state := l.owner(owner)
-	return state.fresh || account.sync.owner != frontID{owner, state.incarnation}
+	return state.justStarted || account.sync.owner != frontID{owner, state.incarnation}
 }
 
 func (l *Limiter) needsPreviousWindow(account *account, now time.Time) bool {
@@ -210,8 +212,8 @@
 	return count
 }
 
-// ApplyTotals applies an owner's response to counts that were sent at sentAt.
-// Responses may be late, repeated or out of order.
+// ApplyTotals applies an owner's response to counts that were sent at sentAt. Responses
+// may be late, repeated or out of order.
 func (l *Limiter) ApplyTotals(resp *wire.AddResponse, sentAt, now time.Time) {
 	now = l.advance(now)
 	if sentAt.After(now) {
@@ -219,7 +221,7 @@
 	}
 	owner := l.owner(resp.Holder)
 	owner.incarnation = resp.Incarnation
-	owner.fresh = resp.Fresh
+	owner.justStarted = resp.Fresh
 	for _, total := range resp.Totals {
 		account := l.accounts[total.Tenant]
 		switch {
@@ -227,18 +229,18 @@
 		case isAllocationReport(total):
 			account.allocation.allocationReport = readAllocationReport(total)
 			owner.sendSpacing = account.allocation.sendSpacing
-			account.sync.answered(frontID{resp.Holder, resp.Incarnation}, sentAt)
+			account.sync.recordAnswer(frontID{resp.Holder, resp.Incarnation}, sentAt)
 		default:
 			l.applyTotal(account, total, now)
 		}
 	}
 }
 
-// applyTotal raises the slices of a window to the other fronts' spend, as reported,
-// and this front's, as it is now.
+// applyTotal raises the slices of a window to the sum of the other fronts' reported
+// spend and this front's current spend.
 func (l *Limiter) applyTotal(account *account, total *wire.Total, now time.Time) {
 	first, _ := l.grid.windowSlices(total.Window)
-	newest := l.grid.newestPlausible(now)
+	newest := l.grid.newestAcceptedSlice(now)
 	for i, tokens := range total.Slices {
 		slice := first + int64(i)
 		if i < len(total.AckedSlices) {
--- a/internal/decision/quota/membership.go
+++ b/internal/decision/quota/membership.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// partitionFraction is the fraction of the fronts whose unresponsiveness may mean a
-// network partition, with load on its other side.
+// partitionFraction is the fraction of the fronts that must be unresponsive to assume a
+// network partition with load on its other side.
 const partitionFraction = 0.25
 
 // membership is a counter's view of the fronts.
@@ -14,8 +14,8 @@
 	fronts           []string
 	isFront          map[string]bool
 	reachable        []string             // fronts without the unresponsive ones
-	unresponsive     map[string]time.Time // when a front was last reported unresponsive
-	partitionedSince time.Time            // zero: no partition
+	unresponsive     map[string]time.Time // when each front was last reported unresponsive
+	partitionedSince time.Time            // zero if there is no partition
 }
 
 func (m *membership) setFronts(fronts []string) {
@@ -29,14 +29,14 @@
 	}
 }
 
-// assumeResponsive discards what is known of unresponsive fronts.
+// assumeResponsive discards all reports of unresponsive fronts.
 func (m *membership) assumeResponsive() {
 	clear(m.unresponsive)
 	m.reachable = m.fronts
 }
 
-// setUnresponsive records the unresponsive fronts, and forgets those that were last
-// reported longer than retention ago.
+// setUnresponsive records the unresponsive fronts, and removes those last reported
+// longer than retention ago.
 func (m *membership) setUnresponsive(unresponsive []string, now time.Time, retention time.Duration) {
 	for _, name := range unresponsive {
 		m.unresponsive[name] = now
@@ -67,8 +67,8 @@
 	return true
 }
 
-// tracksUnresponsive reports whether a front was reported unresponsive and not
-// forgotten since.
+// tracksUnresponsive reports whether a front was reported unresponsive within the
+// retention of setUnresponsive.
 func (m *membership) tracksUnresponsive(front string) bool {
 	_, tracked := m.unresponsive[front]
 	return tracked
@@ -80,5 +80,5 @@
 	return tracked && now.Sub(reported) <= maxAge
 }
 
-// evenShare returns one front's share if all were equal.
+// evenShare returns the share of one front if it were equal for all fronts.
 func (m *membership) evenShare() float64 { return 1 / float64(max(1, len(m.fronts))) }
--- a/internal/decision/quota/relays.go
+++ b/internal/decision/quota/relays.go
@@ -8,160 +8,166 @@
 )
 
 const (
-	// suspectAfter is the time without an answer to counts after which an owner is
-	// suspected. It exceeds a round trip between regions, and is well below the time
-	// after which a front is known to be unresponsive.
+	// suspectAfter is the time without a response to counts after which an owner is
+	// suspected. It exceeds the round-trip time between regions, and is well below the
+	// time after which the membership reports a front as unresponsive.
 	suspectAfter intervals = 2
 
-	// relayCandidates is the number of fronts that are asked at once for a way to
-	// another.
-	relayCandidates = 3
+	// probeFanout is the number of fronts through which a front is probed indirectly at
+	// the same time.
+	probeFanout = 3
 
-	// maxSoughtFronts is the number of fronts to which a way is sought at once: a
-	// partition between regions makes many unresponsive.
-	maxSoughtFronts = 4
+	// maxProbeTargets is the number of fronts that are probed at the same time. It limits
+	// the probes during a partition between regions, which makes many fronts unresponsive.
+	maxProbeTargets = 4
 
-	// relayProbeEvery is the time between two probes for one front.
-	relayProbeEvery intervals = 5
+	// probeInterval is the time between two rounds of probes of one front.
+	probeInterval intervals = 5
 
-	// maxProbeFraction is the fraction of an owner's rate of requests up to which all
-	// fronts probe an owner that is suspected.
+	// maxProbeFraction is the fraction of Config.MaxAddRate that the probes of one
+	// suspected owner by all fronts may reach.
 	maxProbeFraction = 0.25
 
-	// relayTrustedFor is the time after its last answer in which a relay is used.
-	relayTrustedFor = 2 * relayProbeEvery
+	// relayExpiry is how long a relay is used after the last answer through it.
+	relayExpiry = 2 * probeInterval
 )
 
-// Relays finds, for fronts that are unresponsive or suspected to be, another front
-// that reaches them: the indirect probes of SWIM (Das, Gupta and Motivala 2002). A
-// front with a relay keeps its tenants, so that a partition between two fronts alone
-// doesn't make a second count of a tenant.
+// Relays selects a relay, another front that forwards requests, for each front that is
+// unresponsive or suspected to be. It uses the indirect probes of SWIM (Das, Gupta and
+// Motivala 2002). A front that is reachable through a relay remains the owner of its
+// tenants, so that a failed connection between just two fronts doesn't cause a tenant to
+// be counted twice.
 //
-// Relays is a plain value with one owner. It decides which probes to send; a probe is
-// an AddRequest without counts.
+// Relays decides which probes to send but doesn't send them; a probe is an AddRequest
+// without counts. It is not safe for concurrent use.
 type Relays struct {
-	self   string
-	config Config
-	sought map[string]*soughtFront
-	fronts int // on the roster
+	self       string
+	config     Config
+	targets    map[string]*probeTarget
+	frontCount int // number of fronts on the roster
 }
 
-// soughtFront is a front that doesn't answer and what is known of the ways to it.
-type soughtFront struct {
-	suspected    bool      // it did not answer counts
-	unresponsive bool      // by the membership
-	relay        string    // that answered last; "" if none did, or it has failed since
-	answeredAt   time.Time // of the relay
-	probedAt     time.Time
-	offset       int // of the next candidates in their order
+// probeTarget is the state of a front that is being probed.
+type probeTarget struct {
+	suspected       bool      // it did not respond to counts in time
+	unresponsive    bool      // according to the membership
+	relay           string    // relay in use; "" if no probe was answered, or the relay has failed since
+	relayAnsweredAt time.Time // time of the last answer through relay
+	probedAt        time.Time
+	nextCandidate   int // index of the next candidate to probe through
 }
 
-// Way is how a front is reached, or whether it is reached so: the question of a probe.
+// Way is a path to a front, direct or through a relay. A probe tests one Way.
 type Way struct {
 	Front string
-	Relay string // "": directly
+	Relay string // "" if the path is direct
 }
 
-// NewRelays returns Relays of the front named self without any relay.
+// NewRelays returns the Relays of the front named self, without any relay in use.
 func NewRelays(self string, config Config) *Relays {
 	return &Relays{
-		self:   self,
-		config: config.withDefaults(),
-		sought: map[string]*soughtFront{},
+		self:    self,
+		config:  config.withDefaults(),
+		targets: map[string]*probeTarget{},
 	}
 }
 
-// SuspectAfter returns the time without an answer to counts after which an owner is
-// suspected.
-func (r *Relays) SuspectAfter() time.Duration { return suspectAfter.in(&r.config) }
+// SuspectAfter returns the time without a response to counts after which an owner should
+// be reported to Suspect.
+func (r *Relays) SuspectAfter() time.Duration { return suspectAfter.duration(&r.config) }
 
-// Suspect records that a front did not answer counts in time. In a fleet whose probes
-// would take much of what an owner accepts, it is rather slow than out of reach, and
-// they would slow it further: there only the membership tells who is unresponsive.
+// Suspect records that a front did not respond to counts in time. It does nothing in a
+// fleet so large that probes of one owner would exceed maxProbeFraction of its request
+// rate: there the owner is more likely overloaded than unreachable, and probes would add
+// to its load, so that only the membership determines which fronts are unresponsive.
 func (r *Relays) Suspect(name string) {
-	probes := float64(r.fronts*(relayCandidates+1)) / relayProbeEvery.in(&r.config).Seconds()
+	probes := float64(r.frontCount*(probeFanout+1)) / probeInterval.duration(&r.config).Seconds()
 	if probes > maxProbeFraction*r.config.MaxAddRate {
 		return
 	}
-	if front := r.seek(name); front != nil {
-		front.suspected = true
+	if target := r.ensureTarget(name); target != nil {
+		target.suspected = true
 	}
 }
 
-// seek returns a sought front, added if there are fewer than maxSoughtFronts, else nil.
-func (r *Relays) seek(name string) *soughtFront {
-	front := r.sought[name]
-	if front == nil && name != r.self && len(r.sought) < maxSoughtFronts {
-		front = &soughtFront{}
-		r.sought[name] = front
+// ensureTarget returns the target for a front. If there is none, it adds one, or returns
+// nil if the front is this one or there are already maxProbeTargets.
+func (r *Relays) ensureTarget(name string) *probeTarget {
+	target := r.targets[name]
+	if target == nil && name != r.self && len(r.targets) < maxProbeTargets {
+		target = &probeTarget{}
+		r.targets[name] = target
 	}
-	return front
+	return target
 }
 
-// Probes sets the membership and returns the probes that are due.
+// Probes updates the membership and returns the probes that are due; the caller must send
+// them.
 func (r *Relays) Probes(fronts, unresponsive []string, now time.Time) []Way {
-	r.fronts = len(fronts)
+	r.frontCount = len(fronts)
 	r.setMembership(fronts, unresponsive)
-	if len(r.sought) == 0 {
+	if len(r.targets) == 0 {
 		return nil
 	}
 	var probes []Way
 	for _, name := range fronts {
-		if front := r.sought[name]; front != nil && now.Sub(front.probedAt) >= relayProbeEvery.in(&r.config) {
-			front.probedAt = now
-			probes = front.appendProbes(probes, name, r.candidates(name, fronts, unresponsive))
+		if target := r.targets[name]; target != nil && now.Sub(target.probedAt) >= probeInterval.duration(&r.config) {
+			target.probedAt = now
+			probes = target.appendProbes(probes, name, r.candidates(name, fronts, unresponsive))
 		}
 	}
 	return probes
 }
 
-// setMembership seeks the unresponsive fronts, and forgets those that are gone or
-// neither suspected nor unresponsive.
+// setMembership adds the unresponsive fronts to the targets, and removes targets that
+// left the roster or are neither suspected nor unresponsive.
 func (r *Relays) setMembership(fronts, unresponsive []string) {
-	for name, front := range r.sought {
-		front.unresponsive = slices.Contains(unresponsive, name)
-		if !front.suspected && !front.unresponsive || !slices.Contains(fronts, name) {
-			delete(r.sought, name)
+	for name, target := range r.targets {
+		target.unresponsive = slices.Contains(unresponsive, name)
+		if !target.suspected && !target.unresponsive || !slices.Contains(fronts, name) {
+			delete(r.targets, name)
 		}
 	}
 	for _, name := range unresponsive {
-		if front := r.seek(name); front != nil {
-			front.unresponsive = true
+		if target := r.ensureTarget(name); target != nil {
+			target.unresponsive = true
 		}
 	}
 }
 
-// candidates returns the fronts that may reach another, by rendezvous hashing.
+// candidates returns the fronts that may be used as relays to another, in the order of
+// their rendezvous weight.
 func (r *Relays) candidates(name string, fronts, unresponsive []string) []string {
 	excluded := func(candidate string) bool {
-		return candidate == r.self || candidate == name || r.sought[candidate] != nil
+		return candidate == r.self || candidate == name || r.targets[candidate] != nil
 	}
 	candidates := slices.DeleteFunc(slices.Clone(Reachable(fronts, unresponsive)), excluded)
-	sortForSubject(candidates, name)
+	sortByWeight(candidates, name)
 	return candidates
 }
 
-// appendProbes appends the probes through the relay in use, or else through the next
-// candidates, and a direct one while the front is responsive by the membership.
-func (s *soughtFront) appendProbes(probes []Way, front string, candidates []string) []Way {
-	if !s.unresponsive {
+// appendProbes appends a probe through the relay in use or, if there is none, probes
+// through the next candidates. It also appends a direct probe while the membership
+// considers the front responsive.
+func (t *probeTarget) appendProbes(probes []Way, front string, candidates []string) []Way {
+	if !t.unresponsive {
 		probes = append(probes, Way{Front: front})
 	}
-	if s.relay != "" {
-		return append(probes, Way{front, s.relay})
+	if t.relay != "" {
+		return append(probes, Way{front, t.relay})
 	}
-	for i := range min(relayCandidates, len(candidates)) {
-		candidate := candidates[(s.offset+i)%len(candidates)]
+	for i := range min(probeFanout, len(candidates)) {
+		candidate := candidates[(t.nextCandidate+i)%len(candidates)]
 		probes = append(probes, Way{front, candidate})
 	}
-	s.offset += relayCandidates
+	t.nextCandidate += probeFanout
 	return probes
 }
 
-// sortForSubject sorts names by descending weight of rendezvous hashing.
-func sortForSubject(names []string, subject string) {
+// sortByWeight sorts names by descending rendezvous weight for a key.
+func sortByWeight(names []string, key string) {
 	slices.SortFunc(names, func(a, b string) int {
-		weightA, weightB := rendezvous.Weight(a, subject), rendezvous.Weight(b, subject)
+		weightA, weightB := rendezvous.Weight(a, key), rendezvous.Weight(b, key)
 		switch {
 		case weightA > weightB:
 			return -1
@@ -172,65 +178,66 @@
 	})
 }
 
-// Answered records that a front answered, through a relay or directly.
-func (r *Relays) Answered(way Way, now time.Time) {
-	front := r.sought[way.Front]
+// Answered records that a probe or request was answered. The first relay to answer is
+// used until it fails. A direct answer ends the suspicion of a front.
+func (r *Relays) Answered(path Way, now time.Time) {
+	target := r.targets[path.Front]
 	switch {
-	case front == nil:
-	case way.Relay == "":
-		front.suspected = false
-		if !front.unresponsive {
-			delete(r.sought, way.Front)
+	case target == nil:
+	case path.Relay == "":
+		target.suspected = false
+		if !target.unresponsive {
+			delete(r.targets, path.Front)
 		}
-	case front.relay == "" || front.relay == way.Relay:
-		front.relay = way.Relay
-		front.answeredAt = now
+	case target.relay == "" || target.relay == path.Relay:
+		target.relay = path.Relay
+		target.relayAnsweredAt = now
 	}
 }
 
-// Failed records that a front did not answer through a relay. If the relay was in
-// use, the next probes for the front are due at once.
-func (r *Relays) Failed(way Way) {
-	front := r.sought[way.Front]
-	if front == nil || way.Relay == "" || front.relay != way.Relay {
+// Failed records that a probe or request through a relay was not answered. If that relay
+// was in use, the next probes of the front are due immediately.
+func (r *Relays) Failed(path Way) {
+	target := r.targets[path.Front]
+	if target == nil || path.Relay == "" || target.relay != path.Relay {
 		return
 	}
-	front.relay = ""
-	front.probedAt = time.Time{}
+	target.relay = ""
+	target.probedAt = time.Time{}
 }
 
-// Routes returns the relays in use, by the front that they reach; nil if no way is
-// sought.
+// Routes returns the relays that answered within relayExpiry, by the front that they
+// reach. It returns nil if no front is being probed.
 func (r *Relays) Routes(now time.Time) map[string]string {
-	if len(r.sought) == 0 {
+	if len(r.targets) == 0 {
 		return nil
 	}
-	routes := make(map[string]string, len(r.sought))
-	for name, front := range r.sought {
-		if front.relay != "" && now.Sub(front.answeredAt) <= relayTrustedFor.in(&r.config) {
-			routes[name] = front.relay
+	routes := make(map[string]string, len(r.targets))
+	for name, target := range r.targets {
+		if target.relay != "" && now.Sub(target.relayAnsweredAt) <= relayExpiry.duration(&r.config) {
+			routes[name] = target.relay
 		}
 	}
 	return routes
 }
 
-// WithoutRoutes returns the unresponsive fronts that no relay reaches. It returns
-// unresponsive itself if there is no relay.
+// WithoutRoutes returns the unresponsive fronts that no relay reaches. If routes is
+// empty, it returns unresponsive itself, not a copy.
 func WithoutRoutes(unresponsive []string, routes map[string]string) []string {
 	if len(routes) == 0 {
 		return unresponsive
 	}
 	unreachable := make([]string, 0, len(unresponsive))
 	for _, name := range unresponsive {
-		if _, reached := routes[name]; !reached {
+		if _, relayed := routes[name]; !relayed {
 			unreachable = append(unreachable, name)
 		}
 	}
 	return unreachable
 }
 
-// MayRelayTo reports whether a front passes counts on to another: that one is on the
-// roster and responsive by its own pings.
+// MayRelayTo reports whether a front may relay counts to the front named to: it must be
+// on the roster and respond to the relaying front's own pings.
 func MayRelayTo(to string, fronts, unresponsive []string) bool {
 	return slices.Contains(fronts, to) && !slices.Contains(unresponsive, to)
 }
--- a/internal/decision/quota/slices.go
+++ b/internal/decision/quota/slices.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// timeGrid divides time into slices and windows, both numbered since the unix epoch.
+// timeGrid divides time into slices and windows, both numbered from the Unix epoch.
 type timeGrid struct {
 	sliceMicros     int64 // length of a slice in microseconds
 	slicesPerWindow int64
@@ -19,7 +19,7 @@
 	}
 }
 
-// position returns the slice of an instant and the fraction of it that has elapsed.
+// position returns the slice that contains an instant and the elapsed fraction of it.
 func (g timeGrid) position(t time.Time) (slice int64, elapsed float64) {
 	micros := max(0, t.UnixMicro())
 	slice = micros / g.sliceMicros
@@ -41,22 +41,23 @@
 	return first, first + g.slicesPerWindow - 1
 }
 
-// newestPlausible returns the newest slice that another process may have spent in: its
-// clock may be ahead by a quarter of a window. Spend beyond it is ignored, since a
-// wrong clock must not push out older slices.
-func (g timeGrid) newestPlausible(now time.Time) int64 { return g.slice(now) + g.slicesPerWindow/4 }
+// newestAcceptedSlice returns the newest slice for which spend of other processes is
+// accepted: their clocks may be ahead by a quarter of a window. Later spend is ignored,
+// so that a wrong clock doesn't evict older slices.
+func (g timeGrid) newestAcceptedSlice(now time.Time) int64 { return g.slice(now) + g.slicesPerWindow/4 }
 
-// retained returns how many slices are kept: two windows and a half.
-func (g timeGrid) retained() int64 { return 2*g.slicesPerWindow + g.slicesPerWindow/2 }
+// retainedSlices returns the number of slices that are kept, those of two and a half
+// windows.
+func (g timeGrid) retainedSlices() int64 { return 2*g.slicesPerWindow + g.slicesPerWindow/2 }
 
-// sliceRing is a ring buffer with the tokens of the newest slices.
+// sliceRing is a ring buffer of the tokens spent in the newest slices.
 type sliceRing struct {
 	newest int64
 	tokens []float64
 }
 
 func newSliceRing(grid timeGrid) sliceRing {
-	return sliceRing{tokens: make([]float64, grid.retained())}
+	return sliceRing{tokens: make([]float64, grid.retainedSlices())}
 }
 
 func (r *sliceRing) advance(newest int64) {
@@ -139,8 +140,8 @@
 	return tokens
 }
 
-// sparseSlices holds the tokens of the newest slices like a sliceRing, but stores
-// only slices that have any: most of many fronts spend in few slices.
+// sparseSlices holds the tokens of the newest slices like a sliceRing, but stores only
+// slices with tokens: in a large fleet, most fronts spend in few slices.
 type sparseSlices struct {
 	newest int64
 	cells  []sliceCell // sorted by slice
@@ -151,7 +152,7 @@
 	tokens float64
 }
 
-// indexFrom returns the index of the first cell that is not before a slice.
+// indexFrom returns the index of the first cell at or after a slice.
 func (s *sparseSlices) indexFrom(slice int64) int {
 	return sort.Search(len(s.cells), func(i int) bool { return s.cells[i].slice >= slice })
 }
@@ -159,7 +160,7 @@
 // raise sets a slice to tokens if it has less, and returns the increase.
 func (s *sparseSlices) raise(grid timeGrid, slice int64, tokens float64) float64 {
 	s.newest = max(s.newest, slice)
-	oldest := s.newest - grid.retained() + 1
+	oldest := s.newest - grid.retainedSlices() + 1
 	if slice < oldest || tokens <= 0 {
 		return 0
 	}
--- a/internal/decision/quota/slices_test.go
+++ b/internal/decision/quota/slices_test.go
@@ -46,14 +46,14 @@
 			newest = max(newest, slice)
 			tokens := float64(rapid.IntRange(0, 9).Draw(t, "tokens"))
 			if got, want := sparse.raise(grid, slice, tokens), dense.raise(slice, tokens); got != want {
-				t.Fatalf("rose by %v, want %v", got, want)
+				t.Fatalf("increase %v, want %v", got, want)
 			}
 			window := grid.windowOf(newest) - rapid.Int64Range(0, 1).Draw(t, "window")
 			if got, want := sparse.sum(newest-7, newest), dense.sum(newest-7, newest); got != want {
 				t.Fatalf("sum %v, want %v", got, want)
 			}
 			if got, want := sparse.windowTokens(grid, window), dense.windowTokens(grid, window); !slices.Equal(got, want) {
-				t.Fatalf("window %v, want %v", got, want)
+				t.Fatalf("window tokens %v, want %v", got, want)
 			}
 		}
 	})
--- a/internal/decision/quota/tenant_count.go
+++ b/internal/decision/quota/tenant_count.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// tenantCount is a counter's state of one tenant.
+// tenantCount is a counter's state for one tenant.
 type tenantCount struct {
-	fronts         map[frontID]*contribution
-	reported       sliceRing // sum of the fronts' own spend
-	learned        sliceRing // highest totals that fronts knew from other owners
-	previousRoseAt time.Time // when a window last rose after its end
-	lastCounted    time.Time
+	contributions          map[frontID]*contribution
+	reportedSpend          sliceRing // sum of the fronts' own spend
+	otherOwnerTotals       sliceRing // highest totals that fronts have received from other owners
+	previousWindowRaisedAt time.Time // when a window's total last increased after its end
+	lastCountedAt          time.Time
 
-	countedForOther bool      // counted on behalf of another front, the owner by this front's view
-	startedAt       time.Time // when the count began, or countedForOther changed
-	totalsReported  bool      // a front has reported totals from another owner
+	countedForOther     bool      // counted on behalf of another front, the owner according to this front's view
+	countStartedAt      time.Time // when the count was created or resumed, or countedForOther last changed
+	hasOtherOwnerTotals bool      // a front has reported totals from another owner
 
 	demand      demandSum
 	reservation reservation
 }
 
-// setForOther changes whether the tenant is counted on behalf of another front.
-func (t *tenantCount) setForOther(forOther bool, now time.Time) {
-	if forOther != t.countedForOther {
-		t.countedForOther = forOther
-		t.startedAt = now
+// setCountedForOther sets whether the tenant is counted on behalf of another front.
+func (t *tenantCount) setCountedForOther(countedForOther bool, now time.Time) {
+	if countedForOther != t.countedForOther {
+		t.countedForOther = countedForOther
+		t.countStartedAt = now
 	}
 }
 
-// superseded reports whether a later incarnation of a front has reported as well.
+// superseded reports whether a later incarnation of the same front has sent counts.
 func (t *tenantCount) superseded(front frontID) bool {
-	for other := range t.fronts {
+	for other := range t.contributions {
 		if other.name == front.name && other.incarnation > front.incarnation {
 			return true
 		}
@@ -36,38 +36,39 @@
 	return false
 }
 
-// contribution is one front's part of a tenant's count.
+// contribution is the part of a tenant's count that one front reported.
 type contribution struct {
-	spend          sparseSlices
-	lastReceived   time.Time
-	previousSentAt time.Time // when the front last received the previous window's total
-	idle           bool      // the tenant is not active at the front
-	share          float64   // of the remaining capacity, as last allocated
-	demand         demandHistory
+	spend                sparseSlices
+	lastReceivedAt       time.Time
+	previousWindowSentAt time.Time // when the previous window's total was last sent to the front
+	idle                 bool      // the tenant is not active at the front
+	share                float64   // last allocated fraction of the remaining capacity
+	demand               demandHistory
 }
 
 // demandHistory holds the last demand reports of a front, oldest first.
 type demandHistory [8]demandSample
 
-// demandSample is the demand at an instant of the front's clock.
+// demandSample is a front's demand at one instant of its clock, in microseconds since the
+// Unix epoch.
 type demandSample struct {
 	micros int64
 	tokens float64
 }
 
-// record appends a report unless it follows the last one within spacing.
-func (h *demandHistory) record(tokens float64, at time.Time, spacing time.Duration) {
+// record appends a report unless the last one is less than spacing older.
+func (h *demandHistory) record(tokens float64, sampledAt time.Time, spacing time.Duration) {
 	newest := len(h) - 1
-	if at.UnixMicro()-h[newest].micros >= spacing.Microseconds() {
+	if sampledAt.UnixMicro()-h[newest].micros >= spacing.Microseconds() {
 		copy(h[:], h[1:])
-		h[newest] = demandSample{at.UnixMicro(), tokens}
+		h[newest] = demandSample{sampledAt.UnixMicro(), tokens}
 	}
 }
 
-func (h *demandHistory) newest() float64 { return h[len(h)-1].tokens }
+func (h *demandHistory) latestTokens() float64 { return h[len(h)-1].tokens }
 
-// at returns the demand at an instant, or the oldest one known.
-func (h *demandHistory) at(t time.Time) float64 {
+// tokensAt returns the demand at an instant, or the oldest recorded one if all are later.
+func (h *demandHistory) tokensAt(t time.Time) float64 {
 	for i := len(h) - 1; i >= 0; i-- {
 		if h[i].micros <= t.UnixMicro() {
 			return h[i].tokens
@@ -78,15 +79,15 @@
 
 // demandSum is the demand of the fronts where a tenant is active.
 type demandSum struct {
-	summedAt time.Time // zero: has to be summed
-	fronts   int
-	tokens   float64
+	summedAt     time.Time // zero if it must be summed again
+	activeFronts int
+	tokens       float64
 }
 
 func (d *demandSum) invalidate() { d.summedAt = time.Time{} }
 
-// reservation is the part of a tenant's limit set aside for unresponsive fronts.
+// reservation is the part of a tenant's limit reserved for unresponsive fronts.
 type reservation struct {
-	fraction float64 // of the limit
-	spent    float64 // tokens that these fronts are known to have spent
+	fraction   float64 // of the limit
+	knownSpend float64 // tokens that these fronts are known to have spent
 }
