--- a/internal/decision/quota/load.go
+++ b/internal/decision/quota/load.go
@@ -87,10 +87,10 @@
 // the last complete congestionPeriod (1 s by default). It is zero if there were none.
 func (c *Counter) Lag() time.Duration { return c.load.previousLags.mean() }
 
-// Late reports whether most counts in the last complete congestionPeriod were handled
+// CountsLate reports whether most counts in the last complete congestionPeriod were handled
 // later than Config.MaxLag after they were sent, the maximum that the fronts' shares
 // assume.
-func (c *Counter) Late() bool { return c.load.previousLags.mostlyLate() }
+func (c *Counter) CountsLate() bool { return c.load.previousLags.mostlyLate() }
 
 // spacing returns the minimum time between two requests of each active front; zero if
 // their rate isn't limited.
--- a/internal/decision/quota/load_test.go
+++ b/internal/decision/quota/load_test.go
@@ -56,12 +56,12 @@
 		}
 		So(sendRound(4, 0.1), ShouldEqual, 400*time.Millisecond)
 		So(sendRound(6, 0.5), ShouldEqual, 400*time.Millisecond)
-		So(counter.Late(), ShouldBeFalse)
+		So(counter.CountsLate(), ShouldBeFalse)
 		So(sendRound(7.2, 0.1), ShouldEqual, 800*time.Millisecond)
-		So(counter.Late(), ShouldBeTrue)
+		So(counter.CountsLate(), ShouldBeTrue)
 		So(counter.Lag(), ShouldAlmostEqual, 500*time.Millisecond, time.Millisecond)
 		So(sendRound(8.4, 0.1), ShouldEqual, 400*time.Millisecond)
-		So(counter.Late(), ShouldBeFalse)
+		So(counter.CountsLate(), ShouldBeFalse)
 	})
 }
 
--- a/internal/decision/quota/relays.go
+++ b/internal/decision/quota/relays.go
@@ -57,8 +57,8 @@
 	nextCandidate   int // index of the next candidate to probe through
 }
 
-// Way is a path to a front, direct or through a relay. A probe tests one Way.
-type Way struct {
+// Path is a path to a front, direct or through a relay. A probe tests one Way.
+type Path struct {
 	Front string
 	Relay string // "" if the path is direct
 }
@@ -103,13 +103,13 @@
 
 // Probes updates the membership and returns the probes that are due; the caller must send
 // them.
-func (r *Relays) Probes(fronts, unresponsive []string, now time.Time) []Way {
+func (r *Relays) Probes(fronts, unresponsive []string, now time.Time) []Path {
 	r.frontCount = len(fronts)
 	r.setMembership(fronts, unresponsive)
 	if len(r.targets) == 0 {
 		return nil
 	}
-	var probes []Way
+	var probes []Path
 	for _, name := range fronts {
 		if target := r.targets[name]; target != nil && now.Sub(target.probedAt) >= probeInterval.duration(&r.config) {
 			target.probedAt = now
@@ -149,16 +149,16 @@
 // appendProbes appends a probe through the relay in use or, if there is none, probes
 // through the next candidates. It also appends a direct probe while the membership
 // considers the front responsive.
-func (t *probeTarget) appendProbes(probes []Way, front string, candidates []string) []Way {
+func (t *probeTarget) appendProbes(probes []Path, front string, candidates []string) []Path {
 	if !t.unresponsive {
-		probes = append(probes, Way{Front: front})
+		probes = append(probes, Path{Front: front})
 	}
 	if t.relay != "" {
-		return append(probes, Way{front, t.relay})
+		return append(probes, Path{front, t.relay})
 	}
 	for i := range min(probeFanout, len(candidates)) {
 		candidate := candidates[(t.nextCandidate+i)%len(candidates)]
-		probes = append(probes, Way{front, candidate})
+		probes = append(probes, Path{front, candidate})
 	}
 	t.nextCandidate += probeFanout
 	return probes
@@ -180,7 +180,7 @@
 
 // Answered records that a probe or request was answered. The first relay to answer is
 // used until it fails. A direct answer ends the suspicion of a front.
-func (r *Relays) Answered(path Way, now time.Time) {
+func (r *Relays) Answered(path Path, now time.Time) {
 	target := r.targets[path.Front]
 	switch {
 	case target == nil:
@@ -197,7 +197,7 @@
 
 // Failed records that a probe or request through a relay was not answered. If that relay
 // was in use, the next probes of the front are due immediately.
-func (r *Relays) Failed(path Way) {
+func (r *Relays) Failed(path Path) {
 	target := r.targets[path.Front]
 	if target == nil || path.Relay == "" || target.relay != path.Relay {
 		return
@@ -206,9 +206,9 @@
 	target.probedAt = time.Time{}
 }
 
-// Routes returns the relays that answered within relayExpiry, by the front that they
+// ActiveRelays returns the relays that answered within relayExpiry, by the front that they
 // reach. It returns nil if no front is being probed.
-func (r *Relays) Routes(now time.Time) map[string]string {
+func (r *Relays) ActiveRelays(now time.Time) map[string]string {
 	if len(r.targets) == 0 {
 		return nil
 	}
@@ -221,9 +221,9 @@
 	return routes
 }
 
-// WithoutRoutes returns the unresponsive fronts that no relay reaches. If routes is
+// WithoutRelay returns the unresponsive fronts that no relay reaches. If routes is
 // empty, it returns unresponsive itself, not a copy.
-func WithoutRoutes(unresponsive []string, routes map[string]string) []string {
+func WithoutRelay(unresponsive []string, routes map[string]string) []string {
 	if len(routes) == 0 {
 		return unresponsive
 	}
--- a/internal/decision/quota/relays_test.go
+++ b/internal/decision/quota/relays_test.go
@@ -30,28 +30,28 @@
 		Convey("and the remaining candidate is among the next three", func() {
 			next := relays.Probes(fronts, unresponsive, atMillisecond(1000))
 			for _, name := range others {
-				probe := Way{Front: "b", Relay: name}
+				probe := Path{Front: "b", Relay: name}
 				So(slices.Contains(first, probe) || slices.Contains(next, probe), ShouldBeTrue)
 			}
 		})
 		Convey("and the first to answer is used as the relay until it fails or its last answer expires", func() {
 			relays.Answered(first[1], atMillisecond(100))
 			relays.Answered(first[0], atMillisecond(110))
-			routes := relays.Routes(atMillisecond(200))
+			routes := relays.ActiveRelays(atMillisecond(200))
 			So(routes, ShouldResemble, map[string]string{"b": first[1].Relay})
-			So(WithoutRoutes(unresponsive, routes), ShouldBeEmpty)
-			So(relays.Probes(fronts, unresponsive, atMillisecond(1000)), ShouldResemble, []Way{first[1]})
-			So(relays.Routes(atMillisecond(2200)), ShouldBeEmpty)
+			So(WithoutRelay(unresponsive, routes), ShouldBeEmpty)
+			So(relays.Probes(fronts, unresponsive, atMillisecond(1000)), ShouldResemble, []Path{first[1]})
+			So(relays.ActiveRelays(atMillisecond(2200)), ShouldBeEmpty)
 			relays.Failed(first[0])
-			So(relays.Routes(atMillisecond(1100)), ShouldNotBeEmpty)
+			So(relays.ActiveRelays(atMillisecond(1100)), ShouldNotBeEmpty)
 			relays.Failed(first[1])
-			So(relays.Routes(atMillisecond(1100)), ShouldBeEmpty)
+			So(relays.ActiveRelays(atMillisecond(1100)), ShouldBeEmpty)
 			So(relays.Probes(fronts, unresponsive, atMillisecond(1100)), ShouldHaveLength, 3)
 		})
 		Convey("and no relay is used once the front is responsive again", func() {
 			relays.Answered(first[1], atMillisecond(100))
 			So(relays.Probes(fronts, nil, atMillisecond(200)), ShouldBeEmpty)
-			So(relays.Routes(atMillisecond(200)), ShouldBeEmpty)
+			So(relays.ActiveRelays(atMillisecond(200)), ShouldBeEmpty)
 		})
 	})
 	Convey("A suspected front is also probed directly, and no longer once it answers directly", t, func() {
@@ -59,8 +59,8 @@
 		relays.Suspect("b")
 		probes := relays.Probes(fronts, nil, start)
 		So(probes, ShouldHaveLength, 4)
-		So(probes, ShouldContain, Way{Front: "b"})
-		relays.Answered(Way{Front: "b"}, atMillisecond(10))
+		So(probes, ShouldContain, Path{Front: "b"})
+		relays.Answered(Path{Front: "b"}, atMillisecond(10))
 		So(relays.Probes(fronts, nil, atMillisecond(2000)), ShouldBeEmpty)
 	})
 	Convey("Neither this front nor one that left the roster is probed", t, func() {
--- a/internal/node/quotasync/counter_owner.go
+++ b/internal/node/quotasync/counter_owner.go
@@ -66,7 +66,7 @@
 func (c *counterOwner) reportLag() {
 	lag := c.counter.Lag()
 	c.service.metrics.setCountLag(lag)
-	late := c.counter.Late()
+	late := c.counter.CountsLate()
 	if late == c.late {
 		return
 	}
--- a/internal/node/quotasync/exchange.go
+++ b/internal/node/quotasync/exchange.go
@@ -40,7 +40,7 @@
 
 func (e *exchanges) readyForUrgent(owner string) bool { return !e.sentTo[owner] && !e.full(owner) }
 
-func (e *exchanges) begin(way quota.Way, now time.Time) {
+func (e *exchanges) begin(way quota.Path, now time.Time) {
 	e.inFlight[way.Front]++
 	e.sentTo[way.Front] = true
 	if _, known := e.unanswered[way.Front]; way.Relay == "" && !known {
@@ -48,7 +48,7 @@
 	}
 }
 
-func (e *exchanges) end(way quota.Way, err error) {
+func (e *exchanges) end(way quota.Path, err error) {
 	e.inFlight[way.Front]--
 	idle := e.inFlight[way.Front] <= 0
 	if idle {
@@ -87,7 +87,7 @@
 
 // exchangeResult is the outcome of one exchange.
 type exchangeResult struct {
-	way      quota.Way
+	way      quota.Path
 	sentAt   time.Time // fleet time
 	response *wire.AddResponse
 	err      error
@@ -121,7 +121,7 @@
 }
 
 // exchange sends one batch of counts and passes the result to the shard.
-func (s *shard) exchange(ctx context.Context, way quota.Way, counts []*wire.Count, sentAt time.Time) {
+func (s *shard) exchange(ctx context.Context, way quota.Path, counts []*wire.Count, sentAt time.Time) {
 	response, err := s.service.exchange(ctx, way, counts)
 	result := exchangeResult{
 		way:      way,
@@ -194,7 +194,7 @@
 
 // exchange sends one batch of counts to an owner, which may be this front, and returns
 // its totals. It fails after Config.Timeout.
-func (s *Service) exchange(ctx context.Context, way quota.Way, counts []*wire.Count) (*wire.AddResponse, error) {
+func (s *Service) exchange(ctx context.Context, way quota.Path, counts []*wire.Count) (*wire.AddResponse, error) {
 	if way.Front == s.config.Self {
 		ctx, cancel := context.WithTimeout(ctx, s.config.Timeout)
 		defer cancel()
@@ -214,7 +214,7 @@
 // exchangeThrough sends one batch of counts to another front, directly or through a
 // relay, and returns its totals. It fails after Config.Timeout, without an address, and
 // if another process responds: a process of a version that doesn't relay does.
-func (s *Service) exchangeThrough(ctx context.Context, way quota.Way, counts []*wire.Count) (*wire.AddResponse, error) {
+func (s *Service) exchangeThrough(ctx context.Context, way quota.Path, counts []*wire.Count) (*wire.AddResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.Timeout)
 	defer cancel()
 	req := s.addRequest(counts)
--- a/internal/node/quotasync/relayer.go
+++ b/internal/node/quotasync/relayer.go
@@ -35,7 +35,7 @@
 
 // wayReport is the outcome of a probe, or of an exchange through a relay.
 type wayReport struct {
-	way quota.Way
+	way quota.Path
 	err error
 }
 
@@ -92,7 +92,7 @@
 }
 
 func (r *relayer) publishRoutes() {
-	routes := r.relays.Routes(r.service.clock.Now())
+	routes := r.relays.ActiveRelays(r.service.clock.Now())
 	if len(routes) == 0 && len(*r.routes.Load()) == 0 {
 		return
 	}
@@ -100,7 +100,7 @@
 }
 
 // report passes the outcome of a probe or exchange on to the relayer.
-func (r *relayer) report(ctx context.Context, way quota.Way, err error) {
+func (r *relayer) report(ctx context.Context, way quota.Path, err error) {
 	select {
 	case r.reports <- wayReport{way, err}:
 	case <-ctx.Done():
@@ -119,13 +119,13 @@
 }
 
 // way returns how an owner is reached: through a relay, if one is in use, or directly.
-func (r *relayer) way(owner string) quota.Way {
-	return quota.Way{Front: owner, Relay: (*r.routes.Load())[owner]}
+func (r *relayer) way(owner string) quota.Path {
+	return quota.Path{Front: owner, Relay: (*r.routes.Load())[owner]}
 }
 
 // unreachable returns the fronts that are unresponsive and that no relay reaches.
 func (r *relayer) unreachable() []string {
-	return quota.WithoutRoutes(r.service.config.Unresponsive(), *r.routes.Load())
+	return quota.WithoutRelay(r.service.config.Unresponsive(), *r.routes.Load())
 }
 
 // passOn sends another front's request to the owner that it names and returns the
--- a/sim/quota/relay.go
+++ b/sim/quota/relay.go
@@ -25,12 +25,12 @@
 // it neither reaches itself nor through a relay.
 func (r *run) unreachable(i int) (live, unreachable []string) {
 	live, unresponsive := r.reachability(i)
-	return live, quota.WithoutRoutes(unresponsive, r.fronts[i].relays.Routes(r.clock(i)))
+	return live, quota.WithoutRelay(unresponsive, r.fronts[i].relays.ActiveRelays(r.clock(i)))
 }
 
 // relayTo returns the relay through which front i reaches front j, or noRelay.
 func (r *run) relayTo(i, j int) int {
-	if relay, known := r.fronts[i].relays.Routes(r.clock(i))[r.names[j]]; known {
+	if relay, known := r.fronts[i].relays.ActiveRelays(r.clock(i))[r.names[j]]; known {
 		return r.index(relay)
 	}
 	return noRelay
@@ -43,8 +43,8 @@
 	return !quota.MayRelayTo(r.names[x.to], live, unresponsive)
 }
 
-func (x *exchange) way() quota.Way {
-	probe := quota.Way{Front: x.run.names[x.to]}
+func (x *exchange) way() quota.Path {
+	probe := quota.Path{Front: x.run.names[x.to]}
 	if x.relay != noRelay {
 		probe.Relay = x.run.names[x.relay]
 	}
