--- a/internal/decision/sheet/cells.go
+++ b/internal/decision/sheet/cells.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// Cell is one cell of a sheet as text. Path is as in Change; the hashes of a
-// tenant's keys are one cell, separated by spaces.
+// Cell is one cell of a sheet as text. Path has the syntax described at Change.
+// The key hashes of a tenant form one cell, separated by spaces.
 type Cell struct{ Path, Value string }
 
-// Cells returns the cells that are set, in the order services, weights,
-// tenants, routes, limits, settings, and by name in each. Routes, limits, http
-// services and tenants with columns for routes are one cell a row, in JSON.
+// Cells returns the cells that are set, ordered by table (services, weights,
+// tenants, routes, limits, settings) and by name within a table. Routes, limits,
+// services of KindHTTP and tenants with columns for routes yield one cell per
+// row, in JSON.
 func (s *Sheet) Cells() []Cell {
 	if s == nil {
 		return nil
@@ -57,7 +58,7 @@
 }
 
 func (l *cellList) addTenant(path string, tenant Tenant) {
-	if tenant.concernsRoutes() {
+	if tenant.hasRouteColumns() {
 		l.add(path, formatRow(tenant))
 		return
 	}
@@ -73,8 +74,8 @@
 	}
 }
 
-// formatRow writes a row as one cell, in JSON; empty for one that JSON can't
-// represent, which no valid sheet has.
+// formatRow returns the JSON of a row, or an empty string if JSON cannot
+// represent it, which does not happen in a valid sheet.
 func formatRow(row any) string {
 	text, err := json.Marshal(row)
 	if err != nil {
@@ -85,29 +86,28 @@
 
 func formatNumber(number float64) string { return strconv.FormatFloat(number, 'f', -1, 64) }
 
-// Diff returns what changes from one sheet to another, one line a cell: "+" for
-// a cell that is added, "-" for one that is removed, "~" for one that changes.
-// Either sheet may be nil.
+// Diff returns the differences between two sheets, one line per cell: "+" marks
+// an added cell, "-" a removed cell, "~" a changed cell. Either sheet may be nil.
 func Diff(from, to *Sheet) []string {
 	before := from.Cells()
 	after := to.Cells()
-	removed := make(map[string]string, len(before))
+	unmatched := make(map[string]string, len(before))
 	for _, cell := range before {
-		removed[cell.Path] = cell.Value
+		unmatched[cell.Path] = cell.Value
 	}
 	var lines []string
 	for _, cell := range after {
-		value, existed := removed[cell.Path]
+		value, existed := unmatched[cell.Path]
 		switch {
 		case !existed:
 			lines = append(lines, "+ "+cell.Path+" = "+cell.Value)
 		case value != cell.Value:
 			lines = append(lines, "~ "+cell.Path+": "+value+" -> "+cell.Value)
 		}
-		delete(removed, cell.Path)
+		delete(unmatched, cell.Path)
 	}
 	for _, cell := range before {
-		if value, isRemoved := removed[cell.Path]; isRemoved {
+		if value, isRemoved := unmatched[cell.Path]; isRemoved {
 			lines = append(lines, "- "+cell.Path+" = "+value)
 		}
 	}
--- a/internal/decision/sheet/change.go
+++ b/internal/decision/sheet/change.go
@@ -11,27 +11,27 @@
 	"stepwick/internal/decision/strictjson"
 )
 
-// MaxChanges bounds the changes of one patch.
+// MaxChanges is the maximum number of changes in a patch.
 const MaxChanges = 1 << 16
 
-// Change sets or deletes one cell. Paths are
+// Change sets or deletes one cell or row. The paths are
 //
 //	services.NAME, services.NAME.kind, services.NAME.plain_tokens
 //	weights.SERVICE, weights.SERVICE.REGION
 //	tenants.NAME, tenants.NAME.rate, .burst, .home, .keys
-//	tenants.NAME.keys+ (adds one hash), tenants.NAME.keys- (removes one)
+//	tenants.NAME.keys+ (adds a key hash), tenants.NAME.keys- (removes one)
 //	routes.NAME, limits.clients
 //	settings.NAME
 //
-// A path of two parts sets a whole row. Value is the cell's JSON; it is absent
-// where Delete is set.
+// A path of two parts addresses a whole row, except in the settings. Value is the
+// JSON of the cell or row; it is absent if Delete is set.
 type Change struct {
 	Path   string          `json:"path"`
 	Value  json.RawMessage `json:"value,omitempty"`
 	Delete bool            `json:"delete,omitempty"`
 }
 
-// String returns the change as it is written on the command line.
+// String returns the change in the syntax of the command line.
 func (c Change) String() string {
 	if c.Delete {
 		return "delete " + c.Path
@@ -44,10 +44,10 @@
 	return c.Path + "=" + value
 }
 
-// isComplete reports whether the change has either a value or Delete.
-func (c Change) isComplete() bool { return c.Delete == (len(c.Value) == 0) }
+// isWellFormed reports whether the change has exactly one of Value and Delete.
+func (c Change) isWellFormed() bool { return c.Delete == (len(c.Value) == 0) }
 
-// Summarize returns the first few changes in one line, for the history.
+// Summarize returns the first few changes as one line for the history of orders.
 func Summarize(changes []Change) string {
 	const shown = 4
 	var parts []string
@@ -60,8 +60,9 @@
 	return strings.Join(slices.Clip(parts), "; ")
 }
 
-// ParseChange reads path=value, path+=value or path-=value, with the value in
-// the type of its cell: weights.chat.lagos=30, tenants.press.keys+=HASH.
+// ParseChange parses path=value, path+=value or path-=value and converts the
+// value to the type of the cell. Examples are weights.chat.lagos=30 and
+// tenants.press.keys+=HASH.
 func ParseChange(text string) (Change, *apierror.Error) {
 	path, value, ok := strings.Cut(text, "=")
 	if !ok || path == "" {
@@ -70,8 +71,8 @@
 	return TextChange(strings.TrimSpace(path), strings.TrimSpace(value))
 }
 
-// TextChange returns the change that sets a cell to a value written as text, as
-// spreadsheets have it: hashes of keys are separated by spaces or commas.
+// TextChange returns the change that sets a cell to a value given as text. Key
+// hashes are separated by spaces or commas. The value of a whole row is JSON.
 func TextChange(path, value string) (Change, *apierror.Error) {
 	cell, apiErr := parsePath(path)
 	if apiErr != nil {
@@ -81,7 +82,7 @@
 	switch {
 	case cell.isRow():
 		if !json.Valid([]byte(value)) {
-			return Change{}, apierror.Errorf(apierror.InvalidChange, "%s: a whole row is written as JSON", path)
+			return Change{}, apierror.Errorf(apierror.InvalidChange, "%s: the value of a whole row must be JSON", path)
 		}
 		return Change{Path: path, Value: json.RawMessage(value)}, nil
 	case cell.isNumeric():
@@ -100,34 +101,36 @@
 	return Change{Path: path, Value: data}, nil
 }
 
-// CheckChanges checks all of a patch that needs no sheet: the number of
-// changes, their paths, and the values of settings unless validate is nil.
+// CheckChanges checks those properties of a patch that do not depend on a sheet:
+// the number of changes, their paths, and, unless validate is nil, the values of
+// settings.
 func CheckChanges(changes []Change, validate SettingValidator) *apierror.Error {
 	if len(changes) > MaxChanges {
-		return apierror.Errorf(apierror.InvalidChange, "%d changes; the bound is %d", len(changes), MaxChanges)
+		return apierror.Errorf(apierror.InvalidChange, "%d changes exceed the limit of %d", len(changes), MaxChanges)
 	}
-	var broken violations
+	var violations violationList
 	for _, change := range changes {
 		cell, apiErr := parsePath(change.Path)
 		if apiErr != nil {
-			broken.add("%s", apiErr.Detail)
+			violations.addf("%s", apiErr.Detail)
 			continue
 		}
-		if !change.isComplete() {
-			broken.add("%s: give either a value or delete", excerpt(change.Path))
+		if !change.isWellFormed() {
+			violations.addf("%s: must have either a value or delete", excerpt(change.Path))
 			continue
 		}
 		if cell.table != tableSettings || change.Delete || validate == nil {
 			continue
 		}
 		if problem := checkSettingValue(cell.row, change.Value, validate); problem != "" {
-			broken.add("%s: %s", excerpt(change.Path), problem)
+			violations.addf("%s: %s", excerpt(change.Path), problem)
 		}
 	}
-	return broken.apiError(apierror.InvalidChange)
+	return violations.apiError(apierror.InvalidChange)
 }
 
-// checkSettingValue returns what is wrong with a setting's value, if anything.
+// checkSettingValue returns a description of what is wrong with the value of a
+// setting, or an empty string.
 func checkSettingValue(name string, value json.RawMessage, validate SettingValidator) (problem string) {
 	var text string
 	if problem := decodeValue(value, strictjson.String, &text); problem != "" {
@@ -139,7 +142,7 @@
 	return ""
 }
 
-// splitHashes splits the hashes of a tenant's keys as one cell has them.
+// splitHashes splits the cell of a tenant's key hashes.
 func splitHashes(value string) []string {
 	return strings.FieldsFunc(value, func(r rune) bool { return r == ',' || r == ' ' })
 }
--- a/internal/decision/sheet/check.go
+++ b/internal/decision/sheet/check.go
@@ -7,62 +7,64 @@
 	"stepwick/internal/apierror"
 )
 
-// Check returns nil for a valid sheet, or an error whose detail names the first
-// broken rules in the order of the cells. The code is SheetTooLarge where a
-// bound on size is exceeded and InvalidSheet otherwise.
+// Check returns nil for a valid sheet. Otherwise the error describes the first
+// violations, ordered by table and name. Its code is SheetTooLarge if the sheet
+// exceeds its size or its number of tenants, services or settings, and
+// InvalidSheet otherwise.
 func (s *Sheet) Check() *apierror.Error {
 	if s == nil {
-		return apierror.Errorf(apierror.InvalidSheet, "no sheet")
+		return apierror.Errorf(apierror.InvalidSheet, "the sheet is missing")
 	}
 	return s.check(sortedNames(s.Tenants))
 }
 
-// check is Check for a sheet whose tenants other than those named are known to
-// be valid among themselves.
+// check is like Check, except that of the tenants it validates only those given.
+// The others must be valid and must not share keys among themselves.
 func (s *Sheet) check(tenants []string) *apierror.Error {
 	if size := s.Size(); size > MaxBytes {
-		return apierror.Errorf(apierror.SheetTooLarge, "about %d bytes; the bound is %d", size, MaxBytes)
+		return apierror.Errorf(apierror.SheetTooLarge, "sheet of about %d bytes exceeds the limit of %d bytes", size, MaxBytes)
 	}
 	if len(s.Tenants) > MaxTenants || len(s.Services) > MaxServices || len(s.Settings) > MaxSettings {
-		return apierror.Errorf(apierror.SheetTooLarge, "%d tenants, %d services, %d settings; the bounds are %d, %d and %d",
+		return apierror.Errorf(apierror.SheetTooLarge, "%d tenants, %d services or %d settings exceed the limits of %d, %d and %d",
 			len(s.Tenants), len(s.Services), len(s.Settings), MaxTenants, MaxServices, MaxSettings)
 	}
-	var broken violations
-	s.checkServices(&broken)
-	s.checkWeights(&broken)
-	s.checkTenants(&broken, tenants)
-	s.checkSettings(&broken)
-	s.checkRoutes(&broken)
-	s.checkLimits(&broken)
-	return broken.apiError(apierror.InvalidSheet)
+	var violations violationList
+	s.checkServices(&violations)
+	s.checkWeights(&violations)
+	s.checkTenants(&violations, tenants)
+	s.checkSettings(&violations)
+	s.checkRoutes(&violations)
+	s.checkLimits(&violations)
+	return violations.apiError(apierror.InvalidSheet)
 }
 
-func (s *Sheet) checkServices(broken *violations) {
+func (s *Sheet) checkServices(violations *violationList) {
 	if len(s.Services) == 0 {
-		broken.add("services: there is none")
+		violations.addf("services: the sheet has no services")
 	}
 	for _, name := range sortedNames(s.Services) {
 		if !ValidName(name) {
-			broken.add("services: %s is no name", quoted(name))
+			violations.addf("services: %s is not a valid name", quoted(name))
 			continue
 		}
-		s.checkService(broken, name)
+		s.checkService(violations, name)
 	}
 }
 
-func (s *Sheet) checkService(broken *violations, name string) {
+func (s *Sheet) checkService(violations *violationList, name string) {
 	service := s.Services[name]
 	if service.Kind != KindModel && service.Kind != KindWeb && service.Kind != KindHTTP {
-		broken.add("services.%s.kind: %s is none of model, web and http", name, quoted(service.Kind))
+		violations.addf("services.%s.kind: %s is not one of model, web and http", name, quoted(service.Kind))
 	}
 	if service.MaxConnections < 0 || service.SlowStartMS < 0 || !validNumber(service.SlowStartRate) {
-		broken.add("services.%s: a bound is below zero", name)
+		violations.addf("services.%s: max_connections %d, cold_ms %d or cold_per_second %v is out of bounds",
+			name, service.MaxConnections, service.SlowStartMS, service.SlowStartRate)
 	}
 	if !validNumber(service.PlainTokens) {
-		broken.add("services.%s.plain_tokens: %v is out of bounds", name, service.PlainTokens)
+		violations.addf("services.%s.plain_tokens: %v is out of bounds", name, service.PlainTokens)
 	}
 	if service.Kind != KindHTTP && !hasWeight(s.Weights[name]) {
-		broken.add("weights.%s: no region has a weight above zero", name)
+		violations.addf("weights.%s: no region has a weight above zero", name)
 	}
 }
 
@@ -75,93 +77,93 @@
 	return false
 }
 
-func (s *Sheet) checkWeights(broken *violations) {
+func (s *Sheet) checkWeights(violations *violationList) {
 	for _, service := range sortedNames(s.Weights) {
-		if _, known := s.Services[service]; !known {
-			broken.add("weights: no service %s", quoted(service))
+		if _, exists := s.Services[service]; !exists {
+			violations.addf("weights: no service %s", quoted(service))
 			continue
 		}
 		weights := s.Weights[service]
 		if len(weights) > MaxRegions {
-			broken.add("weights.%s: %d regions; the bound is %d", service, len(weights), MaxRegions)
+			violations.addf("weights.%s: %d regions exceed the limit of %d", service, len(weights), MaxRegions)
 		}
 		for _, region := range sortedNames(weights) {
 			switch {
 			case !ValidName(region):
-				broken.add("weights.%s: %s is no name", service, quoted(region))
+				violations.addf("weights.%s: %s is not a valid name", service, quoted(region))
 			case !validNumber(weights[region]):
-				broken.add("weights.%s.%s: %v is out of bounds", service, region, weights[region])
+				violations.addf("weights.%s.%s: %v is out of bounds", service, region, weights[region])
 			}
 		}
 	}
 }
 
-// checkTenants checks the tenants named, and their keys also against those of
-// all others.
-func (s *Sheet) checkTenants(broken *violations, names []string) {
+// checkTenants checks the named tenants, and that no other tenant shares their
+// keys.
+func (s *Sheet) checkTenants(violations *violationList, names []string) {
 	owners := make(map[string]string, len(names))
 	for _, name := range names {
 		if !ValidName(name) {
-			broken.add("tenants: %s is no name", quoted(name))
+			violations.addf("tenants: %s is not a valid name", quoted(name))
 			continue
 		}
 		tenant := s.Tenants[name]
-		checkTenant(broken, name, tenant)
-		checkKeys(broken, name, tenant.KeyHashes, owners)
+		checkTenant(violations, name, tenant)
+		checkKeys(violations, name, tenant.KeyHashes, owners)
 	}
 	if len(names) < len(s.Tenants) {
-		s.checkKeysOfOthers(broken, names, owners)
+		s.checkKeysAgainstOthers(violations, names, owners)
 	}
 }
 
-func checkTenant(broken *violations, name string, tenant Tenant) {
+func checkTenant(violations *violationList, name string, tenant Tenant) {
 	if !validNumber(tenant.Rate) {
-		broken.add("tenants.%s.rate: %v is out of bounds", name, tenant.Rate)
+		violations.addf("tenants.%s.rate: %v is out of bounds", name, tenant.Rate)
 	}
 	if !validNumber(tenant.Burst) {
-		broken.add("tenants.%s.burst: %v is out of bounds", name, tenant.Burst)
+		violations.addf("tenants.%s.burst: %v is out of bounds", name, tenant.Burst)
 	}
 	if tenant.Priority < 0 || tenant.Priority > MaxPriority {
-		broken.add("tenants.%s.priority: %d is out of bounds", name, tenant.Priority)
+		violations.addf("tenants.%s.priority: %d is not between 0 and %d", name, tenant.Priority, MaxPriority)
 	}
 	if tenant.Unit != "" && tenant.Unit != UnitTokens && tenant.Unit != UnitRequests {
-		broken.add("tenants.%s.unit: %s is neither tokens nor requests", name, quoted(tenant.Unit))
+		violations.addf("tenants.%s.unit: %s is neither tokens nor requests", name, quoted(tenant.Unit))
 	}
 	if !validNumber(tenant.PlainTokens) {
-		broken.add("tenants.%s.plain_tokens: %v is out of bounds", name, tenant.PlainTokens)
+		violations.addf("tenants.%s.plain_tokens: %v is out of bounds", name, tenant.PlainTokens)
 	}
-	checkHomes(broken, "tenants."+name, tenant.Homes)
+	checkHomes(violations, "tenants."+name, tenant.Homes)
 	if tenant.Home != "" && !ValidName(tenant.Home) {
-		broken.add("tenants.%s.home: %s is no name", name, quoted(tenant.Home))
+		violations.addf("tenants.%s.home: %s is not a valid name", name, quoted(tenant.Home))
 	}
 }
 
-// checkKeys checks the keys of one tenant and adds them to owners, which has
-// the tenant of each key seen before.
-func checkKeys(broken *violations, name string, hashes []string, owners map[string]string) {
+// checkKeys checks the key hashes of one tenant and adds them to owners, which
+// maps each key hash checked so far to its tenant.
+func checkKeys(violations *violationList, name string, hashes []string, owners map[string]string) {
 	if len(hashes) > MaxKeys {
-		broken.add("tenants.%s.keys: %d keys; the bound is %d", name, len(hashes), MaxKeys)
+		violations.addf("tenants.%s.keys: %d keys exceed the limit of %d", name, len(hashes), MaxKeys)
 	}
 	for _, hash := range hashes {
 		if !ValidKeyHash(hash) {
-			broken.add("tenants.%s.keys: %s is not 64 lower-case hexadecimal digits", name, quoted(hash))
+			violations.addf("tenants.%s.keys: %s is not 64 lower-case hexadecimal digits", name, quoted(hash))
 			continue
 		}
 		if owner, taken := owners[hash]; taken {
-			broken.addSharedKey(name, hash, owner)
+			violations.addSharedKey(name, hash, owner)
 			continue
 		}
 		owners[hash] = name
 	}
 }
 
-// checkKeysOfOthers reports keys of the tenants named, of which owners has the
-// tenant, that belong to another tenant too.
-func (s *Sheet) checkKeysOfOthers(broken *violations, names []string, owners map[string]string) {
+// checkKeysAgainstOthers reports the keys of the named tenants that also belong to
+// another tenant. The keys of owners are the key hashes of the named tenants.
+func (s *Sheet) checkKeysAgainstOthers(violations *violationList, names []string, owners map[string]string) {
 	otherOwners := make(map[string]string)
 	for other, tenant := range s.Tenants {
 		for _, hash := range tenant.KeyHashes {
-			if owner, known := owners[hash]; known && owner != other {
+			if owner, hasOwner := owners[hash]; hasOwner && owner != other {
 				otherOwners[hash] = other
 			}
 		}
@@ -169,46 +171,48 @@
 	for _, name := range names {
 		for _, hash := range s.Tenants[name].KeyHashes {
 			if other, shared := otherOwners[hash]; shared {
-				broken.addSharedKey(name, hash, other)
+				violations.addSharedKey(name, hash, other)
 			}
 		}
 	}
 }
 
-// addSharedKey reports a key that two tenants have, by its first digits.
-func (v *violations) addSharedKey(name, hash, owner string) {
-	v.add("tenants.%s.keys: %s… is already a key of %s", name, hash[:8], owner)
+// addSharedKey reports a key that two tenants share, identified by the first
+// digits of its hash.
+func (v *violationList) addSharedKey(name, hash, owner string) {
+	v.addf("tenants.%s.keys: %s… is already a key of %s", name, hash[:8], owner)
 }
 
-func (s *Sheet) checkSettings(broken *violations) {
+func (s *Sheet) checkSettings(violations *violationList) {
 	for _, name := range sortedNames(s.Settings) {
 		for part := range strings.SplitSeq(name, ".") {
 			if !ValidName(part) {
-				broken.add("settings: %s is no name", quoted(name))
+				violations.addf("settings: %s is not a valid name", quoted(name))
 				break
 			}
 		}
-		if value := s.Settings[name]; len(value) > MaxSetting || !utf8.ValidString(value) {
-			broken.add("settings.%s: not a text of at most %d bytes", excerpt(name), MaxSetting)
+		if value := s.Settings[name]; len(value) > MaxSettingBytes || !utf8.ValidString(value) {
+			violations.addf("settings.%s: the value of %d bytes is not valid UTF-8 or exceeds the limit of %d bytes",
+				excerpt(name), len(value), MaxSettingBytes)
 		}
 	}
 }
 
-// SettingValidator checks the name and value of a run-time setting. Its error
-// is shown to the operator.
+// SettingValidator checks the name and value of a run-time setting. Its error is
+// returned to the operator.
 type SettingValidator func(name, value string) error
 
-// CheckSettings checks the values of the sheet's settings; a nil validator
-// accepts all.
+// CheckSettings checks the names and values of the sheet's settings with a
+// validator. A nil validator accepts all of them.
 func (s *Sheet) CheckSettings(validate SettingValidator) *apierror.Error {
 	if validate == nil {
 		return nil
 	}
-	var broken violations
+	var violations violationList
 	for _, name := range sortedNames(s.Settings) {
 		if err := validate(name, s.Settings[name]); err != nil {
-			broken.add("settings.%s: %v", name, err)
+			violations.addf("settings.%s: %v", name, err)
 		}
 	}
-	return broken.apiError(apierror.InvalidSheet)
+	return violations.apiError(apierror.InvalidSheet)
 }
--- a/internal/decision/sheet/check_routes.go
+++ b/internal/decision/sheet/check_routes.go
@@ -5,106 +5,106 @@
 	"strings"
 )
 
-func (s *Sheet) checkRoutes(broken *violations) {
+func (s *Sheet) checkRoutes(violations *violationList) {
 	if len(s.Routes) > MaxRoutes {
-		broken.add("routes: %d; the bound is %d", len(s.Routes), MaxRoutes)
+		violations.addf("routes: %d routes exceed the limit of %d", len(s.Routes), MaxRoutes)
 		return
 	}
-	type match struct{ host, prefix string }
-	matches := make(map[match]string, len(s.Routes))
+	type hostPrefix struct{ host, prefix string }
+	routeNames := make(map[hostPrefix]string, len(s.Routes))
 	for _, name := range sortedNames(s.Routes) {
 		if !ValidName(name) {
-			broken.add("routes: %s is no name", quoted(name))
+			violations.addf("routes: %s is not a valid name", quoted(name))
 			continue
 		}
 		route := s.Routes[name]
-		s.checkRoute(broken, "routes."+name, route)
-		key := match{strings.ToLower(route.Host), route.Prefix}
-		if other, taken := matches[key]; taken {
-			broken.add("routes.%s: routes.%s has the same host and prefix", name, other)
+		s.checkRoute(violations, "routes."+name, route)
+		key := hostPrefix{strings.ToLower(route.Host), route.Prefix}
+		if other, taken := routeNames[key]; taken {
+			violations.addf("routes.%s: routes.%s has the same host and prefix", name, other)
 		}
-		matches[key] = name
+		routeNames[key] = name
 	}
 }
 
-func (s *Sheet) checkRoute(broken *violations, cell string, route Route) {
-	if route.Host == "" || len(route.Host) > MaxHost {
-		broken.add("%s.host: not of 1 to %d bytes", cell, MaxHost)
+func (s *Sheet) checkRoute(violations *violationList, cell string, route Route) {
+	if route.Host == "" || len(route.Host) > MaxHostBytes {
+		violations.addf("%s.host: the length of %d bytes is not between 1 and %d", cell, len(route.Host), MaxHostBytes)
 	}
-	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") || len(route.Prefix) > MaxPathPrefix {
-		broken.add("%s.prefix: %s does not begin and end with a slash", cell, quoted(route.Prefix))
+	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") || len(route.Prefix) > MaxPrefixBytes {
+		violations.addf("%s.prefix: %s does not begin and end with a slash, or exceeds the limit of %d bytes", cell, quoted(route.Prefix), MaxPrefixBytes)
 	}
 	if !slices.Contains([]string{RouteSafe, RouteUnsafe, RouteStream}, route.Kind) {
-		broken.add("%s.kind: %s is none of safe, unsafe and stream", cell, quoted(route.Kind))
+		violations.addf("%s.kind: %s is not one of safe, unsafe and stream", cell, quoted(route.Kind))
 	}
-	if route.TimeoutMS <= 0 || route.TimeoutMS > MaxMillisecond {
-		broken.add("%s.timeout_ms: %d is out of bounds", cell, route.TimeoutMS)
+	if route.TimeoutMS <= 0 || route.TimeoutMS > MaxDurationMS {
+		violations.addf("%s.timeout_ms: %d is not between 1 and %d", cell, route.TimeoutMS, MaxDurationMS)
 	}
 	for column, value := range map[string]int{"objective_ms": route.ObjectiveMS, "gap_ms": route.GapMS} {
-		if value < 0 || value > MaxMillisecond {
-			broken.add("%s.%s: %d is out of bounds", cell, column, value)
+		if value < 0 || value > MaxDurationMS {
+			violations.addf("%s.%s: %d is not between 0 and %d", cell, column, value, MaxDurationMS)
 		}
 	}
 	if route.Priority < 0 || route.Priority > MaxPriority {
-		broken.add("%s.priority: %d is out of bounds", cell, route.Priority)
+		violations.addf("%s.priority: %d is not between 0 and %d", cell, route.Priority, MaxPriority)
 	}
 	if route.Attempts < 0 || route.Attempts > MaxSplits {
-		broken.add("%s.attempts: %d is out of bounds", cell, route.Attempts)
+		violations.addf("%s.attempts: %d is not between 0 and %d", cell, route.Attempts, MaxSplits)
 	}
-	s.checkSplits(broken, cell, route.Splits)
-	checkHomes(broken, cell, route.Homes)
+	s.checkSplits(violations, cell, route.Splits)
+	checkHomes(violations, cell, route.Homes)
 }
 
-func (s *Sheet) checkSplits(broken *violations, cell string, splits []Split) {
+func (s *Sheet) checkSplits(violations *violationList, cell string, splits []Split) {
 	if len(splits) > MaxSplits {
-		broken.add("%s.splits: %d; the bound is %d", cell, len(splits), MaxSplits)
+		violations.addf("%s.splits: %d splits exceed the limit of %d", cell, len(splits), MaxSplits)
 		return
 	}
 	total := 0.0
 	for i, split := range splits {
-		service, known := s.Services[split.Service]
+		service, exists := s.Services[split.Service]
 		switch {
-		case !known:
-			broken.add("%s.splits.%d: no service %s", cell, i, quoted(split.Service))
+		case !exists:
+			violations.addf("%s.splits.%d: no service %s", cell, i, quoted(split.Service))
 		case service.Kind != KindHTTP:
-			broken.add("%s.splits.%d: %s is not an http service", cell, i, split.Service)
+			violations.addf("%s.splits.%d: %s is not an http service", cell, i, split.Service)
 		}
 		if !validNumber(split.Weight) {
-			broken.add("%s.splits.%d: weight %v is out of bounds", cell, i, split.Weight)
+			violations.addf("%s.splits.%d: weight %v is out of bounds", cell, i, split.Weight)
 			continue
 		}
 		total += split.Weight
 	}
 	if total <= 0 {
-		broken.add("%s.splits: no service has a weight above zero", cell)
+		violations.addf("%s.splits: no service has a weight above zero", cell)
 	}
 }
 
-// checkHomes checks the regions that a route or tenant is restricted to.
-func checkHomes(broken *violations, cell string, homes []string) {
+// checkHomes checks the regions to which a route or tenant is restricted.
+func checkHomes(violations *violationList, cell string, homes []string) {
 	if len(homes) > MaxHomes {
-		broken.add("%s.homes: %d; the bound is %d", cell, len(homes), MaxHomes)
+		violations.addf("%s.homes: %d regions exceed the limit of %d", cell, len(homes), MaxHomes)
 	}
 	for _, home := range homes {
 		if !ValidName(home) {
-			broken.add("%s.homes: %s is no name", cell, quoted(home))
+			violations.addf("%s.homes: %s is not a valid name", cell, quoted(home))
 		}
 	}
 }
 
-func (s *Sheet) checkLimits(broken *violations) {
+func (s *Sheet) checkLimits(violations *violationList) {
 	if s.Limits == nil {
 		return
 	}
-	columns := map[string]int{
+	values := map[string]int{
 		"header_bytes":      s.Limits.HeaderBytes,
 		"body_bytes":        s.Limits.BodyBytes,
 		"header_timeout_ms": s.Limits.HeaderTimeoutMS,
 		"idle_timeout_ms":   s.Limits.IdleTimeoutMS,
 	}
-	for column, value := range columns {
+	for column, value := range values {
 		if value < 0 || value > MaxClientLimit {
-			broken.add("limits.%s: %d is out of bounds", column, value)
+			violations.addf("limits.%s: %d is not between 0 and %d", column, value, MaxClientLimit)
 		}
 	}
 }
--- a/internal/decision/sheet/csv.go
+++ b/internal/decision/sheet/csv.go
@@ -17,10 +17,10 @@
 
 var csvHeader = []string{"cell", "value"}
 
-// byteOrderMark precedes the text in files that some spreadsheets write.
+// byteOrderMark starts the files that some spreadsheet programs write.
 const byteOrderMark = "\ufeff"
 
-// ExportCSV returns the sheet as CSV with the columns cell and value, one row a
+// ExportCSV returns the sheet as CSV with the columns cell and value, one row per
 // cell.
 func (s *Sheet) ExportCSV() []byte {
 	var out bytes.Buffer
@@ -33,12 +33,13 @@
 	return out.Bytes()
 }
 
-// ImportCSV reads what ExportCSV wrote, from at most limit bytes, and checks
-// it. Rows may be in any order; an empty value leaves the cell unset. The error
-// names the lines that are wrong.
+// ImportCSV decodes a sheet from at most limit bytes of CSV in the format of
+// ExportCSV, and checks it. Rows may be in any order. An empty value leaves the
+// cell unset, except for a setting, which is set to the empty string. The error
+// names the invalid lines.
 func ImportCSV(data []byte, limit int) (*Sheet, *apierror.Error) {
 	if len(data) > limit {
-		return nil, apierror.Errorf(apierror.SheetTooLarge, "%d bytes; the bound is %d", len(data), limit)
+		return nil, apierror.Errorf(apierror.SheetTooLarge, "CSV of %d bytes exceeds the limit of %d bytes", len(data), limit)
 	}
 	reader := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(data, []byte(byteOrderMark))))
 	reader.FieldsPerRecord = len(csvHeader)
@@ -46,24 +47,24 @@
 	if err != nil || !slices.Equal(header, csvHeader) {
 		return nil, apierror.Errorf(apierror.InvalidSheet, "the first row must be cell,value")
 	}
-	imported := newImporter()
-	if apiErr := imported.readRows(reader); apiErr != nil {
+	importer := newCSVImporter()
+	if apiErr := importer.readRows(reader); apiErr != nil {
 		return nil, apiErr
 	}
-	if apiErr := imported.sheet.Check(); apiErr != nil {
+	if apiErr := importer.sheet.Check(); apiErr != nil {
 		return nil, apiErr
 	}
-	return &imported.sheet, nil
+	return &importer.sheet, nil
 }
 
-// importer builds a sheet from cells.
-type importer struct {
+// csvImporter builds a sheet from the cells of a CSV file.
+type csvImporter struct {
 	sheet Sheet
 	seen  map[string]bool
 }
 
-func newImporter() *importer {
-	return &importer{
+func newCSVImporter() *csvImporter {
+	return &csvImporter{
 		sheet: Sheet{
 			Services: make(map[string]Service),
 			Weights:  make(map[string]map[string]float64),
@@ -75,33 +76,33 @@
 	}
 }
 
-func (i *importer) readRows(reader *csv.Reader) *apierror.Error {
-	var broken violations
+func (i *csvImporter) readRows(reader *csv.Reader) *apierror.Error {
+	var violations violationList
 	for {
 		row, err := reader.Read()
 		if errors.Is(err, io.EOF) {
-			return broken.apiError(apierror.InvalidSheet)
+			return violations.apiError(apierror.InvalidSheet)
 		}
 		if err != nil {
 			return apierror.Errorf(apierror.InvalidSheet, "%v", err)
 		}
 		if problem := i.setText(strings.TrimSpace(row[0]), strings.TrimSpace(row[1])); problem != "" {
 			line, _ := reader.FieldPos(0)
-			broken.add("line %d: %s: %s", line, excerpt(row[0]), problem)
+			violations.addf("line %d: %s: %s", line, excerpt(row[0]), problem)
 		}
 	}
 }
 
-// setText sets the cell of a path to a value written as text.
-func (i *importer) setText(text, value string) (problem string) {
-	path, problem := splitPath(text)
+// setText sets a cell, addressed by its path, to a value given as text.
+func (i *csvImporter) setText(cell, value string) (problem string) {
+	path, problem := splitPath(cell)
 	if problem != "" {
 		return "no such cell"
 	}
-	if i.seen[text] {
+	if i.seen[cell] {
 		return "given twice"
 	}
-	i.seen[text] = true
+	i.seen[cell] = true
 	switch {
 	case path.table == tableSettings:
 		i.sheet.Settings[path.row] = value
@@ -109,7 +110,7 @@
 	case value == "":
 		return ""
 	case path.table == tableWeights && path.column == "":
-		return "not one cell"
+		return "not a cell that CSV can set"
 	case path.isRow():
 		return i.setRow(path, json.RawMessage(value))
 	case path.isNumeric():
@@ -118,10 +119,10 @@
 	return i.setString(path, value)
 }
 
-func (i *importer) setNumber(path cellPath, value string) (problem string) {
+func (i *csvImporter) setNumber(path cellPath, value string) (problem string) {
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil || !validNumber(number) {
-		return quoted(value) + " is no number from 0 to 1e12"
+		return quoted(value) + " is not a number from 0 to 1e12"
 	}
 	if path.table == tableWeights {
 		if i.sheet.Weights[path.row] == nil {
@@ -141,7 +142,7 @@
 	return ""
 }
 
-func (i *importer) setString(path cellPath, value string) (problem string) {
+func (i *csvImporter) setString(path cellPath, value string) (problem string) {
 	switch path.column {
 	case columnKind:
 		updateRow(i.sheet.Services, path.row, func(service *Service) { service.Kind = value })
@@ -150,20 +151,20 @@
 	case columnKeys:
 		updateRow(i.sheet.Tenants, path.row, func(tenant *Tenant) { tenant.KeyHashes = splitHashes(value) })
 	default:
-		return "not one cell"
+		return "not a cell that CSV can set"
 	}
 	return ""
 }
 
-// updateRow changes a row, which is added where there is none.
+// updateRow updates a row in place, adding it if it does not exist.
 func updateRow[V any](rows map[string]V, name string, update func(*V)) {
 	row := rows[name]
 	update(&row)
 	rows[name] = row
 }
 
-// setRow sets a row that is written as one cell.
-func (i *importer) setRow(path cellPath, value json.RawMessage) (problem string) {
+// setRow sets a row whose value is given as one JSON cell.
+func (i *csvImporter) setRow(path cellPath, value json.RawMessage) (problem string) {
 	switch path.table {
 	case tableServices:
 		return importRow(i.sheet.Services, path.row, value, serviceSchema)
--- a/internal/decision/sheet/index.go
+++ b/internal/decision/sheet/index.go
@@ -10,19 +10,20 @@
 	"strings"
 )
 
-// HashKey returns a key's SHA-256 in lower-case hexadecimal, as sheets have it.
+// HashKey returns the SHA-256 of a key in lower-case hexadecimal, the form in
+// which sheets contain keys.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Index finds the tenants and routes of one sheet by a request's key, host and
-// path. It is immutable.
+// Index looks up the tenant of a request by its key, and its route by host and
+// path, in one sheet. It is immutable.
 type Index struct {
 	sheet *Sheet
-	// keys has the keys by the first bytes of their hashes.
+	// keys contains the tenants' keys by keyBucket of their hashes.
 	keys map[uint64][]tenantKey
-	// routes has the routes by lower-case host, the longest prefix first.
+	// routes contains the routes by lower-case host, longest prefix first.
 	routes map[string][]NamedRoute
 }
 
@@ -37,7 +38,7 @@
 	tenant string
 }
 
-// NewIndex builds the index of a sheet, which may be nil.
+// NewIndex returns the index of a sheet, which may be nil.
 func NewIndex(sheet *Sheet) *Index {
 	index := &Index{sheet: sheet}
 	if sheet == nil {
@@ -46,9 +47,9 @@
 	index.routes = routesByHost(sheet.Routes)
 	index.keys = make(map[uint64][]tenantKey, len(sheet.Tenants))
 	for name, tenant := range sheet.Tenants {
-		for _, text := range tenant.KeyHashes {
+		for _, encodedHash := range tenant.KeyHashes {
 			key := tenantKey{tenant: name}
-			if length, err := hex.Decode(key.hash[:], []byte(text)); err != nil || length != len(key.hash) {
+			if length, err := hex.Decode(key.hash[:], []byte(encodedHash)); err != nil || length != len(key.hash) {
 				continue
 			}
 			bucket := keyBucket(key.hash)
@@ -58,11 +59,11 @@
 	return index
 }
 
-// keyBucket returns the first bytes of a hash as a number.
+// keyBucket returns the first 8 bytes of a hash as a number.
 func keyBucket(hash [sha256.Size]byte) uint64 { return binary.BigEndian.Uint64(hash[:]) }
 
-// ForSheet returns the index of another sheet, which is the receiver itself
-// where the sheet is the same one.
+// ForSheet returns the index of the given sheet: the receiver if it was built from
+// that sheet, otherwise a new index. The receiver may be nil.
 func (x *Index) ForSheet(s *Sheet) *Index {
 	if x != nil && x.sheet == s {
 		return x
@@ -70,20 +71,20 @@
 	return NewIndex(s)
 }
 
-// Tenant returns the tenant that a caller's key belongs to. The full hash is
-// compared in constant time.
+// Tenant returns the name and row of the tenant that a caller's key belongs to,
+// and whether there is one. Full hashes are compared in constant time.
 func (x *Index) Tenant(key string) (string, Tenant, bool) {
 	hash := sha256.Sum256([]byte(key))
-	found := ""
+	owner := ""
 	for _, candidate := range x.keys[keyBucket(hash)] {
 		if subtle.ConstantTimeCompare(candidate.hash[:], hash[:]) == 1 {
-			found = candidate.tenant
+			owner = candidate.tenant
 		}
 	}
-	if found == "" {
+	if owner == "" {
 		return "", Tenant{}, false
 	}
-	return found, x.sheet.Tenants[found], true
+	return owner, x.sheet.Tenants[owner], true
 }
 
 func routesByHost(routes map[string]Route) map[string][]NamedRoute {
@@ -98,8 +99,8 @@
 	return hosts
 }
 
-// Route returns the route of a request: among those of its host the one with
-// the longest prefix that begins its path.
+// Route returns the route of a request, which is the route of its host with the
+// longest prefix that matches its path, and whether there is one.
 func (x *Index) Route(host, path string) (*NamedRoute, bool) {
 	hostRoutes := x.routes[strings.ToLower(host)]
 	for i := range hostRoutes {
@@ -110,5 +111,6 @@
 	return nil, false
 }
 
-// Sheet returns the sheet that the index was built from; nil before the first.
+// Sheet returns the sheet that the index was built from. It is nil if there was no
+// sheet yet.
 func (x *Index) Sheet() *Sheet { return x.sheet }
--- a/internal/decision/sheet/merge.go
+++ b/internal/decision/sheet/merge.go
@@ -2,16 +2,17 @@
 
 import "maps"
 
-// Removal names the rows that a merge removes.
+// Removal lists the names of the rows that a merge removes.
 type Removal struct {
 	Routes   []string `json:"routes,omitempty"`
 	Services []string `json:"services,omitempty"`
 	Tenants  []string `json:"tenants,omitempty"`
 }
 
-// Merge returns the sheet with rows added, or replaced by name, after others
-// were removed; to remove a name that is absent has no effect. The result is
-// not checked; the sheet itself, which may be nil, stays as it is.
+// Merge returns a copy of the sheet without the rows of remove and with the rows
+// of upsert added, or replaced by name. Removals come first; names that do not
+// exist are ignored. The result is not checked. The receiver may be nil and is
+// not modified.
 func (s *Sheet) Merge(upsert *Sheet, remove Removal) *Sheet {
 	merged := Sheet{}
 	if s != nil {
@@ -34,12 +35,12 @@
 	return &merged
 }
 
-// mergeRows returns the same map where nothing changes, otherwise a copy.
+// mergeRows returns the same map if nothing changes, otherwise a modified copy.
 func mergeRows[V any](rows, upsert map[string]V, remove []string) map[string]V {
 	if len(upsert) == 0 && len(remove) == 0 {
 		return rows
 	}
-	merged := cloned(rows)
+	merged := cloneOrNew(rows)
 	for _, name := range remove {
 		delete(merged, name)
 	}
@@ -47,8 +48,8 @@
 	return merged
 }
 
-// cloned returns a copy of a table that may be written; of nil, an empty one.
-func cloned[V any](rows map[string]V) map[string]V {
+// cloneOrNew returns a writable copy of a table, or a new table for nil.
+func cloneOrNew[V any](rows map[string]V) map[string]V {
 	if rows == nil {
 		return make(map[string]V)
 	}
--- a/internal/decision/sheet/names.go
+++ b/internal/decision/sheet/names.go
@@ -9,16 +9,16 @@
 	"unicode/utf8"
 )
 
-// keyHashDigits is the length of a SHA-256 in hexadecimal.
+// keyHashDigits is the number of hexadecimal digits of a SHA-256 hash.
 const keyHashDigits = 64
 
-// ZoneName returns the name of a zone of a region, such as lagos/a.
+// ZoneName returns the name of a zone qualified by its region, such as lagos/a.
 func ZoneName(region, zone string) string { return region + "/" + zone }
 
-// ValidName reports whether a sheet may contain the name: 1 to MaxName bytes of
-// letters, digits, _ and -.
+// ValidName reports whether a name may appear in a sheet: 1 to MaxNameBytes bytes
+// of valid UTF-8, consisting of letters, digits, combining marks, _ and -.
 func ValidName(name string) bool {
-	if name == "" || len(name) > MaxName || !utf8.ValidString(name) {
+	if name == "" || len(name) > MaxNameBytes || !utf8.ValidString(name) {
 		return false
 	}
 	for _, r := range name {
@@ -29,13 +29,15 @@
 	return true
 }
 
-// ValidZoneName reports whether a name is that of a region or of a zone.
+// ValidZoneName reports whether a name has the form of a region, or of a zone
+// qualified by its region.
 func ValidZoneName(name string) bool {
 	region, zone, hasZone := strings.Cut(name, "/")
 	return ValidName(region) && (!hasZone || ValidName(zone))
 }
 
-// ValidKeyHash reports whether a text is a SHA-256 in lower-case hexadecimal.
+// ValidKeyHash reports whether a string is a SHA-256 hash in lower-case
+// hexadecimal.
 func ValidKeyHash(hash string) bool {
 	if len(hash) != keyHashDigits {
 		return false
--- a/internal/decision/sheet/parse.go
+++ b/internal/decision/sheet/parse.go
@@ -5,11 +5,12 @@
 	"stepwick/internal/decision/strictjson"
 )
 
-// ParseSheet reads a sheet from at most limit bytes of JSON and checks it.
-// Unknown or repeated names, nulls, wrong types and trailing data are refused.
+// ParseSheet decodes a sheet from at most limit bytes of JSON and checks it. It
+// rejects unknown or repeated names, nulls, values of the wrong type and trailing
+// data.
 func ParseSheet(data []byte, limit int) (*Sheet, *apierror.Error) {
 	if len(data) > limit {
-		return nil, apierror.Errorf(apierror.SheetTooLarge, "%d bytes; the bound is %d", len(data), limit)
+		return nil, apierror.Errorf(apierror.SheetTooLarge, "sheet of %d bytes exceeds the limit of %d bytes", len(data), limit)
 	}
 	var s Sheet
 	if apiErr := strictjson.Decode(data, Schema, apierror.InvalidSheet, &s); apiErr != nil {
--- a/internal/decision/sheet/patch.go
+++ b/internal/decision/sheet/patch.go
@@ -9,48 +9,50 @@
 	"stepwick/internal/decision/strictjson"
 )
 
-// Patch returns a sheet with the changes made in their order, and checked. It
-// copies the tables and rows that change, each once, and shares the rest;
-// tenants that don't change aren't checked again, which is why the receiver must
-// be valid. A nil sheet is empty.
+// Patch applies the changes in order to a copy of the sheet, checks the copy and
+// returns it. It copies each table and row that changes once and shares the rest
+// with the receiver. Tenants that do not change are not checked again, so the
+// receiver must be valid. A nil receiver is an empty sheet.
 func (s *Sheet) Patch(changes []Change) (*Sheet, *apierror.Error) {
 	if len(changes) == 0 {
-		return nil, apierror.Errorf(apierror.InvalidChange, "no changes")
+		return nil, apierror.Errorf(apierror.InvalidChange, "the patch has no changes")
 	}
 	if len(changes) > MaxChanges {
-		return nil, apierror.Errorf(apierror.InvalidChange, "%d changes; the bound is %d", len(changes), MaxChanges)
+		return nil, apierror.Errorf(apierror.InvalidChange, "%d changes exceed the limit of %d", len(changes), MaxChanges)
 	}
-	edited := newEditor(s, len(changes))
-	var broken violations
+	editor := newSheetEditor(s, len(changes))
+	var violations violationList
 	for _, change := range changes {
-		if problem := edited.apply(change); problem != "" {
-			broken.add("%s: %s", excerpt(change.Path), problem)
+		if problem := editor.apply(change); problem != "" {
+			violations.addf("%s: %s", excerpt(change.Path), problem)
 		}
 	}
-	if apiErr := broken.apiError(apierror.InvalidChange); apiErr != nil {
+	if apiErr := violations.apiError(apierror.InvalidChange); apiErr != nil {
 		return nil, apiErr
 	}
-	if apiErr := edited.sheet.check(sortedNames(edited.changedTenants)); apiErr != nil {
+	if apiErr := editor.sheet.check(sortedNames(editor.changedTenants)); apiErr != nil {
 		return nil, apiErr
 	}
-	return &edited.sheet, nil
+	return &editor.sheet, nil
 }
 
-// editor applies changes to a sheet of which it copies what it writes. Its
-// methods return what is wrong with a change, or an empty text.
-type editor struct {
+// sheetEditor applies changes to a sheet and copies tables and rows before it
+// writes to them. Its methods return a description of what is wrong with a change,
+// or an empty string.
+type sheetEditor struct {
 	sheet Sheet
-	// copiedTables and copiedWeights name the tables and rows of weights that
-	// are the editor's own and may be written.
+	// copiedTables and copiedWeights contain the names of the tables and of the
+	// rows of weights that have been copied and may be written to.
 	copiedTables  map[string]bool
 	copiedWeights map[string]bool
-	// changedTenants names the tenants that must be checked.
+	// changedTenants contains the names of the tenants that must be checked.
 	changedTenants map[string]bool
-	seen           map[string]bool
+	// seen contains the paths of the changes applied so far.
+	seen map[string]bool
 }
 
-func newEditor(s *Sheet, changes int) *editor {
-	e := &editor{
+func newSheetEditor(s *Sheet, changes int) *sheetEditor {
+	e := &sheetEditor{
 		copiedTables:   make(map[string]bool),
 		copiedWeights:  make(map[string]bool),
 		changedTenants: make(map[string]bool),
@@ -62,7 +64,7 @@
 	return e
 }
 
-func (e *editor) apply(change Change) (problem string) {
+func (e *sheetEditor) apply(change Change) (problem string) {
 	path, problem := splitPath(change.Path)
 	if problem != "" {
 		return problem
@@ -73,8 +75,8 @@
 		return "given twice"
 	}
 	e.seen[change.Path] = true
-	if !change.isComplete() {
-		return "give either a value or delete"
+	if !change.isWellFormed() {
+		return "must have either a value or delete"
 	}
 	switch path.table {
 	case tableServices:
@@ -91,18 +93,18 @@
 	return editRow(e, path, &e.sheet.Settings, change, strictjson.String, "no such setting")
 }
 
-// makeWritable copies a table before its first change.
-func makeWritable[V any](e *editor, table string, rows *map[string]V) {
+// makeWritable copies a table unless it has already been copied.
+func makeWritable[V any](e *sheetEditor, table string, rows *map[string]V) {
 	if !e.copiedTables[table] {
-		*rows = cloned(*rows)
+		*rows = cloneOrNew(*rows)
 		e.copiedTables[table] = true
 	}
 }
 
-// editRow sets or deletes a row that is one value.
-func editRow[V any](editor *editor, path cellPath, rows *map[string]V, change Change, schema *strictjson.Schema, unknown string) string {
-	if _, known := (*rows)[path.row]; !known && change.Delete {
-		return unknown
+// editRow sets or deletes a row that has no separate cells.
+func editRow[V any](editor *sheetEditor, path cellPath, rows *map[string]V, change Change, schema *strictjson.Schema, notFoundProblem string) string {
+	if _, exists := (*rows)[path.row]; !exists && change.Delete {
+		return notFoundProblem
 	}
 	makeWritable(editor, path.table, rows)
 	if change.Delete {
@@ -117,9 +119,9 @@
 	return ""
 }
 
-func (e *editor) editService(path cellPath, change Change) string {
-	service, known := e.sheet.Services[path.row]
-	if !known && (path.column != "" || change.Delete) {
+func (e *sheetEditor) editService(path cellPath, change Change) string {
+	service, exists := e.sheet.Services[path.row]
+	if !exists && (path.column != "" || change.Delete) {
 		return "no such service; a new one is set as a whole row"
 	}
 	makeWritable(e, tableServices, &e.sheet.Services)
@@ -134,7 +136,7 @@
 	return ""
 }
 
-// edit sets or clears a column; the empty column is the whole row.
+// edit sets or clears a column. The empty column stands for the whole row.
 func (s *Service) edit(column string, change Change) (problem string) {
 	switch {
 	case column == "":
@@ -148,16 +150,17 @@
 	case column == columnKind && !change.Delete:
 		return decodeValue(change.Value, strictjson.String, &s.Kind)
 	}
-	return cannotDelete
+	return cannotDeleteProblem
 }
 
-// cannotDelete is what is wrong with deleting a cell that every row has.
-const cannotDelete = "it can't be deleted"
+// cannotDeleteProblem describes an attempt to delete a cell that every row must
+// have.
+const cannotDeleteProblem = "this cell can't be deleted"
 
-func (e *editor) editWeights(path cellPath, change Change) string {
-	weights, known := e.sheet.Weights[path.row]
+func (e *sheetEditor) editWeights(path cellPath, change Change) string {
+	weights, exists := e.sheet.Weights[path.row]
 	if change.Delete {
-		if _, hasRegion := weights[path.column]; !known || path.column != "" && !hasRegion {
+		if _, hasRegion := weights[path.column]; !exists || path.column != "" && !hasRegion {
 			return "no such cell"
 		}
 	}
@@ -166,7 +169,7 @@
 		return e.editAllWeights(path.row, change)
 	}
 	if !e.copiedWeights[path.row] || weights == nil {
-		weights = cloned(weights)
+		weights = cloneOrNew(weights)
 		e.sheet.Weights[path.row] = weights
 		e.copiedWeights[path.row] = true
 	}
@@ -182,8 +185,8 @@
 	return ""
 }
 
-// editAllWeights sets or deletes all the weights of a service.
-func (e *editor) editAllWeights(service string, change Change) string {
+// editAllWeights sets or deletes all weights of a service.
+func (e *sheetEditor) editAllWeights(service string, change Change) string {
 	if change.Delete {
 		delete(e.sheet.Weights, service)
 		return ""
@@ -197,9 +200,9 @@
 	return ""
 }
 
-func (e *editor) editTenant(path cellPath, change Change) string {
-	tenant, known := e.sheet.Tenants[path.row]
-	if !known && (path.column != "" || change.Delete) {
+func (e *sheetEditor) editTenant(path cellPath, change Change) string {
+	tenant, exists := e.sheet.Tenants[path.row]
+	if !exists && (path.column != "" || change.Delete) {
 		return "no such tenant; a new one is set as a whole row"
 	}
 	makeWritable(e, tableTenants, &e.sheet.Tenants)
@@ -221,7 +224,7 @@
 	return problem
 }
 
-// clear empties a column.
+// clear resets an optional column.
 func (t *Tenant) clear(column string) (problem string) {
 	switch column {
 	case columnBurst:
@@ -231,12 +234,12 @@
 	case columnKeys:
 		t.KeyHashes = nil
 	default:
-		return cannotDelete
+		return cannotDeleteProblem
 	}
 	return ""
 }
 
-// set sets a column; the empty column is the whole row.
+// set sets a column. The empty column stands for the whole row.
 func (t *Tenant) set(column string, value json.RawMessage) (problem string) {
 	switch column {
 	case "":
@@ -249,7 +252,8 @@
 	case columnHome:
 		return decodeValue(value, strictjson.String, &t.Home)
 	case columnKeys:
-		// The array is shared with the sheet before: it must not be decoded into.
+		// The slice shares its array with the original sheet: decoding into it would
+		// modify that sheet.
 		t.KeyHashes = nil
 		return decodeValue(value, strictjson.StringList, &t.KeyHashes)
 	case columnAddKey:
@@ -266,7 +270,7 @@
 		return problem
 	}
 	if slices.Contains(t.KeyHashes, hash) {
-		return "the key is there already"
+		return "the tenant already has this key"
 	}
 	t.KeyHashes = append(slices.Clip(t.KeyHashes), hash)
 	return ""
@@ -277,15 +281,15 @@
 	if problem := decodeValue(value, strictjson.String, &hash); problem != "" {
 		return problem
 	}
-	at := slices.Index(t.KeyHashes, hash)
-	if at < 0 {
+	index := slices.Index(t.KeyHashes, hash)
+	if index < 0 {
 		return "no such key"
 	}
-	t.KeyHashes = slices.Concat(t.KeyHashes[:at], t.KeyHashes[at+1:])
+	t.KeyHashes = slices.Concat(t.KeyHashes[:index], t.KeyHashes[index+1:])
 	return ""
 }
 
-func (e *editor) editLimits(change Change) string {
+func (e *sheetEditor) editLimits(change Change) string {
 	if change.Delete {
 		e.sheet.Limits = nil
 		return ""
@@ -298,14 +302,14 @@
 	return ""
 }
 
-// decodeValue decodes the JSON of one cell or row, or returns what is wrong
-// with it.
-func decodeValue(value json.RawMessage, schema *strictjson.Schema, into any) (problem string) {
+// decodeValue decodes the JSON of one cell or row into target. It returns a
+// description of what is wrong with the value, or an empty string.
+func decodeValue(value json.RawMessage, schema *strictjson.Schema, target any) (problem string) {
 	if apiErr := strictjson.Validate(value, schema, apierror.InvalidChange); apiErr != nil {
 		return apiErr.Detail
 	}
-	if err := json.NewDecoder(bytes.NewReader(value)).Decode(into); err != nil {
-		return "its value is out of bounds"
+	if err := json.NewDecoder(bytes.NewReader(value)).Decode(target); err != nil {
+		return "the value is out of bounds or not an integer"
 	}
 	return ""
 }
--- a/internal/decision/sheet/patch_test.go
+++ b/internal/decision/sheet/patch_test.go
@@ -7,7 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-func TestPatchChecksChangedTenants(t *testing.T) {
+// Patch checks only the tenants that it changes, so an invalid row or a key shared
+// with an unchanged tenant could pass. It must accept exactly the patches after
+// which Check accepts the whole sheet.
+func TestPatchAgreesWithFullCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := sampleSheet()
 		var changes []Change
@@ -17,16 +20,16 @@
 			changes = append(changes, Change{Path: "tenants." + name, Value: json.RawMessage(row)})
 		}
 		edited := *base
-		edited.Tenants = cloned(base.Tenants)
-		e := editor{sheet: edited, copiedTables: map[string]bool{tableTenants: true}, copiedWeights: map[string]bool{},
+		edited.Tenants = cloneOrNew(base.Tenants)
+		e := sheetEditor{sheet: edited, copiedTables: map[string]bool{tableTenants: true}, copiedWeights: map[string]bool{},
 			changedTenants: map[string]bool{}, seen: map[string]bool{}}
-		twice := ""
+		problems := ""
 		for _, change := range changes {
-			twice += e.apply(change)
+			problems += e.apply(change)
 		}
-		sound := twice == "" && e.sheet.Check() == nil
-		if _, apiErr := base.Patch(changes); (apiErr == nil) != sound {
-			t.Fatalf("a patch gave %v; the check of the full sheet gave %v", apiErr, e.sheet.Check())
+		valid := problems == "" && e.sheet.Check() == nil
+		if _, apiErr := base.Patch(changes); (apiErr == nil) != valid {
+			t.Fatalf("Patch returned %v; Check of the patched sheet returned %v", apiErr, e.sheet.Check())
 		}
 	})
 }
--- a/internal/decision/sheet/path.go
+++ b/internal/decision/sheet/path.go
@@ -9,7 +9,7 @@
 	"stepwick/internal/decision/strictjson"
 )
 
-// Names of the tables, as paths and JSON have them.
+// Names of the tables in paths and in JSON.
 const (
 	tableServices = "services"
 	tableWeights  = "weights"
@@ -19,14 +19,14 @@
 	tableSettings = "settings"
 )
 
-// rowTables are the tables whose rows are JSON values: all but the settings,
-// whose cells are texts.
+// rowTables lists the tables whose rows are JSON values. Settings are not among
+// them: their values are strings.
 var rowTables = []string{tableServices, tableWeights, tableTenants, tableRoutes, tableLimits}
 
-// limitsPath is the only row of the limits of clients.
+// limitsPath is the path of the only row of the limits table.
 const limitsPath = tableLimits + ".clients"
 
-// Names of the columns that are cells of their own.
+// Names of the columns that a path can address as separate cells.
 const (
 	columnKind        = "kind"
 	columnPlainTokens = "plain_tokens"
@@ -38,17 +38,17 @@
 	columnRemoveKey   = "keys-" // removes one hash
 )
 
-// columns has the columns of the tables whose rows have any.
+// columns lists, by table, the columns that a path can address.
 var columns = map[string][]string{
 	tableServices: {columnKind, columnPlainTokens},
 	tableTenants:  {columnRate, columnBurst, columnHome, columnKeys, columnAddKey, columnRemoveKey},
 }
 
-// cellPath is a parsed path. The column is empty where the path is a whole
-// row's; a weight's column is its region.
+// cellPath is a parsed path. The column is empty if the path addresses a whole
+// row. The column of a weight is its region.
 type cellPath struct{ table, row, column string }
 
-// parsePath parses the path of a cell or row; the error names it.
+// parsePath parses the path of a cell or row. The error includes the path.
 func parsePath(path string) (cellPath, *apierror.Error) {
 	parsed, problem := splitPath(path)
 	if problem != "" {
@@ -57,32 +57,32 @@
 	return parsed, nil
 }
 
-// splitPath parses a path, or returns what is wrong with it.
+// splitPath parses a path, or returns a description of what is wrong with it.
 func splitPath(path string) (parsed cellPath, problem string) {
 	table, rest, ok := strings.Cut(path, ".")
 	if !ok || rest == "" {
 		return cellPath{}, "no such cell"
 	}
 	if table == tableSettings {
-		// Names of settings contain dots.
+		// The names of settings contain dots.
 		return cellPath{table: table, row: rest}, ""
 	}
 	if !slices.Contains(rowTables, table) {
-		return cellPath{}, "no such table; there are services, weights, tenants, routes, limits and settings"
+		return cellPath{}, "no such table; the tables are services, weights, tenants, routes, limits and settings"
 	}
 	row, column, hasColumn := strings.Cut(rest, ".")
 	if !ValidName(row) {
-		return cellPath{}, "its row is no name"
+		return cellPath{}, "the row is not a valid name"
 	}
 	if !hasColumn {
 		if table == tableLimits && path != limitsPath {
-			return cellPath{}, "the limits have one row, " + limitsPath
+			return cellPath{}, "the only row of the limits is " + limitsPath
 		}
 		return cellPath{table: table, row: row}, ""
 	}
 	if table == tableWeights {
 		if !ValidName(column) {
-			return cellPath{}, "its region is no name"
+			return cellPath{}, "the region is not a valid name"
 		}
 	} else if !slices.Contains(columns[table], column) {
 		return cellPath{}, "no such column"
@@ -90,12 +90,12 @@
 	return cellPath{table: table, row: row, column: column}, ""
 }
 
-// isRow reports whether the path is that of a whole row, which is JSON.
+// isRow reports whether the path addresses a whole row, whose value is JSON.
 func (p cellPath) isRow() bool {
 	return p.row != "" && p.column == "" && p.table != tableSettings
 }
 
-// isNumeric reports whether the cell is a number.
+// isNumeric reports whether the value of the cell is a number.
 func (p cellPath) isNumeric() bool {
 	if p.table == tableWeights {
 		return p.column != ""
@@ -103,7 +103,7 @@
 	return p.column == columnRate || p.column == columnBurst || p.column == columnPlainTokens
 }
 
-// quoted returns a text that came from outside for use in an error.
+// quoted returns untrusted input, shortened and quoted for use in an error.
 func quoted(text string) string { return strconv.Quote(excerpt(text)) }
 
 func excerpt(text string) string { return strictjson.Excerpt(text) }
--- a/internal/decision/sheet/routes_test.go
+++ b/internal/decision/sheet/routes_test.go
@@ -32,11 +32,11 @@
 	return s
 }
 
-func TestRoutesAreCheckedAndFound(t *testing.T) {
-	Convey("A sheet of routes needs no weights for http services", t, func() {
+func TestRouteCheckAndLookup(t *testing.T) {
+	Convey("Services of kind http need no weights", t, func() {
 		So(sampleRoutes().Check(), ShouldBeNil)
 	})
-	Convey("Each broken rule of a route names its cell", t, func() {
+	Convey("Each violation in a route names its cell", t, func() {
 		for cell, s := range map[string]*Sheet{
 			"routes.map.timeout_ms":      changedRoute(func(r *Route) { r.TimeoutMS = 0 }),
 			"routes.map.prefix":          changedRoute(func(r *Route) { r.Prefix = "/map" }),
@@ -56,23 +56,23 @@
 			So(apiErr.Detail, ShouldContainSubstring, cell)
 		}
 	})
-	Convey("The longest prefix of a host wins, whatever the case of the host", t, func() {
+	Convey("The longest prefix of a host is selected, and the case of the host is ignored", t, func() {
 		index := NewIndex(sampleRoutes())
-		for place, want := range map[[2]string]string{
+		for request, want := range map[[2]string]string{
 			{"news.example", "/map/1"}:   "map",
 			{"NEWS.example", "/map/1"}:   "map",
 			{"news.example", "/digest"}:  "digest",
 			{"news.example", "/map"}:     "digest",
 			{"other.example", "/digest"}: "",
 		} {
-			route, found := index.Route(place[0], place[1])
-			So(found, ShouldEqual, want != "")
-			if found {
+			route, ok := index.Route(request[0], request[1])
+			So(ok, ShouldEqual, want != "")
+			if ok {
 				So(route.Name, ShouldEqual, want)
 			}
 		}
 	})
-	Convey("What an adapter keeps beside a row reads back as it came, whatever is in it", t, func() {
+	Convey("The origin of a row is preserved byte for byte", t, func() {
 		origin := `{"n":3.0,"deep":[{"x":null}]}`
 		data := strings.Replace(mustEncode(sampleRoutes()), `"host":"news.example","prefix":"/",`, `"origin":`+origin+`,"host":"news.example","prefix":"/",`, 1)
 		s, apiErr := ParseSheet([]byte(data), MaxBytes)
@@ -81,19 +81,19 @@
 	})
 }
 
-func TestRoutesAreCellsOfOneRow(t *testing.T) {
+func TestRouteRowsAreSingleCells(t *testing.T) {
 	full := sampleRoutes()
 	full.Limits = &ClientLimits{BodyBytes: 1000}
 	full.Services["chat"] = Service{Kind: KindModel}
 	full.Weights = map[string]map[string]float64{"chat": {"lagos": 1}}
 	full.Tenants["city"] = Tenant{Rate: 5, KeyHashes: []string{hashOf("three")}}
 	full.Settings = map[string]string{"route.strategy": "affinity"}
-	Convey("A sheet of routes survives a round trip through CSV", t, func() {
-		back, apiErr := ImportCSV(full.ExportCSV(), MaxBytes)
+	Convey("A sheet with routes is unchanged after a round trip through CSV", t, func() {
+		imported, apiErr := ImportCSV(full.ExportCSV(), MaxBytes)
 		So(apiErr, ShouldBeNil)
-		So(mustEncode(back), ShouldEqual, mustEncode(full))
+		So(mustEncode(imported), ShouldEqual, mustEncode(full))
 	})
-	Convey("A difference names the route", t, func() {
+	Convey("A removed route is one line of the difference", t, func() {
 		other := *full
 		other.Routes = map[string]Route{"digest": full.Routes["digest"]}
 		So(Diff(full, &other), ShouldHaveLength, 1)
--- a/internal/decision/sheet/schema.go
+++ b/internal/decision/sheet/schema.go
@@ -5,7 +5,7 @@
 	"stepwick/internal/decision/strictjson"
 )
 
-// Schema is the form of a sheet's JSON.
+// Schema describes the JSON of a Sheet.
 var Schema = strictjson.Record(strictjson.Fields{
 	tableServices: strictjson.Map(serviceSchema),
 	tableWeights:  strictjson.Map(weightsSchema),
@@ -16,21 +16,21 @@
 	"origin":      strictjson.Opaque,
 }).WithCode(apierror.InvalidSheet)
 
-// ChangesSchema is the form of a patch's list of changes.
+// ChangesSchema describes the JSON list of the changes of a patch.
 var ChangesSchema = strictjson.List(strictjson.Record(strictjson.Fields{
 	"path":   strictjson.String,
 	"value":  strictjson.Any,
 	"delete": strictjson.Bool,
 })).WithCode(apierror.InvalidChange)
 
-// RemovalSchema is the form of the rows that a merge removes.
+// RemovalSchema describes the JSON of a Removal.
 var RemovalSchema = strictjson.Record(strictjson.Fields{
 	tableRoutes:   strictjson.StringList,
 	tableServices: strictjson.StringList,
 	tableTenants:  strictjson.StringList,
 })
 
-// Schemas of one row of each table.
+// Schemas of the rows of each table.
 var (
 	serviceSchema = strictjson.Record(strictjson.Fields{
 		"kind":            strictjson.String,
--- a/internal/decision/sheet/sheet.go
+++ b/internal/decision/sheet/sheet.go
@@ -1,52 +1,52 @@
-// Package sheet is the configuration of a fleet: the document that operators
-// submit (they call it the sheet), its checks, and the ways to change, compare
-// and look it up. A sheet has tables (services, weights, tenants, routes,
-// settings and the limits of clients), a table has rows by name, and a cell is
-// addressed by a path such as weights.chat.lagos.
+// Package sheet defines the configuration document of a fleet, which operators
+// call the sheet, and functions that validate, change, compare and query it. A
+// sheet consists of tables (services, weights, tenants, routes, settings and
+// client limits). The rows of a table have names, and a path such as
+// weights.chat.lagos addresses one cell.
 //
-// Invariants: everything here is a pure function of its arguments and gives the
-// same bytes on every machine; a sheet that is in force is never changed, but
-// copied where it differs.
+// Invariants: every function depends on its arguments only and returns the same
+// bytes on every machine. A sheet that is in force is never modified: a change
+// copies the tables and rows that it affects.
 //
-// The package knows neither versions nor the order of changes: see package
+// Versions of a sheet and the order of changes are the concern of package
 // statemachine.
 package sheet
 
 import "encoding/json"
 
-// Kinds of a service; see also KindHTTP.
+// Kinds of services.
 const (
 	KindModel = "model"
 	KindWeb   = "web"
-	// KindHTTP is the kind of a service whose servers take plain HTTP requests.
-	// Clients reach it through the sheet's routes; it needs no weights, since a
-	// route may go to any region that the route and the tenant allow.
+	// KindHTTP is the kind of a service whose servers accept plain HTTP requests.
+	// Clients reach it through the sheet's routes. It needs no weights, because a
+	// request may go to any region that its route and tenant allow.
 	KindHTTP = "http"
 )
 
-// Units in which a tenant's rate limit is counted.
+// Units of a tenant's rate limit.
 const (
 	UnitTokens   = "tokens"
 	UnitRequests = "requests"
 )
 
-// Bounds of a sheet.
+// Upper bounds on the contents of a sheet.
 const (
-	MaxBytes    = 16 << 20 // of Size
-	MaxName     = 64       // bytes
-	MaxServices = 1024
-	MaxRegions  = 256 // of one service's weights
-	MaxTenants  = 1 << 16
-	MaxKeys     = 64 // of one tenant
-	MaxSettings = 256
-	MaxSetting  = 1024 // bytes of one value
-	MaxNumber   = 1e12
-	MaxPriority = 99
-	MaxHomes    = 64 // of one route or tenant
+	MaxBytes        = 16 << 20 // as estimated by Size
+	MaxNameBytes    = 64
+	MaxServices     = 1024
+	MaxRegions      = 256 // of one service's weights
+	MaxTenants      = 1 << 16
+	MaxKeys         = 64 // of one tenant
+	MaxSettings     = 256
+	MaxSettingBytes = 1024 // of one value
+	MaxNumber       = 1e12
+	MaxPriority     = 99
+	MaxHomes        = 64 // of one route or tenant
 )
 
-// Sheet is the document. Weights are by service, then region. Settings are
-// those that may change at run time.
+// Sheet is the configuration document of a fleet. Weights are indexed by service
+// and then by region. Settings contains only those that may change at run time.
 type Sheet struct {
 	Services map[string]Service            `json:"services"`
 	Weights  map[string]map[string]float64 `json:"weights,omitempty"`
@@ -54,57 +54,61 @@
 	Settings map[string]string             `json:"settings,omitempty"`
 	Routes   map[string]Route              `json:"routes,omitempty"`
 	Limits   *ClientLimits                 `json:"limits,omitempty"`
-	// Origin is what an adapter's form of the document has besides the tables.
+	// Origin holds the parts of an adapter's document format that the tables do
+	// not represent.
 	Origin json.RawMessage `json:"origin,omitempty"`
 }
 
-// Service is one row of the services.
+// Service is a row of the services table.
 type Service struct {
 	Kind string `json:"kind"`
-	// PlainTokens is how many tokens one one-shot call costs its tenant; zero
-	// means the default.
+	// PlainTokens is the number of tokens that a one-shot call costs its tenant;
+	// zero selects the default.
 	PlainTokens float64 `json:"plain_tokens,omitempty"`
-	// The remaining fields concern services of KindHTTP only.
+	// The remaining fields apply only to services of KindHTTP.
 
 	HealthPath string `json:"health_path,omitempty"`
-	// MaxConnections bounds the connections to one server from all nodes
-	// together; zero means no bound.
+	// MaxConnections limits the connections to one server from all nodes
+	// together; zero means no limit.
 	MaxConnections int `json:"max_connections,omitempty"`
-	// SlowStartRate is how many requests a second a server that is warming up
-	// gets from all nodes together; zero means that servers need no slow start.
-	// SlowStartMS is how long a server warms up after its start, in
+	// SlowStartRate is the rate, in requests per second, that a server in slow
+	// start receives from all nodes together; zero disables slow start.
+	// SlowStartMS is the duration of slow start after a server starts, in
 	// milliseconds.
 	SlowStartRate float64 `json:"cold_per_second,omitempty"`
 	SlowStartMS   int     `json:"cold_ms,omitempty"`
-	// Origin is the row in the form of the adapter that it came from; see Route.
+	// Origin is the row in the format of the adapter that submitted it; see
+	// Route.Origin.
 	Origin json.RawMessage `json:"origin,omitempty"`
 }
 
-// Tenant is one row of the tenants.
+// Tenant is a row of the tenants table.
 type Tenant struct {
-	Rate      float64  `json:"rate"`            // units a second
+	Rate      float64  `json:"rate"`            // units per second
 	Burst     float64  `json:"burst,omitempty"` // units
-	Home      string   `json:"home,omitempty"`  // a region, or empty
-	KeyHashes []string `json:"keys,omitempty"`  // SHA-256, in lower-case hexadecimal
-	// The remaining fields concern requests that match a route.
+	Home      string   `json:"home,omitempty"`  // home region; may be empty
+	KeyHashes []string `json:"keys,omitempty"`  // SHA-256 in lower-case hexadecimal
+	// The remaining fields apply to requests that match a route.
 
 	Priority int    `json:"priority,omitempty"` // 0 is the most urgent; overrides the route's
 	Unit     string `json:"unit,omitempty"`     // tokens (also when empty) or requests
-	// PlainTokens is how many tokens a request that states none counts for; zero
-	// means the node's setting.
+	// PlainTokens is the number of tokens charged for a request that states no
+	// token count; zero selects the node's setting.
 	PlainTokens float64  `json:"plain_tokens,omitempty"`
-	Homes       []string `json:"homes,omitempty"` // the only regions that may serve it; empty for all
-	// Origin is the row in the form of the adapter that it came from; see Route.
+	Homes       []string `json:"homes,omitempty"` // regions that may serve its requests; empty for all
+	// Origin is the row in the format of the adapter that submitted it; see
+	// Route.Origin.
 	Origin json.RawMessage `json:"origin,omitempty"`
 }
 
-// concernsRoutes reports whether a tenant has columns that concern routes; its
-// row is then one cell.
-func (t Tenant) concernsRoutes() bool {
+// hasRouteColumns reports whether any of the columns that apply to routes is
+// set. The row of such a tenant is exported as a single cell.
+func (t Tenant) hasRouteColumns() bool {
 	return t.Priority != 0 || t.Unit != "" || t.PlainTokens != 0 || len(t.Homes) > 0 || t.Origin != nil
 }
 
-// Estimated bytes of a sheet's rows as JSON, besides their names and texts.
+// Estimated JSON overhead, in bytes, of a sheet and its rows: everything but
+// their names and strings.
 const (
 	sheetBytes   = 64
 	serviceBytes = 40
@@ -117,7 +121,7 @@
 	settingBytes = 8
 )
 
-// Size returns about how many bytes the sheet takes as JSON.
+// Size returns the approximate size of the sheet's JSON, in bytes.
 func (s *Sheet) Size() int {
 	size := sheetBytes
 	for name := range s.Services {
--- a/internal/decision/sheet/sheet_test.go
+++ b/internal/decision/sheet/sheet_test.go
@@ -40,18 +40,18 @@
 	return s
 }
 
-func TestCheckNamesBrokenRules(t *testing.T) {
+func TestCheckReportsViolatedRules(t *testing.T) {
 	Convey("A valid sheet has no error", t, func() {
 		So(sampleSheet().Check(), ShouldBeNil)
 	})
-	Convey("Each broken rule has its number and names its cell", t, func() {
+	Convey("Each violation has its code and names its cell", t, func() {
 		for _, c := range []struct {
 			cell string
 			code apierror.Code
 			s    *Sheet
 		}{
-			{"no sheet", apierror.InvalidSheet, nil},
-			{"services: there is none", apierror.InvalidSheet, &Sheet{}},
+			{"the sheet is missing", apierror.InvalidSheet, nil},
+			{"services: the sheet has no services", apierror.InvalidSheet, &Sheet{}},
 			{"services.chat.kind", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["chat"] = Service{Kind: "gpu"} })},
 			{"services.map.plain_tokens", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["map"] = Service{Kind: KindWeb, PlainTokens: -1} })},
 			{"services: \"a.b\"", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["a.b"] = Service{Kind: KindWeb} })},
@@ -70,12 +70,12 @@
 			})},
 			{"already a key of city", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{hashOf("city-1")}} })},
 			{"settings", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Settings["route..x"] = "" })},
-			{"the bounds are", apierror.SheetTooLarge, changedSample(func(s *Sheet) {
+			{"exceed the limits of", apierror.SheetTooLarge, changedSample(func(s *Sheet) {
 				for i := range MaxSettings {
 					s.Settings[fmt.Sprintf("x%d", i)] = ""
 				}
 			})},
-			{"the bound is", apierror.SheetTooLarge, changedSample(func(s *Sheet) { s.Settings["x"] = strings.Repeat("y", MaxBytes) })},
+			{"exceeds the limit of", apierror.SheetTooLarge, changedSample(func(s *Sheet) { s.Settings["x"] = strings.Repeat("y", MaxBytes) })},
 		} {
 			apiErr := c.s.Check()
 			So(apiErr, ShouldNotBeNil)
@@ -83,7 +83,7 @@
 			So(apiErr.Detail, ShouldContainSubstring, c.cell)
 		}
 	})
-	Convey("A detail stays short however much is broken", t, func() {
+	Convey("The detail is bounded regardless of the number of violations", t, func() {
 		apiErr := changedSample(func(s *Sheet) {
 			for i := range 5000 {
 				s.Tenants[fmt.Sprintf("bad%04d", i)] = Tenant{Rate: -1}
@@ -95,13 +95,13 @@
 }
 
 func TestParseSheetRejectsMalformedBodies(t *testing.T) {
-	good := mustEncode(sampleSheet())
-	Convey("What is written is read back", t, func() {
-		s, apiErr := ParseSheet([]byte(good), len(good))
+	encoded := mustEncode(sampleSheet())
+	Convey("An encoded sheet is decoded unchanged", t, func() {
+		s, apiErr := ParseSheet([]byte(encoded), len(encoded))
 		So(apiErr, ShouldBeNil)
-		So(mustEncode(s), ShouldEqual, good)
+		So(mustEncode(s), ShouldEqual, encoded)
 	})
-	Convey("Malformed and oversize bodies are refused by number and place", t, func() {
+	Convey("Malformed and oversize bodies are rejected with a code and the position of the fault", t, func() {
 		for _, c := range []struct {
 			body   string
 			code   apierror.Code
@@ -110,23 +110,23 @@
 			{"", apierror.BadJSON, "unexpected end of JSON input"},
 			{"null", apierror.InvalidSheet, "want an object, not null"},
 			{"[]", apierror.InvalidSheet, "want an object, not a list"},
-			{good[:len(good)-1], apierror.BadJSON, "unexpected end of JSON input"},
-			{good + "{}", apierror.BadJSON, "after top-level value"},
-			{good + " ", apierror.SheetTooLarge, "the bound is"},
-			{strings.Replace(good, `"rate":1000`, `"rate":1e999`, 1), apierror.InvalidSheet, "out of bounds"},
-			{strings.Replace(good, `"rate":1000`, `"rate":NaN`, 1), apierror.BadJSON, "invalid character"},
-			{strings.Replace(good, `"rate":1000`, `"rate":"1"`, 1), apierror.InvalidSheet, "tenants.press.rate: want a number"},
-			{strings.Replace(good, `"rate":1000`, `"rate":null`, 1), apierror.InvalidSheet, "tenants.press.rate: want a number, not null"},
-			{strings.Replace(good, `"rate":1000`, `"Rate":1`, 1), apierror.UnknownField, "tenants.press.Rate: no such field"},
-			{strings.Replace(good, `"rate":1000`, `"x":1`, 1), apierror.UnknownField, "tenants.press.x: no such field"},
-			{strings.Replace(good, `"lagos":60`, `"abeokuta":6`, 1), apierror.InvalidSheet, "weights.chat.abeokuta: given twice"},
-			{strings.Replace(good, `"lagos":60`, `"lagos":-60`, 1), apierror.InvalidSheet, "weights.chat.lagos: -60"},
-			{strings.Replace(good, `"lagos":60`, `"lagos":[60]`, 1), apierror.InvalidSheet, "weights.chat.lagos: want a number, not a list"},
-			{strings.Replace(good, `"kind"`, `"kin\u0064"`, 1), apierror.OK, ""},
+			{encoded[:len(encoded)-1], apierror.BadJSON, "unexpected end of JSON input"},
+			{encoded + "{}", apierror.BadJSON, "after top-level value"},
+			{encoded + " ", apierror.SheetTooLarge, "exceeds the limit of"},
+			{strings.Replace(encoded, `"rate":1000`, `"rate":1e999`, 1), apierror.InvalidSheet, "out of bounds"},
+			{strings.Replace(encoded, `"rate":1000`, `"rate":NaN`, 1), apierror.BadJSON, "invalid character"},
+			{strings.Replace(encoded, `"rate":1000`, `"rate":"1"`, 1), apierror.InvalidSheet, "tenants.press.rate: want a number"},
+			{strings.Replace(encoded, `"rate":1000`, `"rate":null`, 1), apierror.InvalidSheet, "tenants.press.rate: want a number, not null"},
+			{strings.Replace(encoded, `"rate":1000`, `"Rate":1`, 1), apierror.UnknownField, "tenants.press.Rate: no such field"},
+			{strings.Replace(encoded, `"rate":1000`, `"x":1`, 1), apierror.UnknownField, "tenants.press.x: no such field"},
+			{strings.Replace(encoded, `"lagos":60`, `"abeokuta":6`, 1), apierror.InvalidSheet, "weights.chat.abeokuta: given twice"},
+			{strings.Replace(encoded, `"lagos":60`, `"lagos":-60`, 1), apierror.InvalidSheet, "weights.chat.lagos: -60"},
+			{strings.Replace(encoded, `"lagos":60`, `"lagos":[60]`, 1), apierror.InvalidSheet, "weights.chat.lagos: want a number, not a list"},
+			{strings.Replace(encoded, `"kind"`, `"kin\u0064"`, 1), apierror.OK, ""},
 		} {
-			limit := max(len(good), len(c.body))
+			limit := max(len(encoded), len(c.body))
 			if c.code == apierror.SheetTooLarge {
-				limit = len(good)
+				limit = len(encoded)
 			}
 			_, apiErr := ParseSheet([]byte(c.body), limit)
 			if c.code == apierror.OK {
@@ -140,8 +140,8 @@
 	})
 }
 
-func TestPatchChangesCellsOrNothing(t *testing.T) {
-	Convey("Cells change as they are written on the command line", t, func() {
+func TestPatchIsAtomic(t *testing.T) {
+	Convey("Changes in the syntax of the command line are applied", t, func() {
 		var changes []Change
 		for _, line := range []string{"weights.chat.lagos=30", "weights.chat.ibadan=5", "tenants.press.rate=900",
 			"tenants.press.keys+=" + hashOf("press-3"), "tenants.press.keys-=" + hashOf("press-1"),
@@ -169,7 +169,7 @@
 			"- weights.chat.abeokuta = 40",
 		})
 	})
-	Convey("A change that names no cell or has no valid value is rejected, and the sheet stays as it is", t, func() {
+	Convey("A change with an unknown cell or an invalid value is rejected, and the sheet is not modified", t, func() {
 		for _, c := range []struct{ path, value, detail string }{
 			{"weights", "1", "no such cell"},
 			{"weight.chat.lagos", "1", "no such table"},
@@ -179,7 +179,7 @@
 			{"tenants.press.rate", `"1"`, "want a number"},
 			{"tenants.press.rate", "-1", "out of bounds"},
 			{"tenants.press.rate", "1e999", "out of bounds"},
-			{"tenants.press.keys+", `"` + hashOf("press-1") + `"`, "there already"},
+			{"tenants.press.keys+", `"` + hashOf("press-1") + `"`, "already has this key"},
 			{"tenants.press.keys+", `"` + hashOf("city-1") + `"`, "already a key of city"},
 			{"tenants.press.keys-", `"` + hashOf("press-9") + `"`, "no such key"},
 			{"tenants.tram", `{"rate":1,"rate":2}`, "given twice"},
@@ -203,7 +203,7 @@
 }
 
 func TestCSVRoundTrip(t *testing.T) {
-	Convey("A spreadsheet gives the sheet back, its rows in any order", t, func() {
+	Convey("An exported sheet is imported unchanged, whatever the order of its rows", t, func() {
 		rows := strings.Split(strings.TrimSpace(string(sampleSheet().ExportCSV())), "\n")
 		for i, j := 1, len(rows)-1; i < j; i, j = i+1, j-1 {
 			rows[i], rows[j] = rows[j], rows[i]
@@ -212,10 +212,10 @@
 		So(apiErr, ShouldBeNil)
 		So(mustEncode(s), ShouldEqual, mustEncode(sampleSheet()))
 	})
-	Convey("Bad rows are named by line, all at once", t, func() {
+	Convey("All invalid rows are reported by line in one error", t, func() {
 		_, apiErr := ImportCSV([]byte("cell,value\nservices.chat.kind,model\nweights.chat.lagos,NaN\nweights.chat.lagos,1\ntenants,1\n"), 1<<20)
 		So(apiErr.Code, ShouldEqual, apierror.InvalidSheet)
-		So(apiErr.Detail, ShouldEqual, `line 3: weights.chat.lagos: "NaN" is no number from 0 to 1e12; line 4: weights.chat.lagos: given twice; line 5: tenants: no such cell`)
+		So(apiErr.Detail, ShouldEqual, `line 3: weights.chat.lagos: "NaN" is not a number from 0 to 1e12; line 4: weights.chat.lagos: given twice; line 5: tenants: no such cell`)
 		_, apiErr = ImportCSV([]byte("a;b\n"), 1<<20)
 		So(apiErr.Detail, ShouldEqual, "the first row must be cell,value")
 		_, apiErr = ImportCSV([]byte("cell,value\n"), 3)
--- a/internal/decision/sheet/verbs.go
+++ b/internal/decision/sheet/verbs.go
@@ -1,7 +1,7 @@
 package sheet
 
-// Verbs of the orders that operators submit to change the configuration, as
-// requests and the stored log have them.
+// Verbs of the orders by which operators change the configuration, as they
+// appear in requests and in the stored log.
 const (
 	VerbPut      = "put"
 	VerbPatch    = "patch"
--- a/internal/decision/sheet/violations.go
+++ b/internal/decision/sheet/violations.go
@@ -7,33 +7,33 @@
 	"stepwick/internal/apierror"
 )
 
-// maxViolations bounds how many broken rules an error spells out.
+// maxViolations is the maximum number of violations that an error describes.
 const maxViolations = 8
 
-// violations collects the rules that a document breaks. The zero value has
-// none.
-type violations struct {
-	first []string
-	more  int
+// violationList collects the rules that a document violates. The zero value is
+// empty.
+type violationList struct {
+	details []string
+	omitted int
 }
 
-// add records a broken rule: spelled out, or counted where there are many.
-func (v *violations) add(format string, args ...any) {
-	if len(v.first) == maxViolations {
-		v.more++
+// addf adds a violation. Beyond maxViolations, it is only counted.
+func (v *violationList) addf(format string, args ...any) {
+	if len(v.details) == maxViolations {
+		v.omitted++
 		return
 	}
-	v.first = append(v.first, fmt.Sprintf(format, args...))
+	v.details = append(v.details, fmt.Sprintf(format, args...))
 }
 
-// apiError returns one error for all the broken rules; nil if there are none.
-func (v *violations) apiError(code apierror.Code) *apierror.Error {
-	if len(v.first) == 0 {
+// apiError returns one error for all violations, or nil if there are none.
+func (v *violationList) apiError(code apierror.Code) *apierror.Error {
+	if len(v.details) == 0 {
 		return nil
 	}
-	detail := strings.Join(v.first, "; ")
-	if v.more > 0 {
-		detail += fmt.Sprintf("; and %d more", v.more)
+	detail := strings.Join(v.details, "; ")
+	if v.omitted > 0 {
+		detail += fmt.Sprintf("; and %d more", v.omitted)
 	}
 	return &apierror.Error{Code: code, Detail: detail}
 }
