--- a/internal/decision/sheet/cells.go
+++ b/internal/decision/sheet/cells.go
@@ -52,8 +52,8 @@
 		return
 	}
 	l.add(path+".kind", service.Kind)
-	if service.PlainTokens != 0 {
-		l.add(path+".plain_tokens", formatNumber(service.PlainTokens))
+	if service.OneShotTokens != 0 {
+		l.add(path+".plain_tokens", formatNumber(service.OneShotTokens))
 	}
 }
 
@@ -66,8 +66,8 @@
 	if tenant.Burst != 0 {
 		l.add(path+".burst", formatNumber(tenant.Burst))
 	}
-	if tenant.Home != "" {
-		l.add(path+".home", tenant.Home)
+	if tenant.HomeRegion != "" {
+		l.add(path+".home", tenant.HomeRegion)
 	}
 	if len(tenant.KeyHashes) > 0 {
 		l.add(path+".keys", strings.Join(tenant.KeyHashes, " "))
--- a/internal/decision/sheet/change.go
+++ b/internal/decision/sheet/change.go
@@ -68,12 +68,12 @@
 	if !ok || path == "" {
 		return Change{}, apierror.Errorf(apierror.InvalidChange, "%s is not path=value", quoted(text))
 	}
-	return TextChange(strings.TrimSpace(path), strings.TrimSpace(value))
+	return ChangeFromText(strings.TrimSpace(path), strings.TrimSpace(value))
 }
 
-// TextChange returns the change that sets a cell to a value given as text. Key
+// ChangeFromText returns the change that sets a cell to a value given as text. Key
 // hashes are separated by spaces or commas. The value of a whole row is JSON.
-func TextChange(path, value string) (Change, *apierror.Error) {
+func ChangeFromText(path, value string) (Change, *apierror.Error) {
 	cell, apiErr := parsePath(path)
 	if apiErr != nil {
 		return Change{}, apiErr
--- a/internal/decision/sheet/check.go
+++ b/internal/decision/sheet/check.go
@@ -60,8 +60,8 @@
 		violations.addf("services.%s: max_connections %d, cold_ms %d or cold_per_second %v is out of bounds",
 			name, service.MaxConnections, service.SlowStartMS, service.SlowStartRate)
 	}
-	if !validNumber(service.PlainTokens) {
-		violations.addf("services.%s.plain_tokens: %v is out of bounds", name, service.PlainTokens)
+	if !validNumber(service.OneShotTokens) {
+		violations.addf("services.%s.plain_tokens: %v is out of bounds", name, service.OneShotTokens)
 	}
 	if service.Kind != KindHTTP && !hasWeight(s.Weights[name]) {
 		violations.addf("weights.%s: no region has a weight above zero", name)
@@ -129,12 +129,12 @@
 	if tenant.Unit != "" && tenant.Unit != UnitTokens && tenant.Unit != UnitRequests {
 		violations.addf("tenants.%s.unit: %s is neither tokens nor requests", name, quoted(tenant.Unit))
 	}
-	if !validNumber(tenant.PlainTokens) {
-		violations.addf("tenants.%s.plain_tokens: %v is out of bounds", name, tenant.PlainTokens)
+	if !validNumber(tenant.DefaultTokens) {
+		violations.addf("tenants.%s.plain_tokens: %v is out of bounds", name, tenant.DefaultTokens)
 	}
-	checkHomes(violations, "tenants."+name, tenant.Homes)
-	if tenant.Home != "" && !ValidName(tenant.Home) {
-		violations.addf("tenants.%s.home: %s is not a valid name", name, quoted(tenant.Home))
+	checkAllowedRegions(violations, "tenants."+name, tenant.AllowedRegions)
+	if tenant.HomeRegion != "" && !ValidName(tenant.HomeRegion) {
+		violations.addf("tenants.%s.home: %s is not a valid name", name, quoted(tenant.HomeRegion))
 	}
 }
 
--- a/internal/decision/sheet/check_routes.go
+++ b/internal/decision/sheet/check_routes.go
@@ -40,7 +40,7 @@
 	if route.TimeoutMS <= 0 || route.TimeoutMS > MaxDurationMS {
 		violations.addf("%s.timeout_ms: %d is not between 1 and %d", cell, route.TimeoutMS, MaxDurationMS)
 	}
-	for column, value := range map[string]int{"objective_ms": route.ObjectiveMS, "gap_ms": route.GapMS} {
+	for column, value := range map[string]int{"objective_ms": route.ObjectiveMS, "gap_ms": route.EventGapMS} {
 		if value < 0 || value > MaxDurationMS {
 			violations.addf("%s.%s: %d is not between 0 and %d", cell, column, value, MaxDurationMS)
 		}
@@ -52,7 +52,7 @@
 		violations.addf("%s.attempts: %d is not between 0 and %d", cell, route.Attempts, MaxSplits)
 	}
 	s.checkSplits(violations, cell, route.Splits)
-	checkHomes(violations, cell, route.Homes)
+	checkAllowedRegions(violations, cell, route.AllowedRegions)
 }
 
 func (s *Sheet) checkSplits(violations *violationList, cell string, splits []Split) {
@@ -80,10 +80,10 @@
 	}
 }
 
-// checkHomes checks the regions to which a route or tenant is restricted.
-func checkHomes(violations *violationList, cell string, homes []string) {
-	if len(homes) > MaxHomes {
-		violations.addf("%s.homes: %d regions exceed the limit of %d", cell, len(homes), MaxHomes)
+// checkAllowedRegions checks the regions to which a route or tenant is restricted.
+func checkAllowedRegions(violations *violationList, cell string, homes []string) {
+	if len(homes) > MaxAllowedRegions {
+		violations.addf("%s.homes: %d regions exceed the limit of %d", cell, len(homes), MaxAllowedRegions)
 	}
 	for _, home := range homes {
 		if !ValidName(home) {
--- a/internal/decision/sheet/csv.go
+++ b/internal/decision/sheet/csv.go
@@ -133,7 +133,7 @@
 	}
 	switch path.column {
 	case columnPlainTokens:
-		updateRow(i.sheet.Services, path.row, func(service *Service) { service.PlainTokens = number })
+		updateRow(i.sheet.Services, path.row, func(service *Service) { service.OneShotTokens = number })
 	case columnRate:
 		updateRow(i.sheet.Tenants, path.row, func(tenant *Tenant) { tenant.Rate = number })
 	case columnBurst:
@@ -147,7 +147,7 @@
 	case columnKind:
 		updateRow(i.sheet.Services, path.row, func(service *Service) { service.Kind = value })
 	case columnHome:
-		updateRow(i.sheet.Tenants, path.row, func(tenant *Tenant) { tenant.Home = value })
+		updateRow(i.sheet.Tenants, path.row, func(tenant *Tenant) { tenant.HomeRegion = value })
 	case columnKeys:
 		updateRow(i.sheet.Tenants, path.row, func(tenant *Tenant) { tenant.KeyHashes = splitHashes(value) })
 	default:
--- a/internal/decision/sheet/patch.go
+++ b/internal/decision/sheet/patch.go
@@ -143,10 +143,10 @@
 		*s = Service{}
 		return decodeValue(change.Value, serviceSchema, s)
 	case column == columnPlainTokens && change.Delete:
-		s.PlainTokens = 0
+		s.OneShotTokens = 0
 		return ""
 	case column == columnPlainTokens:
-		return decodeValue(change.Value, strictjson.Number, &s.PlainTokens)
+		return decodeValue(change.Value, strictjson.Number, &s.OneShotTokens)
 	case column == columnKind && !change.Delete:
 		return decodeValue(change.Value, strictjson.String, &s.Kind)
 	}
@@ -230,7 +230,7 @@
 	case columnBurst:
 		t.Burst = 0
 	case columnHome:
-		t.Home = ""
+		t.HomeRegion = ""
 	case columnKeys:
 		t.KeyHashes = nil
 	default:
@@ -250,7 +250,7 @@
 	case columnBurst:
 		return decodeValue(value, strictjson.Number, &t.Burst)
 	case columnHome:
-		return decodeValue(value, strictjson.String, &t.Home)
+		return decodeValue(value, strictjson.String, &t.HomeRegion)
 	case columnKeys:
 		// The slice shares its array with the original sheet: decoding into it would
 		// modify that sheet.
--- a/internal/decision/sheet/route.go
+++ b/internal/decision/sheet/route.go
@@ -39,16 +39,16 @@
 	// or fails.
 	TimeoutMS int `json:"timeout_ms"`
 	// ObjectiveMS is the latency objective, in milliseconds, for the answer or for
-	// the first event of a stream. GapMS is the objective, in milliseconds, for the
+	// the first event of a stream. EventGapMS is the objective, in milliseconds, for the
 	// time between two events. Zero means no objective.
-	ObjectiveMS int      `json:"objective_ms,omitempty"`
-	GapMS       int      `json:"gap_ms,omitempty"`
-	Priority    int      `json:"priority,omitempty"` // 0 is the most urgent
-	Attempts    int      `json:"attempts,omitempty"` // maximum number of servers that may execute one request; 0 means 1
-	Public      bool     `json:"public,omitempty"`   // requests need no key
-	Affinity    bool     `json:"affinity,omitempty"` // requests with a common prompt prefix go to one server
-	Resumable   bool     `json:"resumable,omitempty"`
-	Homes       []string `json:"homes,omitempty"` // regions that may serve its requests; empty for all
+	ObjectiveMS    int      `json:"objective_ms,omitempty"`
+	EventGapMS     int      `json:"gap_ms,omitempty"`
+	Priority       int      `json:"priority,omitempty"` // 0 is the most urgent
+	Attempts       int      `json:"attempts,omitempty"` // maximum number of servers that may execute one request; 0 means 1
+	Public         bool     `json:"public,omitempty"`   // requests need no key
+	Affinity       bool     `json:"affinity,omitempty"` // requests with a common prompt prefix go to one server
+	Resumable      bool     `json:"resumable,omitempty"`
+	AllowedRegions []string `json:"homes,omitempty"` // regions that may serve its requests; empty for all
 	// Origin is the row in the format of the adapter that submitted it. It is
 	// retained so that the adapter can return it unchanged, and is not interpreted
 	// elsewhere.
--- a/internal/decision/sheet/routes_test.go
+++ b/internal/decision/sheet/routes_test.go
@@ -19,7 +19,7 @@
 		Routes: map[string]Route{
 			"digest": {Host: "news.example", Prefix: "/", Kind: RouteStream, TimeoutMS: 8000, Splits: []Split{{"pool", 1}}},
 			"map": {Host: "news.example", Prefix: "/map/", Kind: RouteUnsafe, TimeoutMS: 1000,
-				Splits: []Split{{"pool", 9}, {"desk", 1}}, Homes: []string{"lagos"}},
+				Splits: []Split{{"pool", 9}, {"desk", 1}}, AllowedRegions: []string{"lagos"}},
 		},
 	}
 }
@@ -47,7 +47,7 @@
 			"routes.map.priority":        changedRoute(func(r *Route) { r.Priority = -1 }),
 			"routes.map.attempts":        changedRoute(func(r *Route) { r.Attempts = -1 }),
 			"routes.map.objective_ms":    changedRoute(func(r *Route) { r.ObjectiveMS = -1 }),
-			"routes.map.homes":           changedRoute(func(r *Route) { r.Homes = []string{"a/b"} }),
+			"routes.map.homes":           changedRoute(func(r *Route) { r.AllowedRegions = []string{"a/b"} }),
 			"has the same host and pref": changedRoute(func(r *Route) { r.Prefix, r.Host = "/", "NEWS.example" }),
 		} {
 			apiErr := s.Check()
--- a/internal/decision/sheet/sheet.go
+++ b/internal/decision/sheet/sheet.go
@@ -32,17 +32,17 @@
 
 // Upper bounds on the contents of a sheet.
 const (
-	MaxBytes        = 16 << 20 // as estimated by Size
-	MaxNameBytes    = 64
-	MaxServices     = 1024
-	MaxRegions      = 256 // of one service's weights
-	MaxTenants      = 1 << 16
-	MaxKeys         = 64 // of one tenant
-	MaxSettings     = 256
-	MaxSettingBytes = 1024 // of one value
-	MaxNumber       = 1e12
-	MaxPriority     = 99
-	MaxHomes        = 64 // of one route or tenant
+	MaxBytes          = 16 << 20 // as estimated by Size
+	MaxNameBytes      = 64
+	MaxServices       = 1024
+	MaxRegions        = 256 // of one service's weights
+	MaxTenants        = 1 << 16
+	MaxKeys           = 64 // of one tenant
+	MaxSettings       = 256
+	MaxSettingBytes   = 1024 // of one value
+	MaxNumber         = 1e12
+	MaxPriority       = 99
+	MaxAllowedRegions = 64 // of one route or tenant
 )
 
 // Sheet is the configuration document of a fleet. Weights are indexed by service
@@ -62,9 +62,9 @@
 // Service is a row of the services table.
 type Service struct {
 	Kind string `json:"kind"`
-	// PlainTokens is the number of tokens that a one-shot call costs its tenant;
+	// OneShotTokens is the number of tokens that a one-shot call costs its tenant;
 	// zero selects the default.
-	PlainTokens float64 `json:"plain_tokens,omitempty"`
+	OneShotTokens float64 `json:"plain_tokens,omitempty"`
 	// The remaining fields apply only to services of KindHTTP.
 
 	HealthPath string `json:"health_path,omitempty"`
@@ -84,18 +84,18 @@
 
 // Tenant is a row of the tenants table.
 type Tenant struct {
-	Rate      float64  `json:"rate"`            // units per second
-	Burst     float64  `json:"burst,omitempty"` // units
-	Home      string   `json:"home,omitempty"`  // home region; may be empty
-	KeyHashes []string `json:"keys,omitempty"`  // SHA-256 in lower-case hexadecimal
+	Rate       float64  `json:"rate"`            // units per second
+	Burst      float64  `json:"burst,omitempty"` // units
+	HomeRegion string   `json:"home,omitempty"`  // home region; may be empty
+	KeyHashes  []string `json:"keys,omitempty"`  // SHA-256 in lower-case hexadecimal
 	// The remaining fields apply to requests that match a route.
 
 	Priority int    `json:"priority,omitempty"` // 0 is the most urgent; overrides the route's
 	Unit     string `json:"unit,omitempty"`     // tokens (also when empty) or requests
-	// PlainTokens is the number of tokens charged for a request that states no
+	// DefaultTokens is the number of tokens charged for a request that states no
 	// token count; zero selects the node's setting.
-	PlainTokens float64  `json:"plain_tokens,omitempty"`
-	Homes       []string `json:"homes,omitempty"` // regions that may serve its requests; empty for all
+	DefaultTokens  float64  `json:"plain_tokens,omitempty"`
+	AllowedRegions []string `json:"homes,omitempty"` // regions that may serve its requests; empty for all
 	// Origin is the row in the format of the adapter that submitted it; see
 	// Route.Origin.
 	Origin json.RawMessage `json:"origin,omitempty"`
@@ -104,7 +104,7 @@
 // hasRouteColumns reports whether any of the columns that apply to routes is
 // set. The row of such a tenant is exported as a single cell.
 func (t Tenant) hasRouteColumns() bool {
-	return t.Priority != 0 || t.Unit != "" || t.PlainTokens != 0 || len(t.Homes) > 0 || t.Origin != nil
+	return t.Priority != 0 || t.Unit != "" || t.DefaultTokens != 0 || len(t.AllowedRegions) > 0 || t.Origin != nil
 }
 
 // Estimated JSON overhead, in bytes, of a sheet and its rows: everything but
@@ -137,7 +137,7 @@
 		}
 	}
 	for name, tenant := range s.Tenants {
-		size += len(name) + len(tenant.Home) + tenantBytes + keyHashBytes*len(tenant.KeyHashes) + len(tenant.Origin)
+		size += len(name) + len(tenant.HomeRegion) + tenantBytes + keyHashBytes*len(tenant.KeyHashes) + len(tenant.Origin)
 	}
 	for name, value := range s.Settings {
 		size += len(name) + len(value) + settingBytes
--- a/internal/decision/sheet/sheet_test.go
+++ b/internal/decision/sheet/sheet_test.go
@@ -16,10 +16,10 @@
 
 func sampleSheet() *Sheet {
 	return &Sheet{
-		Services: map[string]Service{"chat": {Kind: KindModel}, "map": {Kind: KindWeb, PlainTokens: 20}},
+		Services: map[string]Service{"chat": {Kind: KindModel}, "map": {Kind: KindWeb, OneShotTokens: 20}},
 		Weights:  map[string]map[string]float64{"chat": {"lagos": 60, "abeokuta": 40}, "map": {"lagos": 1}},
 		Tenants: map[string]Tenant{
-			"press": {Rate: 1000, Burst: 500, Home: "lagos", KeyHashes: []string{hashOf("press-1"), hashOf("press-2")}},
+			"press": {Rate: 1000, Burst: 500, HomeRegion: "lagos", KeyHashes: []string{hashOf("press-1"), hashOf("press-2")}},
 			"city":  {Rate: 250.5, KeyHashes: []string{hashOf("city-1")}},
 		},
 		Settings: map[string]string{"route.strategy": "affinity"},
@@ -53,7 +53,7 @@
 			{"the sheet is missing", apierror.InvalidSheet, nil},
 			{"services: the sheet has no services", apierror.InvalidSheet, &Sheet{}},
 			{"services.chat.kind", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["chat"] = Service{Kind: "gpu"} })},
-			{"services.map.plain_tokens", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["map"] = Service{Kind: KindWeb, PlainTokens: -1} })},
+			{"services.map.plain_tokens", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["map"] = Service{Kind: KindWeb, OneShotTokens: -1} })},
 			{"services: \"a.b\"", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Services["a.b"] = Service{Kind: KindWeb} })},
 			{"weights.chat.lagos: NaN", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.NaN() })},
 			{"weights.chat.lagos: +Inf", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Weights["chat"]["lagos"] = math.Inf(1) })},
@@ -63,7 +63,7 @@
 			{"weights: no service \"tags\"", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Weights["tags"] = map[string]float64{"lagos": 1} })},
 			{"tenants.press.rate", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{Rate: math.NaN()} })},
 			{"tenants.press.burst", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{Burst: -5} })},
-			{"tenants.press.home", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{Home: "lagos/a"} })},
+			{"tenants.press.home", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{HomeRegion: "lagos/a"} })},
 			{"tenants.press.keys: \"zz\"", apierror.InvalidSheet, changedSample(func(s *Sheet) { s.Tenants["press"] = Tenant{KeyHashes: []string{"zz"}} })},
 			{"tenants.press.keys", apierror.InvalidSheet, changedSample(func(s *Sheet) {
 				s.Tenants["press"] = Tenant{KeyHashes: []string{strings.ToUpper(hashOf("press-1"))}}
--- a/internal/decision/statemachine/index_test.go
+++ b/internal/decision/statemachine/index_test.go
@@ -19,7 +19,7 @@
 		So(tenant.Rate, ShouldEqual, 1000)
 		_, _, ok = index.Tenant(hashKey("press-1"))
 		So(ok, ShouldBeFalse)
-		revoke, _ := sheet.TextChange("tenants.press.keys-", hashKey("press-1"))
+		revoke, _ := sheet.ChangeFromText("tenants.press.keys-", hashKey("press-1"))
 		next, result := PatchSheet{Order: Order{Base: 1}, Changes: []sheet.Change{revoke}}.Apply(state, 2)
 		So(result.Code, ShouldEqual, apierror.OK)
 		So(index.ForSheet(state.Sheet), ShouldEqual, index)
--- a/internal/decision/statemachine/state_test.go
+++ b/internal/decision/statemachine/state_test.go
@@ -312,7 +312,7 @@
 	s := sampleSheet()
 	for i := range tenants {
 		name := fmt.Sprintf("tenant-%05d", i)
-		s.Tenants[name] = sheet.Tenant{Rate: 100, Burst: 50, Home: "lagos", KeyHashes: []string{hashKey(name)}}
+		s.Tenants[name] = sheet.Tenant{Rate: 100, Burst: 50, HomeRegion: "lagos", KeyHashes: []string{hashKey(name)}}
 	}
 	state, result := PutSheet{Sheet: s}.Apply(State{}, 1)
 	if result.Code != apierror.OK {
--- a/internal/node/front/admission.go
+++ b/internal/node/front/admission.go
@@ -128,7 +128,7 @@
 			apierror.Errorf(apierror.UnknownService, "the sheet in force has no service %q", c.request.Service)
 	}
 	c.service = c.request.Service
-	if apiErr := c.resolveHome(name, tenant.Home); apiErr != nil {
+	if apiErr := c.resolveHome(name, tenant.HomeRegion); apiErr != nil {
 		return sheet.Tenant{}, sheet.Service{}, apiErr
 	}
 	admission.Home = c.request.Home
@@ -155,10 +155,10 @@
 
 // oneShotTokens returns the cost of a one-shot call of a service.
 func (f *Front) oneShotTokens(service sheet.Service) float64 {
-	if service.PlainTokens == 0 {
+	if service.OneShotTokens == 0 {
 		return f.config.OneShotTokens
 	}
-	return service.PlainTokens
+	return service.OneShotTokens
 }
 
 // spend charges the call's tokens to its tenant's quota.
--- a/internal/node/front/admission_test.go
+++ b/internal/node/front/admission_test.go
@@ -64,7 +64,7 @@
 					v.Servers["s1"] = proto.CloneOf(v.Servers["s1"])
 					v.Servers["s1"].Region = "abeokuta"
 					next := *v.State.Sheet
-					next.Tenants = map[string]sheet.Tenant{"press": {KeyHashes: []string{sheet.HashKey("k")}, Home: "abeokuta"}}
+					next.Tenants = map[string]sheet.Tenant{"press": {KeyHashes: []string{sheet.HashKey("k")}, HomeRegion: "abeokuta"}}
 					next.Weights = map[string]map[string]float64{map[string]string{"model": "chat", "web": "orders"}[kind]: {"lagos": 1, "abeokuta": 1}}
 					v.State.Version, v.State.Sheet = 2, &next
 					v.Index = v.State.Index()
--- a/internal/node/front/bench_test.go
+++ b/internal/node/front/bench_test.go
@@ -39,7 +39,7 @@
 // five tenants, and a plan over model servers and one web server.
 func benchFront(b *testing.B, models int, web string) *Front {
 	state := statemachine.State{Version: 1, Sheet: &sheet.Sheet{
-		Services: map[string]sheet.Service{"chat": {Kind: "model"}, "orders": {Kind: "web", PlainTokens: 5}}, Tenants: map[string]sheet.Tenant{}}}
+		Services: map[string]sheet.Service{"chat": {Kind: "model"}, "orders": {Kind: "web", OneShotTokens: 5}}, Tenants: map[string]sheet.Tenant{}}}
 	for i := range 5 {
 		state.Sheet.Tenants[fmt.Sprint("t", i)] = sheet.Tenant{Rate: 1e11, Burst: 1e11, KeyHashes: []string{sheet.HashKey(fmt.Sprint("k", i))}}
 	}
--- a/internal/node/front/fixture_test.go
+++ b/internal/node/front/fixture_test.go
@@ -72,7 +72,7 @@
 		}
 		v.State.Version++
 		v.State.Sheet = &sheet.Sheet{
-			Services: map[string]sheet.Service{"chat": {Kind: "model"}, "orders": {Kind: "web", PlainTokens: 5}},
+			Services: map[string]sheet.Service{"chat": {Kind: "model"}, "orders": {Kind: "web", OneShotTokens: 5}},
 			Tenants:  map[string]sheet.Tenant{"press": {Rate: 100, Burst: 10, KeyHashes: hashes}},
 		}
 		v.Index = v.State.Index()
--- a/internal/node/gateway/fixture_test.go
+++ b/internal/node/gateway/fixture_test.go
@@ -161,7 +161,7 @@
 			"stream": {Host: "h", Prefix: "/stream/", Kind: sheet.RouteStream, TimeoutMS: 5000, Attempts: 2, Resumable: true, Splits: []sheet.Split{{Service: "pool", Weight: 1}}},
 			"once":   {Host: "h", Prefix: "/once/", Kind: sheet.RouteStream, TimeoutMS: 5000, Attempts: 2, Splits: []sheet.Split{{Service: "pool", Weight: 1}}},
 			"public": {Host: "h", Prefix: "/public/", Kind: sheet.RouteSafe, TimeoutMS: 5000, Public: true, Splits: []sheet.Split{{Service: "pool", Weight: 1}}},
-			"far":    {Host: "h", Prefix: "/far/", Kind: sheet.RouteSafe, TimeoutMS: 5000, Homes: []string{"south"}, Splits: []sheet.Split{{Service: "pool", Weight: 1}}},
+			"far":    {Host: "h", Prefix: "/far/", Kind: sheet.RouteSafe, TimeoutMS: 5000, AllowedRegions: []string{"south"}, Splits: []sheet.Split{{Service: "pool", Weight: 1}}},
 		},
 		Limits: &sheet.ClientLimits{BodyBytes: 1000},
 	}}
--- a/internal/node/gateway/quota.go
+++ b/internal/node/gateway/quota.go
@@ -81,8 +81,8 @@
 	switch {
 	case q.call.DeclaresTokens:
 		return q.call.Tokens()
-	case q.tenantTerms.PlainTokens > 0:
-		return q.tenantTerms.PlainTokens
+	case q.tenantTerms.DefaultTokens > 0:
+		return q.tenantTerms.DefaultTokens
 	}
 	return q.gateway.config.DefaultTokens
 }
--- a/internal/node/gateway/selection.go
+++ b/internal/node/gateway/selection.go
@@ -28,7 +28,7 @@
 // prepareSelection sets the service of the request and what the selection of a
 // server depends on.
 func (q *request) prepareSelection() *apierror.Error {
-	regions, possible := allowedRegions(q.route.Homes, q.tenantTerms)
+	regions, possible := allowedRegions(q.route.AllowedRegions, q.tenantTerms)
 	if !possible {
 		apiErr := apierror.Errorf(apierror.NoServer, "the homes of the route and of the tenant have no region in common")
 		return apiErr.WithRetryAfter(noRegionRetryAfter)
@@ -41,7 +41,7 @@
 		Regions:      regions,
 		Urgency:      urgency(q.tenantTerms.Priority, q.route.Priority),
 		Route:        q.route.Name,
-		MaxEventGap:  time.Duration(q.route.GapMS) * time.Millisecond,
+		MaxEventGap:  time.Duration(q.route.EventGapMS) * time.Millisecond,
 		OwnTokens:    q.call.TokensIn,
 		OutputTokens: q.call.TokensOut,
 		QueueUntil:   q.arrived.Add(min(objective/queueTimeoutDivisor, maxQueueTimeout)),
@@ -56,9 +56,9 @@
 // allowedRegions returns the regions that may serve a request, empty for all. It
 // is not possible to serve one whose route and tenant have no region in common.
 func allowedRegions(routeRegions []string, tenant sheet.Tenant) (regions []string, possible bool) {
-	tenantRegions := tenant.Homes
-	if tenant.Home != "" {
-		tenantRegions = append(slices.Clip(tenantRegions), tenant.Home)
+	tenantRegions := tenant.AllowedRegions
+	if tenant.HomeRegion != "" {
+		tenantRegions = append(slices.Clip(tenantRegions), tenant.HomeRegion)
 	}
 	switch {
 	case len(routeRegions) == 0:
--- a/internal/node/gateway/stall.go
+++ b/internal/node/gateway/stall.go
@@ -66,7 +66,7 @@
 }
 
 func (q *request) stallTimeout() time.Duration {
-	longestPauseMS := max(q.route.ObjectiveMS, q.route.GapMS)
+	longestPauseMS := max(q.route.ObjectiveMS, q.route.EventGapMS)
 	return max(stallFactor*time.Duration(longestPauseMS)*time.Millisecond, minStallTimeout)
 }
 
