--- a/internal/decision/election/election.go
+++ b/internal/decision/election/election.go
@@ -1,12 +1,12 @@
-// Package election decides which core is the leader for a singleton role, such as
-// the planner. It decides only who may campaign and when; the state machine of
-// the cores grants a term to the first candidate whose command is chosen. All that
-// a leader publishes carries its term, which serves as a fencing token: receivers
-// drop what carries a lower one. So two cores that both believe to be the leader
-// do no harm.
+// Package election decides which cores may campaign for the leadership of a singleton
+// role, such as the planner, and when. The replicated state machine grants a term to
+// the first candidate whose command is chosen. Everything that a leader publishes
+// carries its term as a fencing token, and receivers drop messages with a lower term.
+// It is therefore safe if two cores temporarily consider themselves leader.
 //
-// The package does no I/O and reads no clock. In the agreed state a role is a
-// statemachine.RoleTerm and its leader the duty's holder.
+// The package does no I/O and reads no clock. In the replicated state, a role is a
+// statemachine.RoleTerm and its leader is the Holder. On the wire and in logs a role
+// is called a duty.
 package election
 
 import (
@@ -17,21 +17,21 @@
 	"stepwick/internal/decision/statemachine"
 )
 
-// Planner is the role of computing the plan of each period.
+// Planner is the role that computes the plan of each period.
 const Planner = "planner"
 
-// Observation is what one core knows of the leader of a role.
+// Observation is one core's view of the leader of a role.
 type Observation struct {
 	Core string
-	// HolderAlive reports whether the leader holds a lease there or answers that
-	// core.
+	// HolderAlive is true if the leader holds a lease at the core or answers the core's
+	// requests.
 	HolderAlive bool
 }
 
-// Vacant reports whether a core may campaign for a role: it never had a leader, or
-// a majority of the voters observes that the leader's lease has expired or its
-// process is gone. Cores without an observation count as if it were alive, and
-// those that are no voters don't count.
+// Vacant reports whether cores may campaign for a role: the role never had a leader,
+// or a majority of the voters observes that the leader's lease has expired or its
+// process is gone. A voter without an observation counts as observing a live leader.
+// Observations of cores that are not voters are ignored.
 func Vacant(role statemachine.RoleTerm, voters []string, observations []Observation) bool {
 	if role.Holder == "" {
 		return true
@@ -42,20 +42,20 @@
 			observedLost[observation.Core] = true
 		}
 	}
-	count := 0
+	lostCount := 0
 	for _, voter := range voters {
 		if observedLost[voter] {
-			count++
+			lostCount++
 		}
 	}
-	return count > len(voters)/2
+	return lostCount > len(voters)/2
 }
 
-// CandidateDelay returns how long a core waits, from when it found a role vacant,
-// before it campaigns: its position among the voters times the step, so that
-// candidates rarely compete. The leader of the last term comes last. For a core
-// that is no voter, which never campaigns, voter is false.
-func CandidateDelay(self string, role statemachine.RoleTerm, voters []string, step time.Duration) (delay time.Duration, voter bool) {
+// CandidateDelay returns how long a core waits after it has found a role vacant before
+// it campaigns: its rank among the voters times the step, so that candidates rarely
+// compete. The leader of the last term ranks last. isVoter is false for a core that is
+// not a voter and must not campaign.
+func CandidateDelay(self string, role statemachine.RoleTerm, voters []string, step time.Duration) (delay time.Duration, isVoter bool) {
 	candidates := slices.Clone(voters)
 	slices.SortFunc(candidates, func(a, b string) int {
 		switch {
--- a/internal/decision/plan/exclusion.go
+++ b/internal/decision/plan/exclusion.go
@@ -6,8 +6,8 @@
 	"stepwick/internal/wire"
 )
 
-// Reasons why a server may get no requests. Their texts appear in a plan's cause
-// and in explanations of routing.
+// Reasons for excluding a server from routing. They appear in the causes of plans and
+// in explanations of routing decisions.
 const (
 	ReasonDraining    = "draining"
 	ReasonLeaving     = "leaving"
@@ -16,8 +16,8 @@
 	ReasonEvacuated   = "evacuated"
 )
 
-// ExclusionReason returns the reason why a server may get no requests, "" when it
-// may.
+// ExclusionReason returns the reason for which a server is excluded from routing, or
+// "" if it may receive requests.
 func ExclusionReason(state statemachine.State, status *wire.ServerStatus) string {
 	switch status.GetState() {
 	case wire.ServerState_SERVER_STATE_DRAINING:
@@ -36,7 +36,7 @@
 	return ""
 }
 
-// IsEvacuated reports whether a zone, or the region that it is in, is evacuated.
+// IsEvacuated reports whether a zone, or the region that contains it, is evacuated.
 func IsEvacuated(state statemachine.State, region, zone string) bool {
 	if len(state.Evacuated) == 0 {
 		return false
--- a/internal/decision/plan/plan.go
+++ b/internal/decision/plan/plan.go
@@ -1,11 +1,12 @@
-// Package plan computes the plan of each period: for every service and region of
-// origin the shares of its traffic over the regions, and for every server the cap
-// of requests in flight from all fronts together. It is pure: equal inputs give
-// equal plans, so that a new leader continues where the last one stopped.
+// Package plan computes the plan of each period. A plan contains, for each service
+// and region of origin, the share of the traffic that goes to each region, and for
+// each server the cap on its requests in flight from all fronts together. The
+// computation is pure: equal inputs give equal plans, so that a new leader continues
+// where the previous one stopped.
 //
-// A plan stays in force for its period whatever the load does; only the loss, the
-// drain or the evacuation of a server that it gives requests to forces a new one
-// early (ReplanCause). Plans are ordered by (term, number), see Newer.
+// A plan remains in force for its period, regardless of load. Only the loss, drain or
+// evacuation of a server with a positive cap in the plan forces a new plan earlier;
+// see ReplanCause. Plans are ordered by (term, number); see Newer.
 package plan
 
 import (
@@ -19,21 +20,22 @@
 	"stepwick/internal/wire"
 )
 
-// Input is all that a plan is computed from.
+// Input contains everything that a plan is computed from.
 type Input struct {
 	State   statemachine.State
 	Servers map[string]*wire.ServerStatus
 	Fronts  []statemachine.Member
-	// Prior is the plan in force, nil when there is none.
+	// Prior is the plan in force, nil if there is none. Compute does not read it.
 	Prior *wire.Plan
-	// Term is the leader's term, Number the plan's in that term, Holder the leader.
+	// Term is the leader's term, Number the plan's number in that term, and Holder the
+	// leader's name.
 	Term   uint64
 	Number uint64
 	Holder string
-	// Now is fleet time, at which the plan's Period begins.
+	// Now is the fleet time at which the plan's Period begins.
 	Now    time.Time
 	Period time.Duration
-	// Cause is why the plan is computed, for operators.
+	// Cause tells operators why the plan was computed.
 	Cause  string
 	Policy Policy
 }
@@ -60,14 +62,14 @@
 	return next
 }
 
-// ReplanCause reports whether a server that the plan in force gives requests to is
-// lost, and the failure, drain or evacuation that forces a new plan. Nothing else
-// does within a period.
-func ReplanCause(prior *wire.Plan, input Input) (cause string, forced bool) {
-	if prior == nil {
+// ReplanCause reports whether a new plan is required before the period ends, and why:
+// there is no plan yet, or a server with a positive cap in the current plan failed,
+// drains or was evacuated. Nothing else forces a new plan within a period.
+func ReplanCause(current *wire.Plan, input Input) (cause string, forced bool) {
+	if current == nil {
 		return "first", true
 	}
-	for _, limit := range prior.Caps {
+	for _, limit := range current.Caps {
 		if limit.InFlight == 0 {
 			continue
 		}
@@ -78,7 +80,8 @@
 	return "", false
 }
 
-// lossCause returns why a server may get no requests any more, "" when it may.
+// lossCause returns the cause for which a server of the current plan may no longer
+// receive requests, or "" if it still may.
 func lossCause(input Input, server string) string {
 	status := input.Servers[server]
 	if status == nil {
@@ -96,14 +99,14 @@
 	}
 }
 
-// PeriodOver reports whether the plan's period has ended, or there is no plan. now
-// is fleet time.
-func PeriodOver(prior *wire.Plan, now time.Time) bool {
-	return prior == nil || now.UnixMilli() >= prior.AtMs+int64(prior.PeriodMs)
+// PeriodOver reports whether the current plan's period has ended, or there is no plan.
+// now is fleet time.
+func PeriodOver(current *wire.Plan, now time.Time) bool {
+	return current == nil || now.UnixMilli() >= current.AtMs+int64(current.PeriodMs)
 }
 
-// Newer reports whether plan a replaces plan b: the one of the higher (term, number)
-// does. Any plan replaces none.
+// Newer reports whether plan a supersedes plan b, that is, has the higher
+// (term, number). Any plan supersedes nil.
 func Newer(a, b *wire.Plan) bool {
 	if a == nil || b == nil {
 		return a != nil
--- a/internal/decision/plan/plan_test.go
+++ b/internal/decision/plan/plan_test.go
@@ -24,22 +24,22 @@
 	gone     = wire.ServerState_SERVER_STATE_GONE
 )
 
-func model(name, region, zone string, running uint32) *wire.ServerStatus {
+func modelServer(name, region, zone string, running uint32) *wire.ServerStatus {
 	return &wire.ServerStatus{Name: name, Kind: "model", Services: []string{"chat", "digest"}, Region: region, Zone: zone,
 		State: ready, Slots: 16, Running: running, Answered: 1000, Reachable: true, Incarnation: 1}
 }
 
-func stateOf(lagos, abeokuta float64) statemachine.State {
+func newState(lagos, abeokuta float64) statemachine.State {
 	return statemachine.State{Version: 7, SheetVersion: 7, Evacuated: map[string]uint64{}, Sheet: &sheet.Sheet{
 		Services: map[string]sheet.Service{"chat": {Kind: "model"}, "digest": {Kind: "model"}},
 		Weights:  map[string]map[string]float64{"chat": {"lagos": lagos, "abeokuta": abeokuta}, "digest": {"lagos": 1, "abeokuta": 1}}}}
 }
 
-func fleet(running uint32) map[string]*wire.ServerStatus {
+func newFleet(running uint32) map[string]*wire.ServerStatus {
 	servers := map[string]*wire.ServerStatus{}
 	for i := range 4 {
 		name := fmt.Sprintf("m%d", i)
-		servers[name] = model(name, []string{"lagos", "abeokuta"}[i%2], []string{"a", "b"}[i/2], running)
+		servers[name] = modelServer(name, []string{"lagos", "abeokuta"}[i%2], []string{"a", "b"}[i/2], running)
 	}
 	return servers
 }
@@ -54,8 +54,8 @@
 }
 
 func TestPlansAfterEvents(t *testing.T) {
-	Convey("A plan under a series of events", t, func() {
-		input := Input{State: stateOf(70, 30), Servers: fleet(2), Term: 3, Holder: "c1", Period: 5 * time.Second, Now: time.UnixMilli(1_000_000),
+	Convey("Each event either forces a new plan or leaves the current one in force", t, func() {
+		input := Input{State: newState(70, 30), Servers: newFleet(2), Term: 3, Holder: "c1", Period: 5 * time.Second, Now: time.UnixMilli(1_000_000),
 			Fronts: []statemachine.Member{{Name: "n1", Region: "lagos"}}}
 		var log strings.Builder
 		step := func(event string, change func()) {
@@ -64,7 +64,7 @@
 			cause, forced := ReplanCause(input.Prior, input)
 			fmt.Fprintf(&log, "%s: ", event)
 			if !forced && !PeriodOver(input.Prior, input.Now) {
-				fmt.Fprintf(&log, "plan %d stands\n", input.Prior.Number)
+				fmt.Fprintf(&log, "plan %d remains in force\n", input.Prior.Number)
 				return
 			}
 			if !forced {
@@ -83,31 +83,31 @@
 				fmt.Fprintf(&log, "  cap %s %d\n", c.Server, c.InFlight)
 			}
 		}
-		set := func(name string, change func(*wire.ServerStatus)) func() {
+		updateServer := func(name string, change func(*wire.ServerStatus)) func() {
 			return func() {
 				next := map[string]*wire.ServerStatus{}
 				for key, s := range input.Servers {
 					next[key] = s
 				}
-				at := model(name, input.Servers[name].Region, input.Servers[name].Zone, 2)
-				change(at)
-				next[name] = at
+				updated := modelServer(name, input.Servers[name].Region, input.Servers[name].Zone, 2)
+				change(updated)
+				next[name] = updated
 				input.Servers = next
 			}
 		}
 		step("the first servers", func() {})
-		step("load moves", set("m0", func(s *wire.ServerStatus) { s.Running = 9 }))
-		step("m1 drains", set("m1", func(s *wire.ServerStatus) { s.State = draining }))
-		step("m1 is back, cold", set("m1", func(s *wire.ServerStatus) { s.State, s.Incarnation, s.Answered = cold, 2, 0 }))
+		step("the load of m0 rises", updateServer("m0", func(s *wire.ServerStatus) { s.Running = 9 }))
+		step("m1 drains", updateServer("m1", func(s *wire.ServerStatus) { s.State = draining }))
+		step("m1 returns, cold", updateServer("m1", func(s *wire.ServerStatus) { s.State, s.Incarnation, s.Answered = cold, 2, 0 }))
 		step("time passes", func() { input.Now = input.Now.Add(4 * time.Second) })
-		step("m1 has answered five", set("m1", func(s *wire.ServerStatus) { s.Incarnation, s.Answered = 2, 5 }))
-		step("m3 goes dark", set("m3", func(s *wire.ServerStatus) { s.Reachable = false }))
+		step("m1 has answered 5 requests", updateServer("m1", func(s *wire.ServerStatus) { s.Incarnation, s.Answered = 2, 5 }))
+		step("m3 becomes unreachable", updateServer("m3", func(s *wire.ServerStatus) { s.Reachable = false }))
 		step("abeokuta is evacuated", func() { input.State.Evacuated = map[string]uint64{"abeokuta": 8}; input.State.Version = 8 })
-		step("the sheet moves", func() { input.State = stateOf(10, 90); input.State.Version, input.State.SheetVersion = 9, 9 })
+		step("the sheet's weights change", func() { input.State = newState(10, 90); input.State.Version, input.State.SheetVersion = 9, 9 })
 		step("time passes", func() { input.Now = input.Now.Add(4 * time.Second) })
 		step("lagos is full", func() {
-			set("m0", func(s *wire.ServerStatus) { s.Running, s.Queued = 16, 30 })()
-			set("m3", func(_ *wire.ServerStatus) {})()
+			updateServer("m0", func(s *wire.ServerStatus) { s.Running, s.Queued = 16, 30 })()
+			updateServer("m3", func(_ *wire.ServerStatus) {})()
 			input.Now = input.Now.Add(4 * time.Second)
 		})
 		goldie.New(t).Assert(t, "events", []byte(log.String()))
@@ -116,17 +116,17 @@
 
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		input := Input{State: stateOf(rapid.Float64Range(0, 1e9).Draw(t, "lagos"), rapid.Float64Range(0.001, 10).Draw(t, "abeokuta")),
+		input := Input{State: newState(rapid.Float64Range(0, 1e9).Draw(t, "lagos"), rapid.Float64Range(0.001, 10).Draw(t, "abeokuta")),
 			Servers: map[string]*wire.ServerStatus{}, Now: time.UnixMilli(5), Period: time.Second}
 		for i := range rapid.IntRange(0, 12).Draw(t, "servers") {
-			s := model(fmt.Sprintf("m%d", i), rapid.SampledFrom([]string{"lagos", "abeokuta"}).Draw(t, "region"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Uint32Range(0, 60).Draw(t, "running"))
+			s := modelServer(fmt.Sprintf("m%d", i), rapid.SampledFrom([]string{"lagos", "abeokuta"}).Draw(t, "region"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Uint32Range(0, 60).Draw(t, "running"))
 			s.State = rapid.SampledFrom([]wire.ServerState{ready, ready, cold, draining, leaving, gone}).Draw(t, "state")
 			s.Reachable = rapid.IntRange(0, 5).Draw(t, "reachable") > 0
 			s.Answered = rapid.Uint64Range(0, 40).Draw(t, "answered")
 			input.Servers[s.Name] = s
 		}
 		if rapid.Bool().Draw(t, "evacuated") {
-			input.State.Evacuated = map[string]uint64{rapid.SampledFrom([]string{"lagos", "lagos/a", "abeokuta/b"}).Draw(t, "place"): 3}
+			input.State.Evacuated = map[string]uint64{rapid.SampledFrom([]string{"lagos", "lagos/a", "abeokuta/b"}).Draw(t, "evacuated locality"): 3}
 		}
 		result := Compute(input)
 		if again := Compute(input); fmt.Sprint(again) != fmt.Sprint(result) {
@@ -136,17 +136,17 @@
 		for _, c := range result.Caps {
 			s := input.Servers[c.Server]
 			if ExclusionReason(input.State, s) != "" {
-				t.Fatalf("%s is %s and has a cap", c.Server, ExclusionReason(input.State, s))
+				t.Fatalf("%s is excluded (%s) but has a cap", c.Server, ExclusionReason(input.State, s))
 			}
 			if c.InFlight == 0 || int(c.InFlight) > 20 || uint64(c.InFlight) > 2+s.Answered {
-				t.Fatalf("cap %d of %v", c.InFlight, s)
+				t.Fatalf("cap %d is out of bounds for %v", c.InFlight, s)
 			}
 			usable[s.Region] = true
 		}
 		for _, s := range result.Shares {
 			sums[s.Service+" "+s.FromRegion] += s.Share
 			if !usable[s.ToRegion] || !(s.Share > 0) {
-				t.Fatalf("%v goes to a region without servers", s)
+				t.Fatalf("share %v is not positive or its region has no usable servers", s)
 			}
 		}
 		for key, sum := range sums {
@@ -155,7 +155,7 @@
 			}
 		}
 		if _, forced := ReplanCause(result, input); forced {
-			t.Fatal("the same input forces a new plan again")
+			t.Fatal("the input that the plan was computed from forces a new plan")
 		}
 	})
 }
--- a/internal/decision/plan/policy.go
+++ b/internal/decision/plan/policy.go
@@ -16,37 +16,36 @@
 	defaultWebSlots       = 64
 	defaultDemandHeadroom = 1.25
 
-	// settingSlowStartCap is the run-time setting of Policy.SlowStartCap.
+	// settingSlowStartCap is the run-time setting that overrides Policy.SlowStartCap.
 	settingSlowStartCap = "route.ramp_start"
 
-	// maxSlots bounds the slots that a server reports.
+	// maxSlots bounds the number of slots accepted from a server's report.
 	maxSlots = 1 << 16
-	// recoveryDivisor makes the cap of a server that returns a fraction of its full
-	// cap.
+	// recoveryDivisor is the ratio of a server's full cap to its cap after an absence.
 	recoveryDivisor = 4
 
 	kindWeb = "web"
 )
 
-// Policy sets the caps of servers: the most requests in flight to one. Zero values
-// take the defaults named.
+// Policy determines the cap of a server, which is its maximum number of requests in
+// flight. Zero values select the defaults.
 type Policy struct {
-	// SlowStartCap is the cap of a server that has answered nothing; each answer
-	// raises it by one up to the full cap. Default 2.
+	// SlowStartCap is the cap of a server that has not answered any request. Each
+	// answer raises the cap by one, up to the full cap. Default 2.
 	SlowStartCap int
-	// QueueFraction is how many requests may wait at a server, as a fraction of its
-	// slots; its slots and these are its full cap. Default 0.25.
+	// QueueFraction is the number of requests that may be queued at a server, as a
+	// fraction of its slots. The full cap is the slots plus this queue. Default 0.25.
 	QueueFraction float64
-	// DefaultModelSlots and DefaultWebSlots stand in for the slots of a server that
-	// reports none. Defaults 8 and 64.
+	// DefaultModelSlots and DefaultWebSlots are the slots of servers that report none.
+	// Defaults 8 and 64.
 	DefaultModelSlots int
 	DefaultWebSlots   int
-	// DemandHeadroom multiplies the requests now in flight to the demand that regions
-	// must have capacity for. Default 1.25.
+	// DemandHeadroom is the factor between the requests that are running or queued and
+	// the demand for which regions must have capacity. Default 1.25.
 	DemandHeadroom float64
 }
 
-// WithDefaults returns the policy with defaults for what is zero.
+// WithDefaults returns the policy with zero values replaced by their defaults.
 func (p Policy) WithDefaults() Policy {
 	p.SlowStartCap = cmp.Or(p.SlowStartCap, defaultSlowStartCap)
 	p.QueueFraction = cmp.Or(p.QueueFraction, defaultQueueFraction)
@@ -56,8 +55,8 @@
 	return p
 }
 
-// withSettings returns the policy with the run-time settings of a sheet, which may
-// be nil.
+// withSettings returns the policy with the run-time settings of a sheet applied. The
+// sheet may be nil; settings that are invalid or not positive are ignored.
 func (p Policy) withSettings(s *sheet.Sheet) Policy {
 	if s == nil {
 		return p
@@ -80,18 +79,19 @@
 	return slots + int(math.Ceil(float64(slots)*p.QueueFraction))
 }
 
-// SlowStartCapAfter returns the cap after a number of answers.
+// SlowStartCapAfter returns the cap of a server that has answered the given number of
+// requests.
 func (p Policy) SlowStartCapAfter(fullCap int, answered uint64) int {
 	return int(min(uint64(fullCap), uint64(p.SlowStartCap)+answered))
 }
 
-// RecoveryCap returns the cap of a server that returns after an absence, or that
-// reports a slow start although it has answered before.
+// RecoveryCap returns the cap of a server that returns after an absence, or that is in
+// slow start although it has answered requests before.
 func (p Policy) RecoveryCap(fullCap int) int {
 	return min(fullCap, max(p.SlowStartCap, fullCap/recoveryDivisor))
 }
 
-// Cap returns a server's cap by its status.
+// Cap returns the cap of a server with the given status.
 func (p Policy) Cap(status *wire.ServerStatus) int {
 	fullCap := p.FullCap(status)
 	if status.GetState() == wire.ServerState_SERVER_STATE_COLD {
--- a/internal/decision/plan/shares.go
+++ b/internal/decision/plan/shares.go
@@ -10,21 +10,21 @@
 
 // Shares returns, for each service and region of origin, the fraction of the traffic
 // that goes to each region. The sheet's weights apply as long as the regions have
-// capacity for the requests now in flight, with the policy's headroom; the excess of
-// a region is spread over the others by their weights. A region without a server
-// that may get requests has no share, and a service that no region has capacity for
-// has none at all.
+// capacity for the current demand, which is the running and queued requests times the
+// policy's headroom. Demand that exceeds a region's capacity is distributed over the
+// other regions by weight. A region without a usable server has no share, and a
+// service without capacity in any region has no shares.
 func Shares(state statemachine.State, servers map[string]*wire.ServerStatus, fronts []statemachine.Member, policy Policy) []*wire.Share {
 	if state.Sheet == nil {
 		return nil
 	}
 	policy = policy.WithDefaults()
-	totals := totalsOf(state, servers, policy)
+	totals := sumTotals(state, servers, policy)
 	origins := regionNames(state, servers, fronts)
 	var shares []*wire.Share
 	for _, service := range slices.Sorted(maps.Keys(state.Sheet.Services)) {
 		demand := totals.demand[service] * policy.DemandHeadroom
-		regions := divide(state.Sheet.Weights[service], totals.capacity[service], demand)
+		regions := divideDemand(state.Sheet.Weights[service], totals.capacity[service], demand)
 		for _, origin := range origins {
 			shares = appendShares(shares, service, origin, regions)
 		}
@@ -46,55 +46,55 @@
 	return shares
 }
 
-// serviceTotals are the capacity and the demand of each service, in requests in
-// flight.
+// serviceTotals contains the capacity and the demand of each service, both as numbers
+// of requests in flight.
 type serviceTotals struct {
 	capacity map[string]map[string]float64 // by service and region
 	demand   map[string]float64            // by service
 }
 
-// totalsOf adds up the servers that may get requests. One that serves several
-// services counts for each with an equal part.
-func totalsOf(state statemachine.State, servers map[string]*wire.ServerStatus, policy Policy) serviceTotals {
+// sumTotals adds up the capacity and the demand of the usable servers. A server that
+// serves several services is divided equally among them.
+func sumTotals(state statemachine.State, servers map[string]*wire.ServerStatus, policy Policy) serviceTotals {
 	totals := serviceTotals{
 		capacity: map[string]map[string]float64{},
 		demand:   map[string]float64{},
 	}
-	// In the order of names, as sums of floats depend on it.
+	// Floating-point sums depend on the order, which must be the same on each leader.
 	for _, name := range slices.Sorted(maps.Keys(servers)) {
 		status := servers[name]
 		if ExclusionReason(state, status) == "" {
-			totals.add(status, policy.Cap(status))
+			totals.addServer(status, policy.Cap(status))
 		}
 	}
 	return totals
 }
 
-func (t serviceTotals) add(status *wire.ServerStatus, serverCap int) {
-	part := 1 / float64(len(status.Services))
+func (t serviceTotals) addServer(status *wire.ServerStatus, serverCap int) {
+	fraction := 1 / float64(len(status.Services))
 	for _, service := range status.Services {
 		if t.capacity[service] == nil {
 			t.capacity[service] = map[string]float64{}
 		}
-		t.capacity[service][status.Region] += float64(serverCap) * part
-		t.demand[service] += float64(status.Running+status.Queued) * part
+		t.capacity[service][status.Region] += float64(serverCap) * fraction
+		t.demand[service] += float64(status.Running+status.Queued) * fraction
 	}
 }
 
-// regionShare is a region that may get traffic of a service.
+// regionShare is a region that may receive traffic of a service.
 type regionShare struct {
 	name     string
 	weight   float64
 	capacity float64
-	// share is in requests in flight while the demand is divided, and then the
-	// fraction of the traffic.
+	// share is a number of requests in flight until normalize turns it into a fraction
+	// of the traffic.
 	share float64
 }
 
-// divide returns the share of each region with a weight and capacity, sorted by
-// name; the shares sum to 1. Without demand they are the weights; with more than
-// the total capacity, the capacities.
-func divide(weights, capacity map[string]float64, demand float64) []regionShare {
+// divideDemand returns the share of each region that has a weight and capacity, sorted
+// by name. The shares sum to 1. They are proportional to the weights if there is no
+// demand, and to the capacities if the demand reaches the total capacity.
+func divideDemand(weights, capacity map[string]float64, demand float64) []regionShare {
 	var regions []regionShare
 	totalCapacity := 0.0
 	for _, name := range slices.Sorted(maps.Keys(weights)) {
@@ -116,62 +116,63 @@
 	return normalize(regions, func(region regionShare) float64 { return region.share })
 }
 
-// fillByWeight divides a demand below the total capacity by weight. A region that
-// would get more than its capacity gets just that, and the remaining demand is
-// divided again over the others.
+// fillByWeight divides a demand below the total capacity by weight. A region whose part
+// would exceed its capacity is limited to its capacity, and the remaining demand is
+// divided again among the other regions.
 func fillByWeight(regions []regionShare, demand float64) {
 	remaining := demand
-	full := make([]bool, len(regions))
+	saturated := make([]bool, len(regions))
 	for range regions {
-		weight := openWeight(regions, full)
-		clipped := clip(regions, full, remaining, weight)
+		weight := unsaturatedWeight(regions, saturated)
+		anySaturated := saturateRegions(regions, saturated, remaining, weight)
 		remaining = demand
 		for i := range regions {
-			if full[i] {
+			if saturated[i] {
 				remaining -= regions[i].share
 			}
 		}
-		if !clipped {
-			fillOpen(regions, full, remaining, weight)
+		if !anySaturated {
+			fillUnsaturated(regions, saturated, remaining, weight)
 			return
 		}
 	}
 }
 
-// openWeight returns the sum of the weights of the regions that are not full.
-func openWeight(regions []regionShare, full []bool) float64 {
+// unsaturatedWeight returns the total weight of the regions that are below capacity.
+func unsaturatedWeight(regions []regionShare, saturated []bool) float64 {
 	weight := 0.0
 	for i, region := range regions {
-		if !full[i] {
+		if !saturated[i] {
 			weight += region.weight
 		}
 	}
 	return weight
 }
 
-// clip gives the regions that would get more than their capacity just that, marks
-// them as full and reports whether there were any.
-func clip(regions []regionShare, full []bool, remaining, weight float64) bool {
-	clipped := false
+// saturateRegions limits the regions whose part of the remaining demand exceeds their
+// capacity to that capacity, marks them as saturated and returns whether there were any.
+func saturateRegions(regions []regionShare, saturated []bool, remaining, weight float64) bool {
+	anySaturated := false
 	for i, region := range regions {
-		if !full[i] && remaining*region.weight/weight > region.capacity {
-			full[i] = true
+		if !saturated[i] && remaining*region.weight/weight > region.capacity {
+			saturated[i] = true
 			regions[i].share = region.capacity
-			clipped = true
+			anySaturated = true
 		}
 	}
-	return clipped
+	return anySaturated
 }
 
-func fillOpen(regions []regionShare, full []bool, remaining, weight float64) {
+// fillUnsaturated divides the remaining demand among the unsaturated regions by weight.
+func fillUnsaturated(regions []regionShare, saturated []bool, remaining, weight float64) {
 	for i, region := range regions {
-		if !full[i] {
+		if !saturated[i] {
 			regions[i].share = max(remaining, 0) * region.weight / weight
 		}
 	}
 }
 
-// normalize sets the shares to a measure of each region, divided by its sum.
+// normalize sets each region's share to its measure divided by the sum of all measures.
 func normalize(regions []regionShare, measure func(regionShare) float64) []regionShare {
 	total := 0.0
 	for _, region := range regions {
@@ -183,8 +184,8 @@
 	return regions
 }
 
-// regionNames returns the names of all regions, sorted: those with a weight, a
-// server or a front.
+// regionNames returns the sorted names of all regions that have a weight, a server or
+// a front.
 func regionNames(state statemachine.State, servers map[string]*wire.ServerStatus, fronts []statemachine.Member) []string {
 	names := map[string]bool{}
 	for _, weights := range state.Sheet.Weights {
--- a/internal/decision/plan/shares_test.go
+++ b/internal/decision/plan/shares_test.go
@@ -8,14 +8,14 @@
 
 func TestShares(t *testing.T) {
 	Convey("Shares", t, func() {
-		input := Input{State: stateOf(70, 30), Servers: fleet(0)}
-		Convey("follow the weights whatever the number of servers, from every region", func() {
+		input := Input{State: newState(70, 30), Servers: newFleet(0)}
+		Convey("follow the weights for every region of origin, regardless of the number of servers", func() {
 			delete(input.Servers, "m2")
 			result := Compute(input)
 			So(shareOf(result, "chat", "lagos", "lagos"), ShouldAlmostEqual, 0.7)
 			So(shareOf(result, "chat", "abeokuta", "lagos"), ShouldAlmostEqual, 0.7)
 		})
-		Convey("spread what exceeds a region's capacity over the others", func() {
+		Convey("distribute demand above a region's capacity over the other regions", func() {
 			for _, s := range input.Servers {
 				s.Running = 14
 			}
@@ -23,11 +23,11 @@
 			So(shareOf(result, "chat", "lagos", "lagos"), ShouldBeLessThan, 0.7)
 			So(shareOf(result, "chat", "lagos", "lagos"), ShouldBeGreaterThan, 0.5)
 		})
-		Convey("give nothing to a region without servers", func() {
+		Convey("exclude a region without usable servers", func() {
 			input.Servers["m0"].State, input.Servers["m2"].Reachable = leaving, false
 			So(shareOf(Compute(input), "chat", "lagos", "abeokuta"), ShouldEqual, 1)
 		})
-		Convey("are absent for a service that no region has capacity for", func() {
+		Convey("are absent for a service without capacity in any region", func() {
 			input.State.Evacuated = map[string]uint64{"lagos": 1, "abeokuta/a": 1, "abeokuta/b": 2}
 			result := Compute(input)
 			So(result.Shares, ShouldBeEmpty)
--- a/internal/decision/serverstatus/config.go
+++ b/internal/decision/serverstatus/config.go
@@ -7,36 +7,39 @@
 	defaultRetainFor    = 30 * time.Second
 	defaultMaxClockSkew = 500 * time.Millisecond
 
-	// minRepeatInterval holds up to 100 servers; beyond, the interval grows with
-	// each server, so that repeats stay at some hundreds per second.
+	// minRepeatInterval applies to fleets of up to 100 servers. In larger fleets the
+	// interval grows with the number of servers, which keeps repeats at a few
+	// hundred per second.
 	minRepeatInterval       = time.Second
 	repeatIntervalPerServer = 10 * time.Millisecond
-	// freshRepeats is how many repeats a report may miss and still be fresh.
+	// freshRepeats is the number of consecutive repeats that may be missing before a
+	// report becomes outdated.
 	freshRepeats = 3
 )
 
-// Config bounds the age of reports. Zero values take the defaults named.
+// Config bounds the age of reports. Zero values select the defaults.
 type Config struct {
-	// FreshFor is by how much a report may be older than the newest one on the same
-	// server and still count; never under three RepeatIntervals. Default 3 s.
+	// FreshFor is how much older than the newest report on the same server, from the
+	// same source, a report may be and still be merged. At least three
+	// RepeatIntervals apply. Default 3 s.
 	FreshFor time.Duration
-	// RetainFor is after how long an outdated report, and a server that is gone, is
-	// dropped. Default 30 s.
+	// RetainFor is how long outdated reports, and servers that are gone, are retained
+	// before Prune removes them. Default 30 s.
 	RetainFor time.Duration
-	// MaxClockSkew is how far a watcher's fleet time may be ahead of this
-	// process's; a report further ahead counts as of now. Default 500 ms.
+	// MaxClockSkew is how far a watcher's fleet time may be ahead of this process's.
+	// A report that is further ahead is stored with the current time. Default 500 ms.
 	MaxClockSkew time.Duration
 }
 
-// RepeatInterval returns how often a watcher repeats an unchanged report, or states
-// that its reports from the list are unchanged, in a fleet of a number of servers.
-// Changes are reported at once whatever the size.
+// RepeatInterval returns the interval at which a watcher repeats an unchanged report,
+// or confirms by digest that its reports from the list are unchanged, in a fleet of
+// the given number of servers. Changes are reported immediately in fleets of any size.
 func RepeatInterval(servers int) time.Duration {
 	return max(minRepeatInterval, time.Duration(servers)*repeatIntervalPerServer)
 }
 
-// freshMS returns for how many ms a report is fresh in a fleet of a number of
-// servers.
+// freshMS returns how long a report is fresh, in milliseconds, in a fleet of the given
+// number of servers.
 func (c Config) freshMS(servers int) int64 {
 	return max(c.FreshFor, freshRepeats*RepeatInterval(servers)).Milliseconds()
 }
--- a/internal/decision/serverstatus/merge.go
+++ b/internal/decision/serverstatus/merge.go
@@ -9,8 +9,8 @@
 	"stepwick/internal/wire"
 )
 
-// Severity orders states by how much they keep requests away. The most severe of
-// the fresh reports is the state of a server.
+// Severity ranks states by how strongly they restrict the requests sent to a server.
+// A server's state is the most severe one among its fresh reports.
 func Severity(state wire.ServerState) int {
 	switch state {
 	case wire.ServerState_SERVER_STATE_READY:
@@ -34,67 +34,69 @@
 	return a
 }
 
-// merge returns the status of a server, nil when no report names its address.
-// Where a core's merged report is stored, only what watchers here reported since
-// is added to it.
+// merge returns the status of a server, or nil if no report contains its address. If
+// a core's merged report is stored, only newer reports of other sources, and newer
+// load, are applied to it.
 func (e *serverEntry) merge(name string, freshMS int64) *wire.ServerStatus {
 	merged, ok := newestMerged(e.reports)
 	if !ok {
 		return mergeReports(name, e.reports, freshMS)
 	}
-	since := map[string]datedReport{}
-	for watcherID, dated := range e.reports {
-		if !isFrom(watcherID, SourceMerged) && dated.atMS > merged.atMS {
-			since[watcherID] = dated
+	localReports := map[string]storedReport{}
+	for watcherID, stored := range e.reports {
+		if !isFromSource(watcherID, SourceMerged) && stored.timestampMS > merged.timestampMS {
+			localReports[watcherID] = stored
 		}
 	}
 	status := proto.Clone(merged.report.Status).(*wire.ServerStatus)
-	if e.load != nil && e.load.Incarnation == status.Incarnation && e.load.AtMs > merged.atMS {
-		addLoad(status, e.load)
+	if e.load != nil && e.load.Incarnation == status.Incarnation && e.load.AtMs > merged.timestampMS {
+		applyLoad(status, e.load)
 	}
-	if local := mergeReports(name, since, freshMS); local != nil {
-		addLocal(status, local)
+	if local := mergeReports(name, localReports, freshMS); local != nil {
+		applyLocalStatus(status, local)
 	}
 	return status
 }
 
-func newestMerged(reports map[string]datedReport) (newest datedReport, found bool) {
-	for watcherID, dated := range reports {
-		if !isFrom(watcherID, SourceMerged) {
+// newestMerged returns the newest of the merged reports that cores published; ok is
+// false if there is none.
+func newestMerged(reports map[string]storedReport) (newest storedReport, ok bool) {
+	for watcherID, stored := range reports {
+		if !isFromSource(watcherID, SourceMerged) {
 			continue
 		}
-		// The watcher decides between reports of one instant, so that all processes
-		// take the same.
-		if !found || dated.atMS > newest.atMS || (dated.atMS == newest.atMS && watcherID > newest.report.Watcher) {
-			newest = dated
-			found = true
+		// Ties are broken by watcher id, so that all processes select the same report.
+		if !ok || stored.timestampMS > newest.timestampMS || (stored.timestampMS == newest.timestampMS && watcherID > newest.report.Watcher) {
+			newest = stored
+			ok = true
 		}
 	}
-	return newest, found
+	return newest, ok
 }
 
-func addLoad(status *wire.ServerStatus, load *wire.Load) {
+func applyLoad(status *wire.ServerStatus, load *wire.Load) {
 	status.Running = load.Running
 	status.Queued = load.Queued
 	status.Answered = load.Answered
 	status.KvUsed = float64(load.KvUsed)
 }
 
-// addLocal adds what watchers of this process reported since a merged report: it
-// may make the state worse and bring newer load, and changes nothing else.
-func addLocal(status, local *wire.ServerStatus) {
+// applyLocalStatus applies the status that this process's watchers reported after the
+// merged report. It can make the state more severe, extend the slow start, move the
+// departure forward and replace the load by a newer one; it changes nothing else.
+func applyLocalStatus(status, local *wire.ServerStatus) {
 	status.State = moreSevere(status.State, local.State)
 	status.ColdUntilMs = max(status.ColdUntilMs, local.ColdUntilMs)
 	status.LeaveAtMs = earlierLeave(status.LeaveAtMs, local.LeaveAtMs)
 	newIncarnation := local.Incarnation > status.Incarnation
 	moreAnswers := local.Incarnation == status.Incarnation && local.Answered > status.Answered
 	if newIncarnation || moreAnswers {
-		copyLoad(status, local)
+		copySelfReported(status, local)
 	}
 }
 
-// copyLoad copies what a server reports of itself.
-func copyLoad(status, reported *wire.ServerStatus) {
+// copySelfReported copies the fields that a server's own status endpoint reports.
+func copySelfReported(status, reported *wire.ServerStatus) {
 	status.Incarnation = reported.Incarnation
 	status.Answered = reported.Answered
 	status.Slots = reported.Slots
@@ -105,8 +107,8 @@
 	status.KvUsed = reported.KvUsed
 }
 
-// earlierLeave returns the earlier instant at which a server leaves; 0 means
-// none.
+// earlierLeave returns the earlier of two times at which a server leaves; 0 means
+// that it is not about to leave.
 func earlierLeave(a, b int64) int64 {
 	if b > 0 && (a == 0 || b < a) {
 		return b
@@ -114,13 +116,13 @@
 	return a
 }
 
-// mergeReports merges watchers' reports on a server, nil when none names its
-// address.
-func mergeReports(name string, reports map[string]datedReport, freshMS int64) *wire.ServerStatus {
+// mergeReports merges the reports of watchers on a server. It returns nil if none of
+// the fresh ones contains the server's address.
+func mergeReports(name string, reports map[string]storedReport, freshMS int64) *wire.ServerStatus {
 	listed := freshReports(reports, SourceList, freshMS)
 	polled := freshReports(reports, SourceServer, freshMS)
-	polled = withoutOutdatedTimeouts(polled, listed, freshMS)
-	identity := identityOf(listed, polled)
+	polled = dropOutdatedTimeouts(polled, listed, freshMS)
+	identity := selectIdentity(listed, polled)
 	if identity == nil {
 		return nil
 	}
@@ -141,9 +143,9 @@
 }
 
 // mergeListed merges the reports from the platform's list into a status.
-func mergeListed(status *wire.ServerStatus, listed []datedReport) {
-	for _, dated := range listed {
-		reported := dated.report.Status
+func mergeListed(status *wire.ServerStatus, listed []storedReport) {
+	for _, stored := range listed {
+		reported := stored.report.Status
 		status.State = moreSevere(status.State, reported.State)
 		status.Slots = max(status.Slots, reported.Slots)
 		status.ColdUntilMs = max(status.ColdUntilMs, reported.ColdUntilMs)
@@ -151,16 +153,17 @@
 	}
 }
 
-// mergePolled merges the reports from the server itself into a status. The server
-// is gone when every watcher's connection was refused, and unreachable when more
-// than half of the watchers were refused or got no answer: one report suffices where
-// no other watcher reports, and of two that differ the one that reached it counts.
-func mergePolled(status *wire.ServerStatus, polled []datedReport) {
+// mergePolled merges the reports from the server's status endpoint into a status. The
+// server is gone if the connections of all watchers were refused. It is unreachable
+// if more than half of the watchers were refused or timed out: a single failed poll
+// suffices if no other watcher reports, and if one of two watchers reached the
+// server, it is reachable.
+func mergePolled(status *wire.ServerStatus, polled []storedReport) {
 	refused := 0
 	timedOut := 0
 	var load *wire.ServerStatus
-	for _, dated := range polled {
-		reported := dated.report.Status
+	for _, stored := range polled {
+		reported := stored.report.Status
 		switch {
 		case isRefusal(reported):
 			refused++
@@ -178,7 +181,7 @@
 	}
 	status.Reachable = 2*(refused+timedOut) <= len(polled)
 	if load != nil {
-		copyLoad(status, load)
+		copySelfReported(status, load)
 	}
 }
 
@@ -192,44 +195,45 @@
 	return !reported.Reachable && reported.State == wire.ServerState_SERVER_STATE_UNSPECIFIED
 }
 
-// freshReports returns the reports from a source that are not older than the newest
-// of them by more than a span, newest first.
-func freshReports(reports map[string]datedReport, source Source, freshMS int64) []datedReport {
-	var fresh []datedReport
-	for watcherID, dated := range reports {
-		if isFrom(watcherID, source) {
-			fresh = append(fresh, dated)
+// freshReports returns the reports from a source that are at most freshMS older than
+// the newest of them, newest first.
+func freshReports(reports map[string]storedReport, source Source, freshMS int64) []storedReport {
+	var fresh []storedReport
+	for watcherID, stored := range reports {
+		if isFromSource(watcherID, source) {
+			fresh = append(fresh, stored)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b datedReport) int {
-		return cmp.Or(cmp.Compare(b.atMS, a.atMS), cmp.Compare(a.report.Watcher, b.report.Watcher))
+	slices.SortFunc(fresh, func(a, b storedReport) int {
+		return cmp.Or(cmp.Compare(b.timestampMS, a.timestampMS), cmp.Compare(a.report.Watcher, b.report.Watcher))
 	})
-	for i, dated := range fresh {
-		if dated.atMS < fresh[0].atMS-freshMS {
+	for i, stored := range fresh {
+		if stored.timestampMS < fresh[0].timestampMS-freshMS {
 			return fresh[:i]
 		}
 	}
 	return fresh
 }
 
-// withoutOutdatedTimeouts drops reports of a time-out once the list was seen so much
-// later that the watcher would have repeated them. The slice given is reused.
-func withoutOutdatedTimeouts(polled, listed []datedReport, freshMS int64) []datedReport {
+// dropOutdatedTimeouts removes time-out reports that are more than freshMS older than
+// the newest report from the list: a watcher that still timed out would have repeated
+// its report by then. It modifies polled in place.
+func dropOutdatedTimeouts(polled, listed []storedReport, freshMS int64) []storedReport {
 	if len(listed) == 0 {
 		return polled
 	}
-	return slices.DeleteFunc(polled, func(dated datedReport) bool {
-		return isTimeout(dated.report.Status) && dated.atMS < listed[0].atMS-freshMS
+	return slices.DeleteFunc(polled, func(stored storedReport) bool {
+		return isTimeout(stored.report.Status) && stored.timestampMS < listed[0].timestampMS-freshMS
 	})
 }
 
-// identityOf returns the newest status that names the server's address, one from
-// the list first; nil when there is none.
-func identityOf(listed, polled []datedReport) *wire.ServerStatus {
-	for _, reports := range [][]datedReport{listed, polled} {
-		for _, dated := range reports {
-			if dated.report.Status.Address != "" {
-				return dated.report.Status
+// selectIdentity returns the newest status that contains the server's address,
+// preferring reports from the list, or nil if there is none.
+func selectIdentity(listed, polled []storedReport) *wire.ServerStatus {
+	for _, reports := range [][]storedReport{listed, polled} {
+		for _, stored := range reports {
+			if stored.report.Status.Address != "" {
+				return stored.report.Status
 			}
 		}
 	}
--- a/internal/decision/serverstatus/store.go
+++ b/internal/decision/serverstatus/store.go
@@ -10,124 +10,128 @@
 	"stepwick/internal/wire"
 )
 
-// datedReport is a report with its instant in ms of fleet time: that of the
-// report, or of the newest statement that it is unchanged.
-type datedReport struct {
-	report *wire.Report
-	atMS   int64
+// storedReport is a report with the time for which it is valid: that of the report,
+// or of the latest confirmation that it is unchanged.
+type storedReport struct {
+	report      *wire.Report
+	timestampMS int64 // fleet time
 }
 
-// serverEntry is all that is stored of one server.
+// serverEntry is the stored data of one server.
 type serverEntry struct {
-	reports map[string]datedReport // by watcher id
-	status  *wire.ServerStatus     // merged, nil when nothing names its address
-	load    *wire.Load             // newer than the merged report, or nil
-	loadAt  int64                  // of load, in ms of fleet time
+	reports         map[string]storedReport // by watcher id
+	status          *wire.ServerStatus      // merged; nil if no report contains the address
+	load            *wire.Load              // latest accepted by AddLoad, nil before the first
+	loadTimestampMS int64                   // fleet time of load
 }
 
-// ReportStore is the set of the newest reports and the statuses merged from them.
-// It has one owner; the maps and statuses that it returns are never changed
-// afterwards.
+// ReportStore holds the newest report of each watcher on each server, and the statuses
+// merged from them. It is not safe for concurrent use. The maps and statuses that it
+// returns are never modified afterwards.
 type ReportStore struct {
 	config  Config
 	servers map[string]*serverEntry
-	// outdated are the servers whose status must be merged again.
-	outdated map[string]bool
-	statuses map[string]*wire.ServerStatus
-	version  uint64 // of statuses
-	// listedAtMS is the newest instant, in ms of fleet time, at which a watcher saw
-	// the platform's list; 0 before the first.
-	listedAtMS int64
+	// needsMerge contains the servers whose status has to be merged again.
+	needsMerge map[string]bool
+	statuses   map[string]*wire.ServerStatus
+	version    uint64 // incremented whenever statuses changes
+	// listObservedAtMS is the latest fleet time at which a watcher read the platform's
+	// list; 0 if none has.
+	listObservedAtMS int64
 }
 
 // NewReportStore returns an empty store.
 func NewReportStore(config Config) *ReportStore {
 	return &ReportStore{
-		config:   config.withDefaults(),
-		servers:  map[string]*serverEntry{},
-		outdated: map[string]bool{},
-		statuses: map[string]*wire.ServerStatus{},
+		config:     config.withDefaults(),
+		servers:    map[string]*serverEntry{},
+		needsMerge: map[string]bool{},
+		statuses:   map[string]*wire.ServerStatus{},
 	}
 }
 
-// Add takes a report and reports whether it was newer than the one stored, so that
-// it is to be forwarded. The report must not be changed afterwards. now is fleet
-// time.
+// Add stores a report if it supersedes the stored one of the same watcher and server,
+// and returns whether it did; only then does the report have to be forwarded. Reports
+// without a server, a watcher or a status are ignored. The report must not be modified
+// afterwards. now is fleet time.
 func (r *ReportStore) Add(report *wire.Report, now time.Time) bool {
 	if report.GetServer() == "" || report.GetWatcher() == "" || report.GetStatus() == nil {
 		return false
 	}
 	entry := r.servers[report.Server]
 	if entry == nil {
-		entry = &serverEntry{reports: map[string]datedReport{}}
+		entry = &serverEntry{reports: map[string]storedReport{}}
 		r.servers[report.Server] = entry
 	}
-	if stored, ok := entry.reports[report.Watcher]; ok && !newer(report, stored.report) {
+	if stored, ok := entry.reports[report.Watcher]; ok && !supersedes(report, stored.report) {
 		return false
 	}
-	atMS := r.boundedAtMS(report.AtMs, now)
-	entry.reports[report.Watcher] = datedReport{report: report, atMS: atMS}
-	r.recordListed(report.Watcher, atMS)
-	r.outdated[report.Server] = true
+	timestampMS := r.boundTimestampMS(report.AtMs, now)
+	entry.reports[report.Watcher] = storedReport{report: report, timestampMS: timestampMS}
+	r.recordListObservation(report.Watcher, timestampMS)
+	r.needsMerge[report.Server] = true
 	return true
 }
 
-// AddLoad takes the load of a server whose status is stored as a core's merged
-// report, and reports whether it was newer.
+// AddLoad stores the load of a server for which a core's merged report is stored, and
+// returns whether it did. Load of another incarnation, or older than the merged report
+// or the stored load, is ignored.
 func (r *ReportStore) AddLoad(load *wire.Load) bool {
 	entry := r.servers[load.GetServer()]
 	if entry == nil {
 		return false
 	}
 	merged, ok := newestMerged(entry.reports)
-	if !ok || merged.report.Status.Incarnation != load.Incarnation || load.AtMs <= max(merged.atMS, entry.loadAt) {
+	if !ok || merged.report.Status.Incarnation != load.Incarnation || load.AtMs <= max(merged.timestampMS, entry.loadTimestampMS) {
 		return false
 	}
 	entry.load = load
-	entry.loadAt = load.AtMs
-	r.outdated[load.Server] = true
+	entry.loadTimestampMS = load.AtMs
+	r.needsMerge[load.Server] = true
 	return true
 }
 
-func newer(a, b *wire.Report) bool {
+// supersedes reports whether report a replaces report b of the same watcher and server.
+func supersedes(a, b *wire.Report) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
 	return a.Counter > b.Counter
 }
 
-// boundedAtMS returns a watcher's instant, or now where it is too far ahead.
-func (r *ReportStore) boundedAtMS(atMS int64, now time.Time) int64 {
-	if nowMS := now.UnixMilli(); atMS > nowMS+r.config.MaxClockSkew.Milliseconds() {
+// boundTimestampMS returns a watcher's timestamp, or now if the timestamp is more than
+// MaxClockSkew ahead of it.
+func (r *ReportStore) boundTimestampMS(timestampMS int64, now time.Time) int64 {
+	if nowMS := now.UnixMilli(); timestampMS > nowMS+r.config.MaxClockSkew.Milliseconds() {
 		return nowMS
 	}
-	return atMS
+	return timestampMS
 }
 
-// recordListed records that a watcher saw the platform's list, if it reports from
-// that.
-func (r *ReportStore) recordListed(watcherID string, atMS int64) {
-	if isFrom(watcherID, SourceList) {
-		r.listedAtMS = max(r.listedAtMS, atMS)
+// recordListObservation records when a watcher read the platform's list. It ignores
+// watcher ids of other sources.
+func (r *ReportStore) recordListObservation(watcherID string, timestampMS int64) {
+	if isFromSource(watcherID, SourceList) {
+		r.listObservedAtMS = max(r.listObservedAtMS, timestampMS)
 	}
 }
 
-// Servers returns the merged status of every server of which a report names the
-// address. The same map is returned until something changes, and an unchanged
-// server keeps its pointer.
+// Servers returns the merged status of each server whose address is contained in a
+// report, by server name. It returns the same map until a status changes, and the same
+// pointer for a server whose status is unchanged.
 func (r *ReportStore) Servers() map[string]*wire.ServerStatus {
-	if len(r.outdated) == 0 {
+	if len(r.needsMerge) == 0 {
 		return r.statuses
 	}
 	next := maps.Clone(r.statuses)
 	freshMS := r.config.freshMS(len(r.servers))
 	changed := false
-	for name := range r.outdated {
+	for name := range r.needsMerge {
 		if r.updateStatus(name, freshMS, next) {
 			changed = true
 		}
 	}
-	clear(r.outdated)
+	clear(r.needsMerge)
 	if changed {
 		r.statuses = next
 		r.version++
@@ -135,14 +139,14 @@
 	return r.statuses
 }
 
-// updateStatus merges the reports on a server again, sets or deletes its status in
-// statuses, and reports whether that changed.
+// updateStatus merges the reports on a server again, sets or deletes its entry in
+// statuses, and returns whether the entry changed.
 func (r *ReportStore) updateStatus(name string, freshMS int64, statuses map[string]*wire.ServerStatus) bool {
 	entry := r.servers[name]
 	if entry == nil {
-		_, listed := statuses[name]
+		_, existed := statuses[name]
 		delete(statuses, name)
-		return listed
+		return existed
 	}
 	status := entry.merge(name, freshMS)
 	if sameStatus(entry.status, status) {
@@ -164,10 +168,11 @@
 	return proto.Equal(a, b)
 }
 
-// Version counts the changes of what Servers returns.
+// Version returns a number that increases whenever the result of Servers changes. It
+// is brought up to date by Servers.
 func (r *ReportStore) Version() uint64 { return r.version }
 
-// Reports returns all stored reports sorted by server and watcher, as for a
+// Reports returns all stored reports, sorted by server and watcher id, for use in a
 // snapshot.
 func (r *ReportStore) Reports() []*wire.Report {
 	var all []*wire.Report
@@ -180,59 +185,59 @@
 	return all
 }
 
-// ListedAt returns the newest instant of fleet time at which a watcher saw the
-// platform's list; the zero time before the first.
+// ListedAt returns the latest fleet time at which a watcher read the platform's list,
+// or the zero time if none has.
 func (r *ReportStore) ListedAt() time.Time {
-	if r.listedAtMS == 0 {
+	if r.listObservedAtMS == 0 {
 		return time.Time{}
 	}
-	return time.UnixMilli(r.listedAtMS)
+	return time.UnixMilli(r.listObservedAtMS)
 }
 
-// Prune drops reports that are outdated by RetainFor, and servers that have been
-// gone for RetainFor. The last report on a server that is not gone is never
-// dropped. now is fleet time.
+// Prune removes reports that are more than RetainFor older than the newest report on
+// the same server from the same source, and servers that have been gone, or without a
+// known address, for RetainFor. It never removes the last report on any other server.
+// now is fleet time.
 func (r *ReportStore) Prune(now time.Time) {
 	retainMS := r.config.RetainFor.Milliseconds()
-	// The statuses decide which servers are gone.
+	// isGone needs current statuses.
 	r.Servers()
 	for name, entry := range r.servers {
-		if entry.gone() && now.UnixMilli()-entry.newestMS() > retainMS {
+		if entry.isGone() && now.UnixMilli()-entry.newestTimestampMS() > retainMS {
 			delete(r.servers, name)
-			r.outdated[name] = true
+			r.needsMerge[name] = true
 			continue
 		}
-		if entry.dropOutdated(retainMS) {
-			r.outdated[name] = true
+		if entry.dropOutdatedReports(retainMS) {
+			r.needsMerge[name] = true
 		}
 	}
 }
 
-// gone reports whether the server is gone, or no report names its address.
-func (e *serverEntry) gone() bool {
+// isGone reports whether the server is gone, or no report contains its address.
+func (e *serverEntry) isGone() bool {
 	return e.status == nil || e.status.State == wire.ServerState_SERVER_STATE_GONE
 }
 
-// newestMS returns the instant of the newest report.
-func (e *serverEntry) newestMS() int64 {
+func (e *serverEntry) newestTimestampMS() int64 {
 	newest := int64(0)
-	for _, dated := range e.reports {
-		newest = max(newest, dated.atMS)
+	for _, stored := range e.reports {
+		newest = max(newest, stored.timestampMS)
 	}
 	return newest
 }
 
-// dropOutdated drops reports that are older than the newest of their source by more
-// than a span, and reports whether there were any.
-func (e *serverEntry) dropOutdated(retainMS int64) bool {
+// dropOutdatedReports removes reports that are more than retainMS older than the newest
+// one from the same source, and returns whether there were any.
+func (e *serverEntry) dropOutdatedReports(retainMS int64) bool {
 	newest := map[Source]int64{}
-	for watcherID, dated := range e.reports {
+	for watcherID, stored := range e.reports {
 		_, source := ParseWatcherID(watcherID)
-		newest[source] = max(newest[source], dated.atMS)
+		newest[source] = max(newest[source], stored.timestampMS)
 	}
 	dropped := false
-	for watcherID, dated := range e.reports {
-		if _, source := ParseWatcherID(watcherID); newest[source]-dated.atMS > retainMS {
+	for watcherID, stored := range e.reports {
+		if _, source := ParseWatcherID(watcherID); newest[source]-stored.timestampMS > retainMS {
 			delete(e.reports, watcherID)
 			dropped = true
 		}
--- a/internal/decision/serverstatus/store_test.go
+++ b/internal/decision/serverstatus/store_test.go
@@ -21,13 +21,13 @@
 
 var start = time.UnixMilli(1_000_000)
 
-func listReport(watcher string, counter uint64, state wire.ServerState, at time.Duration) *wire.Report {
-	return &wire.Report{Watcher: WatcherID(watcher, SourceList), Server: "m1", Incarnation: 1, Counter: counter, AtMs: start.Add(at).UnixMilli(),
+func listReport(watcher string, counter uint64, state wire.ServerState, offset time.Duration) *wire.Report {
+	return &wire.Report{Watcher: WatcherID(watcher, SourceList), Server: "m1", Incarnation: 1, Counter: counter, AtMs: start.Add(offset).UnixMilli(),
 		Status: &wire.ServerStatus{Name: "m1", Address: "127.0.0.1:1", Kind: "model", Services: []string{"chat"}, Region: "lagos", Zone: "a", State: state}}
 }
 
-func serverReport(watcher string, counter uint64, status *wire.ServerStatus, at time.Duration) *wire.Report {
-	return &wire.Report{Watcher: WatcherID(watcher, SourceServer), Server: "m1", Incarnation: 1, Counter: counter, AtMs: start.Add(at).UnixMilli(), Status: status}
+func serverReport(watcher string, counter uint64, status *wire.ServerStatus, offset time.Duration) *wire.Report {
+	return &wire.Report{Watcher: WatcherID(watcher, SourceServer), Server: "m1", Incarnation: 1, Counter: counter, AtMs: start.Add(offset).UnixMilli(), Status: status}
 }
 
 func mergedStatus(reports ...*wire.Report) *wire.ServerStatus {
@@ -40,24 +40,24 @@
 
 func TestMerge(t *testing.T) {
 	Convey("The merge of reports", t, func() {
-		Convey("applies a drain reported by one watcher at once", func() {
+		Convey("applies a drain reported by one watcher immediately", func() {
 			So(mergedStatus(listReport("n1", 1, ready, 0), listReport("n2", 1, draining, 0)).State, ShouldEqual, draining)
 			So(mergedStatus(listReport("n1", 1, draining, 0), listReport("n2", 1, ready, time.Second)).State, ShouldEqual, draining)
 		})
-		Convey("lets no stopped watcher hide a drain", func() {
+		Convey("does not let a stopped watcher hide a drain", func() {
 			So(mergedStatus(listReport("n1", 9, ready, 0), listReport("n2", 1, draining, 5*time.Second)).State, ShouldEqual, draining)
 			So(mergedStatus(listReport("n1", 9, draining, 0), listReport("n2", 1, ready, 2900*time.Millisecond)).State, ShouldEqual, draining)
 		})
-		Convey("lets no stopped watcher prolong a drain", func() {
+		Convey("does not let a stopped watcher prolong a drain", func() {
 			So(mergedStatus(listReport("n1", 9, draining, 0), listReport("n2", 4, ready, 3100*time.Millisecond)).State, ShouldEqual, ready)
 		})
-		Convey("keeps the last report when all watchers stopped", func() {
+		Convey("keeps the last report if all watchers stopped", func() {
 			store := NewReportStore(Config{})
 			store.Add(listReport("n1", 1, draining, 0), start)
 			store.Prune(start.Add(time.Hour))
 			So(store.Servers()["m1"].State, ShouldEqual, draining)
 		})
-		Convey("takes the most severe state of the list and the server itself, and the newest load", func() {
+		Convey("uses the most severe state of the list and the server itself, and the newest load", func() {
 			s := mergedStatus(listReport("n1", 1, ready, 0),
 				serverReport("n1", 1, &wire.ServerStatus{State: ready, Reachable: true, Incarnation: 7, Slots: 16, Running: 3}, 0),
 				serverReport("n2", 1, &wire.ServerStatus{State: cold, Reachable: true, Incarnation: 7, Slots: 16, Running: 5, Answered: 2}, time.Second))
@@ -66,28 +66,28 @@
 			So(s.Reachable, ShouldBeTrue)
 			So(s.Address, ShouldEqual, "127.0.0.1:1")
 		})
-		Convey("takes a server as gone when all fresh watchers are refused, not when one is", func() {
+		Convey("considers a server gone if the connections of all fresh watchers are refused, but not if only one is", func() {
 			refused := &wire.ServerStatus{Name: "m1", State: gone}
-			up := &wire.ServerStatus{State: ready, Reachable: true}
+			reachable := &wire.ServerStatus{State: ready, Reachable: true}
 			So(mergedStatus(listReport("n1", 1, ready, 0), serverReport("n1", 1, refused, 0), serverReport("n2", 1, refused, 0)).State, ShouldEqual, gone)
-			s := mergedStatus(listReport("n1", 1, ready, 0), serverReport("n1", 1, refused, 0), serverReport("n2", 1, up, 0))
+			s := mergedStatus(listReport("n1", 1, ready, 0), serverReport("n1", 1, refused, 0), serverReport("n2", 1, reachable, 0))
 			So(s.State, ShouldEqual, ready)
 			So(s.Reachable, ShouldBeTrue)
 		})
-		Convey("takes a server as unreachable when a majority timed out", func() {
+		Convey("considers a server unreachable if the requests of a majority of watchers timed out", func() {
 			timedOut := &wire.ServerStatus{Name: "m1"}
-			up := &wire.ServerStatus{State: ready, Reachable: true}
-			So(mergedStatus(listReport("n1", 1, ready, 0), serverReport("n1", 1, timedOut, 0), serverReport("n2", 1, up, 0), serverReport("n3", 1, up, 0)).Reachable, ShouldBeTrue)
-			So(mergedStatus(listReport("n1", 1, ready, 0), serverReport("n1", 1, timedOut, 0), serverReport("n2", 1, timedOut, 0), serverReport("n3", 1, up, 0)).Reachable, ShouldBeFalse)
-			So(mergedStatus(listReport("n1", 1, ready, 0), serverReport("n1", 1, up, 0), serverReport("n2", 1, timedOut, 4*time.Second)).Reachable, ShouldBeFalse)
+			reachable := &wire.ServerStatus{State: ready, Reachable: true}
+			So(mergedStatus(listReport("n1", 1, ready, 0), serverReport("n1", 1, timedOut, 0), serverReport("n2", 1, reachable, 0), serverReport("n3", 1, reachable, 0)).Reachable, ShouldBeTrue)
+			So(mergedStatus(listReport("n1", 1, ready, 0), serverReport("n1", 1, timedOut, 0), serverReport("n2", 1, timedOut, 0), serverReport("n3", 1, reachable, 0)).Reachable, ShouldBeFalse)
+			So(mergedStatus(listReport("n1", 1, ready, 0), serverReport("n1", 1, reachable, 0), serverReport("n2", 1, timedOut, 4*time.Second)).Reachable, ShouldBeFalse)
 		})
-		Convey("bounds instants from the future", func() {
+		Convey("replaces timestamps that are too far in the future with the current time", func() {
 			store := NewReportStore(Config{})
 			store.Add(listReport("n1", 1, ready, time.Hour), start)
 			store.Add(listReport("n2", 1, draining, 0), start)
 			So(store.Servers()["m1"].State, ShouldEqual, draining)
 		})
-		Convey("drops a server that has been gone for long, and no other", func() {
+		Convey("removes a server that has been gone for longer than RetainFor", func() {
 			store := NewReportStore(Config{})
 			store.Add(listReport("n1", 1, gone, 0), start)
 			store.Prune(start.Add(29 * time.Second))
@@ -96,7 +96,7 @@
 			So(store.Servers(), ShouldNotContainKey, "m1")
 			So(store.Reports(), ShouldBeEmpty)
 		})
-		Convey("returns the same map until something changes", func() {
+		Convey("keeps the pointer of an unchanged status and rejects a report with an equal counter", func() {
 			store := NewReportStore(Config{})
 			store.Add(listReport("n1", 1, ready, 0), start)
 			first := store.Servers()
@@ -109,13 +109,13 @@
 
 func drawReport(t *rapid.T) *wire.Report {
 	watcher := rapid.SampledFrom([]string{"n1", "n2", "n3"}).Draw(t, "watcher")
-	at := time.Duration(rapid.IntRange(0, 9000).Draw(t, "at")) * time.Millisecond
+	offset := time.Duration(rapid.IntRange(0, 9000).Draw(t, "at")) * time.Millisecond
 	counter := rapid.Uint64Range(1, 5).Draw(t, "counter")
 	state := rapid.SampledFrom([]wire.ServerState{ready, cold, draining, leaving, gone}).Draw(t, "state")
 	if rapid.Bool().Draw(t, "list") {
-		return listReport(watcher, counter, state, at)
+		return listReport(watcher, counter, state, offset)
 	}
-	return serverReport(watcher, counter, &wire.ServerStatus{State: state, Reachable: state != gone, Running: uint32(counter)}, at)
+	return serverReport(watcher, counter, &wire.ServerStatus{State: state, Reachable: state != gone, Running: uint32(counter)}, offset)
 }
 
 func TestMergeIsIndependentOfOrder(t *testing.T) {
@@ -132,10 +132,10 @@
 		for _, report := range unique {
 			all = append(all, report)
 		}
-		other := append(rapid.Permutation(all).Draw(t, "order"), all[0])
-		a, b := mergedStatus(all...), mergedStatus(other...)
+		permuted := append(rapid.Permutation(all).Draw(t, "order"), all[0])
+		a, b := mergedStatus(all...), mergedStatus(permuted...)
 		if !sameStatus(a, b) {
-			t.Fatalf("orders merge differently: %v and %v", a, b)
+			t.Fatalf("the merged status depends on the order of the reports: %v and %v", a, b)
 		}
 		store := NewReportStore(Config{})
 		for _, report := range all {
@@ -143,7 +143,7 @@
 		}
 		snapshot := mergedStatus(store.Reports()...)
 		if !sameStatus(a, snapshot) {
-			t.Fatalf("a snapshot merges differently: %v and %v", a, snapshot)
+			t.Fatalf("the status merged from a snapshot of the reports differs: %v and %v", a, snapshot)
 		}
 	})
 }
--- a/internal/decision/serverstatus/unchanged.go
+++ b/internal/decision/serverstatus/unchanged.go
@@ -9,11 +9,12 @@
 	"stepwick/internal/wire"
 )
 
-// Digest identifies a set of reports of one watcher, in whatever order they are
-// added. It lets a watcher state that nothing changed without repeating it.
+// Digest identifies a set of reports of one watcher, independently of the order in
+// which they are added. It allows a watcher to confirm that its reports are unchanged
+// without sending them again.
 type Digest uint64
 
-// Add adds a report to the set; one on a server that is gone is no part of it.
+// Add adds a report to the digest, unless its server is gone.
 func (d *Digest) Add(report *wire.Report) {
 	if report.GetStatus().GetState() == wire.ServerState_SERVER_STATE_GONE {
 		return
@@ -22,34 +23,35 @@
 	*d += Digest(xxhash.Sum64(key))
 }
 
-// ConfirmUnchanged takes a watcher's statement that its reports are unchanged,
-// which renews their instant, and returns their servers. Where other reports of the
-// watcher are stored than those meant, it changes nothing and known is false. now
-// is fleet time.
-func (r *ReportStore) ConfirmUnchanged(unchanged *wire.Unchanged, now time.Time) (servers []string, known bool) {
-	var stored Digest
+// ConfirmUnchanged applies a watcher's confirmation that its reports are unchanged: it
+// updates their timestamps and returns their servers. If the digest of the reports that
+// are stored of this incarnation of the watcher differs, or none is stored, it changes
+// nothing and matches is false. now is fleet time.
+func (r *ReportStore) ConfirmUnchanged(unchanged *wire.Unchanged, now time.Time) (servers []string, matches bool) {
+	var storedDigest Digest
 	for server, entry := range r.servers {
-		if dated, found := entry.reports[unchanged.GetWatcher()]; found && isMeant(dated.report, unchanged) {
-			stored.Add(dated.report)
+		if stored, ok := entry.reports[unchanged.GetWatcher()]; ok && isCoveredBy(stored.report, unchanged) {
+			storedDigest.Add(stored.report)
 			servers = append(servers, server)
 		}
 	}
-	if uint64(stored) != unchanged.GetDigest() || len(servers) == 0 {
+	if uint64(storedDigest) != unchanged.GetDigest() || len(servers) == 0 {
 		return nil, false
 	}
-	atMS := r.boundedAtMS(unchanged.GetAtMs(), now)
-	r.recordListed(unchanged.Watcher, atMS)
+	timestampMS := r.boundTimestampMS(unchanged.GetAtMs(), now)
+	r.recordListObservation(unchanged.Watcher, timestampMS)
 	for _, server := range servers {
 		reports := r.servers[server].reports
-		dated := reports[unchanged.Watcher]
-		dated.atMS = max(dated.atMS, atMS)
-		reports[unchanged.Watcher] = dated
-		r.outdated[server] = true
+		stored := reports[unchanged.Watcher]
+		stored.timestampMS = max(stored.timestampMS, timestampMS)
+		reports[unchanged.Watcher] = stored
+		r.needsMerge[server] = true
 	}
 	return servers, true
 }
 
-// isMeant reports whether a report is among those that a statement may be about.
-func isMeant(report *wire.Report, unchanged *wire.Unchanged) bool {
+// isCoveredBy reports whether a report of the watcher belongs to the set whose digest
+// the confirmation contains.
+func isCoveredBy(report *wire.Report, unchanged *wire.Unchanged) bool {
 	return report.Incarnation == unchanged.GetIncarnation() && report.Status.State != wire.ServerState_SERVER_STATE_GONE
 }
--- a/internal/decision/serverstatus/unchanged_test.go
+++ b/internal/decision/serverstatus/unchanged_test.go
@@ -24,7 +24,7 @@
 		}
 		return uint64(d)
 	}
-	storeOf := func(all ...*wire.Report) *ReportStore {
+	newStore := func(all ...*wire.Report) *ReportStore {
 		store := NewReportStore(Config{})
 		for _, report := range all {
 			store.Add(report, now)
@@ -33,26 +33,26 @@
 	}
 	unchanged := &wire.Unchanged{Watcher: "n1/list", Incarnation: 3, Digest: digest(reports[1], reports[0], reports[2]), AtMs: 99_000}
 
-	Convey("A watcher's statement that its reports are unchanged renews their instant, except on servers that are gone", t, func() {
-		store := storeOf(reports...)
-		servers, known := store.ConfirmUnchanged(unchanged, now)
-		So(known, ShouldBeTrue)
+	Convey("A watcher's confirmation that its reports are unchanged renews their timestamps, except for servers that are gone", t, func() {
+		store := newStore(reports...)
+		servers, matches := store.ConfirmUnchanged(unchanged, now)
+		So(matches, ShouldBeTrue)
 		So(len(servers), ShouldEqual, 2)
-		So(store.servers["m1"].reports["n1/list"].atMS, ShouldEqual, 99_000)
-		So(store.servers["m3"].reports["n1/list"].atMS, ShouldEqual, 90_000)
+		So(store.servers["m1"].reports["n1/list"].timestampMS, ShouldEqual, 99_000)
+		So(store.servers["m3"].reports["n1/list"].timestampMS, ShouldEqual, 90_000)
 	})
-	Convey("It is unknown where a report is missing, additional, of another incarnation or outdated", t, func() {
-		for _, other := range []*ReportStore{storeOf(reports[0]), storeOf(), storeOf(append(reports, report("m4", 4, ready))...), storeOf(reports[0], report("m2", 9, ready))} {
-			_, known := other.ConfirmUnchanged(unchanged, now)
-			So(known, ShouldBeFalse)
+	Convey("The confirmation does not match if a report is missing, additional, of another incarnation or outdated", t, func() {
+		for _, other := range []*ReportStore{newStore(reports[0]), newStore(), newStore(append(reports, report("m4", 4, ready))...), newStore(reports[0], report("m2", 9, ready))} {
+			_, matches := other.ConfirmUnchanged(unchanged, now)
+			So(matches, ShouldBeFalse)
 		}
-		_, known := storeOf(reports...).ConfirmUnchanged(&wire.Unchanged{Watcher: "n1/list", Incarnation: 4, Digest: unchanged.Digest, AtMs: 99_000}, now)
-		So(known, ShouldBeFalse)
+		_, matches := newStore(reports...).ConfirmUnchanged(&wire.Unchanged{Watcher: "n1/list", Incarnation: 4, Digest: unchanged.Digest, AtMs: 99_000}, now)
+		So(matches, ShouldBeFalse)
 	})
-	Convey("An instant in the future counts as now", t, func() {
-		store := storeOf(reports...)
-		_, known := store.ConfirmUnchanged(&wire.Unchanged{Watcher: "n1/list", Incarnation: 3, Digest: unchanged.Digest, AtMs: 150_000}, now)
-		So(known, ShouldBeTrue)
-		So(store.servers["m1"].reports["n1/list"].atMS, ShouldEqual, 100_000)
+	Convey("A timestamp too far in the future is replaced with the current time", t, func() {
+		store := newStore(reports...)
+		_, matches := store.ConfirmUnchanged(&wire.Unchanged{Watcher: "n1/list", Incarnation: 3, Digest: unchanged.Digest, AtMs: 150_000}, now)
+		So(matches, ShouldBeTrue)
+		So(store.servers["m1"].reports["n1/list"].timestampMS, ShouldEqual, 100_000)
 	})
 }
