--- a/internal/decision/route/affinity.go
+++ b/internal/decision/route/affinity.go
@@ -6,81 +6,85 @@
 )
 
 const (
-	// A prefix's holder is overloaded with more than maxOverMean times the pool's mean
-	// load, unless less than alwaysFreeLoad of its cap is in use.
-	maxOverMean    = 1.25
-	alwaysFreeLoad = 2.0 / 3
+	// The holders of a prefix are the servers that rank first for it and should have it
+	// in their caches. A holder is overloaded if its relative load is above
+	// maxLoadFactor times the pool's mean and above minOverloadFraction.
+	maxLoadFactor       = 1.25
+	minOverloadFraction = 2.0 / 3
 
-	// A server that doesn't hold the prefix is mostly idle below a relative load that
-	// rises with the time that the request has waited.
-	idleLoadAtOnce = 0.3
-	idleLoadMax    = 0.8
-	idleLoadRise   = time.Second
+	// A server that does not hold the prefix takes the request only if it is mostly
+	// idle: below a relative load that rises from initialIdleLoad to maxIdleLoad while
+	// the request waits up to idleLoadRiseTime.
+	initialIdleLoad  = 0.3
+	maxIdleLoad      = 0.8
+	idleLoadRiseTime = time.Second
 )
 
-// rankedServer is a server with its score for a prefix.
+// rankedServer is a server with its rendezvous score for a key.
 type rankedServer struct {
 	server *server
 	score  float64
 }
 
-// pickByAffinity implements Affinity: it ranks the servers of some groups for the
-// request's key.
-func (s *selection) pickByAffinity(pool *pool) (chosen *server, found availability) {
+// pickByAffinity implements Affinity. It tries up to maxGroupsTried groups, beginning with
+// the one that the request's key selects.
+func (s *selection) pickByAffinity(pool *pool) (chosen *server, avail availability) {
 	for i := range min(len(pool.groups), maxGroupsTried) {
-		group := pool.groups[(mix(s.key)+uint64(i))&uint64(len(pool.groups)-1)]
-		server, foundHere := s.pickInGroup(pool, group)
+		group := pool.groups[(splitMix64(s.key)+uint64(i))&uint64(len(pool.groups)-1)]
+		server, groupAvail := s.pickInGroup(pool, group)
 		if server != nil {
 			return server, available
 		}
-		found = max(found, foundHere)
+		avail = max(avail, groupAvail)
 	}
-	return nil, found
+	return nil, avail
 }
 
-// pickInGroup returns the first holder of the request's prefix that isn't overloaded,
-// or else the least loaded of the holders, or else any server that is mostly idle. When
-// all are busy the request waits for its holders: a prefix spread over all servers
-// would evict others from their caches, and the misses would keep the servers busy.
+// pickInGroup returns the first holder of the request's prefix that is not overloaded. If
+// there is none, it returns the least loaded holder that can take the request, or else
+// the least loaded server of the group if that is mostly idle or if the prefix has no
+// holder. Otherwise the request waits for its holders: sending it elsewhere would spread
+// the prefix over all servers and evict others from their caches, and the cache misses
+// would keep the servers busy.
 func (s *selection) pickInGroup(pool *pool, group []*server) (*server, availability) {
 	if s.request.Prefix == 0 {
-		return s.leastLoaded(group, considerAllPreferZone)
+		return s.leastLoaded(group, recordAllPreferZone)
 	}
 	var holders [maxCandidates]*server
 	chosen, count := s.pickHolder(pool, group, &holders)
 	if chosen != nil {
 		return chosen, available
 	}
-	if server, _ := s.leastLoaded(holders[:count], considerChosen); server != nil {
+	if server, _ := s.leastLoaded(holders[:count], recordChosen); server != nil {
 		return server, available
 	}
-	server, found := s.leastLoaded(group, considerNone)
+	server, avail := s.leastLoaded(group, recordNone)
 	if server == nil || count > 0 && server.relativeLoad() >= idleLoad(s.waited) {
-		return nil, min(found, availableToOthers)
+		return nil, min(avail, availableToOthers)
 	}
-	s.consider(server, server.relativeLoad(), "")
+	s.recordCandidate(server, server.relativeLoad(), "")
 	return server, available
 }
 
-// pickHolder returns the first holder of the prefix that isn't overloaded. Otherwise
-// it returns nil and fills in the holders.
+// pickHolder returns the first holder of the prefix that is not overloaded. If there is
+// none, it returns nil, stores the holders in holders and returns their number.
 func (s *selection) pickHolder(pool *pool, group []*server, holders *[maxCandidates]*server) (chosen *server, count int) {
 	var ranked [maxCandidates]rankedServer
 	rankedCount := rankServers(s.key, group, &ranked)
 	mean := pool.meanLoad()
-	wanted := s.table.popularity.holders(s.request.Prefix, pool.size)
-	for i := 0; i < rankedCount && count < wanted; i++ {
+	targetCount := s.table.popularity.holderCount(s.request.Prefix, pool.size)
+	for i := 0; i < rankedCount && count < targetCount; i++ {
 		server, score := ranked[i].server, ranked[i].score
-		reason := s.exclusion(server)
+		reason := s.exclusionReason(server)
 		if reason == "" && float64(server.load.total()+1) > server.maxLoad(mean) {
 			reason = Overloaded
 		}
-		s.consider(server, score, reason)
+		s.recordCandidate(server, score, reason)
 		switch reason {
 		case "":
 			return server, count
-		case AlreadyTried, NoShare, Ejected, UnderProbe:
-			// The next server takes its place as a holder.
+		case AlreadyTried, NoShare, Ejected, ProbeInFlight:
+			// The server next in rank holds the prefix instead.
 			continue
 		}
 		holders[count] = server
@@ -89,8 +93,8 @@
 	return nil, count
 }
 
-// rankServers fills in the servers with the highest scores for a key, in descending
-// order, and returns their number.
+// rankServers stores the servers with the highest scores for a key in ranked, in
+// descending order, and returns their number.
 func rankServers(key uint64, servers []*server, ranked *[maxCandidates]rankedServer) int {
 	count := 0
 	for _, server := range servers {
@@ -109,20 +113,24 @@
 	return count
 }
 
-// rendezvousScore is the score of weighted rendezvous hashing: servers get keys in
-// proportion to their full caps, so that slow start moves no key.
+// rendezvousScore returns a server's score for a key by weighted rendezvous hashing. The
+// weights are the full caps, which slow start does not change, so that keys do not move
+// during slow start.
 func rendezvousScore(key uint64, s *server) float64 {
-	uniform := (float64(mix(key^s.hash)>>11) + 0.5) / (1 << 53)
+	uniform := (float64(splitMix64(key^s.hash)>>11) + 0.5) / (1 << 53)
 	return -float64(s.capacity.full) / math.Log(uniform)
 }
 
-// maxLoad returns the load above which a holder is overloaded, given the pool's mean.
-// This is consistent hashing with bounded loads (Mirrokni et al., 2018).
+// maxLoad returns the load above which a holder is overloaded, given the pool's mean
+// load. The bound is that of consistent hashing with bounded loads (Mirrokni et al.,
+// 2018).
 func (s *server) maxLoad(mean float64) float64 {
 	limit := float64(s.capacity.cap)
-	return max(limit*alwaysFreeLoad, math.Ceil(maxOverMean*mean*limit)+1)
+	return max(limit*minOverloadFraction, math.Ceil(maxLoadFactor*mean*limit)+1)
 }
 
+// idleLoad returns the relative load below which a server that does not hold the prefix
+// takes a request that has waited for the given time.
 func idleLoad(waited time.Duration) float64 {
-	return idleLoadAtOnce + (idleLoadMax-idleLoadAtOnce)*min(1, float64(waited)/float64(idleLoadRise))
+	return initialIdleLoad + (maxIdleLoad-initialIdleLoad)*min(1, float64(waited)/float64(idleLoadRiseTime))
 }
--- a/internal/decision/route/bench_test.go
+++ b/internal/decision/route/bench_test.go
@@ -14,7 +14,7 @@
 	for i := range reqs {
 		reqs[i] = Request{ID: fmt.Sprintf("r%d", i), Service: "chat", FromRegion: "lagos", Deadline: start.Add(time.Minute)}
 		if prefix {
-			reqs[i].Prefix = mix(uint64(i) + 1)
+			reqs[i].Prefix = splitMix64(uint64(i) + 1)
 		}
 	}
 	b.ReportAllocs()
@@ -41,7 +41,7 @@
 	for b.Loop() {
 		b.StopTimer()
 		i++
-		view.Servers = with(servers, "m7", func(s *wire.ServerStatus) { s.Running = i % 16 })
+		view.Servers = withServer(servers, "m7", func(s *wire.ServerStatus) { s.Running = i % 16 })
 		b.StartTimer()
 		table.Update(view)
 	}
--- a/internal/decision/route/choose.go
+++ b/internal/decision/route/choose.go
@@ -9,24 +9,24 @@
 	"stepwick/internal/decision/plan"
 )
 
-// Bounds of the delays after which callers are asked to retry.
+// Default and limits of the retry delay in errors.
 const (
-	retryAfterDefault = time.Second
+	defaultRetryAfter = time.Second
 	minRetryAfter     = 100 * time.Millisecond
 	maxRetryAfter     = 5 * time.Second
 )
 
-// Choose decides where a request goes now. A retry (with Tried) spends from the retry
-// budget, a first attempt adds to it. The caller calls Started when it follows the
-// choice, before it calls Choose again.
+// Choose decides on a request: the choice has a server, an error, or Queued. A first attempt
+// adds to the retry budget and a retry (with Tried) spends from it. If the choice has a
+// server, the caller calls Started before it calls Choose again.
 func (t *Table) Choose(req Request, now time.Time) Choice {
 	if len(req.Tried) == 0 {
 		t.retries.addRequest()
 	} else if !t.retries.available() {
-		return Choice{Err: apierror.Errorf(apierror.BudgetSpent, "retries are bound to a share of the requests").WithRetryAfter(retryAfterDefault)}
+		return Choice{Err: apierror.Errorf(apierror.BudgetSpent, "retry budget exhausted: at most %g retries per request on average", t.config.RetryBudget).WithRetryAfter(defaultRetryAfter)}
 	}
 	if req.Prefix != 0 {
-		t.popularity.add(req.Prefix)
+		t.popularity.record(req.Prefix)
 	}
 	choice := t.chooseNew(&req, now)
 	if choice.Server != "" && len(req.Tried) > 0 {
@@ -35,18 +35,18 @@
 	return choice
 }
 
-// chooseNew decides a new request. It doesn't overtake queued ones that may have
-// become ready.
+// chooseNew decides on a new request. If queued requests may be able to proceed, the new
+// one does not overtake them.
 func (t *Table) chooseNew(req *Request, now time.Time) Choice {
-	if err := t.unroutable(req, now); err != nil {
+	if err := t.unroutableError(req, now); err != nil {
 		return Choice{Err: err}
 	}
-	if t.queue.unserved && len(t.queue.requests) > 0 {
+	if t.queue.needsScan && len(t.queue.requests) > 0 {
 		return t.queueOrReject(req, now, Choice{})
 	}
 	selection := newSelection(t, req, now, now)
-	found := selection.selectServer()
-	switch found {
+	avail := selection.selectServer()
+	switch avail {
 	case available:
 		return selection.choice
 	case noServer:
@@ -56,73 +56,76 @@
 	return t.queueOrReject(req, now, selection.choice)
 }
 
-// chooseQueued decides a request that was queued at since. It also reports whether the
-// request has to wait although some server has capacity for others.
-func (t *Table) chooseQueued(req *Request, since, now time.Time) (choice Choice, onlyForOthers bool) {
-	if err := t.unroutable(req, now); err != nil {
+// chooseQueued decides on a request that has been queued since queuedAt. It also reports
+// whether the request has to wait although some server has capacity for other requests.
+func (t *Table) chooseQueued(req *Request, queuedAt, now time.Time) (choice Choice, capacityForOthers bool) {
+	if err := t.unroutableError(req, now); err != nil {
 		return Choice{Err: err}, false
 	}
-	selection := newSelection(t, req, since, now)
-	found := selection.selectServer()
-	switch found {
+	selection := newSelection(t, req, queuedAt, now)
+	avail := selection.selectServer()
+	switch avail {
 	case available:
 	case noServer:
 		selection.choice.Err = t.noServerError(req)
 	default:
 		selection.choice.Queued = true
 	}
-	return selection.choice, found == availableToOthers
+	return selection.choice, avail == availableToOthers
 }
 
-// unroutable returns why a request can go to no server, whatever their state, or nil.
-func (t *Table) unroutable(req *Request, now time.Time) *apierror.Error {
+// unroutableError returns an error for a request that can go to no server regardless of the
+// servers' states, or nil.
+func (t *Table) unroutableError(req *Request, now time.Time) *apierror.Error {
 	switch {
 	case t.view.Plan == nil || t.view.State.Sheet == nil:
-		return apierror.Errorf(apierror.NoPlan, "no plan has arrived").WithRetryAfter(retryAfterDefault)
+		return apierror.Errorf(apierror.NoPlan, "this front has not yet received both a plan and a sheet").WithRetryAfter(defaultRetryAfter)
 	case !now.Before(req.Deadline):
-		return apierror.Errorf(apierror.DeadlinePassed, "the deadline has passed").WithRetryAfter(minRetryAfter)
+		return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed %s ago", now.Sub(req.Deadline).Round(time.Millisecond)).WithRetryAfter(minRetryAfter)
 	}
-	if _, known := t.view.State.Sheet.Services[req.Service]; !known {
-		return apierror.Errorf(apierror.UnknownService, "no service %q", req.Service)
+	if _, exists := t.view.State.Sheet.Services[req.Service]; !exists {
+		return apierror.Errorf(apierror.UnknownService, "the sheet in force has no service %q", req.Service)
 	}
 	return nil
 }
 
 func (t *Table) noServerError(req *Request) *apierror.Error {
-	return apierror.Errorf(apierror.NoServer, "no server of %s can take requests%s", req.Service, t.homeDetail(req.Home)).WithRetryAfter(retryAfterDefault)
+	return apierror.Errorf(apierror.NoServer, "no server of %s can take requests%s", req.Service, t.homeDetail(req.Home)).WithRetryAfter(defaultRetryAfter)
 }
 
+// homeDetail returns the part of an error text that names the home region.
 func (t *Table) homeDetail(home string) string {
 	switch {
 	case home == "":
 		return ""
 	case plan.IsEvacuated(t.view.State, home, ""):
-		return " in " + home + ", its home, which is evacuated"
+		return " in " + home + ", its home region, which is evacuated"
 	}
-	return " in " + home + ", its home"
+	return " in " + home + ", its home region"
 }
 
-// availability is what the servers of a pool have for a request.
+// availability is the capacity that a pool or a group of servers has for a request, in
+// ascending order.
 type availability int
 
 const (
-	noServer          availability = iota // no server that it may go to
-	noCapacity                            // servers, all without capacity
-	availableToOthers                     // capacity at servers that it should not go to
+	noServer          availability = iota // no server that may take the request
+	noCapacity                            // there are servers, but none has capacity
+	availableToOthers                     // capacity, but only at servers that should not take this request
 	available
 )
 
-// selection is the state of one choice of a server.
+// selection is the state of choosing a server for one request.
 type selection struct {
 	table   *Table
-	request Request       // by value: a pointer here would escape to the heap
-	key     uint64        // hash that servers are ranked by
-	waited  time.Duration // in the queue
+	request Request       // a copy, since a pointer would escape to the heap
+	key     uint64        // hash by which the servers are ranked
+	waited  time.Duration // time in the queue
 	now     time.Time
 	choice  Choice
 }
 
-func newSelection(t *Table, req *Request, since, now time.Time) selection {
+func newSelection(t *Table, req *Request, queuedAt, now time.Time) selection {
 	key := req.Prefix
 	if key == 0 {
 		key = xxhash.Sum64String(req.ID) | 1
@@ -131,13 +134,13 @@
 		table:   t,
 		request: *req,
 		key:     key,
-		waited:  now.Sub(since),
+		waited:  now.Sub(queuedAt),
 		now:     now,
 	}
 }
 
-// selectServer chooses a server in the request's home, or in the regions in the order
-// of the plan's shares.
+// selectServer chooses a server in the request's home region or, without one, in the regions
+// that have shares.
 func (s *selection) selectServer() availability {
 	if s.request.Home == "" {
 		return s.selectInRegions(s.table.regionsOf(&s.request))
@@ -146,35 +149,38 @@
 	if pool == nil {
 		return noServer
 	}
-	server, found := s.pick(pool)
+	server, avail := s.pick(pool)
 	if server != nil {
 		s.assign(server)
 		return available
 	}
-	return found
+	return avail
 }
 
+// selectInRegions chooses a server in the region whose turn it is or, if that has none, in
+// the first of the other regions that has one.
 func (s *selection) selectInRegions(regions *weightedRoundRobin) availability {
-	found := noServer
+	avail := noServer
 	first := regions.next()
 	for i := range regions.entries {
 		entry := &regions.entries[firstThenOthers(i, first)]
 		if entry.pool == nil {
 			continue
 		}
-		server, foundHere := s.pick(entry.pool)
+		server, poolAvail := s.pick(entry.pool)
 		if server != nil {
 			regions.advance(first)
 			s.assign(server)
 			return available
 		}
-		found = max(found, foundHere)
+		avail = max(avail, poolAvail)
 	}
-	return found
+	return avail
 }
 
-// firstThenOthers returns the index at a position in an order that begins with first
-// and continues with the others as they are. Without a first one (-1) it is the same.
+// firstThenOthers returns the index at a position in the order that begins with first and
+// continues with all other indexes in ascending order. If first is -1 the index is the
+// position.
 func firstThenOthers(position, first int) int {
 	switch {
 	case first < 0 || position > first:
--- a/internal/decision/route/durations.go
+++ b/internal/decision/route/durations.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// durationWeight is that of a new duration in an exponentially weighted mean.
+	// durationWeight is the weight of a new value in an exponentially weighted mean.
 	durationWeight = 0.05
 
-	// maxSlowStartGrowth bounds the growth of the rate that is expected of servers in
-	// slow start.
+	// maxSlowStartGrowth limits the factor by which the answer rate of servers in slow
+	// start is expected to grow.
 	maxSlowStartGrowth = 4.0
 
-	maxWaitSeconds = 3600
+	maxWaitSeconds = 3600 // limits estimatedWait
 
-	minFirstEventTimeout  = time.Second
-	maxFirstEventTimeout  = time.Minute
-	firstEventMeans       = 5 // least time-out, in mean times to the first event
-	firstEventLoadFactor  = 2 // by which the time that the load explains is multiplied
-	coldPrefillSlowFactor = 4
+	minFirstEventTimeout = time.Second
+	maxFirstEventTimeout = time.Minute
+	firstEventMeanFactor = 5 // minimum time-out, in mean times to the first event
+	firstEventLoadFactor = 2 // factor from the time that the load accounts for to the time-out
+	coldPrefillFactor    = 4 // by which prefill is slower at a cold server
 )
 
 // meanDuration is an exponentially weighted mean, in nanoseconds.
 type meanDuration struct{ value float64 }
 
-// meanDurations are means by service.
+// meanDurations maps services to their mean durations.
 type meanDurations map[string]*meanDuration
 
-func (m meanDurations) add(service string, duration time.Duration) {
+func (m meanDurations) record(service string, duration time.Duration) {
 	mean := m[service]
 	if mean == nil {
 		mean = &meanDuration{float64(duration)}
@@ -38,8 +38,8 @@
 	mean.value += (float64(duration) - mean.value) * durationWeight
 }
 
-// recordDurations records how long a request took. One that ended without an answer
-// or a first event counts for nothing.
+// recordDurations records the duration of a request and its time to the first event. A
+// request that had neither an answer nor a first event is ignored.
 func (t *Table) recordDurations(outcome Outcome) {
 	if outcome.Service == "" || outcome.Took <= 0 {
 		return
@@ -47,14 +47,14 @@
 	if outcome.Result != Answered && outcome.FirstToken <= 0 {
 		return
 	}
-	t.durations.add(outcome.Service, outcome.Took)
+	t.durations.record(outcome.Service, outcome.Took)
 	if outcome.FirstToken > 0 {
-		t.firstEvents.add(outcome.Service, outcome.FirstToken)
+		t.firstEvents.record(outcome.Service, outcome.FirstToken)
 	}
 }
 
-// expectedDuration returns the mean duration of a request from its start, times a
-// margin; 0 while none is known.
+// expectedDuration returns the mean duration of the service's requests multiplied by
+// margin, or 0 before any has been recorded. Time in the queue is not included.
 func (t *Table) expectedDuration(req *Request, margin float64) time.Duration {
 	if mean := t.durations[req.Service]; mean != nil {
 		return time.Duration(mean.value * margin)
@@ -62,30 +62,34 @@
 	return 0
 }
 
-// firstEventTimeout returns a bound of the time to the first event: several times the
-// mean, and twice what the server takes to prefill all that it may have in flight, as
-// if each request were like this one and none in its cache, and to free a slot.
+// firstEventTimeout returns the time-out for the first event of a request, or 0 if too
+// little is known to set one. It is at least firstEventMeanFactor times the mean time to
+// the first event and at least firstEventLoadFactor times the time that the server needs
+// to prefill this and all requests that it may have in flight and, if all its slots are in
+// use, to free a slot. Each of these requests is assumed to have as many tokens as this
+// one, none of them cached. The result is between minFirstEventTimeout and
+// maxFirstEventTimeout.
 func (t *Table) firstEventTimeout(server *server, req *Request) time.Duration {
 	if server.status.PrefillPerSecond <= 0 || req.Tokens <= 0 {
 		return 0
 	}
-	ahead := max(server.load.total(), int(server.status.Running+server.status.Queued)) + 1
-	seconds := float64(ahead) * req.Tokens / server.status.PrefillPerSecond
+	toPrefill := max(server.load.total(), int(server.status.Running+server.status.Queued)) + 1
+	seconds := float64(toPrefill) * req.Tokens / server.status.PrefillPerSecond
 	if server.status.State == wire.ServerState_SERVER_STATE_COLD {
-		seconds *= coldPrefillSlowFactor
+		seconds *= coldPrefillFactor
 	}
-	explained := firstEventLoadFactor * seconds * float64(time.Second)
-	if ahead > int(server.status.Slots) {
-		explained += float64(t.expectedDuration(req, firstEventLoadFactor))
+	timeout := firstEventLoadFactor * seconds * float64(time.Second)
+	if toPrefill > int(server.status.Slots) {
+		timeout += float64(t.expectedDuration(req, firstEventLoadFactor))
 	}
 	if mean := t.firstEvents[req.Service]; mean != nil {
-		explained = max(explained, firstEventMeans*mean.value)
+		timeout = max(timeout, firstEventMeanFactor*mean.value)
 	}
-	return max(minFirstEventTimeout, time.Duration(min(explained, float64(maxFirstEventTimeout))))
+	return max(minFirstEventTimeout, time.Duration(min(timeout, float64(maxFirstEventTimeout))))
 }
 
-// estimatedWait returns how long it takes until a number of requests have been answered
-// by the servers that could take this one; 0 while too little is known.
+// estimatedWait returns the expected time until the servers that could take this request
+// have answered the given number of requests. It returns 0 if too little is known.
 func (t *Table) estimatedWait(req *Request, requests int, now time.Time) time.Duration {
 	perSecond := 0.0
 	if req.Home != "" {
@@ -101,8 +105,8 @@
 	return time.Duration(min(float64(requests)/perSecond, maxWaitSeconds) * float64(time.Second))
 }
 
-// expectedRate returns the answers per second that a pool, which may be nil, will give
-// once its servers have reached their full caps.
+// expectedRate returns the expected answers per second of a pool once its servers have
+// reached their full caps. The pool may be nil.
 func (p *pool) expectedRate(now time.Time) float64 {
 	if p == nil {
 		return 0
@@ -111,8 +115,8 @@
 	return p.rate.perSecond(now) * min(maxSlowStartGrowth, max(1, growth))
 }
 
-// fullCap returns the sum of the servers' full caps, estimated from the first of
-// several groups.
+// fullCap returns the sum of the servers' full caps. With several groups it is an estimate
+// from the first one.
 func (p *pool) fullCap() int {
 	sum := 0
 	for _, s := range p.groups[0] {
--- a/internal/decision/route/ejection.go
+++ b/internal/decision/route/ejection.go
@@ -4,23 +4,23 @@
 
 const (
 	timeoutsToEject = 3
-	minTimeoutSpan  = time.Second // between the first and the last of them
+	minTimeoutSpan  = time.Second // between the first and the last of these time-outs
 
-	// maxEjectionDoublings bounds the exponent of the backoff.
+	// maxEjectionDoublings limits the exponent of the backoff.
 	maxEjectionDoublings = 8
 )
 
-// ejection is the outlier detection of one server; that of requests by route is in
-// package balance and has other rules. An ejected server gets no requests
-// for a time that doubles with each ejection in a row, then a single request that
-// probes it. After the ejection the front limits its requests in flight by the number
-// of answers since.
+// ejection is the outlier detection for one server. An ejected server gets no requests for
+// a time that doubles with each consecutive ejection, and then a single request as a
+// probe. During recovery after the ejection, the front limits its requests in flight to
+// one more than the number of answers since. Package balance has a separate outlier
+// detection with other rules, for requests that follow the sheet's routes.
 type ejection struct {
-	state        ejectionState
-	until        time.Time // when an ejected server may be probed
-	inARow       int
-	timeouts     int // in a row
-	firstTimeout time.Time
+	state               ejectionState
+	until               time.Time // time from which an ejected server may be probed
+	consecutive         int       // number of ejections since the last answer
+	consecutiveTimeouts int       // number of time-outs since the last answer
+	firstTimeout        time.Time
 
 	recovering      bool
 	recoveryAnswers int
@@ -31,18 +31,19 @@
 const (
 	notEjected ejectionState = iota
 	ejected
-	probing // ejected, with the probing request in flight
+	probing // ejected, with a probing request in flight
 )
 
 func (e *ejection) active() bool { return e.state != notEjected }
 
-// reason returns why an ejected server can take no request, or "" if it may be probed.
+// reason returns the reason why an ejected server can take no request, or "" if it may be
+// probed.
 func (e *ejection) reason(now time.Time) string {
 	switch {
 	case now.Before(e.until):
 		return Ejected
 	case e.state == probing:
-		return UnderProbe
+		return ProbeInFlight
 	}
 	return ""
 }
@@ -59,40 +60,41 @@
 	}
 }
 
-// start ejects the server, unless it is ejected and its time isn't over, and reports
-// whether it did.
-func (e *ejection) start(now time.Time, base, longest time.Duration) bool {
+// start ejects the server and reports whether it did. It does nothing while an earlier
+// ejection lasts.
+func (e *ejection) start(now time.Time, base, maxDuration time.Duration) bool {
 	if e.active() && now.Before(e.until) {
 		return false
 	}
-	backoff := base << min(e.inARow, maxEjectionDoublings)
-	e.inARow++
+	backoff := base << min(e.consecutive, maxEjectionDoublings)
+	e.consecutive++
 	e.state = ejected
-	e.until = now.Add(min(backoff, longest))
+	e.until = now.Add(min(backoff, maxDuration))
 	e.recovering = true
 	e.recoveryAnswers = 0
 	return true
 }
 
-// end ends the ejection and forgets failures.
+// end ends the ejection and resets the counts of failures.
 func (e *ejection) end() {
-	e.timeouts = 0
-	e.inARow = 0
+	e.consecutiveTimeouts = 0
+	e.consecutive = 0
 	e.state = notEjected
 }
 
-// recordAnswer ends the ejection, and the recovery after as many answers as the cap.
+// recordAnswer ends the ejection. The recovery ends after as many answers as serverCap.
 func (e *ejection) recordAnswer(serverCap int) {
 	e.recoveryAnswers++
 	e.recovering = e.recovering && e.recoveryAnswers < serverCap
 	e.end()
 }
 
-// recordTimeout reports whether the time-outs in a row suffice for an ejection.
+// recordTimeout counts a time-out and reports whether the consecutive time-outs suffice for
+// an ejection.
 func (e *ejection) recordTimeout(now time.Time) bool {
-	if e.timeouts == 0 {
+	if e.consecutiveTimeouts == 0 {
 		e.firstTimeout = now
 	}
-	e.timeouts++
-	return e.timeouts >= timeoutsToEject && now.Sub(e.firstTimeout) >= minTimeoutSpan
+	e.consecutiveTimeouts++
+	return e.consecutiveTimeouts >= timeoutsToEject && now.Sub(e.firstTimeout) >= minTimeoutSpan
 }
--- a/internal/decision/route/pool.go
+++ b/internal/decision/route/pool.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	groupSize       = 32 // least mean number of servers in a group
-	maxGroupsTried  = 4
-	maxCandidates   = 8
-	zoneAdvantage   = 0.25 // in relative load, of a server in the front's zone
-	kvNearlyFull    = 0.95 // fraction of the KV cache in use
-	kvNearlyFullAdd = 0.1  // to the relative load of a server with such a cache
+	groupSize           = 32 // minimum mean number of servers in a group
+	maxGroupsTried      = 4
+	maxCandidates       = 8    // maximum recorded candidates of a choice and holders of a prefix
+	zoneAdvantage       = 0.25 // subtracted from the relative load of a server in the front's zone
+	kvNearlyFull        = 0.95 // fraction of the KV cache in use
+	kvNearlyFullPenalty = 0.1  // added to the relative load of a server whose KV cache is nearly full
 )
 
 type poolKey struct{ service, region string }
 
-// pool holds the servers of one service and region that get requests. Up to 64 are
-// one group; more are divided by the hash of their names over a power of two of
-// groups, so that a choice considers a few dozen whatever the region's size.
+// pool holds the servers of one service and region that are not excluded. Up to 64
+// servers form one group. More are divided by the hash of their names into a power of
+// two of groups, so that a choice considers a few dozen servers in a region of any size.
 type pool struct {
 	groups [][]*server
 	size   int
-	cap    int // sum over the servers
-	load   int // sum over the servers
-	cursor int // of RoundRobin
-	rate   *rate
+	cap    int   // sum over the servers
+	load   int   // sum over the servers
+	cursor int   // index of the next server for RoundRobin
+	rate   *rate // answers to this front
 }
 
 func newPool(servers []*server) *pool {
@@ -42,7 +42,7 @@
 		rate:   &rate{},
 	}
 	for _, server := range servers {
-		group := mix(server.hash) & uint64(groups-1)
+		group := splitMix64(server.hash) & uint64(groups-1)
 		created.groups[group] = append(created.groups[group], server)
 		created.cap += server.capacity.cap
 		created.load += server.load.total()
@@ -50,6 +50,8 @@
 	return created
 }
 
+// server returns the server at an index that counts through all groups, or nil if the
+// index is out of range.
 func (p *pool) server(index int) *server {
 	for _, group := range p.groups {
 		if index < len(group) {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// meanLoad returns the load in relation to the cap.
+// meanLoad returns the pool's load as a fraction of its cap, or 0 without a cap.
 func (p *pool) meanLoad() float64 {
 	if p.cap <= 0 {
 		return 0
@@ -68,81 +70,83 @@
 	return float64(p.load) / float64(p.cap)
 }
 
-// relativeLoad returns the load with one more request in relation to the cap.
+// relativeLoad returns what the load would be with one more request, as a fraction of the
+// cap.
 func (s *server) relativeLoad() float64 {
 	return float64(s.load.total()+1) / float64(max(1, s.capacity.cap))
 }
 
-// pick returns a server of a pool, or nil and what the pool has instead.
+// pick returns a server of a pool for the request. If there is none, it returns nil and
+// the pool's availability.
 func (s *selection) pick(pool *pool) (*server, availability) {
 	switch s.table.config.Strategy {
 	case RoundRobin:
-		return s.pickNext(pool)
+		return s.pickRoundRobin(pool)
 	case LeastLoaded:
 		return s.pickLeastLoaded(pool)
 	}
 	return s.pickByAffinity(pool)
 }
 
-// pickNext implements RoundRobin.
-func (s *selection) pickNext(pool *pool) (*server, availability) {
-	found := noServer
+// pickRoundRobin implements RoundRobin.
+func (s *selection) pickRoundRobin(pool *pool) (*server, availability) {
+	avail := noServer
 	for range pool.size {
 		index := pool.cursor % pool.size
 		pool.cursor = index + 1
 		server := pool.server(index)
-		reason := s.exclusion(server)
-		s.consider(server, 0, reason)
+		reason := s.exclusionReason(server)
+		s.recordCandidate(server, 0, reason)
 		if reason == "" {
 			return server, available
 		}
 		if reason != AlreadyTried {
-			found = noCapacity
+			avail = noCapacity
 		}
 	}
-	return nil, found
+	return nil, avail
 }
 
 // pickLeastLoaded implements LeastLoaded.
-func (s *selection) pickLeastLoaded(pool *pool) (chosen *server, found availability) {
+func (s *selection) pickLeastLoaded(pool *pool) (chosen *server, avail availability) {
 	for _, group := range pool.groups {
-		server, foundHere := s.leastLoaded(group, considerChosen)
-		found = max(found, foundHere)
+		server, groupAvail := s.leastLoaded(group, recordChosen)
+		avail = max(avail, groupAvail)
 		if server != nil && (chosen == nil || server.relativeLoad() < chosen.relativeLoad()) {
 			chosen = server
 		}
 	}
-	return chosen, found
+	return chosen, avail
 }
 
-// leastLoadedMode is which servers leastLoaded records as candidates, and whether it
-// prefers those in the front's zone.
+// leastLoadedMode determines which servers leastLoaded records as candidates and whether
+// it prefers those in the front's zone.
 type leastLoadedMode uint8
 
 const (
-	considerNone leastLoadedMode = iota
-	considerChosen
-	considerAllPreferZone
+	recordNone leastLoadedMode = iota
+	recordChosen
+	recordAllPreferZone
 )
 
-// leastLoaded returns the server with the least relative load of those that can take
-// the request. Of equal ones the request's key chooses.
-func (s *selection) leastLoaded(servers []*server, mode leastLoadedMode) (chosen *server, found availability) {
+// leastLoaded returns the server with the lowest cost among those that can take the
+// request. Ties are broken by the hash of the request's key and the server.
+func (s *selection) leastLoaded(servers []*server, mode leastLoadedMode) (chosen *server, avail availability) {
 	lowest, highestHash := math.Inf(1), uint64(0)
 	for _, server := range servers {
-		reason := s.exclusion(server)
+		reason := s.exclusionReason(server)
 		if reason == AlreadyTried {
 			continue
 		}
 		if reason != "" {
-			found = max(found, noCapacity)
-			if mode == considerAllPreferZone {
-				s.consider(server, server.relativeLoad(), reason)
+			avail = max(avail, noCapacity)
+			if mode == recordAllPreferZone {
+				s.recordCandidate(server, server.relativeLoad(), reason)
 			}
 			continue
 		}
 		cost := s.cost(server, mode)
-		hash := mix(s.key ^ server.hash)
+		hash := splitMix64(s.key ^ server.hash)
 		if cost < lowest || cost == lowest && hash > highestHash {
 			chosen = server
 			lowest = cost
@@ -150,35 +154,38 @@
 		}
 	}
 	if chosen == nil {
-		return nil, found
+		return nil, avail
 	}
-	if mode != considerNone {
-		s.consider(chosen, lowest, "")
+	if mode != recordNone {
+		s.recordCandidate(chosen, lowest, "")
 	}
 	return chosen, available
 }
 
+// cost returns the relative load of a server, adjusted for its KV cache and zone.
 func (s *selection) cost(server *server, mode leastLoadedMode) float64 {
 	cost := server.relativeLoad()
 	if server.status.KvUsed > kvNearlyFull {
-		cost += kvNearlyFullAdd
+		cost += kvNearlyFullPenalty
 	}
-	if mode == considerAllPreferZone && server.status.Zone == s.table.config.Zone {
+	if mode == recordAllPreferZone && server.status.Zone == s.table.config.Zone {
 		cost -= zoneAdvantage
 	}
 	return cost
 }
 
-// exclusion returns why a server can't take the request now, or "".
-func (s *selection) exclusion(server *server) string {
+// exclusionReason returns the reason why a server cannot take the request now, or "" if it
+// can.
+func (s *selection) exclusionReason(server *server) string {
 	if len(s.request.Tried) > 0 && slices.Contains(s.request.Tried, server.name) {
 		return AlreadyTried
 	}
-	return s.table.unavailableFor(server, s.now)
+	return s.table.unavailableReason(server, s.now)
 }
 
-// consider records a candidate. The chosen one replaces the last of too many.
-func (s *selection) consider(server *server, score float64, reason string) {
+// recordCandidate adds a candidate to the choice. Beyond maxCandidates, candidates are
+// dropped, except that the chosen server replaces the last one.
+func (s *selection) recordCandidate(server *server, score float64, reason string) {
 	candidate := Candidate{server.name, score, reason}
 	candidates := s.choice.Candidates
 	if candidates == nil {
--- a/internal/decision/route/queue_test.go
+++ b/internal/decision/route/queue_test.go
@@ -12,14 +12,15 @@
 	"stepwick/internal/wire"
 )
 
-// fullTable returns a table whose only server has no capacity left.
+// fullTable returns a table whose only server has 20 requests in flight and no capacity
+// left.
 func fullTable(maxQueued int) *Table {
-	servers := map[string]*wire.ServerStatus{"m0": model("m0", "lagos", "a")}
+	servers := map[string]*wire.ServerStatus{"m0": modelServer("m0", "lagos", "a")}
 	table := New(Config{Self: "n1", Region: "lagos", Zone: "a", MaxQueued: maxQueued})
 	table.Update(viewOf(servers))
 	for i := range 20 {
 		if table.Choose(requestNumber(i), start).Server == "" {
-			panic("the server has capacity for 20")
+			panic("server m0 has no capacity although fewer than 20 requests are in flight")
 		}
 		table.Started("m0")
 	}
@@ -27,14 +28,14 @@
 }
 
 func TestQueue(t *testing.T) {
-	Convey("The queued requests", t, func() {
+	Convey("Queued requests", t, func() {
 		table := fullTable(3)
 		late, soon := requestNumber(100), requestNumber(101)
 		soon.Deadline = start.Add(10 * time.Second)
 		So(table.Choose(late, start).Queued, ShouldBeTrue)
 		So(table.Enqueue(late, start), ShouldBeNil)
 		So(table.Enqueue(soon, start), ShouldBeNil)
-		Convey("leave by deadline as capacity becomes available", func() {
+		Convey("leave the queue in order of deadline as capacity becomes available", func() {
 			_, ok := table.Next(start)
 			So(ok, ShouldBeFalse)
 			table.Finished("m0", Outcome{Result: Answered}, start)
@@ -50,7 +51,7 @@
 			table.Finished("m0", Outcome{Result: Answered}, start)
 			So(table.Choose(requestNumber(200), start).Queued, ShouldBeTrue)
 		})
-		Convey("are bounded", func() {
+		Convey("are limited in number", func() {
 			So(table.Enqueue(requestNumber(102), start), ShouldBeNil)
 			choice := table.Choose(requestNumber(103), start)
 			So(choice.Queued, ShouldBeFalse)
@@ -58,7 +59,7 @@
 			So(choice.Err.RetryAfter, ShouldBeGreaterThan, 0)
 			So(table.Enqueue(requestNumber(103), start).Code, ShouldEqual, apierror.QueueFull)
 		})
-		Convey("end with their deadline", func() {
+		Convey("are rejected at their deadline", func() {
 			ready, ok := table.Next(start.Add(10 * time.Second))
 			So(ok, ShouldBeTrue)
 			So(ready.Request.ID, ShouldEqual, soon.ID)
@@ -78,11 +79,11 @@
 			So(table.Cancel(soon.ID), ShouldBeFalse)
 			So(table.Queued(), ShouldEqual, 1)
 		})
-		Convey("are not joined by a request that would wait beyond its deadline", func() {
+		Convey("do not include a request that would wait beyond its deadline", func() {
 			table = fullTable(256)
 			for i := range 40 {
-				at := start.Add(time.Duration(i) * 100 * time.Millisecond)
-				table.Finished("m0", Outcome{Result: Answered}, at)
+				answeredAt := start.Add(time.Duration(i) * 100 * time.Millisecond)
+				table.Finished("m0", Outcome{Result: Answered}, answeredAt)
 				table.Started("m0")
 			}
 			now := start.Add(4 * time.Second)
@@ -103,11 +104,13 @@
 	})
 }
 
+// TestQueueOrder enqueues, cancels and dequeues requests at random: requests leave the
+// queue in order of deadline, and none is lost or leaves twice.
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := fullTable(64)
 		waiting := map[string]time.Time{}
-		last := map[string]bool{}
+		dequeued := map[string]bool{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
@@ -120,7 +123,7 @@
 				table.Finished("m0", Outcome{Result: Answered}, start)
 				ready, ok := table.Next(start)
 				if ok != (len(waiting) > 0) {
-					t.Fatalf("%d wait, next says %v", len(waiting), ok)
+					t.Fatalf("%d requests are queued, but Next returned %v", len(waiting), ok)
 				}
 				if !ok {
 					table.Started("m0")
@@ -129,34 +132,35 @@
 				table.Started(ready.Choice.Server)
 				for id, deadline := range waiting {
 					if deadline.Before(ready.Request.Deadline) {
-						t.Fatalf("%s overtook %s", ready.Request.ID, id)
+						t.Fatalf("%s left the queue before %s, which has an earlier deadline", ready.Request.ID, id)
 					}
 				}
-				if last[ready.Request.ID] {
-					t.Fatalf("%s left twice", ready.Request.ID)
+				if dequeued[ready.Request.ID] {
+					t.Fatalf("%s left the queue twice", ready.Request.ID)
 				}
-				last[ready.Request.ID] = true
+				dequeued[ready.Request.ID] = true
 				delete(waiting, ready.Request.ID)
 			case 3:
 				for id := range waiting {
 					if !table.Cancel(id) {
-						t.Fatalf("%s was lost", id)
+						t.Fatalf("%s is missing from the queue", id)
 					}
 					delete(waiting, id)
 					break
 				}
 			}
 			if table.Queued() != len(waiting) || table.Queued() > 64 {
-				t.Fatalf("%d pending, %d wait", table.Queued(), len(waiting))
+				t.Fatalf("Queued returned %d, want %d and at most 64", table.Queued(), len(waiting))
 			}
 		}
 	})
 }
 
-// TestCapsOverAllFronts runs fronts that share servers in slow start and counts the
-// requests in flight: over all fronts, a server has never more than the first cap of
-// slow start and one for each answer given.
-func TestCapsOverAllFronts(t *testing.T) {
+// TestCapsHoldAcrossFronts runs one or more fronts that share servers in slow start. During
+// slow start the requests in flight at a server from all fronts must not exceed the first
+// cap plus one for each answer. They must never exceed the full cap times the number of
+// fronts, or times three with more than three fronts.
+func TestCapsHoldAcrossFronts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fronts := make([]string, rapid.IntRange(1, 12).Draw(t, "fronts"))
 		tables := make([]*Table, len(fronts))
@@ -169,11 +173,11 @@
 		type flight struct{ front, server string }
 		var flights []flight
 		for name := range servers {
-			servers = with(servers, name, func(s *wire.ServerStatus) { s.Answered = 0 })
+			servers = withServer(servers, name, func(s *wire.ServerStatus) { s.Answered = 0 })
 		}
 		publish := func() {
 			for name, s := range servers {
-				servers = with(servers, name, func(next *wire.ServerStatus) {
+				servers = withServer(servers, name, func(next *wire.ServerStatus) {
 					next.Incarnation, next.Answered, next.Running = s.Incarnation, answered[name], uint32(running[name])
 				})
 			}
@@ -186,22 +190,22 @@
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1, 2:
-				at := rapid.IntRange(0, len(tables)-1).Draw(t, "front")
+				frontIndex := rapid.IntRange(0, len(tables)-1).Draw(t, "front")
 				req := requestNumber(rapid.IntRange(0, 9).Draw(t, "id"))
 				req.Prefix = uint64(rapid.IntRange(0, 3).Draw(t, "prefix"))
 				for range rapid.IntRange(1, 30).Draw(t, "burst") {
-					choice := tables[at].Choose(req, start)
+					choice := tables[frontIndex].Choose(req, start)
 					if choice.Server == "" {
 						break
 					}
-					tables[at].Started(choice.Server)
+					tables[frontIndex].Started(choice.Server)
 					running[choice.Server]++
-					flights = append(flights, flight{fronts[at], choice.Server})
+					flights = append(flights, flight{fronts[frontIndex], choice.Server})
 					if answered[choice.Server] < 18 && running[choice.Server] > 2+int(answered[choice.Server]) {
-						t.Fatalf("%s has %d in flight after %d answers", choice.Server, running[choice.Server], answered[choice.Server])
+						t.Fatalf("%s has %d requests in flight after %d answers, more than its slow-start cap", choice.Server, running[choice.Server], answered[choice.Server])
 					}
 					if running[choice.Server] > 20*min(len(tables), 3) {
-						t.Fatalf("%s has %d in flight of 20", choice.Server, running[choice.Server])
+						t.Fatalf("%s has %d requests in flight, too many for its cap of 20", choice.Server, running[choice.Server])
 					}
 				}
 			case 3, 4:
--- a/internal/decision/route/rate.go
+++ b/internal/decision/route/rate.go
@@ -7,16 +7,16 @@
 
 const (
 	rateTimeConstant = 5 * time.Second
-	rateWarmUp       = 2 * time.Second
+	rateWarmUp       = 2 * time.Second // from the first event to the first estimate
 )
 
-// rate is an exponentially weighted count of events a second.
+// rate is an exponentially weighted moving average of events per second.
 type rate struct {
 	value       float64
 	first, last time.Time
 }
 
-func (r *rate) add(now time.Time) {
+func (r *rate) record(now time.Time) {
 	if r.first.IsZero() {
 		r.first = now
 		r.last = now
@@ -32,12 +32,12 @@
 	}
 }
 
-// perSecond returns the rate, or 0 until rateWarmUp after the first event.
+// perSecond returns the rate, or 0 until rateWarmUp has passed since the first event.
 func (r *rate) perSecond(now time.Time) float64 {
 	if r.first.IsZero() || now.Sub(r.first) < rateWarmUp {
 		return 0
 	}
 	r.decay(now)
-	// The sum has not converged yet: events before the first one count as none.
+	// Correct for the bias of the average towards its initial value of zero.
 	return r.value / (1 - math.Exp(-now.Sub(r.first).Seconds()/rateTimeConstant.Seconds()))
 }
--- a/internal/decision/route/request.go
+++ b/internal/decision/route/request.go
@@ -6,26 +6,27 @@
 	"stepwick/internal/apierror"
 )
 
-// Request is what the choice of a server depends on.
+// Request holds the properties of a request that the choice of a server depends on.
 type Request struct {
 	ID         string
 	Service    string
-	FromRegion string    // region of origin
-	Home       string    // region that the request is bound to; "" for none
-	Prefix     uint64    // digest of the shared prompt prefix; 0 for none
-	Deadline   time.Time // by which the answer has to be complete
-	Tokens     float64   // of the prompt
-	Tried      []string  // servers of earlier attempts; not empty for a retry
+	FromRegion string    // region from which the request came
+	Home       string    // only region that may serve the request; "" for any
+	Prefix     uint64    // hash of the shared prompt prefix; 0 for none
+	Deadline   time.Time // time by which the answer has to be complete
+	Tokens     float64   // number of prompt tokens
+	Tried      []string  // servers of earlier attempts; non-empty for a retry
 }
 
 // Candidate is a server that was considered for a request.
 type Candidate struct {
 	Server   string
 	Score    float64
-	Excluded string // reason why it was not chosen; "" for the chosen one
+	Excluded string // reason why the server was not chosen; "" if it was
 }
 
-// Choice is a server, or an error, or Queued: then the caller calls Enqueue.
+// Choice is the decision on a request. Exactly one of Server, Err and Queued is set. If
+// Queued is set, the caller calls Enqueue.
 type Choice struct {
 	Server  string
 	Address string
@@ -33,33 +34,35 @@
 	Err     *apierror.Error
 	Queued  bool
 
-	// EstimatedWait is how long the request is expected to be queued.
+	// EstimatedWait is the expected time in the queue.
 	EstimatedWait time.Duration
 
-	// FirstEventTimeout is the time without a first event that the server's load can
-	// explain; 0 if that is unknown.
+	// FirstEventTimeout is the longest time to the first event that the load of the
+	// server can account for; 0 if unknown.
 	FirstEventTimeout time.Duration
 
+	// Candidates are some of the servers that were considered.
 	Candidates []Candidate
 }
 
-// Result is how a request ended at its server.
+// Result is the way in which a request ended at its server.
 type Result uint8
 
 // Results.
 const (
-	Inconclusive Result = iota // nothing about the server
+	Inconclusive Result = iota // says nothing about the server's health
 	Answered                   // the answer is complete
-	Refused                    // the connection was refused
+	Refused                    // the server refused the connection
 	TimedOut                   // no answer within the time-out
-	Busy                       // the server rejected the request before it began
+	Busy                       // the server rejected the request before running it
 )
 
-// Outcome is how a request ended at a server, and how long it took. Service and Took
-// are optional: without them requests aren't rejected for their expected duration.
+// Outcome reports how a request ended at a server and how long it took. Service and Took
+// are optional; without them, later requests are not rejected because of their expected
+// duration.
 type Outcome struct {
 	Result     Result
 	Service    string
-	Took       time.Duration // from start to end
-	FirstToken time.Duration // from start to the first event; 0 if none came
+	Took       time.Duration // from the start of the attempt to its end
+	FirstToken time.Duration // from the start of the attempt to the first event; 0 without one
 }
--- a/internal/decision/route/round_robin.go
+++ b/internal/decision/route/round_robin.go
@@ -11,26 +11,26 @@
 	"stepwick/internal/wire"
 )
 
-// phaseSteps is the number of initial phases, which differ among fronts so that these
-// don't send to the same region at once.
+// phaseSteps is the number of different initial phases. The phases differ between fronts so
+// that the fronts do not all send to the same region at once.
 const phaseSteps = 1024
 
-// weightedRoundRobin is a smooth weighted round robin, as in nginx, over the regions
-// of one service and region of origin: over any span of requests the shares hold to
-// within one request.
+// weightedRoundRobin is a smooth weighted round robin, as in nginx, over the regions that
+// serve one service for one region of origin. In any sequence of consecutive requests each
+// region's count deviates from its share by at most about one request.
 type weightedRoundRobin struct {
 	entries []regionEntry
-	total   float64 // weight of the entries with a pool
+	total   float64 // sum of the weights of the entries with a pool
 }
 
 type regionEntry struct {
 	region  string
 	weight  float64
-	current float64
-	pool    *pool // nil: the region has no server
+	current float64 // current weight in the smooth weighted round robin
+	pool    *pool   // nil if the region has no server
 }
 
-// next returns the index of the entry whose turn it is, or -1 without any.
+// next returns the index of the entry whose turn it is, or -1 if no region has a server.
 func (w *weightedRoundRobin) next() int {
 	best := -1
 	for i := range w.entries {
@@ -45,8 +45,8 @@
 	return best
 }
 
-// advance ends the turn of the entry that next returned, whichever region served the
-// request.
+// advance ends the turn of the entry at index, which next returned, even if another region
+// served the request.
 func (w *weightedRoundRobin) advance(index int) {
 	for i := range w.entries {
 		if entry := &w.entries[i]; entry.pool != nil {
@@ -56,12 +56,13 @@
 	w.entries[index].current -= w.total
 }
 
+// shareKey identifies the shares of a service for requests from one region.
 type shareKey struct{ service, from string }
 
 var noRegions weightedRoundRobin
 
-// regionsOf returns the regions for a request; an origin that the plan doesn't name
-// has the shares of the front's own region.
+// regionsOf returns the regions for a request. If the plan has no shares for the request's
+// region of origin, those of the front's own region are used.
 func (t *Table) regionsOf(req *Request) *weightedRoundRobin {
 	if regions := t.regions[shareKey{req.Service, req.FromRegion}]; regions != nil {
 		return regions
@@ -72,10 +73,10 @@
 	return &noRegions
 }
 
-// updateRegions sets the regions' weights by the plan's shares, without the regions
-// that have no server. Shares are computed here from the current sheet in two cases:
-// all of them if the plan is older than the sheet, which must take effect at once; and
-// those of a service to which the plan gives no region that has a server.
+// updateRegions sets the regions and their weights from the plan's shares. In two cases the
+// front computes shares from the current sheet instead: all of them if the plan is older
+// than the sheet, since a new sheet has to take effect at once; and those of a service for
+// which no region in the plan has a server.
 func (t *Table) updateRegions() {
 	old := t.regions
 	t.regions = map[shareKey]*weightedRoundRobin{}
@@ -92,12 +93,12 @@
 		t.setRegions(shares, func(service string) bool { return unserved[service] })
 	}
 	for key, regions := range t.regions {
-		t.initialize(key, regions, old[key])
+		t.initializeEntries(key, regions, old[key])
 	}
 }
 
-// unservedServices returns the services without a region that has a server, nil if
-// there are none.
+// unservedServices returns the services of the sheet for which no region has a server, or
+// nil if there are none.
 func (t *Table) unservedServices() map[string]bool {
 	var unserved map[string]bool
 	for service := range t.view.State.Sheet.Services {
@@ -113,18 +114,18 @@
 	return unserved
 }
 
-// setRegions replaces the regions of the wanted services by those of the shares.
-func (t *Table) setRegions(shares []*wire.Share, wanted func(service string) bool) {
-	fresh := map[shareKey]*weightedRoundRobin{}
+// setRegions replaces the regions of the services that include selects by those in shares.
+func (t *Table) setRegions(shares []*wire.Share, include func(service string) bool) {
+	replacements := map[shareKey]*weightedRoundRobin{}
 	for _, share := range shares {
-		if share.Share <= 0 || !wanted(share.Service) {
+		if share.Share <= 0 || !include(share.Service) {
 			continue
 		}
 		key := shareKey{share.Service, share.FromRegion}
-		regions := fresh[key]
+		regions := replacements[key]
 		if regions == nil {
 			regions = &weightedRoundRobin{}
-			fresh[key] = regions
+			replacements[key] = regions
 		}
 		regions.entries = append(regions.entries, regionEntry{
 			region: share.ToRegion,
@@ -132,25 +133,25 @@
 			pool:   t.pools[poolKey{share.Service, share.ToRegion}],
 		})
 	}
-	maps.Copy(t.regions, fresh)
+	maps.Copy(t.regions, replacements)
 }
 
-// initialize continues from the state of the old regions, or begins at a phase of the
-// front's own if there are none.
-func (t *Table) initialize(key shareKey, regions, old *weightedRoundRobin) {
+// initializeEntries initializes the round robin from the state of the old one. If there is
+// none it starts at a phase that depends on the front.
+func (t *Table) initializeEntries(key shareKey, regions, old *weightedRoundRobin) {
 	for i := range regions.entries {
 		entry := &regions.entries[i]
 		if entry.pool != nil {
 			regions.total += entry.weight
 		}
 		if old == nil {
-			phase := mix(t.self^xxhash.Sum64String(key.service+"/"+key.from+"/"+entry.region)) % phaseSteps
+			phase := splitMix64(t.selfHash^xxhash.Sum64String(key.service+"/"+key.from+"/"+entry.region)) % phaseSteps
 			entry.current = entry.weight * (float64(phase)/phaseSteps - 0.5)
 			continue
 		}
-		at := slices.IndexFunc(old.entries, func(e regionEntry) bool { return e.region == entry.region })
-		if at >= 0 && entry.pool != nil {
-			entry.current = min(max(old.entries[at].current, -1), 1)
+		oldIndex := slices.IndexFunc(old.entries, func(e regionEntry) bool { return e.region == entry.region })
+		if oldIndex >= 0 && entry.pool != nil {
+			entry.current = min(max(old.entries[oldIndex].current, -1), 1)
 		}
 	}
 }
--- a/internal/decision/route/server.go
+++ b/internal/decision/route/server.go
@@ -11,27 +11,28 @@
 	"stepwick/internal/wire"
 )
 
-// Reasons of exclusion of a candidate, besides those of the plan.
+// Reasons for not choosing a candidate, in addition to those in package plan. The texts
+// appear in explanations of routing decisions.
 const (
-	AtCap        = "at cap"
-	NoShare      = "no part of the cap"
-	Ejected      = "ejected"
-	UnderProbe   = "probed by another request"
-	ReportedBusy = "said busy"
-	AlreadyTried = "tried before"
-	Overloaded   = "loaded beyond the others"
+	AtCap         = "at cap"
+	NoShare       = "no share of the cap"
+	Ejected       = "ejected"
+	ProbeInFlight = "probe in flight"
+	ReportedBusy  = "reported busy"
+	AlreadyTried  = "already tried"
+	Overloaded    = "overloaded"
 )
 
-// busyBackoff is how long a server that reported itself busy gets no requests.
+// busyBackoff is how long a server gets no requests after it rejected one as busy.
 const busyBackoff = 200 * time.Millisecond
 
-// server is what a front knows of one server.
+// server is the state of one server at this front.
 type server struct {
-	name     string
-	hash     uint64 // of the name
-	status   *wire.ServerStatus
-	excluded string // reason why it gets no requests, "" if it does
-	pools    []*pool
+	name      string
+	hash      uint64 // of the name
+	status    *wire.ServerStatus
+	exclusion string // reason why it gets no requests; "" if it does get them
+	pools     []*pool
 
 	load      load
 	capacity  capacity
@@ -41,24 +42,25 @@
 	busyUntil time.Time
 }
 
-// load is the number of requests in flight at a server.
+// load counts the requests in flight at a server.
 type load struct {
 	own    int // from this front
-	others int // from other fronts, by the last status
+	others int // from other fronts, estimated from the last status
 
-	// minOwn and priorMinOwn are the least own requests since the last status and
-	// between the last two: as many are surely part of what a status reports.
+	// minOwn and priorMinOwn are the minimum of own since the last status and between
+	// the two last statuses. At least the smaller of them is included in the number
+	// that the next status reports.
 	minOwn, priorMinOwn int
 }
 
 func (l *load) total() int { return l.own + l.others }
 
-// othersIn returns the other fronts' part of what a status reports.
+// othersIn returns the other fronts' part of the requests that a status reports.
 func (l *load) othersIn(status *wire.ServerStatus) int {
 	return max(0, int(status.Running+status.Queued)-min(l.minOwn, l.priorMinOwn))
 }
 
-func (l *load) startPeriod() {
+func (l *load) startStatusPeriod() {
 	l.priorMinOwn = l.minOwn
 	l.minOwn = l.own
 }
@@ -69,44 +71,46 @@
 
 func (s *server) isCold() bool { return s.status.State == wire.ServerState_SERVER_STATE_COLD }
 
-// updateServer applies a status and reports whether the pools have to be rebuilt.
+// updateServer applies a server's status and reports whether the pools have to be
+// rebuilt.
 func (t *Table) updateServer(server *server, status *wire.ServerStatus) bool {
-	old, priorExclusion := server.status, server.excluded
+	old, priorExclusion := server.status, server.exclusion
 	server.status = status
-	server.excluded = plan.ExclusionReason(t.view.State, status)
+	server.exclusion = plan.ExclusionReason(t.view.State, status)
 	server.capacity.full = t.config.Policy.FullCap(status)
 	t.restartSlowStart(server, old, priorExclusion)
 	if old != nil && status.Answered > old.Answered {
-		server.ejection.timeouts = 0
+		server.ejection.consecutiveTimeouts = 0
 	}
 	t.updateCap(server)
 	if status != old {
 		t.setLoad(server, server.load.own, server.load.othersIn(status))
-		server.load.startPeriod()
+		server.load.startStatusPeriod()
 		t.adjustBorrowing(server)
 	}
-	return priorExclusion != server.excluded || old == nil || old.Region != status.Region || !slices.Equal(old.Services, status.Services)
+	return priorExclusion != server.exclusion || old == nil || old.Region != status.Region || !slices.Equal(old.Services, status.Services)
 }
 
-// restartSlowStart restarts the slow start of a server that has restarted, turned cold
-// or returned.
+// restartSlowStart restarts the slow start of a server that has a new incarnation, has
+// become cold, is no longer excluded, or is cold when first seen although it has given
+// enough answers to complete slow start.
 func (t *Table) restartSlowStart(server *server, old *wire.ServerStatus, priorExclusion string) {
 	status := server.status
 	switch {
 	case old == nil:
 		if server.isCold() && status.Answered >= uint64(server.capacity.full) {
-			server.capacity.answeredBase = status.Answered
+			server.capacity.answeredAtSlowStart = status.Answered
 		}
 	case status.Incarnation != old.Incarnation && status.Incarnation != 0:
 		server.capacity.restart(0, 0)
-		server.capacity.plannedAnswered = 0
+		server.capacity.answeredAtPlan = 0
 		server.borrowing.extra = 0
 		server.ejection.end()
 		server.ejection.recovering = false
 	case server.isCold() && old.State != wire.ServerState_SERVER_STATE_COLD:
 		server.capacity.restart(status.Answered, 0)
 		server.borrowing.extra = 0
-	case priorExclusion != "" && server.excluded == "":
+	case priorExclusion != "" && server.exclusion == "":
 		server.capacity.restart(status.Answered, t.config.Policy.RecoveryCap(server.capacity.full))
 		server.borrowing.extra = 0
 	}
@@ -121,8 +125,9 @@
 	server.load.minOwn = min(server.load.minOwn, own)
 }
 
-// unavailableFor returns why a server can take no request of this front now, or "".
-func (t *Table) unavailableFor(server *server, now time.Time) string {
+// unavailableReason returns the reason why a server can take no request from this front
+// now, or "" if it can.
+func (t *Table) unavailableReason(server *server, now time.Time) string {
 	if server.ejection.active() {
 		return server.ejection.reason(now)
 	}
@@ -146,7 +151,8 @@
 	return AtCap
 }
 
-// Started counts a request in flight at the chosen server.
+// Started counts a request in flight at a server. The caller calls it when it sends a
+// request to the server that Choose or Next returned.
 func (t *Table) Started(name string) {
 	server := t.servers[name]
 	if server == nil {
@@ -157,16 +163,17 @@
 }
 
 // Finished ends a request that Started counted. An answer raises the cap during slow
-// start and ends an ejection. A refused connection ejects the server; so do three
-// time-outs in a row over a second, unless the server has answered others meanwhile:
-// then it is slow, not down.
+// start and ends an ejection. A refused connection ejects the server at once. Time-outs
+// eject it after three in a row that span at least a second; an answer to any front
+// resets the count, since the server is then slow rather than down. A probe of an
+// ejected server that is refused, times out or is inconclusive ejects it again.
 func (t *Table) Finished(name string, outcome Outcome, now time.Time) {
 	server := t.servers[name]
 	if server == nil {
 		return
 	}
 	t.setLoad(server, max(0, server.load.own-1), server.load.others)
-	t.queue.unserved = true
+	t.queue.needsScan = true
 	server.ejection.requestFinished()
 	t.recordDurations(outcome)
 	switch outcome.Result {
@@ -186,21 +193,22 @@
 			t.eject(server, now)
 		}
 	}
-	t.forgetIfRemoved(server)
+	t.deleteIfUnlisted(server)
 }
 
 func (t *Table) recordAnswer(server *server, now time.Time) {
-	server.capacity.answersSeen++
+	server.capacity.ownAnswers++
 	server.ejection.recordAnswer(server.capacity.cap)
 	t.updateCap(server)
 	for _, pool := range server.pools {
-		pool.rate.add(now)
+		pool.rate.record(now)
 	}
 }
 
-// forgetIfRemoved drops a server that is no longer listed once nothing is in flight.
-func (t *Table) forgetIfRemoved(server *server) {
-	if server.load.own != 0 || server.excluded != plan.ReasonGone {
+// deleteIfUnlisted deletes a server that the view no longer lists, unless requests of
+// this front are in flight at it.
+func (t *Table) deleteIfUnlisted(server *server) {
+	if server.load.own != 0 || server.exclusion != plan.ReasonGone {
 		return
 	}
 	if _, listed := t.view.Servers[server.name]; !listed {
@@ -218,22 +226,22 @@
 type ServerView struct {
 	Server    string `json:"server"`
 	Excluded  string `json:"excluded,omitempty"`
-	Cap       int    `json:"cap"`               // requests in flight over all fronts
+	Cap       int    `json:"cap"`               // maximum requests in flight from all fronts
 	FullCap   int    `json:"full"`              // cap after slow start
-	Limit     int    `json:"part"`              // requests in flight from this front
-	Own       int    `json:"own"`               // in flight from this front
-	Others    int    `json:"others"`            // in flight from other fronts
+	Limit     int    `json:"part"`              // maximum requests in flight from this front
+	Own       int    `json:"own"`               // requests in flight from this front
+	Others    int    `json:"others"`            // requests in flight from other fronts
 	SlowStart bool   `json:"ramping,omitempty"` // the cap is below FullCap
 	Ejected   bool   `json:"ejected,omitempty"`
 }
 
-// Servers returns every known server, sorted by name.
+// Servers returns the state of all servers, sorted by name.
 func (t *Table) Servers() []ServerView {
 	views := make([]ServerView, 0, len(t.servers))
 	for _, server := range t.servers {
 		views = append(views, ServerView{
 			Server:    server.name,
-			Excluded:  server.excluded,
+			Excluded:  server.exclusion,
 			Cap:       server.capacity.cap,
 			FullCap:   server.capacity.full,
 			Limit:     t.limit(server, t.share(server)),
@@ -247,7 +255,7 @@
 	return views
 }
 
-// Ejected returns the names of the ejected servers, unsorted.
+// Ejected returns the names of the ejected servers in no particular order.
 func (t *Table) Ejected() []string {
 	var names []string
 	for name, server := range t.servers {
@@ -258,15 +266,15 @@
 	return names
 }
 
-// Unavailable reports whether a server is known to answer nobody: it refuses
-// connections, is unresponsive to health checks, or is no longer listed.
+// Unavailable reports whether a server cannot answer any front: it refuses connections,
+// does not respond to health checks, or is no longer listed.
 func (t *Table) Unavailable(name string) bool {
 	server := t.servers[name]
-	return server == nil || server.excluded == plan.ReasonGone || server.status.State == wire.ServerState_SERVER_STATE_GONE || !server.status.Reachable
+	return server == nil || server.exclusion == plan.ReasonGone || server.status.State == wire.ServerState_SERVER_STATE_GONE || !server.status.Reachable
 }
 
-// mix is a bijective hash of 64 bits, the finalizer of SplitMix64.
-func mix(x uint64) uint64 {
+// splitMix64 is the finalizer of the SplitMix64 generator, a bijective 64-bit hash.
+func splitMix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/internal/decision/route/table.go
+++ b/internal/decision/route/table.go
@@ -1,14 +1,16 @@
-// Package route chooses the server of each request at a front.
+// Package route selects the server for each request at a front.
 //
-// A request goes to a region by the plan's shares, and within the region to the server
-// that holds its prompt prefix unless that one is overloaded. Each server has a cap of
-// requests in flight over all fronts, of which a front uses its share. Where no server
-// has capacity the request is queued, the earliest deadline first, or rejected at once.
-// Servers that fail are ejected until a request has probed them.
+// The region is selected by the plan's shares. Within the region a request goes to the
+// server that has its prompt prefix cached, unless that server is overloaded. Each
+// server has a cap on the requests in flight from all fronts. Each front uses its share
+// of that cap and may borrow a part of the rest. If no server has capacity, the request is
+// queued in order of deadline or rejected at once. A failing server is ejected until a
+// probing request succeeds.
 //
-// All state is in the Table, which has one owner and takes no locks; every decision is
-// a function of the Table, its arguments and now. Nothing here does I/O or reads a
-// clock. docs/ROUTING.md gives the alternatives and figures.
+// All state is in Table, which is not safe for concurrent use. Every decision is a
+// function of the Table and the arguments, among them the current time: the package
+// does no I/O and reads no clock. docs/ROUTING.md describes the alternatives and the
+// measurements.
 package route
 
 import (
@@ -24,10 +26,11 @@
 	"stepwick/internal/wire"
 )
 
-// Strategy names how a server is chosen within a region.
+// Strategy is the load-balancing algorithm within a region.
 type Strategy string
 
-// Strategies. Affinity is the default; the others are baselines with the same caps.
+// Strategies. Affinity is the default. The others are baselines for comparison and
+// respect the same caps.
 const (
 	Affinity    Strategy = "affinity"
 	RoundRobin  Strategy = "round_robin"
@@ -40,30 +43,31 @@
 	defaultBaseEjectionTime = time.Second
 	defaultMaxEjectionTime  = 5 * time.Second
 
-	// maxPlannedCap bounds the caps of a plan, against overflow.
+	// maxPlannedCap limits the caps of a plan to prevent integer overflow.
 	maxPlannedCap = 1 << 20
 )
 
-// Config configures a Table. The zero value of a field means its default.
+// Config configures a Table. A zero field takes its default.
 type Config struct {
-	// Self, Region and Zone are this front's.
+	// Self is the name of this front; Region and Zone are its location.
 	Self, Region, Zone string
 
-	// Strategy is Affinity by default.
+	// Strategy defaults to Affinity.
 	Strategy Strategy
 
-	// Policy sets the servers' caps.
+	// Policy determines the servers' caps.
 	Policy plan.Policy
 
-	// MaxQueued is the number of requests that may be queued; 256 by default.
+	// MaxQueued is the maximum number of queued requests; 256 by default.
 	MaxQueued int
 
-	// RetryBudget is the number of retries as a fraction of the requests; 0.1 by
-	// default.
+	// RetryBudget is the maximum number of retries as a fraction of the number of
+	// requests; 0.1 by default.
 	RetryBudget float64
 
-	// BaseEjectionTime is that of a server's first ejection; 1 s by default. It
-	// doubles with each one in a row up to MaxEjectionTime, 5 s by default.
+	// BaseEjectionTime is the duration of a server's first ejection; 1 s by default.
+	// The duration doubles with each consecutive ejection up to MaxEjectionTime, 5 s
+	// by default.
 	BaseEjectionTime time.Duration
 	MaxEjectionTime  time.Duration
 }
@@ -78,8 +82,9 @@
 	return c
 }
 
-// RuntimeConfig is the part of the configuration that a sheet can change while the
-// front runs. Its fields are those of Config and plan.Policy, but zero means zero.
+// RuntimeConfig is the part of the configuration that a sheet can change at run time.
+// The fields mean the same as in Config and plan.Policy, but a zero is taken literally
+// and not replaced by the default.
 type RuntimeConfig struct {
 	Strategy     Strategy
 	MaxQueued    int
@@ -87,23 +92,25 @@
 	RetryBudget  float64
 }
 
-// View is what the front knows of the fleet. Fronts are the names of the ready fronts
-// that share the caps; the front itself counts even if it is missing. The maps and
-// messages must not change once passed to Update.
+// View is a snapshot of the fleet as this front sees it. Its maps and messages must not
+// be modified once passed to Update.
 type View struct {
 	State   statemachine.State
 	Plan    *wire.Plan
-	Servers map[string]*wire.ServerStatus
-	Fronts  []string
+	Servers map[string]*wire.ServerStatus // by name
+
+	// Fronts are the names of the ready fronts that share the servers' caps. This
+	// front is included even if it is not listed.
+	Fronts []string
 }
 
-// Table is the routing state of one front. It has one owner.
+// Table is the routing state of one front. It is not safe for concurrent use.
 type Table struct {
 	config        Config
-	self          uint64 // hash of this front's name
+	selfHash      uint64 // hash of config.Self
 	view          View
-	serversID     uintptr  // identity of the view's map of servers
-	fronts        []uint64 // hashes of the names, sorted
+	serversID     uintptr  // address of the map view.Servers
+	frontHashes   []uint64 // hashes of the fronts' names, sorted
 	frontsVersion int
 	servers       map[string]*server
 	pools         map[poolKey]*pool
@@ -111,18 +118,18 @@
 	queue         requestQueue
 	retries       retryBudget
 	popularity    *popularity
-	durations     meanDurations // from start to end
-	firstEvents   meanDurations // from start to the first event
+	durations     meanDurations // from the start of an attempt to its end
+	firstEvents   meanDurations // from the start of an attempt to the first event
 }
 
-// New returns an empty table: it rejects requests until the first Update.
+// New returns a Table without servers. It rejects every request until the first Update.
 func New(config Config) *Table {
 	config = config.withDefaults()
 	self := xxhash.Sum64String(config.Self)
 	return &Table{
 		config:        config,
-		self:          self,
-		fronts:        []uint64{self},
+		selfHash:      self,
+		frontHashes:   []uint64{self},
 		frontsVersion: 1,
 		servers:       map[string]*server{},
 		pools:         map[poolKey]*pool{},
@@ -135,14 +142,15 @@
 	}
 }
 
-// Reconfigure applies a runtime configuration. Queued requests remain queued, also
-// beyond a lower MaxQueued; the servers' caps follow a new SlowStartCap at once.
+// Reconfigure applies a runtime configuration. Requests that are already queued remain
+// queued even if they exceed a lower MaxQueued. A new SlowStartCap changes the servers'
+// caps at once.
 func (t *Table) Reconfigure(config RuntimeConfig) {
 	t.config.Strategy = config.Strategy
 	t.config.MaxQueued = config.MaxQueued
 	t.config.RetryBudget = config.RetryBudget
 	t.retries.setRatio(config.RetryBudget)
-	t.queue.unserved = true
+	t.queue.needsScan = true
 	if t.config.Policy.SlowStartCap == config.SlowStartCap {
 		return
 	}
@@ -152,18 +160,19 @@
 	}
 }
 
-// Update applies a view. Servers that drain, are evacuated or gone are excluded at
-// once, whatever the plan has.
+// Update applies a view. Servers that are draining, leaving, gone, evacuated or
+// unreachable are excluded at once, even if the plan still includes them.
 func (t *Table) Update(view View) {
 	t.updateFronts(view.Fronts)
 	stateChanged := view.State.Version != t.view.State.Version || view.State.Sheet != t.view.State.Sheet
 	planChanged := view.Plan != t.view.Plan
-	// The same map is the same servers, since it must not change once passed.
+	// Servers must not be modified once passed, so an equal map address means that no
+	// server has changed.
 	id := reflect.ValueOf(view.Servers).Pointer()
 	serversChanged := id != t.serversID || id == 0
 	t.serversID = id
 	t.view = view
-	t.queue.unserved = true
+	t.queue.needsScan = true
 	if serversChanged || stateChanged {
 		t.updateServers(stateChanged)
 	}
@@ -180,25 +189,25 @@
 	for _, name := range names {
 		hashes = append(hashes, xxhash.Sum64String(name))
 	}
-	hashes = append(hashes, t.self)
+	hashes = append(hashes, t.selfHash)
 	slices.Sort(hashes)
 	hashes = slices.Compact(hashes)
-	if !slices.Equal(hashes, t.fronts) {
-		t.fronts = hashes
+	if !slices.Equal(hashes, t.frontHashes) {
+		t.frontHashes = hashes
 		t.frontsVersion++
 	}
 }
 
-// updateServers applies the status of the view's servers, of all of them if the state
-// changed.
-func (t *Table) updateServers(all bool) {
+// updateServers applies the view's server statuses: those that changed, or all of them
+// if reapplyAll is set.
+func (t *Table) updateServers(reapplyAll bool) {
 	changed := false
 	for name, status := range t.view.Servers {
 		server := t.servers[name]
 		if server == nil {
 			server = newServer(name)
 			t.servers[name] = server
-		} else if server.status == status && !all {
+		} else if server.status == status && !reapplyAll {
 			continue
 		}
 		if t.updateServer(server, status) {
@@ -213,8 +222,9 @@
 	}
 }
 
-// removeUnlisted excludes the servers that the view doesn't list, removes them unless
-// requests are in flight, and reports whether the pools have to be rebuilt.
+// removeUnlisted excludes the servers that the view does not list and removes those
+// without requests in flight from this front. It reports whether the pools have to be
+// rebuilt.
 func (t *Table) removeUnlisted() bool {
 	changed := false
 	for name, server := range t.servers {
@@ -224,10 +234,10 @@
 		if _, listed := t.view.Servers[name]; listed {
 			continue
 		}
-		if server.excluded == "" {
+		if server.exclusion == "" {
 			changed = true
 		}
-		server.excluded = plan.ReasonGone
+		server.exclusion = plan.ReasonGone
 		if server.load.own == 0 {
 			delete(t.servers, name)
 		}
@@ -235,8 +245,9 @@
 	return changed
 }
 
-// applyPlannedCaps bounds the servers' caps by the plan's. Until the next plan a cap
-// grows by the answers since; a server without a planned cap has its slow start alone.
+// applyPlannedCaps limits the servers' caps to those of the plan. Until the next plan
+// arrives, the limit grows by one for each answer of the server. A server that the plan
+// has no cap for is limited by slow start only.
 func (t *Table) applyPlannedCaps(p *wire.Plan) {
 	caps := make(map[string]int, len(p.GetCaps()))
 	for _, planned := range p.GetCaps() {
@@ -244,17 +255,18 @@
 	}
 	for name, server := range t.servers {
 		server.capacity.plannedCap = caps[name]
-		server.capacity.plannedAnswered = server.status.Answered
+		server.capacity.answeredAtPlan = server.status.Answered
 		t.updateCap(server)
 	}
 }
 
-// rebuildPools divides the servers into pools, which keep their rates and cursors.
+// rebuildPools groups the servers into pools by service and region. A pool that existed
+// before keeps its answer rate and round-robin cursor.
 func (t *Table) rebuildPools() {
 	members := map[poolKey][]*server{}
 	for _, server := range t.servers {
 		server.pools = nil
-		if server.excluded != "" {
+		if server.exclusion != "" {
 			continue
 		}
 		for _, service := range server.status.Services {
@@ -277,27 +289,28 @@
 	}
 }
 
-// ServicesWithoutServers returns the services and regions, as sorted strings "service
-// region", to which the weights of the current sheet give a share and in which no
-// server can take requests.
+// ServicesWithoutServers returns the service-region pairs that have a positive weight in
+// the current sheet but no server that can take requests. The result consists of
+// strings "service region" in sorted order.
 func (t *Table) ServicesWithoutServers() []string {
 	if t.view.State.Sheet == nil {
 		return nil
 	}
-	var found []string
+	var unserved []string
 	for service, weights := range t.view.State.Sheet.Weights {
 		for region, weight := range weights {
 			if weight > 0 && t.pools[poolKey{service, region}] == nil {
-				found = append(found, service+" "+region)
+				unserved = append(unserved, service+" "+region)
 			}
 		}
 	}
-	slices.Sort(found)
-	return found
+	slices.Sort(unserved)
+	return unserved
 }
 
-// Ready reports whether the table has a plan and some server that gets requests.
+// Ready reports whether the table has a plan and at least one server that can take
+// requests.
 func (t *Table) Ready() bool { return t.view.Plan != nil && len(t.pools) > 0 }
 
-// Version returns the version of the state that decisions are based on.
+// Version returns the version of the state machine's state in the current view.
 func (t *Table) Version() uint64 { return t.view.State.Version }
