--- a/internal/decision/route/choose.go
+++ b/internal/decision/route/choose.go
@@ -20,7 +20,7 @@
 // adds to the retry budget and a retry (with Tried) spends from it. If the choice has a
 // server, the caller calls Started before it calls Choose again.
 func (t *Table) Choose(req Request, now time.Time) Choice {
-	if len(req.Tried) == 0 {
+	if len(req.TriedServers) == 0 {
 		t.retries.addRequest()
 	} else if !t.retries.available() {
 		return Choice{Err: apierror.Errorf(apierror.BudgetSpent, "retry budget exhausted: at most %g retries per request on average", t.config.RetryBudget).WithRetryAfter(defaultRetryAfter)}
@@ -29,7 +29,7 @@
 		t.popularity.record(req.Prefix)
 	}
 	choice := t.chooseNew(&req, now)
-	if choice.Server != "" && len(req.Tried) > 0 {
+	if choice.Server != "" && len(req.TriedServers) > 0 {
 		t.retries.spend()
 	}
 	return choice
@@ -90,7 +90,7 @@
 }
 
 func (t *Table) noServerError(req *Request) *apierror.Error {
-	return apierror.Errorf(apierror.NoServer, "no server of %s can take requests%s", req.Service, t.homeDetail(req.Home)).WithRetryAfter(defaultRetryAfter)
+	return apierror.Errorf(apierror.NoServer, "no server of %s can take requests%s", req.Service, t.homeDetail(req.HomeRegion)).WithRetryAfter(defaultRetryAfter)
 }
 
 // homeDetail returns the part of an error text that names the home region.
@@ -142,10 +142,10 @@
 // selectServer chooses a server in the request's home region or, without one, in the regions
 // that have shares.
 func (s *selection) selectServer() availability {
-	if s.request.Home == "" {
+	if s.request.HomeRegion == "" {
 		return s.selectInRegions(s.table.regionsOf(&s.request))
 	}
-	pool := s.table.pools[poolKey{s.request.Service, s.request.Home}]
+	pool := s.table.pools[poolKey{s.request.Service, s.request.HomeRegion}]
 	if pool == nil {
 		return noServer
 	}
--- a/internal/decision/route/durations.go
+++ b/internal/decision/route/durations.go
@@ -41,15 +41,15 @@
 // recordDurations records the duration of a request and its time to the first event. A
 // request that had neither an answer nor a first event is ignored.
 func (t *Table) recordDurations(outcome Outcome) {
-	if outcome.Service == "" || outcome.Took <= 0 {
+	if outcome.Service == "" || outcome.Duration <= 0 {
 		return
 	}
-	if outcome.Result != Answered && outcome.FirstToken <= 0 {
+	if outcome.Result != Answered && outcome.TimeToFirstEvent <= 0 {
 		return
 	}
-	t.durations.record(outcome.Service, outcome.Took)
-	if outcome.FirstToken > 0 {
-		t.firstEvents.record(outcome.Service, outcome.FirstToken)
+	t.durations.record(outcome.Service, outcome.Duration)
+	if outcome.TimeToFirstEvent > 0 {
+		t.firstEvents.record(outcome.Service, outcome.TimeToFirstEvent)
 	}
 }
 
@@ -70,11 +70,11 @@
 // one, none of them cached. The result is between minFirstEventTimeout and
 // maxFirstEventTimeout.
 func (t *Table) firstEventTimeout(server *server, req *Request) time.Duration {
-	if server.status.PrefillPerSecond <= 0 || req.Tokens <= 0 {
+	if server.status.PrefillPerSecond <= 0 || req.PromptTokens <= 0 {
 		return 0
 	}
 	toPrefill := max(server.load.total(), int(server.status.Running+server.status.Queued)) + 1
-	seconds := float64(toPrefill) * req.Tokens / server.status.PrefillPerSecond
+	seconds := float64(toPrefill) * req.PromptTokens / server.status.PrefillPerSecond
 	if server.status.State == wire.ServerState_SERVER_STATE_COLD {
 		seconds *= coldPrefillFactor
 	}
@@ -92,8 +92,8 @@
 // have answered the given number of requests. It returns 0 if too little is known.
 func (t *Table) estimatedWait(req *Request, requests int, now time.Time) time.Duration {
 	perSecond := 0.0
-	if req.Home != "" {
-		perSecond = t.pools[poolKey{req.Service, req.Home}].expectedRate(now)
+	if req.HomeRegion != "" {
+		perSecond = t.pools[poolKey{req.Service, req.HomeRegion}].expectedRate(now)
 	} else {
 		for _, entry := range t.regionsOf(req).entries {
 			perSecond += entry.pool.expectedRate(now)
--- a/internal/decision/route/pool.go
+++ b/internal/decision/route/pool.go
@@ -177,7 +177,7 @@
 // exclusionReason returns the reason why a server cannot take the request now, or "" if it
 // can.
 func (s *selection) exclusionReason(server *server) string {
-	if len(s.request.Tried) > 0 && slices.Contains(s.request.Tried, server.name) {
+	if len(s.request.TriedServers) > 0 && slices.Contains(s.request.TriedServers, server.name) {
 		return AlreadyTried
 	}
 	return s.table.unavailableReason(server, s.now)
--- a/internal/decision/route/queue.go
+++ b/internal/decision/route/queue.go
@@ -26,7 +26,7 @@
 type requestClass struct{ service, home, from string }
 
 func classOf(req *Request) requestClass {
-	return requestClass{req.Service, req.Home, req.FromRegion}
+	return requestClass{req.Service, req.HomeRegion, req.FromRegion}
 }
 
 type queuedRequest struct {
@@ -166,7 +166,7 @@
 			continue
 		}
 		t.queue.remove(queued)
-		if choice.Server != "" && len(req.Tried) > 0 {
+		if choice.Server != "" && len(req.TriedServers) > 0 {
 			t.retries.spend()
 		}
 		return Dequeued{Request: *req, Choice: choice}, true
--- a/internal/decision/route/request.go
+++ b/internal/decision/route/request.go
@@ -8,14 +8,14 @@
 
 // Request holds the properties of a request that the choice of a server depends on.
 type Request struct {
-	ID         string
-	Service    string
-	FromRegion string    // region from which the request came
-	Home       string    // only region that may serve the request; "" for any
-	Prefix     uint64    // hash of the shared prompt prefix; 0 for none
-	Deadline   time.Time // time by which the answer has to be complete
-	Tokens     float64   // number of prompt tokens
-	Tried      []string  // servers of earlier attempts; non-empty for a retry
+	ID           string
+	Service      string
+	FromRegion   string    // region from which the request came
+	HomeRegion   string    // only region that may serve the request; "" for any
+	Prefix       uint64    // hash of the shared prompt prefix; 0 for none
+	Deadline     time.Time // time by which the answer has to be complete
+	PromptTokens float64   // number of prompt tokens
+	TriedServers []string  // servers of earlier attempts; non-empty for a retry
 }
 
 // Candidate is a server that was considered for a request.
@@ -61,8 +61,8 @@
 // are optional; without them, later requests are not rejected because of their expected
 // duration.
 type Outcome struct {
-	Result     Result
-	Service    string
-	Took       time.Duration // from the start of the attempt to its end
-	FirstToken time.Duration // from the start of the attempt to the first event; 0 without one
+	Result           Result
+	Service          string
+	Duration         time.Duration // from the start of the attempt to its end
+	TimeToFirstEvent time.Duration // from the start of the attempt to the first event; 0 without one
 }
--- a/internal/decision/route/route_test.go
+++ b/internal/decision/route/route_test.go
@@ -99,7 +99,7 @@
 		})
 		Convey("sends a request with a home region only there, and rejects it if that region has no servers", func() {
 			req := requestNumber(1)
-			req.Home = "abeokuta"
+			req.HomeRegion = "abeokuta"
 			for range 20 {
 				So(table.serve(req, start).Region, ShouldEqual, "abeokuta")
 			}
@@ -176,7 +176,7 @@
 		})
 		Convey("ejects a server that refuses connections and probes it with one request", func() {
 			req := requestNumber(1)
-			req.Prefix, req.Home = 77, "lagos"
+			req.Prefix, req.HomeRegion = 77, "lagos"
 			first := table.Choose(req, start).Server
 			table.Started(first)
 			table.Finished(first, Outcome{Result: Refused}, start)
@@ -215,7 +215,7 @@
 		})
 		Convey("limits retries to a fraction of the requests and does not try a server twice", func() {
 			retry := requestNumber(1)
-			retry.Tried = []string{"m0"}
+			retry.TriedServers = []string{"m0"}
 			spent := 0
 			for table.Choose(retry, start).Err == nil {
 				So(table.Choose(requestNumber(spent), start).Server, ShouldNotEqual, "")
@@ -258,7 +258,7 @@
 		view := viewOf(servers)
 		table := tableOf(view)
 		serverOf := func(prefix uint64) string {
-			return table.serve(Request{ID: "x", Service: "chat", Home: "lagos", Prefix: splitMix64(prefix + 1), Deadline: start.Add(time.Minute)}, start).Server
+			return table.serve(Request{ID: "x", Service: "chat", HomeRegion: "lagos", Prefix: splitMix64(prefix + 1), Deadline: start.Add(time.Minute)}, start).Server
 		}
 		initial := map[uint64]string{}
 		counts := map[string]int{}
@@ -285,7 +285,7 @@
 			}
 		})
 		Convey("spreads a hot prefix over more servers once its first server is overloaded", func() {
-			req := Request{ID: "x", Service: "chat", Home: "lagos", Prefix: 99, Deadline: start.Add(time.Minute)}
+			req := Request{ID: "x", Service: "chat", HomeRegion: "lagos", Prefix: 99, Deadline: start.Add(time.Minute)}
 			seen := map[string]int{}
 			for range 60 {
 				choice := table.Choose(req, start)
--- a/internal/node/front/admission.go
+++ b/internal/node/front/admission.go
@@ -131,7 +131,7 @@
 	if apiErr := c.resolveHome(name, tenant.HomeRegion); apiErr != nil {
 		return sheet.Tenant{}, sheet.Service{}, apiErr
 	}
-	admission.Home = c.request.Home
+	admission.Home = c.request.HomeRegion
 	if service.Kind != kind {
 		return sheet.Tenant{}, sheet.Service{},
 			apierror.Errorf(apierror.WrongServiceKind, "%s is a %s service", c.request.Service, service.Kind)
@@ -143,10 +143,10 @@
 // in the sheet, else the one that the request names. They may not contradict each
 // other.
 func (c *call) resolveHome(tenant, home string) *apierror.Error {
-	switch requested := c.request.Home; {
+	switch requested := c.request.HomeRegion; {
 	case home == "" || home == requested:
 	case requested == "":
-		c.request.Home = home
+		c.request.HomeRegion = home
 	default:
 		return apierror.Errorf(apierror.BadField, "home is %q, but %s is bound to %q", requested, tenant, home)
 	}
@@ -163,7 +163,7 @@
 
 // spend charges the call's tokens to its tenant's quota.
 func (c *call) spend(ctx context.Context, tenant sheet.Tenant, tokens float64, admission *Admission) *apierror.Error {
-	c.request.Tokens = tokens
+	c.request.PromptTokens = tokens
 	admission.Tokens = tokens
 	allowance := quota.Allowance{Rate: tenant.Rate, Burst: tenant.Burst}
 	waitCtx, cancel := c.front.calls.untilGraceEnds(ctx)
--- a/internal/node/front/attempt.go
+++ b/internal/node/front/attempt.go
@@ -25,7 +25,7 @@
 // recordRetry excludes the server from further attempts of the call, and reports
 // the retry to the log and the metrics.
 func (c *call) recordRetry(server string) {
-	c.request.Tried = append(c.request.Tried, server)
+	c.request.TriedServers = append(c.request.TriedServers, server)
 	c.front.log.Emit(events.RequestRetried, "request", c.id, "service", c.service, "server", server)
 	c.front.metrics.retries.WithLabelValues(c.service).Inc()
 }
@@ -47,8 +47,8 @@
 func (c *call) releaseServer(assigned *assignment, failure *backend.Failure, began time.Time, firstEvent time.Duration) {
 	outcome := outcomeOf(failure)
 	outcome.Service = c.request.Service
-	outcome.FirstToken = firstEvent
-	outcome.Took = c.front.clock.Now().Sub(began)
+	outcome.TimeToFirstEvent = firstEvent
+	outcome.Duration = c.front.clock.Now().Sub(began)
 	c.front.router.release(assigned, outcome)
 }
 
--- a/internal/node/front/call.go
+++ b/internal/node/front/call.go
@@ -72,7 +72,7 @@
 		request: route.Request{
 			Service:    service,
 			FromRegion: region,
-			Home:       home,
+			HomeRegion: home,
 			Deadline:   head.Deadline,
 		},
 	}
--- a/internal/node/front/dispatch.go
+++ b/internal/node/front/dispatch.go
@@ -27,7 +27,7 @@
 	}
 	c.record(Entry{Routing: routingRecord(choice, c.front.clock.Now().Sub(requestedAt))})
 	if choice.Err != nil && choice.Err.Code == apierror.BudgetSpent {
-		c.front.log.Emit(events.RetryBudgetExhausted, "request", c.id, "service", c.service, "tried", len(c.request.Tried))
+		c.front.log.Emit(events.RetryBudgetExhausted, "request", c.id, "service", c.service, "tried", len(c.request.TriedServers))
 	}
 	if choice.Err == nil {
 		// Authority or the API key may have been lost while the request waited.
--- a/internal/node/front/oneshot.go
+++ b/internal/node/front/oneshot.go
@@ -93,7 +93,7 @@
 // first attempt keeps its own code, which implies that the call has not run,
 // except that DeadlinePassed becomes NotRun.
 func (c *call) notRunError(apiErr *apierror.Error) *apierror.Error {
-	if len(c.request.Tried) == 0 && apiErr.Code != apierror.DeadlinePassed {
+	if len(c.request.TriedServers) == 0 && apiErr.Code != apierror.DeadlinePassed {
 		return apiErr
 	}
 	return apierror.Errorf(apierror.NotRun, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, shortRetryAfter))
--- a/internal/node/front/prompt.go
+++ b/internal/node/front/prompt.go
@@ -94,7 +94,7 @@
 // attempt keeps its own code; after a retry it is StreamNotBegun, unless the
 // caller left or lost its API key.
 func (c *call) notBegunError(apiErr *apierror.Error) *apierror.Error {
-	if len(c.request.Tried) == 0 || apiErr.Code == apierror.CallerGone || apiErr.Code == apierror.KeyRevoked {
+	if len(c.request.TriedServers) == 0 || apiErr.Code == apierror.CallerGone || apiErr.Code == apierror.KeyRevoked {
 		return apiErr
 	}
 	return apierror.Errorf(apierror.StreamNotBegun, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, shortRetryAfter))
--- a/sim/route/request.go
+++ b/sim/route/request.go
@@ -109,11 +109,11 @@
 // route sends a request to a server, queues or rejects it.
 func (r *run) route(req *request) {
 	routed := route.Request{
-		ID:       req.id,
-		Service:  service,
-		Prefix:   req.prefix,
-		Deadline: origin.Add(req.deadline),
-		Tried:    req.tried,
+		ID:           req.id,
+		Service:      service,
+		Prefix:       req.prefix,
+		Deadline:     origin.Add(req.deadline),
+		TriedServers: req.tried,
 	}
 	choice := req.front.table.Choose(routed, r.clock())
 	if !choice.Queued {
@@ -169,10 +169,10 @@
 	server := req.attempt.server
 	r.after(networkDelay, func() {
 		req.front.table.Finished(server, route.Outcome{
-			Result:     resultOf(how, req.streaming),
-			Service:    service,
-			FirstToken: req.attempt.firstToken,
-			Took:       r.now - req.attempt.startedAt,
+			Result:           resultOf(how, req.streaming),
+			Service:          service,
+			TimeToFirstEvent: req.attempt.firstToken,
+			Duration:         r.now - req.attempt.startedAt,
 		}, r.clock())
 		r.startReady(req.front)
 		if !req.ended && number == req.attempt.number {
