--- a/internal/decision/plan/plan.go
+++ b/internal/decision/plan/plan.go
@@ -25,8 +25,8 @@
 	State   statemachine.State
 	Servers map[string]*wire.ServerStatus
 	Fronts  []statemachine.Member
-	// Prior is the plan in force, nil if there is none. Compute does not read it.
-	Prior *wire.Plan
+	// Current is the plan in force, nil if there is none. Compute does not read it.
+	Current *wire.Plan
 	// Term is the leader's term, Number the plan's number in that term, and Holder the
 	// leader's name.
 	Term   uint64
@@ -105,9 +105,9 @@
 	return current == nil || now.UnixMilli() >= current.AtMs+int64(current.PeriodMs)
 }
 
-// Newer reports whether plan a supersedes plan b, that is, has the higher
+// Supersedes reports whether plan a supersedes plan b, that is, has the higher
 // (term, number). Any plan supersedes nil.
-func Newer(a, b *wire.Plan) bool {
+func Supersedes(a, b *wire.Plan) bool {
 	if a == nil || b == nil {
 		return a != nil
 	}
--- a/internal/decision/plan/plan_test.go
+++ b/internal/decision/plan/plan_test.go
@@ -61,10 +61,10 @@
 		step := func(event string, change func()) {
 			change()
 			input.Now = input.Now.Add(time.Second)
-			cause, forced := ReplanCause(input.Prior, input)
+			cause, forced := ReplanCause(input.Current, input)
 			fmt.Fprintf(&log, "%s: ", event)
-			if !forced && !PeriodOver(input.Prior, input.Now) {
-				fmt.Fprintf(&log, "plan %d remains in force\n", input.Prior.Number)
+			if !forced && !PeriodOver(input.Current, input.Now) {
+				fmt.Fprintf(&log, "plan %d remains in force\n", input.Current.Number)
 				return
 			}
 			if !forced {
@@ -72,14 +72,14 @@
 			}
 			input.Number++
 			input.Cause = cause
-			input.Prior = Compute(input)
-			fmt.Fprintf(&log, "plan %d (%s)\n", input.Prior.Number, input.Prior.Cause)
-			for _, s := range input.Prior.Shares {
+			input.Current = Compute(input)
+			fmt.Fprintf(&log, "plan %d (%s)\n", input.Current.Number, input.Current.Cause)
+			for _, s := range input.Current.Shares {
 				if s.FromRegion == "lagos" {
 					fmt.Fprintf(&log, "  %s to %s %.3f\n", s.Service, s.ToRegion, s.Share)
 				}
 			}
-			for _, c := range input.Prior.Caps {
+			for _, c := range input.Current.Caps {
 				fmt.Fprintf(&log, "  cap %s %d\n", c.Server, c.InFlight)
 			}
 		}
--- a/internal/decision/route/choose.go
+++ b/internal/decision/route/choose.go
@@ -17,7 +17,7 @@
 )
 
 // Choose decides on a request: the choice has a server, an error, or Queued. A first attempt
-// adds to the retry budget and a retry (with Tried) spends from it. If the choice has a
+// adds to the retry budget and a retry (with TriedServers) spends from it. If the choice has a
 // server, the caller calls Started before it calls Choose again.
 func (t *Table) Choose(req Request, now time.Time) Choice {
 	if len(req.TriedServers) == 0 {
--- a/internal/decision/route/request.go
+++ b/internal/decision/route/request.go
@@ -57,7 +57,7 @@
 	Busy                       // the server rejected the request before running it
 )
 
-// Outcome reports how a request ended at a server and how long it took. Service and Took
+// Outcome reports how a request ended at a server and how long it took. Service and Duration
 // are optional; without them, later requests are not rejected because of their expected
 // duration.
 type Outcome struct {
--- a/internal/decision/serverstatus/store.go
+++ b/internal/decision/serverstatus/store.go
@@ -185,9 +185,9 @@
 	return all
 }
 
-// ListedAt returns the latest fleet time at which a watcher read the platform's list,
+// ListObservedAt returns the latest fleet time at which a watcher read the platform's list,
 // or the zero time if none has.
-func (r *ReportStore) ListedAt() time.Time {
+func (r *ReportStore) ListObservedAt() time.Time {
 	if r.listObservedAtMS == 0 {
 		return time.Time{}
 	}
--- a/internal/decision/serverstatus/unchanged.go
+++ b/internal/decision/serverstatus/unchanged.go
@@ -14,8 +14,8 @@
 // without sending them again.
 type Digest uint64
 
-// Add adds a report to the digest, unless its server is gone.
-func (d *Digest) Add(report *wire.Report) {
+// AddReport adds a report to the digest, unless its server is gone.
+func (d *Digest) AddReport(report *wire.Report) {
 	if report.GetStatus().GetState() == wire.ServerState_SERVER_STATE_GONE {
 		return
 	}
@@ -31,7 +31,7 @@
 	var storedDigest Digest
 	for server, entry := range r.servers {
 		if stored, ok := entry.reports[unchanged.GetWatcher()]; ok && isCoveredBy(stored.report, unchanged) {
-			storedDigest.Add(stored.report)
+			storedDigest.AddReport(stored.report)
 			servers = append(servers, server)
 		}
 	}
--- a/internal/decision/serverstatus/unchanged_test.go
+++ b/internal/decision/serverstatus/unchanged_test.go
@@ -20,7 +20,7 @@
 	digest := func(all ...*wire.Report) uint64 {
 		var d Digest
 		for _, r := range all {
-			d.Add(r)
+			d.AddReport(r)
 		}
 		return uint64(d)
 	}
--- a/internal/node/control/planning.go
+++ b/internal/node/control/planning.go
@@ -85,7 +85,7 @@
 		State:   c.state,
 		Servers: c.reports.store.Servers(),
 		Fronts:  frontsOf(c.state.Roster),
-		Prior:   c.planner.current,
+		Current: c.planner.current,
 		Term:    term,
 		Number:  number,
 		Holder:  c.config.Self,
@@ -112,7 +112,7 @@
 	if next == nil {
 		return false
 	}
-	if !plan.Newer(next, c.planner.current) || next.Term < c.state.Roles[election.Planner].Term {
+	if !plan.Supersedes(next, c.planner.current) || next.Term < c.state.Roles[election.Planner].Term {
 		c.log.Emit(events.PlanSuperseded, "term", next.Term, "number", next.Number)
 		return false
 	}
--- a/internal/node/control/report_exchange.go
+++ b/internal/node/control/report_exchange.go
@@ -83,7 +83,7 @@
 			c.queueUnchanged(unchanged)
 		}
 	}
-	if listedAt := c.reports.store.ListedAt(); !listedAt.IsZero() {
+	if listedAt := c.reports.store.ListObservedAt(); !listedAt.IsZero() {
 		c.listedAtMS.Store(listedAt.UnixMilli())
 	}
 	if c.adoptPlan(req.Plan) && !req.Relayed {
--- a/internal/node/control/report_exchange_test.go
+++ b/internal/node/control/report_exchange_test.go
@@ -49,7 +49,7 @@
 			last := f.follow("c3", nil, time.Second)
 			f.advance(time.Second)
 			var digest serverstatus.Digest
-			digest.Add(&wire.Report{Server: "m1", Counter: 1})
+			digest.AddReport(&wire.Report{Server: "m1", Counter: 1})
 			submitUnchanged := func(digest uint64) []string {
 				resp, err := f.cores["c1"].Submit(f.ctx, &wire.SubmitRequest{From: "f1", Unchanged: []*wire.Unchanged{
 					{Watcher: "f1/list", Incarnation: 1, Digest: digest, AtMs: time.Now().UnixMilli()}}})
--- a/internal/node/healthcheck/checker_test.go
+++ b/internal/node/healthcheck/checker_test.go
@@ -176,7 +176,7 @@
 			return
 		}
 		resp.Code = uint32(apierror.OK)
-		resp.Body, _ = json.Marshal(Listed{AtMS: c.simulation.cores[c.name].ListedAt().UnixMilli()})
+		resp.Body, _ = json.Marshal(Listed{AtMS: c.simulation.cores[c.name].ListObservedAt().UnixMilli()})
 	})
 	return connect.NewResponse(resp), err
 }
--- a/internal/node/healthcheck/discovery.go
+++ b/internal/node/healthcheck/discovery.go
@@ -176,7 +176,7 @@
 	var digest serverstatus.Digest
 	for key, last := range c.observations {
 		if key.source == serverstatus.SourceList {
-			digest.Add(last.report)
+			digest.AddReport(last.report)
 		}
 	}
 	unchanged := &wire.Unchanged{
--- a/sim/route/run.go
+++ b/sim/route/run.go
@@ -250,7 +250,7 @@
 	input := plan.Input{
 		State:   r.state,
 		Servers: statuses,
-		Prior:   r.plan,
+		Current: r.plan,
 		Term:    1,
 		Number:  r.planNumber + 1,
 		Now:     r.clock(),
