--- a/internal/decision/balance/capacity.go
+++ b/internal/decision/balance/capacity.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	// unlimitedConnections is the limit of a server whose services have none.
+	// unlimitedConnections is the connection limit of a server none of whose services
+	// sets one.
 	unlimitedConnections = 1 << 20
-	// maxCapacityCheckInterval and minCapacityCheckInterval limit the time until
-	// queued requests are tried again.
+	// maxCapacityCheckInterval and minCapacityCheckInterval bound the time until queued
+	// requests are tried again.
 	maxCapacityCheckInterval = 50 * time.Millisecond
 	minCapacityCheckInterval = time.Millisecond
 )
 
-// hasCapacity reports whether a server may get one more request of this node now.
+// hasCapacity reports whether this node may send a server one more request now.
 func (t *Table) hasCapacity(srv *server, now time.Time) bool {
 	switch {
-	case srv.ejection.ejected(now), srv.ejection.probing:
+	case srv.ejection.ejected(now), srv.ejection.probeInFlight:
 		return false
 	case srv.load.inFlight >= t.connectionLimit(srv):
 		return false
@@ -22,7 +23,8 @@
 	return t.slowStartAllows(srv, now)
 }
 
-// connectionLimit returns this node's share of the connections to a server.
+// connectionLimit returns this node's share of a server's connection limit, at least
+// one.
 func (t *Table) connectionLimit(srv *server) int {
 	limit := 0
 	for _, service := range srv.status.Services {
@@ -36,14 +38,14 @@
 	return max(1, limit/len(t.fronts))
 }
 
-// NextCapacityCheck returns after how long at most queued requests are to be tried
-// again, since a server may have capacity then.
+// NextCapacityCheck returns the time after which queued requests should be tried
+// again, since a server may have capacity by then.
 func (t *Table) NextCapacityCheck(now time.Time) time.Duration {
 	wait := maxCapacityCheckInterval
 	for _, srv := range t.servers {
-		for _, next := range []time.Time{srv.slowStart.nextRequest, srv.ejection.until} {
-			if left := next.Sub(now); left > 0 {
-				wait = min(wait, left)
+		for _, retryAt := range []time.Time{srv.slowStart.nextRequestAt, srv.ejection.until} {
+			if remaining := retryAt.Sub(now); remaining > 0 {
+				wait = min(wait, remaining)
 			}
 		}
 	}
--- a/internal/decision/balance/config.go
+++ b/internal/decision/balance/config.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Config is a node's location and the limits that hold over the fleet. Zero values
-// take the defaults named.
+// Config holds a node's location, the fleet-wide limits and the ejection times. Zero
+// values take the defaults given at each field.
 type Config struct {
-	// Self is the node's name; Region and Zone are where it runs.
+	// Self is the name of this node; Region and Zone are its location.
 	Self, Region, Zone string
-	// RetryRatio limits the retries to a service within RetryWindow to a fraction of
-	// its requests, plus RetrySlack retries over all nodes; 0.1, 10 s and 0. Since a
-	// zero ratio means the default, it can't turn retries off.
+	// Within any RetryWindow, retries to a service are limited to RetryRatio times its
+	// requests, plus RetrySlack retries over all nodes. The defaults are 0.1, 10 s
+	// and 0. A zero RetryRatio means the default, so it cannot disable retries.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// SlowStartOverage and SlowStartSlack widen the requests per second that a server
-	// in slow start accepts from all nodes: rate × overage + slack; 1 and 0.
+	// All nodes together send a server in slow start at most rate × SlowStartOverage +
+	// SlowStartSlack requests per second, where rate is the lowest SlowStartRate of its
+	// services. The defaults are 1 and 0.
 	SlowStartOverage float64
 	SlowStartSlack   float64
-	// BaseEjectionTime is how long a server is ejected at first, doubled at each
-	// further ejection up to MaxEjectionTime; 1 s and 5 s.
+	// BaseEjectionTime is the duration of a server's first ejection. It doubles with
+	// each consecutive ejection, up to MaxEjectionTime. The defaults are 1 s and 5 s.
 	BaseEjectionTime time.Duration
 	MaxEjectionTime  time.Duration
-	// Disabled are the mechanisms that are switched off.
+	// Disabled is the set of disabled mechanisms; nil for none.
 	Disabled Disabled
 }
 
--- a/internal/decision/balance/cost.go
+++ b/internal/decision/balance/cost.go
@@ -6,34 +6,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Costs in milliseconds of a client's waiting.
+// Costs, in milliseconds of client latency, and factors on them.
 const (
-	// otherRegionCost and otherZoneCost stand for the round trip to a server and for
-	// the price of the bytes.
+	// otherRegionCost and otherZoneCost account for the round-trip time to a server and
+	// the price of the traffic.
 	otherRegionCost = 30
 	otherZoneCost   = 1
-	// inFlightCost is how much one more request at a server delays the others.
+	// inFlightCost is the delay that each request in flight at a server adds.
 	inFlightCost = 4
-	// stalledCost keeps requests from a stalled server while there is any other.
+	// stalledCost keeps requests away from a stalled server as long as another server
+	// is available.
 	stalledCost = 5000
-	// costPerFailure is added for each recent failure.
+	// costPerFailure is added for each recent failure of a server.
 	costPerFailure = 200
-	// prefixMissWeight is how much more a prefix miss costs than the time of its
-	// prefill, since the prefix evicts others.
+	// prefixMissWeight is a factor on the prefill time of a prefix miss. It exceeds 1
+	// since the prefix evicts others from the server's cache.
 	prefixMissWeight = 3
-	// tieSpread separates servers of equal cost.
-	tieSpread = 0.5
+	// maxTieBreakCost bounds the cost that separates otherwise equal servers.
+	maxTieBreakCost = 0.5
 )
 
-// cost returns the cost of having a request served by a server. The order of the
-// sum decides its rounding, on which the choice between servers depends.
+// cost returns the cost of sending a request to a server, in milliseconds. The order
+// of the additions must not change: it determines the rounding of the sum, on which
+// the choice between servers depends.
 func (t *Table) cost(srv *server, request *Request, preferred *server, now time.Time) float64 {
-	perToken := t.speed(request.Service).perToken()
-	cost := srv.load.backlogTokens*perToken + float64(srv.load.inFlight)*inFlightCost
+	msPerToken := t.prefillSpeed(request.Service).msPerToken()
+	cost := srv.load.backlogTokens*msPerToken + float64(srv.load.inFlight)*inFlightCost
 	if !t.config.Disabled[PrefixMissCost] {
-		cost += t.uncachedTokens(srv, request, preferred, now) * perToken * prefixMissWeight
+		cost += t.uncachedTokens(srv, request, preferred, now) * msPerToken * prefixMissWeight
 	}
-	if t.misplaced(srv, request, now) {
+	if t.isMisplaced(srv, request, now) {
 		cost += misplacedCost
 	}
 	if !t.config.Disabled[NetworkCost] {
@@ -45,7 +47,7 @@
 	if !t.config.Disabled[SuspicionCost] {
 		cost += srv.suspicion.cost(now)
 	}
-	return cost + tieSpread*t.tieBreak(srv, request)
+	return cost + maxTieBreakCost*t.tieBreak(srv, request)
 }
 
 func (t *Table) networkCost(srv *server) float64 {
@@ -58,12 +60,12 @@
 	return 0
 }
 
-// tieBreak returns a number in [0, 1) that orders servers differently for each
-// prefix, or request without one, and node.
+// tieBreak returns a number in [0, 1) that orders servers differently on each node and
+// for each shared prefix, or for each request without one.
 func (t *Table) tieBreak(srv *server, request *Request) float64 {
 	key := request.Affinity
 	if key == 0 {
 		key = xxhash.Sum64String(request.ID)
 	}
-	return unitInterval(mix(srv.hash ^ key ^ t.selfHash))
+	return toUnitInterval(splitMix64Finalizer(srv.hash ^ key ^ t.selfHash))
 }
--- a/internal/decision/balance/fixture_test.go
+++ b/internal/decision/balance/fixture_test.go
@@ -11,9 +11,11 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+// msAfterStart returns the time ms milliseconds after start.
+func msAfterStart(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// newTestView returns a view of n servers of the service pool, alternating between two regions.
+// newTestView returns a view of n servers that serve the service "pool" and alternate between two
+// regions.
 func newTestView(n int, service sheet.Service, fronts ...string) View {
 	service.Kind = sheet.KindHTTP
 	view := View{State: statemachine.State{Version: 1, Sheet: &sheet.Sheet{Services: map[string]sheet.Service{"pool": service}}},
@@ -36,10 +38,10 @@
 	return t
 }
 
-// newTestRequest returns a request of 500 tokens of its own, beside 5000 of a shared prompt
-// where it has one.
+// newTestRequest returns a request with 500 tokens of its own and, if shared is not zero, a shared
+// prefix of 5000 tokens.
 func newTestRequest(id string, shared uint64) *Request {
-	request := &Request{ID: id, Service: "pool", Affinity: shared, OwnTokens: 500, QueueUntil: at(1000)}
+	request := &Request{ID: id, Service: "pool", Affinity: shared, OwnTokens: 500, QueueUntil: msAfterStart(1000)}
 	if shared != 0 {
 		request.SharedTokens = 5000
 	}
--- a/internal/decision/balance/fleet_limits_test.go
+++ b/internal/decision/balance/fleet_limits_test.go
@@ -25,7 +25,7 @@
 		late.QueueUntil = start
 		So(balancer.Choose(late, start).Err.Code, ShouldEqual, apierror.QueueFull)
 	})
-	Convey("All nodes together stay within what a server in slow start accepts in any second", t, func() {
+	Convey("All nodes together stay within the limit of a server in slow start in any second", t, func() {
 		for _, nodes := range []int{1, 3, 9, 40} {
 			var names []string
 			for i := range nodes {
@@ -34,14 +34,14 @@
 			var arrivals []int
 			for _, name := range names {
 				view := newTestView(1, sheet.Service{SlowStartRate: 17}, names...)
-				view.Servers["s0"].ColdUntilMs = at(5000).UnixMilli()
+				view.Servers["s0"].ColdUntilMs = msAfterStart(5000).UnixMilli()
 				balancer := newTestTable(view, Config{Self: name, SlowStartOverage: 1.5, SlowStartSlack: 5})
 				for ms := range 5000 {
 					request := newTestRequest(fmt.Sprint(ms), 0)
-					if balancer.Choose(request, at(ms)).Server == "" {
+					if balancer.Choose(request, msAfterStart(ms)).Server == "" {
 						continue
 					}
-					balancer.FinishAttempt(balancer.StartAttempt("s0", request, at(ms)), OutcomeSucceeded, at(ms))
+					balancer.FinishAttempt(balancer.StartAttempt("s0", request, msAfterStart(ms)), OutcomeSucceeded, msAfterStart(ms))
 					arrivals = append(arrivals, ms)
 				}
 			}
@@ -49,64 +49,64 @@
 			for _, ms := range arrivals {
 				perMS[ms]++
 			}
-			most := 0
+			maxPerSecond := 0
 			for from := range 4000 {
 				sum := 0
 				for _, n := range perMS[from : from+1000] {
 					sum += n
 				}
-				most = max(most, sum)
+				maxPerSecond = max(maxPerSecond, sum)
 			}
-			So(most, ShouldBeLessThanOrEqualTo, 17*1.5+5)
-			So(most, ShouldBeGreaterThan, 10)
+			So(maxPerSecond, ShouldBeLessThanOrEqualTo, 17*1.5+5)
+			So(maxPerSecond, ShouldBeGreaterThan, 10)
 		}
 	})
-	Convey("Nodes that were restarted together and do not know each other yet stay within it too", t, func() {
+	Convey("Nodes that were restarted together and do not know each other yet stay within the limit too", t, func() {
 		var members []string
 		for i := range 91 {
 			members = append(members, fmt.Sprintf("f%d", i))
 		}
-		most := 0
-		for server := range 4 {
+		maxArrivals := 0
+		for serverIndex := range 4 {
 			arrivals := 0
 			for i, name := range members {
-				view := newTestView(server+1, sheet.Service{SlowStartRate: 8.8}, members[i])
+				view := newTestView(serverIndex+1, sheet.Service{SlowStartRate: 8.8}, members[i])
 				if i >= 30 {
 					view.Fronts = members
 				}
 				view.Members = members
-				cold := fmt.Sprintf("s%d", server)
-				view.Servers = map[string]*wire.ServerStatus{cold: view.Servers[cold]}
-				view.Servers[cold].ColdUntilMs = at(5000).UnixMilli()
+				coldServer := fmt.Sprintf("s%d", serverIndex)
+				view.Servers = map[string]*wire.ServerStatus{coldServer: view.Servers[coldServer]}
+				view.Servers[coldServer].ColdUntilMs = msAfterStart(5000).UnixMilli()
 				balancer := newTestTable(view, Config{Self: name, SlowStartOverage: 1.2, SlowStartSlack: 4})
 				for ms := 0; ms < 1000; ms += 20 {
 					request := newTestRequest(fmt.Sprint(ms), 0)
-					if balancer.Choose(request, at(ms)).Server == "" {
+					if balancer.Choose(request, msAfterStart(ms)).Server == "" {
 						continue
 					}
-					balancer.FinishAttempt(balancer.StartAttempt(cold, request, at(ms)), OutcomeSucceeded, at(ms))
+					balancer.FinishAttempt(balancer.StartAttempt(coldServer, request, msAfterStart(ms)), OutcomeSucceeded, msAfterStart(ms))
 					arrivals++
 				}
 			}
-			most = max(most, arrivals)
+			maxArrivals = max(maxArrivals, arrivals)
 		}
-		So(most, ShouldBeLessThanOrEqualTo, 8.8*1.2+4)
+		So(maxArrivals, ShouldBeLessThanOrEqualTo, 8.8*1.2+4)
 	})
-	Convey("A server whose slow start is over has no such limit", t, func() {
+	Convey("A server whose slow start has ended has no such limit", t, func() {
 		view := newTestView(1, sheet.Service{SlowStartRate: 1})
-		view.Servers["s0"].ColdUntilMs = at(100).UnixMilli()
+		view.Servers["s0"].ColdUntilMs = msAfterStart(100).UnixMilli()
 		balancer := newTestTable(view, Config{})
 		for i := range 20 {
 			request := newTestRequest(fmt.Sprint(i), 0)
-			So(balancer.Choose(request, at(100)).Server, ShouldEqual, "s0")
-			balancer.StartAttempt("s0", request, at(100))
+			So(balancer.Choose(request, msAfterStart(100)).Server, ShouldEqual, "s0")
+			balancer.StartAttempt("s0", request, msAfterStart(100))
 		}
 	})
-	Convey("Retries stay within their fraction of any window's requests and the node's share of the slack", t, func() {
+	Convey("Retries stay within a fraction of the window's requests plus the node's share of the slack", t, func() {
 		balancer := newTestTable(newTestView(3, sheet.Service{}, "f0", "f1"), Config{RetryRatio: 0.2, RetrySlack: 10, RetryWindow: 10 * time.Second})
 		retries := 0
 		for i := range 100 {
-			now := at(i * 50)
+			now := msAfterStart(i * 50)
 			balancer.CountRequest("pool", now)
 			request := newTestRequest(fmt.Sprint(i), 0)
 			request.ExcludedServers = []string{"s0"}
--- a/internal/decision/balance/health.go
+++ b/internal/decision/balance/health.go
@@ -3,79 +3,83 @@
 import "time"
 
 const (
-	// consecutiveFailures eject a server; a refused connection does at once.
-	consecutiveFailures = 2
-	// maxBackoffDoublings limits the shift of the ejection time.
-	maxBackoffDoublings = 8
-	// A server that failed a request costs more for suspicionTime, and as much longer
-	// for each further recent failure; a success takes suspicionRecovery of one
-	// failure back.
-	suspicionTime     = 2 * time.Second
-	maxSuspicion      = 5
-	suspicionRecovery = 0.25
+	// consecutiveFailureLimit is the number of consecutive failed requests after which
+	// a server is ejected. A refused connection ejects it immediately.
+	consecutiveFailureLimit = 2
+	// maxEjectionDoublings limits how often the ejection time is doubled, and thereby
+	// the shift.
+	maxEjectionDoublings = 8
+	// After a failed request, a server's cost is raised for suspicionTimePerFailure
+	// times its recent failures, of which at most maxRecentFailures count. Each
+	// successful request reduces them by failuresClearedPerSuccess.
+	suspicionTimePerFailure   = 2 * time.Second
+	maxRecentFailures         = 5
+	failuresClearedPerSuccess = 0.25
 )
 
-// suspicion is how far a server's recent failures raise its cost. A server that does
-// not respond at all is found by its StallLevel, without a failure.
+// suspicion raises the cost of a server that failed requests recently. A server that
+// does not respond at all causes no failure; its StallLevel detects that.
 type suspicion struct {
-	failures float64 // recent ones, less what successes took back
-	until    time.Time
+	recentFailures float64 // reduced by successful requests
+	until          time.Time
 }
 
 func (s *suspicion) recordFailure(now time.Time) {
-	s.failures = min(s.failures+1, maxSuspicion)
-	s.until = now.Add(time.Duration(s.failures * float64(suspicionTime)))
+	s.recentFailures = min(s.recentFailures+1, maxRecentFailures)
+	s.until = now.Add(time.Duration(s.recentFailures * float64(suspicionTimePerFailure)))
 }
 
-func (s *suspicion) recordSuccess() { s.failures = max(0, s.failures-suspicionRecovery) }
+func (s *suspicion) recordSuccess() {
+	s.recentFailures = max(0, s.recentFailures-failuresClearedPerSuccess)
+}
 
 func (s *suspicion) cost(now time.Time) float64 {
 	if !now.Before(s.until) {
 		return 0
 	}
-	return costPerFailure * s.failures
+	return costPerFailure * s.recentFailures
 }
 
-// ejection keeps requests from a server that failed (outlier ejection), with an
-// exponential backoff. After the ejection time one request probes the server.
+// ejection withholds requests from a failed server (outlier ejection) with exponential
+// backoff. After the ejection time, a single request probes the server.
 type ejection struct {
-	failures int // consecutive ones since the last ejection
-	count    int // consecutive ejections
-	until    time.Time
-	probing  bool // the request that probes the server is in flight
+	consecutiveFailures  int // since the last ejection
+	consecutiveEjections int // without a completed response in between
+	until                time.Time
+	probeInFlight        bool
 }
 
 func (e *ejection) ejected(now time.Time) bool { return now.Before(e.until) }
 
 func (e *ejection) requestSent() {
-	if e.count > 0 {
-		e.probing = true
+	if e.consecutiveEjections > 0 {
+		e.probeInFlight = true
 	}
 }
 
-// recordFailure ejects the server after consecutiveFailures, or when the request
-// was a probe.
+// recordFailure ejects the server when consecutiveFailureLimit is reached. A server that
+// was ejected before and has not responded since is ejected by its first failure.
 func (e *ejection) recordFailure(now time.Time, config Config) {
-	e.failures++
-	if e.failures >= consecutiveFailures || e.count > 0 {
+	e.consecutiveFailures++
+	if e.consecutiveFailures >= consecutiveFailureLimit || e.consecutiveEjections > 0 {
 		e.eject(now, config)
 	}
 }
 
-// eject has no effect on a server that is ejected, so that the failures of requests
-// that were sent together count as one.
+// eject has no effect on a server that is already ejected, so that failures of
+// concurrent requests double the backoff only once.
 func (e *ejection) eject(now time.Time, config Config) {
 	if config.Disabled[Ejection] || e.ejected(now) {
 		return
 	}
-	backoff := config.BaseEjectionTime << min(e.count, maxBackoffDoublings)
+	backoff := config.BaseEjectionTime << min(e.consecutiveEjections, maxEjectionDoublings)
 	e.until = now.Add(min(backoff, config.MaxEjectionTime))
-	e.count++
-	e.failures = 0
+	e.consecutiveEjections++
+	e.consecutiveFailures = 0
 }
 
 func (e *ejection) reset() {
-	e.failures = 0
-	e.count = 0
+	e.consecutiveFailures = 0
+	e.consecutiveEjections = 0
 	e.until = time.Time{}
 }
--- a/internal/decision/balance/isolation.go
+++ b/internal/decision/balance/isolation.go
@@ -8,76 +8,80 @@
 )
 
 const (
-	// A route is decode-heavy when its prompts have at most maxDecodePromptRatio of
-	// the mean prompt at the service, and its answers at least minDecodeOutputRatio of
-	// the tokens of its own prompts.
+	// A route is decode-heavy if its mean prompt is at most maxDecodePromptRatio times
+	// the mean prompt of the service, and its mean output at least minDecodeOutputRatio
+	// times its own mean prompt, in tokens.
 	maxDecodePromptRatio = 0.7
 	minDecodeOutputRatio = 0.1
-	// isolatedShareOfWork is the share of the servers that are isolated per share of
-	// the work that decode-heavy routes have. Less than one gives isolated servers
-	// more work than others: it is of short prompts.
-	isolatedShareOfWork = 0.5
-	// slotUtilization is the part of the slots of isolated servers which decode-heavy
-	// routes are to fill on average.
-	slotUtilization = 0.4
-	// maxIsolatedShare limits the part of a region's servers that are isolated. Where
-	// decode-heavy routes need less than minIsolatedServers, none is: long prompts
-	// would lose more than decode-heavy routes gain.
+	// isolatedSharePerWorkShare is the ratio of the share of servers that are isolated
+	// to the share of the service's work that decode-heavy routes have. A value below 1
+	// gives isolated servers more work than others, since that work has short prompts.
+	isolatedSharePerWorkShare = 0.5
+	// targetSlotUtilization is the fraction of the isolated servers' slots that
+	// decode-heavy routes should use on average.
+	targetSlotUtilization = 0.4
+	// maxIsolatedShare limits the fraction of a region's servers that are isolated. If
+	// decode-heavy routes need fewer than minIsolatedServers, none is isolated: long
+	// prompts would lose more than decode-heavy routes gain.
 	maxIsolatedShare   = 0.5
 	minIsolatedServers = 1.5
-	// Until minStreamSamples requests for streams were seen at a service,
-	// decode-heavy routes are assumed to have initialDecodeShare of its work.
-	minStreamSamples   = 6
-	initialDecodeShare = 0.2
-	// After an isolated server was overloaded, decode-heavy routes go wherever it
-	// costs least for overloadTime. A server is overloaded when it rejects a request,
-	// and when a response takes overloadFactor times the expected time to start and
-	// overloadMargin more.
+	// From the first streaming request to a service until there are minStreamSamples of
+	// them, decode-heavy routes are assumed to have initialDecodeWorkShare of its work.
+	minStreamSamples       = 6
+	initialDecodeWorkShare = 0.2
+	// For overloadTime after an isolated server was overloaded, decode-heavy routes may
+	// use any server. A server is overloaded when it rejects a request, or when the
+	// first byte of a response takes at least overloadFactor times the expected time
+	// plus overloadMargin.
 	overloadTime   = 3 * time.Second
 	overloadFactor = 2
 	overloadMargin = 250 * time.Millisecond
-	// misplacedCost keeps long prompts from isolated servers, and decode-heavy routes
-	// from the others, in milliseconds.
+	// misplacedCost is the cost, in milliseconds, that keeps decode-heavy routes on
+	// isolated servers and other routes off them.
 	misplacedCost = 200
-	// isolationInterval is the time between computations of the isolated servers.
+	// isolationInterval is the minimum time between periodic recomputations of the
+	// isolated servers.
 	isolationInterval = time.Second
 )
 
-// isolation is the set of servers that are isolated: set aside for decode-heavy
-// routes, those with long answers to short prompts, whose clients notice each pause.
-// Long prompts avoid them, since during the prefill of a long prompt a server's other
-// answers wait for each of their tokens (prefill/decode interference). Which routes
-// are decode-heavy is learned from their requests, and so is how many servers they
-// need. All nodes order the servers of a region alike, so that they need not agree on
-// more than about how many are isolated.
+// isolation is the set of isolated servers, which are reserved for decode-heavy
+// routes: those with long outputs for short prompts, whose clients notice each pause.
+// Other routes avoid these servers, since the prefill of a long prompt delays every
+// token of the server's other responses (prefill/decode interference). Which routes
+// are decode-heavy and how many servers they need is derived from recent requests.
+// All nodes order the servers of a region identically, so their isolated sets overlap
+// as long as they agree approximately on the number of isolated servers.
 type isolation struct {
 	servers    map[string]bool
 	computedAt time.Time
-	// overloadedUntil is until when decode-heavy routes may use other servers too.
+	// overloadedUntil is the time until which decode-heavy routes may also use servers
+	// that are not isolated.
 	overloadedUntil time.Time
 }
 
-// recordOverload records that a server has more requests than it can start at once.
+// recordOverload records that a server was overloaded. It has no effect if the server
+// is not isolated.
 func (i *isolation) recordOverload(server string, now time.Time) {
 	if i.servers[server] {
 		i.overloadedUntil = now.Add(overloadTime)
 	}
 }
 
-// isOverloaded reports whether a response took far longer to start than expected.
-func isOverloaded(took, expected time.Duration) bool {
-	return took >= overloadFactor*expected+overloadMargin
+// isOverloaded reports whether the time to the first byte of a response indicates an
+// overloaded server.
+func isOverloaded(firstByteTime, expected time.Duration) bool {
+	return firstByteTime >= overloadFactor*expected+overloadMargin
 }
 
-func (t *Table) refreshIsolation(now time.Time) {
+func (t *Table) recomputeIsolationIfDue(now time.Time) {
 	if now.Sub(t.isolation.computedAt) >= isolationInterval {
-		t.isolate(now)
+		t.recomputeIsolation(now)
 		t.isolation.computedAt = now
 	}
 }
 
-// isolate computes which servers of each service are isolated.
-func (t *Table) isolate(now time.Time) {
+// recomputeIsolation determines the isolated servers of each service.
+func (t *Table) recomputeIsolation(now time.Time) {
 	clear(t.isolation.servers)
 	if t.config.Disabled[Isolation] {
 		return
@@ -87,113 +91,113 @@
 		share, regions := t.isolatedShare(service, byRegion, now)
 		for region, servers := range byRegion {
 			if regions[region] {
-				t.isolation.reserve(withoutSlowStart(servers, now), share)
+				t.isolation.markIsolated(excludeSlowStart(servers, now), share)
 			}
 		}
 	}
 }
 
-// decodeHeavy reports whether a route has long answers to short prompts.
-func (t *Table) decodeHeavy(load *routeLoad) bool {
+// isDecodeHeavy reports whether a route streams long outputs for short prompts.
+func (t *Table) isDecodeHeavy(load *routeLoad) bool {
 	if load == nil || load.samples == 0 || load.maxEventGap <= 0 {
 		return false
 	}
-	longAnswers := load.meanOutput >= minDecodeOutputRatio*load.meanPrompt
-	return longAnswers && load.meanPrompt <= maxDecodePromptRatio*t.routes.meanPrompt(load.service)
+	longOutputs := load.meanOutputTokens >= minDecodeOutputRatio*load.meanPromptTokens
+	return longOutputs && load.meanPromptTokens <= maxDecodePromptRatio*t.routeLoads.meanPromptTokens(load.service)
 }
 
-// decodeDemand is the recent load of a service, and of its decode-heavy routes.
+// decodeDemand is the recent load of a service and of its decode-heavy routes.
 type decodeDemand struct {
-	tokens            float64
-	decodeTokens      float64
-	decodeConcurrency float64
-	streamSamples     float64
-	// regions are those that may serve a decode-heavy route.
+	prefillTokens            float64
+	decodeHeavyPrefillTokens float64
+	decodeHeavyConcurrency   float64
+	streamSamples            float64
+	// regions are the regions that may serve a decode-heavy route.
 	regions map[string]bool
 }
 
-func (t *Table) decodeDemand(service string, byRegion map[string][]*server, now time.Time) decodeDemand {
+func (t *Table) computeDecodeDemand(service string, byRegion map[string][]*server, now time.Time) decodeDemand {
 	demand := decodeDemand{regions: map[string]bool{}}
-	for _, load := range t.routes.ordered {
+	for _, load := range t.routeLoads.ordered {
 		if load.service != service {
 			continue
 		}
 		load.decay(now)
-		demand.tokens += load.prefillTokens
+		demand.prefillTokens += load.prefillTokens
 		if load.maxEventGap > 0 {
 			demand.streamSamples += load.samples
 		}
-		if !t.decodeHeavy(load) {
+		if !t.isDecodeHeavy(load) {
 			continue
 		}
-		demand.decodeTokens += load.prefillTokens
-		demand.decodeConcurrency += load.concurrency(now)
+		demand.decodeHeavyPrefillTokens += load.prefillTokens
+		demand.decodeHeavyConcurrency += load.concurrency(now)
 		for region := range byRegion {
-			demand.regions[region] = demand.regions[region] || load.servedIn(region)
+			demand.regions[region] = demand.regions[region] || load.allowsRegion(region)
 		}
 	}
 	return demand
 }
 
-// isolatedShare returns the share of the servers of each region that decode-heavy
-// routes need, and the regions that may serve them.
+// isolatedShare returns the fraction of each region's servers that decode-heavy routes
+// need, and the regions that may serve them.
 func (t *Table) isolatedShare(service string, byRegion map[string][]*server, now time.Time) (share float64, regions map[string]bool) {
-	demand := t.decodeDemand(service, byRegion, now)
+	demand := t.computeDecodeDemand(service, byRegion, now)
 	if demand.streamSamples > 0 && demand.streamSamples < minStreamSamples {
 		for region := range byRegion {
 			demand.regions[region] = true
 		}
-		return initialDecodeShare * isolatedShareOfWork, demand.regions
+		return initialDecodeWorkShare * isolatedSharePerWorkShare, demand.regions
 	}
-	if demand.decodeTokens == 0 || demand.decodeTokens == demand.tokens {
+	if demand.decodeHeavyPrefillTokens == 0 || demand.decodeHeavyPrefillTokens == demand.prefillTokens {
 		return 0, nil
 	}
 	return t.neededShare(service, byRegion, demand), demand.regions
 }
 
-// neededShare returns the share of the servers of the demand's regions that
-// decode-heavy routes need by their work and by their concurrency, on the assumption
-// that all nodes have as many requests as this one.
+// neededShare returns the fraction of the servers in the demand's regions that
+// decode-heavy routes need: the larger of what their work and their concurrency
+// require. It assumes that all nodes have as many requests as this one.
 func (t *Table) neededShare(service string, byRegion map[string][]*server, demand decodeDemand) float64 {
-	servers := 0.0
-	slots := 0.0
-	for region, open := range demand.regions {
-		if !open {
+	serverCount := 0.0
+	slotCount := 0.0
+	for region, allowed := range demand.regions {
+		if !allowed {
 			continue
 		}
 		for _, srv := range byRegion[region] {
-			servers++
-			slots += float64(srv.status.Slots)
+			serverCount++
+			slotCount += float64(srv.status.Slots)
 		}
 	}
-	if servers == 0 {
+	if serverCount == 0 {
 		return 0
 	}
-	shareOfWork := demand.decodeTokens / demand.tokens
-	byWork := shareOfWork * isolatedShareOfWork * float64(len(t.pools[service])) / servers
-	if slots == 0 {
-		return byWork
+	workShare := demand.decodeHeavyPrefillTokens / demand.prefillTokens
+	shareByWork := workShare * isolatedSharePerWorkShare * float64(len(t.pools[service])) / serverCount
+	if slotCount == 0 {
+		return shareByWork
 	}
-	return max(byWork, demand.decodeConcurrency*float64(len(t.fronts))/(slots*slotUtilization))
+	return max(shareByWork, demand.decodeHeavyConcurrency*float64(len(t.fronts))/(slotCount*targetSlotUtilization))
 }
 
-// reserve isolates a share of a region's servers, the first by their hashes. It
-// reorders servers.
-func (i *isolation) reserve(servers []*server, share float64) {
+// markIsolated isolates a fraction of a region's servers, in the order of their hashes.
+// It sorts servers in place.
+func (i *isolation) markIsolated(servers []*server, share float64) {
 	needed := float64(len(servers)) * min(share, maxIsolatedShare)
 	if needed < minIsolatedServers {
 		return
 	}
 	count := int(math.Ceil(needed))
-	slices.SortFunc(servers, func(a, b *server) int { return cmp.Compare(mix(a.hash), mix(b.hash)) })
+	slices.SortFunc(servers, func(a, b *server) int { return cmp.Compare(splitMix64Finalizer(a.hash), splitMix64Finalizer(b.hash)) })
 	for _, srv := range servers[:count] {
 		i.servers[srv.name] = true
 	}
 }
 
-// withoutSlowStart returns the servers that are not in slow start, as those in slow
-// start accept too few requests.
-func withoutSlowStart(servers []*server, now time.Time) []*server {
+// excludeSlowStart returns the servers that are not in slow start. Servers in slow
+// start accept too few requests to be isolated.
+func excludeSlowStart(servers []*server, now time.Time) []*server {
 	return slices.DeleteFunc(slices.Clone(servers), func(srv *server) bool { return srv.slowStart.active(now) })
 }
 
@@ -205,13 +209,13 @@
 	return byRegion
 }
 
-// misplaced reports whether a server is not one for a request's route: isolated and
-// the route not decode-heavy, or the reverse.
-func (t *Table) misplaced(srv *server, request *Request, now time.Time) bool {
+// isMisplaced reports whether a request should avoid a server because of isolation:
+// the server is isolated and the route is not decode-heavy, or the reverse.
+func (t *Table) isMisplaced(srv *server, request *Request, now time.Time) bool {
 	switch {
 	case len(t.isolation.servers) == 0:
 		return false
-	case t.decodeHeavy(t.routes.byName[request.Route]):
+	case t.isDecodeHeavy(t.routeLoads.byName[request.Route]):
 		return !t.isolation.servers[srv.name] && !now.Before(t.isolation.overloadedUntil)
 	}
 	return t.isolation.servers[srv.name]
--- a/internal/decision/balance/isolation_test.go
+++ b/internal/decision/balance/isolation_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestIsolation(t *testing.T) {
-	digest := func(id string, shared uint64) *Request {
+	newDigestRequest := func(id string, shared uint64) *Request {
 		request := newTestRequest(id, shared)
 		request.Route = "digest"
 		request.MaxEventGap = 400 * time.Millisecond
@@ -20,7 +20,7 @@
 		request.OutputTokens = 60
 		return request
 	}
-	reply := func(id string) *Request {
+	newReplyRequest := func(id string) *Request {
 		request := newTestRequest(id, 0)
 		request.Route = "reply"
 		request.MaxEventGap = 400 * time.Millisecond
@@ -35,94 +35,94 @@
 		balancer.FinishAttempt(attempt, OutcomeSucceeded, now)
 		return choice.Server
 	}
-	learned := func(off Disabled, name string) *Table {
-		balancer := newTestTable(newTestView(60, sheet.Service{}), Config{Self: name, Disabled: off})
+	newTrainedTable := func(disabled Disabled, name string) *Table {
+		balancer := newTestTable(newTestView(60, sheet.Service{}), Config{Self: name, Disabled: disabled})
 		for i := range 10 {
-			serve(balancer, digest(fmt.Sprint(i), uint64(i+1)), at(i*100))
-			serve(balancer, reply(fmt.Sprint(i)), at(i*100))
+			serve(balancer, newDigestRequest(fmt.Sprint(i), uint64(i+1)), msAfterStart(i*100))
+			serve(balancer, newReplyRequest(fmt.Sprint(i)), msAfterStart(i*100))
 		}
 		return balancer
 	}
-	Convey("Decode-heavy routes use servers of each region that long prompts avoid, the same at all nodes", t, func() {
-		one, other := learned(nil, "f0"), learned(nil, "f1")
-		one.isolate(at(1100))
-		other.isolate(at(1100))
-		So(one.isolation.servers, ShouldNotBeEmpty)
-		So(one.isolation.servers, ShouldResemble, other.isolation.servers)
+	Convey("All nodes isolate the same servers of each region; decode-heavy routes use them and long prompts avoid them", t, func() {
+		first, second := newTrainedTable(nil, "f0"), newTrainedTable(nil, "f1")
+		first.recomputeIsolation(msAfterStart(1100))
+		second.recomputeIsolation(msAfterStart(1100))
+		So(first.isolation.servers, ShouldNotBeEmpty)
+		So(first.isolation.servers, ShouldResemble, second.isolation.servers)
 		regions := map[string]int{}
-		for name := range one.isolation.servers {
-			regions[one.servers[name].status.Region]++
+		for name := range first.isolation.servers {
+			regions[first.servers[name].status.Region]++
 		}
 		So(regions, ShouldResemble, map[string]int{"north": 3, "south": 3})
 		for i := range 50 {
-			So(one.isolation.servers[serve(one, reply(fmt.Sprint("r", i)), at(1200))], ShouldBeTrue)
-			So(one.isolation.servers[serve(other, digest(fmt.Sprint("d", i), uint64(i+50)), at(1200))], ShouldBeFalse)
+			So(first.isolation.servers[serve(first, newReplyRequest(fmt.Sprint("r", i)), msAfterStart(1200))], ShouldBeTrue)
+			So(first.isolation.servers[serve(second, newDigestRequest(fmt.Sprint("d", i), uint64(i+50)), msAfterStart(1200))], ShouldBeFalse)
 		}
 	})
-	Convey("When isolated servers become unreachable, others serve and others are isolated", t, func() {
-		balancer := learned(nil, "f0")
-		balancer.isolate(at(1100))
+	Convey("When isolated servers become unreachable, other servers are isolated and serve the decode-heavy routes", t, func() {
+		balancer := newTrainedTable(nil, "f0")
+		balancer.recomputeIsolation(msAfterStart(1100))
 		view := newTestView(60, sheet.Service{})
 		for name := range balancer.isolation.servers {
 			view.Servers[name].Reachable = false
 		}
 		before := maps.Clone(balancer.isolation.servers)
-		balancer.Update(view, at(1200))
-		choice := balancer.Choose(reply("a"), at(1200))
+		balancer.Update(view, msAfterStart(1200))
+		choice := balancer.Choose(newReplyRequest("a"), msAfterStart(1200))
 		So(before[choice.Server], ShouldBeFalse)
 		So(balancer.isolation.servers[choice.Server], ShouldBeTrue)
 	})
-	Convey("While an isolated server is overloaded, decode-heavy routes go wherever it costs least, and long prompts still avoid it", t, func() {
+	Convey("After an isolated server was overloaded, decode-heavy routes may use any server, and long prompts still avoid isolated ones", t, func() {
 		for name, overload := range map[string]func(*Table, *Attempt){
-			"rejects": func(balancer *Table, a *Attempt) { balancer.FinishAttempt(a, OutcomeRejected, at(1300)) },
-			"is slow": func(balancer *Table, a *Attempt) { balancer.ResponseStarted(a, at(2600)) },
+			"rejects": func(balancer *Table, a *Attempt) { balancer.FinishAttempt(a, OutcomeRejected, msAfterStart(1300)) },
+			"is slow": func(balancer *Table, a *Attempt) { balancer.ResponseStarted(a, msAfterStart(2600)) },
 		} {
-			balancer := learned(nil, "f0")
-			balancer.isolate(at(1100))
-			first := reply("first")
-			attempt := balancer.StartAttempt(balancer.Choose(first, at(1200)).Server, first, at(1200))
+			balancer := newTrainedTable(nil, "f0")
+			balancer.recomputeIsolation(msAfterStart(1100))
+			first := newReplyRequest("first")
+			attempt := balancer.StartAttempt(balancer.Choose(first, msAfterStart(1200)).Server, first, msAfterStart(1200))
 			overload(balancer, attempt)
-			others := map[bool]int{}
+			byIsolated := map[bool]int{}
 			for i := range 60 {
-				request := reply(fmt.Sprint(name, i))
-				choice := balancer.Choose(request, at(2700))
-				balancer.StartAttempt(choice.Server, request, at(2700))
-				others[balancer.isolation.servers[choice.Server]]++
+				request := newReplyRequest(fmt.Sprint(name, i))
+				choice := balancer.Choose(request, msAfterStart(2700))
+				balancer.StartAttempt(choice.Server, request, msAfterStart(2700))
+				byIsolated[balancer.isolation.servers[choice.Server]]++
 			}
-			So(others[false], ShouldBeGreaterThan, 30)
-			So(balancer.isolation.servers[serve(balancer, digest("d", 99), at(2700))], ShouldBeFalse)
-			So(balancer.misplaced(balancer.servers["s0"], reply("later"), at(6000)), ShouldEqual, !balancer.isolation.servers["s0"])
+			So(byIsolated[false], ShouldBeGreaterThan, 30)
+			So(balancer.isolation.servers[serve(balancer, newDigestRequest("d", 99), msAfterStart(2700))], ShouldBeFalse)
+			So(balancer.isMisplaced(balancer.servers["s0"], newReplyRequest("later"), msAfterStart(6000)), ShouldEqual, !balancer.isolation.servers["s0"])
 		}
 	})
 	Convey("A server in slow start is not isolated", t, func() {
-		balancer := learned(nil, "f0")
-		balancer.isolate(at(1100))
+		balancer := newTrainedTable(nil, "f0")
+		balancer.recomputeIsolation(msAfterStart(1100))
 		view := newTestView(60, sheet.Service{})
 		for name := range balancer.isolation.servers {
-			view.Servers[name].ColdUntilMs = at(9000).UnixMilli()
+			view.Servers[name].ColdUntilMs = msAfterStart(9000).UnixMilli()
 		}
 		before := maps.Clone(balancer.isolation.servers)
-		balancer.Update(view, at(1200))
+		balancer.Update(view, msAfterStart(1200))
 		So(balancer.isolation.servers, ShouldNotBeEmpty)
 		for name := range balancer.isolation.servers {
 			So(before[name], ShouldBeFalse)
 		}
 	})
-	Convey("No server is isolated while routes are unknown, where all are alike, in small pools, and when isolation is switched off", t, func() {
+	Convey("No server is isolated without recorded routes, if all routes are alike, in small pools, or if isolation is disabled", t, func() {
 		fresh := newTestTable(newTestView(60, sheet.Service{}), Config{})
-		fresh.isolate(start)
+		fresh.recomputeIsolation(start)
 		So(fresh.isolation.servers, ShouldBeEmpty)
 		alike := newTestTable(newTestView(60, sheet.Service{}), Config{})
 		for i := range 20 {
-			serve(alike, reply(fmt.Sprint(i)), at(i*100))
+			serve(alike, newReplyRequest(fmt.Sprint(i)), msAfterStart(i*100))
 		}
-		alike.isolate(at(2000))
+		alike.recomputeIsolation(msAfterStart(2000))
 		So(alike.isolation.servers, ShouldBeEmpty)
-		small := learned(nil, "f0")
-		small.Update(newTestView(6, sheet.Service{}), at(1100))
-		So(small.isolation.servers, ShouldBeEmpty)
-		off := learned(Disabled{Isolation: true}, "f0")
-		off.isolate(at(1100))
-		So(off.isolation.servers, ShouldBeEmpty)
+		smallPool := newTrainedTable(nil, "f0")
+		smallPool.Update(newTestView(6, sheet.Service{}), msAfterStart(1100))
+		So(smallPool.isolation.servers, ShouldBeEmpty)
+		switchedOff := newTrainedTable(Disabled{Isolation: true}, "f0")
+		switchedOff.recomputeIsolation(msAfterStart(1100))
+		So(switchedOff.isolation.servers, ShouldBeEmpty)
 	})
 }
--- a/internal/decision/balance/load.go
+++ b/internal/decision/balance/load.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// serverLoad is the work of this node at one server.
+// serverLoad is the load that this node places on one server.
 type serverLoad struct {
 	inFlight int
-	// unanswered are the attempts whose responses have not started, the oldest first.
+	// unanswered are the attempts whose responses have not started, oldest first.
 	unanswered []*Attempt
-	// backlogTokens are the prompt tokens of the unanswered attempts.
-	backlogTokens float64
-	lastResponse  time.Time
+	// backlogTokens is the sum of prefillTokens over the unanswered attempts.
+	backlogTokens  float64
+	lastResponseAt time.Time
 }
 
 func (l *serverLoad) start(attempt *Attempt) {
@@ -22,7 +22,7 @@
 }
 
 func (l *serverLoad) responseStarted(attempt *Attempt, now time.Time) {
-	l.lastResponse = now
+	l.lastResponseAt = now
 	l.removeUnanswered(attempt)
 }
 
@@ -32,38 +32,39 @@
 }
 
 func (l *serverLoad) removeUnanswered(attempt *Attempt) {
-	position := slices.Index(l.unanswered, attempt)
-	if position < 0 {
+	index := slices.Index(l.unanswered, attempt)
+	if index < 0 {
 		return
 	}
-	l.unanswered = slices.Delete(l.unanswered, position, position+1)
+	l.unanswered = slices.Delete(l.unanswered, index, index+1)
 	l.backlogTokens -= attempt.prefillTokens
 	if len(l.unanswered) == 0 {
-		l.backlogTokens = 0 // drops what rounding has left
+		l.backlogTokens = 0 // discards the accumulated rounding error
 	}
 }
 
-// StallLevel is how long a server has not responded to what this node sent it,
-// against what is expected of it. By itself it only raises the cost of the server,
-// from Stalled on. The gateway has the server probed from Slow on, and reports it to
-// the fleet as Unresponsive or when a probe fails.
+// StallLevel compares how long a server has not responded to this node's requests
+// with the expected time to the first byte. Within this package it only raises the
+// cost of the server, at Stalled and above. The gateway has the server probed at Slow
+// and above, and reports it to the fleet at Unresponsive or when a probe fails.
 type StallLevel int
 
 // Stall levels, in ascending order.
 const (
-	// NotStalled: no longer than expected.
+	// NotStalled means that the delay is within the expected range.
 	NotStalled StallLevel = iota
-	// Slow: longer than expected, which may be due to another node's requests there.
+	// Slow means a delay beyond the expected one, which requests of other nodes to the
+	// server may cause.
 	Slow
-	// Stalled: so long that requests avoid the server.
+	// Stalled means a delay at which requests avoid the server.
 	Stalled
-	// Unresponsive: so long that hardly any load explains it.
+	// Unresponsive means a delay that load is unlikely to explain.
 	Unresponsive
 )
 
-// stallThresholds are checked from the highest level. A server that has not
-// responded since its oldest unanswered request was sent has a level when that has
-// waited for factor times the expected time and margin more.
+// stallThresholds are ordered from the highest level. A server that has not responded
+// since its oldest unanswered request was sent reaches a level once that request has
+// waited for factor times the expected time plus margin.
 var stallThresholds = []struct {
 	level  StallLevel
 	factor float64
@@ -79,11 +80,11 @@
 		return NotStalled
 	}
 	oldest := srv.load.unanswered[0]
-	if srv.load.lastResponse.After(oldest.began) {
+	if srv.load.lastResponseAt.After(oldest.startedAt) {
 		return NotStalled
 	}
-	expected := float64(t.speed(oldest.service).expected(srv.load.backlogTokens))
-	waited := now.Sub(oldest.began)
+	expected := float64(t.prefillSpeed(oldest.service).expectedFirstByteTime(srv.load.backlogTokens))
+	waited := now.Sub(oldest.startedAt)
 	for _, threshold := range stallThresholds {
 		if waited >= time.Duration(threshold.factor*expected)+threshold.margin {
 			return threshold.level
--- a/internal/decision/balance/mechanism.go
+++ b/internal/decision/balance/mechanism.go
@@ -6,34 +6,35 @@
 	"github.com/pkg/errors"
 )
 
-// Mechanism names a part of the selection of servers that can be switched off, to
-// measure its effect. Its value is the name in the setting balance.off.
+// Mechanism identifies a part of server selection that can be disabled, to measure
+// its effect. Its value is the name used in the setting balance.off.
 type Mechanism string
 
 // Mechanisms, all of which are enabled by default.
 const (
-	// Affinity sends requests that share a prefix to one server, which all nodes
-	// agree on.
+	// Affinity prefers one server for all requests that share a prompt prefix; all
+	// nodes prefer the same one.
 	Affinity Mechanism = "affinity"
-	// PrefixMissCost adds the cost of the prefill of a shared prefix at a server that
-	// does not cache it.
+	// PrefixMissCost adds the cost of prefilling a shared prefix on a server that does
+	// not cache it.
 	PrefixMissCost Mechanism = "read-again"
-	// Isolation keeps decode-heavy routes on servers that long prompts avoid.
+	// Isolation reserves servers for decode-heavy routes; other routes avoid them.
 	Isolation Mechanism = "isolation"
-	// NetworkCost adds a cost for servers of other zones and regions.
+	// NetworkCost adds a cost for servers in other zones and regions.
 	NetworkCost Mechanism = "crossing"
-	// StallAvoidance avoids servers that are stalled.
+	// StallAvoidance avoids servers at stall level Stalled or higher.
 	StallAvoidance Mechanism = "hung"
-	// SuspicionCost avoids servers that failed requests recently.
+	// SuspicionCost adds a cost for servers that failed requests recently.
 	SuspicionCost Mechanism = "doubts"
-	// Ejection ejects servers that refuse connections or fail consecutively.
+	// Ejection ejects servers that refuse connections, are unresponsive or fail
+	// consecutive requests.
 	Ejection Mechanism = "ejection"
-	// UnresponsiveReports reports servers to the fleet that this node found
+	// UnresponsiveReports reports to the fleet which servers this node found
 	// unresponsive.
 	UnresponsiveReports Mechanism = "suspects"
-	// ProbeBeforeReport probes a suspected server before it is reported.
+	// ProbeBeforeReport probes a suspected server before reporting it.
 	ProbeBeforeReport Mechanism = "suspect-probes"
-	// StallRetries retries an idempotent request at another server when its server
+	// StallRetries retries an idempotent request on another server when its server
 	// stalls.
 	StallRetries Mechanism = "second-attempts"
 )
@@ -52,16 +53,16 @@
 	StallRetries,
 }
 
-// Disabled is a set of mechanisms that are switched off.
+// Disabled is a set of disabled mechanisms.
 type Disabled map[Mechanism]bool
 
-// ParseDisabled returns the set of the named mechanisms. It fails on a name that is
-// none of Mechanisms.
+// ParseDisabled returns the set of the named mechanisms. It returns an error for a
+// name that is not in Mechanisms.
 func ParseDisabled(names []string) (Disabled, error) {
 	disabled := Disabled{}
 	for _, name := range names {
 		if !slices.Contains(Mechanisms, Mechanism(name)) {
-			return nil, errors.Errorf("%q is none of %v", name, Mechanisms)
+			return nil, errors.Errorf("unknown mechanism %q; valid names: %v", name, Mechanisms)
 		}
 		disabled[Mechanism(name)] = true
 	}
--- a/internal/decision/balance/prefill_speed.go
+++ b/internal/decision/balance/prefill_speed.go
@@ -3,72 +3,76 @@
 import "time"
 
 const (
-	// typicalWeight is the weight of a new sample in the typical time.
-	typicalWeight    = 0.05
-	defaultTypicalMS = 200
+	// firstByteSampleWeight is the weight of a new sample in the moving average of the
+	// time to the first byte.
+	firstByteSampleWeight  = 0.05
+	defaultMeanFirstByteMS = 200
 
-	// sampleDecay is the factor by which older samples of the line fade.
-	sampleDecay = 0.98
-	// minSampleWeight is the weight of samples from which the line is used; the
-	// default until then. The slope is limited to what a server can do.
-	minSampleWeight   = 20
-	defaultMSPerToken = 0.01
-	minMSPerToken     = 0.001
-	maxMSPerToken     = 1.0
+	// regressionDecay is the factor applied to the regression sums for each new sample.
+	regressionDecay = 0.98
+	// minRegressionWeight is the decayed number of samples from which the slope of the
+	// regression is used instead of defaultMSPerToken. The slope is clamped to the range
+	// that is plausible for a server.
+	minRegressionWeight = 20
+	defaultMSPerToken   = 0.01
+	minMSPerToken       = 0.001
+	maxMSPerToken       = 1.0
 )
 
-// prefillSpeed estimates how long the servers of a service take for the prefill of a
-// token, by linear regression of the times to the first byte over the tokens. Older
-// samples fade.
+// prefillSpeed estimates the prefill time per token of a service's servers, by linear
+// regression of the time to the first byte over the tokens to prefill, with
+// exponentially decaying samples.
 type prefillSpeed struct {
-	weight, tokens, time, square, product float64 // sums over the samples
-	typicalMS                             float64 // moving average of the time to the first byte
+	weightSum, tokenSum, msSum, tokenSquareSum, tokenMSSum float64 // decayed sums over the samples
+	meanFirstByteMS                                        float64 // moving average of the time to the first byte
 }
 
-// recordTypical records the time to the first byte of any response.
-func (s *prefillSpeed) recordTypical(took time.Duration) {
-	ms := milliseconds(took)
-	if s.typicalMS == 0 {
-		s.typicalMS = ms
+// recordFirstByteTime adds the time to the first byte of a response to the moving
+// average.
+func (s *prefillSpeed) recordFirstByteTime(firstByteTime time.Duration) {
+	ms := milliseconds(firstByteTime)
+	if s.meanFirstByteMS == 0 {
+		s.meanFirstByteMS = ms
 		return
 	}
-	s.typicalMS += (ms - s.typicalMS) * typicalWeight
+	s.meanFirstByteMS += (ms - s.meanFirstByteMS) * firstByteSampleWeight
 }
 
-// expected returns the expected time to the first byte at a server that has a number
-// of tokens to compute.
-func (s *prefillSpeed) expected(tokens float64) time.Duration {
-	typical := s.typicalMS
-	if typical == 0 {
-		typical = defaultTypicalMS
+// expectedFirstByteTime returns the expected time to the first byte at a server that
+// has the given number of tokens to prefill.
+func (s *prefillSpeed) expectedFirstByteTime(tokens float64) time.Duration {
+	meanMS := s.meanFirstByteMS
+	if meanMS == 0 {
+		meanMS = defaultMeanFirstByteMS
 	}
-	return time.Duration((typical + tokens*s.perToken()) * float64(time.Millisecond))
+	return time.Duration((meanMS + tokens*s.msPerToken()) * float64(time.Millisecond))
 }
 
-// addSample adds the time to the first byte of a request that was alone at its
-// server.
-func (s *prefillSpeed) addSample(tokens float64, took time.Duration) {
+// addRegressionSample adds the time to the first byte of a request to a server where
+// this node had no other request in flight.
+func (s *prefillSpeed) addRegressionSample(tokens float64, firstByteTime time.Duration) {
 	if tokens <= 0 {
 		return
 	}
-	tookMS := milliseconds(took)
-	for _, sum := range []*float64{&s.weight, &s.tokens, &s.time, &s.square, &s.product} {
-		*sum *= sampleDecay
+	firstByteMS := milliseconds(firstByteTime)
+	for _, sum := range []*float64{&s.weightSum, &s.tokenSum, &s.msSum, &s.tokenSquareSum, &s.tokenMSSum} {
+		*sum *= regressionDecay
 	}
-	s.weight++
-	s.tokens += tokens
-	s.time += tookMS
-	s.square += tokens * tokens
-	s.product += tokens * tookMS
+	s.weightSum++
+	s.tokenSum += tokens
+	s.msSum += firstByteMS
+	s.tokenSquareSum += tokens * tokens
+	s.tokenMSSum += tokens * firstByteMS
 }
 
-// perToken returns the milliseconds of prefill per token, the slope of the line.
-func (s *prefillSpeed) perToken() float64 {
-	spread := s.weight*s.square - s.tokens*s.tokens
-	if s.weight < minSampleWeight || spread <= 0 {
+// msPerToken returns the prefill time per token in milliseconds, the slope of the
+// regression.
+func (s *prefillSpeed) msPerToken() float64 {
+	denominator := s.weightSum*s.tokenSquareSum - s.tokenSum*s.tokenSum
+	if s.weightSum < minRegressionWeight || denominator <= 0 {
 		return defaultMSPerToken
 	}
-	slope := (s.weight*s.product - s.tokens*s.time) / spread
+	slope := (s.weightSum*s.tokenMSSum - s.tokenSum*s.msSum) / denominator
 	return min(max(slope, minMSPerToken), maxMSPerToken)
 }
 
--- a/internal/decision/balance/prefix_cache.go
+++ b/internal/decision/balance/prefix_cache.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// prefixLifetime is how long after its last use a prefix is assumed to be in the
-	// cache of a server that this node sent it to.
+	// prefixLifetime is how long after this node last sent a prefix to a server the
+	// prefix is assumed to be in the server's cache.
 	prefixLifetime = 8 * time.Second
-	// maxPrefixes limits the prefixes that are remembered, and maxLocationsPerPrefix
-	// the servers of each.
+	// maxPrefixes limits the number of tracked prefixes, and maxLocationsPerPrefix the
+	// number of servers tracked for each.
 	maxPrefixes           = 8192
 	maxLocationsPerPrefix = 4
 )
@@ -15,29 +15,29 @@
 // prefixCaches models the servers' prefix caches (KV caches) by the prefixes that
 // this node has sent them.
 type prefixCaches struct {
-	locations map[uint64][]prefixLocation // by digest, the last used first
+	locations map[uint64][]prefixLocation // by prefix digest, most recently used first
 }
 
 type prefixLocation struct {
-	server string
-	used   time.Time
+	server   string
+	lastUsed time.Time
 }
 
 func newPrefixCaches() prefixCaches {
 	return prefixCaches{locations: map[uint64][]prefixLocation{}}
 }
 
-// holds reports whether a server is assumed to have a prefix in its cache.
-func (c *prefixCaches) holds(prefix uint64, server string, now time.Time) bool {
+// contains reports whether a server is assumed to have a prefix in its cache.
+func (c *prefixCaches) contains(prefix uint64, server string, now time.Time) bool {
 	for _, location := range c.locations[prefix] {
 		if location.server == server {
-			return now.Sub(location.used) < prefixLifetime
+			return now.Sub(location.lastUsed) < prefixLifetime
 		}
 	}
 	return false
 }
 
-// record records that a prefix was sent to a server; zero is no prefix.
+// record records that a prefix was sent to a server. A zero prefix is ignored.
 func (c *prefixCaches) record(prefix uint64, server string, now time.Time) {
 	if prefix == 0 {
 		return
@@ -46,19 +46,19 @@
 		c.evict(now)
 	}
 	locations := make([]prefixLocation, 0, maxLocationsPerPrefix)
-	locations = append(locations, prefixLocation{server: server, used: now})
+	locations = append(locations, prefixLocation{server: server, lastUsed: now})
 	for _, location := range c.locations[prefix] {
-		if location.server != server && now.Sub(location.used) < prefixLifetime && len(locations) < maxLocationsPerPrefix {
+		if location.server != server && now.Sub(location.lastUsed) < prefixLifetime && len(locations) < maxLocationsPerPrefix {
 			locations = append(locations, location)
 		}
 	}
 	c.locations[prefix] = locations
 }
 
-// evict removes expired prefixes, or all where that is not enough.
+// evict removes expired prefixes, and then all prefixes if the limit is still reached.
 func (c *prefixCaches) evict(now time.Time) {
 	for prefix, locations := range c.locations {
-		if now.Sub(locations[0].used) >= prefixLifetime {
+		if now.Sub(locations[0].lastUsed) >= prefixLifetime {
 			delete(c.locations, prefix)
 		}
 	}
@@ -67,32 +67,33 @@
 	}
 }
 
-// uncachedTokens returns how many tokens of a request's shared prefix a server is
-// expected to compute: none at the preferred server, nor at those that this node
-// sent the prefix to recently.
+// uncachedTokens returns the number of tokens of a request's shared prefix that a server
+// is expected to prefill: zero for the preferred server and for servers to which this
+// node sent the prefix recently.
 func (t *Table) uncachedTokens(srv *server, request *Request, preferred *server, now time.Time) float64 {
-	if request.Affinity == 0 || srv == preferred || t.prefixes.holds(request.Affinity, srv.name, now) {
+	if request.Affinity == 0 || srv == preferred || t.prefixCaches.contains(request.Affinity, srv.name, now) {
 		return 0
 	}
 	return request.SharedTokens
 }
 
-// preferredServer returns the server on which all nodes agree for a shared prefix:
-// the highest by rendezvous hashing among those that may serve the request, whether
-// it has capacity or not; nil without a prefix.
+// preferredServer returns the server that all nodes prefer for the request's shared
+// prefix: the highest by rendezvous hashing among the eligible servers that are not
+// misplaced for it, regardless of capacity. It returns nil if the request has no shared
+// prefix, no server qualifies or Affinity is disabled.
 func (t *Table) preferredServer(request *Request, now time.Time) *server {
 	if request.Affinity == 0 || t.config.Disabled[Affinity] {
 		return nil
 	}
 	var preferred *server
-	highest := uint64(0)
+	highestWeight := uint64(0)
 	for _, srv := range t.pools[request.Service] {
-		if !srv.mayServe(request) || t.misplaced(srv, request, now) {
+		if !srv.isEligible(request) || t.isMisplaced(srv, request, now) {
 			continue
 		}
-		if weight := mix(srv.hash ^ request.Affinity); preferred == nil || weight > highest {
+		if weight := splitMix64Finalizer(srv.hash ^ request.Affinity); preferred == nil || weight > highestWeight {
 			preferred = srv
-			highest = weight
+			highestWeight = weight
 		}
 	}
 	return preferred
--- a/internal/decision/balance/prefix_cache_test.go
+++ b/internal/decision/balance/prefix_cache_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestPrefixCaches(t *testing.T) {
-	Convey("The number of remembered prefixes is limited", t, func() {
-		h := newPrefixCaches()
+	Convey("The number of tracked prefixes is limited", t, func() {
+		caches := newPrefixCaches()
 		for key := range uint64(3 * maxPrefixes) {
-			h.record(key+1, "s0", at(int(key)))
+			caches.record(key+1, "s0", msAfterStart(int(key)))
 		}
-		So(len(h.locations), ShouldBeLessThanOrEqualTo, maxPrefixes)
-		So(h.holds(3*maxPrefixes, "s0", at(3*maxPrefixes)), ShouldBeTrue)
+		So(len(caches.locations), ShouldBeLessThanOrEqualTo, maxPrefixes)
+		So(caches.contains(3*maxPrefixes, "s0", msAfterStart(3*maxPrefixes)), ShouldBeTrue)
 	})
 }
--- a/internal/decision/balance/request.go
+++ b/internal/decision/balance/request.go
@@ -8,55 +8,58 @@
 	"stepwick/internal/wire"
 )
 
-// View is what the node knows of the fleet. Its maps are not changed after Update
-// has received them.
+// View is a node's view of the fleet. Its maps and slices must not be modified after
+// they are passed to Update.
 type View struct {
 	State   statemachine.State
 	Servers map[string]*wire.ServerStatus
-	// Fronts are the names of the nodes that carry traffic. The node itself counts
-	// even where it is missing.
+	// Fronts are the names of the nodes that carry traffic. The node itself is always
+	// counted, even if it is not listed.
 	Fronts []string
-	// Members are the names of all nodes of the membership, on which all nodes agree,
-	// whether they are known to carry traffic now or not.
+	// Members are the names of all nodes in the membership, on which all nodes agree,
+	// whether or not they are known to carry traffic.
 	Members []string
-	// FleetNow is the fleet's time, by which servers are in slow start.
+	// FleetNow is the current fleet time, in which the end of a server's slow start is
+	// given.
 	FleetNow time.Time
 }
 
-// Request is what the choice of a server depends on.
+// Request holds the properties of a request that server selection depends on.
 type Request struct {
 	ID      string
 	Service string
-	// Route names the route, whose requests resemble each other.
+	// Route is the name of the route. Requests of a route are expected to be similar.
 	Route string
-	// MaxEventGap is the longest time between two events of a stream that is on time;
-	// zero where the route has no such objective.
+	// MaxEventGap is the route's objective for the longest time between two events of a
+	// stream; zero if it has none.
 	MaxEventGap time.Duration
-	// Regions are those that may serve the request; empty for all.
+	// Regions are the regions that may serve the request; empty for all.
 	Regions []string
 	// Affinity is the digest of the prompt's shared prefix; zero for none.
 	Affinity uint64
-	// SharedTokens are the prompt's tokens that a server may have in its prefix cache.
+	// SharedTokens is the number of tokens in the prompt's shared prefix, which a server
+	// may have in its prefix cache.
 	SharedTokens float64
-	// OwnTokens are the prompt's other tokens.
+	// OwnTokens is the number of the prompt's other tokens.
 	OwnTokens float64
-	// OutputTokens limits the tokens of the answer; zero where that is unknown.
+	// OutputTokens is the maximum number of tokens in the response; zero if unknown.
 	OutputTokens float64
-	// Urgency is zero for the most urgent requests.
+	// Urgency is the priority of the request; zero is the most urgent.
 	Urgency int
-	// QueueUntil is until when the request may wait for capacity.
+	// QueueUntil is the time until which the request may wait for capacity.
 	QueueUntil time.Time
-	// ExcludedServers are those where the request was tried.
+	// ExcludedServers are the servers on which the request was already tried.
 	ExcludedServers []string
-	// Retry is set when a server got the request before, so that sending it is
-	// charged to the retry budget.
+	// Retry is set if the request was sent to a server before, so that sending it again
+	// is charged to the retry budget.
 	Retry bool
 }
 
-// promptTokens is the size of the whole prompt.
+// promptTokens returns the number of tokens in the prompt, including the shared prefix.
 func (r *Request) promptTokens() float64 { return r.OwnTokens + r.SharedTokens }
 
-// Choice is the decision on a request: a server, to wait for capacity, or an error.
+// Choice is the result of server selection for a request: a server, an instruction to
+// wait for capacity, or an error.
 type Choice struct {
 	Server  string
 	Address string
@@ -64,28 +67,29 @@
 	Err     *apierror.Error
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome int
 
 // Outcomes of attempts.
 const (
-	// OutcomeCancelled: the attempt was cancelled, which shows nothing of the server.
+	// OutcomeCancelled means that the attempt was cancelled, which says nothing about
+	// the server's health.
 	OutcomeCancelled Outcome = iota
-	// OutcomeSucceeded: the server's response was complete.
+	// OutcomeSucceeded means that the server's response was complete.
 	OutcomeSucceeded
-	// OutcomeServerError: the server's response was complete and reports an error of
-	// the server (5xx).
+	// OutcomeServerError means that the server's response was complete and reports a
+	// server error (5xx).
 	OutcomeServerError
-	// OutcomeRejected: the server reports that it did not execute the request.
+	// OutcomeRejected means that the server reports that it did not execute the request.
 	OutcomeRejected
-	// OutcomeRefused: the server refused the connection.
+	// OutcomeRefused means that the server refused the connection.
 	OutcomeRefused
-	// OutcomeReplaced: another server has the address, so that this one is gone for
-	// good.
+	// OutcomeReplaced means that another server has taken over the address, so that this
+	// server is permanently excluded.
 	OutcomeReplaced
-	// OutcomeFailed: there was no response, or an incomplete one.
+	// OutcomeFailed means that there was no response, or an incomplete one.
 	OutcomeFailed
-	// OutcomeUnresponsive: the server's machine acknowledged nothing, or no
-	// connection could be opened.
+	// OutcomeUnresponsive means that the server's machine acknowledged no data, or that
+	// no connection could be opened.
 	OutcomeUnresponsive
 )
--- a/internal/decision/balance/retry_budget.go
+++ b/internal/decision/balance/retry_budget.go
@@ -3,20 +3,20 @@
 import "time"
 
 // retryBudget limits this node's retries to one service, within any window, to a
-// fraction of its requests in that window and a fixed number. Nodes exchange nothing
-// for it: a limit by a fraction holds over the fleet where each node keeps it for its
-// own requests, and of the fixed number, RetrySlack, each node has an even part
-// (Table.retrySlackPerNode).
+// fraction of its requests in that window plus a fixed number. It needs no
+// communication between nodes: the fraction holds for the fleet if each node applies
+// it to its own requests, and the fixed number, Config.RetrySlack, is divided evenly
+// among the nodes (Table.retrySlackPerNode).
 type retryBudget struct {
 	ratio   float64
 	window  time.Duration
-	buckets [budgetBuckets]budgetBucket
+	buckets [budgetBucketCount]budgetBucket
 }
 
-// budgetBuckets divide a window; there is one more than fit into it. Requests of the
-// oldest bucket are not counted and its retries are, so that an incomplete bucket
-// makes the limit stricter, never looser.
-const budgetBuckets = 21
+// budgetBucketCount is the number of buckets, one more than fit into a window. Of the
+// oldest bucket the retries are counted and the requests are not, so that a bucket
+// partly outside the window makes the limit stricter, never looser.
+const budgetBucketCount = 21
 
 type budgetBucket struct {
 	number            int64
@@ -27,36 +27,37 @@
 	return &retryBudget{ratio: ratio, window: window}
 }
 
-// current returns the bucket of now.
-func (b *retryBudget) current(now time.Time) *budgetBucket {
-	number := b.number(now)
-	bucket := &b.buckets[number%budgetBuckets]
+// currentBucket returns the bucket for now. It resets the bucket if that was last used
+// for an earlier interval.
+func (b *retryBudget) currentBucket(now time.Time) *budgetBucket {
+	number := b.bucketNumber(now)
+	bucket := &b.buckets[number%budgetBucketCount]
 	if bucket.number != number {
 		*bucket = budgetBucket{number: number}
 	}
 	return bucket
 }
 
-func (b *retryBudget) number(now time.Time) int64 {
-	return now.UnixNano() / int64(b.window/(budgetBuckets-1))
+func (b *retryBudget) bucketNumber(now time.Time) int64 {
+	return now.UnixNano() / int64(b.window/(budgetBucketCount-1))
 }
 
-func (b *retryBudget) countRequest(now time.Time) { b.current(now).requests++ }
-func (b *retryBudget) countRetry(now time.Time)   { b.current(now).retries++ }
+func (b *retryBudget) countRequest(now time.Time) { b.currentBucket(now).requests++ }
+func (b *retryBudget) countRetry(now time.Time)   { b.currentBucket(now).retries++ }
 
-// allows reports whether one more retry is within the budget, of which slack is the
-// fixed number.
+// allows reports whether one more retry is within the budget; slack is the fixed
+// number of retries allowed in addition to the fraction.
 func (b *retryBudget) allows(now time.Time, slack float64) bool {
-	current := b.number(now)
+	current := b.bucketNumber(now)
 	requests := 0.0
 	retries := 0.0
 	for _, bucket := range b.buckets {
 		age := current - bucket.number
-		if age >= budgetBuckets {
+		if age >= budgetBucketCount {
 			continue
 		}
 		retries += bucket.retries
-		if age < budgetBuckets-1 {
+		if age < budgetBucketCount-1 {
 			requests += bucket.requests
 		}
 	}
--- a/internal/decision/balance/route_load.go
+++ b/internal/decision/balance/route_load.go
@@ -7,56 +7,58 @@
 )
 
 const (
-	// maxRoutes limits the routes that are remembered.
+	// maxRoutes limits the number of routes whose load is tracked.
 	maxRoutes = 4096
-	// loadDecayTime is the time constant by which the recent load of routes decays.
+	// loadDecayTime is the time constant of the exponential decay of recent load.
 	loadDecayTime = 30 * time.Second
-	// minSampleShare is the least weight of a new sample in a route's means.
-	minSampleShare = 0.05
+	// minMeanSampleWeight is the minimum weight of a new sample in a route's means.
+	minMeanSampleWeight = 0.05
 )
 
-// routeLoads are the loads of routes.
+// routeLoads tracks the load of each route.
 type routeLoads struct {
 	byName map[string]*routeLoad
-	// ordered has the same in the order in which they were first seen, since sums
-	// over them must not depend on the order of a map.
+	// ordered holds the same loads in the order in which they were first seen. Sums
+	// iterate over it, so that their rounding does not depend on map order.
 	ordered []*routeLoad
 }
 
 func newRouteLoads() routeLoads { return routeLoads{byName: map[string]*routeLoad{}} }
 
-// routeLoad is what one node knows of the requests of one route.
+// routeLoad holds this node's statistics on the requests of one route.
 type routeLoad struct {
 	service     string
 	maxEventGap time.Duration
-	regions     []string // that may serve it; empty for all
+	regions     []string // regions that may serve the route; empty for all
 	firstSeen   time.Time
 
-	meanPrompt float64 // tokens
-	meanOutput float64 // tokens, at most
-	samples    float64 // requests seen at all
+	meanPromptTokens float64
+	meanOutputTokens float64 // mean of the requests' OutputTokens limits
+	samples          float64 // requests since firstSeen, without decay
 
 	recentLoad
 }
 
-// recentLoad decays exponentially; its values are as of decayedAt.
+// recentLoad is an exponentially decaying load; its values are as of decayedAt.
 type recentLoad struct {
 	requests      float64
 	prefillTokens float64
-	serverSeconds float64 // that requests were at servers
+	serverSeconds float64 // total duration of attempts
 	decayedAt     time.Time
 }
 
 func (l *recentLoad) decay(now time.Time) {
-	left := math.Exp(-now.Sub(l.decayedAt).Seconds() / loadDecayTime.Seconds())
-	l.requests *= left
-	l.prefillTokens *= left
-	l.serverSeconds *= left
+	factor := math.Exp(-now.Sub(l.decayedAt).Seconds() / loadDecayTime.Seconds())
+	l.requests *= factor
+	l.prefillTokens *= factor
+	l.serverSeconds *= factor
 	l.decayedAt = now
 }
 
-// of returns the load of a request's route, with the route's current properties.
-func (r *routeLoads) of(request *Request, now time.Time) *routeLoad {
+// loadOf returns the load of a request's route, updated with the route's current
+// properties. It adds the route if it is not tracked yet; if maxRoutes are already
+// tracked, it discards all of them first.
+func (r *routeLoads) loadOf(request *Request, now time.Time) *routeLoad {
 	load := r.byName[request.Route]
 	if load == nil {
 		if len(r.ordered) >= maxRoutes {
@@ -73,13 +75,14 @@
 	return load
 }
 
-// meanPrompt returns the mean tokens of the prompts at a service, zero for none.
-func (r *routeLoads) meanPrompt(service string) float64 {
+// meanPromptTokens returns the mean prompt size at a service, in tokens; zero without
+// recent requests.
+func (r *routeLoads) meanPromptTokens(service string) float64 {
 	tokens := 0.0
 	requests := 0.0
 	for _, load := range r.ordered {
 		if load.service == service {
-			tokens += load.meanPrompt * load.requests
+			tokens += load.meanPromptTokens * load.requests
 			requests += load.requests
 		}
 	}
@@ -89,31 +92,31 @@
 	return tokens / requests
 }
 
-// recordSent records a request of the route and the tokens that its server is
-// expected to compute.
+// recordSent records a request of the route and the prompt tokens that its server is
+// expected to prefill.
 func (l *routeLoad) recordSent(request *Request, prefillTokens float64, now time.Time) {
 	l.decay(now)
 	l.requests++
 	l.prefillTokens += prefillTokens
 	l.samples++
-	weight := max(minSampleShare, 1/l.samples)
-	l.meanPrompt += (request.promptTokens() - l.meanPrompt) * weight
-	l.meanOutput += (request.OutputTokens - l.meanOutput) * weight
+	weight := max(minMeanSampleWeight, 1/l.samples)
+	l.meanPromptTokens += (request.promptTokens() - l.meanPromptTokens) * weight
+	l.meanOutputTokens += (request.OutputTokens - l.meanOutputTokens) * weight
 }
 
-// recordDuration records how long a request of the route was at its server.
-func (l *routeLoad) recordDuration(took time.Duration, now time.Time) {
+// recordDuration records the duration of an attempt of the route.
+func (l *routeLoad) recordDuration(duration time.Duration, now time.Time) {
 	l.decay(now)
-	l.serverSeconds += took.Seconds()
+	l.serverSeconds += duration.Seconds()
 }
 
-// concurrency returns how many requests of the route this node has at servers, on
-// average (Little's law over the decaying window).
+// concurrency returns the mean number of this node's requests of the route in flight
+// (Little's law over the decaying window).
 func (l *routeLoad) concurrency(now time.Time) float64 {
 	window := loadDecayTime.Seconds() * (1 - math.Exp(-now.Sub(l.firstSeen).Seconds()/loadDecayTime.Seconds()))
 	return l.serverSeconds / max(window, 1)
 }
 
-func (l *routeLoad) servedIn(region string) bool {
+func (l *routeLoad) allowsRegion(region string) bool {
 	return len(l.regions) == 0 || slices.Contains(l.regions, region)
 }
--- a/internal/decision/balance/server.go
+++ b/internal/decision/balance/server.go
@@ -10,16 +10,17 @@
 	"stepwick/internal/wire"
 )
 
-// server is what one node knows of one server. One that the view lacks is kept until
-// its last attempt has finished.
+// server is this node's state for one server. A server that is missing from the view
+// is kept until its last attempt has finished.
 type server struct {
 	name   string
-	hash   uint64 // of the name
+	hash   uint64 // xxhash of name
 	status *wire.ServerStatus
-	// exclusion is why the server gets no requests; empty where it may get them.
+	// exclusion is the reason why the server receives no requests; empty if it may
+	// receive them.
 	exclusion string
-	replaced  bool // another server was found at its address
-	removed   bool // the view lacks it
+	replaced  bool // another server responded at its address
+	removed   bool // missing from the view
 
 	load      serverLoad
 	slowStart slowStart
@@ -27,25 +28,26 @@
 	ejection  ejection
 }
 
-// Attempt is one request at one server.
+// Attempt is one request sent to one server.
 type Attempt struct {
 	server        *server
 	service       string
 	route         *routeLoad
-	began         time.Time
-	prefillTokens float64 // that the server is expected to compute
-	alone         bool    // no other request of this node was at the server when it began
+	startedAt     time.Time
+	prefillTokens float64 // prompt tokens that the server is expected to prefill
+	serverWasIdle bool    // this node had no other request in flight there at the start
 	responded     bool
 	finished      bool
 }
 
-// Server returns the name of the attempt's server.
+// Server returns the name of the server that the request was sent to.
 func (a *Attempt) Server() string { return a.server.name }
 
 func newServer(name string) *server { return &server{name: name, hash: xxhash.Sum64String(name)} }
 
-// mayServe reports whether a request may go to the server at all.
-func (s *server) mayServe(request *Request) bool {
+// isEligible reports whether a request may be sent to the server, regardless of its
+// capacity.
+func (s *server) isEligible(request *Request) bool {
 	if s.exclusion != "" {
 		return false
 	}
@@ -63,18 +65,18 @@
 
 func (s *server) finishAttempt(attempt *Attempt, outcome Outcome, now time.Time, config Config) {
 	s.load.finish(attempt)
-	s.ejection.probing = false
+	s.ejection.probeInFlight = false
 	switch outcome {
 	case OutcomeCancelled:
 	case OutcomeReplaced:
 		s.replaced = true
 		s.exclusion = plan.ReasonGone
 	case OutcomeServerError:
-		s.load.lastResponse = now
+		s.load.lastResponseAt = now
 		s.suspicion.recordFailure(now)
 		s.ejection.reset()
 	case OutcomeSucceeded, OutcomeRejected:
-		s.load.lastResponse = now
+		s.load.lastResponseAt = now
 		s.suspicion.recordSuccess()
 		s.ejection.reset()
 	case OutcomeRefused, OutcomeUnresponsive:
--- a/internal/decision/balance/table.go
+++ b/internal/decision/balance/table.go
@@ -1,14 +1,14 @@
-// Package balance chooses the server of each request that comes by a route. All
-// state is in the Table, which has one owner and takes no locks; every decision is a
-// function of the Table, its arguments and now. It does no I/O.
+// Package balance selects the server for each routed request. All state is in the
+// Table, which has one owner and takes no locks; every decision is a function of the
+// Table, its arguments and now. The package does no I/O.
 //
-// A request goes to the server with the least cost: the time that it is expected to
-// wait there, the prefill of the shared prefix that the server is not known to
-// cache, and the network distance. Requests that share a prefix agree on one server
-// by rendezvous hashing (highest random weight), so that all nodes choose the same
-// one without communicating. Limits that hold over the whole fleet (connections to a
-// server, requests to a server in slow start, retries) are divided evenly among the
-// nodes that carry traffic.
+// A request is sent to the server with the least cost: the expected wait, the prefill
+// of a shared prefix that the server is not expected to have cached, the network
+// distance, and penalties for stalls, recent failures and breaches of isolation. For
+// each shared prefix one server is preferred by rendezvous hashing (highest random
+// weight), so that all nodes prefer the same one without communicating. Fleet-wide
+// limits (connections to a server, requests to a server in slow start, retries) are
+// divided evenly among the nodes that carry traffic.
 //
 // Invariants: the nodes together stay within those limits as long as they agree on
 // the list of nodes; a server that is excluded, ejected or already tried is never
@@ -23,115 +23,119 @@
 	"stepwick/internal/apierror"
 )
 
-// Retry-After of the errors of Choose.
+// Retry-After values of the errors returned by Choose.
 const (
 	budgetRetryAfter    = 300 * time.Millisecond
 	queueFullRetryAfter = 200 * time.Millisecond
 	noServerRetryAfter  = 500 * time.Millisecond
 )
 
-// Table is the balancing state of one node. It has one owner.
+// Table is the load balancing state of one node. It is not safe for concurrent use.
 type Table struct {
 	config Config
-	// selfHash is the hash of the node's name, by which nodes break ties differently.
+	// selfHash is the hash of the node's name. Nodes use it to break ties between
+	// servers differently from each other.
 	selfHash uint64
 	view     View
-	fronts   []string
-	// slowStartNodes are the nodes of which a few send to a server in slow start.
-	// Nodes that were restarted together do not know yet that the others carry
-	// traffic, but the membership has them.
+	fronts   []string // names of the nodes that carry traffic, including this one
+	// slowStartNodes are the nodes from which the senders to a server in slow start
+	// are selected: the fronts and all members. After a simultaneous restart, a node
+	// does not know yet that the others carry traffic, but they are in the membership.
 	slowStartNodes []string
 	servers        map[string]*server
 	pools          map[string][]*server // by service, sorted by name
 	retryBudgets   map[string]*retryBudget
-	speeds         map[string]*prefillSpeed // by service
-	prefixes       prefixCaches
-	routes         routeLoads
+	prefillSpeeds  map[string]*prefillSpeed // by service
+	prefixCaches   prefixCaches
+	routeLoads     routeLoads
 	isolation      isolation
 }
 
-// New returns a table without servers.
+// New returns a table without servers; Update adds them.
 func New(config Config) *Table {
 	config = config.withDefaults()
 	return &Table{
-		config:       config,
-		selfHash:     xxhash.Sum64String(config.Self),
-		fronts:       []string{config.Self},
-		servers:      map[string]*server{},
-		pools:        map[string][]*server{},
-		retryBudgets: map[string]*retryBudget{},
-		speeds:       map[string]*prefillSpeed{},
-		prefixes:     newPrefixCaches(),
-		routes:       newRouteLoads(),
-		isolation:    isolation{servers: map[string]bool{}},
+		config:        config,
+		selfHash:      xxhash.Sum64String(config.Self),
+		fronts:        []string{config.Self},
+		servers:       map[string]*server{},
+		pools:         map[string][]*server{},
+		retryBudgets:  map[string]*retryBudget{},
+		prefillSpeeds: map[string]*prefillSpeed{},
+		prefixCaches:  newPrefixCaches(),
+		routeLoads:    newRouteLoads(),
+		isolation:     isolation{servers: map[string]bool{}},
 	}
 }
 
-// Choose decides where a request goes now. The caller calls StartAttempt when it
-// follows the choice, before it calls Choose again. Errors have the codes
-// BudgetSpent, QueueFull and NoServer.
+// Choose selects the server for a request at time now. A caller that sends the
+// request to the selected server must call StartAttempt before the next Choose. The
+// error of the choice, if any, has the code BudgetSpent, QueueFull or NoServer.
 func (t *Table) Choose(request *Request, now time.Time) Choice {
-	t.refreshIsolation(now)
+	t.recomputeIsolationIfDue(now)
 	budget := t.retryBudget(request.Service)
 	if request.Retry && !budget.allows(now, t.retrySlackPerNode()) {
-		apiErr := apierror.Errorf(apierror.BudgetSpent, "repeated sends are bound to a share of the requests")
+		apiErr := apierror.Errorf(apierror.BudgetSpent,
+			"retry budget of service %s exhausted: the limit is %g of this node's requests within %s plus %.3g retries",
+			request.Service, t.config.RetryRatio, t.config.RetryWindow, t.retrySlackPerNode())
 		return Choice{Err: apiErr.WithRetryAfter(budgetRetryAfter)}
 	}
-	chosen, waits := t.leastCost(request, now)
+	chosen, atCapacity := t.leastCostServer(request, now)
 	switch {
 	case chosen != nil:
 		return Choice{Server: chosen.name, Address: chosen.status.Address}
-	case waits && now.Before(request.QueueUntil):
+	case atCapacity && now.Before(request.QueueUntil):
 		return Choice{Wait: true}
-	case waits:
-		apiErr := apierror.Errorf(apierror.QueueFull, "the servers of %s have no room", request.Service)
+	case atCapacity:
+		apiErr := apierror.Errorf(apierror.QueueFull, "no eligible server of service %s has capacity", request.Service)
 		return Choice{Err: apiErr.WithRetryAfter(queueFullRetryAfter)}
 	}
 	apiErr := apierror.Errorf(apierror.NoServer, "no server of %s can take requests", request.Service)
 	return Choice{Err: apiErr.WithRetryAfter(noServerRetryAfter)}
 }
 
-// leastCost returns the server with the least cost among those that accept the
-// request now; waits reports that others may accept it later.
-func (t *Table) leastCost(request *Request, now time.Time) (chosen *server, waits bool) {
-	best := 0.0
+// leastCostServer returns the server with the least cost among the eligible servers
+// that have capacity now, or nil if there is none. atCapacity reports whether an
+// eligible server has no capacity now, but may have it later.
+func (t *Table) leastCostServer(request *Request, now time.Time) (chosen *server, atCapacity bool) {
+	lowestCost := 0.0
 	preferred := t.preferredServer(request, now)
 	for _, srv := range t.pools[request.Service] {
-		if !srv.mayServe(request) {
+		if !srv.isEligible(request) {
 			continue
 		}
 		if !t.hasCapacity(srv, now) {
-			waits = true
+			atCapacity = true
 			continue
 		}
-		if cost := t.cost(srv, request, preferred, now); chosen == nil || cost < best {
+		if cost := t.cost(srv, request, preferred, now); chosen == nil || cost < lowestCost {
 			chosen = srv
-			best = cost
+			lowestCost = cost
 		}
 	}
-	return chosen, waits
+	return chosen, atCapacity
 }
 
-// CountRequest counts a client's request for a service, by which its retry budget
-// grows.
+// CountRequest counts a client request to a service, which increases the service's
+// retry budget.
 func (t *Table) CountRequest(service string, now time.Time) {
 	t.retryBudget(service).countRequest(now)
 }
 
-// StartAttempt records that a request was sent to a server. It returns nil for a
-// server that the table does not know; the other methods accept that attempt.
+// StartAttempt records that a request was sent to a server. It returns nil if the
+// server is not in the table; ResponseStarted and FinishAttempt ignore a nil attempt.
 func (t *Table) StartAttempt(name string, request *Request, now time.Time) *Attempt {
 	srv := t.servers[name]
 	if srv == nil {
 		return nil
 	}
-	attempt := &Attempt{server: srv, service: request.Service, began: now}
+	attempt := &Attempt{server: srv, service: request.Service, startedAt: now}
 	attempt.prefillTokens = request.OwnTokens + t.uncachedTokens(srv, request, t.preferredServer(request, now), now)
-	attempt.alone = srv.load.inFlight == 0
-	attempt.route = t.routes.of(request, now)
+	attempt.serverWasIdle = srv.load.inFlight == 0
+	attempt.route = t.routeLoads.loadOf(request, now)
 	attempt.route.recordSent(request, attempt.prefillTokens, now)
 	srv.startAttempt(attempt, now)
-	t.prefixes.record(request.Affinity, name, now)
+	t.prefixCaches.record(request.Affinity, name, now)
 	if request.Retry {
 		t.retryBudget(request.Service).countRetry(now)
 	}
@@ -139,31 +143,33 @@
 }
 
 // ResponseStarted records that the first bytes of the response to an attempt have
-// arrived: the server's prefill is complete. Only the first call counts.
+// arrived, which means that the server's prefill is complete. Further calls for the
+// same attempt have no effect.
 func (t *Table) ResponseStarted(attempt *Attempt, now time.Time) {
 	if attempt == nil || attempt.responded {
 		return
 	}
 	attempt.responded = true
-	took := now.Sub(attempt.began)
-	speed := t.speed(attempt.service)
-	if isOverloaded(took, speed.expected(attempt.prefillTokens)) {
+	firstByteTime := now.Sub(attempt.startedAt)
+	speed := t.prefillSpeed(attempt.service)
+	if isOverloaded(firstByteTime, speed.expectedFirstByteTime(attempt.prefillTokens)) {
 		t.isolation.recordOverload(attempt.server.name, now)
 	}
 	attempt.server.load.responseStarted(attempt, now)
-	speed.recordTypical(took)
-	if attempt.alone {
-		speed.addSample(attempt.prefillTokens, took)
+	speed.recordFirstByteTime(firstByteTime)
+	if attempt.serverWasIdle {
+		speed.addRegressionSample(attempt.prefillTokens, firstByteTime)
 	}
 }
 
-// FinishAttempt records how an attempt ended. Only the first call counts.
+// FinishAttempt records the outcome of an attempt. Further calls for the same attempt
+// have no effect.
 func (t *Table) FinishAttempt(attempt *Attempt, outcome Outcome, now time.Time) {
 	if attempt == nil || attempt.finished {
 		return
 	}
 	attempt.finished = true
-	attempt.route.recordDuration(now.Sub(attempt.began), now)
+	attempt.route.recordDuration(now.Sub(attempt.startedAt), now)
 	if outcome == OutcomeRejected {
 		t.isolation.recordOverload(attempt.server.name, now)
 	}
@@ -173,22 +179,22 @@
 	}
 }
 
-// ServerUnacknowledged ejects a server whose machine no longer acknowledges what is
-// sent.
+// ServerUnacknowledged ejects a server whose machine no longer acknowledges the data
+// sent to it.
 func (t *Table) ServerUnacknowledged(name string, now time.Time) {
 	if srv := t.servers[name]; srv != nil {
 		srv.ejection.eject(now, t.config)
 	}
 }
 
-// StalledServer is a server that has not responded for longer than expected.
+// StalledServer describes a server that has not responded within the expected time.
 type StalledServer struct {
 	Address string
 	Level   StallLevel
 }
 
-// StalledServers returns the servers that have not responded for longer than
-// expected, by name; nil for none.
+// StalledServers returns the servers that have not responded within the expected
+// time, by name; nil if there are none.
 func (t *Table) StalledServers(now time.Time) map[string]StalledServer {
 	var stalled map[string]StalledServer
 	for name, srv := range t.servers {
@@ -207,11 +213,11 @@
 	return stalled
 }
 
-// RespondedSince reports whether a server has responded to this node after an
-// instant.
+// RespondedSince reports whether this node has received a response from a server
+// after the time since.
 func (t *Table) RespondedSince(name string, since time.Time) bool {
 	srv := t.servers[name]
-	return srv != nil && srv.load.lastResponse.After(since)
+	return srv != nil && srv.load.lastResponseAt.After(since)
 }
 
 func (t *Table) retryBudget(service string) *retryBudget {
@@ -225,11 +231,11 @@
 
 func (t *Table) retrySlackPerNode() float64 { return t.config.RetrySlack / float64(len(t.fronts)) }
 
-func (t *Table) speed(service string) *prefillSpeed {
-	speed := t.speeds[service]
+func (t *Table) prefillSpeed(service string) *prefillSpeed {
+	speed := t.prefillSpeeds[service]
 	if speed == nil {
 		speed = &prefillSpeed{}
-		t.speeds[service] = speed
+		t.prefillSpeeds[service] = speed
 	}
 	return speed
 }
--- a/internal/decision/balance/table_test.go
+++ b/internal/decision/balance/table_test.go
@@ -14,45 +14,45 @@
 func TestChoose(t *testing.T) {
 	Convey("All nodes send requests that share a prefix to the same server", t, func() {
 		for shared := uint64(1); shared < 50; shared++ {
-			one := newTestTable(newTestView(10, sheet.Service{}), Config{Self: "f0"}).Choose(newTestRequest("a", shared), start)
-			other := newTestTable(newTestView(10, sheet.Service{}), Config{Self: "f1"}).Choose(newTestRequest("b", shared), start)
-			So(one.Server, ShouldEqual, other.Server)
+			first := newTestTable(newTestView(10, sheet.Service{}), Config{Self: "f0"}).Choose(newTestRequest("a", shared), start)
+			second := newTestTable(newTestView(10, sheet.Service{}), Config{Self: "f1"}).Choose(newTestRequest("b", shared), start)
+			So(first.Server, ShouldEqual, second.Server)
 		}
 	})
-	Convey("The removal of a server moves only its own prefixes", t, func() {
-		full, less := newTestView(10, sheet.Service{}), newTestView(10, sheet.Service{})
-		delete(less.Servers, "s3")
+	Convey("Removing a server reassigns only the prefixes that were assigned to it", t, func() {
+		full, reduced := newTestView(10, sheet.Service{}), newTestView(10, sheet.Service{})
+		delete(reduced.Servers, "s3")
 		for shared := uint64(1); shared < 100; shared++ {
 			before := newTestTable(full, Config{}).Choose(newTestRequest("a", shared), start).Server
-			after := newTestTable(less, Config{}).Choose(newTestRequest("a", shared), start).Server
+			after := newTestTable(reduced, Config{}).Choose(newTestRequest("a", shared), start).Server
 			if before != "s3" {
 				So(after, ShouldEqual, before)
 			}
 			So(after, ShouldNotEqual, "s3")
 		}
 	})
-	Convey("A preferred server with a long prefill backlog is avoided for an idle one", t, func() {
+	Convey("An idle server is chosen over a preferred server with a long prefill backlog", t, func() {
 		balancer := newTestTable(newTestView(10, sheet.Service{}), Config{})
-		holder := balancer.Choose(newTestRequest("a", 7), start).Server
-		big := newTestRequest("big", 99)
-		big.OwnTokens = 60_000
-		balancer.StartAttempt(holder, big, start)
-		So(balancer.Choose(newTestRequest("b", 7), start).Server, ShouldNotEqual, holder)
+		preferred := balancer.Choose(newTestRequest("a", 7), start).Server
+		longPrompt := newTestRequest("big", 99)
+		longPrompt.OwnTokens = 60_000
+		balancer.StartAttempt(preferred, longPrompt, start)
+		So(balancer.Choose(newTestRequest("b", 7), start).Server, ShouldNotEqual, preferred)
 	})
 	Convey("Requests without a shared prefix stay in the region and are spread over its servers", t, func() {
-		balancer, used := newTestTable(newTestView(10, sheet.Service{}), Config{}), map[string]int{}
+		balancer, requestsByServer := newTestTable(newTestView(10, sheet.Service{}), Config{}), map[string]int{}
 		for i := range 10 {
 			request := newTestRequest(fmt.Sprint(i), 0)
 			choice := balancer.Choose(request, start)
 			balancer.StartAttempt(choice.Server, request, start)
-			used[choice.Server]++
+			requestsByServer[choice.Server]++
 		}
-		So(used, ShouldHaveLength, 5)
-		for _, count := range used {
+		So(requestsByServer, ShouldHaveLength, 5)
+		for _, count := range requestsByServer {
 			So(count, ShouldEqual, 2)
 		}
 	})
-	Convey("Allowed regions hold whatever the cost", t, func() {
+	Convey("Requests stay within their allowed regions regardless of cost", t, func() {
 		balancer := newTestTable(newTestView(4, sheet.Service{}), Config{})
 		for i := range 20 {
 			request := newTestRequest(fmt.Sprint(i), uint64(i))
--- a/internal/decision/balance/update.go
+++ b/internal/decision/balance/update.go
@@ -9,15 +9,16 @@
 	"stepwick/internal/wire"
 )
 
-// Update applies a new view. Drains, evacuations and lost servers take effect at
-// once. A server whose status is unchanged costs one comparison.
+// Update applies a new view. Drained, evacuated and unreachable servers receive no
+// further requests. While the state version is unchanged, a server whose status is
+// unchanged costs one pointer comparison.
 func (t *Table) Update(view View, now time.Time) {
 	sameState := t.view.State.Version == view.State.Version && t.view.Servers != nil
 	sameNodes := slices.Equal(t.view.Fronts, view.Fronts) && slices.Equal(t.view.Members, view.Members)
 	t.view = view
 	if !sameNodes || t.slowStartNodes == nil {
 		t.fronts = withSelf(view.Fronts, t.config.Self)
-		t.slowStartNodes = union(t.fronts, view.Members)
+		t.slowStartNodes = sortedUnion(t.fronts, view.Members)
 	}
 	changed := t.removeMissing(view)
 	for name, status := range view.Servers {
@@ -29,18 +30,18 @@
 			continue
 		}
 		srv.removed = false
-		previous := membershipOf(srv)
+		previous := poolMembershipOf(srv)
 		t.applyStatus(srv, status, now)
-		changed = changed || !membershipOf(srv).equal(previous)
+		changed = changed || !poolMembershipOf(srv).equal(previous)
 	}
 	if changed {
 		t.rebuildPools()
-		t.isolate(now)
+		t.recomputeIsolation(now)
 	}
 }
 
-// removeMissing removes the servers that the view lacks. It reports whether one of
-// them was in a pool.
+// removeMissing removes the servers that are missing from the view; those with
+// requests in flight are only excluded. It reports whether any of them was in a pool.
 func (t *Table) removeMissing(view View) (changed bool) {
 	for name, srv := range t.servers {
 		if view.Servers[name] != nil {
@@ -64,13 +65,13 @@
 	}
 	srv.slowStart.until = time.Time{}
 	if status.ColdUntilMs != 0 {
-		left := time.UnixMilli(status.ColdUntilMs).Sub(t.view.FleetNow)
-		srv.slowStart.until = now.Add(left)
+		remaining := time.UnixMilli(status.ColdUntilMs).Sub(t.view.FleetNow)
+		srv.slowStart.until = now.Add(remaining)
 	}
 }
 
-// poolMembership is what decides in which pools a server is, and whether it may be
-// isolated.
+// poolMembership holds the properties that determine which pools a server belongs to
+// and whether it may be isolated.
 type poolMembership struct {
 	exclusion      string
 	region         string
@@ -79,7 +80,7 @@
 	slowStartUntil time.Time
 }
 
-func membershipOf(srv *server) poolMembership {
+func poolMembershipOf(srv *server) poolMembership {
 	if srv.status == nil {
 		return poolMembership{exclusion: plan.ReasonGone}
 	}
@@ -100,7 +101,8 @@
 		slices.Equal(m.services, other.services)
 }
 
-// rebuildPools groups the servers that are not excluded by service, sorted by name.
+// rebuildPools groups the servers that are not excluded by service and sorts each
+// pool by name.
 func (t *Table) rebuildPools() {
 	clear(t.pools)
 	for name := range t.view.Servers {
@@ -124,8 +126,8 @@
 	return append(slices.Clone(fronts), self)
 }
 
-// union returns the names of both lists, sorted, each once.
-func union(a, b []string) []string {
+// sortedUnion returns the names of both lists, sorted and without duplicates.
+func sortedUnion(a, b []string) []string {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
 	return slices.Compact(all)
--- a/internal/decision/balance/update_test.go
+++ b/internal/decision/balance/update_test.go
@@ -11,28 +11,28 @@
 	"stepwick/internal/wire"
 )
 
-// mayGetRequests reports whether a table has a server that is not excluded.
-func mayGetRequests(t *Table, name string) bool {
+// isAvailable reports whether the table has the server and does not exclude it.
+func isAvailable(t *Table, name string) bool {
 	s := t.servers[name]
 	return s != nil && s.exclusion == ""
 }
 
 func TestUpdate(t *testing.T) {
-	Convey("A server that the view lacks for a while returns to its pool with an unchanged status", t, func() {
+	Convey("A server that was temporarily missing from the view returns to its pool even if its status is unchanged", t, func() {
 		view := newTestView(3, sheet.Service{})
 		balancer := newTestTable(view, Config{})
 		attempt := balancer.StartAttempt("s0", newTestRequest("a", 0), start)
 		without := view
 		without.Servers = maps.Clone(view.Servers)
 		delete(without.Servers, "s0")
-		balancer.Update(without, at(1))
-		So(mayGetRequests(balancer, "s0"), ShouldBeFalse)
-		balancer.Update(view, at(2))
-		So(mayGetRequests(balancer, "s0"), ShouldBeTrue)
-		balancer.FinishAttempt(attempt, OutcomeSucceeded, at(3))
+		balancer.Update(without, msAfterStart(1))
+		So(isAvailable(balancer, "s0"), ShouldBeFalse)
+		balancer.Update(view, msAfterStart(2))
+		So(isAvailable(balancer, "s0"), ShouldBeTrue)
+		balancer.FinishAttempt(attempt, OutcomeSucceeded, msAfterStart(3))
 		So(balancer.pools["pool"], ShouldHaveLength, 3)
 	})
-	Convey("A draining server leaves its pool, and one whose status changes otherwise stays", t, func() {
+	Convey("A draining server leaves its pool, and other status changes do not remove a server", t, func() {
 		view := newTestView(3, sheet.Service{})
 		balancer := newTestTable(view, Config{})
 		next := view
@@ -42,7 +42,7 @@
 			status.State, status.Answered = state, 7
 			next.Servers[name] = status
 		}
-		balancer.Update(next, at(1))
+		balancer.Update(next, msAfterStart(1))
 		So(balancer.pools["pool"], ShouldHaveLength, 2)
 		So(balancer.servers["s1"].status.Answered, ShouldEqual, 7)
 	})
@@ -50,7 +50,7 @@
 		few, many := newTestView(10, sheet.Service{}), newTestView(240, sheet.Service{})
 		cost := func(view View) float64 {
 			balancer := newTestTable(view, Config{})
-			return testing.AllocsPerRun(20, func() { balancer.Update(view, at(1)) })
+			return testing.AllocsPerRun(20, func() { balancer.Update(view, msAfterStart(1)) })
 		}
 		So(cost(many), ShouldEqual, cost(few))
 	})
--- a/internal/decision/rendezvous/rendezvous.go
+++ b/internal/decision/rendezvous/rendezvous.go
@@ -1,21 +1,21 @@
 // Package rendezvous computes the weights of rendezvous hashing (highest random
 // weight; Thaler and Ravishankar 1996): processes that know the same candidates
-// agree, without communication, on which of them come first for a subject. When a
-// candidate is added or removed, only the subjects that it has or had move.
+// rank them identically for a subject, without communication. When a candidate is
+// added or removed, only the subjects assigned to it are reassigned.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// separator keeps a candidate and a subject apart, so that no two pairs of names
-// have the same bytes.
+// separator delimits the candidate from the subject, so that distinct pairs of names
+// are never hashed as the same bytes.
 const separator = "\x00"
 
-// Weight returns the weight of a candidate for a subject: the one with the highest
-// weight comes first. It allocates nothing.
+// Weight returns the weight of a candidate for a subject. The candidate with the
+// highest weight ranks first. Weight does not allocate.
 func Weight(candidate, subject string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	// Writes to a digest return no error.
+	// Writing to an xxhash digest never fails.
 	_, _ = digest.WriteString(candidate)
 	_, _ = digest.WriteString(separator)
 	_, _ = digest.WriteString(subject)
