--- a/internal/decision/balance/isolation_test.go
+++ b/internal/decision/balance/isolation_test.go
@@ -82,14 +82,14 @@
 			first := newReplyRequest("first")
 			attempt := balancer.StartAttempt(balancer.Choose(first, msAfterStart(1200)).Server, first, msAfterStart(1200))
 			overload(balancer, attempt)
-			byIsolated := map[bool]int{}
+			requestsByIsolated := map[bool]int{}
 			for i := range 60 {
 				request := newReplyRequest(fmt.Sprint(name, i))
 				choice := balancer.Choose(request, msAfterStart(2700))
 				balancer.StartAttempt(choice.Server, request, msAfterStart(2700))
-				byIsolated[balancer.isolation.servers[choice.Server]]++
+				requestsByIsolated[balancer.isolation.servers[choice.Server]]++
 			}
-			So(byIsolated[false], ShouldBeGreaterThan, 30)
+			So(requestsByIsolated[false], ShouldBeGreaterThan, 30)
 			So(balancer.isolation.servers[serve(balancer, newDigestRequest("d", 99), msAfterStart(2700))], ShouldBeFalse)
 			So(balancer.isMisplaced(balancer.servers["s0"], newReplyRequest("later"), msAfterStart(6000)), ShouldEqual, !balancer.isolation.servers["s0"])
 		}
@@ -109,15 +109,15 @@
 		}
 	})
 	Convey("No server is isolated without recorded routes, if all routes are alike, in small pools, or if isolation is disabled", t, func() {
-		fresh := newTestTable(newTestView(60, sheet.Service{}), Config{})
-		fresh.recomputeIsolation(start)
-		So(fresh.isolation.servers, ShouldBeEmpty)
-		alike := newTestTable(newTestView(60, sheet.Service{}), Config{})
+		untrained := newTestTable(newTestView(60, sheet.Service{}), Config{})
+		untrained.recomputeIsolation(start)
+		So(untrained.isolation.servers, ShouldBeEmpty)
+		uniformRoutes := newTestTable(newTestView(60, sheet.Service{}), Config{})
 		for i := range 20 {
-			serve(alike, newReplyRequest(fmt.Sprint(i)), msAfterStart(i*100))
+			serve(uniformRoutes, newReplyRequest(fmt.Sprint(i)), msAfterStart(i*100))
 		}
-		alike.recomputeIsolation(msAfterStart(2000))
-		So(alike.isolation.servers, ShouldBeEmpty)
+		uniformRoutes.recomputeIsolation(msAfterStart(2000))
+		So(uniformRoutes.isolation.servers, ShouldBeEmpty)
 		smallPool := newTrainedTable(nil, "f0")
 		smallPool.Update(newTestView(6, sheet.Service{}), msAfterStart(1100))
 		So(smallPool.isolation.servers, ShouldBeEmpty)
--- a/internal/decision/balance/prefill_speed.go
+++ b/internal/decision/balance/prefill_speed.go
@@ -5,7 +5,8 @@
 const (
 	// firstByteSampleWeight is the weight of a new sample in the moving average of the
 	// time to the first byte.
-	firstByteSampleWeight  = 0.05
+	firstByteSampleWeight = 0.05
+	// defaultMeanFirstByteMS is assumed until the first response of the service.
 	defaultMeanFirstByteMS = 200
 
 	// regressionDecay is the factor applied to the regression sums for each new sample.
