--- a/internal/decision/balance/cost.go
+++ b/internal/decision/balance/cost.go
@@ -63,7 +63,7 @@
 // tieBreak returns a number in [0, 1) that orders servers differently on each node and
 // for each shared prefix, or for each request without one.
 func (t *Table) tieBreak(srv *server, request *Request) float64 {
-	key := request.Affinity
+	key := request.PrefixDigest
 	if key == 0 {
 		key = xxhash.Sum64String(request.ID)
 	}
--- a/internal/decision/balance/fixture_test.go
+++ b/internal/decision/balance/fixture_test.go
@@ -41,7 +41,7 @@
 // newTestRequest returns a request with 500 tokens of its own and, if shared is not zero, a shared
 // prefix of 5000 tokens.
 func newTestRequest(id string, shared uint64) *Request {
-	request := &Request{ID: id, Service: "pool", Affinity: shared, OwnTokens: 500, QueueUntil: msAfterStart(1000)}
+	request := &Request{ID: id, Service: "pool", PrefixDigest: shared, UnsharedTokens: 500, QueueUntil: msAfterStart(1000)}
 	if shared != 0 {
 		request.SharedTokens = 5000
 	}
--- a/internal/decision/balance/isolation_test.go
+++ b/internal/decision/balance/isolation_test.go
@@ -16,7 +16,7 @@
 		request := newTestRequest(id, shared)
 		request.Route = "digest"
 		request.MaxEventGap = 400 * time.Millisecond
-		request.OwnTokens = 9000
+		request.UnsharedTokens = 9000
 		request.OutputTokens = 60
 		return request
 	}
@@ -24,7 +24,7 @@
 		request := newTestRequest(id, 0)
 		request.Route = "reply"
 		request.MaxEventGap = 400 * time.Millisecond
-		request.OwnTokens = 2000
+		request.UnsharedTokens = 2000
 		request.OutputTokens = 300
 		return request
 	}
--- a/internal/decision/balance/prefix_cache.go
+++ b/internal/decision/balance/prefix_cache.go
@@ -71,7 +71,7 @@
 // is expected to prefill: zero for the preferred server and for servers to which this
 // node sent the prefix recently.
 func (t *Table) uncachedTokens(srv *server, request *Request, preferred *server, now time.Time) float64 {
-	if request.Affinity == 0 || srv == preferred || t.prefixCaches.contains(request.Affinity, srv.name, now) {
+	if request.PrefixDigest == 0 || srv == preferred || t.prefixCaches.contains(request.PrefixDigest, srv.name, now) {
 		return 0
 	}
 	return request.SharedTokens
@@ -82,7 +82,7 @@
 // misplaced for it, regardless of capacity. It returns nil if the request has no shared
 // prefix, no server qualifies or Affinity is disabled.
 func (t *Table) preferredServer(request *Request, now time.Time) *server {
-	if request.Affinity == 0 || t.config.Disabled[Affinity] {
+	if request.PrefixDigest == 0 || t.config.Disabled[Affinity] {
 		return nil
 	}
 	var preferred *server
@@ -91,7 +91,7 @@
 		if !srv.isEligible(request) || t.isMisplaced(srv, request, now) {
 			continue
 		}
-		if weight := splitMix64Finalizer(srv.hash ^ request.Affinity); preferred == nil || weight > highestWeight {
+		if weight := splitMix64Finalizer(srv.hash ^ request.PrefixDigest); preferred == nil || weight > highestWeight {
 			preferred = srv
 			highestWeight = weight
 		}
--- a/internal/decision/balance/request.go
+++ b/internal/decision/balance/request.go
@@ -33,15 +33,15 @@
 	// MaxEventGap is the route's objective for the longest time between two events of a
 	// stream; zero if it has none.
 	MaxEventGap time.Duration
-	// Regions are the regions that may serve the request; empty for all.
-	Regions []string
-	// Affinity is the digest of the prompt's shared prefix; zero for none.
-	Affinity uint64
+	// AllowedRegions are the regions that may serve the request; empty for all.
+	AllowedRegions []string
+	// PrefixDigest is the digest of the prompt's shared prefix; zero for none.
+	PrefixDigest uint64
 	// SharedTokens is the number of tokens in the prompt's shared prefix, which a server
 	// may have in its prefix cache.
 	SharedTokens float64
-	// OwnTokens is the number of the prompt's other tokens.
-	OwnTokens float64
+	// UnsharedTokens is the number of the prompt's other tokens.
+	UnsharedTokens float64
 	// OutputTokens is the maximum number of tokens in the response; zero if unknown.
 	OutputTokens float64
 	// Urgency is the priority of the request; zero is the most urgent.
@@ -56,7 +56,7 @@
 }
 
 // promptTokens returns the number of tokens in the prompt, including the shared prefix.
-func (r *Request) promptTokens() float64 { return r.OwnTokens + r.SharedTokens }
+func (r *Request) promptTokens() float64 { return r.UnsharedTokens + r.SharedTokens }
 
 // Choice is the result of server selection for a request: a server, an instruction to
 // wait for capacity, or an error.
--- a/internal/decision/balance/route_load.go
+++ b/internal/decision/balance/route_load.go
@@ -71,7 +71,7 @@
 	}
 	load.service = request.Service
 	load.maxEventGap = request.MaxEventGap
-	load.regions = request.Regions
+	load.regions = request.AllowedRegions
 	return load
 }
 
--- a/internal/decision/balance/server.go
+++ b/internal/decision/balance/server.go
@@ -51,7 +51,7 @@
 	if s.exclusion != "" {
 		return false
 	}
-	if len(request.Regions) > 0 && !slices.Contains(request.Regions, s.status.Region) {
+	if len(request.AllowedRegions) > 0 && !slices.Contains(request.AllowedRegions, s.status.Region) {
 		return false
 	}
 	return !slices.Contains(request.ExcludedServers, s.name)
--- a/internal/decision/balance/table.go
+++ b/internal/decision/balance/table.go
@@ -130,12 +130,12 @@
 		return nil
 	}
 	attempt := &Attempt{server: srv, service: request.Service, startedAt: now}
-	attempt.prefillTokens = request.OwnTokens + t.uncachedTokens(srv, request, t.preferredServer(request, now), now)
+	attempt.prefillTokens = request.UnsharedTokens + t.uncachedTokens(srv, request, t.preferredServer(request, now), now)
 	attempt.serverWasIdle = srv.load.inFlight == 0
 	attempt.route = t.routeLoads.loadOf(request, now)
 	attempt.route.recordSent(request, attempt.prefillTokens, now)
 	srv.startAttempt(attempt, now)
-	t.prefixCaches.record(request.Affinity, name, now)
+	t.prefixCaches.record(request.PrefixDigest, name, now)
 	if request.Retry {
 		t.retryBudget(request.Service).countRetry(now)
 	}
@@ -179,9 +179,9 @@
 	}
 }
 
-// ServerUnacknowledged ejects a server whose machine no longer acknowledges the data
+// EjectUnacknowledgedServer ejects a server whose machine no longer acknowledges the data
 // sent to it.
-func (t *Table) ServerUnacknowledged(name string, now time.Time) {
+func (t *Table) EjectUnacknowledgedServer(name string, now time.Time) {
 	if srv := t.servers[name]; srv != nil {
 		srv.ejection.eject(now, t.config)
 	}
--- a/internal/decision/balance/table_test.go
+++ b/internal/decision/balance/table_test.go
@@ -35,7 +35,7 @@
 		balancer := newTestTable(newTestView(10, sheet.Service{}), Config{})
 		preferred := balancer.Choose(newTestRequest("a", 7), start).Server
 		longPrompt := newTestRequest("big", 99)
-		longPrompt.OwnTokens = 60_000
+		longPrompt.UnsharedTokens = 60_000
 		balancer.StartAttempt(preferred, longPrompt, start)
 		So(balancer.Choose(newTestRequest("b", 7), start).Server, ShouldNotEqual, preferred)
 	})
@@ -56,11 +56,11 @@
 		balancer := newTestTable(newTestView(4, sheet.Service{}), Config{})
 		for i := range 20 {
 			request := newTestRequest(fmt.Sprint(i), uint64(i))
-			request.Regions = []string{"south"}
+			request.AllowedRegions = []string{"south"}
 			So(balancer.Choose(request, start).Server, ShouldBeIn, "s1", "s3")
 		}
 		request := newTestRequest("x", 0)
-		request.Regions = []string{"west"}
+		request.AllowedRegions = []string{"west"}
 		So(balancer.Choose(request, start).Err.Code, ShouldEqual, apierror.NoServer)
 	})
 	Convey("Draining, evacuated and unreachable servers get no requests", t, func() {
--- a/internal/node/gateway/passive_health.go
+++ b/internal/node/gateway/passive_health.go
@@ -86,7 +86,7 @@
 // serverUnacknowledged ejects a server whose machine stopped to acknowledge, and
 // reports it unless it has been reported as such already.
 func (d *dispatcher) serverUnacknowledged(server string, now time.Time) {
-	d.table.ServerUnacknowledged(server, now)
+	d.table.EjectUnacknowledgedServer(server, now)
 	d.closeIdleConnections(server)
 	if status := d.view.Servers[server]; status != nil && d.stalled[server] < balance.Unresponsive {
 		d.health.report(upstream.Server{Name: server, Address: status.Address}, false)
--- a/internal/node/gateway/selection.go
+++ b/internal/node/gateway/selection.go
@@ -36,19 +36,19 @@
 	objective := time.Duration(q.route.ObjectiveMS) * time.Millisecond
 	q.service = q.selectService()
 	q.selection = balance.Request{
-		ID:           q.call.ID,
-		Service:      q.service,
-		Regions:      regions,
-		Urgency:      urgency(q.tenantTerms.Priority, q.route.Priority),
-		Route:        q.route.Name,
-		MaxEventGap:  time.Duration(q.route.EventGapMS) * time.Millisecond,
-		OwnTokens:    q.call.TokensIn,
-		OutputTokens: q.call.TokensOut,
-		QueueUntil:   q.arrived.Add(min(objective/queueTimeoutDivisor, maxQueueTimeout)),
+		ID:             q.call.ID,
+		Service:        q.service,
+		AllowedRegions: regions,
+		Urgency:        urgency(q.tenantTerms.Priority, q.route.Priority),
+		Route:          q.route.Name,
+		MaxEventGap:    time.Duration(q.route.EventGapMS) * time.Millisecond,
+		UnsharedTokens: q.call.TokensIn,
+		OutputTokens:   q.call.TokensOut,
+		QueueUntil:     q.arrived.Add(min(objective/queueTimeoutDivisor, maxQueueTimeout)),
 	}
 	if q.route.Affinity {
-		q.selection.Affinity, q.selection.SharedTokens = sharedPrefix(q.call.Parts)
-		q.selection.OwnTokens = max(q.call.TokensIn-q.selection.SharedTokens, 0)
+		q.selection.PrefixDigest, q.selection.SharedTokens = sharedPrefix(q.call.Parts)
+		q.selection.UnsharedTokens = max(q.call.TokensIn-q.selection.SharedTokens, 0)
 	}
 	return nil
 }
--- a/sim/balance/front.go
+++ b/sim/balance/front.go
@@ -46,10 +46,10 @@
 }
 
 func (f *front) order(q *request) *balance.Request {
-	order := &balance.Request{ID: string(rune(q.number)), Service: serviceName, Route: q.kind.Name, MaxEventGap: time.Duration(q.kind.Pause * float64(time.Millisecond)), Regions: q.kind.Homes, OwnTokens: q.own, OutputTokens: q.out,
+	order := &balance.Request{ID: string(rune(q.number)), Service: serviceName, Route: q.kind.Name, MaxEventGap: time.Duration(q.kind.Pause * float64(time.Millisecond)), AllowedRegions: q.kind.Homes, UnsharedTokens: q.own, OutputTokens: q.out,
 		QueueUntil: start.Add(time.Duration((q.came + q.kind.Objective/queueTimeoutDivisor) * float64(time.Millisecond)))}
 	for _, p := range q.chain {
-		order.Affinity = p.id
+		order.PrefixDigest = p.id
 		order.SharedTokens += p.tokens
 	}
 	return order
