--- a/internal/node/replica/ballot.go
+++ b/internal/node/replica/ballot.go
@@ -9,45 +9,46 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// ballotResult is how a ballot ended; its step awaits answers when the context
-// ended first.
+// ballotResult is the result of a ballot. If the context was done first, step is
+// the zero Step.
 type ballotResult struct {
 	proposer paxos.Proposer
 	step     paxos.Step
-	answered int // voters that answered in the last phase
+	answered int // number of voters that responded in the last phase
 }
 
-// ballotAnswer is a voter's answer to a phase of a ballot. Both responses are
-// nil when the call failed.
-type ballotAnswer struct {
+// ballotResponse is a voter's response in a phase of a ballot. Both prepared and
+// accepted are nil if the call failed.
+type ballotResponse struct {
 	core     string
 	phase    paxos.Phase
 	prepared *wire.PrepareResponse
 	accepted *wire.AcceptResponse
 }
 
-// runBallot runs one ballot. Voters are called at once, and none is waited for
-// beyond a quorum; late answers still reach the proposer while it runs.
-func (r *Replica) runBallot(ctx context.Context, state paxos.State, slot, number uint64, value []byte, timeout time.Duration) ballotResult {
-	proposer, request := paxos.NewProposer(state, slot, number, value)
-	answers := make(chan ballotAnswer, 2*len(proposer.Voters))
-	r.sendPrepare(ctx, proposer.Voters, request, timeout, answers)
+// runBallot runs one ballot. It calls all voters concurrently and proceeds as soon
+// as a quorum has responded. Late responses of the first phase are still passed to
+// the proposer.
+func (r *Replica) runBallot(ctx context.Context, state paxos.State, slot, ballotNumber uint64, value []byte, timeout time.Duration) ballotResult {
+	proposer, request := paxos.NewProposer(state, slot, ballotNumber, value)
+	responses := make(chan ballotResponse, 2*len(proposer.Voters))
+	r.sendPrepare(ctx, proposer.Voters, request, timeout, responses)
 	answered := map[string]bool{}
 	for {
-		var answer ballotAnswer
+		var response ballotResponse
 		select {
-		case answer = <-answers:
+		case response = <-responses:
 		case <-ctx.Done():
 			return ballotResult{proposer: proposer, answered: len(answered)}
 		}
-		if answer.prepared != nil || answer.accepted != nil {
-			answered[answer.core] = true
+		if response.prepared != nil || response.accepted != nil {
+			answered[response.core] = true
 		}
 		var step paxos.Step
-		proposer, step = handleAnswer(proposer, answer)
+		proposer, step = handleResponse(proposer, response)
 		if step.Action == paxos.SendAccept {
 			answered = map[string]bool{}
-			r.sendAccept(ctx, proposer.Voters, step.Accept, timeout, answers)
+			r.sendAccept(ctx, proposer.Voters, step.Accept, timeout, responses)
 		}
 		if proposer.Phase == paxos.Ended {
 			return ballotResult{proposer: proposer, step: step, answered: len(answered)}
@@ -55,49 +56,49 @@
 	}
 }
 
-func handleAnswer(proposer paxos.Proposer, answer ballotAnswer) (paxos.Proposer, paxos.Step) {
+func handleResponse(proposer paxos.Proposer, response ballotResponse) (paxos.Proposer, paxos.Step) {
 	switch {
-	case answer.prepared != nil:
-		return proposer.HandlePrepare(answer.prepared)
-	case answer.accepted != nil:
-		return proposer.HandleAccept(answer.accepted)
-	case answer.phase == proposer.Phase:
-		return proposer.HandleFailure(answer.core)
+	case response.prepared != nil:
+		return proposer.HandlePrepare(response.prepared)
+	case response.accepted != nil:
+		return proposer.HandleAccept(response.accepted)
+	case response.phase == proposer.Phase:
+		return proposer.HandleFailure(response.core)
 	}
 	return proposer, paxos.Step{}
 }
 
-func (r *Replica) sendPrepare(ctx context.Context, voters []string, req *wire.PrepareRequest, timeout time.Duration, answers chan<- ballotAnswer) {
-	callEach(ctx, voters, timeout, func(ctx context.Context, core string) {
-		resp, _ := callVoter(ctx, r, core, req, r.Prepare, wireconnect.PeerClient.Prepare)
-		answers <- ballotAnswer{core: core, phase: paxos.Preparing, prepared: resp}
+func (r *Replica) sendPrepare(ctx context.Context, voters []string, req *wire.PrepareRequest, timeout time.Duration, responses chan<- ballotResponse) {
+	startCalls(ctx, voters, timeout, func(ctx context.Context, core string) {
+		resp, _ := callProcess(ctx, r, core, req, r.Prepare, wireconnect.PeerClient.Prepare)
+		responses <- ballotResponse{core: core, phase: paxos.Preparing, prepared: resp}
 	})
 }
 
-func (r *Replica) sendAccept(ctx context.Context, voters []string, req *wire.AcceptRequest, timeout time.Duration, answers chan<- ballotAnswer) {
-	callEach(ctx, voters, timeout, func(ctx context.Context, core string) {
-		resp, _ := callVoter(ctx, r, core, req, r.Accept, wireconnect.PeerClient.Accept)
-		answers <- ballotAnswer{core: core, phase: paxos.Accepting, accepted: resp}
+func (r *Replica) sendAccept(ctx context.Context, voters []string, req *wire.AcceptRequest, timeout time.Duration, responses chan<- ballotResponse) {
+	startCalls(ctx, voters, timeout, func(ctx context.Context, core string) {
+		resp, _ := callProcess(ctx, r, core, req, r.Accept, wireconnect.PeerClient.Accept)
+		responses <- ballotResponse{core: core, phase: paxos.Accepting, accepted: resp}
 	})
 }
 
-// learnChosen takes in a chosen value and sends it to the other voters. The
-// sends last as long as serving does, which may be longer than the proposal.
-func (r *Replica) learnChosen(ctx, serving context.Context, slot uint64, value []byte) error {
+// learnAndBroadcast commits a chosen value and sends it to the other voters. The
+// calls are bound to serveCtx rather than ctx, since they may outlast the proposal.
+func (r *Replica) learnAndBroadcast(ctx, serveCtx context.Context, slot uint64, value []byte) error {
 	chosen := []*wire.Chosen{{Epoch: slot, Command: value}}
 	state, err := callOwner(ctx, r, func(o *owner, reply func(paxos.State, error)) {
-		records, _, _ := o.state.Learn(&wire.LearnRequest{Formation: o.state.Formation, Chosen: chosen})
-		err := o.commit(records, forLearning)
-		reply(o.state, err)
+		records, _, _ := o.consensus.Learn(&wire.LearnRequest{Formation: o.consensus.Formation, Chosen: chosen})
+		err := o.commit(records, purposeLearn)
+		reply(o.consensus, err)
 	})
 	if state.Formation != "" {
-		r.sendLearn(serving, state, &wire.LearnRequest{Formation: state.Formation, From: r.cfg.Self, Chosen: chosen})
+		r.sendLearn(serveCtx, state, &wire.LearnRequest{Formation: state.Formation, From: r.cfg.Self, Chosen: chosen})
 	}
 	return err
 }
 
-func (r *Replica) sendLearn(serving context.Context, state paxos.State, req *wire.LearnRequest) {
-	callEach(serving, state.OtherVoters(), r.cfg.RecoveryTimeout, func(ctx context.Context, core string) {
-		_, _ = callVoter(ctx, r, core, req, r.Learn, wireconnect.PeerClient.Learn)
+func (r *Replica) sendLearn(serveCtx context.Context, state paxos.State, req *wire.LearnRequest) {
+	startCalls(serveCtx, state.OtherVoters(), r.cfg.RecoveryTimeout, func(ctx context.Context, core string) {
+		_, _ = callProcess(ctx, r, core, req, r.Learn, wireconnect.PeerClient.Learn)
 	})
 }
--- a/internal/node/replica/call.go
+++ b/internal/node/replica/call.go
@@ -9,12 +9,12 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// answerGraceDivisor divides a call's timeout into the time that further answers
-// may take once enough have arrived.
-const answerGraceDivisor = 20
+// responseGraceDivisor is the ratio between the timeout of a call to several cores
+// and the time to wait for further responses after the required ones have arrived.
+const responseGraceDivisor = 20
 
-// callOwner has the owner answer a request and waits for the reply. Without a
-// running owner it returns an error of the code CoreUnreachable.
+// callOwner runs a request on the owner's goroutine and waits for its reply. It
+// returns an error with the code CoreUnreachable if the owner is not running.
 func callOwner[T any](ctx context.Context, r *Replica, request func(o *owner, reply func(T, error))) (T, error) {
 	type result struct {
 		value T
@@ -44,16 +44,17 @@
 	}
 }
 
-// callVoter calls this core directly, and others through the peers. It returns
-// an *UnknownCoreError for one that the peers don't know.
-func callVoter[Q, A any](ctx context.Context, r *Replica, voter string, req *Q, local func(context.Context, *Q) (*A, error),
-	remote func(wireconnect.PeerClient, context.Context, *connect.Request[Q]) (*connect.Response[A], error)) (*A, error) {
-	if voter == r.cfg.Self {
+// callProcess calls a process by its name: this core directly, others over the
+// network. It returns an *UnknownProcessError if the address of the process is not
+// known.
+func callProcess[Req, Resp any](ctx context.Context, r *Replica, name string, req *Req, local func(context.Context, *Req) (*Resp, error),
+	remote func(wireconnect.PeerClient, context.Context, *connect.Request[Req]) (*connect.Response[Resp], error)) (*Resp, error) {
+	if name == r.cfg.Self {
 		return local(ctx, req)
 	}
-	process, known := r.peers.Process(voter)
-	if !known {
-		return nil, &UnknownCoreError{Core: voter}
+	process, found := r.peers.Process(name)
+	if !found {
+		return nil, &UnknownProcessError{Name: name}
 	}
 	resp, err := remote(r.peers.Client(process.Address), ctx, connect.NewRequest(req))
 	if err != nil {
@@ -62,8 +63,9 @@
 	return resp.Msg, nil
 }
 
-// callEach calls each core on a goroutine of its own and doesn't wait for them.
-func callEach(ctx context.Context, cores []string, timeout time.Duration, call func(ctx context.Context, core string)) {
+// startCalls starts a call to each core on its own goroutine and returns without
+// waiting for them.
+func startCalls(ctx context.Context, cores []string, timeout time.Duration, call func(ctx context.Context, core string)) {
 	for _, core := range cores {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -73,10 +75,10 @@
 	}
 }
 
-// callAll calls several cores at once and returns the answers by core, without
-// those that failed. Once enough have answered, the others have a short grace;
-// enough of zero waits for all of them.
-func callAll[T any](ctx context.Context, r *Replica, cores []string, timeout time.Duration, enough int, call func(context.Context, string) (*T, error)) map[string]*T {
+// collectResponses calls several cores concurrently and returns the successful
+// responses by core. After the required number of responses it waits only a short
+// time for the others; if required is zero, it waits for all until the timeout.
+func collectResponses[T any](ctx context.Context, r *Replica, cores []string, timeout time.Duration, required int, call func(context.Context, string) (*T, error)) map[string]*T {
 	type result struct {
 		core string
 		resp *T
@@ -93,22 +95,22 @@
 			results <- result{core, resp}
 		}()
 	}
-	answers := make(map[string]*T, len(cores))
+	responses := make(map[string]*T, len(cores))
 	var grace <-chan time.Time
 	for range cores {
 		select {
 		case result := <-results:
 			if result.resp != nil {
-				answers[result.core] = result.resp
+				responses[result.core] = result.resp
 			}
 		case <-grace:
-			return answers
+			return responses
 		case <-ctx.Done():
-			return answers
+			return responses
 		}
-		if enough > 0 && len(answers) >= enough && grace == nil {
-			grace = r.clock.After(timeout / answerGraceDivisor)
+		if required > 0 && len(responses) >= required && grace == nil {
+			grace = r.clock.After(timeout / responseGraceDivisor)
 		}
 	}
-	return answers
+	return responses
 }
--- a/internal/node/replica/commit.go
+++ b/internal/node/replica/commit.go
@@ -6,29 +6,30 @@
 	"stepwick/internal/decision/paxos"
 )
 
-// purpose is what records are for. A disk without room keeps no votes, but it
-// takes in chosen values as soon as there is room, and the disk incarnations of
-// other cores from its reserve.
-type purpose int
+// commitPurpose is the reason why records are committed. It determines what happens
+// on a full disk: votes are refused, chosen values are appended as soon as there is
+// space again, and disk incarnations of other cores are written to the reserved
+// space.
+type commitPurpose int
 
 const (
-	forVote purpose = iota
-	forLearning
-	forIncarnation
+	purposeVote commitPurpose = iota
+	purposeLearn
+	purposeIncarnation
 )
 
-// priority is the one with which the records are appended.
-func (p purpose) priority() disklog.Priority {
-	if p == forIncarnation {
+// priority returns the priority with which the records are appended to the log.
+func (p commitPurpose) priority() disklog.Priority {
+	if p == purposeIncarnation {
 		return disklog.Urgent
 	}
 	return disklog.Ordinary
 }
 
-// commitAndReply commits records and replies once they are synced. When they
-// can't be kept, it replies with the refusal by the error's code or, without
-// one, with the error.
-func commitAndReply[T any](o *owner, records []paxos.Record, purpose purpose, resp T, rejection func(apierror.Code) T, reply func(T, error)) {
+// commitAndReply commits records and replies with resp once they are synced. If the
+// commit fails, it replies with the rejection for the error's code or, if rejection
+// is nil, with the error.
+func commitAndReply[T any](o *owner, records []paxos.Record, purpose commitPurpose, resp T, rejection func(apierror.Code) T, reply func(T, error)) {
 	if err := o.commit(records, purpose); err != nil {
 		if rejection == nil {
 			reply(resp, err)
@@ -40,23 +41,24 @@
 	o.whenSynced(func(err error) { reply(resp, err) })
 }
 
-// commit appends records to the log and applies them, or does neither. Without
-// room it returns an error of the code DiskFull.
-func (o *owner) commit(records []paxos.Record, purpose purpose) error {
+// commit appends records to the log and applies them to the state. If they can't be
+// appended, the state is unchanged; the error has the code DiskFull if the disk is
+// full.
+func (o *owner) commit(records []paxos.Record, purpose commitPurpose) error {
 	if len(records) == 0 {
 		return nil
 	}
-	if purpose == forVote && o.disk.exhausted() {
-		return apierror.Errorf(apierror.DiskFull, "only the reserve is left")
+	if purpose == purposeVote && o.disk.exhausted() {
+		return apierror.Errorf(apierror.DiskFull, "the disk is full: only the reserved space is left")
 	}
 	if err := o.appendToLog(records, purpose); err != nil {
 		return err
 	}
-	before := o.state
+	previous := o.consensus
 	for _, record := range records {
-		o.state = record.Apply(o.state)
+		o.consensus = record.Apply(o.consensus)
 	}
-	if err := o.advanceConfiguration(before); err != nil {
+	if err := o.advanceStateMachine(previous); err != nil {
 		return err
 	}
 	if o.logSize.snapshotDue(o.replica.cfg) {
@@ -65,20 +67,20 @@
 	return nil
 }
 
-func (o *owner) appendToLog(records []paxos.Record, purpose purpose) error {
+func (o *owner) appendToLog(records []paxos.Record, purpose commitPurpose) error {
 	encoded := make([][]byte, len(records))
 	for i, record := range records {
 		encoded[i] = paxos.EncodeRecord(record)
 	}
 	if _, err := o.log.Append(encoded, purpose.priority()); err != nil {
 		if apierror.From(err).Code == apierror.DiskFull {
-			o.updateSpace(purpose == forLearning)
+			o.updateDiskSpace(purpose == purposeLearn)
 			o.startCompaction()
 		}
 		return err
 	}
-	if purpose == forLearning && o.disk.learnBlocked {
-		o.updateSpace(false)
+	if purpose == purposeLearn && o.disk.learnBlocked {
+		o.updateDiskSpace(false)
 	}
 	o.disk.lastAppend = o.replica.clock.Now()
 	for _, record := range encoded {
@@ -87,17 +89,18 @@
 	return nil
 }
 
-// advanceConfiguration applies what was learned since the state before, and
-// publishes a change once it is synced.
-func (o *owner) advanceConfiguration(before paxos.State) error {
-	learned := before.HighestLearnedSlot() != o.state.HighestLearnedSlot()
-	moved := before.Formation != o.state.Formation || before.Incarnation() != o.state.Incarnation()
-	if !learned && !moved {
+// advanceStateMachine applies the commands learned since the previous state. If the
+// version, the formation or the incarnation has changed, it publishes a new view once
+// the log is synced.
+func (o *owner) advanceStateMachine(previous paxos.State) error {
+	learned := previous.HighestLearnedSlot() != o.consensus.HighestLearnedSlot()
+	identityChanged := previous.Formation != o.consensus.Formation || previous.Incarnation() != o.consensus.Incarnation()
+	if !learned && !identityChanged {
 		return nil
 	}
-	if learned && !moved && before.SnapshotSlot == o.state.SnapshotSlot {
-		o.applyAll(o.state.Chosen[o.configuration.state.Version-o.state.SnapshotSlot:])
-	} else if err := o.rebuildConfiguration(); err != nil {
+	if learned && !identityChanged && previous.SnapshotSlot == o.consensus.SnapshotSlot {
+		o.applyAll(o.consensus.Chosen[o.machine.state.Version-o.consensus.SnapshotSlot:])
+	} else if err := o.rebuildStateMachine(); err != nil {
 		return err
 	}
 	view := o.view()
--- a/internal/node/replica/config.go
+++ b/internal/node/replica/config.go
@@ -17,21 +17,22 @@
 	defaultPollInterval    = 500 * time.Millisecond
 )
 
-// Config of a replica. Fields that are zero take the default named.
+// Config configures a Replica. Fields that are zero have the default given in their
+// comment.
 type Config struct {
 	Self            string        // the core's name
-	Voters          int           // cores of a first formation; 3
-	FirstSheet      []byte        // JSON of a sheet to propose to a formation that has none, or nil
-	MaxSheetBytes   int           // limit of FirstSheet; 16 MiB
-	SnapshotRecords int           // records between snapshots; 1024
-	SnapshotBytes   int64         // bytes of records between snapshots; 16 MiB
-	CallTimeout     time.Duration // of one call in a ballot; 300ms
-	RecoveryTimeout time.Duration // of one call in a recovery, which waits for slow disks; 10s
-	PollInterval    time.Duration // between two polls of the other cores; 500ms
-	Seed            uint64        // of the random backoff; 0 is derived from the name
-	// OnReplaced is called, perhaps more than once, when another process has
-	// this core's name in a later disk incarnation, or when the formation does
-	// not include the core. It may be nil.
+	Voters          int           // number of cores that found the first formation; default 3
+	FirstSheet      []byte        // JSON of a sheet to propose if the formation has none yet, or nil
+	MaxSheetBytes   int           // maximum size of FirstSheet; default 16 MiB
+	SnapshotRecords int           // records in the log after which a snapshot is written; default 1024
+	SnapshotBytes   int64         // bytes of records after which a snapshot is written; default 16 MiB
+	CallTimeout     time.Duration // per call in a ballot, poll or probe; default 300ms
+	RecoveryTimeout time.Duration // per call that may wait for a slow disk to sync; default 10s
+	PollInterval    time.Duration // between polls of the other cores; default 500ms
+	Seed            uint64        // seed of the random backoff; default is a hash of Self
+	// OnReplaced is called, possibly more than once, when another process runs
+	// under this core's name with a later disk incarnation, or when the formation
+	// does not include the core. It may be nil.
 	OnReplaced func()
 }
 
@@ -49,7 +50,7 @@
 	return c
 }
 
-// setDefault replaces a value that is not positive.
+// setDefault sets a value that is not positive to its default.
 func setDefault[T int | int64 | time.Duration](value *T, byDefault T) {
 	if *value <= 0 {
 		*value = byDefault
--- a/internal/node/replica/disk.go
+++ b/internal/node/replica/disk.go
@@ -6,14 +6,14 @@
 	"stepwick/internal/events"
 )
 
-// slowSyncAfter is how long an append waits for its sync before the disk is
+// slowSyncAfter is the time after which an unsynced append causes the disk to be
 // reported as slow.
 const slowSyncAfter = 500 * time.Millisecond
 
-// diskStatus is what the owner knows of the room and speed of its disk.
+// diskStatus describes the free space and speed of the disk.
 type diskStatus struct {
-	full         bool // there is no room for an ordinary record
-	learnBlocked bool // there was no room for a value that is chosen
+	full         bool // no space for ordinary records
+	learnBlocked bool // a chosen value could not be appended for lack of space
 	lastAppend   time.Time
 	slowReported bool
 }
@@ -21,13 +21,14 @@
 // exhausted reports whether the core must refuse to vote.
 func (d diskStatus) exhausted() bool { return d.full || d.learnBlocked }
 
-// updateSpace takes in whether the log is full, and publishes a change.
-func (o *owner) updateSpace(learnBlocked bool) {
-	before := o.disk.exhausted()
+// updateDiskSpace updates the disk status and publishes the core's standing if the
+// disk has become full or has space again.
+func (o *owner) updateDiskSpace(learnBlocked bool) {
+	wasExhausted := o.disk.exhausted()
 	o.disk.full = o.log.Full()
 	o.disk.learnBlocked = learnBlocked
 	exhausted := o.disk.exhausted()
-	if exhausted == before {
+	if exhausted == wasExhausted {
 		return
 	}
 	if exhausted {
@@ -38,9 +39,10 @@
 	o.publishStanding()
 }
 
-// checkDisk is called at each poll interval.
+// checkDisk updates the disk status, starts a compaction if the disk is full, and
+// reports slow syncs. It is called once per poll interval.
 func (o *owner) checkDisk() {
-	o.updateSpace(o.disk.learnBlocked)
+	o.updateDiskSpace(o.disk.learnBlocked)
 	if o.disk.exhausted() {
 		o.startCompaction()
 	}
--- a/internal/node/replica/disk_test.go
+++ b/internal/node/replica/disk_test.go
@@ -16,17 +16,17 @@
 	"stepwick/internal/wire"
 )
 
-// failingLog is a log on which a write fails for lack of room.
+// failingLog is a Log that fails for lack of disk space when failed is closed.
 type failingLog struct {
 	Log
 	failed chan struct{}
 }
 
-func (d *failingLog) Failed() <-chan struct{} { return d.failed }
-func (d *failingLog) Err() error              { return apierror.Errorf(apierror.DiskFull, "no room") }
+func (l *failingLog) Failed() <-chan struct{} { return l.failed }
+func (l *failingLog) Err() error              { return apierror.Errorf(apierror.DiskFull, "no space left") }
 
 func TestSlowFullAndFailedDisks(t *testing.T) {
-	inVirtualTime(t, "A slow disk delays nobody else", func(f *fleet) {
+	inVirtualTime(t, "A slow disk does not delay the other cores", func(f *fleet) {
 		slow := f.disk["c"]
 		slow.SyncDelay = 2 * time.Second
 		f.disk["c"] = slow
@@ -35,9 +35,9 @@
 		count := f.propose("a", 0, 10)
 		So(time.Since(start), ShouldBeLessThan, 500*time.Millisecond)
 		count = f.propose("c", count, 1)
-		So(f.until(20*time.Second, f.reachesVersion(uint64(count), "a", "b", "c")), ShouldBeTrue)
+		So(f.waitUntil(20*time.Second, f.reachesVersion(uint64(count), "a", "b", "c")), ShouldBeTrue)
 	})
-	inVirtualTime(t, "A wiped core recovers although another's disk is slow and busy", func(f *fleet) {
+	inVirtualTime(t, "A wiped core recovers although the disk of another core is slow and busy", func(f *fleet) {
 		slow := f.disk["c"]
 		slow.SyncDelay = 2 * time.Second
 		f.disk["c"] = slow
@@ -48,25 +48,25 @@
 		start := time.Now()
 		go func() {
 			for n := range 20 {
-				_, _, _ = f.core("a").Propose(timeoutIn(20*time.Second), evacuate(fmt.Sprint(count+n)))
+				_, _, _ = f.core("a").Propose(withTimeout(20*time.Second), evacuate(fmt.Sprint(count+n)))
 			}
 		}()
-		So(f.until(30*time.Second, f.voting("b")), ShouldBeTrue)
+		So(f.waitUntil(30*time.Second, f.voting("b")), ShouldBeTrue)
 		So(time.Since(start), ShouldBeLessThan, 10*time.Second)
-		So(f.until(200*time.Second, f.reachesVersion(uint64(count+20), "a", "b", "c")), ShouldBeTrue)
+		So(f.waitUntil(200*time.Second, f.reachesVersion(uint64(count+20), "a", "b", "c")), ShouldBeTrue)
 	})
-	inVirtualTime(t, "Two slow disks make orders slow, not impossible", func(f *fleet) {
+	inVirtualTime(t, "Orders succeed, slowly, when two of three disks are slow", func(f *fleet) {
 		for _, name := range []string{"b", "c"} {
 			slow := f.disk[name]
 			slow.SyncDelay = 2 * time.Second
 			f.disk[name] = slow
 		}
 		f.form()
-		_, result, err := f.core("a").Propose(timeoutIn(30*time.Second), evacuate("one"))
+		_, result, err := f.core("a").Propose(withTimeout(30*time.Second), evacuate("one"))
 		So(err, ShouldBeNil)
 		So(result.Code, ShouldEqual, apierror.OK)
 	})
-	inVirtualTime(t, "A failed log stops the votes, and a new start continues from the disk", func(f *fleet) {
+	inVirtualTime(t, "A core whose log has failed does not vote, and continues from its disk after a restart", func(f *fleet) {
 		f.form()
 		count := f.propose("a", 0, 3)
 		f.stop["b"]()
@@ -81,17 +81,17 @@
 		served := make(chan error)
 		go func() { served <- b.Serve(context.Background()) }()
 		f.cores["b"].Store(b)
-		So(f.until(5*time.Second, f.voting("b")), ShouldBeTrue)
+		So(f.waitUntil(5*time.Second, f.voting("b")), ShouldBeTrue)
 		close(log.failed)
 		So(apierror.From(<-served).Code, ShouldEqual, apierror.DiskFull)
 		So(b.Ready().Code, ShouldEqual, apierror.DiskFull)
-		_, err := b.Prepare(timeoutIn(time.Second), &wire.PrepareRequest{Formation: f.core("a").Formation(), Slot: 9})
+		_, err := b.Prepare(withTimeout(time.Second), &wire.PrepareRequest{Formation: f.core("a").Formation(), Slot: 9})
 		So(apierror.From(err).Code, ShouldEqual, apierror.CoreUnreachable)
 		count = f.propose("a", count, 3)
 		f.start("b")
-		So(f.until(5*time.Second, f.reachesVersion(uint64(count), "b")), ShouldBeTrue)
+		So(f.waitUntil(5*time.Second, f.reachesVersion(uint64(count), "b")), ShouldBeTrue)
 	})
-	inVirtualTime(t, "A full disk refuses to vote, reports it, and the others continue", func(f *fleet) {
+	inVirtualTime(t, "A core with a full disk refuses to vote and reports it, and the others continue", func(f *fleet) {
 		small := f.disk["b"]
 		small.Quota = 64 << 10
 		f.disk["b"] = small
@@ -108,15 +108,15 @@
 		}
 		So(len(large(0)), ShouldBeBetween, 25<<10, 35<<10)
 		for i := range 8 {
-			_, result, err := f.core("a").Propose(timeoutIn(5*time.Second), large(i))
+			_, result, err := f.core("a").Propose(withTimeout(5*time.Second), large(i))
 			So(err, ShouldBeNil)
 			So(result.Code, ShouldEqual, apierror.OK)
 		}
-		So(f.until(time.Second, f.reachesVersion(8, "a", "c")), ShouldBeTrue)
-		So(f.until(time.Second, func() bool { return f.core("b").Standing() == wire.Standing_STANDING_DISK_FULL }), ShouldBeTrue)
+		So(f.waitUntil(time.Second, f.reachesVersion(8, "a", "c")), ShouldBeTrue)
+		So(f.waitUntil(time.Second, func() bool { return f.core("b").Standing() == wire.Standing_STANDING_DISK_FULL }), ShouldBeTrue)
 		So(f.core("b").Current().Version, ShouldBeLessThan, 8)
 		f.stop["c"]()
-		_, _, err := f.core("a").Propose(timeoutIn(time.Second), large(8))
+		_, _, err := f.core("a").Propose(withTimeout(time.Second), large(8))
 		So(apierror.From(err).Code, ShouldBeIn, apierror.NoMajority, apierror.OutcomePending)
 	})
 }
--- a/internal/node/replica/doc.go
+++ b/internal/node/replica/doc.go
@@ -1,20 +1,22 @@
-// Package replica runs one core's part in the agreement: it decides with
-// package paxos, keeps the decisions in a log on disk, and calls the other
-// cores.
+// Package replica implements one core's replica of the control plane's state: it
+// runs the consensus protocol of package paxos, persists its records in a
+// write-ahead log, exchanges messages with the other cores, and applies the chosen
+// commands to the state machine of package statemachine.
 //
-// Three goroutines do the work. The owner holds the state and answers every
-// request; proposals run one after another, so that they don't contend with each
-// other; maintenance brings the core into its formation, fetches what it missed
-// and completes slots that a lost proposer left open.
+// A running Replica has three goroutines. The owner holds the state and handles
+// every request. The proposal loop runs proposals one at a time, so that proposals
+// of the same core don't compete for slots. Maintenance joins or founds the core's
+// formation, recovers the core after the loss of its disk, fetches missed values,
+// and completes slots that a failed proposer left open.
 //
 // Invariants:
 //
-//   - The owner's state may be ahead of the disk. An answer leaves, and a state
-//     is published, only when all that was appended before it is synced.
-//   - The published configuration never goes back to an earlier version.
-//   - A disk without room keeps no votes: the core refuses them until a snapshot
-//     or the operator has made room.
+//   - The owner's state may be ahead of the disk. A response is sent, and a state
+//     is published, only after all records appended before it are synced.
+//   - The published version never decreases.
+//   - A core whose disk is full does not vote, until a snapshot or the operator
+//     has freed space.
 //
-// The package doesn't decide what a command does (package statemachine) nor when a
-// version is in force (package control).
+// The effect of a command is defined by package statemachine. Package control
+// decides when a version is in force.
 package replica
--- a/internal/node/replica/faults_test.go
+++ b/internal/node/replica/faults_test.go
@@ -13,9 +13,9 @@
 	"stepwick/internal/decision/statemachine"
 )
 
-// TestFleetUnderFaults sends orders through changing cores, each again until
-// it is answered, while cores are killed, wiped, partitioned and slowed. Every
-// order that was answered must be there in the end, once, in the same version.
+// TestFleetUnderFaults retries each order through different cores until it succeeds,
+// while cores are stopped, wiped, partitioned and slowed down. At the end, every order
+// must be in the history exactly once, at the version that was returned for it.
 func TestFleetUnderFaults(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(*fleetSeeds); seed++ {
 		inVirtualTime(t, fmt.Sprint("seed ", seed), func(f *fleet) {
@@ -68,7 +68,7 @@
 						<-time.After(50 * time.Millisecond)
 						continue
 					}
-					_, result, err := core.Propose(timeoutIn(2*time.Second), evacuate(id))
+					_, result, err := core.Propose(withTimeout(2*time.Second), evacuate(id))
 					if err == nil {
 						So(result.Code, ShouldEqual, apierror.OK)
 						answered[id] = result
@@ -79,9 +79,9 @@
 			}
 			close(ended)
 			<-stopped
-			So(f.until(60*time.Second, f.voting("a", "b", "c")), ShouldBeTrue)
+			So(f.waitUntil(60*time.Second, f.voting("a", "b", "c")), ShouldBeTrue)
 			for _, name := range names {
-				state, err := f.core(name).ReadMajority(timeoutIn(10 * time.Second))
+				state, err := f.core(name).ReadMajority(withTimeout(10 * time.Second))
 				So(err, ShouldBeNil)
 				So(len(state.History), ShouldEqual, 60)
 				for _, order := range state.History {
@@ -92,4 +92,4 @@
 	}
 }
 
-var fleetSeeds = flag.Int("fleetseeds", 6, "random fleets to run")
+var fleetSeeds = flag.Int("fleetseeds", 6, "number of random fleets to run")
--- a/internal/node/replica/firstsheet.go
+++ b/internal/node/replica/firstsheet.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// firstSheetOrder is the id and the operator of the order.
-	firstSheetOrder = "first-sheet"
-	// firstSheetTimeout is the timeout of one attempt to propose it.
+	// firstSheetOrderID is both the id and the operator of the order.
+	firstSheetOrderID = "first-sheet"
+	// firstSheetTimeout bounds one attempt to propose the sheet.
 	firstSheetTimeout = 5 * time.Second
 )
 
-// proposeFirstSheet proposes the configured sheet to a formation that never had
-// one. It reports whether that is done: a sheet exists, or the configured one is
-// invalid.
+// proposeFirstSheet proposes the configured sheet if the formation never had one.
+// Done reports that no further attempt is needed: a sheet exists, the proposal has a
+// result, or the configured sheet is invalid.
 func (r *Replica) proposeFirstSheet(ctx context.Context) (done bool) {
-	current, err := r.appliedState(ctx)
+	current, err := r.machineState(ctx)
 	if err != nil {
 		return false
 	}
@@ -29,10 +29,10 @@
 	}
 	first, apiErr := sheet.ParseSheet(r.cfg.FirstSheet, r.cfg.MaxSheetBytes)
 	if apiErr != nil {
-		r.events.Emit(events.OrderRejected, "order", firstSheetOrder, "code", apiErr.Code, "detail", apiErr.Detail)
+		r.events.Emit(events.OrderRejected, "order", firstSheetOrderID, "code", apiErr.Code, "detail", apiErr.Detail)
 		return true
 	}
-	order := statemachine.Order{OrderID: firstSheetOrder, Operator: firstSheetOrder, ReceivedAtMS: r.clock.Now().UnixMilli()}
+	order := statemachine.Order{OrderID: firstSheetOrderID, Operator: firstSheetOrderID, ReceivedAtMS: r.clock.Now().UnixMilli()}
 	ctx, cancel := context.WithTimeout(ctx, firstSheetTimeout)
 	defer cancel()
 	_, result, err := r.Propose(ctx, statemachine.Encode(statemachine.PutSheet{Order: order, Sheet: first}))
--- a/internal/node/replica/fleet_test.go
+++ b/internal/node/replica/fleet_test.go
@@ -22,7 +22,8 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// fleet joins replicas by direct calls. Partitioned and stopped cores don't answer.
+// fleet is a set of replicas that call each other directly. Calls to or from a
+// partitioned core time out, and calls to a stopped core are refused.
 type fleet struct {
 	t           testing.TB
 	root        string
@@ -31,7 +32,7 @@
 	partitioned map[string]*atomic.Bool
 	disk        map[string]disklog.Config
 	cfg         Config
-	front       *wire.FetchResponse // the state that a front still has, if there is one
+	front       *wire.FetchResponse // state that a front still holds, or nil if there is no front
 }
 
 func newFleet(t testing.TB, names ...string) *fleet {
@@ -80,8 +81,9 @@
 	}
 }
 
-// until lets virtual time pass in steps until the condition holds.
-func (f *fleet) until(limit time.Duration, condition func() bool) bool {
+// waitUntil waits, in virtual time, until the condition is true or the limit has
+// passed, and reports whether it is true.
+func (f *fleet) waitUntil(limit time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); <-time.After(20 * time.Millisecond) {
 		if condition() {
 			return true
@@ -90,7 +92,7 @@
 	return condition()
 }
 
-// voting returns a condition: the cores vote.
+// voting returns the condition that all the cores vote.
 func (f *fleet) voting(names ...string) func() bool {
 	return func() bool {
 		for _, name := range names {
@@ -102,7 +104,7 @@
 	}
 }
 
-// reachesVersion returns a condition: the cores have a version or a later one.
+// reachesVersion returns the condition that all the cores have reached a version.
 func (f *fleet) reachesVersion(version uint64, names ...string) func() bool {
 	return func() bool {
 		for _, name := range names {
@@ -158,7 +160,7 @@
 	from, to string
 }
 
-func deliver[Q, A any](ctx context.Context, c client, req *connect.Request[Q], handler func(*Replica) func(context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
+func deliver[Req, Resp any](ctx context.Context, c client, req *connect.Request[Req], handler func(*Replica) func(context.Context, *Req) (*Resp, error)) (*connect.Response[Resp], error) {
 	if c.f.partitioned[c.from].Load() || c.f.partitioned[c.to].Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -174,39 +176,39 @@
 	return connect.NewResponse(resp), nil
 }
 
-func (c client) Found(ctx context.Context, q *connect.Request[wire.FoundRequest]) (*connect.Response[wire.FoundResponse], error) {
-	return deliver(ctx, c, q, func(r *Replica) func(context.Context, *wire.FoundRequest) (*wire.FoundResponse, error) {
+func (c client) Found(ctx context.Context, req *connect.Request[wire.FoundRequest]) (*connect.Response[wire.FoundResponse], error) {
+	return deliver(ctx, c, req, func(r *Replica) func(context.Context, *wire.FoundRequest) (*wire.FoundResponse, error) {
 		return r.Found
 	})
 }
-func (c client) Prepare(ctx context.Context, q *connect.Request[wire.PrepareRequest]) (*connect.Response[wire.PrepareResponse], error) {
-	return deliver(ctx, c, q, func(r *Replica) func(context.Context, *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+func (c client) Prepare(ctx context.Context, req *connect.Request[wire.PrepareRequest]) (*connect.Response[wire.PrepareResponse], error) {
+	return deliver(ctx, c, req, func(r *Replica) func(context.Context, *wire.PrepareRequest) (*wire.PrepareResponse, error) {
 		return r.Prepare
 	})
 }
-func (c client) Accept(ctx context.Context, q *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptResponse], error) {
-	return deliver(ctx, c, q, func(r *Replica) func(context.Context, *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+func (c client) Accept(ctx context.Context, req *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptResponse], error) {
+	return deliver(ctx, c, req, func(r *Replica) func(context.Context, *wire.AcceptRequest) (*wire.AcceptResponse, error) {
 		return r.Accept
 	})
 }
-func (c client) Learn(ctx context.Context, q *connect.Request[wire.LearnRequest]) (*connect.Response[wire.LearnResponse], error) {
-	return deliver(ctx, c, q, func(r *Replica) func(context.Context, *wire.LearnRequest) (*wire.LearnResponse, error) {
+func (c client) Learn(ctx context.Context, req *connect.Request[wire.LearnRequest]) (*connect.Response[wire.LearnResponse], error) {
+	return deliver(ctx, c, req, func(r *Replica) func(context.Context, *wire.LearnRequest) (*wire.LearnResponse, error) {
 		return r.Learn
 	})
 }
-func (c client) Recover(ctx context.Context, q *connect.Request[wire.RecoverRequest]) (*connect.Response[wire.RecoverResponse], error) {
-	return deliver(ctx, c, q, func(r *Replica) func(context.Context, *wire.RecoverRequest) (*wire.RecoverResponse, error) {
+func (c client) Recover(ctx context.Context, req *connect.Request[wire.RecoverRequest]) (*connect.Response[wire.RecoverResponse], error) {
+	return deliver(ctx, c, req, func(r *Replica) func(context.Context, *wire.RecoverRequest) (*wire.RecoverResponse, error) {
 		return r.Recover
 	})
 }
-func (c client) Read(ctx context.Context, q *connect.Request[wire.ReadRequest]) (*connect.Response[wire.ReadResponse], error) {
-	return deliver(ctx, c, q, func(r *Replica) func(context.Context, *wire.ReadRequest) (*wire.ReadResponse, error) { return r.Read })
+func (c client) Read(ctx context.Context, req *connect.Request[wire.ReadRequest]) (*connect.Response[wire.ReadResponse], error) {
+	return deliver(ctx, c, req, func(r *Replica) func(context.Context, *wire.ReadRequest) (*wire.ReadResponse, error) { return r.Read })
 }
-func (c client) Fetch(ctx context.Context, q *connect.Request[wire.FetchRequest]) (*connect.Response[wire.FetchResponse], error) {
+func (c client) Fetch(ctx context.Context, req *connect.Request[wire.FetchRequest]) (*connect.Response[wire.FetchResponse], error) {
 	if c.to == "front" {
 		return connect.NewResponse(c.f.front), nil
 	}
-	return deliver(ctx, c, q, func(r *Replica) func(context.Context, *wire.FetchRequest) (*wire.FetchResponse, error) {
+	return deliver(ctx, c, req, func(r *Replica) func(context.Context, *wire.FetchRequest) (*wire.FetchResponse, error) {
 		return r.Fetch
 	})
 }
@@ -215,8 +217,9 @@
 	return statemachine.Encode(statemachine.Evacuate{Order: statemachine.Order{OrderID: id, Operator: "ada"}, Zone: "lagos/a"})
 }
 
-// timeoutIn returns a context that ends after a time.
-func timeoutIn(d time.Duration) context.Context {
+// withTimeout returns a context with a timeout, whose resources are released when it
+// expires.
+func withTimeout(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	context.AfterFunc(ctx, cancel)
 	return ctx
@@ -224,19 +227,20 @@
 
 const firstSheetJSON = `{"services":{"chat":{"kind":"model"}},"weights":{"chat":{"lagos":1}},"tenants":{}}`
 
-// inVirtualTime runs one scenario in virtual time, with the cores not yet started.
-func inVirtualTime(t *testing.T, what string, test func(f *fleet)) {
-	t.Run(what, func(t *testing.T) {
+// inVirtualTime runs a scenario in virtual time, on a fleet of three cores that are not
+// started yet.
+func inVirtualTime(t *testing.T, name string, test func(f *fleet)) {
+	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, "a", "b", "c")
 			defer f.stopAll()
-			Convey(what, t, func() { test(f) })
+			Convey(name, t, func() { test(f) })
 		})
 	})
 }
 
-// form starts the cores and waits until all of them vote.
+// form starts the three cores and waits until all of them vote.
 func (f *fleet) form() {
 	f.start("a", "b", "c")
-	So(f.until(60*time.Second, f.voting("a", "b", "c")), ShouldBeTrue)
+	So(f.waitUntil(60*time.Second, f.voting("a", "b", "c")), ShouldBeTrue)
 }
--- a/internal/node/replica/formation.go
+++ b/internal/node/replica/formation.go
@@ -13,18 +13,18 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// joinOrFoundFormation joins the formation that other cores are in or, with all
-// cores present and blank, founds the first one.
+// joinOrFoundFormation joins the formation of the other cores. If there is none and
+// all cores are reachable and blank, it founds the first one.
 func (r *Replica) joinOrFoundFormation(ctx context.Context, state paxos.State) {
 	others := r.otherCores()
-	present := make(map[string]*wire.RecoverResponse, len(others))
+	probes := make(map[string]*wire.RecoverResponse, len(others))
 	for _, core := range others {
-		present[core] = nil
+		probes[core] = nil
 	}
 	for core, resp := range r.probeCores(ctx, others) {
-		present[core] = resp
+		probes[core] = resp
 		if _, ok := state.JoinProbedFormation(resp); ok {
-			r.joinProbed(ctx, state, resp)
+			r.joinProbedFormation(ctx, state, resp)
 			return
 		}
 		if r.excludedFrom(state, resp) {
@@ -32,17 +32,17 @@
 			return
 		}
 	}
-	if _, ok := state.FoundFormation("", r.cfg.Voters, present, 0, nil); !ok {
-		r.reportWaiting(ctx, events.FormationWaiting, fmt.Sprintf("a first formation of %d blank cores; %d others are known", r.cfg.Voters, len(others)))
+	if _, ok := state.FoundFormation("", r.cfg.Voters, probes, 0, nil); !ok {
+		r.reportWaiting(ctx, events.FormationWaiting, fmt.Sprintf("waiting for %d blank cores to found the first formation; %d other cores are known", r.cfg.Voters, len(others)))
 		return
 	}
-	r.foundFormation(ctx, others, present)
+	r.foundFormation(ctx, others, probes)
 }
 
-// joinProbed joins the formation of a probe's answer, unless the core has joined one
-// since the state in which it sent the probe.
-func (r *Replica) joinProbed(ctx context.Context, probing paxos.State, resp *wire.RecoverResponse) {
-	r.commitUnlessVoting(ctx, fmt.Sprintf("joins the formation %s", resp.Formation), func(state paxos.State) (paxos.Record, bool) {
+// joinProbedFormation joins the formation reported in the response to a probe,
+// unless the core has joined another one since it sent the probe.
+func (r *Replica) joinProbedFormation(ctx context.Context, probing paxos.State, resp *wire.RecoverResponse) {
+	r.commitUnlessVoting(ctx, fmt.Sprintf("joining formation %s", resp.Formation), func(state paxos.State) (paxos.Record, bool) {
 		if state.Formation != probing.Formation {
 			return nil, false
 		}
@@ -51,10 +51,10 @@
 }
 
 func (r *Replica) reportExcluded(resp *wire.RecoverResponse) {
-	r.reportReplaced("the formation " + resp.Formation + " has other cores")
+	r.reportReplaced("formation " + resp.Formation + " does not include this core")
 }
 
-// otherCores returns the names of all known cores but this one.
+// otherCores returns the names of all known cores except this one.
 func (r *Replica) otherCores() []string {
 	var names []string
 	for _, process := range r.peers.Cores() {
@@ -65,9 +65,11 @@
 	return names
 }
 
-// excludedFrom reports whether a core is not a voter of a formation that exists, and
-// someone is to be notified of that. A blank core isn't if it is not named; one that
-// waits in another formation and never announced itself there, once that one votes.
+// excludedFrom reports whether this core is not a voter of the formation in a probe's
+// response and OnReplaced is to be called for it. A blank core is excluded from any
+// formation that does not list it. A core that has joined another formation is
+// excluded only if it knows of no announced incarnation there and the responding core
+// already votes.
 func (r *Replica) excludedFrom(state paxos.State, probe *wire.RecoverResponse) bool {
 	if r.cfg.OnReplaced == nil || !probe.Ok || len(probe.Voters) == 0 || slices.Contains(probe.Voters, r.cfg.Self) {
 		return false
@@ -75,13 +77,13 @@
 	if state.Formation == "" {
 		return true
 	}
-	neverEntered := state.AnnouncedIncarnation == 0 && len(state.Incarnations) == 0
-	return neverEntered && probe.Voting && probe.Formation != state.Formation
+	neverAnnounced := state.AnnouncedIncarnation == 0 && len(state.Incarnations) == 0
+	return neverAnnounced && probe.Voting && probe.Formation != state.Formation
 }
 
-// foundFormation founds the first formation, from the highest agreed state that
-// any process still has, and invites the other cores.
-func (r *Replica) foundFormation(ctx context.Context, others []string, present map[string]*wire.RecoverResponse) {
+// foundFormation founds the first formation and invites the other cores. The
+// formation starts from the latest agreed state that any front still holds.
+func (r *Replica) foundFormation(ctx context.Context, others []string, probes map[string]*wire.RecoverResponse) {
 	version, snapshot, missing := r.survivingState(ctx)
 	if missing != "" {
 		r.reportWaiting(ctx, events.FormationWaiting, missing)
@@ -89,8 +91,8 @@
 	}
 	id := r.newFormationID()
 	var joined paxos.FormationJoined
-	committed := r.commitUnlessVoting(ctx, "waits for the other cores to join", func(state paxos.State) (paxos.Record, bool) {
-		record, ok := state.FoundFormation(id, r.cfg.Voters, present, version, snapshot)
+	committed := r.commitUnlessVoting(ctx, "waiting for the other cores to join the formation", func(state paxos.State) (paxos.Record, bool) {
+		record, ok := state.FoundFormation(id, r.cfg.Voters, probes, version, snapshot)
 		if ok {
 			joined = record.(paxos.FormationJoined)
 		}
@@ -101,13 +103,13 @@
 	}
 	r.events.Emit(events.FormationStarted, "formation", id, "voters", fmt.Sprint(joined.Voters), "epoch", version)
 	invitation := &wire.FoundRequest{Formation: id, Voters: joined.Voters, Founder: r.cfg.Self}
-	callAll(ctx, r, others, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.FoundResponse, error) {
-		return callVoter(ctx, r, core, invitation, r.Found, wireconnect.PeerClient.Found)
+	collectResponses(ctx, r, others, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.FoundResponse, error) {
+		return callProcess(ctx, r, core, invitation, r.Found, wireconnect.PeerClient.Found)
 	})
 }
 
-// newFormationID returns the founder's name and the time in hexadecimal
-// nanoseconds.
+// newFormationID returns an ID of the founder's name and the current time in
+// nanoseconds, as 16 hexadecimal digits.
 func (r *Replica) newFormationID() string {
 	now := binary.BigEndian.AppendUint64(nil, uint64(r.clock.Now().UnixNano()))
 	return fmt.Sprintf("%s-%s", r.cfg.Self, hex.EncodeToString(now))
--- a/internal/node/replica/formation_test.go
+++ b/internal/node/replica/formation_test.go
@@ -17,7 +17,7 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// slowProbePeers answer the probes of a core after a while, by the formation a-1.
+// slowProbePeers answer probes after probeDelay, reporting formation a-1.
 type slowProbePeers struct{ peers }
 
 func (p slowProbePeers) Client(string) wireconnect.PeerClient { return slowProbeClient{} }
@@ -31,10 +31,10 @@
 	return connect.NewResponse(&wire.RecoverResponse{Ok: true, Formation: "a-1", Voters: []string{"a", "b", "c"}}), nil
 }
 
-// Guards against a core that leaves, by an answer to an earlier probe, the formation that
-// it was invited into meanwhile.
+// Guards against a late response to a probe that makes a core leave the formation which
+// it has joined by an invitation since it sent the probe.
 func TestLateProbeAnswerUndoesNoJoin(t *testing.T) {
-	inVirtualTime(t, "an invitation comes while a probe is under way", func(f *fleet) {
+	inVirtualTime(t, "an invitation arrives while a probe is in flight", func(f *fleet) {
 		blank := New(Config{Self: "b"}, OnDisk(f.disk["b"]), slowProbePeers{peers{f, "b"}}, clock.System(), events.Discard)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
@@ -45,7 +45,7 @@
 		<-time.After(probeDelay / 2)
 		joined, err := blank.Found(ctx, &wire.FoundRequest{Formation: "b-1", Voters: []string{"b", "c", "d"}, Founder: "c"})
 		if err != nil || !joined.Joined {
-			t.Fatalf("not invited: %v, %v", joined, err)
+			t.Fatalf("the invitation was not accepted: %v, %v", joined, err)
 		}
 		<-time.After(probeDelay)
 		probe, err := blank.Recover(ctx, &wire.RecoverRequest{Core: "c", Probe: true})
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		if probe.Formation != "b-1" {
-			t.Errorf("in the formation %s after it joined b-1", probe.Formation)
+			t.Errorf("the core is in formation %s after it joined b-1", probe.Formation)
 		}
 		cancel()
 		<-ended
@@ -63,25 +63,26 @@
 const (
 	foundingCores  = 6
 	foundingVoters = 5
-	// discoveryDelay is the longest time until a core is known to another one, and
-	// foundingDelay until a call arrives or its answer does.
+	// discoveryDelay is the maximum time until a core discovers another one, except
+	// the one with the lowest name. foundingDelay is the maximum delay of a request
+	// and of a response.
 	discoveryDelay = 300 * time.Millisecond
 	foundingDelay  = 60 * time.Millisecond
 	foundingSeeds  = 30
 )
 
-// foundingFleet are cores that discover each other and call each other with random
+// foundingFleet is a set of cores that discover and call each other with random
 // delays.
 type foundingFleet struct {
-	cores   []*Replica
-	random  chan time.Duration // random delays
-	knownAt [foundingCores][foundingCores]time.Time
-	founded atomic.Int32
-	// excluded are the cores that learned that they have no place in the formation.
+	cores     []*Replica
+	delays    chan time.Duration                      // source of random delays
+	visibleAt [foundingCores][foundingCores]time.Time // [i][j]: when core i discovers core j
+	founded   atomic.Int32                            // number of formations founded
+	// excluded marks the cores whose OnReplaced was called.
 	excluded [foundingCores]atomic.Bool
 }
 
-func foundingName(index int) string { return fmt.Sprintf("n%d", index) }
+func foundingCoreName(index int) string { return fmt.Sprintf("n%d", index) }
 
 type foundingPeers struct {
 	fleet *foundingFleet
@@ -94,8 +95,8 @@
 
 func (p foundingPeers) Processes() (known []*wire.Process) {
 	for index := range foundingCores {
-		if !time.Now().Before(p.fleet.knownAt[p.self][index]) {
-			known = append(known, &wire.Process{Name: foundingName(index), Address: foundingName(index), Core: true})
+		if !time.Now().Before(p.fleet.visibleAt[p.self][index]) {
+			known = append(known, &wire.Process{Name: foundingCoreName(index), Address: foundingCoreName(index), Core: true})
 		}
 	}
 	return known
@@ -105,7 +106,7 @@
 
 func (p foundingPeers) Client(address string) wireconnect.PeerClient {
 	for index, core := range p.fleet.cores {
-		if foundingName(index) == address {
+		if foundingCoreName(index) == address {
 			return foundingClient{fleet: p.fleet, core: core}
 		}
 	}
@@ -118,52 +119,54 @@
 	core  *Replica
 }
 
-func delayed[Q, A any](ctx context.Context, c foundingClient, req *connect.Request[Q], call func(context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
-	<-time.After(<-c.fleet.random)
-	answer, err := call(ctx, req.Msg)
-	<-time.After(<-c.fleet.random)
+func callWithDelays[Req, Resp any](ctx context.Context, c foundingClient, req *connect.Request[Req], call func(context.Context, *Req) (*Resp, error)) (*connect.Response[Resp], error) {
+	<-time.After(<-c.fleet.delays)
+	resp, err := call(ctx, req.Msg)
+	<-time.After(<-c.fleet.delays)
 	if err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(resp), nil
 }
 
 func (c foundingClient) Found(ctx context.Context, req *connect.Request[wire.FoundRequest]) (*connect.Response[wire.FoundResponse], error) {
-	return delayed(ctx, c, req, c.core.Found)
+	return callWithDelays(ctx, c, req, c.core.Found)
 }
 
 func (c foundingClient) Recover(ctx context.Context, req *connect.Request[wire.RecoverRequest]) (*connect.Response[wire.RecoverResponse], error) {
-	return delayed(ctx, c, req, c.core.Recover)
+	return callWithDelays(ctx, c, req, c.core.Recover)
 }
 
 func (c foundingClient) Read(ctx context.Context, req *connect.Request[wire.ReadRequest]) (*connect.Response[wire.ReadResponse], error) {
-	return delayed(ctx, c, req, c.core.Read)
+	return callWithDelays(ctx, c, req, c.core.Read)
 }
 
-// start draws the delays and starts the cores; it returns the function that ends them.
+// start starts the cores with delays drawn from the seed. It returns a function that
+// stops them.
 func (f *foundingFleet) start(t *testing.T, seed uint64, disks *fleet) (stop func()) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for from := range foundingCores {
 		for to := range foundingCores {
-			f.knownAt[from][to] = time.Now().Add(time.Duration(random.Int64N(int64(discoveryDelay))))
+			f.visibleAt[from][to] = time.Now().Add(time.Duration(random.Int64N(int64(discoveryDelay))))
 		}
-		// The core of the lowest name is known last, so that two found a formation.
-		f.knownAt[from][0] = f.knownAt[from][0].Add(discoveryDelay)
+		// The core with the lowest name is discovered last, so that another core may
+		// found a formation as well.
+		f.visibleAt[from][0] = f.visibleAt[from][0].Add(discoveryDelay)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	f.random = make(chan time.Duration)
+	f.delays = make(chan time.Duration)
 	go func() {
 		for ctx.Err() == nil {
 			select {
-			case f.random <- time.Duration(random.Int64N(int64(foundingDelay))):
+			case f.delays <- time.Duration(random.Int64N(int64(foundingDelay))):
 			case <-ctx.Done():
 			}
 		}
-		close(f.random)
+		close(f.delays)
 	}()
 	log := foundingLog{f}
 	for index := range foundingCores {
-		name := foundingName(index)
+		name := foundingCoreName(index)
 		disk := disks.disk["a"]
 		disk.Folder = t.TempDir()
 		f.cores = append(f.cores, New(Config{Self: name, Voters: foundingVoters, OnReplaced: func() { f.excluded[index].Store(true) }}, OnDisk(disk), foundingPeers{f, index}, clock.System(), log))
@@ -180,12 +183,12 @@
 		for range f.cores {
 			<-ended
 		}
-		// Calls under way end with their delays.
+		// Wait until the calls in flight have passed their delays.
 		<-time.After(time.Second)
 	}
 }
 
-// foundingLog counts the formations that were founded.
+// foundingLog counts the events of founded formations.
 type foundingLog struct{ fleet *foundingFleet }
 
 func (l foundingLog) Emit(event events.Event, _ ...any) {
@@ -203,7 +206,8 @@
 	return count
 }
 
-// hasSpare reports whether a core that doesn't vote knows that it may become a standby.
+// hasSpare reports whether a core that doesn't vote has been notified that the formation
+// does not include it, so that it may become a standby.
 func (f *foundingFleet) hasSpare() bool {
 	for index, core := range f.cores {
 		if f.excluded[index].Load() && core.Standing() != wire.Standing_STANDING_VOTING {
@@ -213,26 +217,27 @@
 	return false
 }
 
-// Guards against a core that waits for ever in a formation that lost to another one,
-// and so never becomes a standby.
+// Guards against a core that waits forever in an abandoned formation and never becomes
+// a standby. Two cores found a formation each if they have discovered different cores;
+// only one formation can complete.
 func TestTwoFoundersLeaveOneFormation(t *testing.T) {
-	twice := 0
+	seedsWithTwoFounders := 0
 	for seed := uint64(1); seed <= foundingSeeds; seed++ {
 		inVirtualTime(t, fmt.Sprint("seed ", seed), func(disks *fleet) {
 			f := &foundingFleet{}
 			stop := f.start(t, seed, disks)
-			formed := disks.until(30*time.Second, func() bool { return f.voting() == foundingVoters && f.hasSpare() })
+			formed := disks.waitUntil(30*time.Second, func() bool { return f.voting() == foundingVoters && f.hasSpare() })
 			if f.founded.Load() > 1 {
-				twice++
+				seedsWithTwoFounders++
 			}
 			if !formed {
-				t.Errorf("%d of %d cores vote after 30 s, with a spare %v; %d formations were founded", f.voting(), foundingVoters, f.hasSpare(), f.founded.Load())
+				t.Errorf("after 30 s %d of %d cores vote, spare core notified: %v; formations founded: %d", f.voting(), foundingVoters, f.hasSpare(), f.founded.Load())
 			}
 			stop()
 		})
 	}
-	if twice == 0 {
-		t.Error("no seed has two founders")
+	if seedsWithTwoFounders == 0 {
+		t.Error("no seed led to two founders, so the test checked nothing")
 	}
-	t.Logf("%d of %d seeds have two founders", twice, foundingSeeds)
+	t.Logf("%d of %d seeds led to two founders", seedsWithTwoFounders, foundingSeeds)
 }
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -12,34 +12,34 @@
 	"stepwick/internal/decision/statemachine"
 )
 
-// Contents is what the data folder of a core holds. Sizes are in bytes.
+// Contents describes the contents of a core's data folder. Sizes are in bytes.
 type Contents struct {
 	Core            string   `json:"core"`
 	Formation       string   `json:"formation"`
 	Voters          []string `json:"voters"`
 	Standing        string   `json:"standing"`
 	DiskIncarnation uint64   `json:"disk_life"`
-	Version         uint64   `json:"version"`       // the newest that is known to be chosen
-	SheetVersion    uint64   `json:"sheet_version"` // at which the sheet was changed last
-	Revision        uint64   `json:"revision"`      // the operators' own number of the sheet
+	Version         uint64   `json:"version"`       // the highest learned slot
+	SheetVersion    uint64   `json:"sheet_version"` // of the last change of the sheet
+	Revision        uint64   `json:"revision"`      // the operators' own number for the sheet
 	Members         int      `json:"members"`
-	OpenSlots       int      `json:"open_slots"` // in which this core has voted and no outcome is known
+	OpenSlots       int      `json:"open_slots"` // slots above Version in which this core has promised a ballot or accepted a value
 	Snapshot        uint64   `json:"snapshot_version"`
 	Segments        int      `json:"segments"`
 	Records         int      `json:"records"`
-	TornSegment     string   `json:"torn_segment,omitempty"` // whose end was not written completely; a start truncates it
+	TornSegment     string   `json:"torn_segment,omitempty"` // segment whose last record is incomplete; it is truncated at the next start
 	TornBytes       int64    `json:"torn_bytes,omitempty"`
-	BadSnapshot     string   `json:"bad_snapshot,omitempty"` // a newer snapshot that fails its checksum; a start skips it
+	BadSnapshot     string   `json:"bad_snapshot,omitempty"` // a later snapshot that fails its checksum; it is skipped at the next start
 
-	// Sheet is the configuration at Version, or nil.
+	// Sheet is the sheet at Version, or nil if there is none.
 	Sheet *sheet.Sheet `json:"-"`
 }
 
-// Inspect reads a core's data folder and changes nothing in it; the core must
-// not be running on it. Name is the core's, required where the folder has no
-// snapshot. It returns an error of the code WrongFormation when the snapshot is
-// another core's, BadRecord for a record or snapshot that fails its checksum,
-// and BadField when the name is required.
+// Inspect reads a core's data folder without changing it. The core must not be
+// running. The core's name may be empty if the folder contains a snapshot. The
+// returned error has the code WrongFormation if the snapshot belongs to another core,
+// BadRecord if a record or snapshot fails its checksum, and BadField if the name is
+// empty but needed.
 func Inspect(folder, name string) (Contents, error) {
 	replay, err := disklog.Inspect(folder)
 	if err != nil {
@@ -52,7 +52,7 @@
 	if state.Self == "" && state.Formation != "" {
 		return Contents{}, apierror.Errorf(apierror.BadField, "%s holds no snapshot, which would tell whose it is: the core's name is needed", folder)
 	}
-	configuration, err := configurationOf(state)
+	machineState, err := decodeMachineState(state)
 	if err != nil {
 		return Contents{}, err
 	}
@@ -62,10 +62,10 @@
 		Voters:          state.Voters,
 		Standing:        strings.ToLower(strings.TrimPrefix(state.Standing().String(), "STANDING_")),
 		DiskIncarnation: state.Incarnation(),
-		Version:         configuration.Version,
-		SheetVersion:    configuration.SheetVersion,
-		Revision:        configuration.Revision,
-		Members:         len(configuration.Roster),
+		Version:         machineState.Version,
+		SheetVersion:    machineState.SheetVersion,
+		Revision:        machineState.Revision,
+		Members:         len(machineState.Roster),
 		OpenSlots:       len(state.OpenSlots),
 		Snapshot:        state.SnapshotSlot,
 		Segments:        replay.Segments,
@@ -73,36 +73,37 @@
 		TornSegment:     replay.TornSegment,
 		TornBytes:       replay.TornBytes,
 		BadSnapshot:     replay.BadSnapshot,
-		Sheet:           configuration.Sheet,
+		Sheet:           machineState.Sheet,
 	}, nil
 }
 
-// decodeReplay returns the state of the agreement that a log holds. It returns
-// an error of the code WrongFormation when the snapshot is another core's; an
-// empty name accepts any.
+// decodeReplay returns the consensus state that results from replaying a log. The
+// returned error has the code WrongFormation if the snapshot belongs to another core
+// than the named one; an empty name accepts any core.
 func decodeReplay(replay Replay, name string) (paxos.State, error) {
 	state := paxos.BlankState(name)
 	if replay.Snapshot != nil {
 		decoded, err := paxos.DecodeState(replay.Snapshot)
 		if err != nil {
-			return state, errors.Wrap(err, "the log's snapshot")
+			return state, errors.Wrap(err, "decode the log's snapshot")
 		}
 		if name != "" && decoded.Self != name {
-			return state, apierror.Errorf(apierror.WrongFormation, "the data folder is core %s's", decoded.Self)
+			return state, apierror.Errorf(apierror.WrongFormation, "the data folder belongs to core %s, not to core %s", decoded.Self, name)
 		}
 		state = decoded
 	}
 	return paxos.Replay(state, replay.Records)
 }
 
-// configurationOf applies the learned commands to the snapshot.
-func configurationOf(state paxos.State) (statemachine.State, error) {
-	configuration, err := snapshotState(state)
+// decodeMachineState returns the state machine's state: the snapshot with the learned
+// commands applied.
+func decodeMachineState(state paxos.State) (statemachine.State, error) {
+	machineState, err := decodeSnapshot(state)
 	if err != nil {
 		return statemachine.State{}, err
 	}
 	for _, chosen := range state.Chosen {
-		configuration, _ = configuration.Step(chosen.Epoch, chosen.Command)
+		machineState, _ = machineState.Step(chosen.Epoch, chosen.Command)
 	}
-	return configuration, nil
+	return machineState, nil
 }
--- a/internal/node/replica/log.go
+++ b/internal/node/replica/log.go
@@ -4,7 +4,8 @@
 	"stepwick/internal/adapter/disklog"
 )
 
-// Log is the durable log of a replica; *disklog.Log implements and documents it.
+// Log is a replica's write-ahead log. *disklog.Log implements it and documents its
+// methods.
 type Log interface {
 	Append(records [][]byte, priority disklog.Priority) (index uint64, err error)
 	WriteSnapshot(data []byte) (done <-chan error)
@@ -16,13 +17,13 @@
 	Close() error
 }
 
-// Replay is the contents of a log when it was opened.
+// Replay holds what a log contained when it was opened.
 type Replay = disklog.Replay
 
-// OpenLog opens the log. It is called each time that the replica starts.
+// OpenLog opens the log. It is called at each start of Replica.Serve.
 type OpenLog func() (Log, Replay, error)
 
-// OnDisk opens logs in the folder of the configuration.
+// OnDisk returns an OpenLog that opens a disklog.Log.
 func OnDisk(cfg disklog.Config) OpenLog {
 	return func() (Log, Replay, error) {
 		log, replay, err := disklog.Open(cfg)
--- a/internal/node/replica/loopback_test.go
+++ b/internal/node/replica/loopback_test.go
@@ -40,7 +40,7 @@
 	*Replica
 }
 
-func serve[Q, A any](ctx context.Context, req *connect.Request[Q], handler func(context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
+func serve[Req, Resp any](ctx context.Context, req *connect.Request[Req], handler func(context.Context, *Req) (*Resp, error)) (*connect.Response[Resp], error) {
 	resp, err := handler(ctx, req.Msg)
 	if err != nil {
 		return nil, err
@@ -48,26 +48,26 @@
 	return connect.NewResponse(resp), nil
 }
 
-func (s server) Found(ctx context.Context, q *connect.Request[wire.FoundRequest]) (*connect.Response[wire.FoundResponse], error) {
-	return serve(ctx, q, s.Replica.Found)
+func (s server) Found(ctx context.Context, req *connect.Request[wire.FoundRequest]) (*connect.Response[wire.FoundResponse], error) {
+	return serve(ctx, req, s.Replica.Found)
 }
-func (s server) Prepare(ctx context.Context, q *connect.Request[wire.PrepareRequest]) (*connect.Response[wire.PrepareResponse], error) {
-	return serve(ctx, q, s.Replica.Prepare)
+func (s server) Prepare(ctx context.Context, req *connect.Request[wire.PrepareRequest]) (*connect.Response[wire.PrepareResponse], error) {
+	return serve(ctx, req, s.Replica.Prepare)
 }
-func (s server) Accept(ctx context.Context, q *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptResponse], error) {
-	return serve(ctx, q, s.Replica.Accept)
+func (s server) Accept(ctx context.Context, req *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptResponse], error) {
+	return serve(ctx, req, s.Replica.Accept)
 }
-func (s server) Learn(ctx context.Context, q *connect.Request[wire.LearnRequest]) (*connect.Response[wire.LearnResponse], error) {
-	return serve(ctx, q, s.Replica.Learn)
+func (s server) Learn(ctx context.Context, req *connect.Request[wire.LearnRequest]) (*connect.Response[wire.LearnResponse], error) {
+	return serve(ctx, req, s.Replica.Learn)
 }
-func (s server) Recover(ctx context.Context, q *connect.Request[wire.RecoverRequest]) (*connect.Response[wire.RecoverResponse], error) {
-	return serve(ctx, q, s.Replica.Recover)
+func (s server) Recover(ctx context.Context, req *connect.Request[wire.RecoverRequest]) (*connect.Response[wire.RecoverResponse], error) {
+	return serve(ctx, req, s.Replica.Recover)
 }
-func (s server) Read(ctx context.Context, q *connect.Request[wire.ReadRequest]) (*connect.Response[wire.ReadResponse], error) {
-	return serve(ctx, q, s.Replica.Read)
+func (s server) Read(ctx context.Context, req *connect.Request[wire.ReadRequest]) (*connect.Response[wire.ReadResponse], error) {
+	return serve(ctx, req, s.Replica.Read)
 }
-func (s server) Fetch(ctx context.Context, q *connect.Request[wire.FetchRequest]) (*connect.Response[wire.FetchResponse], error) {
-	return serve(ctx, q, s.Replica.Fetch)
+func (s server) Fetch(ctx context.Context, req *connect.Request[wire.FetchRequest]) (*connect.Response[wire.FetchResponse], error) {
+	return serve(ctx, req, s.Replica.Fetch)
 }
 
 func BenchmarkProposeOverLoopback(b *testing.B) {
--- a/internal/node/replica/maintenance.go
+++ b/internal/node/replica/maintenance.go
@@ -11,31 +11,33 @@
 )
 
 const (
-	// formationInterval is the time between attempts to enter a formation.
+	// formationInterval is the time between attempts to join, found or recover in a
+	// formation.
 	formationInterval = 100 * time.Millisecond
-	// majorityLostGrace is how long a core polls for a majority after its start
-	// before it reports that there is none.
+	// majorityLostGrace is the time after a core's start during which it does not
+	// report a missing majority.
 	majorityLostGrace = 2 * time.Second
-	// stalledPolls is the number of polls after which an open slot is completed.
-	stalledPolls = 4
-	// completeTimeout is the timeout of completing a stalled slot.
+	// pollsUntilStalled is the number of consecutive polls without progress after
+	// which an open slot counts as stalled.
+	pollsUntilStalled = 4
+	// completeTimeout bounds the completion of stalled slots.
 	completeTimeout = 2 * time.Second
 )
 
-// maintenance brings the core into its formation and, once it votes, polls the
-// other cores: it fetches what it missed and completes slots left open.
+// maintenance joins or founds the core's formation. Once the core votes, it polls the
+// other cores, fetches missed values and completes slots that were left open.
 type maintenance struct {
 	replica        *Replica
 	startedAt      time.Time
-	hasMajority    bool // as reported last
+	hasMajority    bool // as last reported
 	firstSheetDone bool
-	openSlot       openSlot
+	openSlot       openSlotTracker
 }
 
 func (r *Replica) runMaintenance(ctx context.Context) {
 	m := &maintenance{replica: r, startedAt: r.clock.Now(), hasMajority: true}
 	for {
-		state, err := r.currentState(ctx)
+		state, err := r.consensusState(ctx)
 		if err != nil {
 			return
 		}
@@ -61,22 +63,22 @@
 	}
 }
 
-// poll polls the voters and acts on their answers. Replaced reports that another
-// process has this core's name.
+// poll polls the voters and acts on their responses. Replaced reports that another
+// process runs under this core's name with a later disk incarnation.
 func (m *maintenance) poll(ctx context.Context, state paxos.State) (replaced bool) {
 	r := m.replica
 	poll := r.pollVoters(ctx, state)
 	if poll.incarnation > state.Incarnation() && r.cfg.OnReplaced != nil {
-		r.reportReplaced(fmt.Sprintf("another process has the name in disk life %d, later than %d here", poll.incarnation, state.Incarnation()))
+		r.reportReplaced(fmt.Sprintf("another process runs under this name with disk incarnation %d; the incarnation here is %d", poll.incarnation, state.Incarnation()))
 		return true
 	}
 	hasMajority := poll.answered >= state.Quorum()
 	r.quorumReached.Store(hasMajority)
 	m.reportMajority(ctx, hasMajority, poll.answered)
-	if poll.learned > state.HighestLearnedSlot() {
+	if poll.learnedSlot > state.HighestLearnedSlot() {
 		_ = r.catchUp(ctx, poll.learnedBy)
-	} else if m.openSlot.stalled(state.HighestLearnedSlot(), poll.highest) {
-		r.completeSlotsLater(ctx, poll.highest)
+	} else if m.openSlot.recordPoll(state.HighestLearnedSlot(), poll.highestSlot) {
+		r.queueSlotCompletion(ctx, poll.highestSlot)
 	}
 	if !m.firstSheetDone && len(r.cfg.FirstSheet) > 0 && m.hasMajority {
 		m.firstSheetDone = r.proposeFirstSheet(ctx)
@@ -84,8 +86,8 @@
 	return false
 }
 
-// reportMajority logs a change of whether a majority answers. A core that has
-// just started is given time to find one.
+// reportMajority logs when a majority of voters stops or resumes responding. The loss
+// of the majority is not logged within majorityLostGrace of the core's start.
 func (m *maintenance) reportMajority(ctx context.Context, hasMajority bool, answered int) {
 	r := m.replica
 	if hasMajority == m.hasMajority {
@@ -105,38 +107,40 @@
 	}
 }
 
-// openSlot counts the polls in which the same slot was accepted somewhere and
-// learned nowhere: its proposer is lost.
-type openSlot struct {
+// openSlotTracker counts consecutive polls in which the same slot is accepted by some
+// voter and learned by none, which means that the slot's proposer has failed.
+type openSlotTracker struct {
 	learned uint64
 	highest uint64
 	polls   int
 }
 
-// stalled takes in a poll and reports whether the slot is to be completed now.
-func (s *openSlot) stalled(learned, highest uint64) bool {
+// recordPoll records the result of a poll and reports whether the open slots are to be
+// completed now.
+func (s *openSlotTracker) recordPoll(learned, highest uint64) bool {
 	if highest <= learned || learned != s.learned || highest != s.highest {
-		*s = openSlot{learned: learned, highest: highest}
+		*s = openSlotTracker{learned: learned, highest: highest}
 		return false
 	}
 	s.polls++
-	return s.polls%stalledPolls == 0
+	return s.polls%pollsUntilStalled == 0
 }
 
-// completeSlotsLater queues the completion of all slots up to the target, unless
-// the queue of proposals is full.
-func (r *Replica) completeSlotsLater(ctx context.Context, target uint64) {
+// queueSlotCompletion queues a proposal that completes all slots up to the target. It
+// does nothing if the proposal queue is full; a later poll tries again.
+func (r *Replica) queueSlotCompletion(ctx context.Context, targetSlot uint64) {
 	ctx, cancel := context.WithTimeout(ctx, completeTimeout)
 	select {
-	case r.proposals <- proposal{ctx: ctx, target: target, done: make(chan outcome, 1)}:
+	case r.proposals <- proposal{ctx: ctx, targetSlot: targetSlot, done: make(chan outcome, 1)}:
 		context.AfterFunc(ctx, cancel)
 	default:
 		cancel()
 	}
 }
 
-// reportReplaced reports that this core has no place in the formation any more.
-func (r *Replica) reportReplaced(why string) {
-	r.events.Emit(events.CoreReplaced, "core", r.cfg.Self, "why", why)
+// reportReplaced logs that this core is no longer a member of the formation and calls
+// OnReplaced, which must not be nil.
+func (r *Replica) reportReplaced(reason string) {
+	r.events.Emit(events.CoreReplaced, "core", r.cfg.Self, "why", reason)
 	r.cfg.OnReplaced()
 }
--- a/internal/node/replica/owner.go
+++ b/internal/node/replica/owner.go
@@ -11,31 +11,31 @@
 	"stepwick/internal/wire"
 )
 
-// inboxCapacity limits the requests that wait for the owner.
+// inboxCapacity bounds the number of requests that wait for the owner.
 const inboxCapacity = 256
 
-// owner holds the core's state and answers for it, on one goroutine. Its state
-// may be ahead of the disk; what leaves waits until all that was appended before
-// is synced.
+// owner holds the core's state and handles requests on a single goroutine. The
+// state may be ahead of the disk: a response is sent only after all records
+// appended before it are synced.
 type owner struct {
-	replica       *Replica
-	log           Log
-	inbox         chan func(*owner)
-	stopped       chan struct{} // closed when the owner no longer takes requests
-	state         paxos.State
-	configuration configuration // as of state.Learned
-	syncs         syncQueue
-	disk          diskStatus
-	waiting       waitStatus
-	logSize       logSize
-	compacting    bool
+	replica    *Replica
+	log        Log
+	inbox      chan func(*owner)
+	stopped    chan struct{} // closed when the owner handles no more requests
+	consensus  paxos.State
+	machine    stateMachine // after the command of consensus.HighestLearnedSlot
+	syncs      syncQueue
+	disk       diskStatus
+	waiting    waitStatus
+	logSize    logSize
+	compacting bool
 }
 
-// startOwner opens the log and returns an owner in the state that it holds.
+// startOwner opens the log and returns an owner with the state replayed from it.
 func (r *Replica) startOwner() (*owner, error) {
 	log, replay, err := r.openLog()
 	if err != nil {
-		return nil, errors.Wrap(err, "open the log")
+		return nil, errors.Wrap(err, "open log")
 	}
 	o := &owner{
 		replica: r,
@@ -59,17 +59,17 @@
 	if err != nil {
 		return err
 	}
-	o.state = state
+	o.consensus = state
 	for _, record := range replay.Records {
 		o.logSize.add(record)
 	}
-	return o.rebuildConfiguration()
+	return o.rebuildStateMachine()
 }
 
 func (o *owner) reportOpened(replay Replay) {
 	emit := o.replica.events.Emit
 	core := o.replica.cfg.Self
-	emit(events.LogOpened, "core", core, "segments", replay.Segments, "records", len(replay.Records), "epoch", o.state.HighestLearnedSlot())
+	emit(events.LogOpened, "core", core, "segments", replay.Segments, "records", len(replay.Records), "epoch", o.consensus.HighestLearnedSlot())
 	if replay.TornBytes > 0 {
 		emit(events.TornTailTruncated, "core", core, "segment", replay.TornSegment, "bytes", replay.TornBytes)
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// run answers requests until the context ends or the log fails, and returns the
-// reason.
+// run handles requests until the context is done or the log fails. It returns the
+// context's error or that of the log.
 func (o *owner) run(ctx context.Context) error {
 	ticker := o.replica.clock.Ticker(o.replica.cfg.PollInterval)
 	defer ticker.Stop()
@@ -102,7 +102,8 @@
 	}
 }
 
-// enqueue has the owner call the function, unless it stops before.
+// enqueue schedules a function to run on the owner's goroutine. The function is
+// dropped if the owner stops first.
 func (o *owner) enqueue(request func(*owner)) {
 	select {
 	case o.inbox <- request:
@@ -110,24 +111,25 @@
 	}
 }
 
-// whenSynced calls then once all that was appended up to now is synced.
-func (o *owner) whenSynced(then func(error)) { o.syncs.after(o.log.LastIndex(), then) }
+// whenSynced calls the callback once all records appended so far are synced, or
+// with an error when the log has failed.
+func (o *owner) whenSynced(callback func(error)) { o.syncs.whenSynced(o.log.LastIndex(), callback) }
 
-// rebuildConfiguration applies the commands to the snapshot from the beginning.
-func (o *owner) rebuildConfiguration() error {
-	o.configuration = configuration{}
-	snapshot, err := snapshotState(o.state)
+// rebuildStateMachine decodes the snapshot and applies all commands after it.
+func (o *owner) rebuildStateMachine() error {
+	o.machine = stateMachine{}
+	snapshot, err := decodeSnapshot(o.consensus)
 	if err != nil {
 		return err
 	}
-	o.configuration.state = snapshot
-	o.applyAll(o.state.Chosen)
+	o.machine.state = snapshot
+	o.applyAll(o.consensus.Chosen)
 	return nil
 }
 
 func (o *owner) applyAll(commands []*wire.Chosen) {
 	for _, chosen := range commands {
-		result := o.configuration.apply(chosen)
+		result := o.machine.apply(chosen)
 		if result.Code == apierror.Internal {
 			o.replica.events.Emit(events.CommandUndecodable, "epoch", chosen.Epoch, "detail", result.Detail)
 		}
--- a/internal/node/replica/proposalloop.go
+++ b/internal/node/replica/proposalloop.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	firstBackoff       = 10 * time.Millisecond // doubled with each ballot that is lost in a row
+	firstBackoff       = 10 * time.Millisecond // doubled with each consecutive lost ballot
 	maxBackoffDoubling = 6
 	maxBackoff         = time.Second
-	noQuorumBackoff    = 50 * time.Millisecond // at least, after a ballot without a quorum
-	maxTimeoutSteps    = 2                     // each step makes the calls' timeout four times as long
+	noQuorumBackoff    = 50 * time.Millisecond // minimum after a ballot without a quorum
+	maxTimeoutSteps    = 2                     // each step multiplies the timeout of calls by four
 )
 
-// proposal is a command to be chosen or, without one, a target up to which all
-// slots are to be completed.
+// proposal is a request to have a command chosen or, if command is nil, to complete
+// all slots up to targetSlot.
 type proposal struct {
-	ctx     context.Context // the caller's
-	command []byte
-	match   func(chosen []byte) bool
-	target  uint64
-	done    chan outcome // with room for one
+	ctx        context.Context // context of the caller
+	command    []byte
+	match      func(chosen []byte) bool
+	targetSlot uint64
+	done       chan outcome // has a buffer of one
 }
 
 type outcome struct {
@@ -35,13 +35,13 @@
 	err     error
 }
 
-// proposalLoop runs this core's proposals one after another, so that they don't
-// contend with each other.
+// proposalLoop runs this core's proposals one at a time, so that they don't compete
+// with each other for slots.
 type proposalLoop struct {
 	replica *Replica
 	random  *rand.Rand
-	// timeoutSteps grows with each ballot in a row for which a quorum that can
-	// be reached was too slow.
+	// timeoutSteps is incremented after each ballot without a quorum although a
+	// quorum answered the last poll, and reset after a fast ballot.
 	timeoutSteps int
 }
 
@@ -61,17 +61,17 @@
 	}
 }
 
-// run proposes in slot after slot until the proposal is decided or its context
-// ends. Serving is the context of the replica's work.
-func (l *proposalLoop) run(ctx, serving context.Context, next proposal) outcome {
+// run holds ballots in consecutive slots until the proposal has its outcome or ctx is
+// done. ServeCtx is done when the replica stops.
+func (l *proposalLoop) run(ctx, serveCtx context.Context, next proposal) outcome {
 	run := &proposalRun{
 		loop:     l,
 		replica:  l.replica,
 		proposal: next,
-		failure:  apierror.Errorf(apierror.NoMajority, "no ballot was held"),
+		failure:  apierror.Errorf(apierror.NoMajority, "the request ended before its first ballot did"),
 	}
 	for ctx.Err() == nil {
-		if out, decided := run.proposeInNextSlot(ctx, serving); decided {
+		if out, decided := run.proposeInNextSlot(ctx, serveCtx); decided {
 			return out
 		}
 	}
@@ -82,22 +82,23 @@
 	return l.replica.cfg.CallTimeout << (2 * l.timeoutSteps)
 }
 
-// proposalRun is the progress of one proposal.
+// proposalRun holds the progress of one proposal.
 type proposalRun struct {
 	loop     *proposalLoop
 	replica  *Replica
 	proposal proposal
 	started  bool
-	// learnedAtStart is the slot after which the command is looked for.
+	// learnedAtStart is the highest slot learned at the start. The command is
+	// searched for in later slots.
 	learnedAtStart uint64
-	highestNumber  uint64 // of the ballots observed in the open slot
-	lostBallots    int    // in a row
+	highestNumber  uint64 // highest ballot number observed in the current slot
+	lostBallots    int    // consecutive lost ballots in the current slot
 	failure        *apierror.Error
 }
 
-// proposeInNextSlot runs one ballot in the slot after the last learned one.
-// Decided reports that the proposal has its outcome.
-func (p *proposalRun) proposeInNextSlot(ctx, serving context.Context) (out outcome, decided bool) {
+// proposeInNextSlot runs one ballot in the slot after the highest learned one. Decided
+// reports that the proposal has its outcome.
+func (p *proposalRun) proposeInNextSlot(ctx, serveCtx context.Context) (out outcome, decided bool) {
 	state, err := p.replica.votingState(ctx)
 	if err != nil {
 		return outcome{err: err}, true
@@ -108,14 +109,14 @@
 	slot := state.HighestLearnedSlot() + 1
 	number := max(state.NextBallotNumber(slot), p.highestNumber+1)
 	value := p.value()
-	beganAt := p.replica.clock.Now()
+	startedAt := p.replica.clock.Now()
 	ballot := p.replica.runBallot(ctx, state, slot, number, value, p.loop.callTimeout())
 	if ballot.step.Action == paxos.ValueChosen {
-		if err := p.replica.learnChosen(ctx, serving, slot, ballot.step.Value); err != nil {
+		if err := p.replica.learnAndBroadcast(ctx, serveCtx, slot, ballot.step.Value); err != nil {
 			return outcome{err: err}, true
 		}
 		p.beginNextSlot()
-		if p.replica.clock.Now().Sub(beganAt) < p.replica.cfg.CallTimeout {
+		if p.replica.clock.Now().Sub(startedAt) < p.replica.cfg.CallTimeout {
 			p.loop.timeoutSteps = 0
 		}
 		return outcome{}, false
@@ -128,18 +129,18 @@
 	return outcome{}, false
 }
 
-// findOutcome returns the outcome if it is decided by what was learned since the
-// proposal began.
+// findOutcome returns the proposal's outcome if it is determined by the slots learned
+// since the proposal started.
 func (p *proposalRun) findOutcome(ctx context.Context, learned uint64) (out outcome, decided bool) {
 	if !p.started {
 		p.started = true
 		p.learnedAtStart = learned
 	}
 	if p.proposal.command == nil {
-		return outcome{version: learned}, learned >= p.proposal.target
+		return outcome{version: learned}, learned >= p.proposal.targetSlot
 	}
 	found, err := callOwner(ctx, p.replica, func(o *owner, reply func(outcome, error)) {
-		version, result, _ := o.configuration.find(p.learnedAtStart, p.proposal.match)
+		version, result, _ := o.machine.findCommand(p.learnedAtStart, p.proposal.match)
 		reply(outcome{version: version, result: result}, nil)
 	})
 	if err != nil {
@@ -148,7 +149,8 @@
 	return found, found.version != 0
 }
 
-// value returns what is proposed in a slot in which no value is accepted.
+// value returns the value to propose in a slot in which no promise reports an accepted
+// one.
 func (p *proposalRun) value() []byte {
 	if p.proposal.command == nil {
 		return statemachine.Encode(statemachine.Noop{})
@@ -161,8 +163,8 @@
 	p.highestNumber = 0
 }
 
-// fetchLearned fetches the slot's value if another core has learned it, and
-// reports whether it did.
+// fetchLearned fetches the slot's value if another core has learned it, and reports
+// whether it was fetched.
 func (p *proposalRun) fetchLearned(ctx context.Context, slot uint64, ballot ballotResult) bool {
 	from := ballot.step.LearnedBy
 	if from == "" {
@@ -174,19 +176,19 @@
 	return p.replica.catchUp(ctx, from) == nil
 }
 
-// backOff waits after a lost ballot, at random within bounds that grow with the
-// ballots lost in a row.
+// backOff waits after a lost ballot, for a random time within bounds that increase
+// exponentially with the number of consecutive lost ballots.
 func (p *proposalRun) backOff(ctx context.Context, state paxos.State, slot uint64, ballot ballotResult) {
 	p.highestNumber = max(p.highestNumber, ballot.proposer.HighestBallot.Number)
 	wait := firstBackoff << min(p.lostBallots, maxBackoffDoubling)
 	if ballot.answered < state.Quorum() {
-		p.failure = apierror.Errorf(apierror.NoMajority, "no majority of the cores answers")
+		p.failure = apierror.Errorf(apierror.NoMajority, "%d of %d cores answered in the ballot for slot %d", ballot.answered, len(state.Voters), slot)
 		wait = max(wait, noQuorumBackoff)
 		if p.replica.quorumReached.Load() {
 			p.loop.timeoutSteps = min(p.loop.timeoutSteps+1, maxTimeoutSteps)
 		}
 	} else {
-		p.failure = apierror.Errorf(apierror.OutcomePending, "other cores' ballots came between")
+		p.failure = apierror.Errorf(apierror.OutcomePending, "lost the ballot for slot %d; the highest ballot number observed is %d", slot, p.highestNumber)
 		p.replica.events.Emit(events.BallotContended, "slot", slot, "number", p.highestNumber)
 	}
 	p.lostBallots++
--- a/internal/node/replica/read.go
+++ b/internal/node/replica/read.go
@@ -12,21 +12,22 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// fetchTimeout is the timeout of one call that fetches chosen values.
+// fetchTimeout bounds one call of Fetch.
 const fetchTimeout = 1500 * time.Millisecond
 
-// voterPoll is what the voters answered to a Read.
+// voterPoll summarizes the voters' responses to a Read.
 type voterPoll struct {
-	answered    int    // voters that answered without rejecting the read
-	highest     uint64 // the highest slot that one of them has learned or accepted
-	learned     uint64 // the highest slot that one of them has learned
-	learnedBy   string
-	incarnation uint64 // the highest of this core that one of them knows
+	answered    int    // number of voters that responded without a refusal
+	highestSlot uint64 // highest slot that any of them has learned or accepted
+	learnedSlot uint64 // highest slot that any of them has learned
+	learnedBy   string // core that has learned learnedSlot
+	incarnation uint64 // highest incarnation of this core that any of them has recorded
 }
 
-// ReadMajority returns a configuration that includes whatever was chosen before
-// the call. It reads from a majority of the voters and completes the slots that
-// it finds accepted. Without a majority it returns an error of the code NoMajority.
+// ReadMajority returns a state that includes every command chosen before the call (a
+// linearizable read). It polls the voters, completes any slot that one of them has
+// accepted, and waits until the result is applied here. It returns an error with the
+// code NoMajority if no majority of the voters responds.
 func (r *Replica) ReadMajority(ctx context.Context) (statemachine.State, error) {
 	state, err := r.votingState(ctx)
 	if err != nil {
@@ -37,52 +38,52 @@
 		return statemachine.State{}, apierror.Errorf(apierror.NoMajority, "%d of %d cores answered", poll.answered, len(state.Voters))
 	}
 	for {
-		current, err := r.appliedState(ctx)
+		current, err := r.machineState(ctx)
 		if err != nil {
 			return statemachine.State{}, err
 		}
-		if current.Version >= max(poll.highest, poll.learned) {
+		if current.Version >= max(poll.highestSlot, poll.learnedSlot) {
 			return current, nil
 		}
-		if current.Version < poll.learned && r.catchUp(ctx, poll.learnedBy) == nil {
+		if current.Version < poll.learnedSlot && r.catchUp(ctx, poll.learnedBy) == nil {
 			continue
 		}
-		if err := r.completeSlots(ctx, poll.highest); err != nil {
+		if err := r.completeSlots(ctx, poll.highestSlot); err != nil {
 			return statemachine.State{}, err
 		}
 	}
 }
 
-// pollVoters reads from every voter which slots it has learned and accepted, and
-// which incarnation of this core it knows. It waits for all of them or the calls'
-// timeout, but only for a short grace once a majority has answered.
+// pollVoters asks every voter for the highest slots that it has learned and accepted
+// and the incarnation of this core that it has recorded. It waits up to CallTimeout,
+// but only a short time for the remaining voters once a majority has responded.
 func (r *Replica) pollVoters(ctx context.Context, state paxos.State) voterPoll {
 	req := &wire.ReadRequest{Formation: state.Formation, Core: r.cfg.Self}
-	answers := callAll(ctx, r, state.Voters, r.cfg.CallTimeout, state.Quorum(), func(ctx context.Context, core string) (*wire.ReadResponse, error) {
-		return callVoter(ctx, r, core, req, r.Read, wireconnect.PeerClient.Read)
+	responses := collectResponses(ctx, r, state.Voters, r.cfg.CallTimeout, state.Quorum(), func(ctx context.Context, core string) (*wire.ReadResponse, error) {
+		return callProcess(ctx, r, core, req, r.Read, wireconnect.PeerClient.Read)
 	})
 	var poll voterPoll
-	for core, resp := range answers {
+	for core, resp := range responses {
 		if resp.Refusal != 0 {
 			continue
 		}
 		poll.answered++
 		poll.incarnation = max(poll.incarnation, resp.Life)
-		poll.highest = max(poll.highest, resp.Learned, resp.Highest)
-		if resp.Learned > poll.learned {
-			poll.learned = resp.Learned
+		poll.highestSlot = max(poll.highestSlot, resp.Learned, resp.Highest)
+		if resp.Learned > poll.learnedSlot {
+			poll.learnedSlot = resp.Learned
 			poll.learnedBy = core
 		}
 	}
 	return poll
 }
 
-// catchUp fetches from a core until nothing that it has learned is missing here.
-// It returns an error of the code VersionBehind when the core returns nothing
-// that is missing.
+// catchUp fetches values from a core until all that the core has learned is learned
+// here. It returns an error with the code VersionBehind if a response contains no
+// missing values although the core has learned more.
 func (r *Replica) catchUp(ctx context.Context, from string) error {
 	for {
-		state, err := r.currentState(ctx)
+		state, err := r.consensusState(ctx)
 		if err != nil {
 			return err
 		}
@@ -98,7 +99,7 @@
 			return nil
 		}
 		if learned == state.HighestLearnedSlot() {
-			return apierror.Errorf(apierror.VersionBehind, "core %s gave nothing after epoch %d", from, learned)
+			return apierror.Errorf(apierror.VersionBehind, "core %s has learned epoch %d but returned nothing after epoch %d", from, resp.Learned, learned)
 		}
 	}
 }
@@ -107,26 +108,27 @@
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	req := &wire.FetchRequest{Formation: state.Formation, After: state.HighestLearnedSlot()}
-	return callVoter(ctx, r, from, req, r.Fetch, wireconnect.PeerClient.Fetch)
+	return callProcess(ctx, r, from, req, r.Fetch, wireconnect.PeerClient.Fetch)
 }
 
-// installFetched commits what was fetched after a slot and returns the slot that
-// is learned now.
+// installFetched commits the fetched values after a slot and returns the highest slot
+// that is learned afterwards.
 func (r *Replica) installFetched(ctx context.Context, from string, after uint64, resp *wire.FetchResponse) (learned uint64, err error) {
 	return callOwner(ctx, r, func(o *owner, reply func(uint64, error)) {
-		records := o.state.HandleFetch(resp)
-		err := o.commit(records, forLearning)
+		records := o.consensus.HandleFetch(resp)
+		err := o.commit(records, purposeLearn)
 		if err == nil && len(records) > 0 {
 			if resp.SnapshotEpoch > after {
 				r.events.Emit(events.SnapshotInstalled, "core", r.cfg.Self, "from", from, "epoch", resp.SnapshotEpoch)
 			}
-			r.events.Emit(events.SlotFetched, "core", r.cfg.Self, "from", from, "epoch", o.state.HighestLearnedSlot())
+			r.events.Emit(events.SlotFetched, "core", r.cfg.Self, "from", from, "epoch", o.consensus.HighestLearnedSlot())
 		}
-		reply(o.state.HighestLearnedSlot(), err)
+		reply(o.consensus.HighestLearnedSlot(), err)
 	})
 }
 
-// requestFetch has maintenance fetch from a core, unless it already is to.
+// requestFetch makes maintenance fetch from a core, unless a fetch is already
+// requested.
 func (r *Replica) requestFetch(from string) {
 	select {
 	case r.fetchFrom <- from:
@@ -134,13 +136,13 @@
 	}
 }
 
-// currentState returns the state of the agreement, which may be ahead of the disk.
-func (r *Replica) currentState(ctx context.Context) (paxos.State, error) {
-	return callOwner(ctx, r, func(o *owner, reply func(paxos.State, error)) { reply(o.state, nil) })
+// consensusState returns the consensus state, which may be ahead of the disk.
+func (r *Replica) consensusState(ctx context.Context) (paxos.State, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(paxos.State, error)) { reply(o.consensus, nil) })
 }
 
-// appliedState returns the state after the last applied command, which may be ahead
-// of the disk.
-func (r *Replica) appliedState(ctx context.Context) (statemachine.State, error) {
-	return callOwner(ctx, r, func(o *owner, reply func(statemachine.State, error)) { reply(o.configuration.state, nil) })
+// machineState returns the state machine's state after the last applied command, which
+// may be ahead of the disk.
+func (r *Replica) machineState(ctx context.Context) (statemachine.State, error) {
+	return callOwner(ctx, r, func(o *owner, reply func(statemachine.State, error)) { reply(o.machine.state, nil) })
 }
--- a/internal/node/replica/recovery.go
+++ b/internal/node/replica/recovery.go
@@ -11,28 +11,30 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// firstIncarnation is announced by a core that has never voted; any later one
-// means that its disk was lost. It is that of package paxos.
+// firstIncarnation is the incarnation of a core that has never voted; a later one
+// means that the core has lost its disk. It must equal the constant in package paxos.
 const firstIncarnation = 1
 
-// probeCores requests from cores their formation and the incarnations they know.
+// probeCores asks cores for their formation and the incarnations that they have
+// recorded.
 func (r *Replica) probeCores(ctx context.Context, cores []string) map[string]*wire.RecoverResponse {
 	req := &wire.RecoverRequest{Core: r.cfg.Self, Probe: true}
-	return callAll(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
-		return callVoter(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
+	return collectResponses(ctx, r, cores, r.cfg.CallTimeout, 0, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
+		return callProcess(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
 	})
 }
 
-// recoverState brings a core into its formation, the first time as after the loss of
-// its disk. It recovers the core from the other voters, or from those that can be
-// reached where they suffice (paxos.State.RecoveryQuorum): it finds its next disk
-// incarnation, announces it, and merges what each of them syncs and answers. It is
-// one attempt, which maintenance repeats until the core votes.
+// recoverState makes one attempt to turn a core that has joined a formation into a
+// voting one, both at its first start and after the loss of its disk. It determines
+// the core's next disk incarnation, announces it to the other voters and, once they
+// have synced it, merges their responses. After the loss of a disk, a recovery quorum
+// of the voters suffices (see paxos.State.RecoveryQuorum). Maintenance repeats the
+// attempt until the core votes.
 func (r *Replica) recoverState(ctx context.Context, state paxos.State) {
 	probes := r.probeCores(ctx, state.OtherVoters())
 	for _, resp := range probes {
 		if _, ok := state.JoinProbedFormation(resp); ok {
-			r.joinProbed(ctx, state, resp)
+			r.joinProbedFormation(ctx, state, resp)
 			return
 		}
 		if r.excludedFrom(state, resp) {
@@ -49,11 +51,11 @@
 	if !r.recordIncarnation(ctx, state, incarnation) {
 		return
 	}
-	answers := r.announceIncarnation(ctx, state, incarnation, probes)
-	missing, err := r.completeRecovery(ctx, state, incarnation, answers)
+	responses := r.announceIncarnation(ctx, state, incarnation, probes)
+	missing, err := r.completeRecovery(ctx, state, incarnation, responses)
 	if err != nil {
 		if apierror.From(err).Code == apierror.DiskFull {
-			r.reportWaiting(ctx, events.DiskFull, "the rebuilt state does not fit on the disk")
+			r.reportWaiting(ctx, events.DiskFull, "the disk is full: the recovered state does not fit")
 		}
 		return
 	}
@@ -68,9 +70,9 @@
 	}
 }
 
-// recoveryWaitEvent is the event under which a wait is logged: of a recovery
-// when another core knows an earlier incarnation of this one, and otherwise of a
-// first formation.
+// recoveryWaitEvent returns the event to log while recoverState waits for other cores:
+// that of a recovery if another core has recorded an incarnation of this one, and that
+// of a first formation otherwise.
 func (r *Replica) recoveryWaitEvent(probes map[string]*wire.RecoverResponse) events.Event {
 	for _, resp := range probes {
 		if resp.Lives[r.cfg.Self] > 0 {
@@ -81,17 +83,17 @@
 }
 
 func (r *Replica) reportMissing(ctx context.Context, event events.Event, missing string) {
-	r.reportWaiting(ctx, event, fmt.Sprintf("the core enters its formation once enough others answer; it waits for %s", missing))
+	r.reportWaiting(ctx, event, fmt.Sprintf("waiting for %s; the core votes once enough other cores have answered", missing))
 }
 
-// recordIncarnation syncs the incarnation that is to be announced, and reports
-// whether it did.
+// recordIncarnation persists the incarnation before it is announced, and reports
+// whether that succeeded.
 func (r *Replica) recordIncarnation(ctx context.Context, state paxos.State, incarnation uint64) bool {
 	if incarnation == state.AnnouncedIncarnation {
 		return true
 	}
 	record := paxos.IncarnationRecorded{Core: r.cfg.Self, Incarnation: incarnation}
-	committed := r.commitUnlessVoting(ctx, "announces its disk life", func(current paxos.State) (paxos.Record, bool) {
+	committed := r.commitUnlessVoting(ctx, "announcing its disk incarnation", func(current paxos.State) (paxos.Record, bool) {
 		return record, current.Formation == state.Formation
 	})
 	if !committed {
@@ -105,41 +107,42 @@
 
 func (r *Replica) announceIncarnation(ctx context.Context, state paxos.State, incarnation uint64, probes map[string]*wire.RecoverResponse) map[string]*wire.RecoverResponse {
 	req := &wire.RecoverRequest{Formation: state.Formation, Core: r.cfg.Self, Life: incarnation}
-	sources, enough := state.RecoverySources(incarnation, probes)
-	return callAll(ctx, r, sources, r.cfg.RecoveryTimeout, enough, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
-		return callVoter(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
+	sources, required := state.RecoverySources(incarnation, probes)
+	return collectResponses(ctx, r, sources, r.cfg.RecoveryTimeout, required, func(ctx context.Context, core string) (*wire.RecoverResponse, error) {
+		return callProcess(ctx, r, core, req, r.Recover, wireconnect.PeerClient.Recover)
 	})
 }
 
-// completeRecovery commits the merged answers, or returns the first voter that
-// is waited for.
-func (r *Replica) completeRecovery(ctx context.Context, state paxos.State, incarnation uint64, answers map[string]*wire.RecoverResponse) (missing string, err error) {
+// completeRecovery merges the responses and commits the result. If more responses are
+// needed, missing describes the first voter that is still needed.
+func (r *Replica) completeRecovery(ctx context.Context, state paxos.State, incarnation uint64, responses map[string]*wire.RecoverResponse) (missing string, err error) {
 	return callOwner(ctx, r, func(o *owner, reply func(string, error)) {
-		if o.state.Formation != state.Formation || o.state.Incarnation() != 0 {
+		if o.consensus.Formation != state.Formation || o.consensus.Incarnation() != 0 {
 			reply("", nil)
 			return
 		}
-		record, missing := o.state.CompleteRecovery(incarnation, answers)
+		record, missing := o.consensus.CompleteRecovery(incarnation, responses)
 		if missing != "" {
 			reply(missing, nil)
 			return
 		}
-		commitAndReply(o, []paxos.Record{record}, forVote, "", nil, reply)
+		commitAndReply(o, []paxos.Record{record}, purposeVote, "", nil, reply)
 	})
 }
 
-// commitUnlessVoting commits what decide returns for the state of a core that doesn't
-// vote yet, and reports whether it did. The state may be newer than the one in which
-// other cores were asked. Waiting is what the core waits for from then on.
-func (r *Replica) commitUnlessVoting(ctx context.Context, waiting string, decide func(paxos.State) (paxos.Record, bool)) bool {
+// commitUnlessVoting commits the record that decide returns for the current state,
+// unless the core already votes, and reports whether it did. The current state may be
+// later than the one in which the caller probed the other cores. After the commit,
+// waitReason is the reason why the core does not vote yet.
+func (r *Replica) commitUnlessVoting(ctx context.Context, waitReason string, decide func(paxos.State) (paxos.Record, bool)) bool {
 	committed, err := callOwner(ctx, r, func(o *owner, reply func(bool, error)) {
-		record, ok := decide(o.state)
-		if !ok || o.state.Incarnation() != 0 {
+		record, ok := decide(o.consensus)
+		if !ok || o.consensus.Incarnation() != 0 {
 			reply(false, nil)
 			return
 		}
-		o.waiting.reason = waiting
-		commitAndReply(o, []paxos.Record{record}, forVote, true, nil, reply)
+		o.waiting.reason = waitReason
+		commitAndReply(o, []paxos.Record{record}, purposeVote, true, nil, reply)
 	})
 	return err == nil && committed
 }
--- a/internal/node/replica/replica.go
+++ b/internal/node/replica/replica.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// proposalQueueCapacity limits the proposals that wait for those before.
+	// proposalQueueCapacity bounds the number of proposals that wait for their turn.
 	proposalQueueCapacity = 64
-	// maxIncarnationSalt limits the random part of disk incarnations, so that
-	// they can be raised for ever.
+	// maxIncarnationSalt bounds the random part of a disk incarnation. It is far
+	// below the range of uint64, so that incarnations can increase indefinitely.
 	maxIncarnationSalt = 1 << 32
-	// backoffStream is the stream of random numbers of the proposals' backoff.
+	// backoffStream is the second PCG seed of the proposal loop's backoff.
 	backoffStream = 1
 )
 
-// Replica takes part in the agreement under one core's name. Its methods may be
-// called from any goroutine.
+// Replica is one core's replica of the replicated state. It is safe for concurrent
+// use.
 type Replica struct {
 	cfg             Config
 	openLog         OpenLog
@@ -33,12 +33,12 @@
 	owner           atomic.Pointer[owner] // nil while the log is closed
 	view            atomic.Pointer[view]
 	proposals       chan proposal
-	fetchFrom       chan string // a core that has values which are missing here
-	quorumReached   atomic.Bool // a quorum answered the last poll
-	incarnationSalt uint64      // of the disk incarnations that this process announces
+	fetchFrom       chan string // names of cores to fetch missing values from
+	quorumReached   atomic.Bool // whether a quorum answered the last poll
+	incarnationSalt uint64      // see paxos.State.NextIncarnation
 }
 
-// New returns a replica that begins its work in Serve.
+// New returns a replica, which does nothing until Serve is called.
 func New(cfg Config, openLog OpenLog, peers port.Peers, clock clock.Clock, log events.Log) *Replica {
 	r := &Replica{
 		cfg:             cfg.withDefaults(),
@@ -54,8 +54,9 @@
 	return r
 }
 
-// Serve opens the log and works until the context ends or the log fails, and
-// returns the reason. It may be called again after that, but not twice at once.
+// Serve opens the log and runs the replica until the context is done or the log
+// fails. It returns the context's error, or the reason why the log could not be opened
+// or has failed. It may be called again after it has returned, but not concurrently.
 func (r *Replica) Serve(ctx context.Context) error {
 	o, err := r.startOwner()
 	if err != nil {
--- a/internal/node/replica/replica_test.go
+++ b/internal/node/replica/replica_test.go
@@ -13,22 +13,22 @@
 )
 
 func TestThreeCoresAgree(t *testing.T) {
-	inVirtualTime(t, "Three blank cores form, agree and read back", func(f *fleet) {
+	inVirtualTime(t, "Three blank cores found a formation, agree on an order and read it back", func(f *fleet) {
 		f.start("a", "b")
-		So(f.until(2*time.Second, f.voting("a")), ShouldBeFalse)
+		So(f.waitUntil(2*time.Second, f.voting("a")), ShouldBeFalse)
 		f.start("c")
-		So(f.until(5*time.Second, f.voting("a", "b", "c")), ShouldBeTrue)
+		So(f.waitUntil(5*time.Second, f.voting("a", "b", "c")), ShouldBeTrue)
 		So(f.core("a").Formation(), ShouldEqual, f.core("c").Formation())
 		So(f.core("b").Voters(), ShouldResemble, []string{"a", "b", "c"})
 
-		version, result, err := f.core("b").Propose(timeoutIn(time.Second), evacuate("one"))
+		version, result, err := f.core("b").Propose(withTimeout(time.Second), evacuate("one"))
 		So(err, ShouldBeNil)
 		So(version, ShouldEqual, 1)
 		So(result.Code, ShouldEqual, apierror.OK)
-		state, err := f.core("c").ReadMajority(timeoutIn(time.Second))
+		state, err := f.core("c").ReadMajority(withTimeout(time.Second))
 		So(err, ShouldBeNil)
 		So(state.Version, ShouldEqual, 1)
-		So(f.until(time.Second, f.reachesVersion(1, "a", "b", "c")), ShouldBeTrue)
+		So(f.waitUntil(time.Second, f.reachesVersion(1, "a", "b", "c")), ShouldBeTrue)
 		chosen, complete := f.core("a").Learned(0)
 		So(complete, ShouldBeTrue)
 		So(len(chosen), ShouldEqual, 1)
@@ -38,7 +38,7 @@
 		results := make(chan statemachine.Result, 3)
 		for _, name := range []string{"a", "b", "c"} {
 			go func() {
-				_, result, err := f.core(name).Propose(timeoutIn(5*time.Second), evacuate("two"))
+				_, result, err := f.core(name).Propose(withTimeout(5*time.Second), evacuate("two"))
 				if err != nil {
 					result.Code = apierror.From(err).Code
 				}
@@ -50,32 +50,33 @@
 		So(<-results, ShouldResemble, first)
 		So(<-results, ShouldResemble, first)
 	})
-	inVirtualTime(t, "A minority reports it, for reads and proposals, and catches up later", func(f *fleet) {
+	inVirtualTime(t, "A core without a majority rejects reads and proposals, and catches up afterwards", func(f *fleet) {
 		f.form()
 		f.partitioned["a"].Store(true)
-		_, _, err := f.core("a").Propose(timeoutIn(time.Second), evacuate("three"))
+		_, _, err := f.core("a").Propose(withTimeout(time.Second), evacuate("three"))
 		So(apierror.From(err).Code, ShouldBeIn, apierror.NoMajority, apierror.OutcomePending)
-		_, err = f.core("a").ReadMajority(timeoutIn(time.Second))
+		_, err = f.core("a").ReadMajority(withTimeout(time.Second))
 		So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
-		version, _, err := f.core("b").Propose(timeoutIn(time.Second), evacuate("four"))
+		version, _, err := f.core("b").Propose(withTimeout(time.Second), evacuate("four"))
 		So(err, ShouldBeNil)
 		f.partitioned["a"].Store(false)
-		So(f.until(2*time.Second, f.reachesVersion(version, "a")), ShouldBeTrue)
+		So(f.waitUntil(2*time.Second, f.reachesVersion(version, "a")), ShouldBeTrue)
 	})
-	inVirtualTime(t, "The first sheet is proposed once, by any core that has it", func(f *fleet) {
+	inVirtualTime(t, "The first sheet is applied once although several cores have it configured", func(f *fleet) {
 		f.cfg.FirstSheet = []byte(firstSheetJSON)
 		f.form()
-		So(f.until(5*time.Second, f.reachesVersion(1, "a", "b", "c")), ShouldBeTrue)
+		So(f.waitUntil(5*time.Second, f.reachesVersion(1, "a", "b", "c")), ShouldBeTrue)
 		<-time.After(3 * time.Second)
 		So(f.core("a").Current().SheetVersion, ShouldBeGreaterThan, 0)
 		So(len(f.core("a").Current().History), ShouldEqual, 1)
 	})
 }
 
-// propose has a number of orders chosen and returns the next one's number.
+// propose proposes count orders, numbered from from, through one core. It returns the
+// number of the next order.
 func (f *fleet) propose(through string, from, count int) int {
 	for n := range count {
-		_, result, err := f.core(through).Propose(timeoutIn(5*time.Second), evacuate(fmt.Sprint(from+n)))
+		_, result, err := f.core(through).Propose(withTimeout(5*time.Second), evacuate(fmt.Sprint(from+n)))
 		So(err, ShouldBeNil)
 		So(result.Code, ShouldEqual, apierror.OK)
 	}
@@ -83,7 +84,7 @@
 }
 
 func TestRestartsAndWipes(t *testing.T) {
-	inVirtualTime(t, "Hundreds of orders outlive restarts and wipes of one core after another; two lost disks are reported", func(f *fleet) {
+	inVirtualTime(t, "Hundreds of orders survive restarts and disk losses of one core after another; the loss of two disks is reported", func(f *fleet) {
 		f.cfg.SnapshotRecords = 64
 		f.form()
 		count := f.propose("a", 0, 100)
@@ -91,7 +92,7 @@
 			f.stop[name]()
 			count = f.propose([]string{"a", "b", "c"}[i], count, 40)
 			f.start(name)
-			So(f.until(5*time.Second, f.voting(name)), ShouldBeTrue)
+			So(f.waitUntil(5*time.Second, f.voting(name)), ShouldBeTrue)
 		}
 		for i, name := range []string{"a", "b", "c"} {
 			through := []string{"b", "c", "a"}[i]
@@ -99,34 +100,34 @@
 			f.wipe(name)
 			count = f.propose(through, count, 10)
 			f.start(name)
-			So(f.until(5*time.Second, f.voting(name)), ShouldBeTrue)
+			So(f.waitUntil(5*time.Second, f.voting(name)), ShouldBeTrue)
 		}
 		for _, name := range []string{"a", "b", "c"} {
-			state, err := f.core(name).ReadMajority(timeoutIn(time.Second))
+			state, err := f.core(name).ReadMajority(withTimeout(time.Second))
 			So(err, ShouldBeNil)
 			So(len(state.History), ShouldEqual, count)
 		}
 		f.stopAll()
 		f.form()
-		state, err := f.core("b").ReadMajority(timeoutIn(time.Second))
+		state, err := f.core("b").ReadMajority(withTimeout(time.Second))
 		So(err, ShouldBeNil)
 		So(len(state.History), ShouldEqual, count)
 		f.wipe("a")
 		f.wipe("b")
 		f.start("a", "b")
-		So(f.until(5*time.Second, func() bool { return f.voting("a")() || f.voting("b")() }), ShouldBeFalse)
+		So(f.waitUntil(5*time.Second, func() bool { return f.voting("a")() || f.voting("b")() }), ShouldBeFalse)
 		So(f.core("a").Ready().Code, ShouldEqual, apierror.CoreAmnesiac)
-		_, err = f.core("c").ReadMajority(timeoutIn(time.Second))
+		_, err = f.core("c").ReadMajority(withTimeout(time.Second))
 		So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
 	})
 }
 
 func TestAllDisksLost(t *testing.T) {
-	inVirtualTime(t, "After the loss of every disk the cores begin from the state that a front still has", func(f *fleet) {
+	inVirtualTime(t, "After the loss of every disk the cores start from the state that a front still holds", func(f *fleet) {
 		f.form()
 		count := f.propose("a", 0, 5)
 		roster := statemachine.Encode(statemachine.AddMembers{Members: []statemachine.Member{{Name: "front", Front: true}}})
-		_, _, err := f.core("a").Propose(timeoutIn(time.Second), roster)
+		_, _, err := f.core("a").Propose(withTimeout(time.Second), roster)
 		So(err, ShouldBeNil)
 		survivor := f.core("a").Current()
 		So(len(survivor.Roster), ShouldEqual, 1)
@@ -135,7 +136,7 @@
 			f.wipe(name)
 		}
 		f.form()
-		state, err := f.core("c").ReadMajority(timeoutIn(time.Second))
+		state, err := f.core("c").ReadMajority(withTimeout(time.Second))
 		So(err, ShouldBeNil)
 		So(state.Version, ShouldEqual, survivor.Version+foundingSlotGap)
 		So(len(state.History), ShouldEqual, count)
--- a/internal/node/replica/survivors.go
+++ b/internal/node/replica/survivors.go
@@ -9,29 +9,30 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// foundingSlotGap is the number of slots that a formation leaves free after the
-// state that it is founded from.
+// foundingSlotGap is the number of slots that a new formation skips after the state
+// from which it is founded.
 const foundingSlotGap = 1000
 
-// survivingState returns the highest agreed state that any process still has
-// after the loss of every core's disk, or else the reason why it can't be found
-// yet.
+// survivingState returns the latest agreed state that any front still holds, for a
+// formation founded after every core has lost its disk. Version is zero if there is no
+// such state. If the state can't be determined yet, missing describes what is needed.
 //
-// An acknowledged version was confirmed by more than half of its roster, so more
-// than half must answer and have a state. The new formation leaves a gap of
-// versions, so that none of the old formation, which a process out of reach may
-// have though it was never acknowledged, is assigned to another content.
+// An acknowledged version was confirmed by a majority of its roster. Therefore a
+// majority of the roster must respond with a state. An unreachable process may hold
+// later versions of the old formation that were never acknowledged. The new formation
+// skips foundingSlotGap versions, so that it does not reuse the numbers of those
+// versions for other contents.
 func (r *Replica) survivingState(ctx context.Context) (version uint64, snapshot []byte, missing string) {
-	answers := r.fetchFromFronts(ctx)
-	highest := highestState(answers)
+	responses := r.fetchFromFronts(ctx)
+	highest := latestState(responses)
 	present := 0
 	for name := range highest.Roster {
-		if answer := answers[name]; answer != nil && answer.SnapshotEpoch > 0 {
+		if response := responses[name]; response != nil && response.SnapshotEpoch > 0 {
 			present++
 		}
 	}
 	if count := len(highest.Roster); count > 0 && present <= count/2 {
-		return 0, nil, fmt.Sprintf("all cores are blank, though epoch %d is still held: %d of the %d members of its roster must answer from memory", highest.Version, count/2+1, count)
+		return 0, nil, fmt.Sprintf("all cores are blank, but a front still holds epoch %d: %d of the %d members of its roster must answer with their state", highest.Version, count/2+1, count)
 	}
 	if highest.Version == 0 {
 		return 0, nil, ""
@@ -43,7 +44,7 @@
 	return highest.Version, highest.Encode(), ""
 }
 
-// fetchFromFronts returns the state of each front that answers, by its name.
+// fetchFromFronts returns the responses of all reachable fronts to a Fetch, by name.
 func (r *Replica) fetchFromFronts(ctx context.Context) map[string]*wire.FetchResponse {
 	var fronts []string
 	for _, process := range r.peers.Processes() {
@@ -51,14 +52,14 @@
 			fronts = append(fronts, process.Name)
 		}
 	}
-	return callAll(ctx, r, fronts, r.cfg.CallTimeout, 0, func(ctx context.Context, name string) (*wire.FetchResponse, error) {
-		return callVoter(ctx, r, name, &wire.FetchRequest{}, r.Fetch, wireconnect.PeerClient.Fetch)
+	return collectResponses(ctx, r, fronts, r.cfg.CallTimeout, 0, func(ctx context.Context, name string) (*wire.FetchResponse, error) {
+		return callProcess(ctx, r, name, &wire.FetchRequest{}, r.Fetch, wireconnect.PeerClient.Fetch)
 	})
 }
 
-func highestState(answers map[string]*wire.FetchResponse) statemachine.State {
+func latestState(responses map[string]*wire.FetchResponse) statemachine.State {
 	var highest statemachine.State
-	for _, resp := range answers {
+	for _, resp := range responses {
 		if len(resp.Snapshot) == 0 || resp.SnapshotEpoch <= highest.Version {
 			continue
 		}
--- a/internal/node/replica/syncqueue.go
+++ b/internal/node/replica/syncqueue.go
@@ -1,39 +1,41 @@
 package replica
 
-// syncQueue holds what waits for records of the log to be synced.
+// syncQueue holds callbacks that wait for records of the log to be synced.
 type syncQueue struct {
-	synced  uint64   // the highest index of the log that is synced
-	waiters []waiter // in the order of their indices
+	synced  uint64   // highest synced index of the log
+	waiters []waiter // ordered by index
 }
 
 type waiter struct {
-	index uint64
-	then  func(error)
+	index    uint64
+	callback func(error)
 }
 
-// after calls then once the log is synced up to the index; at once when it is.
-func (q *syncQueue) after(index uint64, then func(error)) {
+// whenSynced calls the callback once the log is synced up to the index; immediately if
+// it already is.
+func (q *syncQueue) whenSynced(index uint64, callback func(error)) {
 	if index <= q.synced {
-		then(nil)
+		callback(nil)
 		return
 	}
-	q.waiters = append(q.waiters, waiter{index: index, then: then})
+	q.waiters = append(q.waiters, waiter{index: index, callback: callback})
 }
 
-// advance calls all that waited for indices up to the one that is synced now.
+// advance sets the highest synced index and calls the callbacks that waited for it or
+// a lower one.
 func (q *syncQueue) advance(synced uint64) {
 	q.synced = synced
 	for len(q.waiters) > 0 && q.waiters[0].index <= synced {
-		then := q.waiters[0].then
-		// Removed before it is called: then may wait for a later index.
+		callback := q.waiters[0].callback
+		// Removed before the call, since the callback may add a waiter.
 		q.waiters = q.waiters[1:]
-		then(nil)
+		callback(nil)
 	}
 }
 
-// fail calls all that wait, with the reason why the log is not synced any more.
+// fail calls all waiting callbacks with the error of the log.
 func (q *syncQueue) fail(err error) {
 	for _, waiter := range q.waiters {
-		waiter.then(err)
+		waiter.callback(err)
 	}
 }
--- a/internal/node/replica/view.go
+++ b/internal/node/replica/view.go
@@ -9,21 +9,21 @@
 	"stepwick/internal/wire"
 )
 
-// view is an immutable snapshot of what is synced here, for readers on other
-// goroutines. Its version never goes back.
+// view is an immutable snapshot of the synced state, for readers on other goroutines.
+// The version of successive views never decreases.
 type view struct {
 	state       statemachine.State
-	recent      []*wire.Chosen // the commands of the last versions
+	recent      []*wire.Chosen // most recent commands, up to state.Version
 	standing    wire.Standing
 	formation   string
 	voters      []string
 	incarnation uint64
-	waitingFor  string        // why the core does not vote; empty while it does
-	changed     chan struct{} // closed when a newer view is published
+	waitingFor  string        // reason why the core does not vote; empty if it does
+	changed     chan struct{} // closed when the next view is published
 }
 
-// publish makes a view the current one. Only the goroutine of Serve calls it,
-// with the owner on it.
+// publish replaces the current view. It must be called only from the goroutine of
+// Serve, which is also the owner's.
 func (r *Replica) publish(next view) {
 	previous := r.view.Load()
 	next.changed = make(chan struct{})
@@ -38,7 +38,7 @@
 	}
 }
 
-// publishClosed publishes that the core does not vote while its log is closed.
+// publishClosed publishes that the core does not vote because its log is closed.
 func (r *Replica) publishClosed(err error) {
 	next := *r.view.Load()
 	next.standing = wire.Standing_STANDING_UNSPECIFIED
@@ -54,12 +54,12 @@
 
 func (o *owner) publish() { o.replica.publish(o.withStanding(o.view())) }
 
-// publishStanding publishes the core's standing with the version that is already
-// published: the owner's own may not be synced yet.
+// publishStanding publishes the core's current standing together with the version that
+// is already published, since the owner's own version may not be synced yet.
 func (o *owner) publishStanding() {
 	next := *o.replica.view.Load()
-	next.standing = o.state.Standing()
-	if o.log.LastIndex() > o.syncs.synced && next.formation != o.state.Formation {
+	next.standing = o.consensus.Standing()
+	if o.log.LastIndex() > o.syncs.synced && next.formation != o.consensus.Formation {
 		return
 	}
 	o.replica.publish(o.withStanding(next))
@@ -67,17 +67,17 @@
 
 func (o *owner) view() view {
 	return view{
-		state:       o.configuration.state,
-		recent:      slices.Clip(o.configuration.recent),
-		formation:   o.state.Formation,
-		voters:      o.state.Voters,
-		incarnation: o.state.Incarnation(),
-		standing:    o.state.Standing(),
+		state:       o.machine.state,
+		recent:      slices.Clip(o.machine.recent),
+		formation:   o.consensus.Formation,
+		voters:      o.consensus.Voters,
+		incarnation: o.consensus.Incarnation(),
+		standing:    o.consensus.Standing(),
 	}
 }
 
-// withStanding returns the view with what the core waits for at present, and
-// with the standing of a full disk when there is no room to vote.
+// withStanding returns the view with the reason why the core does not vote. The
+// standing of a voting core becomes DISK_FULL if its disk is full.
 func (o *owner) withStanding(v view) view {
 	v.waitingFor = o.waiting.reason
 	if v.standing != wire.Standing_STANDING_VOTING {
@@ -86,21 +86,21 @@
 	v.waitingFor = ""
 	if o.disk.exhausted() {
 		v.standing = wire.Standing_STANDING_DISK_FULL
-		v.waitingFor = "only the reserve is left on the disk"
+		v.waitingFor = "the disk is full: only the reserved space is left"
 	}
 	return v
 }
 
-// Current returns the newest configuration that is applied and synced here.
+// Current returns the latest state that is applied and synced here.
 func (r *Replica) Current() statemachine.State { return r.view.Load().state }
 
-// Changed returns a channel that is closed when a newer version or standing is
-// published. Call it before Current, so that no change is missed.
+// Changed returns a channel that is closed when the next version or standing is
+// published. It must be called before Current, so that no change is missed.
 func (r *Replica) Changed() <-chan struct{} { return r.view.Load().changed }
 
-// Learned returns the commands of Current after a version, oldest first.
-// Complete is false when some of them are no longer kept, or when the version is
-// after Current's.
+// Learned returns the commands between a version and that of Current, oldest first.
+// Complete is false if some of them are no longer retained, or if the version is later
+// than Current's.
 func (r *Replica) Learned(after uint64) (chosen []*wire.Chosen, complete bool) {
 	v := r.view.Load()
 	if after > v.state.Version {
@@ -113,21 +113,21 @@
 	return v.recent[uint64(len(v.recent))-missing:], true
 }
 
-// Standing is the core's standing in the agreement; unspecified while its log is
-// closed.
+// Standing returns the core's standing, which is STANDING_UNSPECIFIED or
+// STANDING_DISK_FULL while its log is closed.
 func (r *Replica) Standing() wire.Standing { return r.view.Load().standing }
 
-// Formation is the id of the formation that the core is in, or empty.
+// Formation returns the ID of the core's formation, or "" if it has joined none.
 func (r *Replica) Formation() string { return r.view.Load().formation }
 
-// Voters are the sorted names of the formation's cores.
+// Voters returns the sorted names of the formation's voters.
 func (r *Replica) Voters() []string { return r.view.Load().voters }
 
-// Incarnation is the core's disk incarnation; zero until it votes.
+// Incarnation returns the core's disk incarnation, or zero until it votes.
 func (r *Replica) Incarnation() uint64 { return r.view.Load().incarnation }
 
-// Ready returns nil when the core votes. Otherwise it returns the reason, as an
-// error of the code CoreBlank, CoreAmnesiac, DiskFull or Internal.
+// Ready returns nil if the core votes. Otherwise it returns the reason as an error with
+// the code CoreBlank, CoreAmnesiac, DiskFull or Internal.
 func (r *Replica) Ready() *apierror.Error {
 	v := r.view.Load()
 	if v.standing == wire.Standing_STANDING_VOTING {
--- a/internal/node/replica/waiting.go
+++ b/internal/node/replica/waiting.go
@@ -7,17 +7,18 @@
 	"stepwick/internal/events"
 )
 
-// waitLogDelay is how long a core waits to vote before it is logged what for.
+// waitLogDelay is the time that a core must wait before the reason is logged.
 const waitLogDelay = 2 * time.Second
 
-// waitStatus is what a core that does not vote waits for.
+// waitStatus describes why a core does not vote yet.
 type waitStatus struct {
 	reason string
-	since  time.Time // when a reason was first reported
-	logged string    // the reason logged last
+	since  time.Time // time of the first report
+	logged string    // last logged reason
 }
 
-// logDue reports whether the reason is to be logged now, and notes that it was.
+// logDue reports whether the reason is to be logged now. If so, it marks the reason as
+// logged.
 func (w *waitStatus) logDue(now time.Time) bool {
 	if w.since.IsZero() {
 		w.since = now
@@ -29,8 +30,8 @@
 	return true
 }
 
-// reportWaiting publishes what the core waits for, and logs it when the wait
-// takes long.
+// reportWaiting publishes the reason why the core does not vote yet, and logs each
+// reason once when the wait exceeds waitLogDelay.
 func (r *Replica) reportWaiting(ctx context.Context, event events.Event, reason string) {
 	logDue, err := callOwner(ctx, r, func(o *owner, reply func(bool, error)) {
 		if o.waiting.reason != reason {
