--- a/internal/cli/data.go
+++ b/internal/cli/data.go
@@ -38,7 +38,7 @@
 				return err
 			}
 			a.printf("whole: %d records in %d segments after version %d; %s at version %d\n", contents.Records, contents.Segments,
-				contents.Snapshot, contents.Standing, contents.Version)
+				contents.SnapshotVersion, contents.Standing, contents.Version)
 			if contents.TornSegment != "" {
 				a.printf("%s ends in %d bytes that were not written whole; a start cuts them off\n", contents.TornSegment, contents.TornBytes)
 			}
@@ -104,7 +104,7 @@
 	rows.row("revision", contents.Revision)
 	rows.row("members", contents.Members)
 	rows.row("open slots", contents.OpenSlots)
-	rows.row("snapshot version", contents.Snapshot)
+	rows.row("snapshot version", contents.SnapshotVersion)
 	rows.row("segments", contents.Segments)
 	rows.row("records", contents.Records)
 	if contents.TornSegment != "" {
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -128,7 +128,7 @@
 		"node": follower.Status{Name: "n2", Zone: "lagos/a", Version: 21, SheetVersion: 20, HasAuthority: true, AuthoritySource: "lease", Plan: 44, PlanTerm: 2,
 			PlanHolder: "n1", Servers: map[string]string{"m1": "ready"}, Roster: []string{"n1", "n2"}, Fronts: []string{"n1"}, FleetTimeMS: orderedAtMS},
 		"data": replica.Contents{Core: "a", Formation: "a-1", Voters: []string{"a"}, Standing: "voting", DiskIncarnation: 1, Version: 2,
-			SheetVersion: 3, Revision: 4, Members: 5, OpenSlots: 6, Snapshot: 7, Segments: 8, Records: 9, TornSegment: "1.log", TornBytes: 10, BadSnapshot: "2.snap"},
+			SheetVersion: 3, Revision: 4, Members: 5, OpenSlots: 6, SnapshotVersion: 7, Segments: 8, Records: 9, TornSegment: "1.log", TornBytes: 10, BadSnapshot: "2.snap"},
 		"history": statemachine.Record{Version: 1, SheetVersion: 2, Operator: "ada", Verb: "put", OrderID: "first", Digest: "d", ReceivedAtMS: orderedAtMS, Summary: "1 services"},
 		"member":  statemachine.Member{Name: "n1", Region: "lagos", Zone: "a", Core: true, Front: true},
 		"duty":    statemachine.RoleTerm{Term: 1, Holder: "n1"},
--- a/internal/node/build_core.go
+++ b/internal/node/build_core.go
@@ -30,7 +30,7 @@
 	}
 	p.replica = replica.New(replica.Config{
 		Self:            p.identity.Name,
-		Voters:          p.values.Int("core.voters"),
+		VoterCount:      p.values.Int("core.voters"),
 		FirstSheet:      firstSheet,
 		SnapshotRecords: p.values.Int("snapshot.records"),
 		OnReplaced:      onReplaced,
--- a/internal/node/control/atomic_replica_test.go
+++ b/internal/node/control/atomic_replica_test.go
@@ -50,7 +50,7 @@
 	return &wire.ReadResponse{Learned: version, Highest: version}, nil
 }
 
-func (b atomicReplica) Learned(after uint64) ([]*wire.Chosen, bool) {
+func (b atomicReplica) CommandsAfter(after uint64) ([]*wire.Chosen, bool) {
 	return b.f.agreed.Load().chosen[after:], true
 }
 func (b atomicReplica) Current() statemachine.State { return b.f.agreed.Load().state }
--- a/internal/node/control/controller.go
+++ b/internal/node/control/controller.go
@@ -31,9 +31,9 @@
 	ReadMajority(ctx context.Context) (statemachine.State, error)
 	// Current returns the newest state applied here.
 	Current() statemachine.State
-	// Learned returns the commands applied here after a version, oldest first;
+	// CommandsAfter returns the commands applied here after a version, oldest first;
 	// complete is false when some of them are no longer retained.
-	Learned(after uint64) (chosen []*wire.Chosen, complete bool)
+	CommandsAfter(after uint64) (chosen []*wire.Chosen, complete bool)
 	// Changed returns a channel that is closed when a newer state is applied.
 	Changed() <-chan struct{}
 	// Read returns how far this core has learned and accepted.
--- a/internal/node/control/state.go
+++ b/internal/node/control/state.go
@@ -36,7 +36,7 @@
 	if current.Version <= c.state.Version {
 		return
 	}
-	chosen, complete := c.replica.Learned(c.state.Version)
+	chosen, complete := c.replica.CommandsAfter(c.state.Version)
 	previous := c.state
 	c.state = current
 	if complete && connects(chosen, previous.Version, current.Version) {
--- a/internal/node/replica/config.go
+++ b/internal/node/replica/config.go
@@ -21,7 +21,7 @@
 // comment.
 type Config struct {
 	Self            string        // the core's name
-	Voters          int           // number of cores that found the first formation; default 3
+	VoterCount      int           // number of cores that found the first formation; default 3
 	FirstSheet      []byte        // JSON of a sheet to propose if the formation has none yet, or nil
 	MaxSheetBytes   int           // maximum size of FirstSheet; default 16 MiB
 	SnapshotRecords int           // records in the log after which a snapshot is written; default 1024
@@ -37,7 +37,7 @@
 }
 
 func (c Config) withDefaults() Config {
-	setDefault(&c.Voters, defaultVoters)
+	setDefault(&c.VoterCount, defaultVoters)
 	setDefault(&c.MaxSheetBytes, defaultMaxSheetBytes)
 	setDefault(&c.SnapshotRecords, defaultSnapshotRecords)
 	setDefault(&c.SnapshotBytes, defaultSnapshotBytes)
--- a/internal/node/replica/formation.go
+++ b/internal/node/replica/formation.go
@@ -32,8 +32,8 @@
 			return
 		}
 	}
-	if _, ok := state.FoundFormation("", r.cfg.Voters, probes, 0, nil); !ok {
-		r.reportWaiting(ctx, events.FormationWaiting, fmt.Sprintf("waiting for %d blank cores to found the first formation; %d other cores are known", r.cfg.Voters, len(others)))
+	if _, ok := state.FoundFormation("", r.cfg.VoterCount, probes, 0, nil); !ok {
+		r.reportWaiting(ctx, events.FormationWaiting, fmt.Sprintf("waiting for %d blank cores to found the first formation; %d other cores are known", r.cfg.VoterCount, len(others)))
 		return
 	}
 	r.foundFormation(ctx, others, probes)
@@ -92,7 +92,7 @@
 	id := r.newFormationID()
 	var joined paxos.FormationJoined
 	committed := r.commitUnlessVoting(ctx, "waiting for the other cores to join the formation", func(state paxos.State) (paxos.Record, bool) {
-		record, ok := state.FoundFormation(id, r.cfg.Voters, probes, version, snapshot)
+		record, ok := state.FoundFormation(id, r.cfg.VoterCount, probes, version, snapshot)
 		if ok {
 			joined = record.(paxos.FormationJoined)
 		}
--- a/internal/node/replica/formation_test.go
+++ b/internal/node/replica/formation_test.go
@@ -169,7 +169,7 @@
 		name := foundingCoreName(index)
 		disk := disks.disk["a"]
 		disk.Folder = t.TempDir()
-		f.cores = append(f.cores, New(Config{Self: name, Voters: foundingVoters, OnReplaced: func() { f.excluded[index].Store(true) }}, OnDisk(disk), foundingPeers{f, index}, clock.System(), log))
+		f.cores = append(f.cores, New(Config{Self: name, VoterCount: foundingVoters, OnReplaced: func() { f.excluded[index].Store(true) }}, OnDisk(disk), foundingPeers{f, index}, clock.System(), log))
 	}
 	ended := make(chan struct{})
 	for _, core := range f.cores {
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -24,7 +24,7 @@
 	Revision        uint64   `json:"revision"`      // the operators' own number for the sheet
 	Members         int      `json:"members"`
 	OpenSlots       int      `json:"open_slots"` // slots above Version in which this core has promised a ballot or accepted a value
-	Snapshot        uint64   `json:"snapshot_version"`
+	SnapshotVersion uint64   `json:"snapshot_version"`
 	Segments        int      `json:"segments"`
 	Records         int      `json:"records"`
 	TornSegment     string   `json:"torn_segment,omitempty"` // segment whose last record is incomplete; it is truncated at the next start
@@ -67,7 +67,7 @@
 		Revision:        machineState.Revision,
 		Members:         len(machineState.Roster),
 		OpenSlots:       len(state.OpenSlots),
-		Snapshot:        state.SnapshotSlot,
+		SnapshotVersion: state.SnapshotSlot,
 		Segments:        replay.Segments,
 		Records:         len(replay.Records),
 		TornSegment:     replay.TornSegment,
--- a/internal/node/replica/replica_test.go
+++ b/internal/node/replica/replica_test.go
@@ -29,7 +29,7 @@
 		So(err, ShouldBeNil)
 		So(state.Version, ShouldEqual, 1)
 		So(f.waitUntil(time.Second, f.reachesVersion(1, "a", "b", "c")), ShouldBeTrue)
-		chosen, complete := f.core("a").Learned(0)
+		chosen, complete := f.core("a").CommandsAfter(0)
 		So(complete, ShouldBeTrue)
 		So(len(chosen), ShouldEqual, 1)
 	})
--- a/internal/node/replica/view.go
+++ b/internal/node/replica/view.go
@@ -98,10 +98,10 @@
 // published. It must be called before Current, so that no change is missed.
 func (r *Replica) Changed() <-chan struct{} { return r.view.Load().changed }
 
-// Learned returns the commands between a version and that of Current, oldest first.
+// CommandsAfter returns the commands between a version and that of Current, oldest first.
 // Complete is false if some of them are no longer retained, or if the version is later
 // than Current's.
-func (r *Replica) Learned(after uint64) (chosen []*wire.Chosen, complete bool) {
+func (r *Replica) CommandsAfter(after uint64) (chosen []*wire.Chosen, complete bool) {
 	v := r.view.Load()
 	if after > v.state.Version {
 		return nil, false
