--- a/internal/node/quotasync/counter_owner.go
+++ b/internal/node/quotasync/counter_owner.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	// maxQueuedAdds is the number of other fronts' requests that wait for the counter.
+	// maxQueuedAdds is the maximum number of Add requests that wait for the counter.
 	maxQueuedAdds = 64
 
-	// expireIntervals is the number of intervals between two removals of idle counts.
-	expireIntervals = 10
+	// pruneIntervals is the number of exchange intervals from one pruning of idle counts
+	// to the next.
+	pruneIntervals = 10
 )
 
-// counterOwner owns the counter of the tenants that this front owns.
+// counterOwner runs the goroutine that owns the counter of this front's tenants.
 type counterOwner struct {
-	service *Service
-	counter *quota.Counter
-	adds    chan addRequest
-	late    bool // as last logged
+	service    *Service
+	counter    *quota.Counter
+	adds       chan queuedAdd
+	loggedLate bool // last value of CountsLate that was logged
 }
 
-type addRequest struct {
+// queuedAdd is an Add request that waits for the counter.
+type queuedAdd struct {
 	request  *wire.AddRequest
 	response chan *wire.AddResponse
 }
@@ -33,44 +35,44 @@
 	return &counterOwner{
 		service: s,
 		counter: quota.NewCounter(s.config.Self, s.config.Incarnation, s.config.Quota),
-		adds:    make(chan addRequest, maxQueuedAdds),
+		adds:    make(chan queuedAdd, maxQueuedAdds),
 	}
 }
 
 // String returns the service's name in events.
-func (c *counterOwner) String() string { return counterName }
+func (c *counterOwner) String() string { return counterServiceName }
 
 // Serve handles requests until the context ends.
 func (c *counterOwner) Serve(ctx context.Context) error {
 	ticker := c.service.clock.Ticker(c.service.config.Quota.Interval)
 	defer ticker.Stop()
-	for interval := 0; ; {
+	for intervals := 0; ; {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case add := <-c.adds:
-			add.response <- c.counter.Add(add.request, c.service.fleetNow())
+		case queued := <-c.adds:
+			queued.response <- c.counter.Add(queued.request, c.service.fleetNow())
 		case <-ticker.C():
 			c.counter.SetMembership(c.service.fronts(), c.service.relayer.unreachable(), c.service.fleetNow())
 			c.reportLag()
-			interval++
-			if interval%expireIntervals == 0 {
+			intervals++
+			if intervals%pruneIntervals == 0 {
 				c.prune()
 			}
 		}
 	}
 }
 
-// reportLag publishes how late counts are handled here, and logs when that becomes
-// later than the fronts' shares assume, or no longer is.
+// reportLag sets the metric of the counter's lag. It logs when counts begin to be
+// handled later than the fronts' shares assume, and when they are on time again.
 func (c *counterOwner) reportLag() {
 	lag := c.counter.Lag()
 	c.service.metrics.setCountLag(lag)
 	late := c.counter.CountsLate()
-	if late == c.late {
+	if late == c.loggedLate {
 		return
 	}
-	c.late = late
+	c.loggedLate = late
 	if late {
 		c.service.log.Emit(events.CountsLate, "lag", lag)
 	} else {
@@ -80,13 +82,15 @@
 
 func (c *counterOwner) prune() {
 	c.counter.Prune(c.service.fleetNow())
-	c.service.metrics.setCounts(c.counter.Tenants())
+	c.service.metrics.setOwnedTenants(c.counter.Tenants())
 }
 
+// add queues a request for the counter and returns the counter's response. The error is
+// that of the context.
 func (c *counterOwner) add(ctx context.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
-	add := addRequest{
+	queued := queuedAdd{
 		request:  req,
 		response: make(chan *wire.AddResponse, 1),
 	}
-	return call(ctx, c.adds, add, add.response)
+	return call(ctx, c.adds, queued, queued.response)
 }
--- a/internal/node/quotasync/relayer.go
+++ b/internal/node/quotasync/relayer.go
@@ -12,49 +12,50 @@
 )
 
 const (
-	relayerName = "spend-relays"
+	relayerServiceName = "spend-relays"
 
-	maxQueuedSuspects = 64
-	maxQueuedReports  = 64
+	maxQueuedSuspects    = 64
+	maxQueuedPathResults = 64
 
-	// maxRelayed is the number of other fronts' requests that this front passes on at
-	// the same time.
-	maxRelayed = 64
+	// maxConcurrentForwards is the maximum number of other fronts' requests that this
+	// front forwards at the same time.
+	maxConcurrentForwards = 64
 )
 
-// relayer finds the ways to fronts that this one doesn't reach itself, and passes on
-// the requests of others that have no way of their own.
+// relayer probes for relays to fronts that don't respond to this one, and acts as a relay
+// itself: it forwards the requests of other fronts.
 type relayer struct {
-	service  *Service
-	relays   *quota.Relays
-	suspects chan string
-	reports  chan wayReport
-	routes   atomic.Pointer[map[string]string] // relays in use, by the front they reach
-	relayed  chan struct{}                     // one element for each request passed on now
+	service      *Service
+	relays       *quota.Relays
+	suspects     chan string // owners that didn't respond to counts in time
+	results      chan pathResult
+	activeRelays atomic.Pointer[map[string]string] // relays in use, by the front that they reach
+	forwardSlots chan struct{}                     // semaphore; one element for each request being forwarded
 }
 
-// wayReport is the outcome of a probe, or of an exchange through a relay.
-type wayReport struct {
-	way quota.Path
-	err error
+// pathResult is the outcome of a probe or of an exchange through a relay.
+type pathResult struct {
+	path quota.Path
+	err  error
 }
 
 func newRelayer(s *Service) *relayer {
-	created := &relayer{
-		service:  s,
-		relays:   quota.NewRelays(s.config.Self, s.config.Quota),
-		suspects: make(chan string, maxQueuedSuspects),
-		reports:  make(chan wayReport, maxQueuedReports),
-		relayed:  make(chan struct{}, maxRelayed),
+	r := &relayer{
+		service:      s,
+		relays:       quota.NewRelays(s.config.Self, s.config.Quota),
+		suspects:     make(chan string, maxQueuedSuspects),
+		results:      make(chan pathResult, maxQueuedPathResults),
+		forwardSlots: make(chan struct{}, maxConcurrentForwards),
 	}
-	created.routes.Store(&map[string]string{})
-	return created
+	r.activeRelays.Store(&map[string]string{})
+	return r
 }
 
 // String returns the service's name in events.
-func (r *relayer) String() string { return relayerName }
+func (r *relayer) String() string { return relayerServiceName }
 
-// Serve sends probes and follows their outcome until the context ends.
+// Serve sends probes and handles the results of probes and of exchanges through relays
+// until the context ends.
 func (r *relayer) Serve(ctx context.Context) error {
 	ticker := r.service.clock.Ticker(r.service.config.Quota.Interval)
 	defer ticker.Stop()
@@ -62,54 +63,56 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case name := <-r.suspects:
-			r.relays.Suspect(name)
+		case owner := <-r.suspects:
+			r.relays.Suspect(owner)
 			r.sendProbes(ctx)
-		case report := <-r.reports:
-			r.applyReport(report)
+		case result := <-r.results:
+			r.applyResult(result)
 		case <-ticker.C():
 			r.sendProbes(ctx)
 		}
-		r.publishRoutes()
+		r.publishActiveRelays()
 	}
 }
 
 func (r *relayer) sendProbes(ctx context.Context) {
-	for _, way := range r.relays.Probes(r.service.fronts(), r.service.config.Unresponsive(), r.service.clock.Now()) {
+	for _, path := range r.relays.Probes(r.service.fronts(), r.service.config.Unresponsive(), r.service.clock.Now()) {
 		go func() {
-			_, err := r.service.exchangeThrough(ctx, way, nil)
-			r.report(ctx, way, err)
+			_, err := r.service.exchangeWithPeer(ctx, path, nil)
+			r.reportResult(ctx, path, err)
 		}()
 	}
 }
 
-func (r *relayer) applyReport(report wayReport) {
-	if report.err != nil {
-		r.relays.Failed(report.way)
+func (r *relayer) applyResult(result pathResult) {
+	if result.err != nil {
+		r.relays.Failed(result.path)
 		return
 	}
-	r.relays.Answered(report.way, r.service.clock.Now())
+	r.relays.Answered(result.path, r.service.clock.Now())
 }
 
-func (r *relayer) publishRoutes() {
-	routes := r.relays.ActiveRelays(r.service.clock.Now())
-	if len(routes) == 0 && len(*r.routes.Load()) == 0 {
+// publishActiveRelays makes the relays in use available to other goroutines.
+func (r *relayer) publishActiveRelays() {
+	active := r.relays.ActiveRelays(r.service.clock.Now())
+	if len(active) == 0 && len(*r.activeRelays.Load()) == 0 {
 		return
 	}
-	r.routes.Store(&routes)
+	r.activeRelays.Store(&active)
 }
 
-// report passes the outcome of a probe or exchange on to the relayer.
-func (r *relayer) report(ctx context.Context, way quota.Path, err error) {
+// reportResult sends the outcome of a probe or exchange to the relayer's goroutine.
+func (r *relayer) reportResult(ctx context.Context, path quota.Path, err error) {
 	select {
-	case r.reports <- wayReport{way, err}:
+	case r.results <- pathResult{path, err}:
 	case <-ctx.Done():
 	}
 }
 
-// suspect has ways sought to owners that don't answer. One that finds no room is told
-// again when it has not answered for longer.
-func (r *relayer) suspect(owners []string) {
+// reportSuspects reports owners that didn't respond in time, so that they are probed
+// through relays. While the channel is full it skips owners; the shard reports them again
+// if they still don't respond.
+func (r *relayer) reportSuspects(owners []string) {
 	for _, owner := range owners {
 		select {
 		case r.suspects <- owner:
@@ -118,35 +121,37 @@
 	}
 }
 
-// way returns how an owner is reached: through a relay, if one is in use, or directly.
-func (r *relayer) way(owner string) quota.Path {
-	return quota.Path{Front: owner, Relay: (*r.routes.Load())[owner]}
+// pathTo returns the path to an owner: through the relay in use, or direct if there is
+// none.
+func (r *relayer) pathTo(owner string) quota.Path {
+	return quota.Path{Front: owner, Relay: (*r.activeRelays.Load())[owner]}
 }
 
-// unreachable returns the fronts that are unresponsive and that no relay reaches.
+// unreachable returns the unresponsive fronts that no relay reaches.
 func (r *relayer) unreachable() []string {
-	return quota.WithoutRelay(r.service.config.Unresponsive(), *r.routes.Load())
+	return quota.WithoutRelay(r.service.config.Unresponsive(), *r.activeRelays.Load())
 }
 
-// passOn sends another front's request to the owner that it names and returns the
-// owner's response. Counts and totals stay in the form that they have on the wire. It
-// fails at once if that owner is unresponsive to this front as well.
-func (r *relayer) passOn(ctx context.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
+// forward sends another front's request to the owner named in RelayTo and returns the
+// owner's response. Counts and totals are forwarded in packed form (see wire.PackCounts).
+// It fails immediately if that owner is unresponsive to this front as well, or if
+// maxConcurrentForwards requests are being forwarded already.
+func (r *relayer) forward(ctx context.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
 	owner := req.RelayTo
-	process, known := r.service.peers.Process(owner)
-	if !known || !quota.MayRelayTo(owner, r.service.fronts(), r.service.config.Unresponsive()) {
-		return nil, errors.Errorf("holder %s is out of reach of relay %s too", owner, r.service.config.Self)
+	process, ok := r.service.peers.Process(owner)
+	if !ok || !quota.MayRelayTo(owner, r.service.fronts(), r.service.config.Unresponsive()) {
+		return nil, errors.Errorf("holder %s is unknown or unresponsive to relay %s", owner, r.service.config.Self)
 	}
 	select {
-	case r.relayed <- struct{}{}:
-		defer func() { <-r.relayed }()
+	case r.forwardSlots <- struct{}{}:
+		defer func() { <-r.forwardSlots }()
 	default:
-		return nil, errors.Errorf("relay %s passes on %d requests already", r.service.config.Self, maxRelayed)
+		return nil, errors.Errorf("relay %s is already forwarding the maximum of %d requests", r.service.config.Self, maxConcurrentForwards)
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.service.config.Timeout)
 	defer cancel()
-	direct := &wire.AddRequest{Front: req.Front, Incarnation: req.Incarnation, Counts: req.Counts}
-	resp, err := r.service.peers.Client(process.Address).Add(ctx, connect.NewRequest(direct))
+	forwarded := &wire.AddRequest{Front: req.Front, Incarnation: req.Incarnation, Counts: req.Counts}
+	resp, err := r.service.peers.Client(process.Address).Add(ctx, connect.NewRequest(forwarded))
 	if err != nil {
 		return nil, errors.Wrapf(err, "relay counts of %s to holder %s", req.Front, owner)
 	}
--- a/internal/node/quotasync/relayer_test.go
+++ b/internal/node/quotasync/relayer_test.go
@@ -21,65 +21,66 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// cutFleet is an in-memory set of fronts between some of which no message passes.
-type cutFleet struct {
-	names       []string
-	services    map[string]*Service
-	cuts        atomic.Pointer[[]cut]
-	oldVersions atomic.Bool // the fronts ignore AddRequest.RelayTo
-	relayedOn   atomic.Int64
+// partitionedFleet is an in-memory set of fronts with broken links between some of them.
+type partitionedFleet struct {
+	names         []string
+	services      map[string]*Service
+	brokenLinks   atomic.Pointer[[]brokenLink]
+	ignoreRelayTo atomic.Bool  // the fronts ignore AddRequest.RelayTo, as versions without relaying do
+	forwarded     atomic.Int64 // requests sent on behalf of another front
 }
 
-// cut is a pair of fronts that don't reach each other.
-type cut struct{ a, b string }
+// brokenLink is a pair of fronts that can't reach each other. Requests between them time
+// out.
+type brokenLink struct{ a, b string }
 
-func (f *cutFleet) isCut(a, b string) bool {
-	return slices.Contains(*f.cuts.Load(), cut{a, b}) || slices.Contains(*f.cuts.Load(), cut{b, a})
+func (f *partitionedFleet) linkBroken(a, b string) bool {
+	return slices.Contains(*f.brokenLinks.Load(), brokenLink{a, b}) || slices.Contains(*f.brokenLinks.Load(), brokenLink{b, a})
 }
 
-// unresponsiveTo returns the fronts that don't answer one.
-func (f *cutFleet) unresponsiveTo(name string) []string {
-	return slices.DeleteFunc(slices.Clone(f.names), func(other string) bool { return !f.isCut(name, other) })
+// unresponsiveTo returns the fronts that the named front can't reach.
+func (f *partitionedFleet) unresponsiveTo(name string) []string {
+	return slices.DeleteFunc(slices.Clone(f.names), func(other string) bool { return !f.linkBroken(name, other) })
 }
 
-// cutPeers are the peers as one front reaches them.
-type cutPeers struct {
-	fleet *cutFleet
+// partitionedPeers connects one front to the others.
+type partitionedPeers struct {
+	fleet *partitionedFleet
 	self  string
 }
 
-func (p cutPeers) Process(name string) (*wire.Process, bool) {
+func (p partitionedPeers) Process(name string) (*wire.Process, bool) {
 	return &wire.Process{Name: name, Address: name}, p.fleet.services[name] != nil
 }
 
-func (p cutPeers) Cores() []*wire.Process { return port.CoresOf(p.Processes()) }
+func (p partitionedPeers) Cores() []*wire.Process { return port.CoresOf(p.Processes()) }
 
-func (p cutPeers) Processes() []*wire.Process { return nil }
+func (p partitionedPeers) Processes() []*wire.Process { return nil }
 
-func (p cutPeers) Client(address string) wireconnect.PeerClient {
+func (p partitionedPeers) Client(address string) wireconnect.PeerClient {
 	unused := wireconnect.NewPeerClient(http.DefaultClient, "http://"+address)
-	return cutClient{PeerClient: unused, fleet: p.fleet, from: p.self, to: address}
+	return partitionedClient{PeerClient: unused, fleet: p.fleet, from: p.self, to: address}
 }
 
-type cutClient struct {
+type partitionedClient struct {
 	wireconnect.PeerClient
-	fleet    *cutFleet
+	fleet    *partitionedFleet
 	from, to string
 }
 
-func (c cutClient) Add(ctx context.Context, req *connect.Request[wire.AddRequest]) (*connect.Response[wire.AddResponse], error) {
-	if c.fleet.isCut(c.from, c.to) {
+func (c partitionedClient) Add(ctx context.Context, req *connect.Request[wire.AddRequest]) (*connect.Response[wire.AddResponse], error) {
+	if c.fleet.linkBroken(c.from, c.to) {
 		<-ctx.Done()
 		return nil, errors.New("no answer")
 	}
 	request := req.Msg
-	if c.fleet.oldVersions.Load() {
+	if c.fleet.ignoreRelayTo.Load() {
 		request.RelayTo = ""
 	}
 	if request.Front != c.from {
-		c.fleet.relayedOn.Add(1)
+		c.fleet.forwarded.Add(1)
 		if request.RelayTo != "" {
-			return nil, errors.New("a request that was passed on is passed on again")
+			return nil, errors.New("a forwarded request must not be forwarded again")
 		}
 	}
 	resp, err := c.fleet.services[c.to].Add(ctx, request)
@@ -89,12 +90,12 @@
 	return connect.NewResponse(resp), nil
 }
 
-func startCutFleet(ctx context.Context, t testing.TB, names ...string) *cutFleet {
-	f := &cutFleet{names: names, services: map[string]*Service{}}
-	f.cuts.Store(&[]cut{})
+func startPartitionedFleet(ctx context.Context, t testing.TB, names ...string) *partitionedFleet {
+	f := &partitionedFleet{names: names, services: map[string]*Service{}}
+	f.brokenLinks.Store(&[]brokenLink{})
 	for _, name := range names {
 		config := Config{Self: name, Incarnation: 1, Shards: 1, Unresponsive: func() []string { return f.unresponsiveTo(name) }}
-		service, err := New(config, cutPeers{f, name}, clock.System(), time.Now, func() []string { return names }, events.Discard)
+		service, err := New(config, partitionedPeers{f, name}, clock.System(), time.Now, func() []string { return names }, events.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,16 +107,16 @@
 	return f
 }
 
-// usage spends one token of a tenant at a front again and again, and returns what the
-// front then knows of it.
-func (f *cutFleet) usage(ctx context.Context, t testing.TB, name string) quota.TenantUsage {
+// spendAndInspect sends 30 requests of one token to a front in the course of 3 s, and
+// returns the front's view of the tenant.
+func (f *partitionedFleet) spendAndInspect(ctx context.Context, t testing.TB, name string) quota.TenantUsage {
 	for range 30 {
 		f.services[name].Admit(ctx, "press", 1, quota.Allowance{Rate: 100, Burst: 200}, 0)
 		<-time.After(100 * time.Millisecond)
 	}
 	usages, err := f.services[name].Inspect(ctx, "press")
 	if err != nil || len(usages) != 1 {
-		t.Fatal("no account", err)
+		t.Fatal("tenant press has no account", err)
 	}
 	return usages[0]
 }
@@ -124,49 +125,49 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		names := []string{"a", "b", "c", "d", "e"}
-		f := startCutFleet(ctx, t, names...)
+		f := startPartitionedFleet(ctx, t, names...)
 		owner := quota.OwnerOf("press", names)
-		next := quota.OwnerOf("press", quota.Reachable(names, []string{owner}))
-		rest := quota.Reachable(names, []string{owner, next})
+		nextOwner := quota.OwnerOf("press", quota.Reachable(names, []string{owner}))
+		others := quota.Reachable(names, []string{owner, nextOwner})
 		<-time.After(3 * time.Second)
 
-		Convey("A front that doesn't reach the owner gets the owner's totals through another", t, func() {
-			f.cuts.Store(&[]cut{{owner, rest[0]}})
-			So(f.usage(ctx, t, rest[1]).Owner, ShouldEqual, owner)
-			usage := f.usage(ctx, t, rest[0])
+		Convey("A front that can't reach the owner receives the owner's totals through a relay", t, func() {
+			f.brokenLinks.Store(&[]brokenLink{{owner, others[0]}})
+			So(f.spendAndInspect(ctx, t, others[1]).Owner, ShouldEqual, owner)
+			usage := f.spendAndInspect(ctx, t, others[0])
 			So(usage.Owner, ShouldEqual, owner)
 			So(usage.Recent, ShouldAlmostEqual, 60, 3)
 			So(usage.Age, ShouldBeLessThan, time.Second)
-			So(f.relayedOn.Load(), ShouldBeGreaterThan, 0)
-			Convey("and directly again once it reaches it", func() {
-				f.cuts.Store(&[]cut{})
-				f.usage(ctx, t, rest[0])
-				before := f.relayedOn.Load()
-				So(f.usage(ctx, t, rest[0]).Owner, ShouldEqual, owner)
-				So(f.relayedOn.Load(), ShouldEqual, before)
+			So(f.forwarded.Load(), ShouldBeGreaterThan, 0)
+			Convey("and directly again once the link is restored", func() {
+				f.brokenLinks.Store(&[]brokenLink{})
+				f.spendAndInspect(ctx, t, others[0])
+				before := f.forwarded.Load()
+				So(f.spendAndInspect(ctx, t, others[0]).Owner, ShouldEqual, owner)
+				So(f.forwarded.Load(), ShouldEqual, before)
 			})
 		})
-		Convey("The next owner, itself cut off, doesn't count for the owner either", t, func() {
-			f.cuts.Store(&[]cut{{owner, rest[0]}, {owner, next}})
-			So(f.usage(ctx, t, rest[0]).Owner, ShouldEqual, owner)
-			So(f.usage(ctx, t, next).Owner, ShouldEqual, owner)
+		Convey("The owner isn't replaced if the next owner can't reach it either", t, func() {
+			f.brokenLinks.Store(&[]brokenLink{{owner, others[0]}, {owner, nextOwner}})
+			So(f.spendAndInspect(ctx, t, others[0]).Owner, ShouldEqual, owner)
+			So(f.spendAndInspect(ctx, t, nextOwner).Owner, ShouldEqual, owner)
 		})
-		Convey("An owner that nobody reaches is replaced by the next one", t, func() {
-			all := []cut{}
+		Convey("An owner that no front reaches is replaced by the next owner", t, func() {
+			all := []brokenLink{}
 			for _, name := range names {
-				all = append(all, cut{owner, name})
+				all = append(all, brokenLink{owner, name})
 			}
-			f.cuts.Store(&all)
-			So(f.usage(ctx, t, rest[0]).Owner, ShouldEqual, next)
-			So(f.usage(ctx, t, rest[1]).Owner, ShouldEqual, next)
+			f.brokenLinks.Store(&all)
+			So(f.spendAndInspect(ctx, t, others[0]).Owner, ShouldEqual, nextOwner)
+			So(f.spendAndInspect(ctx, t, others[1]).Owner, ShouldEqual, nextOwner)
 		})
-		Convey("Among processes that don't relay the next owner counts, as it did before", t, func() {
-			f.cuts.Store(&[]cut{})
+		Convey("If processes don't support relaying, the next owner takes over the count", t, func() {
+			f.brokenLinks.Store(&[]brokenLink{})
 			<-time.After(5 * time.Second)
-			f.oldVersions.Store(true)
-			f.cuts.Store(&[]cut{{owner, rest[0]}})
-			So(f.usage(ctx, t, rest[0]).Owner, ShouldEqual, next)
-			f.oldVersions.Store(false)
+			f.ignoreRelayTo.Store(true)
+			f.brokenLinks.Store(&[]brokenLink{{owner, others[0]}})
+			So(f.spendAndInspect(ctx, t, others[0]).Owner, ShouldEqual, nextOwner)
+			f.ignoreRelayTo.Store(false)
 		})
 		cancel()
 		<-time.After(5 * time.Second)
@@ -174,12 +175,12 @@
 	})
 }
 
-func TestRelayRefusesOwnerOutOfItsReach(t *testing.T) {
+func TestRelayRejectsUnreachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		f := startCutFleet(ctx, t, "a", "b", "c")
-		f.cuts.Store(&[]cut{{"a", "b"}})
-		Convey("A relay fails at once for an owner that is unresponsive to it, or unknown", t, func() {
+		f := startPartitionedFleet(ctx, t, "a", "b", "c")
+		f.brokenLinks.Store(&[]brokenLink{{"a", "b"}})
+		Convey("A relay fails immediately for an owner that is unresponsive to it, or unknown", t, func() {
 			begin := time.Now()
 			_, err := f.services["b"].Add(ctx, &wire.AddRequest{Front: "c", RelayTo: "a"})
 			So(err, ShouldNotBeNil)
--- a/internal/node/quotasync/service.go
+++ b/internal/node/quotasync/service.go
@@ -1,11 +1,12 @@
-// Package quotasync runs the tenants' quotas on a front. Limiters decide the requests,
-// sharded by tenant, a counter sums the spend of the tenants that this front owns, and
-// the limiters exchange counts and totals with the owners' counters, through a third
-// front where an owner isn't reached directly.
+// Package quotasync enforces the tenants' quotas on a front. Limiters, sharded by tenant,
+// admit or reject requests, and a counter sums the spend of the tenants that this front
+// owns. The limiters exchange counts and totals with the owners' counters, through
+// another front as a relay if an owner is not reachable directly.
 //
-// Each limiter, the counter and the relays are owned by one goroutine each and reached
-// by channels. The decisions themselves are those of internal/decision/quota;
-// membership, the fleet's time and the connections to other fronts are passed in.
+// Each limiter, the counter and the selection of relays belong to one goroutine, which
+// receives requests through channels. The algorithms are those of
+// internal/decision/quota. The membership, the fleet's time and the connections to other
+// fronts are passed to New.
 package quotasync
 
 import (
@@ -29,11 +30,11 @@
 	"stepwick/internal/wire"
 )
 
-// Names of the services in events and of the shards in metrics; operators know them.
+// Names of services in events and of shards in events and metrics. Operators rely on them.
 const (
-	serviceName     = "spend"
-	counterName     = "spend-ledger"
-	shardNamePrefix = "spend-"
+	serviceName        = "spend"
+	counterServiceName = "spend-ledger"
+	shardNamePrefix    = "spend-"
 )
 
 const (
@@ -49,31 +50,32 @@
 	// Self is this front's name.
 	Self string
 
-	// Incarnation is that of this front's process.
+	// Incarnation identifies the run of this front's process.
 	Incarnation uint64
 
 	// Quota configures the limiters and the counter.
 	Quota quota.Config
 
-	// Shards is the number of limiters; one for each processor, 4 at most, by default.
+	// Shards is the number of limiters; one per processor, but at most 4, by default.
 	Shards int
 
-	// Timeout is that of one exchange; 1 s by default.
+	// Timeout is the maximum duration of one exchange; 1 s by default.
 	Timeout time.Duration
 
-	// QueueTimeout is how long a request waits for an exchange at most; 2.5 s by
-	// default. Since zero means the default, the setting tally.hold can't turn
-	// the queue off.
+	// QueueTimeout is the maximum time that a request waits for an exchange; 2.5 s by
+	// default. Since zero means the default, the setting tally.hold can't disable
+	// queueing.
 	QueueTimeout time.Duration
 
-	// MaxPending is the number of requests that a shard queues; 256 by default.
+	// MaxPending is the maximum number of requests that a shard queues; 256 by default.
 	MaxPending int
 
-	// Unresponsive returns the fronts that are unresponsive without being known to
-	// be down; none if nil.
+	// Unresponsive returns the fronts that are unresponsive but not known to be down.
+	// If it is nil, there are none.
 	Unresponsive func() []string
 
-	// Metrics registers the service's metrics; they are not registered if it is nil.
+	// Metrics is the registry of the service's metrics. If it is nil, they are not
+	// registered.
 	Metrics prometheus.Registerer
 }
 
@@ -99,39 +101,40 @@
 	return c
 }
 
-// Service decides requests by the quotas shared among all fronts.
+// Service admits or rejects requests by the tenants' quotas, which all fronts share.
+// Its methods are safe for concurrent use.
 type Service struct {
-	config   Config
-	peers    port.Peers
-	clock    clock.Clock
-	fleetNow func() time.Time
-	fronts   func() []string
-	log      events.Log
-	metrics  *metrics
-	shards   []*shard
-	counter  *counterOwner
-	relayer  *relayer
-	requests *sync.Pool // of *admitRequest
+	config      Config
+	peers       port.Peers
+	clock       clock.Clock
+	fleetNow    func() time.Time
+	fronts      func() []string
+	log         events.Log
+	metrics     *metrics
+	shards      []*shard
+	counter     *counterOwner
+	relayer     *relayer
+	requestPool *sync.Pool // of *admitRequest
 }
 
-// New returns a Service; it decides nothing before Serve runs. fleetNow returns the
-// time that the fleet agrees on, fronts the names of all fronts. The error is that of
-// registering the metrics.
+// New returns a Service, whose calls block until Serve runs. fleetNow returns the time
+// that the fleet agrees on, fronts the names of all fronts. New fails if the metrics
+// can't be registered.
 func New(config Config, peers port.Peers, clock clock.Clock, fleetNow func() time.Time, fronts func() []string, log events.Log) (*Service, error) {
 	config = config.withDefaults()
 	metrics, err := newMetrics(config.Metrics)
 	if err != nil {
-		return nil, errors.Wrap(err, "register the tally's metrics")
+		return nil, errors.Wrap(err, "register quota metrics")
 	}
 	service := &Service{
-		config:   config,
-		peers:    peers,
-		clock:    clock,
-		fleetNow: fleetNow,
-		fronts:   fronts,
-		log:      log,
-		metrics:  metrics,
-		requests: newRequestPool(),
+		config:      config,
+		peers:       peers,
+		clock:       clock,
+		fleetNow:    fleetNow,
+		fronts:      fronts,
+		log:         log,
+		metrics:     metrics,
+		requestPool: newRequestPool(),
 	}
 	service.counter = newCounterOwner(service)
 	service.relayer = newRelayer(service)
@@ -153,8 +156,8 @@
 }
 
 func (s *Service) logPanic(event suture.Event) {
-	if failed, ok := event.(suture.EventServicePanic); ok {
-		s.log.Emit(events.ServiceFailed, "service", failed.ServiceName, "panic", failed.PanicMsg)
+	if panicked, ok := event.(suture.EventServicePanic); ok {
+		s.log.Emit(events.ServiceFailed, "service", panicked.ServiceName, "panic", panicked.PanicMsg)
 	}
 }
 
@@ -165,13 +168,13 @@
 	return s.shards[xxhash.Sum64String(tenant)%uint64(len(s.shards))]
 }
 
-// Admit decides a request of a number of tokens. The request of a tenant well below
-// its limit may be queued for an exchange with the owner, for Config.QueueTimeout at
-// most; in a large fleet for maxWait at most, where that is longer, and never beyond
-// maxLargeFleetWait. When ctx ends first the request is rejected with DeadlinePassed
-// or CallerGone.
+// Admit decides whether to allow a request of the given number of tokens. If the tenant
+// is well below its limit, the request may be queued for an exchange with the owner, for
+// at most Config.QueueTimeout. In a large fleet a longer maxWait, up to
+// maxLargeFleetWait, applies instead. If ctx ends first, the request is rejected with
+// DeadlinePassed or CallerGone.
 func (s *Service) Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, maxWait time.Duration) quota.Decision {
-	request := s.requests.Get().(*admitRequest)
+	request := s.requestPool.Get().(*admitRequest)
 	request.done = ctx.Done()
 	request.tenant = tenant
 	request.tokens = tokens
@@ -179,17 +182,17 @@
 	request.maxWait = maxWait
 	decision, err := call(ctx, s.shardOf(tenant).requests, request, request.decision)
 	if err != nil {
-		// The shard may still hold the request: it must not return to the pool.
-		return quota.Decision{Code: codeOf(err)}
+		// The shard may still use the request, so it must not be returned to the pool.
+		return quota.Decision{Code: rejectionCode(err)}
 	}
 	request.done = nil
-	s.requests.Put(request)
+	s.requestPool.Put(request)
 	s.metrics.countDecision(decision)
 	return decision
 }
 
-// codeOf returns the code of a request whose context ended with err.
-func codeOf(err error) apierror.Code {
+// rejectionCode returns the code for a request whose context ended with err.
+func rejectionCode(err error) apierror.Code {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return apierror.DeadlinePassed
 	}
@@ -197,11 +200,11 @@
 }
 
 // Add applies another front's counts of tenants that this front owns and returns the
-// totals. Counts for the owner named in RelayTo are passed on to that one. The error is
-// that of the context, or of passing on.
+// totals. If RelayTo names another front, the request is forwarded to it instead. The
+// error is that of the context or of forwarding.
 func (s *Service) Add(ctx context.Context, req *wire.AddRequest) (*wire.AddResponse, error) {
 	if req.RelayTo != "" && req.RelayTo != s.config.Self {
-		return s.relayer.passOn(ctx, req)
+		return s.relayer.forward(ctx, req)
 	}
 	wire.UnpackCounts(req.Counts)
 	resp, err := s.counter.add(ctx, req)
@@ -211,17 +214,17 @@
 	return resp, err
 }
 
-// Inspect returns what this front knows of its active tenants, sorted by name, or of
-// the given tenant alone unless the name is empty. The error is that of the context.
+// Inspect returns the usage of this front's active tenants, sorted by name. If tenant is
+// not empty, the result is limited to that tenant. The error is that of the context.
 func (s *Service) Inspect(ctx context.Context, tenant string) ([]quota.TenantUsage, error) {
 	var usages []quota.TenantUsage
 	for _, shard := range s.shards {
 		response := make(chan []quota.TenantUsage, 1)
-		some, err := call(ctx, shard.inspects, response, response)
+		shardUsages, err := call(ctx, shard.inspects, response, response)
 		if err != nil {
 			return nil, err
 		}
-		usages = append(usages, some...)
+		usages = append(usages, shardUsages...)
 	}
 	if tenant != "" {
 		usages = slices.DeleteFunc(usages, func(u quota.TenantUsage) bool { return u.Tenant != tenant })
@@ -230,9 +233,9 @@
 	return usages, nil
 }
 
-// Flush sends all counts to their owners and waits for the responses, so that what
-// was spent here remains counted when the process ends. It returns the error of the
-// first exchange that fails, or that of the context.
+// Flush sends all unacknowledged counts to their owners and waits for the responses, so
+// that this front's spend remains counted when the process stops. It returns the error of
+// the first exchange that fails, or that of the context.
 func (s *Service) Flush(ctx context.Context) error {
 	for _, shard := range s.shards {
 		done := make(chan error, 1)
@@ -247,19 +250,19 @@
 	return nil
 }
 
-// call sends a request to the goroutine that handles it and waits for its response,
-// or for the end of the context.
+// call sends a request to the goroutine that handles it and waits for the response. The
+// error is that of the context.
 func call[Request, Response any](ctx context.Context, requests chan<- Request, request Request, response <-chan Response) (Response, error) {
-	var none Response
+	var zero Response
 	select {
 	case requests <- request:
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 	select {
-	case answer := <-response:
-		return answer, nil
+	case result := <-response:
+		return result, nil
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 }
--- a/internal/node/quotasync/service_test.go
+++ b/internal/node/quotasync/service_test.go
@@ -26,7 +26,7 @@
 type fleet struct {
 	services     map[string]*Service
 	unresponsive atomic.Pointer[string]
-	detected     atomic.Bool // the fronts know which one is unresponsive
+	detected     atomic.Bool // the membership reports the unresponsive front
 }
 
 func (f *fleet) unresponsiveFronts() []string {
@@ -66,10 +66,10 @@
 }
 
 func startFleet(ctx context.Context, t testing.TB, names ...string) *fleet {
-	return startFleetQueueing(ctx, t, 0, names...)
+	return startFleetWithQueueTimeout(ctx, t, 0, names...)
 }
 
-func startFleetQueueing(ctx context.Context, t testing.TB, queueTimeout time.Duration, names ...string) *fleet {
+func startFleetWithQueueTimeout(ctx context.Context, t testing.TB, queueTimeout time.Duration, names ...string) *fleet {
 	f := &fleet{services: map[string]*Service{}}
 	for _, name := range names {
 		config := Config{
@@ -97,22 +97,22 @@
 		f := startFleet(ctx, t, names...)
 		allowance := quota.Allowance{Rate: 100, Burst: 200}
 		<-time.After(time.Second)
-		offer := func(name string, requests int, tokens float64) (allowed float64, last apierror.Code) {
+		sendRequests := func(name string, requests int, tokens float64) (allowed float64, lastCode apierror.Code) {
 			for range requests {
 				<-time.After(5 * time.Millisecond)
 				if d := f.services[name].Admit(ctx, "press", tokens, allowance, 0); d.Allowed {
 					allowed += tokens
 				} else {
-					last = d.Code
+					lastCode = d.Code
 				}
 			}
-			return allowed, last
+			return allowed, lastCode
 		}
-		Convey("Three fronts together allow the limit and no more, and reject with QuotaExceeded", t, func() {
+		Convey("Three fronts together allow the limit but no more, and reject with QuotaExceeded", t, func() {
 			total := 0.0
 			for range 3 {
 				for _, name := range names {
-					allowed, code := offer(name, 60, 10)
+					allowed, code := sendRequests(name, 60, 10)
 					total += allowed
 					if code != apierror.OK {
 						So(code, ShouldEqual, apierror.QuotaExceeded)
@@ -125,9 +125,9 @@
 				for _, name := range names {
 					f.services[name].Admit(ctx, "press", 1, allowance, 0)
 					<-time.After(time.Second)
-					views, err := f.services[name].Inspect(ctx, "press")
+					usages, err := f.services[name].Inspect(ctx, "press")
 					So(err, ShouldBeNil)
-					So(views[0].Recent, ShouldAlmostEqual, total, 1)
+					So(usages[0].Recent, ShouldAlmostEqual, total, 1)
 				}
 			})
 		})
@@ -142,42 +142,42 @@
 			total := 0.0
 			code := apierror.OK
 			for range 16 {
-				allowed, last := offer(other, 100, 10)
-				if total += allowed; last != apierror.OK {
-					code = last
+				allowed, lastCode := sendRequests(other, 100, 10)
+				if total += allowed; lastCode != apierror.OK {
+					code = lastCode
 				}
 			}
 			So(code, ShouldEqual, apierror.ShareExceeded)
 			So(total, ShouldBeBetween, 100, 450)
 			f.unresponsive.Store(nil)
 		})
-		Convey("Once an owner is known to be unresponsive, the next one counts and a tenant under its limit is allowed", t, func() {
+		Convey("Once the membership reports the owner as unresponsive, the next owner takes over and a tenant below its limit is allowed", t, func() {
 			<-time.After(40 * time.Second)
 			owner := quota.OwnerOf("press", names)
 			others := quota.Reachable(names, []string{owner})
 			for _, name := range others {
-				_, code := offer(name, 1, 1)
+				_, code := sendRequests(name, 1, 1)
 				So(code, ShouldEqual, apierror.OK)
 			}
 			<-time.After(time.Second)
 			f.unresponsive.Store(&owner)
 			f.detected.Store(true)
-			first, code := offer(others[0], 5, 50)
+			firstAllowed, code := sendRequests(others[0], 5, 50)
 			So(code, ShouldEqual, apierror.OK)
-			second, code := offer(others[1], 5, 50)
+			secondAllowed, code := sendRequests(others[1], 5, 50)
 			So(code, ShouldEqual, apierror.OK)
-			So(first+second, ShouldEqual, 500)
+			So(firstAllowed+secondAllowed, ShouldEqual, 500)
 			<-time.After(time.Second)
 			So(f.services[others[0]].Admit(ctx, "press", 1, allowance, 0).Allowed, ShouldBeTrue)
 			<-time.After(time.Second)
-			views, err := f.services[others[0]].Inspect(ctx, "press")
+			usages, err := f.services[others[0]].Inspect(ctx, "press")
 			So(err, ShouldBeNil)
-			So(views[0].Owner, ShouldEqual, quota.OwnerOf("press", others))
-			So(views[0].Recent, ShouldAlmostEqual, 503, 1)
+			So(usages[0].Owner, ShouldEqual, quota.OwnerOf("press", others))
+			So(usages[0].Recent, ShouldAlmostEqual, 503, 1)
 			f.unresponsive.Store(nil)
 			f.detected.Store(false)
 		})
-		Convey("Flush reports what was spent to the owner", t, func() {
+		Convey("Flush reports spent tokens to the owner", t, func() {
 			<-time.After(40 * time.Second)
 			owner := quota.OwnerOf("press", names)
 			other := names[0]
@@ -188,9 +188,9 @@
 			So(f.services[other].Flush(ctx), ShouldBeNil)
 			f.services[owner].Admit(ctx, "press", 1, allowance, 0)
 			<-time.After(time.Second)
-			views, err := f.services[owner].Inspect(ctx, "press")
+			usages, err := f.services[owner].Inspect(ctx, "press")
 			So(err, ShouldBeNil)
-			So(views[0].Recent, ShouldAlmostEqual, 8, 0.01)
+			So(usages[0].Recent, ShouldAlmostEqual, 8, 0.01)
 		})
 		Convey("A request whose context has ended is rejected", t, func() {
 			ended, stop := context.WithCancel(ctx)
@@ -226,7 +226,7 @@
 		for i := range 40 {
 			names = append(names, "f"+strconv.Itoa(i))
 		}
-		f := startFleetQueueing(ctx, t, 100*time.Millisecond, names...)
+		f := startFleetWithQueueTimeout(ctx, t, 100*time.Millisecond, names...)
 		allowance := quota.Allowance{Rate: 1000}
 		<-time.After(time.Second)
 		spend := func() {
@@ -237,7 +237,7 @@
 		spend()
 		<-time.After(600 * time.Millisecond)
 		spend()
-		Convey("In a large fleet, a large request at a front new to the tenant waits for its share", t, func() {
+		Convey("In a large fleet, a large request at a front that is new to the tenant waits for the front's share", t, func() {
 			admitLarge := func(name string, maxWait time.Duration) bool {
 				return f.services[name].Admit(ctx, "press", 800, allowance, maxWait).Allowed
 			}
--- a/internal/node/quotasync/shard.go
+++ b/internal/node/quotasync/shard.go
@@ -9,44 +9,46 @@
 )
 
 const (
-	maxQueuedRequests  = 64 // requests that wait for the shard to decide them
-	maxQueuedResponses = 64 // owners' responses that wait for the shard
+	maxQueuedRequests = 64 // requests that wait for the shard's goroutine
+	maxQueuedResults  = 64 // exchange results that wait for the shard's goroutine
 
-	// largeFleetSize is the number of fronts from which on most requests of a tenant
-	// are its first ones at a front, which has no share by demand yet.
+	// largeFleetSize is the minimum number of fronts in a large fleet. From this size on,
+	// most requests of a tenant are its first at a front, and the front has no share by
+	// demand for the tenant yet.
 	largeFleetSize = 33
 )
 
-// shard owns the limiter of its part of the tenants.
+// shard runs the goroutine that owns the limiter of a part of the tenants, and its
+// exchanges with the tenants' owners.
 type shard struct {
-	service   *Service
-	name      string
-	limiter   *quota.Limiter
-	requests  chan *admitRequest
-	inspects  chan chan []quota.TenantUsage
-	flushes   chan chan error
-	responses chan exchangeResult
-
-	fronts    []string
-	owners    ownerTable
-	ticker    urgentTicker
-	exchanges exchanges
-	pending   []pendingRequest
-	flushing  []pendingFlush
+	service  *Service
+	name     string
+	limiter  *quota.Limiter
+	requests chan *admitRequest
+	inspects chan chan []quota.TenantUsage
+	flushes  chan chan error
+	results  chan exchangeResult
+
+	fronts          []string
+	owners          ownerCache
+	urgentTicker    urgentTicker
+	exchanges       exchanges
+	pendingRequests []pendingRequest
+	pendingFlushes  []pendingFlush
 }
 
 func newShard(service *Service, number int) *shard {
 	return &shard{
-		service:   service,
-		name:      shardNamePrefix + strconv.Itoa(number),
-		limiter:   quota.NewLimiter(service.config.Self, service.config.Quota),
-		requests:  make(chan *admitRequest, maxQueuedRequests),
-		inspects:  make(chan chan []quota.TenantUsage),
-		flushes:   make(chan chan error),
-		responses: make(chan exchangeResult, maxQueuedResponses),
-		owners:    ownerTable{byTenant: map[string]string{}},
-		ticker:    newUrgentTicker(service.clock, service.config.Quota.Interval/ticksPerInterval),
-		exchanges: newExchanges(),
+		service:      service,
+		name:         shardNamePrefix + strconv.Itoa(number),
+		limiter:      quota.NewLimiter(service.config.Self, service.config.Quota),
+		requests:     make(chan *admitRequest, maxQueuedRequests),
+		inspects:     make(chan chan []quota.TenantUsage),
+		flushes:      make(chan chan error),
+		results:      make(chan exchangeResult, maxQueuedResults),
+		owners:       ownerCache{byTenant: map[string]string{}},
+		urgentTicker: newUrgentTicker(service.clock, service.config.Quota.Interval/ticksPerInterval),
+		exchanges:    newExchanges(),
 	}
 }
 
@@ -57,23 +59,23 @@
 func (s *shard) Serve(ctx context.Context) error {
 	ticker := s.service.clock.Ticker(s.service.config.Quota.Interval)
 	defer ticker.Stop()
-	defer func() { s.ticker.release() }()
+	defer func() { s.urgentTicker.stop() }()
 	s.updateFronts()
 	for {
-		s.ticker.setRunning(s.needsTicks())
+		s.urgentTicker.setRunning(s.needsTicks())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case request := <-s.requests:
 			s.admit(request)
-			s.sendUrgentIfIdle(ctx)
+			s.sendUrgentIfDue(ctx)
 		case <-ticker.C():
 			s.handleInterval(ctx)
-		case <-s.ticker.ticks:
+		case <-s.urgentTicker.ticks:
 			s.beginTick()
 			s.sendUrgent(ctx)
 			s.retryPending()
-		case result := <-s.responses:
+		case result := <-s.results:
 			s.handleResult(result)
 			s.sendUrgent(ctx)
 			s.retryPending()
@@ -85,8 +87,7 @@
 	}
 }
 
-// handleInterval does the periodic work: it follows the membership and sends all
-// counts that are due.
+// handleInterval updates the membership and sends all counts that are due.
 func (s *shard) handleInterval(ctx context.Context) {
 	s.updateFronts()
 	s.beginTick()
@@ -98,7 +99,7 @@
 
 func (s *shard) inLargeFleet() bool { return len(s.fronts) >= largeFleetSize }
 
-// updateFronts follows the membership.
+// updateFronts applies changes of the membership and of the reachable fronts.
 func (s *shard) updateFronts() {
 	fronts := s.service.fronts()
 	s.owners.setReachable(quota.Reachable(fronts, s.service.relayer.unreachable()))
@@ -112,28 +113,28 @@
 	return s.owners.ownerOf(tenant, s.limiter.ActiveTenants())
 }
 
-// ownerTable caches the owners of tenants.
-type ownerTable struct {
+// ownerCache caches the owners of tenants, which change with the reachable fronts.
+type ownerCache struct {
 	reachable []string
 	byTenant  map[string]string
 }
 
-// spareOwners is the number of cached owners beyond twice the active tenants at which
-// the cache is cleared.
-const spareOwners = 1024
+// ownerCacheSlack is the number by which the cached owners may exceed twice the active
+// tenants before the cache is cleared.
+const ownerCacheSlack = 1024
 
-// setReachable sets the fronts among which owners are chosen.
-func (o *ownerTable) setReachable(fronts []string) {
+// setReachable sets the fronts from which owners are chosen.
+func (o *ownerCache) setReachable(fronts []string) {
 	if !slices.Equal(fronts, o.reachable) {
 		o.reachable = slices.Clone(fronts)
 		clear(o.byTenant)
 	}
 }
 
-func (o *ownerTable) ownerOf(tenant string, activeTenants int) string {
-	owner, known := o.byTenant[tenant]
-	if !known {
-		if len(o.byTenant) > 2*activeTenants+spareOwners {
+func (o *ownerCache) ownerOf(tenant string, activeTenants int) string {
+	owner, cached := o.byTenant[tenant]
+	if !cached {
+		if len(o.byTenant) > 2*activeTenants+ownerCacheSlack {
 			clear(o.byTenant)
 		}
 		owner = quota.OwnerOf(tenant, o.reachable)
@@ -142,26 +143,26 @@
 	return owner
 }
 
-// needsTicks reports whether urgent counts or pending requests have to be handled
-// within the interval. In a small fleet that is assumed while tenants are active.
+// needsTicks reports whether the urgent ticker must run: there are urgent counts or
+// pending requests or, in a small fleet, active tenants.
 func (s *shard) needsTicks() bool {
-	return len(s.pending) > 0 || s.limiter.HasUrgent() || !s.inLargeFleet() && s.limiter.ActiveTenants() > 0
+	return len(s.pendingRequests) > 0 || s.limiter.HasUrgent() || !s.inLargeFleet() && s.limiter.ActiveTenants() > 0
 }
 
-// beginTick allows one more send of urgent counts to each owner, and has ways sought to
-// owners that don't answer.
+// beginTick permits another send of urgent counts to each owner, and reports owners that
+// haven't responded in time to the relayer.
 func (s *shard) beginTick() {
 	now := s.service.clock.Now()
 	s.exchanges.beginTick()
-	s.ticker.lastTick = now
+	s.urgentTicker.lastTick = now
 	relayer := s.service.relayer
-	relayer.suspect(s.exchanges.takeOverdue(relayer.relays.SuspectAfter(), now))
+	relayer.reportSuspects(s.exchanges.takeOverdue(relayer.relays.SuspectAfter(), now))
 }
 
-// sendUrgentIfIdle sends urgent counts at once in a large fleet if the last tick is
-// over: the ticker may not be running there.
-func (s *shard) sendUrgentIfIdle(ctx context.Context) {
-	if !s.inLargeFleet() || !s.limiter.HasUrgent() || !s.ticker.elapsed() {
+// sendUrgentIfDue sends urgent counts immediately in a large fleet, where the urgent
+// ticker may be stopped, if a tick's interval has passed since the last tick.
+func (s *shard) sendUrgentIfDue(ctx context.Context) {
+	if !s.inLargeFleet() || !s.limiter.HasUrgent() || !s.urgentTicker.intervalElapsed() {
 		return
 	}
 	s.beginTick()
--- a/internal/node/quotasync/urgent_ticker.go
+++ b/internal/node/quotasync/urgent_ticker.go
@@ -6,16 +6,17 @@
 	"stepwick/internal/clock"
 )
 
-// ticksPerInterval is how often within an exchange interval urgent counts are sent
-// and pending requests decided again.
+// ticksPerInterval is the number of times per exchange interval that urgent counts are
+// sent and pending requests are decided again.
 const ticksPerInterval = 10
 
-// urgentTicker divides the exchange interval into ticks. It runs only while needed.
+// urgentTicker divides the exchange interval into ticks. It can be stopped while no ticks
+// are needed.
 type urgentTicker struct {
 	clock    clock.Clock
-	interval time.Duration    // least time between two sends of urgent counts to an owner
-	ticks    <-chan time.Time // nil unless running
-	release  func()           // of the ticker that runs, or ran last
+	interval time.Duration    // minimum time between two sends of urgent counts to an owner
+	ticks    <-chan time.Time // nil while stopped
+	stop     func()           // stops the underlying ticker; does nothing while stopped
 	lastTick time.Time
 }
 
@@ -23,7 +24,7 @@
 	return urgentTicker{
 		clock:    clock,
 		interval: interval,
-		release:  func() {},
+		stop:     func() {},
 	}
 }
 
@@ -33,13 +34,13 @@
 	case running && t.ticks == nil:
 		ticker := t.clock.Ticker(t.interval)
 		t.ticks = ticker.C()
-		t.release = ticker.Stop
+		t.stop = ticker.Stop
 	case !running && t.ticks != nil:
-		t.release()
+		t.stop()
 		t.ticks = nil
-		t.release = func() {}
+		t.stop = func() {}
 	}
 }
 
-// elapsed reports whether the last tick is over.
-func (t *urgentTicker) elapsed() bool { return t.clock.Now().Sub(t.lastTick) >= t.interval }
+// intervalElapsed reports whether the interval has passed since the last tick.
+func (t *urgentTicker) intervalElapsed() bool { return t.clock.Now().Sub(t.lastTick) >= t.interval }
