--- a/internal/decision/quota/relays.go
+++ b/internal/decision/quota/relays.go
@@ -57,7 +57,7 @@
 	nextCandidate   int // index of the next candidate to probe through
 }
 
-// Path is a path to a front, direct or through a relay. A probe tests one Way.
+// Path is a path to a front, direct or through a relay. A probe tests one Path.
 type Path struct {
 	Front string
 	Relay string // "" if the path is direct
