--- a/internal/node/follower/configuration.go
+++ b/internal/node/follower/configuration.go
@@ -10,17 +10,17 @@
 	"stepwick/internal/wire"
 )
 
-// configuration is the latest configuration that the front has learned. Its
-// version never falls.
+// configuration is the newest configuration that the front has received. Its
+// version never decreases.
 type configuration struct {
 	state    statemachine.State
-	learned  bool // state was received; the zero state otherwise
+	received bool // false while state is still the zero value
 	fetching bool // a call of Fetch is in flight
 }
 
-// Fetch returns the complete configuration to a process whose version is lower. A
-// front retains no commands, so it answers with a snapshot where a core's replica
-// answers with the commands that are missing.
+// Fetch returns the configuration to a process that has an older version. A front
+// retains no commands, so it returns a snapshot, whereas a core's replica returns
+// the missing commands. The error is always nil.
 func (f *Follower) Fetch(_ context.Context, req *wire.FetchRequest) (*wire.FetchResponse, error) {
 	state := f.View().State
 	if state.Version <= req.After {
@@ -33,21 +33,22 @@
 	}, nil
 }
 
-// fetch catches up with another process: it requests the commands after the
-// current version, or a snapshot.
+// fetch catches up with another process: it requests the commands after the current
+// version, to which the process may answer with a snapshot. At most one call is in
+// flight.
 func (f *Follower) fetch(address string) {
 	if f.configuration.fetching {
 		return
 	}
 	f.configuration.fetching = true
-	after := f.configuration.state.Version
-	if !f.configuration.learned {
-		after = 0
+	currentVersion := f.configuration.state.Version
+	if !f.configuration.received {
+		currentVersion = 0
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(f.ctx, snapshotTimeout)
 		defer cancel()
-		resp, err := f.peers.Client(address).Fetch(ctx, connect.NewRequest(&wire.FetchRequest{After: after}))
+		resp, err := f.peers.Client(address).Fetch(ctx, connect.NewRequest(&wire.FetchRequest{After: currentVersion}))
 		f.post(func() {
 			f.configuration.fetching = false
 			if err != nil {
@@ -61,10 +62,9 @@
 	}()
 }
 
-// applySnapshot adopts a complete configuration that is newer than the current
-// one.
+// applySnapshot replaces the configuration by a snapshot with a higher version.
 func (f *Follower) applySnapshot(version uint64, data []byte) {
-	if len(data) == 0 || (f.configuration.learned && version <= f.configuration.state.Version) {
+	if len(data) == 0 || (f.configuration.received && version <= f.configuration.state.Version) {
 		return
 	}
 	state, err := statemachine.DecodeState(data)
@@ -75,8 +75,9 @@
 	f.adopt(state)
 }
 
-// applyChosen applies the next command. One that leaves a gap is ignored; the
-// caller finds out by the version that it learned from, and fetches.
+// applyChosen applies a chosen command if it is the next one. A command that leaves
+// a gap is ignored; the caller detects the gap by the version that the sender has
+// learned, and fetches.
 func (f *Follower) applyChosen(chosen *wire.Chosen) {
 	if chosen.Epoch != f.configuration.state.Version+1 {
 		return
@@ -85,12 +86,13 @@
 	f.adopt(state)
 }
 
-// adopt replaces the configuration by a newer one. The view is published before
-// the version is confirmed to anyone, so that a confirmed version is in force.
+// adopt installs a newer configuration. The view is published before the version is
+// confirmed to any process, so that the front already serves with every version
+// that it confirms.
 func (f *Follower) adopt(state statemachine.State) {
 	previous := f.configuration.state
 	f.configuration.state = state
-	f.configuration.learned = true
+	f.configuration.received = true
 	f.holder.SetRoster(state.Roster, state.PriorRoster)
 	f.publish()
 	f.holder.AdvanceTo(state.Version)
--- a/internal/node/follower/feed.go
+++ b/internal/node/follower/feed.go
@@ -11,52 +11,54 @@
 	"stepwick/internal/wire"
 )
 
-// feedReader is the state of the long poll by which a core's changes are received.
-type feedReader struct {
-	position   feedPosition
-	pollOpen   bool
-	failedCore string // the one whose poll failed last
+// feedState is the state of the long poll through which the front receives a core's
+// changes.
+type feedState struct {
+	position       feedPosition
+	pollInFlight   bool
+	lastFailedCore string // the core whose poll failed most recently
 }
 
-// feedPosition is up to where a feed was received. Without a feed's name the core
-// answers with a snapshot.
+// feedPosition identifies the last change received from a core's feed. The core
+// answers a request without a feed id with a snapshot.
 type feedPosition struct {
-	core   string // empty for none
-	feed   string // the name that the core gave its feed
-	offset uint64 // of the last change
+	core   string // empty while no feed is followed
+	feedID string // assigned by the core
+	offset uint64 // of the last change received
 }
 
-// reset forgets the position but stays with its core, which then answers the next
-// poll with a snapshot.
-func (p *feedPosition) reset() { *p = feedPosition{core: p.core} }
+// requireSnapshot discards the position but keeps its core, which then answers the
+// next poll with a snapshot.
+func (p *feedPosition) requireSnapshot() { *p = feedPosition{core: p.core} }
 
-// feedChanges is which parts of the view an answer of the feed changed.
-type feedChanges struct {
-	servers bool // or the plan
-	members bool
+// viewChanges records which parts of the view an answer from the feed has changed.
+type viewChanges struct {
+	serversOrPlan bool
+	members       bool
 }
 
-// pollFeed keeps one poll of the feed open, at a core that answers.
+// pollFeed starts a poll of one core's feed unless a poll is in flight or no core
+// is suitable.
 func (f *Follower) pollFeed() {
 	now := f.clock.Now()
-	if f.feed.pollOpen {
+	if f.feed.pollInFlight {
 		return
 	}
 	core, ok := f.chooseFeedCore(now)
 	if !ok {
 		return
 	}
-	f.feed.pollOpen = true
+	f.feed.pollInFlight = true
 	position := f.feed.position
 	req := &wire.FollowRequest{
 		Who:    f.name,
-		Feed:   position.feed,
+		Feed:   position.feedID,
 		Place:  position.offset,
 		WaitMs: uint32(f.config.FeedWait.Milliseconds()),
 		Epoch:  f.configuration.state.Version,
 	}
 	timeout := f.config.FeedWait + f.config.CoreStaleAfter
-	if !f.configuration.learned {
+	if !f.configuration.received {
 		timeout = snapshotTimeout
 	}
 	go func() {
@@ -64,16 +66,17 @@
 		defer cancel()
 		resp, err := f.peers.Client(core.Address).Follow(ctx, connect.NewRequest(req))
 		if err != nil {
-			f.waitToRetryPoll()
-			f.post(func() { f.failPoll(core.Name, err) })
+			f.waitBeforeNextPoll()
+			f.post(func() { f.handlePollFailure(core.Name, err) })
 			return
 		}
-		f.post(func() { f.completePoll(core.Name, position.core, resp.Msg) })
+		f.post(func() { f.handlePollResponse(core.Name, position.core, resp.Msg) })
 	}()
 }
 
-// waitToRetryPoll delays the next poll after one that failed.
-func (f *Follower) waitToRetryPoll() {
+// waitBeforeNextPoll delays the next poll after a failed one by half of the renewal
+// interval.
+func (f *Follower) waitBeforeNextPoll() {
 	elapsed, stop := clock.NewTimer(f.config.RenewInterval / 2)
 	defer stop()
 	select {
@@ -82,26 +85,28 @@
 	}
 }
 
-// failPoll takes that a poll of a core failed: the next may go to another core.
-func (f *Follower) failPoll(core string, err error) {
-	f.feed = feedReader{failedCore: core}
+// handlePollFailure discards the feed position after a failed poll, so that the
+// next poll may go to another core.
+func (f *Follower) handlePollFailure(core string, err error) {
+	f.feed = feedState{lastFailedCore: core}
 	f.log.Emit(events.FeedStalled, "core", core, "error", err)
 }
 
-// completePoll takes the answer of a core to a poll.
-func (f *Follower) completePoll(core, previousCore string, resp *wire.FollowResponse) {
-	f.feed.pollOpen = false
+// handlePollResponse applies a core's answer to a poll. previousCore is the core
+// that was followed before the poll, empty if there was none.
+func (f *Follower) handlePollResponse(core, previousCore string, resp *wire.FollowResponse) {
+	f.feed.pollInFlight = false
 	if previousCore != "" && previousCore != core {
 		f.log.Emit(events.FeedSwitched, "from", previousCore, "to", core)
 	}
 	f.applyFeed(core, resp)
 }
 
-// applyFeed applies an answer of the feed and publishes what it changed.
+// applyFeed applies an answer from the feed and publishes the changes.
 func (f *Follower) applyFeed(core string, resp *wire.FollowResponse) {
-	f.feed.position = feedPosition{core: core, feed: resp.Feed, offset: resp.Place}
+	f.feed.position = feedPosition{core: core, feedID: resp.Feed, offset: resp.Place}
 	f.membership.feedAnsweredAt = f.clock.Now()
-	var changed feedChanges
+	var changed viewChanges
 	if resp.Snapshot != nil {
 		f.applyFeedSnapshot(resp.Snapshot, &changed)
 	}
@@ -109,7 +114,7 @@
 		f.applyFeedChange(change, &changed)
 	}
 	if changed.members {
-		f.confirmReported()
+		f.confirmRunning()
 	}
 	if resp.Learned > f.configuration.state.Version {
 		if process, known := f.peers.Process(core); known {
@@ -119,56 +124,57 @@
 	switch {
 	case changed.members:
 		f.publish()
-	case changed.servers:
+	case changed.serversOrPlan:
 		f.publishServers()
 	}
 }
 
-func (f *Follower) applyFeedSnapshot(snapshot *wire.Snapshot, changed *feedChanges) {
+func (f *Follower) applyFeedSnapshot(snapshot *wire.Snapshot, changed *viewChanges) {
 	f.applySnapshot(snapshot.Epoch, snapshot.State)
 	if f.applyPlan(snapshot.Plan) {
-		changed.servers = true
+		changed.serversOrPlan = true
 	}
 	for _, report := range snapshot.Reports {
 		if f.reports.Add(report, f.FleetNow()) {
-			changed.servers = true
+			changed.serversOrPlan = true
 		}
 	}
-	f.membership.applySnapshot(snapshot.Sights, f.clock.Now())
+	f.membership.replaceReports(snapshot.Sights, f.clock.Now())
 	changed.members = true
 }
 
-func (f *Follower) applyFeedChange(change *wire.Change, changed *feedChanges) {
+func (f *Follower) applyFeedChange(change *wire.Change, changed *viewChanges) {
 	serversChanged := false
-	switch what := change.What.(type) {
+	switch payload := change.What.(type) {
 	case *wire.Change_Chosen:
-		f.applyChosen(what.Chosen)
+		f.applyChosen(payload.Chosen)
 	case *wire.Change_Sight:
-		f.membership.applyReport(what.Sight, f.clock.Now())
+		f.membership.applyReport(payload.Sight, f.clock.Now())
 		changed.members = true
 	case *wire.Change_Plan:
-		serversChanged = f.applyPlan(what.Plan)
+		serversChanged = f.applyPlan(payload.Plan)
 	case *wire.Change_Report:
-		serversChanged = f.reports.Add(what.Report, f.FleetNow())
+		serversChanged = f.reports.Add(payload.Report, f.FleetNow())
 	case *wire.Change_Load:
-		serversChanged = f.reports.AddLoad(what.Load)
+		serversChanged = f.reports.AddLoad(payload.Load)
 	}
-	changed.servers = changed.servers || serversChanged
+	changed.serversOrPlan = changed.serversOrPlan || serversChanged
 }
 
-// applyPlan replaces the plan by one of a higher (term, number), and reports
-// whether it did. One that repeats the shares and caps of a plan which this front
-// doesn't have is ignored; the next poll then requests a snapshot.
+// applyPlan replaces the plan if the given one supersedes it, and reports whether
+// it did. A plan on the feed may omit its shares and caps if they are those of an
+// earlier plan. If this front doesn't have the earlier plan, it ignores the new
+// one, and the next poll requests a snapshot.
 func (f *Follower) applyPlan(plan *wire.Plan) bool {
 	if plan == nil {
 		return false
 	}
-	if f.plan != nil && !isLaterPlan(plan, f.plan) {
+	if f.plan != nil && !planSupersedes(plan, f.plan) {
 		return false
 	}
 	if plan.Repeats != 0 && len(plan.Shares)+len(plan.Caps) == 0 {
-		if f.plan == nil || f.plan.Term != plan.Term || originOf(f.plan) != plan.Repeats {
-			f.feed.position.reset()
+		if f.plan == nil || f.plan.Term != plan.Term || contentPlanNumber(f.plan) != plan.Repeats {
+			f.feed.position.requireSnapshot()
 			return false
 		}
 		plan = proto.Clone(plan).(*wire.Plan)
@@ -179,17 +185,17 @@
 	return true
 }
 
-// isLaterPlan reports whether a plan has a higher (term, number) than another.
-func isLaterPlan(a, b *wire.Plan) bool {
+// planSupersedes reports whether plan a has a higher (term, number) than plan b.
+func planSupersedes(a, b *wire.Plan) bool {
 	if a.Term != b.Term {
 		return a.Term > b.Term
 	}
 	return a.Number > b.Number
 }
 
-// originOf returns the number of the plan that a plan's shares and caps were
-// first sent with.
-func originOf(plan *wire.Plan) uint64 {
+// contentPlanNumber returns the number of the plan that first contained the shares
+// and caps of the given plan.
+func contentPlanNumber(plan *wire.Plan) uint64 {
 	if plan.Repeats != 0 {
 		return plan.Repeats
 	}
--- a/internal/node/follower/fleettime_test.go
+++ b/internal/node/follower/fleettime_test.go
@@ -16,22 +16,22 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// coreClock is a core whose clock differs by step from this process's, and which
+// skewedCore is a core whose clock differs by skew from this process's, and which
 // answers after a delay.
-type coreClock struct {
+type skewedCore struct {
 	wireconnect.UnimplementedPeerHandler
-	step, delay time.Duration
+	skew, delay time.Duration
 	name        string
 }
 
-func (c coreClock) Renew(_ context.Context, _ *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
+func (c skewedCore) Renew(_ context.Context, _ *connect.Request[wire.RenewRequest]) (*connect.Response[wire.RenewResponse], error) {
 	<-time.After(c.delay)
-	return connect.NewResponse(&wire.RenewResponse{Core: c.name, TimeUs: time.Now().Add(c.step).UnixMicro()}), nil
+	return connect.NewResponse(&wire.RenewResponse{Core: c.name, TimeUs: time.Now().Add(c.skew).UnixMicro()}), nil
 }
 
-type cores map[string]coreClock
+type skewedCores map[string]skewedCore
 
-func (c cores) Process(name string) (*wire.Process, bool) {
+func (c skewedCores) Process(name string) (*wire.Process, bool) {
 	return &wire.Process{
 		Name:    name,
 		Address: name,
@@ -40,23 +40,23 @@
 	}, true
 }
 
-func (c cores) Cores() []*wire.Process { return port.CoresOf(c.Processes()) }
+func (c skewedCores) Cores() []*wire.Process { return port.CoresOf(c.Processes()) }
 
-func (c cores) Processes() (all []*wire.Process) {
+func (c skewedCores) Processes() (processes []*wire.Process) {
 	for _, name := range []string{"c1", "c2", "c3"} {
-		p, _ := c.Process(name)
-		all = append(all, p)
+		process, _ := c.Process(name)
+		processes = append(processes, process)
 	}
-	return all
+	return processes
 }
 
-func (c cores) Client(address string) wireconnect.PeerClient { return c[address] }
+func (c skewedCores) Client(address string) wireconnect.PeerClient { return c[address] }
 
 func TestFleetTimeWaitsForEveryCoresClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		peers := cores{"c1": {name: "c1", step: time.Hour}, "c2": {name: "c2", delay: 200 * time.Millisecond}, "c3": {name: "c3", delay: 300 * time.Millisecond}}
-		tested := follower.New(follower.Config{
+		peers := skewedCores{"c1": {name: "c1", skew: time.Hour}, "c2": {name: "c2", delay: 200 * time.Millisecond}, "c3": {name: "c3", delay: 300 * time.Millisecond}}
+		front := follower.New(follower.Config{
 			Self:           func() *wire.Process { return &wire.Process{Name: "f1", Front: true} },
 			LeaseTTL:       2 * time.Second,
 			RenewInterval:  500 * time.Millisecond,
@@ -65,14 +65,14 @@
 			KnownProcesses: func() []port.KnownProcess { return nil },
 			CoreStaleAfter: time.Second,
 		}, peers, clock.System(), events.Discard)
-		go func() { _ = tested.Serve(ctx) }()
+		go func() { _ = front.Serve(ctx) }()
 		<-time.After(100 * time.Millisecond)
-		if tested.FleetTimeReady() {
-			t.Error("one clock, which is wrong, is decided by")
+		if front.FleetTimeReady() {
+			t.Error("fleet time is ready although only one core's clock was measured, which is wrong by an hour")
 		}
 		<-time.After(300 * time.Millisecond)
-		if off := time.Until(tested.FleetNow()); !tested.FleetTimeReady() || off > time.Second || off < -time.Second {
-			t.Errorf("with every clock known: timed %v, off by %s", tested.FleetTimeReady(), off)
+		if deviation := time.Until(front.FleetNow()); !front.FleetTimeReady() || deviation > time.Second || deviation < -time.Second {
+			t.Errorf("after all clocks were measured: ready %v, deviation %s", front.FleetTimeReady(), deviation)
 		}
 		cancel()
 		<-time.After(5 * time.Second)
--- a/internal/node/follower/logging.go
+++ b/internal/node/follower/logging.go
@@ -8,7 +8,7 @@
 	"stepwick/internal/events"
 )
 
-// logAuthority logs a change of what the front's authority is based on.
+// logAuthority logs a change of the source of the front's authority.
 func (f *Follower) logAuthority(authority lease.Authority) {
 	if authority.Source == f.authoritySource {
 		return
@@ -25,9 +25,9 @@
 	case lease.SourceRoster:
 		f.log.Emit(events.AuthorityByRoster, "epoch", version)
 	}
-	hadNone := previous == lease.SourceNone || previous == ""
-	hasNone := authority.Source == lease.SourceNone
-	if hadNone == hasNone {
+	lackedAuthority := previous == lease.SourceNone || previous == ""
+	lacksAuthority := authority.Source == lease.SourceNone
+	if lackedAuthority == lacksAuthority {
 		return
 	}
 	if authority.Granted {
@@ -37,16 +37,17 @@
 	}
 }
 
-// logConfiguration logs what a newer configuration removes or restores.
+// logConfiguration logs the version of a newer configuration, the zones that it
+// evacuates or restores, and the keys that it revokes.
 func (f *Follower) logConfiguration(previous, state statemachine.State) {
 	f.log.Emit(events.VersionLearned, "epoch", state.Version, "sheet_epoch", state.SheetVersion)
 	for zone := range state.Evacuated {
-		if _, before := previous.Evacuated[zone]; !before {
+		if _, wasEvacuated := previous.Evacuated[zone]; !wasEvacuated {
 			f.log.Emit(events.ZoneEvacuated, "locality", zone, "epoch", state.Version)
 		}
 	}
 	for zone := range previous.Evacuated {
-		if _, still := state.Evacuated[zone]; !still {
+		if _, stillEvacuated := state.Evacuated[zone]; !stillEvacuated {
 			f.log.Emit(events.ZoneRestored, "locality", zone, "epoch", state.Version)
 		}
 	}
@@ -63,28 +64,29 @@
 	}
 }
 
-// recordReachability takes how a peer responded to a ping, and logs a change or a
-// restart. The incarnation counts only for a peer that answered.
-func (f *Follower) recordReachability(name string, response reachability, incarnation uint64) {
-	pings := f.membership.ping(name)
+// recordReachability records how a peer responded to a ping, and logs when this
+// changes or when the peer was restarted. The incarnation is used only if the peer
+// answered.
+func (f *Follower) recordReachability(name string, observed reachability, incarnation uint64) {
+	pings := f.membership.ensurePings(name)
 	previous := pings.reachability
-	pings.reachability = response
-	if response == answersPings {
+	pings.reachability = observed
+	if observed == reachabilityAnswering {
 		if pings.incarnation != 0 && incarnation > pings.incarnation {
 			f.log.Emit(events.PeerRestarted, "peer", name, "incarnation", incarnation)
 		}
 		pings.incarnation = max(pings.incarnation, incarnation)
 	}
-	firstAnswer := previous == reachabilityUnknown && response == answersPings
-	if previous == response || firstAnswer {
+	firstAnswer := previous == reachabilityUnknown && observed == reachabilityAnswering
+	if previous == observed || firstAnswer {
 		return
 	}
-	switch response {
-	case answersPings:
+	switch observed {
+	case reachabilityAnswering:
 		f.log.Emit(events.PeerRecovered, "peer", name)
-	case refusesConnections:
+	case reachabilityRefusing:
 		f.log.Emit(events.PeerRefused, "peer", name)
-	case unresponsive:
+	case reachabilityUnresponsive:
 		f.log.Emit(events.PeerUnresponsive, "peer", name)
 	}
 }
--- a/internal/node/follower/membership.go
+++ b/internal/node/follower/membership.go
@@ -8,79 +8,82 @@
 )
 
 const (
-	// pingFreshFor is how long after an answered ping a peer counts as live, and
-	// how long after the first unanswered one it counts as unresponsive.
+	// pingFreshFor is how long a peer counts as live after it answered a ping, and
+	// how long after its first unanswered ping a peer begins to count as
+	// unresponsive.
 	pingFreshFor = 1500 * time.Millisecond
 	// directoryFreshFor is how long a front that is not on the roster yet counts as
-	// live after the directory last saw it.
+	// live after its last update in the directory.
 	directoryFreshFor = 90 * time.Second
-	// feedFreshFor is how long the feed's reports on processes count when no core
-	// answers; after that only pings and the directory decide who is live.
+	// feedFreshFor is how long the feed's reports on processes remain valid after
+	// the last answer of a core. After that, only pings and the directory determine
+	// who is live.
 	feedFreshFor = 4 * time.Second
-	// leftRetention is how long a process that left the roster is remembered.
+	// leftRetention is how long the report on a process that left the roster is
+	// retained.
 	leftRetention = 10 * time.Minute
 )
 
-// memberState is the state of a process as far as this front knows.
+// memberState is the state of a process as observed by this front.
 type memberState int
 
 const (
 	memberLive memberState = iota
-	// memberUnresponsive does not answer, but may go on beyond a partition.
+	// memberUnresponsive does not answer, but may still be serving on the other
+	// side of a partition.
 	memberUnresponsive
-	// memberLeft released its lease or refuses connections: it does not run.
+	// memberLeft has released its lease or refuses connections: it is not running.
 	memberLeft
 )
 
-// reachability is how a peer responded to the last pings.
+// reachability is how a peer responded to the latest pings.
 type reachability int
 
 const (
 	reachabilityUnknown reachability = iota
-	answersPings
-	unresponsive
-	refusesConnections
+	reachabilityAnswering
+	reachabilityUnresponsive
+	reachabilityRefusing
 )
 
-// membership is what this front knows of other processes: what its own pings
-// showed, and what the feed reports.
+// membership holds what this front knows about other processes from its own pings
+// and from the feed.
 type membership struct {
 	self  string
 	pings map[string]*pingRecord
-	// unansweredSince holds when the first ping was sent that a peer has not
-	// answered since; of a peer that refused a connection it is the zero time, so
-	// that it counts as unresponsive at once where a newer report of the feed
-	// overrules the refusal.
+	// unansweredSince holds, for each peer that has not answered since a ping, when
+	// the first such ping was sent. For a peer that refused a connection it holds
+	// the zero time until the peer answers.
 	unansweredSince map[string]time.Time
-	reports         map[string]feedReport // by the feed
-	feedAnsweredAt  time.Time             // when a core last answered a poll of the feed
+	processReports  map[string]processReport // newest report from the feed, by process name
+	feedAnsweredAt  time.Time                // when a core last answered a poll of the feed
 }
 
-// pingRecord is what the pings of one peer showed.
+// pingRecord holds the results of the pings of one peer.
 type pingRecord struct {
 	reachability reachability
 	answeredAt   time.Time // of the last answer; zero after a refused connection
 	refusedAt    time.Time // zero unless the last response was a refused connection
-	incarnation  uint64    // the highest that answered
+	incarnation  uint64    // the highest incarnation that answered
 	readiness    readiness
 	inFlight     bool
-	pingAgain    bool // to be pinged once more when the ping in flight ends
+	pingAgain    bool // ping again when the ping in flight ends
 }
 
-// readiness is what a peer last answered of itself. It is newer than the
-// directory's record of the same incarnation.
+// readiness is what a peer stated about itself in its last answer. It is newer than
+// the directory's record of the same incarnation.
 type readiness struct {
 	incarnation uint64
 	ready       bool
 	leaving     bool
-	at          time.Time // zero where the peer never answered
+	receivedAt  time.Time // zero if the peer never answered
 }
 
-// feedReport is what the feed reports of a process.
-type feedReport struct {
+// processReport is the feed's newest report on a process.
+type processReport struct {
 	process *wire.Process
 	state   memberState
-	since   time.Time // when the feed first reported this
+	since   time.Time // when the feed first reported this state and record
 }
 
 func newMembership(self string) membership {
@@ -88,12 +91,13 @@
 		self:            self,
 		pings:           map[string]*pingRecord{},
 		unansweredSince: map[string]time.Time{},
-		reports:         map[string]feedReport{},
+		processReports:  map[string]processReport{},
 	}
 }
 
-// ping returns the record of a peer's pings for a change.
-func (m *membership) ping(name string) *pingRecord {
+// ensurePings returns the record of a peer's pings for modification, and creates it
+// if there is none.
+func (m *membership) ensurePings(name string) *pingRecord {
 	record := m.pings[name]
 	if record == nil {
 		record = &pingRecord{}
@@ -102,76 +106,79 @@
 	return record
 }
 
-// noPings is the record of a peer that was never pinged; it is never changed.
-var noPings pingRecord
+// emptyPingRecord stands for the record of a peer that was never pinged. It must
+// not be modified.
+var emptyPingRecord pingRecord
 
-// pinged returns the record of a peer's pings for reading.
-func (m *membership) pinged(name string) *pingRecord {
+// pingsOf returns the record of a peer's pings for reading.
+func (m *membership) pingsOf(name string) *pingRecord {
 	if record := m.pings[name]; record != nil {
 		return record
 	}
-	return &noPings
+	return &emptyPingRecord
 }
 
-// applyReport takes the feed's report of one process.
-func (m *membership) applyReport(status *wire.Sight, now time.Time) {
-	process := status.GetProcess()
+// applyReport records the feed's report on one process.
+func (m *membership) applyReport(sight *wire.Sight, now time.Time) {
+	process := sight.GetProcess()
 	if process.GetName() == "" {
 		return
 	}
-	next := feedReport{process: process, state: reportedState(status), since: now}
-	previous, known := m.reports[process.Name]
+	next := processReport{process: process, state: reportedState(sight), since: now}
+	previous, known := m.processReports[process.Name]
 	if known && previous.state == next.state && lease.SameProcessRecord(previous.process, process) {
 		next.since = previous.since
 	}
-	m.reports[process.Name] = next
+	m.processReports[process.Name] = next
 }
 
-func reportedState(status *wire.Sight) memberState {
+func reportedState(sight *wire.Sight) memberState {
 	switch {
-	case status.Gone:
+	case sight.Gone:
 		return memberLeft
-	case status.Silent:
+	case sight.Silent:
 		return memberUnresponsive
 	}
 	return memberLive
 }
 
-// applySnapshot replaces all reports by those of a snapshot.
-func (m *membership) applySnapshot(sights []*wire.Sight, now time.Time) {
-	named := make(map[string]bool, len(sights))
+// replaceReports replaces all reports by those of a feed snapshot.
+func (m *membership) replaceReports(sights []*wire.Sight, now time.Time) {
+	inSnapshot := make(map[string]bool, len(sights))
 	for _, sight := range sights {
-		named[sight.GetProcess().GetName()] = true
+		inSnapshot[sight.GetProcess().GetName()] = true
 		m.applyReport(sight, now)
 	}
-	for name := range m.reports {
-		if !named[name] {
-			delete(m.reports, name)
+	for name := range m.processReports {
+		if !inSnapshot[name] {
+			delete(m.processReports, name)
 		}
 	}
 }
 
-// report returns the feed's report of a process, while a core answers.
-func (m *membership) report(name string, now time.Time) (feedReport, bool) {
-	report, known := m.reports[name]
+// currentReport returns the feed's report on a process. It returns false if there
+// is none or if no core answered within feedFreshFor.
+func (m *membership) currentReport(name string, now time.Time) (processReport, bool) {
+	report, known := m.processReports[name]
 	return report, known && now.Sub(m.feedAnsweredAt) < feedFreshFor
 }
 
-// state returns the state of a process. What this front's own pings showed takes
-// precedence over a report of the feed unless that is newer. A peer that refused
-// a connection has left until it answers, or until the feed reports a later
-// incarnation of it, as the core may not have noticed yet.
+// state returns the state of a process. This front's own pings take precedence over
+// a report from the feed unless the report is newer. A peer that refused a connection
+// counts as left until it answers, or until the feed reports a later incarnation as
+// live. A report on the same incarnation does not suffice, because the core may not
+// have noticed the failure yet.
 func (m *membership) state(name string, now time.Time) memberState {
 	if name == m.self {
 		return memberLive
 	}
-	report, reported := m.report(name, now)
-	pings := m.pinged(name)
-	answers := !pings.answeredAt.IsZero() && now.Sub(pings.answeredAt) < pingFreshFor && pings.answeredAt.After(report.since)
+	report, reported := m.currentReport(name, now)
+	pings := m.pingsOf(name)
+	hasNewerAnswer := !pings.answeredAt.IsZero() && now.Sub(pings.answeredAt) < pingFreshFor && pings.answeredAt.After(report.since)
 	if !pings.refusedAt.IsZero() && !(reported && report.supersedesRefusal(pings)) {
 		return memberLeft
 	}
-	if reported && report.state != memberLive && !answers {
+	if reported && report.state != memberLive && !hasNewerAnswer {
 		return report.state
 	}
 	since, unanswered := m.unansweredSince[name]
@@ -181,25 +188,26 @@
 	return memberLive
 }
 
-// supersedesRefusal reports whether a process was restarted since it refused a
+// supersedesRefusal reports whether the process was restarted after it refused a
 // connection.
-func (r feedReport) supersedesRefusal(pings *pingRecord) bool {
+func (r processReport) supersedesRefusal(pings *pingRecord) bool {
 	return r.state == memberLive && r.since.After(pings.refusedAt) && r.process.Incarnation > pings.incarnation
 }
 
-// forgetLeft removes the reports of processes that left the roster long ago.
-func (m *membership) forgetLeft(onRoster func(name string) bool, now time.Time) {
-	for name, report := range m.reports {
+// pruneLeft removes the reports on processes that are not on the roster and were
+// reported as left at least leftRetention ago.
+func (m *membership) pruneLeft(onRoster func(name string) bool, now time.Time) {
+	for name, report := range m.processReports {
 		if report.state == memberLeft && !onRoster(name) && now.Sub(report.since) >= leftRetention {
-			delete(m.reports, name)
+			delete(m.processReports, name)
 		}
 	}
 }
 
-// reportedRunning returns every process that the feed does not report as left.
+// reportedRunning returns all processes that the feed does not report as left.
 func (m *membership) reportedRunning() []*wire.Process {
-	running := make([]*wire.Process, 0, len(m.reports))
-	for _, report := range m.reports {
+	running := make([]*wire.Process, 0, len(m.processReports))
+	for _, report := range m.processReports {
 		if report.state != memberLeft && report.process.Address != "" {
 			running = append(running, report.process)
 		}
@@ -207,9 +215,9 @@
 	return running
 }
 
-// confirmReported hands every process that the feed does not report as left to
-// the directory.
-func (f *Follower) confirmReported() {
+// confirmRunning passes all processes that the feed does not report as left to
+// Config.ConfirmLive.
+func (f *Follower) confirmRunning() {
 	if f.config.ConfirmLive == nil {
 		return
 	}
@@ -217,13 +225,13 @@
 		_, member := f.configuration.state.Roster[name]
 		return member
 	}
-	f.membership.forgetLeft(onRoster, f.clock.Now())
+	f.membership.pruneLeft(onRoster, f.clock.Now())
 	f.config.ConfirmLive(f.membership.reportedRunning())
 }
 
-// isLater reports whether a record of a process is newer than another of the same
-// process.
-func isLater(a, b *wire.Process) bool {
+// isNewerRecord reports whether record a of a process is newer than record b of the
+// same process.
+func isNewerRecord(a, b *wire.Process) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
--- a/internal/node/follower/pinger.go
+++ b/internal/node/follower/pinger.go
@@ -12,56 +12,58 @@
 )
 
 const (
-	// smallRoster is the largest roster of which every member is pinged at each
-	// interval. Of a larger one only one member is pinged, in turn and at each
-	// sparsePingIntervals intervals, with a few that did not answer, so that the cost
-	// of a node does not grow with the fleet: each of these pings opens a
-	// connection. While control is lost (see controlLost) all members are pinged once
-	// in half a TTL.
-	smallRoster         = 32
-	sparsePingIntervals = 4
-	// retriedPings is how many unanswered members of a large roster are pinged again
-	// at each interval.
-	retriedPings = 2
-	// maxPingsInFlight bounds the connections that are opened at once.
+	// maxSmallRoster is the size of the largest roster of which every member is
+	// pinged at each interval. In a larger roster only one member, in turn, is
+	// pinged every intervalsPerSparsePing intervals, in addition to a few members
+	// that did not answer, so that the cost of a node does not grow with the fleet:
+	// each of these pings opens a connection. While the majority of cores is lost
+	// (see lostCoreMajority), all members are pinged once per half of a TTL.
+	maxSmallRoster         = 32
+	intervalsPerSparsePing = 4
+	// maxRetriedPings bounds the unanswered members of a large roster that are
+	// pinged again at each interval.
+	maxRetriedPings = 2
+	// maxPingsInFlight bounds the connections that are opened at the same time.
 	maxPingsInFlight = 64
 )
 
-// pinger decides whom to ping and when.
+// pinger schedules the pings of the members of the roster.
 type pinger struct {
-	queue          []string  // members still to be pinged
-	inFlight       int       // pings that wait for their answers
-	cursor         int       // on the roster: the last one whose turn came
-	idleIntervals  int       // in which a large roster was not pinged as a whole
-	roundStartedAt time.Time // when the last round of a whole large roster began
+	queue           []string  // members still to be pinged
+	inFlight        int       // pings that have not completed
+	cursor          int       // index on the roster of the member that was last selected in turn
+	sparseIntervals int       // ping intervals without a full round of a large roster
+	roundStartedAt  time.Time // when the last full round of a large roster was queued
 }
 
-// nextTurn moves the cursor to the next member of the roster.
-func (p *pinger) nextTurn(roster []string) { p.cursor = (p.cursor + 1) % len(roster) }
+// advanceCursor moves the cursor to the next member of the roster.
+func (p *pinger) advanceCursor(roster []string) { p.cursor = (p.cursor + 1) % len(roster) }
 
-// queueAll queues all members of the roster.
+// queueAll replaces the queue by all members of the roster.
 func (p *pinger) queueAll(roster []string) { p.queue = append(p.queue[:0], roster...) }
 
-// queueSparse queues the member whose turn it is, if any, and some others.
-func (p *pinger) queueSparse(roster, others []string) {
+// queueSparse replaces the queue by the members to retry and, every
+// intervalsPerSparsePing intervals, the next member in turn.
+func (p *pinger) queueSparse(roster, retried []string) {
 	p.queue = p.queue[:0]
-	p.idleIntervals++
-	if p.idleIntervals%sparsePingIntervals == 0 {
-		p.nextTurn(roster)
+	p.sparseIntervals++
+	if p.sparseIntervals%intervalsPerSparsePing == 0 {
+		p.advanceCursor(roster)
 		p.queue = append(p.queue, roster[p.cursor])
 	}
-	p.queue = append(p.queue, others...)
+	p.queue = append(p.queue, retried...)
 }
 
-// queueRound queues all members of the roster, from the one whose turn it is.
-func (p *pinger) queueRound(roster []string, now time.Time) {
-	p.nextTurn(roster)
+// queueFullRound queues all members of the roster, starting with the next in turn.
+func (p *pinger) queueFullRound(roster []string, now time.Time) {
+	p.advanceCursor(roster)
 	p.queue = append(p.queue, roster[p.cursor:]...)
 	p.queue = append(p.queue, roster[:p.cursor]...)
 	p.roundStartedAt = now
 }
 
-// Ping answers a peer with the version that this front has confirmed.
+// Ping answers a peer's ping with the version that this front has confirmed. The
+// error is always nil.
 func (f *Follower) Ping(_ context.Context, req *wire.PingRequest) (*wire.PingResponse, error) {
 	if !req.Unconfirmed {
 		f.post(func() {
@@ -81,37 +83,39 @@
 	}, nil
 }
 
-// pingDue pings the members whose turn it is; see smallRoster.
-func (f *Follower) pingDue() {
+// pingMembers pings the members that are due in this interval; see maxSmallRoster.
+func (f *Follower) pingMembers() {
 	now := f.clock.Now()
 	roster := f.view.Load().Roster
 	switch {
-	case len(roster) <= smallRoster:
+	case len(roster) <= maxSmallRoster:
 		f.pinger.queueAll(roster)
-	case !f.controlLost(now):
-		f.pinger.queueSparse(roster, f.someUnanswered())
+	case !f.lostCoreMajority(now):
+		f.pinger.queueSparse(roster, f.membersToRetry())
 	case len(f.pinger.queue) == 0 && now.Sub(f.pinger.roundStartedAt) >= f.config.LeaseTTL/2:
-		f.pinger.queueRound(roster, now)
+		f.pinger.queueFullRound(roster, now)
 	}
 	f.sendQueuedPings()
 	f.updateAuthority()
 }
 
-// sendQueuedPings pings the queued members, as many at once as are allowed.
+// sendQueuedPings sends queued pings while fewer than maxPingsInFlight are in
+// flight.
 func (f *Follower) sendQueuedPings() {
 	for len(f.pinger.queue) > 0 && f.pinger.inFlight < maxPingsInFlight {
 		name := f.pinger.queue[0]
 		f.pinger.queue = f.pinger.queue[1:]
-		f.ping(name)
+		f.sendPing(name)
 	}
 }
 
-// someUnanswered returns a few members whose last ping was not answered, so that a
-// peer of a large roster doesn't count as unresponsive until its turn comes again.
-func (f *Follower) someUnanswered() []string {
+// membersToRetry returns up to maxRetriedPings members whose last ping was not
+// answered. Without the retry, a member of a large roster that missed one ping
+// would count as unresponsive until its next turn.
+func (f *Follower) membersToRetry() []string {
 	var names []string
 	for name := range f.membership.unansweredSince {
-		if len(names) == retriedPings {
+		if len(names) == maxRetriedPings {
 			break
 		}
 		if _, member := f.configuration.state.Roster[name]; member {
@@ -121,11 +125,12 @@
 	return names
 }
 
-// controlLost reports whether half of the lease has passed without a renewal and a
-// majority of the cores failed to answer. Cores that are merely late don't count
-// as failing. A front that no majority has confirmed since its start has no control
-// to lose: what it hears from its roster gives it no authority.
-func (f *Follower) controlLost(now time.Time) bool {
+// lostCoreMajority reports whether half of the lease has passed without a renewal
+// while at least half of the voting cores fail to answer, so that those that answer
+// are no majority. Slow cores don't count as failing. It returns false for a front
+// that no majority has confirmed since its start, because answers from the roster
+// give such a front no authority.
+func (f *Follower) lostCoreMajority(now time.Time) bool {
 	if f.holder.Unconfirmed() {
 		return false
 	}
@@ -143,13 +148,13 @@
 	return failing*2 >= len(voters)
 }
 
-// ping sends a ping to a peer, unless one is in flight.
-func (f *Follower) ping(name string) {
+// sendPing sends a ping to a peer unless one is in flight.
+func (f *Follower) sendPing(name string) {
 	peer, known := f.peers.Process(name)
-	if name == f.name || !known || f.membership.pinged(name).inFlight {
+	if name == f.name || !known || f.membership.pingsOf(name).inFlight {
 		return
 	}
-	f.membership.ping(name).inFlight = true
+	f.membership.ensurePings(name).inFlight = true
 	f.pinger.inFlight++
 	self := f.config.Self()
 	confirmed := f.confirmed.Load()
@@ -168,76 +173,78 @@
 		}))
 		f.post(func() {
 			if err != nil {
-				f.completePing(peer, sentAt, nil, err)
+				f.handlePingResult(peer, sentAt, nil, err)
 			} else {
-				f.completePing(peer, sentAt, resp.Msg, nil)
+				f.handlePingResult(peer, sentAt, resp.Msg, nil)
 			}
 		})
 	}()
 }
 
-// completePing takes the result of a ping.
-func (f *Follower) completePing(peer *wire.Process, sentAt time.Time, resp *wire.PingResponse, err error) {
+// handlePingResult records the result of a ping and sends the pings that waited for
+// its end.
+func (f *Follower) handlePingResult(peer *wire.Process, sentAt time.Time, resp *wire.PingResponse, err error) {
 	name := peer.Name
-	pings := f.membership.ping(name)
+	pings := f.membership.ensurePings(name)
 	pings.inFlight = false
 	f.pinger.inFlight--
 	switch {
 	case err == nil && resp.Name == name:
-		f.recordAnswer(peer, sentAt, resp)
+		f.recordPingAnswer(peer, sentAt, resp)
 	case err != nil && port.IsConnectionRefused(err):
-		f.recordRefusal(name)
+		f.recordPingRefusal(name)
 	case f.clock.Now().Sub(f.membership.unansweredSince[name]) >= pingFreshFor && pings.refusedAt.IsZero():
-		f.recordReachability(name, unresponsive, 0)
+		f.recordReachability(name, reachabilityUnresponsive, 0)
 	}
 	if pings.pingAgain {
 		pings.pingAgain = false
-		f.ping(name)
+		f.sendPing(name)
 	}
 	f.sendQueuedPings()
 	f.updateAuthority()
 }
 
-// recordAnswer takes a peer's answer to a ping that was sent at an instant.
-func (f *Follower) recordAnswer(peer *wire.Process, sentAt time.Time, resp *wire.PingResponse) {
-	pings := f.membership.ping(peer.Name)
+// recordPingAnswer records a peer's answer to a ping that was sent at sentAt.
+func (f *Follower) recordPingAnswer(peer *wire.Process, sentAt time.Time, resp *wire.PingResponse) {
+	pings := f.membership.ensurePings(peer.Name)
 	pings.answeredAt = f.clock.Now()
 	pings.refusedAt = time.Time{}
 	delete(f.membership.unansweredSince, peer.Name)
-	f.recordReachability(peer.Name, answersPings, resp.Incarnation)
+	f.recordReachability(peer.Name, reachabilityAnswering, resp.Incarnation)
 	f.holder.RecordPingResponse(resp.Name, resp.Incarnation, sentAt, resp.Epoch, resp.Unconfirmed)
 	pings.readiness = readiness{
 		incarnation: resp.Incarnation,
 		ready:       resp.Ready,
 		leaving:     resp.Leaving,
-		at:          f.clock.Now(),
+		receivedAt:  f.clock.Now(),
 	}
 	if resp.Epoch > f.configuration.state.Version && !resp.Unconfirmed {
 		f.fetch(peer.Address)
 	}
 }
 
-// recordRefusal takes that a peer's machine refused a connection.
-func (f *Follower) recordRefusal(name string) {
-	pings := f.membership.ping(name)
+// recordPingRefusal records that a peer's machine refused a connection.
+func (f *Follower) recordPingRefusal(name string) {
+	pings := f.membership.ensurePings(name)
 	pings.answeredAt = time.Time{}
 	pings.refusedAt = f.clock.Now()
 	f.membership.unansweredSince[name] = time.Time{}
-	f.recordReachability(name, refusesConnections, 0)
+	f.recordReachability(name, reachabilityRefusing, 0)
 	f.holder.RecordRefusal(name, f.clock.Now())
 }
 
-// pingSmallRoster pings all members of a small roster at once after a new version
-// was adopted, so that none of them goes on by the roster without it when all who
-// know it are lost next.
+// pingSmallRoster pings all members of a small roster immediately after a new
+// version was adopted. Otherwise, if all processes with the new version fail next,
+// the remaining members could continue to serve without it under the authority of
+// the roster.
 func (f *Follower) pingSmallRoster() {
 	roster := f.view.Load().Roster
-	if len(roster) > smallRoster || f.holder.Unconfirmed() {
+	if len(roster) > maxSmallRoster || f.holder.Unconfirmed() {
 		return
 	}
 	for _, name := range roster {
-		pings := f.membership.ping(name)
+		pings := f.membership.ensurePings(name)
 		pings.pingAgain = pings.inFlight
-		f.ping(name)
+		f.sendPing(name)
 	}
 }
--- a/internal/node/follower/publication.go
+++ b/internal/node/follower/publication.go
@@ -12,42 +12,44 @@
 	"stepwick/internal/wire"
 )
 
-// memberLists holds the lists of members that the next view may get. Their memory
-// is used again each time, so that a view in which nothing changed costs nothing.
-type memberLists struct {
+// memberBuffers holds the member lists of the next view. Their memory is reused, so
+// that a view without changes allocates nothing for them.
+type memberBuffers struct {
 	fronts       []*wire.Process
-	live         []string
+	remaining    []string
 	unresponsive []string
 }
 
-// publish publishes a newer view and notifies those who wait for one, unless it
-// equals the last: a large fleet in which nothing happens must not cost its nodes
-// anything.
+// publish publishes a new view and notifies the readers that wait for one, unless
+// it equals the previous view: without changes, a large fleet must not cause work
+// on its nodes.
 func (f *Follower) publish() {
-	view := f.nextView()
+	view := f.buildView()
 	f.collectFronts()
 	f.classifyRoster(view.Roster)
 	previous := f.view.Load()
-	view.Fronts = reuseEqual(previous.Fronts, f.members.fronts, lease.SameProcessRecord)
-	view.Live = reuseEqual(previous.Live, f.members.live, sameName)
-	view.Unresponsive = reuseEqual(previous.Unresponsive, f.members.unresponsive, sameName)
-	f.storeView(view)
+	view.Fronts = reuseIfEqual(previous.Fronts, f.buffers.fronts, lease.SameProcessRecord)
+	view.Live = reuseIfEqual(previous.Live, f.buffers.remaining, sameName)
+	view.Unresponsive = reuseIfEqual(previous.Unresponsive, f.buffers.unresponsive, sameName)
+	f.publishIfChanged(view)
 }
 
-// publishServers publishes a newer view after a change of the servers or the plan
-// only. In a large fleet, where the feed reports which members are unresponsive,
-// the lists of members are those of the last view. In a small one each node finds
-// that out by its own pings, as time passes, and collecting them costs little.
+// publishServers publishes a new view after a change of only the servers or the
+// plan. In a large fleet, where the feed reports which members are unresponsive,
+// the view reuses the member lists of the previous one. In a small fleet each node
+// detects unresponsive members by its own pings, as time passes, and collecting the
+// lists costs little.
 func (f *Follower) publishServers() {
-	if !f.isLarge() {
+	if !f.isLargeFleet() {
 		f.publish()
 		return
 	}
-	f.storeView(f.nextView())
+	f.publishIfChanged(f.buildView())
 }
 
-// nextView returns a view of the current state with the members of the last one.
-func (f *Follower) nextView() *View {
+// buildView returns a view of the current state with the member lists of the
+// previous view.
+func (f *Follower) buildView() *View {
 	previous := f.view.Load()
 	servers := f.reports.Servers()
 	state := f.configuration.state
@@ -64,13 +66,13 @@
 		serversVersion: f.reports.Version(),
 	}
 	if previous.State.Version != state.Version {
-		view.Roster = rosterFronts(state)
+		view.Roster = rosterFrontNames(state)
 	}
 	return view
 }
 
-// storeView publishes a view unless it equals the last.
-func (f *Follower) storeView(view *View) {
+// publishIfChanged publishes a view unless it equals the previous one.
+func (f *Follower) publishIfChanged(view *View) {
 	if f.hasPublished && view.equals(f.view.Load()) {
 		return
 	}
@@ -80,50 +82,51 @@
 	close(*f.changed.Swap(&next))
 }
 
-// collectFronts collects the live fronts that aren't leaving, in the order of their
-// names: ready ones and those that are not ready yet.
+// collectFronts collects the live fronts that are not leaving, whether ready or
+// not, sorted by name.
 func (f *Follower) collectFronts() {
 	now := f.clock.Now()
-	known := f.config.KnownProcesses()
-	f.members.fronts = f.members.fronts[:0]
-	for _, process := range known {
-		f.collectFront(process.Process, process.LastSeen, now)
-	}
-	hasUnknown := false
-	for name, report := range f.membership.reports {
-		if report.process.Address != "" && !contains(known, name) {
-			f.collectFront(report.process, report.since, now)
-			hasUnknown = true
+	listed := f.config.KnownProcesses()
+	f.buffers.fronts = f.buffers.fronts[:0]
+	for _, process := range listed {
+		f.addLiveFront(process.Process, process.LastSeen, now)
+	}
+	hasUnlisted := false
+	for name, report := range f.membership.processReports {
+		if report.process.Address != "" && !containsProcess(listed, name) {
+			f.addLiveFront(report.process, report.since, now)
+			hasUnlisted = true
 		}
 	}
-	if hasUnknown {
-		slices.SortFunc(f.members.fronts, compareNames)
+	if hasUnlisted {
+		slices.SortFunc(f.buffers.fronts, compareNames)
 	}
 }
 
-// collectFront adds a process to the live fronts if it is one. Its directory record
-// or the feed's report was last new at lastSeen.
-func (f *Follower) collectFront(process *wire.Process, lastSeen, now time.Time) {
+// addLiveFront appends a process to the collected fronts if it is a live front that
+// is not leaving. lastSeen is when its record in the directory or on the feed was
+// last updated.
+func (f *Follower) addLiveFront(process *wire.Process, lastSeen, now time.Time) {
 	process = f.membership.currentRecord(process, now)
 	if !process.Front || process.Leaving || f.membership.state(process.Name, now) != memberLive {
 		return
 	}
-	if f.membership.isForgotten(process.Name, lastSeen, now) {
+	if f.membership.isExpired(process.Name, lastSeen, now) {
 		return
 	}
-	f.members.fronts = append(f.members.fronts, process)
+	f.buffers.fronts = append(f.buffers.fronts, process)
 }
 
-// currentRecord returns the newest that is known of a process: a record of the
-// directory, the feed's report of it, or what it answered to the last ping.
+// currentRecord returns the newest record of a process, from the directory or the
+// feed, updated with the readiness in its last answer to a ping if that is newer.
 func (m *membership) currentRecord(process *wire.Process, now time.Time) *wire.Process {
-	report, reported := m.report(process.Name, now)
-	if reported && isLater(report.process, process) {
+	report, reported := m.currentReport(process.Name, now)
+	if reported && isNewerRecord(report.process, process) {
 		process = report.process
 	}
-	answer := &m.pinged(process.Name).readiness
-	isOutdated := answer.at.IsZero() || answer.incarnation < process.Incarnation || reported && report.since.After(answer.at)
-	if isOutdated || answer.ready == process.Ready && answer.leaving == process.Leaving {
+	answer := &m.pingsOf(process.Name).readiness
+	isAnswerOutdated := answer.receivedAt.IsZero() || answer.incarnation < process.Incarnation || reported && report.since.After(answer.receivedAt)
+	if isAnswerOutdated || answer.ready == process.Ready && answer.leaving == process.Leaving {
 		return process
 	}
 	process = proto.Clone(process).(*wire.Process)
@@ -132,44 +135,45 @@
 	return process
 }
 
-// isForgotten reports whether a process has neither been pinged nor reported by the
-// feed, and was not seen for long by pings or the directory.
-func (m *membership) isForgotten(name string, lastSeen, now time.Time) bool {
+// isExpired reports whether there is no recent evidence of a process: the feed does
+// not report it, no ping to it is unanswered, and neither an answer to a ping nor
+// an update of the directory is newer than directoryFreshFor.
+func (m *membership) isExpired(name string, lastSeen, now time.Time) bool {
 	if name == m.self {
 		return false
 	}
-	if _, reported := m.report(name, now); reported {
+	if _, reported := m.currentReport(name, now); reported {
 		return false
 	}
 	if _, unanswered := m.unansweredSince[name]; unanswered {
 		return false
 	}
-	return now.Sub(m.pinged(name).answeredAt) >= directoryFreshFor && now.Sub(lastSeen) >= directoryFreshFor
+	return now.Sub(m.pingsOf(name).answeredAt) >= directoryFreshFor && now.Sub(lastSeen) >= directoryFreshFor
 }
 
-// classifyRoster collects the fronts of the roster that have not left, and which of
-// them are unresponsive.
+// classifyRoster collects the fronts on the roster that have not left, and those of
+// them that are unresponsive.
 func (f *Follower) classifyRoster(roster []string) {
 	now := f.clock.Now()
-	live := f.members.live[:0]
-	notAnswering := f.members.unresponsive[:0]
+	remaining := f.buffers.remaining[:0]
+	unresponsive := f.buffers.unresponsive[:0]
 	for _, name := range roster {
 		switch f.membership.state(name, now) {
 		case memberLeft:
 			continue
 		case memberUnresponsive:
-			notAnswering = append(notAnswering, name)
+			unresponsive = append(unresponsive, name)
 		}
-		live = append(live, name)
+		remaining = append(remaining, name)
 	}
-	f.members.live = live
-	f.members.unresponsive = notAnswering
+	f.buffers.remaining = remaining
+	f.buffers.unresponsive = unresponsive
 }
 
-// contains reports whether a process is among some that are ordered by name.
-func contains(processes []port.KnownProcess, name string) bool {
-	_, found := slices.BinarySearchFunc(processes, name, func(known port.KnownProcess, name string) int {
-		return strings.Compare(known.Process.Name, name)
+// containsProcess reports whether a list that is sorted by name contains a process.
+func containsProcess(processes []port.KnownProcess, name string) bool {
+	_, found := slices.BinarySearchFunc(processes, name, func(process port.KnownProcess, name string) int {
+		return strings.Compare(process.Process.Name, name)
 	})
 	return found
 }
@@ -178,9 +182,8 @@
 
 func sameName(a, b string) bool { return a == b }
 
-// reuseEqual returns the previous list where the next one equals it, and else a
-// copy of the next.
-func reuseEqual[T any](previous, next []T, equal func(a, b T) bool) []T {
+// reuseIfEqual returns previous if next equals it, and a copy of next otherwise.
+func reuseIfEqual[T any](previous, next []T, equal func(a, b T) bool) []T {
 	if slices.EqualFunc(previous, next, equal) {
 		return previous
 	}
--- a/internal/node/follower/publication_test.go
+++ b/internal/node/follower/publication_test.go
@@ -15,7 +15,7 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// unreachablePeers are processes that no call reaches.
+// unreachablePeers are processes to which no call can be made.
 type unreachablePeers []*wire.Process
 
 func (p unreachablePeers) Process(string) (*wire.Process, bool) { return nil, false }
@@ -23,8 +23,9 @@
 func (p unreachablePeers) Cores() []*wire.Process               { return port.CoresOf(p) }
 func (p unreachablePeers) Client(string) wireconnect.PeerClient { return nil }
 
-// largeFleet returns a follower to which the feed reported so many live members.
-func largeFleet(members int) *Follower {
+// newFleetFollower returns a follower of a fleet with the given number of members,
+// which the feed has all reported as live.
+func newFleetFollower(members int) *Follower {
 	clock := clock.System()
 	var known []port.KnownProcess
 	var processes unreachablePeers
@@ -50,7 +51,7 @@
 		PingInterval:   500 * time.Millisecond,
 		KnownProcesses: func() []port.KnownProcess { return known },
 	}, processes, clock, events.Discard)
-	follower.configuration = configuration{state: state, learned: true}
+	follower.configuration = configuration{state: state, received: true}
 	follower.membership.feedAnsweredAt = clock.Now()
 	for _, process := range processes {
 		follower.membership.applyReport(&wire.Sight{Process: process}, follower.clock.Now())
@@ -59,8 +60,8 @@
 }
 
 func TestPublishSkipsUnchangedViews(t *testing.T) {
-	Convey("A view that equals the last is not published", t, func() {
-		follower := largeFleet(300)
+	Convey("A view that equals the previous one is not published", t, func() {
+		follower := newFleetFollower(300)
 		follower.publish()
 		view := follower.View()
 		changed := follower.Changed()
@@ -70,22 +71,22 @@
 		So(follower.View(), ShouldEqual, view)
 		So(follower.Changed(), ShouldEqual, changed)
 
-		Convey("And comparing it allocates nothing for each member", func() {
-			few := largeFleet(40)
-			many := follower
-			few.publish()
-			cost := func(follower *Follower) float64 { return testing.AllocsPerRun(20, follower.publish) }
-			So(cost(many), ShouldEqual, cost(few))
+		Convey("and the comparison allocates nothing per member", func() {
+			smallerFleet := newFleetFollower(40)
+			largerFleet := follower
+			smallerFleet.publish()
+			allocations := func(follower *Follower) float64 { return testing.AllocsPerRun(20, follower.publish) }
+			So(allocations(largerFleet), ShouldEqual, allocations(smallerFleet))
 		})
-		Convey("One that lacks a front is, and notifies those who wait", func() {
-			follower.membership.applyReport(&wire.Sight{Process: follower.membership.reports["front-007"].process, Silent: true}, follower.clock.Now())
+		Convey("A view without a front that became unresponsive is published, and waiting readers are notified", func() {
+			follower.membership.applyReport(&wire.Sight{Process: follower.membership.processReports["front-007"].process, Silent: true}, follower.clock.Now())
 			follower.publish()
 			So(follower.View().Fronts, ShouldHaveLength, 299)
 			So(follower.View().Unresponsive, ShouldResemble, []string{"front-007"})
 			<-changed
 		})
-		Convey("A record that differs in its counter only is no change", func() {
-			again := &wire.Process{
+		Convey("A record that differs only in its counter is not a change", func() {
+			updated := &wire.Process{
 				Name:        "front-007",
 				Address:     "front-007",
 				Front:       true,
@@ -93,23 +94,23 @@
 				Incarnation: 1,
 				Counter:     2,
 			}
-			follower.membership.applyReport(&wire.Sight{Process: again}, follower.clock.Now())
+			follower.membership.applyReport(&wire.Sight{Process: updated}, follower.clock.Now())
 			follower.publish()
 			So(follower.View(), ShouldEqual, view)
 		})
-		Convey("One that does not take traffic any more is", func() {
-			again := &wire.Process{
+		Convey("A front that no longer takes traffic is a change", func() {
+			updated := &wire.Process{
 				Name:        "front-007",
 				Address:     "front-007",
 				Front:       true,
 				Incarnation: 1,
 				Counter:     2,
 			}
-			follower.membership.applyReport(&wire.Sight{Process: again}, follower.clock.Now())
+			follower.membership.applyReport(&wire.Sight{Process: updated}, follower.clock.Now())
 			follower.publish()
 			So(follower.View().Fronts[7].Ready, ShouldBeFalse)
 		})
-		Convey("A server that is new is", func() {
+		Convey("A new server is a change", func() {
 			follower.reports.Add(&wire.Report{
 				Watcher:     "front-001/list",
 				Server:      "s",
@@ -129,7 +130,7 @@
 }
 
 func BenchmarkPublishUnchanged(b *testing.B) {
-	f := largeFleet(300)
+	f := newFleetFollower(300)
 	f.publish()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/node/follower/renewal.go
+++ b/internal/node/follower/renewal.go
@@ -11,34 +11,36 @@
 )
 
 const (
-	// initialRenewInterval is the time between renewals of a process that no majority
-	// has confirmed yet: after a start it has no authority until then.
+	// initialRenewInterval is the time between renewals of a front that no majority
+	// has confirmed since its start. It has no authority until then.
 	initialRenewInterval = 50 * time.Millisecond
-	// initialRenewPeriod is how long after a start renewals go at that pace.
+	// initialRenewPeriod is how long after its start a front renews at
+	// initialRenewInterval.
 	initialRenewPeriod = 5 * time.Second
 )
 
-// renewals is the state of the renewals at each core.
+// renewals is the state of the lease renewals at all cores.
 type renewals struct {
 	cores map[string]*coreRenewal
-	// directUntil is until when renewals go to every core instead of through a
-	// relay.
+	// directUntil is the end of the period in which renewals go directly to every
+	// core instead of through a relay.
 	directUntil time.Time
 }
 
-// coreRenewal is the state of the renewals at one core.
+// coreRenewal is the state of the lease renewals at one core.
 type coreRenewal struct {
 	inFlight   bool
-	renewAgain bool // to be renewed once more when the call in flight ends
+	renewAgain bool // renew again when the call in flight ends
 	failing    bool // the last call failed
-	answered   bool // the core answered a renewal, directly or through a relay
-	// recorded is this process's own record as the core last acknowledged it, nil
-	// where the core may not have it.
-	recorded *wire.Process
+	answered   bool // the core has answered a renewal, directly or through a relay
+	// acknowledgedSelf is this process's record as the core last acknowledged it;
+	// nil if the core may not have it.
+	acknowledgedSelf *wire.Process
 }
 
-// core returns the state of the renewals at a core, for a change.
-func (r *renewals) core(name string) *coreRenewal {
+// ensureCore returns the state of the renewals at a core for modification, and
+// creates it if there is none.
+func (r *renewals) ensureCore(name string) *coreRenewal {
 	core := r.cores[name]
 	if core == nil {
 		core = &coreRenewal{}
@@ -59,50 +61,50 @@
 	return core != nil && core.answered
 }
 
-// takeRenewAgain reports whether the lease is to be renewed at a core once more at
-// once, and resets that.
-func (r *renewals) takeRenewAgain(name string) bool {
-	core := r.core(name)
+// clearRenewAgain clears the renewAgain flag of a core and returns its former
+// value.
+func (r *renewals) clearRenewAgain(name string) bool {
+	core := r.ensureCore(name)
 	again := core.renewAgain
 	core.renewAgain = false
 	return again
 }
 
-// complete takes what a call showed of its core: whether it answers, and whether it
+// recordResult records whether the core of a completed call answers, and whether it
 // has this process's record.
-func (r *renewals) complete(call *renewalCall) {
-	core := r.core(call.core.Name)
+func (r *renewals) recordResult(call *renewalCall) {
+	core := r.ensureCore(call.core.Name)
 	core.inFlight = false
 	switch {
 	case call.err != nil:
 		core.failing = true
-		core.recorded = nil
+		core.acknowledgedSelf = nil
 	case call.resp.Who:
-		core.recorded = nil
+		core.acknowledgedSelf = nil
 		core.renewAgain = true
 	default:
 		core.failing = false
-		core.recorded = call.self
+		core.acknowledgedSelf = call.self
 	}
 }
 
-// renewalCall is one call to a core that renews the lease.
+// renewalCall is a call to a core that renews the lease.
 type renewalCall struct {
 	core       *wire.Process
-	self       *wire.Process // this process's record at the time
+	self       *wire.Process // this process's record when the call began
 	req        *wire.RenewRequest
-	resp       *wire.RenewResponse // nil where the call failed
+	resp       *wire.RenewResponse // nil if the call failed
 	err        error
 	sentAt     time.Time
 	returnedAt time.Time
 	timeout    time.Duration
 }
 
-// roundTrip returns how long the call took.
+// roundTrip returns the duration of the call.
 func (c *renewalCall) roundTrip() time.Duration { return c.returnedAt.Sub(c.sentAt) }
 
-// voters returns the names of the cores over which a majority is counted, as any
-// core reports them.
+// voters returns the names of the voting cores, over which a majority is counted,
+// as the first core with such a list reports them. It returns nil if none does.
 func (f *Follower) voters() []string {
 	for _, core := range f.peers.Cores() {
 		if len(core.Voters) > 0 {
@@ -112,8 +114,8 @@
 	return nil
 }
 
-// renewUnconfirmed renews the lease of a process that no majority has confirmed
-// since its start. It reports whether the process is still to renew at this pace.
+// renewUnconfirmed renews the lease of a front that no majority has confirmed since
+// its start. It returns false once renewals at initialRenewInterval should end.
 func (f *Follower) renewUnconfirmed() bool {
 	if !f.holder.Unconfirmed() || f.clock.Now().Sub(f.startedAt) >= initialRenewPeriod {
 		return false
@@ -122,42 +124,42 @@
 	return true
 }
 
-// renew renews the lease at one core. While a call to it is in flight, the next one
-// waits for its end.
+// renew renews the lease at one core. If a call to it is in flight, the next one
+// begins when that call ends.
 func (f *Follower) renew(core *wire.Process) {
-	call, begun := f.beginRenewal(core, 2*f.config.RenewInterval, false)
-	if !begun {
+	call, started := f.beginRenewal(core, 2*f.config.RenewInterval, false)
+	if !started {
 		return
 	}
 	f.sendRenewal(call, func() {
 		if call.err == nil && !call.resp.Who {
 			f.recordRenewal(core, call, call.sentAt.Add(call.roundTrip()/2), call.resp)
 		}
-		if f.renewals.takeRenewAgain(core.Name) {
+		if f.renewals.clearRenewAgain(core.Name) {
 			f.renew(core)
 		}
 	})
 }
 
-// beginRenewal prepares a call. It returns false where one is in flight at the
-// core or the front is leaving.
-func (f *Follower) beginRenewal(core *wire.Process, timeout time.Duration, relay bool) (*renewalCall, bool) {
+// beginRenewal prepares a call. It returns false if a call to the core is in flight
+// or the front is leaving.
+func (f *Follower) beginRenewal(core *wire.Process, timeout time.Duration, relayed bool) (*renewalCall, bool) {
 	if f.leaving {
 		return nil, false
 	}
-	state := f.renewals.core(core.Name)
-	if state.inFlight {
-		state.renewAgain = true
+	coreState := f.renewals.ensureCore(core.Name)
+	if coreState.inFlight {
+		coreState.renewAgain = true
 		return nil, false
 	}
-	state.inFlight = true
+	coreState.inFlight = true
 	self := f.config.Self()
 	req := &wire.RenewRequest{
 		Epoch:       f.configuration.state.Version,
 		Unconfirmed: f.holder.Unconfirmed(),
-		Relay:       relay,
+		Relay:       relayed,
 	}
-	if lease.SameProcessRecord(state.recorded, self) {
+	if lease.SameProcessRecord(coreState.acknowledgedSelf, self) {
 		req.Name = self.Name
 		req.Incarnation = self.Incarnation
 	} else {
@@ -172,9 +174,9 @@
 	}, true
 }
 
-// sendRenewal makes the call off the owner. On the owner it records the result and
-// then runs complete.
-func (f *Follower) sendRenewal(call *renewalCall, complete func()) {
+// sendRenewal makes the call in a separate goroutine. The owner then records the
+// result and runs onResult.
+func (f *Follower) sendRenewal(call *renewalCall, onResult func()) {
 	go func() {
 		ctx, cancel := context.WithTimeout(f.ctx, call.timeout)
 		defer cancel()
@@ -185,24 +187,24 @@
 			call.resp = resp.Msg
 		}
 		f.post(func() {
-			f.renewals.complete(call)
-			complete()
+			f.renewals.recordResult(call)
+			onResult()
 		})
 	}()
 }
 
-// recordRenewal takes a core's answer to a call, which the core gave at the instant
-// answeredAt by this process's clock.
+// recordRenewal records a core's answer to a call. answeredAt is when the core
+// answered, by this process's clock.
 func (f *Follower) recordRenewal(core *wire.Process, call *renewalCall, answeredAt time.Time, resp *wire.RenewResponse) {
-	f.fleetTime.record(core.Name, time.UnixMicro(resp.TimeUs).Sub(answeredAt))
-	f.renewals.core(core.Name).answered = true
+	f.fleetTime.recordOffset(core.Name, time.UnixMicro(resp.TimeUs).Sub(answeredAt))
+	f.renewals.ensureCore(core.Name).answered = true
 	if f.shouldFetch(call, resp) {
 		f.fetch(core.Address)
 	}
 	wasUnconfirmed := f.holder.Unconfirmed()
 	if resp.Granted {
-		// A lease counts from when the request was sent, so that the time which the
-		// call took can only shorten it.
+		// The lease is timed from when the request was sent, so that the duration
+		// of the call can only shorten it.
 		f.holder.RecordGrant(core.Name, call.sentAt, call.req.Epoch, resp.Learned)
 	} else if call.req.Unconfirmed {
 		f.holder.RecordDenial(core.Name, resp.Learned)
@@ -215,10 +217,11 @@
 	f.updateAuthority()
 }
 
-// shouldFetch reports whether a core's answer shows that the front lags behind. A
-// front without a configuration waits for the feed first; see initialFeedGrace.
+// shouldFetch reports whether a core's answer shows that the front's configuration
+// is outdated. A front without a configuration waits for the feed first; see
+// initialFeedGrace.
 func (f *Follower) shouldFetch(call *renewalCall, resp *wire.RenewResponse) bool {
-	if f.configuration.learned {
+	if f.configuration.received {
 		return resp.Learned > f.configuration.state.Version
 	}
 	return call.returnedAt.Sub(f.startedAt) >= initialFeedGrace
--- a/internal/node/follower/sharers_test.go
+++ b/internal/node/follower/sharers_test.go
@@ -8,8 +8,8 @@
 	"stepwick/internal/wire"
 )
 
-func TestSharersOfTheCaps(t *testing.T) {
-	Convey("Silent members keep their part of a cap; those that leave, are not ready or are gone have none", t, func() {
+func TestSharersIncludeUnresponsiveMembers(t *testing.T) {
+	Convey("Unresponsive members keep their share of a cap; members that are leaving, are not ready or have left get none", t, func() {
 		view := &View{Unresponsive: []string{"far"}, Fronts: []*wire.Process{
 			{Name: "far", Front: true, Ready: true}, {Name: "here", Front: true, Ready: true},
 			{Name: "new", Front: true}, {Name: "old", Front: true, Ready: true, Leaving: true}}}
--- a/internal/node/follower/view.go
+++ b/internal/node/follower/view.go
@@ -10,30 +10,33 @@
 	"stepwick/internal/wire"
 )
 
-// View is what a front knows at one moment. It is immutable once it is published.
+// View is a front's control state at one instant. It is immutable once it is
+// published.
 type View struct {
-	// State is the configuration; its zero value before one was learned.
+	// State is the configuration; the zero value until one was received.
 	State statemachine.State
-	// Index finds tenants and keys in State.
+	// Index looks up tenants and keys in State.
 	Index *sheet.Index
-	// Plan is the latest plan of the traffic, nil before the first.
+	// Plan is the latest traffic plan; nil before the first.
 	Plan *wire.Plan
-	// Servers are the merged reports on each server, by name.
+	// Servers holds the status of each server, merged from the reports on it, by
+	// name.
 	Servers map[string]*wire.ServerStatus
-	// Authority is whether the front could decide when the view was published;
-	// Follower.HasAuthority reports whether it still can.
+	// Authority is the front's authority when the view was published;
+	// Follower.HasAuthority reports whether it still has any.
 	Authority lease.Authority
-	// Fronts are the live fronts, by name; their Ready says which take traffic.
+	// Fronts holds the live fronts, sorted by name. Those with Ready set take
+	// traffic.
 	Fronts []*wire.Process
-	// Roster are the names of the fronts on the roster, sorted.
+	// Roster holds the names of the fronts on the roster, sorted.
 	Roster []string
-	// Live are those of Roster that are not known to have left.
+	// Live holds the names on Roster that are not known to have left.
 	Live []string
-	// Unresponsive are those of Live that don't answer. They may go on beyond a
-	// partition.
+	// Unresponsive holds the names in Live of the fronts that don't answer. They
+	// may still be serving on the other side of a partition.
 	Unresponsive []string
 
-	serversVersion uint64 // of Servers
+	serversVersion uint64 // version of Servers, as of serverstatus.ReportStore.Version
 }
 
 // Status is the JSON form of a front's control state.
@@ -53,7 +56,7 @@
 	FleetTimeMS     int64             `json:"fleet_time_ms"`
 }
 
-// Status returns the JSON form of the view at fleet time now.
+// Status returns the JSON form of the view. now is fleet time.
 func (v *View) Status(name, zone string, hasAuthority bool, now time.Time) Status {
 	status := Status{
 		Name:            name,
@@ -72,7 +75,7 @@
 		status.PlanHolder = v.Plan.Holder
 	}
 	for server, serverStatus := range v.Servers {
-		status.Servers[server] = stateName(serverStatus)
+		status.Servers[server] = serverStateName(serverStatus)
 	}
 	for _, front := range v.Fronts {
 		status.Fronts = append(status.Fronts, front.Name)
@@ -80,9 +83,9 @@
 	return status
 }
 
-// Sharers returns the names of the fronts that share what is limited over the
-// fleet: those that take traffic, and the members that are unresponsive without
-// being known to have left, as these may go on sending beyond a partition.
+// Sharers returns the names of the fronts that share fleet-wide limits: those that
+// take traffic, and the unresponsive members that are not known to have left,
+// because they may still be sending on the other side of a partition.
 func (v *View) Sharers() []string {
 	names := slices.Clone(v.Unresponsive)
 	for _, front := range v.Fronts {
@@ -93,29 +96,31 @@
 	return names
 }
 
-// SameFronts reports whether an earlier view has the same live and unresponsive
-// fronts.
+// SameFronts reports whether an earlier view has the same live fronts and the same
+// unresponsive fronts.
 func (v *View) SameFronts(previous *View) bool {
-	return isSameList(v.Fronts, previous.Fronts) && isSameList(v.Unresponsive, previous.Unresponsive)
+	return sharesBackingArray(v.Fronts, previous.Fronts) && sharesBackingArray(v.Unresponsive, previous.Unresponsive)
 }
 
-// equals reports whether a view equals an earlier one for its readers. Until when
-// the authority lasts is not compared: HasAuthority reports that.
+// equals reports whether a view equals an earlier one for its readers. The expiry
+// of the authority is not compared, because readers use HasAuthority for it.
 func (v *View) equals(previous *View) bool {
 	sameConfiguration := v.State.Version == previous.State.Version && v.Index == previous.Index
 	sameServers := v.Plan == previous.Plan && v.serversVersion == previous.serversVersion
 	sameAuthority := v.Authority.Granted == previous.Authority.Granted && v.Authority.Source == previous.Authority.Source
-	return sameConfiguration && sameServers && sameAuthority && isSameList(v.Live, previous.Live) && v.SameFronts(previous)
+	return sameConfiguration && sameServers && sameAuthority && sharesBackingArray(v.Live, previous.Live) && v.SameFronts(previous)
 }
 
-// isSameList reports whether two lists share their memory. It is enough to find an
-// unchanged list, as the next view reuses a list that is equal.
-func isSameList[T any](a, b []T) bool {
+// sharesBackingArray reports whether two lists have the same length and memory.
+// That suffices to detect an unchanged list, because the next view reuses a list
+// that is equal.
+func sharesBackingArray[T any](a, b []T) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// stateName returns the name of a server's state in the status.
-func stateName(status *wire.ServerStatus) string {
+// serverStateName returns the name of a server's state in Status. A ready server
+// that is unreachable is "dark".
+func serverStateName(status *wire.ServerStatus) string {
 	switch status.State {
 	case wire.ServerState_SERVER_STATE_READY:
 		if !status.Reachable {
@@ -134,8 +139,8 @@
 	return "unknown"
 }
 
-// rosterFronts returns the names of the fronts on the roster, sorted.
-func rosterFronts(state statemachine.State) []string {
+// rosterFrontNames returns the names of the fronts on the roster, sorted.
+func rosterFrontNames(state statemachine.State) []string {
 	names := make([]string, 0, len(state.Roster))
 	for name, member := range state.Roster {
 		if member.Front {
