--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -110,7 +110,7 @@
 		FeedWait:       p.values.Duration("feed.wait"),
 		KnownProcesses: p.directory.KnownProcesses,
 		CoreStaleAfter: coreStaleAfter,
-		ConfirmLive:    p.directory.ConfirmLive,
+		ConfirmRunning: p.directory.ConfirmLive,
 	}, p.directory, p.clock, p.log)
 }
 
@@ -126,7 +126,7 @@
 			Slices:   p.values.Int("quota_slices"),
 			Interval: p.values.Duration("tally.interval"),
 		},
-	}, p.directory, p.clock, p.follower.FleetNow, func() []string { return p.follower.View().Live }, p.log)
+	}, p.directory, p.clock, p.follower.FleetNow, func() []string { return p.follower.View().Remaining }, p.log)
 }
 
 // newInspector returns an inspector of the parts of this process. Inspections run
--- a/internal/node/control/lost_cores_test.go
+++ b/internal/node/control/lost_cores_test.go
@@ -61,7 +61,7 @@
 				watch := func(span time.Duration) {
 					for startedAt := time.Now(); time.Since(startedAt) < span; f.advance(10 * time.Millisecond) {
 						for _, name := range f.names[1:8] {
-							live := slices.Contains(f.fronts[name].View().Live, "f9")
+							live := slices.Contains(f.fronts[name].View().Remaining, "f9")
 							So(live && lost[name], ShouldBeFalse)
 							lost[name] = lost[name] || !live
 						}
--- a/internal/node/control/member_statuses_test.go
+++ b/internal/node/control/member_statuses_test.go
@@ -29,7 +29,7 @@
 				names, ready := f.listedFronts(name)
 				So(names, ShouldHaveLength, 40)
 				So(ready, ShouldBeEmpty)
-				So(f.fronts[name].View().Live, ShouldHaveLength, 40)
+				So(f.fronts[name].View().Remaining, ShouldHaveLength, 40)
 			}
 		})
 		Convey("A change of readiness or address reaches all within a renewal and a tick, and costs the feed one change", t, func() {
@@ -50,7 +50,7 @@
 			for _, name := range f.names[:39] {
 				names, _ := f.listedFronts(name)
 				So(names, ShouldNotContain, "f40")
-				So(f.fronts[name].View().Live, ShouldNotContain, "f40")
+				So(f.fronts[name].View().Remaining, ShouldNotContain, "f40")
 			}
 		})
 		Convey("An unresponsive one stays an owner, but is listed as unresponsive; it returns", t, func() {
@@ -59,7 +59,7 @@
 			for _, name := range f.names[:37] {
 				names, _ := f.listedFronts(name)
 				So(names, ShouldNotContain, "f38")
-				So(f.fronts[name].View().Live, ShouldContain, "f38")
+				So(f.fronts[name].View().Remaining, ShouldContain, "f38")
 				So(f.fronts[name].View().Unresponsive, ShouldContain, "f38")
 			}
 			f.setFlag(&f.partitioned, false, "f38")
@@ -75,7 +75,7 @@
 				So(err, ShouldBeNil)
 			}
 			f.advance(100 * time.Millisecond)
-			So(f.fronts["f20"].View().Live, ShouldNotContain, "f37")
+			So(f.fronts["f20"].View().Remaining, ShouldNotContain, "f37")
 		})
 		Convey("A snapshot holds all, the removed ones too", t, func() {
 			gone, silent := 0, 0
@@ -98,8 +98,8 @@
 			f.advance(8 * time.Second)
 			view := f.fronts["f20"].View()
 			So(view.Authority.Granted, ShouldBeTrue)
-			So(slices.ContainsFunc(voters, func(core string) bool { return slices.Contains(view.Live, core) }), ShouldBeFalse)
-			So(view.Live, ShouldContain, "f10")
+			So(slices.ContainsFunc(voters, func(core string) bool { return slices.Contains(view.Remaining, core) }), ShouldBeFalse)
+			So(view.Remaining, ShouldContain, "f10")
 		})
 	})
 }
--- a/internal/node/follower/follower.go
+++ b/internal/node/follower/follower.go
@@ -56,9 +56,9 @@
 	// CoreStaleAfter is how long after its last granted renewal a core is no longer
 	// preferred for the feed or as a relay.
 	CoreStaleAfter time.Duration
-	// ConfirmLive is called with all processes that the feed doesn't report as
+	// ConfirmRunning is called with all processes that the feed doesn't report as
 	// left, after each change of these reports. It may be nil.
-	ConfirmLive func(running []*wire.Process)
+	ConfirmRunning func(running []*wire.Process)
 }
 
 const (
--- a/internal/node/follower/membership.go
+++ b/internal/node/follower/membership.go
@@ -216,9 +216,9 @@
 }
 
 // confirmRunning passes all processes that the feed does not report as left to
-// Config.ConfirmLive.
+// Config.ConfirmRunning.
 func (f *Follower) confirmRunning() {
-	if f.config.ConfirmLive == nil {
+	if f.config.ConfirmRunning == nil {
 		return
 	}
 	onRoster := func(name string) bool {
@@ -226,7 +226,7 @@
 		return member
 	}
 	f.membership.pruneLeft(onRoster, f.clock.Now())
-	f.config.ConfirmLive(f.membership.reportedRunning())
+	f.config.ConfirmRunning(f.membership.reportedRunning())
 }
 
 // isNewerRecord reports whether record a of a process is newer than record b of the
--- a/internal/node/follower/publication.go
+++ b/internal/node/follower/publication.go
@@ -29,7 +29,7 @@
 	f.classifyRoster(view.Roster)
 	previous := f.view.Load()
 	view.Fronts = reuseIfEqual(previous.Fronts, f.buffers.fronts, lease.SameProcessRecord)
-	view.Live = reuseIfEqual(previous.Live, f.buffers.remaining, sameName)
+	view.Remaining = reuseIfEqual(previous.Remaining, f.buffers.remaining, sameName)
 	view.Unresponsive = reuseIfEqual(previous.Unresponsive, f.buffers.unresponsive, sameName)
 	f.publishIfChanged(view)
 }
@@ -61,7 +61,7 @@
 		Authority:      f.holder.Authority(f.clock.Now()),
 		Fronts:         previous.Fronts,
 		Roster:         previous.Roster,
-		Live:           previous.Live,
+		Remaining:      previous.Remaining,
 		Unresponsive:   previous.Unresponsive,
 		serversVersion: f.reports.Version(),
 	}
--- a/internal/node/follower/publication_test.go
+++ b/internal/node/follower/publication_test.go
@@ -66,7 +66,7 @@
 		view := follower.View()
 		changed := follower.Changed()
 		So(view.Fronts, ShouldHaveLength, 300)
-		So(view.Live, ShouldHaveLength, 300)
+		So(view.Remaining, ShouldHaveLength, 300)
 		follower.publish()
 		So(follower.View(), ShouldEqual, view)
 		So(follower.Changed(), ShouldEqual, changed)
--- a/internal/node/follower/sharers_test.go
+++ b/internal/node/follower/sharers_test.go
@@ -13,6 +13,6 @@
 		view := &View{Unresponsive: []string{"far"}, Fronts: []*wire.Process{
 			{Name: "far", Front: true, Ready: true}, {Name: "here", Front: true, Ready: true},
 			{Name: "new", Front: true}, {Name: "old", Front: true, Ready: true, Leaving: true}}}
-		So(view.Sharers(), ShouldResemble, []string{"far", "here"})
+		So(view.LimitSharers(), ShouldResemble, []string{"far", "here"})
 	})
 }
--- a/internal/node/follower/view.go
+++ b/internal/node/follower/view.go
@@ -30,8 +30,8 @@
 	Fronts []*wire.Process
 	// Roster holds the names of the fronts on the roster, sorted.
 	Roster []string
-	// Live holds the names on Roster that are not known to have left.
-	Live []string
+	// Remaining holds the names on Roster that are not known to have left.
+	Remaining []string
 	// Unresponsive holds the names in Live of the fronts that don't answer. They
 	// may still be serving on the other side of a partition.
 	Unresponsive []string
@@ -83,10 +83,10 @@
 	return status
 }
 
-// Sharers returns the names of the fronts that share fleet-wide limits: those that
+// LimitSharers returns the names of the fronts that share fleet-wide limits: those that
 // take traffic, and the unresponsive members that are not known to have left,
 // because they may still be sending on the other side of a partition.
-func (v *View) Sharers() []string {
+func (v *View) LimitSharers() []string {
 	names := slices.Clone(v.Unresponsive)
 	for _, front := range v.Fronts {
 		if front.Front && front.Ready && !front.Leaving && !slices.Contains(v.Unresponsive, front.Name) {
@@ -96,9 +96,9 @@
 	return names
 }
 
-// SameFronts reports whether an earlier view has the same live fronts and the same
+// HasSameFronts reports whether an earlier view has the same live fronts and the same
 // unresponsive fronts.
-func (v *View) SameFronts(previous *View) bool {
+func (v *View) HasSameFronts(previous *View) bool {
 	return sharesBackingArray(v.Fronts, previous.Fronts) && sharesBackingArray(v.Unresponsive, previous.Unresponsive)
 }
 
@@ -108,7 +108,7 @@
 	sameConfiguration := v.State.Version == previous.State.Version && v.Index == previous.Index
 	sameServers := v.Plan == previous.Plan && v.serversVersion == previous.serversVersion
 	sameAuthority := v.Authority.Granted == previous.Authority.Granted && v.Authority.Source == previous.Authority.Source
-	return sameConfiguration && sameServers && sameAuthority && sharesBackingArray(v.Live, previous.Live) && v.SameFronts(previous)
+	return sameConfiguration && sameServers && sameAuthority && sharesBackingArray(v.Remaining, previous.Remaining) && v.HasSameFronts(previous)
 }
 
 // sharesBackingArray reports whether two lists have the same length and memory.
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -174,7 +174,7 @@
 		State:   view.State,
 		Plan:    view.Plan,
 		Servers: view.Servers,
-		Fronts:  view.Sharers(),
+		Fronts:  view.LimitSharers(),
 	})
 	for server, assignments := range r.assigned {
 		if !r.table.Unavailable(server) {
