--- a/internal/node/control/config.go
+++ b/internal/node/control/config.go
@@ -8,53 +8,60 @@
 	"stepwick/internal/decision/serverstatus"
 )
 
-// Config is what a controller is set up with. Zero values take the defaults named.
+// Config configures a Controller. A duration, count or size that is not positive takes
+// the default given for its field.
 type Config struct {
-	// Self is the name of the process, Incarnation the number of its start.
-	Self        string
+	// Self is the name of this process.
+	Self string
+	// Incarnation is the number of this process's start.
 	Incarnation uint64
-	// LeaseTTL is how long a lease lasts. Default 2 s.
+	// LeaseTTL is the duration of a lease. Default 2 s.
 	LeaseTTL time.Duration
-	// PingInterval is the interval of the lease views of other cores, and the
-	// time-out of a ping; rounds of pings take half of it. Default 500 ms.
+	// PingInterval is the time-out of a ping and the interval at which the cores'
+	// views of the leader's lease are polled. Rounds of pings are sent at half of
+	// this interval. Default 500 ms.
 	PingInterval time.Duration
-	// PingAfter is how long a member may be without contact before it is pinged.
+	// PingAfter is the time without contact after which a member is pinged.
 	// Default 700 ms.
 	PingAfter time.Duration
-	// JoinBatchWindow is how long new members are gathered before they are
-	// proposed in one roster change. Default 300 ms.
+	// JoinBatchWindow is the time during which new members are collected before
+	// they are proposed in one roster change. Default 300 ms.
 	JoinBatchWindow time.Duration
-	// RemoveAfter is how long a member must refuse connections without
+	// RemoveAfter is the time for which a member must refuse connections without
 	// interruption before its removal is proposed. Default 1 min.
 	RemoveAfter time.Duration
-	// ProposalStagger is the delay, for each rank, between cores that would propose
-	// the same command. Default 500 ms.
+	// ProposalStagger is the delay between consecutive cores, ordered by name, that
+	// would propose the same command. Default 500 ms.
 	ProposalStagger time.Duration
-	// PlanPeriod is the interval of plans. Default 5 s.
+	// PlanPeriod is the interval at which plans are computed. Default 5 s.
 	PlanPeriod time.Duration
-	// LoadInterval is the interval at which changes of load alone are published.
-	// Default 1 s.
+	// LoadInterval is the interval at which servers that changed only in load are
+	// published. Default 1 s.
 	LoadInterval time.Duration
 	// ViewInterval is the longest pause between two rounds of lease views for an
-	// order; the first is an eighth of it. Default 50 ms.
+	// order. The first pause is an eighth of it. Default 50 ms.
 	ViewInterval time.Duration
-	// OrderTimeout is the time-out of an order that states none. Default 10 s.
+	// OrderTimeout is the time-out of an order whose request states none. Default
+	// 10 s.
 	OrderTimeout time.Duration
-	// FeedWaitMax is the longest wait of a long poll of the feed. Default 5 s.
+	// FeedWaitMax bounds the wait of a long poll of the feed. Default 5 s.
 	FeedWaitMax time.Duration
-	// FeedCapacity is how many changes the feed retains; a follower that is further
-	// behind gets a snapshot. Default 4096.
+	// FeedCapacity is the number of changes that the feed retains. A follower that
+	// is further behind gets a snapshot. Default 4096.
 	FeedCapacity int
-	// SheetMaxBytes is the largest sheet accepted, in bytes. Default 16 MiB.
+	// SheetMaxBytes bounds the size of an order's body, which may contain a sheet, in
+	// bytes. Default 16 MiB.
 	SheetMaxBytes int
-	// ServerStatus bounds the age of reports on servers.
+	// ServerStatus bounds the age of reports on servers. Its defaults are those of
+	// serverstatus.Config.
 	ServerStatus serverstatus.Config
 	// PlanPolicy sets the caps of servers in plans.
 	PlanPolicy plan.Policy
-	// CheckSetting validates a run-time setting of a sheet; nil accepts all, as the
-	// node does, whose control API has validated them (controlapi.Config).
+	// CheckSetting validates a run-time setting of a sheet. Nil accepts all settings;
+	// the node leaves it nil because its control API has already validated them
+	// (controlapi.Config).
 	CheckSetting func(name, value string) error
-	// FleetNow returns fleet time; the clock's own when nil.
+	// FleetNow returns fleet time. Default: the time of the controller's clock.
 	FleetNow func() time.Time
 }
 
@@ -94,7 +101,7 @@
 	return c
 }
 
-// setDefault replaces a value that is not positive.
+// setDefault sets a value that is not positive to the fallback.
 func setDefault[T int | time.Duration](value *T, fallback T) {
 	if *value <= 0 {
 		*value = fallback
--- a/internal/node/control/confirmation.go
+++ b/internal/node/control/confirmation.go
@@ -8,11 +8,11 @@
 	"stepwick/internal/wire"
 )
 
-// confirmationRule is lease.VersionConfirmed or lease.RosterChangeConfirmed.
+// confirmationRule is either lease.VersionConfirmed or lease.RosterChangeConfirmed.
 type confirmationRule func(lease.ConfirmationCheck) (confirmed bool, missing string)
 
-// newConfirmationCheck returns the check of a version, without views, by the
-// rosters of a state.
+// newConfirmationCheck returns a check of a version against the rosters of a state.
+// Its views are still to be collected.
 func (c *Controller) newConfirmationCheck(version uint64, state statemachine.State) lease.ConfirmationCheck {
 	return lease.ConfirmationCheck{
 		Version:     version,
@@ -22,9 +22,9 @@
 	}
 }
 
-// runCheck requests one round of lease views, adds them to the check and applies a
-// rule to them. It returns as soon as the rule is met.
-func (c *Controller) runCheck(ctx context.Context, check *lease.ConfirmationCheck, rule confirmationRule) (confirmed bool, missing string) {
+// runConfirmationRound collects one round of lease views into the check and applies
+// a rule to it. It returns as soon as the rule is met.
+func (c *Controller) runConfirmationRound(ctx context.Context, check *lease.ConfirmationCheck, rule confirmationRule) (confirmed bool, missing string) {
 	req := &wire.LeaseViewRequest{Epoch: check.Version}
 	check.Views = c.collectViews(ctx, req, func(views []*wire.LeaseViewResponse) bool {
 		check.Views = views
@@ -34,6 +34,6 @@
 	if confirmed {
 		return true, ""
 	}
-	// With less than a majority of views the rule has not been applied yet.
+	// collectViews applies the rule only if a majority of cores has answered.
 	return rule(*check)
 }
--- a/internal/node/control/controller.go
+++ b/internal/node/control/controller.go
@@ -18,36 +18,38 @@
 const (
 	tickInterval  = 50 * time.Millisecond
 	inboxCapacity = 1024
-	// maxOrders bounds the orders under way.
+	// maxOrders bounds the number of orders and reads in progress.
 	maxOrders = 64
 )
 
-// Replica is what a controller requires of the replica of the agreed state in its
-// own process.
+// Replica is the interface of the core's replica of the agreed state, which runs
+// in the same process.
 type Replica interface {
-	// Propose returns once the command is chosen and applied here.
+	// Propose proposes a command and returns once it is chosen and applied here.
 	Propose(ctx context.Context, command []byte) (version uint64, result statemachine.Result, err error)
-	// ReadMajority returns a state that holds whatever was chosen before the call.
+	// ReadMajority reads from a majority of cores and returns a state that includes
+	// every command chosen before the call.
 	ReadMajority(ctx context.Context) (statemachine.State, error)
-	// Current returns the newest state applied here.
+	// Current returns the state after the last command applied here.
 	Current() statemachine.State
-	// Learned returns the commands applied here after a version, oldest first;
-	// complete is false when some of them are no longer retained.
+	// Learned returns the commands applied here after a version, oldest first.
+	// complete is false if some of them are no longer retained.
 	Learned(after uint64) (chosen []*wire.Chosen, complete bool)
-	// Changed returns a channel that is closed when a newer state is applied.
+	// Changed returns a channel that is closed when Current next changes.
 	Changed() <-chan struct{}
-	// Read returns how far this core has learned and accepted.
+	// Read returns the highest versions that this core has learned and accepted.
 	Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadResponse, error)
-	// Standing returns whether this core votes, and if not why.
+	// Standing returns whether this core votes and, if not, the reason.
 	Standing() wire.Standing
 	// Voters returns the names of the voting cores.
 	Voters() []string
-	// Formation returns the identity of the group of cores, "" before it formed.
+	// Formation returns the id of the formation, which is the group of voting cores;
+	// "" before the group has formed.
 	Formation() string
 }
 
 // Controller is the control plane of a core. Its methods are safe for concurrent
-// use; its state belongs to the goroutine of Serve.
+// use. Its state is owned by the goroutine that runs Serve.
 type Controller struct {
 	config  Config
 	replica Replica
@@ -55,22 +57,23 @@
 	clock   clock.Clock
 	log     events.Log
 
-	// orderSlots holds a token for each order under way.
+	// orderSlots holds one token for each order or read in progress.
 	orderSlots chan struct{}
-	// inbox holds functions that the owner is to run.
+	// inbox queues functions for the owner to run.
 	inbox chan func()
-	// listedAtMS is the newest instant, in ms of fleet time, at which a watcher saw
-	// the platform's list. Readable from any goroutine.
-	listedAtMS atomic.Int64
+	// platformListedAtMS is the latest time at which a watcher read the platform's
+	// list of servers, in Unix milliseconds of fleet time. Any goroutine may read it.
+	platformListedAtMS atomic.Int64
 
-	// All fields below belong to the owner.
+	// The fields below are accessed only by the owner.
 
-	ctx       context.Context // of Serve
+	// ctx is the context of Serve.
+	ctx       context.Context
 	startedAt time.Time
-	// state is the newest state of the replica that was published on the feed.
+	// state is the newest state whose commands were published on the feed.
 	state statemachine.State
-	// caughtUp is set once the core holds whatever a majority had chosen when it
-	// started; before that it grants no lease.
+	// caughtUp is set once this core has learned every command that was chosen
+	// before it started. Until then it grants no lease.
 	caughtUp   bool
 	jobs       runningJobs
 	conditions conditionTimers
@@ -84,11 +87,12 @@
 
 	feed     *feed
 	reports  *serverReports
-	outboxes map[string]*outbox // by the name of a core
+	outboxes map[string]*outbox // by core name
 	planner  planner
 }
 
-// New returns a controller whose startup grace begins now.
+// New returns a controller. The startup grace, during which leases granted by the
+// core's former incarnation may still be active, begins now.
 func New(config Config, replica Replica, peers port.Peers, clock clock.Clock, log events.Log) *Controller {
 	config = config.withDefaults(clock)
 	return &Controller{
@@ -113,8 +117,9 @@
 	}
 }
 
-// Serve runs the owner until the context ends. It may be called again after it
-// returned; what was under way then is dropped.
+// Serve runs the owner until the context ends, and returns the context's error. It
+// may be called again after it has returned. Work that was in progress then is
+// abandoned.
 func (c *Controller) Serve(ctx context.Context) error {
 	c.ctx = ctx
 	clear(c.pings.inFlight)
@@ -125,15 +130,15 @@
 	ticker := c.clock.Ticker(tickInterval)
 	defer ticker.Stop()
 	for {
-		// The channel is taken before the state is read, so that no change between
-		// the two is missed.
+		// The channel must be obtained before the state is read; otherwise a change
+		// in between would be missed.
 		changed := c.replica.Changed()
 		c.publishNewState()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case step := <-c.inbox:
-			step()
+		case operation := <-c.inbox:
+			operation()
 		case <-changed:
 		case <-ticker.C():
 			c.tick(c.clock.Now())
@@ -157,34 +162,35 @@
 	c.flushRelays(now)
 }
 
-// post hands a function to the owner; it reports whether that was possible before
-// the context ended.
-func (c *Controller) post(ctx context.Context, step func()) bool {
+// post queues a function for the owner. It returns false if the context ended
+// before there was room in the inbox.
+func (c *Controller) post(ctx context.Context, operation func()) bool {
 	select {
-	case c.inbox <- step:
+	case c.inbox <- operation:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// query runs a function at the owner and returns its result, or the error of the
-// context if that ends first.
-func query[T any](ctx context.Context, c *Controller, read func() T) (T, error) {
+// callOwner runs a function in the owner goroutine and returns its result, or the
+// context's error if the context ends first.
+func callOwner[T any](ctx context.Context, c *Controller, operation func() T) (T, error) {
 	reply := make(chan T, 1)
-	var none T
-	if !c.post(ctx, func() { reply <- read() }) {
-		return none, ctx.Err()
+	var zero T
+	if !c.post(ctx, func() { reply <- operation() }) {
+		return zero, ctx.Err()
 	}
 	select {
 	case result := <-reply:
 		return result, nil
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 }
 
-// otherCores returns the records of the other voting cores that are known.
+// otherCores returns the records of the other voting cores, without those whose
+// records are unknown.
 func (c *Controller) otherCores() []*wire.Process {
 	var others []*wire.Process
 	for _, voter := range c.replica.Voters() {
@@ -198,7 +204,8 @@
 	return others
 }
 
-// rank returns this core's position among the voters in the order of their names.
+// rank returns this core's position among the voters, sorted by name. voter is
+// false if this core is not a voter.
 func (c *Controller) rank() (position int, voter bool) {
 	voters := slices.Clone(c.replica.Voters())
 	slices.Sort(voters)
@@ -206,32 +213,35 @@
 	return position, position >= 0
 }
 
-// proposalDelay returns how long this core waits before it proposes what every
-// core would, so that they rarely compete.
+// proposalDelay returns how long this core waits before it proposes a command that
+// every core would propose. The delays differ, so that cores rarely compete.
 func (c *Controller) proposalDelay() time.Duration {
 	position, _ := c.rank()
 	return time.Duration(max(position, 0)) * c.config.ProposalStagger
 }
 
+// mayPropose reports whether this core may propose commands of its own: it is a
+// voter, votes and has caught up.
 func (c *Controller) mayPropose() bool {
 	_, voter := c.rank()
-	return voter && c.caughtUp && c.votes()
+	return voter && c.caughtUp && c.isVoting()
 }
 
-func (c *Controller) votes() bool {
+func (c *Controller) isVoting() bool {
 	return c.replica.Standing() == wire.Standing_STANDING_VOTING
 }
 
-// notReady returns why the core grants no leases yet, nil when it does.
+// notReady returns the error for renewals while this core grants no leases, or nil
+// if it grants them.
 func (c *Controller) notReady() *apierror.Error {
 	switch c.replica.Standing() {
 	case wire.Standing_STANDING_BLANK, wire.Standing_STANDING_UNSPECIFIED:
-		return apierror.Errorf(apierror.CoreBlank, "the cores have not formed yet")
+		return apierror.Errorf(apierror.CoreBlank, "the group of cores has not formed yet")
 	case wire.Standing_STANDING_AMNESIAC:
-		return apierror.Errorf(apierror.CoreAmnesiac, "the core rebuilds its state")
+		return apierror.Errorf(apierror.CoreAmnesiac, "the core is rebuilding its state from the other cores")
 	}
 	if !c.caughtUp {
-		return apierror.Errorf(apierror.NoMajority, "the core has not caught up since its start")
+		return apierror.Errorf(apierror.NoMajority, "the core has not caught up with a majority of cores since its start")
 	}
 	return nil
 }
--- a/internal/node/control/core_views.go
+++ b/internal/node/control/core_views.go
@@ -9,26 +9,26 @@
 	"stepwick/internal/wire"
 )
 
-// leaderContactIntervals is for how many PingIntervals an answer of the leader
-// itself proves that it is alive.
+// leaderContactIntervals is the number of PingIntervals for which an answer from
+// the leader itself counts as proof that it is alive.
 const leaderContactIntervals = 3
 
-// coreViews holds the newest view of each core on the lease of the planner's
-// leader, by which a vacancy is judged.
+// coreViews holds each core's newest view of the lease of the planner's leader.
+// The views determine whether the role is vacant.
 type coreViews struct {
 	byCore     map[string]coreView
 	lastPollAt time.Time
 }
 
-// coreView is one core's view of one member's lease.
+// coreView is one core's view of the lease of one member.
 type coreView struct {
 	receivedAt time.Time
 	member     string
 	view       *wire.LeaseViewResponse
 }
 
-// pollCoreViews requests the cores' views on the leader's lease; on this core's
-// own while there is no leader.
+// pollCoreViews requests the cores' views of the leader's lease or, while there is
+// no leader, of this core's lease.
 func (c *Controller) pollCoreViews(now time.Time) {
 	if now.Sub(c.coreViews.lastPollAt) < c.config.PingInterval {
 		return
@@ -49,23 +49,24 @@
 	})
 }
 
-// leaderObservations returns what each core knows of a leader. A core that is not
-// settled or did not answer within a TTL observes nothing.
+// leaderObservations returns the cores' observations of the leader. This core has one
+// if the leader has answered it recently or its own startup grace is over; another
+// core has one if its newest view is evidence about the leader.
 func (c *Controller) leaderObservations(leader string, now time.Time) []election.Observation {
 	if leader == "" {
 		return nil
 	}
 	var observations []election.Observation
-	answer, answered := c.coreViews.byCore[leader]
-	answersHere := answered && now.Sub(answer.receivedAt) < leaderContactIntervals*c.config.PingInterval
-	if answersHere || c.leases.StartupGraceOver(now) {
+	leaderView, hasLeaderView := c.coreViews.byCore[leader]
+	leaderAnswers := hasLeaderView && now.Sub(leaderView.receivedAt) < leaderContactIntervals*c.config.PingInterval
+	if leaderAnswers || c.leases.StartupGraceOver(now) {
 		observations = append(observations, election.Observation{
 			Core:        c.config.Self,
-			HolderAlive: answersHere || c.leases.HasLease(leader, now),
+			HolderAlive: leaderAnswers || c.leases.HasLease(leader, now),
 		})
 	}
 	for core, observed := range c.coreViews.byCore {
-		if core == c.config.Self || !c.counts(observed, core, leader, now) {
+		if core == c.config.Self || !c.isEvidence(observed, core, leader, now) {
 			continue
 		}
 		observations = append(observations, election.Observation{
@@ -76,17 +77,18 @@
 	return observations
 }
 
-// counts reports whether a core's view is evidence about the leader: it is recent,
-// of a settled core, and about the leader's lease or from the leader itself.
-func (c *Controller) counts(observed coreView, core, leader string, now time.Time) bool {
+// isEvidence reports whether a core's view is evidence about the leader: it was
+// received within the last TTL, the core's startup grace is over, and the view is of
+// the leader's lease or comes from the leader itself.
+func (c *Controller) isEvidence(observed coreView, core, leader string, now time.Time) bool {
 	if now.Sub(observed.receivedAt) >= c.config.LeaseTTL || !observed.view.Settled {
 		return false
 	}
 	return observed.member == leader || core == leader
 }
 
-// hasIncarnationOf reports whether any incarnation of a member is among the member
-// ids of a view.
+// hasIncarnationOf reports whether the member ids of a view include any incarnation
+// of a member.
 func hasIncarnationOf(name string, ids []string) bool {
 	for _, id := range ids {
 		if lease.ParseMemberID(id).Name == name {
--- a/internal/node/control/feed.go
+++ b/internal/node/control/feed.go
@@ -9,43 +9,42 @@
 	"stepwick/internal/wire"
 )
 
-// maxFeedBatch bounds the changes in one answer.
+// maxFeedBatch bounds the number of changes in one response.
 const maxFeedBatch = 512
 
 // feed is the numbered log of changes that fronts follow. Its id changes whenever
-// the numbering restarts, so that a follower's offset is never taken for one of
-// another numbering. It belongs to the controller's owner, the goroutine of
-// Controller.Serve.
+// the numbering restarts, so that an offset of one numbering is never used with
+// another. It is accessed only by the controller's owner.
 //
-// The feed never waits for a follower. One that is behind by more than the capacity
-// gets a snapshot in place of the changes (Controller.snapshotAnswer). Meanwhile it
-// loses its lease where a change was a version, as a core renews only members that
-// have confirmed the newest.
+// The feed never waits for a follower. A follower that is behind by more than the
+// capacity gets a snapshot instead of the changes (Controller.snapshotAnswer). If
+// the changes that it misses include a new version, it loses its lease meanwhile,
+// because cores renew only members that have confirmed the newest version.
 type feed struct {
 	self        string
 	incarnation uint64
-	// generation counts the restarts within this incarnation.
+	// generation is the number of restarts of the numbering in this incarnation.
 	generation int
 	capacity   int
 	changes    *journal.Journal[*wire.Change]
 	waiters    []*feedWaiter
-	// unanswered is set while there are changes that no waiter was answered with;
-	// the next tick does it.
-	unanswered bool
-	// snapshot is the newest state that was encoded for followers, or nil.
+	// hasUndelivered is set when changes have been published without answering the
+	// waiting followers. The next tick answers them.
+	hasUndelivered bool
+	// snapshot is the state most recently encoded for followers, or nil.
 	snapshot *encodedState
 }
 
-// feedWaiter is a follower whose request waits for the next change.
+// feedWaiter is a request of a follower that waits for the next change.
 type feedWaiter struct {
 	ctx   context.Context
 	req   *wire.FollowRequest
 	reply chan *feedAnswer
 }
 
-// feedAnswer is an answer to a follower. Where it holds a snapshot that needs the
-// state, awaitState returns that once it is encoded; it must not be called by the
-// owner.
+// feedAnswer is an answer to a follower. If its snapshot is to include the state,
+// awaitState waits until the state is encoded and returns it; otherwise awaitState
+// is nil. The owner must not call awaitState.
 type feedAnswer struct {
 	resp       *wire.FollowResponse
 	awaitState func() []byte
@@ -62,7 +61,7 @@
 
 func (f *feed) id() string { return fmt.Sprintf("%s/%d/%d", f.self, f.incarnation, f.generation) }
 
-// restart drops all changes and begins a new numbering.
+// restart drops all changes and starts a new numbering.
 func (f *feed) restart() {
 	f.generation++
 	f.changes = journal.New[*wire.Change](f.capacity)
@@ -70,8 +69,8 @@
 
 func (f *feed) publish(change *wire.Change) { f.changes.Append(change) }
 
-// read returns what follows the offset of a request; ok is false when the follower
-// needs a snapshot.
+// read returns the changes after the offset of a request. ok is false if the
+// follower needs a snapshot.
 func (f *feed) read(req *wire.FollowRequest) (resp *wire.FollowResponse, ok bool) {
 	if req.Feed != f.id() {
 		return nil, false
@@ -88,16 +87,16 @@
 	return resp, true
 }
 
-// dropEndedWaiters drops the followers that no longer wait.
+// dropEndedWaiters drops the waiters whose context has ended.
 func (f *feed) dropEndedWaiters() {
 	f.retainWaiters(func(waiter *feedWaiter) bool { return waiter.ctx.Err() == nil })
 }
 
-// retainWaiters drops the waiters for which waits returns false.
-func (f *feed) retainWaiters(waits func(*feedWaiter) bool) {
+// retainWaiters drops the waiters for which keep returns false.
+func (f *feed) retainWaiters(keep func(*feedWaiter) bool) {
 	remaining := f.waiters[:0]
 	for _, waiter := range f.waiters {
-		if waits(waiter) {
+		if keep(waiter) {
 			remaining = append(remaining, waiter)
 		}
 	}
@@ -105,16 +104,16 @@
 	f.waiters = remaining
 }
 
-// encodedState is a state that is encoded once for all followers that need it.
+// encodedState is the encoding of a state, shared by all followers that need it.
 type encodedState struct {
 	version uint64
 	ready   chan struct{} // closed once data is set
 	data    []byte
 }
 
-// encode starts to encode a state outside the owner, unless that is done or under
-// way, and returns the function that waits for the result.
-func (f *feed) encode(state statemachine.State) (await func() []byte) {
+// startEncoding encodes a state in another goroutine, unless the state is already
+// encoded or being encoded, and returns a function that waits for the result.
+func (f *feed) startEncoding(state statemachine.State) (await func() []byte) {
 	snapshot := f.snapshot
 	if snapshot == nil || snapshot.version != state.Version {
 		snapshot = &encodedState{version: state.Version, ready: make(chan struct{})}
--- a/internal/node/control/feed_test.go
+++ b/internal/node/control/feed_test.go
@@ -13,7 +13,7 @@
 
 func TestFeed(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, f *fleet) {
-		Convey("A new reader gets a snapshot, then each change at once, and waits when there is none", t, func() {
+		Convey("A new follower gets a snapshot and then each change immediately, and waits if there is none", t, func() {
 			first := f.follow("c2", nil, time.Second)
 			So(first.Snapshot.Epoch, ShouldEqual, f.agreed.Load().state.Version)
 			state, err := statemachine.DecodeState(first.Snapshot.State)
@@ -30,13 +30,13 @@
 			go func() { got <- f.follow("c2", empty, 5*time.Second) }()
 			synctest.Wait()
 			startedAt = time.Now()
-			f.put()
+			f.putSheet()
 			next := <-got
 			So(time.Since(startedAt), ShouldBeLessThan, 100*time.Millisecond)
 			So(next.Changes[0].GetChosen().Epoch, ShouldEqual, first.Snapshot.Epoch+1)
 			So(next.Changes[0].Place, ShouldEqual, first.Place+1)
 		})
-		Convey("A reader of another feed, or one too far behind, gets a snapshot", t, func() {
+		Convey("A follower with an offset of another feed, or one that the feed does not hold, gets a snapshot", t, func() {
 			own := f.follow("c2", nil, time.Second)
 			other := f.follow("c3", own, time.Second)
 			So(other.Snapshot, ShouldNotBeNil)
--- a/internal/node/control/fleet_test.go
+++ b/internal/node/control/fleet_test.go
@@ -21,37 +21,37 @@
 	"stepwick/internal/wire"
 )
 
-// fleet is three cores and some fronts in one bubble of virtual time, over a
-// network in memory. An atomic pointer stands in for the agreement.
+// fleet simulates three cores and a number of fronts in a synctest bubble, connected by
+// an in-memory network. An atomic pointer replaces the consensus protocol.
 type fleet struct {
 	ctx            context.Context
 	agreed         atomic.Pointer[agreed]
 	names          []string
 	processes      map[string]*wire.Process
-	records        map[string]*atomic.Pointer[wire.Process] // what each process reports of itself
+	records        map[string]*atomic.Pointer[wire.Process] // the process's current record of itself
 	cores          map[string]*control.Controller
 	fronts         map[string]*follower.Follower
-	stop           map[string]context.CancelFunc
+	cancelServe    map[string]context.CancelFunc
 	partitioned    atomic.Pointer[map[string]bool]
 	stopped        atomic.Pointer[map[string]bool]
 	pingedVersions sync.Map     // "from>to" -> version in the newest ping
-	viewRequests   atomic.Int64 // requests for complete lease views over the network
-	majorityLost   atomic.Bool  // no majority of cores reaches another
-	renewals       atomic.Int64 // calls that renew one lease
-	batches        atomic.Int64 // calls that renew many
-	batchLatency   atomic.Int64 // latency of a batch, in ns
+	viewRequests   atomic.Int64 // requests over the network for views of all leases
+	majorityLost   atomic.Bool  // proposals and reads find no majority of cores
+	renewals       atomic.Int64 // calls that renew a single lease
+	batches        atomic.Int64 // calls that renew a batch of leases
+	batchLatency   atomic.Int64 // added latency of a batch, in nanoseconds
 }
 
 var voters = []string{"c1", "c2", "c3"}
 
 func newFleet(ctx context.Context, fronts int) *fleet {
 	f := &fleet{
-		ctx:       ctx,
-		processes: map[string]*wire.Process{},
-		records:   map[string]*atomic.Pointer[wire.Process]{},
-		cores:     map[string]*control.Controller{},
-		fronts:    map[string]*follower.Follower{},
-		stop:      map[string]context.CancelFunc{},
+		ctx:         ctx,
+		processes:   map[string]*wire.Process{},
+		records:     map[string]*atomic.Pointer[wire.Process]{},
+		cores:       map[string]*control.Controller{},
+		fronts:      map[string]*follower.Follower{},
+		cancelServe: map[string]context.CancelFunc{},
 	}
 	f.agreed.Store(&agreed{changed: make(chan struct{})})
 	f.partitioned.Store(&map[string]bool{})
@@ -66,17 +66,17 @@
 			Front: true, Incarnation: 1, Standing: wire.Standing_STANDING_VOTING, Voters: voters}
 	}
 	for _, name := range f.names {
-		f.build(name)
+		f.buildProcess(name)
 	}
 	for _, name := range f.names {
-		f.start(name)
+		f.startProcess(name)
 	}
 	return f
 }
 
-func (f *fleet) start(name string) {
+func (f *fleet) startProcess(name string) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	f.stop[name] = cancel
+	f.cancelServe[name] = cancel
 	if c, ok := f.cores[name]; ok {
 		go func() { _ = c.Serve(ctx) }()
 	}
@@ -84,7 +84,7 @@
 	go func() { _ = front.Serve(ctx) }()
 }
 
-func (f *fleet) build(name string) {
+func (f *fleet) buildProcess(name string) {
 	process := f.processes[name]
 	f.records[name] = &atomic.Pointer[wire.Process]{}
 	f.records[name].Store(process)
@@ -101,25 +101,26 @@
 		KnownProcesses: func() []port.KnownProcess { return nil }}, memoryPeers{f, name}, clock.System(), events.Discard)
 }
 
-func (f *fleet) setFlag(set *atomic.Pointer[map[string]bool], on bool, names ...string) {
+func (f *fleet) setFlags(set *atomic.Pointer[map[string]bool], value bool, names ...string) {
 	next := map[string]bool{}
-	for name, was := range *set.Load() {
-		next[name] = was
+	for name, flag := range *set.Load() {
+		next[name] = flag
 	}
 	for _, name := range names {
-		next[name] = on
+		next[name] = value
 	}
 	set.Store(&next)
 }
 
 func (f *fleet) kill(name string) {
-	f.stop[name]()
-	f.setFlag(&f.stopped, true, name)
+	f.cancelServe[name]()
+	f.setFlags(&f.stopped, true, name)
 }
 
-// restartedFront kills a front and returns the next incarnation of it, which knows
-// nothing and serves its owner until the fleet ends. Others still call the killed one.
-func (f *fleet) restartedFront(name string) *follower.Follower {
+// restartFront kills a front and returns its next incarnation, which starts without
+// state and runs until the fleet ends. Calls by other processes are still addressed
+// to the killed incarnation.
+func (f *fleet) restartFront(name string) *follower.Follower {
 	f.kill(name)
 	f.changeRecord(name, func(p *wire.Process) { p.Incarnation++ })
 	front := f.newFront(name)
@@ -127,7 +128,7 @@
 	return front
 }
 
-// changeRecord changes what a process reports of itself.
+// changeRecord changes a process's record of itself and increments its counter.
 func (f *fleet) changeRecord(name string, change func(*wire.Process)) {
 	next := proto.Clone(f.records[name].Load()).(*wire.Process)
 	change(next)
@@ -135,9 +136,10 @@
 	f.records[name].Store(next)
 }
 
-// advance lets virtual time pass.
-func (f *fleet) advance(d time.Duration) { <-time.After(d) }
+// advance waits for a duration of virtual time.
+func (f *fleet) advance(duration time.Duration) { <-time.After(duration) }
 
+// servingFronts returns the number of running fronts that have authority to serve.
 func (f *fleet) servingFronts() int {
 	count := 0
 	for _, name := range f.names {
@@ -148,17 +150,19 @@
 	return count
 }
 
-func withFleet(t *testing.T, fronts int, act func(t *testing.T, f *fleet)) {
+// withFleet runs a scenario on a fleet that has been up for six seconds.
+func withFleet(t *testing.T, fronts int, scenario func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		f := newFleet(ctx, fronts)
 		f.advance(6 * time.Second)
-		act(t, f)
+		scenario(t, f)
 		cancel()
 		f.advance(10 * time.Second)
 	})
 }
 
+// follow requests the changes after the last response, or a snapshot if it is nil.
 func (f *fleet) follow(core string, last *wire.FollowResponse, wait time.Duration) *wire.FollowResponse {
 	req := &wire.FollowRequest{Who: "test", WaitMs: uint32(wait.Milliseconds())}
 	if last != nil {
@@ -173,7 +177,8 @@
 	return resp
 }
 
-func (f *fleet) report(watcher string, counter uint64, status *wire.ServerStatus) {
+// submitReport submits a watcher's report on a server to core c1.
+func (f *fleet) submitReport(watcher string, counter uint64, status *wire.ServerStatus) {
 	status.Address = "10.0.0.1:80"
 	status.Kind = "model"
 	status.Services = []string{"chat"}
@@ -195,8 +200,9 @@
 	}
 }
 
-func (f *fleet) put() {
-	resp, err := f.cores["c1"].Order(f.ctx, &wire.OrderRequest{Operator: "ada", Verb: "put", Body: []byte(put(0, "first"))})
+// putSheet sends the first sheet to core c1 and requires that it comes into force.
+func (f *fleet) putSheet() {
+	resp, err := f.cores["c1"].Order(f.ctx, &wire.OrderRequest{Operator: "ada", Verb: "put", Body: []byte(putBody(0, "first"))})
 	So(err, ShouldBeNil)
 	So(apierror.Code(resp.Code), ShouldEqual, apierror.OK)
 }
--- a/internal/node/control/follow.go
+++ b/internal/node/control/follow.go
@@ -7,12 +7,13 @@
 	"stepwick/internal/wire"
 )
 
-// Follow returns the changes after an offset of the feed, or a snapshot where they
-// are no longer retained or the offset is of another feed. Without a change it
-// waits, at most wait_ms, and then returns none. The error is the context's.
+// Follow returns the changes after an offset of the feed. If they are no longer
+// retained, or the offset belongs to another feed, it returns a snapshot. If there
+// is no change it waits for one, at most for wait_ms, and then returns an empty
+// response. The error is the context's.
 func (c *Controller) Follow(ctx context.Context, req *wire.FollowRequest) (*wire.FollowResponse, error) {
 	wait := max(min(time.Duration(req.WaitMs)*time.Millisecond, c.config.FeedWaitMax), tickInterval)
-	waiting, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	reply := make(chan *feedAnswer, 1)
 	posted := c.post(ctx, func() {
@@ -20,7 +21,7 @@
 			reply <- answer
 			return
 		}
-		c.feed.waiters = append(c.feed.waiters, &feedWaiter{ctx: waiting, req: req, reply: reply})
+		c.feed.waiters = append(c.feed.waiters, &feedWaiter{ctx: waitCtx, req: req, reply: reply})
 	})
 	if !posted {
 		return nil, ctx.Err()
@@ -31,7 +32,7 @@
 			answer.resp.Snapshot.State = answer.awaitState()
 		}
 		return answer.resp, nil
-	case <-waiting.Done():
+	case <-waitCtx.Done():
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -39,7 +40,7 @@
 	}
 }
 
-// answerTo returns the answer to a request, nil when there is nothing new.
+// answerTo returns the answer to a request, or nil if there is no change to return.
 func (c *Controller) answerTo(req *wire.FollowRequest) *feedAnswer {
 	resp, ok := c.feed.read(req)
 	if !ok {
@@ -52,7 +53,8 @@
 	return &feedAnswer{resp: resp}
 }
 
-// snapshotAnswer returns a snapshot, with the state unless the follower has it.
+// snapshotAnswer returns a snapshot. It includes the state only if the follower's is
+// older.
 func (c *Controller) snapshotAnswer(req *wire.FollowRequest) *feedAnswer {
 	state := c.state
 	answer := &feedAnswer{resp: &wire.FollowResponse{
@@ -67,14 +69,15 @@
 		},
 	}}
 	if state.Version > 0 && req.Epoch < state.Version {
-		answer.awaitState = c.feed.encode(state)
+		answer.awaitState = c.feed.startEncoding(state)
 	}
 	return answer
 }
 
-// answerFollowers answers those for whom there is something new.
-func (c *Controller) answerFollowers() {
-	c.feed.unanswered = false
+// answerFeedWaiters answers the waiting followers that have changes to receive, and
+// drops those whose context has ended.
+func (c *Controller) answerFeedWaiters() {
+	c.feed.hasUndelivered = false
 	c.feed.retainWaiters(func(waiter *feedWaiter) bool {
 		if waiter.ctx.Err() != nil {
 			return false
--- a/internal/node/control/jobs.go
+++ b/internal/node/control/jobs.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// jobTimeout bounds one proposal, one read from a majority or one plan.
+// jobTimeout bounds a proposal, a read from a majority or the computation of a plan.
 const jobTimeout = 3 * time.Second
 
-// job names work that runs outside the owner, at most once at a time.
+// job names a kind of work that runs outside the owner, at most once at a time.
 type job string
 
 // Jobs.
 const (
-	jobCatchUp              job = "catch up"
-	jobCoreViews            job = "core views"
-	jobAddMembers           job = "add members"
-	jobRemoveMembers        job = "remove members"
-	jobCompleteRosterChange job = "complete roster change"
-	jobElection             job = "election"
-	jobPlan                 job = "plan"
+	jobCatchUp            job = "catch up"
+	jobCoreViews          job = "core views"
+	jobAddMembers         job = "add members"
+	jobRemoveMembers      job = "remove members"
+	jobCommitRosterChange job = "commit roster change"
+	jobElection           job = "election"
+	jobPlan               job = "plan"
 )
 
-// runningJobs is the set of jobs that have not finished.
+// runningJobs is the set of jobs that are running.
 type runningJobs map[job]bool
 
-// startJob runs work outside the owner unless the job is running, and then, at
-// the owner, the function that it returns, if any.
+// startJob runs work in its own goroutine, unless the job is already running. The
+// owner then runs the function that work returned, if any.
 func (c *Controller) startJob(name job, timeout time.Duration, work func(ctx context.Context) (done func())) {
 	if c.jobs[name] {
 		return
--- a/internal/node/control/lasting_conditions.go
+++ b/internal/node/control/lasting_conditions.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// condition names a condition that must hold for a span before the controller
-// acts on it.
+// condition names a condition that must hold without interruption for some time
+// before the controller acts on it.
 type condition string
 
 // Conditions.
 const (
-	conditionMembersUnlisted     condition = "members unlisted"
-	conditionMembersRefusing     condition = "members refusing"
-	conditionRosterChangePending condition = "roster change pending"
-	conditionPlannerVacant       condition = "planner vacant"
-	conditionServersReported     condition = "servers reported"
+	conditionMembersUnlisted   condition = "members unlisted"
+	conditionMembersRefusing   condition = "members refusing"
+	conditionRosterUncommitted condition = "roster change uncommitted"
+	conditionPlannerVacant     condition = "planner vacant"
+	conditionServersReported   condition = "servers reported"
 )
 
-// conditionTimers records since when each condition has held.
+// conditionTimers records when each condition that holds was first seen to hold.
 type conditionTimers map[condition]time.Time
 
-// trueFor reports whether a condition has held for a span, from the first call at
-// which it held. A call at which it does not hold resets it.
-func (t conditionTimers) trueFor(name condition, holds bool, span time.Duration, now time.Time) bool {
+// heldFor reports whether a condition has held for the given span, measured from the
+// first call at which it held. A call at which it doesn't hold resets it.
+func (t conditionTimers) heldFor(name condition, holds bool, span time.Duration, now time.Time) bool {
 	if !holds {
 		t.reset(name)
 		return false
 	}
-	since, ok := t[name]
-	if !ok {
+	heldSince, running := t[name]
+	if !running {
 		t[name] = now
-		since = now
+		heldSince = now
 	}
-	return now.Sub(since) >= span
+	return now.Sub(heldSince) >= span
 }
 
-// reset starts the span of a condition again.
+// reset restarts the measurement of a condition.
 func (t conditionTimers) reset(name condition) { delete(t, name) }
--- a/internal/node/control/lease_views.go
+++ b/internal/node/control/lease_views.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// viewTimeout bounds one round of lease views.
+	// viewTimeout bounds a round of lease views.
 	viewTimeout = 400 * time.Millisecond
-	// viewWait is how long a core may wait until its part of a check is met before
-	// it answers with what it has.
-	viewWait = 250 * time.Millisecond
+	// viewWaitMax is the longest time that a core waits for its part of a check to
+	// be met before it answers with its current view.
+	viewWaitMax = 250 * time.Millisecond
 )
 
-// viewWaiter waits until this core's part of the check of a version is met.
+// viewWaiter is a request that waits until this core's part of the check of a
+// version is met.
 type viewWaiter struct {
 	ctx     context.Context
 	version uint64
 	reply   chan *wire.LeaseViewResponse
 }
 
-// LeaseView returns this core's view of the leases: of one member, or for the
-// check whether a version is confirmed. With a wait it returns once this core's
-// part of the check is met, or what there is when the wait is over. The error is
-// the context's.
+// LeaseView returns this core's view of the leases: of one member's lease if the
+// request names a member, otherwise of all leases, for the check of whether a
+// version is confirmed. If wait_ms is set, it waits until this core's part of the
+// check is met or the time has passed. The error is the context's.
 func (c *Controller) LeaseView(ctx context.Context, req *wire.LeaseViewRequest) (*wire.LeaseViewResponse, error) {
 	if req.About != "" {
-		return query(ctx, c, func() *wire.LeaseViewResponse {
-			return c.unsettledUntilCaughtUp(c.leases.MemberView(req.About, c.learned(), c.clock.Now()))
+		return callOwner(ctx, c, func() *wire.LeaseViewResponse {
+			return c.clearSettledUntilCaughtUp(c.leases.MemberView(req.About, c.learnedVersion(), c.clock.Now()))
 		})
 	}
 	if req.WaitMs > 0 {
@@ -41,40 +42,40 @@
 			return view, nil
 		}
 	}
-	return query(ctx, c, func() *wire.LeaseViewResponse { return c.leaseView(req.Epoch) })
+	return callOwner(ctx, c, func() *wire.LeaseViewResponse { return c.leaseView(req.Epoch) })
 }
 
-// awaitConfirmedView returns the view once this core's part of the check is met,
-// nil if it isn't in time.
+// awaitConfirmedView returns the view once this core's part of the check is met, or
+// nil if that takes longer than wait.
 func (c *Controller) awaitConfirmedView(ctx context.Context, version uint64, wait time.Duration) *wire.LeaseViewResponse {
-	waiting, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	waiter := &viewWaiter{ctx: waiting, version: version, reply: make(chan *wire.LeaseViewResponse, 1)}
-	c.post(waiting, func() {
+	waiter := &viewWaiter{ctx: waitCtx, version: version, reply: make(chan *wire.LeaseViewResponse, 1)}
+	c.post(waitCtx, func() {
 		c.viewWaiters = append(c.viewWaiters, waiter)
 		c.answerViewWaiters()
 	})
 	select {
 	case view := <-waiter.reply:
 		return view
-	case <-waiting.Done():
+	case <-waitCtx.Done():
 		return nil
 	}
 }
 
 func (c *Controller) leaseView(version uint64) *wire.LeaseViewResponse {
-	return c.unsettledUntilCaughtUp(c.leases.View(version, c.learned(), c.clock.Now()))
+	return c.clearSettledUntilCaughtUp(c.leases.View(version, c.learnedVersion(), c.clock.Now()))
 }
 
-// unsettledUntilCaughtUp marks a view as not settled until the core has caught up
-// since its start.
-func (c *Controller) unsettledUntilCaughtUp(view *wire.LeaseViewResponse) *wire.LeaseViewResponse {
+// clearSettledUntilCaughtUp clears the view's Settled field until this core has caught
+// up since its start. Settled otherwise states that the startup grace is over.
+func (c *Controller) clearSettledUntilCaughtUp(view *wire.LeaseViewResponse) *wire.LeaseViewResponse {
 	view.Settled = view.Settled && c.caughtUp
 	return view
 }
 
-// answerViewWaiters answers those whose version is confirmed here, and drops those
-// that no longer wait.
+// answerViewWaiters answers the waiters whose version is confirmed at this core, and
+// drops those whose context has ended.
 func (c *Controller) answerViewWaiters() {
 	if len(c.viewWaiters) == 0 {
 		return
@@ -86,8 +87,8 @@
 		if waiter.ctx.Err() != nil {
 			continue
 		}
-		if _, known := confirmed[waiter.version]; !known {
-			confirmed[waiter.version] = c.confirmedHere(waiter.version, now)
+		if _, evaluated := confirmed[waiter.version]; !evaluated {
+			confirmed[waiter.version] = c.isConfirmedLocally(waiter.version, now)
 		}
 		if confirmed[waiter.version] {
 			waiter.reply <- c.leaseView(waiter.version)
@@ -99,22 +100,23 @@
 	c.viewWaiters = remaining
 }
 
-func (c *Controller) confirmedHere(version uint64, now time.Time) bool {
-	return c.learned() >= version && c.leases.ConfirmsVersion(version, c.state.Roster, now)
+// isConfirmedLocally reports whether this core's part of the check of a version is met.
+func (c *Controller) isConfirmedLocally(version uint64, now time.Time) bool {
+	return c.learnedVersion() >= version && c.leases.ConfirmsVersion(version, c.state.Roster, now)
 }
 
-// collectViews requests one round of lease views from all cores, this one
-// included. Cores that don't answer in time are left out. With enough given, the
-// cores wait until their part of the check is met, and the round ends as soon as
-// enough accepts what arrived from a majority.
-func (c *Controller) collectViews(ctx context.Context, req *wire.LeaseViewRequest, enough func([]*wire.LeaseViewResponse) bool) []*wire.LeaseViewResponse {
+// collectViews requests one round of lease views from all cores, including this
+// one. It omits cores that don't answer in time. If sufficient is not nil, each core
+// delays its answer until its part of the check is met, and the round ends as soon
+// as a majority has answered and sufficient returns true for their views.
+func (c *Controller) collectViews(ctx context.Context, req *wire.LeaseViewRequest, sufficient func([]*wire.LeaseViewResponse) bool) []*wire.LeaseViewResponse {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	if enough != nil {
-		req.WaitMs = uint32(viewWait.Milliseconds())
+	if sufficient != nil {
+		req.WaitMs = uint32(viewWaitMax.Milliseconds())
 	}
 	others := c.otherCores()
-	// The capacity lets late answers end their goroutines.
+	// There is room for all answers, so that the goroutines of late answers end.
 	answers := make(chan *wire.LeaseViewResponse, len(others)+1)
 	go func() {
 		view, err := c.LeaseView(ctx, req)
@@ -133,15 +135,15 @@
 			continue
 		}
 		views = append(views, view)
-		if enough != nil && len(views) >= lease.Majority(len(others)+1) && enough(views) {
+		if sufficient != nil && len(views) >= lease.Majority(len(others)+1) && sufficient(views) {
 			break
 		}
 	}
 	return views
 }
 
-// requestView returns another core's view, nil if it did not answer or another
-// process has its address.
+// requestView returns another core's view, or nil if the call failed or another
+// process answered at the core's address.
 func (c *Controller) requestView(ctx context.Context, core *wire.Process, req *wire.LeaseViewRequest) *wire.LeaseViewResponse {
 	resp, err := c.peers.Client(core.Address).LeaseView(ctx, connect.NewRequest(req))
 	if err != nil || resp.Msg.Core != core.Name {
--- a/internal/node/control/lost_cores_test.go
+++ b/internal/node/control/lost_cores_test.go
@@ -11,7 +11,7 @@
 
 func TestLargeFleetWithoutCores(t *testing.T) {
 	withFleet(t, 140, func(t *testing.T, f *fleet) {
-		Convey("A fleet too large to be pinged completely serves on by its roster when every core is lost, without a gap", t, func() {
+		Convey("A fleet that is too large for each front to ping every member serves without interruption by its roster majority after all cores are lost", t, func() {
 			So(f.servingFronts(), ShouldEqual, 140)
 			for _, core := range voters {
 				f.kill(core)
@@ -24,8 +24,8 @@
 	})
 }
 
-// pingedBy counts the members that a process pinged since the last forgetPings.
-func (f *fleet) pingedBy(from string) (count int) {
+// countPingedBy counts the members that a process pinged since the last clearPings.
+func (f *fleet) countPingedBy(from string) (count int) {
 	f.pingedVersions.Range(func(key, _ any) bool {
 		if strings.HasPrefix(key.(string), from+">") {
 			count++
@@ -35,20 +35,21 @@
 	return count
 }
 
-func (f *fleet) forgetPings() { f.pingedVersions.Clear() }
+func (f *fleet) clearPings() { f.pingedVersions.Clear() }
 
-// Each of 300 restarted fronts pinged all others, which kept the cores from answering.
+// Guards against overload of the cores: in a fleet where 300 fronts restarted, each of
+// them pinged all others, and the cores could no longer answer.
 func TestRestartedFrontDoesNotPingWholeRoster(t *testing.T) {
 	withFleet(t, 140, func(t *testing.T, f *fleet) {
-		Convey("A front of a large fleet that no majority has confirmed since its start pings a few members at each interval", t, func() {
+		Convey("In a large fleet, a restarted front without a lease from a majority of cores pings only a few members per interval", t, func() {
 			f.kill("c2")
 			f.kill("c3")
-			front := f.restartedFront("f140")
-			f.forgetPings()
+			front := f.restartFront("f140")
+			f.clearPings()
 			f.advance(3 * time.Second)
 			So(front.View().Roster, ShouldHaveLength, 140)
 			So(front.HasAuthority(), ShouldBeFalse)
-			So(f.pingedBy("f140"), ShouldBeLessThanOrEqualTo, 6*3)
+			So(f.countPingedBy("f140"), ShouldBeLessThanOrEqualTo, 6*3)
 		})
 	})
 }
@@ -56,23 +57,23 @@
 func TestRefusingMemberStaysLost(t *testing.T) {
 	for _, delay := range []time.Duration{200, 350, 500} {
 		withFleet(t, 9, func(t *testing.T, f *fleet) {
-			Convey("A member that refused a front is not restored by a core that has not noticed yet", t, func() {
-				lost := map[string]bool{}
-				watch := func(span time.Duration) {
+			Convey("A member that refused a front's connection does not return to its view through a core that has not observed the refusal yet", t, func() {
+				removed := map[string]bool{}
+				watchFor := func(span time.Duration) {
 					for startedAt := time.Now(); time.Since(startedAt) < span; f.advance(10 * time.Millisecond) {
 						for _, name := range f.names[1:8] {
 							live := slices.Contains(f.fronts[name].View().Live, "f9")
-							So(live && lost[name], ShouldBeFalse)
-							lost[name] = lost[name] || !live
+							So(live && removed[name], ShouldBeFalse)
+							removed[name] = removed[name] || !live
 						}
 					}
 				}
 				f.kill("f9")
-				watch(delay * time.Millisecond)
+				watchFor(delay * time.Millisecond)
 				f.kill("c1")
-				watch(4 * time.Second)
+				watchFor(4 * time.Second)
 				for _, name := range f.names[1:8] {
-					So(lost[name], ShouldBeTrue)
+					So(removed[name], ShouldBeTrue)
 				}
 			})
 		})
--- a/internal/node/control/member_statuses.go
+++ b/internal/node/control/member_statuses.go
@@ -7,39 +7,41 @@
 	"stepwick/internal/wire"
 )
 
-// statusScanInterval is the interval at which time-outs of all members are found.
+// statusScanInterval is the interval at which the statuses of all members are
+// checked for changes caused by the passing of time.
 const statusScanInterval = 200 * time.Millisecond
 
-// memberStatuses finds the changes of members' status to publish on the feed.
+// memberStatuses detects changes of members' statuses, which the feed publishes.
 type memberStatuses struct {
 	tracker    *lease.StatusTracker
 	lastScanAt time.Time
 }
 
-// publishMemberStatus publishes the status of one member if it changed.
+// publishMemberStatus publishes the status of a member if it has changed.
 func (c *Controller) publishMemberStatus(name string, now time.Time) {
 	if status := c.statuses.tracker.Update(c.leases, name, c.state.Roster, now); status != nil {
-		c.publishStatus(status)
+		c.publishStatusChange(status)
 	}
 }
 
-// publishMemberStatuses publishes the changes that come from time alone, and
-// answers the followers with all that was published since the last tick: many
-// members that change at once cost a follower one answer, not one each.
+// publishMemberStatuses publishes the status changes caused by the passing of time,
+// and answers the followers with all changes published since the last tick. If many
+// members change at once, a follower gets one response instead of one for each.
 func (c *Controller) publishMemberStatuses(now time.Time) {
 	if now.Sub(c.statuses.lastScanAt) >= statusScanInterval {
 		c.statuses.lastScanAt = now
 		for _, status := range c.statuses.tracker.UpdateAll(c.leases, c.state.Roster, now) {
-			c.publishStatus(status)
+			c.publishStatusChange(status)
 		}
 	}
-	if c.feed.unanswered {
-		c.answerFollowers()
+	if c.feed.hasUndelivered {
+		c.answerFeedWaiters()
 	}
 }
 
-// publishStatus leaves the answer to those who wait to the next tick.
-func (c *Controller) publishStatus(status *wire.Sight) {
+// publishStatusChange publishes a member's status. Waiting followers are answered at
+// the next tick.
+func (c *Controller) publishStatusChange(status *wire.Sight) {
 	c.feed.publish(&wire.Change{What: &wire.Change_Sight{Sight: status}})
-	c.feed.unanswered = true
+	c.feed.hasUndelivered = true
 }
--- a/internal/node/control/member_statuses_test.go
+++ b/internal/node/control/member_statuses_test.go
@@ -11,9 +11,10 @@
 	"stepwick/internal/wire"
 )
 
-// listedFronts returns the fronts that f1's view lists, f1 being any front.
-func (f *fleet) listedFronts(by string) (names, ready []string) {
-	for _, p := range f.fronts[by].View().Fronts {
+// listedFronts returns the names of the fronts in the viewer's view, and of those
+// that are ready.
+func (f *fleet) listedFronts(viewer string) (names, ready []string) {
+	for _, p := range f.fronts[viewer].View().Fronts {
 		names = append(names, p.Name)
 		if p.Ready {
 			ready = append(ready, p.Name)
@@ -24,7 +25,7 @@
 
 func TestMemberStatusesOnTheFeed(t *testing.T) {
 	withFleet(t, 40, func(t *testing.T, f *fleet) {
-		Convey("Every front knows all others by the feed alone", t, func() {
+		Convey("Every front learns of all other fronts from the feed alone", t, func() {
 			for _, name := range f.names {
 				names, ready := f.listedFronts(name)
 				So(names, ShouldHaveLength, 40)
@@ -32,7 +33,7 @@
 				So(f.fronts[name].View().Live, ShouldHaveLength, 40)
 			}
 		})
-		Convey("A change of readiness or address reaches all within a renewal and a tick, and costs the feed one change", t, func() {
+		Convey("A change of readiness or region reaches all fronts within a renewal interval and a tick, as one change on the feed", t, func() {
 			last := f.follow("c2", nil, time.Second)
 			f.changeRecord("f39", func(p *wire.Process) { p.Ready, p.Region = true, "abeokuta" })
 			f.advance(600 * time.Millisecond)
@@ -44,7 +45,7 @@
 			So(changes, ShouldHaveLength, 1)
 			So(changes[0].GetSight().Process.Region, ShouldEqual, "abeokuta")
 		})
-		Convey("One that refuses is removed from the fronts and from the owners of counts", t, func() {
+		Convey("A front that refuses connections is removed from the fronts and from the live members, which own the counts", t, func() {
 			f.kill("f40")
 			f.advance(1500 * time.Millisecond)
 			for _, name := range f.names[:39] {
@@ -53,8 +54,8 @@
 				So(f.fronts[name].View().Live, ShouldNotContain, "f40")
 			}
 		})
-		Convey("An unresponsive one stays an owner, but is listed as unresponsive; it returns", t, func() {
-			f.setFlag(&f.partitioned, true, "f38")
+		Convey("An unresponsive front remains a live member, but is listed as unresponsive until it answers again", t, func() {
+			f.setFlags(&f.partitioned, true, "f38")
 			f.advance(3 * time.Second)
 			for _, name := range f.names[:37] {
 				names, _ := f.listedFronts(name)
@@ -62,13 +63,13 @@
 				So(f.fronts[name].View().Live, ShouldContain, "f38")
 				So(f.fronts[name].View().Unresponsive, ShouldContain, "f38")
 			}
-			f.setFlag(&f.partitioned, false, "f38")
+			f.setFlags(&f.partitioned, false, "f38")
 			f.advance(3 * time.Second)
 			names, _ := f.listedFronts("f20")
 			So(names, ShouldContain, "f38")
 			So(f.fronts["f20"].View().Unresponsive, ShouldBeEmpty)
 		})
-		Convey("One that released its lease is removed at once", t, func() {
+		Convey("A front that released its lease is removed immediately", t, func() {
 			So(f.fronts["f37"].Leave(f.ctx), ShouldBeNil)
 			for _, core := range f.cores {
 				_, err := core.Release(f.ctx, &wire.ReleaseRequest{Name: "f37", Incarnation: 1})
@@ -77,21 +78,21 @@
 			f.advance(100 * time.Millisecond)
 			So(f.fronts["f20"].View().Live, ShouldNotContain, "f37")
 		})
-		Convey("A snapshot holds all, the removed ones too", t, func() {
-			gone, silent := 0, 0
+		Convey("A snapshot contains the statuses of all members, including removed ones", t, func() {
+			goneCount, silentCount := 0, 0
 			sights := f.follow("c1", nil, time.Second).Snapshot.Sights
 			for _, sight := range sights {
 				if sight.Gone {
-					gone++
+					goneCount++
 				}
 				if sight.Silent {
-					silent++
+					silentCount++
 				}
 			}
 			So(sights, ShouldHaveLength, 40)
-			So([]int{gone, silent}, ShouldResemble, []int{2, 0})
+			So([]int{goneCount, silentCount}, ShouldResemble, []int{2, 0})
 		})
-		Convey("With no core left the feed's statuses expire, and pings decide who is alive", t, func() {
+		Convey("Without any core the statuses from the feed expire, and pings determine which members are live", t, func() {
 			for _, core := range voters {
 				f.kill(core)
 			}
@@ -106,13 +107,13 @@
 
 func TestOrderRequestsViewsOnce(t *testing.T) {
 	withFleet(t, 40, func(t *testing.T, f *fleet) {
-		Convey("A healthy fleet is asked for its views once per order", t, func() {
+		Convey("An order in a healthy fleet takes one round of lease views", t, func() {
 			before := f.viewRequests.Load()
-			f.put()
+			f.putSheet()
 			So(f.viewRequests.Load()-before, ShouldBeBetweenOrEqual, 1, 2)
 		})
-		Convey("An unresponsive member's lease is waited for without many requests", t, func() {
-			f.setFlag(&f.partitioned, true, "f40")
+		Convey("Waiting for an unresponsive member's lease to expire takes few requests for lease views", t, func() {
+			f.setFlags(&f.partitioned, true, "f40")
 			f.advance(600 * time.Millisecond)
 			before, startedAt := f.viewRequests.Load(), time.Now()
 			resp, err := f.cores["c1"].Order(f.ctx, &wire.OrderRequest{Operator: "ada", Verb: "evacuate",
--- a/internal/node/control/order_answers.go
+++ b/internal/node/control/order_answers.go
@@ -9,9 +9,9 @@
 	"stepwick/internal/wire"
 )
 
-// The bodies of answers to operators. Their JSON forms are fixed by docs/API.md.
+// The bodies of responses to operators. docs/API.md defines their JSON form.
 
-// confirmedBody answers an order that is in force.
+// confirmedBody is the response to an order that is in force.
 type confirmedBody struct {
 	Version      uint64 `json:"epoch"`
 	SheetVersion uint64 `json:"sheet_epoch"`
@@ -21,13 +21,14 @@
 	OrderID      string `json:"order_id"`
 }
 
-// errorBody answers an order that was rejected or whose outcome is unknown.
+// errorBody is the response to an order or read that was rejected, or to an order
+// whose outcome is unknown.
 type errorBody struct {
 	apierror.ErrorBody
 	OrderID string `json:"order_id,omitempty"`
 }
 
-// sheetBody answers a read of the sheet.
+// sheetBody is the response to a read of the sheet.
 type sheetBody struct {
 	Version      uint64            `json:"epoch"`
 	SheetVersion uint64            `json:"sheet_epoch"`
@@ -36,7 +37,7 @@
 	Evacuated    map[string]uint64 `json:"evacuated,omitempty"`
 }
 
-// historyBody answers a read of the history of orders.
+// historyBody is the response to a read of the history of orders.
 type historyBody struct {
 	Version      uint64                `json:"epoch"`
 	SheetVersion uint64                `json:"sheet_epoch"`
@@ -46,7 +47,7 @@
 func okResponse(body any, version uint64) *wire.OrderResponse {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return errorResponse(apierror.Errorf(apierror.Internal, "%v", err), version, "")
+		return errorResponse(apierror.Errorf(apierror.Internal, "encode the response as JSON: %v", err), version, "")
 	}
 	return &wire.OrderResponse{Code: uint32(apierror.OK), Body: data, Epoch: version}
 }
--- a/internal/node/control/orders.go
+++ b/internal/node/control/orders.go
@@ -11,7 +11,7 @@
 	"stepwick/internal/wire"
 )
 
-// Verbs that read and change nothing; the others are those of sheet's orders.
+// Verbs of reads. All other verbs are those of the orders in package statemachine.
 const (
 	verbGet     = "get"
 	verbHistory = "history"
@@ -19,19 +19,22 @@
 )
 
 const (
-	// retryAfter is when a client should retry an order that was not decided.
+	// retryAfter is the delay after which a client should retry an order or read that
+	// was not decided.
 	retryAfter = time.Second
-	// orderTimeoutFactor bounds a stated time-out, as a multiple of the default.
+	// orderTimeoutFactor bounds the time-out that a request states, as a multiple of
+	// OrderTimeout.
 	orderTimeoutFactor = 3
-	// firstViewDivisor makes the first pause between rounds of lease views a
-	// fraction of ViewInterval.
+	// firstViewDivisor is the ratio of ViewInterval to the first pause between rounds
+	// of lease views.
 	firstViewDivisor = 8
 )
 
-// Order carries out an operator's order or read. An order is acknowledged once it
-// is in force; if that is not known in time the answer is OutcomePending, and the
-// same order submitted again to any core has the same result. Reads are answered
-// from a majority or rejected. A rejection is an answer with its code, not an
+// Order executes an operator's order or read. An order is acknowledged once it is in
+// force. If that is not confirmed before the time-out, the response has the code
+// OutcomePending, and the order may be sent again to any core with the same result.
+// The verbs get and history read from a majority of cores or are rejected; status
+// returns this core's view. A rejection is a response with an error code, not an
 // error; the error is the context's.
 func (c *Controller) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.orderTimeout(req))
@@ -40,7 +43,7 @@
 	case c.orderSlots <- struct{}{}:
 		defer func() { <-c.orderSlots }()
 	default:
-		apiErr := apierror.Errorf(apierror.QueueFull, "%d orders are under way", maxOrders).WithRetryAfter(retryAfter)
+		apiErr := apierror.Errorf(apierror.QueueFull, "%d orders are in progress, which is the limit", maxOrders).WithRetryAfter(retryAfter)
 		return errorResponse(apiErr, 0, ""), nil
 	}
 	switch req.Verb {
@@ -76,7 +79,7 @@
 func (c *Controller) readState(ctx context.Context, verb string) *wire.OrderResponse {
 	state, err := c.replica.ReadMajority(ctx)
 	if err != nil {
-		return errorResponse(undecided(err), 0, "")
+		return errorResponse(undecidedError(err), 0, "")
 	}
 	if verb == verbHistory {
 		return okResponse(historyBody{
@@ -94,18 +97,20 @@
 	}, state.Version)
 }
 
-// undecided returns the error of a client whose read or proposal no majority has
-// answered; a fault of this core keeps its code.
-func undecided(err error) *apierror.Error {
+// undecidedError returns the API error for a read or proposal that failed without a
+// decision. Codes that describe the state of this core or of the proposal are kept;
+// any other error becomes NoMajority.
+func undecidedError(err error) *apierror.Error {
 	apiErr := apierror.From(err)
 	switch apiErr.Code {
 	case apierror.CoreBlank, apierror.CoreAmnesiac, apierror.DiskFull, apierror.NoMajority, apierror.OutcomePending:
 		return apiErr.WithRetryAfter(retryAfter)
 	}
-	return apierror.Errorf(apierror.NoMajority, "no majority of the cores answered in time").WithRetryAfter(retryAfter)
+	return apierror.Errorf(apierror.NoMajority, "no majority of the cores answered before the time-out").WithRetryAfter(retryAfter)
 }
 
-// executeOrder proposes a command and waits until it is in force.
+// executeOrder proposes a command and waits until it is in force. An order that was
+// accepted before is not proposed again.
 func (c *Controller) executeOrder(ctx context.Context, req *wire.OrderRequest, command statemachine.Command) *wire.OrderResponse {
 	order, _ := statemachine.OrderOf(command)
 	orderID := order.OrderID
@@ -119,7 +124,7 @@
 	c.log.Emit(events.OrderProposed, "order", orderID, "verb", req.Verb, "operator", req.Operator)
 	_, result, err := c.replica.Propose(ctx, statemachine.Encode(command))
 	if err != nil {
-		return c.proposalFailed(ctx, err, orderID)
+		return c.proposalErrorResponse(ctx, err, orderID)
 	}
 	if result.Code != apierror.OK {
 		return c.rejectOrder(req, result, orderID)
@@ -128,18 +133,18 @@
 	return c.awaitInForce(ctx, result, orderID)
 }
 
-func (c *Controller) proposalFailed(ctx context.Context, err error, orderID string) *wire.OrderResponse {
-	apiErr := undecided(err)
+func (c *Controller) proposalErrorResponse(ctx context.Context, err error, orderID string) *wire.OrderResponse {
+	apiErr := undecidedError(err)
 	if ctx.Err() != nil {
-		apiErr = apierror.Errorf(apierror.OutcomePending, "the ballot has not ended; send the order again with its id").WithRetryAfter(retryAfter)
+		apiErr = apierror.Errorf(apierror.OutcomePending, "it is not known whether the order was chosen; send the order again with its id").WithRetryAfter(retryAfter)
 	}
 	c.log.Emit(events.OrderPending, "order", orderID, "waiting", apiErr.Detail)
 	return errorResponse(apiErr, 0, orderID)
 }
 
-// finalResult returns the result of a command where it is final without a
-// proposal: the state here has executed it already, or the state of a majority
-// rejects it. So an order that can't succeed uses up no version.
+// finalResult returns the result of a command if that is final without a proposal:
+// this core's state shows that the command was already executed, or the state of a
+// majority rejects it. An order that can't succeed therefore uses no version.
 func (c *Controller) finalResult(ctx context.Context, command statemachine.Command) (result statemachine.Result, final bool) {
 	state := c.replica.Current()
 	if result, final = state.Predict(command); final {
@@ -148,7 +153,7 @@
 	if _, result = command.Apply(state, state.Version+1); result.Code == apierror.OK {
 		return result, false
 	}
-	// The state here may be outdated, so only a majority's may reject.
+	// This core's state may be outdated, so only a majority's may reject the order.
 	state, err := c.replica.ReadMajority(ctx)
 	if err != nil {
 		return statemachine.Result{}, false
@@ -169,21 +174,21 @@
 	return errorResponse(result.APIError(), result.Version, orderID)
 }
 
-// awaitInForce requests the cores' lease views until the version is in force or the
-// context ends. Cores answer when their part of the check is met, so a healthy
-// fleet needs one round.
+// awaitInForce collects the cores' lease views until the version is in force or the
+// context ends. Cores answer when their part of the check is met, so in a healthy
+// fleet one round is enough.
 func (c *Controller) awaitInForce(ctx context.Context, result statemachine.Result, orderID string) *wire.OrderResponse {
-	missing := "no core answered"
+	missing := "no core answered before the time-out"
 	pause := c.config.ViewInterval / firstViewDivisor
 	for {
 		state := c.replica.Current()
 		check := c.newConfirmationCheck(result.Version, state)
-		confirmed, reason := c.runCheck(ctx, &check, lease.VersionConfirmed)
+		confirmed, unmet := c.runConfirmationRound(ctx, &check, lease.VersionConfirmed)
 		if confirmed {
 			return c.acknowledgeOrder(check, result, orderID)
 		}
 		if ctx.Err() == nil {
-			missing = reason
+			missing = unmet
 		}
 		select {
 		case <-ctx.Done():
@@ -209,6 +214,6 @@
 
 func (c *Controller) orderPending(result statemachine.Result, orderID, missing string) *wire.OrderResponse {
 	c.log.Emit(events.OrderPending, "order", orderID, "epoch", result.Version, "waiting", missing)
-	apiErr := apierror.Errorf(apierror.OutcomePending, "agreed at epoch %d and not known to be in force: %s; send the order again with its id", result.Version, missing)
+	apiErr := apierror.Errorf(apierror.OutcomePending, "chosen at epoch %d but not known to be in force: %s; send the order again with its id", result.Version, missing)
 	return errorResponse(apiErr.WithRetryAfter(retryAfter), result.Version, orderID)
 }
--- a/internal/node/control/pings.go
+++ b/internal/node/control/pings.go
@@ -12,22 +12,23 @@
 	"stepwick/internal/wire"
 )
 
-// pingTracker holds the pings in flight, by member.
+// pingTracker records which members have a ping in flight.
 type pingTracker struct {
 	inFlight   map[string]bool
 	lastSentAt time.Time
 }
 
-// pingIdleMembers pings members without recent contact. A refused connection ends
-// their lease at once; a time-out never does.
+// pingIdleMembers pings the members that have had no contact with this core for
+// PingAfter. A refused connection ends a member's lease immediately; a time-out
+// does not.
 func (c *Controller) pingIdleMembers(now time.Time) {
 	if now.Sub(c.pings.lastSentAt) < c.config.PingInterval/2 {
 		return
 	}
 	c.pings.lastSentAt = now
 	for _, target := range c.leases.PingTargets(c.state.Roster, c.config.PingAfter, now) {
-		process, known := c.peers.Process(target.Name)
-		if !known || target.Name == c.config.Self || c.pings.inFlight[target.Name] {
+		process, ok := c.peers.Process(target.Name)
+		if !ok || target.Name == c.config.Self || c.pings.inFlight[target.Name] {
 			continue
 		}
 		c.ping(target, process.Address)
@@ -48,14 +49,14 @@
 		resp, err := c.peers.Client(address).Ping(ctx, connect.NewRequest(req))
 		c.post(parent, func() {
 			delete(c.pings.inFlight, target.Name)
-			c.recordPing(target, resp, err)
+			c.recordPingOutcome(target, resp, err)
 		})
 	}()
 }
 
-// recordPing records the outcome of a ping to a member as it was known when the
-// ping was sent.
-func (c *Controller) recordPing(target lease.MemberID, resp *connect.Response[wire.PingResponse], err error) {
+// recordPingOutcome records the outcome of a ping. target identifies the member's
+// incarnation as it was known when the ping was sent.
+func (c *Controller) recordPingOutcome(target lease.MemberID, resp *connect.Response[wire.PingResponse], err error) {
 	now := c.clock.Now()
 	switch {
 	case err == nil && resp.Msg.Name == target.Name:
--- a/internal/node/control/planner_election.go
+++ b/internal/node/control/planner_election.go
@@ -9,9 +9,9 @@
 	"stepwick/internal/events"
 )
 
-// campaignForPlanner proposes this core as the planner's leader when there is none
-// and its turn has come. A leader that restarted takes a new term at once, as it no
-// longer knows which plans it has numbered.
+// campaignForPlanner proposes this core as the planner's leader if the role has been
+// vacant for this core's candidate delay. A leader that has restarted claims a new
+// term immediately, because it no longer knows which plan numbers it has used.
 func (c *Controller) campaignForPlanner(now time.Time) {
 	if !c.mayPropose() {
 		return
@@ -19,7 +19,7 @@
 	role := c.state.Roles[election.Planner]
 	delay, voter := c.candidateDelay(role)
 	vacant := c.plannerVacant(role, now)
-	if !voter || !c.conditions.trueFor(conditionPlannerVacant, vacant, delay, now) {
+	if !voter || !c.conditions.heldFor(conditionPlannerVacant, vacant, delay, now) {
 		return
 	}
 	if role.Holder != "" && !c.jobs[jobElection] {
@@ -29,11 +29,13 @@
 	c.startJob(jobElection, jobTimeout, func(ctx context.Context) func() {
 		_, result, err := c.replica.Propose(ctx, statemachine.Encode(command))
 		won := err == nil && result.APIError() == nil
-		return func() { c.campaignEnded(won, command.Term) }
+		return func() { c.recordCampaignResult(won, command.Term) }
 	})
 }
 
-func (c *Controller) campaignEnded(won bool, term uint64) {
+// recordCampaignResult restarts the candidate delay and, if this core won, records
+// the term as its own.
+func (c *Controller) recordCampaignResult(won bool, term uint64) {
 	c.conditions.reset(conditionPlannerVacant)
 	if !won {
 		return
@@ -44,7 +46,7 @@
 
 func (c *Controller) plannerVacant(role statemachine.RoleTerm, now time.Time) bool {
 	if role.Holder == c.config.Self {
-		return !c.leads(role)
+		return !c.isLeader(role)
 	}
 	return election.Vacant(role, c.replica.Voters(), c.leaderObservations(role.Holder, now))
 }
--- a/internal/node/control/planner_election_test.go
+++ b/internal/node/control/planner_election_test.go
@@ -12,9 +12,9 @@
 
 func TestPlannerTerms(t *testing.T) {
 	withFleet(t, 5, func(t *testing.T, f *fleet) {
-		Convey("Another core becomes the planner's leader when the leader is killed, and its plans carry the new term", t, func() {
-			f.put()
-			f.report("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
+		Convey("If the planner's leader is killed another core becomes the leader, its plans carry the new term, and plans of the former term are dropped", t, func() {
+			f.putSheet()
+			f.submitReport("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
 			f.advance(3 * time.Second)
 			leader := f.agreed.Load().state.Roles[election.Planner]
 			So(leader.Term, ShouldEqual, 1)
@@ -38,12 +38,12 @@
 		})
 	})
 	withFleet(t, 3, func(t *testing.T, f *fleet) {
-		Convey("A partitioned core loses the leadership, and finds it lost when the partition heals", t, func() {
+		Convey("A partitioned leader loses the role, and does not claim it again when the partition heals", t, func() {
 			leader := f.agreed.Load().state.Roles[election.Planner]
-			f.setFlag(&f.partitioned, true, leader.Holder)
+			f.setFlags(&f.partitioned, true, leader.Holder)
 			f.advance(6 * time.Second)
 			So(f.agreed.Load().state.Roles[election.Planner].Term, ShouldEqual, 2)
-			f.setFlag(&f.partitioned, false, leader.Holder)
+			f.setFlags(&f.partitioned, false, leader.Holder)
 			f.advance(6 * time.Second)
 			So(f.agreed.Load().state.Roles[election.Planner].Term, ShouldEqual, 2)
 		})
--- a/internal/node/control/planning.go
+++ b/internal/node/control/planning.go
@@ -16,38 +16,41 @@
 	"stepwick/internal/wire"
 )
 
-// firstPlanDelay is how long a new leader gathers reports on servers before its
-// first plan: a plan of some of them would take the caps of the others away.
+// firstPlanDelay is how long a new leader collects reports on servers before it
+// computes its first plan. A plan of only some servers would remove the caps of the
+// others.
 const firstPlanDelay = 1500 * time.Millisecond
 
-// Causes of a plan that no lost server forces; they are part of its form.
+// Causes of plans that no failure, drain or evacuation forces. Plans carry them on
+// the wire.
 const (
 	causeNewTerm = "term"
 	causePeriod  = "period"
 )
 
-// planner is the plan in force here and this core's part in making plans.
+// planner holds the current plan and this core's leadership of the planner role.
 type planner struct {
 	current *wire.Plan
-	// wonTerm is the term in which this incarnation is the leader; zero if none.
+	// wonTerm is the last term that this incarnation won as the leader; zero if none.
 	wonTerm uint64
 }
 
-// leads reports whether this incarnation is the leader in the newest term. A core
-// that restarted is not: it doesn't know which plans it has numbered.
-func (c *Controller) leads(role statemachine.RoleTerm) bool {
+// isLeader reports whether this incarnation is the leader in the given term. A core
+// that has restarted is not, because it doesn't know which plan numbers its former
+// incarnation used.
+func (c *Controller) isLeader(role statemachine.RoleTerm) bool {
 	return role.Holder == c.config.Self && role.Term == c.planner.wonTerm
 }
 
-// updatePlan computes a new plan when this core is the leader and the period is
-// over, or the loss of a server forces one.
+// updatePlan computes a new plan if this core is the leader and a plan is due (see
+// planCause).
 func (c *Controller) updatePlan(now time.Time) {
 	role := c.state.Roles[election.Planner]
-	if !c.leads(role) || !c.caughtUp || c.state.Sheet == nil {
+	if !c.isLeader(role) || !c.caughtUp || c.state.Sheet == nil {
 		return
 	}
 	serversReported := len(c.reports.store.Servers()) > 0
-	if !c.conditions.trueFor(conditionServersReported, serversReported, firstPlanDelay, now) {
+	if !c.conditions.heldFor(conditionServersReported, serversReported, firstPlanDelay, now) {
 		return
 	}
 	input := c.planInput(role.Term)
@@ -62,7 +65,8 @@
 	})
 }
 
-// planCause returns why a plan is due, if one is.
+// planCause returns whether a plan is due and the cause: an event that forces one, a
+// new term or the end of the period.
 func (c *Controller) planCause(input plan.Input) (cause string, due bool) {
 	if cause, forced := plan.ReplanCause(c.planner.current, input); forced {
 		return cause, true
@@ -95,8 +99,8 @@
 	}
 }
 
-// publishComputedPlan publishes a plan computed here, unless the leader changed since
-// the computation began, and sends it to the other cores.
+// publishComputedPlan publishes a plan that this core computed and sends it to the
+// other cores, unless the leader has changed since the computation began.
 func (c *Controller) publishComputedPlan(next *wire.Plan, role statemachine.RoleTerm) {
 	if c.state.Roles[election.Planner] != role || !c.adoptPlan(next) {
 		return
@@ -106,8 +110,9 @@
 	c.flushOutboxes()
 }
 
-// adoptPlan takes a plan of a higher (term, number) and publishes it; it reports
-// whether it did.
+// adoptPlan stores and publishes a plan if its (term, number) is higher than that of
+// the current plan and its term is not lower than the role's term in the state. It
+// reports whether it did.
 func (c *Controller) adoptPlan(next *wire.Plan) bool {
 	if next == nil {
 		return false
@@ -116,20 +121,20 @@
 		c.log.Emit(events.PlanSuperseded, "term", next.Term, "number", next.Number)
 		return false
 	}
-	stored, published := compactRepeat(c.planner.current, next)
+	stored, published := omitRepeatedParts(c.planner.current, next)
 	c.planner.current = stored
 	c.feed.publish(&wire.Change{What: &wire.Change_Plan{Plan: published}})
-	c.answerFollowers()
+	c.answerFeedWaiters()
 	return true
 }
 
-// compactRepeat returns the plan to store and the one to publish. Where shares and
-// caps equal those of the prior plan, the published one leaves them out and names
-// the first plan that had them.
-func compactRepeat(prior, next *wire.Plan) (stored, published *wire.Plan) {
+// omitRepeatedParts returns the plan to store and the plan to publish. If shares and
+// caps equal those of the prior plan, the published one omits them and gives the
+// number of the first plan that had them.
+func omitRepeatedParts(prior, next *wire.Plan) (stored, published *wire.Plan) {
 	stored = proto.Clone(next).(*wire.Plan)
 	stored.Repeats = 0
-	if !repeats(prior, next) {
+	if !repeatsPrior(prior, next) {
 		return stored, stored
 	}
 	stored.Repeats = cmp.Or(prior.Repeats, prior.Number)
@@ -139,9 +144,9 @@
 	return stored, published
 }
 
-// repeats reports whether a plan has the shares and caps of the prior one of its
-// term, and any at all.
-func repeats(prior, next *wire.Plan) bool {
+// repeatsPrior reports whether a plan has at least one share or cap and all of them
+// equal those of the prior plan, which has the same term.
+func repeatsPrior(prior, next *wire.Plan) bool {
 	if prior == nil || prior.Term != next.Term || len(next.Shares)+len(next.Caps) == 0 {
 		return false
 	}
--- a/internal/node/control/renewal_relay.go
+++ b/internal/node/control/renewal_relay.go
@@ -12,23 +12,24 @@
 	"stepwick/internal/wire"
 )
 
-// In a large fleet a front renews its lease at one core near it, which relays the
-// renewal to the other cores: each of them gets the renewals of many fronts in one
-// message. A lease still counts from when the front's own request was sent, so the
-// time that a relay takes shortens the lease and never extends it.
+// In a large fleet a front renews its lease at one nearby core, which relays the
+// renewal to the other cores. Each of them receives the renewals of many fronts in
+// one message. A lease is still timed from when the front sent its own request, so
+// the time that relaying takes shortens the lease and never extends it.
 const (
-	// relayInterval is how long renewals are gathered for the other cores.
+	// relayInterval is the interval at which renewals are sent to the other cores.
 	relayInterval = 100 * time.Millisecond
-	// relayTimeout is how long a relayed renewal waits for the others' answers.
+	// relayTimeout bounds the wait of a relayed renewal for the other cores' answers.
 	relayTimeout = 350 * time.Millisecond
-	// maxRelayBatch bounds the renewals queued for one core, and those in a batch.
+	// maxRelayBatch bounds the number of renewals that are queued for one core, and
+	// of those in one batch.
 	maxRelayBatch = 4096
-	// relayAnswersCapacity is more than the number of other cores there may be, so
-	// that the owner never blocks on an answer.
+	// relayAnswersCapacity exceeds the number of other cores that there may be, so
+	// that the owner never blocks when it delivers an answer.
 	relayAnswersCapacity = 64
 )
 
-// relayQueues holds the renewals that wait for the next batch to each core.
+// relayQueues holds the renewals for the next batch to each core.
 type relayQueues struct {
 	byCore      map[string][]relayedRenewal
 	lastFlushAt time.Time
@@ -37,19 +38,22 @@
 // relayedRenewal is a renewal queued for another core.
 type relayedRenewal struct {
 	request *wire.RenewRequest
-	// withRecord is set when it is sent a second time, with the member's record.
+	// withRecord is set if the renewal is sent a second time, with the member's
+	// process record.
 	withRecord bool
 	answers    chan<- relayedAnswer
 }
 
-// relayedAnswer is another core's answer; resp is nil when there was none.
+// relayedAnswer is another core's answer to a relayed renewal; resp is nil if the
+// core did not answer.
 type relayedAnswer struct {
 	resp *wire.RenewResponse
-	// clockOffset is the core's clock minus this one's.
+	// clockOffset is the other core's clock minus this core's.
 	clockOffset time.Duration
 }
 
-// queueRelays queues a renewal for the other cores and returns for how many.
+// queueRelays queues a renewal for the other cores, except those whose queue is full,
+// and returns for how many it was queued.
 func (c *Controller) queueRelays(req *wire.RenewRequest, answers chan<- relayedAnswer) (queued int) {
 	request := &wire.RenewRequest{
 		Self:        req.Self,
@@ -69,8 +73,8 @@
 }
 
 // flushRelays sends each other core the renewals queued for it. Several batches to
-// a core may be in flight, as a round trip between regions may take longer than
-// relayInterval; relayTimeout bounds how many.
+// one core may be in flight, because a round trip between regions may take longer
+// than relayInterval. relayTimeout bounds their number.
 func (c *Controller) flushRelays(now time.Time) {
 	if now.Sub(c.relays.lastFlushAt) < relayInterval {
 		return
@@ -82,8 +86,9 @@
 	c.dropQueuedRelays()
 }
 
-// dropQueuedRelays drops what is queued for cores that are not known any more: it
-// must not reach one that returns when the members may have released their leases.
+// dropQueuedRelays drops the renewals queued for cores that are no longer known. If
+// such a core returned later, they must not reach it, because the members may have
+// released their leases by then.
 func (c *Controller) dropQueuedRelays() {
 	for _, batch := range c.relays.byCore {
 		failRelays(batch)
@@ -91,6 +96,7 @@
 	clear(c.relays.byCore)
 }
 
+// failRelays answers each renewal of a batch with no response.
 func failRelays(batch []relayedRenewal) {
 	for _, relayed := range batch {
 		relayed.answers <- relayedAnswer{}
@@ -125,15 +131,15 @@
 	}()
 }
 
-// deliverAnswers delivers a core's answers to those who wait. The core's clock is
-// taken to have been read in the middle of the call. Renewals of members of which
-// the core holds no record are sent again at once, with it.
-func (c *Controller) deliverAnswers(core *wire.Process, batch []relayedRenewal, answers []*wire.RenewResponse, middle time.Time) {
-	resend := false
+// deliverAnswers delivers a core's answers to the waiting renewals. It assumes that
+// the core read its clock at the midpoint of the call. A renewal of a member of which
+// the core has no process record is sent again immediately, with the record.
+func (c *Controller) deliverAnswers(core *wire.Process, batch []relayedRenewal, answers []*wire.RenewResponse, midpoint time.Time) {
+	hasResent := false
 	for i, relayed := range batch {
 		answer := answers[i]
 		if !answer.Who {
-			relayed.answers <- relayedAnswer{resp: answer, clockOffset: time.UnixMicro(answer.TimeUs).Sub(middle)}
+			relayed.answers <- relayedAnswer{resp: answer, clockOffset: time.UnixMicro(answer.TimeUs).Sub(midpoint)}
 			continue
 		}
 		record := c.leases.ProcessRecord(relayed.request.Name, relayed.request.Incarnation)
@@ -141,21 +147,21 @@
 			relayed.answers <- relayedAnswer{}
 			continue
 		}
-		again := relayedRenewal{
+		resent := relayedRenewal{
 			request:    &wire.RenewRequest{Self: record, Epoch: relayed.request.Epoch},
 			withRecord: true,
 			answers:    relayed.answers,
 		}
-		c.relays.byCore[core.Name] = append(c.relays.byCore[core.Name], again)
-		resend = true
+		c.relays.byCore[core.Name] = append(c.relays.byCore[core.Name], resent)
+		hasResent = true
 	}
-	if resend {
+	if hasResent {
 		c.sendBatch(core)
 	}
 }
 
-// awaitRelayedAnswers waits for a number of other cores' answers to a relayed
-// renewal, and returns those that arrived in time with their clocks as of now.
+// awaitRelayedAnswers waits for the expected number of answers to a relayed renewal
+// and returns those that arrive in time. Their clock readings are advanced to now.
 func (c *Controller) awaitRelayedAnswers(ctx context.Context, expected int, answers <-chan relayedAnswer) []*wire.RenewResponse {
 	arrived := collectAnswers(ctx, expected, answers)
 	now := c.clock.Now()
@@ -167,6 +173,8 @@
 	return others
 }
 
+// collectAnswers receives the expected number of answers, or those that arrive within
+// relayTimeout. It omits answers without a response.
 func collectAnswers(ctx context.Context, expected int, answers <-chan relayedAnswer) []relayedAnswer {
 	timeout, stop := clock.NewTimer(relayTimeout)
 	defer stop()
@@ -186,19 +194,20 @@
 	return arrived
 }
 
-// batchResult is what the owner made of a batch of renewals.
+// batchResult is the owner's result of a batch of renewals; rejected is why this core
+// could not decide.
 type batchResult struct {
 	resp     *wire.RenewBatchResponse
 	rejected *apierror.Error
 }
 
-// RenewBatch renews the leases of members that renewed at another core. The error
-// is an *apierror.Error, or the context's.
+// RenewBatch renews the leases of members whose renewals another core relays. The
+// error is an *apierror.Error or the context's.
 func (c *Controller) RenewBatch(ctx context.Context, req *wire.RenewBatchRequest) (*wire.RenewBatchResponse, error) {
 	if apiErr := validateBatch(req); apiErr != nil {
 		return nil, apiErr
 	}
-	result, err := query(ctx, c, func() batchResult { return c.renewBatch(req) })
+	result, err := callOwner(ctx, c, func() batchResult { return c.renewBatch(req) })
 	if err != nil {
 		return nil, err
 	}
@@ -210,11 +219,11 @@
 
 func validateBatch(req *wire.RenewBatchRequest) *apierror.Error {
 	if len(req.Renewals) > maxRelayBatch {
-		return apierror.Errorf(apierror.BadField, "a batch of %d renewals, at most %d", len(req.Renewals), maxRelayBatch)
+		return apierror.Errorf(apierror.BadField, "the batch of %d renewals exceeds the limit of %d", len(req.Renewals), maxRelayBatch)
 	}
 	for _, renewal := range req.Renewals {
 		if renewal.Unconfirmed || lease.RenewalMemberName(renewal) == "" {
-			return apierror.Errorf(apierror.BadField, "a batch holds renewals of members that are confirmed, by name")
+			return apierror.Errorf(apierror.BadField, "the batch contains a renewal of member %q with unconfirmed=%t; members must be named and confirmed", lease.RenewalMemberName(renewal), renewal.Unconfirmed)
 		}
 	}
 	return nil
--- a/internal/node/control/renewal_relay_test.go
+++ b/internal/node/control/renewal_relay_test.go
@@ -10,8 +10,9 @@
 	"stepwick/internal/wire"
 )
 
-// keepServing reports whether a number of fronts serves throughout a span.
-func keepServing(f *fleet, fronts int, span time.Duration) bool {
+// allServeThroughout reports whether exactly the given number of fronts serves
+// throughout a span.
+func allServeThroughout(f *fleet, fronts int, span time.Duration) bool {
 	for startedAt := time.Now(); time.Since(startedAt) < span; f.advance(50 * time.Millisecond) {
 		if f.servingFronts() != fronts {
 			return false
@@ -20,7 +21,7 @@
 	return true
 }
 
-// callRates returns the calls per second over a span.
+// callRates lets a span pass and returns the calls per second during it.
 func callRates(f *fleet, span time.Duration) (renewals, batches float64) {
 	renewals, batches = float64(f.renewals.Load()), float64(f.batches.Load())
 	f.advance(span)
@@ -44,15 +45,15 @@
 				So(view.Waiting, ShouldBeEmpty)
 			}
 		})
-		Convey("No lease expires when a core is lost that many renew through", t, func() {
+		Convey("No lease expires when a core through which many fronts renew is killed", t, func() {
 			f.kill("c2")
-			So(keepServing(f, 59, 10*time.Second), ShouldBeTrue)
+			So(allServeThroughout(f, 59, 10*time.Second), ShouldBeTrue)
 		})
 	})
 	withFleet(t, 60, func(t *testing.T, f *fleet) {
-		Convey("Nor when one becomes unresponsive", t, func() {
-			f.setFlag(&f.partitioned, true, "c2")
-			So(keepServing(f, 60, 1500*time.Millisecond), ShouldBeTrue)
+		Convey("No front other than the core's own loses its authority when a core becomes unresponsive", t, func() {
+			f.setFlags(&f.partitioned, true, "c2")
+			So(allServeThroughout(f, 60, 1500*time.Millisecond), ShouldBeTrue)
 			for range 100 {
 				f.advance(50 * time.Millisecond)
 				So(f.servingFronts(), ShouldBeGreaterThanOrEqualTo, 59)
@@ -60,40 +61,40 @@
 		})
 	})
 	withFleet(t, 60, func(t *testing.T, f *fleet) {
-		Convey("Nor when the cores no longer reach each other in time, as fronts then renew at each of them", t, func() {
+		Convey("No front loses its authority when the cores are too slow to relay, because fronts then renew at each of them", t, func() {
 			f.batchLatency.Store(int64(2 * time.Second))
-			So(keepServing(f, 60, 10*time.Second), ShouldBeTrue)
+			So(allServeThroughout(f, 60, 10*time.Second), ShouldBeTrue)
 			f.batchLatency.Store(0)
-			So(keepServing(f, 60, 10*time.Second), ShouldBeTrue)
+			So(allServeThroughout(f, 60, 10*time.Second), ShouldBeTrue)
 			renewals, _ := callRates(f, 10*time.Second)
 			So(renewals, ShouldBeLessThan, 2*60*1.05)
 		})
 	})
 	withFleet(t, 60, func(t *testing.T, f *fleet) {
-		Convey("A lease counts from when the front sent the request, however long the cores took", t, func() {
+		Convey("A lease is timed from when the front sent the request, however long the relay takes", t, func() {
 			f.batchLatency.Store(int64(200 * time.Millisecond))
 			f.advance(5 * time.Second)
 			for phase := range 8 {
-				f.setFlag(&f.partitioned, true, "f30")
-				cut := time.Now()
+				f.setFlags(&f.partitioned, true, "f30")
+				partitionedAt := time.Now()
 				for f.fronts["f30"].HasAuthority() {
 					f.advance(5 * time.Millisecond)
 				}
-				So(time.Since(cut), ShouldBeLessThanOrEqualTo, 2*time.Second)
-				f.setFlag(&f.partitioned, false, "f30")
+				So(time.Since(partitionedAt), ShouldBeLessThanOrEqualTo, 2*time.Second)
+				f.setFlags(&f.partitioned, false, "f30")
 				f.advance(8*time.Second + time.Duration(phase)*97*time.Millisecond)
 				So(f.fronts["f30"].HasAuthority(), ShouldBeTrue)
 			}
 		})
 	})
 	withFleet(t, 60, func(t *testing.T, f *fleet) {
-		Convey("A core that restarted gets the members' records from those that relay", t, func() {
+		Convey("A restarted core gets the members' process records from the cores that relay renewals", t, func() {
 			f.advance(2 * time.Second)
 			f.kill("c2")
 			f.advance(10 * time.Second)
-			f.build("c2")
-			f.setFlag(&f.stopped, false, "c2")
-			f.start("c2")
+			f.buildProcess("c2")
+			f.setFlags(&f.stopped, false, "c2")
+			f.startProcess("c2")
 			before := f.renewals.Load()
 			f.advance(1200 * time.Millisecond)
 			So(f.renewals.Load()-before, ShouldBeLessThan, 200)
@@ -101,7 +102,7 @@
 			So(err, ShouldBeNil)
 			So(view.Confirmed, ShouldHaveLength, 60)
 		})
-		Convey("A batch with a member that is unconfirmed, or has no name, is rejected", t, func() {
+		Convey("A batch with a member that is unconfirmed or has no name is rejected", t, func() {
 			for _, renewal := range []*wire.RenewRequest{{Name: "f1", Unconfirmed: true}, {}} {
 				_, err := f.cores["c1"].RenewBatch(f.ctx, &wire.RenewBatchRequest{Renewals: []*wire.RenewRequest{renewal}})
 				So(err, ShouldNotBeNil)
--- a/internal/node/control/renewals.go
+++ b/internal/node/control/renewals.go
@@ -10,25 +10,25 @@
 	"stepwick/internal/wire"
 )
 
-// renewalResult is what the owner made of a renewal.
+// renewalResult is the owner's result of a renewal.
 type renewalResult struct {
 	resp *wire.RenewResponse
-	// relayedTo is how many other cores the renewal was queued for.
+	// relayedTo is the number of other cores for which the renewal was queued.
 	relayedTo int
-	// rejected is why the core could not decide; resp is nil then.
+	// rejected is why this core could not decide; resp is nil if it is set.
 	rejected *apierror.Error
 }
 
-// Renew renews the lease of a member that has confirmed the version this core
-// learned. Until the core has caught up since its start it returns an error, which
-// doesn't answer whether the member is confirmed. So it does to a member that
-// restarted, while this core has accepted a value that it has not learned: that
-// may be chosen, and the member's former incarnation may have served by it. A
-// renewal with relay set is answered with the answers of the other cores. The
-// error is an *apierror.Error, or the context's.
+// Renew renews the lease of a member that has confirmed the version that this core
+// has learned. It returns an error, which neither grants nor refuses the lease, until
+// the core has caught up since its start. It does the same for a member that has
+// restarted, while this core has accepted a value that it has not learned: the value
+// may have been chosen, and the member's former incarnation may have served with it.
+// If relay is set, the response includes the answers of the other cores. The error is
+// an *apierror.Error or the context's.
 func (c *Controller) Renew(ctx context.Context, req *wire.RenewRequest) (*wire.RenewResponse, error) {
 	if lease.RenewalMemberName(req) == "" {
-		return nil, apierror.Errorf(apierror.MissingField, "name")
+		return nil, apierror.Errorf(apierror.MissingField, "name: the member whose lease is to be renewed")
 	}
 	accepted, err := c.highestAccepted(ctx, req)
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 	receivedAt := c.clock.Now()
 	answers := make(chan relayedAnswer, relayAnswersCapacity)
-	result, err := query(ctx, c, func() renewalResult { return c.renewAndRelay(req, accepted, answers) })
+	result, err := callOwner(ctx, c, func() renewalResult { return c.renewAndRelay(req, accepted, answers) })
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,8 @@
 }
 
 // highestAccepted returns the highest version at which this core has accepted a
-// value. It matters to a member that restarted alone; zero for any other.
+// value. It returns zero unless the member is unconfirmed, that is, has restarted:
+// the result matters only then.
 func (c *Controller) highestAccepted(ctx context.Context, req *wire.RenewRequest) (uint64, error) {
 	if !req.Unconfirmed {
 		return 0, nil
@@ -69,8 +70,8 @@
 	if apiErr := c.notReady(); apiErr != nil {
 		return renewalResult{rejected: apiErr}
 	}
-	if accepted > c.learned() {
-		return renewalResult{rejected: apierror.Errorf(apierror.NoMajority, "the ballot of epoch %d is open", accepted)}
+	if accepted > c.learnedVersion() {
+		return renewalResult{rejected: apierror.Errorf(apierror.NoMajority, "the core has accepted a value at epoch %d but learned only up to epoch %d", accepted, c.learnedVersion())}
 	}
 	resp := c.renew(req)
 	if resp.Who {
@@ -83,10 +84,10 @@
 	return renewalResult{resp: resp, relayedTo: c.queueRelays(req, answers)}
 }
 
-// renew renews one lease and publishes the member's status if that changed.
+// renew renews one lease and publishes the member's status if it has changed.
 func (c *Controller) renew(req *wire.RenewRequest) *wire.RenewResponse {
 	now := c.clock.Now()
-	resp := c.leases.Renew(req, c.learned(), now)
+	resp := c.leases.Renew(req, c.learnedVersion(), now)
 	if resp.Who {
 		return resp
 	}
@@ -100,7 +101,7 @@
 
 // Release ends the lease of a member that shuts down. The error is the context's.
 func (c *Controller) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
-	_, err := query(ctx, c, func() bool {
+	_, err := callOwner(ctx, c, func() bool {
 		c.leases.Release(req.Name, req.Incarnation, c.clock.Now())
 		c.publishMemberStatus(req.Name, c.clock.Now())
 		c.answerViewWaiters()
--- a/internal/node/control/renewals_test.go
+++ b/internal/node/control/renewals_test.go
@@ -12,7 +12,7 @@
 
 func TestReleasedLeaseIsNotGrantedAgain(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, f *fleet) {
-		Convey("A released lease is not granted again, neither by a renewal in flight nor by a later one", t, func() {
+		Convey("A released lease is granted neither to a renewal in flight at the release nor to a later one", t, func() {
 			So(f.servingFronts(), ShouldEqual, 6)
 			So(f.fronts["f6"].Leave(f.ctx), ShouldBeNil)
 			So(f.fronts["f6"].HasAuthority(), ShouldBeFalse)
@@ -34,8 +34,8 @@
 			}
 			So(f.servingFronts(), ShouldEqual, 5)
 		})
-		Convey("Each front sends every peer a new version at once, not at its next interval", t, func() {
-			f.put()
+		Convey("Each front pings every peer with a new version immediately instead of at its next interval", t, func() {
+			f.putSheet()
 			version := f.agreed.Load().state.Version
 			f.advance(50 * time.Millisecond)
 			for _, from := range f.names[:5] {
--- a/internal/node/control/report_exchange.go
+++ b/internal/node/control/report_exchange.go
@@ -12,24 +12,24 @@
 	"stepwick/internal/wire"
 )
 
-// submitTimeout bounds one call that forwards reports to another core.
+// submitTimeout bounds a call that forwards reports to another core.
 const submitTimeout = 2 * viewTimeout
 
-// outbox holds what another core has not received yet: the newest report of each
-// server and watcher, and the newest plan. At most one call to the core is in
-// flight.
+// outbox holds what another core has yet to receive: the newest report of each
+// server and watcher, and the newest plan. At most one call to a core is in flight.
 type outbox struct {
 	reports   reportTable
-	unchanged map[string]*wire.Unchanged // the newest of each watcher
+	unchanged map[string]*wire.Unchanged // the newest one, by watcher
 	plan      *wire.Plan
 	sending   bool
 }
 
-func (b *outbox) empty() bool {
+func (b *outbox) isEmpty() bool {
 	return len(b.reports) == 0 && len(b.unchanged) == 0 && b.plan == nil
 }
 
-// outboxFor returns the outbox of a core; a new one holds all that is known.
+// outboxFor returns the outbox of a core. A new outbox contains all stored reports
+// and the current plan.
 func (c *Controller) outboxFor(core string) *outbox {
 	box, ok := c.outboxes[core]
 	if !ok {
@@ -54,29 +54,29 @@
 	}
 }
 
-// Submit takes reports on servers, statements that earlier ones are unchanged, and
-// a plan. What came from a watcher is forwarded to the other cores; what another
-// core forwarded is not. The response names the watchers whose unchanged reports
-// are not stored here. The error is the context's.
+// Submit accepts reports on servers, statements that earlier reports are unchanged,
+// and a plan. It forwards them to the other cores, unless a core has forwarded them
+// to this one. The response names the watchers whose unchanged reports are not
+// stored here and must be sent again. The error is the context's.
 func (c *Controller) Submit(ctx context.Context, req *wire.SubmitRequest) (*wire.SubmitResponse, error) {
-	unknown, err := query(ctx, c, func() []string { return c.submit(req) })
-	return &wire.SubmitResponse{Unknown: unknown}, err
+	unknownWatchers, err := callOwner(ctx, c, func() []string { return c.submit(req) })
+	return &wire.SubmitResponse{Unknown: unknownWatchers}, err
 }
 
-// ListedAt returns the newest instant, in ms of fleet time, at which a watcher saw
-// the platform's list, as far as this core knows; 0 before the first.
-func (c *Controller) ListedAt() int64 { return c.listedAtMS.Load() }
+// ListedAt returns the latest time known to this core at which a watcher read the
+// platform's list of servers, in Unix milliseconds of fleet time; 0 if there is none.
+func (c *Controller) ListedAt() int64 { return c.platformListedAtMS.Load() }
 
-func (c *Controller) submit(req *wire.SubmitRequest) (unknown []string) {
+func (c *Controller) submit(req *wire.SubmitRequest) (unknownWatchers []string) {
 	now := c.config.FleetNow()
 	for _, report := range req.Reports {
-		if c.reports.add(report, now) && !req.Relayed {
+		if c.reports.addReport(report, now) && !req.Relayed {
 			c.queueReport(report)
 		}
 	}
 	for _, unchanged := range req.Unchanged {
 		if !c.reports.confirmUnchanged(unchanged, now) {
-			unknown = append(unknown, unchanged.Watcher)
+			unknownWatchers = append(unknownWatchers, unchanged.Watcher)
 			continue
 		}
 		if !req.Relayed {
@@ -84,13 +84,13 @@
 		}
 	}
 	if listedAt := c.reports.store.ListedAt(); !listedAt.IsZero() {
-		c.listedAtMS.Store(listedAt.UnixMilli())
+		c.platformListedAtMS.Store(listedAt.UnixMilli())
 	}
 	if c.adoptPlan(req.Plan) && !req.Relayed {
 		c.queuePlan(req.Plan)
 	}
 	c.publishReports(false)
-	return unknown
+	return unknownWatchers
 }
 
 func (c *Controller) queueReport(report *wire.Report) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// publishDueReports drops old reports and publishes changes of load at their pace,
-// any others at once.
+// publishDueReports publishes the changes of servers' statuses. At intervals of
+// LoadInterval it also drops obsolete reports and publishes changes of load alone.
 func (c *Controller) publishDueReports(now time.Time) {
 	loadDue := now.Sub(c.reports.loadsPublishedAt) >= c.config.LoadInterval
 	if loadDue {
@@ -116,27 +116,28 @@
 	c.publishReports(loadDue)
 }
 
-// publishReports publishes the changes of servers' statuses. Followers are answered
-// at the next tick, so that the reports of many watchers cost each one answer.
-func (c *Controller) publishReports(load bool) {
-	scope := reportScope{load: load, allWatchersReported: c.allWatchersReported()}
+// publishReports publishes the changes of servers' statuses; those of load alone
+// only if includeLoad is set. Followers are answered at the next tick, so that the
+// reports of many watchers reach each follower in one response.
+func (c *Controller) publishReports(includeLoad bool) {
+	scope := reportScope{includeLoad: includeLoad, allWatchersReported: c.allWatchersReported()}
 	changes := c.reports.takeChanges(scope, c.config.FleetNow())
 	for _, change := range changes {
 		c.feed.publish(change)
 	}
 	if len(changes) > 0 {
-		c.feed.unanswered = true
+		c.feed.hasUndelivered = true
 	}
 }
 
-// allWatchersReported reports whether this core has run long enough that every
-// watcher has repeated its reports.
+// allWatchersReported reports whether this core has been running long enough for
+// every watcher to have repeated its reports: one and a half repeat intervals.
 func (c *Controller) allWatchersReported() bool {
 	interval := serverstatus.RepeatInterval(len(c.reports.store.Servers()))
 	return c.clock.Now().Sub(c.startedAt) >= interval+interval/2
 }
 
-// flushOutboxes sends each other core what it has not received.
+// flushOutboxes sends each other core the contents of its outbox.
 func (c *Controller) flushOutboxes() {
 	for _, core := range c.otherCores() {
 		c.flushOutbox(core)
@@ -145,11 +146,11 @@
 
 func (c *Controller) flushOutbox(core *wire.Process) {
 	box := c.outboxFor(core.Name)
-	if box.sending || box.empty() {
+	if box.sending || box.isEmpty() {
 		return
 	}
 	sent := box.reports
-	req := c.takeSubmission(box)
+	req := c.drainOutbox(box)
 	box.sending = true
 	parent := c.ctx
 	go func() {
@@ -159,16 +160,16 @@
 		c.post(parent, func() {
 			box.sending = false
 			if err != nil {
-				box.restore(sent, req.Plan)
+				box.requeue(sent, req.Plan)
 				return
 			}
-			c.queueReportsOf(box, resp.Msg.Unknown)
+			c.queueWatcherReports(box, resp.Msg.Unknown)
 		})
 	}()
 }
 
-// takeSubmission empties an outbox into a request.
-func (c *Controller) takeSubmission(box *outbox) *wire.SubmitRequest {
+// drainOutbox empties an outbox and returns a request with its contents.
+func (c *Controller) drainOutbox(box *outbox) *wire.SubmitRequest {
 	req := &wire.SubmitRequest{From: c.config.Self, Plan: box.plan, Relayed: true}
 	for _, byWatcher := range box.reports {
 		for _, report := range byWatcher {
@@ -184,9 +185,10 @@
 	return req
 }
 
-// restore puts back what a failed call carried, where nothing newer was queued
-// since. Statements of unchanged reports are not: watchers repeat them.
-func (b *outbox) restore(sent reportTable, plan *wire.Plan) {
+// requeue queues the reports and the plan of a failed call again, except those for
+// which newer ones have been queued since. Statements of unchanged reports are not
+// queued again, because watchers repeat them.
+func (b *outbox) requeue(sent reportTable, plan *wire.Plan) {
 	for _, byWatcher := range sent {
 		for _, report := range byWatcher {
 			b.reports.putIfAbsent(report)
@@ -197,8 +199,8 @@
 	}
 }
 
-// queueReportsOf queues all reports of some watchers.
-func (c *Controller) queueReportsOf(box *outbox, watchers []string) {
+// queueWatcherReports queues all stored reports of the named watchers.
+func (c *Controller) queueWatcherReports(box *outbox, watchers []string) {
 	for _, byWatcher := range c.reports.latest {
 		for watcher, report := range byWatcher {
 			if slices.Contains(watchers, watcher) {
--- a/internal/node/control/report_exchange_test.go
+++ b/internal/node/control/report_exchange_test.go
@@ -12,29 +12,29 @@
 
 func TestServerReportsOnTheFeed(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *fleet) {
-		Convey("A watcher's report to one core reaches the feeds of all; a drain at once, load alone within its interval", t, func() {
+		Convey("A watcher's report to one core reaches the feeds of other cores, a drain immediately and a change of load alone within LoadInterval", t, func() {
 			last := f.follow("c3", nil, time.Second)
-			f.report("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
+			f.submitReport("f1", 1, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
 			last = f.follow("c3", last, 5*time.Second)
 			So(last.Changes[0].GetReport().Server, ShouldEqual, "m1")
 
 			startedAt := time.Now()
-			f.report("f1", 2, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY, Running: 3})
+			f.submitReport("f1", 2, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY, Running: 3})
 			last = f.follow("c3", last, 5*time.Second)
 			So(last.Changes[0].GetLoad().Running, ShouldEqual, 3)
 			So(time.Since(startedAt), ShouldBeLessThanOrEqualTo, 1100*time.Millisecond)
 
 			startedAt = time.Now()
-			f.report("f1", 3, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_DRAINING})
+			f.submitReport("f1", 3, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_DRAINING})
 			last = f.follow("c3", last, 5*time.Second)
 			So(last.Changes[0].GetReport().Status.State, ShouldEqual, wire.ServerState_SERVER_STATE_DRAINING)
 			So(time.Since(startedAt), ShouldBeLessThanOrEqualTo, 100*time.Millisecond)
 		})
-		Convey("An older report changes nothing, and a snapshot holds them all", t, func() {
+		Convey("A snapshot contains the newest report, and an older report changes nothing", t, func() {
 			last := f.follow("c1", nil, time.Second)
 			So(last.Snapshot.Reports, ShouldHaveLength, 1)
 			So(last.Snapshot.Reports[0].Status.State, ShouldEqual, wire.ServerState_SERVER_STATE_DRAINING)
-			f.report("f1", 2, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
+			f.submitReport("f1", 2, &wire.ServerStatus{Name: "m1", State: wire.ServerState_SERVER_STATE_READY})
 			So(f.follow("c1", last, 2*time.Second).Changes, ShouldBeEmpty)
 		})
 	})
@@ -42,10 +42,10 @@
 
 func TestUnchangedReports(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *fleet) {
-		Convey("A watcher's statement that its reports are unchanged outlives another's older report at every core, and the reports are requested where they are unknown", t, func() {
+		Convey("A watcher's statement that its reports are unchanged outlasts another watcher's older report at every core, and a core requests the reports if it does not have them", t, func() {
 			ready, draining := wire.ServerState_SERVER_STATE_READY, wire.ServerState_SERVER_STATE_DRAINING
-			f.report("f1/list", 1, &wire.ServerStatus{Name: "m1", State: ready})
-			f.report("f2/list", 1, &wire.ServerStatus{Name: "m1", State: draining})
+			f.submitReport("f1/list", 1, &wire.ServerStatus{Name: "m1", State: ready})
+			f.submitReport("f2/list", 1, &wire.ServerStatus{Name: "m1", State: draining})
 			last := f.follow("c3", nil, time.Second)
 			f.advance(time.Second)
 			var digest serverstatus.Digest
--- a/internal/node/control/roster.go
+++ b/internal/node/control/roster.go
@@ -10,23 +10,25 @@
 	"stepwick/internal/events"
 )
 
-// maintainRoster proposes the roster changes that are due: to settle the last one
-// once it is confirmed, to add members that renew without being listed, and to
-// remove members that have refused connections for long. A new change waits until
-// the last one is settled.
+// maintainRoster proposes the roster commands that are due: to commit the last change
+// once it is confirmed, to add members that renew leases but are not on the roster,
+// and to remove members that have refused connections for RemoveAfter. A new change
+// is not proposed before the last one is committed.
 func (c *Controller) maintainRoster(now time.Time) {
 	if !c.mayPropose() {
 		return
 	}
-	c.completeRosterChange(now)
+	c.commitRosterChange(now)
 	c.addUnlistedMembers(now)
 	c.removeRefusingMembers(now)
 }
 
+// addUnlistedMembers proposes to add the members that renew leases but are not on the
+// roster. New members are collected for JoinBatchWindow, so that one change adds them.
 func (c *Controller) addUnlistedMembers(now time.Time) {
 	members := c.leases.UnlistedMembers(c.state.Roster, now)
 	due := len(members) > 0 && c.state.RosterCommitted()
-	if c.jobs[jobAddMembers] || !c.conditions.trueFor(conditionMembersUnlisted, due, c.config.JoinBatchWindow+c.proposalDelay(), now) {
+	if c.jobs[jobAddMembers] || !c.conditions.heldFor(conditionMembersUnlisted, due, c.config.JoinBatchWindow+c.proposalDelay(), now) {
 		return
 	}
 	for _, member := range members {
@@ -35,24 +37,26 @@
 	c.propose(jobAddMembers, conditionMembersUnlisted, statemachine.AddMembers{Members: members, ProposedBy: c.config.Self})
 }
 
+// removeRefusingMembers proposes to remove the members that have refused connections
+// for RemoveAfter.
 func (c *Controller) removeRefusingMembers(now time.Time) {
 	names := c.leases.RefusingMembers(c.state.Roster, c.config.RemoveAfter, now)
 	due := len(names) > 0 && c.state.RosterCommitted()
-	if c.conditions.trueFor(conditionMembersRefusing, due, c.proposalDelay(), now) {
+	if c.conditions.heldFor(conditionMembersRefusing, due, c.proposalDelay(), now) {
 		c.propose(jobRemoveMembers, conditionMembersRefusing, statemachine.RemoveMembers{Names: names, ProposedBy: c.config.Self})
 	}
 }
 
-// completeRosterChange proposes to settle the last roster change once it is confirmed.
-func (c *Controller) completeRosterChange(now time.Time) {
+// commitRosterChange proposes to commit the last roster change once it is confirmed.
+func (c *Controller) commitRosterChange(now time.Time) {
 	state := c.state
-	if !c.conditions.trueFor(conditionRosterChangePending, !state.RosterCommitted(), c.proposalDelay(), now) {
+	if !c.conditions.heldFor(conditionRosterUncommitted, !state.RosterCommitted(), c.proposalDelay(), now) {
 		return
 	}
-	c.startJob(jobCompleteRosterChange, jobTimeout, func(ctx context.Context) func() {
+	c.startJob(jobCommitRosterChange, jobTimeout, func(ctx context.Context) func() {
 		check := c.newConfirmationCheck(state.RosterVersion, state)
-		if confirmed, _ := c.runCheck(ctx, &check, lease.RosterChangeConfirmed); !confirmed {
-			// The job counts as running meanwhile, which spaces the rounds.
+		if confirmed, _ := c.runConfirmationRound(ctx, &check, lease.RosterChangeConfirmed); !confirmed {
+			// The job remains running during this pause, which spaces the rounds.
 			select {
 			case <-c.clock.After(2 * c.config.ViewInterval):
 			case <-ctx.Done():
@@ -67,9 +71,9 @@
 	})
 }
 
-// propose proposes a command of the core's own, and restarts the span of the
-// condition that led to it: that is evaluated again afterwards, so a failure needs
-// no other treatment.
+// propose proposes a command on this core's own initiative and then resets the
+// condition that caused it. A failed proposal needs no other handling, because the
+// condition is evaluated again.
 func (c *Controller) propose(name job, cause condition, command statemachine.Command) {
 	c.startJob(name, jobTimeout, func(ctx context.Context) func() {
 		_, _, _ = c.replica.Propose(ctx, statemachine.Encode(command))
--- a/internal/node/control/roster_test.go
+++ b/internal/node/control/roster_test.go
@@ -9,15 +9,15 @@
 
 func TestRosterChanges(t *testing.T) {
 	withFleet(t, 6, func(t *testing.T, f *fleet) {
-		Convey("Processes that renew are added to the roster by one change, which is completed", t, func() {
+		Convey("Processes that renew are added to the roster by one change, which is committed", t, func() {
 			state := f.agreed.Load().state
 			So(state.Roster, ShouldHaveLength, 6)
 			So(state.RosterCommitted(), ShouldBeTrue)
 			So(f.servingFronts(), ShouldEqual, 6)
 		})
-		Convey("An unresponsive member stays; one that refuses for a minute is removed, and the change is completed", t, func() {
+		Convey("An unresponsive member remains; one that refuses connections for a minute is removed, and the change is committed", t, func() {
 			f.kill("f6")
-			f.setFlag(&f.partitioned, true, "f5")
+			f.setFlags(&f.partitioned, true, "f5")
 			f.advance(50 * time.Second)
 			So(f.agreed.Load().state.Roster, ShouldHaveLength, 6)
 			f.advance(20 * time.Second)
--- a/internal/node/control/server_reports.go
+++ b/internal/node/control/server_reports.go
@@ -12,37 +12,41 @@
 )
 
 const (
-	// maxLoadChanges bounds the servers whose load alone is published at one time.
-	maxLoadChanges = 100
-	// slowStartMarginMS is by how much the end of a server's slow start may move
-	// without being published, in milliseconds.
+	// maxLoadChangesPerRound bounds the number of changes of load alone that
+	// takeChanges returns.
+	maxLoadChangesPerRound = 100
+	// slowStartMarginMS is the largest change of the end of a server's slow start,
+	// in milliseconds, that is not published.
 	slowStartMarginMS = 500
 )
 
-// serverReports holds the watchers' reports on servers and what the feed said of
-// them. The feed carries the status that a core merged, one server at a time: in
-// full when it changed in more than load, and load alone at a slower pace and
-// within a budget. So a front's part of the feed doesn't grow with the watchers,
-// and with the servers only by what happens to them.
+// serverReports holds the watchers' reports on servers and what the feed has
+// published of them. The feed carries one status for each server, merged from all
+// reports: the full status when it changes in more than load, and changes of load
+// alone at longer intervals and within a budget. The volume of the feed therefore
+// doesn't grow with the number of watchers, and grows with the number of servers
+// only by their changes.
 type serverReports struct {
 	self        string
 	incarnation uint64
-	// counter orders the merged reports that this core publishes.
+	// counter numbers the merged reports that this core publishes.
 	counter uint64
 	store   *serverstatus.ReportStore
-	// latest holds the newest report of each watcher, for other cores.
+	// latest holds each watcher's newest report on each server, to be forwarded to
+	// other cores.
 	latest reportTable
-	// unpublished are the servers with reports newer than the published status.
+	// unpublished is the set of servers with reports newer than the published status.
 	unpublished map[string]bool
-	// published is the newest merged report of each server on the feed, loads the
-	// load that was published after it.
+	// published holds the merged report last published for each server, and loads
+	// the load last published after it.
 	published map[string]*wire.Report
 	loads     map[string]*wire.Load
-	// loadsPublishedAt is when load was last published.
+	// loadsPublishedAt is when changes of load alone were last published.
 	loadsPublishedAt time.Time
 }
 
-// reportTable holds one report for each server and watcher.
+// reportTable holds at most one report for each server and watcher, in that order
+// of keys.
 type reportTable map[string]map[string]*wire.Report
 
 func (t reportTable) put(report *wire.Report) {
@@ -54,20 +58,20 @@
 	byWatcher[report.Watcher] = report
 }
 
-// putIfAbsent puts a report unless there is one of the server and watcher.
+// putIfAbsent stores a report unless there is one for the server and watcher.
 func (t reportTable) putIfAbsent(report *wire.Report) {
 	if t[report.Server][report.Watcher] == nil {
 		t.put(report)
 	}
 }
 
-// reportScope is which changes may be published.
+// reportScope states which changes may be published.
 type reportScope struct {
-	// load allows changes of load alone.
-	load bool
+	// includeLoad allows publishing changes of load alone.
+	includeLoad bool
 	// allWatchersReported is set once every watcher has repeated its reports since
 	// this core started. Until then only statuses that keep requests away are
-	// published: the merged status may lack the one report that does so.
+	// published, because the report that would keep them away may still be missing.
 	allWatchersReported bool
 }
 
@@ -83,8 +87,9 @@
 	}
 }
 
-// add takes a report and reports whether it was newer than the one stored.
-func (r *serverReports) add(report *wire.Report, now time.Time) bool {
+// addReport stores a report if it is newer than the stored one, and reports whether
+// it was.
+func (r *serverReports) addReport(report *wire.Report, now time.Time) bool {
 	if !r.store.Add(report, now) {
 		return false
 	}
@@ -93,17 +98,19 @@
 	return true
 }
 
-// confirmUnchanged takes a watcher's statement that its reports are unchanged; it
-// returns false where other reports of the watcher are stored than those meant.
+// confirmUnchanged applies a watcher's statement that its reports are unchanged. It
+// returns false if the stored reports of the watcher are not those that the
+// statement refers to.
 func (r *serverReports) confirmUnchanged(unchanged *wire.Unchanged, now time.Time) bool {
-	servers, known := r.store.ConfirmUnchanged(unchanged, now)
+	servers, matched := r.store.ConfirmUnchanged(unchanged, now)
 	for _, server := range servers {
 		r.unpublished[server] = true
 	}
-	return known
+	return matched
 }
 
-// snapshot returns the published reports with the newest load, sorted by server.
+// snapshot returns the published reports with the last published load, sorted by
+// server.
 func (r *serverReports) snapshot() []*wire.Report {
 	reports := make([]*wire.Report, 0, len(r.published))
 	for _, server := range slices.Sorted(maps.Keys(r.published)) {
@@ -116,6 +123,7 @@
 	return reports
 }
 
+// withLoad returns a copy of a report with the given load.
 func withLoad(report *wire.Report, load *wire.Load) *wire.Report {
 	report = proto.Clone(report).(*wire.Report)
 	report.AtMs = load.AtMs
@@ -126,11 +134,12 @@
 	return report
 }
 
-// takeChanges returns the changes to publish now and records them as published.
+// takeChanges returns the changes that are to be published and records them as
+// published.
 func (r *serverReports) takeChanges(scope reportScope, now time.Time) []*wire.Change {
 	var changes []*wire.Change
 	servers := r.store.Servers()
-	loadBudget := maxLoadChanges
+	loadBudget := maxLoadChangesPerRound
 	for server := range r.unpublished {
 		status := servers[server]
 		last := r.published[server]
@@ -142,7 +151,7 @@
 				report := r.publishStatus(status, now)
 				changes = append(changes, &wire.Change{What: &wire.Change_Report{Report: report}})
 			}
-		case scope.load && scope.allWatchersReported && loadBudget > 0:
+		case scope.includeLoad && scope.allWatchersReported && loadBudget > 0:
 			delete(r.unpublished, server)
 			if load := r.publishLoad(last.Status, status, now); load != nil {
 				changes = append(changes, &wire.Change{What: &wire.Change_Load{Load: load}})
@@ -153,11 +162,12 @@
 	return changes
 }
 
+// blocksRequests reports whether a server's state keeps new requests away from it.
 func blocksRequests(status *wire.ServerStatus) bool {
 	return serverstatus.Severity(status.State) >= serverstatus.Severity(wire.ServerState_SERVER_STATE_DRAINING)
 }
 
-// remove drops a server that no stored report names.
+// remove drops a server on which no report is stored any more.
 func (r *serverReports) remove(server string) {
 	delete(r.unpublished, server)
 	delete(r.published, server)
@@ -165,6 +175,8 @@
 	delete(r.latest, server)
 }
 
+// publishStatus returns the merged report to publish for a status and records it as
+// published.
 func (r *serverReports) publishStatus(status *wire.ServerStatus, now time.Time) *wire.Report {
 	r.counter++
 	report := &wire.Report{
@@ -181,7 +193,8 @@
 	return report
 }
 
-// publishLoad returns the load to publish, nil when it is what was published last.
+// publishLoad returns the load to publish and records it as published. It returns nil
+// if the load equals the one published last.
 func (r *serverReports) publishLoad(published, status *wire.ServerStatus, now time.Time) *wire.Load {
 	next := &wire.Load{
 		Server:      status.Name,
@@ -193,29 +206,29 @@
 		AtMs:        now.UnixMilli(),
 	}
 	if last := r.loads[status.Name]; last != nil {
-		if sameRequests(last, next) && last.KvUsed == next.KvUsed {
+		if equalRequestCounts(last, next) && last.KvUsed == next.KvUsed {
 			return nil
 		}
-	} else if sameRequests(published, next) {
+	} else if equalRequestCounts(published, next) {
 		return nil
 	}
 	r.loads[status.Name] = next
 	return next
 }
 
-// requestCounts is the part that wire.Load and wire.ServerStatus have in common.
+// requestCounts is implemented by wire.Load and wire.ServerStatus.
 type requestCounts interface {
 	GetRunning() uint32
 	GetQueued() uint32
 	GetAnswered() uint64
 }
 
-func sameRequests(a, b requestCounts) bool {
+func equalRequestCounts(a, b requestCounts) bool {
 	return a.GetRunning() == b.GetRunning() && a.GetQueued() == b.GetQueued() && a.GetAnswered() == b.GetAnswered()
 }
 
 // changedBeyondLoad reports whether two statuses of a server differ in more than
-// load. That a server has answered its first request is more than load.
+// load. A server's first answered request counts as more than load.
 func changedBeyondLoad(old, status *wire.ServerStatus) bool {
 	if old == nil || status == nil {
 		return old != status
@@ -227,6 +240,8 @@
 		(old.Answered == 0) != (status.Answered == 0)
 }
 
+// slowStartMoved reports whether the end of a slow start was set, cleared or moved by
+// more than slowStartMarginMS.
 func slowStartMoved(oldEndMS, endMS int64) bool {
 	return (oldEndMS == 0) != (endMS == 0) || oldEndMS-endMS > slowStartMarginMS || endMS-oldEndMS > slowStartMarginMS
 }
--- a/internal/node/control/server_reports_test.go
+++ b/internal/node/control/server_reports_test.go
@@ -16,27 +16,27 @@
 			Status: &wire.ServerStatus{Name: "m1", Address: "127.0.0.1:1", State: state, Reachable: true, Running: running, Incarnation: 7}}
 	}
 	ready, draining := wire.ServerState_SERVER_STATE_READY, wire.ServerState_SERVER_STATE_DRAINING
-	at := time.UnixMilli(2000)
-	everything := reportScope{load: true, allWatchersReported: true}
+	now := time.UnixMilli(2000)
+	allChanges := reportScope{includeLoad: true, allWatchersReported: true}
 
-	Convey("No server is published as free while the report that keeps requests away may be missing", t, func() {
+	Convey("No server is published as ready while a report that keeps requests away may still be missing", t, func() {
 		reports := newServerReports("c1", 5, serverstatus.Config{})
-		reports.add(report("f1/own", 1, ready, 0), at)
-		So(reports.takeChanges(reportScope{load: true}, at), ShouldBeEmpty)
+		reports.addReport(report("f1/own", 1, ready, 0), now)
+		So(reports.takeChanges(reportScope{includeLoad: true}, now), ShouldBeEmpty)
 		So(reports.snapshot(), ShouldBeEmpty)
 
-		reports.add(report("f2/list", 2, draining, 0), at)
-		changes := reports.takeChanges(reportScope{}, at)
+		reports.addReport(report("f2/list", 2, draining, 0), now)
+		changes := reports.takeChanges(reportScope{}, now)
 		So(changes, ShouldHaveLength, 1)
 		So(changes[0].GetReport().Status.State, ShouldEqual, draining)
 
-		Convey("once all watchers have reported, load is published without the rest of the status", func() {
-			reports.add(report("f1/own", 3, ready, 4), at)
-			So(reports.takeChanges(reportScope{allWatchersReported: true}, at), ShouldBeEmpty)
-			changes := reports.takeChanges(everything, at.Add(time.Second))
+		Convey("After all watchers have reported, a change of load is published without the rest of the status", func() {
+			reports.addReport(report("f1/own", 3, ready, 4), now)
+			So(reports.takeChanges(reportScope{allWatchersReported: true}, now), ShouldBeEmpty)
+			changes := reports.takeChanges(allChanges, now.Add(time.Second))
 			So(changes, ShouldHaveLength, 1)
 			So(changes[0].GetLoad().Running, ShouldEqual, 4)
-			So(reports.takeChanges(everything, at.Add(2*time.Second)), ShouldBeEmpty)
+			So(reports.takeChanges(allChanges, now.Add(2*time.Second)), ShouldBeEmpty)
 			So(reports.snapshot()[0].Status.Running, ShouldEqual, 4)
 			So(reports.snapshot()[0].Status.State, ShouldEqual, draining)
 		})
--- a/internal/node/control/state.go
+++ b/internal/node/control/state.go
@@ -9,14 +9,17 @@
 	"stepwick/internal/wire"
 )
 
-// learned returns the core's learned version; it never falls within an
-// incarnation.
-func (c *Controller) learned() uint64 { return max(c.state.Version, c.replica.Current().Version) }
+// learnedVersion returns the newest version that this core has learned. It never
+// decreases within one incarnation.
+func (c *Controller) learnedVersion() uint64 {
+	return max(c.state.Version, c.replica.Current().Version)
+}
 
-// catchUp reads the state of a majority once, so that leases may be granted: what
-// the former incarnation learned, and granted leases by, may not have been synced.
+// catchUp reads the state of a majority once after the start, as granting leases
+// requires: the core's former incarnation may have granted leases for a version
+// that it had learned but not yet synced to disk.
 func (c *Controller) catchUp() {
-	if c.caughtUp || !c.votes() {
+	if c.caughtUp || !c.isVoting() {
 		return
 	}
 	c.startJob(jobCatchUp, jobTimeout, func(ctx context.Context) func() {
@@ -24,13 +27,13 @@
 		if err != nil {
 			return nil
 		}
-		return func() { c.caughtUp = c.caughtUp || c.learned() >= state.Version }
+		return func() { c.caughtUp = c.caughtUp || c.learnedVersion() >= state.Version }
 	})
 }
 
-// publishNewState takes the newest state of the replica and publishes the commands
-// that led to it. When some of them are no longer retained the feed restarts, so
-// that its followers request a snapshot.
+// publishNewState adopts the newest state of the replica and publishes the commands
+// that led to it. If some of them are no longer retained, it restarts the feed,
+// which makes the followers request a snapshot.
 func (c *Controller) publishNewState() {
 	current := c.replica.Current()
 	if current.Version <= c.state.Version {
@@ -39,27 +42,27 @@
 	chosen, complete := c.replica.Learned(c.state.Version)
 	previous := c.state
 	c.state = current
-	if complete && connects(chosen, previous.Version, current.Version) {
+	if complete && isContiguous(chosen, previous.Version, current.Version) {
 		c.publishChosen(chosen, current.Version)
 	} else {
 		c.feed.restart()
 		c.log.Emit(events.FeedSnapshot, "epoch", current.Version)
 	}
 	c.logStateChange(previous, current)
-	c.answerFollowers()
+	c.answerFeedWaiters()
 }
 
-// connects reports whether commands lead from one version to another without a
-// gap at either end. Nothing leads from version zero: there was no state.
-func connects(chosen []*wire.Chosen, from, to uint64) bool {
+// isContiguous reports whether consecutive commands start right after one version
+// and reach the other. It is false if from is zero, as there was no state then.
+func isContiguous(chosen []*wire.Chosen, from, to uint64) bool {
 	if from == 0 || len(chosen) == 0 {
 		return false
 	}
 	return chosen[0].Epoch == from+1 && chosen[len(chosen)-1].Epoch >= to
 }
 
-// publishChosen publishes the commands up to a version; the replica may have
-// applied more since the state was read.
+// publishChosen publishes the commands up to a version. The replica may have applied
+// more commands since the state was read.
 func (c *Controller) publishChosen(chosen []*wire.Chosen, upTo uint64) {
 	for _, command := range chosen {
 		if command.Epoch <= upTo {
@@ -71,12 +74,12 @@
 func (c *Controller) logStateChange(before, after statemachine.State) {
 	c.log.Emit(events.VersionLearned, "epoch", after.Version, "sheet_epoch", after.SheetVersion)
 	for name := range after.Roster {
-		if _, known := before.Roster[name]; !known && before.Version > 0 {
+		if _, wasMember := before.Roster[name]; !wasMember && before.Version > 0 {
 			c.log.Emit(events.MemberAdded, "member", name, "epoch", after.Version)
 		}
 	}
 	for name := range before.Roster {
-		if _, known := after.Roster[name]; !known {
+		if _, isMember := after.Roster[name]; !isMember {
 			c.log.Emit(events.MemberRemoved, "member", name, "epoch", after.Version)
 		}
 	}
--- a/internal/node/control/state_test.go
+++ b/internal/node/control/state_test.go
@@ -20,20 +20,20 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		f := newFleet(ctx, 3)
 		f.advance(6 * time.Second)
-		Convey("A core that restarted without a majority rejects renewals with an error until it has caught up", t, func() {
+		Convey("A restarted core without a majority answers renewals with an error until it has caught up", t, func() {
 			f.majorityLost.Store(true)
-			f.stop["c1"]()
+			f.cancelServe["c1"]()
 			f.advance(time.Second)
-			again := control.New(control.Config{Self: "c1", Incarnation: 2}, atomicReplica{f}, memoryPeers{f, "c1"}, clock.System(), events.Discard)
-			go func() { _ = again.Serve(ctx) }()
+			restarted := control.New(control.Config{Self: "c1", Incarnation: 2}, atomicReplica{f}, memoryPeers{f, "c1"}, clock.System(), events.Discard)
+			go func() { _ = restarted.Serve(ctx) }()
 			f.advance(time.Second)
 			req := &wire.RenewRequest{Self: f.processes["c2"], Epoch: f.agreed.Load().state.Version}
-			_, err := again.Renew(ctx, req)
+			_, err := restarted.Renew(ctx, req)
 			So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
 			f.majorityLost.Store(false)
 			f.advance(4 * time.Second)
 			req.Epoch = f.agreed.Load().state.Version
-			resp, err := again.Renew(ctx, req)
+			resp, err := restarted.Renew(ctx, req)
 			So(err, ShouldBeNil)
 			So(resp.Granted, ShouldBeTrue)
 			So(resp.TtlMs, ShouldEqual, 2000)
--- a/internal/node/control/status.go
+++ b/internal/node/control/status.go
@@ -11,7 +11,7 @@
 	"stepwick/internal/wire"
 )
 
-// The body of an answer to "status". Its JSON form is fixed by docs/API.md.
+// The body of the response to the verb "status". docs/API.md defines its JSON form.
 
 type coreStatus struct {
 	Name     string `json:"name"`
@@ -42,34 +42,34 @@
 }
 
 type fleetStatus struct {
-	By            string                           `json:"by"`
-	Version       uint64                           `json:"epoch"`
-	SheetVersion  uint64                           `json:"sheet_epoch"`
-	InForce       bool                             `json:"in_force"`
-	Missing       string                           `json:"waiting,omitempty"`
-	Confirmed     int                              `json:"confirmed"`
-	Roster        int                              `json:"roster"`
-	RosterVersion uint64                           `json:"roster_epoch"`
-	RosterSettled bool                             `json:"roster_settled"`
-	Evacuated     map[string]uint64                `json:"evacuated,omitempty"`
-	Cores         []coreStatus                     `json:"cores"`
-	Members       []memberStatus                   `json:"members"`
-	Duties        map[string]statemachine.RoleTerm `json:"duties,omitempty"`
-	Plan          *planStatus                      `json:"plan,omitempty"`
-	Servers       int                              `json:"servers"`
+	ReportedBy      string                           `json:"by"`
+	Version         uint64                           `json:"epoch"`
+	SheetVersion    uint64                           `json:"sheet_epoch"`
+	InForce         bool                             `json:"in_force"`
+	Missing         string                           `json:"waiting,omitempty"`
+	Confirmed       int                              `json:"confirmed"`
+	Roster          int                              `json:"roster"`
+	RosterVersion   uint64                           `json:"roster_epoch"`
+	RosterCommitted bool                             `json:"roster_settled"`
+	Evacuated       map[string]uint64                `json:"evacuated,omitempty"`
+	Cores           []coreStatus                     `json:"cores"`
+	Members         []memberStatus                   `json:"members"`
+	Roles           map[string]statemachine.RoleTerm `json:"duties,omitempty"`
+	Plan            *planStatus                      `json:"plan,omitempty"`
+	Servers         int                              `json:"servers"`
 }
 
-// controllerState is what the owner contributes to a status.
+// controllerState is the owner's contribution to a status.
 type controllerState struct {
 	state   statemachine.State
 	plan    *wire.Plan
 	servers int
 }
 
-// status returns the fleet as this core sees it. Unlike a read it is not confirmed
-// by a majority.
+// status returns the status of the fleet as seen by this core. Unlike a read, it is
+// not confirmed by a majority.
 func (c *Controller) status(ctx context.Context) (*wire.OrderResponse, error) {
-	current, err := query(ctx, c, func() controllerState {
+	current, err := callOwner(ctx, c, func() controllerState {
 		return controllerState{state: c.state, plan: c.planner.current, servers: len(c.reports.store.Servers())}
 	})
 	if err != nil {
@@ -85,21 +85,21 @@
 	state := current.state
 	confirmed, missing := lease.VersionConfirmed(check)
 	return fleetStatus{
-		By:            c.config.Self,
-		Version:       state.Version,
-		SheetVersion:  state.SheetVersion,
-		InForce:       confirmed,
-		Missing:       missing,
-		Confirmed:     lease.CountConfirmations(check).Confirmed,
-		Roster:        len(state.Roster),
-		RosterVersion: state.RosterVersion,
-		RosterSettled: state.RosterCommitted(),
-		Evacuated:     state.Evacuated,
-		Duties:        state.Roles,
-		Plan:          newPlanStatus(current.plan),
-		Servers:       current.servers,
-		Cores:         c.coreStatuses(check.Views),
-		Members:       memberStatusList(state.Roster, check.Views),
+		ReportedBy:      c.config.Self,
+		Version:         state.Version,
+		SheetVersion:    state.SheetVersion,
+		InForce:         confirmed,
+		Missing:         missing,
+		Confirmed:       lease.CountConfirmations(check).Confirmed,
+		Roster:          len(state.Roster),
+		RosterVersion:   state.RosterVersion,
+		RosterCommitted: state.RosterCommitted(),
+		Evacuated:       state.Evacuated,
+		Roles:           state.Roles,
+		Plan:            newPlanStatus(current.plan),
+		Servers:         current.servers,
+		Cores:           c.coreStatuses(check.Views),
+		Members:         memberStatusList(state.Roster, check.Views),
 	}
 }
 
