--- a/internal/node/control/atomic_replica_test.go
+++ b/internal/node/control/atomic_replica_test.go
@@ -50,7 +50,7 @@
 	return &wire.ReadResponse{Learned: version, Highest: version}, nil
 }
 
-func (r atomicReplica) Learned(after uint64) ([]*wire.Chosen, bool) {
+func (r atomicReplica) CommandsAfter(after uint64) ([]*wire.Chosen, bool) {
 	return r.f.agreed.Load().chosen[after:], true
 }
 func (r atomicReplica) Current() statemachine.State { return r.f.agreed.Load().state }
--- a/internal/node/control/controller.go
+++ b/internal/node/control/controller.go
@@ -32,9 +32,9 @@
 	ReadMajority(ctx context.Context) (statemachine.State, error)
 	// Current returns the state after the last command applied here.
 	Current() statemachine.State
-	// Learned returns the commands applied here after a version, oldest first.
+	// CommandsAfter returns the commands applied here after a version, oldest first.
 	// complete is false if some of them are no longer retained.
-	Learned(after uint64) (chosen []*wire.Chosen, complete bool)
+	CommandsAfter(after uint64) (chosen []*wire.Chosen, complete bool)
 	// Changed returns a channel that is closed when Current next changes.
 	Changed() <-chan struct{}
 	// Read returns the highest versions that this core has learned and accepted.
--- a/internal/node/control/lost_cores_test.go
+++ b/internal/node/control/lost_cores_test.go
@@ -62,7 +62,7 @@
 				watchFor := func(span time.Duration) {
 					for startedAt := time.Now(); time.Since(startedAt) < span; f.advance(10 * time.Millisecond) {
 						for _, name := range f.names[1:8] {
-							live := slices.Contains(f.fronts[name].View().Live, "f9")
+							live := slices.Contains(f.fronts[name].View().Remaining, "f9")
 							So(live && removed[name], ShouldBeFalse)
 							removed[name] = removed[name] || !live
 						}
--- a/internal/node/control/report_exchange.go
+++ b/internal/node/control/report_exchange.go
@@ -83,7 +83,7 @@
 			c.queueUnchanged(unchanged)
 		}
 	}
-	if listedAt := c.reports.store.ListedAt(); !listedAt.IsZero() {
+	if listedAt := c.reports.store.ListObservedAt(); !listedAt.IsZero() {
 		c.platformListedAtMS.Store(listedAt.UnixMilli())
 	}
 	if c.adoptPlan(req.Plan) && !req.Relayed {
