--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -145,7 +145,7 @@
 	}
 	if p.controller != nil {
 		inspections[healthcheck.InspectListed] = inspectionOf(func(string) (healthcheck.Listed, bool) {
-			return healthcheck.Listed{AtMS: p.controller.ListedAt()}, true
+			return healthcheck.Listed{AtMS: p.controller.PlatformListedAtMS()}, true
 		})
 	}
 	return &inspector{self: p.identity.Name, peers: p.directory, inspections: inspections}
--- a/internal/node/control/report_exchange.go
+++ b/internal/node/control/report_exchange.go
@@ -63,9 +63,9 @@
 	return &wire.SubmitResponse{Unknown: unknownWatchers}, err
 }
 
-// ListedAt returns the latest time known to this core at which a watcher read the
+// PlatformListedAtMS returns the latest time known to this core at which a watcher read the
 // platform's list of servers, in Unix milliseconds of fleet time; 0 if there is none.
-func (c *Controller) ListedAt() int64 { return c.platformListedAtMS.Load() }
+func (c *Controller) PlatformListedAtMS() int64 { return c.platformListedAtMS.Load() }
 
 func (c *Controller) submit(req *wire.SubmitRequest) (unknownWatchers []string) {
 	now := c.config.FleetNow()
