--- a/internal/node/gateway/admission.go
+++ b/internal/node/gateway/admission.go
@@ -10,15 +10,16 @@
 	"stepwick/internal/decision/sheet"
 )
 
-// deadlineWriteMargin is for the last bytes to a client after the deadline.
+// deadlineWriteMargin is the time after the deadline in which a response can still be
+// written to the client.
 const deadlineWriteMargin = time.Second
 
-// admit checks the request against the configuration in force, reads its body,
-// prepares the selection of a server, and charges the tenant's quota.
+// admit checks the request against the configuration in force, reads its body, prepares
+// server selection and charges the tenant's quota.
 func (q *request) admit() *apierror.Error {
 	gateway := q.gateway
 	if gateway.closed.Load() {
-		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(noAuthorityRetryAfter)
+		return apierror.Errorf(apierror.FrontLeaving, "the node is shutting down; send the request to another node").WithRetryAfter(noAuthorityRetryAfter)
 	}
 	var apiErr *apierror.Error
 	if q.call, apiErr = gateway.dialect.ReadRequest(q.http); apiErr != nil {
@@ -27,7 +28,7 @@
 	if apiErr = gateway.awaitAuthority(q.http.Context()); apiErr != nil {
 		return apiErr
 	}
-	if apiErr = q.match(gateway.views.View().Index); apiErr != nil {
+	if apiErr = q.matchRouteAndTenant(gateway.views.View().Index); apiErr != nil {
 		return apiErr
 	}
 	q.setDeadline()
@@ -40,9 +41,10 @@
 	return q.chargeQuota()
 }
 
-// match finds the route and the tenant of the request in a configuration.
-func (q *request) match(index *sheet.Index) *apierror.Error {
-	path, _, _ := strings.Cut(q.target(), "?")
+// matchRouteAndTenant looks up the route and the tenant of the request in a
+// configuration.
+func (q *request) matchRouteAndTenant(index *sheet.Index) *apierror.Error {
+	path, _, _ := strings.Cut(q.requestTarget(), "?")
 	route, found := index.Route(q.http.Host, path)
 	if !found {
 		return apierror.Errorf(apierror.UnknownRoute, "no route for %s%s", q.http.Host, path)
@@ -55,13 +57,13 @@
 	return q.authenticate()
 }
 
-// authenticate finds the request's tenant by its key. Only a public route needs
-// none.
+// authenticate looks up the tenant by the request's API key. A public route also accepts
+// requests without a valid key.
 func (q *request) authenticate() *apierror.Error {
 	if q.call.Key != "" {
-		if name, tenant, known := q.index.Tenant(q.call.Key); known {
+		if name, tenant, found := q.index.Tenant(q.call.Key); found {
 			q.tenant = name
-			q.tenantTerms = tenant
+			q.tenantConfig = tenant
 			return nil
 		}
 	}
@@ -71,11 +73,11 @@
 	case q.call.Key == "":
 		return apierror.Errorf(apierror.MissingKey, "")
 	}
-	return apierror.Errorf(apierror.UnknownKey, "the sheet in force has no such key")
+	return apierror.Errorf(apierror.UnknownKey, "the API key belongs to no tenant of the configuration in force")
 }
 
-// checkAdmission reports whether the configuration in force still lets the request
-// run as it was admitted. It is called before each attempt, since the
+// checkAdmission returns an error if the configuration in force no longer admits the
+// request for the same tenant and service. It is called before each attempt, since the
 // configuration may have changed while the request was queued.
 func (q *request) checkAdmission() *apierror.Error {
 	if apiErr := q.gateway.checkAuthority(); apiErr != nil {
@@ -86,18 +88,18 @@
 		return nil
 	}
 	admittedTenant := q.tenant
-	if apiErr := q.match(index); apiErr != nil {
+	if apiErr := q.matchRouteAndTenant(index); apiErr != nil {
 		return apiErr
 	}
 	servesRoute := func(split sheet.Split) bool { return split.Service == q.service && split.Weight > 0 }
 	if q.tenant != admittedTenant || !slices.ContainsFunc(q.route.Splits, servesRoute) {
-		return apierror.Errorf(apierror.NotRun, "the route has changed").WithRetryAfter(noAuthorityRetryAfter)
+		return apierror.Errorf(apierror.NotRun, "the route or the tenant of the key has changed since the request was admitted").WithRetryAfter(noAuthorityRetryAfter)
 	}
 	return nil
 }
 
-// setDeadline sets the request's deadline: the earliest of the route's, the
-// client's and the gateway's.
+// setDeadline sets the request's deadline to the earliest of the route's, the client's
+// and the gateway's.
 func (q *request) setDeadline() {
 	timeout := time.Duration(q.route.TimeoutMS) * time.Millisecond
 	if q.call.Deadline > 0 {
--- a/internal/node/gateway/authority.go
+++ b/internal/node/gateway/authority.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// startupGrace is how long a request may wait at a node that has just started
-	// until it has a lease and a configuration, which takes some tenths of a second.
+	// startupGrace is how long a request may wait for a node that has just started to
+	// obtain a lease and a configuration, which takes a few tenths of a second.
 	startupGrace          = 400 * time.Millisecond
 	startupPollInterval   = 10 * time.Millisecond
 	noAuthorityRetryAfter = 200 * time.Millisecond
 )
 
-// checkAuthority returns nil when this node may decide on requests now: it holds a
-// valid lease and has a configuration.
+// checkAuthority returns nil if this node may serve requests now: it has authority over
+// its view (Views.HasAuthority) and a configuration.
 func (g *Gateway) checkAuthority() *apierror.Error {
 	if !g.views.HasAuthority() {
-		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(noAuthorityRetryAfter)
+		return apierror.Errorf(apierror.NotRuling, "the node has no valid lease; send the request to another node").WithRetryAfter(noAuthorityRetryAfter)
 	}
 	if g.views.View().State.Sheet == nil {
 		return apierror.Errorf(apierror.NoSheet, "").WithRetryAfter(noAuthorityRetryAfter)
@@ -27,9 +27,9 @@
 	return nil
 }
 
-// awaitAuthority checks the node's authority. A node that has had none since its
-// start waits for it for startupGrace; one that has lost it fails at once, since it
-// may take long to regain it.
+// awaitAuthority checks the node's authority. If the node has had none since its start,
+// it waits for up to startupGrace. If the node has lost its authority, it returns the
+// error immediately, since regaining it may take long.
 func (g *Gateway) awaitAuthority(ctx context.Context) *apierror.Error {
 	apiErr := g.checkAuthority()
 	if apiErr == nil {
--- a/internal/node/gateway/authority_test.go
+++ b/internal/node/gateway/authority_test.go
@@ -11,18 +11,18 @@
 )
 
 func TestAuthorityAfterStart(t *testing.T) {
-	Convey("A request that arrives before a node has its first lease waits for it", t, func() {
-		s := newTestFleet(t)
-		s.addServer("s0", respond("ok"))
-		s.views.authorized.Store(false)
-		s.clock = endlessGraceClock{clock.System()}
-		s.startGateway()
-		answers := make(chan response, 1)
-		go func() { answers <- s.send("/safe/", "") }()
-		for s.gateway.inFlight.Load() == 0 {
+	Convey("A request that arrives before the node has obtained its first lease waits for the lease", t, func() {
+		fleet := newTestFleet(t)
+		fleet.addServer("s0", respond("ok"))
+		fleet.views.authorized.Store(false)
+		fleet.clock = endlessGraceClock{clock.System()}
+		fleet.startGateway()
+		responses := make(chan response, 1)
+		go func() { responses <- fleet.send("/safe/", "") }()
+		for fleet.gateway.inFlight.Load() == 0 {
 			runtime.Gosched()
 		}
-		s.views.authorized.Store(true)
-		So((<-answers).status, ShouldEqual, http.StatusOK)
+		fleet.views.authorized.Store(true)
+		So((<-responses).status, ShouldEqual, http.StatusOK)
 	})
 }
--- a/internal/node/gateway/body.go
+++ b/internal/node/gateway/body.go
@@ -10,9 +10,9 @@
 	"stepwick/internal/apierror"
 )
 
-// bodiesFullRetryAfter is the Retry-After of a request for whose body there is no
-// memory.
-const bodiesFullRetryAfter = time.Second
+// bodyBudgetRetryAfter is the Retry-After of a request whose body exceeds the budget of
+// buffered bodies.
+const bodyBudgetRetryAfter = time.Second
 
 // readBody reads the request's body into memory.
 func (q *request) readBody() *apierror.Error {
@@ -21,11 +21,11 @@
 	}
 	limit := q.maxBodyBytes()
 	if q.http.ContentLength > limit {
-		return apierror.Errorf(apierror.BodyTooLarge, "%d bytes of at most %d", q.http.ContentLength, limit)
+		return apierror.Errorf(apierror.BodyTooLarge, "the request body has %d bytes; the limit is %d bytes", q.http.ContentLength, limit)
 	}
 	controller := http.NewResponseController(q.writer)
 	_ = controller.SetReadDeadline(q.gateway.clock.Now().Add(q.gateway.config.BodyTimeout))
-	body, apiErr := q.readWithin(limit)
+	body, apiErr := q.readLimitedBody(limit)
 	if apiErr != nil {
 		return apiErr
 	}
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// maxBodyBytes returns the limit of the configuration in force, else the gateway's.
+// maxBodyBytes returns the limit of the configuration in force or, if it has none, the
+// gateway's.
 func (q *request) maxBodyBytes() int64 {
 	if limits := q.index.Sheet().Limits; limits != nil && limits.BodyBytes > 0 {
 		return int64(limits.BodyBytes)
@@ -42,15 +43,16 @@
 	return q.gateway.config.MaxBodyBytes
 }
 
-// readWithin reads a body of at most limit bytes and takes them from the gateway's
+// readLimitedBody reads a body of at most limit bytes and reserves them in the gateway's
 // budget of buffered bodies.
-func (q *request) readWithin(limit int64) ([]byte, *apierror.Error) {
+func (q *request) readLimitedBody(limit int64) ([]byte, *apierror.Error) {
 	if q.http.ContentLength > 0 {
-		return q.readKnownLength()
+		return q.readBodyOfKnownLength()
 	}
-	// As at a body of known length, a full budget refuses the request unread.
+	// As for a body of known length, the request is rejected before its body is read if
+	// the budget is exhausted.
 	if !q.reserveBuffer(0) {
-		return nil, bodiesFull()
+		return nil, bodyBudgetExhausted()
 	}
 	var body []byte
 	var chunk [readChunkSize]byte
@@ -59,9 +61,9 @@
 		body = append(body, chunk[:count]...)
 		switch {
 		case int64(len(body)) > limit:
-			return nil, apierror.Errorf(apierror.BodyTooLarge, "more than %d bytes", limit)
+			return nil, apierror.Errorf(apierror.BodyTooLarge, "the request body exceeds the limit of %d bytes", limit)
 		case !q.reserveBuffer(int64(count)):
-			return nil, bodiesFull()
+			return nil, bodyBudgetExhausted()
 		case err == io.EOF:
 			return body, nil
 		case err != nil:
@@ -70,9 +72,9 @@
 	}
 }
 
-func (q *request) readKnownLength() ([]byte, *apierror.Error) {
+func (q *request) readBodyOfKnownLength() ([]byte, *apierror.Error) {
 	if !q.reserveBuffer(q.http.ContentLength) {
-		return nil, bodiesFull()
+		return nil, bodyBudgetExhausted()
 	}
 	body := make([]byte, q.http.ContentLength)
 	if _, err := io.ReadFull(q.http.Body, body); err != nil {
@@ -81,18 +83,18 @@
 	return body, nil
 }
 
-// reserveBuffer takes bytes from the gateway's budget until the request ends; it
-// returns false when the budget is exhausted.
+// reserveBuffer reserves bytes in the gateway's budget until the request ends. It returns
+// false if the budget is exhausted.
 func (q *request) reserveBuffer(bytes int64) bool {
-	if !q.gateway.bodies.TryReserve(bytes) {
+	if !q.gateway.bodyBudget.TryReserve(bytes) {
 		return false
 	}
 	q.bufferedBytes += bytes
 	return true
 }
 
-func bodiesFull() *apierror.Error {
-	return apierror.Errorf(apierror.QueueFull, "the bodies that the node holds are at their bound").WithRetryAfter(bodiesFullRetryAfter)
+func bodyBudgetExhausted() *apierror.Error {
+	return apierror.Errorf(apierror.QueueFull, "the request bodies buffered by the node have reached their limit").WithRetryAfter(bodyBudgetRetryAfter)
 }
 
 // bodyError returns the error for a body that could not be read.
@@ -102,7 +104,7 @@
 	}
 	var timeout interface{ Timeout() bool }
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return apierror.Errorf(apierror.SlowBody, "the body did not arrive in time")
+		return apierror.Errorf(apierror.SlowBody, "the request body did not arrive within %v", q.gateway.config.BodyTimeout)
 	}
-	return apierror.Errorf(apierror.BadField, "the body is malformed")
+	return apierror.Errorf(apierror.BadField, "read the request body: %v", err)
 }
--- a/internal/node/gateway/config.go
+++ b/internal/node/gateway/config.go
@@ -8,34 +8,39 @@
 	"stepwick/internal/decision/balance"
 )
 
-// Config configures a gateway. Zero values take the defaults named.
+// Config configures a gateway. Fields that are zero take the defaults stated.
 type Config struct {
 	Balance  balance.Config
 	Upstream upstream.Config
-	// MaxBodyBytes limits a request's body where the configuration in force has no
-	// limit; 4 MiB.
+	// MaxBodyBytes limits the body of a request if the configuration in force has no
+	// limit. The default is 4 MiB.
 	MaxBodyBytes int64
-	// MaxBufferedBytes limits the bodies of all requests in flight together; 64 MiB.
+	// MaxBufferedBytes limits the total size of the buffered bodies of all requests in
+	// flight. The default is 64 MiB.
 	MaxBufferedBytes int64
-	// MaxHeaderBytes limits a request's header; 16 KiB.
+	// MaxHeaderBytes limits the header of a request. The default is 16 KiB.
 	MaxHeaderBytes int
-	// HeaderTimeout is for a request's header to arrive; 5 s.
+	// HeaderTimeout limits the time in which the header of a request must arrive. The
+	// default is 5 s.
 	HeaderTimeout time.Duration
-	// BodyTimeout is for a request's body to arrive; 5 s.
+	// BodyTimeout limits the time in which the body of a request must arrive. The
+	// default is 5 s.
 	BodyTimeout time.Duration
-	// IdleTimeout is for the next request on a client's connection; 60 s.
+	// IdleTimeout limits how long a client's connection may wait for its next request.
+	// The default is 60 s.
 	IdleTimeout time.Duration
-	// DefaultTokens is the size at which a request is charged that states none,
-	// where its tenant has no such size; 50.
+	// DefaultTokens is the number of tokens charged for a request that declares none, if
+	// its tenant has no default either. The default is 50.
 	DefaultTokens float64
-	// MaxDeadline limits the time from a request's arrival to its deadline; 120 s.
+	// MaxDeadline limits the time from a request's arrival to its deadline. The default
+	// is 120 s.
 	MaxDeadline time.Duration
 	Quota       QuotaPolicy
 	DrainDelay  DrainDelay
-	// Observe receives what requests and probes show of a server's reachability;
-	// may be nil.
+	// Observe is called with a server's reachability as observed by requests and
+	// probes. It may be nil.
 	Observe func(ctx context.Context, server string, reachable bool)
-	// MaxConnections limits the connections of clients; 4096.
+	// MaxConnections limits the number of client connections. The default is 4096.
 	MaxConnections int
 }
 
--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -11,12 +11,13 @@
 	"stepwick/internal/stage"
 )
 
-// maxAttemptUpdates limits the updates that wait for the dispatcher; more block
-// their senders.
+// maxAttemptUpdates is the capacity of the dispatcher's update queue. Senders block while
+// it is full.
 const maxAttemptUpdates = 1024
 
-// dispatcher owns the balancing table and the queue of requests that wait for
-// capacity. Requests reach it by submissions, the progress of attempts by updates.
+// dispatcher owns the balancing table and the queue of requests that wait for capacity.
+// Handlers submit requests through submissions and report the progress of attempts
+// through updates.
 type dispatcher struct {
 	table    *balance.Table
 	views    Views
@@ -27,11 +28,11 @@
 
 	submissions *stage.Queue[*assignmentRequest]
 	updates     *stage.Queue[attemptUpdate]
-	stopped     chan struct{} // closed when the owner has stopped for good
+	stopped     chan struct{} // closed when Serve has returned because its context ended
 
-	view    *follower.View // the newest that the table has
-	sharers []string       // the fronts that share what is limited over the fleet
-	queue   requestQueue
+	view   *follower.View // the view last applied to the table
+	fronts []string       // nodes of the view that share fleet-wide limits
+	queue  requestQueue
 	passiveHealth
 }
 
@@ -41,14 +42,14 @@
 const (
 	attemptFinished updateKind = iota
 	attemptResponseStarted
-	// requestAbandoned: the request's handler does not wait for its server any more.
+	// requestAbandoned means that the request's handler no longer waits for a server.
 	requestAbandoned
-	// connectionUnacknowledged: the server's machine stopped to acknowledge what was
-	// sent on a connection.
+	// connectionUnacknowledged means that the server's machine stopped acknowledging the
+	// data sent on a connection.
 	connectionUnacknowledged
 )
 
-// attemptUpdate is a message to the dispatcher. Which fields are set depends on
+// attemptUpdate is a message to the dispatcher. Which of its fields are set depends on
 // kind.
 type attemptUpdate struct {
 	kind    updateKind
@@ -80,38 +81,39 @@
 	}
 }
 
-// responseStarted reports that the first bytes of the response to an attempt have
+// reportResponseStarted reports that the first bytes of an attempt's response have
 // arrived.
-func (d *dispatcher) responseStarted(attempt *balance.Attempt) {
-	d.send(attemptUpdate{kind: attemptResponseStarted, attempt: attempt})
+func (d *dispatcher) reportResponseStarted(attempt *balance.Attempt) {
+	d.sendUpdate(attemptUpdate{kind: attemptResponseStarted, attempt: attempt})
 }
 
-// finished reports how an attempt ended.
-func (d *dispatcher) finished(attempt *balance.Attempt, outcome balance.Outcome) {
-	d.send(attemptUpdate{kind: attemptFinished, attempt: attempt, outcome: outcome})
+// reportFinished reports the outcome of an attempt.
+func (d *dispatcher) reportFinished(attempt *balance.Attempt, outcome balance.Outcome) {
+	d.sendUpdate(attemptUpdate{kind: attemptFinished, attempt: attempt, outcome: outcome})
 }
 
-// unacknowledged reports that a server's machine stopped to acknowledge.
-func (d *dispatcher) unacknowledged(server string) {
-	d.send(attemptUpdate{kind: connectionUnacknowledged, server: server})
+// reportUnacknowledged reports that a server's machine stopped acknowledging data.
+func (d *dispatcher) reportUnacknowledged(server string) {
+	d.sendUpdate(attemptUpdate{kind: connectionUnacknowledged, server: server})
 }
 
-func (d *dispatcher) send(update attemptUpdate) {
+func (d *dispatcher) sendUpdate(update attemptUpdate) {
 	select {
 	case d.updates.Input() <- update:
 	case <-d.stopped:
 	}
 }
 
-// Serve owns the table until the context ends.
+// Serve assigns servers to requests until the context ends. Its goroutine owns the table
+// and the queue.
 func (d *dispatcher) Serve(ctx context.Context) error {
 	defer func() {
 		if ctx.Err() != nil {
 			close(d.stopped)
 		}
 	}()
-	suspicion := d.clock.Ticker(stallCheckInterval)
-	defer suspicion.Stop()
+	stallCheck := d.clock.Ticker(stallCheckInterval)
+	defer stallCheck.Stop()
 	for {
 		changed := d.views.Changed()
 		d.applyView()
@@ -121,30 +123,30 @@
 			stop()
 			return ctx.Err()
 		case submitted := <-d.submissions.Items():
-			d.applyUpdates()
+			d.applyPendingUpdates()
 			d.applyView()
 			d.assignOrQueue(submitted)
 		case update := <-d.updates.Items():
-			d.apply(update)
-			d.applyUpdates()
+			d.applyUpdate(update)
+			d.applyPendingUpdates()
 			d.assignQueued()
 		case <-changed:
 			d.applyView()
 			d.assignQueued()
 		case <-retryQueue:
 			d.assignQueued()
-		case <-suspicion.C():
+		case <-stallCheck.C():
 			d.checkStalled()
 		}
 		stop()
 	}
 }
 
-// String returns the owner's name in log events.
+// String returns the name used in log events.
 func (d *dispatcher) String() string { return "dispatcher" }
 
-// queueTimer returns a timer for the next attempt to assign queued requests, nil
-// where there are none, and the function that stops it.
+// queueTimer returns the channel of a timer for the next attempt to assign queued
+// requests, nil if there are none, and the function that stops the timer.
 func (d *dispatcher) queueTimer() (<-chan time.Time, func() bool) {
 	if d.queue.empty() {
 		return nil, func() bool { return true }
@@ -152,8 +154,8 @@
 	return clock.NewTimer(d.table.NextCapacityCheck(d.clock.Now()))
 }
 
-// applyView applies the newest view to the table. It precedes each choice of a
-// server, so that none goes by an older one.
+// applyView applies the newest view to the table. It is called before each selection of a
+// server, so that none is based on an outdated view.
 func (d *dispatcher) applyView() {
 	view := d.views.View()
 	if view == d.view {
@@ -162,13 +164,13 @@
 	d.recordUnreachable(view)
 	serversChanged := d.view == nil || len(d.view.Servers) != len(view.Servers)
 	if d.view == nil || !view.SameFronts(d.view) {
-		d.sharers = view.Sharers()
+		d.fronts = view.Sharers()
 	}
 	d.view = view
 	d.table.Update(balance.View{
 		State:    view.State,
 		Servers:  view.Servers,
-		Fronts:   d.sharers,
+		Fronts:   d.fronts,
 		Members:  view.Roster,
 		FleetNow: d.views.FleetNow(),
 	}, d.clock.Now())
@@ -177,36 +179,36 @@
 	}
 }
 
-// applyUpdates applies the updates that have already arrived, so that a choice
-// depends on them.
-func (d *dispatcher) applyUpdates() {
-	for left := d.updates.Len(); left > 0; left-- {
-		d.apply(<-d.updates.Items())
+// applyPendingUpdates applies the updates that have already arrived, so that the next
+// selection of a server takes them into account.
+func (d *dispatcher) applyPendingUpdates() {
+	for remaining := d.updates.Len(); remaining > 0; remaining-- {
+		d.applyUpdate(<-d.updates.Items())
 	}
 }
 
-func (d *dispatcher) apply(update attemptUpdate) {
+func (d *dispatcher) applyUpdate(update attemptUpdate) {
 	now := d.clock.Now()
 	switch update.kind {
 	case requestAbandoned:
 		d.abandon(update.request, now)
 	case connectionUnacknowledged:
-		d.serverUnacknowledged(update.server, now)
+		d.handleUnacknowledgedServer(update.server, now)
 	case attemptResponseStarted:
 		d.table.ResponseStarted(update.attempt, now)
 	case attemptFinished:
 		d.table.FinishAttempt(update.attempt, update.outcome, now)
 		switch update.outcome {
 		case balance.OutcomeUnresponsive:
-			d.serverUnacknowledged(update.attempt.Server(), now)
+			d.handleUnacknowledgedServer(update.attempt.Server(), now)
 		case balance.OutcomeRefused, balance.OutcomeReplaced:
 			d.closeIdleConnections(update.attempt.Server())
 		}
 	}
 }
 
-// closeIdleConnections closes the idle connections to a server: they may be dead,
-// and a fresh one shows whether the server is back before a request is sent.
+// closeIdleConnections closes the idle connections to a server. They may be dead, and
+// opening a new one shows whether the server is reachable before a request is sent.
 func (d *dispatcher) closeIdleConnections(server string) {
 	d.client.CloseIdle(func(name string) bool { return name != server })
 }
--- a/internal/node/gateway/drain.go
+++ b/internal/node/gateway/drain.go
@@ -15,13 +15,13 @@
 	defaultDrainIdleFor  = time.Second
 )
 
-// DrainDelay is how long a draining gateway still serves new requests, since
-// clients keep sending them until they know of other nodes. Zero values take the
-// defaults named.
+// DrainDelay configures how long a draining gateway continues to serve new requests,
+// since clients keep sending them until they have learned of other nodes. Fields that are
+// zero take the defaults stated.
 type DrainDelay struct {
-	Min     time.Duration // new requests are served at least so long; 3 s
-	Max     time.Duration // and at most so long; 5 s
-	IdleFor time.Duration // between the two, the delay ends when none arrived for so long; 1 s
+	Min     time.Duration // minimum delay; 3 s by default
+	Max     time.Duration // maximum delay; 5 s by default
+	IdleFor time.Duration // ends the delay after Min if no request arrived for this long; 1 s by default
 }
 
 func (d *DrainDelay) setDefaults() {
@@ -30,23 +30,23 @@
 	setDefault(&d.IdleFor, defaultDrainIdleFor)
 }
 
-// over reports whether the delay is over for a drain that began so long ago, when
-// the last request arrived idle ago.
-func (d DrainDelay) over(elapsed, idle time.Duration) bool {
+// isOver reports whether the delay has ended, given the time since the drain began and
+// the time since the last request arrived.
+func (d DrainDelay) isOver(elapsed, idle time.Duration) bool {
 	return elapsed >= d.Max || elapsed >= d.Min && idle >= d.IdleFor
 }
 
-// Ready returns nil when the node takes requests by routes, else the reason.
+// Ready returns nil if the node accepts requests for routes, and the reason otherwise.
 func (g *Gateway) Ready() *apierror.Error {
 	if g.draining.Load() {
-		return apierror.Errorf(apierror.FrontLeaving, "ask another node").WithRetryAfter(drainingRetryAfter)
+		return apierror.Errorf(apierror.FrontLeaving, "the node is draining; send the request to another node").WithRetryAfter(drainingRetryAfter)
 	}
 	return g.checkAuthority()
 }
 
-// Drain makes the node not ready, serves new requests for the configured delay,
-// and waits until the requests in flight have ended. It returns the context's
-// error when the context ends first.
+// Drain marks the node as not ready, continues to serve new requests for the configured
+// delay, then rejects them and waits until the requests in flight have ended. It returns
+// the context's error if the context ends first.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.draining.Store(true)
 	began := g.clock.Now()
@@ -67,11 +67,10 @@
 func (g *Gateway) drainDelayOver(began time.Time) bool {
 	now := g.clock.Now()
 	lastArrival := g.started.Add(time.Duration(g.lastArrival.Load()))
-	return g.config.DrainDelay.over(now.Sub(began), now.Sub(lastArrival))
+	return g.config.DrainDelay.isOver(now.Sub(began), now.Sub(lastArrival))
 }
 
-// awaitDrainPoll waits for the next poll of a drain; it returns false when the
-// context has ended.
+// awaitDrainPoll waits for drainPollInterval. It returns false if the context ends first.
 func (g *Gateway) awaitDrainPoll(ctx context.Context) bool {
 	select {
 	case <-g.clock.After(drainPollInterval):
--- a/internal/node/gateway/drain_test.go
+++ b/internal/node/gateway/drain_test.go
@@ -13,17 +13,17 @@
 
 func TestDrain(t *testing.T) {
 	Convey("A draining node is not ready, serves late clients, and ends when no request is in flight", t, func() {
-		s := newTestFleet(t)
-		s.addServer("s0", respond("ok"))
-		s.startGateway()
-		s.gateway.config.DrainDelay = DrainDelay{Min: 100 * time.Millisecond, Max: 300 * time.Millisecond, IdleFor: 50 * time.Millisecond}
+		fleet := newTestFleet(t)
+		fleet.addServer("s0", respond("ok"))
+		fleet.startGateway()
+		fleet.gateway.config.DrainDelay = DrainDelay{Min: 100 * time.Millisecond, Max: 300 * time.Millisecond, IdleFor: 50 * time.Millisecond}
 		drained := make(chan error, 1)
-		go func() { drained <- s.gateway.Drain(context.Background()) }()
-		for s.gateway.Ready() == nil {
-			_ = s.send("/safe/", "")
+		go func() { drained <- fleet.gateway.Drain(context.Background()) }()
+		for fleet.gateway.Ready() == nil {
+			_ = fleet.send("/safe/", "")
 		}
-		So(s.gateway.Ready().Code, ShouldEqual, apierror.FrontLeaving)
+		So(fleet.gateway.Ready().Code, ShouldEqual, apierror.FrontLeaving)
 		So(<-drained, ShouldBeNil)
-		So(s.send("/safe/", "").status, ShouldEqual, http.StatusServiceUnavailable)
+		So(fleet.send("/safe/", "").status, ShouldEqual, http.StatusServiceUnavailable)
 	})
 }
--- a/internal/node/gateway/event_splitter.go
+++ b/internal/node/gateway/event_splitter.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// eventSplitter splits a text/event-stream into complete events. An event ends
-// with an empty line.
+// eventSplitter splits a text/event-stream into complete events. An event ends with an
+// empty line.
 type eventSplitter struct {
-	buffer []byte // of the event that is not complete yet
-	lastID string // of the last complete event that has one
+	buffer []byte // bytes after the last complete event
+	lastID string // id of the last complete event that has one
 }
 
-// eventBoundaries end an event: an empty line, by each of the line endings that
-// the format allows.
+// eventBoundaries are the byte sequences that end an event: an empty line in each of the
+// line endings that the format allows.
 var eventBoundaries = []string{"\n\n", "\r\n\r\n", "\r\r"}
 
-// add appends received bytes and returns those of the events that are complete
-// by now. They are valid until the next call.
-func (s *eventSplitter) add(data []byte) []byte {
+// appendChunk appends received bytes and returns the bytes of all events that they
+// complete. The result is valid until the next call.
+func (s *eventSplitter) appendChunk(data []byte) []byte {
 	s.buffer = append(s.buffer, data...)
 	end := lastBoundary(s.buffer)
 	if end == 0 {
@@ -37,8 +37,8 @@
 func lastBoundary(data []byte) int {
 	end := 0
 	for _, boundary := range eventBoundaries {
-		if at := bytes.LastIndex(data, []byte(boundary)); at >= 0 {
-			end = max(end, at+len(boundary))
+		if index := bytes.LastIndex(data, []byte(boundary)); index >= 0 {
+			end = max(end, index+len(boundary))
 		}
 	}
 	return end
--- a/internal/node/gateway/fixture_test.go
+++ b/internal/node/gateway/fixture_test.go
@@ -26,7 +26,7 @@
 	"stepwick/internal/wire"
 )
 
-// testDialect is a dialect with short names.
+// testDialect is a port.Dialect with short header names.
 type testDialect struct{}
 
 func (testDialect) ReadRequest(r *http.Request) (port.ClientRequest, *apierror.Error) {
@@ -41,11 +41,11 @@
 	return call, nil
 }
 
-func (testDialect) SetAttemptHeaders(header http.Header, sending port.AttemptMetadata) {
+func (testDialect) SetAttemptHeaders(header http.Header, attempt port.AttemptMetadata) {
 	header.Del("Key")
-	header.Set("Tenant", sending.Tenant)
-	header.Set("To", sending.Server)
-	header.Set("Last", sending.LastEventID)
+	header.Set("Tenant", attempt.Tenant)
+	header.Set("To", attempt.Server)
+	header.Set("Last", attempt.LastEventID)
 }
 
 func (testDialect) ReadResponse(status int, header http.Header) port.ResponseMetadata {
@@ -76,13 +76,13 @@
 	next.State.Version++
 	next.Index = next.State.Index()
 	v.view.Store(&next)
-	fresh := make(chan struct{})
-	close(*v.changed.Swap(&fresh))
+	nextChanged := make(chan struct{})
+	close(*v.changed.Swap(&nextChanged))
 }
 
 type testAdmitter struct {
 	refused     atomic.Bool
-	lastTimeout atomic.Int64 // of the last request, nanoseconds
+	lastTimeout atomic.Int64 // timeout of the last request, in nanoseconds
 }
 
 func (a *testAdmitter) Admit(_ context.Context, _ string, _ float64, _ quota.Allowance, timeout time.Duration) quota.Decision {
@@ -101,12 +101,12 @@
 	gateway  *Gateway
 	address  string
 	servers  map[string]*wire.ServerStatus
-	clock    clock.Clock // the machine's when nil
+	clock    clock.Clock // the system clock if nil
 	// retrySlack is the fixed part of the gateway's retry budget.
 	retrySlack float64
 }
 
-// endlessGraceClock is the machine's clock on which startupGrace never ends.
+// endlessGraceClock is the system clock, except that startupGrace never expires.
 type endlessGraceClock struct{ clock.Clock }
 
 func (c endlessGraceClock) After(d time.Duration) <-chan time.Time {
@@ -116,15 +116,15 @@
 	return c.Clock.After(d)
 }
 
-// serverScript answers one request of an emulated server.
+// serverScript handles one request to an emulated server.
 type serverScript func(r *http.Request, conn net.Conn)
 
-func (s *testFleet) addServer(name string, answer serverScript) {
+func (f *testFleet) addServer(name string, script serverScript) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { _ = listener.Close() })
+	f.t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -133,25 +133,25 @@
 			}
 			go func() {
 				defer func() { _ = conn.Close() }()
-				in := bufio.NewReader(conn)
+				reader := bufio.NewReader(conn)
 				for {
-					r, err := http.ReadRequest(in)
+					r, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
 					body, _ := io.ReadAll(r.Body)
 					r.Body = io.NopCloser(strings.NewReader(string(body)))
-					answer(r, conn)
+					script(r, conn)
 				}
 			}()
 		}
 	}()
-	s.servers[name] = &wire.ServerStatus{Name: name, Address: listener.Addr().String(), Services: []string{"pool"},
+	f.servers[name] = &wire.ServerStatus{Name: name, Address: listener.Addr().String(), Services: []string{"pool"},
 		Reachable: true, State: wire.ServerState_SERVER_STATE_READY, Region: "north", Zone: "z"}
 }
 
 func newTestFleet(t *testing.T) *testFleet {
-	s := &testFleet{t: t, views: &testViews{}, admitter: &testAdmitter{}, servers: map[string]*wire.ServerStatus{}, retrySlack: 100}
+	fleet := &testFleet{t: t, views: &testViews{}, admitter: &testAdmitter{}, servers: map[string]*wire.ServerStatus{}, retrySlack: 100}
 	state := statemachine.State{Version: 1, Sheet: &sheet.Sheet{
 		Services: map[string]sheet.Service{"pool": {Kind: sheet.KindHTTP}},
 		Tenants:  map[string]sheet.Tenant{"press": {Rate: 10, KeyHashes: []string{sheet.HashKey("k")}}},
@@ -165,35 +165,35 @@
 		},
 		Limits: &sheet.ClientLimits{BodyBytes: 1000},
 	}}
-	s.views.view.Store(&follower.View{State: state, Index: state.Index(), Servers: map[string]*wire.ServerStatus{}})
+	fleet.views.view.Store(&follower.View{State: state, Index: state.Index(), Servers: map[string]*wire.ServerStatus{}})
 	changed := make(chan struct{})
-	s.views.changed.Store(&changed)
-	s.views.authorized.Store(true)
-	return s
+	fleet.views.changed.Store(&changed)
+	fleet.views.authorized.Store(true)
+	return fleet
 }
 
 // startGateway starts the gateway with the servers added so far.
-func (s *testFleet) startGateway() *testFleet {
+func (f *testFleet) startGateway() *testFleet {
 	var err error
-	if s.clock == nil {
-		s.clock = clock.System()
+	if f.clock == nil {
+		f.clock = clock.System()
 	}
-	s.gateway, err = New(Config{Balance: balance.Config{Self: "f", Region: "north", Zone: "z", RetrySlack: s.retrySlack}},
-		testDialect{}, s.views, s.admitter, s.clock, events.Discard, prometheus.NewRegistry())
+	f.gateway, err = New(Config{Balance: balance.Config{Self: "f", Region: "north", Zone: "z", RetrySlack: f.retrySlack}},
+		testDialect{}, f.views, f.admitter, f.clock, events.Discard, prometheus.NewRegistry())
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	s.views.publish(func(v *follower.View) { v.Servers = s.servers })
+	f.views.publish(func(v *follower.View) { v.Servers = f.servers })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	s.address = listener.Addr().String()
+	f.address = listener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
-	s.t.Cleanup(cancel)
-	go func() { _ = s.gateway.Serve(ctx) }()
-	go func() { _ = s.gateway.Listen(ctx, listener) }()
-	return s
+	f.t.Cleanup(cancel)
+	go func() { _ = f.gateway.Serve(ctx) }()
+	go func() { _ = f.gateway.Listen(ctx, listener) }()
+	return f
 }
 
 type response struct {
@@ -203,10 +203,10 @@
 	broken bool
 }
 
-func (s *testFleet) send(path, body string, headers ...string) response {
-	request, err := http.NewRequest(http.MethodPost, "http://"+s.address+path, strings.NewReader(body))
+func (f *testFleet) send(path, body string, headers ...string) response {
+	request, err := http.NewRequest(http.MethodPost, "http://"+f.address+path, strings.NewReader(body))
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	request.Host = "h"
 	request.Header.Set("Id", "id-1")
@@ -238,8 +238,8 @@
 	}
 }
 
-// respondStream sends events of some ids, and then ends the body, or closes the
-// connection inside an event.
+// respondStream sends events with the given ids, and then ends the body or, if broken is
+// set, closes the connection within an event.
 func respondStream(broken bool, ids ...int) serverScript {
 	return func(r *http.Request, conn net.Conn) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: %s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"), r.Header.Get("To"))
@@ -256,8 +256,8 @@
 	}
 }
 
-// firstThen handles the first request at any of its servers by one script, and
-// all later ones by another.
+// firstThen returns a script that several servers can share. It handles the first request
+// to any of them with the script first, and all others with later.
 func firstThen(first, later serverScript) serverScript {
 	var count atomic.Int64
 	return func(r *http.Request, conn net.Conn) {
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -1,22 +1,20 @@
-// Package gateway serves the requests that come by the routes of the
-// configuration: plain HTTP, forwarded to one of a service's servers, whose
-// response is relayed to the client.
+// Package gateway is a reverse proxy for the routes of the configuration. It forwards
+// plain HTTP requests to one of a service's servers and relays the response to the
+// client.
 //
-// A request is read, admitted by the configuration in force and its tenant's quota
-// (admission.go, body.go, quota.go), assigned a server by the dispatcher
-// (selection.go, dispatcher.go, queue.go), sent, retried where that is safe
-// (attempt.go, stall.go), and answered (relay.go, stream.go). The handler goroutine
-// owns the request; the dispatcher owns the balancing table and the queue of
-// requests that wait for capacity; serverHealth owns the servers that were found
-// unresponsive.
+// A request is read and admitted according to the configuration in force and its tenant's
+// quota (admission.go, body.go, quota.go), assigned a server by the dispatcher
+// (selection.go, dispatcher.go, queue.go), sent and, where that is safe, retried
+// (attempt.go, stall.go). The response is relayed by relay.go and stream.go. The handler
+// goroutine owns the request, the dispatcher owns the balancing table and the queue of
+// requests that wait for capacity, and serverHealth owns the set of unresponsive servers.
 //
-// Invariants: a request that a server may have executed is sent to another one only
-// if its route is idempotent, and it is never reported to the client as not
-// executed; an incomplete response never reaches a client as a complete one; a
-// client's connection is broken rather than its answer ended early.
+// Invariants: a request that a server may have executed is sent to another one only if
+// its route is idempotent, and is never reported to the client as not executed. An
+// incomplete response is never relayed as a complete one: the client's connection is
+// aborted instead.
 //
-// The package does not decide which server is best (package balance) nor keep
-// connections to servers (package upstream).
+// Package balance selects servers; package upstream manages the connections to them.
 package gateway
 
 import (
@@ -42,28 +40,28 @@
 	"stepwick/internal/stage"
 )
 
-// Views provides the control state that a gateway decides by.
+// Views provides the control state on which a gateway bases its decisions.
 type Views interface {
 	// View returns the newest view, which is immutable.
 	View() *follower.View
-	// Changed returns a channel that is closed when a newer view exists.
+	// Changed returns a channel that is closed when a newer view is available.
 	Changed() <-chan struct{}
-	// HasAuthority reports whether this node may decide by its view now: by a lease
-	// or, while the cores are lost, by a majority of the roster.
+	// HasAuthority reports whether this node may act on its view now, based on a lease
+	// or, while the cores are lost, on a majority of the roster.
 	HasAuthority() bool
-	// FleetNow returns the fleet's time.
+	// FleetNow returns the current fleet time.
 	FleetNow() time.Time
 }
 
-// Admitter decides by the fleet's shared counts whether a tenant may spend tokens
-// of its quota. It may wait for an exchange with the owner of the tenant's count, by
-// its own configuration; in a large fleet also longer, for maxWait at most. When the
-// context ends first it rejects.
+// Admitter decides whether a tenant may spend tokens of its quota, based on the counts
+// that the nodes of the fleet share. Admit may wait for an exchange with the owner of the
+// tenant's count for as long as its own configuration allows, and in a large fleet for up
+// to maxWait if that is longer. It rejects the request if the context ends first.
 type Admitter interface {
 	Admit(ctx context.Context, tenant string, tokens float64, allowance quota.Allowance, maxWait time.Duration) quota.Decision
 }
 
-// Gateway serves requests by routes. It is an http.Handler.
+// Gateway serves the requests for routes. It is an http.Handler.
 type Gateway struct {
 	config     Config
 	dialect    port.Dialect
@@ -75,18 +73,18 @@
 	dispatcher *dispatcher
 	health     *serverHealth
 	metrics    *metrics
-	bodies     *stage.ByteBudget
+	bodyBudget *stage.ByteBudget
 
-	hadAuthority atomic.Bool // has had authority since the start
-	draining     atomic.Bool // not ready any more
-	closed       atomic.Bool // rejects new requests
+	hadAuthority atomic.Bool // whether the node has had authority since its start
+	draining     atomic.Bool // whether Drain was called
+	closed       atomic.Bool // whether new requests are rejected
 	inFlight     atomic.Int64
-	lastArrival  atomic.Int64 // of a request, nanoseconds since started
+	lastArrival  atomic.Int64 // arrival of the last request, in nanoseconds since started
 	started      time.Time
 }
 
-// New returns a gateway. It serves no request before Serve runs. It fails when its
-// metrics are already registered.
+// New returns a gateway. Requests are served only while Serve runs. New returns an error
+// if the gateway's metrics cannot be registered.
 func New(
 	config Config,
 	dialect port.Dialect,
@@ -99,21 +97,21 @@
 	config = config.withDefaults()
 	config.Upstream.Clock = clock
 	var gateway *Gateway
-	config.Upstream.OnUnacknowledged = func(server string) { gateway.dispatcher.unacknowledged(server) }
+	config.Upstream.OnUnacknowledged = func(server string) { gateway.dispatcher.reportUnacknowledged(server) }
 	metrics, err := newMetrics(registry)
 	if err != nil {
 		return nil, err
 	}
 	gateway = &Gateway{
-		config:   config,
-		dialect:  dialect,
-		views:    views,
-		admitter: admitter,
-		clock:    clock,
-		log:      log,
-		metrics:  metrics,
-		bodies:   stage.NewByteBudget(config.MaxBufferedBytes),
-		started:  clock.Now(),
+		config:     config,
+		dialect:    dialect,
+		views:      views,
+		admitter:   admitter,
+		clock:      clock,
+		log:        log,
+		metrics:    metrics,
+		bodyBudget: stage.NewByteBudget(config.MaxBufferedBytes),
+		started:    clock.Now(),
 	}
 	gateway.client = upstream.New(config.Upstream)
 	gateway.health = newServerHealth(config.Observe, clock, gateway.client)
@@ -121,7 +119,7 @@
 	return gateway, nil
 }
 
-// Serve runs the gateway's owners until the context ends.
+// Serve runs the dispatcher and the server health checks until the context ends.
 func (g *Gateway) Serve(ctx context.Context) error {
 	supervisor := suture.New("gateway", suture.Spec{EventHook: g.logPanic})
 	supervisor.Add(g.dispatcher)
@@ -136,10 +134,10 @@
 	}
 }
 
-// String returns the owner's name in log events.
+// String returns the name used in log events.
 func (g *Gateway) String() string { return "gateway" }
 
-// Listen serves the clients of a listener until the context ends.
+// Listen serves the connections of a listener until the context ends.
 func (g *Gateway) Listen(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler:           g,
--- a/internal/node/gateway/headers.go
+++ b/internal/node/gateway/headers.go
@@ -9,7 +9,8 @@
 	"stepwick/internal/port"
 )
 
-// hopHeaders concern a single connection and are not forwarded (RFC 9110, 7.6.1).
+// hopHeaders are the headers that are not forwarded: hop-by-hop headers (RFC 9110,
+// section 7.6.1), Content-Length and Expect.
 var hopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -24,10 +25,10 @@
 	"Expect",
 }
 
-// protectedHeaders are forwarded even where a Connection header names them.
+// protectedHeaders are forwarded even if a Connection header lists them.
 var protectedHeaders = []string{"Host", "Content-Type"}
 
-// dropHopHeaders removes hopHeaders and those that the Connection header names.
+// dropHopHeaders removes hopHeaders and the headers that the Connection header lists.
 func dropHopHeaders(header http.Header) {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -42,16 +43,16 @@
 	}
 }
 
-// target returns the path and query as they were received.
-func (q *request) target() string {
+// requestTarget returns the path and query in the form in which they were received.
+func (q *request) requestTarget() string {
 	if strings.HasPrefix(q.http.RequestURI, "/") {
 		return q.http.RequestURI
 	}
 	return q.http.URL.RequestURI()
 }
 
-// upstreamRequest returns the request to send to a server: the client's, but for
-// hop-by-hop headers and what the dialect adds or removes.
+// upstreamRequest returns the request to send to a server: the client's request without
+// hop-by-hop headers and with the changes of the dialect.
 func (q *request) upstreamRequest(server upstream.Server, lastEventID string) *upstream.Request {
 	header := q.http.Header.Clone()
 	dropHopHeaders(header)
@@ -65,7 +66,7 @@
 	requestID := q.call.ID
 	return &upstream.Request{
 		Method: q.http.Method,
-		Target: q.target(),
+		Target: q.requestTarget(),
 		Host:   q.http.Host,
 		Header: header,
 		Body:   q.body,
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// endRejected is the value of the attempts metric's label "end" for an attempt
-// that the server reports as not executed; others are kinds of upstream failures.
+// endRejected is the value of the label "end" of the attempts metric for an attempt that
+// the server did not execute. Its other values are those of upstream.FailureKind.
 const endRejected = "rejected"
 
 // metrics are the gateway's Prometheus collectors.
@@ -44,7 +44,7 @@
 	return created, nil
 }
 
-// requestFinished counts a request by its result; a nil error counts as OK.
+// requestFinished counts a request by the code of its error, OK if apiErr is nil.
 func (m *metrics) requestFinished(service string, apiErr *apierror.Error) {
 	code := apierror.OK
 	if apiErr != nil {
--- a/internal/node/gateway/passive_health.go
+++ b/internal/node/gateway/passive_health.go
@@ -10,18 +10,18 @@
 
 const (
 	stallCheckInterval = 100 * time.Millisecond
-	// recentResponse is how recent a server's response to this node must be to
-	// contradict another node's report that the server is unresponsive.
+	// recentResponse is the maximum age of a server's last response to this node at which
+	// it contradicts another node's report that the server is unresponsive.
 	recentResponse = 400 * time.Millisecond
 )
 
-// passiveHealth is what the dispatcher knows of unresponsive servers by the
-// requests that it sent them.
+// passiveHealth holds the dispatcher's state for detecting unresponsive servers from the
+// requests sent to them.
 type passiveHealth struct {
-	// unreachable are the servers that the newest view has as unreachable.
+	// unreachable are the servers that are unreachable according to the current view.
 	unreachable []string
-	// stalled has the servers that stall, with the highest level that was acted on.
-	// The suspicion of package balance is another thing: it counts failures.
+	// stalled maps each stalled server to the highest level that was handled. It is
+	// unrelated to the suspicion of package balance, which counts failed requests.
 	stalled map[string]balance.StallLevel
 }
 
@@ -34,9 +34,9 @@
 	}
 }
 
-// checkStalled reports servers that have stopped to respond to what this node sent
-// them, those that respond to it again, and those that are reported as unreachable
-// by others and have recently responded to this node.
+// checkStalled handles the servers that have stalled. It reports those that respond to
+// this node again after a stall, and those that other nodes report as unreachable but
+// that have recently responded to this node.
 func (d *dispatcher) checkStalled() {
 	if d.disabled[balance.UnresponsiveReports] {
 		return
@@ -47,7 +47,7 @@
 		d.handleStall(upstream.Server{Name: name, Address: server.Address}, server.Level)
 	}
 	for name := range d.stalled {
-		if _, still := stalled[name]; still {
+		if _, stillStalled := stalled[name]; stillStalled {
 			continue
 		}
 		delete(d.stalled, name)
@@ -56,7 +56,7 @@
 		}
 	}
 	for _, name := range d.unreachable {
-		if _, still := stalled[name]; !still && d.respondedRecently(name, now) {
+		if _, stillStalled := stalled[name]; !stillStalled && d.respondedRecently(name, now) {
 			d.health.report(upstream.Server{Name: name}, true)
 		}
 	}
@@ -66,26 +66,28 @@
 	return d.table.RespondedSince(server, now.Add(-recentResponse))
 }
 
-// handleStall acts once on each higher stall level of a server: it has the server probed,
-// and reports one that is unresponsive. Without probes it reports one that stalls.
+// handleStall acts once on each higher stall level of a server. A server that starts to
+// stall is probed, and a server at balance.Unresponsive is reported as unreachable. If
+// probes are disabled, a server is already reported at balance.Stalled.
 func (d *dispatcher) handleStall(server upstream.Server, level balance.StallLevel) {
 	previous := d.stalled[server.Name]
 	if level <= previous {
 		return
 	}
-	probes := !d.disabled[balance.ProbeBeforeReport]
+	probeFirst := !d.disabled[balance.ProbeBeforeReport]
 	switch {
-	case level == balance.Unresponsive, !probes && level == balance.Stalled && previous < balance.Stalled:
+	case level == balance.Unresponsive, !probeFirst && level == balance.Stalled && previous < balance.Stalled:
 		d.health.report(server, false)
-	case probes && previous == balance.NotStalled:
+	case probeFirst && previous == balance.NotStalled:
 		d.health.probeStalled(server)
 	}
 	d.stalled[server.Name] = level
 }
 
-// serverUnacknowledged ejects a server whose machine stopped to acknowledge, and
-// reports it unless it has been reported as such already.
-func (d *dispatcher) serverUnacknowledged(server string, now time.Time) {
+// handleUnacknowledgedServer ejects a server whose machine stopped acknowledging data,
+// and reports it as unreachable unless it has already been reported at
+// balance.Unresponsive.
+func (d *dispatcher) handleUnacknowledgedServer(server string, now time.Time) {
 	d.table.EjectUnacknowledgedServer(server, now)
 	d.closeIdleConnections(server)
 	if status := d.view.Servers[server]; status != nil && d.stalled[server] < balance.Unresponsive {
--- a/internal/node/gateway/queue.go
+++ b/internal/node/gateway/queue.go
@@ -12,35 +12,38 @@
 )
 
 const (
-	maxSubmissions      = 1024 // requests that the dispatcher has not processed yet
-	maxQueued           = 4096 // requests that wait for capacity
+	maxSubmissions      = 1024 // submitted requests that the dispatcher has not processed yet
+	maxQueued           = 4096 // requests that wait for server capacity
 	queueFullRetryAfter = time.Second
 )
 
-// assignmentRequest is a request's submission to the dispatcher for a server.
+// assignmentRequest is the submission of a request to the dispatcher, which assigns a
+// server to it.
 type assignmentRequest struct {
-	request  balance.Request
-	sequence uint64 // order of arrival in the queue
-	first    bool   // the client's request itself, not a retry of it
-	// assigned receives the one assignment. It has room for it, so that the
-	// dispatcher never waits for a handler.
+	request        balance.Request
+	sequence       uint64 // position in the order of insertion into the queue
+	isFirstAttempt bool   // not a retry
+	// assigned receives the assignment. It is buffered, so that the dispatcher never
+	// blocks on a handler.
 	assigned  chan assignment
 	attempt   *balance.Attempt
-	abandoned bool // the handler gave up before the dispatcher processed the request
+	abandoned bool // the handler no longer waits for a server
 }
 
-// assignment is a server for one attempt, or the error why there is none.
+// assignment is the server assigned to one attempt, or an error.
 type assignment struct {
 	server  upstream.Server
 	attempt *balance.Attempt
 	apiErr  *apierror.Error
 }
 
-// assign waits until the request is assigned a server or is refused one.
-func (d *dispatcher) assign(ctx context.Context, request balance.Request, first bool) assignment {
-	submitted := &assignmentRequest{request: request, first: first, assigned: make(chan assignment, 1)}
+// assign submits a request to the dispatcher and waits for its assignment. It returns an
+// error if the submission queue is full, or if the context ends or the dispatcher stops
+// first.
+func (d *dispatcher) assign(ctx context.Context, request balance.Request, isFirstAttempt bool) assignment {
+	submitted := &assignmentRequest{request: request, isFirstAttempt: isFirstAttempt, assigned: make(chan assignment, 1)}
 	if !d.submissions.TryPut(submitted) {
-		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", maxSubmissions)
+		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests are already waiting for the dispatcher", maxSubmissions)
 		return assignment{apiErr: apiErr.WithRetryAfter(queueFullRetryAfter)}
 	}
 	select {
@@ -49,30 +52,30 @@
 	case <-ctx.Done():
 	case <-d.stopped:
 	}
-	d.send(attemptUpdate{kind: requestAbandoned, request: submitted})
-	return assignment{apiErr: apierror.Errorf(apierror.DeadlinePassed, "the request was given up while it waited for a server")}
+	d.sendUpdate(attemptUpdate{kind: requestAbandoned, request: submitted})
+	return assignment{apiErr: apierror.Errorf(apierror.DeadlinePassed, "the request ended while it waited for a server")}
 }
 
-// assignOrQueue assigns a submitted request a server, or queues it when none has
-// capacity.
+// assignOrQueue assigns a server to a submitted request, or queues the request if no
+// server has capacity.
 func (d *dispatcher) assignOrQueue(submitted *assignmentRequest) {
 	if submitted.abandoned {
 		return
 	}
 	now := d.clock.Now()
-	if submitted.first {
+	if submitted.isFirstAttempt {
 		d.table.CountRequest(submitted.request.Service, now)
 	}
 	if d.tryAssign(submitted, now) {
 		return
 	}
-	if !d.queue.add(submitted) {
-		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests wait for room", maxQueued)
+	if !d.queue.insert(submitted) {
+		apiErr := apierror.Errorf(apierror.QueueFull, "%d requests are already waiting for server capacity", maxQueued)
 		submitted.assigned <- assignment{apiErr: apiErr.WithRetryAfter(queueFullRetryAfter)}
 	}
 }
 
-// tryAssign assigns a request its server or its error; it returns false when the
+// tryAssign sends a server or an error to the request's handler. It returns false if the
 // request has to wait for capacity.
 func (d *dispatcher) tryAssign(submitted *assignmentRequest, now time.Time) bool {
 	choice := d.table.Choose(&submitted.request, now)
@@ -91,14 +94,16 @@
 	return true
 }
 
-// assignQueued assigns servers to the queued requests that can have one now.
+// assignQueued calls tryAssign for the queued requests and removes those that got a
+// result.
 func (d *dispatcher) assignQueued() {
 	now := d.clock.Now()
 	d.queue.removeIf(func(queued *assignmentRequest) bool { return d.tryAssign(queued, now) })
 }
 
-// abandon removes a request whose handler gave up. It may not have been processed
-// yet, or may already have a server, whose attempt ends then.
+// abandon removes a request whose handler no longer waits for a server. If the request
+// already has a server, its attempt is finished as cancelled. If it has not been processed
+// yet, assignOrQueue ignores it.
 func (d *dispatcher) abandon(submitted *assignmentRequest, now time.Time) {
 	submitted.abandoned = true
 	if !d.queue.remove(submitted) {
@@ -106,24 +111,24 @@
 	}
 }
 
-// requestQueue holds the requests that wait for capacity, the most urgent first,
-// then the oldest.
+// requestQueue holds the requests that wait for capacity, ordered by urgency, then by
+// arrival.
 type requestQueue struct {
 	requests []*assignmentRequest
-	sequence uint64 // of the request that was added last
+	sequence uint64 // of the last inserted request
 }
 
 func (q *requestQueue) empty() bool { return len(q.requests) == 0 }
 
-// add returns false when the queue is full.
-func (q *requestQueue) add(added *assignmentRequest) bool {
+// insert returns false if the queue is full.
+func (q *requestQueue) insert(queued *assignmentRequest) bool {
 	if len(q.requests) >= maxQueued {
 		return false
 	}
 	q.sequence++
-	added.sequence = q.sequence
-	position, _ := slices.BinarySearchFunc(q.requests, added, compareQueued)
-	q.requests = slices.Insert(q.requests, position, added)
+	queued.sequence = q.sequence
+	position, _ := slices.BinarySearchFunc(q.requests, queued, compareQueued)
+	q.requests = slices.Insert(q.requests, position, queued)
 	return true
 }
 
@@ -131,7 +136,7 @@
 	return cmp.Or(cmp.Compare(a.request.Urgency, b.request.Urgency), cmp.Compare(a.sequence, b.sequence))
 }
 
-// remove returns false when the request is not queued.
+// remove returns false if the request is not queued.
 func (q *requestQueue) remove(removed *assignmentRequest) bool {
 	position := slices.Index(q.requests, removed)
 	if position < 0 {
@@ -141,7 +146,7 @@
 	return true
 }
 
-// removeIf calls assigned for each request in order and removes those for which it
+// removeIf calls assigned for each request in order and removes the requests for which it
 // returns true.
 func (q *requestQueue) removeIf(assigned func(*assignmentRequest) bool) {
 	q.requests = slices.DeleteFunc(q.requests, assigned)
--- a/internal/node/gateway/relay.go
+++ b/internal/node/gateway/relay.go
@@ -15,47 +15,47 @@
 )
 
 const (
-	// maxBufferedResponse is how many bytes of a response that is no stream are
-	// read before any of it is relayed, so that an attempt which fails until then
+	// maxBufferedResponse is the number of bytes of a response other than a stream that
+	// are read before any of them is relayed, so that an attempt that fails before then
 	// can be retried.
 	maxBufferedResponse = 1 << 20
 	readChunkSize       = 8 << 10
 	copyChunkSize       = 16 << 10
 )
 
-// relay passes responses on to the client: a single one, or a stream that several
-// servers may carry one after the other.
+// relay relays the response to the client. A stream may be continued by responses of
+// other servers.
 type relay struct {
 	request *request
 	// ctx ends when the client disconnects or the deadline passes.
 	ctx                context.Context
-	started            bool   // something was written to the client
-	lastEventID        string // of the last event that was relayed
+	started            bool   // whether a part of the response was written to the client
+	lastEventID        string // id of the last event that was relayed
 	clientDisconnected bool
 }
 
-// relay passes a response on. retry reports that the request may be sent to
-// another server, where its route allows that.
+// relay relays a server's response. retry reports whether the request can be sent to
+// another server if its route allows that.
 func (r *relay) relay(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
 	succeeded := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
 	if r.request.route.Kind == sheet.RouteStream && succeeded {
 		return r.relayStream(response, attempt)
 	}
 	if r.started {
-		return apierror.Errorf(apierror.StreamCut, "a server answered %d to a stream that was to go on", response.Status), true
+		return apierror.Errorf(apierror.StreamCut, "the server responded with status %d to a request to resume the stream", response.Status), true
 	}
 	return r.relaySingle(response, attempt)
 }
 
-// relaySingle relays a response that is no stream. One of at most
-// maxBufferedResponse bytes is relayed only once it is known to be complete.
+// relaySingle relays a response that is not a stream. A response shorter than
+// maxBufferedResponse is relayed only once it is complete.
 func (r *relay) relaySingle(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
 	body := make([]byte, 0, max(min(response.Length(), maxBufferedResponse), 0))
 	body, err := readUpTo(response, body, maxBufferedResponse)
-	r.request.gateway.dispatcher.responseStarted(attempt)
+	r.request.gateway.dispatcher.reportResponseStarted(attempt)
 	switch {
 	case err == io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
-		return r.writeComplete(response, body), false
+		return r.writeCompleteResponse(response, body), false
 	case err != nil:
 		return r.responseError(err), true
 	}
@@ -63,13 +63,13 @@
 	if _, err := r.writer().Write(body); err != nil {
 		return r.clientError(err), false
 	}
-	if err := r.copyRest(response); err != nil {
+	if err := r.copyRemainder(response); err != nil {
 		return r.responseError(err), false
 	}
 	return nil, false
 }
 
-func (r *relay) writeComplete(response *upstream.Response, body []byte) *apierror.Error {
+func (r *relay) writeCompleteResponse(response *upstream.Response, body []byte) *apierror.Error {
 	r.copyHeader(response)
 	r.writer().Header().Set("Content-Length", strconv.Itoa(len(body)))
 	r.writer().WriteHeader(response.Status)
@@ -80,12 +80,12 @@
 	return nil
 }
 
-// readUpTo appends to body until the reader ends, with io.EOF, or body has limit
-// bytes or more.
-func readUpTo(from io.Reader, body []byte, limit int) ([]byte, error) {
+// readUpTo appends the reader's bytes to body until body has at least limit bytes or a
+// read fails. At the end of the reader it returns io.EOF.
+func readUpTo(reader io.Reader, body []byte, limit int) ([]byte, error) {
 	var chunk [readChunkSize]byte
 	for len(body) < limit {
-		count, err := from.Read(chunk[:])
+		count, err := reader.Read(chunk[:])
 		body = append(body, chunk[:count]...)
 		if err != nil {
 			return body, err
@@ -94,7 +94,7 @@
 	return body, nil
 }
 
-func (r *relay) copyRest(response *upstream.Response) error {
+func (r *relay) copyRemainder(response *upstream.Response) error {
 	var chunk [copyChunkSize]byte
 	for {
 		count, err := response.Read(chunk[:])
@@ -112,7 +112,8 @@
 	}
 }
 
-// writeHeader writes the status and header of the first server's response, once.
+// writeHeader writes the status and header of a response, unless one was started already:
+// a resumed stream keeps the header of the first server.
 func (r *relay) writeHeader(response *upstream.Response) {
 	if r.started {
 		return
@@ -131,7 +132,7 @@
 	if r.request.gateway.draining.Load() {
 		header.Set("Connection", "close")
 	}
-	// A nil value keeps net/http from adding a header that the server did not send.
+	// A nil value prevents net/http from adding a header that the server did not send.
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, present := response.Header[name]; !present {
 			header[name] = nil
@@ -141,14 +142,13 @@
 
 func (r *relay) writer() http.ResponseWriter { return r.request.writer }
 
-// clientError returns the error for a write to the client that failed.
+// clientError returns the error for a failed write to the client.
 func (r *relay) clientError(err error) *apierror.Error {
 	r.clientDisconnected = true
-	return apierror.Errorf(apierror.CallerGone, "the client takes no answer: %s", err)
+	return apierror.Errorf(apierror.CallerGone, "write the response to the client: %s", err)
 }
 
-// responseError returns the error for a response that could not be relayed to its
-// end.
+// responseError returns the error for a response that could not be relayed completely.
 func (r *relay) responseError(err error) *apierror.Error {
 	var apiErr *apierror.Error
 	if errors.As(err, &apiErr) {
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -11,11 +11,11 @@
 	"stepwick/internal/port"
 )
 
-// noService is the value of the requests metric's label "service" for a request
-// that was refused before a service was selected.
+// noService is the value of the label "service" of the requests metric for a request that
+// was rejected before a service was selected.
 const noService = "(none)"
 
-// request is one client's request. Its handler goroutine owns it.
+// request is the state of one client request. Its handler goroutine owns it.
 type request struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
@@ -24,32 +24,32 @@
 	arrived time.Time
 
 	admission
-	body          []byte
-	bufferedBytes int64 // taken from the gateway's budget of buffered bodies
-	deadline      time.Time
-	service       string
-	selection     balance.Request
-	executions    int // servers that may have executed it
-	// replacement is the server assigned in place of one that was silent.
+	body               []byte
+	bufferedBytes      int64 // reserved in the gateway's budget of buffered bodies
+	deadline           time.Time
+	service            string
+	selection          balance.Request
+	possibleExecutions int // number of servers that may have executed the request
+	// replacement is the server that was assigned in place of a stalled one.
 	replacement *assignment
 }
 
-// admission is what the configuration says of a request that was admitted.
+// admission holds the parts of the configuration that apply to an admitted request.
 type admission struct {
-	index       *sheet.Index // of the configuration that admitted the request
-	route       *sheet.NamedRoute
-	tenant      string // empty for a public route without a known key
-	tenantTerms sheet.Tenant
+	index        *sheet.Index // of the configuration by which the request was admitted
+	route        *sheet.NamedRoute
+	tenant       string // empty for a public route without a valid key
+	tenantConfig sheet.Tenant
 }
 
-// ServeHTTP serves one request that came by a route.
+// ServeHTTP serves one request for a route.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := &request{gateway: g, writer: w, http: r, arrived: g.clock.Now(), service: noService}
 	g.lastArrival.Store(int64(q.arrived.Sub(g.started)))
 	g.inFlight.Add(1)
 	g.metrics.inFlight.Inc()
 	defer func() {
-		g.bodies.Release(q.bufferedBytes)
+		g.bodyBudget.Release(q.bufferedBytes)
 		g.metrics.inFlight.Dec()
 		g.inFlight.Add(-1)
 	}()
@@ -59,15 +59,16 @@
 	}
 	apiErr := q.admit()
 	if apiErr == nil {
-		apiErr = q.run()
+		apiErr = q.runAttempts()
 	}
 	g.metrics.requestFinished(q.service, apiErr)
 	if apiErr != nil {
-		q.reject(apiErr)
+		q.writeError(apiErr)
 	}
 }
 
-// recoverPanic logs a panic and aborts the client's connection.
+// recoverPanic recovers from a panic of the handler, logs it and aborts the client's
+// connection.
 func (q *request) recoverPanic() {
 	panicked := recover()
 	if panicked == nil {
@@ -79,9 +80,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// reject answers the client with an error. It panics with http.ErrAbortHandler
-// when the client has disconnected.
-func (q *request) reject(apiErr *apierror.Error) {
+// writeError logs an error and writes it as the response. It panics with
+// http.ErrAbortHandler if the client has disconnected.
+func (q *request) writeError(apiErr *apierror.Error) {
 	if apiErr.Code == apierror.CallerGone {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/node/gateway/selection.go
+++ b/internal/node/gateway/selection.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// maxUrgency is the least urgent of the ten urgencies that servers know.
+	// maxUrgency is the lowest urgency; servers distinguish ten, of which 0 is the highest.
 	maxUrgency = 9
-	// urgenciesPerTenantPriority is how many route priorities are distinguished within
-	// a priority of tenants.
+	// urgenciesPerTenantPriority is the number of route priorities that are distinguished
+	// within one tenant priority.
 	urgenciesPerTenantPriority = 3
-	// A request waits for a server's capacity for at most the part
-	// 1/queueTimeoutDivisor of its latency objective, and maxQueueTimeout.
+	// A request waits for server capacity for at most its route's latency objective
+	// divided by queueTimeoutDivisor, and at most maxQueueTimeout.
 	queueTimeoutDivisor = 4
 	maxQueueTimeout     = time.Second
 	noRegionRetryAfter  = time.Second
 )
 
-// prepareSelection sets the service of the request and what the selection of a
-// server depends on.
+// prepareSelection selects the service of the request and sets the properties that server
+// selection depends on.
 func (q *request) prepareSelection() *apierror.Error {
-	regions, possible := allowedRegions(q.route.AllowedRegions, q.tenantTerms)
-	if !possible {
-		apiErr := apierror.Errorf(apierror.NoServer, "the homes of the route and of the tenant have no region in common")
+	regions, ok := allowedRegions(q.route.AllowedRegions, q.tenantConfig)
+	if !ok {
+		apiErr := apierror.Errorf(apierror.NoServer, "route %s and tenant %s have no allowed region in common", q.route.Name, q.tenant)
 		return apiErr.WithRetryAfter(noRegionRetryAfter)
 	}
 	objective := time.Duration(q.route.ObjectiveMS) * time.Millisecond
@@ -39,7 +39,7 @@
 		ID:             q.call.ID,
 		Service:        q.service,
 		AllowedRegions: regions,
-		Urgency:        urgency(q.tenantTerms.Priority, q.route.Priority),
+		Urgency:        urgency(q.tenantConfig.Priority, q.route.Priority),
 		Route:          q.route.Name,
 		MaxEventGap:    time.Duration(q.route.EventGapMS) * time.Millisecond,
 		UnsharedTokens: q.call.TokensIn,
@@ -53,9 +53,10 @@
 	return nil
 }
 
-// allowedRegions returns the regions that may serve a request, empty for all. It
-// is not possible to serve one whose route and tenant have no region in common.
-func allowedRegions(routeRegions []string, tenant sheet.Tenant) (regions []string, possible bool) {
+// allowedRegions returns the regions that may serve a request; empty for all. ok is false
+// if the route and the tenant have no allowed region in common, so that no region may
+// serve it.
+func allowedRegions(routeRegions []string, tenant sheet.Tenant) (regions []string, ok bool) {
 	tenantRegions := tenant.AllowedRegions
 	if tenant.HomeRegion != "" {
 		tenantRegions = append(slices.Clip(tenantRegions), tenant.HomeRegion)
@@ -74,16 +75,17 @@
 	return regions, len(regions) > 0
 }
 
-// urgency combines the priorities of a tenant and of a route to one of the
-// urgencies that servers know, of which 0 is the most urgent.
+// urgency combines the priorities of a tenant and of a route into one of the urgencies that
+// servers distinguish, of which 0 is the most urgent. The tenant's priority takes
+// precedence.
 func urgency(tenantPriority, routePriority int) int {
-	within := min(routePriority, urgenciesPerTenantPriority-1)
-	return min(tenantPriority*urgenciesPerTenantPriority+within, maxUrgency)
+	routeUrgency := min(routePriority, urgenciesPerTenantPriority-1)
+	return min(tenantPriority*urgenciesPerTenantPriority+routeUrgency, maxUrgency)
 }
 
-// sharedPrefix returns the digest and the tokens of the prefix that a prompt shares
-// with others: all parts but the last, which belongs to the request or its session
-// alone; a prompt of one part shares that.
+// sharedPrefix returns the digest and the number of tokens of the prefix that a prompt
+// shares with others. These are all parts except the last, which is specific to the
+// request or its session. A prompt of a single part shares that part.
 func sharedPrefix(parts []port.PromptPart) (digest uint64, tokens float64) {
 	if len(parts) > 1 {
 		parts = parts[:len(parts)-1]
@@ -95,8 +97,9 @@
 	return digest, tokens
 }
 
-// selectService selects one of the route's services by their weights. The request's
-// id decides, so that a retry by the client goes to the same service.
+// selectService selects one of the route's services according to their weights. The
+// selection is a hash of the request id, so that a retry by the client is sent to the same
+// service.
 func (q *request) selectService() string {
 	splits := q.route.Splits
 	if len(splits) == 1 {
@@ -116,5 +119,6 @@
 	return splits[len(splits)-1].Service
 }
 
-// unitInterval maps a hash to [0, 1) by as many of its bits as a float64 holds.
+// unitInterval maps a hash to [0, 1). It uses the upper 53 bits, the precision of a
+// float64.
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
--- a/internal/node/gateway/selection_test.go
+++ b/internal/node/gateway/selection_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestServiceWeights(t *testing.T) {
-	Convey("Each service of a route gets requests by its weight", t, func() {
+	Convey("Each service of a route gets requests in proportion to its weight", t, func() {
 		route := &sheet.NamedRoute{Route: sheet.Route{Splits: []sheet.Split{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}}
 		counts := map[string]int{}
 		for i := range 5000 {
@@ -24,7 +24,7 @@
 }
 
 func TestUrgency(t *testing.T) {
-	Convey("A tenant's priority takes precedence over the route's, within the urgencies that servers know", t, func() {
+	Convey("A tenant's priority takes precedence over the route's, within the urgencies that servers distinguish", t, func() {
 		So(urgency(0, 2), ShouldBeLessThan, urgency(1, 0))
 		So(urgency(0, 0), ShouldBeLessThan, urgency(0, 1))
 		So(urgency(50, 50), ShouldEqual, maxUrgency)
--- a/internal/node/gateway/server_health.go
+++ b/internal/node/gateway/server_health.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// probeInterval is the time between probes of an unresponsive server. Only the
-	// nodes that found it unresponsive probe it.
+	// probeInterval is the time between probes of an unresponsive server. Only nodes that
+	// found it unresponsive themselves probe it.
 	probeInterval   = 500 * time.Millisecond
 	probeTimeout    = 400 * time.Millisecond
 	maxObservations = 256
 )
 
-// observationKind is what requests or a probe showed of a server.
+// observationKind is a change of a server's health, as observed by requests or a probe.
 type observationKind int
 
 const (
-	// serverUnresponsive: the server is reported to the fleet and probed until it
-	// responds.
+	// serverUnresponsive means that the server is reported to the fleet as unreachable
+	// and probed until it responds.
 	serverUnresponsive observationKind = iota
-	// serverResponsive: the server is reported to the fleet as reachable.
+	// serverResponsive means that the server is reported to the fleet as reachable.
 	serverResponsive
-	// serverRecovered: the server responds again, which is reported only if this
-	// node has reported it as unresponsive.
+	// serverRecovered means that the server responds again. It is reported as reachable
+	// only if this node has reported it as unreachable.
 	serverRecovered
-	// serverStalled: the server is slower than expected and is probed before
+	// serverStalled means that the server is slower than expected. It is probed before
 	// anything is reported.
 	serverStalled
 )
@@ -38,22 +38,22 @@
 	kind   observationKind
 }
 
-// serverHealth owns the set of servers that this node found unresponsive. It
-// reports each to the fleet, so that other nodes need not find out with requests
-// of their own, probes it until it responds, and reports that too. A server that
-// is merely slower than expected is probed first: one that accepts connections is
-// busy, which is not reported.
+// serverHealth owns the set of servers that this node found unresponsive. It reports each
+// of them to the fleet, so that other nodes need not lose requests to detect it, probes
+// it until it responds, and reports that too. A server that is only slower than expected
+// is probed first: if it accepts connections it is busy, which is not reported.
 type serverHealth struct {
 	observe      func(ctx context.Context, server string, reachable bool)
 	clock        clock.Clock
 	client       *upstream.Client
 	observations chan observation
 	probeResults chan observation
-	unresponsive map[string]string // address by name
+	unresponsive map[string]string // address by server name
 	probing      map[string]bool
 }
 
-// newServerHealth returns a serverHealth that reports to observe, which may be nil.
+// newServerHealth returns a serverHealth that reports to the fleet by observe, which may
+// be nil.
 func newServerHealth(observe func(context.Context, string, bool), clock clock.Clock, client *upstream.Client) *serverHealth {
 	if observe == nil {
 		observe = func(context.Context, string, bool) {}
@@ -69,7 +69,7 @@
 	}
 }
 
-// report reports a server to the fleet as reachable or unresponsive.
+// report reports a server to the fleet as reachable or not.
 func (h *serverHealth) report(server upstream.Server, reachable bool) {
 	kind := serverUnresponsive
 	if reachable {
@@ -78,26 +78,29 @@
 	h.offer(observation{server: server, kind: kind})
 }
 
-// reportRecovered reports that a server responds to this node again, if it was
-// reported as unresponsive.
+// reportRecovered reports a server that responds to this node again as reachable, if this
+// node has reported it as unreachable.
 func (h *serverHealth) reportRecovered(server upstream.Server) {
 	h.offer(observation{server: server, kind: serverRecovered})
 }
 
-// probeStalled has a server probed, and reported if it does not accept the connection.
+// probeStalled probes a server, and reports it as unreachable if it does not accept the
+// connection.
 func (h *serverHealth) probeStalled(server upstream.Server) {
 	h.offer(observation{server: server, kind: serverStalled})
 }
 
-// offer drops an observation when the queue is full, as later ones repeat it.
-func (h *serverHealth) offer(o observation) {
+// offer queues an observation. It drops the observation if the queue is full, as later
+// ones repeat it.
+func (h *serverHealth) offer(offered observation) {
 	select {
-	case h.observations <- o:
+	case h.observations <- offered:
 	default:
 	}
 }
 
-// Serve owns the unresponsive servers until the context ends.
+// Serve reports and probes servers until the context ends. Its goroutine owns the set of
+// unresponsive servers.
 func (h *serverHealth) Serve(ctx context.Context) error {
 	ticker := h.clock.Ticker(probeInterval)
 	defer ticker.Stop()
@@ -107,20 +110,20 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case received := <-h.observations:
-			h.apply(ctx, received)
+			h.applyObservation(ctx, received)
 		case result := <-h.probeResults:
 			delete(h.probing, result.server.Name)
-			h.apply(ctx, result)
+			h.applyObservation(ctx, result)
 		case <-ticker.C():
-			h.probeAll(ctx)
+			h.probeUnresponsiveServers(ctx)
 		}
 	}
 }
 
-// String returns the owner's name in log events.
-func (h *serverHealth) String() string { return "suspects" }
+// String returns the name used in log events.
+func (h *serverHealth) String() string { return "server health" }
 
-func (h *serverHealth) apply(ctx context.Context, received observation) {
+func (h *serverHealth) applyObservation(ctx context.Context, received observation) {
 	name := received.server.Name
 	switch received.kind {
 	case serverStalled:
@@ -139,16 +142,16 @@
 	h.observe(ctx, name, received.kind != serverUnresponsive)
 }
 
-func (h *serverHealth) probeAll(ctx context.Context) {
+func (h *serverHealth) probeUnresponsiveServers(ctx context.Context) {
 	for name, address := range h.unresponsive {
 		h.probe(ctx, upstream.Server{Name: name, Address: address}, serverResponsive)
 	}
 }
 
-// probe opens a connection to a server; success is the kind of observation when it
-// responds. A refused connection is a response too: the machine is up, and
-// requests find out about the server themselves.
-func (h *serverHealth) probe(ctx context.Context, server upstream.Server, success observationKind) {
+// probe opens a connection to a server, unless a probe of it is in progress. successKind
+// is the kind of observation if the server responds. A refused connection also counts as
+// a response: the machine is up, and requests detect the refusal themselves.
+func (h *serverHealth) probe(ctx context.Context, server upstream.Server, successKind observationKind) {
 	if h.probing[server.Name] {
 		return
 	}
@@ -159,7 +162,7 @@
 		failure := h.client.Preconnect(probeCtx, server)
 		result := observation{server: server, kind: serverUnresponsive}
 		if failure == nil || failure.Kind == upstream.Refused {
-			result.kind = success
+			result.kind = successKind
 		}
 		select {
 		case h.probeResults <- result:
--- a/internal/node/gateway/stall_test.go
+++ b/internal/node/gateway/stall_test.go
@@ -19,26 +19,26 @@
 	"stepwick/internal/node/follower"
 )
 
-// silentFor is longer than any stall time-out of the test routes.
-const silentFor = 2 * minStallTimeout
+// pauseDuration is longer than the stall timeout of each test route.
+const pauseDuration = 2 * minStallTimeout
 
-// staysConnected sends nothing for silentFor, and reports whether the gateway kept
-// the connection.
+// staysConnected sends nothing for pauseDuration and reports whether the gateway kept the
+// connection open.
 func staysConnected(conn net.Conn) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(silentFor))
+	_ = conn.SetReadDeadline(time.Now().Add(pauseDuration))
 	_, err := conn.Read(make([]byte, 1))
 	_ = conn.SetReadDeadline(time.Time{})
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// pauseBeforeResponse answers after a silence.
+// pauseBeforeResponse pauses for pauseDuration before the response.
 func pauseBeforeResponse(r *http.Request, conn net.Conn) {
 	if staysConnected(conn) {
 		respondStream(false, 1)(r, conn)
 	}
 }
 
-// pauseInStream is silent between the first event and the second.
+// pauseInStream pauses for pauseDuration between the first event and the second.
 func pauseInStream(r *http.Request, conn net.Conn) {
 	event := func(id int) {
 		text := fmt.Sprintf("id: %d\ndata: x\n\n", id)
@@ -54,121 +54,121 @@
 }
 
 func TestStalledServerWithoutReplacement(t *testing.T) {
-	const wholeStream = "id: 1\ndata: x\n\nid: 2\ndata: x\n\n"
-	one := func(script serverScript) *testFleet {
-		s := newTestFleet(t)
-		s.addServer("s0", script)
-		return s.startGateway()
+	const completeStream = "id: 1\ndata: x\n\nid: 2\ndata: x\n\n"
+	startOneServer := func(script serverScript) *testFleet {
+		fleet := newTestFleet(t)
+		fleet.addServer("s0", script)
+		return fleet.startGateway()
 	}
-	Convey("A silent server keeps its request while there is no other server", t, func() {
-		got := one(pauseInStream).send("/stream/", "")
+	Convey("A request stays with a stalled server while there is no other server", t, func() {
+		got := startOneServer(pauseInStream).send("/stream/", "")
 		So(got.broken, ShouldBeFalse)
-		So(got.body, ShouldEqual, wholeStream)
-		got = one(pauseBeforeResponse).send("/stream/", "")
+		So(got.body, ShouldEqual, completeStream)
+		got = startOneServer(pauseBeforeResponse).send("/stream/", "")
 		So(got.status, ShouldEqual, http.StatusOK)
 		So(got.body, ShouldEqual, "id: 1\ndata: x\n\n")
 	})
-	Convey("A silent server keeps its request while the retry budget is spent", t, func() {
-		s := newTestFleet(t)
-		s.retrySlack = 1e-9
-		s.addServer("s0", pauseInStream)
-		s.addServer("s1", pauseInStream)
-		got := s.startGateway().send("/stream/", "")
+	Convey("A request stays with a stalled server while the retry budget is exhausted", t, func() {
+		fleet := newTestFleet(t)
+		fleet.retrySlack = 1e-9
+		fleet.addServer("s0", pauseInStream)
+		fleet.addServer("s1", pauseInStream)
+		got := fleet.startGateway().send("/stream/", "")
 		So(got.broken, ShouldBeFalse)
-		So(got.body, ShouldEqual, wholeStream)
+		So(got.body, ShouldEqual, completeStream)
 	})
-	Convey("A silent server keeps its request while the node may not send it to another one", t, func() {
-		withdrawals := map[string]func(s *testFleet){
-			"without authority": func(s *testFleet) { s.views.authorized.Store(false) },
-			"after a change of the route": func(s *testFleet) {
-				s.views.publish(func(v *follower.View) {
+	Convey("A request stays with a stalled server while the node must not send it to another one", t, func() {
+		revocations := map[string]func(fleet *testFleet){
+			"without authority": func(fleet *testFleet) { fleet.views.authorized.Store(false) },
+			"after a change of the route": func(fleet *testFleet) {
+				fleet.views.publish(func(v *follower.View) {
 					changed := *v.State.Sheet
 					changed.Routes = map[string]sheet.Route{}
 					v.State.Sheet = &changed
 				})
 			},
 		}
-		for name, withdraw := range withdrawals {
+		for name, revoke := range revocations {
 			Convey(name, func() {
-				var s *testFleet
+				var fleet *testFleet
 				var requests atomic.Int32
 				script := func(r *http.Request, conn net.Conn) {
 					if requests.Add(1) == 1 {
-						withdraw(s)
+						revoke(fleet)
 					}
 					pauseInStream(r, conn)
 				}
-				s = newTestFleet(t)
-				s.addServer("s0", script)
-				s.addServer("s1", script)
-				got := s.startGateway().send("/stream/", "")
+				fleet = newTestFleet(t)
+				fleet.addServer("s0", script)
+				fleet.addServer("s1", script)
+				got := fleet.startGateway().send("/stream/", "")
 				So(got.broken, ShouldBeFalse)
-				So(got.body, ShouldEqual, wholeStream)
+				So(got.body, ShouldEqual, completeStream)
 				So(requests.Load(), ShouldEqual, 1)
 			})
 		}
 	})
-	Convey("A change of the configuration that leaves the route as it was lets a broken stream resume", t, func() {
-		var s *testFleet
-		breaks := func(r *http.Request, conn net.Conn) {
-			s.views.publish(func(v *follower.View) {
+	Convey("An aborted stream is resumed after a configuration change that does not affect its route", t, func() {
+		var fleet *testFleet
+		publishAndBreak := func(r *http.Request, conn net.Conn) {
+			fleet.views.publish(func(v *follower.View) {
 				changed := *v.State.Sheet
 				v.State.Sheet = &changed
 			})
 			respondStream(true, 1)(r, conn)
 		}
-		script := firstThen(breaks, respondStream(false, 2))
-		s = newTestFleet(t)
-		s.addServer("s0", script)
-		s.addServer("s1", script)
-		got := s.startGateway().send("/stream/", "")
+		script := firstThen(publishAndBreak, respondStream(false, 2))
+		fleet = newTestFleet(t)
+		fleet.addServer("s0", script)
+		fleet.addServer("s1", script)
+		got := fleet.startGateway().send("/stream/", "")
 		So(got.broken, ShouldBeFalse)
-		So(got.body, ShouldEqual, wholeStream)
+		So(got.body, ShouldEqual, completeStream)
 	})
 }
 
 func TestStallWatch(t *testing.T) {
-	Convey("Given a watched attempt at one of two servers", t, func() {
-		s := newTestFleet(t)
-		s.addServer("s0", respond("ok"))
-		s.addServer("s1", respond("ok"))
-		s.startGateway()
-		sent, err := http.NewRequest(http.MethodPost, "http://h/stream/", nil)
+	Convey("Given a watched attempt on one of two servers", t, func() {
+		fleet := newTestFleet(t)
+		fleet.addServer("s0", respond("ok"))
+		fleet.addServer("s1", respond("ok"))
+		fleet.startGateway()
+		httpRequest, err := http.NewRequest(http.MethodPost, "http://h/stream/", nil)
 		So(err, ShouldBeNil)
-		q := &request{gateway: s.gateway, http: sent, arrived: time.Now()}
+		q := &request{gateway: fleet.gateway, http: httpRequest, arrived: time.Now()}
 		q.call.Key = "k"
-		So(q.match(s.views.View().Index), ShouldBeNil)
+		So(q.matchRouteAndTenant(fleet.views.View().Index), ShouldBeNil)
 		So(q.prepareSelection(), ShouldBeNil)
-		q.exclude(upstream.Server{Name: "s0"})
-		abandoned := false
-		watch := q.watchStall(context.Background(), 1, func() { abandoned = true })
-		Convey("the stall time-out ends it for the other server", func() {
-			watch.replace()
-			So(abandoned, ShouldBeTrue)
+		q.excludeServer(upstream.Server{Name: "s0"})
+		attemptCancelled := false
+		watch := q.watchStall(context.Background(), 1, func() { attemptCancelled = true })
+		Convey("the stall timeout cancels it in favour of the other server", func() {
+			watch.findReplacement()
+			So(attemptCancelled, ShouldBeTrue)
 			replacement, replaced := watch.stop()
 			So(replaced, ShouldBeTrue)
 			So(replacement.server.Name, ShouldEqual, "s1")
 		})
-		Convey("one that has been answered is not ended by a time-out that passed at that moment", func() {
+		Convey("a timeout that expires just after the watch was stopped does not cancel it", func() {
 			_, replaced := watch.stop()
 			So(replaced, ShouldBeFalse)
-			watch.replace()
-			So(abandoned, ShouldBeFalse)
+			watch.findReplacement()
+			So(attemptCancelled, ShouldBeFalse)
 		})
-		Convey("one that progresses while another server is looked for is not ended", func() {
-			watch.state.Store(stallReplacing)
-			watch.progress()
+		Convey("it is not cancelled if the server sends data while a replacement is being requested", func() {
+			watch.state.Store(stallSearching)
+			watch.recordProgress()
 			watch.finishSearch(assignment{})
-			So(abandoned, ShouldBeFalse)
+			So(attemptCancelled, ShouldBeFalse)
 			So(watch.state.Load(), ShouldEqual, stallWatching)
 			_, replaced := watch.stop()
 			So(replaced, ShouldBeFalse)
 		})
 	})
 	Convey("An attempt after which no other server may be tried is not watched", t, func() {
-		s := newTestFleet(t).startGateway()
-		route, _ := s.views.View().Index.Route("h", "/once/")
-		q := &request{gateway: s.gateway, admission: admission{route: route}}
+		fleet := newTestFleet(t).startGateway()
+		route, _ := fleet.views.View().Index.Route("h", "/once/")
+		q := &request{gateway: fleet.gateway, admission: admission{route: route}}
 		So(q.watchStall(context.Background(), 1, nil), ShouldBeNil)
 	})
 }
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -9,20 +9,20 @@
 	"stepwick/internal/decision/balance"
 )
 
-// relayStream relays events as they arrive. Only complete events are relayed, so
-// that another server can resume the stream after the last of them.
+// relayStream relays the events of a stream as they arrive. Only complete events are
+// relayed, so that another server can resume the stream after the last of them.
 func (r *relay) relayStream(response *upstream.Response, attempt *balance.Attempt) (apiErr *apierror.Error, retry bool) {
 	var events eventSplitter
 	var chunk [readChunkSize]byte
 	controller := http.NewResponseController(r.writer())
-	watch := r.request.watchStall(r.ctx, r.request.executions, response.Abort)
-	defer r.request.stopWatch(watch)
+	watch := r.request.watchStall(r.ctx, r.request.possibleExecutions, response.Abort)
+	defer r.request.stopStallWatch(watch)
 	for first := true; ; {
 		count, err := response.Read(chunk[:])
 		if count > 0 {
-			watch.progress()
+			watch.recordProgress()
 			if first {
-				r.request.gateway.dispatcher.responseStarted(attempt)
+				r.request.gateway.dispatcher.reportResponseStarted(attempt)
 				first = false
 			}
 			if apiErr := r.relayEvents(response, &events, chunk[:count], controller); apiErr != nil {
@@ -30,19 +30,19 @@
 			}
 		}
 		if err != nil {
-			return r.endStream(response, events.incomplete(), err)
+			return r.finishStream(response, events.incomplete(), err)
 		}
 	}
 }
 
-// relayEvents relays the events that data completes.
+// relayEvents appends data to events and relays the events that are now complete.
 func (r *relay) relayEvents(
 	response *upstream.Response,
 	events *eventSplitter,
 	data []byte,
 	controller *http.ResponseController,
 ) *apierror.Error {
-	complete := events.add(data)
+	complete := events.appendChunk(data)
 	if len(complete) == 0 {
 		return nil
 	}
@@ -59,15 +59,15 @@
 	return nil
 }
 
-// endStream decides on a stream whose body ended with err. Bytes after the last
-// complete event are relayed where the response's framing shows that its body is
-// complete.
-func (r *relay) endStream(response *upstream.Response, incomplete []byte, err error) (apiErr *apierror.Error, retry bool) {
+// finishStream handles the end of a response body, at which a read returned err. It
+// relays the bytes after the last complete event if the response's framing shows that the
+// body is complete.
+func (r *relay) finishStream(response *upstream.Response, incomplete []byte, err error) (apiErr *apierror.Error, retry bool) {
 	switch {
 	case err != io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
 		return r.responseError(err), true
 	case !response.HasFraming() && len(incomplete) > 0:
-		return apierror.Errorf(apierror.StreamCut, "the stream ended inside an event"), true
+		return apierror.Errorf(apierror.StreamCut, "the server closed the stream within an event"), true
 	}
 	r.writeHeader(response)
 	if _, err := r.writer().Write(incomplete); err != nil {
