--- a/internal/node/gateway/dispatcher.go
+++ b/internal/node/gateway/dispatcher.go
@@ -163,8 +163,8 @@
 	}
 	d.recordUnreachable(view)
 	serversChanged := d.view == nil || len(d.view.Servers) != len(view.Servers)
-	if d.view == nil || !view.SameFronts(d.view) {
-		d.fronts = view.Sharers()
+	if d.view == nil || !view.HasSameFronts(d.view) {
+		d.fronts = view.LimitSharers()
 	}
 	d.view = view
 	d.table.Update(balance.View{
