--- a/internal/node/front/admission_test.go
+++ b/internal/node/front/admission_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestAdmissionOrder(t *testing.T) {
-	Convey("Each request is decided by ruling, key, service and allowance, in this order", t, func() {
+	Convey("Admission checks authority, API key, service and quota, in this order", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(1, 0))
 			defer f.stop()
@@ -27,30 +27,30 @@
 				spent = append(spent, tenant, tokens, allowance)
 				return quota.Decision{Code: apierror.QuotaExceeded, RetryAfter: 3 * time.Second}
 			}
-			ask := func(target, body string) apierror.Code {
+			requestCode := func(target, body string) apierror.Code {
 				caller := f.connect()
 				defer func() { _ = caller.conn.Close() }()
 				caller.send("POST", target, "r1", "", body)
 				return caller.readResponse().code
 			}
-			f.checkEqual("service", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownService)
-			f.checkEqual("kind", ask("/v1/prompt", `{"service":"orders","max_tokens":1}`), apierror.WrongServiceKind)
-			f.checkEqual("kind", ask("/v1/call/chat/", ``), apierror.WrongServiceKind)
-			f.checkEqual("nothing spent so far", spent, []any{})
-			f.checkEqual("quota", ask("/v1/prompt", `{"service":"chat","prefix_tokens":1,"session_tokens":2,"max_tokens":4}`), apierror.QuotaExceeded)
-			f.checkEqual("quota", ask("/v1/call/orders/", ``), apierror.QuotaExceeded)
-			f.checkEqual("spent", spent, []any{"press", 7, quota.Allowance{Rate: 100, Burst: 10}, "press", 5, quota.Allowance{Rate: 100, Burst: 10}})
+			f.checkEqual("service", requestCode("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownService)
+			f.checkEqual("kind", requestCode("/v1/prompt", `{"service":"orders","max_tokens":1}`), apierror.WrongServiceKind)
+			f.checkEqual("kind", requestCode("/v1/call/chat/", ``), apierror.WrongServiceKind)
+			f.checkEqual("quota charges before the service is accepted", spent, []any{})
+			f.checkEqual("quota", requestCode("/v1/prompt", `{"service":"chat","prefix_tokens":1,"session_tokens":2,"max_tokens":4}`), apierror.QuotaExceeded)
+			f.checkEqual("quota", requestCode("/v1/call/orders/", ``), apierror.QuotaExceeded)
+			f.checkEqual("quota charges", spent, []any{"press", 7, quota.Allowance{Rate: 100, Burst: 10}, "press", 5, quota.Allowance{Rate: 100, Burst: 10}})
 			f.views.publish(withKeys("other"))
-			f.checkEqual("key", ask("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownKey)
+			f.checkEqual("key", requestCode("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownKey)
 			f.views.hasAuthority.Store(false)
-			f.checkEqual("ruling", ask("/v1/prompt", `{}`), apierror.NotRuling)
+			f.checkEqual("authority", requestCode("/v1/prompt", `{}`), apierror.NotRuling)
 		})
 	})
 }
 
 func TestRequestsBoundToAHomeRegion(t *testing.T) {
 	for kind, target := range map[string]string{"model": "/v1/prompt", "web": "/v1/call/orders/"} {
-		Convey("A request to a "+kind+" service that is bound to a home goes there, or is refused at once", t, func() {
+		Convey("A request to a "+kind+" service with a home region is served there or rejected immediately", t, func() {
 			inBubble(t, func(t *testing.T) {
 				near, far := streamingServer(1, 0), streamingServer(1, 0)
 				if kind == "web" {
@@ -71,26 +71,26 @@
 				})
 				synctest.Wait()
 				caller := f.connect()
-				ask := func(home string) response {
+				sendWithHome := func(home string) response {
 					caller.send("POST", target, "r1", "", fmt.Sprintf(`{"service":"chat","max_tokens":1%s}`, home))
 					return caller.readResponse()
 				}
 				for range 20 {
-					f.checkEqual("answer", ask("").status, 200)
-					told, _ := f.front.Inspect("explain", "r1")
-					f.checkEqual("server", told.(*Explanation).Attempts[0].Server, "s1")
+					f.checkEqual("answer", sendWithHome("").status, 200)
+					explanation, _ := f.front.Inspect("explain", "r1")
+					f.checkEqual("server", explanation.(*Explanation).Attempts[0].Server, "s1")
 				}
 				if kind == "model" {
-					f.checkEqual("its own home", ask(`,"home":"abeokuta"`).status, 200)
-					f.checkEqual("another home", ask(`,"home":"lagos"`).code, apierror.BadField)
+					f.checkEqual("home field equal to the tenant's home region", sendWithHome(`,"home":"abeokuta"`).status, 200)
+					f.checkEqual("home field with another region", sendWithHome(`,"home":"lagos"`).code, apierror.BadField)
 				}
 				f.views.publish(func(v *follower.View) { v.State.Version, v.State.Evacuated = 3, map[string]uint64{"abeokuta": 3} })
 				synctest.Wait()
-				before, began := near.runs("r1")+far.runs("r1"), time.Now()
-				got := ask("")
+				runsBefore, began := near.runs("r1")+far.runs("r1"), time.Now()
+				got := sendWithHome("")
 				f.checkEqual("evacuated", []any{got.code, strings.Contains(got.body, "retry_after_ms"), time.Since(began)}, []any{apierror.NoServer, true, 0 * time.Second})
-				f.checkEqual("runs", near.runs("r1")+far.runs("r1"), before)
-				f.checkEqual("capacity is told of too early", f.logged("plan_short"), false)
+				f.checkEqual("runs", near.runs("r1")+far.runs("r1"), runsBefore)
+				f.checkEqual("plan_short logged before the report interval", f.logged("plan_short"), false)
 				<-time.After(2 * time.Second)
 				f.checkEqual("events", []bool{f.logged("plan_taken"), f.logged("plan_short"), f.logged("plan_stale")}, []bool{true, true, true})
 			})
--- a/internal/node/front/attempt_test.go
+++ b/internal/node/front/attempt_test.go
@@ -20,21 +20,21 @@
 func TestServersThatDoNotRespond(t *testing.T) {
 	const second = time.Second
 	rows := []struct {
-		name, kind string
-		prefill    float64
-		seen       time.Duration
-		code       apierror.Code
-		after      time.Duration
-		runs       int
+		name, kind    string
+		prefill       float64
+		reportedAfter time.Duration
+		code          apierror.Code
+		answeredAfter time.Duration
+		runs          int
 	}{
-		{"a prompt goes elsewhere as soon as its watchers say so", "model", 0, 2 * second, 0, 2 * second, 2},
-		{"a prompt goes elsewhere once the server's load explains its silence no more", "model", 100, 30 * second, 0, second, 2},
-		{"a prompt of a busy server waits for what prefills before it", "model", 6, 30 * second, 0, 3 * second, 2},
-		{"a prompt goes elsewhere after the flat bound where the server tells no load", "model", 0, 30 * second, 0, 10 * second, 2},
-		{"a one-shot has an unknown outcome as soon as its watchers say so, and is not sent again", "web", 0, 2 * second, apierror.OutcomeUnknown, 2 * second, 1},
+		{"a prompt is retried as soon as health checks report the server as unreachable", "model", 0, 2 * second, 0, 2 * second, 2},
+		{"a prompt is retried once the server's load cannot account for the delay", "model", 100, 30 * second, 0, second, 2},
+		{"a prompt waits for the prefill of the requests before it", "model", 6, 30 * second, 0, 3 * second, 2},
+		{"a prompt is retried after the default time-out if the server reports no load", "model", 0, 30 * second, 0, 10 * second, 2},
+		{"a one-shot call gets outcome_unknown as soon as health checks report the server as unreachable, and is not retried", "web", 0, 2 * second, apierror.OutcomeUnknown, 2 * second, 1},
 	}
 	for _, row := range rows {
-		Convey("When a server goes dark before it answers, "+row.name, t, func() {
+		Convey("When a server stops responding before it answers, "+row.name, t, func() {
 			inBubble(t, func(t *testing.T) {
 				var first atomic.Pointer[string]
 				s, good := &fakeServer{}, streamingServer(1, 0)
@@ -64,7 +64,7 @@
 					caller.send("GET", "/v1/call/orders/", "r1", "", "")
 				}
 				synctest.Wait()
-				time.AfterFunc(row.seen, func() {
+				time.AfterFunc(row.reportedAfter, func() {
 					f.views.publish(func(v *follower.View) {
 						v.Servers = maps.Clone(v.Servers)
 						v.Servers[*first.Load()] = proto.CloneOf(v.Servers[*first.Load()])
@@ -72,7 +72,7 @@
 					})
 				})
 				got := caller.readResponse()
-				f.checkEqual("answer", []any{got.code, got.complete, time.Since(began), s.runs("r1")}, []any{row.code, true, row.after, row.runs})
+				f.checkEqual("answer", []any{got.code, got.complete, time.Since(began), s.runs("r1")}, []any{row.code, true, row.answeredAfter, row.runs})
 			})
 		})
 	}
--- a/internal/node/front/bench_test.go
+++ b/internal/node/front/bench_test.go
@@ -35,8 +35,9 @@
 
 var _ port.Peers = noPeers{}
 
-// benchFront is a front with a real tally and routing table, for a sheet of
-// five tenants, and a plan over model servers and one web server.
+// benchFront returns a running front with the quota service and routing table of
+// production, a sheet of five tenants, and a plan for a number of model servers and
+// one web server.
 func benchFront(b *testing.B, models int, web string) *Front {
 	state := statemachine.State{Version: 1, Sheet: &sheet.Sheet{
 		Services: map[string]sheet.Service{"chat": {Kind: "model"}, "orders": {Kind: "web", OneShotTokens: 5}}, Tenants: map[string]sheet.Tenant{}}}
@@ -62,17 +63,17 @@
 	views.changed.Store(&never)
 	views.hasAuthority.Store(true)
 	registry := prometheus.NewRegistry()
-	spend, err := quotasync.New(quotasync.Config{Self: "n1", Incarnation: 1, Metrics: registry}, noPeers{}, clock.System(), time.Now, func() []string { return []string{"n1"} }, events.Discard)
+	admitter, err := quotasync.New(quotasync.Config{Self: "n1", Incarnation: 1, Metrics: registry}, noPeers{}, clock.System(), time.Now, func() []string { return []string{"n1"} }, events.Discard)
 	if err != nil {
 		b.Fatal(err)
 	}
-	front, err := New(Config{Name: "n1", Region: "lagos", Zone: "a"}, views, spend, clock.System(), events.Discard, registry)
+	front, err := New(Config{Name: "n1", Region: "lagos", Zone: "a"}, views, admitter, clock.System(), events.Discard, registry)
 	if err != nil {
 		b.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var owners sync.WaitGroup
-	owners.Go(func() { _ = spend.Serve(ctx) })
+	owners.Go(func() { _ = admitter.Serve(ctx) })
 	owners.Go(func() { _ = front.Serve(ctx) })
 	b.Cleanup(func() {
 		cancel()
@@ -81,8 +82,8 @@
 	return front
 }
 
-// BenchmarkDecision is the decision path of one prompt: admission by key,
-// service and tally, then the route, with the explain journal.
+// BenchmarkDecision measures the decisions on one prompt: admission (API key,
+// service, quota) and the choice of a server, with their journal entries.
 func BenchmarkDecision(b *testing.B) {
 	for _, models := range []int{18, 200} {
 		b.Run(strconv.Itoa(models)+" servers", func(b *testing.B) {
@@ -98,20 +99,20 @@
 						b.Error(apiErr)
 						return
 					}
-					s, _, apiErr := c.acquireServer(ctx)
+					assigned, _, apiErr := c.acquireServer(ctx)
 					if apiErr != nil {
 						b.Error(apiErr)
 						return
 					}
-					front.router.release(s, outcomeOf(nil))
+					front.router.release(assigned, outcomeOf(nil))
 				}
 			})
 		})
 	}
 }
 
-// BenchmarkOneShot compares a one-shot through the front with the same call to
-// the server itself, both on a caller's kept-alive connection.
+// BenchmarkOneShot compares a one-shot call through the front with the same call
+// sent directly to the server, each on a keep-alive connection.
 func BenchmarkOneShot(b *testing.B) {
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Stepwick-Request-Id", r.Header.Get("Stepwick-Request-Id"))
--- a/internal/node/front/call.go
+++ b/internal/node/front/call.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// unknownService is the service label of requests whose service is not known.
+	// unknownService is the metric label of requests whose service is unknown.
 	unknownService = "unknown"
 
-	// shortRetryAfter is the least time after which a caller may retry where a
-	// retry may succeed soon, and defaultRetryAfter elsewhere.
+	// shortRetryAfter is the minimum time until a retry if the cause is expected to
+	// be short-lived; defaultRetryAfter applies otherwise.
 	shortRetryAfter   = 100 * time.Millisecond
 	defaultRetryAfter = time.Second
 )
 
-// call is one request from its admission to its result. It belongs to the
-// caller's goroutine, but for the part that the callRegistry shares.
+// call is one request from its admission to its result. Only the goroutine that
+// serves the request uses it, except for runningCall, which callRegistry shares.
 type call struct {
 	runningCall
 	front      *Front
 	id         string
-	service    string // the service label of its metrics
+	service    string // service label of the metrics
 	arrived    time.Time
-	lastServer string // the server of its last attempt
+	lastServer string // server of the last attempt
 	request    route.Request
 }
 
-// Prompt serves one streamed prompt. An error before the first event is the
-// answer; one after it ends the stream.
+// Prompt serves a prompt and streams the answer. An error before the first event
+// becomes the answer; a later one aborts the stream.
 func (f *Front) Prompt(ctx context.Context, prompt *clientapi.Prompt, stream *clientapi.Stream) *apierror.Error {
-	accepted := f.newCall(&prompt.Head, prompt.Service, prompt.Region, prompt.Home)
+	promptCall := f.newCall(&prompt.Head, prompt.Service, prompt.Region, prompt.Home)
 	if prompt.Prefix != "" {
-		// Zero means that a request has no prefix.
-		accepted.request.Prefix = max(xxhash.Sum64String(prompt.Service+"\x00"+prompt.Prefix), 1)
+		// Zero is reserved for requests without a prefix.
+		promptCall.request.Prefix = max(xxhash.Sum64String(prompt.Service+"\x00"+prompt.Prefix), 1)
 	}
-	return accepted.serve(ctx, sheet.KindModel, prompt.Tokens(), func(ctx context.Context) *apierror.Error {
-		return accepted.retryPrompt(ctx, prompt, stream)
+	return promptCall.serve(ctx, sheet.KindModel, prompt.Tokens(), func(ctx context.Context) *apierror.Error {
+		return promptCall.retryPrompt(ctx, prompt, stream)
 	})
 }
 
-// OneShot serves one call that runs at most once. OutcomeUnknown means that it
-// may have run.
+// OneShot serves a call that a server executes at most once. OutcomeUnknown means
+// that it may have been executed.
 func (f *Front) OneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Answer, *apierror.Error) {
-	accepted := f.newCall(&request.Head, request.Service, request.Region, "")
+	oneShotCall := f.newCall(&request.Head, request.Service, request.Region, "")
 	var answer *clientapi.Answer
-	apiErr := accepted.serve(ctx, sheet.KindWeb, 0, func(ctx context.Context) (apiErr *apierror.Error) {
-		answer, apiErr = accepted.retryOneShot(ctx, request)
+	apiErr := oneShotCall.serve(ctx, sheet.KindWeb, 0, func(ctx context.Context) (apiErr *apierror.Error) {
+		answer, apiErr = oneShotCall.retryOneShot(ctx, request)
 		return apiErr
 	})
 	return answer, apiErr
@@ -78,8 +78,8 @@
 	}
 }
 
-// serve admits the call, runs it and records its result. Tokens is its cost, zero
-// for that of its service.
+// serve admits the call, runs it and records its result. The argument tokens is
+// the cost of the call; zero stands for the cost of a one-shot call to its service.
 func (c *call) serve(ctx context.Context, kind string, tokens float64, run func(context.Context) *apierror.Error) *apierror.Error {
 	c.front.calls.enter()
 	defer c.front.calls.leave()
@@ -91,15 +91,15 @@
 		defer c.front.metrics.inFlight.Dec()
 		apiErr = run(ctx)
 	}
-	c.record(Entry{Outcome: c.outcome(apiErr)})
+	c.record(JournalEntry{Outcome: c.outcome(apiErr)})
 	c.front.metrics.countResult(c.service, apiErr)
 	c.logResult(apiErr)
 	return apiErr
 }
 
-// record adds an entry on this call to the journal.
-func (c *call) record(entry Entry) {
+// record adds an entry for this call to the journal.
+func (c *call) record(entry JournalEntry) {
 	entry.ID = c.id
-	entry.At = c.front.clock.Now()
+	entry.Time = c.front.clock.Now()
 	c.front.requestLog.record(entry)
 }
--- a/internal/node/front/call_registry_test.go
+++ b/internal/node/front/call_registry_test.go
@@ -13,39 +13,39 @@
 	"stepwick/internal/node/follower"
 )
 
-func TestRunningStreamsFollowTheControlState(t *testing.T) {
-	Convey("A revoked key ends its running streams, and the connection's next request", t, func() {
+func TestStreamsEndOnKeyRevocationAndAuthorityLoss(t *testing.T) {
+	Convey("Revoking an API key ends its running streams and rejects the next request on an open connection", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(1, 30*time.Second))
 			defer f.stop()
-			silent, began := f.connect(), time.Now()
-			silent.prompt("r1", time.Minute)
+			streaming, began := f.connect(), time.Now()
+			streaming.prompt("r1", time.Minute)
 			idle := f.connect()
 			idle.send("GET", "/v1/connect", "r2", "", "")
 			f.checkEqual("before", idle.readResponse().status, 200)
 			f.views.publish(withKeys("k", "other"))
 			synctest.Wait()
-			f.checkEqual("running after an epoch that keeps the key", f.inFlight("s0"), 1)
+			f.checkEqual("in flight after a new version that keeps the key", f.inFlight("s0"), 1)
 			f.views.publish(withKeys("other"))
-			got := silent.readResponse()
+			got := streaming.readResponse()
 			f.checkEqual("stream", []any{got.code, got.complete, time.Since(began)}, []any{apierror.KeyRevoked, false, time.Duration(0)})
 			f.checkEqual("in flight", f.inFlight("s0"), 0)
 			idle.prompt("r3", time.Minute)
 			f.checkEqual("next request", idle.readResponse().code, apierror.UnknownKey)
 		})
 	})
-	Convey("A node that stops ruling refuses at once, lets its streams run on for 2 s and then cuts them", t, func() {
+	Convey("A node that loses authority rejects new requests immediately and aborts its streams after 2 s", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(100, time.Second))
 			defer f.stop()
 			caller := f.connect()
 			caller.prompt("r1", time.Minute)
 			caller.readEvent()
-			lose := func(d time.Duration) {
+			loseAuthority := func(wait time.Duration) {
 				f.views.publish(func(*follower.View) { f.views.hasAuthority.Store(false) })
-				<-time.After(d)
+				<-time.After(wait)
 			}
-			lose(time.Second)
+			loseAuthority(time.Second)
 			f.checkEqual("ready", f.front.Ready().Code, apierror.NotRuling)
 			other := f.connect()
 			other.prompt("r2", time.Minute)
@@ -54,21 +54,21 @@
 			for range 10 {
 				caller.readEvent()
 			}
-			f.checkEqual("running after a short loss", f.inFlight("s0"), 1)
+			f.checkEqual("in flight after a loss shorter than the grace period", f.inFlight("s0"), 1)
 			began := time.Now()
-			lose(0)
+			loseAuthority(0)
 			for line := ""; !strings.Contains(line, "2006"); {
 				if line = caller.readEvent(); line == "" {
 					f.t.Fatal("the stream ended without an error event")
 				}
 			}
 			if took := time.Since(began); took < 1700*time.Millisecond || took > 2500*time.Millisecond {
-				f.t.Errorf("the stream ran on for %s", took)
+				f.t.Errorf("the stream continued for %s after the loss of authority, want 1.7s to 2.5s", took)
 			}
-			f.checkEqual("runs of the refused one", f.runs("r2"), 0)
+			f.checkEqual("runs of the rejected request", f.runs("r2"), 0)
 		})
 	})
-	Convey("A process that was frozen, and thaws without ruling, passes no event on", t, func() {
+	Convey("A process that has no authority after a pause forwards no event", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(100, time.Second))
 			defer f.stop()
@@ -77,10 +77,10 @@
 			caller.readEvent()
 			f.views.hasAuthority.Store(false)
 			f.clock.offset.Add(int64(5 * time.Second))
-			f.checkEqual("cut", strings.Contains(caller.readEvent(), "2006"), true)
+			f.checkEqual("error event", strings.Contains(caller.readEvent(), "2006"), true)
 		})
 	})
-	Convey("A process that was frozen past a stream's deadline passes no event on after the thaw", t, func() {
+	Convey("A process that was paused past a stream's deadline forwards no event after the pause", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(100, time.Second))
 			defer f.stop()
@@ -89,13 +89,13 @@
 			caller.readEvent()
 			f.clock.offset.Add(int64(40 * time.Second))
 			got := caller.readEvent()
-			f.checkEqual("cut", strings.Contains(got, "3004"), true)
+			f.checkEqual("error event", strings.Contains(got, "3004"), true)
 		})
 	})
 }
 
 func TestDrainAndShutdown(t *testing.T) {
-	Convey("A front that is taken away finishes what runs, and takes nothing new", t, func() {
+	Convey("A draining front completes its running requests and rejects new ones", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(5, time.Second))
 			defer f.stop()
@@ -139,7 +139,7 @@
 			f.checkEqual("runs when the drain ends", <-runsWhenDrained, 1)
 		})
 	})
-	Convey("A request that still waits for its tenant's quota at the end of the grace is told that the node leaves", t, func() {
+	Convey("A request that still waits for its tenant's quota at the end of the grace period is rejected as front_leaving", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(1, time.Second))
 			defer f.stop()
@@ -154,7 +154,7 @@
 			f.checkEqual("runs", f.runs("r1"), 0)
 		})
 	})
-	Convey("An answer that is being written when the listener ends goes out whole", t, func() {
+	Convey("An answer that is being written when the listener stops is sent completely", t, func() {
 		inBubble(t, func(t *testing.T) {
 			body := strings.Repeat("x", 1<<19)
 			f := newFixture(t, "web", 8, respondingServer("HTTP/1.1 200 OK\nStepwick-Request-Id: ID\nContent-Length: 524288\n\n"+body))
@@ -170,7 +170,7 @@
 			<-stopped
 		})
 	})
-	Convey("What outlasts the grace is cut with an error event", t, func() {
+	Convey("A stream that is still running at the end of the grace period is aborted with an error event", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(50, time.Second))
 			defer f.stop()
--- a/internal/node/front/connect.go
+++ b/internal/node/front/connect.go
@@ -13,8 +13,8 @@
 	"stepwick/internal/node/follower"
 )
 
-// distance orders nodes by their failure domain as seen from a caller. Nodes in
-// an evacuated region or zone come last wherever they are.
+// distance is how far a node is from a caller in terms of failure domains. A node
+// in an evacuated region or zone sorts last regardless of its location.
 type distance int
 
 const (
@@ -24,23 +24,23 @@
 	evacuated
 )
 
-// rankedNode is a node with its position in the answer to a caller.
+// rankedNode is a node with its sort keys.
 type rankedNode struct {
 	node     clientapi.Node
 	distance distance
-	// tieBreak orders nodes at the same distance. It is a hash of the request and
-	// the node, so that callers spread over equally near nodes.
+	// tieBreak orders nodes at the same distance. It is a hash of the request id
+	// and the node's name, so that callers spread evenly over these nodes.
 	tieBreak uint64
 }
 
-// Connect returns the nodes that a caller should use: those of its own zone
-// first, then of its region, then all others; evacuated ones last. The order of
-// equally near nodes differs from request to request. A service that the sheet
-// does not name is rejected as UnknownService.
+// Connect returns the nodes that a caller may use, nearest first: nodes in its
+// zone, then in its region, then all others; evacuated nodes are last. The order of
+// nodes at the same distance depends on the request id. A service that is not in
+// the sheet is rejected as UnknownService.
 func (f *Front) Connect(_ context.Context, request *clientapi.Connect) (*clientapi.NearestNodes, *apierror.Error) {
 	view := f.views.View()
 	if request.Service != "" && view.State.Sheet != nil {
-		if _, known := view.State.Sheet.Services[request.Service]; !known {
+		if _, ok := view.State.Sheet.Services[request.Service]; !ok {
 			return nil, apierror.Errorf(apierror.UnknownService, "the sheet in force has no service %q", request.Service)
 		}
 	}
@@ -70,8 +70,8 @@
 	return nearest, nil
 }
 
-// callerNodes returns the nodes that callers may use: this one, and the other
-// ready fronts of the view that are not draining.
+// callerNodes returns the nodes that callers may use: this node and all other
+// fronts in the view that are ready and not draining, if they advertise an address.
 func (f *Front) callerNodes(view *follower.View) []clientapi.Node {
 	nodes := []clientapi.Node{}
 	if f.config.Address != "" {
--- a/internal/node/front/dispatch.go
+++ b/internal/node/front/dispatch.go
@@ -10,48 +10,50 @@
 	"stepwick/internal/events"
 )
 
-// acquireServer requests a server for the call's next attempt and waits for it
-// until the context ends. On success the caller must release the assignment. On
-// an error none was acquired, and nothing has been sent.
+// acquireServer requests a server for the next attempt of the call and waits until
+// one is assigned or the context ends. On success the caller must release the
+// assignment. On an error no server is assigned and nothing was sent.
 func (c *call) acquireServer(ctx context.Context) (*assignment, route.Choice, *apierror.Error) {
 	requestedAt := c.front.clock.Now()
-	requested, apiErr := c.front.router.request(c.request)
+	assigned, apiErr := c.front.router.submit(c.request)
 	if apiErr != nil {
 		return nil, route.Choice{}, apiErr
 	}
 	var choice route.Choice
 	select {
-	case choice = <-requested.choice:
+	case choice = <-assigned.choice:
 	case <-ctx.Done():
 		choice.Err = c.contextError(ctx, "the deadline passed while the request was queued")
 	}
-	c.record(Entry{Routing: routingRecord(choice, c.front.clock.Now().Sub(requestedAt))})
+	c.record(JournalEntry{Routing: routingRecord(choice, c.front.clock.Now().Sub(requestedAt))})
 	if choice.Err != nil && choice.Err.Code == apierror.BudgetSpent {
 		c.front.log.Emit(events.RetryBudgetExhausted, "request", c.id, "service", c.service, "tried", len(c.request.TriedServers))
 	}
 	if choice.Err == nil {
-		// Authority or the API key may have been lost while the request waited.
+		// The node may have lost its authority, or the API key may have been revoked,
+		// while the request was queued.
 		choice.Err = c.checkSend()
 	}
 	if choice.Err != nil {
-		c.front.router.release(requested, route.Outcome{Result: route.Inconclusive})
+		c.front.router.release(assigned, route.Outcome{Result: route.Inconclusive})
 		return nil, choice, choice.Err
 	}
-	return requested, choice, nil
+	return assigned, choice, nil
 }
 
-// checkSend returns nil if the request may be sent to a server now. Unlike a
-// running call it has no grace period after the loss of authority.
+// checkSend returns nil if the request may be sent to a server, otherwise the
+// reason. There is no grace period after a loss of authority, unlike for calls that
+// are already running at a server.
 func (c *call) checkSend() *apierror.Error {
 	if !c.front.views.HasAuthority() {
-		return apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(defaultRetryAfter)
+		return apierror.Errorf(apierror.NotRuling, "the node has no authority to serve requests; retry at another node").WithRetryAfter(defaultRetryAfter)
 	}
 	return c.front.calls.checkRunning(&c.runningCall)
 }
 
-// contextError returns why the call's context has ended: the registry cancelled
-// the call, the deadline passed (with the given detail), or the caller closed the
-// connection.
+// contextError returns the error for a context that has ended: the reason for which
+// the registry cancelled the call, DeadlinePassed with the given detail, or
+// CallerGone if the caller closed the connection.
 func (c *call) contextError(ctx context.Context, deadlineDetail string) *apierror.Error {
 	switch {
 	case c.rejection.Load() != nil:
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -11,35 +11,34 @@
 )
 
 const (
-	// maxCandidates bounds the servers that are recorded of one choice.
+	// maxCandidates is the maximum number of servers recorded per choice.
 	maxCandidates = 24
 
 	explainQuestion = "explain"
 	explainTimeout  = time.Second
 
-	// endedComplete is Attempt.Ended of an attempt without a failure.
-	endedComplete = "whole"
+	// attemptSucceeded is recorded in place of a kind of failure.
+	attemptSucceeded = "whole"
 )
 
-// Entry is one event of a request in the journal. Exactly one of the pointers is
-// set.
-type Entry struct {
-	ID        string // request id
-	At        time.Time
+// JournalEntry is one event of a request. Exactly one of the pointers is set.
+type JournalEntry struct {
+	ID        string // request ID
+	Time      time.Time
 	Admission *Admission
 	Routing   *Routing
 	Attempt   *Attempt
 	Outcome   *Outcome
 }
 
-// Admission is what the front decided before routing. Tokens and the figures of
-// the quota decision (Blend, Prev, Cur, Recent, Limit) are in tokens.
+// Admission is the decision that precedes routing. The result and the counts of the
+// quota check are copied from quota.Decision. Costs and counts are in tokens.
 type Admission struct {
 	Service  string  `json:"service"`
 	Tenant   string  `json:"tenant,omitempty"`
-	Region   string  `json:"region"`         // of the caller
-	Home     string  `json:"home,omitempty"` // the region that the request must be served in
-	Version  uint64  `json:"epoch"`          // of the configuration
+	Region   string  `json:"region"`         // region of the caller
+	Home     string  `json:"home,omitempty"` // only region that may serve the request; "" for any
+	Version  uint64  `json:"epoch"`          // version of the configuration
 	PlanTerm uint64  `json:"plan_term"`
 	Plan     uint64  `json:"plan"`
 	Tokens   float64 `json:"tokens"`
@@ -53,7 +52,7 @@
 	Fault    string  `json:"fault,omitempty"`
 }
 
-// Routing is one choice of the routing table.
+// Routing is one decision of the routing table.
 type Routing struct {
 	Server     string      `json:"server,omitempty"`
 	Region     string      `json:"region,omitempty"`
@@ -62,24 +61,24 @@
 	Candidates []Candidate `json:"candidates,omitempty"`
 }
 
-// Candidate is a server that was considered.
+// Candidate is a server that was considered for a request.
 type Candidate struct {
 	Server   string  `json:"server"`
 	Score    float64 `json:"score"`
-	Excluded string  `json:"excluded,omitempty"` // why the server was not eligible
+	Excluded string  `json:"excluded,omitempty"` // reason why the server was not chosen; "" if it was
 }
 
 // Attempt is one attempt of a request at one server.
 type Attempt struct {
 	Server       string  `json:"server"`
-	Ended        string  `json:"ended"` // "whole", or the kind of failure
+	Ended        string  `json:"ended"` // "whole" on success, otherwise the backend.FailureKind
 	Detail       string  `json:"detail,omitempty"`
 	Events       int     `json:"events,omitempty"`
 	FirstEventMS float64 `json:"first_event_ms,omitempty"`
 	TookMS       float64 `json:"took_ms"`
 }
 
-// Outcome is the result that the caller got.
+// Outcome is the result that was returned to the caller.
 type Outcome struct {
 	Code   apierror.Code `json:"code"`
 	Name   string        `json:"name"`
@@ -87,20 +86,21 @@
 	TookMS float64       `json:"took_ms"`
 }
 
-// Explanation is the history of one request, built from its journal entries.
+// Explanation is the history of one request, assembled from its journal entries.
 type Explanation struct {
 	RequestID string     `json:"request_id"`
 	Front     string     `json:"front"`
-	AtMS      int64      `json:"at_ms"` // of its admission, in Unix milliseconds
+	AtMS      int64      `json:"at_ms"` // time of the first entry, in Unix milliseconds
 	Admission *Admission `json:"admission,omitempty"`
 	Routings  []*Routing `json:"routings,omitempty"`
 	Attempts  []*Attempt `json:"attempts,omitempty"`
 	Outcome   *Outcome   `json:"outcome,omitempty"`
 }
 
-// Inspect answers a question about the front with a value that has a JSON form,
-// and returns false if it has no answer. The only question is "explain": it
-// returns the *Explanation of a request id, of several such requests the newest.
+// Inspect returns information about the front as a value that can be encoded as
+// JSON, or false if there is none. The only supported question is "explain", whose
+// argument is a request ID: it returns the *Explanation of the latest request with
+// this ID.
 func (f *Front) Inspect(question, argument string) (any, bool) {
 	if question != explainQuestion {
 		return nil, false
@@ -113,16 +113,16 @@
 	}
 	var explanation *Explanation
 	for _, entry := range entries {
-		explanation = explanation.add(entry, f.config.Name)
+		explanation = explanation.withEntry(entry, f.config.Name)
 	}
 	return explanation, explanation != nil
 }
 
-// add returns the explanation with an entry added. An admission begins a new
-// request, and so a new explanation.
-func (e *Explanation) add(entry Entry, front string) *Explanation {
+// withEntry returns the explanation with an entry added. An admission is the first
+// entry of a request, so it starts a new explanation.
+func (e *Explanation) withEntry(entry JournalEntry, front string) *Explanation {
 	if e == nil || entry.Admission != nil {
-		e = &Explanation{RequestID: entry.ID, Front: front, AtMS: entry.At.UnixMilli()}
+		e = &Explanation{RequestID: entry.ID, Front: front, AtMS: entry.Time.UnixMilli()}
 	}
 	switch {
 	case entry.Admission != nil:
@@ -137,8 +137,8 @@
 	return e
 }
 
-// setTally copies the figures of a quota decision.
-func (a *Admission) setTally(decision quota.Decision) {
+// setQuotaDecision copies the values of a quota decision.
+func (a *Admission) setQuotaDecision(decision quota.Decision) {
 	a.Passed = decision.Allowed
 	a.Marked = decision.OverLimit
 	a.Blend = decision.Estimate
@@ -170,7 +170,7 @@
 func attemptRecord(server string, failure *backend.Failure, took time.Duration) *Attempt {
 	attempt := &Attempt{
 		Server: server,
-		Ended:  endedComplete,
+		Ended:  attemptSucceeded,
 		TookMS: milliseconds(took),
 	}
 	if failure != nil {
@@ -180,7 +180,7 @@
 	return attempt
 }
 
-// outcome returns the call's result; a nil error is success.
+// outcome returns the result of the call; a nil error stands for success.
 func (c *call) outcome(apiErr *apierror.Error) *Outcome {
 	outcome := &Outcome{
 		Name:   apierror.OK.String(),
--- a/internal/node/front/explain_test.go
+++ b/internal/node/front/explain_test.go
@@ -15,20 +15,20 @@
 )
 
 func TestConnectRuntimeSettingsAndExplain(t *testing.T) {
-	Convey("The nearest ready nodes come first, evacuated ones last", t, func() {
+	Convey("Connect returns ready nodes, nearest first and evacuated ones last", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(1, 0))
 			defer f.stop()
 			f.views.publish(func(v *follower.View) {
 				v.State.Evacuated = map[string]uint64{"lagos/c": 1}
-				add := func(name, region, zone string, ready, leaving bool) {
+				addFront := func(name, region, zone string, ready, leaving bool) {
 					v.Fronts = append(v.Fronts, &wire.Process{Name: name, CallerAddress: name + ":1", Region: region, Zone: zone, Front: true, Ready: ready, Leaving: leaving})
 				}
-				add("evacuated", "lagos", "c", true, false)
-				add("far", "abeokuta", "a", true, false)
-				add("near", "lagos", "b", true, false)
-				add("unready", "lagos", "a", false, false)
-				add("leaving", "lagos", "a", true, true)
+				addFront("evacuated", "lagos", "c", true, false)
+				addFront("far", "abeokuta", "a", true, false)
+				addFront("near", "lagos", "b", true, false)
+				addFront("unready", "lagos", "a", false, false)
+				addFront("leaving", "lagos", "a", true, true)
 			})
 			names := func(target string) (names []string) {
 				caller := f.connect()
@@ -43,11 +43,11 @@
 				}
 				return names
 			}
-			f.checkEqual("from here", names("/v1/connect?service=chat"), []string{"n1", "near", "far", "evacuated"})
-			f.checkEqual("from afar", names("/v1/connect?region=abeokuta&zone=a")[0], "far")
+			f.checkEqual("without a region", names("/v1/connect?service=chat"), []string{"n1", "near", "far", "evacuated"})
+			f.checkEqual("first node for a caller in abeokuta", names("/v1/connect?region=abeokuta&zone=a")[0], "far")
 		})
 	})
-	Convey("What a sheet sets at run time holds for the next request", t, func() {
+	Convey("Run-time settings of a new sheet apply to the next request", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, streamingServer(1, 0), &fakeServer{refuseConnections: true}, &fakeServer{refuseConnections: true}, &fakeServer{refuseConnections: true})
 			defer f.stop()
@@ -67,13 +67,13 @@
 			for range 4 {
 				caller.prompt("r3", time.Second)
 				codes[caller.readResponse().code] = true
-				told, _ := f.front.Inspect("explain", "r3")
-				f.checkEqual("attempts without a budget of retries", len(told.(*Explanation).Attempts), 1)
+				explanation, _ := f.front.Inspect("explain", "r3")
+				f.checkEqual("attempts with an empty retry budget", len(explanation.(*Explanation).Attempts), 1)
 			}
-			f.checkEqual("in turn, without retries", codes, map[apierror.Code]bool{0: true, apierror.StreamNotBegun: true})
+			f.checkEqual("codes with round robin and no retries", codes, map[apierror.Code]bool{0: true, apierror.StreamNotBegun: true})
 		})
 	})
-	Convey("A request's way is told from the journal, the newest of an id", t, func() {
+	Convey("Inspect explains the latest request with an ID from the journal", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "model", 8, &fakeServer{refuseConnections: true}, streamingServer(2, time.Second))
 			defer f.stop()
@@ -84,13 +84,13 @@
 			}
 			value, found := f.front.Inspect("explain", "r1")
 			f.checkEqual("found", found, true)
-			told := value.(*Explanation)
-			f.checkEqual("admission", []any{told.Admission.Tenant, told.Admission.Passed, told.Admission.Limit, told.Admission.Version, told.Admission.Plan, told.Admission.Tokens},
+			explanation := value.(*Explanation)
+			f.checkEqual("admission", []any{explanation.Admission.Tenant, explanation.Admission.Passed, explanation.Admission.Limit, explanation.Admission.Version, explanation.Admission.Plan, explanation.Admission.Tokens},
 				[]any{"press", true, 810, 1, 7, 9})
-			f.checkEqual("outcome", []any{told.Outcome.Name, told.Outcome.TookMS}, []any{"ok", 2000})
-			last := told.Attempts[len(told.Attempts)-1]
+			f.checkEqual("outcome", []any{explanation.Outcome.Name, explanation.Outcome.TookMS}, []any{"ok", 2000})
+			last := explanation.Attempts[len(explanation.Attempts)-1]
 			f.checkEqual("attempt", []any{last.Server, last.Ended, last.Events}, []any{"s1", "whole", 3})
-			f.checkEqual("candidates", len(told.Routings[0].Candidates) > 0, true)
+			f.checkEqual("candidates", len(explanation.Routings[0].Candidates) > 0, true)
 			_, found = f.front.Inspect("explain", "none")
 			f.checkEqual("found", found, false)
 		})
--- a/internal/node/front/fixture_test.go
+++ b/internal/node/front/fixture_test.go
@@ -29,8 +29,8 @@
 	"stepwick/internal/wire"
 )
 
-// jumpingClock is the machine's clock plus an offset, which tests increase as a pause
-// of the process does before its timers fire.
+// jumpingClock is the system clock plus an offset. Tests increase the offset to
+// simulate a pause of the process after which timers have not fired yet.
 type jumpingClock struct {
 	clock.Clock
 	offset atomic.Int64
@@ -42,14 +42,14 @@
 	view         atomic.Pointer[follower.View]
 	changed      atomic.Pointer[chan struct{}]
 	hasAuthority atomic.Bool
-	panicOnce    atomic.Bool // the next question panics
+	panicOnce    atomic.Bool // the next call of HasAuthority panics
 }
 
 func (v *fakeViews) View() *follower.View { return v.view.Load() }
 
 func (v *fakeViews) HasAuthority() bool {
 	if v.panicOnce.CompareAndSwap(true, false) {
-		panic("a trap")
+		panic("injected by the test")
 	}
 	return v.hasAuthority.Load()
 }
@@ -98,11 +98,12 @@
 	return f.decide(tenant, tokens, allowance)
 }
 
-// fakeServer is a server behind pipes. It counts the runs of each request id.
+// fakeServer is a server that is reached over in-memory pipes. It counts how many
+// times each request ID was run.
 type fakeServer struct {
 	refuseConnections bool
 	respond           func(conn net.Conn, request *http.Request, id string)
-	runCounts         sync.Map // request id to *atomic.Int64
+	runCounts         sync.Map // request ID to *atomic.Int64
 }
 
 func (s *fakeServer) countRun(id string) {
@@ -117,7 +118,8 @@
 	return 0
 }
 
-// fixture is one front with fake servers and callers, in a synctest bubble.
+// fixture is a front with fake servers and callers in a synctest bubble. It also
+// implements the front's events.Log and listener.
 type fixture struct {
 	t           *testing.T
 	views       *fakeViews
@@ -127,15 +129,15 @@
 	front       *Front
 	callers     chan net.Conn
 	connections sync.WaitGroup
-	events      sync.Map // offset name
+	events      sync.Map // emitted event names
 	stop        func()
 }
 
 func (f *fixture) Emit(event events.Event, _ ...any) { f.events.Store(event.Name, true) }
 
 func (f *fixture) logged(name string) bool {
-	_, told := f.events.Load(name)
-	return told
+	_, emitted := f.events.Load(name)
+	return emitted
 }
 
 func newFixture(t *testing.T, kind string, slots int, servers ...*fakeServer) *fixture {
@@ -174,12 +176,12 @@
 }
 
 func readRuntimeSettings(settings map[string]string) RuntimeSettings {
-	most, _ := time.ParseDuration(settings["deadline.max"])
-	t := RuntimeSettings{DeadlineMax: most}
+	maxDeadline, _ := time.ParseDuration(settings["deadline.max"])
+	runtimeSettings := RuntimeSettings{DeadlineMax: maxDeadline}
 	if len(settings) > 0 {
-		t.Route = &route.RuntimeConfig{Strategy: route.Strategy(settings["route.strategy"]), MaxQueued: 0, SlowStartCap: 2, RetryBudget: 0}
+		runtimeSettings.Route = &route.RuntimeConfig{Strategy: route.Strategy(settings["route.strategy"]), MaxQueued: 0, SlowStartCap: 2, RetryBudget: 0}
 	}
-	return t
+	return runtimeSettings
 }
 
 func (f *fixture) Accept() (net.Conn, error) {
@@ -198,30 +200,30 @@
 	if s.refuseConnections {
 		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	}
-	far, near := net.Pipe()
+	serverEnd, frontEnd := net.Pipe()
 	f.connections.Go(func() {
-		defer func() { _ = far.Close() }()
-		request, err := http.ReadRequest(bufio.NewReader(far))
+		defer func() { _ = serverEnd.Close() }()
+		request, err := http.ReadRequest(bufio.NewReader(serverEnd))
 		if err != nil {
 			return
 		}
 		id := request.Header.Get("Stepwick-Request-Id")
 		_, _ = io.Copy(io.Discard, request.Body)
-		s.respond(far, request, id)
+		s.respond(serverEnd, request, id)
 	})
-	return near, nil
+	return frontEnd, nil
 }
 
-// client is one kept-alive connection of a caller.
+// client is a caller with one keep-alive connection.
 type client struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
 func (f *fixture) connect() *client {
-	near, far := net.Pipe()
-	f.callers <- far
-	return &client{near, bufio.NewReader(near)}
+	callerEnd, frontEnd := net.Pipe()
+	f.callers <- frontEnd
+	return &client{callerEnd, bufio.NewReader(callerEnd)}
 }
 
 func (c *client) send(method, target, id, extra, body string) {
@@ -233,7 +235,8 @@
 	c.send("POST", "/v1/prompt", id, "", fmt.Sprintf(`{"service":"chat","prefix":"p","max_tokens":9,"deadline_ms":%d}`, deadline.Milliseconds()))
 }
 
-// response is what a caller got, and whether it was complete.
+// response is a response as received by a caller. complete is false if the body was
+// cut off.
 type response struct {
 	status   int
 	code     apierror.Code
@@ -250,9 +253,9 @@
 	body, err := io.ReadAll(httpResponse.Body)
 	got := response{status: httpResponse.StatusCode, body: string(body), complete: err == nil}
 	for _, line := range strings.Split(got.body, "\n") {
-		var fault apierror.ErrorBody
-		if json.Unmarshal([]byte(strings.TrimPrefix(line, "data: ")), &fault) == nil && fault.Code != 0 {
-			got.code = fault.Code
+		var errorBody apierror.ErrorBody
+		if json.Unmarshal([]byte(strings.TrimPrefix(line, "data: ")), &errorBody) == nil && errorBody.Code != 0 {
+			got.code = errorBody.Code
 		}
 	}
 	return got
@@ -277,9 +280,9 @@
 	return fmt.Sprintf("data: {\"id\":%q,\"final\":true,\"count\":%d}\n\n", id, count)
 }
 
-// streamingServer returns a server that sends a number of events, with a pause after
-// each.
-func streamingServer(count int, each time.Duration) *fakeServer {
+// streamingServer returns a server that sends count events and waits for interval
+// after each.
+func streamingServer(count int, interval time.Duration) *fakeServer {
 	s := &fakeServer{}
 	s.respond = func(conn net.Conn, _ *http.Request, id string) {
 		s.countRun(id)
@@ -288,7 +291,7 @@
 			if _, err := fmt.Fprint(conn, eventText(id, i)); err != nil {
 				return
 			}
-			<-time.After(each)
+			<-time.After(interval)
 		}
 		_, _ = fmt.Fprint(conn, finalEventText(id, count))
 	}
@@ -313,10 +316,10 @@
 	return total
 }
 
-func (f *fixture) checkEqual(what string, got, want any) {
+func (f *fixture) checkEqual(label string, got, want any) {
 	f.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		f.t.Errorf("%s: got %v, want %v", what, got, want)
+		f.t.Errorf("%s: got %v, want %v", label, got, want)
 	}
 }
 
--- a/internal/node/front/front.go
+++ b/internal/node/front/front.go
@@ -1,28 +1,29 @@
-// Package front is the data path of a node: it serves prompts and one-shot calls
-// by the period plan. A request passes through these stages:
+// Package front is the data path of a node. It serves the caller API, prompts and
+// one-shot calls, and routes by the current plan. A request passes through these
+// stages:
 //
-//   - parsing, within bounds, by clientapi;
-//   - admission by authority, API key, service and the tenant's quota
-//     (admission.go);
-//   - routing to a server by the router, which owns the routing table (router.go,
+//   - parsing and enforcement of size limits (package clientapi);
+//   - admission by the node's authority, the API key, the service and the tenant's
+//     quota (admission.go);
+//   - selection of a server by the router, which owns the routing table (router.go,
 //     dispatch.go);
-//   - one attempt or several at servers, by backend (attempt.go, prompt.go,
-//     stream_forwarder.go, oneshot.go);
-//   - the result: journal, metrics and log (call.go, explain.go, metrics.go,
-//     result_events.go).
+//   - one or more attempts, each at one server, over package backend (attempt.go,
+//     prompt.go, stream_forwarder.go, oneshot.go);
+//   - recording of the result in the journal, the metrics and the log (call.go,
+//     explain.go, metrics.go, result_events.go).
 //
-// A request runs on its caller's goroutine. The state that requests share has one
-// owner goroutine each, reached over bounded queues: router, callRegistry,
-// requestJournal and pauseDetector. Control state is only read, as immutable
-// views.
+// A request runs on the goroutine of its HTTP handler. State that requests share
+// is owned by the goroutines of router, callRegistry, requestJournal and
+// pauseDetector. The first three receive messages over bounded queues. Control
+// state is only read, as immutable views.
 //
-// Invariants: nothing is sent to a server without authority. A prompt is retried
-// only while its caller has received nothing, a one-shot call only while no server
-// has received it. A call whose API key is revoked, or whose node has been without
-// authority for the grace period, is cancelled.
+// Invariants: a request is sent to a server only while the node has authority. A
+// prompt is retried only if its caller has received nothing, a one-shot call only
+// if no server has received it. A call is cancelled when its API key is revoked or
+// when the node has been without authority for the grace period.
 //
-// The package holds no lease, makes no plan and checks no server's health; see the
-// follower, control and healthcheck packages.
+// Leases, plans and health checks are in the packages follower, control and
+// healthcheck.
 package front
 
 import (
@@ -50,49 +51,50 @@
 	defaultStreamBuffer   = 64
 	defaultAuthorityGrace = 2 * time.Second
 
-	// shutdownTimeout bounds how long Listen lets answers that are being written
-	// complete.
+	// shutdownTimeout is the maximum time that Listen waits for responses in
+	// progress to complete.
 	shutdownTimeout = time.Second
 )
 
-// Config holds a front's settings. Zero values take the defaults named.
+// Config configures a Front. A zero field takes its default.
 type Config struct {
 	// Name is the node's name.
 	Name string
-	// Address is advertised to callers, as ip:port; "" for none.
+	// Address is the ip:port that is advertised to callers; "" for none.
 	Address string
 	// Region and Zone are the node's failure domain.
 	Region string
 	Zone   string
 
-	// Limits bounds what one caller can cost.
+	// Limits are the limits on connections and requests of callers.
 	Limits clientapi.Limits
 	// Backend configures the connections to servers.
 	Backend backend.Config
-	// Route configures routing. Its name, region and zone are taken from the
-	// fields above.
+	// Route configures routing. Its Self, Region and Zone are overwritten with
+	// Name, Region and Zone of this Config.
 	Route route.Config
-	// OneShotTokens is the cost, in tokens, of a one-shot call whose service names
-	// none; default 50.
+	// OneShotTokens is the cost, in tokens, of a one-shot call if the sheet does not
+	// set one for its service; 50 by default.
 	OneShotTokens float64
-	// StreamBuffer is the number of events buffered between a server and a slow
-	// caller; default 64.
+	// StreamBuffer is the number of events that are buffered between a server and a
+	// slow caller; 64 by default.
 	StreamBuffer int
-	// AuthorityGrace is the time from the loss of authority to the cancellation
-	// of running calls; default 2s.
+	// AuthorityGrace is the time from the loss of authority to the cancellation of
+	// running calls; 2 s by default.
 	AuthorityGrace time.Duration
 
-	// ReadRuntimeSettings converts the settings of a sheet, by name, to those that
-	// change at run time. It is called when they change; nil if none does.
+	// ReadRuntimeSettings converts the settings of a sheet, by name, to
+	// RuntimeSettings. It is called when the settings change. If it is nil, the
+	// settings of sheets are ignored.
 	ReadRuntimeSettings func(settings map[string]string) RuntimeSettings
 
-	// Standing returns the standing of the core on this node; nil on a plain
-	// front.
+	// Standing returns the standing of the core on this node. It is nil on a node
+	// without a core.
 	Standing func() string
 
-	// Control answers requests below /v1/control/; may be nil.
+	// Control serves paths below /v1/control/; may be nil.
 	Control http.Handler
-	// Metrics answers /metrics; may be nil.
+	// Metrics serves /metrics; may be nil.
 	Metrics http.Handler
 }
 
@@ -112,17 +114,17 @@
 	return c
 }
 
-// Views provides the control state that a front decides by.
+// Views provides the control state on which a front bases its decisions.
 type Views interface {
-	// View returns the newest view.
+	// View returns the latest view.
 	View() *follower.View
-	// Changed returns a channel that is closed when there is a newer view.
+	// Changed returns a channel that is closed when a newer view is published.
 	Changed() <-chan struct{}
-	// HasAuthority reports whether the node holds its lease and may decide.
+	// HasAuthority reports whether the node may serve requests now.
 	HasAuthority() bool
 }
 
-// Front serves callers. It implements clientapi.RequestHandler.
+// Front serves the requests of callers. It implements clientapi.RequestHandler.
 type Front struct {
 	config     Config
 	views      Views
@@ -136,17 +138,18 @@
 	requestLog *requestJournal
 	pauses     *pauseDetector
 	metrics    *metrics
-	// appliedSettings are the sheet's settings as last applied; nil before the
-	// first sheet. They belong to the router's goroutine.
+	// appliedSettings are the sheet's settings that were last applied; nil before
+	// the first sheet. Only the router's goroutine uses them.
 	appliedSettings map[string]string
 	draining        atomic.Bool
-	stopped         chan struct{} // closed when Serve has ended
+	stopped         chan struct{} // closed when Serve has returned
 	stopOnce        sync.Once
 }
 
 var _ clientapi.RequestHandler = (*Front)(nil)
 
-// New returns a front. It serves no request before Serve runs.
+// New returns a Front, which serves requests once Serve runs. The error is that of
+// the backend's configuration or of the registry.
 func New(config Config, views Views, admitter Admitter, clock clock.Clock, log events.Log, registry prometheus.Registerer) (*Front, error) {
 	config = config.withDefaults()
 	client, err := backend.New(config.Backend)
@@ -156,7 +159,7 @@
 	journal := newRequestJournal()
 	metrics, err := newMetrics(registry, journal)
 	if err != nil {
-		return nil, errors.Wrap(err, "register the front's metrics")
+		return nil, errors.Wrap(err, "register metrics of the front")
 	}
 	front := &Front{
 		config:     config,
@@ -177,7 +180,7 @@
 	return front, nil
 }
 
-// mounts returns the handlers beside the caller API, by path.
+// mounts returns the additional HTTP handlers, by path.
 func (c Config) mounts() map[string]http.Handler {
 	mounts := map[string]http.Handler{}
 	if c.Control != nil {
@@ -189,8 +192,8 @@
 	return mounts
 }
 
-// Serve runs the front's owners until the context ends. The front cannot be used
-// after that.
+// Serve runs the goroutines that own the front's state until the context ends. The
+// front cannot be used after that.
 func (f *Front) Serve(ctx context.Context) error {
 	defer func() {
 		if ctx.Err() != nil {
@@ -211,15 +214,15 @@
 	}
 }
 
-// String returns the owner's name in log events.
+// String returns the name of this supervisor in log events.
 func (f *Front) String() string { return "front" }
 
 // Handler returns the HTTP handler for callers.
 func (f *Front) Handler() http.Handler { return f.api }
 
-// Listen serves callers on a listener until the context ends. Then it lets answers
-// that are being written complete, for a second at most, closes the remaining
-// connections and returns the context's error. Call Drain first.
+// Listen serves callers on a listener until the context ends. It then waits up to
+// 1 s for responses in progress, closes the remaining connections and returns the
+// context's error. Call Drain before ending the context.
 func (f *Front) Listen(ctx context.Context, listener net.Listener) error {
 	server := f.api.Server()
 	closed := make(chan struct{})
@@ -238,7 +241,7 @@
 	return errors.Wrap(err, "serve callers")
 }
 
-// Standing returns the standing of the core on this node, "" on a plain front.
+// Standing returns the standing of the core on this node; "" without a core.
 func (f *Front) Standing() string {
 	if f.config.Standing == nil {
 		return ""
@@ -246,20 +249,20 @@
 	return f.config.Standing()
 }
 
-// Drain rejects new requests and waits until the running ones have ended. When the
-// context ends first, the remaining ones are cancelled, and Drain returns the
-// context's error.
+// Drain rejects new requests and waits for the running ones to end. If the context
+// ends first, Drain cancels the remaining requests and returns the context's
+// error.
 func (f *Front) Drain(ctx context.Context) error {
 	f.draining.Store(true)
 	return f.calls.drain(ctx)
 }
 
 // EarliestArrival returns the earliest time at which a request that is read now
-// may have reached this machine. After a pause of the process, requests may have
-// waited on their connections, and their deadlines count from before.
+// may have reached this machine. During a pause of the process requests wait in
+// the sockets' buffers, so their deadlines count from the start of the pause.
 func (f *Front) EarliestArrival() time.Time { return f.pauses.earliestArrival() }
 
-// Panicked logs a panic while a request was served.
+// Panicked logs a panic that occurred while a request was being served.
 func (f *Front) Panicked(id string, panicked any) {
 	f.log.Emit(events.RequestPanicked, "request", id, "panic", panicked)
 }
--- a/internal/node/front/metrics.go
+++ b/internal/node/front/metrics.go
@@ -8,7 +8,7 @@
 	"stepwick/internal/apierror"
 )
 
-// metrics are the collectors of the data path.
+// metrics holds the Prometheus collectors of the data path.
 type metrics struct {
 	requests        *prometheus.CounterVec
 	firstEvent      *prometheus.HistogramVec
@@ -16,11 +16,11 @@
 	inFlight        prometheus.Gauge
 	retries         *prometheus.CounterVec
 	quotaRejections prometheus.Counter
-	tallyRejections prometheus.Counter
+	shareRejections prometheus.Counter
 }
 
-// newMetrics creates the collectors and registers them, in a fixed order. The
-// error is the registry's.
+// newMetrics creates the collectors and registers them in a fixed order. It returns
+// the error of the registry.
 func newMetrics(registry prometheus.Registerer, journal *requestJournal) (*metrics, error) {
 	created := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -49,7 +49,7 @@
 			Name: "stepwick_quota_refusals_total",
 			Help: "Requests refused because the tenant's allowance is spent.",
 		}),
-		tallyRejections: prometheus.NewCounter(prometheus.CounterOpts{
+		shareRejections: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "stepwick_tally_unreachable_refusals_total",
 			Help: "Requests refused because the tenant's count is out of reach and this node's share is spent.",
 		}),
@@ -74,14 +74,14 @@
 		m.inFlight,
 		m.retries,
 		m.quotaRejections,
-		m.tallyRejections,
+		m.shareRejections,
 		dropped,
 	}
 }
 
-// countResult counts a request by its result; nil is success. Its two counters of
-// rejections by quota are of calls of the product's own API alone; those of package
-// quotasync count the decisions on requests by route too.
+// countResult counts a request by its result; nil stands for success. The counters
+// quotaRejections and shareRejections only cover requests to the caller API; the
+// counters of package quotasync also cover requests through the gateway.
 func (m *metrics) countResult(service string, apiErr *apierror.Error) {
 	code := apierror.OK
 	if apiErr != nil {
@@ -91,7 +91,7 @@
 	case apierror.QuotaExceeded:
 		m.quotaRejections.Inc()
 	case apierror.ShareExceeded:
-		m.tallyRejections.Inc()
+		m.shareRejections.Inc()
 	}
 	m.requests.WithLabelValues(service, strconv.FormatUint(uint64(code), 10)).Inc()
 }
--- a/internal/node/front/oneshot.go
+++ b/internal/node/front/oneshot.go
@@ -8,8 +8,8 @@
 	"stepwick/internal/apierror"
 )
 
-// retryOneShot attempts a one-shot call at one server after another until a
-// server may have received it or the call fails for good.
+// retryOneShot tries servers one after another until one may have received the call
+// or the error does not permit a retry.
 func (c *call) retryOneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Answer, *apierror.Error) {
 	for {
 		answer, server, apiErr := c.attemptOneShot(ctx, request)
@@ -23,17 +23,17 @@
 	}
 }
 
-// attemptOneShot makes one attempt. NotRun with a server's name means that
-// nothing was written to that server, so another one may be tried.
+// attemptOneShot makes one attempt. If it returns NotRun and a server's name, nothing
+// was written to that server and another one may be tried.
 func (c *call) attemptOneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Answer, string, *apierror.Error) {
 	assigned, choice, apiErr := c.acquireServer(ctx)
 	if apiErr != nil {
 		return nil, "", c.notRunError(apiErr)
 	}
-	// A panic leaves this failure to the routing table.
-	failure := &backend.Failure{Kind: backend.ServerFailed, Detail: "a fault of the program"}
-	began := c.front.clock.Now()
-	defer func() { c.releaseServer(assigned, failure, began, 0) }()
+	// This failure is reported to the routing table if the attempt panics.
+	failure := &backend.Failure{Kind: backend.ServerFailed, Detail: "panic during the attempt"}
+	startedAt := c.front.clock.Now()
+	defer func() { c.releaseServer(assigned, failure, startedAt, 0) }()
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(assigned.serverLost, cancel)()
@@ -48,7 +48,7 @@
 	if failure != nil && assigned.serverLost.Err() != nil && ctx.Err() == nil {
 		failure = serverLostFailure(failure)
 	}
-	c.record(Entry{Attempt: attemptRecord(choice.Server, failure, c.front.clock.Now().Sub(began))})
+	c.record(JournalEntry{Attempt: attemptRecord(choice.Server, failure, c.front.clock.Now().Sub(startedAt))})
 	c.logFailure(failure)
 	if failure != nil {
 		return c.oneShotError(ctx, choice.Server, failure)
@@ -64,7 +64,7 @@
 	}, "", nil
 }
 
-// oneShotError converts the failure of an attempt to what attemptOneShot returns.
+// oneShotError converts the failure of an attempt to the results of attemptOneShot.
 func (c *call) oneShotError(ctx context.Context, server string, failure *backend.Failure) (*clientapi.Answer, string, *apierror.Error) {
 	switch {
 	case failure.Kind == backend.SendForbidden:
@@ -77,10 +77,11 @@
 	return nil, server, apierror.Errorf(apierror.NotRun, "%s", failure.Detail)
 }
 
-// checkAnswer returns nil if an answer that has arrived may still be forwarded.
+// checkAnswer returns nil if a received answer may be forwarded to the caller,
+// otherwise the reason.
 func (c *call) checkAnswer() *apierror.Error {
 	if !c.front.clock.Now().Before(c.request.Deadline) {
-		return apierror.Errorf(apierror.DeadlinePassed, "the answer came after the deadline")
+		return apierror.Errorf(apierror.DeadlinePassed, "the answer arrived after the deadline")
 	}
 	return c.front.calls.checkRunning(&c.runningCall)
 }
@@ -89,9 +90,10 @@
 	return apierror.Errorf(apierror.OutcomeUnknown, "%s", detail)
 }
 
-// notRunError returns the error of a one-shot call of which nothing was sent. A
-// first attempt keeps its own code, which implies that the call has not run,
-// except that DeadlinePassed becomes NotRun.
+// notRunError returns the error for a one-shot call that was not sent. On a first
+// attempt the code is kept, since it implies that the call has not run; only
+// DeadlinePassed, which does not imply it, becomes NotRun. After a retry every code
+// becomes NotRun.
 func (c *call) notRunError(apiErr *apierror.Error) *apierror.Error {
 	if len(c.request.TriedServers) == 0 && apiErr.Code != apierror.DeadlinePassed {
 		return apiErr
--- a/internal/node/front/oneshot_test.go
+++ b/internal/node/front/oneshot_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestOneShotsRunAtMostOnce(t *testing.T) {
-	const id = "HTTP/1.1 200 OK\nStepwick-Request-Id: ID\n"
+	const responseHead = "HTTP/1.1 200 OK\nStepwick-Request-Id: ID\n"
 	rows := []struct {
 		name   string
 		first  func() *fakeServer
@@ -21,17 +21,17 @@
 		code   apierror.Code
 		runs   int
 	}{
-		{"answers whole", func() *fakeServer { return respondingServer(id + "Content-Length: 2\n\nok") }, 200, 0, 1},
-		{"answers with an error of its own", func() *fakeServer {
+		{"sends a complete answer", func() *fakeServer { return respondingServer(responseHead + "Content-Length: 2\n\nok") }, 200, 0, 1},
+		{"sends an error status", func() *fakeServer {
 			return respondingServer("HTTP/1.1 503 No\nStepwick-Request-Id: ID\nContent-Length: 2\n\nno")
 		}, 503, 0, 1},
-		{"resets after it read", func() *fakeServer { return respondingServer("") }, 502, apierror.OutcomeUnknown, 1},
-		{"sends too little", func() *fakeServer { return respondingServer(id + "Content-Length: 9\n\nok") }, 502, apierror.OutcomeUnknown, 1},
-		{"cuts a chunk", func() *fakeServer { return respondingServer(id + "Transfer-Encoding: chunked\n\n9\nok") }, 502, apierror.OutcomeUnknown, 1},
-		{"answers for another", func() *fakeServer {
+		{"closes the connection after reading the request", func() *fakeServer { return respondingServer("") }, 502, apierror.OutcomeUnknown, 1},
+		{"sends less than Content-Length", func() *fakeServer { return respondingServer(responseHead + "Content-Length: 9\n\nok") }, 502, apierror.OutcomeUnknown, 1},
+		{"ends within a chunk", func() *fakeServer { return respondingServer(responseHead + "Transfer-Encoding: chunked\n\n9\nok") }, 502, apierror.OutcomeUnknown, 1},
+		{"answers another request", func() *fakeServer {
 			return respondingServer("HTTP/1.1 200 OK\nStepwick-Request-Id: r9\nContent-Length: 2\n\nok")
 		}, 502, apierror.OutcomeUnknown, 1},
-		{"refuses", func() *fakeServer { return &fakeServer{refuseConnections: true} }, 503, apierror.NotRun, 0},
+		{"refuses connections", func() *fakeServer { return &fakeServer{refuseConnections: true} }, 503, apierror.NotRun, 0},
 	}
 	for _, row := range rows {
 		for _, method := range []string{"GET", "POST"} {
@@ -48,32 +48,32 @@
 			})
 		}
 	}
-	Convey("A call whose first server refuses is run once by another", t, func() {
+	Convey("A call whose first server refuses the connection is run once by another server", t, func() {
 		inBubble(t, func(t *testing.T) {
-			good := respondingServer(id + "Content-Length: 2\n\nok")
+			good := respondingServer(responseHead + "Content-Length: 2\n\nok")
 			f := newFixture(t, "web", 8, &fakeServer{refuseConnections: true}, good)
 			defer f.stop()
 			caller := f.connect()
 			for i := range 4 {
-				name := fmt.Sprint("r", i)
-				caller.send("POST", "/v1/call/orders/x", name, "", "{}")
+				id := fmt.Sprint("r", i)
+				caller.send("POST", "/v1/call/orders/x", id, "", "{}")
 				f.checkEqual("answer", caller.readResponse(), response{200, 0, "ok", true})
-				f.checkEqual("runs", f.runs(name), 1)
+				f.checkEqual("runs", f.runs(id), 1)
 			}
 		})
 	})
-	Convey("An answer that comes after the deadline is never passed on, not even when the timers are late", t, func() {
+	Convey("An answer that arrives after the deadline is not forwarded, even if timers fire late", t, func() {
 		inBubble(t, func(t *testing.T) {
 			slow := &fakeServer{}
 			f := newFixture(t, "web", 8, slow)
-			slow.respond = func(conn net.Conn, _ *http.Request, name string) {
-				slow.countRun(name)
-				if name == "late" {
+			slow.respond = func(conn net.Conn, _ *http.Request, id string) {
+				slow.countRun(id)
+				if id == "late" {
 					f.clock.offset.Add(int64(20 * time.Second))
 				} else {
 					<-time.After(3 * time.Second)
 				}
-				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nStepwick-Request-Id: %s\r\nContent-Length: 2\r\n\r\nok", name)
+				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nStepwick-Request-Id: %s\r\nContent-Length: 2\r\n\r\nok", id)
 			}
 			defer f.stop()
 			caller, began := f.connect(), time.Now()
@@ -87,7 +87,7 @@
 }
 
 func TestOneShotsFreeTheirSlots(t *testing.T) {
-	Convey("However one-shots end, none keeps its slot", t, func() {
+	Convey("A one-shot call frees its slot regardless of how it ends", t, func() {
 		inBubble(t, func(t *testing.T) {
 			f := newFixture(t, "web", 2, respondingServer(""), &fakeServer{refuseConnections: true}, respondingServer("HTTP/1.1 200 OK\nStepwick-Request-Id: ID\nContent-Length: 2\n\nok"))
 			defer f.stop()
--- a/internal/node/front/pause_detector.go
+++ b/internal/node/front/pause_detector.go
@@ -10,20 +10,21 @@
 
 const (
 	pauseCheckInterval = 50 * time.Millisecond
-	// pauseThreshold is the time between two ticks from which the process counts
-	// as paused.
+	// pauseThreshold is the interval between two ticks above which the process is
+	// considered to have been paused.
 	pauseThreshold = 250 * time.Millisecond
-	// pauseCatchUp is how long after a pause requests may still be read that
-	// arrived during it.
+	// pauseCatchUp is the time after a pause during which requests that arrived
+	// during the pause may still be read.
 	pauseCatchUp = time.Second
 )
 
-// pauseDetector detects that the whole process was paused, as by a suspended
-// virtual machine or SIGSTOP. A request that is read after a pause may have
-// waited on its connection since the pause began, so its deadline counts from
-// then.
+// pauseDetector detects that the whole process was paused, for example by SIGSTOP
+// or because its virtual machine was suspended. A request that is read after a
+// pause may have waited in a socket's buffer since the start of the pause, so its
+// deadline counts from then.
 //
-// Only Serve writes the atomic fields; any goroutine may call earliestArrival.
+// Only Serve writes the atomic fields. earliestArrival may be called from any
+// goroutine.
 type pauseDetector struct {
 	clock     clock.Clock
 	started   time.Time
@@ -33,8 +34,8 @@
 
 // pause is a detected pause of the process.
 type pause struct {
-	start time.Time
-	until time.Time // end of the time in which requests from the pause are read
+	start      time.Time
+	catchUpEnd time.Time // requests read before this time may have arrived during the pause
 }
 
 func newPauseDetector(clock clock.Clock) *pauseDetector {
@@ -49,23 +50,24 @@
 	if now.Sub(last) > pauseThreshold {
 		return p.pauseStart(last)
 	}
-	if latest := p.lastPause.Load(); latest != nil && now.Before(latest.until) {
+	if latest := p.lastPause.Load(); latest != nil && now.Before(latest.catchUpEnd) {
 		return latest.start
 	}
 	return now
 }
 
-// pauseStart returns the start of a pause that followed the tick at last. A pause
-// shortly after another continues it, since requests that arrived during the
-// first may still be unread.
+// pauseStart returns the start of the pause that followed the tick at last. A pause
+// that begins within pauseCatchUp of the previous one is treated as its
+// continuation, since requests that arrived during the previous one may still be
+// unread.
 func (p *pauseDetector) pauseStart(last time.Time) time.Time {
-	if latest := p.lastPause.Load(); latest != nil && last.Before(latest.until) {
+	if latest := p.lastPause.Load(); latest != nil && last.Before(latest.catchUpEnd) {
 		return latest.start
 	}
 	return last
 }
 
-// Serve ticks until the context ends.
+// Serve ticks every pauseCheckInterval until the context ends.
 func (p *pauseDetector) Serve(ctx context.Context) error {
 	ticker := p.clock.Ticker(pauseCheckInterval)
 	defer ticker.Stop()
@@ -79,15 +81,16 @@
 	}
 }
 
-// String returns the owner's name in log events.
-func (p *pauseDetector) String() string { return "pulse" }
+// String returns the name of this owner in log events.
+func (p *pauseDetector) String() string { return "pause detector" }
 
-// tick records the current time, and a pause if the last tick is too long ago.
+// tick records the current time, and a pause if the last tick was more than
+// pauseThreshold ago.
 func (p *pauseDetector) tick() {
 	now := p.clock.Now()
 	last := p.lastTickTime()
 	if now.Sub(last) > pauseThreshold {
-		p.lastPause.Store(&pause{start: p.pauseStart(last), until: now.Add(pauseCatchUp)})
+		p.lastPause.Store(&pause{start: p.pauseStart(last), catchUpEnd: now.Add(pauseCatchUp)})
 	}
 	p.lastTick.Store(int64(now.Sub(p.started)))
 }
--- a/internal/node/front/prompt.go
+++ b/internal/node/front/prompt.go
@@ -12,8 +12,8 @@
 	"stepwick/internal/stage"
 )
 
-// retryPrompt attempts a prompt at one server after another until an event has
-// reached the caller or the call fails for good.
+// retryPrompt tries servers one after another until an event has been forwarded to
+// the caller or the error does not permit a retry.
 func (c *call) retryPrompt(ctx context.Context, prompt *clientapi.Prompt, stream *clientapi.Stream) *apierror.Error {
 	for {
 		server, apiErr := c.attemptPrompt(ctx, prompt, stream)
@@ -24,8 +24,8 @@
 	}
 }
 
-// attemptPrompt makes one attempt. A server's name beside the error means that
-// nothing has reached the caller, so another server may be tried.
+// attemptPrompt makes one attempt. If it returns an error and a server's name,
+// nothing was sent to the caller and another server may be tried.
 func (c *call) attemptPrompt(ctx context.Context, prompt *clientapi.Prompt, stream *clientapi.Stream) (string, *apierror.Error) {
 	assigned, choice, apiErr := c.acquireServer(ctx)
 	if apiErr != nil {
@@ -33,16 +33,16 @@
 	}
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	began := c.front.clock.Now()
-	// An early return or a panic leaves this failure to the routing table.
-	failure := &backend.Failure{Kind: backend.Cancelled, Detail: "given up"}
-	forwarder := &streamForwarder{call: c, stream: stream, began: began}
+	startedAt := c.front.clock.Now()
+	// This failure is reported on a panic or if forwarding fails.
+	failure := &backend.Failure{Kind: backend.Cancelled, Detail: "the front ended the attempt"}
+	forwarder := &streamForwarder{call: c, stream: stream, startedAt: startedAt}
 	defer func() {
-		c.releaseServer(assigned, failure, began, forwarder.firstEvent)
-		attempt := attemptRecord(choice.Server, failure, c.front.clock.Now().Sub(began))
+		c.releaseServer(assigned, failure, startedAt, forwarder.firstEvent)
+		attempt := attemptRecord(choice.Server, failure, c.front.clock.Now().Sub(startedAt))
 		attempt.Events = forwarder.events
 		attempt.FirstEventMS = milliseconds(forwarder.firstEvent)
-		c.record(Entry{Attempt: attempt})
+		c.record(JournalEntry{Attempt: attempt})
 	}()
 	queue := stage.NewQueue[backend.Event](c.front.config.StreamBuffer)
 	go c.front.client.Generate(attemptCtx, c.newAttempt(choice), c.backendPrompt(prompt), queue)
@@ -74,8 +74,9 @@
 	}
 }
 
-// promptError converts the failure of an attempt to what the caller gets. It
-// returns the server's name if another server may be tried.
+// promptError converts the failure of an attempt to the error for the caller. It
+// also returns the server's name if another server may be tried. The argument begun
+// reports whether an event was forwarded to the caller.
 func (c *call) promptError(ctx context.Context, server string, failure *backend.Failure, begun bool) (string, *apierror.Error) {
 	switch {
 	case failure.Kind == backend.SendForbidden && !begun:
@@ -83,16 +84,16 @@
 	case ctx.Err() != nil && begun && c.rejection.Load() == nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return "", errDeadlineDuringStream()
 	case ctx.Err() != nil:
-		return "", c.contextError(ctx, "no event came before the deadline")
+		return "", c.contextError(ctx, "no event arrived before the deadline")
 	case begun:
 		return "", apierror.Errorf(apierror.StreamCut, "%s", failure.Detail).WithRetryAfter(shortRetryAfter)
 	}
 	return server, apierror.Errorf(apierror.StreamNotBegun, "%s", failure.Detail)
 }
 
-// notBegunError returns the error of a prompt that no server has begun. A first
-// attempt keeps its own code; after a retry it is StreamNotBegun, unless the
-// caller left or lost its API key.
+// notBegunError returns the error for a prompt that no server has started to answer.
+// On a first attempt the code is kept. After a retry it becomes StreamNotBegun,
+// except for CallerGone and KeyRevoked.
 func (c *call) notBegunError(apiErr *apierror.Error) *apierror.Error {
 	if len(c.request.TriedServers) == 0 || apiErr.Code == apierror.CallerGone || apiErr.Code == apierror.KeyRevoked {
 		return apiErr
@@ -101,5 +102,5 @@
 }
 
 func errDeadlineDuringStream() *apierror.Error {
-	return apierror.Errorf(apierror.StreamCut, "the deadline passed while the stream ran").WithRetryAfter(shortRetryAfter)
+	return apierror.Errorf(apierror.StreamCut, "the deadline passed before the stream was complete").WithRetryAfter(shortRetryAfter)
 }
--- a/internal/node/front/result_events.go
+++ b/internal/node/front/result_events.go
@@ -6,8 +6,8 @@
 	"stepwick/internal/events"
 )
 
-// resultEvents are the log events of results. Any other error is logged as
-// RequestRefused.
+// resultEvents maps result codes to log events. Any other code is logged as
+// RequestRejected.
 var resultEvents = map[apierror.Code]events.Event{
 	apierror.OutcomeUnknown: events.OutcomeUnknown,
 	apierror.StreamCut:      events.StreamAborted,
@@ -22,27 +22,27 @@
 	if apiErr == nil {
 		return
 	}
-	event, found := resultEvents[apiErr.Code]
-	if !found {
+	event, ok := resultEvents[apiErr.Code]
+	if !ok {
 		event = events.RequestRejected
 	}
 	c.front.log.Emit(event, "request", c.id, "service", c.service, "tenant", c.tenant, "server", c.lastServer,
 		"code", uint32(apiErr.Code), "detail", apiErr.Detail)
 }
 
-// failureEvents are the log events of answers that break the protocol.
+// failureEvents maps failures that violate the protocol to log events.
 var failureEvents = map[backend.FailureKind]events.Event{
 	backend.ProtocolViolation: events.ResponseMismatched,
 	backend.EventsOutOfOrder:  events.EventOutOfOrder,
 	backend.Incomplete:        events.ResponseIncomplete,
 }
 
-// logFailure logs a failure that is the server's fault.
+// logFailure logs a failure if the server violated the protocol.
 func (c *call) logFailure(failure *backend.Failure) {
 	if failure == nil {
 		return
 	}
-	if event, found := failureEvents[failure.Kind]; found {
+	if event, ok := failureEvents[failure.Kind]; ok {
 		c.front.log.Emit(event, "request", c.id, "service", c.service, "server", c.lastServer, "detail", failure.Detail)
 	}
 }
--- a/internal/node/front/router.go
+++ b/internal/node/front/router.go
@@ -20,9 +20,9 @@
 	minRouterWait       = time.Millisecond
 )
 
-// router owns the routing table, the requests that wait for a server, and the
-// assignments of requests to servers. The goroutine in Serve owns all fields but
-// requests, releases and nextID.
+// router owns the routing table, the queued requests and the assignments of
+// requests to servers. Only the goroutine of Serve uses the fields other than
+// requests, releases, stopped and nextID.
 type router struct {
 	table    *route.Table
 	views    Views
@@ -32,29 +32,29 @@
 	releases *stage.Queue[release]
 	stopped  chan struct{} // closed when the front has stopped
 	nextID   atomic.Uint64
-	view     *follower.View // the one that the table has
-	sheet    *sheet.Sheet   // the one last given to applySheet
-	queued   map[string]*assignment
-	assigned map[string]map[*assignment]struct{} // offset server
+	view     *follower.View                      // last view that was applied to the table
+	sheet    *sheet.Sheet                        // last sheet that was passed to applySheet
+	queued   map[string]*assignment              // by ID of the route.Request
+	assigned map[string]map[*assignment]struct{} // by server
 	reporter routingReporter
 	// applySheet applies the run-time settings of a new sheet to the table.
 	applySheet func(*sheet.Sheet, *route.Table)
 }
 
-// assignment is one request's slot at a server, or its entry among the queued
-// requests. Server and released belong to the router's goroutine.
+// assignment is a request for a server: queued, or assigned to a slot of a server.
+// Only the router's goroutine uses the fields server and released.
 type assignment struct {
 	request  route.Request
-	choice   chan route.Choice // holds one, so that the router never waits
-	server   string            // "" until one is chosen
+	choice   chan route.Choice // buffered, so that the router never blocks
+	server   string            // "" until a server is chosen
 	released bool
-	// serverLost ends when the server is removed or unreachable, and when the
-	// assignment is released.
+	// serverLost ends when the server is removed or reported as unreachable, or when
+	// the assignment is released.
 	serverLost     context.Context
 	markServerLost context.CancelFunc
 }
 
-// release is the end of an assignment.
+// release is a message that ends an assignment.
 type release struct {
 	assignment *assignment
 	outcome    route.Outcome
@@ -74,17 +74,17 @@
 	}
 }
 
-// request submits a request for a server. The choice is sent on the assignment's
-// channel; every assignment must be released once, whatever was chosen. A full
-// queue is rejected as QueueFull.
-func (r *router) request(request route.Request) (*assignment, *apierror.Error) {
+// submit requests a server. The router sends its choice on the channel of the
+// returned assignment. Every assignment must be released exactly once, even if the
+// choice is a rejection. If the router's queue is full, submit returns QueueFull.
+func (r *router) submit(request route.Request) (*assignment, *apierror.Error) {
 	request.ID = strconv.FormatUint(r.nextID.Add(1), 36)
-	requested := &assignment{request: request, choice: make(chan route.Choice, 1)}
-	requested.serverLost, requested.markServerLost = context.WithCancel(context.Background())
-	if !r.requests.TryPut(requested) {
-		return nil, apierror.Errorf(apierror.QueueFull, "%d requests wait to be routed", routerQueueCapacity).WithRetryAfter(time.Second)
+	pending := &assignment{request: request, choice: make(chan route.Choice, 1)}
+	pending.serverLost, pending.markServerLost = context.WithCancel(context.Background())
+	if !r.requests.TryPut(pending) {
+		return nil, apierror.Errorf(apierror.QueueFull, "the queue of the router is full: %d requests are waiting to be routed", routerQueueCapacity).WithRetryAfter(time.Second)
 	}
-	return requested, nil
+	return pending, nil
 }
 
 // release ends an assignment and reports the outcome of its request.
@@ -95,19 +95,19 @@
 	}
 }
 
-// Serve owns the table until the context ends.
+// Serve runs the goroutine that owns the table until the context ends.
 func (r *router) Serve(ctx context.Context) error {
 	wake, stop := clock.NewTimer(time.Hour)
 	defer func() { stop() }()
 	for {
-		// The channel is taken before the view is read, so that no change is missed.
+		// The channel is read before the view, so that no change is missed.
 		changed := r.views.Changed()
 		r.recoverPanic(nil, r.refreshView)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case requested := <-r.requests.Items():
-			r.serveRequest(requested)
+		case pending := <-r.requests.Items():
+			r.serveRequest(pending)
 		case ended := <-r.releases.Items():
 			r.recoverPanic(nil, func() { r.finish(ended) })
 		case <-changed:
@@ -120,36 +120,36 @@
 	}
 }
 
-// String returns the owner's name in log events.
+// String returns the name of this owner in log events.
 func (r *router) String() string { return "router" }
 
-// serveRequest chooses a server for a request, by the newest view and with the
-// slots of all requests that have ended.
-func (r *router) serveRequest(requested *assignment) {
-	r.recoverPanic(nil, r.finishAll)
-	r.recoverPanic(requested, func() {
+// serveRequest chooses a server for a request after it has applied all pending
+// releases and the latest view.
+func (r *router) serveRequest(pending *assignment) {
+	r.recoverPanic(nil, r.finishReleased)
+	r.recoverPanic(pending, func() {
 		r.refreshView()
-		r.choose(requested)
+		r.choose(pending)
 	})
 }
 
-// recoverPanic runs a decision and logs its panic. The request that it was made
-// for, if any, is rejected then, so that its caller does not wait.
-func (r *router) recoverPanic(requested *assignment, decide func()) {
+// recoverPanic calls decide and recovers from and logs a panic. In that case it
+// rejects the pending request, if any, so that its caller does not wait for a choice.
+func (r *router) recoverPanic(pending *assignment, decide func()) {
 	defer func() {
 		panicked := recover()
 		if panicked == nil {
 			return
 		}
 		r.log.Emit(events.RoutePanicked, "panic", panicked)
-		if requested != nil {
-			r.deliver(requested, route.Choice{Err: apierror.Errorf(apierror.NoServer, "a fault of the program; see the log").WithRetryAfter(time.Second)})
+		if pending != nil {
+			r.deliver(pending, route.Choice{Err: apierror.Errorf(apierror.NoServer, "internal error while the request was routed; see the log event route_broke").WithRetryAfter(time.Second)})
 		}
 	}()
 	decide()
 }
 
-// nextWait returns how long the router may sleep.
+// nextWait returns the time until the router must wake up.
 func (r *router) nextWait() time.Duration {
 	now := r.clock.Now()
 	if at, ok := r.table.NextWake(now); ok {
@@ -158,8 +158,8 @@
 	return routingReportInterval
 }
 
-// refreshView applies the newest view to the table, so that no decision uses an
-// older one, and cancels the attempts at servers that it reports as lost.
+// refreshView applies the latest view to the table if it has changed. Attempts at
+// servers that the view reports as removed or unreachable are cancelled.
 func (r *router) refreshView() {
 	view := r.views.View()
 	if view == r.view {
@@ -186,37 +186,38 @@
 	}
 }
 
-// choose delivers a server or a rejection to a request, or queues the request.
-func (r *router) choose(requested *assignment) {
-	if requested.released {
+// choose assigns a server to a request, rejects the request or queues it.
+func (r *router) choose(pending *assignment) {
+	if pending.released {
 		return
 	}
 	now := r.clock.Now()
-	choice := r.table.Choose(requested.request, now)
+	choice := r.table.Choose(pending.request, now)
 	if choice.Queued {
-		if choice.Err = r.table.Enqueue(requested.request, now); choice.Err == nil {
-			r.queued[requested.request.ID] = requested
+		if choice.Err = r.table.Enqueue(pending.request, now); choice.Err == nil {
+			r.queued[pending.request.ID] = pending
 			return
 		}
 	}
-	r.deliver(requested, choice)
+	r.deliver(pending, choice)
 }
 
-// deliver takes a slot of the chosen server, if any, and sends the choice.
-func (r *router) deliver(requested *assignment, choice route.Choice) {
+// deliver occupies a slot of the chosen server, if any, and sends the choice to the
+// goroutine that waits for it.
+func (r *router) deliver(pending *assignment, choice route.Choice) {
 	if choice.Err == nil {
-		requested.server = choice.Server
+		pending.server = choice.Server
 		r.table.Started(choice.Server)
-		if r.assigned[requested.server] == nil {
-			r.assigned[requested.server] = map[*assignment]struct{}{}
+		if r.assigned[pending.server] == nil {
+			r.assigned[pending.server] = map[*assignment]struct{}{}
 		}
-		r.assigned[requested.server][requested] = struct{}{}
+		r.assigned[pending.server][pending] = struct{}{}
 	}
-	requested.choice <- choice
+	pending.choice <- choice
 }
 
-// finish removes a queued request, or frees its slot and reports its outcome to
-// the table.
+// finish ends an assignment. It removes a queued request from the queue, or frees
+// the slot at the server and reports the outcome to the table.
 func (r *router) finish(ended release) {
 	finished := ended.assignment
 	finished.released = true
@@ -236,27 +237,27 @@
 	r.table.Finished(finished.server, ended.outcome, r.clock.Now())
 }
 
-// finishAll finishes the assignments that are released by now.
-func (r *router) finishAll() {
+// finishReleased ends all assignments whose release is queued.
+func (r *router) finishReleased() {
 	for remaining := r.releases.Len(); remaining > 0; remaining-- {
 		r.finish(<-r.releases.Items())
 	}
 }
 
-// dispatchQueued delivers choices to the queued requests that the table has
-// decided on.
+// dispatchQueued delivers the choices for queued requests on which the table can
+// decide now.
 func (r *router) dispatchQueued() {
 	for {
 		ready, ok := r.table.Next(r.clock.Now())
 		if !ok {
 			return
 		}
-		requested := r.queued[ready.Request.ID]
-		if requested == nil {
+		pending := r.queued[ready.Request.ID]
+		if pending == nil {
 			continue
 		}
 		delete(r.queued, ready.Request.ID)
 		ready.Choice.EstimatedWait = 0
-		r.deliver(requested, ready.Choice)
+		r.deliver(pending, ready.Choice)
 	}
 }
--- a/internal/node/front/routing_reporter.go
+++ b/internal/node/front/routing_reporter.go
@@ -11,23 +11,23 @@
 	"stepwick/internal/wire"
 )
 
-// routingReportInterval is the least time between two reports, and the longest
-// that the router sleeps.
+// routingReportInterval is the minimum interval between two reports and the longest
+// time that the router sleeps.
 const routingReportInterval = time.Second
 
-// routingReporter logs changes of the routing table's state: plans that are
-// applied or stale, servers that are ejected or readmitted, and regions without
-// servers. It belongs to the router's goroutine.
+// routingReporter logs changes of the routing table: plans that are applied or
+// stale, servers that are ejected or readmitted, and regions without servers. Only
+// the router's goroutine uses it.
 type routingReporter struct {
 	reportedAt time.Time
 	plan       *wire.Plan
 	planSince  time.Time // when plan was first seen
 	ejected    map[string]bool
-	// regionsWithoutServers holds "service region" pairs.
+	// regionsWithoutServers holds pairs of the form "service region".
 	regionsWithoutServers map[string]bool
 }
 
-// report logs a new plan at once, and the rest at most once in
+// report logs a new plan immediately and everything else at most once per
 // routingReportInterval.
 func (r *routingReporter) report(table *route.Table, plan *wire.Plan, now time.Time, log events.Log) {
 	if plan != r.plan {
@@ -47,25 +47,25 @@
 }
 
 func (r *routingReporter) reportEjections(table *route.Table, log events.Log) {
-	ejected := setOf(table.Ejected())
+	ejected := toSet(table.Ejected())
 	forEachNew(ejected, r.ejected, func(name string) { log.Emit(events.ServerEjected, "server", name) })
 	forEachNew(r.ejected, ejected, func(name string) { log.Emit(events.ServerReadmitted, "server", name) })
 	r.ejected = ejected
 }
 
 func (r *routingReporter) reportRegionsWithoutServers(table *route.Table, plan *wire.Plan, log events.Log) {
-	without := map[string]bool{}
+	regionsWithoutServers := map[string]bool{}
 	if plan != nil {
-		without = setOf(table.ServicesWithoutServers())
+		regionsWithoutServers = toSet(table.ServicesWithoutServers())
 	}
-	forEachNew(without, r.regionsWithoutServers, func(serviceAndRegion string) {
+	forEachNew(regionsWithoutServers, r.regionsWithoutServers, func(serviceAndRegion string) {
 		service, region, _ := strings.Cut(serviceAndRegion, " ")
 		log.Emit(events.PlanRegionWithoutServers, "service", service, "region", region)
 	})
-	r.regionsWithoutServers = without
+	r.regionsWithoutServers = regionsWithoutServers
 }
 
-func setOf(names []string) map[string]bool {
+func toSet(names []string) map[string]bool {
 	set := map[string]bool{}
 	for _, name := range names {
 		set[name] = true
@@ -73,11 +73,11 @@
 	return set
 }
 
-// forEachNew calls visit, in sorted order, for each name in now that is not in
-// before.
-func forEachNew(now, before map[string]bool, visit func(name string)) {
-	for _, name := range slices.Sorted(maps.Keys(now)) {
-		if !before[name] {
+// forEachNew calls visit, in sorted order, for each name in current that is not in
+// previous.
+func forEachNew(current, previous map[string]bool, visit func(name string)) {
+	for _, name := range slices.Sorted(maps.Keys(current)) {
+		if !previous[name] {
 			visit(name)
 		}
 	}
--- a/internal/node/front/runtime_settings.go
+++ b/internal/node/front/runtime_settings.go
@@ -10,18 +10,18 @@
 	"stepwick/internal/events"
 )
 
-// RuntimeSettings are the settings that a sheet changes while the front runs. A
-// nil or zero value leaves the setting as it is.
+// RuntimeSettings are the settings that a sheet can change at run time. A nil or
+// zero field leaves the setting unchanged.
 type RuntimeSettings struct {
 	Route *route.RuntimeConfig
 	// DeadlineMax is the longest deadline that a caller may request.
 	DeadlineMax time.Duration
-	// DeadlineDefault is the deadline of a request that names none.
+	// DeadlineDefault applies to requests without a deadline.
 	DeadlineDefault time.Duration
 }
 
-// applyRuntimeSettings applies the settings of a sheet if they have changed. It
-// runs on the router's goroutine, which owns the table.
+// applyRuntimeSettings applies the settings of a sheet if they differ from those
+// last applied. It runs on the router's goroutine, which owns the table.
 func (f *Front) applyRuntimeSettings(newSheet *sheet.Sheet, table *route.Table) {
 	if f.config.ReadRuntimeSettings == nil || newSheet == nil {
 		return
--- a/internal/node/front/stream_forwarder.go
+++ b/internal/node/front/stream_forwarder.go
@@ -8,20 +8,20 @@
 	"stepwick/internal/apierror"
 )
 
-// streamForwarder forwards the events of one attempt to the caller and measures
-// their times.
+// streamForwarder forwards the events of one attempt to the caller and records
+// their latency.
 type streamForwarder struct {
 	call        *call
 	stream      *clientapi.Stream
-	began       time.Time     // start of the attempt
-	events      int           // forwarded so far
-	firstEvent  time.Duration // from the attempt's start to the first event
+	startedAt   time.Time     // start of the attempt
+	events      int           // number of events forwarded so far
+	firstEvent  time.Duration // time from startedAt to the first event
 	lastEventAt time.Time
 }
 
-// forwardAll forwards events until their channel is closed. It returns true if
-// the server was reported as lost before the first event; after that the events
-// themselves show whether the server works.
+// forwardAll forwards events until the channel is closed. It returns true if the
+// server was reported as removed or unreachable before the first event. Later
+// reports are ignored, since the events themselves show that the server works.
 func (s *streamForwarder) forwardAll(events <-chan backend.Event, serverLost <-chan struct{}) (bool, *apierror.Error) {
 	for {
 		select {
@@ -39,9 +39,9 @@
 	}
 }
 
-// forward writes one event to the caller, unless the call may no longer run or
-// its deadline has passed. Both are checked for each event, since the timers of a
-// process that was paused may be late.
+// forward writes one event to the caller, unless the call may no longer run or its
+// deadline has passed. Both are checked for each event, since timers fire late after
+// a pause of the process.
 func (s *streamForwarder) forward(event backend.Event) *apierror.Error {
 	front := s.call.front
 	if apiErr := front.calls.checkRunning(&s.call.runningCall); apiErr != nil {
@@ -50,21 +50,21 @@
 	now := front.clock.Now()
 	if !now.Before(s.call.request.Deadline) {
 		if !s.stream.Begun() {
-			return apierror.Errorf(apierror.DeadlinePassed, "the first event came after the deadline").WithRetryAfter(shortRetryAfter)
+			return apierror.Errorf(apierror.DeadlinePassed, "the first event arrived after the deadline").WithRetryAfter(shortRetryAfter)
 		}
 		return errDeadlineDuringStream()
 	}
 	if err := s.stream.Event(event.Data); err != nil {
-		return apierror.Errorf(apierror.CallerGone, "the caller takes no events: %s", err)
+		return apierror.Errorf(apierror.CallerGone, "write an event to the caller: %s", err)
 	}
-	s.measure(now)
+	s.observeEvent(now)
 	return nil
 }
 
-func (s *streamForwarder) measure(now time.Time) {
+func (s *streamForwarder) observeEvent(now time.Time) {
 	metrics := s.call.front.metrics
 	if s.events == 0 {
-		s.firstEvent = now.Sub(s.began)
+		s.firstEvent = now.Sub(s.startedAt)
 		metrics.firstEvent.WithLabelValues(s.call.service).Observe(now.Sub(s.call.arrived).Seconds())
 	} else {
 		metrics.eventGap.WithLabelValues(s.call.service).Observe(now.Sub(s.lastEventAt).Seconds())
