--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -73,22 +73,22 @@
 		admission.Service, dashIfEmpty(admission.Tenant), dashIfEmpty(admission.Region),
 		admission.Version, admission.Plan, admission.PlanTerm)
 	verdict := "passed"
-	if !admission.Passed {
+	if !admission.Allowed {
 		verdict = "refused"
 	}
-	if admission.Fault != "" {
-		verdict += ": " + admission.Fault
+	if admission.Error != "" {
+		verdict += ": " + admission.Error
 	}
 	a.printf("  %s\n", verdict)
 	if admission.Limit <= 0 {
 		return
 	}
 	marked := ""
-	if admission.Marked {
+	if admission.OverLimit {
 		marked = "; the tenant is marked"
 	}
 	a.printf("  %.0f tokens; limit %.0f a window, blend %.0f (previous window %.0f, this one %.0f), last window's span %.0f%s\n",
-		admission.Tokens, admission.Limit, admission.Blend, admission.Prev, admission.Cur, admission.Recent, marked)
+		admission.Tokens, admission.Limit, admission.Estimate, admission.Previous, admission.Current, admission.Recent, marked)
 }
 
 func (a *App) printRouting(number int, routing *front.Routing) error {
@@ -96,8 +96,8 @@
 	if routing.Region != "" {
 		destination += " in " + routing.Region
 	}
-	if routing.Fault != "" {
-		destination = strings.TrimSpace(destination + " none: " + routing.Fault)
+	if routing.Error != "" {
+		destination = strings.TrimSpace(destination + " none: " + routing.Error)
 	}
 	a.printf("\nrouting %d: %s (pending %.1f ms)\n", number, destination, routing.WaitedMS)
 	if len(routing.Candidates) == 0 {
@@ -114,7 +114,7 @@
 	a.println("\nattempts")
 	rows := a.newTable("  SERVER", "ENDED", "EVENTS", "FIRST EVENT", "TOOK", "DETAIL")
 	for _, attempt := range attempts {
-		rows.row("  "+attempt.Server, attempt.Ended, attempt.Events, formatMS(attempt.FirstEventMS), formatMS(attempt.TookMS), attempt.Detail)
+		rows.row("  "+attempt.Server, attempt.Result, attempt.Events, formatMS(attempt.FirstEventMS), formatMS(attempt.TookMS), attempt.Detail)
 	}
 	return rows.print()
 }
--- a/internal/node/front/admission.go
+++ b/internal/node/front/admission.go
@@ -96,7 +96,7 @@
 	}
 	defer func() {
 		if apiErr != nil {
-			admission.Fault = apiErr.Error()
+			admission.Error = apiErr.Error()
 		}
 		c.record(JournalEntry{Admission: admission})
 	}()
--- a/internal/node/front/explain.go
+++ b/internal/node/front/explain.go
@@ -34,29 +34,29 @@
 // Admission is the decision that precedes routing. The result and the counts of the
 // quota check are copied from quota.Decision. Costs and counts are in tokens.
 type Admission struct {
-	Service  string  `json:"service"`
-	Tenant   string  `json:"tenant,omitempty"`
-	Region   string  `json:"region"`         // region of the caller
-	Home     string  `json:"home,omitempty"` // only region that may serve the request; "" for any
-	Version  uint64  `json:"epoch"`          // version of the configuration
-	PlanTerm uint64  `json:"plan_term"`
-	Plan     uint64  `json:"plan"`
-	Tokens   float64 `json:"tokens"`
-	Passed   bool    `json:"passed"`
-	Blend    float64 `json:"blend"`
-	Prev     float64 `json:"prev"`
-	Cur      float64 `json:"cur"`
-	Recent   float64 `json:"recent"`
-	Limit    float64 `json:"limit"`
-	Marked   bool    `json:"marked"`
-	Fault    string  `json:"fault,omitempty"`
+	Service   string  `json:"service"`
+	Tenant    string  `json:"tenant,omitempty"`
+	Region    string  `json:"region"`         // region of the caller
+	Home      string  `json:"home,omitempty"` // only region that may serve the request; "" for any
+	Version   uint64  `json:"epoch"`          // version of the configuration
+	PlanTerm  uint64  `json:"plan_term"`
+	Plan      uint64  `json:"plan"`
+	Tokens    float64 `json:"tokens"`
+	Allowed   bool    `json:"passed"`
+	Estimate  float64 `json:"blend"`
+	Previous  float64 `json:"prev"`
+	Current   float64 `json:"cur"`
+	Recent    float64 `json:"recent"`
+	Limit     float64 `json:"limit"`
+	OverLimit bool    `json:"marked"`
+	Error     string  `json:"fault,omitempty"`
 }
 
 // Routing is one decision of the routing table.
 type Routing struct {
 	Server     string      `json:"server,omitempty"`
 	Region     string      `json:"region,omitempty"`
-	Fault      string      `json:"fault,omitempty"`
+	Error      string      `json:"fault,omitempty"`
 	WaitedMS   float64     `json:"waited_ms"`
 	Candidates []Candidate `json:"candidates,omitempty"`
 }
@@ -71,7 +71,7 @@
 // Attempt is one attempt of a request at one server.
 type Attempt struct {
 	Server       string  `json:"server"`
-	Ended        string  `json:"ended"` // "whole" on success, otherwise the backend.FailureKind
+	Result       string  `json:"ended"` // "whole" on success, otherwise the backend.FailureKind
 	Detail       string  `json:"detail,omitempty"`
 	Events       int     `json:"events,omitempty"`
 	FirstEventMS float64 `json:"first_event_ms,omitempty"`
@@ -139,11 +139,11 @@
 
 // setQuotaDecision copies the values of a quota decision.
 func (a *Admission) setQuotaDecision(decision quota.Decision) {
-	a.Passed = decision.Allowed
-	a.Marked = decision.OverLimit
-	a.Blend = decision.Estimate
-	a.Prev = decision.Previous
-	a.Cur = decision.Current
+	a.Allowed = decision.Allowed
+	a.OverLimit = decision.OverLimit
+	a.Estimate = decision.Estimate
+	a.Previous = decision.Previous
+	a.Current = decision.Current
 	a.Recent = decision.Recent
 	a.Limit = decision.Limit
 }
@@ -155,7 +155,7 @@
 		WaitedMS: milliseconds(waited),
 	}
 	if choice.Err != nil {
-		routing.Fault = choice.Err.Error()
+		routing.Error = choice.Err.Error()
 	}
 	for _, candidate := range choice.Candidates[:min(len(choice.Candidates), maxCandidates)] {
 		routing.Candidates = append(routing.Candidates, Candidate{
@@ -170,11 +170,11 @@
 func attemptRecord(server string, failure *backend.Failure, took time.Duration) *Attempt {
 	attempt := &Attempt{
 		Server: server,
-		Ended:  attemptSucceeded,
+		Result: attemptSucceeded,
 		TookMS: milliseconds(took),
 	}
 	if failure != nil {
-		attempt.Ended = string(failure.Kind)
+		attempt.Result = string(failure.Kind)
 		attempt.Detail = failure.Detail
 	}
 	return attempt
--- a/internal/node/front/explain_test.go
+++ b/internal/node/front/explain_test.go
@@ -85,11 +85,11 @@
 			value, found := f.front.Inspect("explain", "r1")
 			f.checkEqual("found", found, true)
 			explanation := value.(*Explanation)
-			f.checkEqual("admission", []any{explanation.Admission.Tenant, explanation.Admission.Passed, explanation.Admission.Limit, explanation.Admission.Version, explanation.Admission.Plan, explanation.Admission.Tokens},
+			f.checkEqual("admission", []any{explanation.Admission.Tenant, explanation.Admission.Allowed, explanation.Admission.Limit, explanation.Admission.Version, explanation.Admission.Plan, explanation.Admission.Tokens},
 				[]any{"press", true, 810, 1, 7, 9})
 			f.checkEqual("outcome", []any{explanation.Outcome.Name, explanation.Outcome.TookMS}, []any{"ok", 2000})
 			last := explanation.Attempts[len(explanation.Attempts)-1]
-			f.checkEqual("attempt", []any{last.Server, last.Ended, last.Events}, []any{"s1", "whole", 3})
+			f.checkEqual("attempt", []any{last.Server, last.Result, last.Events}, []any{"s1", "whole", 3})
 			f.checkEqual("candidates", len(explanation.Routings[0].Candidates) > 0, true)
 			_, found = f.front.Inspect("explain", "none")
 			f.checkEqual("found", found, false)
