--- a/internal/adapter/controlapi/api.go
+++ b/internal/adapter/controlapi/api.go
@@ -17,18 +17,20 @@
 	"github.com/pkg/errors"
 )
 
-// OrderClient forwards operators' orders and reads to a core.
+// OrderClient forwards operators' orders and reads of the replicated state to a
+// core.
 type OrderClient interface {
 	Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error)
 }
 
-// Inspector answers questions about this process from its own state, with a
-// JSON body. What is the verb of a call, and argument its parameter or empty.
+// Inspector answers queries about this process from its own state.
 type Inspector interface {
-	Inspect(ctx context.Context, what, argument string) (apierror.Code, []byte)
+	// Inspect returns the JSON body of the response to a call. Verb is that of the
+	// call, argument its parameter, or "" if it has none.
+	Inspect(ctx context.Context, verb, argument string) (apierror.Code, []byte)
 }
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	defaultMaxSheetBytes = 16 << 20
 	defaultBodyTimeout   = 5 * time.Second
@@ -37,30 +39,29 @@
 	defaultMaxReads      = 64
 )
 
-// Config of the API. A field that is zero or below has its default.
+// Config configures an API. A number of zero or below means the default.
 type Config struct {
-	// NodeName is this process's name, which cores see as the sender.
+	// NodeName is the name of this process, which it sends to cores with each call.
 	NodeName string
-	// Operators are the operators' keys, each as NAME:SHA256HEX.
+	// Operators contains the hash of each operator's key, as NAME:SHA256HEX.
 	Operators []string
-	// MaxSheetBytes bounds the body of a put or patch; by default 16 MiB.
+	// MaxSheetBytes bounds the body of a put or patch. Default 16 MiB.
 	MaxSheetBytes int64
-	// BodyTimeout bounds the arrival of a body; by default 5 s.
+	// BodyTimeout is the time-out for receiving a body. Default 5 s.
 	BodyTimeout time.Duration
-	// OrderTimeout bounds a call at the cores; by default 8 s.
+	// OrderTimeout is the time-out of a call to the cores. Default 8 s.
 	OrderTimeout time.Duration
-	// MaxOrders bounds the calls with a body that are in flight; by default 16.
+	// MaxOrders bounds the calls with a body that are in flight. Default 16.
 	MaxOrders int
-	// MaxReads bounds the calls without a body that are in flight; by default 64.
+	// MaxReads bounds the calls without a body that are in flight. Default 64.
 	MaxReads int
-	// ValidateSetting checks run-time settings; nil accepts all.
+	// ValidateSetting validates a run-time setting; nil accepts all.
 	ValidateSetting func(name, value string) error
-	// NewOrderID returns an id for an order that has none; by default a random
-	// one.
+	// NewOrderID returns an id for an order without one. By default it is random.
 	NewOrderID func() string
 }
 
-// API answers operators below /v1/control/. It is safe for concurrent use.
+// API serves the calls below /v1/control/. It is safe for concurrent use.
 type API struct {
 	config    Config
 	operators []operator
@@ -68,19 +69,20 @@
 	inspector Inspector
 	clock     clock.Clock
 	log       events.Log
-	// orderSlots and readSlots hold one token for each call in flight.
+	// orderSlots and readSlots are semaphores with one token for each call in flight:
+	// orderSlots for calls with a body, readSlots for the others.
 	orderSlots chan struct{}
 	readSlots  chan struct{}
 }
 
-// operator is a person or program that may give orders.
+// operator is a person or program that may use the API.
 type operator struct {
 	name    string
 	keyHash [sha256.Size]byte
 }
 
-// New returns the API. It panics on a malformed entry of the operators, which
-// is a programmer's error: the settings' checks reject those at start-up.
+// New returns an API. It panics on a malformed entry in Config.Operators, which is a
+// programming error: the validation of the settings rejects these at start-up.
 func New(config Config, orders OrderClient, inspector Inspector, clock clock.Clock, log events.Log) *API {
 	config.MaxSheetBytes = positiveOr(config.MaxSheetBytes, defaultMaxSheetBytes)
 	config.BodyTimeout = positiveOr(config.BodyTimeout, defaultBodyTimeout)
@@ -105,7 +107,7 @@
 	return api
 }
 
-// positiveOr returns the value if it is above zero, otherwise the fallback.
+// positiveOr returns value if it is above zero, otherwise fallback.
 func positiveOr[T int | int64 | time.Duration](value, fallback T) T {
 	if value <= 0 {
 		return fallback
@@ -113,14 +115,14 @@
 	return value
 }
 
-// mustParseOperator parses the entry at an index, or panics without repeating
-// it, since it may contain a key.
+// mustParseOperator parses the operator entry at an index. It panics if the entry is
+// malformed; the message omits the entry, since it may contain a key.
 func mustParseOperator(index int, entry string) operator {
 	name, hexHash, _ := strings.Cut(entry, ":")
 	parsed := operator{name: name}
 	hash, err := hex.DecodeString(hexHash)
 	if name == "" || err != nil || len(hash) != sha256.Size {
-		panic(errors.Errorf("operator %d is not NAME:SHA256HEX", index+1))
+		panic(errors.Errorf("operator entry %d does not have the form NAME:SHA256HEX", index+1))
 	}
 	copy(parsed.keyHash[:], hash)
 	return parsed
@@ -133,25 +135,26 @@
 	return "order-" + hex.EncodeToString(random[:])
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	call := &exchange{
-		api:     a,
-		w:       w,
-		r:       r,
-		control: http.NewResponseController(w),
+	current := &exchange{
+		api:                a,
+		w:                  w,
+		r:                  r,
+		responseController: http.NewResponseController(w),
 	}
-	_ = call.control.SetWriteDeadline(deadlineIn(a.config.BodyTimeout + a.config.OrderTimeout + a.config.BodyTimeout))
-	reply, apiErr := call.serve()
+	_ = current.responseController.SetWriteDeadline(deadlineAfter(a.config.BodyTimeout + a.config.OrderTimeout + a.config.BodyTimeout))
+	reply, apiErr := current.serve()
 	if apiErr != nil {
 		if r.ContentLength != 0 {
-			// The rest of the body may not have been read.
+			// The body may not have been read to its end, so the connection can't be reused.
 			w.Header().Set("Connection", "close")
 		}
 		reply = errorReply(apiErr, "")
 	}
-	call.write(reply)
+	current.write(reply)
 }
 
-// deadlineIn returns a deadline of a connection, which is always in real time.
-func deadlineIn(timeout time.Duration) time.Time { return clock.System().Now().Add(timeout) }
+// deadlineAfter returns a deadline for a connection. It uses the system clock, as
+// connections do, instead of the API's clock.
+func deadlineAfter(timeout time.Duration) time.Time { return clock.System().Now().Add(timeout) }
--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -24,15 +24,16 @@
 	"stepwick/internal/wire"
 )
 
-// cores replaces the cores by one state in memory, used by one goroutine.
-type cores struct {
+// fakeCores implements OrderClient and Inspector with one state in memory. It is used
+// by one goroutine.
+type fakeCores struct {
 	state        statemachine.State
 	pending      bool
 	unresponsive bool
 	requests     []*wire.OrderRequest
 }
 
-func (c *cores) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
+func (c *fakeCores) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
 	c.requests = append(c.requests, req)
 	if c.unresponsive {
 		<-ctx.Done()
@@ -67,11 +68,11 @@
 	return responseOf(apierror.OK, map[string]any{"epoch": result.Version, "sheet_epoch": result.SheetVersion, "in_force": true, "order_id": order.OrderID}), nil
 }
 
-func (c *cores) Inspect(_ context.Context, what, argument string) (apierror.Code, []byte) {
+func (c *fakeCores) Inspect(_ context.Context, verb, argument string) (apierror.Code, []byte) {
 	if argument == "nobody" {
 		return apierror.NotFound, nil
 	}
-	return apierror.OK, []byte(fmt.Sprintf(`{"asked":%q,"argument":%q}`, what, argument))
+	return apierror.OK, []byte(fmt.Sprintf(`{"asked":%q,"argument":%q}`, verb, argument))
 }
 
 func responseOf(code apierror.Code, body any) *wire.OrderResponse {
@@ -82,7 +83,7 @@
 	return &wire.OrderResponse{Code: uint32(code), Body: data}
 }
 
-func startServer(t *testing.T, c *cores, config Config) *httptest.Server {
+func startServer(t *testing.T, c *fakeCores, config Config) *httptest.Server {
 	ids := 0
 	config.NodeName, config.NewOrderID = "front-1", func() string { ids++; return fmt.Sprintf("made-%d", ids) }
 	config.Operators = []string{"ada:" + sheet.HashKey("ada's key"), "bola:" + sheet.HashKey("bola's key")}
@@ -97,20 +98,20 @@
 	return server
 }
 
-// answer is what a client sees of a response.
-type answer struct {
+// clientResponse is what a client sees of a response.
+type clientResponse struct {
 	status int
 	header http.Header
 	text   string
 }
 
-func call(server *httptest.Server, who, method, path, body string) answer {
+func sendCall(server *httptest.Server, operatorName, method, path, body string) clientResponse {
 	req, err := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 	if err != nil {
 		panic(err)
 	}
-	if who != "" {
-		req.Header.Set("Authorization", "Bearer "+who+"'s key")
+	if operatorName != "" {
+		req.Header.Set("Authorization", "Bearer "+operatorName+"'s key")
 	}
 	resp, err := server.Client().Do(req)
 	if err != nil {
@@ -121,18 +122,18 @@
 	if err != nil {
 		panic(err)
 	}
-	return answer{status: resp.StatusCode, header: resp.Header, text: strings.TrimSpace(string(data))}
+	return clientResponse{status: resp.StatusCode, header: resp.Header, text: strings.TrimSpace(string(data))}
 }
 
 const firstSheet = `{"services":{"chat":{"kind":"model"}},"weights":{"chat":{"lagos":60,"abeokuta":40}},"tenants":{"press":{"rate":1000}}}`
 
 func TestExchangeTranscript(t *testing.T) {
-	control := &cores{}
-	server := startServer(t, control, Config{MaxSheetBytes: 600})
+	cores := &fakeCores{}
+	server := startServer(t, cores, Config{MaxSheetBytes: 600})
 	var out bytes.Buffer
-	record := func(who, method, path, body string) {
-		got := call(server, who, method, path, body)
-		fmt.Fprintf(&out, "%s: %s %s %s\n%d %s", who, method, path, body, got.status, got.text)
+	record := func(operatorName, method, path, body string) {
+		got := sendCall(server, operatorName, method, path, body)
+		fmt.Fprintf(&out, "%s: %s %s %s\n%d %s", operatorName, method, path, body, got.status, got.text)
 		for _, name := range []string{"Retry-After", "Allow"} {
 			if value := got.header.Get(name); value != "" {
 				fmt.Fprintf(&out, " %s: %s", name, value)
@@ -144,7 +145,7 @@
 	record("ada", "GET", "/v1/control/sheet", "")
 	record("ada", "PATCH", "/v1/control/sheet", `{"base":1,"changes":[{"path":"weights.chat.lagos","value":50}]}`)
 	record("bola", "PATCH", "/v1/control/sheet", `{"base":1,"changes":[{"path":"weights.chat.lagos","value":55}]}`)
-	control.pending = true
+	cores.pending = true
 	record("bola", "PATCH", "/v1/control/sheet", `{"base":2,"changes":[{"path":"weights.chat.lagos","value":55}]}`)
 	record("bola", "PATCH", "/v1/control/sheet", `{"base":2,"changes":[{"path":"weights.chat.lagos","value":55}]}`)
 	for _, verb := range []string{"evacuate", "evacuate", "restore", "evacuate"} {
@@ -158,7 +159,7 @@
 	record("ada", "GET", "/v1/control/status", "")
 	record("ada", "GET", "/v1/control/tally?tenant=press", "")
 	record("ada", "GET", "/v1/control/explain/sw-1", "")
-	relayed := len(control.requests)
+	forwardedCount := len(cores.requests)
 
 	record("", "GET", "/v1/control/sheet", "")
 	record("eve", "GET", "/v1/control/sheet", "")
@@ -175,14 +176,14 @@
 	record("ada", "PATCH", "/v1/control/sheet", `{"base":3,"base":4,"changes":[]}`)
 	record("ada", "PATCH", "/v1/control/sheet", `{"changes":[]}`)
 	record("ada", "POST", "/v1/control/evacuate", `{"zone":"lagos/a"}`)
-	if len(control.requests) != relayed {
-		t.Errorf("%d calls that had to be refused here were relayed", len(control.requests)-relayed)
+	if len(cores.requests) != forwardedCount {
+		t.Errorf("%d calls that the API should have rejected were forwarded to a core", len(cores.requests)-forwardedCount)
 	}
 	goldie.New(t).Assert(t, "exchange", out.Bytes())
 }
 
 func TestCallsAreBoundedAndDeclaredOnce(t *testing.T) {
-	Convey("Every call is declared completely, and once", t, func() {
+	Convey("Every call is declared once, with help, verb and handler", t, func() {
 		seen := map[string]bool{}
 		for _, call := range Routes() {
 			So(seen[call.Method+call.Path], ShouldBeFalse)
@@ -193,8 +194,8 @@
 		}
 	})
 	Convey("A body that is too large is rejected, with or without a declared length", t, func() {
-		server := startServer(t, &cores{}, Config{MaxSheetBytes: 100})
-		text := call(server, "ada", "PUT", "/v1/control/sheet", strings.Repeat(" ", 101)).text
+		server := startServer(t, &fakeCores{}, Config{MaxSheetBytes: 100})
+		text := sendCall(server, "ada", "PUT", "/v1/control/sheet", strings.Repeat(" ", 101)).text
 		So(text, ShouldContainSubstring, `"code":4004`)
 		req, _ := http.NewRequest("POST", server.URL+"/v1/control/evacuate", io.MultiReader(strings.NewReader("{"), strings.NewReader(strings.Repeat(" ", maxOrderBytes))))
 		req.Header.Set("Authorization", "Bearer ada's key")
@@ -202,11 +203,11 @@
 		So(err, ShouldBeNil)
 		defer resp.Body.Close()
 		So(resp.StatusCode, ShouldEqual, http.StatusRequestEntityTooLarge)
-		text = call(server, "ada", "GET", "/v1/control/sheet", "{}").text
+		text = sendCall(server, "ada", "GET", "/v1/control/sheet", "{}").text
 		So(text, ShouldContainSubstring, `"code":1014`)
 	})
 	Convey("A slow body times out", t, func() {
-		server := startServer(t, &cores{}, Config{BodyTimeout: 50 * time.Millisecond})
+		server := startServer(t, &fakeCores{}, Config{BodyTimeout: 50 * time.Millisecond})
 		conn, err := net.Dial("tcp", server.Listener.Addr().String())
 		So(err, ShouldBeNil)
 		defer func() { _ = conn.Close() }()
@@ -217,28 +218,28 @@
 		So(string(received), ShouldStartWith, "HTTP/1.1 408")
 		So(string(received), ShouldContainSubstring, `"code":1012`)
 	})
-	Convey("An order that no core answers is pending under its id; a read says so", t, func() {
-		server := startServer(t, &cores{unresponsive: true}, Config{OrderTimeout: 30 * time.Millisecond})
-		text := call(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`).text
+	Convey("An order that no core answers is reported as pending with its id, a read as no_majority", t, func() {
+		server := startServer(t, &fakeCores{unresponsive: true}, Config{OrderTimeout: 30 * time.Millisecond})
+		text := sendCall(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`).text
 		So(text, ShouldContainSubstring, `"code":4002`)
 		So(text, ShouldContainSubstring, `"order_id":"made-1"`)
-		text = call(server, "ada", "GET", "/v1/control/sheet", "").text
+		text = sendCall(server, "ada", "GET", "/v1/control/sheet", "").text
 		So(text, ShouldContainSubstring, `"code":5001`)
-		text = call(server, "ada", "GET", "/v1/control/status", "").text
+		text = sendCall(server, "ada", "GET", "/v1/control/status", "").text
 		So(text, ShouldContainSubstring, `"node":{"asked":"status"`)
 		So(text, ShouldContainSubstring, `"fleet_fault":{"code":5001`)
 	})
 	Convey("Orders beyond the limit are rejected with a time to retry", t, func() {
-		c := &cores{unresponsive: true}
-		api := New(Config{Operators: []string{"ada:" + sheet.HashKey("ada's key")}, MaxOrders: 1}, c, c, clock.System(), events.Discard)
+		cores := &fakeCores{unresponsive: true}
+		api := New(Config{Operators: []string{"ada:" + sheet.HashKey("ada's key")}, MaxOrders: 1}, cores, cores, clock.System(), events.Discard)
 		api.orderSlots <- struct{}{}
 		server := httptest.NewServer(api)
 		defer server.Close()
-		got := call(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`)
+		got := sendCall(server, "ada", "POST", "/v1/control/evacuate", `{"locality":"lagos"}`)
 		So(got.text, ShouldContainSubstring, `"code":2003`)
 		So(got.header.Get("Retry-After"), ShouldEqual, "1")
 	})
-	Convey("An operator's entry that the settings should have refused stops the start", t, func() {
+	Convey("New panics on a malformed operator entry", t, func() {
 		So(func() { New(Config{Operators: []string{"ada:abc"}}, nil, nil, clock.System(), events.Discard) }, ShouldPanic)
 	})
 }
--- a/internal/adapter/controlapi/calls.go
+++ b/internal/adapter/controlapi/calls.go
@@ -1,10 +1,11 @@
-// Package controlapi is the operators' HTTP API, the same at every node. Each
-// call is declared as a row of a table, with its handler.
+// Package controlapi implements the HTTP API for operators, which every node serves.
+// Each call and its handler are declared in a table.
 //
-// Orders and reads of the agreed state are checked here and forwarded to a core
-// by an OrderClient; questions about the node itself go to an Inspector. The
-// package holds no state of the fleet and decides nothing: the cores check an
-// order again. Calls in flight are bounded; one too many is rejected at once.
+// Orders and reads of the replicated state are validated and forwarded to a core
+// through an OrderClient. Queries about the node itself are answered by an Inspector.
+// The package holds no state of the fleet and decides nothing: the cores validate each
+// order again. The number of calls in flight is bounded; calls beyond the limit are
+// rejected at once.
 package controlapi
 
 import (
@@ -17,132 +18,134 @@
 )
 
 const (
-	prefix        = "/v1/control/"
+	pathPrefix    = "/v1/control/"
 	maxOrderBytes = 64 << 10
 )
 
-// Body is the kind of body that a call takes.
-type Body string
+// BodyKind is the kind of body that a call accepts.
+type BodyKind string
 
-// Bodies of calls. SheetBody is bounded by the setting sheet.max, OrderBody by
+// Kinds of bodies. A SheetBody is bounded by Config.MaxSheetBytes, an OrderBody by
 // 64 KiB.
 const (
-	NoBody    Body = "none"
-	OrderBody Body = "order"
-	SheetBody Body = "sheet"
+	NoBody    BodyKind = "none"
+	OrderBody BodyKind = "order"
+	SheetBody BodyKind = "sheet"
 )
 
 // Call declares one call of the API.
 type Call struct {
 	Method string
-	// Path may end in the name of its argument in braces.
+	// Path may end in the name of an argument in braces.
 	Path string
-	// Verb names the order or question to the core or the inspector.
+	// Verb identifies the call to the core or the Inspector.
 	Verb string
-	Body Body
-	// Query is the name of the parameter that the call takes, if any.
-	Query  string
-	Help   string
-	handle func(*exchange) reply
+	Body BodyKind
+	// QueryParameter is the name of the query parameter that the call accepts, "" for
+	// none.
+	QueryParameter string
+	Help           string
+	handle         func(*exchange) reply
 }
 
-// Routes returns the calls of the API in the order of the pages.
+// Routes returns the calls of the API in the order of the documentation.
 func Routes() []Call { return append([]Call(nil), calls...) }
 
 var calls = []Call{
 	{
 		Method: http.MethodGet,
-		Path:   prefix + "sheet",
+		Path:   pathPrefix + "sheet",
 		Verb:   "get",
 		Body:   NoBody,
-		Help:   "The sheet, its epochs and what is evacuated, read from a majority of the cores.",
+		Help:   "Returns the sheet, its epochs and the evacuated zones, read from a majority of the cores.",
 		handle: (*exchange).read,
 	},
 	{
 		Method: http.MethodPut,
-		Path:   prefix + "sheet",
+		Path:   pathPrefix + "sheet",
 		Verb:   sheet.VerbPut,
 		Body:   SheetBody,
-		Help:   "Replaces the sheet that stands at the base epoch.",
+		Help:   "Replaces the sheet if its epoch is still the base epoch.",
 		handle: (*exchange).order,
 	},
 	{
 		Method: http.MethodPatch,
-		Path:   prefix + "sheet",
+		Path:   pathPrefix + "sheet",
 		Verb:   sheet.VerbPatch,
 		Body:   SheetBody,
-		Help:   "Changes cells of the sheet that stands at the base epoch.",
+		Help:   "Changes cells of the sheet if its epoch is still the base epoch.",
 		handle: (*exchange).order,
 	},
 	{
 		Method: http.MethodGet,
-		Path:   prefix + "history",
+		Path:   pathPrefix + "history",
 		Verb:   "history",
 		Body:   NoBody,
-		Help:   "The accepted orders that are remembered, oldest first, read from a majority of the cores.",
+		Help:   "Returns the accepted orders in the history, oldest first, read from a majority of the cores.",
 		handle: (*exchange).read,
 	},
 	{
 		Method: http.MethodPost,
-		Path:   prefix + "evacuate",
+		Path:   pathPrefix + "evacuate",
 		Verb:   sheet.VerbEvacuate,
 		Body:   OrderBody,
-		Help:   "Empties a region or a locality, whatever the sheet says.",
+		Help:   "Evacuates a region or a zone, regardless of the sheet.",
 		handle: (*exchange).order,
 	},
 	{
 		Method: http.MethodPost,
-		Path:   prefix + "restore",
+		Path:   pathPrefix + "restore",
 		Verb:   sheet.VerbRestore,
 		Body:   OrderBody,
-		Help:   "Takes an evacuated region or locality back.",
+		Help:   "Ends the evacuation of a region or a zone.",
 		handle: (*exchange).order,
 	},
 	{
 		Method: http.MethodPost,
-		Path:   prefix + "members/remove",
+		Path:   pathPrefix + "members/remove",
 		Verb:   statemachine.VerbRemoveMembers,
 		Body:   OrderBody,
-		Help:   "Takes members off the roster whose machines are known to be off.",
+		Help:   "Removes members from the roster; the operator must have made sure that their machines are off.",
 		handle: (*exchange).order,
 	},
 	{
 		Method: http.MethodGet,
-		Path:   prefix + "status",
+		Path:   pathPrefix + "status",
 		Verb:   "status",
 		Body:   NoBody,
-		Help:   "The asked node's view, and the fleet as a core sees it or why no core answered.",
+		Help:   "Returns the status of the node that serves the call, and the status of the fleet from a core or why no core answered.",
 		handle: (*exchange).status,
 	},
 	{
 		Method: http.MethodGet,
-		Path:   prefix + "plan",
+		Path:   pathPrefix + "plan",
 		Verb:   "plan",
 		Body:   NoBody,
-		Help:   "The period plan that the asked node goes by.",
+		Help:   "Returns the plan that the node applies in the current period.",
 		handle: (*exchange).inspect,
 	},
 	{
-		Method: http.MethodGet,
-		Path:   prefix + "tally",
-		Verb:   "tally",
-		Body:   NoBody,
-		Query:  "tenant",
-		Help:   "The tenants' spend as the asked node knows it.",
-		handle: (*exchange).inspect,
+		Method:         http.MethodGet,
+		Path:           pathPrefix + "tally",
+		Verb:           "tally",
+		Body:           NoBody,
+		QueryParameter: "tenant",
+		Help:           "Returns the spend of the tenants as the node estimates it.",
+		handle:         (*exchange).inspect,
 	},
 	{
 		Method: http.MethodGet,
-		Path:   prefix + "explain/{id}",
+		Path:   pathPrefix + "explain/{id}",
 		Verb:   "explain",
 		Body:   NoBody,
-		Help:   "Why a request went where it went, from the node that handled it.",
+		Help:   "Explains how a request was routed; the node must be the one that handled it.",
 		handle: (*exchange).inspect,
 	},
 }
 
-// findCall returns the call of a method and path, and the path's argument. For
-// BadMethod, the argument lists the methods that the path takes.
+// findCall returns the call for a method and path, and the argument in the path. If
+// the error is BadMethod, the second result is the list of methods for the Allow
+// header instead.
 func findCall(method, path string) (*Call, string, *apierror.Error) {
 	var otherMethods []string
 	for i := range calls {
@@ -158,19 +161,19 @@
 	}
 	if len(otherMethods) > 0 {
 		allowed := strings.Join(otherMethods, ", ")
-		return nil, allowed, apierror.Errorf(apierror.BadMethod, "it takes %s", allowed)
+		return nil, allowed, apierror.Errorf(apierror.BadMethod, "allowed methods: %s", allowed)
 	}
 	return nil, "", apierror.Errorf(apierror.UnknownPath, "")
 }
 
-// match reports whether the path is the call's, and returns its argument.
+// match reports whether the call has the path, and returns the argument in it.
 func (c *Call) match(path string) (argument string, matches bool) {
-	stem, _, takesArgument := strings.Cut(c.Path, "{")
+	fixedPart, _, takesArgument := strings.Cut(c.Path, "{")
 	if !takesArgument {
 		return "", path == c.Path
 	}
-	argument, below := strings.CutPrefix(path, stem)
-	if !below || argument == "" || strings.Contains(argument, "/") {
+	argument, hasFixedPart := strings.CutPrefix(path, fixedPart)
+	if !hasFixedPart || argument == "" || strings.Contains(argument, "/") {
 		return "", false
 	}
 	return argument, true
--- a/internal/adapter/controlapi/exchange.go
+++ b/internal/adapter/controlapi/exchange.go
@@ -15,27 +15,28 @@
 	"github.com/pkg/errors"
 )
 
-// queueFullRetryAfter is when a call that finds no free slot should be retried.
+// queueFullRetryAfter is how long a client should wait after a call was rejected
+// because too many were in flight.
 const queueFullRetryAfter = time.Second
 
-// exchange is one HTTP request and what is known of it so far.
+// exchange is one HTTP request, with the results of the checks passed so far.
 type exchange struct {
-	api      *API
-	w        http.ResponseWriter
-	r        *http.Request
-	control  *http.ResponseController
-	call     *Call
-	operator string
-	// argument is the name in the call's path or the value of its query.
+	api                *API
+	w                  http.ResponseWriter
+	r                  *http.Request
+	responseController *http.ResponseController
+	call               *Call
+	operator           string
+	// argument is the one in the call's path or the value of its query parameter.
 	argument string
 	body     []byte
 }
 
-// serve checks the request, cheapest checks first, and runs its handler. An
-// error is returned only where the body may be unread.
+// serve validates the request, cheapest checks first, and runs its handler. It
+// returns an error only if the body may be unread; the handler's errors are replies.
 func (x *exchange) serve() (reply, *apierror.Error) {
 	if x.r.ContentLength != 0 {
-		_ = x.control.SetReadDeadline(deadlineIn(x.api.config.BodyTimeout))
+		_ = x.responseController.SetReadDeadline(deadlineAfter(x.api.config.BodyTimeout))
 	}
 	call, argument, apiErr := findCall(x.r.Method, x.r.URL.Path)
 	if apiErr != nil {
@@ -57,7 +58,7 @@
 	case slots <- struct{}{}:
 		defer func() { <-slots }()
 	default:
-		return reply{}, apierror.Errorf(apierror.QueueFull, "%d calls are under way", cap(slots)).WithRetryAfter(queueFullRetryAfter)
+		return reply{}, apierror.Errorf(apierror.QueueFull, "the limit of %d calls in flight is reached", cap(slots)).WithRetryAfter(queueFullRetryAfter)
 	}
 	if apiErr := x.readBody(); apiErr != nil {
 		return reply{}, apiErr
@@ -65,6 +66,7 @@
 	return call.handle(x), nil
 }
 
+// slots returns the semaphore that bounds calls of this kind.
 func (x *exchange) slots() chan struct{} {
 	if x.call.Body != NoBody {
 		return x.api.orderSlots
@@ -72,8 +74,8 @@
 	return x.api.readSlots
 }
 
-// authorize finds the operator by the request's key. The key is compared with
-// every operator's, in constant time.
+// authorize identifies the operator by the request's key. It compares the key with
+// those of all operators, in constant time.
 func (x *exchange) authorize() *apierror.Error {
 	headers := x.r.Header.Values("Authorization")
 	key := ""
@@ -98,40 +100,41 @@
 	return nil
 }
 
-// parseQuery takes the call's parameter from the query, which may have no
-// others.
+// parseQuery sets the argument from the call's query parameter and rejects all other
+// parameters.
 func (x *exchange) parseQuery() *apierror.Error {
 	for name, values := range x.r.URL.Query() {
-		if name != x.call.Query || len(values) != 1 {
-			return apierror.Errorf(apierror.BadField, "the query's %.40q is unknown or given twice", name)
+		if name != x.call.QueryParameter || len(values) != 1 {
+			return apierror.Errorf(apierror.BadField, "query parameter %.40q is unknown or repeated", name)
 		}
 		x.argument = values[0]
 	}
 	return nil
 }
 
-// readBody reads the body, within the call's bounds on size and time.
+// readBody reads the body within the call's size limit and the body time-out.
 func (x *exchange) readBody() *apierror.Error {
 	if x.call.Body == NoBody {
 		if x.r.ContentLength != 0 {
-			return apierror.Errorf(apierror.BadField, "the call takes no body")
+			return apierror.Errorf(apierror.BadField, "the call does not accept a body")
 		}
 		return nil
 	}
 	maxBytes, tooLarge := x.bodyLimit()
 	if x.r.ContentLength > maxBytes {
-		return apierror.Errorf(tooLarge, "%d bytes; the bound is %d", x.r.ContentLength, maxBytes)
+		return apierror.Errorf(tooLarge, "the body has %d bytes; the limit is %d", x.r.ContentLength, maxBytes)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, maxBytes))
 	if err != nil {
 		return x.bodyError(err, maxBytes, tooLarge)
 	}
 	x.body = body
-	_ = x.control.SetReadDeadline(time.Time{})
+	_ = x.responseController.SetReadDeadline(time.Time{})
 	return nil
 }
 
-// bodyLimit returns the most bytes of the call's body and the code for more.
+// bodyLimit returns the maximum size of the call's body and the code for a larger
+// one.
 func (x *exchange) bodyLimit() (maxBytes int64, tooLarge apierror.Code) {
 	if x.call.Body == SheetBody {
 		return x.api.config.MaxSheetBytes, apierror.SheetTooLarge
@@ -139,15 +142,15 @@
 	return maxOrderBytes, apierror.BodyTooLarge
 }
 
-// bodyError returns the error for a body that couldn't be read.
+// bodyError converts an error from reading the body to one with a result code.
 func (x *exchange) bodyError(err error, maxBytes int64, tooLarge apierror.Code) *apierror.Error {
-	var exceeded *http.MaxBytesError
-	var network net.Error
+	var tooLargeErr *http.MaxBytesError
+	var netErr net.Error
 	switch {
-	case errors.As(err, &exceeded):
-		return apierror.Errorf(tooLarge, "the bound is %d bytes", maxBytes)
-	case errors.As(err, &network) && network.Timeout():
+	case errors.As(err, &tooLargeErr):
+		return apierror.Errorf(tooLarge, "the body exceeds the limit of %d bytes", maxBytes)
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return apierror.Errorf(apierror.SlowBody, "the body did not arrive within %s", x.api.config.BodyTimeout)
 	}
-	return apierror.Errorf(apierror.BadJSON, "the body is not whole")
+	return apierror.Errorf(apierror.BadJSON, "the body is incomplete: the connection ended early or the chunked encoding is malformed")
 }
--- a/internal/adapter/controlapi/handlers.go
+++ b/internal/adapter/controlapi/handlers.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	// statusTimeout bounds how long a status call waits for a core.
+	// statusTimeout bounds how long a status call waits for a core. It is short because
+	// operators request the status mostly when no core can be reached.
 	statusTimeout = 3 * time.Second
-	// coreTimeMargin is the part of a call's time, as its reciprocal, by which a
-	// core must answer sooner, so that its answer arrives in time.
-	coreTimeMargin = 16
-	// noCoreRetryAfter is when a call that no core answered should be retried.
+	// responseMarginDivisor determines how much earlier than the call's time-out a core
+	// must respond, so that the response arrives in time: by 1/16 of the time-out.
+	responseMarginDivisor = 16
+	// noCoreRetryAfter is how long a client should wait after a call that no core
+	// answered.
 	noCoreRetryAfter = time.Second
 )
 
-// order checks an order and forwards it under its id; one without an id gets
-// one, so that it may be sent to two cores and is applied once.
+// order validates an order and forwards it. An order without an id gets one, so that
+// it is applied once even if it is sent to two cores.
 func (x *exchange) order() reply {
 	limits := statemachine.OrderLimits{MaxBytes: len(x.body), ValidateSetting: x.api.config.ValidateSetting}
 	command, apiErr := statemachine.ParseOrder(x.call.Verb, x.operator, x.body, limits, 0)
@@ -41,7 +43,7 @@
 	return x.forward(body, orderID, x.api.config.OrderTimeout)
 }
 
-// withOrderID returns an order's body with the id in it.
+// withOrderID returns an order's body with order_id set to the id.
 func withOrderID(body []byte, orderID string) ([]byte, *apierror.Error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -63,27 +65,27 @@
 	return data, nil
 }
 
-// read forwards a question about the agreed state.
+// read forwards a read of the replicated state.
 func (x *exchange) read() reply { return x.forward(nil, "", x.api.config.OrderTimeout) }
 
-// status joins the node's own status with the fleet's as a core has it. It waits
-// for a core only briefly, since it is called most when no core can be reached.
+// status returns the node's own status together with the fleet's status from a core,
+// or with the error if no core answers within statusTimeout.
 func (x *exchange) status() reply {
 	code, node := x.api.inspector.Inspect(x.r.Context(), "status", "")
 	if code != apierror.OK {
-		return errorReply(apierror.Errorf(code, "status"), "")
+		return errorReply(apierror.Errorf(code, "status of this node"), "")
 	}
 	fleet := x.forward(nil, "", min(statusTimeout, x.api.config.OrderTimeout))
 	body := struct {
 		Code       apierror.Code   `json:"code"`
 		Node       json.RawMessage `json:"node"`
 		Fleet      json.RawMessage `json:"fleet,omitempty"`
-		FleetFault json.RawMessage `json:"fleet_fault,omitempty"`
+		FleetError json.RawMessage `json:"fleet_fault,omitempty"`
 	}{Node: node}
 	if fleet.code == apierror.OK {
 		body.Fleet = fleet.body
 	} else {
-		body.FleetFault = fleet.body
+		body.FleetError = fleet.body
 	}
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -92,7 +94,7 @@
 	return reply{code: apierror.OK, body: data}
 }
 
-// inspect answers a question about this node.
+// inspect answers a query about this node.
 func (x *exchange) inspect() reply {
 	code, body := x.api.inspector.Inspect(x.r.Context(), x.call.Verb, x.argument)
 	if code != apierror.OK {
@@ -101,8 +103,7 @@
 	return reply{code: code, body: body}
 }
 
-// forward sends the call to a core and waits for its response until the
-// time-out.
+// forward sends the call to a core and waits for the response until the time-out.
 func (x *exchange) forward(body []byte, orderID string, timeout time.Duration) reply {
 	ctx, cancel := context.WithTimeout(x.r.Context(), timeout)
 	defer cancel()
@@ -112,7 +113,7 @@
 		Operator: x.operator,
 		Verb:     x.call.Verb,
 		Body:     body,
-		WaitMs:   uint32((timeout - timeout/coreTimeMargin).Milliseconds()),
+		WaitMs:   uint32((timeout - timeout/responseMarginDivisor).Milliseconds()),
 	})
 	if err != nil {
 		apiErr := apierror.From(err)
@@ -127,8 +128,8 @@
 	return coreReply(resp, orderID)
 }
 
-// noCoreAnswered returns the error for a call that timed out. The outcome of an
-// order is then unknown.
+// noCoreAnswered returns the error for a call that timed out. An order may still have
+// been accepted, so the client is advised to send it again with the same id.
 func (x *exchange) noCoreAnswered() *apierror.Error {
 	if x.call.Body != NoBody {
 		return apierror.Errorf(apierror.OutcomePending, "no core answered in time; send the order again with its id").WithRetryAfter(noCoreRetryAfter)
--- a/internal/adapter/controlapi/reply.go
+++ b/internal/adapter/controlapi/reply.go
@@ -12,13 +12,13 @@
 // reply is a result code and its JSON body.
 type reply struct {
 	code apierror.Code
-	// retryAfter is when the call should be retried; zero for none.
+	// retryAfter is how long the client should wait before a retry; zero for no advice.
 	retryAfter time.Duration
 	body       []byte
 }
 
-// errorReply returns the reply for an error, with the order's id where there is
-// one, so that the order can be sent again under it.
+// errorReply returns the reply for an error. It contains the order's id, if any, so
+// that the client can send the order again with the same id.
 func errorReply(apiErr *apierror.Error, orderID string) reply {
 	body := struct {
 		apierror.ErrorBody
@@ -31,8 +31,8 @@
 	return reply{code: apiErr.Code, retryAfter: apiErr.RetryAfter, body: data}
 }
 
-// coreReply returns the reply for a core's response. The core's JSON is
-// forwarded unchanged, with the code in front where it has none.
+// coreReply returns the reply for a core's response. An error's JSON is forwarded
+// unchanged; the JSON of a success gets the field "code" in front.
 func coreReply(resp *wire.OrderResponse, orderID string) reply {
 	code := apierror.Code(resp.Code)
 	if code != apierror.OK {
@@ -44,7 +44,7 @@
 		return reply{code: code, retryAfter: retryAfter, body: resp.Body}
 	}
 	if len(resp.Body) < 2 || resp.Body[0] != '{' {
-		return errorReply(apierror.Errorf(apierror.Internal, "the core's answer has no body"), orderID)
+		return errorReply(apierror.Errorf(apierror.Internal, "the core's response is not a JSON object"), orderID)
 	}
 	opening := `{"code":0,`
 	if resp.Body[1] == '}' {
@@ -53,12 +53,12 @@
 	return reply{code: code, body: append([]byte(opening), resp.Body[1:]...)}
 }
 
-func (x *exchange) write(answer reply) {
-	if answer.retryAfter > 0 {
-		seconds := int64((answer.retryAfter + time.Second - 1) / time.Second)
+func (x *exchange) write(result reply) {
+	if result.retryAfter > 0 {
+		seconds := int64((result.retryAfter + time.Second - 1) / time.Second)
 		x.w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	apierror.WriteJSON(x.w, answer.code.Info().Status, json.RawMessage(answer.body))
-	_ = x.control.Flush()
-	_ = x.control.SetWriteDeadline(time.Time{})
+	apierror.WriteJSON(x.w, result.code.Info().Status, json.RawMessage(result.body))
+	_ = x.responseController.Flush()
+	_ = x.responseController.SetWriteDeadline(time.Time{})
 }
