--- a/internal/adapter/clientapi/api.go
+++ b/internal/adapter/clientapi/api.go
@@ -15,8 +15,8 @@
 	"stepwick/internal/stage"
 )
 
-// Route declares one call of the API. A path that ends in a slash matches all
-// paths below it.
+// Route declares one call of the API. A Path that ends in a slash matches all paths
+// below it.
 type Route struct {
 	Method   string // "" for any
 	Path     string
@@ -32,32 +32,32 @@
 			Method:   http.MethodGet,
 			Path:     "/v1/connect",
 			NeedsKey: true,
-			Help:     "Which nodes to talk to, nearest ready ones first.",
+			Help:     "Returns the nodes that the client should use, nearest ready ones first.",
 			serve:    serveConnect,
 		},
 		{
 			Method:   http.MethodPost,
 			Path:     "/v1/prompt",
 			NeedsKey: true,
-			Help:     "A prompt, answered by a stream of events.",
+			Help:     "Sends a prompt to a model service; the response is a stream of events.",
 			serve:    servePrompt,
 		},
 		{
 			Path:     oneShotPrefix,
 			NeedsKey: true,
-			Help:     "A one-shot call to a web service, at most once: /v1/call/SERVICE/PATH.",
+			Help:     "Calls a web service at most once: /v1/call/SERVICE/PATH.",
 			serve:    serveOneShot,
 		},
 		{
 			Method: http.MethodGet,
 			Path:   "/readyz",
-			Help:   "Whether the node takes traffic.",
+			Help:   "Whether the node accepts traffic.",
 			serve:  serveReady,
 		},
 		{
 			Method: http.MethodGet,
 			Path:   "/healthz",
-			Help:   "Whether the process is up.",
+			Help:   "Whether the process is running.",
 			serve:  serveHealth,
 		},
 	}
@@ -67,24 +67,24 @@
 
 // findRoute returns the route of a request, or UnknownPath or BadMethod.
 func findRoute(method, path string) (Route, *apierror.Error) {
-	pathFound := false
+	pathExists := false
 	for _, route := range routes {
 		if !matchesPath(route.Path, path) {
 			continue
 		}
-		pathFound = true
+		pathExists = true
 		if route.matchesMethod(method) {
 			return route, nil
 		}
 	}
-	if pathFound {
-		return Route{}, apierror.Errorf(apierror.BadMethod, "%s", method)
+	if pathExists {
+		return Route{}, apierror.Errorf(apierror.BadMethod, "method %s is not allowed", method)
 	}
-	return Route{}, apierror.Errorf(apierror.UnknownPath, "see docs/API.md for the calls")
+	return Route{}, apierror.Errorf(apierror.UnknownPath, "docs/API.md lists the calls")
 }
 
-// matchesPath reports whether a path is the pattern, or below it where the pattern
-// ends in a slash.
+// matchesPath reports whether path equals pattern, or is below it if pattern ends in a
+// slash.
 func matchesPath(pattern, path string) bool {
 	return path == pattern || strings.HasSuffix(pattern, "/") && strings.HasPrefix(path, pattern)
 }
@@ -93,7 +93,7 @@
 	return r.Method == method || r.Method == "" || r.Method == http.MethodGet && method == http.MethodHead
 }
 
-// API is the HTTP handler for callers.
+// API is the HTTP handler for clients.
 type API struct {
 	limits       atomic.Pointer[Limits]
 	handler      RequestHandler
@@ -103,8 +103,9 @@
 	bodyBudget   *stage.ByteBudget
 }
 
-// New returns an API whose requests the handler serves. Mounts serve all requests
-// below their paths, without the API's own rules.
+// New returns an API whose requests the handler serves. The handlers in mounts serve all
+// requests for their paths, and below them if the path ends in a slash; the checks and
+// limits of the API do not apply to these requests.
 func New(limits Limits, handler RequestHandler, clock clock.Clock, mounts map[string]http.Handler) *API {
 	limits = limits.withDefaults()
 	api := &API{
@@ -118,16 +119,16 @@
 	return api
 }
 
-// SetDeadlines sets the longest and the default deadline of the requests that are
-// read from now on. Zero leaves a value as it is. It must not be called
-// concurrently.
-func (a *API) SetDeadlines(longest, byDefault time.Duration) {
+// SetDeadlines sets the maximum and the default deadline of the requests that are read
+// from now on. Zero leaves a value unchanged. It must not be called concurrently with
+// itself.
+func (a *API) SetDeadlines(maxDeadline, defaultDeadline time.Duration) {
 	next := *a.limits.Load()
-	if longest > 0 {
-		next.DeadlineMax = longest
+	if maxDeadline > 0 {
+		next.DeadlineMax = maxDeadline
 	}
-	if byDefault > 0 {
-		next.DeadlineDefault = byDefault
+	if defaultDeadline > 0 {
+		next.DeadlineDefault = defaultDeadline
 	}
 	next.DeadlineDefault = min(next.DeadlineDefault, next.DeadlineMax)
 	a.limits.Store(&next)
@@ -140,14 +141,14 @@
 		Handler:           a,
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
-		// net/http counts more than the header fields; ServeHTTP checks the limit.
+		// net/http counts more than the header fields, so ServeHTTP enforces the limit.
 		MaxHeaderBytes: 2 * limits.HeaderMax,
 		ErrorLog:       log.New(io.Discard, "", 0),
 	}
 }
 
-// LimitConnections returns a listener with at most as many connections open at
-// once as the limits allow; others wait to be accepted.
+// LimitConnections returns a listener that keeps at most Limits.Connections open at
+// once; further connections wait to be accepted.
 func (a *API) LimitConnections(listener net.Listener) net.Listener {
 	return listen.LimitConnections(listener, a.limits.Load().Connections)
 }
@@ -156,7 +157,7 @@
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id, apiErr := requestID(r.Header)
 	w.Header().Set(HeaderRequestID, id)
-	// A kept-alive connection still has the write deadline of the last answer.
+	// A kept-alive connection still has the write deadline of the previous response.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 	for path, handler := range a.mounts {
 		if matchesPath(path, r.URL.Path) {
--- a/internal/adapter/clientapi/body.go
+++ b/internal/adapter/clientapi/body.go
@@ -11,13 +11,13 @@
 	"stepwick/internal/apierror"
 )
 
-// budgetedBody reads a body and reserves the bytes in the budget of all bodies.
+// budgetedBody reads a body and reserves its bytes in the budget for all bodies.
 type budgetedBody struct {
 	io.Reader
 	exchange *exchange
 }
 
-// Read reserves bytes as they arrive, not as the header announces them.
+// Read reserves bytes as they arrive, instead of the length that the header declares.
 func (b budgetedBody) Read(buffer []byte) (int, error) {
 	count, err := b.Reader.Read(buffer)
 	if apiErr := b.exchange.reserve(count); apiErr != nil {
@@ -26,7 +26,7 @@
 	return count, err
 }
 
-// reserve takes bytes from the budget of all bodies. ServeHTTP releases them when
+// reserve reserves bytes in the budget for all bodies. ServeHTTP releases them when
 // the exchange ends.
 func (x *exchange) reserve(bytes int) *apierror.Error {
 	if !x.api.bodyBudget.TryReserve(int64(bytes)) {
@@ -37,10 +37,10 @@
 }
 
 func (x *exchange) errBodiesFull() *apierror.Error {
-	return apierror.Errorf(apierror.QueueFull, "the bodies that the node holds are at their bound of %d bytes", x.limits.BodiesMax).WithRetryAfter(defaultRetryAfter)
+	return apierror.Errorf(apierror.QueueFull, "the request bodies in memory would exceed the limit of %d bytes", x.limits.BodiesMax).WithRetryAfter(defaultRetryAfter)
 }
 
-// readBody reads the complete body of the request, within the limits.
+// readBody reads the complete body of the request within the limits.
 func (x *exchange) readBody() ([]byte, *apierror.Error) {
 	body, apiErr := x.readLimitedBody()
 	x.bodyRead = apiErr == nil
@@ -64,25 +64,25 @@
 		return nil, x.bodyError(err)
 	}
 	err = http.NewResponseController(x.writer).SetReadDeadline(time.Time{})
-	return body, apierror.From(errors.Wrap(err, "lift the body's bound of time"))
+	return body, apierror.From(errors.Wrap(err, "clear the read deadline of the connection"))
 }
 
-// bodyError converts an error of reading the body to the code that callers get.
+// bodyError converts an error from reading the body to one with a result code.
 func (x *exchange) bodyError(err error) *apierror.Error {
 	var apiErr *apierror.Error
-	var tooLarge *http.MaxBytesError
-	var network net.Error
+	var tooLargeErr *http.MaxBytesError
+	var netErr net.Error
 	switch {
 	case errors.As(err, &apiErr):
 		return apiErr
-	case errors.As(err, &tooLarge):
+	case errors.As(err, &tooLargeErr):
 		return x.errBodyTooLarge()
-	case errors.As(err, &network) && network.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return apierror.Errorf(apierror.SlowBody, "the body did not arrive within %s", x.limits.BodyTimeout)
 	}
-	return apierror.Errorf(apierror.BadJSON, "the body is not whole")
+	return apierror.Errorf(apierror.BadJSON, "the body is incomplete: the connection ended early or the chunked encoding is malformed")
 }
 
 func (x *exchange) errBodyTooLarge() *apierror.Error {
-	return apierror.Errorf(apierror.BodyTooLarge, "a body has at most %d bytes", x.limits.BodyMax)
+	return apierror.Errorf(apierror.BodyTooLarge, "the body exceeds the limit of %d bytes", x.limits.BodyMax)
 }
--- a/internal/adapter/clientapi/handlers.go
+++ b/internal/adapter/clientapi/handlers.go
@@ -9,7 +9,7 @@
 	"stepwick/internal/apierror"
 )
 
-// oneShotPrefix is the path before the service of a one-shot call.
+// oneShotPrefix precedes the service in the path of a one-shot call.
 const oneShotPrefix = "/v1/call/"
 
 func serveConnect(x *exchange) *apierror.Error {
@@ -23,7 +23,7 @@
 	if apiErr != nil {
 		return apiErr
 	}
-	x.limitWrite()
+	x.setWriteDeadline()
 	apierror.WriteJSON(x.writer, http.StatusOK, nearest)
 	return nil
 }
@@ -31,12 +31,12 @@
 func (x *exchange) parseConnect() (*Connect, *apierror.Error) {
 	query, err := url.ParseQuery(x.request.URL.RawQuery)
 	if err != nil {
-		return nil, apierror.Errorf(apierror.BadField, "the query is malformed")
+		return nil, apierror.Errorf(apierror.BadField, "malformed query: %v", err)
 	}
 	connect := &Connect{Head: x.head}
 	for name, values := range query {
 		if len(values) != 1 || len(values[0]) > maxNameLength {
-			return nil, apierror.Errorf(apierror.BadField, "%s is given more than once or over %d bytes", name, maxNameLength)
+			return nil, apierror.Errorf(apierror.BadField, "query parameter %s is repeated or longer than %d bytes", name, maxNameLength)
 		}
 		switch name {
 		case "service":
@@ -54,7 +54,7 @@
 
 func servePrompt(x *exchange) *apierror.Error {
 	if !x.request.ProtoAtLeast(1, 1) {
-		return apierror.Errorf(apierror.BadField, "a stream needs HTTP/1.1, in which a cut can be told from an end")
+		return apierror.Errorf(apierror.BadField, "a stream requires HTTP/1.1: with HTTP/1.0 an aborted stream looks complete")
 	}
 	data, apiErr := x.readBody()
 	if apiErr != nil {
@@ -67,29 +67,29 @@
 	ctx, cancel := x.context(prompt.Deadline)
 	defer cancel()
 	x.stream = &Stream{
-		writer:       x.writer,
-		control:      http.NewResponseController(x.writer),
-		requestID:    x.head.ID,
-		writeTimeout: x.limits.WriteTimeout,
+		writer:             x.writer,
+		responseController: http.NewResponseController(x.writer),
+		requestID:          x.head.ID,
+		writeTimeout:       x.limits.WriteTimeout,
 	}
-	x.accepted = true
+	x.skipRejected = true
 	apiErr = x.api.handler.Prompt(ctx, prompt, x.stream)
 	if apiErr == nil && !x.stream.begun {
-		return apierror.Errorf(apierror.Internal, "the stream ended without an event")
+		return apierror.Errorf(apierror.Internal, "the handler ended the stream without an event")
 	}
 	return apiErr
 }
 
 func serveOneShot(x *exchange) *apierror.Error {
 	if x.request.Method == http.MethodConnect || x.request.Method == http.MethodTrace {
-		return apierror.Errorf(apierror.BadMethod, "%s", x.request.Method)
+		return apierror.Errorf(apierror.BadMethod, "method %s is not allowed", x.request.Method)
 	}
-	// The service is cut from the escaped path, so that it may contain a slash.
-	below := strings.TrimPrefix(x.request.URL.EscapedPath(), oneShotPrefix)
-	service, path, _ := strings.Cut(below, "/")
+	// The path is split while it is escaped, so that a service may contain a slash.
+	servicePath := strings.TrimPrefix(x.request.URL.EscapedPath(), oneShotPrefix)
+	service, path, _ := strings.Cut(servicePath, "/")
 	service, err := url.PathUnescape(service)
 	if err != nil || service == "" || len(service) > maxNameLength {
-		return apierror.Errorf(apierror.MissingField, "the path names no service")
+		return apierror.Errorf(apierror.MissingField, "the path has no service name of at most %d bytes", maxNameLength)
 	}
 	body, apiErr := x.readBody()
 	if apiErr != nil {
@@ -97,47 +97,47 @@
 	}
 	ctx, cancel := x.context(x.head.Deadline)
 	defer cancel()
-	x.accepted = true
-	answer, apiErr := x.api.handler.OneShot(ctx, &OneShot{
+	x.skipRejected = true
+	response, apiErr := x.api.handler.OneShot(ctx, &OneShot{
 		Head:    x.head,
 		Service: service,
 		Method:  x.request.Method,
 		Path:    "/" + path,
 		Query:   x.request.URL.RawQuery,
-		Header:  EndToEnd(x.request.Header),
+		Header:  EndToEndHeaders(x.request.Header),
 		Body:    body,
 	})
 	if apiErr != nil {
 		return apiErr
 	}
-	x.forwardAnswer(answer)
+	x.forwardResponse(response)
 	return nil
 }
 
-// forwardAnswer writes a web server's answer to the caller.
-func (x *exchange) forwardAnswer(answer *Answer) {
+// forwardResponse writes a web server's response to the client.
+func (x *exchange) forwardResponse(response *Answer) {
 	header := x.writer.Header()
-	for name, values := range EndToEnd(answer.Header) {
+	for name, values := range EndToEndHeaders(response.Header) {
 		header[name] = values
 	}
-	header.Set(HeaderServer, answer.Server)
+	header.Set(HeaderServer, response.Server)
 	if header.Get("Content-Type") == "" {
-		// A nil value keeps net/http from guessing a type.
+		// A nil value prevents net/http from detecting a type.
 		header["Content-Type"] = nil
 	}
 	isHead := x.request.Method == http.MethodHead
 	switch {
 	case isHead:
-		if length := answer.Header.Get("Content-Length"); length != "" {
+		if length := response.Header.Get("Content-Length"); length != "" {
 			header.Set("Content-Length", length)
 		}
-	case answer.Status != http.StatusNoContent && answer.Status != http.StatusNotModified:
-		header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
+	case response.Status != http.StatusNoContent && response.Status != http.StatusNotModified:
+		header.Set("Content-Length", strconv.Itoa(len(response.Body)))
 	}
-	x.limitWrite()
-	x.writer.WriteHeader(answer.Status)
-	if !isHead && len(answer.Body) > 0 {
-		_, _ = x.writer.Write(answer.Body)
+	x.setWriteDeadline()
+	x.writer.WriteHeader(response.Status)
+	if !isHead && len(response.Body) > 0 {
+		_, _ = x.writer.Write(response.Body)
 	}
 }
 
--- a/internal/adapter/clientapi/header.go
+++ b/internal/adapter/clientapi/header.go
@@ -18,22 +18,22 @@
 	bearerPrefix  = "Bearer "
 )
 
-// newRequestID returns the id of a request whose caller gave none.
+// newRequestID returns a random id for a request without one.
 func newRequestID() string {
-	var raw [12]byte
-	_, _ = rand.Read(raw[:])
-	return "sw-" + hex.EncodeToString(raw[:])
+	var random [12]byte
+	_, _ = rand.Read(random[:])
+	return "sw-" + hex.EncodeToString(random[:])
 }
 
-// requestID returns the id that the caller gave, or a new one. A malformed id is
-// replaced and reported as BadField.
+// requestID returns the id in the header, or a new one if there is none. A malformed id
+// is replaced by a new one and reported as BadField.
 func requestID(header http.Header) (string, *apierror.Error) {
 	given := header.Values(HeaderRequestID)
 	switch {
 	case len(given) == 0:
 		return newRequestID(), nil
 	case len(given) > 1 || !isValidRequestID(given[0]):
-		return newRequestID(), apierror.Errorf(apierror.BadField, "%s is not one id of 1 to %d letters, digits or ._:-", HeaderRequestID, maxIDLength)
+		return newRequestID(), apierror.Errorf(apierror.BadField, "%s must be a single id of 1 to %d letters, digits or ._:-", HeaderRequestID, maxIDLength)
 	}
 	return given[0], nil
 }
@@ -53,8 +53,8 @@
 	return true
 }
 
-// headerSize returns the size of the request line and the header fields in bytes,
-// with a colon, a space and a line break for each field.
+// headerSize returns the size in bytes of the method, the target, the host and the
+// header fields, including a colon, a space and a line break for each field.
 func headerSize(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -65,7 +65,7 @@
 	return size
 }
 
-// bearerKey returns the caller's API key, or MissingKey.
+// bearerKey returns the client's API key, or MissingKey.
 func bearerKey(header http.Header) (string, *apierror.Error) {
 	given := header.Values("Authorization")
 	if len(given) != 1 || !strings.HasPrefix(given[0], bearerPrefix) {
@@ -73,21 +73,22 @@
 	}
 	key := strings.TrimSpace(given[0][len(bearerPrefix):])
 	if key == "" {
-		return "", apierror.Errorf(apierror.MissingKey, "the key is empty")
+		return "", apierror.Errorf(apierror.MissingKey, "the API key is empty")
 	}
 	return key, nil
 }
 
-// parseDeadline checks a deadline that a caller gave, or returns BadDeadline.
+// parseDeadline converts a client's deadline, or returns BadDeadline if it is not an
+// integer from 1 to DeadlineMax.
 func (l Limits) parseDeadline(milliseconds float64) (time.Duration, *apierror.Error) {
 	if math.IsNaN(milliseconds) || milliseconds < 1 || milliseconds > float64(l.DeadlineMax.Milliseconds()) || milliseconds != math.Trunc(milliseconds) {
-		return 0, apierror.Errorf(apierror.BadDeadline, "a deadline is a whole number of milliseconds from 1 to %d", l.DeadlineMax.Milliseconds())
+		return 0, apierror.Errorf(apierror.BadDeadline, "the deadline must be an integer number of milliseconds from 1 to %d", l.DeadlineMax.Milliseconds())
 	}
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// headerDeadline returns the deadline in the header, relative to the arrival, and
-// whether the caller gave one; else the default.
+// headerDeadline returns the deadline relative to the request's arrival, and whether
+// the header contains one. If it does not, the deadline is the default.
 func (l Limits) headerDeadline(header http.Header) (timeout time.Duration, given bool, apiErr *apierror.Error) {
 	values := header.Values(HeaderDeadline)
 	if len(values) == 0 {
@@ -102,9 +103,9 @@
 	return timeout, true, apiErr
 }
 
-// connectionHeaders are not forwarded: header fields of one connection, and the
-// caller's API key. net/http sets Content-Length itself.
-var connectionHeaders = []string{
+// unforwardedHeaders are the hop-by-hop header fields and the client's API key, which
+// are not forwarded. Content-Length is among them because net/http sets it.
+var unforwardedHeaders = []string{
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Connection",
@@ -119,17 +120,17 @@
 	"Authorization",
 }
 
-// EndToEnd returns a copy of the header with the fields that are forwarded between
-// a caller and a server: neither those of one connection (RFC 9110, section
-// 7.6.1), nor the caller's API key, nor stepwick's own.
-func EndToEnd(header http.Header) http.Header {
+// EndToEndHeaders returns a copy of the header with only the fields that are forwarded
+// between a client and a server. It omits hop-by-hop fields (RFC 9110, section 7.6.1),
+// the client's API key and the Stepwick- fields.
+func EndToEndHeaders(header http.Header) http.Header {
 	forwarded := header.Clone()
 	for _, options := range header.Values("Connection") {
 		for _, name := range strings.Split(options, ",") {
 			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range unforwardedHeaders {
 		forwarded.Del(name)
 	}
 	for name := range forwarded {
--- a/internal/adapter/clientapi/limits.go
+++ b/internal/adapter/clientapi/limits.go
@@ -6,19 +6,20 @@
 	"stepwick/internal/clock"
 )
 
-// Limits bounds what one caller can cost. Zero values take the defaults named.
+// Limits bounds the resources that clients can use. Values of zero or below mean the
+// default.
 type Limits struct {
 	BodyMax         int64         // bytes; default 1 MiB
-	BodiesMax       int64         // bytes of all bodies in memory at once; default 64 MiB, at least four bodies
+	BodiesMax       int64         // bytes of all bodies in memory at once; default 64 MiB or four times BodyMax, whichever is larger
 	HeaderMax       int           // bytes of all header fields together; default 16 KiB
-	BodyTimeout     time.Duration // for a complete body; default 5s
-	HeaderTimeout   time.Duration // for a complete header; default 5s
+	BodyTimeout     time.Duration // for receiving a complete body; default 5s
+	HeaderTimeout   time.Duration // for receiving a complete header; default 5s
 	IdleTimeout     time.Duration // of a kept-alive connection; default 60s
-	WriteTimeout    time.Duration // for a caller to receive one event or one answer; default 5s
-	DeadlineMax     time.Duration // the longest that a caller may request; default 120s
-	DeadlineDefault time.Duration // of a request that names none; default 30s
+	WriteTimeout    time.Duration // for a client to receive one event or one response; default 5s
+	DeadlineMax     time.Duration // maximum that a client may request; default 120s
+	DeadlineDefault time.Duration // of a request without one; default 30s
 	Connections     int           // open at once; default 4096
-	Requests        int           // being served at once; default 1024
+	Requests        int           // with an API key, served at once; default 1024
 	TokensMax       float64       // of one prompt; default 1,000,000
 }
 
@@ -44,6 +45,6 @@
 	}
 }
 
-// deadlineAfter returns a deadline for a connection. It is by the system clock,
-// which connections use even where the node's clock is stepped.
+// deadlineAfter returns a deadline for a connection. It uses the system clock, as
+// connections do even if the node's clock is stepped.
 func deadlineAfter(timeout time.Duration) time.Time { return clock.System().Now().Add(timeout) }
--- a/internal/adapter/clientapi/messages.go
+++ b/internal/adapter/clientapi/messages.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Head is the part that all requests with an API key have.
+// Head contains the fields that all requests with an API key have.
 type Head struct {
-	ID       string    // rawRequest id, from the caller or generated
-	Key      string    // the caller's API key
-	Arrived  time.Time // the earliest time at which it may have reached the node
+	ID       string    // request id, from the client or generated
+	Key      string    // the client's API key
+	Arrived  time.Time // earliest time at which the request may have reached the node
 	Deadline time.Time
 
-	deadlineGiven bool // the caller gave the deadline in the header
+	deadlineGiven bool // the header contains a deadline
 }
 
-// Connect requests the nodes that the caller should use.
+// Connect is a request for the nodes that the client should use.
 type Connect struct {
 	Head
 	Service string
-	Region  string // of the caller; "" means the node's own
+	Region  string // of the client; "" for the node's own region
 	Zone    string
 }
 
-// Node is one node that a caller may use.
+// Node is a node that a client may use.
 type Node struct {
 	Name    string `json:"name"`
 	Address string `json:"address"` // ip:port
@@ -31,7 +31,7 @@
 	Zone    string `json:"zone"`
 }
 
-// NearestNodes is the answer to Connect, nearest ready nodes first.
+// NearestNodes is the response to Connect, nearest ready nodes first.
 type NearestNodes struct {
 	RequestID string `json:"request_id"`
 	Service   string `json:"service,omitempty"`
@@ -39,37 +39,37 @@
 	Nodes     []Node `json:"nodes"`
 }
 
-// Prompt requests a streamed answer of a model service.
+// Prompt is a request for a streamed response from a model service.
 type Prompt struct {
 	Head
 	Service       string
-	Prefix        string // shared by many prompts
+	Prefix        string // id of a prefix that many prompts share; "" for none
 	Session       string
 	PrefixTokens  int
 	SessionTokens int
 	MaxTokens     int
-	Region        string // of the caller; "" means the node's own
-	Home          string // region that must serve the prompt; "" for the tenant's, if any
+	Region        string // of the client; "" for the node's own region
+	Home          string // region that must serve the prompt; "" for the tenant's home region, if any
 }
 
-// Tokens returns the cost of the prompt.
+// Tokens returns the number of tokens that the prompt counts for.
 func (p *Prompt) Tokens() float64 {
 	return float64(p.PrefixTokens) + float64(p.SessionTokens) + float64(p.MaxTokens)
 }
 
-// OneShot is a call to a web service that must run at most once.
+// OneShot is a call to a web service that must be executed at most once.
 type OneShot struct {
 	Head
 	Service string
-	Region  string // of the caller; "" means the node's own
+	Region  string // of the client; "" for the node's own region
 	Method  string
-	Path    string // escaped, with its leading slash
+	Path    string // escaped, with a leading slash
 	Query   string // raw
 	Header  http.Header
 	Body    []byte
 }
 
-// Answer is a complete answer of a web server.
+// Answer is a complete response from a web server.
 type Answer struct {
 	Server string
 	Status int
--- a/internal/adapter/clientapi/prompt.go
+++ b/internal/adapter/clientapi/prompt.go
@@ -11,8 +11,8 @@
 	"stepwick/internal/apierror"
 )
 
-// promptBody is the JSON form of a prompt. Pointers tell a missing field from a
-// zero.
+// promptBody is the JSON form of a prompt. The pointers distinguish a missing field
+// from a zero value.
 type promptBody struct {
 	Service       *string  `json:"service"`
 	Prefix        string   `json:"prefix"`
@@ -25,14 +25,14 @@
 	Home          string   `json:"home"`
 }
 
-// parsePrompt parses and checks the body of a prompt. Of two deadlines, in the
-// header and in the body, the earlier one holds.
+// parsePrompt parses and validates the body of a prompt. If both the header and the
+// body contain a deadline, the earlier one applies.
 func (l Limits) parsePrompt(head Head, data []byte) (*Prompt, *apierror.Error) {
 	var body promptBody
 	if apiErr := decodeStrict(data, &body); apiErr != nil {
 		return nil, apiErr
 	}
-	if apiErr := body.check(); apiErr != nil {
+	if apiErr := body.validate(); apiErr != nil {
 		return nil, apiErr
 	}
 	prompt := &Prompt{
@@ -47,7 +47,7 @@
 		Home:          body.Home,
 	}
 	if prompt.Tokens() > l.TokensMax {
-		return nil, apierror.Errorf(apierror.BadField, "a prompt has at most %.0f tokens", l.TokensMax)
+		return nil, apierror.Errorf(apierror.BadField, "the prompt has %.0f tokens; the limit is %.0f", prompt.Tokens(), l.TokensMax)
 	}
 	if body.DeadlineMS != nil {
 		timeout, apiErr := l.parseDeadline(*body.DeadlineMS)
@@ -61,47 +61,47 @@
 	return prompt, nil
 }
 
-// check returns the first fault of the fields, or nil.
-func (body *promptBody) check() *apierror.Error {
+// validate returns an error for the first invalid field, or nil.
+func (body *promptBody) validate() *apierror.Error {
 	switch {
 	case body.Service == nil || *body.Service == "":
 		return apierror.Errorf(apierror.MissingField, "service")
 	case body.MaxTokens == nil:
 		return apierror.Errorf(apierror.MissingField, "max_tokens")
 	case *body.MaxTokens < 1:
-		return apierror.Errorf(apierror.BadField, "max_tokens is below 1")
+		return apierror.Errorf(apierror.BadField, "max_tokens must be at least 1")
 	case body.PrefixTokens < 0 || body.SessionTokens < 0:
-		return apierror.Errorf(apierror.BadField, "tokens are below 0")
+		return apierror.Errorf(apierror.BadField, "prefix_tokens and session_tokens must not be negative")
 	case len(*body.Service) > maxNameLength || len(body.Region) > maxNameLength || len(body.Home) > maxNameLength:
-		return apierror.Errorf(apierror.BadField, "a name has over %d bytes", maxNameLength)
+		return apierror.Errorf(apierror.BadField, "service, region or home is longer than %d bytes", maxNameLength)
 	}
 	return nil
 }
 
 // decodeStrict decodes exactly one JSON object without unknown fields.
-func decodeStrict(data []byte, into any) *apierror.Error {
+func decodeStrict(data []byte, target any) *apierror.Error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return decodeError(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return apierror.Errorf(apierror.BadJSON, "something follows the JSON object")
+		return apierror.Errorf(apierror.BadJSON, "unexpected data after the JSON object")
 	}
 	return nil
 }
 
-// decodeError converts an error of encoding/json to the code that callers get.
+// decodeError converts an error of encoding/json to one with a result code.
 func decodeError(err error) *apierror.Error {
-	var mistyped *json.UnmarshalTypeError
-	if errors.As(err, &mistyped) && mistyped.Field == "deadline_ms" {
-		return apierror.Errorf(apierror.BadDeadline, "deadline_ms is no number of milliseconds")
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) && typeErr.Field == "deadline_ms" {
+		return apierror.Errorf(apierror.BadDeadline, "deadline_ms must be a number of milliseconds")
 	}
-	if errors.As(err, &mistyped) && mistyped.Field != "" {
-		return apierror.Errorf(apierror.BadField, "%s is no %s", mistyped.Field, mistyped.Type)
+	if errors.As(err, &typeErr) && typeErr.Field != "" {
+		return apierror.Errorf(apierror.BadField, "%s must be of type %s", typeErr.Field, typeErr.Type)
 	}
-	if name, unknown := strings.CutPrefix(err.Error(), "json: unknown field "); unknown {
+	if name, isUnknownField := strings.CutPrefix(err.Error(), "json: unknown field "); isUnknownField {
 		return apierror.Errorf(apierror.UnknownField, "%s", name)
 	}
-	return apierror.Errorf(apierror.BadJSON, "the body is not one JSON object")
+	return apierror.Errorf(apierror.BadJSON, "the body is not a valid JSON object")
 }
