--- a/internal/adapter/clientapi/api.go
+++ b/internal/adapter/clientapi/api.go
@@ -112,8 +112,8 @@
 		handler:      handler,
 		clock:        clock,
 		mounts:       mounts,
-		requestSlots: make(chan struct{}, limits.Requests),
-		bodyBudget:   stage.NewByteBudget(limits.BodiesMax),
+		requestSlots: make(chan struct{}, limits.MaxRequests),
+		bodyBudget:   stage.NewByteBudget(limits.MaxBufferedBytes),
 	}
 	api.limits.Store(&limits)
 	return api
@@ -125,12 +125,12 @@
 func (a *API) SetDeadlines(maxDeadline, defaultDeadline time.Duration) {
 	next := *a.limits.Load()
 	if maxDeadline > 0 {
-		next.DeadlineMax = maxDeadline
+		next.MaxDeadline = maxDeadline
 	}
 	if defaultDeadline > 0 {
-		next.DeadlineDefault = defaultDeadline
+		next.DefaultDeadline = defaultDeadline
 	}
-	next.DeadlineDefault = min(next.DeadlineDefault, next.DeadlineMax)
+	next.DefaultDeadline = min(next.DefaultDeadline, next.MaxDeadline)
 	a.limits.Store(&next)
 }
 
@@ -142,7 +142,7 @@
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		// net/http counts more than the header fields, so ServeHTTP enforces the limit.
-		MaxHeaderBytes: 2 * limits.HeaderMax,
+		MaxHeaderBytes: 2 * limits.MaxHeaderBytes,
 		ErrorLog:       log.New(io.Discard, "", 0),
 	}
 }
@@ -150,7 +150,7 @@
 // LimitConnections returns a listener that keeps at most Limits.Connections open at
 // once; further connections wait to be accepted.
 func (a *API) LimitConnections(listener net.Listener) net.Listener {
-	return listen.LimitConnections(listener, a.limits.Load().Connections)
+	return listen.LimitConnections(listener, a.limits.Load().MaxConnections)
 }
 
 // ServeHTTP serves one request.
--- a/internal/adapter/clientapi/body.go
+++ b/internal/adapter/clientapi/body.go
@@ -37,7 +37,7 @@
 }
 
 func (x *exchange) errBodiesFull() *apierror.Error {
-	return apierror.Errorf(apierror.QueueFull, "the request bodies in memory would exceed the limit of %d bytes", x.limits.BodiesMax).WithRetryAfter(defaultRetryAfter)
+	return apierror.Errorf(apierror.QueueFull, "the request bodies in memory would exceed the limit of %d bytes", x.limits.MaxBufferedBytes).WithRetryAfter(defaultRetryAfter)
 }
 
 // readBody reads the complete body of the request within the limits.
@@ -52,13 +52,13 @@
 	if source == nil || source == http.NoBody {
 		return nil, nil
 	}
-	if x.request.ContentLength > x.limits.BodyMax {
+	if x.request.ContentLength > x.limits.MaxBodyBytes {
 		return nil, x.errBodyTooLarge()
 	}
 	if x.request.ContentLength > x.api.bodyBudget.Available() {
 		return nil, x.errBodiesFull()
 	}
-	limited := http.MaxBytesReader(x.writer, source, x.limits.BodyMax)
+	limited := http.MaxBytesReader(x.writer, source, x.limits.MaxBodyBytes)
 	body, err := io.ReadAll(budgetedBody{Reader: limited, exchange: x})
 	if err != nil {
 		return nil, x.bodyError(err)
@@ -84,5 +84,5 @@
 }
 
 func (x *exchange) errBodyTooLarge() *apierror.Error {
-	return apierror.Errorf(apierror.BodyTooLarge, "the body exceeds the limit of %d bytes", x.limits.BodyMax)
+	return apierror.Errorf(apierror.BodyTooLarge, "the body exceeds the limit of %d bytes", x.limits.MaxBodyBytes)
 }
--- a/internal/adapter/clientapi/clientapi.go
+++ b/internal/adapter/clientapi/clientapi.go
@@ -43,7 +43,7 @@
 	// event becomes the response; a later one aborts the stream.
 	Prompt(ctx context.Context, prompt *Prompt, stream *Stream) *apierror.Error
 	// OneShot executes a call at most once and returns the complete response.
-	OneShot(ctx context.Context, request *OneShot) (*Answer, *apierror.Error)
+	OneShot(ctx context.Context, request *OneShot) (*Response, *apierror.Error)
 	// Ready returns nil if the node accepts traffic, or why not.
 	Ready() *apierror.Error
 	// Standing returns the standing of the core in this process, "" if the process is
--- a/internal/adapter/clientapi/clientapi_test.go
+++ b/internal/adapter/clientapi/clientapi_test.go
@@ -57,7 +57,7 @@
 	events   []string
 	apiErr   *apierror.Error
 	panics   any
-	response *Answer
+	response *Response
 	oneShots []*OneShot
 	prompts  []*Prompt
 	panicked int
@@ -78,7 +78,7 @@
 func (f *fakeHandler) Prompt(ctx context.Context, prompt *Prompt, stream *Stream) *apierror.Error {
 	f.prompts = append(f.prompts, prompt)
 	for _, event := range f.events {
-		if err := stream.Event([]byte(event)); err != nil {
+		if err := stream.SendEvent([]byte(event)); err != nil {
 			if f.ended != nil {
 				f.ended <- err
 			}
@@ -95,7 +95,7 @@
 	return f.apiErr
 }
 
-func (f *fakeHandler) OneShot(_ context.Context, request *OneShot) (*Answer, *apierror.Error) {
+func (f *fakeHandler) OneShot(_ context.Context, request *OneShot) (*Response, *apierror.Error) {
 	f.oneShots = append(f.oneShots, request)
 	if f.panics != nil {
 		panic(f.panics)
@@ -145,7 +145,7 @@
 
 func TestApprovedTranscripts(t *testing.T) {
 	event, finalEvent := `{"id":"r1","seq":0,"text":"t"}`, `{"id":"r1","final":true,"count":1}`
-	webResponse := &Answer{Server: "w1", Status: 200, Body: []byte("map"), Header: http.Header{"Content-Type": {"text/plain"}, "Etag": {"e"},
+	webResponse := &Response{Server: "w1", Status: 200, Body: []byte("map"), Header: http.Header{"Content-Type": {"text/plain"}, "Etag": {"e"},
 		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "Content-Length": {"3"}, "Stepwick-Request-Id": {"r1"}, "Transfer-Encoding": {"chunked"}}}
 	streamCut := apierror.Errorf(apierror.StreamCut, "the server went away").WithRetryAfter(100 * time.Millisecond)
 	notRuling := apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(1200 * time.Millisecond)
@@ -231,8 +231,8 @@
 	}
 	for _, row := range rows {
 		Convey("A request with "+row.name+" is rejected with its code and does not reach the handler", t, func() {
-			handler := &fakeHandler{response: &Answer{Status: 200}}
-			response := exchangeRaw(t, Limits{BodyMax: 4096, HeaderMax: 1024}, handler, row.request)
+			handler := &fakeHandler{response: &Response{Status: 200}}
+			response := exchangeRaw(t, Limits{MaxBodyBytes: 4096, MaxHeaderBytes: 1024}, handler, row.request)
 			So(response, ShouldContainSubstring, fmt.Sprintf("Stepwick-Code: %d\r\n", row.code))
 			So(response, ShouldContainSubstring, fmt.Sprintf("{\"code\":%d,", row.code))
 			So(response, ShouldContainSubstring, "\r\nStepwick-Request-Id: ")
@@ -256,7 +256,7 @@
 		So(handler.prompts[0].Tokens(), ShouldEqual, 18)
 	})
 	Convey("A one-shot is forwarded unchanged, except for the API key and the hop-by-hop fields", t, func() {
-		handler := &fakeHandler{response: &Answer{Status: 204}}
+		handler := &fakeHandler{response: &Response{Status: 204}}
 		exchangeRaw(t, Limits{}, handler, rawRequest("PATCH", "/v1/call/orders/a%2Fb//../c?x=%20&x=1", authHeaders+"X-Own: 1\nConnection: X-Hop\nX-Hop: 1\n", "body"))
 		So(len(handler.oneShots), ShouldEqual, 1)
 		oneShot := handler.oneShots[0]
@@ -336,7 +336,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			handler := &fakeHandler{events: []string{`{"seq":0}`}, ended: make(chan error, 1)}
 			listener, limit := newPipeListener(), int64(2*len(completePrompt)-1)
-			api := New(Limits{BodyMax: 1000, BodiesMax: limit}, handler, clock.System(), nil)
+			api := New(Limits{MaxBodyBytes: 1000, MaxBufferedBytes: limit}, handler, clock.System(), nil)
 			server := api.Server()
 			go func() { _ = server.Serve(listener) }()
 			defer func() { _ = server.Close() }()
@@ -381,7 +381,7 @@
 			handler := &fakeHandler{events: []string{`{"seq":0}`}, ended: make(chan error, 1)}
 			listener := newPipeListener()
 			mounts := map[string]http.Handler{"/metrics": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "up 1") })}
-			api := New(Limits{Requests: 1, Connections: 2}, handler, clock.System(), mounts)
+			api := New(Limits{MaxRequests: 1, MaxConnections: 2}, handler, clock.System(), mounts)
 			server := api.Server()
 			go func() { _ = server.Serve(api.LimitConnections(listener)) }()
 			defer func() { _ = server.Close() }()
--- a/internal/adapter/clientapi/exchange.go
+++ b/internal/adapter/clientapi/exchange.go
@@ -31,8 +31,8 @@
 
 // serve checks the request's header and passes the request to its route.
 func (x *exchange) serve() *apierror.Error {
-	if size := headerSize(x.request); size > x.limits.HeaderMax {
-		return apierror.Errorf(apierror.HeaderTooLarge, "the header has %d bytes; the limit is %d", size, x.limits.HeaderMax)
+	if size := headerSize(x.request); size > x.limits.MaxHeaderBytes {
+		return apierror.Errorf(apierror.HeaderTooLarge, "the header has %d bytes; the limit is %d", size, x.limits.MaxHeaderBytes)
 	}
 	route, apiErr := findRoute(x.request.Method, x.request.URL.Path)
 	if apiErr != nil {
@@ -46,7 +46,7 @@
 	case x.api.requestSlots <- struct{}{}:
 		defer func() { <-x.api.requestSlots }()
 	default:
-		return apierror.Errorf(apierror.QueueFull, "the limit of %d requests in progress is reached", x.limits.Requests).WithRetryAfter(defaultRetryAfter)
+		return apierror.Errorf(apierror.QueueFull, "the limit of %d requests in progress is reached", x.limits.MaxRequests).WithRetryAfter(defaultRetryAfter)
 	}
 	if apiErr = x.parseHead(); apiErr != nil {
 		return apiErr
--- a/internal/adapter/clientapi/handlers.go
+++ b/internal/adapter/clientapi/handlers.go
@@ -115,7 +115,7 @@
 }
 
 // forwardResponse writes a web server's response to the client.
-func (x *exchange) forwardResponse(response *Answer) {
+func (x *exchange) forwardResponse(response *Response) {
 	header := x.writer.Header()
 	for name, values := range EndToEndHeaders(response.Header) {
 		header[name] = values
--- a/internal/adapter/clientapi/header.go
+++ b/internal/adapter/clientapi/header.go
@@ -79,10 +79,10 @@
 }
 
 // parseDeadline converts a client's deadline, or returns BadDeadline if it is not an
-// integer from 1 to DeadlineMax.
+// integer from 1 to MaxDeadline.
 func (l Limits) parseDeadline(milliseconds float64) (time.Duration, *apierror.Error) {
-	if math.IsNaN(milliseconds) || milliseconds < 1 || milliseconds > float64(l.DeadlineMax.Milliseconds()) || milliseconds != math.Trunc(milliseconds) {
-		return 0, apierror.Errorf(apierror.BadDeadline, "the deadline must be an integer number of milliseconds from 1 to %d", l.DeadlineMax.Milliseconds())
+	if math.IsNaN(milliseconds) || milliseconds < 1 || milliseconds > float64(l.MaxDeadline.Milliseconds()) || milliseconds != math.Trunc(milliseconds) {
+		return 0, apierror.Errorf(apierror.BadDeadline, "the deadline must be an integer number of milliseconds from 1 to %d", l.MaxDeadline.Milliseconds())
 	}
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
@@ -92,7 +92,7 @@
 func (l Limits) headerDeadline(header http.Header) (timeout time.Duration, given bool, apiErr *apierror.Error) {
 	values := header.Values(HeaderDeadline)
 	if len(values) == 0 {
-		return l.DeadlineDefault, false, nil
+		return l.DefaultDeadline, false, nil
 	}
 	milliseconds, err := strconv.ParseUint(values[0], 10, 63)
 	if err != nil || len(values) > 1 {
--- a/internal/adapter/clientapi/limits.go
+++ b/internal/adapter/clientapi/limits.go
@@ -9,33 +9,33 @@
 // Limits bounds the resources that clients can use. Values of zero or below mean the
 // default.
 type Limits struct {
-	BodyMax         int64         // bytes; default 1 MiB
-	BodiesMax       int64         // bytes of all bodies in memory at once; default 64 MiB or four times BodyMax, whichever is larger
-	HeaderMax       int           // bytes of all header fields together; default 16 KiB
-	BodyTimeout     time.Duration // for receiving a complete body; default 5s
-	HeaderTimeout   time.Duration // for receiving a complete header; default 5s
-	IdleTimeout     time.Duration // of a kept-alive connection; default 60s
-	WriteTimeout    time.Duration // for a client to receive one event or one response; default 5s
-	DeadlineMax     time.Duration // maximum that a client may request; default 120s
-	DeadlineDefault time.Duration // of a request without one; default 30s
-	Connections     int           // open at once; default 4096
-	Requests        int           // with an API key, served at once; default 1024
-	TokensMax       float64       // of one prompt; default 1,000,000
+	MaxBodyBytes     int64         // bytes; default 1 MiB
+	MaxBufferedBytes int64         // bytes of all bodies in memory at once; default 64 MiB or four times MaxBodyBytes, whichever is larger
+	MaxHeaderBytes   int           // bytes of all header fields together; default 16 KiB
+	BodyTimeout      time.Duration // for receiving a complete body; default 5s
+	HeaderTimeout    time.Duration // for receiving a complete header; default 5s
+	IdleTimeout      time.Duration // of a kept-alive connection; default 60s
+	WriteTimeout     time.Duration // for a client to receive one event or one response; default 5s
+	MaxDeadline      time.Duration // maximum that a client may request; default 120s
+	DefaultDeadline  time.Duration // of a request without one; default 30s
+	MaxConnections   int           // open at once; default 4096
+	MaxRequests      int           // with an API key, served at once; default 1024
+	MaxPromptTokens  float64       // of one prompt; default 1,000,000
 }
 
 func (l Limits) withDefaults() Limits {
-	setDefault(&l.BodyMax, 1<<20)
-	setDefault(&l.BodiesMax, max(64<<20, 4*l.BodyMax))
-	setDefault(&l.HeaderMax, 16<<10)
+	setDefault(&l.MaxBodyBytes, 1<<20)
+	setDefault(&l.MaxBufferedBytes, max(64<<20, 4*l.MaxBodyBytes))
+	setDefault(&l.MaxHeaderBytes, 16<<10)
 	setDefault(&l.BodyTimeout, 5*time.Second)
 	setDefault(&l.HeaderTimeout, 5*time.Second)
 	setDefault(&l.IdleTimeout, time.Minute)
 	setDefault(&l.WriteTimeout, 5*time.Second)
-	setDefault(&l.DeadlineMax, 120*time.Second)
-	setDefault(&l.DeadlineDefault, 30*time.Second)
-	setDefault(&l.Connections, 4096)
-	setDefault(&l.Requests, 1024)
-	setDefault(&l.TokensMax, 1e6)
+	setDefault(&l.MaxDeadline, 120*time.Second)
+	setDefault(&l.DefaultDeadline, 30*time.Second)
+	setDefault(&l.MaxConnections, 4096)
+	setDefault(&l.MaxRequests, 1024)
+	setDefault(&l.MaxPromptTokens, 1e6)
 	return l
 }
 
--- a/internal/adapter/clientapi/messages.go
+++ b/internal/adapter/clientapi/messages.go
@@ -49,7 +49,7 @@
 	SessionTokens int
 	MaxTokens     int
 	Region        string // of the client; "" for the node's own region
-	Home          string // region that must serve the prompt; "" for the tenant's home region, if any
+	HomeRegion    string // region that must serve the prompt; "" for the tenant's home region, if any
 }
 
 // Tokens returns the number of tokens that the prompt counts for.
@@ -69,8 +69,8 @@
 	Body    []byte
 }
 
-// Answer is a complete response from a web server.
-type Answer struct {
+// Response is a complete response from a web server.
+type Response struct {
 	Server string
 	Status int
 	Header http.Header
--- a/internal/adapter/clientapi/prompt.go
+++ b/internal/adapter/clientapi/prompt.go
@@ -44,10 +44,10 @@
 		SessionTokens: body.SessionTokens,
 		MaxTokens:     *body.MaxTokens,
 		Region:        body.Region,
-		Home:          body.Home,
+		HomeRegion:    body.Home,
 	}
-	if prompt.Tokens() > l.TokensMax {
-		return nil, apierror.Errorf(apierror.BadField, "the prompt has %.0f tokens; the limit is %.0f", prompt.Tokens(), l.TokensMax)
+	if prompt.Tokens() > l.MaxPromptTokens {
+		return nil, apierror.Errorf(apierror.BadField, "the prompt has %.0f tokens; the limit is %.0f", prompt.Tokens(), l.MaxPromptTokens)
 	}
 	if body.DeadlineMS != nil {
 		timeout, apiErr := l.parseDeadline(*body.DeadlineMS)
--- a/internal/adapter/clientapi/stream.go
+++ b/internal/adapter/clientapi/stream.go
@@ -22,10 +22,10 @@
 // Begun reports whether the response has begun, and with it the first event.
 func (s *Stream) Begun() bool { return s.begun }
 
-// Event sends an event with the data, which must be a single line, and waits until it
+// SendEvent sends an event with the data, which must be a single line, and waits until it
 // is written to the client's connection. The first event commits the response to
 // status 200. An error means that the client has disconnected or does not receive.
-func (s *Stream) Event(data []byte) error {
+func (s *Stream) SendEvent(data []byte) error {
 	return s.send("", data)
 }
 
--- a/internal/adapter/controlapi/api_test.go
+++ b/internal/adapter/controlapi/api_test.go
@@ -185,7 +185,7 @@
 func TestCallsAreBoundedAndDeclaredOnce(t *testing.T) {
 	Convey("Every call is declared once, with help, verb and handler", t, func() {
 		seen := map[string]bool{}
-		for _, call := range Routes() {
+		for _, call := range Calls() {
 			So(seen[call.Method+call.Path], ShouldBeFalse)
 			seen[call.Method+call.Path] = true
 			So(call.Help, ShouldEndWith, ".")
--- a/internal/adapter/controlapi/calls.go
+++ b/internal/adapter/controlapi/calls.go
@@ -48,8 +48,8 @@
 	handle         func(*exchange) reply
 }
 
-// Routes returns the calls of the API in the order of the documentation.
-func Routes() []Call { return append([]Call(nil), calls...) }
+// Calls returns the calls of the API in the order of the documentation.
+func Calls() []Call { return append([]Call(nil), calls...) }
 
 var calls = []Call{
 	{
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -190,7 +190,7 @@
 			}
 			return false
 		}
-		for _, call := range controlapi.Routes() {
+		for _, call := range controlapi.Calls() {
 			So(call.Method+" "+call.Path+" "+strconv.FormatBool(documented(call.Method, call.Path)), ShouldEndWith, " true")
 		}
 		for _, route := range clientapi.Routes() {
--- a/internal/node/build_traffic.go
+++ b/internal/node/build_traffic.go
@@ -50,12 +50,12 @@
 
 func (p *process) clientLimits() clientapi.Limits {
 	return clientapi.Limits{
-		BodyMax:         int64(p.values.Int("body.max")),
-		HeaderMax:       p.values.Int("header.max"),
+		MaxBodyBytes:    int64(p.values.Int("body.max")),
+		MaxHeaderBytes:  p.values.Int("header.max"),
 		BodyTimeout:     p.values.Duration("body.timeout"),
 		HeaderTimeout:   p.values.Duration("body.timeout"),
-		DeadlineMax:     p.values.Duration("deadline.max"),
-		DeadlineDefault: p.values.Duration("deadline.default"),
+		MaxDeadline:     p.values.Duration("deadline.max"),
+		DefaultDeadline: p.values.Duration("deadline.default"),
 	}
 }
 
--- a/internal/node/front/call.go
+++ b/internal/node/front/call.go
@@ -37,7 +37,7 @@
 // Prompt serves a prompt and streams the answer. An error before the first event
 // becomes the answer; a later one aborts the stream.
 func (f *Front) Prompt(ctx context.Context, prompt *clientapi.Prompt, stream *clientapi.Stream) *apierror.Error {
-	promptCall := f.newCall(&prompt.Head, prompt.Service, prompt.Region, prompt.Home)
+	promptCall := f.newCall(&prompt.Head, prompt.Service, prompt.Region, prompt.HomeRegion)
 	if prompt.Prefix != "" {
 		// Zero is reserved for requests without a prefix.
 		promptCall.request.Prefix = max(xxhash.Sum64String(prompt.Service+"\x00"+prompt.Prefix), 1)
@@ -49,9 +49,9 @@
 
 // OneShot serves a call that a server executes at most once. OutcomeUnknown means
 // that it may have been executed.
-func (f *Front) OneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Answer, *apierror.Error) {
+func (f *Front) OneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Response, *apierror.Error) {
 	oneShotCall := f.newCall(&request.Head, request.Service, request.Region, "")
-	var answer *clientapi.Answer
+	var answer *clientapi.Response
 	apiErr := oneShotCall.serve(ctx, sheet.KindWeb, 0, func(ctx context.Context) (apiErr *apierror.Error) {
 		answer, apiErr = oneShotCall.retryOneShot(ctx, request)
 		return apiErr
--- a/internal/node/front/oneshot.go
+++ b/internal/node/front/oneshot.go
@@ -10,7 +10,7 @@
 
 // retryOneShot tries servers one after another until one may have received the call
 // or the error does not permit a retry.
-func (c *call) retryOneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Answer, *apierror.Error) {
+func (c *call) retryOneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Response, *apierror.Error) {
 	for {
 		answer, server, apiErr := c.attemptOneShot(ctx, request)
 		if apiErr == nil {
@@ -25,7 +25,7 @@
 
 // attemptOneShot makes one attempt. If it returns NotRun and a server's name, nothing
 // was written to that server and another one may be tried.
-func (c *call) attemptOneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Answer, string, *apierror.Error) {
+func (c *call) attemptOneShot(ctx context.Context, request *clientapi.OneShot) (*clientapi.Response, string, *apierror.Error) {
 	assigned, choice, apiErr := c.acquireServer(ctx)
 	if apiErr != nil {
 		return nil, "", c.notRunError(apiErr)
@@ -56,7 +56,7 @@
 	if apiErr := c.checkAnswer(); apiErr != nil {
 		return nil, "", outcomeUnknown(apiErr.Detail)
 	}
-	return &clientapi.Answer{
+	return &clientapi.Response{
 		Server: choice.Server,
 		Status: answer.Status,
 		Header: answer.Header,
@@ -65,7 +65,7 @@
 }
 
 // oneShotError converts the failure of an attempt to the results of attemptOneShot.
-func (c *call) oneShotError(ctx context.Context, server string, failure *backend.Failure) (*clientapi.Answer, string, *apierror.Error) {
+func (c *call) oneShotError(ctx context.Context, server string, failure *backend.Failure) (*clientapi.Response, string, *apierror.Error) {
 	switch {
 	case failure.Kind == backend.SendForbidden:
 		return nil, "", c.notRunError(failure.Cause)
--- a/internal/node/front/stream_forwarder.go
+++ b/internal/node/front/stream_forwarder.go
@@ -54,7 +54,7 @@
 		}
 		return errDeadlineDuringStream()
 	}
-	if err := s.stream.Event(event.Data); err != nil {
+	if err := s.stream.SendEvent(event.Data); err != nil {
 		return apierror.Errorf(apierror.CallerGone, "write an event to the caller: %s", err)
 	}
 	s.observeEvent(now)
