--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -22,11 +22,11 @@
 	"stepwick/internal/wire"
 )
 
-// coreStaleAfter is how long after its last renewal a follower no longer prefers a
-// core.
+// coreStaleAfter is how long after a core's last renewal of the lease the follower
+// stops preferring the core for the feed and as a relay.
 const coreStaleAfter = time.Second
 
-// build builds a process and opens its listeners. Nothing runs before process.run.
+// build builds a process and opens its listeners. Its services start in process.run.
 func build(environment Environment, role, name string, values *settings.Values, log events.Log) (*process, error) {
 	processClock := clock.Monotonic(environment.Clock)
 	built := &process{
@@ -80,9 +80,9 @@
 	return built, nil
 }
 
-// newIdentity returns the part of a process's record that doesn't change. Its
-// incarnation is the time of its start, so that it is higher than that of an earlier
-// process of the name.
+// newIdentity returns the constant part of a process's record. The incarnation is the
+// start time in ns, which makes it higher than that of any earlier process with the
+// same name.
 func newIdentity(role, name string, values *settings.Values, startedAt time.Time) *wire.Process {
 	return &wire.Process{
 		Name:          name,
@@ -129,8 +129,8 @@
 	}, p.directory, p.clock, p.follower.FleetNow, func() []string { return p.follower.View().Live }, p.log)
 }
 
-// newInspector returns an inspector of the parts of this process. Inspections run
-// only once all parts are built.
+// newInspector returns the inspector of this process. Inspections refer to services
+// that are built later, so none may run before build returns.
 func (p *process) newInspector() *inspector {
 	inspections := map[string]inspection{
 		inspectStatus: inspectionOf(func(string) (processStatus, bool) { return p.status(), true }),
@@ -138,14 +138,14 @@
 			plan := p.follower.View().Plan
 			return plan, plan != nil
 		}),
-		inspectTally: inspectionOf(p.tally),
+		inspectTally: inspectionOf(p.quotaUsage),
 		inspectExplain: inspectionOf(func(id string) (any, bool) {
 			return p.front.Inspect(inspectExplain, id)
 		}),
 	}
 	if p.controller != nil {
-		inspections[healthcheck.InspectListed] = inspectionOf(func(string) (healthcheck.Listed, bool) {
-			return healthcheck.Listed{AtMS: p.controller.ListedAt()}, true
+		inspections[healthcheck.InspectListTime] = inspectionOf(func(string) (healthcheck.ListTime, bool) {
+			return healthcheck.ListTime{ObservedAtMS: p.controller.ListedAt()}, true
 		})
 	}
 	return &inspector{self: p.identity.Name, peers: p.directory, inspections: inspections}
@@ -161,17 +161,17 @@
 			view := p.follower.View()
 			return healthcheck.View{Servers: view.Servers, Fronts: view.Fronts}
 		},
-		Report:       p.follower.Report,
-		FleetNow:     p.follower.FleetNow,
-		ListInterval: p.values.Duration("platform.interval"),
-		PollInterval: p.values.Duration("watch.interval"),
-		ListReaders:  p.values.Int("platform.readers"),
-		ListOnly:     p.environment.Platform != nil,
-		DrainWithin:  p.values.Duration("platform.drain_within"),
+		ApplyReport:          p.follower.Report,
+		FleetNow:             p.follower.FleetNow,
+		ListInterval:         p.values.Duration("platform.interval"),
+		PollInterval:         p.values.Duration("watch.interval"),
+		ListReadersPerRegion: p.values.Int("platform.readers"),
+		ListOnly:             p.environment.Platform != nil,
+		DrainWithin:          p.values.Duration("platform.drain_within"),
 	}, p.serverSource(), p.directory, p.clock, p.log)
 }
 
-// serverSource returns where the list of servers is read.
+// serverSource returns the source of the server list and of server statuses.
 func (p *process) serverSource() port.ServerSource {
 	if p.environment.Platform != nil {
 		return p.environment.Platform.Servers(p.environment.Dial)
@@ -179,23 +179,24 @@
 	return platform.New(platform.Config{URL: p.values.String("platform.url"), Dial: p.environment.Dial})
 }
 
-// planPolicy returns the settings of the plan of the traffic.
+// planPolicy returns the settings of traffic plans.
 func (p *process) planPolicy() plan.Policy {
 	return plan.Policy{SlowStartCap: p.values.Int("route.ramp_start")}
 }
 
-// openListeners opens the listener for other processes and, where clients are
-// served, that for their requests. A core on a platform has none of these.
+// openListeners opens the internal listener, for other processes, and the caller
+// listener, for client requests. On a platform, a process that serves no traffic has
+// no caller listener.
 func (p *process) openListeners() error {
 	var err error
 	if p.internalListener, err = p.environment.Listen(p.values.String("listen.internal")); err != nil {
-		return errors.Wrap(err, "listen.internal")
+		return errors.Wrap(err, "open internal listener (setting listen.internal)")
 	}
 	if !p.servesTraffic() && p.environment.Platform != nil {
 		return nil
 	}
 	if p.callerListener, err = p.environment.Listen(p.values.String("listen.caller")); err != nil {
-		return errors.Wrap(err, "listen.caller")
+		return errors.Wrap(err, "open caller listener (setting listen.caller)")
 	}
 	return nil
 }
--- a/internal/node/build_core.go
+++ b/internal/node/build_core.go
@@ -11,7 +11,7 @@
 	"stepwick/internal/node/replica"
 )
 
-// buildCore builds the parts that only a core has.
+// buildCore builds the services that only a core has.
 func (p *process) buildCore() error {
 	firstSheet, err := p.readFirstSheet()
 	if err != nil {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// readFirstSheet reads the sheet with which a new fleet starts, nil for none. A sheet
-// that is invalid keeps the process from starting.
+// readFirstSheet reads the sheet to propose in a new fleet, or returns nil if none is
+// configured. The process does not start with an invalid sheet.
 func (p *process) readFirstSheet() ([]byte, error) {
 	file := p.values.String("first_sheet")
 	if file == "" {
@@ -57,10 +57,10 @@
 	}
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, errors.Wrap(err, "first_sheet")
+		return nil, errors.Wrap(err, "read first sheet (setting first_sheet)")
 	}
 	if _, apiErr := sheet.ParseSheet(data, p.values.Int("sheet.max")); apiErr != nil {
-		return nil, errors.Wrap(apiErr, "first_sheet")
+		return nil, errors.Wrapf(apiErr, "parse first sheet %s (setting first_sheet)", file)
 	}
 	return data, nil
 }
--- a/internal/node/build_traffic.go
+++ b/internal/node/build_traffic.go
@@ -17,10 +17,10 @@
 	"stepwick/internal/settings"
 )
 
-// newFront returns the front with the API for clients and operators.
+// newFront returns the front, which serves the client API and the control API.
 func (p *process) newFront(inspector *inspector, registry *prometheus.Registry) (*front.Front, error) {
 	return front.New(front.Config{
-		Standing:      p.standing(),
+		Standing:      p.standingFunc(),
 		Name:          p.identity.Name,
 		Address:       p.identity.CallerAddress,
 		Region:        p.identity.Region,
@@ -34,14 +34,15 @@
 			Policy:      p.planPolicy(),
 			RetryBudget: p.values.Float("retry.budget"),
 		},
-		ReadRuntimeSettings: p.tuned,
+		ReadRuntimeSettings: p.runtimeSettings,
 		Control:             p.newControlAPI(inspector),
 		Metrics:             promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
 	}, p.follower, p.quota, p.clock, p.log, registry)
 }
 
-// standing returns a function that returns a core's standing; nil for a plain front.
-func (p *process) standing() func() string {
+// standingFunc returns a function that returns the current standing of this core, or
+// nil if the process is not a core.
+func (p *process) standingFunc() func() string {
 	if p.replica == nil {
 		return nil
 	}
@@ -59,7 +60,7 @@
 	}
 }
 
-// newControlAPI returns the API for operators.
+// newControlAPI returns the control API, which serves operators.
 func (p *process) newControlAPI(inspector *inspector) *controlapi.API {
 	return controlapi.New(controlapi.Config{
 		Operators:       p.values.Strings("operator.keys"),
@@ -70,9 +71,9 @@
 	}, p.orders, inspector, p.clock, p.log)
 }
 
-// tuned returns the run-time settings of the front: those of the sheet over those of
-// the settings file.
-func (p *process) tuned(sheetSettings map[string]string) front.RuntimeSettings {
+// runtimeSettings returns the front's run-time settings. Those in the sheet override
+// those in the settings file.
+func (p *process) runtimeSettings(sheetSettings map[string]string) front.RuntimeSettings {
 	values := p.values.WithRuntime(sheetSettings)
 	return front.RuntimeSettings{
 		DeadlineMax:     values.Duration("deadline.max"),
@@ -86,9 +87,9 @@
 	}
 }
 
-// newGateway returns the gateway for requests by routes, which a platform needs.
+// newGateway returns the gateway, which serves requests by routes on a platform.
 func (p *process) newGateway(registry *prometheus.Registry) (*gateway.Gateway, error) {
-	off, err := balance.ParseDisabled(p.values.Strings("balance.off"))
+	disabled, err := balance.ParseDisabled(p.values.Strings("balance.off"))
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +103,7 @@
 			RetrySlack:       p.values.Float("retry.slack"),
 			SlowStartOverage: p.values.Float("cold.overage"),
 			SlowStartSlack:   p.values.Float("cold.slack"),
-			Disabled:         off,
+			Disabled:         disabled,
 		},
 		Upstream: upstream.Config{
 			Dial:           p.environment.serverDial(),
@@ -119,7 +120,7 @@
 			Fraction:       p.values.Float("tally.part"),
 			ReservePerStep: p.values.Float("tally.reserve"),
 		},
-		// The checker is built after the gateway.
+		// A closure, because the checker is built after the gateway.
 		Observe: func(ctx context.Context, server string, reachable bool) {
 			p.checker.Observe(ctx, server, reachable)
 		},
--- a/internal/node/data_folder_test.go
+++ b/internal/node/data_folder_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestTakenNameIsStoredInTheDataFolder(t *testing.T) {
-	Convey("A taken name is found again, in a file whose name older versions know, until the folder is emptied", t, func() {
+	Convey("A taken name is stored until the folder is emptied, in the file \"place\" that earlier versions read and write", t, func() {
 		folder := filepath.Join(t.TempDir(), "data")
 		_, taken := readTakenName(folder)
 		So(taken, ShouldBeFalse)
--- a/internal/node/environment.go
+++ b/internal/node/environment.go
@@ -11,17 +11,17 @@
 	"stepwick/internal/clock"
 )
 
-// Environment is what a process uses outside itself. Tests replace it to run fleets
-// in virtual time and without a network.
+// Environment provides the clock, the network and the platform of a process. Tests
+// replace it to run fleets in virtual time and without a network.
 type Environment struct {
 	Clock clock.Clock
 	// Listen opens a listener at an address (ip:port).
 	Listen func(address string) (net.Listener, error)
 	// Dial opens a connection, as net.Dialer's DialContext does.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Platform is nil for a process with its own listeners for clients.
+	// Platform is nil for a process that serves its own client API.
 	Platform PlatformAdapter
-	// DialServer opens connections to the servers of routes; Dial when nil.
+	// DialServer opens connections to the servers of routes. Default Dial.
 	DialServer func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -34,15 +34,15 @@
 }
 
 const (
-	// unacknowledgedTimeout is how long the machine of a server may leave bytes or a
-	// keep-alive probe unacknowledged before the connection fails.
+	// unacknowledgedTimeout is how long transmitted data or a keep-alive probe may
+	// remain unacknowledged by a server's machine before the connection fails.
 	unacknowledgedTimeout = 1200 * time.Millisecond
-	// keepAliveInterval is the time between two probes of an idle connection.
+	// keepAliveInterval is the interval of TCP keep-alive probes on idle connections.
 	keepAliveInterval = time.Second
 )
 
-// serverDialer returns a dialer like another one, whose connections fail soon after
-// the remote machine stopped without closing them.
+// serverDialer returns a copy of a dialer whose connections fail soon after the remote
+// machine has stopped without closing them.
 func serverDialer(base *net.Dialer) *net.Dialer {
 	dialer := *base
 	dialer.KeepAliveConfig = net.KeepAliveConfig{
--- a/internal/node/healthcheck/assignment.go
+++ b/internal/node/healthcheck/assignment.go
@@ -7,33 +7,34 @@
 	"stepwick/internal/wire"
 )
 
-// location is a region and a zone of it; the zone is empty for the whole region.
+// location is a zone of a region, or the whole region if the zone is empty.
 type location struct {
 	region string
 	zone   string
 }
 
-// isAmongFirst reports whether self is among the first count of the candidates for
-// a subject by rendezvous hashing. Where self is not a candidate, its rank is
-// computed as if it were.
+// isAmongFirst reports whether self ranks among the first count candidates for a
+// subject by rendezvous hashing. If candidates does not contain self, self is ranked
+// as if it did.
 func isAmongFirst(self, subject string, candidates []string, count int) bool {
 	ownWeight := rendezvous.Weight(self, subject)
-	above := 0
+	higherRanked := 0
 	for _, name := range candidates {
 		if name == self {
 			continue
 		}
 		weight := rendezvous.Weight(name, subject)
 		if weight > ownWeight || weight == ownWeight && name > self {
-			above++
+			higherRanked++
 		}
 	}
-	return above < count
+	return higherRanked < count
 }
 
-// isAssigned reports whether this front is one of count fronts that check a subject
-// at a location: fronts of its zone, of its region where the zone has none or none
-// is given, or of any region where that has none either.
+// isAssigned reports whether this front is one of the count fronts that check a
+// subject at the target location. Candidates are the fronts in the target's zone; if
+// there are none or the zone is empty, those in its region; and if there are none
+// either, all fronts. Fronts that are leaving are no candidates.
 func (c *Checker) isAssigned(fronts []*wire.Process, subject string, target location, count int) bool {
 	var inZone, inRegion, all []string
 	for _, front := range fronts {
@@ -60,16 +61,16 @@
 	return isAmongFirst(c.config.Self, subject, all, count)
 }
 
-// listAssignment is whether this front reads the list, as computed from some known
-// fronts.
+// listAssignment caches whether this front is assigned to read the list, with the
+// fronts from which that was computed.
 type listAssignment struct {
 	isComputed bool
 	fronts     []*wire.Process
 	isReader   bool
 }
 
-// readsList reports whether this front is among those of its region that read the
-// list. It is computed again only when the known fronts change.
+// readsList reports whether this front is one of the list readers of its region. The
+// result is cached until the fronts in the view change.
 func (c *Checker) readsList(fronts []*wire.Process) bool {
 	last := &c.discovery.assignment
 	if last.isComputed && slices.Equal(last.fronts, fronts) {
@@ -78,7 +79,7 @@
 	*last = listAssignment{
 		isComputed: true,
 		fronts:     fronts,
-		isReader:   c.isAssigned(fronts, "", location{region: c.config.Region}, c.config.ListReaders),
+		isReader:   c.isAssigned(fronts, "", location{region: c.config.Region}, c.config.ListReadersPerRegion),
 	}
 	return last.isReader
 }
--- a/internal/node/healthcheck/checker_test.go
+++ b/internal/node/healthcheck/checker_test.go
@@ -29,24 +29,24 @@
 	gone     = wire.ServerState_SERVER_STATE_GONE
 )
 
-// simulation is a platform, its servers, three cores and nine fronts. All of it
-// is guarded by the token: whoever holds it may read or change.
+// simulation simulates a platform, its servers, three cores and nine fronts. The
+// token is a mutex over all fields.
 type simulation struct {
 	token     chan struct{}
 	servers   map[string]*wire.ServerStatus
-	outcomes  map[string]port.PollOutcome // of servers that don't answer polls
+	outcomes  map[string]port.PollOutcome // of polls, by server; PollAnswered if absent
 	listFails bool
 	listEmpty bool
-	pages     int             // that the list has
-	down      map[string]bool // cores and fronts
-	requests  map[string]int  // received, by server or kind
-	logged    map[string]bool // events by name and server
-	reports   map[string]int  // sent, by watcher
+	pages     int             // of the list; each takes one call
+	down      map[string]bool // by process; "seen NAME" is set once views exclude the process
+	requests  map[string]int  // received requests by server or kind
+	logged    map[string]bool // "EVENT SERVER"
+	reports   map[string]int  // received reports by watcher
 	cores     map[string]*serverstatus.ReportStore
 	fronts    []*wire.Process
 }
 
-// locationOf returns the region and zone of the server or front with a number.
+// locationOf returns the region and zone of the server or front with the given number.
 func locationOf(number int) (region, zone string) {
 	regions := []string{"lagos", "lagos", "abeokuta"}
 	zones := []string{"a", "b", "a"}
@@ -96,35 +96,36 @@
 	return simulated
 }
 
-func (w *simulation) with(f func()) {
-	<-w.token
+// with runs f while it holds the token.
+func (sim *simulation) with(f func()) {
+	<-sim.token
 	f()
-	w.token <- struct{}{}
+	sim.token <- struct{}{}
 }
 
-func (w *simulation) List(context.Context) (listing port.Listing, err error) {
-	w.with(func() {
-		w.requests["list"]++
-		if w.listFails {
-			err = errors.New("no list")
+func (sim *simulation) List(context.Context) (listing port.Listing, err error) {
+	sim.with(func() {
+		sim.requests["list"]++
+		if sim.listFails {
+			err = errors.New("simulated failure of the platform's list")
 			return
 		}
-		if w.listEmpty {
+		if sim.listEmpty {
 			return
 		}
-		listing.Calls = w.pages
-		for _, server := range w.servers {
+		listing.Calls = sim.pages
+		for _, server := range sim.servers {
 			listing.Servers = append(listing.Servers, server)
 		}
 	})
 	return listing, err
 }
 
-func (w *simulation) Status(_ context.Context, name, _ string) (status *wire.ServerStatus, outcome port.PollOutcome, err error) {
-	w.with(func() {
-		w.requests[name]++
-		if outcome = w.outcomes[name]; outcome != port.PollAnswered {
-			err = errors.New("no answer")
+func (sim *simulation) Status(_ context.Context, name, _ string) (status *wire.ServerStatus, outcome port.PollOutcome, err error) {
+	sim.with(func() {
+		sim.requests[name]++
+		if outcome = sim.outcomes[name]; outcome != port.PollAnswered {
+			err = errors.New("simulated failure of a poll")
 			return
 		}
 		status = &wire.ServerStatus{
@@ -149,7 +150,7 @@
 	var err error
 	c.simulation.with(func() {
 		if c.simulation.down[c.name] {
-			err = errors.New("down")
+			err = errors.New("simulated core is down")
 			return
 		}
 		for _, report := range req.Msg.Reports {
@@ -157,7 +158,7 @@
 			c.simulation.cores[c.name].Add(report, time.Now())
 		}
 		for _, unchanged := range req.Msg.Unchanged {
-			if _, known := c.simulation.cores[c.name].ConfirmUnchanged(unchanged, time.Now()); !known {
+			if _, matches := c.simulation.cores[c.name].ConfirmUnchanged(unchanged, time.Now()); !matches {
 				resp.Unknown = append(resp.Unknown, unchanged.Watcher)
 			}
 		}
@@ -165,18 +166,18 @@
 	return connect.NewResponse(resp), err
 }
 
-// Inspect returns when a core last received a report of the list.
+// Inspect returns the time of the last list read that was reported to the core.
 func (c coreClient) Inspect(_ context.Context, req *connect.Request[wire.InspectRequest]) (*connect.Response[wire.InspectResponse], error) {
 	resp := &wire.InspectResponse{}
 	var err error
 	c.simulation.with(func() {
 		c.simulation.requests["inspect "+req.Msg.What]++
 		if c.simulation.down[c.name] {
-			err = errors.New("down")
+			err = errors.New("simulated core is down")
 			return
 		}
 		resp.Code = uint32(apierror.OK)
-		resp.Body, _ = json.Marshal(Listed{AtMS: c.simulation.cores[c.name].ListObservedAt().UnixMilli()})
+		resp.Body, _ = json.Marshal(ListTime{ObservedAtMS: c.simulation.cores[c.name].ListObservedAt().UnixMilli()})
 	})
 	return connect.NewResponse(resp), err
 }
@@ -191,18 +192,18 @@
 	return coreClient{simulation: p.simulation, name: address}
 }
 
-// view is what a front knows: the merged servers of a core that is up, and the
-// fronts that are up, known to be down only a second and a half after.
-func (w *simulation) view() (v View) {
-	w.with(func() {
+// view returns the view of every front: the merged servers of the first core that is
+// running, and the running fronts. A killed front remains in it for 1.5 s.
+func (sim *simulation) view() (v View) {
+	sim.with(func() {
 		for _, name := range []string{"n0", "n1", "n2"} {
-			if !w.down[name] {
-				v.Servers = w.cores[name].Servers()
+			if !sim.down[name] {
+				v.Servers = sim.cores[name].Servers()
 				break
 			}
 		}
-		for _, front := range w.fronts {
-			if !w.down["seen "+front.Name] {
+		for _, front := range sim.fronts {
+			if !sim.down["seen "+front.Name] {
 				v.Fronts = append(v.Fronts, front)
 			}
 		}
@@ -210,47 +211,48 @@
 	return v
 }
 
-func (w *simulation) status(core, server string) (s *wire.ServerStatus) {
-	w.with(func() { s = w.cores[core].Servers()[server] })
+func (sim *simulation) status(core, server string) (s *wire.ServerStatus) {
+	sim.with(func() { s = sim.cores[core].Servers()[server] })
 	return s
 }
 
-// Emit records an event and the server that its first key names.
-func (w *simulation) Emit(event events.Event, keyvals ...any) {
+// Emit records an event with the value of its first key, which is the server.
+func (sim *simulation) Emit(event events.Event, keyvals ...any) {
 	if len(keyvals) > 1 {
-		w.with(func() { w.logged[fmt.Sprint(event.Name, " ", keyvals[1])] = true })
+		sim.with(func() { sim.logged[fmt.Sprint(event.Name, " ", keyvals[1])] = true })
 	}
 }
 
-// takeLogged returns the events that were logged since the last call.
-func (w *simulation) takeLogged() (logged []string) {
-	w.with(func() { logged = slices.Sorted(maps.Keys(w.logged)); clear(w.logged) })
+// takeLogged returns the events logged since the last call.
+func (sim *simulation) takeLogged() (logged []string) {
+	sim.with(func() { logged = slices.Sorted(maps.Keys(sim.logged)); clear(sim.logged) })
 	return logged
 }
 
+// fleet is a simulation with a running checker on every front.
 type fleet struct {
 	*simulation
-	stop map[string]func()
+	stop map[string]func() // stops a front's checker
 }
 
-func launch(drainWithin time.Duration) fleet {
-	running := fleet{newSimulation(), map[string]func(){}}
-	for i, front := range running.fronts {
+func startFleet(drainWithin time.Duration) fleet {
+	started := fleet{newSimulation(), map[string]func(){}}
+	for i, front := range started.fronts {
 		checker := New(Config{
 			Self:        front.Name,
 			Region:      front.Region,
 			Zone:        front.Zone,
 			Incarnation: uint64(i + 1),
 			DrainWithin: drainWithin,
-			View:        running.view,
-			Report:      func(*wire.Report) {},
+			View:        started.view,
+			ApplyReport: func(*wire.Report) {},
 			FleetNow:    time.Now,
-		}, running.simulation, peers{running.simulation}, clock.System(), running.simulation)
+		}, started.simulation, peers{started.simulation}, clock.System(), started.simulation)
 		ctx, cancel := context.WithCancel(context.Background())
-		running.stop[front.Name] = cancel
+		started.stop[front.Name] = cancel
 		go func() { _ = checker.Serve(ctx) }()
 	}
-	return running
+	return started
 }
 
 func (f fleet) close() {
@@ -260,6 +262,7 @@
 	synctest.Wait()
 }
 
+// kill stops fronts and the cores of the same name.
 func (f fleet) kill(names ...string) {
 	for _, name := range names {
 		f.stop[name]()
@@ -268,12 +271,15 @@
 	}
 }
 
-func pass(d time.Duration) {
+// advance waits for a duration of virtual time, and then until all goroutines are
+// blocked.
+func advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
-func (f fleet) set(name string, change func(*wire.ServerStatus)) {
+// set changes the platform's entry of a server.
+func (f fleet) set(name string, update func(*wire.ServerStatus)) {
 	f.with(func() {
 		old := f.servers[name]
 		next := &wire.ServerStatus{
@@ -285,24 +291,25 @@
 			Zone:     old.Zone,
 			State:    old.State,
 		}
-		change(next)
+		update(next)
 		f.servers[name] = next
 	})
 }
 
-func checks(t *testing.T, title string, f func(f fleet)) { checksWith(t, 0, title, f) }
+// testCheckers runs f on a fleet that has been running for 3 s.
+func testCheckers(t *testing.T, title string, f func(f fleet)) { testCheckersWithDrain(t, 0, title, f) }
 
-func checksWith(t *testing.T, drainWithin time.Duration, title string, f func(f fleet)) {
+func testCheckersWithDrain(t *testing.T, drainWithin time.Duration, title string, f func(f fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := launch(drainWithin)
+		fleet := startFleet(drainWithin)
 		defer fleet.close()
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		Convey("Checkers "+title, t, func() { f(fleet) })
 	})
 }
 
-func TestChecks(t *testing.T) {
-	checks(t, "report every server to every core, with few requests", func(f fleet) {
+func TestCheckersReportServers(t *testing.T) {
+	testCheckers(t, "report every server to every core with a bounded number of requests", func(f fleet) {
 		for _, core := range []string{"n0", "n1", "n2"} {
 			for name := range f.servers {
 				status := f.status(core, name)
@@ -312,7 +319,7 @@
 			}
 		}
 		f.with(func() { clear(f.requests) })
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		requests := map[string]int{}
 		f.with(func() { requests = maps.Clone(f.requests) })
 		So(requests["list"], ShouldBeBetweenOrEqual, 6*18, 6*22)
@@ -320,19 +327,19 @@
 			So(requests[name], ShouldBeBetweenOrEqual, 2*18, 2*22)
 		}
 	})
-	checks(t, "confirm an unchanged list by a digest, and report it completely to a core that lost it", func(f fleet) {
+	testCheckers(t, "confirm an unchanged list by digest, and resend the complete list to a core that lost it", func(f fleet) {
 		f.with(func() { clear(f.reports) })
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		for i := range 9 {
 			So(f.reports[fmt.Sprintf("n%d/list", i)], ShouldEqual, 0)
 		}
 		f.with(func() { f.cores["n1"] = serverstatus.NewReportStore(serverstatus.Config{}) })
-		pass(1500 * time.Millisecond)
+		advance(1500 * time.Millisecond)
 		for name := range f.servers {
 			So(f.status("n1", name).GetState(), ShouldEqual, ready)
 		}
 	})
-	checks(t, "outlive by an unchanged list the report of a checker that died", func(f fleet) {
+	testCheckers(t, "confirm an unchanged list, which outdates the report of a stopped checker", func(f fleet) {
 		f.with(func() {
 			for _, core := range f.cores {
 				core.Add(&wire.Report{
@@ -346,20 +353,20 @@
 			}
 		})
 		So(f.status("n0", "m3").State, ShouldEqual, draining)
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		So(f.status("n0", "m3").State, ShouldEqual, ready)
 	})
-	checks(t, "make a drain known within a second", func(f fleet) {
+	testCheckers(t, "report a drain to every core within a second", func(f fleet) {
 		f.takeLogged()
 		f.set("m2", func(status *wire.ServerStatus) { status.State = draining })
-		pass(time.Second)
+		advance(time.Second)
 		for _, core := range []string{"n0", "n1", "n2"} {
 			So(f.status(core, "m2").State, ShouldEqual, draining)
 		}
 		So(f.takeLogged(), ShouldResemble, []string{"server_draining m2"})
 	})
 	for seed := range 9 {
-		checks(t, fmt.Sprintf("make a drain known in time after six fronts and two cores died at once, seed %d", seed), func(f fleet) {
+		testCheckers(t, fmt.Sprintf("report a drain within 2.5 s of the simultaneous failure of six fronts and two cores, seed %d", seed), func(f fleet) {
 			core := fmt.Sprintf("n%d", seed%3)
 			var victims []string
 			for i := range 9 {
@@ -369,45 +376,45 @@
 			}
 			f.kill(victims...)
 			f.set("m0", func(status *wire.ServerStatus) { status.State = draining })
-			pass(2500 * time.Millisecond)
+			advance(2500 * time.Millisecond)
 			So(f.status(core, "m0").State, ShouldEqual, draining)
 			f.set("m0", func(status *wire.ServerStatus) { status.State = ready })
-			pass(4 * time.Second)
+			advance(4 * time.Second)
 			So(f.status(core, "m0").State, ShouldEqual, ready)
 		})
 	}
-	checks(t, "send again what a core could not take", func(f fleet) {
+	testCheckers(t, "resubmit reports to a core that was down", func(f fleet) {
 		f.with(func() { f.down["n1"] = true })
 		f.set("m2", func(status *wire.ServerStatus) { status.State = draining })
-		pass(time.Second)
+		advance(time.Second)
 		So(f.status("n1", "m2").State, ShouldEqual, ready)
 		f.with(func() { f.down["n1"] = false })
-		pass(400 * time.Millisecond)
+		advance(400 * time.Millisecond)
 		So(f.status("n1", "m2").State, ShouldEqual, draining)
 	})
-	checks(t, "take a server as gone when two lists lack it, and not for an empty list", func(f fleet) {
+	testCheckers(t, "report a server as gone when two consecutive lists lack it, but not for an empty list", func(f fleet) {
 		f.with(func() { f.listEmpty = true })
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		So(f.status("n0", "m1").State, ShouldEqual, ready)
 		f.with(func() { f.listEmpty = false; delete(f.servers, "m1") })
-		pass(1500 * time.Millisecond)
+		advance(1500 * time.Millisecond)
 		So(f.status("n0", "m1").State, ShouldEqual, gone)
 		So(f.status("n0", "m2").State, ShouldEqual, ready)
 	})
-	checks(t, "distinguish a refused connection from no answer, and both from a platform without one", func(f fleet) {
+	testCheckers(t, "distinguish refused from unanswered polls while reads of the list fail", func(f fleet) {
 		f.with(func() {
 			f.outcomes["m0"] = port.PollRefused
 			f.outcomes["m1"] = port.PollUnanswered
 			f.listFails = true
 		})
-		pass(2 * time.Second)
+		advance(2 * time.Second)
 		So(f.status("n2", "m0").State, ShouldEqual, gone)
 		So(f.status("n2", "m1").State, ShouldEqual, ready)
 		So(f.status("n2", "m1").Reachable, ShouldBeFalse)
 		So(f.takeLogged(), ShouldContain, "server_gone m0")
 		So(f.takeLogged(), ShouldNotContain, "server_gone m1")
 		f.with(func() { clear(f.outcomes) })
-		pass(time.Second)
+		advance(time.Second)
 		So(f.status("n2", "m0").State, ShouldEqual, ready)
 		So(f.status("n2", "m1").Reachable, ShouldBeTrue)
 	})
@@ -415,23 +422,23 @@
 
 func TestStandbyRegionReadsList(t *testing.T) {
 	const drainWithin = 5 * time.Second
-	lead := func(f fleet) string {
+	activeRegion := func(f fleet) string {
 		if isActiveRegion("lagos", f.fronts) {
 			return "lagos"
 		}
 		return "abeokuta"
 	}
-	listed := func(f fleet) (count int) {
+	listReads := func(f fleet) (count int) {
 		f.with(func() { count = f.requests["list"] })
 		return count
 	}
-	checksWith(t, drainWithin, "of one region read the list, and those of the other ask a core whether it was read", func(f fleet) {
-		before := listed(f)
-		pass(10 * time.Second)
-		So(listed(f)-before, ShouldBeBetweenOrEqual, 3*18, 3*22)
-		So(f.requests["inspect "+InspectListed], ShouldBeGreaterThan, 3*18)
+	testCheckersWithDrain(t, drainWithin, "in the active region read the list, and those in the standby region ask a core when it was read", func(f fleet) {
+		readsBefore := listReads(f)
+		advance(10 * time.Second)
+		So(listReads(f)-readsBefore, ShouldBeBetweenOrEqual, 3*18, 3*22)
+		So(f.requests["inspect "+InspectListTime], ShouldBeGreaterThan, 3*18)
 	})
-	checksWith(t, drainWithin, "read a list of many pages more seldom, and those of the other region still need not", func(f fleet) {
+	testCheckersWithDrain(t, drainWithin, "read a list of many pages less often, and those in the standby region still do not read it", func(f fleet) {
 		f.with(func() {
 			f.pages = 10
 			for i := range 240 {
@@ -447,29 +454,29 @@
 				}
 			}
 		})
-		pass(8 * time.Second)
-		before := listed(f)
-		pass(14 * time.Second)
-		So(listed(f)-before, ShouldBeBetweenOrEqual, 3*9, 3*11)
+		advance(8 * time.Second)
+		readsBefore := listReads(f)
+		advance(14 * time.Second)
+		So(listReads(f)-readsBefore, ShouldBeBetweenOrEqual, 3*9, 3*11)
 	})
-	checksWith(t, drainWithin, "take over a list of many pages before a drain binds", func(f fleet) {
+	testCheckersWithDrain(t, drainWithin, "in the standby region take over reads of a list of many pages within DrainWithin", func(f fleet) {
 		f.with(func() { f.pages = 10 })
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		for _, front := range f.fronts {
-			if front.Region == lead(f) {
+			if front.Region == activeRegion(f) {
 				f.stop[front.Name]()
 			}
 		}
 		f.set("m1", func(s *wire.ServerStatus) { s.State = draining })
-		pass(3800 * time.Millisecond)
+		advance(3800 * time.Millisecond)
 		for _, core := range f.cores {
 			So(core.Servers()["m1"].State, ShouldEqual, draining)
 		}
 	})
-	checksWith(t, drainWithin, "of the other region read it when nobody else does, before long", func(f fleet) {
+	testCheckersWithDrain(t, drainWithin, "in the standby region take over reads of the list when the active region stops", func(f fleet) {
 		var readers []string
 		for _, front := range f.fronts {
-			if front.Region == lead(f) {
+			if front.Region == activeRegion(f) {
 				readers = append(readers, front.Name)
 			}
 		}
@@ -477,45 +484,45 @@
 			f.stop[name]()
 		}
 		f.set("m1", func(s *wire.ServerStatus) { s.State = draining })
-		pass(3500 * time.Millisecond)
+		advance(3500 * time.Millisecond)
 		for _, core := range f.cores {
 			So(core.Servers()["m1"].State, ShouldEqual, draining)
 		}
 	})
-	checksWith(t, 4*time.Second, "of every region read it where a drain binds too soon for a standby", func(f fleet) {
-		before := listed(f)
-		pass(10 * time.Second)
-		So(listed(f)-before, ShouldBeBetweenOrEqual, 6*18, 6*22)
+	testCheckersWithDrain(t, 4*time.Second, "in every region read the list when DrainWithin is too short for a standby region", func(f fleet) {
+		readsBefore := listReads(f)
+		advance(10 * time.Second)
+		So(listReads(f)-readsBefore, ShouldBeBetweenOrEqual, 6*18, 6*22)
 	})
-	checksWith(t, drainWithin, "of the other region read it when no core answers", func(f fleet) {
+	testCheckersWithDrain(t, drainWithin, "in the standby region read the list when no core answers", func(f fleet) {
 		f.with(func() {
 			for core := range f.cores {
 				f.down[core] = true
 			}
 		})
-		before := listed(f)
-		pass(5 * time.Second)
-		So(listed(f)-before, ShouldBeGreaterThan, 6*8)
+		readsBefore := listReads(f)
+		advance(5 * time.Second)
+		So(listReads(f)-readsBefore, ShouldBeGreaterThan, 6*8)
 	})
 }
 
-func TestForgetsServersThatAreGone(t *testing.T) {
-	Convey("A checker that only lists keeps nothing of servers that come and go", t, func() {
+func TestObservationsOfRemovedServersArePruned(t *testing.T) {
+	Convey("A checker with ListOnly removes the observations of servers that have left the list and the view", t, func() {
 		simulated := newSimulation()
-		known := map[string]*wire.ServerStatus{}
+		viewServers := map[string]*wire.ServerStatus{}
 		checker := New(Config{
 			Self:        "n0",
 			Region:      "lagos",
 			Zone:        "a",
 			Incarnation: 1,
 			ListOnly:    true,
-			View:        func() View { return View{Servers: known} },
-			Report:      func(*wire.Report) {},
+			View:        func() View { return View{Servers: viewServers} },
+			ApplyReport: func(*wire.Report) {},
 			FleetNow:    time.Now,
 		}, simulated, peers{simulated}, clock.System(), simulated)
 		for i := range 100 {
 			name := fmt.Sprintf("m%d", i)
-			known = map[string]*wire.ServerStatus{name: {Name: name, State: ready}}
+			viewServers = map[string]*wire.ServerStatus{name: {Name: name, State: ready}}
 			checker.applyListing(port.Listing{Servers: []*wire.ServerStatus{{Name: name, Address: name, State: ready}}}, nil, time.Now())
 		}
 		So(len(checker.observations), ShouldEqual, 1)
@@ -523,7 +530,7 @@
 }
 
 func TestAssignmentByRendezvousHashing(t *testing.T) {
-	Convey("A subject is assigned to as many candidates as wanted, and to the same ones when another is lost", t, func() {
+	Convey("A subject is assigned to the requested number of candidates, and the remaining ones keep it when another is removed", t, func() {
 		var names []string
 		for i := range 9 {
 			names = append(names, fmt.Sprintf("n%d", i))
@@ -536,8 +543,8 @@
 				}
 			}
 			So(len(first), ShouldEqual, 2)
-			left := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == first[0] })
-			So(isAmongFirst(first[1], server, left, 2), ShouldBeTrue)
+			remaining := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == first[0] })
+			So(isAmongFirst(first[1], server, remaining, 2), ShouldBeTrue)
 			So(isAmongFirst("newcomer", server, nil, 2), ShouldBeTrue)
 		}
 	})
--- a/internal/node/healthcheck/discovery.go
+++ b/internal/node/healthcheck/discovery.go
@@ -16,88 +16,91 @@
 )
 
 const (
-	// listCallCost is how much a call that a reading of the list took delays the next
-	// reading: the platform limits the calls of all nodes, and charges for them.
-	listCallCost = 140 * time.Millisecond
-	// maxListIntervalShare is the part of DrainWithin that may pass between two
-	// readings.
-	maxListIntervalShare = 0.28
-	// confirmInterval is how often the cores are sent a digest that confirms all
-	// unchanged observations of the list. It is one message whatever the number of
-	// servers, and standby readers of the list go by it.
+	// listIntervalPerCall is the interval between reads per call that the last read
+	// took: the platform limits the total rate of calls by all nodes, and charges for
+	// them.
+	listIntervalPerCall = 140 * time.Millisecond
+	// maxListIntervalFraction bounds that interval, as a fraction of DrainWithin.
+	maxListIntervalFraction = 0.28
+	// confirmInterval is the minimum interval between digests, which confirm to the
+	// cores that the reports from the list are unchanged. A digest is a single message
+	// for any number of servers, and standby regions use its time to determine whether
+	// the list is still being read.
 	confirmInterval = time.Second
-	// absencesUntilGone is the number of successive lists that lack a server after
-	// which it is reported as gone.
+	// absencesUntilGone is the number of consecutive lists without a server after
+	// which the server is reported as gone.
 	absencesUntilGone = 2
-	// goneReportPeriod is for how long a server is reported as gone, so that every
-	// process learns it.
+	// goneReportPeriod is how long the report that a server is gone is repeated, so
+	// that it reaches every process.
 	goneReportPeriod = 10 * time.Second
 )
 
-// errEmptyList means that the platform listed no servers although some are known,
-// which is taken for a fault of the platform.
-var errEmptyList = errors.New("the list is empty although servers are known")
+// errEmptyList means that the platform returned an empty list although the view
+// contains servers, which is treated as a failure of the platform.
+var errEmptyList = errors.New("platform returned an empty server list although the fleet has servers")
 
-// discovery is the state of the readings of the platform's list.
+// discovery is the state of the reads of the platform's list.
 type discovery struct {
-	inFlight    bool
-	nextAt      time.Time
-	failing     bool // the last reading failed
-	calls       int  // that the last reading took
-	absences    map[string]int
-	assignment  listAssignment
-	confirmedAt time.Time // when the cores were last sent a digest
-	listedAt    time.Time // fleet time of the list which that digest was of
+	inFlight         bool
+	nextReadAt       time.Time
+	failing          bool           // the last read failed
+	lastReadCalls    int            // number of calls that the last read took
+	absences         map[string]int // consecutive lists without a server, by name
+	assignment       listAssignment
+	lastDigestAt     time.Time // local time at which the last digest was queued
+	lastDigestListAt time.Time // fleet time of the read that it confirms
 }
 
-// listInterval returns how often the list is read: less often where it takes many
-// calls, as far as drains are still noticed in time.
+// listInterval returns the time between two reads of the list. It grows with the
+// number of calls that a read takes, up to a bound within which drains are still
+// detected in time.
 func (c *Checker) listInterval() time.Duration {
-	longest := time.Duration(maxListIntervalShare * float64(c.config.DrainWithin))
-	return max(c.config.ListInterval, min(time.Duration(c.discovery.calls)*listCallCost, longest))
+	longest := time.Duration(maxListIntervalFraction * float64(c.config.DrainWithin))
+	return max(c.config.ListInterval, min(time.Duration(c.discovery.lastReadCalls)*listIntervalPerCall, longest))
 }
 
-// readList reads the platform's list.
+// readList starts a read of the platform's list.
 func (c *Checker) readList(ctx context.Context) {
 	c.discovery.inFlight = true
-	at := c.config.FleetNow()
+	requestedAt := c.config.FleetNow()
 	c.runAsync(ctx, func() func() {
 		listing, err := c.source.List(ctx)
 		return func() {
 			c.discovery.inFlight = false
-			c.applyListing(listing, err, at)
+			c.applyListing(listing, err, requestedAt)
 		}
 	})
 }
 
-// applyListing takes the result of a reading that began at a fleet time.
-func (c *Checker) applyListing(listing port.Listing, err error, at time.Time) {
-	known := c.config.View().Servers
-	if err == nil && len(listing.Servers) == 0 && len(known) > 0 {
+// applyListing handles the result of a read of the list that was started at the
+// fleet time requestedAt.
+func (c *Checker) applyListing(listing port.Listing, err error, requestedAt time.Time) {
+	viewServers := c.config.View().Servers
+	if err == nil && len(listing.Servers) == 0 && len(viewServers) > 0 {
 		err = errEmptyList
 	}
 	if err != nil {
 		c.logListFailure(err)
 		return
 	}
-	c.discovery.calls = listing.Calls
+	c.discovery.lastReadCalls = listing.Calls
 	c.logListRead(listing)
-	listed := c.recordListed(listing, at)
-	for name, status := range known {
+	listed := c.recordListed(listing, requestedAt)
+	for name, status := range viewServers {
 		if !listed[name] && listing.Malformed[name] == "" {
-			c.recordAbsence(name, status, at)
+			c.recordAbsence(name, status, requestedAt)
 		}
 	}
 	for name := range c.discovery.absences {
-		if known[name] == nil {
+		if viewServers[name] == nil {
 			delete(c.discovery.absences, name)
 		}
 	}
-	c.forgetUnknown(listed, known)
-	c.confirmListed(at)
+	c.pruneObservations(listed, viewServers)
+	c.confirmListed(requestedAt)
 }
 
-// logListFailure logs the first of successive failures to read the list.
+// logListFailure logs the first of consecutive failures to read the list.
 func (c *Checker) logListFailure(err error) {
 	if !c.discovery.failing {
 		c.discovery.failing = true
@@ -105,8 +108,8 @@
 	}
 }
 
-// logListRead logs the first reading after failures, and entries that can't be
-// read.
+// logListRead logs the first successful read after failures, and the malformed
+// entries of the list.
 func (c *Checker) logListRead(listing port.Listing) {
 	if c.discovery.failing {
 		c.discovery.failing = false
@@ -117,23 +120,24 @@
 	}
 }
 
-// recordListed records the servers of a listing and returns their names.
-func (c *Checker) recordListed(listing port.Listing, at time.Time) map[string]bool {
+// recordListed records the servers of a listing and returns the set of their names.
+func (c *Checker) recordListed(listing port.Listing, requestedAt time.Time) map[string]bool {
 	listed := map[string]bool{}
 	for _, status := range listing.Servers {
 		listed[status.Name] = true
 		delete(c.discovery.absences, status.Name)
-		if left := listing.ColdFor[status.Name]; left > 0 {
-			status.ColdUntilMs = at.Add(left).UnixMilli()
+		if slowStartLeft := listing.ColdFor[status.Name]; slowStartLeft > 0 {
+			status.ColdUntilMs = requestedAt.Add(slowStartLeft).UnixMilli()
 		}
-		c.record(serverstatus.SourceList, status, at)
+		c.record(serverstatus.SourceList, status, requestedAt)
 	}
 	return listed
 }
 
-// recordAbsence counts a known server that a list lacks, and records it as gone
-// after some lists in a row, for a limited time.
-func (c *Checker) recordAbsence(name string, status *wire.ServerStatus, at time.Time) {
+// recordAbsence counts a list that lacks a server of the view. After
+// absencesUntilGone consecutive lists it records the server as gone, and repeats that
+// for goneReportPeriod.
+func (c *Checker) recordAbsence(name string, status *wire.ServerStatus, requestedAt time.Time) {
 	c.discovery.absences[name]++
 	if c.discovery.absences[name] < absencesUntilGone {
 		return
@@ -148,31 +152,31 @@
 		State:    wire.ServerState_SERVER_STATE_GONE,
 	}
 	last := c.observations[observationKey{name, serverstatus.SourceList}]
-	if last != nil && proto.Equal(last.status(), gone) && c.clock.Now().Sub(last.since) > goneReportPeriod {
+	if last != nil && proto.Equal(last.status(), gone) && c.clock.Now().Sub(last.stateSince) > goneReportPeriod {
 		return
 	}
-	c.record(serverstatus.SourceList, gone, at)
+	c.record(serverstatus.SourceList, gone, requestedAt)
 }
 
-// forgetUnknown removes the observations of servers that are neither listed nor
-// known any more.
-func (c *Checker) forgetUnknown(listed map[string]bool, known map[string]*wire.ServerStatus) {
+// pruneObservations removes the observations of servers that are in neither the list
+// nor the view.
+func (c *Checker) pruneObservations(listed map[string]bool, viewServers map[string]*wire.ServerStatus) {
 	for key := range c.observations {
-		if !listed[key.server] && known[key.server] == nil {
+		if !listed[key.server] && viewServers[key.server] == nil {
 			delete(c.observations, key)
 		}
 	}
 }
 
-// confirmListed confirms all unchanged observations of the list to the cores by one
-// digest.
-func (c *Checker) confirmListed(at time.Time) {
+// confirmListed queues for each core a digest of the last reports from the list,
+// which confirms those that have not changed.
+func (c *Checker) confirmListed(requestedAt time.Time) {
 	now := c.clock.Now()
-	if now.Sub(c.discovery.confirmedAt) < confirmInterval {
+	if now.Sub(c.discovery.lastDigestAt) < confirmInterval {
 		return
 	}
-	c.discovery.confirmedAt = now
-	c.discovery.listedAt = at
+	c.discovery.lastDigestAt = now
+	c.discovery.lastDigestListAt = requestedAt
 	var digest serverstatus.Digest
 	for key, last := range c.observations {
 		if key.source == serverstatus.SourceList {
@@ -183,21 +187,22 @@
 		Watcher:     serverstatus.WatcherID(c.config.Self, serverstatus.SourceList),
 		Incarnation: c.config.Incarnation,
 		Digest:      uint64(digest),
-		AtMs:        at.UnixMilli(),
+		AtMs:        requestedAt.UnixMilli(),
 	}
 	for _, core := range c.peers.Cores() {
-		c.queue(core.Name).unchanged = unchanged
+		c.coreQueue(core.Name).unchanged = unchanged
 	}
 }
 
-// requeueListed queues all observations of the list for a core that lacks them.
+// requeueListed queues all reports that a digest confirms for a core that does not have
+// them. They carry at least the time of the last digest.
 func (c *Checker) requeueListed(queue *reportQueue) {
 	for key, last := range c.observations {
-		if !isConfirmedByDigest(key.source, last.status()) || queue.has(last.report) {
+		if !isConfirmedByDigest(key.source, last.status()) || queue.contains(last.report) {
 			continue
 		}
 		report := proto.Clone(last.report).(*wire.Report)
-		report.AtMs = max(report.AtMs, c.discovery.listedAt.UnixMilli())
-		queue.add(report)
+		report.AtMs = max(report.AtMs, c.discovery.lastDigestListAt.UnixMilli())
+		queue.enqueue(report)
 	}
 }
--- a/internal/node/healthcheck/observation.go
+++ b/internal/node/healthcheck/observation.go
@@ -10,47 +10,48 @@
 )
 
 const (
-	// coldMarginMS is by how many milliseconds the end of a server's cold period,
-	// which each list estimates again, may move without being reported.
-	coldMarginMS = 400
-	// slowStartAnswers is the number of answers up to which a server's count of
-	// answers is reported at each change, as its cap grows with it.
-	slowStartAnswers = 64
+	// slowStartEndToleranceMS is by how much the end of a server's slow start, which
+	// every read of the list estimates anew, may shift without being reported.
+	slowStartEndToleranceMS = 400
+	// maxSlowStartAnswers is the number of answers up to which every change of a
+	// server's answer count is reported, because the server's slow-start cap grows with
+	// the count.
+	maxSlowStartAnswers = 64
 )
 
-// observationKey identifies what is observed.
+// observationKey identifies the observation of a server from one source.
 type observationKey struct {
 	server string
 	source serverstatus.Source
 }
 
-// observation is what was last reported of a server from one source.
+// observation is the last report on a server from one source.
 type observation struct {
-	report *wire.Report // nil before the first
-	sentAt time.Time
-	since  time.Time // when the server was first observed in this state
+	report     *wire.Report // nil before the first report
+	reportedAt time.Time
+	stateSince time.Time // local time of the first report in the current state
 }
 
-// status returns what was reported last, or nil.
+// status returns the status last reported, or nil if there is none.
 func (o *observation) status() *wire.ServerStatus { return o.report.GetStatus() }
 
-// record reports an observation that changed or whose repetition is due. at is the
-// fleet time at which the question to the source was sent.
-func (c *Checker) record(source serverstatus.Source, status *wire.ServerStatus, at time.Time) {
+// record reports a status if it has changed or a repeat is due. requestedAt is the
+// fleet time at which the request to the source was sent.
+func (c *Checker) record(source serverstatus.Source, status *wire.ServerStatus, requestedAt time.Time) {
 	key := observationKey{status.Name, source}
 	now := c.clock.Now()
 	last := c.observations[key]
 	if last == nil {
-		last = &observation{since: now}
+		last = &observation{stateSince: now}
 		c.observations[key] = last
 	} else if !isChanged(last.status(), status) && !c.isRepetitionDue(source, last, status, now) {
 		return
 	}
 	c.logObservation(source, last.status(), status)
 	if last.report == nil || last.status().State != status.State {
-		last.since = now
+		last.stateSince = now
 	}
-	last.sentAt = now
+	last.reportedAt = now
 	c.reportCounter++
 	last.report = &wire.Report{
 		Watcher:     serverstatus.WatcherID(c.config.Self, source),
@@ -58,27 +59,27 @@
 		Incarnation: c.config.Incarnation,
 		Counter:     c.reportCounter,
 		Status:      status,
-		AtMs:        at.UnixMilli(),
+		AtMs:        requestedAt.UnixMilli(),
 	}
-	c.config.Report(last.report)
+	c.config.ApplyReport(last.report)
 	for _, core := range c.peers.Cores() {
-		c.queue(core.Name).add(last.report)
+		c.coreQueue(core.Name).enqueue(last.report)
 	}
 }
 
-// isRepetitionDue reports whether an unchanged observation is to be reported once
-// more, so that the cores don't drop it as stale.
+// isRepetitionDue reports whether an unchanged status must be reported again to stay
+// fresh at the cores.
 func (c *Checker) isRepetitionDue(source serverstatus.Source, last *observation, status *wire.ServerStatus, now time.Time) bool {
-	return !isConfirmedByDigest(source, status) && now.Sub(last.sentAt) >= serverstatus.RepeatInterval(c.serverCount)
+	return !isConfirmedByDigest(source, status) && now.Sub(last.reportedAt) >= serverstatus.RepeatInterval(c.serverCount)
 }
 
-// isConfirmedByDigest reports whether an unchanged observation is confirmed by the
-// digest of all observations of the list; see confirmListed.
+// isConfirmedByDigest reports whether an unchanged status is confirmed by the digest
+// of the reports from the list rather than by repeats; see confirmListed.
 func isConfirmedByDigest(source serverstatus.Source, status *wire.ServerStatus) bool {
 	return source == serverstatus.SourceList && status.State != wire.ServerState_SERVER_STATE_GONE
 }
 
-// isChanged reports whether a status differs from the previous one in more than
+// isChanged reports whether a status differs from the previous one in anything but
 // load.
 func isChanged(previous, status *wire.ServerStatus) bool {
 	if previous == nil {
@@ -95,7 +96,7 @@
 		previous.LeaveAtMs != status.LeaveAtMs
 }
 
-// isEntryChanged reports whether a server's entry in the list has changed.
+// isEntryChanged reports whether a field that comes from the platform's list differs.
 func isEntryChanged(previous, status *wire.ServerStatus) bool {
 	return previous.Address != status.Address ||
 		previous.Region != status.Region ||
@@ -104,15 +105,15 @@
 		!slices.Equal(previous.Services, status.Services)
 }
 
-// isSlowStartChanged reports whether a server's cold period or, while it warms up,
-// its count of answers differs.
+// isSlowStartChanged reports whether the end of a server's slow start differs by more
+// than the tolerance, or the answer count of a server that has answered few requests.
 func isSlowStartChanged(previous, status *wire.ServerStatus) bool {
-	moved := previous.ColdUntilMs - status.ColdUntilMs
-	isColdChanged := (previous.ColdUntilMs == 0) != (status.ColdUntilMs == 0) || moved > coldMarginMS || moved < -coldMarginMS
-	return isColdChanged || previous.Answered != status.Answered && previous.Answered < slowStartAnswers
+	shiftMS := previous.ColdUntilMs - status.ColdUntilMs
+	isEndChanged := (previous.ColdUntilMs == 0) != (status.ColdUntilMs == 0) || shiftMS > slowStartEndToleranceMS || shiftMS < -slowStartEndToleranceMS
+	return isEndChanged || previous.Answered != status.Answered && previous.Answered < maxSlowStartAnswers
 }
 
-// stateEvents are the events of a server that enters a state.
+// stateEvents holds the event that is logged when a server enters a state.
 var stateEvents = map[wire.ServerState]events.Event{
 	wire.ServerState_SERVER_STATE_READY:    events.ServerReady,
 	wire.ServerState_SERVER_STATE_COLD:     events.ServerWarmingUp,
@@ -121,7 +122,8 @@
 	wire.ServerState_SERVER_STATE_GONE:     events.ServerRemoved,
 }
 
-// logObservation logs a restart of a server and a change of its state.
+// logObservation logs the first contact with an incarnation of a server, and changes
+// of the server's state.
 func (c *Checker) logObservation(source serverstatus.Source, previous, status *wire.ServerStatus) {
 	by := "itself"
 	if source == serverstatus.SourceList {
--- a/internal/node/healthcheck/standby.go
+++ b/internal/node/healthcheck/standby.go
@@ -13,42 +13,46 @@
 	"stepwick/internal/wire"
 )
 
-// InspectListed is the name of the inspection by which a core reports when the
-// platform's list was last read; its body is a Listed.
-const InspectListed = "listed"
+// InspectListTime is the name of the inspection that returns when, as far as a core
+// knows, any front last read the platform's list. Its body is a ListTime.
+const InspectListTime = "listed"
 
-// Listed is the JSON form of a core's report on the platform's list.
-type Listed struct {
-	AtMS int64 `json:"at_ms"` // fleet time of the last reading
+// ListTime is the JSON body of the inspection InspectListTime.
+type ListTime struct {
+	ObservedAtMS int64 `json:"at_ms"` // fleet time of the last read, in ms since the epoch
 }
 
 const (
-	// standbyShare is the part of DrainWithin after which a list that nobody read is
-	// read by the fronts of another region.
-	standbyShare = 0.4
-	// minStandbyDelay is the least delay: a list that is read regularly is confirmed
-	// to the cores each 1.4 s. Under it every region reads for itself.
+	// standbyDelayFraction is the fraction of DrainWithin after which the fronts of
+	// standby regions read the list if no other front has.
+	standbyDelayFraction = 0.4
+	// minStandbyDelay is the minimum delay, because the cores receive a confirmation of
+	// a regularly read list only every 1.4 s. If the delay would be shorter, every
+	// region reads the list.
 	minStandbyDelay = 2 * time.Second
-	// listedTimeout bounds the request to a core for when the list was read.
-	listedTimeout = 300 * time.Millisecond
-	// listSubject is the subject for which regions are ranked.
+	// listTimeTimeout bounds the inspection InspectListTime of a core.
+	listTimeTimeout = 300 * time.Millisecond
+	// listSubject is the subject of the rendezvous hashing that ranks regions. All
+	// fronts must use the same value.
 	listSubject = "the platform's list"
 )
 
-var errNoCore = errors.New("no core is known")
+var errNoCore = errors.New("no voting core is known")
 
-// standbyDelay returns after how long without a reading the fronts of standby
-// regions read the list; zero where every region reads for itself.
+// standbyDelay returns the time without a read after which the fronts of standby
+// regions read the list, or zero if there are no standby regions: every region reads
+// the list then.
 func (c Config) standbyDelay() time.Duration {
-	delay := time.Duration(standbyShare * float64(c.DrainWithin))
+	delay := time.Duration(standbyDelayFraction * float64(c.DrainWithin))
 	if delay < minStandbyDelay {
 		return 0
 	}
 	return delay
 }
 
-// discover reads the list. A front of a standby region does that only where the
-// cores report no recent reading, or don't answer.
+// discover starts a read of the list. In a standby region it first asks a core when
+// the list was last read, and reads it only if that is longer ago than the standby
+// delay or no core answers.
 func (c *Checker) discover(ctx context.Context, fronts []*wire.Process) {
 	delay := c.config.standbyDelay()
 	if delay == 0 || isActiveRegion(c.config.Region, fronts) {
@@ -58,7 +62,7 @@
 	c.discovery.inFlight = true
 	requestedAt := c.config.FleetNow()
 	c.runAsync(ctx, func() func() {
-		listedAt, err := c.fetchListedAt(ctx)
+		listedAt, err := c.fetchListTime(ctx)
 		return func() {
 			c.discovery.inFlight = false
 			if err != nil || requestedAt.Sub(listedAt) > delay {
@@ -68,50 +72,50 @@
 	})
 }
 
-// fetchListedAt requests from a core the fleet time at which the list was last
-// read.
-func (c *Checker) fetchListedAt(ctx context.Context) (time.Time, error) {
+// fetchListTime asks a voting core for the fleet time of the last read of the list.
+func (c *Checker) fetchListTime(ctx context.Context) (time.Time, error) {
 	core := c.votingCore()
 	if core == nil {
 		return time.Time{}, errNoCore
 	}
-	ctx, cancel := context.WithTimeout(ctx, listedTimeout)
+	ctx, cancel := context.WithTimeout(ctx, listTimeTimeout)
 	defer cancel()
-	resp, err := c.peers.Client(core.Address).Inspect(ctx, connect.NewRequest(&wire.InspectRequest{What: InspectListed}))
+	resp, err := c.peers.Client(core.Address).Inspect(ctx, connect.NewRequest(&wire.InspectRequest{What: InspectListTime}))
 	if err != nil {
 		return time.Time{}, err
 	}
 	if apierror.Code(resp.Msg.Code) != apierror.OK {
-		return time.Time{}, errors.Errorf("core %s: code %d", core.Name, resp.Msg.Code)
+		return time.Time{}, errors.Errorf("inspection of the time of the last list read at core %s failed with code %d", core.Name, resp.Msg.Code)
 	}
-	var listed Listed
+	var listed ListTime
 	if err := json.Unmarshal(resp.Msg.Body, &listed); err != nil {
-		return time.Time{}, errors.Wrapf(err, "core %s", core.Name)
+		return time.Time{}, errors.Wrapf(err, "decode time of the last list read from core %s", core.Name)
 	}
-	return time.UnixMilli(listed.AtMS), nil
+	return time.UnixMilli(listed.ObservedAtMS), nil
 }
 
-// votingCore returns a voting core, one of the own region where there is one, or
-// nil.
+// votingCore returns a voting core, preferably in this front's region, or nil if none
+// is known.
 func (c *Checker) votingCore() *wire.Process {
-	var near, far *wire.Process
+	var sameRegion, otherRegion *wire.Process
 	for _, core := range c.peers.Cores() {
 		switch {
 		case core.Standing != wire.Standing_STANDING_VOTING:
-		case core.Region == c.config.Region && near == nil:
-			near = core
-		case far == nil:
-			far = core
+		case core.Region == c.config.Region && sameRegion == nil:
+			sameRegion = core
+		case otherRegion == nil:
+			otherRegion = core
 		}
 	}
-	if near != nil {
-		return near
+	if sameRegion != nil {
+		return sameRegion
 	}
-	return far
+	return otherRegion
 }
 
-// isActiveRegion reports whether a region's fronts are those that read the list:
-// the first by rendezvous hashing among the regions that have fronts.
+// isActiveRegion reports whether a region is the active one, whose fronts read the
+// list. That is the first by rendezvous hashing among the regions with fronts that are
+// not leaving; all others are standby regions.
 func isActiveRegion(region string, fronts []*wire.Process) bool {
 	var regions []string
 	for _, front := range fronts {
--- a/internal/node/inspection.go
+++ b/internal/node/inspection.go
@@ -13,7 +13,7 @@
 	"stepwick/internal/wire"
 )
 
-// Names of inspections, as they are requested.
+// Names of inspections in requests.
 const (
 	inspectStatus  = "status"
 	inspectPlan    = "plan"
@@ -21,46 +21,45 @@
 	inspectExplain = "explain"
 )
 
-// remoteInspectTimeout bounds an inspection of the other processes.
+// remoteInspectTimeout bounds an inspection that is forwarded to other processes.
 const remoteInspectTimeout = time.Second
 
-// errNothingFound means that an inspection found nothing under its argument.
-var errNothingFound = errors.New("nothing found")
+// errNotFound means that an inspection has no result for its argument.
+var errNotFound = errors.New("inspection has no result for the argument")
 
-// inspection returns the JSON form of what the process knows of an argument, or
-// errNothingFound.
+// inspection returns the result for an argument as JSON, or errNotFound.
 type inspection func(argument string) (json.RawMessage, error)
 
-// inspectionOf returns an inspection by a function that reports whether it found
-// something.
-func inspectionOf[T any](find func(argument string) (T, bool)) inspection {
+// inspectionOf returns an inspection with the results of lookUp, whose second result
+// reports whether there is one.
+func inspectionOf[T any](lookUp func(argument string) (T, bool)) inspection {
 	return func(argument string) (json.RawMessage, error) {
-		found, ok := find(argument)
+		value, ok := lookUp(argument)
 		if !ok {
-			return nil, errNothingFound
+			return nil, errNotFound
 		}
-		return json.Marshal(found)
+		return json.Marshal(value)
 	}
 }
 
-// inspector runs inspections on this process or, for those that only one process can
-// answer, on the others.
+// inspector runs inspections on this process, or on the other processes for those whose
+// result a single process holds.
 type inspector struct {
 	self        string
 	peers       port.Peers
 	inspections map[string]inspection // by name
 }
 
-// inspectLocal runs an inspection on this process. Its response holds
-// apierror.UnknownPath for an unknown name and apierror.NotFound where nothing was
-// found.
+// inspectLocal runs an inspection on this process. The code of the response is
+// apierror.UnknownPath for an unknown inspection and apierror.NotFound if there is no
+// result.
 func (i *inspector) inspectLocal(_ context.Context, req *wire.InspectRequest) (*wire.InspectResponse, error) {
-	inspect, known := i.inspections[req.What]
-	if !known {
+	inspect, isKnown := i.inspections[req.What]
+	if !isKnown {
 		return &wire.InspectResponse{Code: uint32(apierror.UnknownPath)}, nil
 	}
 	body, err := inspect(req.Argument)
-	if errors.Is(err, errNothingFound) {
+	if errors.Is(err, errNotFound) {
 		return &wire.InspectResponse{Code: uint32(apierror.NotFound)}, nil
 	}
 	if err != nil {
@@ -69,21 +68,22 @@
 	return &wire.InspectResponse{Code: uint32(apierror.OK), Body: body}, nil
 }
 
-// Inspect runs an inspection on this process. An explanation that it doesn't have is
-// requested from all other processes, and the first one that is found is returned.
-func (i *inspector) Inspect(ctx context.Context, what, argument string) (apierror.Code, []byte) {
-	req := &wire.InspectRequest{What: what, Argument: argument}
+// Inspect runs an inspection on this process and returns its code and JSON body. If
+// the inspection is "explain" and has no result here, it is run on all other processes
+// and the first result is returned.
+func (i *inspector) Inspect(ctx context.Context, name, argument string) (apierror.Code, []byte) {
+	req := &wire.InspectRequest{What: name, Argument: argument}
 	local, err := i.inspectLocal(ctx, req)
 	if err != nil {
 		return apierror.Internal, nil
 	}
-	if code := apierror.Code(local.Code); code != apierror.NotFound || what != inspectExplain {
+	if code := apierror.Code(local.Code); code != apierror.NotFound || name != inspectExplain {
 		return code, local.Body
 	}
 	return i.inspectOthers(ctx, req)
 }
 
-// inspectOthers runs an inspection on all other processes.
+// inspectOthers runs an inspection on all other processes and returns the first result.
 func (i *inspector) inspectOthers(ctx context.Context, req *wire.InspectRequest) (apierror.Code, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, remoteInspectTimeout)
 	defer cancel()
@@ -105,8 +105,8 @@
 	return apierror.NotFound, nil
 }
 
-// inspectOther returns the body of another process's answer, or nil where it found
-// nothing.
+// inspectOther runs an inspection on another process. It returns nil if the call failed
+// or there is no result.
 func (i *inspector) inspectOther(ctx context.Context, process *wire.Process, req *wire.InspectRequest) []byte {
 	resp, err := i.peers.Client(process.Address).Inspect(ctx, connect.NewRequest(req))
 	if err != nil || apierror.Code(resp.Msg.Code) != apierror.OK {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
-// Package node builds one process from its parts and runs them under a supervisor:
-// a front, or a core with a front beside it. The parts are owners of their state
-// (see the packages below this one) and don't know each other; this package passes
-// calls and views between them.
+// Package node builds a process from its services and runs them under a supervisor.
+// The process is a front or a core; a core can also be a front. Each service owns its
+// state (see the subpackages). Front and gateway depend on the follower; otherwise the
+// services are independent of each other, and this package connects them.
 package node
 
 import (
@@ -24,26 +24,26 @@
 
 const dialTimeout = 2 * time.Second
 
-// Run runs a process of a role on this machine until the context ends. It then
-// drains within the grace period and returns nil.
+// Run runs a process with the given role on this machine until the context ends. It
+// then drains for at most the grace period and returns nil.
 func Run(ctx context.Context, role string, values *settings.Values, log events.Log) error {
 	return RunOnPlatform(ctx, nil, role, values, log)
 }
 
-// RunOnPlatform is Run on a platform with interfaces of its own; without one (nil)
-// the process opens its own listeners for clients.
+// RunOnPlatform is like Run, but serves clients through a platform adapter. If the
+// adapter is nil, the process serves its own client API.
 func RunOnPlatform(ctx context.Context, platform PlatformAdapter, role string, values *settings.Values, log events.Log) error {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	if bind := values.String("bind"); bind != "" {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(bind)}
 	}
-	source := clock.System()
+	baseClock := clock.System()
 	if step := values.Duration("clock.step"); step != 0 {
-		source = clock.Stepped(source, step)
+		baseClock = clock.Stepped(baseClock, step)
 		log.Emit(events.TestSettingUsed, "setting", "clock.step", "value", step)
 	}
 	return RunIn(ctx, Environment{
-		Clock:      source,
+		Clock:      baseClock,
 		Listen:     func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 		Dial:       dialer.DialContext,
 		Platform:   platform,
@@ -51,8 +51,8 @@
 	}, role, values, log)
 }
 
-// RunIn is Run in a given environment. A core that was replaced by another one
-// starts over with an empty data folder.
+// RunIn is like Run, but in the given environment. A core whose name another core has
+// taken over is restarted with an empty data folder.
 func RunIn(ctx context.Context, environment Environment, role string, values *settings.Values, log events.Log) error {
 	isFirstStart := values.Bool("core.first")
 	for {
@@ -67,9 +67,9 @@
 	}
 }
 
-// runOnce runs a process until it ends, or until it is replaced, which returns
-// errReplaced. At the fleet's first start a core with an empty disk founds the
-// fleet, and doesn't look for a failed core to replace.
+// runOnce runs a process until the context ends, or until another core has taken over
+// its name; it then returns errReplaced. On the first start of the fleet, a core with
+// an empty disk founds the fleet and does not search for a failed core to replace.
 func runOnce(ctx context.Context, environment Environment, role string, isFirstStart bool, values *settings.Values, log events.Log) error {
 	name := values.String("name")
 	if role == RoleCore && values.Bool("core.join") && !isFirstStart {
--- a/internal/node/order_forwarder.go
+++ b/internal/node/order_forwarder.go
@@ -16,25 +16,28 @@
 )
 
 const (
-	// orderHedgeDelay is how long a core may take to answer an order before it is
-	// also sent to the next one.
+	// orderHedgeDelay is the time without an answer after which an order is also sent
+	// to the next core.
 	orderHedgeDelay = 1500 * time.Millisecond
-	// orderRetryAfter is when a client may retry an order that had no result.
+	// orderRetryAfter is the time after which a client may retry an order without a
+	// result.
 	orderRetryAfter = time.Second
 )
 
-// orderForwarder forwards operators' orders to a core. An order has an id and is
-// accepted once, so it may be sent to a second core while the first has not answered
-// (hedged request).
+// orderForwarder forwards operators' orders to the cores. An order is idempotent: it
+// has an id and takes effect once. It may therefore be sent to a second core while the
+// first has not answered (hedged request).
 type orderForwarder struct {
 	self  string
 	peers port.Peers
 }
 
-// Order sends an order to one core after another: to the next at once when one
-// can't vote or refuses the connection, and after a while when it doesn't answer. It
-// returns the first final answer. If there is none although a core may have received
-// the order, the error is apierror.OutcomePending.
+// Order sends an order to one core after another and returns the first final answer.
+// The next core is tried immediately if a call fails or its answer is not final, and
+// after orderHedgeDelay if there is no answer yet. Without a final answer, Order
+// returns the last answer. Without any, the error is apierror.CoreUnreachable if no
+// core received the order, and otherwise apierror.NoMajority for an order that only
+// reads and apierror.OutcomePending for any other.
 func (f *orderForwarder) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
 	cores := f.coresByPreference()
 	if len(cores) == 0 {
@@ -49,8 +52,8 @@
 	return forwarding.run(ctx)
 }
 
-// coresByPreference returns the known cores: this process first, then those that
-// vote, then the others.
+// coresByPreference returns the known cores: the voting ones, starting with this
+// process, and then the others.
 func (f *orderForwarder) coresByPreference() []*wire.Process {
 	rank := func(core *wire.Process) int {
 		switch {
@@ -66,15 +69,15 @@
 	return cores
 }
 
-// orderAnswer is the result of sending an order to a core.
+// orderAnswer is the result of a call that sent an order to a core.
 type orderAnswer struct {
 	core string
-	resp *wire.OrderResponse // nil where the call failed
+	resp *wire.OrderResponse // nil if the call failed
 	err  error
 }
 
-// isFinal reports whether an answer is the result of the order. Other cores may do
-// better than one that can't vote.
+// isFinal reports whether an answer is the result of the order. It is not if the call
+// failed, or if the core could not process the order and another one might.
 func (a orderAnswer) isFinal() bool {
 	if a.err != nil {
 		return false
@@ -86,20 +89,22 @@
 	return true
 }
 
-// orderForwarding is the forwarding of one order.
+// orderForwarding is the state of forwarding a single order.
 type orderForwarding struct {
 	peers   port.Peers
 	req     *wire.OrderRequest
 	cores   []*wire.Process
 	answers chan orderAnswer
 
-	sent           int // cores to which the order was sent
-	inFlight       int
-	mayHaveArrived bool                // at a core whose call failed
-	lastAnswer     *wire.OrderResponse // that isn't final
-	failures       []string            // a core and why its call failed
+	sent                int // number of cores to which the order was sent
+	inFlight            int
+	mayHaveBeenReceived bool                // by a core whose call failed
+	lastAnswer          *wire.OrderResponse // last answer that is not final
+	failures            []string            // "CORE: REASON" of calls that failed
 }
 
+// run sends the order until there is a final answer, all cores have been tried or the
+// context ends.
 func (o *orderForwarding) run(ctx context.Context) (*wire.OrderResponse, error) {
 	o.sendToNext(ctx)
 	for o.inFlight > 0 {
@@ -107,7 +112,7 @@
 		select {
 		case <-ctx.Done():
 			stop()
-			return o.unresolved()
+			return o.unresolvedResult()
 		case <-hedge:
 			o.sendToNext(ctx)
 		case answer := <-o.answers:
@@ -116,15 +121,15 @@
 			if answer.isFinal() {
 				return answer.resp, nil
 			}
-			o.record(answer)
+			o.recordNonFinal(answer)
 			o.sendToNext(ctx)
 		}
 	}
-	if o.lastAnswer == nil && !o.mayHaveArrived {
-		return nil, apierror.Errorf(apierror.CoreUnreachable, "no core of %d could be reached: %s",
+	if o.lastAnswer == nil && !o.mayHaveBeenReceived {
+		return nil, apierror.Errorf(apierror.CoreUnreachable, "none of %d cores could be reached: %s",
 			len(o.cores), strings.Join(o.failures, ", ")).WithRetryAfter(orderRetryAfter)
 	}
-	return o.unresolved()
+	return o.unresolvedResult()
 }
 
 // sendToNext sends the order to the next core, if there is one.
@@ -145,21 +150,21 @@
 	}()
 }
 
-// record takes an answer that isn't final.
-func (o *orderForwarding) record(answer orderAnswer) {
+// recordNonFinal records an answer that is not final.
+func (o *orderForwarding) recordNonFinal(answer orderAnswer) {
 	if answer.err == nil {
 		o.lastAnswer = answer.resp
 		return
 	}
 	if !port.IsConnectionRefused(answer.err) {
-		o.mayHaveArrived = true
+		o.mayHaveBeenReceived = true
 	}
-	o.failures = append(o.failures, answer.core+" "+failureReason(answer.err))
+	o.failures = append(o.failures, answer.core+": "+failureReason(answer.err))
 }
 
-// unresolved returns the last answer or, where there is none, an error: the order
-// may have taken effect unless it only reads.
-func (o *orderForwarding) unresolved() (*wire.OrderResponse, error) {
+// unresolvedResult returns the last answer or, if there is none, an error. An order
+// that does not only read may have taken effect.
+func (o *orderForwarding) unresolvedResult() (*wire.OrderResponse, error) {
 	if o.lastAnswer != nil {
 		return o.lastAnswer, nil
 	}
@@ -173,16 +178,16 @@
 	return nil, apierror.Errorf(apierror.OutcomePending, "%s; send the order again with its id", reason).WithRetryAfter(orderRetryAfter)
 }
 
-// failureReason describes why a call failed, for an operator.
+// failureReason returns the reason for a failed call in an error for operators.
 func failureReason(err error) string {
 	switch {
 	case port.IsConnectionRefused(err):
-		return "refused"
+		return "connection refused"
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
-		return "silent"
+		return "no answer in time"
 	}
 	return err.Error()
 }
 
-// isReadOnly reports whether an order's verb changes nothing.
+// isReadOnly reports whether orders with a verb only read.
 func isReadOnly(verb string) bool { return verb == "get" || verb == "history" || verb == "status" }
--- a/internal/node/platform_node.go
+++ b/internal/node/platform_node.go
@@ -11,59 +11,60 @@
 	"stepwick/internal/wire"
 )
 
-// PlatformAdapter connects a process to a platform with interfaces of its own: it
-// opens the platform's listeners and translates. It decides nothing; the process
-// does.
+// PlatformAdapter connects a process to a platform that has its own interfaces. It
+// opens the platform's listeners and translates between the interfaces, but makes no
+// decisions.
 type PlatformAdapter interface {
-	// Dialect returns the translation of the headers of requests by routes.
+	// Dialect returns the translation of the headers of requests and responses.
 	Dialect() port.Dialect
-	// Servers returns the source of the platform's list of servers.
+	// Servers returns the source of the platform's server list.
 	Servers(dial func(ctx context.Context, network, address string) (net.Conn, error)) port.ServerSource
-	// Serve serves the platform's own calls until the context ends.
+	// Serve serves the platform's calls to the node until the context ends.
 	Serve(ctx context.Context, node port.Node, listen func(address string) (net.Listener, error)) error
 }
 
-// platformOrderTimeout is how long an order that came through a platform is
-// forwarded, also after its caller has left: an order that the caller sends again is
-// then already known by its id.
+// platformOrderTimeout bounds the forwarding of an order received through a platform.
+// Forwarding continues after the caller has disconnected. If the caller resends the
+// order, the cores then recognize its id.
 const platformOrderTimeout = 8 * time.Second
 
-// platformNode is the part of a process that a platform's adapter uses.
+// platformNode implements port.Node for a platform's adapter.
 type platformNode struct {
 	process *process
 	orders  *orderForwarder
 }
 
-// Ready returns nil where the process takes requests by routes, and else why not.
+// Ready returns nil if the process accepts requests by routes, and otherwise the reason
+// why it does not.
 func (n *platformNode) Ready() *apierror.Error { return n.process.gateway.Ready() }
 
-// Nearest returns the addresses of ready fronts of a client's region, or of all
-// where it has none. A process without authority is most likely in the minority of a
-// partition that its clients can reach across: it returns the fronts that are
-// unresponsive to it.
-func (n *platformNode) Nearest(region string, most int) []string {
+// Nearest returns the addresses of at most limit ready fronts in a client's region, or
+// in any region if it has none. A process without authority is probably on the
+// minority side of a network partition that does not affect its clients, so it returns
+// the fronts that do not respond to it.
+func (n *platformNode) Nearest(region string, limit int) []string {
 	fronts := n.process.follower.View().Fronts
 	if apiErr := n.Ready(); apiErr != nil && apiErr.Code == apierror.NotRuling {
 		fronts = n.unresponsiveFronts()
 	}
-	return nearestAddresses(fronts, region, most)
+	return nearestAddresses(fronts, region, limit)
 }
 
-// unresponsiveFronts returns the last records of the fronts that are unresponsive
-// without being known to have left.
+// unresponsiveFronts returns the last known records of the fronts that do not respond
+// and are not known to have left.
 func (n *platformNode) unresponsiveFronts() []*wire.Process {
 	var fronts []*wire.Process
 	for _, name := range n.process.follower.View().Unresponsive {
-		if process, known := n.process.directory.Process(name); known {
+		if process, isKnown := n.process.directory.Process(name); isKnown {
 			fronts = append(fronts, process)
 		}
 	}
 	return fronts
 }
 
-// nearestAddresses returns the addresses of at most so many ready fronts of a region
-// in random order, or of any region where it has none.
-func nearestAddresses(fronts []*wire.Process, region string, most int) []string {
+// nearestAddresses returns, in random order, the addresses of at most limit ready
+// fronts in a region, or in any region if it has none.
+func nearestAddresses(fronts []*wire.Process, region string, limit int) []string {
 	var inRegion, all []string
 	for _, front := range fronts {
 		if !front.Ready || front.Leaving || front.CallerAddress == "" {
@@ -81,16 +82,16 @@
 	rand.Shuffle(len(addresses), func(i, j int) {
 		addresses[i], addresses[j] = addresses[j], addresses[i]
 	})
-	return addresses[:min(len(addresses), most)]
+	return addresses[:min(len(addresses), limit)]
 }
 
-// SetSeeds replaces the seeds with which the process was started.
+// SetSeeds replaces the configured seeds.
 func (n *platformNode) SetSeeds(ctx context.Context, seeds []string) {
 	n.process.directory.SetSeeds(ctx, seeds)
 }
 
-// Order forwards an order to a core, and goes on doing so when the caller's context
-// ends, whose error it then returns.
+// Order forwards an order to the cores. If ctx ends first, it returns the context's
+// error and forwarding continues in the background; see platformOrderTimeout.
 func (n *platformNode) Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error) {
 	type result struct {
 		resp *wire.OrderResponse
--- a/internal/node/platform_node_test.go
+++ b/internal/node/platform_node_test.go
@@ -20,15 +20,15 @@
 			Leaving:       true,
 		}, {Region: "north", Ready: true},
 	}
-	named := func(region string, most int) []string {
-		got := nearestAddresses(fronts, region, most)
+	sortedAddresses := func(region string, limit int) []string {
+		got := nearestAddresses(fronts, region, limit)
 		slices.Sort(got)
 		return got
 	}
-	Convey("Clients get the ready fronts of their region that are not leaving, and all others where it has none", t, func() {
-		So(named("north", 64), ShouldResemble, []string{"n1", "n2"})
-		So(named("west", 64), ShouldResemble, []string{"n1", "n2", "s1"})
-		So(named("west", 2), ShouldHaveLength, 2)
+	Convey("The addresses are those of ready fronts in the region that are not leaving, or in any region if it has none", t, func() {
+		So(sortedAddresses("north", 64), ShouldResemble, []string{"n1", "n2"})
+		So(sortedAddresses("west", 64), ShouldResemble, []string{"n1", "n2", "s1"})
+		So(sortedAddresses("west", 2), ShouldHaveLength, 2)
 		So(nearestAddresses(nil, "north", 64), ShouldBeEmpty)
 	})
 }
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -30,23 +30,23 @@
 )
 
 const (
-	restartBackoff = time.Second     // of a part that failed too often
-	stopTimeout    = 2 * time.Second // of a part, once its context ended
-	// releaseTimeout bounds what a process sends after it drained.
+	restartBackoff = time.Second     // after too many failures of a service
+	stopTimeout    = 2 * time.Second // for a service to return after its context has ended
+	// releaseTimeout bounds the calls that a process makes after it has drained.
 	releaseTimeout = time.Second
 )
 
-// errReplaced ends a core whose name another one has taken over.
-var errReplaced = errors.New("another core has taken the place of this one")
+// errReplaced means that another core has taken over the name of this one.
+var errReplaced = errors.New("another core has taken over the name of this one")
 
-// process holds the parts of one process.
+// process holds the services of a process and what connects them.
 type process struct {
 	role        string
 	values      *settings.Values
 	clock       clock.Clock
 	log         events.Log
 	environment Environment
-	// identity is the part of the process's record that doesn't change; see self.
+	// identity is the constant part of the process's record; see self.
 	identity *wire.Process
 
 	pool      *internalrpc.Pool
@@ -55,21 +55,21 @@
 	quota     *quotasync.Service
 	checker   *healthcheck.Checker
 	front     *front.Front
-	gateway   *gateway.Gateway // nil without a platform
+	gateway   *gateway.Gateway // nil unless on a platform
 	orders    *orderForwarder
 	peer      *peer
 
-	// Of a core; nil otherwise.
+	// replica and controller are nil unless the process is a core.
 	replica    *replica.Replica
 	controller *control.Controller
-	replaced   chan struct{} // receives when another core has taken over the name
+	replaced   chan struct{} // receives a value when another core has taken over the name
 
 	internalListener net.Listener
-	callerListener   net.Listener // nil for a core on a platform
+	callerListener   net.Listener // nil if on a platform and no traffic is served
 }
 
-// self returns this process's record as of now. Its counter is the number of
-// milliseconds since the start, so that it rises.
+// self returns the current record of this process. The counter is 1 plus the
+// milliseconds since the start, so later records have a higher one.
 func (p *process) self() *wire.Process {
 	age := max(p.clock.Now().UnixNano()-int64(p.identity.Incarnation), 0)
 	self := &wire.Process{
@@ -89,7 +89,7 @@
 		self.Voters = p.replica.Voters()
 		self.DiskLife = p.replica.Incarnation()
 	}
-	// The front is built after the directory, which requests this record.
+	// The directory calls self before the front is built.
 	if p.front != nil {
 		apiErr := p.readiness()
 		self.Ready = apiErr == nil
@@ -98,7 +98,8 @@
 	return self
 }
 
-// readiness returns nil where the process takes traffic, and else why not.
+// readiness returns nil if the process accepts traffic, and otherwise the reason why it
+// does not.
 func (p *process) readiness() *apierror.Error {
 	if p.gateway != nil {
 		return p.gateway.Ready()
@@ -106,18 +107,19 @@
 	return p.front.Ready()
 }
 
-// run serves until the context ends. It then drains: new requests are rejected,
-// running ones finish within the grace period, the quota's usage is sent and the
-// leases are released. It returns errReplaced for a core that another one replaced.
+// run runs the services until the context ends, and then shuts down: it rejects new
+// requests, waits at most the grace period for running ones, flushes quota usage and
+// releases the leases. It returns errReplaced, without draining, once another core has
+// taken over the name.
 func (p *process) run(ctx context.Context) error {
-	serving, stop := context.WithCancel(context.Background())
+	serveCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	done := p.newSupervisor().ServeBackground(serving)
+	done := p.newSupervisor().ServeBackground(serveCtx)
 	p.logStart()
 	select {
 	case <-ctx.Done():
 	case err := <-done:
-		return errors.Wrap(err, "supervisor ended")
+		return errors.Wrap(err, "supervisor ended unexpectedly")
 	case <-p.replaced:
 		stop()
 		<-done //nolint:errcheck // the error of the context that stop ended
@@ -132,20 +134,21 @@
 	return nil
 }
 
-// newSupervisor returns a supervisor of all parts of the process.
+// newSupervisor returns a supervisor of all services of the process. Service names are
+// logged and part of the operators' interface.
 func (p *process) newSupervisor() *suture.Supervisor {
 	supervisor := suture.New(p.identity.Name, suture.Spec{
-		EventHook:      p.logSupervisor,
+		EventHook:      p.logServiceFailure,
 		FailureBackoff: restartBackoff,
 		Timeout:        stopTimeout,
 	})
-	internal := internalrpc.Server(internalrpc.Handler(p.peer, p.values.String("fleet.secret")))
+	server := internalrpc.Server(internalrpc.Handler(p.peer, p.values.String("fleet.secret")))
 	supervisor.Add(service{"internal listener", func(ctx context.Context) error {
-		undo := context.AfterFunc(ctx, func() { _ = internal.Close() })
-		defer undo()
-		return listenerEnd(internal.Serve(p.internalListener))
+		cancelClose := context.AfterFunc(ctx, func() { _ = server.Close() })
+		defer cancelClose()
+		return listenerExitError(server.Serve(p.internalListener))
 	}})
-	p.addTraffic(supervisor)
+	p.addTrafficServices(supervisor)
 	supervisor.Add(service{"directory", p.directory.Serve})
 	supervisor.Add(service{"follower", p.follower.Serve})
 	supervisor.Add(service{"spend", p.quota.Serve})
@@ -159,8 +162,8 @@
 	return supervisor
 }
 
-// logStart logs the listeners, the settings that go by a former name, and the
-// process itself.
+// logStart logs the listeners, the former names of settings that the settings file
+// uses, and the start of the process.
 func (p *process) logStart() {
 	if p.callerListener != nil {
 		p.log.Emit(events.ListenerOpened, "listener", "caller", "address", p.callerListener.Addr().String())
@@ -179,7 +182,7 @@
 		"incarnation", p.identity.Incarnation)
 }
 
-// shutDown drains the process and releases what it holds at others.
+// shutDown drains the process, flushes its quota usage and releases its leases.
 func (p *process) shutDown() {
 	grace := p.values.Duration("drain.grace")
 	p.log.Emit(events.ProcessStopping, "name", p.identity.Name, "grace", grace)
@@ -193,12 +196,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	_ = p.quota.Flush(ctx)
-	// The follower must not renew a lease that is released.
+	// The follower must stop first, so that it does not renew a released lease.
 	_ = p.follower.Leave(ctx)
 	p.releaseLeases(ctx)
 }
 
-// releaseLeases releases the lease at each core and waits for their answers.
+// releaseLeases releases this process's lease at each core and waits for the calls.
 func (p *process) releaseLeases(ctx context.Context) {
 	released := make(chan struct{})
 	cores := p.directory.Cores()
@@ -214,8 +217,8 @@
 	}
 }
 
-// notifyReplaced notes that another core has taken over this one's name. It never
-// waits.
+// notifyReplaced signals run that another core has taken over this one's name. It never
+// blocks.
 func (p *process) notifyReplaced() {
 	select {
 	case p.replaced <- struct{}{}:
@@ -223,8 +226,8 @@
 	}
 }
 
-// logSupervisor logs a part that failed.
-func (p *process) logSupervisor(event suture.Event) {
+// logServiceFailure logs a service that failed, or the supervisor's backoff.
+func (p *process) logServiceFailure(event suture.Event) {
 	switch failure := event.(type) {
 	case suture.EventServicePanic:
 		p.log.Emit(events.ServiceFailed, "service", failure.ServiceName, "panic", failure.PanicMsg, "stack", failure.Stacktrace)
@@ -235,21 +238,21 @@
 	}
 }
 
-// service is a part of the process under its name for the supervisor.
+// service is a suture.Service with a name.
 type service struct {
 	name  string
 	serve func(context.Context) error
 }
 
-// Serve runs the part until the context ends.
+// Serve runs the service until the context ends.
 func (s service) Serve(ctx context.Context) error { return s.serve(ctx) }
 
-// String returns the part's name.
+// String returns the service's name.
 func (s service) String() string { return s.name }
 
-// listenerEnd returns suture.ErrDoNotRestart for the error of a listener that was
-// closed, and else the error.
-func listenerEnd(err error) error {
+// listenerExitError returns suture.ErrDoNotRestart if err means that the listener was
+// closed, and err otherwise.
+func listenerExitError(err error) error {
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return suture.ErrDoNotRestart
 	}
--- a/internal/node/replacement.go
+++ b/internal/node/replacement.go
@@ -19,27 +19,28 @@
 	"stepwick/internal/wire"
 )
 
-// The names of the voting cores outlive the machines that they run on. A core with
-// an empty disk that is none of them may take over the name of one that failed. It
-// then joins as that core would after it lost its disk: as a later incarnation of the
-// disk, against which nothing counts that the earlier holder of the name still
-// sends. An earlier holder that comes back learns of the later incarnation, empties
-// its data folder and becomes a standby.
+// Replacement of failed voting cores. The names of the voting cores outlive the
+// machines that they run on. A core with an empty disk that is not a voting core may
+// take over the name of one that failed. It then joins as the failed core would after
+// the loss of its disk: with a higher disk incarnation, so that messages from the
+// previous core with this name are ignored. If that one returns, it learns of the
+// higher incarnation, empties its data folder and becomes a standby.
 
 const (
 	searchInterval = 100 * time.Millisecond
-	// idleSearchInterval is the interval while every voting core answers.
+	// idleSearchInterval is the search interval while all voting cores answer.
 	idleSearchInterval = 500 * time.Millisecond
 	searchHelloTimeout = 400 * time.Millisecond
-	// soloStartDelay is how long a core that finds no voting cores waits before it
+	// soloStartDelay is the time without any voting core found after which a core
 	// starts under its own name.
 	soloStartDelay = 2 * time.Second
 )
 
-// chooseCoreName returns the name under which a core is to run: the one that it took
-// over before, its own where that is a voting core's or there are none yet, or that
-// of a failed voting core, for which it waits. It returns the context's error when
-// that ends first.
+// chooseCoreName returns the name under which a core runs: a name that it has taken over
+// before; its own name if the data folder is not empty, if it is the name of a voting
+// core or if there are no voting cores yet; or the name of a failed voting core. It
+// blocks until one of these applies, and returns the context's error if that ends
+// first.
 func chooseCoreName(ctx context.Context, environment Environment, values *settings.Values, log events.Log) (string, error) {
 	self := values.String("name")
 	folder := values.String("data")
@@ -71,7 +72,7 @@
 	return name, storeTakenName(folder, name)
 }
 
-// replacementSearch looks for a voting core that failed and can be replaced.
+// replacementSearch searches for a failed voting core that can be replaced.
 type replacementSearch struct {
 	self            string
 	address         string
@@ -80,16 +81,16 @@
 	pool            *internalrpc.Pool
 	clock           clock.Clock
 	log             events.Log
-	unansweredSince map[string]time.Time // by voting core
+	unansweredSince map[string]time.Time // time of the first unanswered hello, by voting core
 }
 
-// run searches until there is a name for this core to run under.
+// run searches until there is a name under which this core can run.
 func (s *replacementSearch) run(ctx context.Context) (string, error) {
 	startedAt := s.clock.Now()
 	isLogged := false
 	for {
 		cores := s.discoverCores(ctx)
-		voters := votersOf(cores)
+		voters := reportedVoters(cores)
 		switch {
 		case slices.Contains(voters, s.self):
 			return s.self, nil
@@ -118,14 +119,14 @@
 	return searchInterval
 }
 
-// discoveredCore is what is known of a core.
+// discoveredCore is a core found by a search.
 type discoveredCore struct {
 	process  *wire.Process
-	answered bool // itself; what others report of it otherwise
+	answered bool // the core itself; if false, process is what another process reported
 }
 
-// discoverCores sends hellos to the seeds and to the cores that their answers name,
-// and returns what is known of each core by its name.
+// discoverCores sends hellos to the seeds and, transitively, to the cores in their
+// answers. It returns the cores found by name.
 func (s *replacementSearch) discoverCores(ctx context.Context) map[string]*discoveredCore {
 	cores := map[string]*discoveredCore{}
 	contacted := map[string]bool{s.address: true}
@@ -152,8 +153,8 @@
 	return cores
 }
 
-// addCore adds a process to the cores if it is one. A record that the core itself
-// answered replaces those of others.
+// addCore adds a process to cores if it is a core. The core's own record replaces one
+// reported by another process.
 func addCore(cores map[string]*discoveredCore, process *wire.Process, answered bool) {
 	if process == nil || !process.Core {
 		return
@@ -169,7 +170,7 @@
 	}
 }
 
-// sendHellos sends a hello to each address and returns the answers.
+// sendHellos sends a hello to each address concurrently and returns the answers.
 func (s *replacementSearch) sendHellos(ctx context.Context, addresses []string) []*wire.HelloResponse {
 	results := make(chan *wire.HelloResponse, len(addresses))
 	for _, address := range addresses {
@@ -193,9 +194,9 @@
 	return answers
 }
 
-// votersOf returns the names of the voting cores as one that answered reports them,
-// or nil.
-func votersOf(cores map[string]*discoveredCore) []string {
+// reportedVoters returns the names of the voting cores as reported by the first core, in
+// order of names, that answered and knows them. It returns nil if there is none.
+func reportedVoters(cores map[string]*discoveredCore) []string {
 	for _, name := range slices.Sorted(maps.Keys(cores)) {
 		if core := cores[name]; core.answered && len(core.process.Voters) > 0 {
 			return core.process.Voters
@@ -204,10 +205,10 @@
 	return nil
 }
 
-// failedVoter returns the name of a voting core that has not answered for long
-// enough, while so many others answer that a lost disk can be recovered from them. Of
-// several such names each searching core prefers another one, so that two of them
-// seldom take the same.
+// failedVoter returns the name of a voting core that has not answered for at least
+// failedAfter, provided that enough others answer to recover a lost disk. If several
+// have failed, each searching core prefers a different one, so that two searching cores
+// rarely take over the same name.
 func (s *replacementSearch) failedVoter(cores map[string]*discoveredCore, voters []string) (string, bool) {
 	now := s.clock.Now()
 	var failed []string
@@ -234,7 +235,7 @@
 	return preferred, true
 }
 
-// preference returns a weight of a name that differs between searching cores.
+// preference returns the weight of a failed core's name for this searching core.
 func (s *replacementSearch) preference(name string) uint64 {
 	return xxhash.Sum64String(s.self + "/" + name)
 }
--- a/internal/node/replacement_test.go
+++ b/internal/node/replacement_test.go
@@ -10,7 +10,7 @@
 	"stepwick/internal/wire"
 )
 
-// manualClock shows the time that the test sets.
+// manualClock is a clock whose time the test sets.
 type manualClock struct {
 	clock.Clock
 	now time.Time
@@ -37,7 +37,7 @@
 			unansweredSince: map[string]time.Time{},
 		}, clock
 	}
-	Convey("Two of five cores that failed are replaced by two searching cores, each by another", t, func() {
+	Convey("When two of five voting cores have failed, two searching cores take over different names", t, func() {
 		taken := map[string]bool{}
 		for _, self := range []string{"f", "h"} {
 			search, clock := newSearch(self)
@@ -50,7 +50,7 @@
 		}
 		So(taken, ShouldResemble, map[string]bool{"d": true, "e": true})
 	})
-	Convey("With three failed none is replaced, and a core that answers again has not failed", t, func() {
+	Convey("When three of five have failed, none is replaced; a core that answers again is no longer failed", t, func() {
 		search, clock := newSearch("f")
 		search.failedVoter(answering("a", "b"), voters)
 		clock.now = start.Add(time.Second)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,21 +12,21 @@
 	"stepwick/internal/wire"
 )
 
-// tallyTimeout bounds an inspection of the quota's counters.
-const tallyTimeout = time.Second
+// quotaInspectTimeout bounds an inspection of a tenant's quota usage.
+const quotaInspectTimeout = time.Second
 
-// processStatus is the JSON form of a process's status.
+// processStatus is the JSON form of the status of this process.
 type processStatus struct {
 	follower.Status
 	Ready     bool            `json:"ready"`
-	Cause     string          `json:"cause,omitempty"` // why it isn't ready
+	Cause     string          `json:"cause,omitempty"` // why the process is not ready
 	Role      string          `json:"role"`
-	Standing  string          `json:"standing,omitempty"` // of a core
+	Standing  string          `json:"standing,omitempty"` // if the process is a core
 	Formation string          `json:"formation,omitempty"`
 	Processes []processRecord `json:"processes"`
 }
 
-// processRecord is the JSON form of what is known of a process.
+// processRecord is the JSON form of a process known to this one.
 type processRecord struct {
 	Name     string `json:"name"`
 	Zone     string `json:"locality"`
@@ -34,16 +34,16 @@
 	Caller   string `json:"caller"`
 	Core     bool   `json:"core"`
 	Standing string `json:"standing,omitempty"`
-	Ready    bool   `json:"ready"`   // as it last reported
-	SeenMS   int64  `json:"seen_ms"` // since it was last seen
+	Ready    bool   `json:"ready"`   // as last reported by the process
+	SeenMS   int64  `json:"seen_ms"` // time since the process was last seen, in ms
 }
 
-// standingName returns the name of a standing in the status.
+// standingName returns the lower-case name of a standing, as in the status.
 func standingName(standing wire.Standing) string {
 	return strings.ToLower(strings.TrimPrefix(standing.String(), "STANDING_"))
 }
 
-// status returns the process's status.
+// status returns the current status of this process.
 func (p *process) status() processStatus {
 	view := p.follower.View()
 	zone := sheet.ZoneName(p.identity.Region, p.identity.Zone)
@@ -65,13 +65,13 @@
 		ready[front.Name] = front.Ready
 	}
 	for _, known := range p.directory.KnownProcesses() {
-		status.Processes = append(status.Processes, p.record(known, ready[known.Process.Name]))
+		status.Processes = append(status.Processes, p.processRecordOf(known, ready[known.Process.Name]))
 	}
 	return status
 }
 
-// record returns the JSON form of what is known of a process.
-func (p *process) record(known port.KnownProcess, ready bool) processRecord {
+// processRecordOf returns the JSON form of a known process.
+func (p *process) processRecordOf(known port.KnownProcess, ready bool) processRecord {
 	process := known.Process
 	record := processRecord{
 		Name:    process.Name,
@@ -88,10 +88,11 @@
 	return record
 }
 
-// tally returns the counters of a tenant's quota.
-func (p *process) tally(tenant string) ([]quota.TenantUsage, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), tallyTimeout)
+// quotaUsage returns a tenant's quota usage; the second result is false if it could not
+// be read.
+func (p *process) quotaUsage(tenant string) ([]quota.TenantUsage, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), quotaInspectTimeout)
 	defer cancel()
-	views, err := p.quota.Inspect(ctx, tenant)
-	return views, err == nil
+	usages, err := p.quota.Inspect(ctx, tenant)
+	return usages, err == nil
 }
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -6,15 +6,15 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// servesTraffic reports whether the process serves clients' requests.
+// servesTraffic reports whether the process serves client requests.
 func (p *process) servesTraffic() bool { return p.identity.Front }
 
-// addTraffic adds the parts that serve clients' requests: the process's own API, or
-// on a platform the gateway.
-func (p *process) addTraffic(supervisor *suture.Supervisor) {
+// addTrafficServices adds the services that serve client requests: the front with its
+// own API or, on a platform, the adapter and the gateway.
+func (p *process) addTrafficServices(supervisor *suture.Supervisor) {
 	if p.environment.Platform == nil {
 		supervisor.Add(service{"caller listener", func(ctx context.Context) error {
-			return listenerEnd(p.front.Listen(ctx, p.callerListener))
+			return listenerExitError(p.front.Listen(ctx, p.callerListener))
 		}})
 		supervisor.Add(service{"front", p.front.Serve})
 		return
@@ -26,13 +26,13 @@
 	supervisor.Add(service{"gateway", p.gateway.Serve})
 	if p.callerListener != nil {
 		supervisor.Add(service{"caller listener", func(ctx context.Context) error {
-			return listenerEnd(p.gateway.Listen(ctx, p.callerListener))
+			return listenerExitError(p.gateway.Listen(ctx, p.callerListener))
 		}})
 	}
 }
 
-// drain lets running requests finish until the context ends, whose error it then
-// returns.
+// drain waits until running requests have finished. It returns the context's error if
+// the context ends first.
 func (p *process) drain(ctx context.Context) error {
 	switch {
 	case p.gateway == nil:
