--- a/internal/adapter/disklog/config.go
+++ b/internal/adapter/disklog/config.go
@@ -9,20 +9,19 @@
 const (
 	defaultSegmentBytes = 4 << 20
 	defaultReserveBytes = 1 << 20
-	// reserveDivisor divides a quota into the most that the reserve may take of
-	// it.
+	// reserveDivisor limits the reserve to this fraction of the quota.
 	reserveDivisor = 4
 )
 
-// Config of a log. Sizes are in bytes.
+// Config configures a log. Sizes are in bytes.
 type Config struct {
-	Folder       string        // created when it is missing
-	SegmentBytes int64         // a new segment is begun beyond this size; 0 is 4 MiB
-	ReserveBytes int64         // kept free for snapshots and urgent records; 0 is 1 MiB, under a quota at most a quarter of it
-	Quota        int64         // limit of all files together; 0 is none
-	SyncDelay    time.Duration // added to every sync, for tests of slow disks
-	FileSystem   FileSystem    // nil is the operating system's
-	Clock        clock.Clock   // nil is the system's
+	Folder       string        // created if missing
+	SegmentBytes int64         // a segment larger than this is closed; 0 means 4 MiB
+	ReserveBytes int64         // kept free for snapshots and urgent records; 0 means 1 MiB; at most a quarter of a quota
+	Quota        int64         // limit on the total size of all files; 0 means no limit
+	SyncDelay    time.Duration // added to every sync, to simulate a slow disk in tests
+	FileSystem   FileSystem    // nil means OSFileSystem
+	Clock        clock.Clock   // nil means the system clock
 }
 
 func (cfg Config) withDefaults() Config {
@@ -36,7 +35,7 @@
 		cfg.ReserveBytes = min(cfg.ReserveBytes, cfg.Quota/reserveDivisor)
 	}
 	if cfg.FileSystem == nil {
-		cfg.FileSystem = System()
+		cfg.FileSystem = OSFileSystem()
 	}
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System()
--- a/internal/adapter/disklog/corruption_test.go
+++ b/internal/adapter/disklog/corruption_test.go
@@ -12,11 +12,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// writeLastBatch writes nine records singly and a batch of four, and returns the
-// only segment.
-func writeLastBatch(t testing.TB) (folder, path string, data []byte) {
+// writeSampleSegment writes nine batches of one record and a batch of four, and
+// returns the only segment.
+func writeSampleSegment(t testing.TB) (folder, path string, data []byte) {
 	cfg := Config{Folder: t.TempDir()}
-	l, _ := open(t, cfg)
+	l, _ := mustOpen(t, cfg)
 	appendSynced(t, l, 0, 9)
 	index, err := l.Append([][]byte{record(9), record(10), record(11), record(12)}, Ordinary)
 	if err != nil {
@@ -24,7 +24,7 @@
 	}
 	awaitSynced(t, l, index)
 	closeLog(l)
-	path = files(cfg.Folder, segmentSuffix)[0]
+	path = filesWithSuffix(cfg.Folder, segmentSuffix)[0]
 	data, err = os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -33,91 +33,91 @@
 }
 
 func TestTornTailAtEveryByte(t *testing.T) {
-	_, _, data := writeLastBatch(t)
-	ends := []int{segmentHeaderSize}
+	_, _, data := writeSampleSegment(t)
+	recordEnds := []int{segmentHeaderSize}
 	for n := range 13 {
-		ends = append(ends, ends[n]+frameHeaderSize+len(record(n)))
+		recordEnds = append(recordEnds, recordEnds[n]+frameHeaderSize+len(record(n)))
 	}
 	for length := 0; length <= len(data); length++ {
 		folder := t.TempDir()
 		if err := os.WriteFile(filepath.Join(folder, segmentFileName(1)), data[:length], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		complete := 0
-		for complete < 13 && ends[complete+1] <= length {
-			complete++
+		completeRecords := 0
+		for completeRecords < 13 && recordEnds[completeRecords+1] <= length {
+			completeRecords++
 		}
-		l, replay := open(t, Config{Folder: folder, FileSystem: noSyncFileSystem{System()}})
-		if diff := difference(replay, 0, complete); diff != "" {
-			t.Fatalf("cut to %d bytes: %s", length, diff)
+		l, replay := mustOpen(t, Config{Folder: folder, FileSystem: noSyncFileSystem{OSFileSystem()}})
+		if diff := recordsDifference(replay, 0, completeRecords); diff != "" {
+			t.Fatalf("truncated to %d bytes: %s", length, diff)
 		}
-		appendSynced(t, l, complete, complete+2)
+		appendSynced(t, l, completeRecords, completeRecords+2)
 		closeLog(l)
-		l, replay = open(t, Config{Folder: folder, FileSystem: noSyncFileSystem{System()}})
-		if diff := difference(replay, 0, complete+2); diff != "" {
-			t.Fatalf("cut to %d bytes, then two more records: %s", length, diff)
+		l, replay = mustOpen(t, Config{Folder: folder, FileSystem: noSyncFileSystem{OSFileSystem()}})
+		if diff := recordsDifference(replay, 0, completeRecords+2); diff != "" {
+			t.Fatalf("truncated to %d bytes, after two further appends: %s", length, diff)
 		}
 		closeLog(l)
 	}
 }
 
-func TestFlipOfEveryByte(t *testing.T) {
-	_, _, data := writeLastBatch(t)
-	batch := segmentHeaderSize
+func TestBitFlipInEveryByte(t *testing.T) {
+	_, _, data := writeSampleSegment(t)
+	lastBatchOffset := segmentHeaderSize
 	for n := range 9 {
-		batch += frameHeaderSize + len(record(n))
+		lastBatchOffset += frameHeaderSize + len(record(n))
 	}
-	for at := range data {
-		bad := bytes.Clone(data)
-		bad[at] ^= 0x40
+	for offset := range data {
+		corrupted := bytes.Clone(data)
+		corrupted[offset] ^= 0x40
 		folder := t.TempDir()
-		if err := os.WriteFile(filepath.Join(folder, segmentFileName(1)), bad, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, segmentFileName(1)), corrupted, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l, replay, err := Open(Config{Folder: folder, FileSystem: noSyncFileSystem{System()}})
-		if at < batch {
+		l, replay, err := Open(Config{Folder: folder, FileSystem: noSyncFileSystem{OSFileSystem()}})
+		if offset < lastBatchOffset {
 			if apierror.From(err) == nil || apierror.From(err).Code != apierror.BadRecord {
-				t.Fatalf("byte %d of a record before the last batch: %v", at, err)
+				t.Fatalf("byte %d, before the last batch, flipped: Open returned %v, want code BadRecord", offset, err)
 			}
-			left, _ := os.ReadFile(filepath.Join(folder, segmentFileName(1)))
-			if !bytes.Equal(left, bad) {
-				t.Fatalf("byte %d: the bad segment was changed", at)
+			content, _ := os.ReadFile(filepath.Join(folder, segmentFileName(1)))
+			if !bytes.Equal(content, corrupted) {
+				t.Fatalf("byte %d flipped: Open changed the corrupt segment", offset)
 			}
 			continue
 		}
 		if err != nil {
-			t.Fatalf("byte %d of the last batch: %v", at, err)
+			t.Fatalf("byte %d, in the last batch, flipped: Open returned %v", offset, err)
 		}
-		if len(replay.Records) < 9 || difference(Replay{Records: replay.Records[:9]}, 0, 9) != "" {
-			t.Fatalf("byte %d of the last batch: an earlier record is lost", at)
+		if len(replay.Records) < 9 || recordsDifference(Replay{Records: replay.Records[:9]}, 0, 9) != "" {
+			t.Fatalf("byte %d, in the last batch, flipped: a record of an earlier batch is lost", offset)
 		}
 		closeLog(l)
 	}
 }
 
 func TestCorruptionNamesSegmentAndOffset(t *testing.T) {
-	Convey("A bad earlier record is an error that names segment and offset", t, func() {
-		folder, path, data := writeLastBatch(t)
+	Convey("A corrupt record before the last batch is an error that names segment and offset", t, func() {
+		folder, path, data := writeSampleSegment(t)
 		data[segmentHeaderSize+frameHeaderSize+len(record(0))+frameHeaderSize] ^= 1
 		So(os.WriteFile(path, data, 0o600), ShouldBeNil)
 		_, _, err := Open(Config{Folder: folder})
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldContainSubstring, fmt.Sprintf("%s at offset %d", segmentFileName(1), segmentHeaderSize+frameHeaderSize+len(record(0))))
 	})
-	Convey("So are a missing segment and a removed snapshot", t, func() {
+	Convey("A missing segment or snapshot is a BadRecord error", t, func() {
 		cfg := Config{Folder: t.TempDir(), SegmentBytes: 200}
-		l, _ := open(t, cfg)
+		l, _ := mustOpen(t, cfg)
 		appendSynced(t, l, 0, 40)
 		closeLog(l)
-		middle := copyFolder(t, cfg.Folder)
-		So(os.Remove(files(middle, segmentSuffix)[2]), ShouldBeNil)
-		_, _, err := Open(Config{Folder: middle})
+		gapFolder := copyFolder(t, cfg.Folder)
+		So(os.Remove(filesWithSuffix(gapFolder, segmentSuffix)[2]), ShouldBeNil)
+		_, _, err := Open(Config{Folder: gapFolder})
 		So(apierror.From(err).Code, ShouldEqual, apierror.BadRecord)
-		l, _ = open(t, cfg)
+		l, _ = mustOpen(t, cfg)
 		So(<-l.WriteSnapshot([]byte("forty")), ShouldBeNil)
 		appendSynced(t, l, 40, 45)
 		closeLog(l)
-		So(os.Remove(files(cfg.Folder, snapshotSuffix)[0]), ShouldBeNil)
+		So(os.Remove(filesWithSuffix(cfg.Folder, snapshotSuffix)[0]), ShouldBeNil)
 		_, _, err = Open(cfg)
 		So(apierror.From(err).Code, ShouldEqual, apierror.BadRecord)
 	})
--- a/internal/adapter/disklog/errors.go
+++ b/internal/adapter/disklog/errors.go
@@ -10,54 +10,56 @@
 )
 
 // ErrClosed is returned by a log after Close.
-var ErrClosed = errors.New("the log is closed")
+var ErrClosed = errors.New("log is closed")
 
-// CorruptionError is returned for a record, header or snapshot that was once
-// complete on disk and isn't any more. Its code is BadRecord.
+// CorruptionError is returned for a record, header or snapshot that was complete
+// on disk and is now damaged or missing. Its code is BadRecord.
 type CorruptionError struct {
-	File    string // without its folder
+	File    string // base name
 	Offset  int    // in bytes
 	Problem string
 }
 
 func (e *CorruptionError) Error() string { return e.Unwrap().Error() }
 
-// Unwrap returns the error with its result code.
+// Unwrap returns an API error with code BadRecord.
 func (e *CorruptionError) Unwrap() error {
 	return apierror.Errorf(apierror.BadRecord, "%s in %s at offset %d", e.Problem, e.File, e.Offset)
 }
 
-// FullError is returned when there is no room for records or a snapshot, by the
-// quota or by the file system. Its code is DiskFull.
+// FullError is returned when the quota or the file system leaves no room for
+// records or a snapshot. Its code is DiskFull.
 type FullError struct {
 	Detail string
 }
 
 func (e *FullError) Error() string { return e.Unwrap().Error() }
 
-// Unwrap returns the error with its result code.
+// Unwrap returns an API error with code DiskFull.
 func (e *FullError) Unwrap() error { return apierror.Errorf(apierror.DiskFull, "%s", e.Detail) }
 
-// BusyError is returned when the disk is too slow for what it is asked to do.
-// Its code is CoreUnreachable.
+// BusyError is returned when too many requests are waiting for the disk or when
+// another snapshot is being written. Its code is CoreUnreachable.
 type BusyError struct {
 	Detail string
 }
 
 func (e *BusyError) Error() string { return e.Unwrap().Error() }
 
-// Unwrap returns the error with its result code.
+// Unwrap returns an API error with code CoreUnreachable.
 func (e *BusyError) Unwrap() error { return apierror.Errorf(apierror.CoreUnreachable, "%s", e.Detail) }
 
-// RecordSizeError is returned for a record that is larger than the format allows.
+// RecordSizeError is returned for a record that exceeds the format's size limit.
 type RecordSizeError struct {
 	Size int // in bytes
 }
 
-func (e *RecordSizeError) Error() string { return fmt.Sprintf("a record of %d bytes", e.Size) }
+func (e *RecordSizeError) Error() string {
+	return fmt.Sprintf("record of %d bytes exceeds the limit of %d bytes", e.Size, maxRecordBytes)
+}
 
-// isNoSpace reports whether a file system has no room, for anyone or for this
-// user.
-func isNoSpace(err error) bool {
+// isOutOfSpace reports whether an error means that the file system is full or the
+// user's disk quota is exhausted.
+func isOutOfSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
--- a/internal/adapter/disklog/errors_test.go
+++ b/internal/adapter/disklog/errors_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestErrorsAreTyped(t *testing.T) {
-	Convey("A bad record is a CorruptionError of the code BadRecord", t, func() {
-		folder, path, data := writeLastBatch(t)
+	Convey("A corrupt record is a CorruptionError with code BadRecord", t, func() {
+		folder, path, data := writeSampleSegment(t)
 		offset := segmentHeaderSize + frameHeaderSize + len(record(0))
 		data[offset+frameHeaderSize] ^= 1
 		So(os.WriteFile(path, data, 0o600), ShouldBeNil)
@@ -23,17 +23,17 @@
 		So(apierror.From(err).Code, ShouldEqual, apierror.BadRecord)
 		So(err.Error(), ShouldEqual, apierror.From(err).Error())
 	})
-	Convey("A lack of room is a FullError of the code DiskFull", t, func() {
-		l, _ := open(t, Config{Folder: t.TempDir(), Quota: 400, ReserveBytes: 100})
+	Convey("An append that exceeds the quota is a FullError with code DiskFull", t, func() {
+		l, _ := mustOpen(t, Config{Folder: t.TempDir(), Quota: 400, ReserveBytes: 100})
 		defer closeLog(l)
 		_, err := l.Append([][]byte{make([]byte, 400)}, Ordinary)
 		var full *FullError
 		So(errors.As(err, &full), ShouldBeTrue)
-		So(full.Detail, ShouldEqual, "0 bytes used")
+		So(full.Detail, ShouldEqual, "append of 428 bytes: 0 bytes used, reserve 100 bytes, quota 400 bytes (0 for none)")
 		So(apierror.From(err).Code, ShouldEqual, apierror.DiskFull)
 	})
 	Convey("A record over the limit is a RecordSizeError", t, func() {
-		l, _ := open(t, Config{Folder: t.TempDir()})
+		l, _ := mustOpen(t, Config{Folder: t.TempDir()})
 		defer closeLog(l)
 		_, err := l.Append([][]byte{make([]byte, maxRecordBytes+1)}, Ordinary)
 		var size *RecordSizeError
@@ -41,13 +41,13 @@
 		So(size.Size, ShouldEqual, maxRecordBytes+1)
 	})
 	Convey("A closed log returns ErrClosed", t, func() {
-		l, _ := open(t, Config{Folder: t.TempDir()})
+		l, _ := mustOpen(t, Config{Folder: t.TempDir()})
 		closeLog(l)
 		_, err := l.Append([][]byte{record(0)}, Ordinary)
 		So(errors.Is(err, ErrClosed), ShouldBeTrue)
 		So(errors.Is(<-l.WriteSnapshot(nil), ErrClosed), ShouldBeTrue)
 	})
-	Convey("A disk that is too slow is a BusyError of the code CoreUnreachable", t, func() {
+	Convey("A full disk queue is a BusyError with code CoreUnreachable", t, func() {
 		err := queueFullError()
 		var busy *BusyError
 		So(errors.As(err, &busy), ShouldBeTrue)
--- a/internal/adapter/disklog/filesystem.go
+++ b/internal/adapter/disklog/filesystem.go
@@ -16,38 +16,39 @@
 	Close() error
 }
 
-// FileSystem is what the log needs of a file system. An error for lack of room
-// satisfies errors.Is with syscall.ENOSPC or syscall.EDQUOT.
+// FileSystem holds the file system operations that the log uses. An error for lack
+// of space must satisfy errors.Is with syscall.ENOSPC or syscall.EDQUOT.
 type FileSystem interface {
 	MkdirAll(folder string) error
 	List(folder string) ([]fs.FileInfo, error)
-	Read(path string) ([]byte, error)
-	// Create opens an empty file for writing, in place of one of that name.
+	ReadFile(path string) ([]byte, error)
+	// Create creates or truncates a file and opens it for writing.
 	Create(path string) (File, error)
 	// Open opens an existing file for writing.
 	Open(path string) (File, error)
-	// Allocate creates a file and reserves blocks for its size in bytes.
+	// Allocate creates a file if necessary and allocates size bytes of disk
+	// blocks for it.
 	Allocate(path string, size int64) error
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncFolder makes the names of the files in a folder durable.
+	// SyncFolder makes the folder's directory entries durable.
 	SyncFolder(folder string) error
 }
 
-// Modes of what the log creates: readable by its group, closed to others.
+// Modes of created files and folders: readable by the group, no access for others.
 const (
 	folderMode = 0o750
 	fileMode   = 0o640
 )
 
-// System returns the operating system's file system.
-func System() FileSystem { return system{} }
+// OSFileSystem returns the operating system's file system.
+func OSFileSystem() FileSystem { return osFileSystem{} }
 
-type system struct{}
+type osFileSystem struct{}
 
-func (system) MkdirAll(folder string) error { return os.MkdirAll(folder, folderMode) }
+func (osFileSystem) MkdirAll(folder string) error { return os.MkdirAll(folder, folderMode) }
 
-func (system) List(folder string) ([]fs.FileInfo, error) {
+func (osFileSystem) List(folder string) ([]fs.FileInfo, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return nil, err
@@ -63,9 +64,9 @@
 	return infos, nil
 }
 
-func (system) Read(path string) ([]byte, error) { return os.ReadFile(path) }
+func (osFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-func (system) Create(path string) (File, error) {
+func (osFileSystem) Create(path string) (File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return nil, err
@@ -73,7 +74,7 @@
 	return file, nil
 }
 
-func (system) Open(path string) (File, error) {
+func (osFileSystem) Open(path string) (File, error) {
 	file, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
 		return nil, err
@@ -81,7 +82,7 @@
 	return file, nil
 }
 
-func (system) Allocate(path string, size int64) error {
+func (osFileSystem) Allocate(path string, size int64) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
@@ -93,16 +94,16 @@
 	return err
 }
 
-func (system) Rename(from, to string) error { return os.Rename(from, to) }
-func (system) Remove(path string) error     { return os.Remove(path) }
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
+func (osFileSystem) Remove(path string) error     { return os.Remove(path) }
 
-func (system) SyncFolder(folder string) error {
-	opened, err := os.Open(filepath.Clean(folder))
+func (osFileSystem) SyncFolder(folder string) error {
+	dir, err := os.Open(filepath.Clean(folder))
 	if err != nil {
 		return err
 	}
-	err = opened.Sync()
-	if closeErr := opened.Close(); err == nil {
+	err = dir.Sync()
+	if closeErr := dir.Close(); err == nil {
 		err = closeErr
 	}
 	return err
--- a/internal/adapter/disklog/format.go
+++ b/internal/adapter/disklog/format.go
@@ -12,14 +12,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The format on disk. Numbers are little-endian, checksums are xxhash64 of all
-// that comes before them in the header and of the data after it.
+// The format on disk. Numbers are little-endian. A checksum is the xxhash64 of the
+// header fields before it and the data after the header.
 const (
 	segmentMagic  = "SWLOG\x00\x00\x01"
 	snapshotMagic = "SWSNP\x00\x00\x01"
 
 	segmentHeaderSize  = 24 // magic, index of the first record, checksum
-	snapshotHeaderSize = 32 // magic, index of the last record replaced, length, checksum
+	snapshotHeaderSize = 32 // magic, index of the last record that it covers, length, checksum
 	frameHeaderSize    = 28 // length, index, index of the batch's first record, checksum
 	checksumSize       = 8
 
@@ -29,40 +29,40 @@
 	maxRecordBytes = 256 << 20
 )
 
-// Names of files: 20 digits of an index and a suffix.
+// File names: an index of 20 digits and a suffix.
 const (
 	indexDigits     = 20
 	segmentSuffix   = ".log"
 	snapshotSuffix  = ".snap"
-	temporarySuffix = ".aside" // of a file that is not yet, or never, complete
+	temporarySuffix = ".aside" // of a file that is incomplete; removed at the next start
 	reserveFileName = "reserve"
 )
 
-func segmentFileName(first uint64) string {
-	return fmt.Sprintf("%0*d%s", indexDigits, first, segmentSuffix)
+func segmentFileName(firstIndex uint64) string {
+	return fmt.Sprintf("%0*d%s", indexDigits, firstIndex, segmentSuffix)
 }
 
-func snapshotFileName(last uint64) string {
-	return fmt.Sprintf("%0*d%s", indexDigits, last, snapshotSuffix)
+func snapshotFileName(lastIndex uint64) string {
+	return fmt.Sprintf("%0*d%s", indexDigits, lastIndex, snapshotSuffix)
 }
 
-// parseFileName returns the index in the name of a file of one kind.
+// parseFileName returns the index in a file name with the given suffix.
 func parseFileName(name, suffix string) (index uint64, ok bool) {
-	digits, found := strings.CutSuffix(name, suffix)
-	if !found || len(digits) != indexDigits {
+	digits, hasSuffix := strings.CutSuffix(name, suffix)
+	if !hasSuffix || len(digits) != indexDigits {
 		return 0, false
 	}
 	index, err := strconv.ParseUint(digits, 10, 64)
 	return index, err == nil
 }
 
-func segmentHeader(first uint64) []byte {
-	header := binary.LittleEndian.AppendUint64([]byte(segmentMagic), first)
+func segmentHeader(firstIndex uint64) []byte {
+	header := binary.LittleEndian.AppendUint64([]byte(segmentMagic), firstIndex)
 	return binary.LittleEndian.AppendUint64(header, xxhash.Sum64(header))
 }
 
-func snapshotHeader(last uint64, data []byte) []byte {
-	header := binary.LittleEndian.AppendUint64([]byte(snapshotMagic), last)
+func snapshotHeader(lastIndex uint64, data []byte) []byte {
+	header := binary.LittleEndian.AppendUint64([]byte(snapshotMagic), lastIndex)
 	header = binary.LittleEndian.AppendUint64(header, uint64(len(data)))
 	return binary.LittleEndian.AppendUint64(header, checksum(header, data))
 }
@@ -74,27 +74,27 @@
 	return digest.Sum64()
 }
 
-// frame is a record as it is encoded in a segment.
+// frame is a record with the header fields that are stored with it in a segment.
 type frame struct {
 	index  uint64
-	batch  uint64 // the index of the first record written together with this one
+	batch  uint64 // index of the first record of the same batch
 	record []byte
 }
 
-func (f frame) appendTo(to []byte) []byte {
-	start := len(to)
-	to = binary.LittleEndian.AppendUint32(to, uint32(len(f.record)))
-	to = binary.LittleEndian.AppendUint64(to, f.index)
-	to = binary.LittleEndian.AppendUint64(to, f.batch)
-	to = binary.LittleEndian.AppendUint64(to, checksum(to[start:], f.record))
-	return append(to, f.record...)
+func (f frame) appendTo(dst []byte) []byte {
+	start := len(dst)
+	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(f.record)))
+	dst = binary.LittleEndian.AppendUint64(dst, f.index)
+	dst = binary.LittleEndian.AppendUint64(dst, f.batch)
+	dst = binary.LittleEndian.AppendUint64(dst, checksum(dst[start:], f.record))
+	return append(dst, f.record...)
 }
 
-// size is the number of bytes of the frame in a segment.
+// size returns the encoded size in bytes.
 func (f frame) size() int { return frameHeaderSize + len(f.record) }
 
-// decodeFrame reads the frame at the start of data; ok is false when it is not
-// complete or fails its checksum. The record shares data.
+// decodeFrame decodes the frame at the start of data; ok is false if it is
+// incomplete or fails its checksum. The record is a subslice of data.
 func decodeFrame(data []byte) (f frame, ok bool) {
 	if len(data) < frameHeaderSize {
 		return frame{}, false
@@ -104,8 +104,8 @@
 		return frame{}, false
 	}
 	record := data[frameHeaderSize : frameHeaderSize+size]
-	checked := data[:frameHeaderSize-checksumSize]
-	if checksum(checked, record) != binary.LittleEndian.Uint64(data[frameHeaderSize-checksumSize:]) {
+	checkedHeader := data[:frameHeaderSize-checksumSize]
+	if checksum(checkedHeader, record) != binary.LittleEndian.Uint64(data[frameHeaderSize-checksumSize:]) {
 		return frame{}, false
 	}
 	return frame{
@@ -115,14 +115,15 @@
 	}, true
 }
 
-// hasLaterBatch looks beyond a bad record for a complete one of a later batch. A
-// batch is written only when the one before is synced, so one that is found
-// proves that the bad record was once complete on disk.
+// hasLaterBatch reports whether data holds a complete record of a batch that begins
+// after badIndex, the index of a record that could not be decoded. A batch is
+// written only after the previous one is synced, so such a record proves that the
+// bad one was complete on disk.
 func hasLaterBatch(data []byte, badIndex uint64) bool {
 	for offset := 0; offset+frameHeaderSize <= len(data); offset++ {
 		index := binary.LittleEndian.Uint64(data[offset+frameIndexOffset:])
 		batch := binary.LittleEndian.Uint64(data[offset+frameBatchOffset:])
-		// Cheap tests first: a checksum at every offset would take too long.
+		// Check the indices first: a checksum at every offset would take too long.
 		if batch <= badIndex || batch > index || index-badIndex > uint64(len(data)) {
 			continue
 		}
@@ -133,44 +134,44 @@
 	return false
 }
 
-// decodeSegment returns a segment's records. Complete is the number of bytes up
-// to the end of the last complete record; bytes beyond it are a torn tail, which
-// only the last segment may have.
-func decodeSegment(path string, data []byte, first uint64, last bool) (records [][]byte, complete int, err error) {
-	if len(data) < segmentHeaderSize || !bytes.Equal(data[:segmentHeaderSize], segmentHeader(first)) {
-		if last && !hasLaterBatch(data, first-1) {
+// decodeSegment returns a segment's records. completeBytes is the offset of the
+// end of the last complete record; the bytes after it are a torn tail, which only
+// the last segment may have. It is 0 if the header of the last segment is torn.
+func decodeSegment(path string, data []byte, firstIndex uint64, isLast bool) (records [][]byte, completeBytes int, err error) {
+	if len(data) < segmentHeaderSize || !bytes.Equal(data[:segmentHeaderSize], segmentHeader(firstIndex)) {
+		if isLast && !hasLaterBatch(data, firstIndex-1) {
 			return nil, 0, nil
 		}
-		return nil, 0, corruption(path, 0, "a bad head")
+		return nil, 0, newCorruptionError(path, 0, "a bad segment header")
 	}
 	offset := segmentHeaderSize
-	next := first
+	nextIndex := firstIndex
 	for offset < len(data) {
-		found, ok := decodeFrame(data[offset:])
-		if !ok || found.index != next {
-			if !last || hasLaterBatch(data[offset:], next) {
-				return nil, 0, corruption(path, offset, "a bad record")
+		decoded, ok := decodeFrame(data[offset:])
+		if !ok || decoded.index != nextIndex {
+			if !isLast || hasLaterBatch(data[offset:], nextIndex) {
+				return nil, 0, newCorruptionError(path, offset, "a bad record")
 			}
 			break
 		}
-		records = append(records, slices.Clone(found.record))
-		offset += found.size()
-		next++
+		records = append(records, slices.Clone(decoded.record))
+		offset += decoded.size()
+		nextIndex++
 	}
 	return records, offset, nil
 }
 
-func decodeSnapshot(path string, data []byte, last uint64) ([]byte, error) {
+func decodeSnapshot(path string, data []byte, lastIndex uint64) ([]byte, error) {
 	if len(data) < snapshotHeaderSize {
-		return nil, corruption(path, 0, "a bad head")
+		return nil, newCorruptionError(path, 0, "a truncated snapshot header")
 	}
 	body := data[snapshotHeaderSize:]
-	if !bytes.Equal(data[:snapshotHeaderSize], snapshotHeader(last, body)) {
-		return nil, corruption(path, 0, "a bad snapshot")
+	if !bytes.Equal(data[:snapshotHeaderSize], snapshotHeader(lastIndex, body)) {
+		return nil, newCorruptionError(path, 0, "a bad snapshot header or checksum")
 	}
 	return body, nil
 }
 
-func corruption(path string, offset int, problem string) error {
+func newCorruptionError(path string, offset int, problem string) error {
 	return &CorruptionError{File: filepath.Base(path), Offset: offset, Problem: problem}
 }
--- a/internal/adapter/disklog/full_test.go
+++ b/internal/adapter/disklog/full_test.go
@@ -13,9 +13,9 @@
 )
 
 func TestFullDisk(t *testing.T) {
-	Convey("Under a quota only complete records are written, and a snapshot makes room again", t, func() {
+	Convey("Under a quota only complete records are written, and a snapshot frees space", t, func() {
 		cfg := Config{Folder: t.TempDir(), Quota: 4000, ReserveBytes: 1000}
-		l, _ := open(t, cfg)
+		l, _ := mustOpen(t, cfg)
 		synced := 0
 		var err error
 		for err == nil {
@@ -27,23 +27,23 @@
 		}
 		So(apierror.From(err).Code, ShouldEqual, apierror.DiskFull)
 		So(l.Full(), ShouldBeTrue)
-		So(l.Used(), ShouldBeLessThanOrEqualTo, 3000)
+		So(l.UsedBytes(), ShouldBeLessThanOrEqualTo, 3000)
 		index, err := l.Append([][]byte{record(synced)}, Urgent)
 		So(err, ShouldBeNil)
 		awaitSynced(t, l, index)
 		So(apierror.From(<-l.WriteSnapshot(make([]byte, 1100))).Code, ShouldEqual, apierror.DiskFull)
 		closeLog(l)
-		l, replay := open(t, cfg)
-		So(difference(replay, 0, synced+1), ShouldBeEmpty)
+		l, replay := mustOpen(t, cfg)
+		So(recordsDifference(replay, 0, synced+1), ShouldBeEmpty)
 		So(<-l.WriteSnapshot([]byte("small")), ShouldBeNil)
 		So(l.Full(), ShouldBeFalse)
 		appendSynced(t, l, 0, 10)
 		closeLog(l)
 	})
-	Convey("On a disk that fills up, the log fails without a half-written record and opens as full", t, func() {
-		disk := &smallFileSystem{FileSystem: System(), left: 3000}
+	Convey("On a disk that fills up the log fails without a partial record and reopens as full", t, func() {
+		disk := &limitedFileSystem{FileSystem: OSFileSystem(), freeBytes: 3000}
 		cfg := Config{Folder: t.TempDir(), FileSystem: disk}
-		l, _ := open(t, cfg)
+		l, _ := mustOpen(t, cfg)
 		synced := 0
 		for l.Err() == nil {
 			if _, err := l.Append([][]byte{record(synced)}, Ordinary); err != nil {
@@ -57,23 +57,23 @@
 		}
 		So(apierror.From(l.Err()).Code, ShouldEqual, apierror.DiskFull)
 		closeLog(l)
-		l, replay := open(t, cfg)
-		So(difference(replay, 0, synced), ShouldBeEmpty)
+		l, replay := mustOpen(t, cfg)
+		So(recordsDifference(replay, 0, synced), ShouldBeEmpty)
 		So(replay.TornBytes, ShouldEqual, 0)
 		So(l.Full(), ShouldBeTrue)
 		_, err := l.Append([][]byte{record(0)}, Ordinary)
 		So(apierror.From(err).Code, ShouldEqual, apierror.DiskFull)
 		So(<-l.WriteSnapshot([]byte("with the reserve")), ShouldBeNil)
 		closeLog(l)
-		disk.left = 1 << 20
-		l, replay = open(t, cfg)
+		disk.freeBytes = 1 << 20
+		l, replay = mustOpen(t, cfg)
 		So(string(replay.Snapshot), ShouldEqual, "with the reserve")
 		So(l.Full(), ShouldBeFalse)
 		closeLog(l)
 	})
-	Convey("A failed sync fails the log for good", t, func() {
-		disk := &smallFileSystem{FileSystem: System(), left: 1 << 30}
-		l, _ := open(t, Config{Folder: t.TempDir(), FileSystem: disk})
+	Convey("After a failed sync the log accepts no further appends", t, func() {
+		disk := &limitedFileSystem{FileSystem: OSFileSystem(), freeBytes: 1 << 30}
+		l, _ := mustOpen(t, Config{Folder: t.TempDir(), FileSystem: disk})
 		appendSynced(t, l, 0, 3)
 		disk.failSync.Store(true)
 		_, err := l.Append([][]byte{record(3)}, Ordinary)
@@ -86,46 +86,48 @@
 	})
 }
 
-// smallFileSystem has little room left: files take from it, and the reserve gives
-// its bytes back when it is removed.
-type smallFileSystem struct {
+// limitedFileSystem has limited free space: writes use it up, and removal of the
+// reserve file adds the reserve's bytes to it.
+type limitedFileSystem struct {
 	FileSystem
-	left     int64
-	reserved int64
-	failSync atomic.Bool
+	freeBytes     int64
+	reservedBytes int64
+	failSync      atomic.Bool
 }
 
-type smallFile struct {
+type limitedFile struct {
 	File
-	disk *smallFileSystem
+	disk *limitedFileSystem
 }
 
-func (d *smallFileSystem) Create(path string) (File, error) { return d.wrap(d.FileSystem.Create(path)) }
-func (d *smallFileSystem) Open(path string) (File, error)   { return d.wrap(d.FileSystem.Open(path)) }
-func (d *smallFileSystem) wrap(f File, err error) (File, error) {
+func (d *limitedFileSystem) Create(path string) (File, error) {
+	return d.wrap(d.FileSystem.Create(path))
+}
+func (d *limitedFileSystem) Open(path string) (File, error) { return d.wrap(d.FileSystem.Open(path)) }
+func (d *limitedFileSystem) wrap(f File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
-	return smallFile{f, d}, nil
+	return limitedFile{f, d}, nil
 }
 
-func (d *smallFileSystem) Allocate(path string, _ int64) error {
+func (d *limitedFileSystem) Allocate(path string, _ int64) error {
 	if strings.HasSuffix(path, reserveFileName) {
-		if d.reserved == 0 {
-			d.reserved = 500
+		if d.reservedBytes == 0 {
+			d.reservedBytes = 500
 			return d.FileSystem.Allocate(path, 500)
 		}
 		return nil
 	}
-	if d.left < 300 {
+	if d.freeBytes < 300 {
 		return syscall.ENOSPC
 	}
 	return nil
 }
 
-func (d *smallFileSystem) Remove(path string) error {
+func (d *limitedFileSystem) Remove(path string) error {
 	if strings.HasSuffix(path, reserveFileName) {
-		d.left, d.reserved = d.left+d.reserved, 0
+		d.freeBytes, d.reservedBytes = d.freeBytes+d.reservedBytes, 0
 	}
 	if err := d.FileSystem.Remove(path); err != nil && !os.IsNotExist(err) {
 		return err
@@ -133,17 +135,17 @@
 	return nil
 }
 
-func (f smallFile) Write(p []byte) (int, error) {
-	n := min(len(p), int(f.disk.left))
+func (f limitedFile) Write(p []byte) (int, error) {
+	n := min(len(p), int(f.disk.freeBytes))
 	written, err := f.File.Write(p[:n])
-	f.disk.left -= int64(written)
+	f.disk.freeBytes -= int64(written)
 	if err == nil && n < len(p) {
 		err = syscall.ENOSPC
 	}
 	return written, err
 }
 
-func (f smallFile) Sync() error {
+func (f limitedFile) Sync() error {
 	if f.disk.failSync.Load() {
 		return syscall.EIO
 	}
--- a/internal/adapter/disklog/helpers_test.go
+++ b/internal/adapter/disklog/helpers_test.go
@@ -11,7 +11,7 @@
 
 func record(n int) []byte { return fmt.Appendf(nil, "record %d %s", n, strings.Repeat("x", n%37)) }
 
-func open(t testing.TB, cfg Config) (*Log, Replay) {
+func mustOpen(t testing.TB, cfg Config) (*Log, Replay) {
 	t.Helper()
 	l, replay, err := Open(cfg)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// noSyncFileSystem doesn't sync, for tests that lose data on purpose only.
+// noSyncFileSystem doesn't sync, for tests that need no durability.
 type noSyncFileSystem struct{ FileSystem }
 
 type noSyncFile struct{ File }
@@ -64,14 +64,14 @@
 	return noSyncFile{f}, nil
 }
 
-// closeLog closes a log whose records need not be synced.
+// closeLog closes a log; records that are not synced may be lost.
 func closeLog(l *Log) { _ = l.Close() }
 
-// difference returns how a replay differs from the records from one number up to
-// another; empty when it does not.
-func difference(replay Replay, from, to int) string {
+// recordsDifference describes how a replay differs from the records numbered from to
+// to-1; it is empty if they are equal.
+func recordsDifference(replay Replay, from, to int) string {
 	if len(replay.Records) != to-from {
-		return fmt.Sprintf("%d records, not %d", len(replay.Records), to-from)
+		return fmt.Sprintf("got %d records, want %d", len(replay.Records), to-from)
 	}
 	for i, got := range replay.Records {
 		if !bytes.Equal(got, record(from+i)) {
@@ -81,8 +81,8 @@
 	return ""
 }
 
-// files returns the paths in a folder whose names have a suffix.
-func files(folder, suffix string) (paths []string) {
+// filesWithSuffix returns the paths of a folder's files whose names have a suffix.
+func filesWithSuffix(folder, suffix string) (paths []string) {
 	entries, _ := os.ReadDir(folder)
 	for _, entry := range entries {
 		if strings.HasSuffix(entry.Name(), suffix) {
--- a/internal/adapter/disklog/inspect.go
+++ b/internal/adapter/disklog/inspect.go
@@ -6,27 +6,28 @@
 	"github.com/pkg/errors"
 )
 
-// Inspect reads a log's folder as Open does, and changes nothing in it. What
-// Open would cut off or skip is named in the Replay; a bad record is a
-// *CorruptionError.
+// Inspect reads a log's folder as Open does, but changes nothing in it. The Replay
+// names the torn tail that Open would truncate and the snapshot that it would skip.
+// A corrupt record is returned as a *CorruptionError.
 func Inspect(folder string) (Replay, error) {
-	return newWriter(newLog(Config{Folder: folder, FileSystem: readOnly{System()}})).recover()
+	return newWriter(newLog(Config{Folder: folder, FileSystem: readOnlyFileSystem{OSFileSystem()}})).recover()
 }
 
-// readOnly is a file system that is only read: changes are reported as done.
-type readOnly struct{ FileSystem }
+// readOnlyFileSystem reads from a file system and discards changes: they succeed
+// without effect, except that Create fails.
+type readOnlyFileSystem struct{ FileSystem }
 
-func (readOnly) MkdirAll(string) error { return nil }
-func (readOnly) Create(string) (File, error) {
-	return nil, errors.Wrap(fs.ErrPermission, "the folder is only read")
+func (readOnlyFileSystem) MkdirAll(string) error { return nil }
+func (readOnlyFileSystem) Create(string) (File, error) {
+	return nil, errors.Wrap(fs.ErrPermission, "create file: folder is opened read-only")
 }
-func (readOnly) Open(string) (File, error)    { return discardFile{}, nil }
-func (readOnly) Allocate(string, int64) error { return nil }
-func (readOnly) Rename(string, string) error  { return nil }
-func (readOnly) Remove(string) error          { return nil }
-func (readOnly) SyncFolder(string) error      { return nil }
+func (readOnlyFileSystem) Open(string) (File, error)    { return discardFile{}, nil }
+func (readOnlyFileSystem) Allocate(string, int64) error { return nil }
+func (readOnlyFileSystem) Rename(string, string) error  { return nil }
+func (readOnlyFileSystem) Remove(string) error          { return nil }
+func (readOnlyFileSystem) SyncFolder(string) error      { return nil }
 
-// discardFile is a file whose changes are discarded.
+// discardFile is a file that discards changes.
 type discardFile struct{}
 
 func (discardFile) Write(p []byte) (int, error)    { return len(p), nil }
--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -8,52 +8,53 @@
 )
 
 const (
-	// maxQueuedRequests and maxQueuedBytes limit what waits for a slow disk.
+	// maxQueuedRequests and maxQueuedBytes limit the queue of the writer.
 	maxQueuedRequests = 4096
 	maxQueuedBytes    = 128 << 20
-	// typicalRecordBytes is the size of record that Full assumes.
+	// typicalRecordBytes is the record size that Full assumes.
 	typicalRecordBytes = 1024
 )
 
-// Priority is whether records may use the disk's reserve.
+// Priority determines whether records may use the disk reserve.
 type Priority int
 
 // Priorities of records.
 const (
-	Ordinary Priority = iota // leave the reserve free
+	Ordinary Priority = iota // must leave the reserve free
 	Urgent                   // may use the reserve
 )
 
-// Replay is what the disk held when the log was opened. Records follow the
-// snapshot in their order.
+// Replay holds the contents of the log when it was opened: the latest complete
+// snapshot and the records after it, in order.
 type Replay struct {
-	Snapshot    []byte // nil when there is none
+	Snapshot    []byte // nil if there is none
 	Records     [][]byte
 	Segments    int
-	TornSegment string // the segment whose torn tail was cut off, or empty
-	TornBytes   int64  // that were cut off
-	BadSnapshot string // a newer snapshot that fails its checksum and was skipped, or empty
+	TornSegment string // file name of the segment whose torn tail was truncated, or empty
+	TornBytes   int64  // size of the truncated tail
+	BadSnapshot string // file name of the newest snapshot, if it is corrupt and was skipped; otherwise empty
 }
 
-// Log is a log on disk. Append, WriteSnapshot and LastIndex are for one owner
-// goroutine; Full, Used, LastSync and Err may be called from any.
+// Log is a write-ahead log on disk. Append, WriteSnapshot and LastIndex must be
+// called by a single goroutine, the owner; Full, UsedBytes, LastSyncDuration and Err
+// may be called concurrently.
 type Log struct {
-	cfg       Config
-	quit      chan struct{} // closed by Close
-	ended     chan struct{} // closed when the writer has ended
-	requests  chan request
-	synced    chan uint64
-	failed    chan struct{}
-	failure   atomic.Pointer[error]
-	lastIndex uint64
-
-	usedBytes   atomic.Int64 // of all files, and of what waits to be written
-	queuedBytes atomic.Int64 // of what waits to be written
-	full        atomic.Bool  // the file system has no room beside the reserve
-	lastSync    atomic.Int64 // how long it took, in nanoseconds
+	cfg        Config
+	quit       chan struct{} // closed by Close
+	writerDone chan struct{} // closed when the writer goroutine has stopped
+	requests   chan request
+	synced     chan uint64
+	failed     chan struct{}
+	failure    atomic.Pointer[error]
+	lastIndex  uint64
+
+	usedBytes      atomic.Int64 // of all files and of queued records
+	queuedBytes    atomic.Int64 // of queued records
+	fileSystemFull atomic.Bool  // only the reserve is left on the file system
+	lastSyncNanos  atomic.Int64 // duration of the last sync
 }
 
-// request is an append of records or, where it is set, a snapshot.
+// request asks the writer to write a snapshot or, if that is nil, to append records.
 type request struct {
 	records  [][]byte
 	priority Priority
@@ -61,28 +62,28 @@
 }
 
 type snapshotRequest struct {
-	last uint64 // the index of the last record that it replaces
-	data []byte
-	done chan error // with room for one
+	lastIndex uint64 // index of the last record that the snapshot covers
+	data      []byte
+	done      chan error // buffered, receives one result
 }
 
-// size is the number of bytes of the snapshot's file.
+// size returns the size of the snapshot's file in bytes.
 func (s *snapshotRequest) size() int64 { return snapshotHeaderSize + int64(len(s.data)) }
 
 func newLog(cfg Config) *Log {
 	return &Log{
-		cfg:      cfg,
-		quit:     make(chan struct{}),
-		ended:    make(chan struct{}),
-		requests: make(chan request, maxQueuedRequests),
-		synced:   make(chan uint64, 1),
-		failed:   make(chan struct{}),
+		cfg:        cfg,
+		quit:       make(chan struct{}),
+		writerDone: make(chan struct{}),
+		requests:   make(chan request, maxQueuedRequests),
+		synced:     make(chan uint64, 1),
+		failed:     make(chan struct{}),
 	}
 }
 
-// Open reads the folder, cuts a torn tail off after the last complete record and
-// starts the writer. For a bad record before the last batch it returns a
-// *CorruptionError with segment and offset, and changes nothing in that segment.
+// Open reads the folder, truncates a torn tail after the last complete record and
+// starts the writer. If a record before the last batch is corrupt, it returns a
+// *CorruptionError with segment and offset and leaves that segment unchanged.
 func Open(cfg Config) (*Log, Replay, error) {
 	log := newLog(cfg.withDefaults())
 	w := newWriter(log)
@@ -91,15 +92,16 @@
 		return nil, Replay{}, err
 	}
 	log.lastIndex = w.nextIndex - 1
-	log.full.Store(isNoSpace(w.checkSpace()))
+	log.fileSystemFull.Store(isOutOfSpace(w.checkSpace()))
 	go w.run()
 	return log, replay, nil
 }
 
-// Append queues records to be written and synced, in order, and returns the
-// index of the last one without waiting; Synced delivers when they are safe. All
-// of them are refused, with a *FullError, when only the reserve is left and they
-// are not urgent, or with a *BusyError when too much waits for the disk.
+// Append queues records to be written and synced, in order, and returns the index
+// of the last one without waiting for the disk; Synced delivers that index once
+// they are durable. It rejects all of them with a *FullError if they don't fit
+// (ordinary records must leave the reserve free), with a *BusyError if the queue
+// is full, or with a *RecordSizeError if one is too large.
 func (l *Log) Append(records [][]byte, priority Priority) (index uint64, err error) {
 	if err := l.Err(); err != nil {
 		return 0, err
@@ -113,10 +115,10 @@
 	}
 	queued := l.queuedBytes.Load()
 	if queued > 0 && queued+size > maxQueuedBytes {
-		return 0, &BusyError{Detail: fmt.Sprintf("the disk is too slow: %d bytes wait for it", queued)}
+		return 0, &BusyError{Detail: fmt.Sprintf("append of %d bytes: %d bytes queued for the disk, limit %d bytes", size, queued, maxQueuedBytes)}
 	}
 	if !l.hasSpace(size, priority) {
-		return 0, &FullError{Detail: fmt.Sprintf("%d bytes used", l.usedBytes.Load())}
+		return 0, &FullError{Detail: fmt.Sprintf("append of %d bytes: %d bytes used, reserve %d bytes, quota %d bytes (0 for none)", size, l.usedBytes.Load(), l.cfg.ReserveBytes, l.cfg.Quota)}
 	}
 	select {
 	case l.requests <- request{records: records, priority: priority}:
@@ -132,7 +134,7 @@
 func (l *Log) hasSpace(size int64, priority Priority) bool {
 	limit := l.cfg.Quota
 	if priority == Ordinary {
-		if l.full.Load() {
+		if l.fileSystemFull.Load() {
 			return false
 		}
 		limit -= l.cfg.ReserveBytes
@@ -141,13 +143,14 @@
 }
 
 func queueFullError() error {
-	return &BusyError{Detail: fmt.Sprintf("the disk is too slow: %d appends wait for it", maxQueuedRequests)}
+	return &BusyError{Detail: fmt.Sprintf("disk queue is full: %d requests", maxQueuedRequests)}
 }
 
-// WriteSnapshot writes data to a file of its own, as the state after all records
-// appended so far, and then removes these records. Done delivers the result
-// once; a lack of room is a *FullError and leaves the log as it was, and a
-// snapshot beside another one is refused with a *BusyError.
+// WriteSnapshot writes data to a snapshot file, as the state after all records
+// appended so far, and then removes the segments and snapshots that it replaces.
+// done delivers the result once: a *FullError if there is no room, which leaves the
+// log unchanged, or a *BusyError if another snapshot is being written or the queue
+// is full.
 func (l *Log) WriteSnapshot(data []byte) (done <-chan error) {
 	result := make(chan error, 1)
 	if err := l.Err(); err != nil {
@@ -155,25 +158,25 @@
 		return result
 	}
 	select {
-	case l.requests <- request{snapshot: &snapshotRequest{last: l.lastIndex, data: data, done: result}}:
+	case l.requests <- request{snapshot: &snapshotRequest{lastIndex: l.lastIndex, data: data, done: result}}:
 	default:
 		result <- queueFullError()
 	}
 	return result
 }
 
-// LastIndex is the index of the last record appended.
+// LastIndex returns the index of the last appended record.
 func (l *Log) LastIndex() uint64 { return l.lastIndex }
 
-// Synced delivers the highest index up to which all records are synced, each
-// time it rises; a value not yet received is replaced by the next.
+// Synced delivers the index up to which all records are synced, each time it
+// advances. A value that has not been received is replaced by the next.
 func (l *Log) Synced() <-chan uint64 { return l.synced }
 
-// Failed is closed when a write or sync has failed. What was appended since the
-// last synced index may or may not be on disk: open the folder again.
+// Failed returns a channel that is closed when a write or sync has failed. Records
+// after the last synced index may or may not be on disk: reopen the log to find out.
 func (l *Log) Failed() <-chan struct{} { return l.failed }
 
-// Err returns why the log has failed, ErrClosed after Close, or nil.
+// Err returns the error that stopped the log, ErrClosed after Close, or nil.
 func (l *Log) Err() error {
 	if failure := l.failure.Load(); failure != nil {
 		return *failure
@@ -181,29 +184,29 @@
 	return nil
 }
 
-// Full reports whether ordinary records of a typical size are refused for lack
-// of room.
+// Full reports whether an ordinary record of typical size would be rejected for
+// lack of space.
 func (l *Log) Full() bool { return !l.hasSpace(frameHeaderSize+typicalRecordBytes, Ordinary) }
 
-// Used is the size of all files, and of what waits to be written, in bytes.
-func (l *Log) Used() int64 { return l.usedBytes.Load() }
+// UsedBytes returns the total size of all files and queued records.
+func (l *Log) UsedBytes() int64 { return l.usedBytes.Load() }
 
-// LastSync is how long the last sync took.
-func (l *Log) LastSync() time.Duration { return time.Duration(l.lastSync.Load()) }
+// LastSyncDuration returns the duration of the last sync of records.
+func (l *Log) LastSyncDuration() time.Duration { return time.Duration(l.lastSyncNanos.Load()) }
 
-// Close stops the writer and closes its files. What was not synced may be lost.
-// It must be called once.
+// Close stops the writer and closes its files. Records that are not synced may be
+// lost. It must be called once.
 func (l *Log) Close() error {
 	closed := error(ErrClosed)
 	l.failure.CompareAndSwap(nil, &closed)
 	close(l.quit)
-	<-l.ended
+	<-l.writerDone
 	return nil
 }
 
 func (l *Log) path(name string) string { return filepath.Join(l.cfg.Folder, name) }
 
-// notifySynced replaces an index that was not yet received by a higher one.
+// notifySynced delivers an index on Synced, replacing one that was not received.
 func (l *Log) notifySynced(index uint64) {
 	select {
 	case <-l.synced:
@@ -212,7 +215,7 @@
 	l.synced <- index
 }
 
-// fail makes the log take nothing more, for the first reason given.
+// fail stops the log from accepting requests and records the first error.
 func (l *Log) fail(err error) {
 	if l.failure.CompareAndSwap(nil, &err) {
 		close(l.failed)
--- a/internal/adapter/disklog/reserve.go
+++ b/internal/adapter/disklog/reserve.go
@@ -1,40 +1,40 @@
 package disklog
 
-// trialBytes is the most that is allocated to find out whether there is room
-// beside the reserve.
-const trialBytes = 256 << 10
+// spaceProbeBytes is the maximum size that is allocated to check for free space
+// beyond the reserve.
+const spaceProbeBytes = 256 << 10
 
-// trialFileName is the file that is allocated for that, and removed at once.
-const trialFileName = "room" + temporarySuffix
+// spaceProbeFileName is the file that is allocated for the check and removed at once.
+const spaceProbeFileName = "room" + temporarySuffix
 
-// reserve is a file on a disk without a quota whose blocks are given back when
-// there is no other room for a snapshot or an urgent record.
+// reserve is the state of the reserve file, which exists only without a quota. Its
+// blocks are released when there is no other room for a snapshot or urgent records.
 type reserve struct {
-	allocated   bool // the file has its blocks
-	unsupported bool // the file system can't allocate blocks
+	allocated   bool // the file exists with its blocks allocated
+	unsupported bool // the file system does not support allocation of blocks
 }
 
-// updateSpace restores the reserve after its release, and finds out whether a
-// full disk has room again.
+// updateSpace allocates the reserve again after its release and checks whether a
+// full disk has space again.
 func (w *writer) updateSpace() {
 	needsNoReserve := w.reserve.allocated || w.reserve.unsupported || w.cfg.Quota > 0
-	if !w.full.Load() && needsNoReserve {
+	if !w.fileSystemFull.Load() && needsNoReserve {
 		return
 	}
-	w.full.Store(isNoSpace(w.checkSpace()))
+	w.fileSystemFull.Store(isOutOfSpace(w.checkSpace()))
 }
 
-// checkSpace allocates the reserve and, for a moment, a little room beside it. The
-// disk counts as full when either can't be had.
+// checkSpace allocates the reserve and, temporarily, a small file beside it. An
+// error for lack of space from either means that the disk is full.
 func (w *writer) checkSpace() error {
 	if w.cfg.Quota == 0 && !w.reserve.unsupported {
 		if err := w.allocateReserve(); err != nil {
 			return err
 		}
 	}
-	trialPath := w.path(trialFileName)
-	err := w.files.Allocate(trialPath, min(w.cfg.ReserveBytes, trialBytes))
-	_ = w.files.Remove(trialPath)
+	probePath := w.path(spaceProbeFileName)
+	err := w.files.Allocate(probePath, min(w.cfg.ReserveBytes, spaceProbeBytes))
+	_ = w.files.Remove(probePath)
 	return err
 }
 
@@ -44,13 +44,13 @@
 	w.reserve.allocated = err == nil
 	if err != nil {
 		_ = w.files.Remove(path)
-		w.reserve.unsupported = !isNoSpace(err)
+		w.reserve.unsupported = !isOutOfSpace(err)
 	}
 	return err
 }
 
-// releaseReserve gives the reserve's blocks back and reports whether there were
-// any.
+// releaseReserve frees the reserve's blocks. It reports whether the reserve was
+// allocated and its file removed.
 func (w *writer) releaseReserve() bool {
 	if !w.reserve.allocated {
 		return false
--- a/internal/adapter/disklog/snapshot.go
+++ b/internal/adapter/disklog/snapshot.go
@@ -8,13 +8,14 @@
 	"github.com/pkg/errors"
 )
 
-// beginSnapshot closes the segment, so that all before the snapshot can be
-// removed, and writes the snapshot on a goroutine of its own.
+// beginSnapshot closes the open segment, so that all segments before the snapshot
+// can be removed, and writes the snapshot on a separate goroutine.
 func (w *writer) beginSnapshot(snapshot *snapshotRequest) error {
 	select {
-	case left := <-w.snapshotEnded:
-		// The caller of the one before was answered, and this is its next.
-		w.finishSnapshot(left)
+	case remaining := <-w.snapshotEnded:
+		// The result of the previous snapshot is delivered after snapshotEnded, so
+		// this request may arrive before run has received snapshotEnded.
+		w.finishSnapshot(remaining)
 	default:
 	}
 	if w.snapshotRunning {
@@ -29,62 +30,62 @@
 	if w.cfg.Quota > 0 && used+snapshot.size() > w.cfg.Quota {
 		w.snapshotEnded <- w.stored
 		w.stored.segments = nil
-		snapshot.done <- &FullError{Detail: fmt.Sprintf("a snapshot of %d bytes beside %d bytes used", snapshot.size(), used)}
+		snapshot.done <- &FullError{Detail: fmt.Sprintf("snapshot of %d bytes: %d bytes used, quota %d bytes", snapshot.size(), used, w.cfg.Quota)}
 		return nil
 	}
-	if w.full.Load() {
+	if w.fileSystemFull.Load() {
 		w.releaseReserve()
 	}
 	replaced := w.stored
 	w.stored = storedFiles{}
 	go func() {
-		left, err := w.writeSnapshot(snapshot, replaced)
-		w.snapshotEnded <- left
+		remaining, err := w.writeSnapshot(snapshot, replaced)
+		w.snapshotEnded <- remaining
 		snapshot.done <- err
 	}()
 	return nil
 }
 
-// finishSnapshot takes back the files that a snapshot left in the folder.
-func (w *writer) finishSnapshot(left storedFiles) {
+// finishSnapshot returns to the writer the files that remain after a snapshot.
+func (w *writer) finishSnapshot(remaining storedFiles) {
 	w.snapshotRunning = false
-	w.stored.segments = append(left.segments, w.stored.segments...)
-	w.stored.snapshots = left.snapshots
+	w.stored.segments = append(remaining.segments, w.stored.segments...)
+	w.stored.snapshots = remaining.snapshots
 	w.updateSpace()
 }
 
-// writeSnapshot writes a snapshot and removes the files that it replaces. It
-// returns the files that are left, the snapshot's included once it has its final
-// name. It runs beside the writer and uses none of its files.
-func (w *writer) writeSnapshot(snapshot *snapshotRequest, replaced storedFiles) (left storedFiles, err error) {
-	written := storedFile{index: snapshot.last, size: snapshot.size()}
-	w.usedBytes.Add(written.size)
-	finalPath := w.path(snapshotFileName(snapshot.last))
+// writeSnapshot writes a snapshot and removes the files that it replaces. It returns
+// the files that remain, including the snapshot once it has its final name. It runs
+// concurrently with the writer and doesn't touch the writer's files.
+func (w *writer) writeSnapshot(snapshot *snapshotRequest, replaced storedFiles) (remaining storedFiles, err error) {
+	newSnapshot := storedFile{index: snapshot.lastIndex, size: snapshot.size()}
+	w.usedBytes.Add(newSnapshot.size)
+	finalPath := w.path(snapshotFileName(snapshot.lastIndex))
 	temporaryPath := finalPath + temporarySuffix
-	if err := w.writeTemporary(temporaryPath, snapshot); err != nil {
-		w.usedBytes.Add(-written.size)
+	if err := w.writeTemporaryFile(temporaryPath, snapshot); err != nil {
+		w.usedBytes.Add(-newSnapshot.size)
 		_ = w.files.Remove(temporaryPath)
-		if isNoSpace(err) {
+		if isOutOfSpace(err) {
 			return replaced, &FullError{Detail: err.Error()}
 		}
-		return replaced, errors.Wrap(err, "snapshot")
+		return replaced, errors.Wrap(err, "write snapshot")
 	}
 	if err := w.files.Rename(temporaryPath, finalPath); err != nil {
-		return replaced, errors.Wrap(err, "snapshot")
+		return replaced, errors.Wrap(err, "rename snapshot")
 	}
-	replaced.snapshots = w.withoutOverwritten(replaced.snapshots, snapshot.last)
+	replaced.snapshots = w.dropOverwritten(replaced.snapshots, snapshot.lastIndex)
 	if err := w.files.SyncFolder(w.cfg.Folder); err != nil {
-		replaced.snapshots = append(replaced.snapshots, written)
-		return replaced, errors.Wrap(err, "snapshot")
+		replaced.snapshots = append(replaced.snapshots, newSnapshot)
+		return replaced, errors.Wrap(err, "sync data folder")
 	}
-	left, err = w.removeReplaced(replaced)
-	left.snapshots = append(left.snapshots, written)
-	return left, err
+	remaining, err = w.removeReplacedFiles(replaced)
+	remaining.snapshots = append(remaining.snapshots, newSnapshot)
+	return remaining, err
 }
 
-// withoutOverwritten returns the snapshots but the one whose file was replaced
-// by another of the same index.
-func (w *writer) withoutOverwritten(snapshots []storedFile, index uint64) []storedFile {
+// dropOverwritten returns the snapshots without the one whose file was overwritten
+// by a new snapshot with the same index.
+func (w *writer) dropOverwritten(snapshots []storedFile, index uint64) []storedFile {
 	return slices.DeleteFunc(slices.Clone(snapshots), func(snapshot storedFile) bool {
 		if snapshot.index != index {
 			return false
@@ -94,13 +95,14 @@
 	})
 }
 
-// writeTemporary writes and syncs a snapshot under a name that recovery ignores.
-func (w *writer) writeTemporary(path string, snapshot *snapshotRequest) error {
+// writeTemporaryFile writes and syncs a snapshot under a temporary name, which
+// recovery removes.
+func (w *writer) writeTemporaryFile(path string, snapshot *snapshotRequest) error {
 	file, err := w.files.Create(path)
 	if err != nil {
 		return err
 	}
-	if _, err = file.Write(snapshotHeader(snapshot.last, snapshot.data)); err == nil {
+	if _, err = file.Write(snapshotHeader(snapshot.lastIndex, snapshot.data)); err == nil {
 		_, err = file.Write(snapshot.data)
 	}
 	if err == nil {
@@ -112,24 +114,24 @@
 	return err
 }
 
-// removeReplaced removes the segments, then the snapshots, and returns those
-// that are left after a failure.
-func (w *writer) removeReplaced(replaced storedFiles) (left storedFiles, err error) {
-	left.segments, err = w.removeAll(replaced.segments, segmentFileName)
+// removeReplacedFiles removes the segments, then the snapshots. On failure it returns
+// those that remain.
+func (w *writer) removeReplacedFiles(replaced storedFiles) (remaining storedFiles, err error) {
+	remaining.segments, err = w.removeFiles(replaced.segments, segmentFileName)
 	if err != nil {
-		left.snapshots = replaced.snapshots
-		return left, err
+		remaining.snapshots = replaced.snapshots
+		return remaining, err
 	}
-	left.snapshots, err = w.removeAll(replaced.snapshots, snapshotFileName)
-	return left, err
+	remaining.snapshots, err = w.removeFiles(replaced.snapshots, snapshotFileName)
+	return remaining, err
 }
 
-// removeAll removes files in order and returns those that are left.
-func (w *writer) removeAll(files []storedFile, name func(index uint64) string) ([]storedFile, error) {
+// removeFiles removes files in order. On failure it returns those that remain.
+func (w *writer) removeFiles(files []storedFile, fileName func(index uint64) string) ([]storedFile, error) {
 	for i, file := range files {
-		err := w.files.Remove(w.path(name(file.index)))
+		err := w.files.Remove(w.path(fileName(file.index)))
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return files[i:], errors.Wrap(err, "remove what the snapshot replaces")
+			return files[i:], errors.Wrap(err, "remove file replaced by snapshot")
 		}
 		w.usedBytes.Add(-file.size)
 	}
--- a/internal/adapter/disklog/syncdelay.go
+++ b/internal/adapter/disklog/syncdelay.go
@@ -6,8 +6,8 @@
 	"stepwick/internal/clock"
 )
 
-// WithSyncDelay returns a file system on which every sync takes longer by the
-// delay, for tests of slow disks.
+// WithSyncDelay returns a file system that delays every sync, to simulate a slow
+// disk in tests.
 func WithSyncDelay(base FileSystem, clock clock.Clock, delay time.Duration) FileSystem {
 	return delayedFileSystem{FileSystem: base, clock: clock, delay: delay}
 }
@@ -26,14 +26,14 @@
 func (d delayedFileSystem) wait() { <-d.clock.After(d.delay) }
 
 func (d delayedFileSystem) Create(path string) (File, error) {
-	return d.delayed(d.FileSystem.Create(path))
+	return d.wrap(d.FileSystem.Create(path))
 }
 
 func (d delayedFileSystem) Open(path string) (File, error) {
-	return d.delayed(d.FileSystem.Open(path))
+	return d.wrap(d.FileSystem.Open(path))
 }
 
-func (d delayedFileSystem) delayed(file File, err error) (File, error) {
+func (d delayedFileSystem) wrap(file File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/internal/adapter/disklog/writer.go
+++ b/internal/adapter/disklog/writer.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// maxBatchBytes is the size beyond which a batch takes no further append.
+	// maxBatchBytes is the size above which no further append joins a batch.
 	maxBatchBytes = 1 << 20
-	// spaceCheckInterval is the time between checks for space on a full disk.
+	// spaceCheckInterval is the interval of updateSpace.
 	spaceCheckInterval = time.Second
 )
 
 // storedFile is a segment or snapshot that is complete on disk.
 type storedFile struct {
-	index uint64 // of a segment's first record, or of the last that a snapshot replaces
+	index uint64 // of a segment's first record, or of the last record that a snapshot covers
 	size  int64
 }
 
-// storedFiles are the closed segments and the snapshots, each by index.
+// storedFiles holds the closed segments and the snapshots, each ordered by index.
 type storedFiles struct {
 	segments  []storedFile
 	snapshots []storedFile
 }
 
-// writer owns the files, on one goroutine. While a snapshot is being written,
-// the files that it will replace belong to the snapshot's goroutine.
+// writer owns the log's files on a single goroutine. While a snapshot is being
+// written, the files that it will replace are owned by the snapshot's goroutine.
 type writer struct {
 	*Log
-	files     FileSystem
-	nextIndex uint64 // of the next record
-	current   File   // the open segment; nil when the next record begins one
-	segment   storedFile
-	stored    storedFiles
-	reserve   reserve
+	files       FileSystem
+	nextIndex   uint64 // index of the next record
+	segmentFile File   // the open segment; nil if the next batch begins one
+	segment     storedFile
+	stored      storedFiles
+	reserve     reserve
 
 	snapshotRunning bool
-	snapshotEnded   chan storedFiles // what is left after a snapshot, or after its failure
+	snapshotEnded   chan storedFiles // files that remain after a snapshot completes or fails
 }
 
 func newWriter(log *Log) *writer {
 	return &writer{Log: log, files: log.cfg.FileSystem, snapshotEnded: make(chan storedFiles, 1)}
 }
 
-// run writes what is requested until the log is closed or fails.
+// run serves requests until the log is closed or fails.
 func (w *writer) run() {
-	defer close(w.ended)
+	defer close(w.writerDone)
 	ticker := w.cfg.Clock.Ticker(spaceCheckInterval)
 	defer ticker.Stop()
 	defer w.shutDown()
@@ -56,36 +56,36 @@
 			return
 		case <-ticker.C():
 			w.updateSpace()
-		case left := <-w.snapshotEnded:
-			w.finishSnapshot(left)
-		case next := <-w.requests:
-			if !w.handle(next) {
+		case remaining := <-w.snapshotEnded:
+			w.finishSnapshot(remaining)
+		case req := <-w.requests:
+			if !w.handleRequest(req) {
 				return
 			}
 		}
 	}
 }
 
-// shutDown waits for a running snapshot, closes the segment and refuses the
-// snapshots that are still requested.
+// shutDown waits for a running snapshot, closes the open segment and fails the
+// queued snapshot requests.
 func (w *writer) shutDown() {
 	if w.snapshotRunning {
 		<-w.snapshotEnded
 	}
-	if w.current != nil {
-		_ = w.current.Close()
+	if w.segmentFile != nil {
+		_ = w.segmentFile.Close()
 	}
 	for len(w.requests) > 0 {
-		if left := <-w.requests; left.snapshot != nil {
-			left.snapshot.done <- w.Err()
+		if pending := <-w.requests; pending.snapshot != nil {
+			pending.snapshot.done <- w.Err()
 		}
 	}
 }
 
-// handle writes a request and those that arrived with it. It returns false when
-// the log has failed.
-func (w *writer) handle(next request) (running bool) {
-	batch, snapshot := w.gather(next)
+// handleRequest serves a request together with those queued behind it. It returns
+// false if the log has failed.
+func (w *writer) handleRequest(req request) (running bool) {
+	batch, snapshot := w.collectBatch(req)
 	if len(batch) > 0 {
 		if err := w.writeBatch(batch); err != nil {
 			w.fail(err)
@@ -103,47 +103,48 @@
 	return true
 }
 
-// gather takes what else has arrived, up to a snapshot or about 1 MiB.
-func (w *writer) gather(next request) (batch []request, snapshot *snapshotRequest) {
+// collectBatch adds queued appends to a request's, up to the next snapshot request or
+// until the batch exceeds maxBatchBytes.
+func (w *writer) collectBatch(req request) (batch []request, snapshot *snapshotRequest) {
 	size := 0
 	for {
-		if next.snapshot != nil {
-			return batch, next.snapshot
+		if req.snapshot != nil {
+			return batch, req.snapshot
 		}
-		batch = append(batch, next)
-		for _, record := range next.records {
+		batch = append(batch, req)
+		for _, record := range req.records {
 			size += len(record)
 		}
 		if size > maxBatchBytes {
 			return batch, nil
 		}
 		select {
-		case next = <-w.requests:
+		case req = <-w.requests:
 		default:
 			return batch, nil
 		}
 	}
 }
 
-// writeBatch writes and syncs records together. When there is no room it leaves
-// none of them in the segment.
+// writeBatch writes and syncs a batch of records. If there is no room, it truncates
+// the segment so that none of them remain.
 func (w *writer) writeBatch(batch []request) error {
-	if w.current == nil {
+	if w.segmentFile == nil {
 		if err := w.beginSegment(); err != nil {
 			return err
 		}
 	}
 	data, priority := w.encodeBatch(batch)
 	err := w.writeAndSync(data, priority)
-	if isNoSpace(err) {
-		w.full.Store(true)
-		if truncateErr := w.current.Truncate(w.segment.size); truncateErr != nil {
-			err = errors.Wrap(truncateErr, "cut a half-written batch")
+	if isOutOfSpace(err) {
+		w.fileSystemFull.Store(true)
+		if truncateErr := w.segmentFile.Truncate(w.segment.size); truncateErr != nil {
+			err = errors.Wrap(truncateErr, "truncate partially written batch")
 		}
-		return errors.Wrap(&FullError{Detail: err.Error()}, "append")
+		return errors.Wrap(&FullError{Detail: err.Error()}, "append records")
 	}
 	if err != nil {
-		return errors.Wrap(err, "append")
+		return errors.Wrap(err, "append records")
 	}
 	w.segment.size += int64(len(data))
 	w.queuedBytes.Add(-int64(len(data)))
@@ -154,40 +155,41 @@
 	return nil
 }
 
-// encodeBatch returns the batch's frames, and Urgent when any record of it is.
+// encodeBatch returns the batch's encoded frames and its highest priority.
 func (w *writer) encodeBatch(batch []request) (data []byte, priority Priority) {
-	first := w.nextIndex
-	for _, next := range batch {
-		priority = max(priority, next.priority)
-		for _, record := range next.records {
-			data = frame{index: w.nextIndex, batch: first, record: record}.appendTo(data)
+	batchIndex := w.nextIndex
+	for _, req := range batch {
+		priority = max(priority, req.priority)
+		for _, record := range req.records {
+			data = frame{index: w.nextIndex, batch: batchIndex, record: record}.appendTo(data)
 			w.nextIndex++
 		}
 	}
 	return data, priority
 }
 
-// writeAndSync releases the reserve when an urgent batch finds no room.
+// writeAndSync appends encoded frames to the open segment and syncs it. If there is no
+// room for an urgent batch, it releases the reserve and writes the rest.
 func (w *writer) writeAndSync(data []byte, priority Priority) error {
-	written, err := w.current.Write(data)
-	if isNoSpace(err) && priority == Urgent && w.releaseReserve() {
-		_, err = w.current.Write(data[written:])
+	written, err := w.segmentFile.Write(data)
+	if isOutOfSpace(err) && priority == Urgent && w.releaseReserve() {
+		_, err = w.segmentFile.Write(data[written:])
 	}
 	if err != nil {
 		return err
 	}
 	start := w.cfg.Clock.Now()
-	err = w.current.Sync()
-	w.lastSync.Store(int64(w.cfg.Clock.Now().Sub(start)))
+	err = w.segmentFile.Sync()
+	w.lastSyncNanos.Store(int64(w.cfg.Clock.Now().Sub(start)))
 	return err
 }
 
-// beginSegment creates the next segment and syncs it with its folder, so that it
-// is there before a record goes in.
+// beginSegment creates the next segment and syncs the file and its folder, so that
+// its directory entry is durable before a record is written.
 func (w *writer) beginSegment() error {
 	file, err := w.files.Create(w.path(segmentFileName(w.nextIndex)))
 	if err != nil {
-		return errors.Wrap(err, "new segment")
+		return errors.Wrap(err, "create segment")
 	}
 	if _, err = file.Write(segmentHeader(w.nextIndex)); err == nil {
 		err = file.Sync()
@@ -197,27 +199,27 @@
 	}
 	if err != nil {
 		_ = file.Close()
-		if isNoSpace(err) {
-			w.full.Store(true)
+		if isOutOfSpace(err) {
+			w.fileSystemFull.Store(true)
 			err = &FullError{Detail: err.Error()}
 		}
-		return errors.Wrap(err, "new segment")
+		return errors.Wrap(err, "create segment")
 	}
-	w.current = file
+	w.segmentFile = file
 	w.segment = storedFile{index: w.nextIndex, size: segmentHeaderSize}
 	w.usedBytes.Add(segmentHeaderSize)
 	return nil
 }
 
-// closeSegment closes the open segment if there is a record in it.
+// closeSegment closes the open segment if it holds any records.
 func (w *writer) closeSegment() error {
-	if w.current == nil || w.segment.size <= segmentHeaderSize {
+	if w.segmentFile == nil || w.segment.size <= segmentHeaderSize {
 		return nil
 	}
-	if err := w.current.Close(); err != nil {
-		return errors.Wrap(err, "close a segment")
+	if err := w.segmentFile.Close(); err != nil {
+		return errors.Wrap(err, "close segment")
 	}
 	w.stored.segments = append(w.stored.segments, w.segment)
-	w.current = nil
+	w.segmentFile = nil
 	return nil
 }
