--- a/internal/adapter/internalrpc/address_client.go
+++ b/internal/adapter/internalrpc/address_client.go
@@ -9,17 +9,17 @@
 	"stepwick/internal/wire"
 )
 
-// sharedBaseURL is the base URL of the one client that all processes share. Its host
-// is replaced by the address of each call.
+// sharedBaseURL is the base URL of the shared protocol client. addressDoer replaces its
+// host with the address of each call.
 const sharedBaseURL = "http://peer"
 
-// addressKey is the key of a call's address in its context.
+// addressKey is the context key of a call's address.
 type addressKey struct{}
 
-// addressDoer sends each request to the address in its context.
+// addressDoer is an HTTP client that sends each request to the address in its context.
 type addressDoer struct{ client *http.Client }
 
-// Do sends a request.
+// Do implements connect.HTTPClient.
 func (d addressDoer) Do(r *http.Request) (*http.Response, error) {
 	address, _ := r.Context().Value(addressKey{}).(string)
 	r.URL.Host = address
@@ -27,9 +27,9 @@
 	return d.client.Do(r)
 }
 
-// addressClient is a client for one address. It shares the client of the protocol
-// with those for all other addresses, as one takes some 30 KB and a large fleet has
-// hundreds of processes: the address of a call is passed in its context.
+// addressClient is a client for one address. All addresses share one protocol client,
+// since each takes about 30 KB and a large fleet has hundreds of processes. The address
+// of a call is passed in its context.
 type addressClient struct {
 	shared  PeerClient
 	address string
--- a/internal/adapter/internalrpc/compression.go
+++ b/internal/adapter/internalrpc/compression.go
@@ -7,12 +7,12 @@
 	"connectrpc.com/connect"
 )
 
-// maxGzipWriters is how many answers a process compresses at once. A writer takes
+// maxGzipWriters limits how many responses a handler compresses at once. A writer takes
 // 1.2 MB, and a core sends its snapshot to many processes at once.
 const maxGzipWriters = 2
 
-// gzipWriters holds the writers that a handler's answers share; nil stands for one
-// that is not allocated yet.
+// gzipWriters is a pool of writers shared by a handler's responses. A nil element is a
+// writer that is not allocated yet.
 type gzipWriters chan *gzip.Writer
 
 func newGzipWriters() gzipWriters {
@@ -23,8 +23,8 @@
 	return writers
 }
 
-// take waits for a free writer and directs it to the destination.
-func (w gzipWriters) take(destination io.Writer) *gzip.Writer {
+// acquire waits for a free writer and resets it to write to the destination.
+func (w gzipWriters) acquire(destination io.Writer) *gzip.Writer {
 	writer := <-w
 	if writer == nil {
 		writer, _ = gzip.NewWriterLevel(destination, gzip.BestSpeed)
@@ -34,26 +34,26 @@
 	return writer
 }
 
-// sharedCompressor compresses one answer at a time. It holds a shared writer from
-// the first byte of an answer until it is closed.
+// sharedCompressor compresses one response at a time. It holds a shared writer from the
+// first byte of a response until Close.
 type sharedCompressor struct {
 	writers     gzipWriters
-	writer      *gzip.Writer // nil while it holds none
+	writer      *gzip.Writer // nil if none is held
 	destination io.Writer
 }
 
-// Reset sets where the next answer is written.
+// Reset sets the destination of the next response.
 func (c *sharedCompressor) Reset(destination io.Writer) { c.destination = destination }
 
-// Write compresses a part of an answer.
+// Write compresses a part of a response.
 func (c *sharedCompressor) Write(data []byte) (int, error) {
 	if c.writer == nil {
-		c.writer = c.writers.take(c.destination)
+		c.writer = c.writers.acquire(c.destination)
 	}
 	return c.writer.Write(data)
 }
 
-// Close ends an answer and frees the writer.
+// Close ends a response and returns the writer to the pool.
 func (c *sharedCompressor) Close() error {
 	if c.writer == nil {
 		return nil
@@ -65,8 +65,8 @@
 	return err
 }
 
-// sharedGzip compresses at the lowest level: a core sends the same large snapshot to
-// many processes at once.
+// sharedGzip returns a handler option for gzip with pooled writers at the fastest level,
+// since a core sends the same large snapshot to many processes at once.
 func sharedGzip() connect.HandlerOption {
 	writers := newGzipWriters()
 	return connect.WithCompression("gzip",
--- a/internal/adapter/internalrpc/compression_test.go
+++ b/internal/adapter/internalrpc/compression_test.go
@@ -10,18 +10,19 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// allocatedBy returns how many bytes were allocated while a function ran.
-func allocatedBy(act func()) uint64 {
+// allocatedBy returns the number of bytes allocated during a function call.
+func allocatedBy(run func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	act()
+	run()
 	runtime.ReadMemStats(&after)
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// The snapshots for 54 restarted fronts took 65 MB of writers at a core.
+// Guards against one gzip writer per concurrent response: the snapshots for 54
+// restarted fronts took 65 MB of writers at a core.
 func TestAnswersAtOnceShareGzipWriters(t *testing.T) {
-	Convey("Many answers that are compressed at once take the memory of a few writers, and each is complete", t, func() {
+	Convey("Responses compressed concurrently share maxGzipWriters writers, and each is complete", t, func() {
 		const answers, writerBytes = 64, 1_300_000
 		data := bytes.Repeat([]byte("a snapshot "), 4000)
 		writers := newGzipWriters()
--- a/internal/adapter/internalrpc/directory.go
+++ b/internal/adapter/internalrpc/directory.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// forgetAfter is how long after it was last seen a process is forgotten.
-	forgetAfter = 10 * time.Minute
+	// staleAfter is how long after it was last seen a process is removed.
+	staleAfter = 10 * time.Minute
 
-	inboxCapacity = 64
+	receivedCapacity = 64
 )
 
-// Directory knows the processes of the fleet. It starts from the addresses of the
-// seeds and discovers the others by gossip; see gossip.go. Processes that the feed
-// of a core reports as live are known as well.
+// Directory lists the processes of the fleet. It starts with the addresses of the seeds
+// and discovers other processes by gossip (see gossip.go) and from a core's feed.
 //
-// The goroutine of Serve owns it; readers load an immutable table.
+// The goroutine of Serve owns it; readers load an immutable table, so the exported
+// methods other than Serve may be called concurrently.
 type Directory struct {
 	clock clock.Clock
 	pool  *Pool
@@ -34,68 +34,67 @@
 	self  func() *wire.Process
 	table atomic.Pointer[processTable]
 
-	// live is what the feed of a core last reported.
-	live        atomic.Pointer[liveProcesses]
-	liveChanged chan struct{}
-	received    chan []*wire.Process // records by gossip
-	newSeeds    chan []string
+	// running holds the last report of a core's feed.
+	running        atomic.Pointer[runningProcesses]
+	runningChanged chan struct{}
+	received       chan []*wire.Process // records from gossip
+	newSeeds       chan []string
 
-	// The fields from here on belong to the goroutine of Serve.
+	// The fields below are owned by the goroutine of Serve.
 	seeds      []string
-	counter    uint64 // of the process's own record
+	counter    uint64 // counter of the process's own record
 	random     *rand.Rand
-	lastChange time.Time // when gossip last brought a process or an incarnation that was new
+	lastChange time.Time // when gossip last delivered a new process or a significant change
 }
 
-// liveProcesses are the processes that the feed of a core reports as live.
-type liveProcesses struct {
+// runningProcesses holds the processes that a core's feed reports as running.
+type runningProcesses struct {
 	records []*wire.Process
 	names   map[string]bool
 }
 
-// NewDirectory returns a directory. Self returns the process's own record at each
-// call, with a counter that rises, or zero; seeds are internal addresses (ip:port).
+// NewDirectory returns a directory. self returns a fresh record of this process on each
+// call, with an increasing counter or 0; seeds are internal addresses (ip:port).
 func NewDirectory(pool *Pool, clock clock.Clock, log events.Log, seeds []string, self func() *wire.Process) *Directory {
 	seed := xxhash.Sum64String(self().Name)
 	directory := &Directory{
-		clock:       clock,
-		pool:        pool,
-		log:         log,
-		seeds:       seeds,
-		self:        self,
-		random:      rand.New(rand.NewPCG(seed, 1)),
-		received:    make(chan []*wire.Process, inboxCapacity),
-		liveChanged: make(chan struct{}, 1),
-		newSeeds:    make(chan []string),
+		clock:          clock,
+		pool:           pool,
+		log:            log,
+		seeds:          seeds,
+		self:           self,
+		random:         rand.New(rand.NewPCG(seed, 1)),
+		received:       make(chan []*wire.Process, receivedCapacity),
+		runningChanged: make(chan struct{}, 1),
+		newSeeds:       make(chan []string),
 	}
 	directory.table.Store(newProcessTable(nil))
-	directory.live.Store(&liveProcesses{})
+	directory.running.Store(&runningProcesses{})
 	return directory
 }
 
-// Process returns what is known of a process by its name.
+// Process returns the latest record of a process by name.
 func (d *Directory) Process(name string) (*wire.Process, bool) {
 	entry, found := d.table.Load().find(name)
 	return entry.Process, found
 }
 
-// Processes returns all known processes in the order of their names. The slice
-// must not be changed.
+// Processes returns all known processes, sorted by name. The slice must not be
+// modified.
 func (d *Directory) Processes() []*wire.Process { return d.table.Load().processes }
 
-// Cores returns the known cores in the order of their names. The slice must not be
-// changed.
+// Cores returns the known cores, sorted by name. The slice must not be modified.
 func (d *Directory) Cores() []*wire.Process { return d.table.Load().cores }
 
 // KnownProcesses returns all known processes with the time at which they were last
-// seen, in the order of their names. The slice must not be changed; the same one is
-// returned until something is new.
-func (d *Directory) KnownProcesses() []port.KnownProcess { return d.table.Load().known }
+// seen, sorted by name. The slice must not be modified. The same slice is returned
+// until an entry changes.
+func (d *Directory) KnownProcesses() []port.KnownProcess { return d.table.Load().entries }
 
 // Client returns a client for an internal address (ip:port).
 func (d *Directory) Client(address string) PeerClient { return d.pool.Client(address) }
 
-// SetSeeds replaces the seeds. It waits for the owner until the context ends.
+// SetSeeds replaces the seeds. It blocks until Serve receives them or the context ends.
 func (d *Directory) SetSeeds(ctx context.Context, seeds []string) {
 	select {
 	case d.newSeeds <- seeds:
@@ -103,38 +102,38 @@
 	}
 }
 
-// ConfirmLive takes all processes that the feed of a core reports as live. They are
-// known by these records and are not forgotten, whether gossip brings them or not.
-// It never waits.
-func (d *Directory) ConfirmLive(live []*wire.Process) {
-	names := make(map[string]bool, len(live))
-	for _, process := range live {
+// ConfirmLive replaces the set of processes that a core's feed reports as running. The
+// directory merges their records and keeps these processes even if gossip no longer
+// delivers them. It never blocks.
+func (d *Directory) ConfirmLive(running []*wire.Process) {
+	names := make(map[string]bool, len(running))
+	for _, process := range running {
 		names[process.Name] = true
 	}
-	d.live.Store(&liveProcesses{records: live, names: names})
+	d.running.Store(&runningProcesses{records: running, names: names})
 	select {
-	case d.liveChanged <- struct{}{}:
+	case d.runningChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Serve keeps the directory until the context ends, and returns its error.
+// Serve updates the directory until the context ends, and returns the context's error.
 func (d *Directory) Serve(ctx context.Context) error {
 	d.lastChange = d.clock.Now()
-	d.merge([]*wire.Process{d.selfRecord()}, fromGossip)
+	d.merge([]*wire.Process{d.nextSelfRecord()}, fromGossip)
 	for {
 		interval := d.gossipInterval()
-		d.gossip(ctx)
-		if err := d.serveUntil(ctx, interval); err != nil {
+		d.startGossipRound(ctx)
+		if err := d.serveFor(ctx, interval); err != nil {
 			return err
 		}
-		d.merge([]*wire.Process{d.selfRecord()}, fromGossip)
+		d.merge([]*wire.Process{d.nextSelfRecord()}, fromGossip)
 	}
 }
 
-// serveUntil takes what arrives until an interval has passed. It returns the
-// context's error when that ends first.
-func (d *Directory) serveUntil(ctx context.Context, interval time.Duration) error {
+// serveFor merges received records and applies new seeds until the interval has elapsed.
+// It returns the context's error if the context ends first.
+func (d *Directory) serveFor(ctx context.Context, interval time.Duration) error {
 	elapsed, stop := clock.NewTimer(interval)
 	defer stop()
 	for {
@@ -145,23 +144,23 @@
 			d.merge(records, fromGossip)
 		case seeds := <-d.newSeeds:
 			d.seeds = seeds
-		case <-d.liveChanged:
-			d.merge(d.live.Load().records, fromFeed)
+		case <-d.runningChanged:
+			d.merge(d.running.Load().records, fromFeed)
 		case <-elapsed:
 			return nil
 		}
 	}
 }
 
-// selfRecord returns the process's own record with a counter that rises.
-func (d *Directory) selfRecord() *wire.Process {
-	own := d.self()
-	d.counter = max(d.counter+1, own.Counter)
-	own.Counter = d.counter
-	return own
+// nextSelfRecord returns the process's own record with the next counter.
+func (d *Directory) nextSelfRecord() *wire.Process {
+	record := d.self()
+	d.counter = max(d.counter+1, record.Counter)
+	record.Counter = d.counter
+	return record
 }
 
-// recordSource is where records of processes come from.
+// recordSource is the origin of process records.
 type recordSource int
 
 const (
@@ -169,72 +168,74 @@
 	fromFeed
 )
 
-// merge takes records: of each name the newest is kept. Only what gossip brings
-// counts as a change, which others then learn sooner: all of them follow a feed.
+// merge removes stale processes and merges records into the table, keeping the newest
+// of each name. Only changes from gossip shorten the gossip interval: changes in a feed
+// need no gossip, since every process follows a feed.
 func (d *Directory) merge(records []*wire.Process, source recordSource) {
 	now := d.clock.Now()
 	self := d.self()
-	next := d.table.Load().edit()
-	d.forgetStale(next, self.Name, now)
+	edit := d.table.Load().edit()
+	d.removeStale(edit, self.Name, now)
 	for _, record := range records {
 		if record.Name == "" || record.Address == "" {
 			continue
 		}
 		if record.Name == self.Name && record.Incarnation != self.Incarnation {
-			d.logNameTaken(record, self)
+			d.logNameConflict(record, self)
 			continue
 		}
-		known, found := next.find(record.Name)
-		if source == fromGossip && (!found || isNotable(record, known.Process)) {
+		current, found := edit.find(record.Name)
+		if source == fromGossip && (!found || isSignificantChange(record, current.Process)) {
 			d.lastChange = now
 		}
-		if !found || isNewer(record, known.Process) {
-			next.put(port.KnownProcess{Process: proto.Clone(record).(*wire.Process), LastSeen: now})
+		if !found || supersedes(record, current.Process) {
+			edit.put(port.KnownProcess{Process: proto.Clone(record).(*wire.Process), LastSeen: now})
 		}
 	}
-	d.table.Store(next.table())
+	d.table.Store(edit.build())
 }
 
-// forgetStale removes processes that nobody has reported for long.
-func (d *Directory) forgetStale(next *tableEdit, self string, now time.Time) {
-	live := d.live.Load().names
-	next.removeFunc(func(known port.KnownProcess) bool {
-		name := known.Process.Name
-		return now.Sub(known.LastSeen) >= forgetAfter && name != self && !live[name]
+// removeStale removes processes that were not seen within staleAfter and that the feed
+// doesn't report as running.
+func (d *Directory) removeStale(edit *tableEdit, selfName string, now time.Time) {
+	runningNames := d.running.Load().names
+	edit.removeFunc(func(entry port.KnownProcess) bool {
+		name := entry.Process.Name
+		return now.Sub(entry.LastSeen) >= staleAfter && name != selfName && !runningNames[name]
 	})
 }
 
-// logNameTaken logs that a process which started later runs under the own name at
+// logNameConflict logs that a process that started later uses this process's name at
 // another address.
-func (d *Directory) logNameTaken(record, self *wire.Process) {
+func (d *Directory) logNameConflict(record, self *wire.Process) {
 	if record.Incarnation > self.Incarnation && record.Address != self.Address {
 		d.log.Emit(events.NameConflict, "name", record.Name, "address", record.Address)
 	}
 }
 
-// isNotable reports whether a record shows a restart, or of something else that
-// others should learn soon.
-func isNotable(record, known *wire.Process) bool {
-	if !isNewer(record, known) {
+// isSignificantChange reports whether a newer record shows a restart or another change
+// that must spread quickly.
+func isSignificantChange(record, current *wire.Process) bool {
+	if !supersedes(record, current) {
 		return false
 	}
-	return record.Incarnation > known.Incarnation ||
-		record.Address != known.Address ||
-		record.Standing != known.Standing ||
-		record.Formation != known.Formation ||
-		record.Ready != known.Ready ||
-		record.Leaving != known.Leaving
+	return record.Incarnation > current.Incarnation ||
+		record.Address != current.Address ||
+		record.Standing != current.Standing ||
+		record.Formation != current.Formation ||
+		record.Ready != current.Ready ||
+		record.Leaving != current.Leaving
 }
 
-// isNewer reports whether a record replaces another of the same name. Of two
-// processes that run under one name with different disks, the one whose disk was
-// created later has replaced the other.
-func isNewer(record, known *wire.Process) bool {
-	if record.DiskLife != known.DiskLife && record.DiskLife > 0 && known.DiskLife > 0 {
-		return record.DiskLife > known.DiskLife
+// supersedes reports whether a record replaces the current one of the same name. If two
+// processes use one name with different disks, the one whose disk was created later has
+// replaced the other.
+func supersedes(record, current *wire.Process) bool {
+	if record.DiskLife != current.DiskLife && record.DiskLife > 0 && current.DiskLife > 0 {
+		return record.DiskLife > current.DiskLife
 	}
-	if record.Incarnation != known.Incarnation {
-		return record.Incarnation > known.Incarnation
+	if record.Incarnation != current.Incarnation {
+		return record.Incarnation > current.Incarnation
 	}
-	return record.Counter > known.Counter
+	return record.Counter > current.Counter
 }
--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -20,7 +20,7 @@
 	"stepwick/sim/memnet"
 )
 
-// gossipPeer answers hellos only.
+// gossipPeer implements only Hello.
 type gossipPeer struct {
 	wireconnect.UnimplementedPeerHandler
 	directory *internalrpc.Directory
@@ -34,8 +34,8 @@
 	return connect.NewResponse(resp), nil
 }
 
-// startProcess runs process i of a fleet on its own host. Its seeds are the two
-// processes before it, so that none is given all addresses.
+// startProcess runs process i of a fleet on its own host. Its seeds are the two processes
+// before it, so that no process is configured with all addresses.
 func startProcess(ctx context.Context, t *testing.T, net *memnet.Network, i int, secret string) *internalrpc.Directory {
 	t.Helper()
 	host := fmt.Sprintf("127.0.1.%d", i)
@@ -83,7 +83,7 @@
 }
 
 func TestDirectory(t *testing.T) {
-	Convey("Processes that know only two others each find the whole fleet", t, func() {
+	Convey("Processes with at most two seeds each discover the whole fleet", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			net := memnet.New(ctx)
@@ -94,7 +94,7 @@
 			<-time.After(8 * time.Second)
 			for _, directory := range fleet {
 				if got := names(directory); got != "n0 n1 n2 n3 n4 n5 n6 n7 n8" {
-					t.Errorf("knows %q", got)
+					t.Errorf("known processes %q", got)
 				}
 			}
 			cancel()
@@ -103,32 +103,32 @@
 		})
 	})
 
-	Convey("Another secret is refused, and a host that is down refuses", t, func() {
+	Convey("Another secret is rejected, and only a host that is down refuses the connection", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			net := memnet.New(ctx)
 			startProcess(ctx, t, net, 0, "a fleet's secret")
-			stranger := internalrpc.NewPool(net.Dialer("127.0.1.9"), "127.0.1.9:1", "another secret")
+			otherFleet := internalrpc.NewPool(net.Dialer("127.0.1.9"), "127.0.1.9:1", "another secret")
 			call := func() error {
 				callCtx, done := context.WithTimeout(ctx, time.Second)
 				defer done()
-				_, err := stranger.Client("127.0.1.0:1").Hello(callCtx, connect.NewRequest(&wire.HelloRequest{}))
+				_, err := otherFleet.Client("127.0.1.0:1").Hello(callCtx, connect.NewRequest(&wire.HelloRequest{}))
 				return err
 			}
 			if err := call(); err == nil || port.IsConnectionRefused(err) {
-				t.Errorf("a wrong secret gave %v", err)
+				t.Errorf("wrong secret: got %v, want an error other than a refused connection", err)
 			}
 			net.Cut("127.0.1.0", "127.0.1.9", true)
 			if err := call(); err == nil || port.IsConnectionRefused(err) {
-				t.Errorf("silence gave %v", err)
+				t.Errorf("unresponsive host: got %v, want an error other than a refused connection", err)
 			}
 			net.Cut("127.0.1.0", "127.0.1.9", false)
 			net.Down("127.0.1.0")
 			synctest.Wait()
 			if err := call(); !port.IsConnectionRefused(err) {
-				t.Errorf("a host that is down gave %v", err)
+				t.Errorf("host that is down: got %v, want a refused connection", err)
 			}
-			stranger.CloseIdle()
+			otherFleet.CloseIdle()
 			cancel()
 			<-time.After(5 * time.Second)
 			synctest.Wait()
@@ -137,31 +137,31 @@
 }
 
 func TestConfirmedProcessesAreKept(t *testing.T) {
-	Convey("What a core's feed reports as live is known at once and kept without gossip; what it drops is forgotten in time", t, func() {
+	Convey("Processes that a core's feed reports as running are added at once and kept without gossip, and removed after the feed drops them", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			directory := startProcess(ctx, t, memnet.New(ctx), 0, "a fleet's secret")
 			synctest.Wait()
-			far := &wire.Process{
+			reported := &wire.Process{
 				Name:        "far",
 				Address:     "127.0.1.99:1",
 				Front:       true,
 				Incarnation: 1,
 				Counter:     5,
 			}
-			directory.ConfirmLive([]*wire.Process{far})
+			directory.ConfirmLive([]*wire.Process{reported})
 			synctest.Wait()
 			if got := names(directory); got != "far n0" {
-				t.Errorf("knows %q", got)
+				t.Errorf("known processes %q", got)
 			}
 			<-time.After(20 * time.Minute)
 			if got := names(directory); got != "far n0" {
-				t.Errorf("after 20 minutes knows %q", got)
+				t.Errorf("known processes after 20 minutes %q", got)
 			}
 			directory.ConfirmLive(nil)
 			<-time.After(20 * time.Minute)
 			if got := names(directory); got != "n0" {
-				t.Errorf("after it was dropped knows %q", got)
+				t.Errorf("known processes 20 minutes after the feed dropped one %q", got)
 			}
 			cancel()
 			<-time.After(5 * time.Second)
--- a/internal/adapter/internalrpc/gossip.go
+++ b/internal/adapter/internalrpc/gossip.go
@@ -13,13 +13,15 @@
 	"stepwick/internal/wire"
 )
 
-// Processes are discovered by gossip: each exchanges hellos of constant size with a
-// random one that it knows, often while something is new and seldom after. A hello
-// carries the sender's own record, every core and a sample of the other processes.
+// Processes discover each other by gossip: each periodically exchanges hellos with a
+// random seed or known process, at a short interval while the directory is changing and
+// a long one after. A hello carries the sender's own record, every core and a sample of
+// bounded size of the other processes.
 const (
-	// gossipIntervalAlone is the interval while no other process is known.
-	gossipIntervalAlone = 50 * time.Millisecond
-	// gossipIntervalChanging is the interval until nothing was new for convergedAfter.
+	// gossipIntervalNoPeers is the interval while no other process is known.
+	gossipIntervalNoPeers = 50 * time.Millisecond
+	// gossipIntervalChanging is the interval until convergedAfter has passed without a
+	// change.
 	gossipIntervalChanging  = 250 * time.Millisecond
 	gossipIntervalConverged = 15 * time.Second
 	convergedAfter          = 2 * time.Second
@@ -29,27 +31,27 @@
 	maxHelloRecords = 512
 )
 
-// Hello takes the caller's record and its sample and returns the same of this
-// process. It returns apierror.BadField for too many records.
+// Hello receives the caller's own record and its sample and returns those of this
+// process. It returns apierror.BadField if the caller sends too many records.
 func (d *Directory) Hello(_ context.Context, req *wire.HelloRequest) (*wire.HelloResponse, error) {
 	if len(req.Known) > maxHelloRecords {
-		return nil, apierror.Errorf(apierror.BadField, "hello with %d records, at most %d", len(req.Known), maxHelloRecords)
+		return nil, apierror.Errorf(apierror.BadField, "hello carries %d records, limit %d", len(req.Known), maxHelloRecords)
 	}
-	// Where the owner is behind the records are dropped: gossip brings them again.
+	// If the owner is behind, the records are dropped: later hellos repeat them.
 	select {
-	case d.received <- withSelf(req.Known, req.Self):
+	case d.received <- appendSelf(req.Known, req.Self):
 	default:
 	}
-	known := d.sample()
-	return &wire.HelloResponse{Self: d.self(), Known: known}, nil
+	sampled := d.sample()
+	return &wire.HelloResponse{Self: d.self(), Known: sampled}, nil
 }
 
-// withSelf returns the records of a hello with the sender's own, if it has one.
-func withSelf(known []*wire.Process, self *wire.Process) []*wire.Process {
+// appendSelf returns the records of a hello together with the sender's own, if present.
+func appendSelf(records []*wire.Process, self *wire.Process) []*wire.Process {
 	if self == nil {
-		return known
+		return records
 	}
-	return append(known, self)
+	return append(records, self)
 }
 
 // sample returns every core and a random sample of the other processes.
@@ -65,22 +67,22 @@
 	return sampled
 }
 
-// isAlone reports whether no other process is known.
-func (d *Directory) isAlone() bool { return len(d.table.Load().known) < 2 }
+// hasNoPeers reports whether no other process is known.
+func (d *Directory) hasNoPeers() bool { return len(d.table.Load().entries) < 2 }
 
 func (d *Directory) gossipInterval() time.Duration {
 	switch {
-	case d.isAlone():
-		return gossipIntervalAlone
+	case d.hasNoPeers():
+		return gossipIntervalNoPeers
 	case d.clock.Now().Sub(d.lastChange) < convergedAfter:
 		return gossipIntervalChanging
 	}
 	return gossipIntervalConverged
 }
 
-// gossip exchanges hellos with a random seed or known process, or with every seed
-// while no other process is known.
-func (d *Directory) gossip(ctx context.Context) {
+// startGossipRound starts an exchange of hellos with a random seed or known process, or
+// with every seed while no other process is known.
+func (d *Directory) startGossipRound(ctx context.Context) {
 	self, _ := d.Process(d.self().Name)
 	targets := slices.Clone(d.seeds)
 	for _, process := range d.Processes() {
@@ -90,17 +92,17 @@
 	if len(targets) == 0 {
 		return
 	}
-	if !d.isAlone() {
+	if !d.hasNoPeers() {
 		index := d.random.IntN(len(targets))
 		targets = targets[index : index+1]
 	}
-	known := d.sample()
+	sampled := d.sample()
 	for _, address := range targets {
-		go d.exchangeHellos(ctx, address, &wire.HelloRequest{Self: self, Known: known})
+		go d.exchangeHellos(ctx, address, &wire.HelloRequest{Self: self, Known: sampled})
 	}
 }
 
-// exchangeHellos sends a hello and hands the records of the answer to the owner.
+// exchangeHellos sends a hello and passes the records of the response to the owner.
 func (d *Directory) exchangeHellos(ctx context.Context, address string, hello *wire.HelloRequest) {
 	callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -110,18 +112,18 @@
 		return
 	}
 	select {
-	case d.received <- withSelf(resp.Msg.Known, resp.Msg.Self):
+	case d.received <- appendSelf(resp.Msg.Known, resp.Msg.Self):
 	case <-ctx.Done():
 	}
 }
 
-// logHelloFailure logs a hello that was rejected for its secret and, while no other
-// process is known, any that failed.
+// logHelloFailure logs a hello that was rejected because of its secret and, while no
+// other process is known, any other failure.
 func (d *Directory) logHelloFailure(address string, err error) {
 	switch {
 	case connect.CodeOf(err) == connect.CodePermissionDenied:
 		d.log.Emit(events.SecretRejected, "address", address)
-	case d.isAlone():
+	case d.hasNoPeers():
 		d.log.Emit(events.SeedsUnreachable, "address", address, "error", err)
 	}
 }
--- a/internal/adapter/internalrpc/pool.go
+++ b/internal/adapter/internalrpc/pool.go
@@ -1,9 +1,8 @@
-// Package internalrpc carries the peer protocol between the processes of a fleet,
-// over HTTP: the pool of clients, the server that requires the fleet's secret, and
-// the directory that discovers processes by gossip.
+// Package internalrpc implements the peer protocol between the processes of a fleet
+// over HTTP: the client pool, the server, which requires the fleet's secret, and the
+// directory, which discovers processes by gossip.
 //
-// It doesn't retry calls, and it doesn't decide which processes are live: callers
-// do.
+// It doesn't retry calls and doesn't decide which processes are live; callers do.
 package internalrpc
 
 import (
@@ -26,18 +25,17 @@
 	maxMessageBytes = 64 << 20
 
 	maxIdlePerHost = 4
-	// clientIdleTimeout is long enough to keep the frequent calls to cores on one
-	// connection, and short enough to close those to peers that are seldom called.
+	// clientIdleTimeout is long enough to reuse connections to cores, which are called
+	// often, and short enough to close those to peers that are called rarely.
 	clientIdleTimeout = 3 * time.Second
-	// pingIdleTimeout is how long a connection with open calls may receive nothing
-	// before it is pinged, and pingTimeout how long the answer may take.
+	// pingIdleTimeout is how long a connection with calls in flight may receive nothing
+	// before an HTTP/2 ping is sent, and pingTimeout how long the response may take.
 	pingIdleTimeout = 700 * time.Millisecond
 	pingTimeout     = 700 * time.Millisecond
 )
 
-// Pool returns clients by address, which share their connections. Calls to the
-// process's own address stay inside the process. Its methods may be called
-// concurrently.
+// Pool returns clients by address that share one connection pool. Calls to the
+// process's own address stay in the process. Its methods may be called concurrently.
 type Pool struct {
 	http        *http.Client
 	selfAddress string
@@ -45,7 +43,7 @@
 	shared      PeerClient
 }
 
-// Dial opens a connection, as net.Dialer's DialContext does.
+// Dial opens a connection like net.Dialer.DialContext.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewPool returns a pool of clients that send the fleet's secret; selfAddress is
@@ -68,7 +66,7 @@
 	return pool
 }
 
-// Bind makes calls to the process's own address go directly to its handler.
+// Bind routes calls to the process's own address directly to its handler.
 func (p *Pool) Bind(local wireconnect.PeerHandler) { p.local.Store(&local) }
 
 // Client returns a client for an internal address (ip:port); it never fails.
@@ -79,11 +77,11 @@
 	return addressClient{shared: p.shared, address: address}
 }
 
-// CloseIdle closes connections that carry no call.
+// CloseIdle closes connections without calls in flight.
 func (p *Pool) CloseIdle() { p.http.CloseIdleConnections() }
 
-// clientProtocols is HTTP/2 without encryption, which compresses the headers that
-// each call repeats.
+// clientProtocols returns unencrypted HTTP/2, which compresses the headers that each call
+// repeats.
 func clientProtocols() *http.Protocols {
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
--- a/internal/adapter/internalrpc/pool_test.go
+++ b/internal/adapter/internalrpc/pool_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestPoolReachesEachAddress(t *testing.T) {
-	Convey("One pool's calls reach the process at each address", t, func() {
+	Convey("Calls through one pool reach the process at each address", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			net := memnet.New(ctx)
@@ -44,20 +44,20 @@
 				context.AfterFunc(ctx, func() { _ = server.Close() })
 			}
 			pool := internalrpc.NewPool(net.Dialer("127.0.2.1"), "127.0.2.1:1", "a fleet's secret")
-			answers := make(chan string, 10)
+			failures := make(chan string, 10)
 			for _, address := range append(addresses, addresses...) {
 				go func() {
 					resp, err := pool.Client(address).Ping(ctx, connect.NewRequest(&wire.PingRequest{}))
 					if err != nil || resp.Msg.Name != address {
-						answers <- fmt.Sprint(address, " ", resp, err)
+						failures <- fmt.Sprint(address, " ", resp, err)
 						return
 					}
-					answers <- ""
+					failures <- ""
 				}()
 			}
 			for range 10 {
-				if wrong := <-answers; wrong != "" {
-					t.Error(wrong)
+				if failure := <-failures; failure != "" {
+					t.Error(failure)
 				}
 			}
 			cancel()
@@ -66,7 +66,7 @@
 			synctest.Wait()
 		})
 	})
-	Convey("A client for one more address costs next to nothing", t, func() {
+	Convey("A client for a further address takes at most one allocation", t, func() {
 		pool := internalrpc.NewPool(nil, "own", "a fleet's secret")
 		So(testing.AllocsPerRun(100, func() { pool.Client("10.0.0.1:1") }), ShouldBeLessThanOrEqualTo, 1)
 	})
--- a/internal/adapter/internalrpc/process_table.go
+++ b/internal/adapter/internalrpc/process_table.go
@@ -8,23 +8,23 @@
 	"stepwick/internal/wire"
 )
 
-// processTable is an immutable table of the known processes. It keeps them in the
-// orders in which they are read, so that readers neither sort nor copy.
+// processTable is an immutable table of the known processes. It holds them in each form
+// that readers need, so that readers neither sort nor copy.
 type processTable struct {
-	known     []port.KnownProcess // by name
-	processes []*wire.Process     // by name
-	cores     []*wire.Process     // by name
-	fronts    []*wire.Process     // those that aren't cores, by name
+	entries   []port.KnownProcess // sorted by name
+	processes []*wire.Process     // sorted by name
+	cores     []*wire.Process     // sorted by name
+	fronts    []*wire.Process     // processes that aren't cores, sorted by name
 }
 
-// newProcessTable returns the table of some processes, which are ordered by name.
-func newProcessTable(known []port.KnownProcess) *processTable {
+// newProcessTable returns a table of entries, which must be sorted by name.
+func newProcessTable(entries []port.KnownProcess) *processTable {
 	t := &processTable{
-		known:     known,
-		processes: make([]*wire.Process, 0, len(known)),
-		fronts:    make([]*wire.Process, 0, len(known)),
+		entries:   entries,
+		processes: make([]*wire.Process, 0, len(entries)),
+		fronts:    make([]*wire.Process, 0, len(entries)),
 	}
-	for _, entry := range known {
+	for _, entry := range entries {
 		t.processes = append(t.processes, entry.Process)
 		if entry.Process.Core {
 			t.cores = append(t.cores, entry.Process)
@@ -35,37 +35,36 @@
 	return t
 }
 
-// find returns the entry of a process.
+// find returns the entry of the named process.
 func (t *processTable) find(name string) (port.KnownProcess, bool) {
-	return find(t.known, name)
+	return findEntry(t.entries, name)
 }
 
-// edit returns an edit of the table.
 func (t *processTable) edit() *tableEdit { return &tableEdit{base: t} }
 
-// tableEdit collects changes to a table, which is copied at the first of them: an
-// edit without a change costs nothing.
+// tableEdit collects changes to a table. It copies the entries on the first change, so an
+// edit without changes is free.
 type tableEdit struct {
 	base    *processTable
-	changed []port.KnownProcess // nil while nothing has changed
+	changed []port.KnownProcess // nil until the first change
 }
 
-func (e *tableEdit) known() []port.KnownProcess {
+func (e *tableEdit) entries() []port.KnownProcess {
 	if e.changed != nil {
 		return e.changed
 	}
-	return e.base.known
+	return e.base.entries
 }
 
-// find returns the entry of a process.
+// find returns the entry of the named process.
 func (e *tableEdit) find(name string) (port.KnownProcess, bool) {
-	return find(e.known(), name)
+	return findEntry(e.entries(), name)
 }
 
-// put adds an entry, or replaces that of the same process.
+// put inserts an entry or replaces that of the same process.
 func (e *tableEdit) put(entry port.KnownProcess) {
 	e.copyBase()
-	index, found := search(e.changed, entry.Process.Name)
+	index, found := searchEntries(e.changed, entry.Process.Name)
 	if found {
 		e.changed[index] = entry
 		return
@@ -73,9 +72,9 @@
 	e.changed = slices.Insert(e.changed, index, entry)
 }
 
-// removeFunc removes the entries for which remove holds.
+// removeFunc removes the entries for which remove returns true.
 func (e *tableEdit) removeFunc(remove func(port.KnownProcess) bool) {
-	if !slices.ContainsFunc(e.known(), remove) {
+	if !slices.ContainsFunc(e.entries(), remove) {
 		return
 	}
 	e.copyBase()
@@ -84,31 +83,31 @@
 
 func (e *tableEdit) copyBase() {
 	if e.changed == nil {
-		e.changed = append(make([]port.KnownProcess, 0, len(e.base.known)+1), e.base.known...)
+		e.changed = append(make([]port.KnownProcess, 0, len(e.base.entries)+1), e.base.entries...)
 	}
 }
 
-// table returns the table with the changes; the same one when there is none.
-func (e *tableEdit) table() *processTable {
+// build returns a table with the changes, or the base table if there are none.
+func (e *tableEdit) build() *processTable {
 	if e.changed == nil {
 		return e.base
 	}
 	return newProcessTable(e.changed)
 }
 
-// find returns the entry of a process among entries by name.
-func find(known []port.KnownProcess, name string) (port.KnownProcess, bool) {
-	index, found := search(known, name)
+// findEntry returns the named process's entry from entries sorted by name.
+func findEntry(entries []port.KnownProcess, name string) (port.KnownProcess, bool) {
+	index, found := searchEntries(entries, name)
 	if !found {
 		return port.KnownProcess{}, false
 	}
-	return known[index], true
+	return entries[index], true
 }
 
-// search returns the index of a process among entries by name, or where it is to
-// be inserted.
-func search(known []port.KnownProcess, name string) (index int, found bool) {
-	return slices.BinarySearchFunc(known, name, func(entry port.KnownProcess, name string) int {
+// searchEntries returns the index of the named process in entries sorted by name, or the
+// index at which to insert it.
+func searchEntries(entries []port.KnownProcess, name string) (index int, found bool) {
+	return slices.BinarySearchFunc(entries, name, func(entry port.KnownProcess, name string) int {
 		return strings.Compare(entry.Process.Name, name)
 	})
 }
--- a/internal/adapter/internalrpc/server.go
+++ b/internal/adapter/internalrpc/server.go
@@ -22,31 +22,31 @@
 	serverIdleTimeout = 20 * time.Second
 )
 
-// Handler serves the peer protocol to callers that send the fleet's secret. Others
-// get apierror.BadSecret before their body is read.
+// Handler returns a handler of the peer protocol. Callers that don't send the fleet's
+// secret get apierror.BadSecret before their request body is read.
 func Handler(peer wireconnect.PeerHandler, secret string) http.Handler {
-	path, inner := wireconnect.NewPeerHandler(peer,
+	path, peerHandler := wireconnect.NewPeerHandler(peer,
 		connect.WithReadMaxBytes(maxMessageBytes),
 		connect.WithCompressMinBytes(minCompressedBytes),
 		sharedGzip(),
 		connect.WithInterceptors(errorInterceptor()))
-	// Digests of equal length are compared in constant time, so that the time taken
-	// shows neither the secret nor its length.
-	want := sha256.Sum256([]byte(secret))
+	// Comparing digests of equal length in constant time reveals neither the secret nor
+	// its length.
+	wantDigest := sha256.Sum256([]byte(secret))
 	mux := http.NewServeMux()
 	mux.Handle(path, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got := sha256.Sum256([]byte(r.Header.Get(secretHeader)))
-		if subtle.ConstantTimeCompare(want[:], got[:]) != 1 {
+		gotDigest := sha256.Sum256([]byte(r.Header.Get(secretHeader)))
+		if subtle.ConstantTimeCompare(wantDigest[:], gotDigest[:]) != 1 {
 			apierror.WriteError(w, apierror.Errorf(apierror.BadSecret, "the fleet's secret does not match"), "")
 			return
 		}
-		inner.ServeHTTP(w, r)
+		peerHandler.ServeHTTP(w, r)
 	}))
 	return mux
 }
 
-// errorInterceptor turns errors without a code of the protocol into ones that keep
-// the number of their apierror.
+// errorInterceptor converts errors without a Connect code into CodeUnavailable errors whose
+// text holds the number of the apierror.
 func errorInterceptor() connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
@@ -62,8 +62,8 @@
 	})
 }
 
-// Server returns an HTTP server for the internal listener, with limits on headers
-// and idle time.
+// Server returns an HTTP server for the internal listener, with limits on the header size
+// and timeouts for headers, requests and idle connections.
 func Server(handler http.Handler) *http.Server {
 	return &http.Server{
 		Protocols:         serverProtocols(),
@@ -75,7 +75,7 @@
 	}
 }
 
-// serverProtocols is HTTP/2 without encryption, and HTTP/1.1.
+// serverProtocols returns unencrypted HTTP/2 and HTTP/1.1.
 func serverProtocols() *http.Protocols {
 	protocols := clientProtocols()
 	protocols.SetHTTP1(true)
