--- a/internal/adapter/listen/listen.go
+++ b/internal/adapter/listen/listen.go
@@ -1,4 +1,4 @@
-// Package listen holds what the listeners for clients share.
+// Package listen limits the connections of the listeners for clients.
 package listen
 
 import (
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// LimitConnections returns a listener that accepts at most so many simultaneous
-// connections; further ones wait in the operating system's backlog. Close also ends
-// an Accept that waits for a connection to end.
-func LimitConnections(listener net.Listener, connections int) net.Listener {
+// LimitConnections returns a listener with at most limit open connections; further ones
+// wait in the operating system's backlog. Close also unblocks an Accept that waits for a
+// connection to close.
+func LimitConnections(listener net.Listener, limit int) net.Listener {
 	return &limitListener{
 		Listener: listener,
-		slots:    make(chan struct{}, connections),
+		slots:    make(chan struct{}, limit),
 		closed:   make(chan struct{}),
 	}
 }
@@ -40,20 +40,20 @@
 	return &limitConn{Conn: conn, slots: l.slots}, nil
 }
 
-// Close closes the listener. Connections stay open.
+// Close closes the listener. Accepted connections stay open.
 func (l *limitListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// limitConn releases its slot when it is closed first.
+// limitConn releases its slot on the first Close.
 type limitConn struct {
 	net.Conn
 	slots       chan struct{}
 	releaseOnce sync.Once
 }
 
-// Close closes the connection.
+// Close closes the connection and releases its slot.
 func (c *limitConn) Close() error {
 	c.releaseOnce.Do(func() { <-c.slots })
 	return c.Conn.Close()
--- a/internal/adapter/listen/listen_test.go
+++ b/internal/adapter/listen/listen_test.go
@@ -10,7 +10,7 @@
 	"stepwick/internal/adapter/listen"
 )
 
-// pipeListener accepts connections to nobody.
+// pipeListener accepts connections that have no reachable peer.
 type pipeListener struct{ net.Listener }
 
 func (pipeListener) Accept() (net.Conn, error) {
@@ -21,20 +21,20 @@
 func (pipeListener) Close() error { return nil }
 
 func TestLimitConnections(t *testing.T) {
-	Convey("A connection beyond the limit is accepted when another is closed, and Close ends an Accept that waits", t, func() {
+	Convey("A connection over the limit is accepted after another is closed, and Close unblocks a waiting Accept", t, func() {
 		listener := listen.LimitConnections(pipeListener{}, 1)
 		first, err := listener.Accept()
 		So(err, ShouldBeNil)
 		accepted := make(chan error)
-		accept := func() {
+		acceptOne := func() {
 			_, err := listener.Accept()
 			accepted <- err
 		}
-		go accept()
+		go acceptOne()
 		So(first.Close(), ShouldBeNil)
 		So(<-accepted, ShouldBeNil)
 		So(first.Close(), ShouldBeNil)
-		go accept()
+		go acceptOne()
 		So(listener.Close(), ShouldBeNil)
 		So(errors.Is(<-accepted, net.ErrClosed), ShouldBeTrue)
 	})
