--- a/internal/adapter/platform/client.go
+++ b/internal/adapter/platform/client.go
@@ -1,10 +1,9 @@
-// Package platform reads the platform's list of servers and the servers' own status,
-// over HTTP with JSON.
+// Package platform reads the platform's list of servers, and the status that each server
+// reports, as JSON over HTTP.
 //
-// Bodies are bounded in size and time, and each holds exactly one JSON value. An
-// entry of the list that is invalid is reported and does not invalidate the others.
-// The package keeps only the last list, for conditional requests; it retries
-// nothing.
+// Response bodies are bounded in size and time, and each must hold exactly one JSON
+// value. An invalid entry of the list is reported and does not invalidate the others.
+// The package caches only the last list, for conditional requests, and does not retry.
 package platform
 
 import (
@@ -32,28 +31,29 @@
 )
 
 var (
-	errBodyTooLong    = errors.New("the body is too long")
-	errMultipleValues = errors.New("more than one JSON value")
+	errBodyTooLarge   = errors.New("response body too large")
+	errMultipleValues = errors.New("response holds more than one JSON value")
 )
 
 // statusError is a response with an unexpected HTTP status.
 type statusError struct{ code int }
 
-func (e statusError) Error() string { return fmt.Sprintf("status %d", e.code) }
+func (e statusError) Error() string { return fmt.Sprintf("unexpected HTTP status %d", e.code) }
 
 // Config holds a client's settings.
 type Config struct {
-	// URL is that of the platform's list.
+	// URL is the URL of the platform's list.
 	URL string
-	// Bind is the local IP address of connections, empty for any.
+	// Bind is the local IP address of outgoing connections; empty for any. It has no effect
+	// if Dial is set.
 	Bind string
-	// Dial opens connections; nil for net.Dialer's DialContext.
+	// Dial opens connections; nil for net.Dialer.DialContext.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Timeout bounds one response; 1 s when zero.
+	// Timeout bounds a request including its response body; 1 s if zero.
 	Timeout time.Duration
-	// ListLimit is the largest list in bytes; 8 MiB when zero.
+	// ListLimit is the maximum size of a list in bytes; 8 MiB if zero.
 	ListLimit int64
-	// StatusLimit is the largest status of a server in bytes; 64 KiB when zero.
+	// StatusLimit is the maximum size of a server's status in bytes; 64 KiB if zero.
 	StatusLimit int64
 }
 
@@ -71,13 +71,13 @@
 	return c
 }
 
-// positiveOr returns a value, or a default where it isn't above zero.
-func positiveOr[T cmp.Ordered](value, byDefault T) T {
+// positiveOr returns value if it is positive, or else defaultValue.
+func positiveOr[T cmp.Ordered](value, defaultValue T) T {
 	var zero T
 	if value > zero {
 		return value
 	}
-	return byDefault
+	return defaultValue
 }
 
 // Client reads the platform's list and the servers' status. Its methods may be
@@ -85,10 +85,10 @@
 type Client struct {
 	config Config
 	http   *http.Client
-	cached atomic.Pointer[cachedList] // nil for none
+	cached atomic.Pointer[cachedList] // nil if there is none
 }
 
-// New returns a client. It makes no call.
+// New returns a client. It sends no request.
 func New(config Config) *Client {
 	config = config.withDefaults()
 	transport := &http.Transport{
@@ -103,15 +103,15 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// response is a response whose body was read.
+// response is an HTTP response with its body read.
 type response struct {
 	statusCode int
 	header     http.Header
 	body       []byte
 }
 
-// get reads a URL. With an entity tag the request is conditional. The error is
-// errBodyTooLong for a body over the limit, in bytes.
+// get fetches a URL, conditionally if etag is not empty. The error wraps errBodyTooLarge
+// if the body exceeds limit bytes.
 func (c *Client) get(ctx context.Context, url string, limit int64, etag string) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
@@ -122,26 +122,26 @@
 	if etag != "" {
 		request.Header.Set("If-None-Match", etag)
 	}
-	answer, err := c.http.Do(request)
+	resp, err := c.http.Do(request)
 	if err != nil {
 		return response{}, errors.WithStack(err)
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, limit+1))
+	defer resp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return response{}, errors.WithStack(err)
 	}
 	if int64(len(body)) > limit {
-		return response{}, errors.Wrapf(errBodyTooLong, "over %d bytes", limit)
+		return response{}, errors.Wrapf(errBodyTooLarge, "limit %d bytes", limit)
 	}
-	return response{statusCode: answer.StatusCode, header: answer.Header, body: body}, nil
+	return response{statusCode: resp.StatusCode, header: resp.Header, body: body}, nil
 }
 
-// decodeOne decodes data that must hold exactly one JSON value.
-func decodeOne(data []byte, into any) error {
+// decodeSingleValue decodes data, which must hold exactly one JSON value.
+func decodeSingleValue(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if err := decoder.Decode(into); err != nil {
-		return errors.Wrap(err, "not the expected JSON")
+		return errors.Wrap(err, "decode JSON")
 	}
 	if _, err := decoder.Token(); err != io.EOF {
 		return errMultipleValues
--- a/internal/adapter/platform/list.go
+++ b/internal/adapter/platform/list.go
@@ -12,17 +12,17 @@
 	"stepwick/internal/wire"
 )
 
-// Kinds of servers on the list.
+// Kinds of servers in the list.
 const (
 	kindModel = "model"
 	kindWeb   = "web"
 )
 
-// errNoServersField means that a list's body has no field of servers, which an empty
-// list has.
-var errNoServersField = errors.New("no servers field")
+// errNoServersField means that a list lacks its field of servers, which is present even
+// in an empty list.
+var errNoServersField = errors.New("field servers is missing")
 
-// serverStates are the states of servers by their names on the list and in a status.
+// serverStates maps the names of states in a list or status.
 var serverStates = map[string]wire.ServerState{
 	"ready":    wire.ServerState_SERVER_STATE_READY,
 	"cold":     wire.ServerState_SERVER_STATE_COLD,
@@ -43,46 +43,46 @@
 	Region    string   `json:"region"`
 	Zone      string   `json:"zone"`
 	State     string   `json:"state"`
-	LeaveAtMS int64    `json:"leave_at_ms"` // Unix time; 0 for none
+	LeaveAtMS int64    `json:"leave_at_ms"` // Unix time in ms; 0 for none
 }
 
-// cachedList is the last list that came with an entity tag.
+// cachedList is the last list, if it was valid and had an entity tag.
 type cachedList struct {
 	etag    string
 	listing port.Listing
 }
 
-// List reads the platform's list. Where the platform sends an entity tag (ETag), an
-// unchanged list is not sent again. What it returns must not be changed.
+// List reads the platform's list. If the platform sends entity tags (ETag), an unchanged
+// list is not transferred again. The returned listing must not be modified.
 func (c *Client) List(ctx context.Context) (port.Listing, error) {
 	cached := c.cached.Load()
 	etag := ""
 	if cached != nil {
 		etag = cached.etag
 	}
-	answer, err := c.get(ctx, c.config.URL, c.config.ListLimit, etag)
+	resp, err := c.get(ctx, c.config.URL, c.config.ListLimit, etag)
 	if err != nil {
 		return port.Listing{}, errors.Wrap(err, "platform list")
 	}
-	if answer.statusCode == http.StatusNotModified && etag != "" {
+	if resp.statusCode == http.StatusNotModified && etag != "" {
 		return cached.listing, nil
 	}
-	if answer.statusCode != http.StatusOK {
-		return port.Listing{}, errors.Wrap(statusError{answer.statusCode}, "platform list")
+	if resp.statusCode != http.StatusOK {
+		return port.Listing{}, errors.Wrap(statusError{resp.statusCode}, "platform list")
 	}
-	listing, err := ParseList(answer.body)
+	listing, err := ParseList(resp.body)
 	c.cached.Store(nil)
-	if tag := answer.header.Get("ETag"); err == nil && tag != "" {
+	if tag := resp.header.Get("ETag"); err == nil && tag != "" {
 		c.cached.Store(&cachedList{etag: tag, listing: listing})
 	}
 	return listing, err
 }
 
-// ParseList parses the body of a list. Entries that are invalid or listed twice are
-// reported in Malformed.
+// ParseList parses the body of a list. Entries that are invalid, or whose name occurs
+// more than once, are reported in Malformed.
 func ParseList(data []byte) (port.Listing, error) {
 	var body listBody
-	if err := decodeOne(data, &body); err != nil {
+	if err := decodeSingleValue(data, &body); err != nil {
 		return port.Listing{}, errors.Wrap(err, "platform list")
 	}
 	if body.Servers == nil {
@@ -106,25 +106,25 @@
 		}
 		listing.Servers = append(listing.Servers, status)
 	}
-	// An entry that is listed twice is found when the first of the two was taken.
+	// When a duplicate name is found, its first entry may already be in Servers.
 	listing.Servers = slices.DeleteFunc(listing.Servers, func(status *wire.ServerStatus) bool {
 		return listing.Malformed[status.Name] != ""
 	})
 	return listing, nil
 }
 
-// status returns the status of an entry's server, or the reason why it is invalid.
+// status returns the entry as a server status, or the reason why it is invalid.
 func (e listEntry) status() (status *wire.ServerStatus, reason string) {
-	state, known := serverStates[e.State]
+	state, isKnown := serverStates[e.State]
 	switch {
-	case !known:
+	case !isKnown:
 		return nil, "unknown state"
 	case e.Kind != kindModel && e.Kind != kindWeb:
 		return nil, "unknown kind"
 	case e.Region == "":
-		return nil, "no region"
+		return nil, "region is empty"
 	case e.LeaveAtMS < 0:
-		return nil, "leave_at_ms below zero"
+		return nil, "leave_at_ms is negative"
 	}
 	if _, err := netip.ParseAddrPort(e.Address); err != nil {
 		return nil, "address is not ip:port"
@@ -133,7 +133,7 @@
 	slices.Sort(services)
 	services = slices.Compact(services)
 	if len(services) > 0 && services[0] == "" {
-		return nil, "a service without a name"
+		return nil, "a service name is empty"
 	}
 	return &wire.ServerStatus{
 		Name:      e.Name,
--- a/internal/adapter/platform/platform_test.go
+++ b/internal/adapter/platform/platform_test.go
@@ -20,10 +20,10 @@
 
 func TestParseList(t *testing.T) {
 	cases := []struct{ name, body string }{
-		{"one good entry", `{"servers":[` + goodEntry + `]}`},
+		{"one valid entry", `{"servers":[` + goodEntry + `]}`},
 		{"no servers", `{"servers":[]}`},
 		{"an unknown field", `{"servers":[{"name":"w1","address":"[::1]:80","kind":"web","services":[],"region":"lagos","zone":"","state":"cold","rack":7}],"page":1}`},
-		{"bad entries beside a good one", `{"servers":[` + goodEntry + `,
+		{"invalid entries beside a valid one", `{"servers":[` + goodEntry + `,
 			{"name":"m2","address":"nowhere","kind":"model","services":["chat"],"region":"lagos","zone":"a","state":"ready"},
 			{"name":"m3","address":"127.0.0.1:1","kind":"gpu","services":["chat"],"region":"lagos","zone":"a","state":"ready"},
 			{"name":"m4","address":"127.0.0.1:1","kind":"model","services":["chat"],"region":"lagos","zone":"a","state":"gone"},
@@ -32,11 +32,11 @@
 			{"name":"m7","address":"127.0.0.1:1","kind":"model","services":[],"region":"lagos","zone":"a","state":"leaving","leave_at_ms":-1}]}`},
 		{"a server listed twice", `{"servers":[` + goodEntry + `,` + goodEntry + `]}`},
 		{"an entry without a name", `{"servers":[{"address":"127.0.0.1:1"}]}`},
-		{"no list", `{}`},
+		{"missing servers field", `{}`},
 		{"null", `null`},
-		{"a list cut short", `{"servers":[` + goodEntry},
-		{"a second value", `{"servers":[]}{"servers":[]}`},
-		{"a number for a name", `{"servers":[{"name":7}]}`},
+		{"truncated JSON", `{"servers":[` + goodEntry},
+		{"two JSON values", `{"servers":[]}{"servers":[]}`},
+		{"a number as name", `{"servers":[{"name":7}]}`},
 	}
 	var log strings.Builder
 	for _, testCase := range cases {
@@ -46,8 +46,8 @@
 			fmt.Fprintf(&log, "  %s %s %s %v %s/%s %s\n", server.Name, server.Address, server.Kind, server.Services, server.Region, server.Zone, server.State)
 		}
 		for _, name := range []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7"} {
-			if why := listing.Malformed[name]; why != "" {
-				fmt.Fprintf(&log, "  bad %s: %s\n", name, why)
+			if reason := listing.Malformed[name]; reason != "" {
+				fmt.Fprintf(&log, "  bad %s: %s\n", name, reason)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 		})
 		ctx := context.Background()
 		good := `{"server":"m1","incarnation":1790000000000000000,"state":"cold","slots":16,"running":3,"queued":1,"tokens_per_second":900.5,"prefill_per_second":4000,"kv_used":0.25,"answered":12}`
-		Convey("is read completely", func() {
+		Convey("is parsed in full", func() {
 			body = good
 			status, outcome, err := client.Status(ctx, "m1", address)
 			So(err, ShouldBeNil)
@@ -82,7 +82,7 @@
 			So(status.KvUsed, ShouldEqual, 0.25)
 			So(status.Reachable, ShouldBeTrue)
 		})
-		Convey("is rejected when it is not complete, not this server's, or out of bounds", func() {
+		Convey("is rejected if it is incomplete, from another server or out of bounds", func() {
 			for _, bad := range []string{"", good[:50], good + good, strings.Replace(good, "m1", "m2", 1), strings.Replace(good, "0.25", "1.5", 1),
 				strings.Replace(good, `"running":3`, `"running":-3`, 1), strings.Replace(good, "cold", "warm", 1), good + strings.Repeat(" ", 600)} {
 				body = bad
@@ -92,7 +92,7 @@
 				So(outcome, ShouldEqual, port.PollMalformed)
 			}
 		})
-		Convey("may be missing: the server answers, without figures", func() {
+		Convey("may be unsupported: the server counts as answering, without figures", func() {
 			code = http.StatusNotFound
 			status, outcome, err := client.Status(ctx, "m1", address)
 			So(err, ShouldBeNil)
@@ -102,21 +102,21 @@
 			_, outcome, _ = client.Status(ctx, "m1", address)
 			So(outcome, ShouldEqual, port.PollMalformed)
 		})
-		Convey("distinguishes a refused connection from no answer", func() {
-			closed, err := net.Listen("tcp", "127.0.0.1:0")
+		Convey("distinguishes a refused connection from a missing response", func() {
+			closedListener, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
-			So(closed.Close(), ShouldBeNil)
-			_, outcome, _ := client.Status(ctx, "m1", closed.Addr().String())
+			So(closedListener.Close(), ShouldBeNil)
+			_, outcome, _ := client.Status(ctx, "m1", closedListener.Addr().String())
 			So(outcome, ShouldEqual, port.PollRefused)
-			mute, err := net.Listen("tcp", "127.0.0.1:0")
+			silentListener, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
-			defer func() { _ = mute.Close() }()
-			hasty := New(Config{URL: server.URL, Timeout: 50 * time.Millisecond})
-			_, outcome, err = hasty.Status(ctx, "m1", mute.Addr().String())
+			defer func() { _ = silentListener.Close() }()
+			shortTimeoutClient := New(Config{URL: server.URL, Timeout: 50 * time.Millisecond})
+			_, outcome, err = shortTimeoutClient.Status(ctx, "m1", silentListener.Addr().String())
 			So(outcome, ShouldEqual, port.PollUnanswered)
 			So(err, ShouldNotBeNil)
 		})
-		Convey("and the list are bounded", func() {
+		Convey("and the list are limited in size, and an unexpected HTTP status is an error", func() {
 			body = `{"servers":[` + goodEntry + `]}`
 			listing, err := client.List(ctx)
 			So(err, ShouldBeNil)
@@ -132,16 +132,16 @@
 }
 
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
-	Convey("A list that the platform tags is sent again only when it changed, or when the last one was bad", t, func() {
+	Convey("A list with an entity tag is transferred again only if it changed or the last one was invalid", t, func() {
 		body := `{"servers":[]}`
 		tag := `"1"`
-		sent := 0
+		listsSent := 0
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("If-None-Match") == tag {
 				w.WriteHeader(http.StatusNotModified)
 				return
 			}
-			sent++
+			listsSent++
 			w.Header().Set("ETag", tag)
 			_, _ = w.Write([]byte(body))
 		}))
@@ -156,7 +156,7 @@
 			So(err, ShouldBeNil)
 			So(count, ShouldEqual, 0)
 		}
-		So(sent, ShouldEqual, 1)
+		So(listsSent, ShouldEqual, 1)
 
 		body = `{"servers":[{"name":"m1","address":"127.0.0.1:80","kind":"model","services":["chat"],"region":"r","zone":"z","state":"ready"}]}`
 		tag = `"2"`
@@ -165,7 +165,7 @@
 			So(err, ShouldBeNil)
 			So(count, ShouldEqual, 1)
 		}
-		So(sent, ShouldEqual, 2)
+		So(listsSent, ShouldEqual, 2)
 
 		body = `{"servers":`
 		tag = `"3"`
@@ -173,6 +173,6 @@
 			_, err := read()
 			So(err, ShouldNotBeNil)
 		}
-		So(sent, ShouldEqual, 4)
+		So(listsSent, ShouldEqual, 4)
 	})
 }
--- a/internal/adapter/platform/status.go
+++ b/internal/adapter/platform/status.go
@@ -13,11 +13,11 @@
 
 const statusPath = "/v1/status"
 
-// errOutOfBounds means that a figure of a status is negative, too large or no
-// number.
-var errOutOfBounds = errors.New("a figure is out of its bounds")
+// errOutOfBounds means that a rate or fraction in a status is negative, too large or
+// not a number.
+var errOutOfBounds = errors.New("value out of bounds")
 
-// statusBody is the JSON form of a server's status.
+// statusBody is the JSON representation of a server's status.
 type statusBody struct {
 	Server           string  `json:"server"`
 	Incarnation      uint64  `json:"incarnation"`
@@ -31,53 +31,54 @@
 	Answered         uint64  `json:"answered"`
 }
 
-// Status polls a server for its own status, which holds neither its region nor its
-// zone. A server that has no such call is reachable, with no figures. The error
-// explains an outcome other than port.PollAnswered.
+// Status polls a server for the status that it reports, which holds neither its region
+// nor its zone. A server that doesn't implement the call is reported as reachable without
+// figures. The error is non-nil for an outcome other than port.PollAnswered.
 func (c *Client) Status(ctx context.Context, name, address string) (*wire.ServerStatus, port.PollOutcome, error) {
-	answer, err := c.get(ctx, "http://"+address+statusPath, c.config.StatusLimit, "")
+	resp, err := c.get(ctx, "http://"+address+statusPath, c.config.StatusLimit, "")
 	if err != nil {
-		return nil, failedPoll(err), errors.Wrap(err, "server status")
+		return nil, outcomeOfFailure(err), errors.Wrap(err, "server status")
 	}
-	switch answer.statusCode {
+	switch resp.statusCode {
 	case http.StatusOK:
 	case http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusNotImplemented:
 		return &wire.ServerStatus{Name: name, Reachable: true}, port.PollAnswered, nil
 	default:
-		return nil, port.PollMalformed, errors.Wrap(statusError{answer.statusCode}, "server status")
+		return nil, port.PollMalformed, errors.Wrap(statusError{resp.statusCode}, "server status")
 	}
-	status, err := ParseStatus(name, answer.body)
+	status, err := ParseStatus(name, resp.body)
 	if err != nil {
 		return nil, port.PollMalformed, err
 	}
 	return status, port.PollAnswered, nil
 }
 
-// failedPoll returns the outcome of a poll whose response could not be read.
-func failedPoll(err error) port.PollOutcome {
+// outcomeOfFailure returns the outcome of a poll whose response could not be read in full.
+func outcomeOfFailure(err error) port.PollOutcome {
 	switch {
 	case port.IsConnectionRefused(err):
 		return port.PollRefused
-	case errors.Is(err, errBodyTooLong):
+	case errors.Is(err, errBodyTooLarge):
 		return port.PollMalformed
 	}
 	return port.PollUnanswered
 }
 
-// ParseStatus parses the body of a status, which must be the named server's.
+// ParseStatus parses the body of a status, which must be that of the named server.
 func ParseStatus(name string, data []byte) (*wire.ServerStatus, error) {
 	var body statusBody
-	if err := decodeOne(data, &body); err != nil {
+	if err := decodeSingleValue(data, &body); err != nil {
 		return nil, errors.Wrap(err, "server status")
 	}
-	state, known := serverStates[body.State]
+	state, isKnown := serverStates[body.State]
 	switch {
 	case body.Server != name:
-		return nil, errors.Errorf("server status: %q answers in the place of %q", body.Server, name)
-	case !known:
+		return nil, errors.Errorf("server status: response is from %q, want %q", body.Server, name)
+	case !isKnown:
 		return nil, errors.Errorf("server status: unknown state %q", body.State)
 	case !body.isWithinBounds():
-		return nil, errors.Wrap(errOutOfBounds, "server status")
+		return nil, errors.Wrapf(errOutOfBounds, "server status: tokens_per_second %g, prefill_per_second %g, kv_used %g",
+			body.TokensPerSecond, body.PrefillPerSecond, body.KVUsed)
 	}
 	return &wire.ServerStatus{
 		Name:             name,
@@ -94,11 +95,12 @@
 	}, nil
 }
 
-// isWithinBounds reports whether all rates and fractions are valid.
+// isWithinBounds reports whether the rates and the fraction of the KV cache used are
+// valid.
 func (b *statusBody) isWithinBounds() bool {
 	return isWithin(b.TokensPerSecond, math.MaxFloat64) &&
 		isWithin(b.PrefillPerSecond, math.MaxFloat64) &&
 		isWithin(b.KVUsed, 1)
 }
 
-func isWithin(value, most float64) bool { return value >= 0 && value <= most }
+func isWithin(value, maxValue float64) bool { return value >= 0 && value <= maxValue }
