--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -145,7 +145,7 @@
 	}
 	if p.controller != nil {
 		inspections[healthcheck.InspectListTime] = inspectionOf(func(string) (healthcheck.ListTime, bool) {
-			return healthcheck.ListTime{ObservedAtMS: p.controller.ListedAt()}, true
+			return healthcheck.ListTime{ObservedAtMS: p.controller.PlatformListedAtMS()}, true
 		})
 	}
 	return &inspector{self: p.identity.Name, peers: p.directory, inspections: inspections}
