--- a/internal/adapter/disklog/config.go
+++ b/internal/adapter/disklog/config.go
@@ -18,7 +18,7 @@
 	Folder       string        // created if missing
 	SegmentBytes int64         // a segment larger than this is closed; 0 means 4 MiB
 	ReserveBytes int64         // kept free for snapshots and urgent records; 0 means 1 MiB; at most a quarter of a quota
-	Quota        int64         // limit on the total size of all files; 0 means no limit
+	QuotaBytes   int64         // limit on the total size of all files; 0 means no limit
 	SyncDelay    time.Duration // added to every sync, to simulate a slow disk in tests
 	FileSystem   FileSystem    // nil means OSFileSystem
 	Clock        clock.Clock   // nil means the system clock
@@ -31,8 +31,8 @@
 	if cfg.ReserveBytes <= 0 {
 		cfg.ReserveBytes = defaultReserveBytes
 	}
-	if cfg.Quota > 0 {
-		cfg.ReserveBytes = min(cfg.ReserveBytes, cfg.Quota/reserveDivisor)
+	if cfg.QuotaBytes > 0 {
+		cfg.ReserveBytes = min(cfg.ReserveBytes, cfg.QuotaBytes/reserveDivisor)
 	}
 	if cfg.FileSystem == nil {
 		cfg.FileSystem = OSFileSystem()
--- a/internal/adapter/disklog/errors_test.go
+++ b/internal/adapter/disklog/errors_test.go
@@ -24,7 +24,7 @@
 		So(err.Error(), ShouldEqual, apierror.From(err).Error())
 	})
 	Convey("An append that exceeds the quota is a FullError with code DiskFull", t, func() {
-		l, _ := mustOpen(t, Config{Folder: t.TempDir(), Quota: 400, ReserveBytes: 100})
+		l, _ := mustOpen(t, Config{Folder: t.TempDir(), QuotaBytes: 400, ReserveBytes: 100})
 		defer closeLog(l)
 		_, err := l.Append([][]byte{make([]byte, 400)}, Ordinary)
 		var full *FullError
--- a/internal/adapter/disklog/full_test.go
+++ b/internal/adapter/disklog/full_test.go
@@ -14,7 +14,7 @@
 
 func TestFullDisk(t *testing.T) {
 	Convey("Under a quota only complete records are written, and a snapshot frees space", t, func() {
-		cfg := Config{Folder: t.TempDir(), Quota: 4000, ReserveBytes: 1000}
+		cfg := Config{Folder: t.TempDir(), QuotaBytes: 4000, ReserveBytes: 1000}
 		l, _ := mustOpen(t, cfg)
 		synced := 0
 		var err error
--- a/internal/adapter/disklog/log.go
+++ b/internal/adapter/disklog/log.go
@@ -27,12 +27,12 @@
 // Replay holds the contents of the log when it was opened: the latest complete
 // snapshot and the records after it, in order.
 type Replay struct {
-	Snapshot    []byte // nil if there is none
-	Records     [][]byte
-	Segments    int
-	TornSegment string // file name of the segment whose torn tail was truncated, or empty
-	TornBytes   int64  // size of the truncated tail
-	BadSnapshot string // file name of the newest snapshot, if it is corrupt and was skipped; otherwise empty
+	Snapshot     []byte // nil if there is none
+	Records      [][]byte
+	SegmentCount int
+	TornSegment  string // file name of the segment whose torn tail was truncated, or empty
+	TornBytes    int64  // size of the truncated tail
+	BadSnapshot  string // file name of the newest snapshot, if it is corrupt and was skipped; otherwise empty
 }
 
 // Log is a write-ahead log on disk. Append, WriteSnapshot and LastIndex must be
@@ -118,7 +118,7 @@
 		return 0, &BusyError{Detail: fmt.Sprintf("append of %d bytes: %d bytes queued for the disk, limit %d bytes", size, queued, maxQueuedBytes)}
 	}
 	if !l.hasSpace(size, priority) {
-		return 0, &FullError{Detail: fmt.Sprintf("append of %d bytes: %d bytes used, reserve %d bytes, quota %d bytes (0 for none)", size, l.usedBytes.Load(), l.cfg.ReserveBytes, l.cfg.Quota)}
+		return 0, &FullError{Detail: fmt.Sprintf("append of %d bytes: %d bytes used, reserve %d bytes, quota %d bytes (0 for none)", size, l.usedBytes.Load(), l.cfg.ReserveBytes, l.cfg.QuotaBytes)}
 	}
 	select {
 	case l.requests <- request{records: records, priority: priority}:
@@ -132,14 +132,14 @@
 }
 
 func (l *Log) hasSpace(size int64, priority Priority) bool {
-	limit := l.cfg.Quota
+	limit := l.cfg.QuotaBytes
 	if priority == Ordinary {
 		if l.fileSystemFull.Load() {
 			return false
 		}
 		limit -= l.cfg.ReserveBytes
 	}
-	return l.cfg.Quota <= 0 || l.usedBytes.Load()+size <= limit
+	return l.cfg.QuotaBytes <= 0 || l.usedBytes.Load()+size <= limit
 }
 
 func queueFullError() error {
--- a/internal/adapter/disklog/recover.go
+++ b/internal/adapter/disklog/recover.go
@@ -166,7 +166,7 @@
 			replay.TornBytes = int64(len(data) - completeBytes)
 		}
 	}
-	replay.Segments = len(segments)
+	replay.SegmentCount = len(segments)
 	return nil
 }
 
--- a/internal/adapter/disklog/reserve.go
+++ b/internal/adapter/disklog/reserve.go
@@ -17,7 +17,7 @@
 // updateSpace allocates the reserve again after its release and checks whether a
 // full disk has space again.
 func (w *writer) updateSpace() {
-	needsNoReserve := w.reserve.allocated || w.reserve.unsupported || w.cfg.Quota > 0
+	needsNoReserve := w.reserve.allocated || w.reserve.unsupported || w.cfg.QuotaBytes > 0
 	if !w.fileSystemFull.Load() && needsNoReserve {
 		return
 	}
@@ -27,7 +27,7 @@
 // checkSpace allocates the reserve and, temporarily, a small file beside it. An
 // error for lack of space from either means that the disk is full.
 func (w *writer) checkSpace() error {
-	if w.cfg.Quota == 0 && !w.reserve.unsupported {
+	if w.cfg.QuotaBytes == 0 && !w.reserve.unsupported {
 		if err := w.allocateReserve(); err != nil {
 			return err
 		}
--- a/internal/adapter/disklog/snapshot.go
+++ b/internal/adapter/disklog/snapshot.go
@@ -27,10 +27,10 @@
 	}
 	w.snapshotRunning = true
 	used := w.usedBytes.Load()
-	if w.cfg.Quota > 0 && used+snapshot.size() > w.cfg.Quota {
+	if w.cfg.QuotaBytes > 0 && used+snapshot.size() > w.cfg.QuotaBytes {
 		w.snapshotEnded <- w.stored
 		w.stored.segments = nil
-		snapshot.done <- &FullError{Detail: fmt.Sprintf("snapshot of %d bytes: %d bytes used, quota %d bytes", snapshot.size(), used, w.cfg.Quota)}
+		snapshot.done <- &FullError{Detail: fmt.Sprintf("snapshot of %d bytes: %d bytes used, quota %d bytes", snapshot.size(), used, w.cfg.QuotaBytes)}
 		return nil
 	}
 	if w.fileSystemFull.Load() {
--- a/internal/adapter/internalrpc/directory.go
+++ b/internal/adapter/internalrpc/directory.go
@@ -102,10 +102,10 @@
 	}
 }
 
-// ConfirmLive replaces the set of processes that a core's feed reports as running. The
+// ConfirmRunning replaces the set of processes that a core's feed reports as running. The
 // directory merges their records and keeps these processes even if gossip no longer
 // delivers them. It never blocks.
-func (d *Directory) ConfirmLive(running []*wire.Process) {
+func (d *Directory) ConfirmRunning(running []*wire.Process) {
 	names := make(map[string]bool, len(running))
 	for _, process := range running {
 		names[process.Name] = true
--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -149,7 +149,7 @@
 				Incarnation: 1,
 				Counter:     5,
 			}
-			directory.ConfirmLive([]*wire.Process{reported})
+			directory.ConfirmRunning([]*wire.Process{reported})
 			synctest.Wait()
 			if got := names(directory); got != "far n0" {
 				t.Errorf("known processes %q", got)
@@ -158,7 +158,7 @@
 			if got := names(directory); got != "far n0" {
 				t.Errorf("known processes after 20 minutes %q", got)
 			}
-			directory.ConfirmLive(nil)
+			directory.ConfirmRunning(nil)
 			<-time.After(20 * time.Minute)
 			if got := names(directory); got != "n0" {
 				t.Errorf("known processes 20 minutes after the feed dropped one %q", got)
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -139,7 +139,7 @@
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "log: snapshot %s, %d segments, %d records, torn %q %d bytes, bad snapshot %q\n", digest(replay.Snapshot),
-		replay.Segments, len(replay.Records), replay.TornSegment, replay.TornBytes, replay.BadSnapshot)
+		replay.SegmentCount, len(replay.Records), replay.TornSegment, replay.TornBytes, replay.BadSnapshot)
 	for i, record := range replay.Records {
 		fmt.Fprintf(&out, "record %d: kind %d, %s\n", i, record[0], digest(record))
 	}
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -110,7 +110,7 @@
 		FeedWait:       p.values.Duration("feed.wait"),
 		KnownProcesses: p.directory.KnownProcesses,
 		CoreStaleAfter: coreStaleAfter,
-		ConfirmRunning: p.directory.ConfirmLive,
+		ConfirmRunning: p.directory.ConfirmRunning,
 	}, p.directory, p.clock, p.log)
 }
 
--- a/internal/node/build_core.go
+++ b/internal/node/build_core.go
@@ -24,7 +24,7 @@
 	disk := disklog.Config{
 		Folder:       p.values.String("data"),
 		SegmentBytes: int64(p.values.Int("disk.segment")),
-		Quota:        int64(p.values.Int("disk.quota")),
+		QuotaBytes:   int64(p.values.Int("disk.quota")),
 		SyncDelay:    p.values.Duration("disk.sync_delay"),
 		Clock:        p.clock,
 	}
--- a/internal/node/platform_node.go
+++ b/internal/node/platform_node.go
@@ -38,11 +38,11 @@
 // why it does not.
 func (n *platformNode) Ready() *apierror.Error { return n.process.gateway.Ready() }
 
-// Nearest returns the addresses of at most limit ready fronts in a client's region, or
+// NearestFronts returns the addresses of at most limit ready fronts in a client's region, or
 // in any region if it has none. A process without authority is probably on the
 // minority side of a network partition that does not affect its clients, so it returns
 // the fronts that do not respond to it.
-func (n *platformNode) Nearest(region string, limit int) []string {
+func (n *platformNode) NearestFronts(region string, limit int) []string {
 	fronts := n.process.follower.View().Fronts
 	if apiErr := n.Ready(); apiErr != nil && apiErr.Code == apierror.NotRuling {
 		fronts = n.unresponsiveFronts()
--- a/internal/node/replica/disk_test.go
+++ b/internal/node/replica/disk_test.go
@@ -93,7 +93,7 @@
 	})
 	inVirtualTime(t, "A core with a full disk refuses to vote and reports it, and the others continue", func(f *fleet) {
 		small := f.disk["b"]
-		small.Quota = 64 << 10
+		small.QuotaBytes = 64 << 10
 		f.disk["b"] = small
 		f.cfg.SnapshotRecords = 1 << 30
 		f.form()
--- a/internal/node/replica/inspect.go
+++ b/internal/node/replica/inspect.go
@@ -68,7 +68,7 @@
 		Members:         len(machineState.Roster),
 		OpenSlots:       len(state.OpenSlots),
 		SnapshotVersion: state.SnapshotSlot,
-		Segments:        replay.Segments,
+		Segments:        replay.SegmentCount,
 		Records:         len(replay.Records),
 		TornSegment:     replay.TornSegment,
 		TornBytes:       replay.TornBytes,
--- a/internal/node/replica/owner.go
+++ b/internal/node/replica/owner.go
@@ -69,7 +69,7 @@
 func (o *owner) reportOpened(replay Replay) {
 	emit := o.replica.events.Emit
 	core := o.replica.cfg.Self
-	emit(events.LogOpened, "core", core, "segments", replay.Segments, "records", len(replay.Records), "epoch", o.consensus.HighestLearnedSlot())
+	emit(events.LogOpened, "core", core, "segments", replay.SegmentCount, "records", len(replay.Records), "epoch", o.consensus.HighestLearnedSlot())
 	if replay.TornBytes > 0 {
 		emit(events.TornTailTruncated, "core", core, "segment", replay.TornSegment, "bytes", replay.TornBytes)
 	}
--- a/internal/port/ingress.go
+++ b/internal/port/ingress.go
@@ -81,9 +81,9 @@
 type Node interface {
 	// Ready returns nil where the process takes traffic, and else why not.
 	Ready() *apierror.Error
-	// Nearest returns where a client of a region is to send its requests: the
+	// NearestFronts returns where a client of a region is to send its requests: the
 	// addresses of at most so many fronts, in random order.
-	Nearest(region string, most int) []string
+	NearestFronts(region string, most int) []string
 	// Order forwards an operator's call to a core; see wire.OrderRequest.
 	Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error)
 	// SetSeeds replaces the seeds with which the process was started.
