--- a/internal/adapter/backend/backend.go
+++ b/internal/adapter/backend/backend.go
@@ -1,12 +1,12 @@
-// Package backend is the client of model servers and web servers.
+// Package backend is the HTTP client for model servers and web servers.
 //
-// Invariants: a request is sent at most once. Each attempt has a connection of its
-// own, which is closed when the attempt ends: net/http's Transport sends a request
-// again by itself only on a connection that was kept alive, so here it never does,
-// and no answer can be left over from another request. A Failure reports whether
-// the server may have received anything of the request.
+// Invariants: a request is sent at most once. Each attempt opens its own connection
+// and closes it when the attempt ends. net/http's Transport retries a request
+// automatically only on a reused connection, so here it never does, and a response
+// to another request cannot be left over on the connection. A Failure reports
+// whether the server may have received any part of the request.
 //
-// The package chooses no server and retries nothing; that is the front's concern.
+// The package neither selects servers nor retries requests; the front does both.
 package backend
 
 import (
@@ -25,23 +25,24 @@
 )
 
 const (
-	// HeaderRequestID carries the request's id to a server, which echoes it.
+	// HeaderRequestID carries the request id to the server, which echoes it in the
+	// response.
 	HeaderRequestID = "Stepwick-Request-Id"
-	// HeaderDeadline carries the remaining time to the deadline, in milliseconds.
+	// HeaderDeadline carries the time remaining until the deadline, in milliseconds.
 	HeaderDeadline = "Stepwick-Deadline-Ms"
 )
 
-// Config holds a client's limits. Zero values take the defaults named.
+// Config holds the limits of a client. Zero values select the defaults given here.
 type Config struct {
-	Bind              string        // source address of connections; "" for any
+	Bind              string        // source IP address of connections; "" for any
 	ConnectTimeout    time.Duration // default 1s
-	FirstEventTimeout time.Duration // from the send of a prompt to its first event; default 10s
-	EventGapTimeout   time.Duration // between two events; default 5s
-	HeaderMax         int64         // bytes; default 32 KiB
-	BodyMax           int64         // bytes of a complete answer; default 4 MiB
-	EventMax          int           // bytes of one event; default 64 KiB
+	FirstEventTimeout time.Duration // from the start of an attempt to the first event; default 10s
+	EventGapTimeout   time.Duration // between two events of a stream; default 5s
+	MaxHeaderBytes    int64         // of a response header; default 32 KiB
+	MaxBodyBytes      int64         // of a one-shot response body; default 4 MiB
+	MaxEventBytes     int           // of one event; default 64 KiB
 
-	// Dial opens a connection; nil dials TCP from Bind.
+	// Dial opens a connection; nil selects a TCP dialer that binds to Bind.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -49,9 +50,9 @@
 	setDefault(&c.ConnectTimeout, time.Second)
 	setDefault(&c.FirstEventTimeout, 10*time.Second)
 	setDefault(&c.EventGapTimeout, 5*time.Second)
-	setDefault(&c.HeaderMax, 32<<10)
-	setDefault(&c.BodyMax, 4<<20)
-	setDefault(&c.EventMax, 64<<10)
+	setDefault(&c.MaxHeaderBytes, 32<<10)
+	setDefault(&c.MaxBodyBytes, 4<<20)
+	setDefault(&c.MaxEventBytes, 64<<10)
 	if c.Dial != nil {
 		return c, nil
 	}
@@ -59,7 +60,7 @@
 	if c.Bind != "" {
 		source := net.ParseIP(c.Bind)
 		if source == nil {
-			return c, errors.Errorf("bind address %q is no IP address", c.Bind)
+			return c, errors.Errorf("bind address %q is not an IP address", c.Bind)
 		}
 		dialer.LocalAddr = &net.TCPAddr{IP: source}
 	}
@@ -79,23 +80,24 @@
 	Server   string
 	Address  string // ip:port
 	Deadline time.Time
-	// Now returns the time by the clock that Deadline is by.
+	// Now reads the clock on which Deadline is based.
 	Now func() time.Time
-	// Allow returns nil if the request may be sent, or why not. It is called just
-	// before the first write, on another goroutine; may be nil.
+	// Allow returns nil if the request may still be sent, or the error that forbids
+	// it. It is called immediately before the first write, on a different goroutine.
+	// A nil Allow permits sending.
 	Allow func() *apierror.Error
-	// FirstEventTimeout replaces the client's where it is shorter; 0 for the
-	// client's.
+	// FirstEventTimeout overrides Config.FirstEventTimeout if it is shorter; 0 keeps
+	// the client's value.
 	FirstEventTimeout time.Duration
 }
 
-// Client sends requests to servers.
+// Client sends requests to servers. It is safe for concurrent use.
 type Client struct {
 	config    Config
 	transport *http.Transport
 }
 
-// New returns a client. The error is that of a malformed bind address.
+// New returns a client. It fails if Config.Bind is not an IP address.
 func New(config Config) (*Client, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -106,23 +108,23 @@
 		DialContext:            client.dial,
 		DisableKeepAlives:      true,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: config.HeaderMax,
-		Protocols:              http1(),
+		MaxResponseHeaderBytes: config.MaxHeaderBytes,
+		Protocols:              http1Only(),
 	}
 	return client, nil
 }
 
-func http1() *http.Protocols {
+func http1Only() *http.Protocols {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return protocols
 }
 
-// dial opens the connection of the attempt whose guard the context carries.
+// dial opens the connection for the attempt whose sendGuard is in the context.
 func (c *Client) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	guard, ok := ctx.Value(sendGuardKey{}).(*sendGuard)
 	if !ok {
-		return nil, errors.New("a dial without an attempt")
+		return nil, errors.New("dial context carries no send guard")
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.config.ConnectTimeout)
 	defer cancel()
@@ -133,8 +135,8 @@
 	return &guardedConn{Conn: conn, guard: guard}, nil
 }
 
-// outgoing is the content of a request to a server.
-type outgoing struct {
+// requestSpec describes the request to send, apart from the headers that newRequest adds.
+type requestSpec struct {
 	method string
 	target *url.URL
 	header http.Header // may be nil
@@ -142,27 +144,27 @@
 }
 
 // send sends a request and returns the response once its header has arrived. The
-// caller closes its body.
-func (c *Client) send(ctx context.Context, attempt *Attempt, content outgoing) (*http.Response, *sendGuard, *Failure) {
+// caller must close the response body.
+func (c *Client) send(ctx context.Context, attempt *Attempt, spec requestSpec) (*http.Response, *sendGuard, *Failure) {
 	guard := attempt.newSendGuard()
 	remaining := attempt.Deadline.Sub(attempt.Now())
 	if remaining <= 0 {
-		return nil, guard, &Failure{Kind: CancelledBeforeSend, Detail: "the deadline passed"}
+		return nil, guard, &Failure{Kind: CancelledBeforeSend, Detail: "deadline passed before the request was sent"}
 	}
 	guardedCtx := context.WithValue(ctx, sendGuardKey{}, guard)
-	response, err := c.transport.RoundTrip(content.request(guardedCtx, attempt, remaining))
+	response, err := c.transport.RoundTrip(spec.newRequest(guardedCtx, attempt, remaining))
 	if err != nil {
 		return nil, guard, guard.failure(ctx, err)
 	}
 	return response, guard, nil
 }
 
-func (o outgoing) request(ctx context.Context, attempt *Attempt, remaining time.Duration) *http.Request {
+func (spec requestSpec) newRequest(ctx context.Context, attempt *Attempt, remaining time.Duration) *http.Request {
 	request := &http.Request{
-		Method:     o.method,
-		URL:        o.target,
+		Method:     spec.method,
+		URL:        spec.target,
 		Host:       attempt.Address,
-		Header:     o.header.Clone(),
+		Header:     spec.header.Clone(),
 		Proto:      "HTTP/1.1",
 		ProtoMajor: 1,
 		ProtoMinor: 1,
@@ -170,14 +172,14 @@
 	if request.Header == nil {
 		request.Header = http.Header{}
 	}
-	if len(o.body) > 0 {
-		request.Body = io.NopCloser(bytes.NewReader(o.body))
-		request.ContentLength = int64(len(o.body))
+	if len(spec.body) > 0 {
+		request.Body = io.NopCloser(bytes.NewReader(spec.body))
+		request.ContentLength = int64(len(spec.body))
 	}
 	request.Header.Set(HeaderRequestID, attempt.ID)
 	request.Header.Set(HeaderDeadline, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	if request.Header.Get("User-Agent") == "" {
-		// A nil value keeps net/http from adding its own.
+		// A nil value prevents net/http from adding its default User-Agent.
 		request.Header["User-Agent"] = nil
 	}
 	return request.WithContext(ctx)
--- a/internal/adapter/backend/event_reader.go
+++ b/internal/adapter/backend/event_reader.go
@@ -8,19 +8,20 @@
 	"github.com/pkg/errors"
 )
 
-// errProtocol is wrapped by the errors of an event stream that is malformed.
-var errProtocol = errors.New("the event stream is malformed")
+// errProtocol is wrapped by errors that report a malformed event stream.
+var errProtocol = errors.New("malformed event stream")
 
-// readEvent returns the data of the next server-sent event of at most limit bytes,
-// and skips comments. The error is io.EOF between two events, one that wraps
-// errProtocol, or the reader's.
+// readEvent returns the data of the next server-sent event, which may have at most
+// limit bytes, and skips comment lines. The error is io.EOF if the stream ends
+// between two events, wraps errProtocol if the stream is malformed, or comes from
+// the reader.
 func readEvent(reader *bufio.Reader, limit int) ([]byte, error) {
 	var data []byte
 	for consumed := 0; consumed <= limit; {
 		line, err := readLine(reader, limit)
 		if err != nil {
 			if errors.Is(err, io.EOF) && (len(line) > 0 || data != nil) {
-				return nil, errors.Wrap(errProtocol, "it ends inside an event")
+				return nil, errors.Wrap(errProtocol, "stream ended inside an event")
 			}
 			return nil, err
 		}
@@ -32,23 +33,23 @@
 		case bytes.HasPrefix(line, []byte("data:")) && data == nil:
 			data = append([]byte{}, bytes.TrimPrefix(line[len("data:"):], []byte(" "))...)
 		case bytes.HasPrefix(line, []byte("event:")):
-			return nil, errors.Wrapf(errProtocol, "the server sent %.64q", line)
+			return nil, errors.Wrapf(errProtocol, "unsupported event type in line %.64q", line)
 		default:
-			return nil, errors.Wrapf(errProtocol, "it has the line %.64q", line)
+			return nil, errors.Wrapf(errProtocol, "unexpected line %.64q", line)
 		}
 	}
-	return nil, errors.Wrapf(errProtocol, "an event is over %d bytes", limit)
+	return nil, errors.Wrapf(errProtocol, "event exceeds %d bytes", limit)
 }
 
-// readLine returns the next line without its end. With an error of the reader it
-// returns what it has read of the line.
+// readLine returns the next line without its line terminator. If the reader fails,
+// it returns the part of the line read so far along with the error.
 func readLine(reader *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
 		part, err := reader.ReadSlice('\n')
 		line = append(line, part...)
 		if len(line) > limit {
-			return nil, errors.Wrapf(errProtocol, "a line is over %d bytes", limit)
+			return nil, errors.Wrapf(errProtocol, "line exceeds %d bytes", limit)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
--- a/internal/adapter/backend/failure.go
+++ b/internal/adapter/backend/failure.go
@@ -9,40 +9,40 @@
 	"stepwick/internal/port"
 )
 
-// FailureKind is what became of an attempt that gave no complete answer. Its text
-// is shown to operators.
+// FailureKind classifies an attempt that did not yield a complete response. Its
+// text is shown to operators.
 type FailureKind string
 
 // Kinds of failures.
 const (
-	// Nothing was written, and nothing will be.
+	// No part of the request has been or will be written.
 	NotSent             FailureKind = "unsent"
 	ConnectionRefused   FailureKind = "refused"   // the server refused the connection
-	SendForbidden       FailureKind = "barred"    // Attempt.Allow or the deadline forbade it
+	SendForbidden       FailureKind = "barred"    // by Attempt.Allow or because the deadline had passed
 	CancelledBeforeSend FailureKind = "withdrawn" // by the caller or the front
 
-	// The request was written.
-	ServerBusy        FailureKind = "busy"    // the server answered that it did not start
-	TimedOut          FailureKind = "dark"    // the server did not respond in time
-	ServerFailed      FailureKind = "broken"  // the connection ended early, or the status is an error
-	Incomplete        FailureKind = "short"   // the answer's body is not complete
-	ProtocolViolation FailureKind = "crossed" // the answer is another request's or breaks the protocol
-	EventsOutOfOrder  FailureKind = "amiss"   // an event is missing or repeated, or the count is wrong
+	// The request was at least partly written.
+	ServerBusy        FailureKind = "busy"    // the server reported that it did not start the request
+	TimedOut          FailureKind = "dark"    // the server did not send data within its timeout
+	ServerFailed      FailureKind = "broken"  // the connection ended early, or the status reports an error
+	Incomplete        FailureKind = "short"   // the response body is incomplete
+	ProtocolViolation FailureKind = "crossed" // the response belongs to another request or violates the protocol
+	EventsOutOfOrder  FailureKind = "amiss"   // an event is missing or repeated, or the final count is wrong
 	Cancelled         FailureKind = "gone"    // by the caller or the front
 )
 
-// Failure is the error of an attempt that gave no complete answer.
+// Failure is the error of an attempt that did not yield a complete response.
 type Failure struct {
 	Kind   FailureKind
 	Detail string
-	Cause  *apierror.Error // why sending was forbidden; nil for other kinds
+	Cause  *apierror.Error // the error that forbade sending; nil unless Kind is SendForbidden
 }
 
 // Error returns the kind and the detail.
 func (f *Failure) Error() string { return string(f.Kind) + ": " + f.Detail }
 
-// NotSent reports whether the server has received nothing of the request and never
-// will.
+// NotSent reports whether no part of the request has reached or will reach the
+// server.
 func (f *Failure) NotSent() bool {
 	switch f.Kind {
 	case NotSent, ConnectionRefused, SendForbidden, CancelledBeforeSend:
@@ -51,8 +51,8 @@
 	return false
 }
 
-// failure converts an error of the transport to a Failure. It first prevents the
-// request from being sent, so that what it reports as not sent stays so.
+// failure converts a transport error to a Failure. It first prevents any later
+// write, so that a request reported as not sent stays unsent.
 func (g *sendGuard) failure(ctx context.Context, err error) *Failure {
 	if !g.prevent() {
 		if ctx.Err() != nil {
@@ -67,7 +67,7 @@
 		return &Failure{Kind: CancelledBeforeSend, Detail: failureDetail(ctx, err)}
 	}
 	if isConnectionRefused(err) {
-		return &Failure{Kind: ConnectionRefused, Detail: "the server refused the connection"}
+		return &Failure{Kind: ConnectionRefused, Detail: "server refused the connection"}
 	}
 	return &Failure{Kind: NotSent, Detail: failureDetail(ctx, err)}
 }
@@ -75,9 +75,9 @@
 func failureDetail(ctx context.Context, err error) string {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return "the deadline passed"
+		return "deadline passed"
 	case ctx.Err() != nil:
-		return "given up"
+		return "request cancelled"
 	}
 	return err.Error()
 }
--- a/internal/adapter/backend/oneshot.go
+++ b/internal/adapter/backend/oneshot.go
@@ -8,32 +8,32 @@
 	"strconv"
 )
 
-// OneShot is a call that must run at most once.
+// OneShot is a non-streaming call, which the server must execute at most once.
 type OneShot struct {
 	Method string
-	Path   string // escaped, with its leading slash
-	Query  string // raw
+	Path   string // escaped, with the leading slash
+	Query  string // raw, without the question mark
 	Header http.Header
 	Body   []byte
 }
 
-// Answer is a server's complete answer.
+// Answer is a complete response from a server.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Call sends a one-shot call to one server, at most once. A failure that is
-// NotSent means that the call has not run and will not; after any other it may
-// have run.
+// Call sends a one-shot call to one server, at most once. If the failure's NotSent
+// method returns true, the server has not executed the call and never will; after
+// any other failure it may have executed it.
 func (c *Client) Call(ctx context.Context, attempt *Attempt, call *OneShot) (*Answer, *Failure) {
 	target, err := url.Parse("http://" + attempt.Address + call.Path)
 	if err != nil {
 		return nil, &Failure{Kind: NotSent, Detail: err.Error()}
 	}
 	target.RawQuery = call.Query
-	response, guard, failure := c.send(ctx, attempt, outgoing{
+	response, guard, failure := c.send(ctx, attempt, requestSpec{
 		method: call.Method,
 		target: target,
 		header: call.Header,
@@ -43,42 +43,45 @@
 		return nil, failure
 	}
 	defer response.Body.Close()
-	// One byte more than the limit shows that an answer is beyond it.
-	body, err := io.ReadAll(io.LimitReader(response.Body, c.config.BodyMax+1))
+	// Reading one byte beyond the limit tells an oversized body from one of exactly
+	// the limit.
+	body, err := io.ReadAll(io.LimitReader(response.Body, c.config.MaxBodyBytes+1))
 	if err != nil {
-		return nil, incompleteAnswer(guard.failure(ctx, err))
+		return nil, asIncomplete(guard.failure(ctx, err))
 	}
-	if failure := c.checkAnswer(attempt.ID, call.Method, response, body); failure != nil {
+	if failure := c.checkOneShotResponse(attempt.ID, call.Method, response, body); failure != nil {
 		return nil, failure
 	}
 	return &Answer{Status: response.StatusCode, Header: response.Header, Body: body}, nil
 }
 
-// checkAnswer returns nil if an answer is complete and the request's own.
-func (c *Client) checkAnswer(id, method string, response *http.Response, body []byte) *Failure {
+// checkOneShotResponse returns nil if the response is complete and belongs to the
+// request.
+func (c *Client) checkOneShotResponse(id, method string, response *http.Response, body []byte) *Failure {
 	switch {
-	case int64(len(body)) > c.config.BodyMax:
-		return &Failure{Kind: ProtocolViolation, Detail: "the answer is over " + strconv.FormatInt(c.config.BodyMax, 10) + " bytes"}
+	case int64(len(body)) > c.config.MaxBodyBytes:
+		return &Failure{Kind: ProtocolViolation, Detail: "response body exceeds " + strconv.FormatInt(c.config.MaxBodyBytes, 10) + " bytes"}
 	case !hasKnownEnd(method, response):
-		return &Failure{Kind: Incomplete, Detail: "the answer tells no length, so that it can't be known to be whole"}
+		return &Failure{Kind: Incomplete, Detail: "response has neither a length nor chunked encoding, so its completeness cannot be checked"}
 	case response.Header.Get(HeaderRequestID) != id:
-		return &Failure{Kind: ProtocolViolation, Detail: "the answer names request " + strconv.Quote(response.Header.Get(HeaderRequestID))}
+		return &Failure{Kind: ProtocolViolation, Detail: "response does not carry the id of the request but " + strconv.Quote(response.Header.Get(HeaderRequestID))}
 	case response.StatusCode < 200 || response.StatusCode > 599:
-		return &Failure{Kind: ProtocolViolation, Detail: "status " + strconv.Itoa(response.StatusCode)}
+		return &Failure{Kind: ProtocolViolation, Detail: "invalid response status " + strconv.Itoa(response.StatusCode)}
 	}
 	return nil
 }
 
-// incompleteAnswer makes a connection that ended within the body an Incomplete.
-func incompleteAnswer(failure *Failure) *Failure {
+// asIncomplete changes ServerFailed to Incomplete, for a connection that ended while
+// the body was being read.
+func asIncomplete(failure *Failure) *Failure {
 	if failure.Kind == ServerFailed {
 		failure.Kind = Incomplete
 	}
 	return failure
 }
 
-// hasKnownEnd reports whether the end of an answer differs from an early end of
-// the connection: it has no body, a length or a last chunk.
+// hasKnownEnd reports whether the end of a response can be told from an early close
+// of the connection: the response has no body, a Content-Length, or chunked encoding.
 func hasKnownEnd(method string, response *http.Response) bool {
 	if method == http.MethodHead || response.ContentLength >= 0 {
 		return true
--- a/internal/adapter/backend/response_timer.go
+++ b/internal/adapter/backend/response_timer.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// responseTimer cancels an attempt whose server does not respond in time. Its
+// responseTimer cancels an attempt when the server does not send data in time. Its
 // owner must stop it.
 type responseTimer struct {
 	timer   *time.Timer
 	expired atomic.Bool
 }
 
-// newResponseTimer returns a running timer.
+// newResponseTimer starts a timer that calls cancel after the timeout.
 func newResponseTimer(timeout time.Duration, cancel context.CancelFunc) *responseTimer {
 	timer := &responseTimer{}
 	timer.timer = time.AfterFunc(timeout, func() {
@@ -23,17 +23,18 @@
 	return timer
 }
 
-func (t *responseTimer) start(timeout time.Duration) { t.timer.Reset(timeout) }
+func (t *responseTimer) restart(timeout time.Duration) { t.timer.Reset(timeout) }
 
 func (t *responseTimer) stop() { t.timer.Stop() }
 
-// explain replaces a failure by the timeout if that was its cause.
-func (t *responseTimer) explain(failure *Failure) *Failure {
+// replaceIfExpired returns a timeout failure in place of the given one if the timer
+// has expired, and the given failure otherwise.
+func (t *responseTimer) replaceIfExpired(failure *Failure) *Failure {
 	switch {
 	case !t.expired.Load() || failure == nil:
 		return failure
 	case failure.NotSent():
-		return &Failure{Kind: NotSent, Detail: "the server took no connection in time"}
+		return &Failure{Kind: NotSent, Detail: "no connection to the server within the timeout for the first event"}
 	}
-	return &Failure{Kind: TimedOut, Detail: "the server was silent for too long"}
+	return &Failure{Kind: TimedOut, Detail: "server sent no event within its timeout"}
 }
--- a/internal/adapter/backend/send_guard.go
+++ b/internal/adapter/backend/send_guard.go
@@ -9,30 +9,30 @@
 	"stepwick/internal/apierror"
 )
 
-// sendGuardKey is the context key of an attempt's sendGuard.
+// sendGuardKey is the context key for the sendGuard of an attempt.
 type sendGuardKey struct{}
 
-// States of a sendGuard. The first change is final.
+// States of a sendGuard. It leaves sendUndecided once and never changes again.
 const (
 	sendUndecided uint32 = iota
 	sendStarted
 	sendPrevented
 )
 
-// sendGuard decides once whether an attempt's request is written to its
-// connection. Once sending is prevented, nothing is ever written, however late a
-// dial returns or a writer continues. It may be used from any goroutine.
+// sendGuard decides once whether the request of an attempt may be written to its
+// connection. Once sending is prevented, nothing is ever written, no matter how late
+// a dial returns or a blocked writer continues. It is safe for concurrent use.
 type sendGuard struct {
-	state atomic.Uint32
-	allow func() *apierror.Error
-	// rejection is why allow prevented the sending; nil for another reason.
+	state     atomic.Uint32
+	checkSend func() *apierror.Error
+	// rejection is the error with which checkSend forbade sending, or nil.
 	rejection atomic.Pointer[apierror.Error]
 }
 
-// newSendGuard returns a guard that allows sending before the deadline while
-// Attempt.Allow does.
+// newSendGuard returns a guard that permits sending if the deadline has not passed
+// and Attempt.Allow does not forbid it.
 func (a *Attempt) newSendGuard() *sendGuard {
-	return &sendGuard{allow: func() *apierror.Error {
+	return &sendGuard{checkSend: func() *apierror.Error {
 		if !a.Now().Before(a.Deadline) {
 			return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed before the request was sent")
 		}
@@ -43,14 +43,15 @@
 	}}
 }
 
-// allowWrite reports whether the request may be written, and decides that on the
-// first call.
+// allowWrite reports whether the request may be written. The first call decides if
+// sending has not been prevented before.
 func (g *sendGuard) allowWrite() bool {
 	if state := g.state.Load(); state != sendUndecided {
 		return state == sendStarted
 	}
-	if apiErr := g.callAllow(); apiErr != nil {
-		// The reason is stored first, for whoever sees the state.
+	if apiErr := g.callCheckSend(); apiErr != nil {
+		// Store the error before the state, so that a goroutine which sees
+		// sendPrevented also sees the error.
 		g.rejection.Store(apiErr)
 		g.state.CompareAndSwap(sendUndecided, sendPrevented)
 		return false
@@ -58,36 +59,38 @@
 	return g.state.CompareAndSwap(sendUndecided, sendStarted)
 }
 
-// callAllow converts a panic of allow to an error: it runs on a goroutine of the
-// transport, where a panic would end the process.
-func (g *sendGuard) callAllow() (apiErr *apierror.Error) {
+// callCheckSend calls checkSend and converts a panic to an error: it runs on a
+// goroutine of the transport, where a panic would terminate the process.
+func (g *sendGuard) callCheckSend() (apiErr *apierror.Error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			apiErr = apierror.Errorf(apierror.Internal, "a panic before the request was sent: %v", panicked)
+			apiErr = apierror.Errorf(apierror.Internal, "panic in the check before sending the request: %v", panicked)
 		}
 	}()
-	return g.allow()
+	return g.checkSend()
 }
 
-// prevent prevents the sending, and reports whether nothing was or will be sent.
+// prevent prevents sending unless it has started, and reports whether no part of the
+// request has been or will be written.
 func (g *sendGuard) prevent() bool {
 	g.state.CompareAndSwap(sendUndecided, sendPrevented)
 	return g.state.Load() == sendPrevented
 }
 
-var errSendForbidden = errors.New("the request may no longer be sent")
+var errSendPrevented = errors.New("write to server: sending the request was prevented")
 
-// guardedConn is an attempt's connection. It is written to only while the guard
-// allows it.
+// guardedConn is the connection of an attempt. It passes on writes only if the guard
+// permits sending.
 type guardedConn struct {
 	net.Conn
 	guard *sendGuard
 }
 
-// Write writes data, or fails if sending was prevented.
+// Write writes data to the connection. It fails with errSendPrevented if sending was
+// prevented.
 func (c *guardedConn) Write(data []byte) (int, error) {
 	if !c.guard.allowWrite() {
-		return 0, errSendForbidden
+		return 0, errSendPrevented
 	}
 	return c.Conn.Write(data)
 }
--- a/internal/adapter/backend/stream.go
+++ b/internal/adapter/backend/stream.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// busyBodyMax bounds what is read of the body of a 503.
-	busyBodyMax      = 4 << 10
+	// maxBusyBodyBytes limits how much of the body of a 503 response is read.
+	maxBusyBodyBytes = 4 << 10
 	streamBufferSize = 4 << 10
 	busyCode         = "busy"
 )
 
-// Prompt is the JSON body of a prompt to a model server.
+// Prompt is the JSON body of a generate request to a model server. Generate sets ID
+// and DeadlineMS.
 type Prompt struct {
 	ID            string `json:"id"`
 	Service       string `json:"service"`
@@ -33,18 +34,18 @@
 	PrefixTokens  int    `json:"prefix_tokens"`
 	SessionTokens int    `json:"session_tokens"`
 	MaxTokens     int    `json:"max_tokens"`
-	DeadlineMS    int64  `json:"deadline_ms"` // from its arrival, in milliseconds
+	DeadlineMS    int64  `json:"deadline_ms"` // remaining time, counted from the arrival at the server
 }
 
-// Event is one checked event of a stream.
+// Event is one validated event of a stream.
 type Event struct {
-	Data  []byte // as the server sent it
+	Data  []byte // the JSON text as sent by the server
 	Seq   int    // -1 for the final event
 	Final bool
 }
 
-// eventBody is the JSON form of an event. Pointers tell a missing field from a
-// zero.
+// eventBody is the JSON form of an event. Pointers distinguish a missing field from
+// a zero value.
 type eventBody struct {
 	ID    *string `json:"id"`
 	Seq   *int    `json:"seq"`
@@ -52,18 +53,18 @@
 	Count *int    `json:"count"`
 }
 
-// Generate sends a prompt to one server and puts the events of its answer into the
-// queue, the final event last. Each event is checked: those in the queue are
-// complete and in order. It returns after the final event, or with a failure at
-// the first event that is wrong, and closes the queue with that *Failure or nil.
+// Generate sends a prompt to one server and puts the events of its response into the
+// queue, the final event last. It validates each event, so those in the queue are
+// well-formed, in order and without gaps. It returns after the final event or at the
+// first failure, and closes the queue with that *Failure or nil.
 func (c *Client) Generate(ctx context.Context, attempt *Attempt, prompt *Prompt, events *stage.Queue[Event]) {
 	var failure *Failure
 	defer func() {
 		if panicked := recover(); panicked != nil {
-			failure = &Failure{Kind: ServerFailed, Detail: fmt.Sprint("a panic while the answer was read: ", panicked)}
+			failure = &Failure{Kind: ServerFailed, Detail: fmt.Sprint("panic while sending the prompt or reading its events: ", panicked)}
 		}
 		if failure == nil {
-			// A nil *Failure in an error would not be nil.
+			// An error that holds a nil *Failure would not equal nil.
 			events.Close(nil)
 			return
 		}
@@ -89,17 +90,17 @@
 	if err != nil {
 		return &Failure{Kind: NotSent, Detail: err.Error()}
 	}
-	response, guard, failure := c.send(ctx, attempt, outgoing{
+	response, guard, failure := c.send(ctx, attempt, requestSpec{
 		method: http.MethodPost,
 		target: &url.URL{Scheme: "http", Host: attempt.Address, Path: "/v1/generate"},
 		header: http.Header{"Content-Type": {"application/json"}, "Accept": {"text/event-stream"}},
 		body:   body,
 	})
 	if failure != nil {
-		return timer.explain(failure)
+		return timer.replaceIfExpired(failure)
 	}
 	defer response.Body.Close()
-	if failure := checkResponse(attempt.ID, response); failure != nil {
+	if failure := checkStreamResponse(attempt.ID, response); failure != nil {
 		return failure
 	}
 	reader := &streamReader{
@@ -107,36 +108,37 @@
 		config: c.config,
 		guard:  guard,
 		timer:  timer,
-		body:   bufio.NewReaderSize(response.Body, streamBufferSize),
+		stream: bufio.NewReaderSize(response.Body, streamBufferSize),
 	}
-	return timer.explain(reader.readAll(ctx, events))
+	return timer.replaceIfExpired(reader.readAll(ctx, events))
 }
 
-// checkResponse returns nil if the header begins the request's own event stream.
-func checkResponse(id string, response *http.Response) *Failure {
+// checkStreamResponse returns nil if the header is that of an event stream for the
+// request. A missing request id is accepted, since every event carries it.
+func checkStreamResponse(id string, response *http.Response) *Failure {
 	if echoed := response.Header.Get(HeaderRequestID); echoed != "" && echoed != id {
-		return &Failure{Kind: ProtocolViolation, Detail: "the answer names request " + strconv.Quote(echoed)}
+		return &Failure{Kind: ProtocolViolation, Detail: "response does not carry the id of the request but " + strconv.Quote(echoed)}
 	}
 	if response.StatusCode == http.StatusServiceUnavailable && isBusy(response.Body) {
-		return &Failure{Kind: ServerBusy, Detail: "the server is busy"}
+		return &Failure{Kind: ServerBusy, Detail: "server reported that it is busy"}
 	}
 	if response.StatusCode != http.StatusOK {
-		return &Failure{Kind: ServerFailed, Detail: "status " + strconv.Itoa(response.StatusCode)}
+		return &Failure{Kind: ServerFailed, Detail: "unexpected response status " + strconv.Itoa(response.StatusCode)}
 	}
 	if !isEventStream(response) {
-		return &Failure{Kind: ProtocolViolation, Detail: "the answer is no event stream"}
+		return &Failure{Kind: ProtocolViolation, Detail: "response is not an event stream"}
 	}
 	return nil
 }
 
-// isBusy reports whether the body of a 503 has the code of a busy server, which did not
-// start the request.
+// isBusy reports whether the body of a 503 response has the code of a busy server,
+// which did not start the request.
 func isBusy(body io.Reader) bool {
-	var answer struct {
+	var content struct {
 		Code string `json:"code"`
 	}
-	data, err := io.ReadAll(io.LimitReader(body, busyBodyMax))
-	return err == nil && json.Unmarshal(data, &answer) == nil && answer.Code == busyCode
+	data, err := io.ReadAll(io.LimitReader(body, maxBusyBodyBytes))
+	return err == nil && json.Unmarshal(data, &content) == nil && content.Code == busyCode
 }
 
 func isEventStream(response *http.Response) bool {
@@ -144,24 +146,24 @@
 	return strings.TrimSpace(mediaType) == "text/event-stream"
 }
 
-// streamReader reads the events of one attempt.
+// streamReader reads and validates the event stream of one attempt.
 type streamReader struct {
 	id     string
 	config Config
 	guard  *sendGuard
 	timer  *responseTimer
-	body   *bufio.Reader
+	stream *bufio.Reader
 }
 
-// readAll puts the checked events into the queue until the final one. The timer
-// runs only while it waits for the server, so that a slow caller does not make the
-// server look unresponsive.
+// readAll puts validated events into the queue up to and including the final one.
+// The timer runs only while waiting for the server, so that a slow caller does not
+// make the server look unresponsive.
 func (s *streamReader) readAll(ctx context.Context, events *stage.Queue[Event]) *Failure {
 	for count := 0; ; count++ {
-		data, err := readEvent(s.body, s.config.EventMax)
+		data, err := readEvent(s.stream, s.config.MaxEventBytes)
 		switch {
 		case errors.Is(err, io.EOF):
-			return &Failure{Kind: ServerFailed, Detail: "the stream ended after " + strconv.Itoa(count) + " events without its final one"}
+			return &Failure{Kind: ServerFailed, Detail: "event stream ended after " + strconv.Itoa(count) + " events without a final event"}
 		case errors.Is(err, errProtocol):
 			return &Failure{Kind: ProtocolViolation, Detail: err.Error()}
 		case err != nil:
@@ -178,27 +180,27 @@
 		if event.Final {
 			return nil
 		}
-		s.timer.start(s.config.EventGapTimeout)
+		s.timer.restart(s.config.EventGapTimeout)
 	}
 }
 
-// checkEvent parses the event that follows count others of the request.
+// checkEvent parses and validates an event that follows count earlier events.
 func checkEvent(id string, count int, data []byte) (Event, *Failure) {
 	var body eventBody
 	if err := json.Unmarshal(data, &body); err != nil {
-		return Event{}, &Failure{Kind: ProtocolViolation, Detail: "an event is no JSON object"}
+		return Event{}, &Failure{Kind: ProtocolViolation, Detail: "event " + strconv.Itoa(count) + " is not a valid JSON event: " + err.Error()}
 	}
 	switch {
 	case body.ID == nil || *body.ID != id:
-		return Event{}, &Failure{Kind: ProtocolViolation, Detail: "an event is another request's"}
+		return Event{}, &Failure{Kind: ProtocolViolation, Detail: "event " + strconv.Itoa(count) + " does not carry the id of the request"}
 	case body.Final && body.Count == nil:
-		return Event{}, &Failure{Kind: ProtocolViolation, Detail: "the final event has no count"}
+		return Event{}, &Failure{Kind: ProtocolViolation, Detail: "final event has no count"}
 	case body.Final && *body.Count != count:
-		return Event{}, &Failure{Kind: EventsOutOfOrder, Detail: "the final event counts " + strconv.Itoa(*body.Count) + " of " + strconv.Itoa(count) + " events"}
+		return Event{}, &Failure{Kind: EventsOutOfOrder, Detail: "final event has count " + strconv.Itoa(*body.Count) + " after " + strconv.Itoa(count) + " events"}
 	case body.Final:
 		return Event{Data: data, Seq: -1, Final: true}, nil
 	case body.Seq == nil || *body.Seq != count:
-		return Event{}, &Failure{Kind: EventsOutOfOrder, Detail: "an event is out of its order after " + strconv.Itoa(count) + " events"}
+		return Event{}, &Failure{Kind: EventsOutOfOrder, Detail: "event does not have sequence number " + strconv.Itoa(count) + ", the next in order"}
 	}
 	return Event{Data: data, Seq: count}, nil
 }
