--- a/internal/adapter/upstream/config.go
+++ b/internal/adapter/upstream/config.go
@@ -15,23 +15,23 @@
 	defaultIdleTimeout      = 400 * time.Millisecond
 )
 
-// Config configures a client. Zero values take the defaults named.
+// Config configures a client. Zero values select the defaults given here.
 type Config struct {
-	// Dial opens connections; a net.Dialer's.
+	// Dial opens connections; the default is that of a zero net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// ConnectTimeout is for a connection to be opened; 1 s.
+	// ConnectTimeout limits the time to open a connection; default 1 s.
 	ConnectTimeout time.Duration
-	// MaxHeaderBytes limits the header of a response; 64 KiB.
+	// MaxHeaderBytes limits the header of a response; default 64 KiB.
 	MaxHeaderBytes int64
-	// MaxIdlePerServer limits the idle connections that are kept to one server; 64.
+	// MaxIdlePerServer limits the idle connections kept per server; default 64.
 	MaxIdlePerServer int
-	// IdleTimeout is how long a connection may be idle and be used again where the
-	// server does not state it; 400 ms.
+	// IdleTimeout is how long a connection may stay idle before reuse if the server
+	// sends no Keep-Alive timeout; default 400 ms.
 	IdleTimeout time.Duration
-	// Clock measures the idle time; the system's.
+	// Clock measures the idle time; default clock.System.
 	Clock clock.Clock
-	// OnUnacknowledged receives the name of a server whose machine stopped to
-	// acknowledge while a connection to it was idle; may be nil.
+	// OnUnacknowledged is called with the name of a server whose machine stopped
+	// acknowledging packets while a connection to it was idle; may be nil.
 	OnUnacknowledged func(server string)
 }
 
--- a/internal/adapter/upstream/conn.go
+++ b/internal/adapter/upstream/conn.go
@@ -13,18 +13,18 @@
 
 const (
 	readerSize = 4 << 10
-	// maxStrays is how many complete responses to earlier requests are skipped where
-	// a response is due.
-	maxStrays = 2
-	// maxStrayBytes limits the body of a response that is skipped.
-	maxStrayBytes = 1 << 20
-	unlimited     = math.MaxInt64
+	// maxUnmatchedResponses is how many complete responses to earlier requests are
+	// skipped while waiting for the response to the current one.
+	maxUnmatchedResponses = 2
+	// maxUnmatchedBytes limits the body of a skipped response.
+	maxUnmatchedBytes = 1 << 20
+	unlimited         = math.MaxInt64
 )
 
-// conn is one connection. Its reader goroutine owns the reading until it has
-// delivered a response's header; then the user of the response reads the body, and
-// returns the reading to the goroutine through the exchange. Bytes, or the end of the
-// connection, that arrive while no request is in flight are detected at once and end
+// conn is one connection. Its reader goroutine owns the read side until it has
+// delivered the header of a response. The user of the response then reads the body and
+// returns the read side to the goroutine through exchange.reuse. Bytes or an end of
+// stream that arrive while no request is in flight are detected immediately and close
 // the connection.
 type conn struct {
 	raw            net.Conn
@@ -33,11 +33,11 @@
 	maxHeaderBytes int64
 	exchanges      chan *exchange
 	readerEnded    chan struct{} // closed when the reader goroutine has ended
-	// onUnacknowledged is called when the other machine stopped to acknowledge while
-	// the connection was idle.
+	// onUnacknowledged is called when the peer machine stopped acknowledging packets
+	// while the connection was idle.
 	onUnacknowledged func()
 	closeOnce        sync.Once
-	idleUntil        time.Time // may not be used again after
+	idleUntil        time.Time // end of the time in which the idle connection may be reused
 }
 
 // exchange is one request on a connection and its response.
@@ -45,12 +45,12 @@
 	method  string
 	matches func(status int, header http.Header) bool
 	result  chan result
-	// reuse receives, when the response was read, whether the connection may carry
-	// another request.
+	// reuse receives, once the response has been closed, whether the connection may
+	// carry another request.
 	reuse chan bool
 }
 
-// result is a response whose header has arrived, or the failure.
+// result is a response whose header has arrived, or a failure.
 type result struct {
 	response *http.Response
 	failure  *Failure
@@ -76,13 +76,14 @@
 		exchanges:        make(chan *exchange, 1),
 		readerEnded:      make(chan struct{}),
 	}
-	go connection.read()
+	go connection.readLoop()
 	return connection
 }
 
 func (c *conn) close() { c.closeOnce.Do(func() { _ = c.raw.Close() }) }
 
-// ended reports whether the connection can carry no more requests.
+// ended reports whether the reader goroutine has ended, after which the connection
+// cannot carry another request.
 func (c *conn) ended() bool {
 	select {
 	case <-c.readerEnded:
@@ -92,8 +93,9 @@
 	}
 }
 
-// read delivers each response to the exchange that waits for it.
-func (c *conn) read() {
+// readLoop delivers each response to the exchange that waits for it, until the
+// connection ends or may not be reused.
+func (c *conn) readLoop() {
 	defer close(c.readerEnded)
 	defer c.close()
 	for {
@@ -101,7 +103,7 @@
 		_, err := c.reader.Peek(1)
 		select {
 		case current := <-c.exchanges:
-			if !c.serve(current, err) {
+			if !c.deliverResponse(current, err) {
 				return
 			}
 		default:
@@ -113,10 +115,11 @@
 	}
 }
 
-// serve reads the header of the response to an exchange and waits until its body was
-// read. err is the error of waiting for the first byte. It reports whether the
-// connection can carry another request.
-func (c *conn) serve(current *exchange, err error) (reuse bool) {
+// deliverResponse reads the header of the response to an exchange, delivers the
+// result and waits until the response has been closed. The argument err is the error
+// from waiting for the first byte. It reports whether the connection can carry another
+// request.
+func (c *conn) deliverResponse(current *exchange, err error) (reuse bool) {
 	if err != nil {
 		kind := Lost
 		if isUnacknowledged(err) {
@@ -135,10 +138,10 @@
 	return <-current.reuse
 }
 
-// readHeader reads up to the header of the response that matches the request. It
-// skips interim responses and complete responses to cancelled requests.
+// readHeader reads the header of the response that matches the request. It skips
+// interim responses, and complete responses to earlier, cancelled requests.
 func (c *conn) readHeader(current *exchange) (*http.Response, *Failure) {
-	for strays := 0; ; {
+	for unmatched := 0; ; {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: current.method})
 		if err != nil {
 			return nil, &Failure{Kind: Malformed, Sent: true, Cause: err}
@@ -149,28 +152,29 @@
 		if current.matches == nil || current.matches(response.StatusCode, response.Header) {
 			return response, nil
 		}
-		strays++
-		if strays > maxStrays || !c.skip(response) {
-			return nil, &Failure{Kind: Malformed, Sent: true, Cause: errStray}
+		unmatched++
+		if unmatched > maxUnmatchedResponses || !c.discard(response) {
+			return nil, &Failure{Kind: Malformed, Sent: true, Cause: errUnmatchedResponse}
 		}
 	}
 }
 
-// skip reads a stray response to its end. It returns false where the end cannot be
-// determined.
-func (c *conn) skip(stray *http.Response) bool {
-	if stray.Close {
+// discard reads an unmatched response to its end. It returns false if the end cannot
+// be determined.
+func (c *conn) discard(unmatched *http.Response) bool {
+	if unmatched.Close {
 		return false
 	}
-	c.limited.N = maxStrayBytes
-	_, err := io.Copy(io.Discard, stray.Body)
-	_ = stray.Body.Close()
+	c.limited.N = maxUnmatchedBytes
+	_, err := io.Copy(io.Discard, unmatched.Body)
+	_ = unmatched.Body.Close()
 	c.limited.N = c.maxHeaderBytes
 	return err == nil
 }
 
-// await waits for the header of the response to an exchange.
-func (c *conn) await(ctx context.Context, current *exchange) (*http.Response, *Failure) {
+// awaitResponse waits for the header of the response to an exchange. An ended context
+// takes precedence over another failure.
+func (c *conn) awaitResponse(ctx context.Context, current *exchange) (*http.Response, *Failure) {
 	received := c.awaitResult(current)
 	if received.failure != nil && ctx.Err() != nil {
 		return nil, failureAfterSend(ctx, Cancelled, ctx.Err())
@@ -184,7 +188,7 @@
 		return received
 	case <-c.readerEnded:
 	}
-	// The reader may have delivered the result just before it ended.
+	// The reader goroutine may have delivered the result just before it ended.
 	select {
 	case received := <-current.result:
 		return received
--- a/internal/adapter/upstream/failure.go
+++ b/internal/adapter/upstream/failure.go
@@ -7,31 +7,31 @@
 	"github.com/pkg/errors"
 )
 
-// FailureKind is why an attempt got no complete response. Its values are values of
-// metric labels.
+// FailureKind classifies an attempt that did not yield a complete response. Its
+// values are used as metric labels.
 type FailureKind string
 
 // Kinds of failures.
 const (
 	Refused      FailureKind = "refused"   // the connection was refused; nothing was sent
-	NotSent      FailureKind = "unsent"    // the connection had ended; nothing was sent
+	NotSent      FailureKind = "unsent"    // the pooled connection had ended; nothing was sent
 	Cancelled    FailureKind = "withdrawn" // the caller's context ended
 	Lost         FailureKind = "lost"      // the connection ended without a response
-	Malformed    FailureKind = "garbled"   // what arrived is no response, or another request's
-	Truncated    FailureKind = "cut"       // the response's body ended early
-	Unresponsive FailureKind = "silent"    // the server's machine acknowledges nothing
+	Malformed    FailureKind = "garbled"   // the received bytes are not a response, or one to another request
+	Truncated    FailureKind = "cut"       // the response body ended early
+	Unresponsive FailureKind = "silent"    // the server's machine acknowledges no packets, or the dial failed other than by refusal
 )
 
 var (
-	errStray           = errors.New("an answer that belongs to no request in flight")
-	errNoResponse      = errors.New("the connection ended before an answer")
-	errConnectionEnded = errors.New("the connection has ended")
+	errUnmatchedResponse = errors.New("response does not belong to the request in flight")
+	errNoResponse        = errors.New("connection ended before a response arrived")
+	errConnectionEnded   = errors.New("idle connection had ended before the request was written")
 )
 
-// Failure is the error of an attempt without a complete response.
+// Failure is the error of an attempt that did not yield a complete response.
 type Failure struct {
 	Kind FailureKind
-	// Sent reports whether the server may have received a part of the request.
+	// Sent is true if the server may have received any part of the request.
 	Sent  bool
 	Cause error
 }
@@ -44,9 +44,9 @@
 	return string(f.Kind) + ": " + f.Cause.Error()
 }
 
-// failureAfterSend returns the failure of an attempt of which something was written.
-// An ended context and a machine that does not acknowledge take precedence over
-// kind.
+// failureAfterSend returns the failure of an attempt whose request was at least partly
+// written. An ended context and a machine that does not acknowledge packets take
+// precedence over kind.
 func failureAfterSend(ctx context.Context, kind FailureKind, err error) *Failure {
 	switch {
 	case ctx.Err() != nil:
@@ -57,6 +57,6 @@
 	return &Failure{Kind: kind, Sent: true, Cause: err}
 }
 
-// isUnacknowledged reports whether a connection failed since the other machine did
-// not acknowledge what was sent, or keep-alive probes.
+// isUnacknowledged reports whether a connection failed because the peer machine
+// acknowledged neither the data sent nor keep-alive probes.
 func isUnacknowledged(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
--- a/internal/adapter/upstream/pool.go
+++ b/internal/adapter/upstream/pool.go
@@ -11,13 +11,14 @@
 	idle   chan *conn
 }
 
-// pool returns the pool of a server. A server under another address gets a new pool;
-// idle connections to the former address stay open until that server closes them.
+// pool returns the pool of a server and creates it if necessary. A server whose
+// address has changed gets a new pool; idle connections to the former address stay
+// open until they are closed by the remote end.
 func (c *Client) pool(server Server) *pool {
 	for {
 		current := c.pools.Load()
-		if found := (*current)[server.Name]; found != nil && found.server == server {
-			return found
+		if existing := (*current)[server.Name]; existing != nil && existing.server == server {
+			return existing
 		}
 		added := &pool{server: server, idle: make(chan *conn, c.config.MaxIdlePerServer)}
 		next := make(map[string]*pool, len(*current)+1)
@@ -29,7 +30,7 @@
 	}
 }
 
-// CloseIdle closes the idle connections of all servers but those to be kept.
+// CloseIdle closes the idle connections to all servers for which keep returns false.
 func (c *Client) CloseIdle(keep func(server string) bool) {
 	current := c.pools.Load()
 	next := make(map[string]*pool, len(*current))
@@ -41,8 +42,8 @@
 		}
 		dropped = append(dropped, idlePool)
 	}
-	// Where another call has changed the pools meanwhile, the connections stay: each
-	// is checked before its use.
+	// If another call has changed the pools in the meantime, the connections stay open:
+	// each is checked before it is reused.
 	if len(dropped) == 0 || !c.pools.CompareAndSwap(current, &next) {
 		return
 	}
@@ -54,8 +55,8 @@
 // Close closes all idle connections.
 func (c *Client) Close() { c.CloseIdle(func(string) bool { return false }) }
 
-// take returns an idle connection that can be used again, or nil.
-func (p *pool) take(now time.Time) *conn {
+// get returns an idle connection that can be reused, or nil.
+func (p *pool) get(now time.Time) *conn {
 	for {
 		select {
 		case connection := <-p.idle:
@@ -70,7 +71,7 @@
 	}
 }
 
-// put keeps an idle connection, or closes it where there are enough.
+// put keeps an idle connection, or closes it if the pool is full.
 func (p *pool) put(connection *conn) {
 	select {
 	case p.idle <- connection:
--- a/internal/adapter/upstream/request.go
+++ b/internal/adapter/upstream/request.go
@@ -7,23 +7,24 @@
 	"sync"
 )
 
-// Request is what is sent to a server.
+// Request is a request to a server.
 type Request struct {
 	Method string
-	Target string // path and query as they were received
+	Target string // path and query as received from the client, unparsed
 	Host   string
-	// Header holds neither the host nor the length of the body, which are written
-	// from Host and Body.
+	// Header must contain neither Host nor Content-Length, which are written from the
+	// fields Host and Body.
 	Header http.Header
 	Body   []byte
-	// Matches reports whether a response belongs to the request; nil accepts any.
+	// Matches reports whether a response belongs to the request; nil accepts any
+	// response.
 	Matches func(status int, header http.Header) bool
 }
 
 var writeBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// write sends the request in one write, so that it is not spread over packets
-// without need.
+// write sends the request in a single write, so that it is not split into more packets
+// than necessary.
 func (c *conn) write(request *Request) error {
 	buffer := writeBuffers.Get().(*bytes.Buffer)
 	defer writeBuffers.Put(buffer)
@@ -35,7 +36,7 @@
 	return err
 }
 
-// encode appends the request in HTTP/1.1 to the buffer.
+// encode appends the request in HTTP/1.1 format to the buffer.
 func (r *Request) encode(buffer *bytes.Buffer) error {
 	buffer.WriteString(r.Method)
 	buffer.WriteByte(' ')
@@ -46,7 +47,7 @@
 	if err := r.Header.Write(buffer); err != nil {
 		return err
 	}
-	if r.statesLength() {
+	if r.needsContentLength() {
 		buffer.WriteString("Content-Length: ")
 		buffer.WriteString(strconv.Itoa(len(r.Body)))
 		buffer.WriteString("\r\n")
@@ -56,9 +57,9 @@
 	return nil
 }
 
-// statesLength reports whether the request needs a Content-Length: one with a body,
-// and one without whose method expects a body (RFC 9110, 8.6).
-func (r *Request) statesLength() bool {
+// needsContentLength reports whether the request needs a Content-Length header: it has
+// a body, or its method anticipates one (RFC 9110, section 8.6).
+func (r *Request) needsContentLength() bool {
 	switch r.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
 		return true
--- a/internal/adapter/upstream/response.go
+++ b/internal/adapter/upstream/response.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// idleMargin is how long before the server closes an idle connection it is not used
-// any more, since a request may otherwise cross the close.
+// idleMargin is how long before the server's stated idle timeout a connection is no
+// longer reused. Without it a request could be sent while the server closes the
+// connection.
 const idleMargin = 300 * time.Millisecond
 
-// Response is a server's response, whose body is still to be read. It must be
-// closed.
+// Response is a response whose header has arrived and whose body is read from it. It
+// must be closed.
 type Response struct {
 	Status int
 	Header http.Header
@@ -25,25 +26,25 @@
 	pool     *pool
 	client   *Client
 	ctx      context.Context
-	stop     func() bool // ends the watch of ctx; false when ctx has ended
+	stop     func() bool // unregisters the close of conn at the end of ctx; false if ctx has ended
 	complete bool        // the body was read to its end
 	closed   bool
 }
 
-// Length returns the length of the body in bytes, or -1 where it is not known before
-// the end.
+// Length returns the length of the body in bytes, or -1 if the header does not state
+// it.
 func (r *Response) Length() int64 { return r.received.ContentLength }
 
-// HasFraming reports whether the response states where its body ends, by a length or
-// by chunks; else it ends with its connection.
+// HasFraming reports whether the end of the body is marked by a Content-Length or by
+// chunked encoding; otherwise the body is delimited by the end of the connection.
 func (r *Response) HasFraming() bool {
 	return r.received.ContentLength >= 0 || len(r.received.TransferEncoding) > 0
 }
 
 // Read reads the body. io.EOF means that the body is complete; any other error is a
-// *Failure.
-func (r *Response) Read(into []byte) (int, error) {
-	count, err := r.received.Body.Read(into)
+// *Failure of kind Truncated, Cancelled or Unresponsive.
+func (r *Response) Read(buffer []byte) (int, error) {
+	count, err := r.received.Body.Read(buffer)
 	switch {
 	case err == nil:
 		return count, nil
@@ -54,13 +55,13 @@
 	return count, failureAfterSend(r.ctx, Truncated, err)
 }
 
-// Abort closes the connection while the body is being read: the reader gets a
-// Failure.
+// Abort closes the connection while the body is being read; a concurrent Read fails
+// with a *Failure.
 func (r *Response) Abort() { r.conn.close() }
 
-// Close ends the attempt. A connection whose response was read to its end is kept for
-// later requests where the server allows that; any other is closed, which cancels the
-// request at the server.
+// Close ends the attempt. If the body was read to its end and the server permits
+// reuse, the connection is returned to the pool. Otherwise it is closed, which cancels
+// the request at the server.
 func (r *Response) Close() {
 	if r.closed {
 		return
@@ -77,7 +78,8 @@
 	r.pool.put(r.conn)
 }
 
-// idleTimeout returns how long a connection may be idle after a response.
+// idleTimeout returns how long a connection may stay idle after a response with the
+// given header.
 func (c *Client) idleTimeout(header http.Header) time.Duration {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
--- a/internal/adapter/upstream/upstream.go
+++ b/internal/adapter/upstream/upstream.go
@@ -1,16 +1,16 @@
 // Package upstream sends requests to HTTP/1.1 servers over pooled connections, and
-// checks of every response that it belongs to its request.
+// checks that every response belongs to its request.
 //
-// net/http's Transport is not used: it retries a request itself when an idle
-// connection has died, requests compression, and accepts whatever arrives on a
-// connection as the next response. Here each connection has one reader, which
-// detects bytes that no request is waiting for; messages are written and parsed by
-// net/http.
+// It does not use net/http's Transport, which retries a request by itself when an idle
+// connection has failed, requests compression, and accepts whatever arrives on a
+// connection as the next response. Here each connection has one reader goroutine,
+// which detects bytes that arrive while no request is in flight. Headers are written
+// and responses parsed by net/http.
 //
 // Invariants: a request is written at most once; a Failure whose Sent is false means
-// that the server received nothing of it; a connection is used again only after its
-// last response was read to the end. The package neither retries, once something was
-// sent, nor chooses servers.
+// that the server received no part of it; a connection is reused only after its last
+// response was read to the end. The package neither selects servers nor retries a
+// request of which any part was sent.
 package upstream
 
 import (
@@ -21,16 +21,17 @@
 	"github.com/pkg/errors"
 )
 
-// Server names a server and its address, ip:port.
+// Server is the name of a server and its address, ip:port.
 type Server struct{ Name, Address string }
 
-// Client keeps connections to servers. It is safe for concurrent use.
+// Client sends requests and keeps idle connections to servers. It is safe for
+// concurrent use.
 type Client struct {
 	config Config
-	pools  atomic.Pointer[map[string]*pool] // by server name; replaced as a whole
+	pools  atomic.Pointer[map[string]*pool] // by server name; copied on write
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New(config Config) *Client {
 	c := &Client{config: config.withDefaults()}
 	c.pools.Store(&map[string]*pool{})
@@ -40,13 +41,13 @@
 // Send sends a request to a server and returns its response once the header has
 // arrived. The context limits the attempt until the response is closed.
 func (c *Client) Send(ctx context.Context, server Server, request *Request) (*Response, *Failure) {
-	home := c.pool(server)
+	serverPool := c.pool(server)
 	for {
-		idle := home.take(c.config.Clock.Now())
+		idle := serverPool.get(c.config.Clock.Now())
 		if idle == nil {
 			break
 		}
-		response, failure := c.attempt(ctx, home, idle, request)
+		response, failure := c.attempt(ctx, serverPool, idle, request)
 		if failure != nil && failure.Kind == NotSent {
 			continue
 		}
@@ -56,10 +57,10 @@
 	if failure != nil {
 		return nil, failure
 	}
-	return c.attempt(ctx, home, fresh, request)
+	return c.attempt(ctx, serverPool, fresh, request)
 }
 
-// Preconnect opens a connection to a server and keeps it for a later request.
+// Preconnect opens a connection to a server and keeps it idle for a later request.
 func (c *Client) Preconnect(ctx context.Context, server Server) *Failure {
 	fresh, failure := c.connect(ctx, server)
 	if failure != nil {
@@ -86,15 +87,15 @@
 	return nil, &Failure{Kind: Unresponsive, Cause: err}
 }
 
-// attempt sends a request over a connection. NotSent means that the connection had
-// ended before anything was written.
-func (c *Client) attempt(ctx context.Context, home *pool, connection *conn, request *Request) (*Response, *Failure) {
+// attempt sends a request over a connection. A failure of kind NotSent means that the
+// connection had ended before anything was written.
+func (c *Client) attempt(ctx context.Context, serverPool *pool, connection *conn, request *Request) (*Response, *Failure) {
 	if ctx.Err() != nil {
 		connection.close()
 		return nil, &Failure{Kind: Cancelled, Cause: ctx.Err()}
 	}
-	// The exchange is registered before the reader's state is checked, so that a
-	// connection which ends after the check fails the exchange.
+	// Register the exchange before checking the reader goroutine, so that the exchange
+	// fails if the connection ends after the check.
 	current := newExchange(request)
 	connection.exchanges <- current
 	if connection.ended() {
@@ -107,7 +108,7 @@
 		connection.close()
 		return nil, failureAfterSend(ctx, Lost, err)
 	}
-	received, failure := connection.await(ctx, current) //nolint:bodyclose // Response.Close ends the connection or keeps it
+	received, failure := connection.awaitResponse(ctx, current) //nolint:bodyclose // Response.Close ends the connection or keeps it
 	if failure != nil {
 		stop()
 		connection.close()
@@ -119,7 +120,7 @@
 		received: received,
 		conn:     connection,
 		exchange: current,
-		pool:     home,
+		pool:     serverPool,
 		client:   c,
 		ctx:      ctx,
 		stop:     stop,
--- a/internal/adapter/upstream/upstream_test.go
+++ b/internal/adapter/upstream/upstream_test.go
@@ -16,28 +16,28 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// scriptedServer is a server that responses each connection by a script.
+// scriptedServer is a TCP server that runs a script for each connection.
 type scriptedServer struct {
-	address string
-	opened  chan int // the number of each connection that was opened
+	address     string
+	connections chan int // the number of each accepted connection
 }
 
-// startServer runs a script for each connection: it gets the connection's number and
-// its reader, and may write what it likes.
+// startServer starts a server that calls script for each connection, with the number
+// of the connection, counted from 1, and a reader of it.
 func startServer(t *testing.T, script func(number int, in *bufio.Reader, conn net.Conn)) *scriptedServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	s := &scriptedServer{address: listener.Addr().String(), opened: make(chan int, 100)}
+	s := &scriptedServer{address: listener.Addr().String(), connections: make(chan int, 100)}
 	go func() {
 		for number := 1; ; number++ {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.opened <- number
+			s.connections <- number
 			go func() {
 				defer func() { _ = conn.Close() }()
 				script(number, bufio.NewReader(conn), conn)
@@ -49,7 +49,7 @@
 
 func (s *scriptedServer) server() Server { return Server{Name: "s", Address: s.address} }
 
-// readRequest reads one request, and returns nil when there is none.
+// readRequest reads one request with its body, and returns nil if that fails.
 func readRequest(in *bufio.Reader) *http.Request {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -70,12 +70,12 @@
 }
 
 func testContext(t *testing.T) context.Context {
-	c, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
-	return c
+	return ctx
 }
 
-// failureOf returns the Failure that err is, or the zero one.
+// failureOf returns the Failure that err wraps, or the zero value.
 func failureOf(err error) Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
@@ -95,6 +95,8 @@
 	return string(body), err
 }
 
+// respondOK returns a script that responds to each request with the body "ok" and the
+// extra header lines.
 func respondOK(extra string) func(int, *bufio.Reader, net.Conn) {
 	return func(_ int, in *bufio.Reader, conn net.Conn) {
 		for r := readRequest(in); r != nil; r = readRequest(in) {
@@ -125,9 +127,9 @@
 			So(string(sent), ShouldEqual, "body "+id)
 			So(r.Header, ShouldResemble, http.Header{"Id": {id}, "Content-Length": {"6"}})
 		}
-		So(len(s.opened), ShouldEqual, 1)
+		So(len(s.connections), ShouldEqual, 1)
 	})
-	Convey("Nothing is sent when the connection is refused", t, func() {
+	Convey("A refused connection means that nothing was sent", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		address := listener.Addr().String()
@@ -136,7 +138,7 @@
 		So(failure.Kind, ShouldEqual, Refused)
 		So(failure.Sent, ShouldBeFalse)
 	})
-	Convey("A machine that does not response a dial is unresponsive, and nothing was sent", t, func() {
+	Convey("A dial that times out fails as unresponsive, and nothing was sent", t, func() {
 		c := New(Config{ConnectTimeout: time.Millisecond, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -147,8 +149,8 @@
 	})
 }
 
-func TestStrayResponses(t *testing.T) {
-	Convey("A complete response to another request is skipped, and the right one after it is returned", t, func() {
+func TestUnmatchedResponses(t *testing.T) {
+	Convey("A complete response to another request is skipped, and the matching response after it is returned", t, func() {
 		s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
 			r := readRequest(in)
 			_, _ = io.WriteString(conn, formatResponse("stray", "Content-Length: 5\r\n", "stray")+formatResponse(r.Header.Get("Id"), "Content-Length: 2\r\n", "ok"))
@@ -158,7 +160,7 @@
 		So(err, ShouldBeNil)
 		So(body, ShouldEqual, "ok")
 	})
-	Convey("Bytes that are no response, or a stray one without an end, fail as malformed", t, func() {
+	Convey("Bytes that are not a response, or an unmatched response without a known end, fail as malformed", t, func() {
 		for _, bytes := range []string{"no response at all\r\n\r\n", formatResponse("stray", "", "and on")} {
 			s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
 				readRequest(in)
@@ -170,7 +172,7 @@
 			So(failureOf(err).Sent, ShouldBeTrue)
 		}
 	})
-	Convey("Bytes after a response end its connection, and reach no later request", t, func() {
+	Convey("Extra bytes after a response close the connection and are not read as the next response", t, func() {
 		s := startServer(t, func(number int, in *bufio.Reader, conn net.Conn) {
 			for r := readRequest(in); r != nil; r = readRequest(in) {
 				extra := ""
@@ -187,7 +189,7 @@
 			So(err, ShouldBeNil)
 			So(body, ShouldEqual, "ok")
 		}
-		So(len(s.opened), ShouldEqual, 2)
+		So(len(s.connections), ShouldEqual, 2)
 	})
 	Convey("An interim response is skipped", t, func() {
 		s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
@@ -208,10 +210,10 @@
 		reset    bool
 		complete bool
 	}{
-		"by length":                       {"Content-Length: 10\r\n", "short", false, false},
-		"in chunks":                       {"Transfer-Encoding: chunked\r\n", "5\r\nshort\r\n", false, false},
-		"by the connection, reset":        {"", "short", true, false},
-		"by the connection, but complete": {"", "short", false, true},
+		"before its stated length":                  {"Content-Length: 10\r\n", "short", false, false},
+		"before its last chunk":                     {"Transfer-Encoding: chunked\r\n", "5\r\nshort\r\n", false, false},
+		"early by a connection reset":               {"", "short", true, false},
+		"complete by a clean end of the connection": {"", "short", false, true},
 	}
 	for name, c := range cases {
 		Convey("A response that ends "+name, t, func() {
@@ -240,13 +242,13 @@
 			response.Close()
 		})
 	}
-	Convey("A connection that ends without a response is lost, though the server may have received the request", t, func() {
+	Convey("A connection that ends without a response fails as lost, and the request counts as sent", t, func() {
 		s := startServer(t, func(_ int, in *bufio.Reader, _ net.Conn) { readRequest(in) })
 		_, failure := New(Config{}).Send(testContext(t), s.server(), newTestRequest("1", "x"))
 		So(failure.Kind, ShouldEqual, Lost)
 		So(failure.Sent, ShouldBeTrue)
 	})
-	Convey("A cancelled request closes its connection, so that the server can stop", t, func() {
+	Convey("Cancelling a request closes its connection, so that the server can stop", t, func() {
 		stopped := make(chan struct{})
 		s := startServer(t, func(_ int, in *bufio.Reader, _ net.Conn) {
 			readRequest(in)
@@ -255,7 +257,7 @@
 		})
 		ctx, cancel := context.WithCancel(testContext(t))
 		go func() {
-			<-s.opened
+			<-s.connections
 			cancel()
 		}()
 		_, failure := New(Config{}).Send(ctx, s.server(), newTestRequest("1", "x"))
@@ -264,7 +266,7 @@
 	})
 }
 
-// manualClock is a clock that only the test advances.
+// manualClock is a clock whose time is advanced only by the test.
 type manualClock struct {
 	clock.Clock
 	now time.Time
@@ -273,7 +275,7 @@
 func (c *manualClock) Now() time.Time { return c.now }
 
 func TestIdleConnections(t *testing.T) {
-	Convey("An idle connection is reused as long as its server states, less a margin", t, func() {
+	Convey("An idle connection is reused until idleMargin before its server's stated timeout", t, func() {
 		s := startServer(t, respondOK("Keep-Alive: timeout=2\r\n"))
 		clock := &manualClock{clock.System(), time.Unix(1000, 0)}
 		c := New(Config{Clock: clock})
@@ -282,19 +284,19 @@
 			clock.now = clock.now.Add(pause)
 			_, err := fetch(t, c, s.server(), "1")
 			So(err, ShouldBeNil)
-			So(len(s.opened), ShouldEqual, []int{1, 1, 2}[i])
+			So(len(s.connections), ShouldEqual, []int{1, 1, 2}[i])
 		}
 	})
-	Convey("A connection that its server closes is not reused", t, func() {
+	Convey("A connection whose response has Connection: close is not reused", t, func() {
 		s := startServer(t, respondOK("Connection: close\r\n"))
 		c := New(Config{})
 		for range 2 {
 			_, err := fetch(t, c, s.server(), "1")
 			So(err, ShouldBeNil)
 		}
-		So(len(s.opened), ShouldEqual, 2)
+		So(len(s.connections), ShouldEqual, 2)
 	})
-	Convey("A connection that its server closed while idle loses no request", t, func() {
+	Convey("A pooled connection that its server closed while idle does not fail the next request", t, func() {
 		ended := make(chan struct{})
 		s := startServer(t, func(_ int, in *bufio.Reader, conn net.Conn) {
 			r := readRequest(in)
@@ -313,16 +315,16 @@
 		_, err = fetch(t, c, s.server(), "2")
 		So(err, ShouldBeNil)
 	})
-	Convey("A preconnected connection carries the next request; a server under another address gets its own", t, func() {
-		one, other := startServer(t, respondOK("")), startServer(t, respondOK(""))
+	Convey("A preconnected connection carries the next request, but not one to the same server at another address", t, func() {
+		first, second := startServer(t, respondOK("")), startServer(t, respondOK(""))
 		c := New(Config{})
 		defer c.Close()
-		So(c.Preconnect(testContext(t), one.server()), ShouldBeNil)
-		_, err := fetch(t, c, one.server(), "1")
+		So(c.Preconnect(testContext(t), first.server()), ShouldBeNil)
+		_, err := fetch(t, c, first.server(), "1")
 		So(err, ShouldBeNil)
-		So(len(one.opened), ShouldEqual, 1)
-		_, err = fetch(t, c, other.server(), "2")
+		So(len(first.connections), ShouldEqual, 1)
+		_, err = fetch(t, c, second.server(), "2")
 		So(err, ShouldBeNil)
-		So(len(other.opened), ShouldEqual, 1)
+		So(len(second.connections), ShouldEqual, 1)
 	})
 }
