--- a/internal/port/ingress.go
+++ b/internal/port/ingress.go
@@ -9,83 +9,86 @@
 	"stepwick/internal/wire"
 )
 
-// ClientRequest is what the gateway needs to know of a client's request,
-// independent of the names of its headers.
+// ClientRequest holds what the gateway reads from the headers of a client's request,
+// independent of the header names.
 type ClientRequest struct {
 	ID string
 	// Key is the client's API key, empty for none.
 	Key string
-	// Deadline is how long the client waits, 0 where it doesn't say.
+	// Deadline is how long the client waits, counted from the arrival of the request;
+	// 0 if the client states nothing.
 	Deadline time.Duration
 	// DeclaresTokens reports whether the request declares TokensIn and TokensOut.
 	DeclaresTokens bool
-	TokensIn       float64 // of the prompt
-	TokensOut      float64 // at most
-	// Parts are the parts of the prompt in their order. The last is the request's or
-	// its session's own.
+	TokensIn       float64 // tokens of the prompt
+	TokensOut      float64 // maximum number of tokens to generate
+	// Parts are the parts of the prompt in order. The last one is specific to the
+	// request or its session.
 	Parts []PromptPart
-	// LastEventID is that of the last event of a stream which the client resumes,
-	// empty for none.
+	// LastEventID is the id of the last event that the client received of the stream
+	// it resumes; empty if it resumes none.
 	LastEventID string
 }
 
-// Tokens returns the tokens that the request counts for.
+// Tokens returns the number of tokens charged for the request.
 func (c ClientRequest) Tokens() float64 { return c.TokensIn + c.TokensOut }
 
-// PromptPart is a part of a prompt that a server may keep in its prefix cache for
-// later requests.
+// PromptPart is a part of a prompt that a server may keep in its prefix cache.
 type PromptPart struct {
 	ID     uint64
 	Tokens float64
 }
 
-// AttemptMetadata is what is sent to a server with one attempt at a request.
+// AttemptMetadata is sent to a server in the headers of one attempt at a request.
 type AttemptMetadata struct {
-	// Server is the name of the intended server; another one at its address must not
-	// execute the request.
+	// Server is the name of the intended server. A different server at the same
+	// address must not execute the request.
 	Server string
-	// Tenant is empty for none.
+	// Tenant is the tenant of the client, empty for none.
 	Tenant string
-	// TimeLeft is the time until the attempt's deadline.
+	// TimeLeft is the time remaining until the deadline of the attempt.
 	TimeLeft time.Duration
-	// Priority is 0 for the most urgent.
+	// Priority is the priority of the request; 0 is the most urgent.
 	Priority int
-	// LastEventID is that of the event after which a stream resumes, empty for its
-	// beginning.
+	// LastEventID is the id of the event after which the stream resumes; empty to
+	// start at its beginning.
 	LastEventID string
 }
 
-// ResponseMetadata is what a server's response holds besides its content.
+// ResponseMetadata holds what a server states in the status and headers of its
+// response.
 type ResponseMetadata struct {
 	RequestID   string
-	NotExecuted bool // the server did not execute the request and will not
-	WrongServer bool // the server is not the intended one
+	NotExecuted bool // the server has not executed the request and never will
+	WrongServer bool // the responding server is not AttemptMetadata.Server
 }
 
-// Dialect translates between the headers of an HTTP interface and the gateway's
-// own types. It decides nothing.
+// Dialect translates between the headers of a platform's HTTP interface and the types
+// of the gateway. It makes no routing or admission decisions.
 type Dialect interface {
-	// ReadRequest reads the headers of a client's request. Its error is what the
-	// client gets.
+	// ReadRequest reads the headers of a client's request. Its error is returned to the
+	// client.
 	ReadRequest(r *http.Request) (ClientRequest, *apierror.Error)
-	// SetAttemptHeaders sets the headers of an attempt, and removes those that the
-	// server must not see.
+	// SetAttemptHeaders sets the headers of an attempt, and removes those that must not
+	// be forwarded to the server.
 	SetAttemptHeaders(header http.Header, attempt AttemptMetadata)
-	// ReadResponse reads the status and headers of a server's response.
+	// ReadResponse interprets the status and headers of a server's response.
 	ReadResponse(status int, header http.Header) ResponseMetadata
-	// WriteError writes an error as the response to the client's request with an id.
+	// WriteError writes an error as the response to the client's request with the
+	// given id.
 	WriteError(w http.ResponseWriter, id string, apiErr *apierror.Error)
 }
 
-// Node is the part of a process that a platform's adapter uses.
+// Node is the interface of a process for the adapter of a platform.
 type Node interface {
-	// Ready returns nil where the process takes traffic, and else why not.
+	// Ready returns nil if the process accepts traffic, or the reason why it does not.
 	Ready() *apierror.Error
-	// Nearest returns where a client of a region is to send its requests: the
-	// addresses of at most so many fronts, in random order.
-	Nearest(region string, most int) []string
-	// Order forwards an operator's call to a core; see wire.OrderRequest.
+	// Nearest returns the addresses of the fronts to which a client in the region
+	// should send its requests: at most limit addresses, in random order. If the region
+	// has no ready front, they are those of fronts in other regions.
+	Nearest(region string, limit int) []string
+	// Order forwards an operator's order to a core; see wire.OrderRequest.
 	Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error)
-	// SetSeeds replaces the seeds with which the process was started.
+	// SetSeeds replaces the seed addresses with which the process was started.
 	SetSeeds(ctx context.Context, seeds []string)
 }
--- a/internal/port/peers.go
+++ b/internal/port/peers.go
@@ -1,6 +1,7 @@
-// Package port holds the interfaces between the owners of state and the outside: the
-// other processes, the servers, and the HTTP interface of a platform. Adapters and
-// test doubles implement them. It holds no state.
+// Package port defines the interfaces through which the stateful packages reach
+// everything outside the process: other processes, servers, and the HTTP interface of
+// a platform. Adapters and test doubles implement them. The package itself is
+// stateless.
 package port
 
 import (
@@ -15,42 +16,44 @@
 	"stepwick/internal/wire/wireconnect"
 )
 
-// Peers finds other processes of the fleet and calls them.
+// Peers is the directory of the processes of the fleet, and provides clients to call
+// them.
 type Peers interface {
-	// Process returns what is known of a process by its name.
+	// Process returns the latest record of the process with the given name.
 	Process(name string) (*wire.Process, bool)
-	// Processes returns all known processes, in the order of their names. The
-	// slice must not be changed.
+	// Processes returns the records of all known processes, sorted by name. The caller
+	// must not modify the slice.
 	Processes() []*wire.Process
-	// Cores returns the known cores, in the order of their names. The slice must not
-	// be changed.
+	// Cores returns the records of all known cores, sorted by name. The caller must not
+	// modify the slice.
 	Cores() []*wire.Process
-	// Client returns a client for an internal address (ip:port). It never fails;
-	// calls to an address that nobody listens on do.
+	// Client returns a client for an internal address (ip:port). It opens no connection
+	// and never fails; calls fail if nothing listens on the address.
 	Client(address string) wireconnect.PeerClient
 }
 
-// KnownProcess is a process and when it was last seen: by the local clock, the
-// instant at which a record with a higher counter arrived here.
+// KnownProcess is a process and the time it was last seen: the instant, by the local
+// clock, at which a record with a higher counter arrived.
 type KnownProcess struct {
 	Process  *wire.Process
 	LastSeen time.Time
 }
 
-// CoresOf returns those of some processes that are cores, in their order.
+// CoresOf returns the processes that are cores, in the given order. It does not modify
+// its argument.
 func CoresOf(processes []*wire.Process) []*wire.Process {
 	return slices.DeleteFunc(slices.Clone(processes), func(process *wire.Process) bool { return !process.Core })
 }
 
-// IsConnectionRefused reports whether an error means that the remote machine
-// actively refused the connection, which only a machine does on which the process
-// has ended. A timeout, a reset and an end inside a call don't mean that.
+// IsConnectionRefused reports whether an error means that the remote machine refused
+// the connection, which shows that the process on that machine has ended. A timeout, a
+// reset or a connection that ends during a call does not show that.
 func IsConnectionRefused(err error) bool {
 	if err == nil {
 		return false
 	}
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op != "dial" {
+	var opError *net.OpError
+	if errors.As(err, &opError) && opError.Op != "dial" {
 		return false
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
--- a/internal/port/servers.go
+++ b/internal/port/servers.go
@@ -7,25 +7,25 @@
 	"stepwick/internal/wire"
 )
 
-// ServerSource reads which servers there are and their own status.
+// ServerSource provides the list of servers and polls the status of each.
 type ServerSource interface {
-	// List reads the complete list. What it returns must not be changed.
+	// List reads the complete list of servers. The caller must not modify the result.
 	List(ctx context.Context) (Listing, error)
-	// Status polls a server for its own status. The error explains an outcome other
+	// Status polls a server for its status. The error is the cause of any outcome other
 	// than PollAnswered.
 	Status(ctx context.Context, name, address string) (*wire.ServerStatus, PollOutcome, error)
 }
 
-// Listing is a list of servers.
+// Listing is the result of ServerSource.List.
 type Listing struct {
 	Servers []*wire.ServerStatus
-	// Malformed holds the reason why an entry could not be read, by its name. Such a
-	// server counts neither as listed nor as gone.
+	// Malformed maps the name of an entry that could not be read to the reason. Such a
+	// server counts neither as listed nor as removed.
 	Malformed map[string]string
-	// ColdFor holds how much longer a server warms up, by its name; those without an
-	// entry don't.
+	// ColdFor maps the name of a server that is warming up to the remaining warm-up
+	// time. A server without an entry is not warming up.
 	ColdFor map[string]time.Duration
-	// Calls is the number of calls that reading the list took; 0 counts as one.
+	// Calls is the number of calls that were needed to read the list; 0 counts as one.
 	Calls int
 }
 
@@ -33,12 +33,13 @@
 type PollOutcome int
 
 const (
-	// PollAnswered is an answer that was read.
+	// PollAnswered means that the server responded and the response was parsed.
 	PollAnswered PollOutcome = iota
-	// PollRefused is a refused connection: the server does not run.
+	// PollRefused means that the connection was refused: the server is not running.
 	PollRefused
-	// PollUnanswered is everything else without an answer, as a timeout or a reset.
+	// PollUnanswered means that no response arrived for another reason, such as a timeout
+	// or a reset.
 	PollUnanswered
-	// PollMalformed is an answer that can't be read.
+	// PollMalformed means that the response could not be parsed.
 	PollMalformed
 )
