--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,20 +1,22 @@
-// Package clock provides the time source that the owners of state use, so that
-// tests and simulators can replace the machine's clock.
+// Package clock provides the time source of the stateful packages, so that tests and
+// simulators can replace the system clock.
 package clock
 
 import "time"
 
-// RFC3339Milli is the layout of instants in logs and on the command line.
+// RFC3339Milli is the time layout in logs and on the command line: RFC 3339 with
+// milliseconds.
 const RFC3339Milli = "2006-01-02T15:04:05.000Z07:00"
 
-// Clock reads the time and schedules wake-ups. Now carries a monotonic reading,
-// so the difference of two readings does not depend on steps of the wall clock.
+// Clock reads the time and schedules wake-ups. The result of Now includes a monotonic
+// reading, so the difference between two results is not affected by steps of the wall
+// clock.
 type Clock interface {
 	// Now returns the current instant.
 	Now() time.Time
-	// After returns a channel that delivers one instant after the duration.
+	// After returns a channel that delivers the time once, after the duration.
 	After(time.Duration) <-chan time.Time
-	// Ticker returns a ticker with the given period, which has to be stopped.
+	// Ticker returns a ticker with the given period. The caller must stop it.
 	Ticker(time.Duration) Ticker
 }
 
@@ -24,7 +26,7 @@
 	Stop()
 }
 
-// System returns the machine's clock.
+// System returns the system clock.
 func System() Clock { return systemClock{} }
 
 type systemClock struct{}
@@ -37,8 +39,8 @@
 
 func (t systemTicker) C() <-chan time.Time { return t.Ticker.C }
 
-// Stepped returns a clock whose wall reading is off by a constant step, like
-// that of a machine whose clock is wrong. Differences of its readings are true.
+// Stepped returns a clock whose wall-clock reading is off by a constant step, like that
+// of a machine whose clock is set wrong. Differences between its readings are correct.
 func Stepped(base Clock, step time.Duration) Clock { return steppedClock{base, step} }
 
 type steppedClock struct {
@@ -48,9 +50,9 @@
 
 func (c steppedClock) Now() time.Time { return c.Clock.Now().Add(c.step) }
 
-// Monotonic returns a clock whose wall reading is the one at its creation plus
-// the monotonic time elapsed since: a later step of the machine's wall clock
-// does not show in it.
+// Monotonic returns a clock whose wall-clock reading is that of base at the call plus
+// the monotonic time elapsed since then. Later steps of the system's wall clock do not
+// affect it.
 func Monotonic(base Clock) Clock { return monotonicClock{base, base.Now()} }
 
 type monotonicClock struct {
@@ -60,9 +62,9 @@
 
 func (c monotonicClock) Now() time.Time { return c.start.Add(c.Clock.Now().Sub(c.start)) }
 
-// NewTimer returns a channel that delivers one instant after the duration, and
-// the function that stops the timer.
+// NewTimer starts a timer of the system clock. It returns the channel that delivers the
+// time once, after the duration, and the function that stops the timer.
 func NewTimer(d time.Duration) (fired <-chan time.Time, stop func() bool) {
-	t := time.NewTimer(d)
-	return t.C, t.Stop
+	timer := time.NewTimer(d)
+	return timer.C, timer.Stop
 }
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -1,6 +1,6 @@
-// Package stage connects the stages of processing a request by bounded queues, and
-// bounds the bytes that the requests between two stages hold. Where a bound is
-// reached the caller is refused or waits; nothing is dropped silently.
+// Package stage connects the stages of request processing with bounded queues, and
+// limits the memory held by the requests between two stages. At the limit a call is
+// rejected or waits; nothing is dropped silently.
 package stage
 
 import (
@@ -8,11 +8,11 @@
 	"sync/atomic"
 )
 
-// Queue is a bounded queue between one stage and the next. Any number of
-// goroutines may put and receive; one of them, after the last Put, closes.
+// Queue is a bounded queue between one stage and the next. Any number of goroutines
+// may add and receive items. One of them must call Close after the last Put.
 type Queue[T any] struct {
 	items chan T
-	cause error // written before items is closed, read after
+	cause error // written before items is closed and read only afterwards
 }
 
 // NewQueue returns a queue that holds at most capacity items.
@@ -20,11 +20,11 @@
 	return &Queue[T]{items: make(chan T, capacity)}
 }
 
-// Put adds an item and waits while the queue is full. It returns the context's
-// error when that ends first; the item is then not in the queue.
+// Put adds an item, and waits while the queue is full. If the context ends first, Put
+// returns its error and the item is not added.
 func (q *Queue[T]) Put(ctx context.Context, item T) error {
-	// A select picks either case when both are ready, so that an ended context has to
-	// be checked before.
+	// A select picks a random case if both are ready, so an ended context has to be
+	// checked first.
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -36,8 +36,8 @@
 	}
 }
 
-// TryPut adds an item and returns true, or returns false where the queue is full. It
-// never waits.
+// TryPut adds an item and returns true, or returns false if the queue is full. It never
+// waits.
 func (q *Queue[T]) TryPut(item T) bool {
 	select {
 	case q.items <- item:
@@ -47,39 +47,39 @@
 	}
 }
 
-// Items returns the channel to receive from. After Close it is closed once all
-// items are received.
+// Items returns the channel from which items are received. After Close, the remaining
+// items can still be received before the channel reports that it is closed.
 func (q *Queue[T]) Items() <-chan T { return q.items }
 
-// Input returns the channel to send to, for a select.
+// Input returns the channel to which items are sent, for use in a select statement.
 func (q *Queue[T]) Input() chan<- T { return q.items }
 
 // Len returns the number of items in the queue.
 func (q *Queue[T]) Len() int { return len(q.items) }
 
-// Close ends the queue with the error that caused it, nil for a regular end. It
-// must be called once.
+// Close closes the queue with the error that ended it, or nil after a normal end. It
+// must be called at most once.
 func (q *Queue[T]) Close(cause error) {
 	q.cause = cause
 	close(q.items)
 }
 
-// Cause returns the error that Close was called with. It may be called only after
-// the channel of Items was seen closed.
+// Cause returns the error passed to Close. It may be called only after a receive from
+// Items has reported that the channel is closed.
 func (q *Queue[T]) Cause() error { return q.cause }
 
-// ByteBudget bounds the sum of the bytes that the requests between two stages hold.
-// Its methods may be called concurrently.
+// ByteBudget limits the total number of bytes held by the requests between two stages.
+// It is safe for concurrent use.
 type ByteBudget struct {
 	limit    int64
 	reserved atomic.Int64
 }
 
-// NewByteBudget returns a budget with a limit in bytes.
+// NewByteBudget returns a budget of limit bytes.
 func NewByteBudget(limit int64) *ByteBudget { return &ByteBudget{limit: limit} }
 
-// TryReserve reserves bytes and returns true, or reserves none and returns false
-// where they exceed what is available. It never waits.
+// TryReserve reserves the given number of bytes and returns true, or reserves none and
+// returns false if fewer are available. It never waits.
 func (b *ByteBudget) TryReserve(bytes int64) bool {
 	if b.reserved.Add(bytes) <= b.limit {
 		return true
@@ -88,8 +88,8 @@
 	return false
 }
 
-// Release releases reserved bytes.
+// Release returns reserved bytes to the budget.
 func (b *ByteBudget) Release(bytes int64) { b.reserved.Add(-bytes) }
 
-// Available returns the number of bytes that could be reserved now.
+// Available returns the number of bytes that are not reserved.
 func (b *ByteBudget) Available() int64 { return b.limit - b.reserved.Load() }
--- a/internal/stage/stage_test.go
+++ b/internal/stage/stage_test.go
@@ -10,8 +10,8 @@
 	"stepwick/internal/stage"
 )
 
-func TestQueueIsBoundedAndKeepsItsCause(t *testing.T) {
-	Convey("A full queue refuses or waits, and a closed one yields its items and then its cause", t, func() {
+func TestQueueCapacityAndCause(t *testing.T) {
+	Convey("A full queue rejects or waits, and a closed one yields its items and then its cause", t, func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		queue := stage.NewQueue[int](2)
 		So(queue.Put(ctx, 1), ShouldBeNil)
@@ -32,7 +32,7 @@
 }
 
 func TestByteBudget(t *testing.T) {
-	Convey("A budget refuses what exceeds its limit, and reserves nothing of it", t, func() {
+	Convey("A reservation beyond the limit is rejected and reserves nothing", t, func() {
 		budget := stage.NewByteBudget(10)
 		So(budget.TryReserve(7), ShouldBeTrue)
 		So(budget.TryReserve(4), ShouldBeFalse)
