--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -8,26 +8,26 @@
 )
 
 func TestJournal(t *testing.T) {
-	Convey("Given a journal of three events", t, func() {
+	Convey("Given a journal with a capacity of three to which four events were appended", t, func() {
 		journal := New[string](3)
 		_, complete := journal.After(0, 0)
 		So(complete, ShouldBeTrue)
 		for _, e := range []string{"a", "b", "c", "d"} {
 			journal.Append(e)
 		}
-		Convey("the oldest is dropped, and numbering continues", func() {
+		Convey("the oldest event is dropped and numbering continues", func() {
 			entries, complete := journal.After(1, 0)
 			So(complete, ShouldBeTrue)
 			So(entries, ShouldResemble, []Entry[string]{{2, "b"}, {3, "c"}, {4, "d"}})
 			So(Fold(journal, "", func(view string, entry Entry[string]) string { return view + entry.Event }), ShouldEqual, "bcd")
 		})
-		Convey("a reader too far behind or ahead gets no events", func() {
+		Convey("a reader too far behind or ahead receives no events", func() {
 			_, complete := journal.After(0, 0)
 			So(complete, ShouldBeFalse)
 			_, complete = journal.After(5, 0)
 			So(complete, ShouldBeFalse)
 		})
-		Convey("single events are found while they are retained", func() {
+		Convey("a single event is returned while it is retained", func() {
 			_, ok := journal.Get(1)
 			So(ok, ShouldBeFalse)
 			e, ok := journal.Get(4)
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestReaderMissesNothing(t *testing.T) {
+func TestReaderMissesNoEvent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		journal := New[uint64](rapid.IntRange(1, 9).Draw(t, "capacity"))
 		sequence := uint64(0)
@@ -49,14 +49,14 @@
 			entries, complete := journal.After(sequence, rapid.IntRange(0, 3).Draw(t, "limit"))
 			if !complete {
 				if sequence+1 >= journal.OldestSequence() {
-					t.Fatalf("sequence %d is retained from %d on, yet not complete", sequence, journal.OldestSequence())
+					t.Fatalf("After(%d) is not complete, although events from %d on are retained", sequence, journal.OldestSequence())
 				}
 				sequence = journal.LastSequence()
 				continue
 			}
 			for _, e := range entries {
 				if e.Sequence != sequence+1 || e.Event != e.Sequence {
-					t.Fatalf("after %d came %+v", sequence, e)
+					t.Fatalf("sequence %d is followed by entry %+v", sequence, e)
 				}
 				sequence = e.Sequence
 			}
