--- a/internal/port/ingress.go
+++ b/internal/port/ingress.go
@@ -83,10 +83,10 @@
 type Node interface {
 	// Ready returns nil if the process accepts traffic, or the reason why it does not.
 	Ready() *apierror.Error
-	// Nearest returns the addresses of the fronts to which a client in the region
+	// NearestFronts returns the addresses of the fronts to which a client in the region
 	// should send its requests: at most limit addresses, in random order. If the region
 	// has no ready front, they are those of fronts in other regions.
-	Nearest(region string, limit int) []string
+	NearestFronts(region string, limit int) []string
 	// Order forwards an operator's order to a core; see wire.OrderRequest.
 	Order(ctx context.Context, req *wire.OrderRequest) (*wire.OrderResponse, error)
 	// SetSeeds replaces the seed addresses with which the process was started.
