--- a/internal/adapter/backend/backend.go
+++ b/internal/adapter/backend/backend.go
@@ -82,10 +82,10 @@
 	Deadline time.Time
 	// Now reads the clock on which Deadline is based.
 	Now func() time.Time
-	// Allow returns nil if the request may still be sent, or the error that forbids
+	// CheckSend returns nil if the request may still be sent, or the error that forbids
 	// it. It is called immediately before the first write, on a different goroutine.
 	// A nil Allow permits sending.
-	Allow func() *apierror.Error
+	CheckSend func() *apierror.Error
 	// FirstEventTimeout overrides Config.FirstEventTimeout if it is shorter; 0 keeps
 	// the client's value.
 	FirstEventTimeout time.Duration
--- a/internal/adapter/backend/backend_test.go
+++ b/internal/adapter/backend/backend_test.go
@@ -132,7 +132,7 @@
 			Convey("that is forbidden before the first write sends nothing to the server", func() {
 				server := newFakeServer(t, resetConnection)
 				attempt := newTestAttempt(server.address)
-				attempt.Allow = func() *apierror.Error { return apierror.Errorf(apierror.KeyRevoked, "revoked") }
+				attempt.CheckSend = func() *apierror.Error { return apierror.Errorf(apierror.KeyRevoked, "revoked") }
 				_, failure := client.Call(context.Background(), attempt, call)
 				So(failure.Kind, ShouldEqual, SendForbidden)
 				So(failure.Cause.Code, ShouldEqual, apierror.KeyRevoked)
--- a/internal/adapter/backend/oneshot.go
+++ b/internal/adapter/backend/oneshot.go
@@ -17,8 +17,8 @@
 	Body   []byte
 }
 
-// Answer is a complete response from a server.
-type Answer struct {
+// Response is a complete response from a server.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -27,7 +27,7 @@
 // Call sends a one-shot call to one server, at most once. If the failure's NotSent
 // method returns true, the server has not executed the call and never will; after
 // any other failure it may have executed it.
-func (c *Client) Call(ctx context.Context, attempt *Attempt, call *OneShot) (*Answer, *Failure) {
+func (c *Client) Call(ctx context.Context, attempt *Attempt, call *OneShot) (*Response, *Failure) {
 	target, err := url.Parse("http://" + attempt.Address + call.Path)
 	if err != nil {
 		return nil, &Failure{Kind: NotSent, Detail: err.Error()}
@@ -52,7 +52,7 @@
 	if failure := c.checkOneShotResponse(attempt.ID, call.Method, response, body); failure != nil {
 		return nil, failure
 	}
-	return &Answer{Status: response.StatusCode, Header: response.Header, Body: body}, nil
+	return &Response{Status: response.StatusCode, Header: response.Header, Body: body}, nil
 }
 
 // checkOneShotResponse returns nil if the response is complete and belongs to the
--- a/internal/adapter/backend/send_guard.go
+++ b/internal/adapter/backend/send_guard.go
@@ -36,8 +36,8 @@
 		if !a.Now().Before(a.Deadline) {
 			return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed before the request was sent")
 		}
-		if a.Allow != nil {
-			return a.Allow()
+		if a.CheckSend != nil {
+			return a.CheckSend()
 		}
 		return nil
 	}}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -52,11 +52,11 @@
 // the next event if there is none.
 func (j *Journal[E]) OldestSequence() uint64 { return j.lastSequence - uint64(j.count) + 1 }
 
-// After returns up to limit entries with a sequence number above the given one, oldest
+// EntriesAfter returns up to limit entries with a sequence number above the given one, oldest
 // first; a limit of zero means all. Complete is false if events after the given number
 // have been dropped or the number is higher than that of the newest event: the reader
 // then needs a snapshot.
-func (j *Journal[E]) After(sequence uint64, limit int) (entries []Entry[E], complete bool) {
+func (j *Journal[E]) EntriesAfter(sequence uint64, limit int) (entries []Entry[E], complete bool) {
 	if sequence > j.lastSequence || sequence+1 < j.OldestSequence() {
 		return nil, false
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -10,21 +10,21 @@
 func TestJournal(t *testing.T) {
 	Convey("Given a journal with a capacity of three to which four events were appended", t, func() {
 		journal := New[string](3)
-		_, complete := journal.After(0, 0)
+		_, complete := journal.EntriesAfter(0, 0)
 		So(complete, ShouldBeTrue)
 		for _, e := range []string{"a", "b", "c", "d"} {
 			journal.Append(e)
 		}
 		Convey("the oldest event is dropped and numbering continues", func() {
-			entries, complete := journal.After(1, 0)
+			entries, complete := journal.EntriesAfter(1, 0)
 			So(complete, ShouldBeTrue)
 			So(entries, ShouldResemble, []Entry[string]{{2, "b"}, {3, "c"}, {4, "d"}})
 			So(Fold(journal, "", func(view string, entry Entry[string]) string { return view + entry.Event }), ShouldEqual, "bcd")
 		})
 		Convey("a reader too far behind or ahead receives no events", func() {
-			_, complete := journal.After(0, 0)
+			_, complete := journal.EntriesAfter(0, 0)
 			So(complete, ShouldBeFalse)
-			_, complete = journal.After(5, 0)
+			_, complete = journal.EntriesAfter(5, 0)
 			So(complete, ShouldBeFalse)
 		})
 		Convey("a single event is returned while it is retained", func() {
@@ -46,7 +46,7 @@
 				journal.Append(journal.LastSequence() + 1)
 				continue
 			}
-			entries, complete := journal.After(sequence, rapid.IntRange(0, 3).Draw(t, "limit"))
+			entries, complete := journal.EntriesAfter(sequence, rapid.IntRange(0, 3).Draw(t, "limit"))
 			if !complete {
 				if sequence+1 >= journal.OldestSequence() {
 					t.Fatalf("After(%d) is not complete, although events from %d on are retained", sequence, journal.OldestSequence())
--- a/internal/node/control/feed.go
+++ b/internal/node/control/feed.go
@@ -75,7 +75,7 @@
 	if req.Feed != f.id() {
 		return nil, false
 	}
-	entries, complete := f.changes.After(req.Place, maxFeedBatch)
+	entries, complete := f.changes.EntriesAfter(req.Place, maxFeedBatch)
 	if !complete {
 		return nil, false
 	}
--- a/internal/node/front/attempt.go
+++ b/internal/node/front/attempt.go
@@ -17,7 +17,7 @@
 		Address:           choice.Address,
 		Deadline:          c.request.Deadline,
 		Now:               c.front.clock.Now,
-		Allow:             c.checkSend,
+		CheckSend:         c.checkSend,
 		FirstEventTimeout: choice.FirstEventTimeout,
 	}
 }
--- a/internal/node/front/oneshot.go
+++ b/internal/node/front/oneshot.go
@@ -37,7 +37,7 @@
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(assigned.serverLost, cancel)()
-	var answer *backend.Answer
+	var answer *backend.Response
 	answer, failure = c.front.client.Call(attemptCtx, c.newAttempt(choice), &backend.OneShot{
 		Method: request.Method,
 		Path:   request.Path,
--- a/internal/node/gateway/admission.go
+++ b/internal/node/gateway/admission.go
@@ -102,8 +102,8 @@
 // and the gateway's.
 func (q *request) setDeadline() {
 	timeout := time.Duration(q.route.TimeoutMS) * time.Millisecond
-	if q.call.Deadline > 0 {
-		timeout = min(timeout, q.call.Deadline)
+	if q.call.Timeout > 0 {
+		timeout = min(timeout, q.call.Timeout)
 	}
 	q.deadline = q.arrived.Add(min(timeout, q.gateway.config.MaxDeadline))
 	controller := http.NewResponseController(q.writer)
--- a/internal/node/gateway/fixture_test.go
+++ b/internal/node/gateway/fixture_test.go
@@ -31,12 +31,12 @@
 
 func (testDialect) ReadRequest(r *http.Request) (port.ClientRequest, *apierror.Error) {
 	call := port.ClientRequest{ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), LastEventID: r.Header.Get("Last")}
-	if _, err := fmt.Sscan(r.Header.Get("Tokens"), &call.TokensIn); err == nil {
+	if _, err := fmt.Sscan(r.Header.Get("Tokens"), &call.PromptTokens); err == nil {
 		call.DeclaresTokens = true
 	}
 	var ms int
 	if _, err := fmt.Sscan(r.Header.Get("Left"), &ms); err == nil {
-		call.Deadline = time.Duration(ms) * time.Millisecond
+		call.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	return call, nil
 }
--- a/internal/node/gateway/selection.go
+++ b/internal/node/gateway/selection.go
@@ -42,13 +42,13 @@
 		Urgency:        urgency(q.tenantConfig.Priority, q.route.Priority),
 		Route:          q.route.Name,
 		MaxEventGap:    time.Duration(q.route.EventGapMS) * time.Millisecond,
-		UnsharedTokens: q.call.TokensIn,
-		OutputTokens:   q.call.TokensOut,
+		UnsharedTokens: q.call.PromptTokens,
+		OutputTokens:   q.call.MaxOutputTokens,
 		QueueUntil:     q.arrived.Add(min(objective/queueTimeoutDivisor, maxQueueTimeout)),
 	}
 	if q.route.Affinity {
 		q.selection.PrefixDigest, q.selection.SharedTokens = sharedPrefix(q.call.Parts)
-		q.selection.UnsharedTokens = max(q.call.TokensIn-q.selection.SharedTokens, 0)
+		q.selection.UnsharedTokens = max(q.call.PromptTokens-q.selection.SharedTokens, 0)
 	}
 	return nil
 }
--- a/internal/node/healthcheck/checker_test.go
+++ b/internal/node/healthcheck/checker_test.go
@@ -113,7 +113,7 @@
 		if sim.listEmpty {
 			return
 		}
-		listing.Calls = sim.pages
+		listing.CallCount = sim.pages
 		for _, server := range sim.servers {
 			listing.Servers = append(listing.Servers, server)
 		}
--- a/internal/node/healthcheck/discovery.go
+++ b/internal/node/healthcheck/discovery.go
@@ -83,7 +83,7 @@
 		c.logListFailure(err)
 		return
 	}
-	c.discovery.lastReadCalls = listing.Calls
+	c.discovery.lastReadCalls = listing.CallCount
 	c.logListRead(listing)
 	listed := c.recordListed(listing, requestedAt)
 	for name, status := range viewServers {
@@ -126,7 +126,7 @@
 	for _, status := range listing.Servers {
 		listed[status.Name] = true
 		delete(c.discovery.absences, status.Name)
-		if slowStartLeft := listing.ColdFor[status.Name]; slowStartLeft > 0 {
+		if slowStartLeft := listing.WarmUpRemaining[status.Name]; slowStartLeft > 0 {
 			status.ColdUntilMs = requestedAt.Add(slowStartLeft).UnixMilli()
 		}
 		c.record(serverstatus.SourceList, status, requestedAt)
--- a/internal/port/ingress.go
+++ b/internal/port/ingress.go
@@ -15,13 +15,13 @@
 	ID string
 	// Key is the client's API key, empty for none.
 	Key string
-	// Deadline is how long the client waits, counted from the arrival of the request;
+	// Timeout is how long the client waits, counted from the arrival of the request;
 	// 0 if the client states nothing.
-	Deadline time.Duration
-	// DeclaresTokens reports whether the request declares TokensIn and TokensOut.
-	DeclaresTokens bool
-	TokensIn       float64 // tokens of the prompt
-	TokensOut      float64 // maximum number of tokens to generate
+	Timeout time.Duration
+	// DeclaresTokens reports whether the request declares PromptTokens and MaxOutputTokens.
+	DeclaresTokens  bool
+	PromptTokens    float64 // tokens of the prompt
+	MaxOutputTokens float64 // maximum number of tokens to generate
 	// Parts are the parts of the prompt in order. The last one is specific to the
 	// request or its session.
 	Parts []PromptPart
@@ -31,7 +31,7 @@
 }
 
 // Tokens returns the number of tokens charged for the request.
-func (c ClientRequest) Tokens() float64 { return c.TokensIn + c.TokensOut }
+func (c ClientRequest) Tokens() float64 { return c.PromptTokens + c.MaxOutputTokens }
 
 // PromptPart is a part of a prompt that a server may keep in its prefix cache.
 type PromptPart struct {
--- a/internal/port/servers.go
+++ b/internal/port/servers.go
@@ -22,11 +22,11 @@
 	// Malformed maps the name of an entry that could not be read to the reason. Such a
 	// server counts neither as listed nor as removed.
 	Malformed map[string]string
-	// ColdFor maps the name of a server that is warming up to the remaining warm-up
+	// WarmUpRemaining maps the name of a server that is warming up to the remaining warm-up
 	// time. A server without an entry is not warming up.
-	ColdFor map[string]time.Duration
-	// Calls is the number of calls that were needed to read the list; 0 counts as one.
-	Calls int
+	WarmUpRemaining map[string]time.Duration
+	// CallCount is the number of calls that were needed to read the list; 0 counts as one.
+	CallCount int
 }
 
 // PollOutcome is how a server responded to a poll of its status.
