--- a/internal/events/async_log.go
+++ b/internal/events/async_log.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	// queueCapacity bounds the events that wait for the logger.
+	// queueCapacity is the maximum number of events that wait for the logger.
 	queueCapacity = 1024
-	// reportInterval is how often suppressed events are reported.
+	// reportInterval is the time between reports of suppressed events.
 	reportInterval = time.Second
 )
 
-// severities orders the levels.
+// severities ranks the levels.
 var severities = map[Level]int32{Debug: 0, Info: 1, Warn: 2, Error: 3}
 
 // AsyncLog is a Log that writes events to a logger from one goroutine and
-// limits the rate of each event. Events that are emitted before Serve runs wait
-// in a bounded queue; those that find it full are dropped and counted.
+// limits the rate of each event. Events wait in a bounded queue until Serve
+// writes them. Events that are emitted while the queue is full are dropped and
+// counted.
 type AsyncLog struct {
-	logger  log.Logger
-	clock   clock.Clock
-	lowest  atomic.Int32
-	queue   chan entry
-	dropped atomic.Uint64
+	logger      log.Logger
+	clock       clock.Clock
+	minSeverity atomic.Int32
+	queue       chan entry
+	dropped     atomic.Uint64
 }
 
 // entry is one emitted event.
 type entry struct {
-	event   Event
-	at      time.Time
-	keyvals []any
+	event     Event
+	emittedAt time.Time
+	keyvals   []any
 }
 
-// NewAsyncLog returns a log at level Info. Its owner must run Serve.
+// NewAsyncLog returns a log at level Info. The caller must run Serve.
 func NewAsyncLog(logger log.Logger, clock clock.Clock) *AsyncLog {
 	l := &AsyncLog{
 		logger: logger,
@@ -49,12 +50,12 @@
 	return l
 }
 
-// SetLevel sets the lowest level that is logged.
-func (l *AsyncLog) SetLevel(level Level) { l.lowest.Store(severities[level]) }
+// SetLevel sets the lowest level of events that are logged.
+func (l *AsyncLog) SetLevel(level Level) { l.minSeverity.Store(severities[level]) }
 
-// Emit queues an event; it never blocks.
+// Emit queues an event, or drops it if the queue is full. It never blocks.
 func (l *AsyncLog) Emit(event Event, keyvals ...any) {
-	if severities[event.Level] < l.lowest.Load() {
+	if severities[event.Level] < l.minSeverity.Load() {
 		return
 	}
 	select {
@@ -64,8 +65,8 @@
 	}
 }
 
-// Serve writes events until the context ends; then it writes those that are
-// queued, with the counts of suppressed ones, and returns nil.
+// Serve writes events until the context ends. It then writes the events that
+// are still queued and the counts of suppressed ones, and returns nil.
 func (l *AsyncLog) Serve(ctx context.Context) error {
 	limits := make(rateLimits)
 	ticker := l.clock.Ticker(reportInterval)
@@ -84,7 +85,7 @@
 	}
 }
 
-// drain writes all events that are queued.
+// drain writes all queued events.
 func (l *AsyncLog) drain(limits rateLimits) {
 	for {
 		select {
@@ -97,12 +98,13 @@
 }
 
 func (l *AsyncLog) write(limits rateLimits, queued entry) {
-	if limits.allow(queued.event, queued.at) {
+	if limits.allow(queued.event, queued.emittedAt) {
 		l.print(queued)
 	}
 }
 
-// reportSuppressed logs how many events were left out since the last report.
+// reportSuppressed logs how many events were suppressed or dropped since the last
+// report.
 func (l *AsyncLog) reportSuppressed(limits rateLimits) {
 	now := l.clock.Now()
 	for _, suppressed := range limits.takeSuppressed() {
@@ -115,11 +117,11 @@
 
 func (l *AsyncLog) print(emitted entry) {
 	line := append([]any{
-		"ts", emitted.at.Format(clock.RFC3339Milli),
+		"ts", emitted.emittedAt.Format(clock.RFC3339Milli),
 		"level", string(emitted.event.Level),
 		"event", emitted.event.Number,
 		"event_name", emitted.event.Name,
 	}, emitted.keyvals...)
-	// A log that can't be written has nowhere to report that.
+	// An error of the log itself can't be reported anywhere.
 	_ = l.logger.Log(line...)
 }
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,14 +1,13 @@
-// Package events has the catalogue of numbered log events and the log that
-// emits them. The catalogue is the only place where events are declared; an
-// event's number and name never change meaning, since operators' alerts refer
-// to them. The Go names follow the field's terms and may differ from the names
-// in the log.
+// Package events declares the numbered log events and implements the log that
+// emits them. All events are declared in the catalogue. The number and name of
+// an event never change meaning, since operators' alerts refer to them. The Go
+// identifier of an event may differ from its name in the log.
 package events
 
-// Level of an event: how soon someone should look.
+// Level is the severity of an event.
 type Level string
 
-// Levels, from the lowest.
+// Levels, in ascending order.
 const (
 	Debug Level = "debug"
 	Info  Level = "info"
@@ -16,19 +15,19 @@
 	Error Level = "error"
 )
 
-// Event is one row of the catalogue.
+// Event is an entry of the catalogue.
 type Event struct {
 	Number int
 	Name   string
 	Level  Level
 	// Help states what happened.
 	Help string
-	// Action is what whoever is on call should do; empty for nothing.
+	// Action advises the operator on call what to do; empty if nothing is needed.
 	Action string
 }
 
-// Log emits events with keys and values in turn. Implementations limit the rate
-// of each event and never block for long.
+// Log emits events with alternating keys and values. Implementations limit the
+// rate of each event and never block for long.
 type Log interface {
 	Emit(event Event, keyvals ...any)
 }
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestCatalogueIsUniqueAndComplete(t *testing.T) {
-	Convey("Every event has its own number and name, a level and a help; alarms say what they ask", t, func() {
+	Convey("Each event has a unique number and name, a valid level and a help text; each error also has an action", t, func() {
 		numbers, names := map[int]bool{}, map[string]bool{}
 		for _, e := range Catalogue() {
 			So(numbers[e.Number], ShouldBeFalse)
@@ -47,25 +47,25 @@
 		asyncLog.Emit(RequestRejected, "code", 2001)
 		<-time.After(1100 * time.Millisecond)
 		synctest.Wait()
-		atOnce := out.String()
+		firstOutput := out.String()
 		for range 100 {
 			asyncLog.Emit(PeerUnresponsive, "peer", "n4")
 		}
 		cancel()
 		err := <-done
 
-		Convey("A burst is bounded, what is left out is counted once, and the bound refills", t, func() {
+		Convey("A burst is limited, suppressed events are counted once, and the bucket refills", t, func() {
 			So(err, ShouldBeNil)
-			So(strings.Count(atOnce, "event_name=peer_silent"), ShouldEqual, Burst)
-			So(atOnce, ShouldContainSubstring, "event_name=peer_back peer=n4")
-			So(atOnce, ShouldNotContainSubstring, "request_refused")
-			So(atOnce, ShouldContainSubstring, "event_name=events_suppressed of=2012 of_name=peer_silent count=81")
-			rest := strings.TrimPrefix(out.String(), atOnce)
+			So(strings.Count(firstOutput, "event_name=peer_silent"), ShouldEqual, Burst)
+			So(firstOutput, ShouldContainSubstring, "event_name=peer_back peer=n4")
+			So(firstOutput, ShouldNotContainSubstring, "request_refused")
+			So(firstOutput, ShouldContainSubstring, "event_name=events_suppressed of=2012 of_name=peer_silent count=81")
+			rest := strings.TrimPrefix(out.String(), firstOutput)
 			So(strings.Count(rest, "event_name=peer_silent"), ShouldEqual, RefillPerSecond)
 			So(rest, ShouldContainSubstring, "count=95")
 		})
 	})
-	Convey("Emit never blocks, and what found no room is counted", t, func() {
+	Convey("Emit never blocks, and events dropped because the queue is full are counted", t, func() {
 		var out bytes.Buffer
 		asyncLog := NewAsyncLog(log.NewLogfmtLogger(&out), clock.System())
 		for range queueCapacity + 7 {
--- a/internal/events/rate_limit.go
+++ b/internal/events/rate_limit.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// The rate limit of each event, by a token bucket.
+// Parameters of the token bucket that limits the rate of each event.
 const (
-	Burst           = 20 // emissions at once
-	RefillPerSecond = 5  // emissions a second after that
+	Burst           = 20 // events at once
+	RefillPerSecond = 5  // events per second after a burst
 )
 
-// rateLimits has a token bucket for each event, by number.
+// rateLimits contains the token buckets by event number.
 type rateLimits map[int]*tokenBucket
 
 type tokenBucket struct {
@@ -18,7 +18,8 @@
 	suppressed uint64
 }
 
-// allow reports whether an event may be logged, and counts it if not.
+// allow reports whether an event may be logged; if not, it counts the event as
+// suppressed.
 func (r rateLimits) allow(event Event, now time.Time) bool {
 	bucket, ok := r[event.Number]
 	if !ok {
@@ -37,14 +38,14 @@
 	return true
 }
 
-// suppressedCount is how many emissions of an event were left out.
+// suppressedCount is the number of emissions of an event that were suppressed.
 type suppressedCount struct {
 	event Event
 	count uint64
 }
 
-// takeSuppressed returns the counts of suppressed events, in the order of the
-// catalogue, and resets them.
+// takeSuppressed returns the counts of suppressed events, sorted by event
+// number, and resets them.
 func (r rateLimits) takeSuppressed() []suppressedCount {
 	var counts []suppressedCount
 	for _, event := range Catalogue() {
