--- a/internal/apierror/codes.go
+++ b/internal/apierror/codes.go
@@ -4,12 +4,13 @@
 
 import "net/http"
 
-// Code numbers a result. Numbers never change meaning; docs/CODES.md is
-// written from Codes.
+// Code is the number of a result. Numbers never change meaning. docs/CODES.md
+// is generated from Codes.
 type Code uint32
 
 // Result codes. 1xxx concern the request, 2xxx limits and capacity, 3xxx the
-// outcome of calls and streams, 4xxx orders, 5xxx control and state.
+// outcome of calls and streams, 4xxx orders, 5xxx the cores, the fleet's
+// configuration and its state.
 const (
 	OK Code = 0
 
@@ -75,15 +76,15 @@
 	NotFound        Code = 5101
 )
 
-// RetryAdvice is what a client should do after a result.
+// RetryAdvice tells a client whether and how to retry after a result.
 type RetryAdvice string
 
-// Retry advice.
+// Values of RetryAdvice.
 const (
-	RetryNo    RetryAdvice = "no"    // the same request will get the same answer
-	RetryLater RetryAdvice = "later" // safe to send again, not before retry_after_ms
-	RetrySame  RetryAdvice = "same"  // send the same order id again: it is accepted once
-	RetryCheck RetryAdvice = "check" // the call may have run: find out before sending again
+	RetryNo    RetryAdvice = "no"    // the same request would get the same result
+	RetryLater RetryAdvice = "later" // safe to retry after retry_after_ms
+	RetrySame  RetryAdvice = "same"  // retry with the same order id: the order is executed at most once
+	RetryCheck RetryAdvice = "check" // the call may have been executed: find out before a retry
 )
 
 // CodeInfo describes one result code.
@@ -95,65 +96,65 @@
 	Help   string
 }
 
-// Codes is the table of result codes, in the order of their numbers.
+// Codes is the table of result codes, sorted by number.
 var Codes = []CodeInfo{
-	{OK, "ok", http.StatusOK, RetryNo, "The request was met."},
-	{BadJSON, "bad_json", http.StatusBadRequest, RetryNo, "The body is not one JSON value of the expected shape."},
-	{UnknownField, "unknown_field", http.StatusBadRequest, RetryNo, "The body has a field that the call does not know."},
-	{BodyTooLarge, "body_too_large", http.StatusRequestEntityTooLarge, RetryNo, "The body is over the bound of its listener."},
+	{OK, "ok", http.StatusOK, RetryNo, "The request succeeded."},
+	{BadJSON, "bad_json", http.StatusBadRequest, RetryNo, "The body is incomplete or not a single JSON value of the expected form."},
+	{UnknownField, "unknown_field", http.StatusBadRequest, RetryNo, "The request has a field or query parameter that the call does not know."},
+	{BodyTooLarge, "body_too_large", http.StatusRequestEntityTooLarge, RetryNo, "The body exceeds its size limit."},
 	{MissingKey, "missing_key", http.StatusUnauthorized, RetryNo, "The request carries no key."},
 	{UnknownKey, "unknown_key", http.StatusForbidden, RetryNo, "The key belongs to no tenant of the sheet in force."},
 	{UnknownService, "unknown_service", http.StatusNotFound, RetryNo, "The sheet in force has no such service."},
-	{BadDeadline, "bad_deadline", http.StatusBadRequest, RetryNo, "The deadline is not a number of milliseconds within its bounds."},
-	{MissingField, "missing_field", http.StatusBadRequest, RetryNo, "A field that the call needs is missing."},
-	{UnknownPath, "unknown_path", http.StatusNotFound, RetryNo, "No call is declared at this path."},
-	{BadMethod, "bad_method", http.StatusMethodNotAllowed, RetryNo, "The call does not take this method."},
-	{HeaderTooLarge, "header_too_large", http.StatusRequestHeaderFieldsTooLarge, RetryNo, "A header is over its bound."},
-	{SlowBody, "slow_body", http.StatusRequestTimeout, RetryNo, "The body did not arrive within its bound of time."},
-	{WrongServiceKind, "wrong_service_kind", http.StatusBadRequest, RetryNo, "A prompt was sent to a web service, or a one-shot to a model service."},
-	{BadField, "bad_field", http.StatusBadRequest, RetryNo, "A field has a value outside its bounds."},
+	{BadDeadline, "bad_deadline", http.StatusBadRequest, RetryNo, "The deadline is not a number of milliseconds, or is out of range."},
+	{MissingField, "missing_field", http.StatusBadRequest, RetryNo, "A required field is missing."},
+	{UnknownPath, "unknown_path", http.StatusNotFound, RetryNo, "There is no call at this path."},
+	{BadMethod, "bad_method", http.StatusMethodNotAllowed, RetryNo, "The call does not accept this method."},
+	{HeaderTooLarge, "header_too_large", http.StatusRequestHeaderFieldsTooLarge, RetryNo, "The header exceeds its size limit."},
+	{SlowBody, "slow_body", http.StatusRequestTimeout, RetryNo, "The body did not arrive within its time limit."},
+	{WrongServiceKind, "wrong_service_kind", http.StatusBadRequest, RetryNo, "A prompt was sent to a web service, or a one-shot call to a model service."},
+	{BadField, "bad_field", http.StatusBadRequest, RetryNo, "A field, header, query parameter or body has an invalid value."},
 	{UnknownRoute, "unknown_route", http.StatusNotFound, RetryNo, "The sheet in force has no route for the host and path."},
-	{QuotaExceeded, "quota_exceeded", http.StatusTooManyRequests, RetryLater, "The tenant's allowance is spent."},
-	{ShareExceeded, "share_exceeded", http.StatusTooManyRequests, RetryLater, "The tenant's count is out of reach and this node's share of the allowance is spent."},
-	{QueueFull, "pending_full", http.StatusServiceUnavailable, RetryLater, "The pending requests are at their bound."},
+	{QuotaExceeded, "quota_exceeded", http.StatusTooManyRequests, RetryLater, "The tenant has used up its allowance."},
+	{ShareExceeded, "share_exceeded", http.StatusTooManyRequests, RetryLater, "The holder of the tenant's count can't be reached, and this node's share of the allowance is used up."},
+	{QueueFull, "pending_full", http.StatusServiceUnavailable, RetryLater, "A queue is full, or a limit of concurrent requests or of buffered bodies is reached."},
 	{NoServer, "no_server", http.StatusServiceUnavailable, RetryLater, "No server can take the request now."},
 	{DeadlineTooShort, "deadline_too_short", http.StatusServiceUnavailable, RetryLater, "The deadline would pass before a server could answer."},
-	{NotRuling, "not_ruling", http.StatusServiceUnavailable, RetryLater, "This node cannot be sure to hold the newest configuration; ask another."},
-	{FrontLeaving, "front_leaving", http.StatusServiceUnavailable, RetryLater, "This node is being taken away; ask another."},
-	{NoPlan, "no_plan", http.StatusServiceUnavailable, RetryLater, "No plan has reached this node yet."},
-	{BudgetSpent, "budget_spent", http.StatusServiceUnavailable, RetryLater, "The budget for retries is spent."},
-	{NoSheet, "no_sheet", http.StatusServiceUnavailable, RetryLater, "No sheet has reached this node yet."},
-	{NotRun, "not_run", http.StatusServiceUnavailable, RetryLater, "The call has not run and will not run."},
-	{OutcomeUnknown, "outcome_unknown", http.StatusBadGateway, RetryCheck, "The call may have run; it was not sent again."},
-	{DeadlinePassed, "deadline_passed", http.StatusGatewayTimeout, RetryLater, "The deadline passed before the first event."},
+	{NotRuling, "not_ruling", http.StatusServiceUnavailable, RetryLater, "This node can't be sure that its configuration is the newest; send the request to another node."},
+	{FrontLeaving, "front_leaving", http.StatusServiceUnavailable, RetryLater, "This node is draining; send the request to another node."},
+	{NoPlan, "no_plan", http.StatusServiceUnavailable, RetryLater, "This node has not received both a plan and a sheet yet."},
+	{BudgetSpent, "budget_spent", http.StatusServiceUnavailable, RetryLater, "The retry budget is exhausted."},
+	{NoSheet, "no_sheet", http.StatusServiceUnavailable, RetryLater, "There is no sheet yet, or this node has not received it."},
+	{NotRun, "not_run", http.StatusServiceUnavailable, RetryLater, "The call was not executed and will not be."},
+	{OutcomeUnknown, "outcome_unknown", http.StatusBadGateway, RetryCheck, "The call may have been executed; it was not sent again."},
+	{DeadlinePassed, "deadline_passed", http.StatusGatewayTimeout, RetryLater, "The deadline passed before the first event of a stream or before the complete answer."},
 	{StreamCut, "stream_cut", http.StatusBadGateway, RetryLater, "The stream ended before its final event."},
-	{BadAnswer, "bad_answer", http.StatusBadGateway, RetryLater, "The server's answer was not whole or not this request's."},
-	{KeyRevoked, "key_revoked", http.StatusForbidden, RetryNo, "The key was revoked while the stream ran."},
-	{CallerGone, "caller_gone", 499, RetryNo, "The caller closed the connection."},
-	{StreamNotBegun, "stream_not_begun", http.StatusServiceUnavailable, RetryLater, "No server began the stream; no event was passed on."},
-	{BaseMoved, "base_moved", http.StatusConflict, RetryNo, "Another order on the same base epoch won; read back and build on that."},
-	{OutcomePending, "outcome_pending", http.StatusAccepted, RetrySame, "The order is not yet known to be in force; send it again with its id."},
-	{InvalidSheet, "invalid_sheet", http.StatusUnprocessableEntity, RetryNo, "The sheet breaks a rule; nothing was kept."},
-	{SheetTooLarge, "sheet_too_large", http.StatusRequestEntityTooLarge, RetryNo, "The sheet is over its bound; nothing was kept."},
+	{BadAnswer, "bad_answer", http.StatusBadGateway, RetryLater, "The answer was incomplete, malformed or another request's."},
+	{KeyRevoked, "key_revoked", http.StatusForbidden, RetryNo, "The key was revoked while the request was in progress."},
+	{CallerGone, "caller_gone", 499, RetryNo, "The caller closed the connection or stopped reading from it."},
+	{StreamNotBegun, "stream_not_begun", http.StatusServiceUnavailable, RetryLater, "No server started the stream; no event was forwarded."},
+	{BaseMoved, "base_moved", http.StatusConflict, RetryNo, "The order's base is not the sheet's current epoch or revision; read the sheet again and rebuild the order."},
+	{OutcomePending, "outcome_pending", http.StatusAccepted, RetrySame, "The order is not known to be in force yet; send it again with the same id."},
+	{InvalidSheet, "invalid_sheet", http.StatusUnprocessableEntity, RetryNo, "The sheet violates a rule; nothing was changed."},
+	{SheetTooLarge, "sheet_too_large", http.StatusRequestEntityTooLarge, RetryNo, "The sheet or order exceeds a limit; nothing was changed."},
 	{OperatorUnknown, "operator_unknown", http.StatusForbidden, RetryNo, "The key belongs to no operator."},
-	{UnknownZone, "unknown_locality", http.StatusNotFound, RetryNo, "No server or node is known in the locality."},
+	{UnknownZone, "unknown_locality", http.StatusNotFound, RetryNo, "The locality is malformed, or no server or node is known in it."},
 	{UnknownMember, "unknown_member", http.StatusNotFound, RetryNo, "The roster has no such member."},
-	{InvalidChange, "invalid_change", http.StatusUnprocessableEntity, RetryNo, "A change names no cell of the sheet or gives it no valid value."},
-	{OrderIDReused, "order_id_reused", http.StatusConflict, RetryNo, "The order id was used for another order."},
-	{UnknownVersion, "unknown_epoch", http.StatusNotFound, RetryNo, "The epoch is not kept in the history."},
-	{NoMajority, "no_majority", http.StatusServiceUnavailable, RetrySame, "No majority of the cores answered."},
-	{CoreAmnesiac, "core_amnesiac", http.StatusServiceUnavailable, RetrySame, "The core's disk was lost and it is rebuilding."},
-	{CoreBlank, "core_blank", http.StatusServiceUnavailable, RetrySame, "The cores have not formed yet."},
-	{DiskFull, "disk_full", http.StatusInsufficientStorage, RetrySame, "The core's disk has only its reserve left."},
-	{CoreUnreachable, "core_unreachable", http.StatusServiceUnavailable, RetrySame, "No core could be reached."},
-	{WrongFormation, "wrong_formation", http.StatusConflict, RetryNo, "The message belongs to another formation."},
-	{BadRecord, "bad_record", http.StatusInternalServerError, RetryNo, "A record on disk before the last one fails its checksum."},
-	{NotCore, "not_core", http.StatusMisdirectedRequest, RetryLater, "This process is not a core."},
-	{BadSecret, "bad_secret", http.StatusForbidden, RetryNo, "The fleet's secret does not match."},
-	{VersionBehind, "epoch_behind", http.StatusConflict, RetryLater, "The member has not confirmed the core's epoch."},
-	{Internal, "internal", http.StatusInternalServerError, RetryCheck, "A fault of the program; see the log event."},
-	{BadSetting, "bad_setting", http.StatusUnprocessableEntity, RetryNo, "A setting is unknown or fails its check."},
-	{NotFound, "not_found", http.StatusNotFound, RetryNo, "Nothing is kept under this name."},
+	{InvalidChange, "invalid_change", http.StatusUnprocessableEntity, RetryNo, "A change names no cell of the sheet or gives it an invalid value, or the number of changes is invalid."},
+	{OrderIDReused, "order_id_reused", http.StatusConflict, RetryNo, "The order id was already used for a different order."},
+	{UnknownVersion, "unknown_epoch", http.StatusNotFound, RetryNo, "The epoch is not in the history that is kept."},
+	{NoMajority, "no_majority", http.StatusServiceUnavailable, RetrySame, "No majority of the cores answered, or this core has not caught up with one."},
+	{CoreAmnesiac, "core_amnesiac", http.StatusServiceUnavailable, RetrySame, "The core does not vote yet: it is rebuilding its state from the other cores."},
+	{CoreBlank, "core_blank", http.StatusServiceUnavailable, RetrySame, "The cores have not formed a fleet yet."},
+	{DiskFull, "disk_full", http.StatusInsufficientStorage, RetrySame, "The core's disk is full except for the reserved space."},
+	{CoreUnreachable, "core_unreachable", http.StatusServiceUnavailable, RetrySame, "No core could be reached, or the core is not running."},
+	{WrongFormation, "wrong_formation", http.StatusConflict, RetryNo, "The message or the data folder belongs to another formation or core."},
+	{BadRecord, "bad_record", http.StatusInternalServerError, RetryNo, "A record, file header or snapshot on disk is corrupt."},
+	{NotCore, "not_core", http.StatusMisdirectedRequest, RetryLater, "The process is not a core, or not one of the formation."},
+	{BadSecret, "bad_secret", http.StatusForbidden, RetryNo, "The fleet secret does not match."},
+	{VersionBehind, "epoch_behind", http.StatusConflict, RetryLater, "A member, core or roster change is behind the epoch or incarnation that the request needs."},
+	{Internal, "internal", http.StatusInternalServerError, RetryCheck, "Internal error; see the log event."},
+	{BadSetting, "bad_setting", http.StatusUnprocessableEntity, RetryNo, "A setting is unknown, invalid or missing, or its file can't be read."},
+	{NotFound, "not_found", http.StatusNotFound, RetryNo, "Nothing is stored under this name."},
 }
 
 var infoByCode = func() map[Code]CodeInfo {
@@ -164,7 +165,8 @@
 	return byCode
 }()
 
-// Info returns the table's row of a code; that of Internal for an unknown one.
+// Info returns the table's entry for a code, or that of Internal if the code is
+// unknown.
 func (c Code) Info() CodeInfo {
 	if info, ok := infoByCode[c]; ok {
 		return info
--- a/internal/apierror/error.go
+++ b/internal/apierror/error.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// Error is an error with a result code. RetryAfter is how long the client
-// should wait before it retries; zero where the code's advice is not to.
+// Error is an error with a result code. RetryAfter is the time that the client
+// should wait before a retry, or zero if none is given.
 type Error struct {
 	Code       Code
 	Detail     string
@@ -22,19 +22,19 @@
 	return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Detail)
 }
 
-// Errorf returns an error with a code and a formatted detail.
+// Errorf returns an error with the code and a formatted detail.
 func Errorf(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter sets how long the client should wait and returns the error.
+// WithRetryAfter sets RetryAfter on the error itself and returns it.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// From returns the Error in err's chain. Any other error becomes Internal; nil
-// stays nil.
+// From returns the first Error in err's chain, or nil if err is nil. An error
+// without one is converted to an Error with the code Internal.
 func From(err error) *Error {
 	if err == nil {
 		return nil
--- a/internal/apierror/reply.go
+++ b/internal/apierror/reply.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// ErrorBody is the JSON body of every answer that is not OK. RetryAfterMS is
-// in milliseconds.
+// ErrorBody is the JSON body of every response whose code is not OK.
 type ErrorBody struct {
 	Code         Code        `json:"code"`
 	Name         string      `json:"name"`
@@ -19,7 +18,7 @@
 	Version      uint64      `json:"epoch,omitempty"`
 }
 
-// Body returns the JSON form of an error.
+// Body returns the response body for an error.
 func (e *Error) Body(requestID string) ErrorBody {
 	info := e.Code.Info()
 	return ErrorBody{
@@ -32,7 +31,8 @@
 	}
 }
 
-// WriteJSON writes a JSON answer with its length; it closes nothing.
+// WriteJSON writes a JSON response with its Content-Length. If the body can't be
+// encoded, it writes the code Internal instead.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -45,8 +45,8 @@
 	_, _ = w.Write(data)
 }
 
-// WriteError writes an error with its status and, where the client may come
-// back, Retry-After in whole seconds, rounded up.
+// WriteError writes an error with the status of its code. If RetryAfter is set, the
+// Retry-After header gives it in whole seconds, rounded up.
 func WriteError(w http.ResponseWriter, e *Error, requestID string) {
 	if e.RetryAfter > 0 {
 		seconds := int64((e.RetryAfter + time.Second - 1) / time.Second)
--- a/internal/events/catalogue.go
+++ b/internal/events/catalogue.go
@@ -116,7 +116,7 @@
 	OrderAcknowledged = declare(4004, "order_acknowledged", Info, "An order is in force everywhere and was acknowledged.", "")
 	OrderPending      = declare(4005, "order_pending", Warn, "An order is not known to be in force yet; waiting says why, with the members that have not confirmed it.", "Send it again with the same id; check the members named.")
 	OrderReplayed     = declare(4006, "order_repeated", Info, "An order that was already accepted was received again; it was not executed a second time.", "")
-	OrderConflicted   = declare(4007, "order_lost", Info, "An order was rejected because its base is not the sheet's current epoch.", "")
+	OrderConflicted   = declare(4007, "order_lost", Info, "An order was rejected because its base is not the sheet's current epoch or revision.", "")
 	OrderForwarded    = declare(4008, "order_relayed", Debug, "An order was forwarded to a core.", "")
 	OperatorRejected  = declare(4009, "operator_refused", Warn, "A control call was rejected because its key belongs to no operator.", "If this is unexpected, find out who calls from the address.")
 	KeyRevoked        = declare(4010, "key_revoked", Info, "A tenant's key was removed from the sheet; the requests in progress that use it end with an error.", "")
