--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -1,7 +1,7 @@
 package settings
 
-// The checks of rows get values of the type that the row has, as Row.Check
-// describes; another type is a programmer's error and panics.
+// The checks panic if the value does not have the Go type that Row.Check documents
+// for the row's Type.
 
 import (
 	"encoding/hex"
@@ -23,7 +23,7 @@
 func checkName(value any) error {
 	name := value.(string)
 	if name == "" || len(name) > 64 {
-		return errors.New("must have 1 to 64 characters")
+		return errors.Errorf("must have 1 to 64 characters, got %d", len(name))
 	}
 	for _, r := range name {
 		if r > unicode.MaxASCII || !(unicode.IsLetter(r) || unicode.IsDigit(r) || strings.ContainsRune("-_.", r)) {
@@ -35,14 +35,14 @@
 
 func checkSheetName(value any) error {
 	if !sheet.ValidName(value.(string)) {
-		return errors.Errorf("%q is not a name of letters, digits, '-' and '_' as sheets have them", value)
+		return errors.Errorf("%q is not a valid name: use letters, digits, '-' and '_', at most 64 bytes", value)
 	}
 	return nil
 }
 
 func checkAddress(value any) error {
 	if _, err := netip.ParseAddrPort(value.(string)); err != nil {
-		return errors.Errorf("%q is not an address IP:PORT", value)
+		return errors.Errorf("%q is not an address of the form IP:PORT", value)
 	}
 	return nil
 }
@@ -52,7 +52,7 @@
 		return err
 	}
 	if netip.MustParseAddrPort(value.(string)).Addr().IsUnspecified() {
-		return errors.Errorf("%q is a wildcard: others can't dial it", value)
+		return errors.Errorf("%q is a wildcard address, to which other processes can't connect", value)
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 	return err
 }
 
-// mechanismNames lists the mechanisms that balance.off takes.
+// mechanismNames returns the mechanisms that balance.off accepts, as text.
 func mechanismNames() string {
 	names := make([]string, len(balance.Mechanisms))
 	for i, mechanism := range balance.Mechanisms {
@@ -90,7 +90,7 @@
 func checkURL(value any) error {
 	u, err := url.Parse(value.(string))
 	if err != nil || u.Scheme != "http" || u.Host == "" {
-		return errors.Errorf("%q is not a URL such as http://10.0.0.9:8500/servers", value)
+		return errors.Errorf("%q is not an http URL such as http://10.0.0.9:8500/servers", value)
 	}
 	return nil
 }
@@ -101,13 +101,13 @@
 		name, hash, ok := strings.Cut(entry, ":")
 		sum, err := hex.DecodeString(hash)
 		if !ok || err != nil || len(sum) != 32 {
-			return errors.Errorf("entry %d is not NAME:SHA256HEX", i+1)
+			return errors.Errorf("entry %d is not of the form NAME:SHA256HEX", i+1)
 		}
 		if err := checkName(name); err != nil {
 			return errors.Wrapf(err, "entry %d", i+1)
 		}
 		if seen[hash] {
-			return errors.Errorf("entry %d has the key of another operator", i+1)
+			return errors.Errorf("entry %d has the same key hash as an earlier entry", i+1)
 		}
 		seen[hash] = true
 	}
@@ -126,7 +126,7 @@
 func minInt(low int) func(any) error {
 	return func(value any) error {
 		if value.(int) < low {
-			return errors.Errorf("%d is under %d", value, low)
+			return errors.Errorf("%d is below the minimum of %d", value, low)
 		}
 		return nil
 	}
@@ -154,7 +154,7 @@
 	return func(value any) error {
 		if f := value.(float64); !(f >= low && f <= high) {
 			if low == math.SmallestNonzeroFloat64 {
-				return errors.Errorf("%g is not above 0 and at most %g", f, high)
+				return errors.Errorf("%g must be above 0 and at most %g", f, high)
 			}
 			return errors.Errorf("%g is not within %g to %g", f, low, high)
 		}
@@ -178,7 +178,7 @@
 				return nil
 			}
 		}
-		return errors.Errorf("%q is none of %s", value, strings.Join(words, ", "))
+		return errors.Errorf("%q is not one of %s", value, strings.Join(words, ", "))
 	}
 }
 
@@ -186,7 +186,7 @@
 	return func(value any) error {
 		i := sort.SearchInts(numbers, value.(int))
 		if i == len(numbers) || numbers[i] != value {
-			return errors.Errorf("%d is none of %v", value, numbers)
+			return errors.Errorf("%d is not one of %v", value, numbers)
 		}
 		return nil
 	}
--- a/internal/settings/constraints.go
+++ b/internal/settings/constraints.go
@@ -8,30 +8,31 @@
 	RoleCore  = "core"
 )
 
-// Settings that a role can't do without.
+// Settings that a process must have, by its role.
 var (
 	requiredByAll  = []string{"name", "region", "zone", "listen.caller", "listen.internal", "seeds", "fleet.secret"}
 	requiredByCore = []string{"data", "operator.keys"}
 )
 
-// report adds a problem of a setting.
-type report func(name, reason string)
+// reportFunc reports a problem of a setting.
+type reportFunc func(name, reason string)
 
-// checkRelations reports settings whose values don't fit each other.
-func (v *Values) checkRelations(report report) {
+// checkRelations reports settings whose values contradict each other.
+func (v *Values) checkRelations(report reportFunc) {
 	leaseTTL := v.Duration("lease.ttl")
 	for _, name := range []string{"lease.renew", "ping.interval"} {
 		if v.Duration(name) > leaseTTL/2 {
-			report(name, fmt.Sprintf("%s is over half of lease.ttl, %s", v.Duration(name), leaseTTL))
+			report(name, fmt.Sprintf("%s exceeds half of lease.ttl, which is %s", v.Duration(name), leaseTTL))
 		}
 	}
 	if v.Duration("deadline.default") > v.Duration("deadline.max") {
-		report("deadline.default", fmt.Sprintf("%s is over deadline.max, %s", v.Duration("deadline.default"), v.Duration("deadline.max")))
+		report("deadline.default", fmt.Sprintf("%s exceeds deadline.max, which is %s", v.Duration("deadline.default"), v.Duration("deadline.max")))
 	}
 }
 
-// checkRequired reports settings that the role needs and that are empty.
-func (v *Values) checkRequired(role string, report report) {
+// checkRequired reports the settings that the role requires and that are empty. It
+// reports nothing if the role is empty.
+func (v *Values) checkRequired(role string, report reportFunc) {
 	if role == "" {
 		return
 	}
@@ -42,21 +43,21 @@
 	for _, side := range []string{"caller", "internal"} {
 		listen := v.String("listen." + side)
 		if v.String("advertise."+side) == "" && listen != "" && checkAdvertised(listen) != nil {
-			report("advertise."+side, "listen."+side+" is a wildcard, so the address told to others is needed")
+			report("advertise."+side, "required, because listen."+side+" is a wildcard address, to which other processes can't connect")
 		}
 	}
 }
 
-func (v *Values) reportEmpty(names []string, role string, report report) {
+func (v *Values) reportEmpty(names []string, role string, report reportFunc) {
 	for _, name := range names {
 		if v.isEmpty(name) && !(name == "seeds" && v.hasOneVoter()) {
-			report(name, "a "+role+" needs it")
+			report(name, "a "+role+" requires this setting")
 		}
 	}
 }
 
-// hasOneVoter reports whether the fleet has a single core, which needs no
-// seeds.
+// hasOneVoter reports whether the fleet has a single voting core, in which case no
+// seeds are required.
 func (v *Values) hasOneVoter() bool { return v.Int("core.voters") == 1 }
 
 func (v *Values) isEmpty(name string) bool {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -7,21 +7,22 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// yamlNull is the tag of a key without a value.
+// yamlNull is the YAML tag of an empty value.
 const yamlNull = "!!null"
 
-// settingsFile is what a settings file contains, before the values are parsed.
+// settingsFile is the content of a settings file, before the values are parsed.
 type settingsFile struct {
 	name string
-	// texts and lines are by the settings' current names.
+	// texts and lines are keyed by the settings' current names.
 	texts layer
 	lines map[string]int
-	// formerNames has the current name of each former name that the file uses.
+	// formerNames maps each former name that the file uses to the current one.
 	formerNames map[string]string
 	problems    []Problem
 }
 
-// parseFile parses a settings file: YAML, nested or with dotted names.
+// parseFile parses a settings file in YAML. A setting with a dotted name may be written
+// under that name or as a nested mapping.
 func parseFile(name string, data []byte) *settingsFile {
 	file := &settingsFile{
 		name:        name,
@@ -55,16 +56,16 @@
 	})
 }
 
-// readMapping reads the settings of a mapping whose names begin with a prefix.
+// readMapping reads the settings of a mapping. The prefix is prepended to each key.
 func (f *settingsFile) readMapping(prefix string, mapping *yaml.Node) {
-	// The content of a mapping is its keys and values in turn.
+	// The content of a mapping alternates between keys and values.
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		key := mapping.Content[i]
 		f.readEntry(prefix+key.Value, key.Line, mapping.Content[i+1])
 	}
 }
 
-// readEntry reads one setting or a group of them.
+// readEntry reads one setting, or a mapping of settings with a common prefix.
 func (f *settingsFile) readEntry(name string, line int, value *yaml.Node) {
 	if current, renamed := currentNames[name]; renamed {
 		f.formerNames[name] = current
@@ -72,7 +73,7 @@
 	}
 	row, known := rowsByName[name]
 	if known && f.lines[name] != 0 {
-		f.addProblem(line, name, "set twice; first at line %d", f.lines[name])
+		f.addProblem(line, name, "set twice; first set at line %d", f.lines[name])
 		return
 	}
 	switch {
@@ -87,7 +88,7 @@
 	case value.Kind == yaml.ScalarNode:
 		f.set(name, line, value.Value)
 	default:
-		f.addProblem(line, name, "takes a %s", row.Type)
+		f.addProblem(line, name, "must be a %s", row.Type)
 	}
 }
 
@@ -96,12 +97,13 @@
 	f.lines[name] = line
 }
 
-// joinItems returns the items of a sequence as the text of a list.
+// joinItems returns the items of a sequence as comma-separated text, which is the form
+// that parseList expects.
 func (f *settingsFile) joinItems(name string, sequence *yaml.Node) string {
 	items := make([]string, 0, len(sequence.Content))
 	for _, item := range sequence.Content {
 		if item.Kind != yaml.ScalarNode || strings.Contains(item.Value, ",") {
-			f.addProblem(item.Line, name, "an item is not plain text")
+			f.addProblem(item.Line, name, "a list item must be a single value without commas")
 			continue
 		}
 		items = append(items, item.Value)
@@ -109,8 +111,8 @@
 	return strings.Join(items, ",")
 }
 
-// isGroup reports whether the names of some settings begin with the name and a
-// dot.
+// isGroup reports whether the name, followed by a dot, is a prefix of the current or
+// former name of any setting.
 func isGroup(name string) bool {
 	for _, row := range Table {
 		if strings.HasPrefix(row.Name, name+".") || strings.HasPrefix(row.FormerName, name+".") {
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -2,8 +2,8 @@
 
 import "github.com/spf13/pflag"
 
-// Register declares a flag for every setting. Flags override the file. A former
-// name of a setting is a flag too.
+// Register defines a flag for each setting. Flags override the settings file. The
+// former name of a setting is accepted as well.
 func Register(flags *pflag.FlagSet) {
 	flags.SetNormalizeFunc(func(_ *pflag.FlagSet, name string) pflag.NormalizedName {
 		if current, renamed := currentNames[name]; renamed {
@@ -20,8 +20,8 @@
 	}
 }
 
-// flagValue is the value of a setting's flag, as text. It implements
-// pflag.Value; the text is parsed with that of the file, by Read.
+// flagValue is the text of a setting's flag. It implements pflag.Value. Read parses
+// the text together with those of the settings file.
 type flagValue struct {
 	row   Row
 	text  string
@@ -31,7 +31,7 @@
 func (v *flagValue) String() string { return v.text }
 func (v *flagValue) Type() string   { return string(v.row.Type) }
 
-// Set replaces the text; a list's flag may be repeated.
+// Set replaces the text. The flag of a list may be repeated, which appends to it.
 func (v *flagValue) Set(text string) error {
 	if v.row.Type == List && v.isSet && v.text != "" {
 		text = v.text + "," + text
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,18 +12,18 @@
 	"github.com/spf13/pflag"
 )
 
-// secretFilePrefix precedes the name of a file in place of a secret.
+// secretFilePrefix marks a value as the name of a file that contains the secret.
 const secretFilePrefix = "@"
 
-// Load reads the settings file (none when the name is empty) and the flags
-// (none when nil) over the defaults. The error is a *apierror.Error with the
-// code BadSetting whose detail has one line for each problem found.
+// Load returns the defaults, overridden by the settings file (unless its name is
+// empty), overridden by the flags (unless nil). The error is an *apierror.Error with
+// the code BadSetting, whose detail has one line for each problem.
 func Load(file string, flags *pflag.FlagSet) (*Values, error) {
 	return LoadRole(file, flags, "")
 }
 
-// LoadRole is Load, and also reports the settings that the role needs and that
-// are missing.
+// LoadRole is like Load, and also reports the settings that the role requires and
+// that are missing.
 func LoadRole(file string, flags *pflag.FlagSet, role string) (*Values, error) {
 	var data []byte
 	if file != "" {
@@ -39,9 +39,10 @@
 	return values, nil
 }
 
-// Read reads a settings file's bytes and the flags, and returns every problem
-// in the order of the file, then the flags, then what is missing. Where there
-// are problems, the values of the settings concerned are their defaults.
+// Read parses the content of a settings file and the flags. It returns the problems of
+// the file by line, followed by those of the flags. If there are none, it returns
+// instead the settings that contradict each other and those that are missing. A
+// setting that can't be parsed has its default value.
 func Read(file string, data []byte, flags *pflag.FlagSet, role string) (*Values, []Problem) {
 	r := &reader{file: parseFile(file, data), flags: flags}
 	values, problems := r.parseAll()
@@ -51,7 +52,7 @@
 		return values, problems
 	}
 	report := func(name, reason string) {
-		problem := r.position(name)
+		problem := r.newProblem(name)
 		problem.Reason = reason
 		problems = append(problems, problem)
 	}
@@ -60,14 +61,14 @@
 	return values, problems
 }
 
-// reader joins the defaults, the settings file and the flags.
+// reader combines the defaults, the settings file and the flags.
 type reader struct {
 	file  *settingsFile
 	flags *pflag.FlagSet // may be nil
 }
 
-// parseAll parses the text of every setting. One that can't be parsed has its
-// default, and its problem is returned.
+// parseAll parses the texts of all settings. For a setting that can't be parsed, it
+// returns a problem and the default value.
 func (r *reader) parseAll() (*Values, []Problem) {
 	texts := r.layers()
 	values := &Values{
@@ -79,7 +80,7 @@
 	for _, row := range Table {
 		value, err := parseSetting(row, texts.String(row.Name))
 		if err != nil {
-			problem := r.position(row.Name)
+			problem := r.newProblem(row.Name)
 			problem.Reason = err.Error()
 			problems = append(problems, problem)
 			value, _ = row.Type.parse(row.Default)
@@ -90,21 +91,24 @@
 	return values, problems
 }
 
-// layer is the texts of settings by name. It implements koanf.Provider.
+// layer contains the texts of settings by name. It implements koanf.Provider.
 type layer map[string]any
 
-// ReadBytes implements koanf.Provider; a layer has no encoded form.
-func (l layer) ReadBytes() ([]byte, error) { return nil, errors.New("layers have no bytes") }
+// ReadBytes implements koanf.Provider. It always fails, since a layer has no encoded
+// form.
+func (l layer) ReadBytes() ([]byte, error) {
+	return nil, errors.New("settings: a layer has no encoded form")
+}
 
 // Read implements koanf.Provider.
 func (l layer) Read() (map[string]any, error) { return l, nil }
 
-// noDelimiter makes koanf take dotted names as they are.
+// noDelimiter prevents koanf from splitting dotted names.
 const noDelimiter = "\x00"
 
-// layers returns the texts of all settings: the defaults, overridden by the
-// file, overridden by the flags. Loading a layer can't fail, since neither maps
-// nor flags are decoded.
+// layers returns the texts of all settings: the defaults, overridden by the file,
+// overridden by the flags. Loading a layer can't fail, since neither maps nor flags
+// are decoded.
 func (r *reader) layers() *koanf.Koanf {
 	texts := koanf.New(noDelimiter)
 	defaults := make(layer, len(Table))
@@ -137,15 +141,16 @@
 	return SourceDefault
 }
 
-// position returns a problem of a setting without its reason.
-func (r *reader) position(name string) Problem {
+// newProblem returns a problem with the setting's name and position, but no reason.
+func (r *reader) newProblem(name string) Problem {
 	if r.source(name) == SourceFlag {
 		return Problem{Name: name}
 	}
 	return Problem{File: r.file.name, Line: r.file.lines[name], Name: name}
 }
 
-// parseSetting parses a setting's text; a secret may be in a file of its own.
+// parseSetting parses a setting's text. The text of a secret may name a file that
+// contains it.
 func parseSetting(row Row, text string) (any, error) {
 	value, err := row.Parse(text)
 	if err == nil && row.Secret && row.Type == String {
@@ -165,7 +170,7 @@
 	}
 	secret := strings.TrimSpace(string(data))
 	if strings.HasPrefix(secret, secretFilePrefix) {
-		return nil, errors.Errorf("%s holds no secret", file)
+		return nil, errors.Errorf("%s contains a file name that begins with @ instead of a secret", file)
 	}
 	return secret, row.Check(secret)
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -9,9 +9,9 @@
 	"github.com/pkg/errors"
 )
 
-// Parse parses a value's text by the row's type and applies the row's check.
-// The error is the reason in words for an operator, without the setting's name.
-// An empty text is the zero value and passes where the default is empty too.
+// Parse parses the text of a value according to the row's type and applies the row's
+// check. The error is written for operators and does not contain the setting's name.
+// The check does not apply to an empty text if the default is empty as well.
 func (r Row) Parse(text string) (any, error) {
 	text = strings.TrimSpace(text)
 	value, err := r.Type.parse(text)
@@ -29,7 +29,7 @@
 	return value, nil
 }
 
-// parse returns the typed value of a text; see Row.Check for the types.
+// parse returns the value of a text. See Row.Check for the Go types.
 func (t Type) parse(text string) (any, error) {
 	switch t {
 	case Int:
@@ -51,7 +51,7 @@
 func parseInt(text string) (any, error) {
 	number, err := strconv.Atoi(text)
 	if err != nil {
-		return nil, errors.Errorf("%q is not a whole number", text)
+		return nil, errors.Errorf("%q is not an integer", text)
 	}
 	return number, nil
 }
@@ -92,8 +92,7 @@
 	return list
 }
 
-// sizeUnits are the units of sizes, the largest first; bits is the exponent of
-// the unit's bytes to the base two.
+// sizeUnits contains the units of sizes in descending order. A unit is 1<<bits bytes.
 var sizeUnits = []struct {
 	suffix string
 	bits   int
@@ -115,7 +114,7 @@
 	return int(number << bits), nil
 }
 
-// FormatSize writes a number of bytes with the largest unit that divides it.
+// FormatSize formats a number of bytes in the largest unit that divides it.
 func FormatSize(bytes int) string {
 	for _, unit := range sizeUnits {
 		if bytes != 0 && bytes%(1<<unit.bits) == 0 {
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -9,15 +9,15 @@
 	"stepwick/internal/apierror"
 )
 
-// Problem is one fault of a settings file or flag.
+// Problem is an error in a settings file or flag.
 type Problem struct {
 	File   string // empty for a flag
-	Line   int    // from 1; 0 where no line can be named
+	Line   int    // from 1; 0 if unknown
 	Name   string
 	Reason string
 }
 
-// String returns the problem in one line, with its position first.
+// String returns the problem as a line that begins with its position.
 func (p Problem) String() string {
 	switch {
 	case p.File == "":
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Name, p.Reason)
 }
 
-// sortProblems puts those of the file first, by line, then those of flags.
+// sortProblems sorts the problems of the file by line, followed by those of flags.
 func sortProblems(problems []Problem) {
 	slices.SortStableFunc(problems, func(a, b Problem) int {
 		aIsFlag := a.File == ""
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/pflag"
 )
 
-func flagsOf(args ...string) *pflag.FlagSet {
+func parseFlags(args ...string) *pflag.FlagSet {
 	flags := pflag.NewFlagSet("core", pflag.ContinueOnError)
 	Register(flags)
 	if err := flags.Parse(args); err != nil {
@@ -22,7 +22,7 @@
 	return flags
 }
 
-const good = `
+const validFile = `
 name: core-1
 region: lagos
 zone: a
@@ -33,31 +33,31 @@
   - 127.0.0.2:8081
   - 127.0.0.3:8081
 fleet.secret: a-secret-of-the-fleet
-operator.keys: ["ada:` + hash + `"]
+operator.keys: ["ada:` + operatorKeyHash + `"]
 data: data
 lease: {ttl: 1s, renew: 250ms}
 disk.segment: 8MiB
 `
 
-const hash = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
+const operatorKeyHash = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 
 func TestFormerNamesWorkAndAreReported(t *testing.T) {
-	Convey("A name that a setting had before works in the file and as a flag, and is reported", t, func() {
-		values, problems := Read("s.yaml", []byte("grant: {ttl: 1s}\n"), flagsOf("--grant.renew=300ms"), "")
+	Convey("A former name is accepted in the file and as a flag, and its use in the file is reported", t, func() {
+		values, problems := Read("s.yaml", []byte("grant: {ttl: 1s}\n"), parseFlags("--grant.renew=300ms"), "")
 		So(problems, ShouldBeEmpty)
 		So(values.Duration("lease.ttl"), ShouldEqual, time.Second)
 		So(values.Duration("lease.renew"), ShouldEqual, 300*time.Millisecond)
 		So(values.FormerNamesUsed(), ShouldResemble, map[string]string{"grant.ttl": "lease.ttl"})
 	})
-	Convey("Beside the new name it is the same setting set twice", t, func() {
+	Convey("The former and the current name together set the same setting twice", t, func() {
 		_, problems := Read("s.yaml", []byte("lease.ttl: 1s\ngrant.ttl: 1s\n"), nil, "")
 		So(problems, ShouldHaveLength, 1)
-		So(problems[0].String(), ShouldEqual, "s.yaml:2: lease.ttl: set twice; first at line 1")
+		So(problems[0].String(), ShouldEqual, "s.yaml:2: lease.ttl: set twice; first set at line 1")
 	})
 }
 
 func TestDefaultsPassTheirChecks(t *testing.T) {
-	Convey("Every default passes its own check, and names are unique", t, func() {
+	Convey("Each default passes its check, names are unique, and rows are complete", t, func() {
 		seen := map[string]bool{}
 		for _, row := range Table {
 			So(seen[row.Name], ShouldBeFalse)
@@ -72,8 +72,8 @@
 }
 
 func TestReadReportsAllProblemsAtOnce(t *testing.T) {
-	Convey("File over default, flag over file, nested and dotted names alike", t, func() {
-		values, problems := Read("s.yaml", []byte(good), flagsOf("--lease.renew=300ms", "--seeds", "127.0.0.4:1", "--seeds", "127.0.0.5:1"), RoleCore)
+	Convey("The file overrides defaults and flags override the file, with nested and dotted names", t, func() {
+		values, problems := Read("s.yaml", []byte(validFile), parseFlags("--lease.renew=300ms", "--seeds", "127.0.0.4:1", "--seeds", "127.0.0.5:1"), RoleCore)
 		So(problems, ShouldBeEmpty)
 		So(values.String("listen.internal"), ShouldEqual, "127.0.0.1:8081")
 		So(values.Duration("lease.ttl"), ShouldEqual, time.Second)
@@ -89,7 +89,7 @@
 		So(func() { values.Int("name") }, ShouldPanic)
 	})
 
-	Convey("All faults come at once, with line and reason", t, func() {
+	Convey("All problems are reported together, with line and reason", t, func() {
 		const bad = `name: core 1
 lease.tll: 1s
 listen:
@@ -104,7 +104,7 @@
 operator.keys: [ada:abc]
 core.voters: 4
 `
-		_, problems := Read("s.yaml", []byte(bad), flagsOf("--body.max=1GiB", "--bind=nowhere"), RoleCore)
+		_, problems := Read("s.yaml", []byte(bad), parseFlags("--body.max=1GiB", "--bind=nowhere"), RoleCore)
 		var lines []string
 		for _, problem := range problems {
 			lines = append(lines, problem.String())
@@ -112,21 +112,21 @@
 		So(strings.Join(lines, "\n"), ShouldEqual, strings.TrimSpace(`
 s.yaml:1: name: ' ' is not a letter, digit, '-', '_' or '.'
 s.yaml:2: lease.tll: unknown setting; did you mean lease.ttl?
-s.yaml:4: listen.caller: "here" is not an address IP:PORT
+s.yaml:4: listen.caller: "here" is not an address of the form IP:PORT
 s.yaml:5: listen.colour: unknown setting
 s.yaml:7: lease.ttl: 3s is not within 100ms to 2s
-s.yaml:8: lease.ttl: set twice; first at line 7
-s.yaml:9: seeds: takes a list
+s.yaml:8: lease.ttl: set twice; first set at line 7
+s.yaml:9: seeds: must be a list
 s.yaml:10: quota_window: "8" is not a duration such as 500ms or 2s
 s.yaml:11: retry.budget: ".nan" is not a finite number
-s.yaml:12: operator.keys: entry 1 is not NAME:SHA256HEX
-s.yaml:13: core.voters: 4 is none of [1 3 5 7]
+s.yaml:12: operator.keys: entry 1 is not of the form NAME:SHA256HEX
+s.yaml:13: core.voters: 4 is not one of [1 3 5 7]
 --bind: "nowhere" is not an IP address
 --body.max: 1GiB is not within 1KiB to 64MiB`))
 	})
 
-	Convey("A role says what it can't do without, and settings that don't fit each other are named", t, func() {
-		_, problems := Read("s.yaml", []byte("lease.renew: 1s\nlease.ttl: 1s\nlisten.caller: 0.0.0.0:80\n"), flagsOf("--deadline.max=1s"), RoleFront)
+	Convey("Settings that contradict each other or that the role requires are reported", t, func() {
+		_, problems := Read("s.yaml", []byte("lease.renew: 1s\nlease.ttl: 1s\nlisten.caller: 0.0.0.0:80\n"), parseFlags("--deadline.max=1s"), RoleFront)
 		var names []string
 		for _, problem := range problems {
 			names = append(names, problem.Name)
@@ -136,7 +136,7 @@
 		So(problems[0].Line, ShouldEqual, 1)
 	})
 
-	Convey("A file that is no mapping, or none at all, is a BadSetting fault", t, func() {
+	Convey("A file that is not a mapping, is invalid or is missing is reported", t, func() {
 		_, problems := Read("s.yaml", []byte("- a\n"), nil, "")
 		So(problems, ShouldHaveLength, 1)
 		_, problems = Read("s.yaml", []byte("a: [\n"), nil, "")
@@ -145,14 +145,14 @@
 		So(apierror.From(err).Code, ShouldEqual, apierror.BadSetting)
 	})
 
-	Convey("A region that no sheet could name is refused", t, func() {
+	Convey("A region or zone is rejected if it is not a valid name in a sheet", t, func() {
 		_, problems := Read("s.yaml", []byte("region: eu.west\nzone: a/b\n"), nil, "")
 		So(problems, ShouldHaveLength, 2)
 		_, problems = Read("s.yaml", []byte("region: concepción\nzone: b-1\n"), nil, "")
 		So(problems, ShouldBeEmpty)
 	})
 
-	Convey("A secret may stand in a file of its own", t, func() {
+	Convey("A secret may be read from a file, and is checked there", t, func() {
 		file := filepath.Join(t.TempDir(), "secret")
 		So(os.WriteFile(file, []byte("0123456789abcdef\n"), 0o600), ShouldBeNil)
 		values, problems := Read("s.yaml", []byte("fleet.secret: '@"+file+"'"), nil, "")
@@ -165,11 +165,11 @@
 }
 
 func TestSheetMaySetRuntimeSettingsOnly(t *testing.T) {
-	Convey("A sheet may set run-time settings only, within their checks", t, func() {
+	Convey("A sheet may set only run-time settings, and only to valid values", t, func() {
 		So(ValidateRuntime("route.strategy", "least_loaded"), ShouldBeNil)
 		for _, bad := range [][3]string{
-			{"route.strategy", "best", `"best" is none of affinity, round_robin, least_loaded`},
-			{"lease.ttl", "1s", "can't change while the fleet runs; set it in the settings file"},
+			{"route.strategy", "best", `"best" is not one of affinity, round_robin, least_loaded`},
+			{"lease.ttl", "1s", "can't be changed at run time; set it in the settings file"},
 			{"route.pendin", "1", "unknown setting; did you mean route.pending?"},
 			{"route.pending", "-1", "-1 is not within 0 to 100000"},
 		} {
@@ -186,7 +186,7 @@
 }
 
 func TestParseSize(t *testing.T) {
-	Convey("Sizes have units and don't overflow", t, func() {
+	Convey("Sizes are parsed with and without units; invalid or overflowing ones are rejected", t, func() {
 		for text, want := range map[string]int{"0": 0, "65536": 65536, "64KiB": 64 << 10, "4 MiB": 4 << 20, "1GiB": 1 << 30} {
 			value, err := Size.parse(text)
 			So(err, ShouldBeNil)
--- a/internal/settings/suggest.go
+++ b/internal/settings/suggest.go
@@ -1,17 +1,17 @@
 package settings
 
-// maxSuggestionDistance bounds how many edits a suggested name is away.
+// maxSuggestionDistance is the maximum edit distance of a suggested name.
 const maxSuggestionDistance = 2
 
-// suggestion returns the end of an error about an unknown name: a question
-// whether the closest known name is meant, or nothing if none is close.
+// suggestion returns the text to append to an error about an unknown name: a question
+// that suggests the closest setting, or "" if none is close.
 func suggestion(name string) string {
 	closest := ""
 	distance := maxSuggestionDistance + 1
 	for _, row := range Table {
-		if candidate := editDistance(name, row.Name); candidate < distance {
+		if candidateDistance := editDistance(name, row.Name); candidateDistance < distance {
 			closest = row.Name
-			distance = candidate
+			distance = candidateDistance
 		}
 	}
 	if closest == "" {
@@ -20,8 +20,8 @@
 	return "; did you mean " + closest + "?"
 }
 
-// editDistance returns the Levenshtein distance of two texts in bytes, by
-// Wagner and Fischer's algorithm with two rows.
+// editDistance returns the Levenshtein distance of two texts in bytes. It uses the
+// Wagner-Fischer algorithm with two rows.
 func editDistance(a, b string) int {
 	previous := make([]int, len(b)+1)
 	for j := range previous {
--- a/internal/settings/table.go
+++ b/internal/settings/table.go
@@ -1,20 +1,20 @@
-// Package settings has the one table of settings. The settings file, the
-// flags, the run-time settings of the sheet and docs/SETTINGS.md all come
-// from it.
+// Package settings defines the settings of a process in a table, and reads their
+// values. The settings file, the flags, the run-time settings of the sheet and
+// docs/SETTINGS.md are all based on the table.
 //
-// Values are read once, at start-up, and are immutable. Every problem of the
-// file and the flags is reported at once, with its line. Only settings marked
-// Runtime can change later, by the sheet (see WithRuntime).
+// Values are read once, at start-up, and are immutable. All problems of the file and
+// the flags are reported together, each with its position. Only settings marked as
+// Runtime can be changed later, through the sheet (see Values.WithRuntime).
 package settings
 
 import "slices"
 
-// Type names how a setting's text is parsed.
+// Type determines how a setting's text is parsed.
 type Type string
 
 // Types of settings. A size is a number of bytes with an optional unit (KiB,
-// MiB, GiB); a duration has a unit (500ms, 2s); a list is separated by commas
-// or written as a sequence in the file.
+// MiB, GiB). A duration has a unit (500ms, 2s). A list is separated by commas or,
+// in the file, also written as a sequence.
 const (
 	String   Type = "string"
 	Int      Type = "int"
@@ -25,38 +25,37 @@
 	List     Type = "list"
 )
 
-// Row is one setting.
+// Row defines a setting.
 type Row struct {
 	Name string
 	Type Type
-	// Unit is what a number counts; empty for other types, whose texts carry
-	// their unit.
+	// Unit is the unit of an Int or a Float. It is empty for other types, whose
+	// texts contain their unit.
 	Unit string
-	// Default is the value's text where none is given; empty for none.
+	// Default is the text of the default value; empty if there is none.
 	Default string
-	// Rule states in words what Check requires of the value.
+	// Rule describes what Check requires of the value.
 	Rule string
-	// Check gets the typed value: string, int, float64, time.Duration, bool
-	// or []string; a size is an int. It may be nil.
+	// Check returns an error if a value is not allowed. The value is a string, int
+	// (also for a Size), float64, time.Duration, bool or []string. It may be nil.
 	Check func(value any) error
 	Help  string
-	// Runtime settings may be set in the sheet and then change while the
-	// fleet runs. They reach the parts that the node applies WithRuntime for,
-	// which is the front; the gateway, for requests by route, reads its
-	// settings once at the start.
+	// Runtime is whether the sheet may set the setting and so change it at run
+	// time. The front applies such changes (see Values.WithRuntime). The gateway,
+	// which handles requests by route, reads its settings once at the start.
 	Runtime bool
-	// Secret values are never printed.
+	// Secret is whether the value must never be printed.
 	Secret bool
-	// FormerName is a name that the setting had before. It still works in a
-	// settings file or as a flag, and the process reports it by an event.
+	// FormerName is the setting's previous name, if any. It is still accepted in a
+	// settings file, where its use is logged as an event, and as a flag.
 	FormerName string
 }
 
-// Table is the table of settings, in the order of the docs.
+// Table contains all settings, in the order of docs/SETTINGS.md.
 var Table = slices.Concat(identityRows, addressRows, coreRows, leaseRows, planRows,
 	quotaRows, routingRows, limitRows, processRows)
 
-// rowsByName has the table's rows by name.
+// rowsByName maps each setting's name to its row of Table.
 var rowsByName = func() map[string]*Row {
 	byName := make(map[string]*Row, len(Table))
 	for i := range Table {
@@ -65,7 +64,7 @@
 	return byName
 }()
 
-// currentNames has the current name of each setting by its former name.
+// currentNames maps each former name to the setting's current name.
 var currentNames = func() map[string]string {
 	names := make(map[string]string)
 	for _, row := range Table {
@@ -76,7 +75,7 @@
 	return names
 }()
 
-// Lookup returns the row of a setting.
+// Lookup returns the row of the setting with the given current name.
 func Lookup(name string) (Row, bool) {
 	row, ok := rowsByName[name]
 	if !ok {
--- a/internal/settings/table_control.go
+++ b/internal/settings/table_control.go
@@ -13,7 +13,7 @@
 		Default: "3",
 		Rule:    "1, 3, 5 or 7",
 		Check:   oneOfInts(1, 3, 5, 7),
-		Help:    "How many cores form the fleet; all of them must be blank and present at the first formation.",
+		Help:    "The number of cores that vote; the first formation needs as many cores with empty disks at the same time.",
 	},
 	{
 		Name:    "core.front",
@@ -25,13 +25,13 @@
 		Name:    "core.join",
 		Type:    Bool,
 		Default: "false",
-		Help:    "Whether a core with a blank disk that is none of the formation's takes the place of one that is gone.",
+		Help:    "Whether a core that has an empty disk and is not in the formation replaces a core that has failed, under its name.",
 	},
 	{
 		Name:    "core.first",
 		Type:    Bool,
 		Default: "false",
-		Help:    "Whether this is the fleet's first start, at which a core that joins founds the fleet and looks for no place.",
+		Help:    "Whether this is the first start of the fleet, at which a core with core.join helps to found the fleet instead of looking for a failed core to replace.",
 	},
 	{
 		Name:    "core.gone_after",
@@ -39,17 +39,17 @@
 		Default: "1500ms",
 		Rule:    "500ms to 1h",
 		Check:   durationBetween(500*time.Millisecond, time.Hour),
-		Help:    "How long a core of the formation must not answer until a core that joins takes its place.",
+		Help:    "How long a core of the formation must have been unresponsive before a core with core.join may replace it.",
 	},
 	{
 		Name: "data",
 		Type: String,
-		Help: "The folder that a core keeps its log and snapshots in.",
+		Help: "The folder in which a core keeps its log and snapshots.",
 	},
 	{
 		Name: "first_sheet",
 		Type: String,
-		Help: "A sheet (JSON file) that this core offers at the first formation.",
+		Help: "A JSON file with the sheet that this core proposes to a new formation.",
 	},
 	{
 		Name:    "disk.quota",
@@ -57,7 +57,7 @@
 		Default: "0",
 		Rule:    "0 or more",
 		Check:   minInt(0),
-		Help:    "A bound on the bytes in the data folder, for proving what a full disk does; 0 for none.",
+		Help:    "The maximum number of bytes in the data folder, to test the effects of a full disk; 0 for none.",
 	},
 	{
 		Name:    "disk.sync_delay",
@@ -65,7 +65,7 @@
 		Default: "0s",
 		Rule:    "0s to 60s",
 		Check:   durationBetween(0, 60*time.Second),
-		Help:    "An added delay of every sync, for proving what a slow disk does.",
+		Help:    "A delay added to every sync of the disk, to test the effects of a slow disk.",
 	},
 	{
 		Name:    "disk.segment",
@@ -73,7 +73,7 @@
 		Default: "4MiB",
 		Rule:    "64KiB to 1GiB",
 		Check:   sizeBetween(64<<10, 1<<30),
-		Help:    "The size at which the log begins a new segment.",
+		Help:    "The size at which the log starts a new segment.",
 	},
 	{
 		Name:    "snapshot.records",
@@ -82,11 +82,11 @@
 		Default: "1024",
 		Rule:    "1 to 1000000",
 		Check:   intBetween(1, 1000000),
-		Help:    "The number of log records after which a snapshot is written.",
+		Help:    "The number of log records after which a snapshot is written; 16 MiB of records cause one earlier.",
 	},
 }
 
-// leaseRows concern leases and the spread of the configuration.
+// leaseRows concern leases and the propagation of the configuration.
 var leaseRows = []Row{
 	{
 		Name:       "lease.ttl",
@@ -95,7 +95,7 @@
 		Default:    "2s",
 		Rule:       "100ms to 2s",
 		Check:      durationBetween(100*time.Millisecond, 2*time.Second),
-		Help:       "How long a lease holds after the renewal that gave it was sent; the same on every process.",
+		Help:       "How long a lease is valid, counted from when its renewal was sent; the same on every process.",
 	},
 	{
 		Name:       "lease.renew",
@@ -104,7 +104,7 @@
 		Default:    "500ms",
 		Rule:       "10ms to 1s, under half of lease.ttl",
 		Check:      durationBetween(10*time.Millisecond, time.Second),
-		Help:       "How often a front renews its lease at every core.",
+		Help:       "How often a front renews its lease at each core.",
 	},
 	{
 		Name:    "ping.interval",
@@ -120,7 +120,7 @@
 		Default: "1s",
 		Rule:    "10ms to 30s",
 		Check:   durationBetween(10*time.Millisecond, 30*time.Second),
-		Help:    "How long a core holds a feed request open when nothing is new.",
+		Help:    "How long a core holds a poll of the feed open while there is nothing new.",
 	},
 }
 
@@ -131,7 +131,7 @@
 		Type:  String,
 		Rule:  "http://IP:PORT/...",
 		Check: checkURL,
-		Help:  "The platform's list of servers; without it a front knows only servers that others report.",
+		Help:  "The URL of the platform's list of servers; without it a front knows only the servers that others report.",
 	},
 	{
 		Name:    "platform.interval",
@@ -139,7 +139,7 @@
 		Default: "500ms",
 		Rule:    "50ms to 10s",
 		Check:   durationBetween(50*time.Millisecond, 10*time.Second),
-		Help:    "How often a watcher reads the platform's list.",
+		Help:    "How often a front reads the platform's list; less often, within platform.drain_within, if a reading takes many calls.",
 	},
 	{
 		Name:    "platform.readers",
@@ -148,7 +148,7 @@
 		Default: "3",
 		Rule:    "1 to 64",
 		Check:   intBetween(1, 64),
-		Help:    "How many fronts of each region read the platform's list.",
+		Help:    "The number of fronts in each region that read the platform's list.",
 	},
 	{
 		Name:    "platform.drain_within",
@@ -156,7 +156,7 @@
 		Default: "0s",
 		Rule:    "0s to 1h",
 		Check:   durationBetween(0, time.Hour),
-		Help:    "How soon after the platform's list shows that a server drains it must get nothing more; 0s where that is not known. With 5s and more the fronts of one region read the list, and those of others only when it was not read of late.",
+		Help:    "The time within which a server must get no more requests after the platform's list shows that it drains; 0s if that is not known. From 5s on, only the fronts of one region read the list, and those of other regions read it only if it has not been read recently.",
 	},
 	{
 		Name:    "watch.interval",
@@ -164,7 +164,7 @@
 		Default: "500ms",
 		Rule:    "50ms to 10s",
 		Check:   durationBetween(50*time.Millisecond, 10*time.Second),
-		Help:    "How often a watcher asks a server for its status.",
+		Help:    "How often a front polls a server's status.",
 	},
 	{
 		Name:    "plan.period",
@@ -172,6 +172,6 @@
 		Default: "5s",
 		Rule:    "500ms to 1h",
 		Check:   durationBetween(500*time.Millisecond, time.Hour),
-		Help:    "How long a period plan stands unless a failure, drain or evacuation forces a new one.",
+		Help:    "The time between two period plans, unless a failure, drain or evacuation forces one earlier.",
 	},
 }
--- a/internal/settings/table_process.go
+++ b/internal/settings/table_process.go
@@ -4,28 +4,28 @@
 	"time"
 )
 
-// identityRows name the process and say where it runs.
+// identityRows concern the process's name and location.
 var identityRows = []Row{
 	{
 		Name:  "name",
 		Type:  String,
 		Rule:  "letters, digits, '-', '_' and '.', at most 64",
 		Check: checkName,
-		Help:  "The process's name, unique in the fleet and kept over restarts.",
+		Help:  "The process's name, unique in the fleet and the same after each restart.",
 	},
 	{
 		Name:  "region",
 		Type:  String,
 		Rule:  "letters, digits, '-' and '_', at most 64 bytes",
 		Check: checkSheetName,
-		Help:  "The region that the process stands in.",
+		Help:  "The region in which the process runs.",
 	},
 	{
 		Name:  "zone",
 		Type:  String,
 		Rule:  "letters, digits, '-' and '_', at most 64 bytes",
 		Check: checkSheetName,
-		Help:  "The zone within the region; region and zone together are the locality.",
+		Help:  "The zone of the region in which the process runs; region and zone together are the locality.",
 	},
 }
 
@@ -36,42 +36,42 @@
 		Type:  String,
 		Rule:  "IP:PORT",
 		Check: checkAddress,
-		Help:  "Where callers, operators and the platform reach this process.",
+		Help:  "The address on which callers, operators and the platform reach this process.",
 	},
 	{
 		Name:  "listen.internal",
 		Type:  String,
 		Rule:  "IP:PORT",
 		Check: checkAddress,
-		Help:  "Where the fleet's other processes reach this process.",
+		Help:  "The address on which the fleet's other processes reach this process.",
 	},
 	{
 		Name:  "advertise.caller",
 		Type:  String,
 		Rule:  "IP:PORT, not a wildcard",
 		Check: checkAdvertised,
-		Help:  "The caller address told to others; listen.caller when empty.",
+		Help:  "The caller address that this process gives to others; listen.caller when empty.",
 	},
 	{
 		Name:  "advertise.internal",
 		Type:  String,
 		Rule:  "IP:PORT, not a wildcard",
 		Check: checkAdvertised,
-		Help:  "The internal address told to others; listen.internal when empty.",
+		Help:  "The internal address that this process gives to others; listen.internal when empty.",
 	},
 	{
 		Name:  "bind",
 		Type:  String,
 		Rule:  "IP",
 		Check: checkIP,
-		Help:  "The source address of the connections that this process opens; the system's choice when empty.",
+		Help:  "The source address of the connections that this process opens; chosen by the system when empty.",
 	},
 	{
 		Name:  "seeds",
 		Type:  List,
 		Rule:  "IP:PORT each",
 		Check: checkAddresses,
-		Help:  "Internal addresses of other processes, of any role; three are usual.",
+		Help:  "Internal addresses of some other processes of the fleet, of any role; usually three.",
 	},
 	{
 		Name:   "fleet.secret",
@@ -79,7 +79,7 @@
 		Secret: true,
 		Rule:   "at least 16 characters",
 		Check:  minLength(16),
-		Help:   "The secret that every process of the fleet shows to the others; @FILE reads it from a file.",
+		Help:   "The secret with which the processes of the fleet authenticate to each other; @FILE reads it from a file.",
 	},
 	{
 		Name:   "operator.keys",
@@ -87,7 +87,7 @@
 		Secret: true,
 		Rule:   "NAME:SHA256HEX each",
 		Check:  checkOperatorKeys,
-		Help:   "The operators and the SHA-256 of each one's key, in hexadecimal.",
+		Help:   "The operators' names, each with the SHA-256 of the operator's key in hexadecimal.",
 	},
 }
 
@@ -100,7 +100,7 @@
 		Default: "100",
 		Rule:    "5 to 1000",
 		Check:   intBetween(5, 1000),
-		Help:    "By how much of what is in use the heap may grow until it is collected, in percent: less takes less memory and more processor time.",
+		Help:    "By how many percent of the memory in use the heap may grow before garbage is collected: a lower value saves memory and costs processor time.",
 	},
 	{
 		Name:    "memory.limit",
@@ -108,7 +108,7 @@
 		Default: "0",
 		Rule:    "0 or more",
 		Check:   minInt(0),
-		Help:    "The memory of the Go runtime above which garbage is collected sooner than memory.gc says; 0 for none. The process may still use more.",
+		Help:    "The memory of the Go runtime above which garbage is collected earlier than memory.gc requires; 0 for none. The process may exceed it.",
 	},
 	{
 		Name:    "log.level",
@@ -116,7 +116,7 @@
 		Default: "info",
 		Rule:    "debug, info, warn or error",
 		Check:   oneOf("debug", "info", "warn", "error"),
-		Help:    "The lowest level of event that is logged.",
+		Help:    "The lowest level of events that are logged.",
 	},
 	{
 		Name:    "clock.step",
@@ -124,6 +124,6 @@
 		Default: "0s",
 		Rule:    "-24h to 24h",
 		Check:   durationBetween(-24*time.Hour, 24*time.Hour),
-		Help:    "An added step of this process's wall clock, for proving what a wrong clock does.",
+		Help:    "An offset added to this process's wall clock, to test the effects of a wrong clock.",
 	},
 }
--- a/internal/settings/table_traffic.go
+++ b/internal/settings/table_traffic.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// quotaRows concern the tenants' rate limits.
+// quotaRows concern the tenants' quotas.
 var quotaRows = []Row{
 	{
 		Name:    "quota_window",
@@ -13,7 +13,7 @@
 		Default: "8s",
 		Rule:    "8s to 1h",
 		Check:   durationBetween(8*time.Second, time.Hour),
-		Help:    "The window of the tally; the same on every process.",
+		Help:    "The window over which the tenants' spend is counted; the same on every process.",
 	},
 	{
 		Name:    "quota_slices",
@@ -22,7 +22,7 @@
 		Default: "50",
 		Rule:    "1 to 64",
 		Check:   intBetween(1, 64),
-		Help:    "The slices that a window's spend is kept in, to bound any span of one window; the same on every process.",
+		Help:    "The number of slices into which the counts of a window are divided, so that the spend is limited in any span as long as a window; the same on every process.",
 	},
 	{
 		Name:    "plain_tokens",
@@ -31,7 +31,7 @@
 		Default: "50",
 		Rule:    "above 0, at most 1000000",
 		Check:   floatBetween(math.SmallestNonzeroFloat64, 1e6),
-		Help:    "The tokens that a one-shot call counts for, where its service names none.",
+		Help:    "The tokens charged for a one-shot call whose service gives no number, and for a request by route if neither it nor its tenant gives one.",
 	},
 	{
 		Name:    "tally.interval",
@@ -39,7 +39,7 @@
 		Default: "200ms",
 		Rule:    "10ms to 2s",
 		Check:   durationBetween(10*time.Millisecond, 2*time.Second),
-		Help:    "How often a front sends its spend to the holders of the counts.",
+		Help:    "How often a front sends its counts to the processes that hold them.",
 	},
 	{
 		Name:    "tally.part",
@@ -48,7 +48,7 @@
 		Default: "1",
 		Rule:    "0.5 to 1",
 		Check:   floatBetween(0.5, 1),
-		Help:    "The part of a tenant's allowance that routed requests are held to, where the whole of it must not be passed in any cut or jump.",
+		Help:    "The part of a tenant's allowance that requests by route may use; a value below 1 leaves a margin for network partitions and sudden changes of load, in which more may be spent.",
 	},
 	{
 		Name:    "tally.reserve",
@@ -57,7 +57,7 @@
 		Default: "0",
 		Rule:    "0 to 0.1",
 		Check:   floatBetween(0, 0.1),
-		Help:    "The part of a tenant's allowance that is kept from a routed request for each step of its route's priority below the most urgent.",
+		Help:    "The part of a tenant's allowance that a request by route may not use, for each step, up to three, by which its route's priority is below the most urgent; small requests are exempt.",
 	},
 	{
 		Name:    "tally.hold",
@@ -65,7 +65,7 @@
 		Default: "2500ms",
 		Rule:    "0s to 10s",
 		Check:   durationBetween(0, 10*time.Second),
-		Help:    "How long a request may wait for the holder of its tenant's count, where the tenant is well below its allowance.",
+		Help:    "How long a request of a tenant well below its allowance may wait for the holder of the tenant's count; a request by route may wait longer in a large fleet.",
 	},
 }
 
@@ -78,7 +78,7 @@
 		Rule:    "affinity, round_robin or least_loaded",
 		Runtime: true,
 		Check:   oneOf("affinity", "round_robin", "least_loaded"),
-		Help:    "How a front picks a server within the plan's region; the last two are baselines for comparison.",
+		Help:    "How a front chooses a server within the plan's region; round_robin and least_loaded are baselines for comparison.",
 	},
 	{
 		Name:    "route.pending",
@@ -88,7 +88,7 @@
 		Rule:    "0 to 100000",
 		Check:   intBetween(0, 100000),
 		Runtime: true,
-		Help:    "How many requests may be pending at a front, ordered by deadline.",
+		Help:    "The maximum number of requests that a front queues, in order of their deadlines.",
 	},
 	{
 		Name:    "route.ramp_start",
@@ -98,7 +98,7 @@
 		Rule:    "1 to 1000",
 		Check:   intBetween(1, 1000),
 		Runtime: true,
-		Help:    "The requests in flight that a cold server gets before it has answered any.",
+		Help:    "The maximum number of requests in flight at a cold server that has not answered any.",
 	},
 	{
 		Name:    "retry.budget",
@@ -108,7 +108,7 @@
 		Rule:    "0 to 1",
 		Check:   floatBetween(0, 1),
 		Runtime: true,
-		Help:    "Attempts at another server, as a share of the requests.",
+		Help:    "The maximum number of retries at another server for each request, on average.",
 	},
 	{
 		Name:    "retry.window",
@@ -116,7 +116,7 @@
 		Default: "10s",
 		Rule:    "1s to 10m",
 		Check:   durationBetween(time.Second, 10*time.Minute),
-		Help:    "The span over which repeated sends of requests by route are bound to retry.budget.",
+		Help:    "The period over which retries of requests by route are limited to retry.budget.",
 	},
 	{
 		Name:    "retry.slack",
@@ -125,7 +125,7 @@
 		Default: "0",
 		Rule:    "0 to 1000000",
 		Check:   floatBetween(0, 1e6),
-		Help:    "Repeated sends of requests by route that all nodes together may make beyond retry.budget in each retry.window.",
+		Help:    "The number of retries of requests by route that all nodes together may make in addition to retry.budget in each retry.window.",
 	},
 	{
 		Name:    "cold.overage",
@@ -134,7 +134,7 @@
 		Default: "1",
 		Rule:    "1 to 100",
 		Check:   floatBetween(1, 100),
-		Help:    "By how much the rate that a cold server is said to bear may be passed.",
+		Help:    "The factor by which the request rate to a cold server may exceed the rate that its service states.",
 	},
 	{
 		Name:    "cold.slack",
@@ -143,14 +143,14 @@
 		Default: "0",
 		Rule:    "0 to 1000000",
 		Check:   floatBetween(0, 1e6),
-		Help:    "Requests that a cold server may get in a second beyond its rate, from all nodes together.",
+		Help:    "The number of requests per second that all nodes together may send to a cold server in addition to its rate.",
 	},
 	{
 		Name:  "balance.off",
 		Type:  List,
 		Rule:  "names of mechanisms",
 		Check: checkMechanisms,
-		Help:  "Parts of the choice of a server for requests by route that are switched off, to measure what each is worth: " + mechanismNames() + ".",
+		Help:  "Mechanisms of the choice of a server for requests by route that are disabled, to measure what each contributes: " + mechanismNames() + ".",
 	},
 	{
 		Name:    "connect.timeout",
@@ -158,7 +158,7 @@
 		Default: "1s",
 		Rule:    "10ms to 10s",
 		Check:   durationBetween(10*time.Millisecond, 10*time.Second),
-		Help:    "How long a connection to a server may take to come up.",
+		Help:    "How long it may take to connect to a server, for requests by route.",
 	},
 	{
 		Name:    "deadline.default",
@@ -167,7 +167,7 @@
 		Rule:    "10ms to 1h, at most deadline.max",
 		Check:   durationBetween(10*time.Millisecond, time.Hour),
 		Runtime: true,
-		Help:    "The deadline of a request that names none.",
+		Help:    "The deadline of a request that states none.",
 	},
 	{
 		Name:    "deadline.max",
@@ -176,11 +176,11 @@
 		Rule:    "10ms to 1h",
 		Check:   durationBetween(10*time.Millisecond, time.Hour),
 		Runtime: true,
-		Help:    "The longest deadline that a request may name.",
+		Help:    "The longest deadline that a request may state.",
 	},
 }
 
-// limitRows bound what clients may send and how long a process drains.
+// limitRows limit what clients may send and how long a process drains.
 var limitRows = []Row{
 	{
 		Name:    "body.max",
@@ -188,7 +188,7 @@
 		Default: "1MiB",
 		Rule:    "1KiB to 64MiB",
 		Check:   sizeBetween(1<<10, 64<<20),
-		Help:    "The largest body of a caller's request.",
+		Help:    "The maximum size of the body of a caller's request.",
 	},
 	{
 		Name:    "sheet.max",
@@ -196,7 +196,7 @@
 		Default: "16MiB",
 		Rule:    "1KiB to 256MiB",
 		Check:   sizeBetween(1<<10, 256<<20),
-		Help:    "The largest body of an operator's order.",
+		Help:    "The maximum size of the body of an operator's order.",
 	},
 	{
 		Name:    "listen.connections",
@@ -205,7 +205,7 @@
 		Default: "4096",
 		Rule:    "16 to 1000000",
 		Check:   intBetween(16, 1000000),
-		Help:    "Connections of clients by routes that are open at once; further ones wait to be accepted.",
+		Help:    "The maximum number of open connections for requests by route; further ones wait to be accepted.",
 	},
 	{
 		Name:    "header.max",
@@ -213,7 +213,7 @@
 		Default: "16KiB",
 		Rule:    "1KiB to 1MiB",
 		Check:   sizeBetween(1<<10, 1<<20),
-		Help:    "The largest header of a request.",
+		Help:    "The maximum size of the header of a request.",
 	},
 	{
 		Name:    "body.timeout",
@@ -221,7 +221,7 @@
 		Default: "5s",
 		Rule:    "100ms to 60s",
 		Check:   durationBetween(100*time.Millisecond, 60*time.Second),
-		Help:    "How long a header or body may take to arrive.",
+		Help:    "How long the header of a request may take to arrive, and how long its body.",
 	},
 	{
 		Name:    "drain.grace",
@@ -229,6 +229,6 @@
 		Default: "10s",
 		Rule:    "0s to 5m",
 		Check:   durationBetween(0, 5*time.Minute),
-		Help:    "How long a stopping process lets its requests finish.",
+		Help:    "How long a stopping process lets its requests finish before it cancels the remaining ones.",
 	},
 }
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Sources of a setting's value.
+// Sources of a setting's value; see Values.Source.
 const (
 	SourceDefault = "default"
 	SourceFile    = "file"
@@ -28,44 +28,45 @@
 	formerNames map[string]string
 }
 
-// FormerNamesUsed returns the former names that the settings file uses, each
-// with the current one.
+// FormerNamesUsed returns the former names that the settings file uses, with the
+// current name of each.
 func (v *Values) FormerNamesUsed() map[string]string { return v.formerNames }
 
-// get returns a setting of a type. It panics on a name that the table doesn't
-// have with that type, which is a programmer's error.
+// get returns the value of a setting. It panics if no setting has the name and the
+// type, which is a bug in the caller.
 func get[T any](v *Values, name string) T {
 	value, ok := v.typed[name].(T)
 	if !ok {
-		panic(errors.Errorf("settings: %s is no setting of type %T", name, value))
+		panic(errors.Errorf("settings: %s is not a setting of type %T", name, value))
 	}
 	return value
 }
 
-// String returns a setting of type string. Like the other getters it panics
-// on a name that the table doesn't have with that type.
+// String returns the value of a setting of type String. Like the other getters, it
+// panics if no setting has the name and the type.
 func (v *Values) String(name string) string { return get[string](v, name) }
 
-// Int returns a setting of type int, or of type size in bytes.
+// Int returns the value of a setting of type Int, or of type Size in bytes.
 func (v *Values) Int(name string) int { return get[int](v, name) }
 
-// Float returns a setting of type float.
+// Float returns the value of a setting of type Float.
 func (v *Values) Float(name string) float64 { return get[float64](v, name) }
 
-// Duration returns a setting of type duration.
+// Duration returns the value of a setting of type Duration.
 func (v *Values) Duration(name string) time.Duration { return get[time.Duration](v, name) }
 
-// Bool returns a setting of type bool.
+// Bool returns the value of a setting of type Bool.
 func (v *Values) Bool(name string) bool { return get[bool](v, name) }
 
-// Strings returns a setting of type list; it must not be changed.
+// Strings returns the value of a setting of type List, which must not be modified.
 func (v *Values) Strings(name string) []string { return get[[]string](v, name) }
 
-// Source returns where a setting's value comes from: SourceDefault, SourceFile,
+// Source returns the source of a setting's value: SourceDefault, SourceFile,
 // SourceFlag or SourceSheet.
 func (v *Values) Source(name string) string { return v.source[name] }
 
-// Text returns a setting's value as text; asterisks for a secret.
+// Text returns a setting's value as text, or asterisks instead of a secret. It returns
+// "" for an unknown name.
 func (v *Values) Text(name string) string {
 	row, known := Lookup(name)
 	if !known {
@@ -85,24 +86,24 @@
 	return fmt.Sprint(v.typed[name])
 }
 
-// ValidateRuntime reports why a sheet may not set a setting to a value; nil if
-// it may. The error is in words for an operator, without the name.
+// ValidateRuntime returns nil if a sheet may set the setting to the value. The error
+// is written for operators and does not contain the setting's name.
 func ValidateRuntime(name, value string) error {
 	row, known := rowsByName[name]
 	switch {
 	case !known:
 		return errors.Errorf("unknown setting%s", suggestion(name))
 	case !row.Runtime:
-		return errors.New("can't change while the fleet runs; set it in the settings file")
+		return errors.New("can't be changed at run time; set it in the settings file")
 	}
 	_, err := row.Parse(value)
 	return err
 }
 
-// WithRuntime returns the values overridden by a sheet's run-time settings.
-// Those that ValidateRuntime rejects are ignored.
-func (v *Values) WithRuntime(sheet map[string]string) *Values {
-	if len(sheet) == 0 {
+// WithRuntime returns the values overridden by a sheet's run-time settings. It ignores
+// those that ValidateRuntime rejects.
+func (v *Values) WithRuntime(overrides map[string]string) *Values {
+	if len(overrides) == 0 {
 		return v
 	}
 	overridden := &Values{
@@ -110,7 +111,7 @@
 		source:      maps.Clone(v.source),
 		formerNames: v.formerNames,
 	}
-	for name, text := range sheet {
+	for name, text := range overrides {
 		if ValidateRuntime(name, text) != nil {
 			continue
 		}
@@ -120,7 +121,7 @@
 	return overridden
 }
 
-// RuntimeNames returns the names of the settings that a sheet may set, sorted.
+// RuntimeNames returns the sorted names of the settings that a sheet may set.
 func RuntimeNames() []string {
 	var names []string
 	for _, row := range Table {
