--- a/cmd/stepwick/main.go
+++ b/cmd/stepwick/main.go
@@ -1,4 +1,5 @@
-// Command stepwick runs the processes of a fleet and an operator's commands.
+// Command stepwick runs the node processes of a fleet and provides the operators'
+// commands.
 package main
 
 import (
@@ -13,7 +14,7 @@
 func main() {
 	ctx, cancel := signals.NotifyContext()
 	app := cli.New(node.Run)
-	app.Processes = append(app.Processes, platform.Command(app.Serve))
+	app.ProcessCommands = append(app.ProcessCommands, platform.Command(app.Serve))
 	code := app.Main(ctx, os.Args[1:])
 	cancel()
 	os.Exit(code)
--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -1,11 +1,12 @@
-// Package cli has the commands of the stepwick program, one file a command.
+// Package cli implements the commands of the stepwick program.
 //
-// Commands that run a process load its settings and its log and hand over to
-// App.Node. Operators' commands call the HTTP API of package controlapi at any
-// node (see fleetClient) and print the answer as a table or as JSON. A command
-// decides nothing about the fleet; it retries only what the result code's advice
-// allows, and an order only under the same id. Results go to App.Out, errors and
-// progress to App.Err; the exit codes are those of Exit.
+// Commands that run a process load its settings, start its log and call
+// App.RunNode. Operators' commands call the HTTP API of package controlapi at any
+// node (see fleetClient) and print the response as a table or as JSON. A command
+// makes no decisions for the fleet. It retries a call only if the retry advice of
+// the result code allows that, and sends an order again only with the same id.
+// Results are written to App.Out, errors and progress to App.Err. Exit returns the
+// exit codes.
 package cli
 
 import (
@@ -26,30 +27,30 @@
 	"stepwick/internal/settings"
 )
 
-// Version is the release, set when the program is linked.
+// Version is the release. The linker sets it.
 var Version = "dev"
 
-// App is the program's command line with all of the system that it uses, so
-// that tests can replace each part.
+// App is the command line of the program, with its dependencies on the operating
+// system as fields that tests can replace.
 type App struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
-	// Env returns an environment variable; empty if it isn't set.
+	// Env returns the value of an environment variable, or "" if it is not set.
 	Env   func(name string) string
 	Clock clock.Clock
-	// NewID returns a random id of an order, or half of a key.
+	// NewID returns a random hexadecimal id. Orders have one; a key consists of two.
 	NewID     func() string
 	Transport http.RoundTripper
-	// Node runs a process of a role until its context ends.
-	Node func(ctx context.Context, role string, values *settings.Values, log events.Log) error
-	// Processes are further commands that run a process.
-	Processes []*cobra.Command
+	// RunNode runs a node process in a role (core or front) until ctx is done.
+	RunNode func(ctx context.Context, role string, values *settings.Values, log events.Log) error
+	// ProcessCommands are additional commands that run a process.
+	ProcessCommands []*cobra.Command
 }
 
-// New returns an app with the process's own input, output, environment and
-// clock.
-func New(node func(context.Context, string, *settings.Values, events.Log) error) *App {
+// New returns an App that uses the standard input and output, environment and
+// clock of this process.
+func New(runNode func(context.Context, string, *settings.Values, events.Log) error) *App {
 	return &App{
 		In:        os.Stdin,
 		Out:       os.Stdout,
@@ -58,7 +59,7 @@
 		Clock:     clock.System(),
 		NewID:     randomID,
 		Transport: newTransport(),
-		Node:      node,
+		RunNode:   runNode,
 	}
 }
 
@@ -69,7 +70,7 @@
 	return hex.EncodeToString(id[:])
 }
 
-// Main runs one command line and returns the exit code; see Exit.
+// Main runs the command that args specify and returns the exit code; see Exit.
 func (a *App) Main(ctx context.Context, args []string) int {
 	root := a.root()
 	root.SetArgs(args)
@@ -90,7 +91,8 @@
 	return Exit(apiErr.Code)
 }
 
-// detailOrHelp returns an error's detail, or the meaning of its code.
+// detailOrHelp returns the detail of an error, or the help text of its code if
+// there is no detail.
 func detailOrHelp(apiErr *apierror.Error) string {
 	if apiErr.Detail == "" {
 		return apiErr.Code.Info().Help
@@ -98,17 +100,18 @@
 	return apiErr.Detail
 }
 
-// root returns the command line with all commands, in groups.
+// root returns the root command with all subcommands, in groups.
 func (a *App) root() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "stepwick",
-		Short: "Serve language models across regions while traffic moves",
-		Long: `stepwick carries model traffic across regions, and moves it step by step.
+		Short: "Route requests for language models across regions",
+		Long: `stepwick routes requests for language models across regions and shifts traffic
+between the regions step by step.
 
-Node processes are started with "stepwick core" (on a machine with a disk) and
-"stepwick front". All other commands are an operator's: they ask any node of the
-fleet, named by --node or STEPWICK_NODE, with the operator's key from
-STEPWICK_OPERATOR_KEY or --key-file.`,
+"stepwick core" (on a machine with a disk) and "stepwick front" start node
+processes. Operators' commands call any node of the fleet. Its address is set by
+--node or STEPWICK_NODE, the operator's key by --key-file or
+STEPWICK_OPERATOR_KEY.`,
 		Example: `  export STEPWICK_NODE=127.0.9.1:8080,127.0.9.2:8080 STEPWICK_OPERATOR_KEY=...
   stepwick status
   stepwick sheet patch --set weights.chat.lagos=30 --set weights.chat.abeokuta=70
@@ -120,26 +123,26 @@
 	root.SetOut(a.Out)
 	root.SetErr(a.Err)
 	root.CompletionOptions.HiddenDefaultCmd = false
-	root.AddGroup(&cobra.Group{ID: "run", Title: "Processes:"}, &cobra.Group{ID: "operate", Title: "Operators:"},
-		&cobra.Group{ID: "look", Title: "Looking things up:"})
-	add := func(group string, commands ...*cobra.Command) {
+	root.AddGroup(&cobra.Group{ID: "run", Title: "Processes:"}, &cobra.Group{ID: "operate", Title: "Operator commands:"},
+		&cobra.Group{ID: "reference", Title: "Reference:"})
+	addCommands := func(group string, commands ...*cobra.Command) {
 		for _, command := range commands {
 			command.GroupID = group
 			root.AddCommand(command)
 		}
 	}
-	add("run", a.runCommand(settings.RoleCore), a.runCommand(settings.RoleFront))
-	add("run", a.Processes...)
-	add("operate", a.sheetCommand(), a.localityCommand(), a.memberCommand(), a.statusCommand(), a.planCommand(), a.tallyCommand(), a.explainCommand(), a.keyCommand())
-	add("look", a.dataCommand(), a.settingsCommand(), a.codesCommand(), a.eventsCommand(), a.versionCommand())
-	root.SetHelpCommandGroupID("look")
-	root.SetCompletionCommandGroupID("look")
+	addCommands("run", a.runCommand(settings.RoleCore), a.runCommand(settings.RoleFront))
+	addCommands("run", a.ProcessCommands...)
+	addCommands("operate", a.sheetCommand(), a.localityCommand(), a.memberCommand(), a.statusCommand(), a.planCommand(), a.tallyCommand(), a.explainCommand(), a.keyCommand())
+	addCommands("reference", a.dataCommand(), a.settingsCommand(), a.codesCommand(), a.eventsCommand(), a.versionCommand())
+	root.SetHelpCommandGroupID("reference")
+	root.SetCompletionCommandGroupID("reference")
 	root.AddCommand(a.docsCommand())
 	return root
 }
 
-// noArgs is the shell completion of a command without arguments that could be
-// completed.
-func noArgs(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
+// completeNothing is the completion function of commands whose arguments a shell
+// can't complete; in particular, it suppresses the completion of file names.
+func completeNothing(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 	return nil, cobra.ShellCompDirectiveNoFileComp
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -84,7 +84,7 @@
 	s.run("sheet", "get")
 	check("orders", s)
 
-	Convey("The same order id goes to node after node, and is applied once", t, func() {
+	Convey("An order is retried at the next node with the same id, and is applied once", t, func() {
 		So(fleet.orderIDs[:2], ShouldResemble, []string{"order-1", "order-1"})
 		So(fleet.state.History, ShouldHaveLength, 5)
 	})
@@ -108,7 +108,7 @@
 	s.env["STEPWICK_OPERATOR_KEY"] = ""
 	s.run("sheet", "get", "--node", "10.0.0.9:8080")
 	check("unreachable", s)
-	Convey("An order whose answer was lost is sent again with its id", t, func() {
+	Convey("An order whose response was lost is sent again with the same id", t, func() {
 		So(fleet.orderIDs[:2], ShouldResemble, []string{"order-1", "order-1"})
 	})
 }
@@ -138,13 +138,13 @@
 }
 
 func TestServeRunsARoleAndWritesItsLog(t *testing.T) {
-	Convey("A process gets its role and settings, ends well with its context, and its events are written out", t, func() {
+	Convey("A process receives its role and settings, exits with 0 when its context is cancelled, and its events are written", t, func() {
 		s := newSession(t, nil, 0)
 		writeFile(t, "front.yaml", `{name: n1, region: lagos, zone: a, listen: {caller: "127.0.0.1:1", internal: "127.0.0.1:2"},
 seeds: ["127.0.0.1:3"], fleet.secret: 0123456789abcdef, disk.sync_delay: 5ms}`)
 		ctx, cancel := context.WithCancel(context.Background())
 		s.app.Clock = clock.System()
-		s.app.Node = func(ctx context.Context, role string, values *settings.Values, log events.Log) error {
+		s.app.RunNode = func(ctx context.Context, role string, values *settings.Values, log events.Log) error {
 			So(role, ShouldEqual, "front")
 			So(values.String("name"), ShouldEqual, "n1")
 			cancel()
@@ -156,20 +156,20 @@
 		So(s.transcript.String(), ShouldContainSubstring, "event_name=process_stopped")
 		So(s.transcript.String(), ShouldContainSubstring, "event_name=proof_setting setting=disk.sync_delay value=5ms")
 
-		s.app.Node = func(context.Context, string, *settings.Values, events.Log) error {
+		s.app.RunNode = func(context.Context, string, *settings.Values, events.Log) error {
 			return apierror.Errorf(apierror.BadRecord, "data/log-3 at 4096")
 		}
-		So(s.app.Main(ctx, []string{"front", "--config", "front.yaml"}), ShouldEqual, ExitNo)
+		So(s.app.Main(ctx, []string{"front", "--config", "front.yaml"}), ShouldEqual, ExitRejected)
 		So(s.transcript.String(), ShouldEndWith, "stepwick: bad_record (5007): data/log-3 at 4096\n")
 	})
 }
 
-func TestPagesAndHelpMatchTheTables(t *testing.T) {
-	Convey("The pages that come from the tables are those in docs", t, func() {
-		for name, text := range Pages() {
-			kept, err := os.ReadFile(filepath.Join("..", "..", "docs", name))
+func TestGeneratedPagesAndHelpAreComplete(t *testing.T) {
+	Convey("The pages in docs equal the generated ones", t, func() {
+		for name, text := range GeneratedPages() {
+			contents, err := os.ReadFile(filepath.Join("..", "..", "docs", name))
 			So(err, ShouldBeNil)
-			want, have := strings.Split(text, "\n"), strings.Split(string(kept), "\n")
+			want, have := strings.Split(text, "\n"), strings.Split(string(contents), "\n")
 			for i := range min(len(want), len(have)) {
 				if have[i] != want[i] {
 					So(name+": "+have[i], ShouldEqual, name+": "+want[i])
@@ -178,7 +178,7 @@
 			So(len(have), ShouldEqual, len(want))
 		}
 	})
-	Convey("Every call of both APIs is on the page", t, func() {
+	Convey("Every call of both APIs is documented in API.md", t, func() {
 		page, err := os.ReadFile(filepath.Join("..", "..", "docs", "API.md"))
 		So(err, ShouldBeNil)
 		lines := strings.Split(string(page), "\n")
@@ -197,13 +197,13 @@
 			So(route.Method+" "+route.Path+" "+strconv.FormatBool(documented(route.Method, route.Path)), ShouldEndWith, " true")
 		}
 	})
-	Convey("Every command has a short help, and every one that runs has an example", t, func() {
+	Convey("Every command has a short description, and every runnable command an example", t, func() {
 		root := New(nil).root()
 		for _, command := range root.Commands() {
-			for _, one := range append(command.Commands(), command) {
-				So(one.Short, ShouldNotBeBlank)
-				if !one.Hidden && one.Name() != "help" && one.Name() != "completion" && one.Runnable() {
-					So(one.Example, ShouldNotBeBlank)
+			for _, listed := range append(command.Commands(), command) {
+				So(listed.Short, ShouldNotBeBlank)
+				if !listed.Hidden && listed.Name() != "help" && listed.Name() != "completion" && listed.Runnable() {
+					So(listed.Example, ShouldNotBeBlank)
 				}
 			}
 		}
--- a/internal/cli/data.go
+++ b/internal/cli/data.go
@@ -13,9 +13,9 @@
 func (a *App) dataCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "data",
-		Short: "Check and show the data folder of a core that is not running",
-		Long: `Check and show the data folder of a core that is not running. Nothing in the folder
-is changed. Without a snapshot the folder doesn't tell whose it is: then name the core.`,
+		Short: "Check or show the data folder of a core that is not running",
+		Long: `Check or show the data folder of a core that is not running, without changing it.
+A folder without a snapshot does not identify its core; --name is then required.`,
 		Example: "  stepwick data check data/core-1\n  stepwick data show data/core-1 -o json",
 	}
 	command.AddCommand(a.dataCheckCommand(), a.dataShowCommand())
@@ -26,10 +26,11 @@
 	var name string
 	command := &cobra.Command{
 		Use:   "check FOLDER",
-		Short: "Read every record and snapshot of a data folder; say what a start would do",
-		Long: `Read every record and snapshot of a data folder by their checksums, and replay them. A
-record that fails its checksum before the end of the log ends with code 5007; an end
-that was not written whole is only told, as a start cuts it off.`,
+		Short: "Verify a data folder and report what the next start would do",
+		Long: `Read every record and snapshot of a data folder, verify the checksums and replay the
+records. A bad checksum before the end of the log is an error (code 5007). An
+incomplete write at the end of the log is only reported, since the next start
+truncates it.`,
 		Example: "  stepwick data check data/core-1",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -37,13 +38,13 @@
 			if err != nil {
 				return err
 			}
-			a.printf("whole: %d records in %d segments after version %d; %s at version %d\n", contents.Records, contents.Segments,
+			a.printf("intact: %d records in %d segments after version %d; %s at version %d\n", contents.Records, contents.Segments,
 				contents.SnapshotVersion, contents.Standing, contents.Version)
 			if contents.TornSegment != "" {
-				a.printf("%s ends in %d bytes that were not written whole; a start cuts them off\n", contents.TornSegment, contents.TornBytes)
+				a.printf("%s ends in %d bytes of an incomplete write; the next start truncates them\n", contents.TornSegment, contents.TornBytes)
 			}
 			if contents.BadSnapshot != "" {
-				a.printf("%s fails its checksum; a start uses the snapshot before it\n", contents.BadSnapshot)
+				a.printf("%s fails its checksum; the next start uses the previous snapshot\n", contents.BadSnapshot)
 			}
 			return nil
 		},
@@ -58,8 +59,8 @@
 	var showSheet bool
 	command := &cobra.Command{
 		Use:     "show FOLDER",
-		Short:   "Show what a data folder holds",
-		Long:    `Show what a data folder holds: formation, disk life, versions and the log, or the sheet.`,
+		Short:   "Show the contents of a data folder",
+		Long:    `Show the contents of a data folder: formation, disk incarnation ("disk life"), versions and the log, or the sheet.`,
 		Example: "  stepwick data show data/core-1\n  stepwick data show data/core-1 --sheet > sheet.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -69,7 +70,7 @@
 			}
 			switch {
 			case showSheet && contents.Sheet == nil:
-				return apierror.Errorf(apierror.NoSheet, "%s holds no sheet", args[0])
+				return apierror.Errorf(apierror.NoSheet, "%s contains no sheet", args[0])
 			case showSheet:
 				return a.printJSON(contents.Sheet)
 			case format == formatJSON:
@@ -84,7 +85,8 @@
 	return command
 }
 
-// inspectFolder reads a data folder, which must exist.
+// inspectFolder reads a data folder. It returns an error if the folder does not
+// exist.
 func inspectFolder(folder, name string) (replica.Contents, error) {
 	if _, err := os.Stat(folder); err != nil {
 		return replica.Contents{}, err
@@ -94,24 +96,24 @@
 
 func (a *App) printContents(contents replica.Contents) error {
 	rows := a.newTable("WHAT", "VALUE")
-	rows.row("core", contents.Core)
-	rows.row("formation", contents.Formation)
-	rows.row("voters", strings.Join(contents.Voters, " "))
-	rows.row("standing", contents.Standing)
-	rows.row("disk life", contents.DiskIncarnation)
-	rows.row("version", contents.Version)
-	rows.row("sheet version", contents.SheetVersion)
-	rows.row("revision", contents.Revision)
-	rows.row("members", contents.Members)
-	rows.row("open slots", contents.OpenSlots)
-	rows.row("snapshot version", contents.SnapshotVersion)
-	rows.row("segments", contents.Segments)
-	rows.row("records", contents.Records)
+	rows.addRow("core", contents.Core)
+	rows.addRow("formation", contents.Formation)
+	rows.addRow("voters", strings.Join(contents.Voters, " "))
+	rows.addRow("standing", contents.Standing)
+	rows.addRow("disk life", contents.DiskIncarnation)
+	rows.addRow("version", contents.Version)
+	rows.addRow("sheet version", contents.SheetVersion)
+	rows.addRow("revision", contents.Revision)
+	rows.addRow("members", contents.Members)
+	rows.addRow("open slots", contents.OpenSlots)
+	rows.addRow("snapshot version", contents.SnapshotVersion)
+	rows.addRow("segments", contents.Segments)
+	rows.addRow("records", contents.Records)
 	if contents.TornSegment != "" {
-		rows.row("torn", contents.TornSegment)
+		rows.addRow("torn", contents.TornSegment)
 	}
 	if contents.BadSnapshot != "" {
-		rows.row("bad snapshot", contents.BadSnapshot)
+		rows.addRow("bad snapshot", contents.BadSnapshot)
 	}
 	return rows.print()
 }
--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -11,8 +11,8 @@
 	"stepwick/internal/decision/statemachine"
 )
 
-// writeDataFolder writes a core's data folder as a running core does: a formation of
-// three, a sheet, and a vote without an outcome.
+// writeDataFolder writes the data folder of a core with three voters: a formation, a
+// sheet, and a value that the core has accepted but not learned.
 func writeDataFolder(t *testing.T, folder string) {
 	t.Helper()
 	first, apiErr := sheet.ParseSheet([]byte(firstSheet), 1<<20)
@@ -32,28 +32,29 @@
 	}
 	defer func() { _ = log.Close() }()
 	for _, record := range records {
-		place, err := log.Append([][]byte{paxos.EncodeRecord(record)}, disklog.Ordinary)
+		index, err := log.Append([][]byte{paxos.EncodeRecord(record)}, disklog.Ordinary)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for synced := uint64(0); synced < place; {
+		for synced := uint64(0); synced < index; {
 			synced = <-log.Synced()
 		}
 	}
 }
 
-// alterSegment changes the bytes of the folder's only segment.
+// alterSegment replaces the contents of the only segment in the folder by the result
+// of change.
 func alterSegment(t *testing.T, folder string, change func([]byte) []byte) {
 	t.Helper()
-	found, err := filepath.Glob(filepath.Join(folder, "*.log"))
-	if err != nil || len(found) != 1 {
-		t.Fatalf("%d segments: %v", len(found), err)
+	segments, err := filepath.Glob(filepath.Join(folder, "*.log"))
+	if err != nil || len(segments) != 1 {
+		t.Fatalf("%d segments: %v", len(segments), err)
 	}
-	data, err := os.ReadFile(found[0])
+	data, err := os.ReadFile(segments[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(found[0], change(data), 0o600); err != nil {
+	if err := os.WriteFile(segments[0], change(data), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/cli/docs.go
+++ b/internal/cli/docs.go
@@ -17,11 +17,11 @@
 	var folder string
 	command := &cobra.Command{
 		Use:    "docs",
-		Short:  "Write the pages that come from the tables",
+		Short:  "Generate the reference pages of the documentation",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			for name, text := range Pages() {
+			for name, text := range GeneratedPages() {
 				if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o644); err != nil {
 					return err
 				}
@@ -29,12 +29,13 @@
 			return nil
 		},
 	}
-	command.Flags().StringVar(&folder, "write", "docs", "the folder of the pages")
+	command.Flags().StringVar(&folder, "write", "docs", "the folder to write the pages to")
 	return command
 }
 
-// Pages returns the pages that come from the tables, by file name.
-func Pages() map[string]string {
+// GeneratedPages returns the Markdown pages that are generated from the tables of
+// settings, result codes and events, by file name.
+func GeneratedPages() map[string]string {
 	return map[string]string{
 		"SETTINGS.md": settingsPage(),
 		"CODES.md":    codesPage(),
@@ -42,7 +43,7 @@
 	}
 }
 
-// generatedNotice is the second paragraph of each page.
+// generatedNotice is the second paragraph of each generated page.
 const generatedNotice = "\nThis page is written from the table in the code by `go run ./cmd/stepwick docs --write docs`; a test fails when the two differ.\n"
 
 func settingsPage() string {
@@ -70,7 +71,7 @@
 	return page.String()
 }
 
-// codeSpan quotes a text in Markdown; nothing for an empty one.
+// codeSpan returns text as a Markdown code span, or "" if it is empty.
 func codeSpan(text string) string {
 	if text == "" {
 		return ""
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -2,17 +2,17 @@
 
 import "stepwick/internal/apierror"
 
-// Exit codes. They follow the advice on retries in the table of codes.
+// Exit codes of the program. They follow the retry advice of the result codes.
 const (
-	ExitInternal = 1 // a fault of the program, or an outcome that must be looked up
-	ExitUsage    = 2 // a wrong command line or setting
-	ExitNo       = 3 // refused; the same again gets the same
-	ExitLater    = 4 // not now; try again later
-	ExitSame     = 5 // send the same order id again
-	ExitMoved    = 6 // another order on the same base won
+	ExitInternal   = 1 // a fault of the program, or the outcome is unknown and must be looked up
+	ExitUsage      = 2 // invalid command line or setting
+	ExitRejected   = 3 // rejected; the same request will get the same result
+	ExitRetryLater = 4 // temporary error; the request may be sent again later
+	ExitRetrySame  = 5 // the order must be sent again with the same id
+	ExitConflict   = 6 // another order with the same base was accepted first
 )
 
-// Exit returns the exit code of a result code.
+// Exit returns the exit code for a result code, 0 for apierror.OK.
 func Exit(code apierror.Code) int {
 	switch code {
 	case apierror.OK:
@@ -20,15 +20,15 @@
 	case apierror.BadSetting:
 		return ExitUsage
 	case apierror.BaseMoved:
-		return ExitMoved
+		return ExitConflict
 	}
 	switch code.Info().Retry {
 	case apierror.RetryNo:
-		return ExitNo
+		return ExitRejected
 	case apierror.RetryLater:
-		return ExitLater
+		return ExitRetryLater
 	case apierror.RetrySame:
-		return ExitSame
+		return ExitRetrySame
 	}
 	return ExitInternal
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -19,15 +19,15 @@
 	var format string
 	command := &cobra.Command{
 		Use:   "explain REQUEST-ID",
-		Short: "Explain why a request went where it went",
-		Long: `Explain why a request went where it went: admission with the tally's figures, the
-epoch and plan that it was routed by, the servers that were considered with the
-score of each and why others were left out, the attempts, and the outcome. The
-id is the answer's header Stepwick-Request-Id. Any node finds the front that
-handled the request; each front keeps its last few thousand.`,
+		Short: "Explain how a request was routed",
+		Long: `Explain how a request was routed: its admission with the tenant's usage, the epoch
+and the plan, the candidate servers with their scores or the reasons for their
+exclusion, the attempts, and the outcome. REQUEST-ID is the value of the response
+header Stepwick-Request-Id. Any node can be queried, as it finds the front that
+handled the request. Each front keeps its last few thousand requests.`,
 		Example:           "  stepwick explain 3f1c0a9e5b2d\n  stepwick explain 3f1c0a9e5b2d -o json",
 		Args:              cobra.ExactArgs(1),
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, args []string) error {
 			body, err := client.get(command.Context(), controlPath+"explain/"+url.PathEscape(args[0]), nil)
 			if err != nil {
@@ -38,7 +38,7 @@
 			}
 			var explanation front.Explanation
 			if err := json.Unmarshal(body, &explanation); err != nil {
-				return apierror.Errorf(apierror.BadAnswer, "%v", err)
+				return apierror.Errorf(apierror.BadAnswer, "decode explanation: %v", err)
 			}
 			return a.printExplanation(&explanation)
 		},
@@ -49,8 +49,8 @@
 }
 
 func (a *App) printExplanation(explanation *front.Explanation) error {
-	at := time.UnixMilli(explanation.AtMS).UTC().Format(clock.RFC3339Milli)
-	a.printf("request %s, at front %s, %s\n", explanation.RequestID, explanation.Front, at)
+	timestamp := time.UnixMilli(explanation.AtMS).UTC().Format(clock.RFC3339Milli)
+	a.printf("request %s, at front %s, %s\n", explanation.RequestID, explanation.Front, timestamp)
 	if explanation.Admission != nil {
 		a.printAdmission(explanation.Admission)
 	}
@@ -85,9 +85,9 @@
 	}
 	marked := ""
 	if admission.OverLimit {
-		marked = "; the tenant is marked"
+		marked = "; the tenant is over its limit"
 	}
-	a.printf("  %.0f tokens; limit %.0f a window, blend %.0f (previous window %.0f, this one %.0f), last window's span %.0f%s\n",
+	a.printf("  %.0f tokens; limit %.0f per window, blend %.0f (previous window %.0f, current window %.0f), recent spend %.0f%s\n",
 		admission.Tokens, admission.Limit, admission.Estimate, admission.Previous, admission.Current, admission.Recent, marked)
 }
 
@@ -99,13 +99,13 @@
 	if routing.Error != "" {
 		destination = strings.TrimSpace(destination + " none: " + routing.Error)
 	}
-	a.printf("\nrouting %d: %s (pending %.1f ms)\n", number, destination, routing.WaitedMS)
+	a.printf("\nrouting %d: %s (waited %.1f ms)\n", number, destination, routing.WaitedMS)
 	if len(routing.Candidates) == 0 {
 		return nil
 	}
 	candidates := a.newTable("  CANDIDATE", "SCORE", "LEFT OUT")
 	for _, candidate := range routing.Candidates {
-		candidates.row("  "+candidate.Server, fmt.Sprintf("%.3f", candidate.Score), candidate.Excluded)
+		candidates.addRow("  "+candidate.Server, fmt.Sprintf("%.3f", candidate.Score), candidate.Excluded)
 	}
 	return candidates.print()
 }
@@ -114,7 +114,7 @@
 	a.println("\nattempts")
 	rows := a.newTable("  SERVER", "ENDED", "EVENTS", "FIRST EVENT", "TOOK", "DETAIL")
 	for _, attempt := range attempts {
-		rows.row("  "+attempt.Server, attempt.Result, attempt.Events, formatMS(attempt.FirstEventMS), formatMS(attempt.TookMS), attempt.Detail)
+		rows.addRow("  "+attempt.Server, attempt.Result, attempt.Events, formatMS(attempt.FirstEventMS), formatMS(attempt.TookMS), attempt.Detail)
 	}
 	return rows.print()
 }
--- a/internal/cli/fake_fleet_test.go
+++ b/internal/cli/fake_fleet_test.go
@@ -20,14 +20,14 @@
 
 const operatorKey = "ada's key"
 
-// fakeFleet answers the operator API from one state in memory.
+// fakeFleet serves the operators' API from a state in memory.
 type fakeFleet struct {
 	state         statemachine.State
-	pending       int               // orders that get OutcomePending although they are applied
-	lostResponses int               // orders whose answer is lost after they are applied
-	onOrder       func()            // called before an order is answered
-	bodies        map[string]string // of calls that only read
-	orderIDs      []string          // order ids as they came
+	pending       int               // number of orders to answer with OutcomePending although they are applied
+	lostResponses int               // number of orders to leave without a response although they are applied
+	onOrder       func()            // called before the response to an order is sent
+	bodies        map[string]string // responses to read-only calls, by path
+	orderIDs      []string          // ids of the received orders, in order of arrival
 }
 
 func newFakeFleet(t *testing.T, first string) *fakeFleet {
@@ -60,11 +60,11 @@
 	case verb == "":
 		apierror.WriteError(w, apierror.Errorf(apierror.NotFound, "%s", path), "")
 	default:
-		s.order(w, r, verb)
+		s.handleOrder(w, r, verb)
 	}
 }
 
-func (s *fakeFleet) order(w http.ResponseWriter, r *http.Request, verb string) {
+func (s *fakeFleet) handleOrder(w http.ResponseWriter, r *http.Request, verb string) {
 	body, _ := io.ReadAll(r.Body)
 	command, apiErr := statemachine.ParseOrder(verb, "ada", body, statemachine.OrderLimits{MaxBytes: 1 << 20}, 1790000000000)
 	if apiErr != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// instantClock is a clock whose waits end at once and move it on.
+// instantClock is a clock whose After advances it and fires immediately.
 type instantClock struct {
 	clock.Clock
 	now time.Time
@@ -107,7 +107,7 @@
 	return c
 }
 
-// session runs command lines one after another and keeps a transcript.
+// session runs command lines one after another and records a transcript.
 type session struct {
 	app            *App
 	transcript     bytes.Buffer
@@ -154,8 +154,8 @@
 
 func (s *session) text() []byte {
 	text := s.transcript.String()
-	for real, shown := range s.shownAddresses {
-		text = strings.ReplaceAll(text, real, shown)
+	for address, shownAddress := range s.shownAddresses {
+		text = strings.ReplaceAll(text, address, shownAddress)
 	}
 	return []byte(text)
 }
--- a/internal/cli/fleet_client.go
+++ b/internal/cli/fleet_client.go
@@ -22,21 +22,21 @@
 
 const (
 	controlPath = "/v1/control/"
-	// maxResponseBytes bounds the body of a response that is read.
+	// maxResponseBytes is the maximum size of a response body. The rest is not read.
 	maxResponseBytes = 64 << 20
-	// retryInterval is the shortest wait before a call is repeated.
+	// retryInterval is the minimum delay before a call is repeated.
 	retryInterval  = 200 * time.Millisecond
 	dialTimeout    = 2 * time.Second
 	defaultTimeout = 10 * time.Second
 )
 
-// Environment variables of operators' commands.
+// Environment variables that operators' commands read.
 const (
 	nodeVariable = "STEPWICK_NODE"
 	keyVariable  = "STEPWICK_OPERATOR_KEY"
 )
 
-// errInterrupted ends a command whose context was cancelled by a signal.
+// errInterrupted is the error of a command whose context was cancelled.
 var errInterrupted = errors.New("interrupted")
 
 func newTransport() http.RoundTripper {
@@ -44,22 +44,24 @@
 	return &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
 }
 
-// fleetClient calls the operators' API at any node of the fleet.
+// fleetClient is a client of the operators' API, which every node of the fleet
+// serves.
 type fleetClient struct {
 	app     *App
 	nodes   []string
 	keyFile string
-	// timeout bounds each node's response.
+	// timeout applies to each call of one node.
 	timeout time.Duration
 }
 
 func (c *fleetClient) register(flags *pflag.FlagSet) {
-	flags.StringSliceVar(&c.nodes, "node", nil, "caller addresses of nodes, tried in turn (default $STEPWICK_NODE)")
+	flags.StringSliceVar(&c.nodes, "node", nil, "caller addresses (listen.caller) of nodes, tried in turn (default $STEPWICK_NODE)")
 	flags.StringVar(&c.keyFile, "key-file", "", "a file with the operator's key (default $STEPWICK_OPERATOR_KEY)")
-	flags.DurationVar(&c.timeout, "timeout", defaultTimeout, "how long one node may take to answer")
+	flags.DurationVar(&c.timeout, "timeout", defaultTimeout, "time limit for the response of one node")
 }
 
-// addresses returns the nodes to call, from the flag or the environment.
+// addresses returns the addresses of the nodes to call, from the flag or the
+// environment.
 func (c *fleetClient) addresses() ([]string, error) {
 	nodes := c.nodes
 	if len(nodes) == 0 {
@@ -70,12 +72,12 @@
 		}
 	}
 	if len(nodes) == 0 {
-		return nil, errors.New("no node named: give --node IP:PORT or set STEPWICK_NODE")
+		return nil, errors.New("no node address: give --node IP:PORT or set STEPWICK_NODE")
 	}
 	return nodes, nil
 }
 
-// key returns the operator's key, from a file or the environment.
+// key returns the operator's key, from the key file or the environment.
 func (c *fleetClient) key() (string, error) {
 	if c.keyFile != "" {
 		data, err := os.ReadFile(c.keyFile)
@@ -90,14 +92,14 @@
 	return "", errors.New("no operator's key: set STEPWICK_OPERATOR_KEY or give --key-file")
 }
 
-// response is a node's answer: a body, or an error with a result code.
+// response is a node's response: a body, or an error with a result code.
 type response struct {
 	node   string
 	body   []byte
 	apiErr *apierror.Error
 }
 
-// decode decodes the body; the error has the code BadAnswer.
+// decode decodes the JSON body. An error has the code BadAnswer.
 func (r *response) decode(into any) error {
 	if err := json.Unmarshal(r.body, into); err != nil {
 		return apierror.Errorf(apierror.BadAnswer, "%s: %v", r.node, err)
@@ -105,11 +107,12 @@
 	return nil
 }
 
-// unreachableError reports why no node answered, one line a node.
+// unreachableError is the error of a call that no node answered, with one line for
+// each node.
 type unreachableError struct {
 	lines []string
-	// mayHaveArrived is set where a node may have received the call although no
-	// response came.
+	// mayHaveArrived is set if a node may have received the call although it sent no
+	// response.
 	mayHaveArrived bool
 }
 
@@ -119,7 +122,7 @@
 	return &apierror.Error{Code: apierror.CoreUnreachable, Detail: e.Error()}
 }
 
-// asUnreachable returns the error as an unreachableError; nil for any other.
+// asUnreachable returns err as an *unreachableError, or nil for any other error.
 func asUnreachable(err error) *unreachableError {
 	var unreachable *unreachableError
 	if errors.As(err, &unreachable) {
@@ -128,10 +131,9 @@
 	return nil
 }
 
-// call sends one call to the nodes in turn, beginning with the one at the index
-// first, and returns the first response. The error is an *unreachableError where
-// no node answered.
-func (c *fleetClient) call(ctx context.Context, first int, method, path string, body []byte) (*response, error) {
+// call sends a call to the nodes in turn, starting with the one at firstIndex, and
+// returns the first response. The error is an *unreachableError if no node answered.
+func (c *fleetClient) call(ctx context.Context, firstIndex int, method, path string, body []byte) (*response, error) {
 	nodes, err := c.addresses()
 	if err != nil {
 		return nil, err
@@ -142,10 +144,10 @@
 	}
 	unreachable := &unreachableError{}
 	for i := range nodes {
-		index := (first + i) % len(nodes)
-		answer, err := c.send(ctx, nodes[index], key, method, path, body)
+		index := (firstIndex + i) % len(nodes)
+		resp, err := c.send(ctx, nodes[index], key, method, path, body)
 		if err == nil {
-			return answer, nil
+			return resp, nil
 		}
 		if ctx.Err() != nil {
 			return nil, errInterrupted
@@ -159,14 +161,14 @@
 	return nil, unreachable
 }
 
-// failureReason returns in few words why a node didn't answer.
+// failureReason returns a short description of why a node did not respond.
 func failureReason(err error) string {
 	var network net.Error
 	switch {
 	case port.IsConnectionRefused(err):
-		return "refused"
+		return "connection refused"
 	case errors.As(err, &network) && network.Timeout():
-		return "silent"
+		return "timed out"
 	}
 	var urlError *url.Error
 	if errors.As(err, &urlError) {
@@ -175,7 +177,8 @@
 	return err.Error()
 }
 
-// send sends one call to one node.
+// send sends a call to one node and returns its response. An error means that no
+// usable response was received.
 func (c *fleetClient) send(ctx context.Context, node, key, method, path string, body []byte) (*response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -187,34 +190,34 @@
 	if len(body) > 0 {
 		req.Header.Set("Content-Type", "application/json")
 	}
-	resp, err := c.app.Transport.RoundTrip(req)
+	httpResp, err := c.app.Transport.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	defer httpResp.Body.Close()
+	data, err := io.ReadAll(io.LimitReader(httpResp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "its answer broke off")
+		return nil, errors.Wrap(err, "incomplete response")
 	}
-	answer := &response{node: node, body: data}
-	if resp.StatusCode == http.StatusOK {
-		return answer, nil
+	resp := &response{node: node, body: data}
+	if httpResp.StatusCode == http.StatusOK {
+		return resp, nil
 	}
 	var errorBody apierror.ErrorBody
 	if err := json.Unmarshal(data, &errorBody); err != nil || errorBody.Code == apierror.OK {
-		return nil, errors.Errorf("answered %s without a result code", resp.Status)
+		return nil, errors.Errorf("response with status %s and no result code", httpResp.Status)
 	}
-	answer.apiErr = &apierror.Error{
+	resp.apiErr = &apierror.Error{
 		Code:       errorBody.Code,
 		Detail:     errorBody.Detail,
 		RetryAfter: time.Duration(errorBody.RetryAfterMS) * time.Millisecond,
 	}
-	return answer, nil
+	return resp, nil
 }
 
-// get makes a call that changes nothing and returns the response's body, also
-// decoded unless into is nil. A node's error is retried at the next node unless
-// the same is to be expected there.
+// get makes a read-only call, decodes the body of the response into into unless
+// that is nil, and returns the body. After an error with a result code, it retries
+// the call at the next node, unless the retry advice of the code is RetryNo.
 func (c *fleetClient) get(ctx context.Context, path string, into any) ([]byte, error) {
 	nodes, err := c.addresses()
 	if err != nil {
@@ -222,22 +225,22 @@
 	}
 	var lastErr *apierror.Error
 	for i := range nodes {
-		answer, err := c.call(ctx, i, http.MethodGet, path, nil)
+		resp, err := c.call(ctx, i, http.MethodGet, path, nil)
 		if unreachable := asUnreachable(err); unreachable != nil {
 			return nil, unreachable.apiError()
 		}
 		if err != nil {
 			return nil, err
 		}
-		if answer.apiErr == nil {
+		if resp.apiErr == nil {
 			if into != nil {
-				if err := answer.decode(into); err != nil {
+				if err := resp.decode(into); err != nil {
 					return nil, err
 				}
 			}
-			return answer.body, nil
+			return resp.body, nil
 		}
-		lastErr = answer.apiErr
+		lastErr = resp.apiErr
 		if lastErr.Code.Info().Retry == apierror.RetryNo {
 			break
 		}
--- a/internal/cli/locality.go
+++ b/internal/cli/locality.go
@@ -16,9 +16,10 @@
 	client := &fleetClient{app: a}
 	command := &cobra.Command{
 		Use:   "locality",
-		Short: "Empty a zone or region of requests, and take it back",
-		Long: `Empty a zone (REGION/ZONE) or a whole region of requests, and take it back.
-Evacuations are a layer of their own: a sheet never undoes one.`,
+		Short: "Evacuate or restore a zone or region",
+		Long: `Evacuate a zone (REGION/ZONE) or a whole region, so that its servers receive no new
+requests, or restore it. Evacuations are not part of the sheet: no change of the
+sheet ends one.`,
 		Example: "  stepwick locality evacuate lagos/a\n  stepwick locality restore lagos/a",
 	}
 	client.register(command.PersistentFlags())
@@ -31,10 +32,10 @@
 	force := false
 	command := &cobra.Command{
 		Use:               "evacuate LOCALITY",
-		Short:             "Send no more requests to the servers of a zone or region",
+		Short:             "Stop sending requests to the servers of a zone or region",
 		Example:           "  stepwick locality evacuate lagos/a",
 		Args:              cobra.ExactArgs(1),
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, args []string) error {
 			if !force {
 				if err := client.checkZoneHasNodes(command.Context(), args[0]); err != nil {
@@ -45,7 +46,7 @@
 		},
 	}
 	flags.register(command.Flags())
-	command.Flags().BoolVar(&force, "force", false, "also where no node of the fleet is known to stand")
+	command.Flags().BoolVar(&force, "force", false, "send the order even if no node is known in the zone or region")
 	return command
 }
 
@@ -53,10 +54,10 @@
 	flags := &orderFlags{}
 	command := &cobra.Command{
 		Use:               "restore LOCALITY",
-		Short:             "Send requests to a zone or region again",
+		Short:             "Resume sending requests to a zone or region",
 		Example:           "  stepwick locality restore lagos/a",
 		Args:              cobra.ExactArgs(1),
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, args []string) error {
 			return a.submitZoneOrder(command, client, flags, sheet.VerbRestore, args[0])
 		},
@@ -73,21 +74,21 @@
 	return a.submitOrder(command, client, flags, http.MethodPost, verb, body)
 }
 
-// checkZoneHasNodes returns an error where no node is in the zone or region,
-// which is then probably misspelt. It returns nil where the status can't be
-// read, since evacuations matter most while the fleet is in trouble.
+// checkZoneHasNodes returns an error if no node is in the zone or region, as its name
+// is then probably misspelt. It returns nil if the status can't be read, since an
+// evacuation must be possible during an outage.
 func (c *fleetClient) checkZoneHasNodes(ctx context.Context, zone string) error {
 	var status statusReport
 	if _, err := c.get(ctx, controlPath+"status", &status); err != nil || status.Node == nil {
 		return nil
 	}
 	zones := status.zones()
-	for _, known := range zones {
-		if region, _, _ := strings.Cut(known, "/"); known == zone || region == zone {
+	for _, nodeZone := range zones {
+		if region, _, _ := strings.Cut(nodeZone, "/"); nodeZone == zone || region == zone {
 			return nil
 		}
 	}
 	slices.Sort(zones)
-	return apierror.Errorf(apierror.UnknownZone, "no node stands in %s; there are nodes in %s\n--force sends the order all the same",
+	return apierror.Errorf(apierror.UnknownZone, "no node is in %s; there are nodes in %s\nuse --force to send the order anyway",
 		zone, strings.Join(slices.Compact(zones), ", "))
 }
--- a/internal/cli/lookup.go
+++ b/internal/cli/lookup.go
@@ -11,31 +11,31 @@
 	"github.com/spf13/cobra"
 )
 
-// lookupRow is one row of a table of numbered things.
+// lookupRow is a row of a reference table whose entries have a number and a name.
 type lookupRow struct {
 	number int
 	name   string
 	cells  []any
 }
 
-// newLookupTable returns a command that lists the rows, or only the one whose
-// number or name is its argument.
-func (a *App) newLookupTable(command *cobra.Command, kind string, headings []any, rows func() []lookupRow) *cobra.Command {
+// newLookupCommand completes a command that lists all rows, or only the row whose
+// number or name is the argument. kind names an entry in error messages.
+func (a *App) newLookupCommand(command *cobra.Command, kind string, headings []any, rows func() []lookupRow) *cobra.Command {
 	command.Args = cobra.MaximumNArgs(1)
-	command.ValidArgsFunction = noArgs
+	command.ValidArgsFunction = completeNothing
 	command.RunE = func(_ *cobra.Command, args []string) error {
-		listed := a.newTable(headings...)
-		found := false
+		matches := a.newTable(headings...)
+		matched := false
 		for _, row := range rows() {
 			if len(args) == 0 || args[0] == row.name || args[0] == strconv.Itoa(row.number) {
-				listed.row(row.cells...)
-				found = true
+				matches.addRow(row.cells...)
+				matched = true
 			}
 		}
-		if !found {
-			return errors.Errorf("no %s %q", kind, args[0])
+		if !matched {
+			return errors.Errorf("unknown %s %q", kind, args[0])
 		}
-		return listed.print()
+		return matches.print()
 	}
 	return command
 }
@@ -43,11 +43,11 @@
 func (a *App) codesCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:     "codes [CODE|NAME]",
-		Short:   "List the result codes, or look one up",
+		Short:   "List the result codes, or show one",
 		Example: "  stepwick codes\n  stepwick codes 4001\n  stepwick codes base_moved",
 	}
 	headings := []any{"CODE", "NAME", "HTTP", "RETRY", "EXIT", "HELP"}
-	return a.newLookupTable(command, "code", headings, func() []lookupRow {
+	return a.newLookupCommand(command, "code", headings, func() []lookupRow {
 		var rows []lookupRow
 		for _, row := range apierror.Codes {
 			rows = append(rows, lookupRow{
@@ -63,11 +63,11 @@
 func (a *App) eventsCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:     "events [NUMBER|NAME]",
-		Short:   "List the log events, or look one up",
+		Short:   "List the log events, or show one",
 		Example: "  stepwick events\n  stepwick events 2005\n  stepwick events ruling_lost",
 	}
 	headings := []any{"EVENT", "NAME", "LEVEL", "MEANING", "WHAT TO DO"}
-	return a.newLookupTable(command, "event", headings, func() []lookupRow {
+	return a.newLookupCommand(command, "event", headings, func() []lookupRow {
 		var rows []lookupRow
 		for _, event := range events.Catalogue() {
 			rows = append(rows, lookupRow{
@@ -86,7 +86,7 @@
 		Short:             "Print the release",
 		Example:           "  stepwick version",
 		Args:              cobra.NoArgs,
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(*cobra.Command, []string) error {
 			_, err := fmt.Fprintf(a.Out, "stepwick %s\n", Version)
 			return err
--- a/internal/cli/member.go
+++ b/internal/cli/member.go
@@ -10,7 +10,7 @@
 	client := &fleetClient{app: a}
 	command := &cobra.Command{
 		Use:   "member",
-		Short: "Take members off the roster",
+		Short: "Remove members from the roster",
 	}
 	client.register(command.PersistentFlags())
 	command.AddCommand(a.memberRemoveCommand(client))
@@ -21,14 +21,15 @@
 	flags := &orderFlags{}
 	command := &cobra.Command{
 		Use:   "remove NAME...",
-		Short: "Take members off the roster by name",
-		Long: `Take members off the roster by name. A process that refuses connections leaves the
-roster by itself after a while; one that is silent never does, as it may still
-serve behind a cut. Only remove a silent member when its machine is known to be
-off: your order vouches for that.`,
+		Short: "Remove members from the roster by name",
+		Long: `Remove members from the roster by name. A process that refuses connections is
+removed automatically after a while. A process that does not respond is not, as it
+may still serve requests on the other side of a network partition. Remove such a
+member only if its machine is known to be off: the fleet relies on your order for
+that.`,
 		Example:           "  stepwick member remove front-7\n  stepwick member remove front-7 front-8",
 		Args:              cobra.MinimumNArgs(1),
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, args []string) error {
 			body := struct {
 				OrderID string   `json:"order_id"`
--- a/internal/cli/order.go
+++ b/internal/cli/order.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// maxRetryInterval bounds a wait that a node advises.
+	// maxRetryInterval is the upper limit on the retry delay that a node advises.
 	maxRetryInterval = time.Second
-	// defaultOrderWait is how long an order is retried by default.
+	// defaultOrderWait is the default of the flag --wait.
 	defaultOrderWait = 15 * time.Second
 )
 
-// orderFlags are the flags of a command that gives an order.
+// orderFlags are the flags of a command that sends an order.
 type orderFlags struct {
 	orderID string
-	// wait is how long the order is sent again while its outcome is pending.
+	// wait is the time during which the order is sent again while its outcome is
+	// pending.
 	wait time.Duration
-	// The remaining flags are those of orders on the sheet.
+	// The remaining flags apply to orders that change the sheet.
 
 	base   uint64
 	dryRun bool
@@ -32,19 +33,19 @@
 }
 
 func (f *orderFlags) register(flags *pflag.FlagSet) {
-	flags.StringVar(&f.orderID, "order-id", "", "the order's id; a random one when empty. The same id is accepted once")
-	flags.DurationVar(&f.wait, "wait", defaultOrderWait, "how long to send the order again while its outcome is pending")
+	flags.StringVar(&f.orderID, "order-id", "", "id of the order, random if empty; an order is applied at most once per id")
+	flags.DurationVar(&f.wait, "wait", defaultOrderWait, "how long to keep sending the order again while its outcome is pending")
 }
 
-// registerForSheet also registers the flags of orders on the sheet.
+// registerForSheet also registers the flags of orders that change the sheet.
 func (f *orderFlags) registerForSheet(flags *pflag.FlagSet) {
 	f.register(flags)
-	flags.Uint64Var(&f.base, "base", 0, "the sheet epoch that the change builds on (default: that of the file if it has one, else the newest)")
-	flags.BoolVar(&f.dryRun, "dry-run", false, "show the difference and stop")
-	flags.BoolVarP(&f.quiet, "quiet", "q", false, "don't show the difference")
+	flags.Uint64Var(&f.base, "base", 0, "the sheet epoch that the change is based on (default: the epoch in the file if it has one, else the newest)")
+	flags.BoolVar(&f.dryRun, "dry-run", false, "show the difference without sending the order")
+	flags.BoolVarP(&f.quiet, "quiet", "q", false, "do not show the difference")
 }
 
-// id returns the order's id, which is drawn at the first call if none is given.
+// id returns the order's id. The first call generates one if none is given.
 func (f *orderFlags) id(a *App) string {
 	if f.orderID == "" {
 		f.orderID = a.NewID()
@@ -52,7 +53,7 @@
 	return f.orderID
 }
 
-// orderResult is the response to an order that is in force.
+// orderResult is the body of the response to an order that is in force.
 type orderResult struct {
 	Version      uint64 `json:"epoch"`
 	SheetVersion uint64 `json:"sheet_epoch"`
@@ -64,7 +65,7 @@
 
 // submitOrder sends an order and prints its result.
 func (a *App) submitOrder(command *cobra.Command, client *fleetClient, flags *orderFlags, method, path string, body any) error {
-	result, err := client.order(command.Context(), method, controlPath+path, flags.id(a), body, flags.wait)
+	result, err := client.sendOrder(command.Context(), method, controlPath+path, flags.id(a), body, flags.wait)
 	if err != nil {
 		return err
 	}
@@ -73,9 +74,9 @@
 	return nil
 }
 
-// order sends an order and, while its outcome is pending, sends it again with
-// the same id, to the next node each time, until the wait ends.
-func (c *fleetClient) order(ctx context.Context, method, path, orderID string, body any, wait time.Duration) (*orderResult, error) {
+// sendOrder sends an order and, while its outcome is pending, sends it again with
+// the same id, each time to the next node, until wait has passed.
+func (c *fleetClient) sendOrder(ctx context.Context, method, path, orderID string, body any, wait time.Duration) (*orderResult, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
@@ -99,7 +100,7 @@
 	}
 }
 
-// pendingOrder is an order that is sent until its outcome is known.
+// pendingOrder is an order that is sent again until its outcome is known.
 type pendingOrder struct {
 	client   *fleetClient
 	method   string
@@ -107,20 +108,21 @@
 	id       string
 	body     []byte
 	deadline time.Time
-	// mayBeApplied is set once a node may have received the order. From then on
-	// its outcome is unknown until a node responds.
+	// mayBeApplied is set once a node may have received the order. Its outcome is
+	// then unknown until a node reports it.
 	mayBeApplied bool
-	// lastErr and retryInterval are of the last attempt.
+	// lastErr and retryInterval are the error of the last attempt and the delay
+	// before the next one.
 	lastErr       *apierror.Error
 	retryInterval time.Duration
 }
 
-// send makes one attempt. It returns the result or the final error; neither
-// where the order should be sent again.
+// send makes one attempt. It returns the result or the final error, or nil for both
+// if the order should be sent again.
 func (o *pendingOrder) send(ctx context.Context, attempt int) (*orderResult, error) {
-	answer, err := o.client.call(ctx, attempt, o.method, o.path, o.body)
+	resp, err := o.client.call(ctx, attempt, o.method, o.path, o.body)
 	if ctx.Err() != nil {
-		return nil, o.interrupted()
+		return nil, o.interruptedError()
 	}
 	o.retryInterval = retryInterval
 	if unreachable := asUnreachable(err); unreachable != nil {
@@ -129,18 +131,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if answer.apiErr != nil {
-		return nil, o.handleError(answer.apiErr)
+	if resp.apiErr != nil {
+		return nil, o.handleError(resp.apiErr)
 	}
 	var result orderResult
-	if err := answer.decode(&result); err != nil {
+	if err := resp.decode(&result); err != nil {
 		return nil, err
 	}
 	return &result, nil
 }
 
-// handleUnreachable returns the error where no node can have the order; nil to
-// send it again.
+// handleUnreachable returns the final error if no node can have received the order,
+// or nil if the order should be sent again.
 func (o *pendingOrder) handleUnreachable(unreachable *unreachableError) error {
 	o.lastErr = unreachable.apiError()
 	if unreachable.mayHaveArrived {
@@ -152,8 +154,8 @@
 	return nil
 }
 
-// handleError returns a node's error where it is final; nil to send the order
-// again.
+// handleError returns the error of a node if it is final, or nil if the order should
+// be sent again.
 func (o *pendingOrder) handleError(apiErr *apierror.Error) error {
 	o.lastErr = apiErr
 	if apiErr.Code.Info().Retry != apierror.RetrySame {
@@ -167,7 +169,7 @@
 }
 
 // waitForRetry waits until the order should be sent again. It returns the final
-// error where the time is up or the command is interrupted.
+// error if the deadline would pass before that or the command is interrupted.
 func (o *pendingOrder) waitForRetry(ctx context.Context) error {
 	clock := o.client.app.Clock
 	reason := detailOrHelp(o.lastErr)
@@ -175,20 +177,20 @@
 		if !o.mayBeApplied {
 			return o.lastErr
 		}
-		return o.stillPending(reason)
+		return o.pendingError(reason)
 	}
 	o.client.app.printErrorf("pending: %s; sending order %s again\n", strings.ReplaceAll(reason, "\n", "; "), o.id)
 	select {
 	case <-clock.After(o.retryInterval):
 		return nil
 	case <-ctx.Done():
-		return o.interrupted()
+		return o.interruptedError()
 	}
 }
 
-func (o *pendingOrder) interrupted() error { return o.stillPending("interrupted") }
+func (o *pendingOrder) interruptedError() error { return o.pendingError("interrupted") }
 
-// stillPending returns the error for an order whose outcome isn't known.
-func (o *pendingOrder) stillPending(reason string) error {
-	return apierror.Errorf(apierror.OutcomePending, "%s\nsend it again with --order-id %s", reason, o.id)
+// pendingError returns the error for an order whose outcome is unknown.
+func (o *pendingOrder) pendingError(reason string) error {
+	return apierror.Errorf(apierror.OutcomePending, "%s\nto send the order again, use --order-id %s", reason, o.id)
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -13,10 +13,10 @@
 	"github.com/spf13/cobra"
 )
 
-// timestampFormat is the form of times in tables, in UTC.
+// timestampFormat is the format of times in tables, which are in UTC.
 const timestampFormat = "2006-01-02T15:04:05Z"
 
-// Forms of a command's output.
+// Output formats, the values of the flag --output.
 const (
 	formatTable = "table"
 	formatText  = "text"
@@ -24,27 +24,28 @@
 	formatCSV   = "csv"
 )
 
-// addOutputFlag gives a command the flag --output for one of the formats.
-func addOutputFlag(command *cobra.Command, format *string, standard string, formats ...string) {
-	command.Flags().StringVarP(format, "output", "o", standard, "the form of the output: "+strings.Join(formats, ", "))
+// addOutputFlag adds the flag --output to a command, whose RunE must be set. The
+// command then fails unless the flag's value is one of formats.
+func addOutputFlag(command *cobra.Command, format *string, defaultFormat string, formats ...string) {
+	command.Flags().StringVarP(format, "output", "o", defaultFormat, "output format: "+strings.Join(formats, ", "))
 	_ = command.RegisterFlagCompletionFunc("output", cobra.FixedCompletions(formats, cobra.ShellCompDirectiveNoFileComp))
 	run := command.RunE
 	command.RunE = func(command *cobra.Command, args []string) error {
 		if !slices.Contains(formats, *format) {
-			return errors.Errorf("no output %q: %s", *format, strings.Join(formats, " or "))
+			return errors.Errorf("unknown output format %q, expected %s", *format, strings.Join(formats, " or "))
 		}
 		return run(command, args)
 	}
 }
 
-// printf writes to the output. A failed write is ignored: there is nowhere to
-// report it.
+// printf writes to the output. Write errors are ignored, as there is nowhere to
+// report them.
 func (a *App) printf(format string, args ...any) { _, _ = fmt.Fprintf(a.Out, format, args...) }
 
 // println writes a line to the output.
 func (a *App) println(texts ...any) { _, _ = fmt.Fprintln(a.Out, texts...) }
 
-// printErrorf writes to the standard error.
+// printErrorf writes to standard error.
 func (a *App) printErrorf(format string, args ...any) { _, _ = fmt.Fprintf(a.Err, format, args...) }
 
 // printJSON writes a value as indented JSON.
@@ -55,7 +56,7 @@
 	return encoder.Encode(value)
 }
 
-// printBody writes the JSON body of a response, indented.
+// printBody writes the JSON body of a response with indentation.
 func (a *App) printBody(body []byte) error {
 	var out bytes.Buffer
 	if err := json.Indent(&out, bytes.TrimSpace(body), "", "  "); err != nil {
@@ -71,19 +72,19 @@
 	writer *tabwriter.Writer
 }
 
-// newTable returns a table on the app's output with a row of headings.
+// newTable returns a table with a row of headings, to be printed to the output.
 func (a *App) newTable(headings ...any) *table {
 	const (
 		tabWidth = 8
 		padding  = 2
 	)
 	t := &table{tabwriter.NewWriter(a.Out, 0, tabWidth, padding, ' ', 0)}
-	t.row(headings...)
+	t.addRow(headings...)
 	return t
 }
 
-// row adds a row. An empty cell is shown as a dash.
-func (t *table) row(cells ...any) {
+// addRow adds a row. An empty cell is shown as a dash.
+func (t *table) addRow(cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
 		texts[i] = dashIfEmpty(fmt.Sprint(cell))
@@ -108,7 +109,7 @@
 	return "no"
 }
 
-// formatMS writes a time in milliseconds; a dash for none.
+// formatMS formats a duration in milliseconds, zero as a dash.
 func formatMS(milliseconds float64) string {
 	if milliseconds == 0 {
 		return "-"
@@ -116,7 +117,7 @@
 	return fmt.Sprintf("%.1f ms", milliseconds)
 }
 
-// formatTimestamp writes a time in Unix milliseconds.
+// formatTimestamp formats a time given in Unix milliseconds.
 func formatTimestamp(unixMS int64) string {
 	return time.UnixMilli(unixMS).UTC().Format(timestampFormat)
 }
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -17,13 +17,13 @@
 	var format string
 	command := &cobra.Command{
 		Use:   "plan",
-		Short: "Show the period plan: shares over regions and caps of servers",
-		Long: `Show the plan that the asked node routes by: for each service and region that
-requests come from, the shares of the regions that they go to; and for each
-server the bound on requests in flight over all fronts.`,
+		Short: "Show the current plan: shares of regions and limits of servers",
+		Long: `Show the plan that the queried node uses for routing: for each service and region
+of origin, the share of requests that each region receives; and for each server,
+the maximum number of requests in flight from all fronts together.`,
 		Example:           "  stepwick plan\n  stepwick plan -o json",
 		Args:              cobra.NoArgs,
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, _ []string) error {
 			body, err := client.get(command.Context(), controlPath+"plan", nil)
 			if err != nil {
@@ -34,7 +34,7 @@
 			}
 			var plan wire.Plan
 			if err := json.Unmarshal(body, &plan); err != nil {
-				return apierror.Errorf(apierror.BadAnswer, "%v", err)
+				return apierror.Errorf(apierror.BadAnswer, "decode plan: %v", err)
 			}
 			return a.printPlan(&plan)
 		},
@@ -54,13 +54,13 @@
 	a.println()
 	caps := a.newTable("SERVER", "IN FLIGHT AT MOST")
 	for _, limit := range plan.Caps {
-		caps.row(limit.Server, limit.InFlight)
+		caps.addRow(limit.Server, limit.InFlight)
 	}
 	return caps.print()
 }
 
-// printShares prints one row for each service and region that requests come
-// from. The shares of one such pair follow each other in a plan.
+// printShares prints one row for each service and region of origin. In a plan, the
+// shares of such a pair are adjacent.
 func (a *App) printShares(shares []*wire.Share) error {
 	rows := a.newTable("SERVICE", "FROM", "SHARES")
 	for start := 0; start < len(shares); {
@@ -71,7 +71,7 @@
 			regions = append(regions, fmt.Sprintf("%s %.1f%%", shares[end].ToRegion, 100*shares[end].Share))
 			end++
 		}
-		rows.row(first.Service, first.FromRegion, strings.Join(regions, ", "))
+		rows.addRow(first.Service, first.FromRegion, strings.Join(regions, ", "))
 		start = end
 	}
 	return rows.print()
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -14,27 +14,27 @@
 func (a *App) runCommand(role string) *cobra.Command {
 	var file string
 	short := map[string]string{
-		settings.RoleCore:  "Run a core: control on a machine with a disk, and a front beside it",
-		settings.RoleFront: "Run a front: it carries traffic and keeps nothing on disk",
+		settings.RoleCore:  "Run a core: the control plane, on a machine with a disk, together with a front",
+		settings.RoleFront: "Run a front: it routes traffic and stores nothing on disk",
 	}[role]
 	command := &cobra.Command{
 		Use:   role,
 		Short: short,
 		Long: short + `.
 
-Settings come from the file, and flags win over the file; both take the names of
-"stepwick settings list". Events are logged to the standard error, one a line.
-SIGTERM and SIGINT make the process not ready, let its requests finish within
-drain.grace, and end it with exit code 0.`,
+Settings are read from the file and from flags, which take precedence. Both use the
+names that "stepwick settings list" shows. Events are logged to standard error,
+one per line. On SIGTERM or SIGINT, the process reports that it is not ready, lets
+requests finish within drain.grace, and exits with code 0.`,
 		Example:           "  stepwick " + role + " --config " + role + ".yaml\n  stepwick " + role + " --config " + role + ".yaml --log.level debug",
 		Args:              cobra.NoArgs,
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, _ []string) error {
 			values, err := settings.LoadRole(file, command.Flags(), role)
 			if err != nil {
 				return err
 			}
-			return a.Serve(command.Context(), role, values, a.Node)
+			return a.Serve(command.Context(), role, values, a.RunNode)
 		},
 	}
 	command.Flags().SortFlags = false
@@ -44,30 +44,31 @@
 	return command
 }
 
-// provingSettings cause faults on purpose, to prove what the process does then.
-var provingSettings = []string{"disk.quota", "disk.sync_delay"}
+// faultInjectionSettings are the settings that inject faults for tests. Their use is
+// logged.
+var faultInjectionSettings = []string{"disk.quota", "disk.sync_delay"}
 
-// Serve runs a process of a role, with a log on the app's standard error. The
-// log is written to its end before Serve returns.
+// Serve runs a process in a role, with a log on App.Err. All queued log lines are
+// written before Serve returns.
 func (a *App) Serve(ctx context.Context, role string, values *settings.Values,
-	node func(context.Context, string, *settings.Values, events.Log) error) error {
+	runNode func(context.Context, string, *settings.Values, events.Log) error) error {
 	debug.SetGCPercent(values.Int("memory.gc"))
 	if limit := values.Int("memory.limit"); limit > 0 {
 		debug.SetMemoryLimit(int64(limit))
 	}
 	eventLog, closeLog := a.openLog(values)
 	defer closeLog()
-	for _, name := range provingSettings {
+	for _, name := range faultInjectionSettings {
 		if row, _ := settings.Lookup(name); values.Source(name) != settings.SourceDefault && values.Text(name) != row.Default {
 			eventLog.Emit(events.TestSettingUsed, "setting", name, "value", values.Text(name))
 		}
 	}
-	return node(ctx, role, values, eventLog)
+	return runNode(ctx, role, values, eventLog)
 }
 
-// openLog starts the process's log. The function it returns writes what is
-// queued and stops the log; the log's context is not that of the process, since
-// the process logs how it stops.
+// openLog starts the log of the process. The returned function writes the queued
+// lines and stops the log. The log does not use the context of the process, since
+// the process still logs while it shuts down.
 func (a *App) openLog(values *settings.Values) (*events.AsyncLog, func()) {
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(a.Err)), "node", values.String("name"))
 	eventLog := events.NewAsyncLog(logger, a.Clock)
@@ -76,7 +77,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = eventLog.Serve(ctx) // returns nil always
+		_ = eventLog.Serve(ctx) // always returns nil
 	}()
 	return eventLog, func() {
 		cancel()
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -21,25 +21,25 @@
 	var role string
 	command := &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Report every problem of a settings file at once",
+		Short:   "Report all problems of a settings file",
 		Example: "  stepwick settings check core.yaml --role core",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if role != "" && role != settings.RoleCore && role != settings.RoleFront {
-				return errors.Errorf("no role %q: core or front", role)
+				return errors.Errorf("unknown role %q, expected core or front", role)
 			}
 			if _, err := settings.LoadRole(args[0], nil, role); err != nil {
 				return err
 			}
-			a.printf("%s is sound\n", args[0])
+			a.printf("%s is valid\n", args[0])
 			return nil
 		},
 	}
-	command.Flags().StringVar(&role, "role", "", "also report what the role (core or front) can't do without")
+	command.Flags().StringVar(&role, "role", "", "also report missing settings that the role (core or front) requires")
 	return command
 }
 
-// settingView is a setting as it is listed.
+// settingView is a setting in the output of "settings list".
 type settingView struct {
 	Name    string `json:"name"`
 	Type    string `json:"type"`
@@ -58,7 +58,7 @@
 		Short:             "List the settings with type, value and help",
 		Example:           "  stepwick settings list\n  stepwick settings list --config core.yaml",
 		Args:              cobra.NoArgs,
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(*cobra.Command, []string) error {
 			values, err := settings.Load(file, nil)
 			if err != nil {
@@ -71,7 +71,7 @@
 			return a.printSettings(views)
 		},
 	}
-	command.Flags().StringVar(&file, "config", "", "a settings file whose values to list")
+	command.Flags().StringVar(&file, "config", "", "settings file to take the values from")
 	addOutputFlag(command, &format, formatTable, formatTable, formatJSON)
 	return command
 }
@@ -95,7 +95,7 @@
 func (a *App) printSettings(views []settingView) error {
 	rows := a.newTable("SETTING", "TYPE", "VALUE", "FROM", "RUN TIME", "HELP")
 	for _, view := range views {
-		rows.row(view.Name, view.Type, view.Value, view.Source, yesOrNo(view.Runtime), view.Help)
+		rows.addRow(view.Name, view.Type, view.Value, view.Source, yesOrNo(view.Runtime), view.Help)
 	}
 	return rows.print()
 }
--- a/internal/cli/sheet.go
+++ b/internal/cli/sheet.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// sheetState is the sheet as it is read back, with its versions.
+// sheetState is the sheet as read from a majority of the cores, with its versions.
 type sheetState struct {
 	Version      uint64            `json:"epoch"`
 	SheetVersion uint64            `json:"sheet_epoch"`
@@ -23,8 +23,8 @@
 	Evacuated    map[string]uint64 `json:"evacuated,omitempty"`
 }
 
-// sheet reads the sheet from a majority of the cores.
-func (c *fleetClient) sheet(ctx context.Context) (*sheetState, error) {
+// fetchSheet reads the sheet from a majority of the cores.
+func (c *fleetClient) fetchSheet(ctx context.Context) (*sheetState, error) {
 	var state sheetState
 	if _, err := c.get(ctx, controlPath+"sheet", &state); err != nil {
 		return nil, err
@@ -37,11 +37,11 @@
 	command := &cobra.Command{
 		Use:   "sheet",
 		Short: "Read and change the sheet: weights, tenants, services, run-time settings",
-		Long: `The sheet holds the weights per service and region, the allowances and key
-hashes per tenant, the services, and the settings that may change while the
-fleet runs. Each change is an order: it names the sheet epoch that it builds on,
-and of two orders on the same one only the first wins. An order that is
-acknowledged is in force on every node.`,
+		Long: `The sheet contains the weights per service and region, the rate limits and key
+hashes per tenant, the services, and the settings that can change at run time.
+Each change is an order that names the sheet epoch it is based on. Of several
+orders with the same base, only the first is accepted. An acknowledged order is
+in force on every node.`,
 		Example: `  stepwick sheet get
   stepwick sheet patch --set weights.chat.lagos=30 --set weights.chat.abeokuta=70
   stepwick sheet export sheet.csv
@@ -57,14 +57,14 @@
 	var format string
 	command := &cobra.Command{
 		Use:   "get",
-		Short: "Read the sheet back from a majority of the cores",
-		Long: `Read the sheet back from a majority of the cores. The JSON form carries the sheet
-epoch, so that an edited copy given to "sheet put" builds on just that sheet.`,
+		Short: "Read the sheet from a majority of the cores",
+		Long: `Read the sheet from a majority of the cores. The JSON output includes the sheet
+epoch, which "sheet put" uses as the base of an edited copy.`,
 		Example:           "  stepwick sheet get > sheet.json\n  stepwick sheet get -o table",
 		Args:              cobra.NoArgs,
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, _ []string) error {
-			state, err := client.sheet(command.Context())
+			state, err := client.fetchSheet(command.Context())
 			if err != nil {
 				return err
 			}
@@ -86,14 +86,14 @@
 		a.printf("sheet epoch %d\n", state.SheetVersion)
 		cells := a.newTable("CELL", "VALUE")
 		for _, cell := range state.Sheet.Cells() {
-			cells.row(cell.Path, cell.Value)
+			cells.addRow(cell.Path, cell.Value)
 		}
 		return cells.print()
 	}
-	return errors.Errorf("no output %q: json, csv or table", format)
+	return errors.Errorf("unknown output format %q, expected json, csv or table", format)
 }
 
-// readFile reads a file, or the standard input for "-".
+// readFile reads a file, or standard input if name is "-".
 func (a *App) readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(a.In)
@@ -101,10 +101,10 @@
 	return os.ReadFile(name)
 }
 
-// readSheet reads a sheet from a file: CSV, or JSON with the versions around it
-// as "sheet get" writes, or JSON of the sheet alone. base is zero where the
-// file names none.
-func (a *App) readSheet(name string) (document *sheet.Sheet, base uint64, err error) {
+// readSheetFile reads a sheet from a file. The format is CSV, JSON with versions as
+// written by "sheet get", or JSON of the sheet alone. base is the sheet version in
+// the file, or zero if it has none.
+func (a *App) readSheetFile(name string) (document *sheet.Sheet, base uint64, err error) {
 	data, err := a.readFile(name)
 	if err != nil {
 		return nil, 0, err
@@ -125,14 +125,15 @@
 	return parsed, 0, asError(apiErr)
 }
 
-// isCSV reports whether a file has a sheet as CSV, by its name or its header.
+// isCSV reports whether a file contains a sheet as CSV, according to its name or its
+// header.
 func isCSV(name string, data []byte) bool {
 	const byteOrderMark = "\ufeff"
 	return strings.HasSuffix(name, ".csv") || bytes.HasPrefix(bytes.TrimPrefix(data, []byte(byteOrderMark)), []byte("cell,value"))
 }
 
-// asError returns an error that is nil if apiErr is: a nil pointer in an error
-// would not be.
+// asError converts apiErr to an error that is nil if apiErr is nil. An error interface
+// with a nil pointer would not equal nil.
 func asError(apiErr *apierror.Error) error {
 	if apiErr == nil {
 		return nil
--- a/internal/cli/sheet_files.go
+++ b/internal/cli/sheet_files.go
@@ -12,24 +12,25 @@
 	"github.com/spf13/cobra"
 )
 
-// sheetFileMode lets only the owner read a sheet, which has key hashes.
+// sheetFileMode is the mode of exported sheets: only the owner may read them, as they
+// contain key hashes.
 const sheetFileMode = 0o600
 
 func (a *App) sheetDiffCommand(client *fleetClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FILE [FILE]",
-		Short: "Show what a file would change in the sheet, or between two files",
+		Short: "Compare a file with the current sheet, or two files",
 		Example: `  stepwick sheet diff sheet.json
   stepwick sheet diff yesterday.json sheet.csv`,
 		Args: cobra.RangeArgs(1, 2),
 		RunE: func(command *cobra.Command, args []string) error {
-			to, _, err := a.readSheet(args[len(args)-1])
+			to, _, err := a.readSheetFile(args[len(args)-1])
 			if err != nil {
 				return err
 			}
 			var from *sheet.Sheet
 			if len(args) == 2 {
-				from, _, err = a.readSheet(args[0])
+				from, _, err = a.readSheetFile(args[0])
 			} else {
 				from, err = client.currentSheet(command.Context())
 			}
@@ -42,9 +43,9 @@
 	}
 }
 
-// currentSheet returns the sheet that is in force.
+// currentSheet returns the newest sheet, without its versions.
 func (c *fleetClient) currentSheet(ctx context.Context) (*sheet.Sheet, error) {
-	state, err := c.sheet(ctx)
+	state, err := c.fetchSheet(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +55,7 @@
 func (a *App) printDiff(from, to *sheet.Sheet) {
 	lines := sheet.Diff(from, to)
 	if len(lines) == 0 {
-		a.println("nothing changes")
+		a.println("no changes")
 	}
 	for _, line := range lines {
 		a.println(line)
@@ -64,11 +65,11 @@
 func (a *App) sheetExportCommand(client *fleetClient) *cobra.Command {
 	return &cobra.Command{
 		Use:     "export FILE",
-		Short:   "Write the sheet to a file for a spreadsheet (.csv) or as JSON (.json)",
+		Short:   "Write the sheet to a file, as CSV for a spreadsheet (.csv) or as JSON (.json)",
 		Example: "  stepwick sheet export sheet.csv",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			state, err := client.sheet(command.Context())
+			state, err := client.fetchSheet(command.Context())
 			if err != nil {
 				return err
 			}
@@ -79,13 +80,13 @@
 			if err := os.WriteFile(args[0], data, sheetFileMode); err != nil {
 				return err
 			}
-			a.printf("%s holds the sheet of epoch %d\n", args[0], state.SheetVersion)
+			a.printf("wrote %s: sheet epoch %d\n", args[0], state.SheetVersion)
 			return nil
 		},
 	}
 }
 
-// encodeFor returns the sheet in the form that a file's extension selects.
+// encodeFor encodes the sheet in the format that the extension of a file selects.
 func (s *sheetState) encodeFor(file string) ([]byte, error) {
 	switch {
 	case strings.HasSuffix(file, ".csv"):
@@ -97,17 +98,17 @@
 		}
 		return append(data, '\n'), nil
 	}
-	return nil, errors.Errorf("%s: the name must end in .csv or .json", file)
+	return nil, errors.Errorf("%s: the file name must end in .csv or .json", file)
 }
 
 func (a *App) sheetImportCommand(client *fleetClient) *cobra.Command {
 	flags := &orderFlags{}
 	command := &cobra.Command{
 		Use:   "import FILE",
-		Short: "Replace the sheet by one that a spreadsheet wrote",
-		Long: `Replace the sheet by a file's, as "sheet put" does. A CSV file names no sheet epoch:
-give --base with the epoch that "sheet export" told, so that an order that won
-meanwhile isn't undone.`,
+		Short: "Replace the sheet with one exported from a spreadsheet",
+		Long: `Replace the sheet with the contents of a file, as "sheet put" does. A CSV file does
+not contain the sheet epoch. Set --base to the epoch that "sheet export" printed, so
+that the import does not undo an order that was accepted in the meantime.`,
 		Example: "  stepwick sheet import sheet.csv --base 17",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
--- a/internal/cli/sheet_history.go
+++ b/internal/cli/sheet_history.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
-// orderHistory is the response to a call for the accepted orders.
+// orderHistory is the body of a response that lists the accepted orders.
 type orderHistory struct {
 	Orders []statemachine.Record `json:"history"`
 }
@@ -16,10 +16,10 @@
 	var limit int
 	command := &cobra.Command{
 		Use:               "history",
-		Short:             "List the last orders: epoch, time, operator, what they did",
+		Short:             "List the last orders: epoch, time, operator, summary",
 		Example:           "  stepwick sheet history\n  stepwick sheet history --limit 5 -o json",
 		Args:              cobra.NoArgs,
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, _ []string) error {
 			var history orderHistory
 			body, err := client.get(command.Context(), controlPath+"history", &history)
@@ -38,7 +38,7 @@
 			return a.printHistory(history.Orders)
 		},
 	}
-	command.Flags().IntVar(&limit, "limit", 0, "only the last so many; 0 for all that are kept")
+	command.Flags().IntVar(&limit, "limit", 0, "list only this many of the newest orders; 0 for all that are kept")
 	addOutputFlag(command, &format, formatTable, formatTable, formatJSON)
 	return command
 }
@@ -46,7 +46,7 @@
 func (a *App) printHistory(orders []statemachine.Record) error {
 	rows := a.newTable("EPOCH", "TIME", "OPERATOR", "ORDER", "WHAT", "ORDER ID")
 	for _, order := range orders {
-		rows.row(order.Version, formatTimestamp(order.ReceivedAtMS), order.Operator, order.Verb, order.Summary, order.OrderID)
+		rows.addRow(order.Version, formatTimestamp(order.ReceivedAtMS), order.Operator, order.Verb, order.Summary, order.OrderID)
 	}
 	return rows.print()
 }
--- a/internal/cli/sheet_patch.go
+++ b/internal/cli/sheet_patch.go
@@ -20,15 +20,15 @@
 	command := &cobra.Command{
 		Use:   "patch",
 		Short: "Change cells of the sheet",
-		Long: `Change cells of the sheet, like those of a spreadsheet. Cells are
+		Long: `Change cells of the sheet. Cells are
 
   services.NAME.kind, services.NAME.plain_tokens
   weights.SERVICE.REGION
-  tenants.NAME.rate, .burst, .home, .keys; .keys+=HASH adds a key, .keys-=HASH takes it away
+  tenants.NAME.rate, .burst, .home, .keys; .keys+=HASH adds a key, .keys-=HASH removes it
   settings.NAME
 
-and services.NAME, weights.SERVICE or tenants.NAME sets a whole row, as JSON.
-What changes is shown first.`,
+A path services.NAME, weights.SERVICE or tenants.NAME sets a whole row, as JSON.
+The difference is shown before the order is sent.`,
 		Example: `  stepwick sheet patch --set weights.chat.lagos=30 --set weights.chat.abeokuta=70
   stepwick sheet patch --set tenants.press.rate=1200
   stepwick sheet patch --set 'tenants.radio={"rate":200,"burst":1000,"keys":[]}'
@@ -36,7 +36,7 @@
   stepwick sheet patch --delete tenants.trial
   stepwick sheet patch --set settings.route.pending=512`,
 		Args:              cobra.NoArgs,
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, _ []string) error {
 			changes, err := parseChanges(sets, deletes)
 			if err != nil {
@@ -45,14 +45,14 @@
 			return a.patchSheet(command, client, flags, changes)
 		},
 	}
-	command.Flags().StringArrayVar(&sets, "set", nil, "a change CELL=VALUE; may be given several times")
-	command.Flags().StringArrayVar(&deletes, "delete", nil, "a cell or row to delete; may be given several times")
+	command.Flags().StringArrayVar(&sets, "set", nil, "a change, as CELL=VALUE; can be repeated")
+	command.Flags().StringArrayVar(&deletes, "delete", nil, "a cell or row to delete; can be repeated")
 	flags.registerForSheet(command.Flags())
 	return command
 }
 
-// parseChanges returns the changes of the flags --set and --delete, or an error
-// with all that is wrong with them.
+// parseChanges parses the values of the flags --set and --delete. The error lists all
+// problems.
 func parseChanges(sets, deletes []string) ([]sheet.Change, error) {
 	var changes []sheet.Change
 	var problems []string
@@ -73,13 +73,12 @@
 		return nil, apierror.Errorf(apierror.InvalidChange, "%s", strings.Join(problems, "\n"))
 	}
 	if len(changes) == 0 {
-		return nil, errors.New("no change given: --set CELL=VALUE or --delete CELL")
+		return nil, errors.New("no changes: give --set CELL=VALUE or --delete CELL")
 	}
 	return changes, nil
 }
 
-// checkSettingChange checks the value of a change that concerns a run-time
-// setting.
+// checkSettingChange validates the value if the change sets a run-time setting.
 func checkSettingChange(change sheet.Change) *apierror.Error {
 	name, isSetting := strings.CutPrefix(change.Path, "settings.")
 	if !isSetting {
@@ -95,12 +94,12 @@
 	return nil
 }
 
-// patchSheet changes cells of the sheet. It shows the difference first where
-// the changes build on the newest sheet.
+// patchSheet sends an order that changes cells of the sheet. If the changes are based
+// on the newest sheet, it shows the difference first.
 func (a *App) patchSheet(command *cobra.Command, client *fleetClient, flags *orderFlags, changes []sheet.Change) error {
 	baseGiven := command.Flags().Changed("base")
 	if !flags.quiet || flags.dryRun || !baseGiven {
-		current, err := client.sheet(command.Context())
+		current, err := client.fetchSheet(command.Context())
 		if err != nil {
 			return err
 		}
@@ -122,8 +121,8 @@
 	return a.submitOrder(command, client, flags, http.MethodPatch, "sheet", body)
 }
 
-// previewPatch applies the changes to a copy of the sheet, if it is their base,
-// and shows the difference.
+// previewPatch applies the changes to a copy of the current sheet and shows the
+// difference. It does nothing if the changes have another base.
 func (a *App) previewPatch(current *sheetState, flags *orderFlags, changes []sheet.Change) error {
 	if flags.base != current.SheetVersion {
 		return nil
--- a/internal/cli/sheet_put.go
+++ b/internal/cli/sheet_put.go
@@ -13,9 +13,10 @@
 	command := &cobra.Command{
 		Use:   "put FILE",
 		Short: "Replace the whole sheet",
-		Long: `Replace the whole sheet by a file's: JSON or CSV, "-" for the standard input. What
-changes is shown first. A file written by "sheet get" names the sheet epoch that
-it was read at: if another order has won since, this one is refused.`,
+		Long: `Replace the whole sheet with the contents of a file, in JSON or CSV; "-" is standard
+input. The difference is shown before the order is sent. A file written by "sheet
+get" contains the sheet epoch at which it was read: if another order has changed
+the sheet since, this one is rejected.`,
 		Example: "  stepwick sheet put sheet.json\n  stepwick sheet put sheet.json --dry-run",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -26,14 +27,15 @@
 	return command
 }
 
-// putSheet replaces the sheet by that of a file, after it showed the difference.
-// The base is that of the flag, or the file's, or the newest.
+// putSheet shows the difference and sends an order that replaces the sheet with the
+// contents of a file. The base is the value of the flag --base, else the version in
+// the file, else the newest version.
 func (a *App) putSheet(command *cobra.Command, client *fleetClient, flags *orderFlags, file string) error {
-	replacement, base, err := a.readSheet(file)
+	replacement, base, err := a.readSheetFile(file)
 	if err != nil {
 		return err
 	}
-	current, err := client.sheet(command.Context())
+	current, err := client.fetchSheet(command.Context())
 	if err != nil {
 		return err
 	}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -13,26 +13,27 @@
 	"github.com/spf13/cobra"
 )
 
-// standingVoting is the standing of a core that takes part in ballots.
+// standingVoting is the standing of a core that votes in ballots.
 const standingVoting = "voting"
 
-// statusReport is the fleet as a core sees it, and the called node as it sees
-// itself. Fleet is nil where no core answered; Fault is then the reason.
+// statusReport is the status of the fleet as one core reports it, and the status of
+// the queried node. If no core answered, Fleet is nil and FleetError is the reason.
 type statusReport struct {
-	Fleet *fleetStatus        `json:"fleet"`
-	Fault *apierror.ErrorBody `json:"fleet_fault"`
-	Node  *nodeStatus         `json:"node"`
-	// Tenants are those that the called node serves, of another call.
+	Fleet      *fleetStatus        `json:"fleet"`
+	FleetError *apierror.ErrorBody `json:"fleet_fault"`
+	Node       *nodeStatus         `json:"node"`
+	// Tenants is the usage of the tenants that the queried node serves. It is the
+	// result of a separate call.
 	Tenants []tenantUsage `json:"-"`
 }
 
-// fleetStatus is the fleet as one core sees it.
+// fleetStatus is the status of the fleet as one core reports it.
 type fleetStatus struct {
-	By              string                           `json:"by"`
+	ReportedBy      string                           `json:"by"`
 	Version         uint64                           `json:"epoch"`
 	SheetVersion    uint64                           `json:"sheet_epoch"`
 	InForce         bool                             `json:"in_force"`
-	Waiting         string                           `json:"waiting"`
+	Missing         string                           `json:"waiting"`
 	Confirmed       int                              `json:"confirmed"`
 	Roster          int                              `json:"roster"`
 	RosterVersion   uint64                           `json:"roster_epoch"`
@@ -52,7 +53,8 @@
 	Leases         int    `json:"leases"`
 }
 
-// isVoting reports whether the core votes and knows the fleet's version.
+// isVoting reports whether the core answered, votes and has learned all versions up
+// to version.
 func (c coreStatus) isVoting(version uint64) bool {
 	return c.Answered && c.Standing == standingVoting && c.LearnedVersion >= version
 }
@@ -75,7 +77,7 @@
 	RefusesConnections bool   `json:"gone"`
 }
 
-// role returns the member's roles in one word.
+// role returns the role of the member as it is printed.
 func (m memberStatus) role() string {
 	switch {
 	case m.Core && m.Front:
@@ -86,29 +88,29 @@
 	return "front"
 }
 
-// nodeStatus is the called node as it sees itself and its peers.
+// nodeStatus is the status of the queried node and its view of its peers.
 type nodeStatus struct {
-	Name         string            `json:"name"`
-	Zone         string            `json:"locality"`
-	Role         string            `json:"role"`
-	Version      uint64            `json:"epoch"`
-	Ready        bool              `json:"ready"`
-	Cause        string            `json:"cause"` // why it isn't ready
-	HasAuthority bool              `json:"ruling"`
-	AuthorityBy  string            `json:"by"` // lease or roster
-	Plan         uint64            `json:"plan"`
-	PlanTerm     uint64            `json:"plan_term"`
-	Servers      map[string]string `json:"servers"` // the state of each server
-	Processes    []processStatus   `json:"processes"`
+	Name            string            `json:"name"`
+	Zone            string            `json:"locality"`
+	Role            string            `json:"role"`
+	Version         uint64            `json:"epoch"`
+	Ready           bool              `json:"ready"`
+	Cause           string            `json:"cause"` // why the node is not ready
+	HasAuthority    bool              `json:"ruling"`
+	AuthoritySource string            `json:"by"` // "lease" or "roster"
+	Plan            uint64            `json:"plan"`
+	PlanTerm        uint64            `json:"plan_term"`
+	Servers         map[string]string `json:"servers"` // the state of each server
+	Processes       []processStatus   `json:"processes"`
 }
 
 type processStatus struct {
-	Name     string `json:"name"`
-	Zone     string `json:"locality"`
-	Caller   string `json:"caller"`
-	Core     bool   `json:"core"`
-	Standing string `json:"standing"`
-	Ready    bool   `json:"ready"`
+	Name          string `json:"name"`
+	Zone          string `json:"locality"`
+	CallerAddress string `json:"caller"`
+	Core          bool   `json:"core"`
+	Standing      string `json:"standing"`
+	Ready         bool   `json:"ready"`
 }
 
 func (a *App) statusCommand() *cobra.Command {
@@ -118,29 +120,30 @@
 	command := &cobra.Command{
 		Use:   "status",
 		Short: "Show nodes, epochs, leases, roster, servers, plan, evacuations and tenants",
-		Long: `Show the fleet as one core sees it (cores, roster, leases, epochs, duties,
-evacuations, plan) and as the asked node sees it (processes, servers, whether it
-rules, the spend of the tenants that it serves). It is no read-back: use "sheet
-get" for that.
+		Long: `Show the status of the fleet as reported by one core (cores, roster, leases, epochs,
+roles, evacuations, plan) and by the queried node (processes, servers, authority to
+serve requests, usage of the tenants that it serves). The status is not confirmed
+by a majority of the cores; "sheet get" is.
 
-With --wait it asks again until the newest epoch is in force, there is a plan,
-every core votes, and every member of the roster has its lease and is ready. If
-that isn't so by then, it prints what it saw and ends with the exit code for "try
-later".`,
+With --wait, the command polls until the newest epoch is in force, there is a plan,
+every core votes, and every member of the roster has a lease and is ready. If the
+time runs out first, it prints the last status and exits with code 4 (try again
+later).`,
 		Example:           "  stepwick status\n  stepwick status --wait 30s\n  stepwick status --node 10.0.0.2:8080 -o json",
 		Args:              cobra.NoArgs,
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return a.showStatus(command.Context(), client, format, wait)
 		},
 	}
 	client.register(command.Flags())
-	command.Flags().DurationVar(&wait, "wait", 0, "wait so long for all of the fleet to be ready")
+	command.Flags().DurationVar(&wait, "wait", 0, "how long to wait for the whole fleet to be ready")
 	addOutputFlag(command, &format, formatTable, formatTable, formatJSON)
 	return command
 }
 
-// showStatus prints the status once the fleet is ready, or the wait is over.
+// showStatus prints the status once the fleet is ready or wait has passed. In the
+// latter case it returns an error with the code NotRuling.
 func (a *App) showStatus(ctx context.Context, client *fleetClient, format string, wait time.Duration) error {
 	report, body, err := a.waitForReadiness(ctx, client, wait)
 	if err != nil {
@@ -148,7 +151,7 @@
 	}
 	tenants, err := client.get(ctx, tallyPath(""), &report.Tenants)
 	if err != nil {
-		tenants = nil // the status is worth printing without them
+		tenants = nil // optional: the status is printed without the tenants
 	}
 	if format == formatJSON {
 		err = a.printStatusJSON(body, tenants)
@@ -159,13 +162,13 @@
 		return err
 	}
 	if notReady := report.notReadyReason(); wait > 0 && notReady != "" {
-		return apierror.Errorf(apierror.NotRuling, "after %s: %s", wait, notReady)
+		return apierror.Errorf(apierror.NotRuling, "the fleet is not ready after %s: %s", wait, notReady)
 	}
 	return nil
 }
 
-// waitForReadiness calls for the status until the fleet is ready or the wait is
-// over, and returns the last report with its body.
+// waitForReadiness polls the status until the fleet is ready or wait has passed. It
+// returns the last report and its JSON body.
 func (a *App) waitForReadiness(ctx context.Context, client *fleetClient, wait time.Duration) (*statusReport, []byte, error) {
 	deadline := a.Clock.Now().Add(wait)
 	for {
@@ -183,14 +186,13 @@
 	}
 }
 
-// notReadyReason returns what keeps the fleet from being ready; empty if nothing
-// does.
+// notReadyReason returns why the fleet is not ready, or "" if it is ready.
 func (s *statusReport) notReadyReason() string {
 	switch {
 	case s.Fleet == nil || s.Node == nil:
-		return "no core answers"
+		return "no core answered"
 	case !s.Fleet.InForce:
-		return fmt.Sprintf("epoch %d is not in force: %s", s.Fleet.Version, s.Fleet.Waiting)
+		return fmt.Sprintf("epoch %d is not in force: %s", s.Fleet.Version, s.Fleet.Missing)
 	case s.Fleet.Plan == nil:
 		return "there is no plan yet"
 	case !s.Fleet.RosterCommitted || len(s.Fleet.Members) == 0:
@@ -198,14 +200,14 @@
 	}
 	for _, core := range s.Fleet.Cores {
 		if !core.isVoting(s.Fleet.Version) {
-			return fmt.Sprintf("core %s is %s and has learned epoch %d", core.Name, core.Standing, core.LearnedVersion)
+			return fmt.Sprintf("core %s is %s at epoch %d, expected %s at epoch %d", core.Name, core.Standing, core.LearnedVersion, standingVoting, s.Fleet.Version)
 		}
 	}
 	return s.memberNotReady()
 }
 
-// memberNotReady names a member that isn't ready, or a process that is but is
-// no member; empty if there is none.
+// memberNotReady returns a description of a member that is not ready, or of a ready
+// process that is not a member yet. It returns "" if there is neither.
 func (s *statusReport) memberNotReady() string {
 	ready := make(map[string]bool)
 	for _, process := range s.Node.Processes {
@@ -231,7 +233,8 @@
 	return slices.ContainsFunc(f.Members, func(member memberStatus) bool { return member.Name == name })
 }
 
-// zones returns the zones of all processes and members, unsorted.
+// zones returns the zones of all processes and members, unsorted and with
+// duplicates.
 func (s *statusReport) zones() []string {
 	var zones []string
 	for _, process := range s.Node.Processes {
@@ -245,11 +248,12 @@
 	return zones
 }
 
-// printStatusJSON prints the status as the node sent it, with the tenants.
+// printStatusJSON prints the status as received from the node, with the tenants
+// added.
 func (a *App) printStatusJSON(body, tenants []byte) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return apierror.Errorf(apierror.BadAnswer, "%v", err)
+		return apierror.Errorf(apierror.BadAnswer, "decode status: %v", err)
 	}
 	if len(tenants) > 0 {
 		fields["tenants"] = tenants
--- a/internal/cli/status_print.go
+++ b/internal/cli/status_print.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// maxTenantsShown bounds the tenants in the status; "stepwick tally" has all.
+// maxTenantsShown is the maximum number of tenants in the status; "stepwick tally"
+// shows all.
 const maxTenantsShown = 20
 
 func (a *App) printStatus(report *statusReport) error {
@@ -15,8 +16,8 @@
 		if err := a.printFleet(report.Fleet, report.Node); err != nil {
 			return err
 		}
-	} else if report.Fault != nil {
-		a.printf("no core answered: %s (%d): %s\n\n", report.Fault.Name, report.Fault.Code, report.Fault.Detail)
+	} else if report.FleetError != nil {
+		a.printf("no core answered: %s (%d): %s\n\n", report.FleetError.Name, report.FleetError.Code, report.FleetError.Detail)
 	}
 	if report.Node == nil {
 		return nil
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// printFleet prints the fleet as a core sees it. Whether a member is ready is
-// known from the called node, which may be nil.
+// printFleet prints the status of the fleet as a core reports it. Whether a member is
+// ready is taken from node, which may be nil.
 func (a *App) printFleet(fleet *fleetStatus, node *nodeStatus) error {
 	a.printAgreement(fleet)
 	a.println()
@@ -63,21 +64,22 @@
 	return nil
 }
 
-// printAgreement prints what the cores agreed on, and whether it is in force.
+// printAgreement prints the state that the cores have agreed on, and whether it is in
+// force.
 func (a *App) printAgreement(fleet *fleetStatus) {
 	inForce := "in force"
 	if !fleet.InForce {
-		inForce = fmt.Sprintf("not known to be in force (%s)", fleet.Waiting)
+		inForce = fmt.Sprintf("not known to be in force (%s)", fleet.Missing)
 	}
-	a.printf("epoch %d %s, confirmed by %d of %d; sheet epoch %d; as core %s sees it\n",
-		fleet.Version, inForce, fleet.Confirmed, fleet.Roster, fleet.SheetVersion, fleet.By)
-	rosterState := "settled"
+	a.printf("epoch %d %s, confirmed by %d of %d; sheet epoch %d; reported by core %s\n",
+		fleet.Version, inForce, fleet.Confirmed, fleet.Roster, fleet.SheetVersion, fleet.ReportedBy)
+	rosterState := "committed"
 	if !fleet.RosterCommitted {
 		rosterState = "changing"
 	}
 	a.printf("roster of epoch %d: %d members, %s\n", fleet.RosterVersion, fleet.Roster, rosterState)
 	for _, role := range slices.Sorted(maps.Keys(fleet.Roles)) {
-		a.printf("duty %s: %s, term %d\n", role, fleet.Roles[role].Holder, fleet.Roles[role].Term)
+		a.printf("role %s: %s, term %d\n", role, fleet.Roles[role].Holder, fleet.Roles[role].Term)
 	}
 	if plan := fleet.Plan; plan != nil {
 		a.printf("plan %d of term %d by %s, for epoch %d; cause: %s\n", plan.Number, plan.Term, plan.Holder, plan.Version, plan.Cause)
@@ -92,7 +94,7 @@
 func (a *App) printCores(cores []coreStatus) error {
 	rows := a.newTable("CORE", "STANDING", "ANSWERS", "LEARNED", "LEASES")
 	for _, core := range cores {
-		rows.row(core.Name, core.Standing, yesOrNo(core.Answered), core.LearnedVersion, core.Leases)
+		rows.addRow(core.Name, core.Standing, yesOrNo(core.Answered), core.LearnedVersion, core.Leases)
 	}
 	return rows.print()
 }
@@ -110,22 +112,22 @@
 		if member.RefusesConnections {
 			memberReady = yesOrNo(false)
 		}
-		rows.row(member.Name, member.Zone, member.role(), yesOrNo(member.HasLease), yesOrNo(member.Confirmed),
+		rows.addRow(member.Name, member.Zone, member.role(), yesOrNo(member.HasLease), yesOrNo(member.Confirmed),
 			memberReady, yesOrNo(member.RefusesConnections))
 	}
 	return rows.print()
 }
 
 func (a *App) printNode(node *nodeStatus) {
-	authority := "does not rule"
+	authority := "has no authority"
 	if node.HasAuthority {
-		authority = "rules by " + node.AuthorityBy
+		authority = "has authority by " + node.AuthoritySource
 	}
 	ready := "ready"
 	if !node.Ready {
 		ready = "not ready (" + node.Cause + ")"
 	}
-	a.printf("asked node %s in %s (%s): epoch %d, plan %d of term %d, %s, %s\n",
+	a.printf("queried node %s in %s (%s): epoch %d, plan %d of term %d, %s, %s\n",
 		node.Name, node.Zone, node.Role, node.Version, node.Plan, node.PlanTerm, authority, ready)
 }
 
@@ -133,12 +135,12 @@
 	a.println()
 	rows := a.newTable("PROCESS", "LOCALITY", "CORE", "STANDING", "READY", "CALLER ADDRESS")
 	for _, process := range processes {
-		rows.row(process.Name, process.Zone, yesOrNo(process.Core), process.Standing, yesOrNo(process.Ready), process.Caller)
+		rows.addRow(process.Name, process.Zone, yesOrNo(process.Core), process.Standing, yesOrNo(process.Ready), process.CallerAddress)
 	}
 	return rows.print()
 }
 
-// printServers prints the servers by state.
+// printServers prints the names of the servers, grouped by state.
 func (a *App) printServers(servers map[string]string) error {
 	namesByState := make(map[string][]string)
 	for name, state := range servers {
@@ -149,7 +151,7 @@
 	for _, state := range slices.Sorted(maps.Keys(namesByState)) {
 		names := namesByState[state]
 		slices.Sort(names)
-		rows.row(state, len(names), strings.Join(names, " "))
+		rows.addRow(state, len(names), strings.Join(names, " "))
 	}
 	return rows.print()
 }
--- a/internal/cli/tally.go
+++ b/internal/cli/tally.go
@@ -12,21 +12,22 @@
 	"github.com/spf13/cobra"
 )
 
-// tenantUsage is what a front knows of one tenant's usage, in tokens a window.
+// tenantUsage is a front's view of one tenant's usage, in tokens per window.
 type tenantUsage struct {
 	Tenant string  `json:"Tenant"`
 	Limit  float64 `json:"Limit"`
-	// Blend is the sliding-window estimate that admission compares to the limit.
-	Blend float64 `json:"Blend"`
-	// Recent is the usage of all nodes in the last window, Own this node's.
-	Recent float64 `json:"Recent"`
-	Own    float64 `json:"Own"`
-	Share  float64 `json:"Share"`
-	Marked bool    `json:"Marked"`
-	// Holder is the node that counts the tenant's usage; Age is how old its last
-	// answer is, in nanoseconds, negative where it never answered.
-	Holder string        `json:"Holder"`
-	Age    time.Duration `json:"Age"`
+	// Estimate is the sliding-window estimate that admission compares with Limit.
+	Estimate float64 `json:"Blend"`
+	// Recent is the usage at all nodes during the last window, Own the part of this
+	// node.
+	Recent    float64 `json:"Recent"`
+	Own       float64 `json:"Own"`
+	Share     float64 `json:"Share"`
+	OverLimit bool    `json:"Marked"`
+	// Owner is the node that counts the tenant's usage. Age is the time since the
+	// totals were requested from it, in nanoseconds, or negative if it never answered.
+	Owner string        `json:"Holder"`
+	Age   time.Duration `json:"Age"`
 }
 
 func (a *App) tallyCommand() *cobra.Command {
@@ -34,15 +35,16 @@
 	var format string
 	command := &cobra.Command{
 		Use:   "tally [TENANT]",
-		Short: "Show what the asked node knows of the tenants' spend",
-		Long: `Show what the asked node knows of the tenants' spend over all regions: the limit of
-a window, the blend that decides, the spend of the last window's span (all, and
-this node's own), whether the tenant is marked, and the node that holds the
-count with the age of what it last told. A tenant idle for two windows isn't
-shown.`,
+		Short: "Show the queried node's view of the tenants' usage",
+		Long: `Show the queried node's view of the tenants' usage in all regions: the limit per
+window, the sliding-window estimate that admission uses (BLEND), the usage during
+the last window (LAST SPAN) and this node's part of it (OWN), this node's share of
+the remaining capacity (SHARE), whether the tenant is over its limit (MARKED), and
+the node that counts the usage (HOLDER) with the age of its last report. Tenants
+that were idle for two windows are not shown.`,
 		Example:           "  stepwick tally\n  stepwick tally press --node 10.0.0.2:8080",
 		Args:              cobra.MaximumNArgs(1),
-		ValidArgsFunction: noArgs,
+		ValidArgsFunction: completeNothing,
 		RunE: func(command *cobra.Command, args []string) error {
 			tenant := ""
 			if len(args) == 1 {
@@ -57,7 +59,7 @@
 			}
 			var usages []tenantUsage
 			if err := json.Unmarshal(body, &usages); err != nil {
-				return apierror.Errorf(apierror.BadAnswer, "%v", err)
+				return apierror.Errorf(apierror.BadAnswer, "decode tenant usage: %v", err)
 			}
 			if tenant != "" {
 				usages = slices.DeleteFunc(usages, func(usage tenantUsage) bool { return usage.Tenant != tenant })
@@ -70,8 +72,8 @@
 	return command
 }
 
-// tallyPath returns the path of the call for one tenant's usage, or for that of
-// all tenants if the name is empty.
+// tallyPath returns the request path for the usage of one tenant, or of all tenants
+// if tenant is empty.
 func tallyPath(tenant string) string {
 	path := controlPath + "tally"
 	if tenant == "" {
@@ -87,8 +89,8 @@
 		if usage.Age >= 0 {
 			age = usage.Age.Round(time.Millisecond).String()
 		}
-		rows.row(usage.Tenant, formatTokens(usage.Limit), formatTokens(usage.Blend), formatTokens(usage.Recent),
-			formatTokens(usage.Own), formatTokens(usage.Share), yesOrNo(usage.Marked), usage.Holder, age)
+		rows.addRow(usage.Tenant, formatTokens(usage.Limit), formatTokens(usage.Estimate), formatTokens(usage.Recent),
+			formatTokens(usage.Own), formatTokens(usage.Share), yesOrNo(usage.OverLimit), usage.Owner, age)
 	}
 	return rows.print()
 }
