--- a/cmd/rig/checker/attempts.go
+++ b/cmd/rig/checker/attempts.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	return attempt.Code < firstServerCode ||
-		attempt.Code == int(apierror.NotRun) ||
+		attempt.Code == int(apierror.NotExecuted) ||
 		attempt.RetryAdvice == string(apierror.RetryLater)
 }
 
--- a/cmd/rig/checker/checker_test.go
+++ b/cmd/rig/checker/checker_test.go
@@ -29,7 +29,7 @@
 	recording.Orders = []history.Order{
 		{ID: "o1", Verb: "put", Base: 0, Answered: 2 * second, Status: 200, Version: 3, SheetMarker: "1"},
 		{ID: "o2", Verb: "patch", Base: 3, Sent: 10 * second, Answered: 10 * second, Status: 200, Version: 4, SheetMarker: "2"},
-		{ID: "o3", Verb: "patch", Base: 3, Sent: 10 * second, Answered: 10 * second, Status: 409, Code: int(apierror.BaseMoved), SheetMarker: "3"},
+		{ID: "o3", Verb: "patch", Base: 3, Sent: 10 * second, Answered: 10 * second, Status: 409, Code: int(apierror.BaseConflict), SheetMarker: "3"},
 		{ID: "o4", Verb: "evacuate", Target: "lagos/a", Sent: 20 * second, Answered: 20 * second, Status: 200, Version: 5},
 	}
 	recording.KeyRotations = []history.KeyRotation{{Key: 1, Sent: second, Acknowledged: 2 * second, Version: 3}, {Key: 2, Sent: 10 * second, Acknowledged: 10 * second, Version: 4}}
@@ -37,7 +37,7 @@
 		{Front: "front1", Key: 1, Sent: 11 * second, Done: 11 * second, Status: 200},
 		{Front: "front1", Key: 2, Sent: 12 * second, Done: 12 * second, Status: 200},
 		{Front: "front1", Key: 1, Sent: 20 * second, Done: 20 * second, Status: 403, Code: int(apierror.UnknownKey)},
-		{Front: "front2", Key: 2, Sent: 20 * second, Done: 20 * second, Status: 503, Code: int(apierror.NotRuling)},
+		{Front: "front2", Key: 2, Sent: 20 * second, Done: 20 * second, Status: 503, Code: int(apierror.NoAuthority)},
 	}
 	recording.ReadBacks = []history.ReadBack{{Front: "front1", Sent: 30 * second, Status: 200, Version: 4, SheetMarker: "2"}}
 	recording.ListingChanges = []history.ListingChange{{At: 0, Server: "model1", State: "ready"}, {At: 30 * second, Server: "model1", State: "draining"}}
@@ -73,7 +73,7 @@
 			recording.Runs = append(recording.Runs, history.Run{ID: "w3", Server: "web1", Kind: "web", Token: "g2", Arrived: 3 * second, Ran: true})
 		}},
 		{"not_run", "a deadline fault that says it is safe to send again", func(recording *history.Recording) {
-			recording.Attempts[1].Outcome, recording.Attempts[1].Code, recording.Attempts[1].RetryAdvice = history.EndedByError, int(apierror.BadAnswer), "later"
+			recording.Attempts[1].Outcome, recording.Attempts[1].Code, recording.Attempts[1].RetryAdvice = history.EndedByError, int(apierror.BadResponse), "later"
 		}},
 		{"lost_request", "a call that ran and whose connection broke", func(recording *history.Recording) {
 			recording.Attempts[1].Outcome, recording.Attempts[1].BodyToken = history.ConnectionBroken, ""
@@ -89,7 +89,7 @@
 			recording.Attempts[2].Outcome, recording.Attempts[2].Code, recording.Attempts[2].Done = history.ConnectionBroken, 0, 3*second
 			recording.Attempts[2].Reused, recording.Attempts[2].Written = true, second
 			recording.Attempts = append(recording.Attempts, history.Attempt{Token: "g3", Kind: "get", Front: "front1",
-				Sent: second + lostRequestSlack, Done: 2 * second, Outcome: history.Rejected, Status: 503, Code: int(apierror.FrontLeaving)})
+				Sent: second + lostRequestSlack, Done: 2 * second, Outcome: history.Rejected, Status: 503, Code: int(apierror.FrontDraining)})
 		}},
 		{"stream", "a gap", func(recording *history.Recording) { recording.Attempts[0].Events[1].Seq = 2 }},
 		{"stream", "a gap behind renumbered frames", func(recording *history.Recording) { recording.Attempts[0].Events[1].Index = 2 }},
@@ -124,14 +124,14 @@
 			recording.Orders[2].Status, recording.Orders[2].Code, recording.Orders[2].Version = 200, 0, 6
 		}},
 		{"race", "no winner", func(recording *history.Recording) {
-			recording.Orders = append(recording.Orders, history.Order{ID: "x1", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(apierror.BaseMoved)},
-				history.Order{ID: "x2", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(apierror.BaseMoved)})
+			recording.Orders = append(recording.Orders, history.Order{ID: "x1", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(apierror.BaseConflict)},
+				history.Order{ID: "x2", Verb: "patch", Race: "race 1", Base: 9, Status: 409, Code: int(apierror.BaseConflict)})
 		}},
 		{"resent", "an order accepted twice", func(recording *history.Recording) {
 			recording.Orders = append(recording.Orders, history.Order{ID: "o2", Verb: "patch", Base: 3, Status: 200, Version: 9, SheetMarker: "2"})
 		}},
 		{"resent", "an accepted order that is refused when sent again", func(recording *history.Recording) {
-			recording.Orders = append(recording.Orders, history.Order{ID: "o2", Verb: "patch", Base: 3, Status: 409, Code: int(apierror.BaseMoved)})
+			recording.Orders = append(recording.Orders, history.Order{ID: "o2", Verb: "patch", Base: 3, Status: 409, Code: int(apierror.BaseConflict)})
 		}},
 		{"resent", "a refused order that was applied", func(recording *history.Recording) { recording.Orders[2].SheetMarker = "2" }},
 		{"revoked", "a revoked key that works", func(recording *history.Recording) {
--- a/cmd/rig/checker/orders.go
+++ b/cmd/rig/checker/orders.go
@@ -47,7 +47,7 @@
 			orders = map[string]bool{}
 			beatenByRace[order.Race] = orders
 		}
-		beaten := order.Code == int(apierror.BaseMoved) && !order.AnswerLost
+		beaten := order.Code == int(apierror.BaseConflict) && !order.AnswerLost
 		orders[order.ID] = orders[order.ID] || beaten
 	}
 	for race, orders := range beatenByRace {
--- a/cmd/rig/faultcase/soak.go
+++ b/cmd/rig/faultcase/soak.go
@@ -237,7 +237,7 @@
 		}
 		s.KeptRequests++
 		switch {
-		case attempt.Code == int(apierror.FrontLeaving):
+		case attempt.Code == int(apierror.FrontDraining):
 			s.LeavingAnswers++
 		case attempt.Outcome == history.ConnectionBroken && attempt.Status == 0:
 			s.ClosedUnread++
--- a/cmd/rig/loadgen/answer.go
+++ b/cmd/rig/loadgen/answer.go
@@ -89,7 +89,7 @@
 	switch code {
 	case 0:
 		attempt.Outcome = history.Malformed
-	case apierror.OutcomeUnknown, apierror.BadAnswer:
+	case apierror.OutcomeUnknown, apierror.BadResponse:
 		attempt.Outcome = history.EndedByError
 	default:
 		attempt.Outcome = history.Rejected
--- a/cmd/rig/loadgen/call.go
+++ b/cmd/rig/loadgen/call.go
@@ -69,7 +69,7 @@
 	case attempt.Outcome == history.TimedOut, attempt.Outcome == history.ConnectionBroken:
 		c.fronts.avoidFor(address, avoidFailed)
 		return false
-	case attempt.Code == int(apierror.NotRuling), attempt.Code == int(apierror.FrontLeaving):
+	case attempt.Code == int(apierror.NoAuthority), attempt.Code == int(apierror.FrontDraining):
 		c.fronts.avoidFor(address, avoidFailed)
 		return true
 	}
--- a/internal/adapter/backend/send_guard.go
+++ b/internal/adapter/backend/send_guard.go
@@ -34,7 +34,7 @@
 func (a *Attempt) newSendGuard() *sendGuard {
 	return &sendGuard{checkSend: func() *apierror.Error {
 		if !a.Now().Before(a.Deadline) {
-			return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed before the request was sent")
+			return apierror.Errorf(apierror.DeadlineExceeded, "the deadline passed before the request was sent")
 		}
 		if a.CheckSend != nil {
 			return a.CheckSend()
--- a/internal/adapter/clientapi/clientapi_test.go
+++ b/internal/adapter/clientapi/clientapi_test.go
@@ -82,7 +82,7 @@
 			if f.ended != nil {
 				f.ended <- err
 			}
-			return apierror.Errorf(apierror.CallerGone, "")
+			return apierror.Errorf(apierror.CallerDisconnected, "")
 		}
 	}
 	if f.panics != nil {
@@ -147,8 +147,8 @@
 	event, finalEvent := `{"id":"r1","seq":0,"text":"t"}`, `{"id":"r1","final":true,"count":1}`
 	webResponse := &Response{Server: "w1", Status: 200, Body: []byte("map"), Header: http.Header{"Content-Type": {"text/plain"}, "Etag": {"e"},
 		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "Content-Length": {"3"}, "Stepwick-Request-Id": {"r1"}, "Transfer-Encoding": {"chunked"}}}
-	streamCut := apierror.Errorf(apierror.StreamCut, "the server went away").WithRetryAfter(100 * time.Millisecond)
-	notRuling := apierror.Errorf(apierror.NotRuling, "ask another node").WithRetryAfter(1200 * time.Millisecond)
+	streamCut := apierror.Errorf(apierror.StreamAborted, "the server went away").WithRetryAfter(100 * time.Millisecond)
+	notRuling := apierror.Errorf(apierror.NoAuthority, "ask another node").WithRetryAfter(1200 * time.Millisecond)
 	rows := []struct {
 		name    string
 		handler *fakeHandler
--- a/internal/adapter/clientapi/exchange.go
+++ b/internal/adapter/clientapi/exchange.go
@@ -66,7 +66,7 @@
 	x.head.Deadline = x.head.Arrived.Add(timeout)
 	x.head.deadlineGiven = given
 	if !x.api.clock.Now().Before(x.head.Deadline) {
-		return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed while the process was paused").WithRetryAfter(shortRetryAfter)
+		return apierror.Errorf(apierror.DeadlineExceeded, "the deadline passed while the process was paused").WithRetryAfter(shortRetryAfter)
 	}
 	x.head.Key, apiErr = bearerKey(x.request.Header)
 	return apiErr
@@ -81,7 +81,7 @@
 		x.stream.abort(apiErr)
 	}
 	// An unread body would be parsed as the connection's next request.
-	if !x.bodyRead && x.request.ContentLength != 0 || apiErr.Code == apierror.FrontLeaving {
+	if !x.bodyRead && x.request.ContentLength != 0 || apiErr.Code == apierror.FrontDraining {
 		x.writer.Header().Set("Connection", "close")
 	}
 	x.writer.Header().Set(HeaderCode, strconv.FormatUint(uint64(apiErr.Code), 10))
--- a/internal/adapter/controlapi/calls.go
+++ b/internal/adapter/controlapi/calls.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	pathPrefix    = "/v1/control/"
-	maxOrderBytes = 64 << 10
+	controlPathPrefix = "/v1/control/"
+	maxOrderBytes     = 64 << 10
 )
 
 // BodyKind is the kind of body that a call accepts.
@@ -54,7 +54,7 @@
 var calls = []Call{
 	{
 		Method: http.MethodGet,
-		Path:   pathPrefix + "sheet",
+		Path:   controlPathPrefix + "sheet",
 		Verb:   "get",
 		Body:   NoBody,
 		Help:   "Returns the sheet, its epochs and the evacuated zones, read from a majority of the cores.",
@@ -62,7 +62,7 @@
 	},
 	{
 		Method: http.MethodPut,
-		Path:   pathPrefix + "sheet",
+		Path:   controlPathPrefix + "sheet",
 		Verb:   sheet.VerbPut,
 		Body:   SheetBody,
 		Help:   "Replaces the sheet if its epoch is still the base epoch.",
@@ -70,7 +70,7 @@
 	},
 	{
 		Method: http.MethodPatch,
-		Path:   pathPrefix + "sheet",
+		Path:   controlPathPrefix + "sheet",
 		Verb:   sheet.VerbPatch,
 		Body:   SheetBody,
 		Help:   "Changes cells of the sheet if its epoch is still the base epoch.",
@@ -78,7 +78,7 @@
 	},
 	{
 		Method: http.MethodGet,
-		Path:   pathPrefix + "history",
+		Path:   controlPathPrefix + "history",
 		Verb:   "history",
 		Body:   NoBody,
 		Help:   "Returns the accepted orders in the history, oldest first, read from a majority of the cores.",
@@ -86,7 +86,7 @@
 	},
 	{
 		Method: http.MethodPost,
-		Path:   pathPrefix + "evacuate",
+		Path:   controlPathPrefix + "evacuate",
 		Verb:   sheet.VerbEvacuate,
 		Body:   OrderBody,
 		Help:   "Evacuates a region or a zone, regardless of the sheet.",
@@ -94,7 +94,7 @@
 	},
 	{
 		Method: http.MethodPost,
-		Path:   pathPrefix + "restore",
+		Path:   controlPathPrefix + "restore",
 		Verb:   sheet.VerbRestore,
 		Body:   OrderBody,
 		Help:   "Ends the evacuation of a region or a zone.",
@@ -102,7 +102,7 @@
 	},
 	{
 		Method: http.MethodPost,
-		Path:   pathPrefix + "members/remove",
+		Path:   controlPathPrefix + "members/remove",
 		Verb:   statemachine.VerbRemoveMembers,
 		Body:   OrderBody,
 		Help:   "Removes members from the roster; the operator must have made sure that their machines are off.",
@@ -110,7 +110,7 @@
 	},
 	{
 		Method: http.MethodGet,
-		Path:   pathPrefix + "status",
+		Path:   controlPathPrefix + "status",
 		Verb:   "status",
 		Body:   NoBody,
 		Help:   "Returns the status of the node that serves the call, and the status of the fleet from a core or why no core answered.",
@@ -118,7 +118,7 @@
 	},
 	{
 		Method: http.MethodGet,
-		Path:   pathPrefix + "plan",
+		Path:   controlPathPrefix + "plan",
 		Verb:   "plan",
 		Body:   NoBody,
 		Help:   "Returns the plan that the node applies in the current period.",
@@ -126,7 +126,7 @@
 	},
 	{
 		Method:         http.MethodGet,
-		Path:           pathPrefix + "tally",
+		Path:           controlPathPrefix + "tally",
 		Verb:           "tally",
 		Body:           NoBody,
 		QueryParameter: "tenant",
@@ -135,7 +135,7 @@
 	},
 	{
 		Method: http.MethodGet,
-		Path:   pathPrefix + "explain/{id}",
+		Path:   controlPathPrefix + "explain/{id}",
 		Verb:   "explain",
 		Body:   NoBody,
 		Help:   "Explains how a request was routed; the node must be the one that handled it.",
--- a/internal/apierror/codes.go
+++ b/internal/apierror/codes.go
@@ -30,27 +30,27 @@
 	BadField         Code = 1014
 	UnknownRoute     Code = 1015
 
-	QuotaExceeded    Code = 2001
-	ShareExceeded    Code = 2002
-	QueueFull        Code = 2003
-	NoServer         Code = 2004
-	DeadlineTooShort Code = 2005
-	NotRuling        Code = 2006
-	FrontLeaving     Code = 2007
-	NoPlan           Code = 2008
-	BudgetSpent      Code = 2009
-	NoSheet          Code = 2010
+	QuotaExceeded        Code = 2001
+	ShareExceeded        Code = 2002
+	QueueFull            Code = 2003
+	NoServer             Code = 2004
+	DeadlineTooShort     Code = 2005
+	NoAuthority          Code = 2006
+	FrontDraining        Code = 2007
+	NoPlan               Code = 2008
+	RetryBudgetExhausted Code = 2009
+	NoSheet              Code = 2010
 
-	NotRun         Code = 3001
-	OutcomeUnknown Code = 3002
-	DeadlinePassed Code = 3003
-	StreamCut      Code = 3004
-	BadAnswer      Code = 3005
-	KeyRevoked     Code = 3006
-	CallerGone     Code = 3007
-	StreamNotBegun Code = 3008
+	NotExecuted        Code = 3001
+	OutcomeUnknown     Code = 3002
+	DeadlineExceeded   Code = 3003
+	StreamAborted      Code = 3004
+	BadResponse        Code = 3005
+	KeyRevoked         Code = 3006
+	CallerDisconnected Code = 3007
+	StreamNotStarted   Code = 3008
 
-	BaseMoved       Code = 4001
+	BaseConflict    Code = 4001
 	OutcomePending  Code = 4002
 	InvalidSheet    Code = 4003
 	SheetTooLarge   Code = 4004
@@ -62,7 +62,7 @@
 	UnknownVersion  Code = 4010
 
 	NoMajority      Code = 5001
-	CoreAmnesiac    Code = 5002
+	CoreRecovering  Code = 5002
 	CoreBlank       Code = 5003
 	DiskFull        Code = 5004
 	CoreUnreachable Code = 5005
@@ -119,20 +119,20 @@
 	{QueueFull, "pending_full", http.StatusServiceUnavailable, RetryLater, "A queue is full, or a limit of concurrent requests or of buffered bodies is reached."},
 	{NoServer, "no_server", http.StatusServiceUnavailable, RetryLater, "No server can take the request now."},
 	{DeadlineTooShort, "deadline_too_short", http.StatusServiceUnavailable, RetryLater, "The deadline would pass before a server could answer."},
-	{NotRuling, "not_ruling", http.StatusServiceUnavailable, RetryLater, "This node can't be sure that its configuration is the newest; send the request to another node."},
-	{FrontLeaving, "front_leaving", http.StatusServiceUnavailable, RetryLater, "This node is draining; send the request to another node."},
+	{NoAuthority, "not_ruling", http.StatusServiceUnavailable, RetryLater, "This node can't be sure that its configuration is the newest; send the request to another node."},
+	{FrontDraining, "front_leaving", http.StatusServiceUnavailable, RetryLater, "This node is draining; send the request to another node."},
 	{NoPlan, "no_plan", http.StatusServiceUnavailable, RetryLater, "This node has not received both a plan and a sheet yet."},
-	{BudgetSpent, "budget_spent", http.StatusServiceUnavailable, RetryLater, "The retry budget is exhausted."},
+	{RetryBudgetExhausted, "budget_spent", http.StatusServiceUnavailable, RetryLater, "The retry budget is exhausted."},
 	{NoSheet, "no_sheet", http.StatusServiceUnavailable, RetryLater, "There is no sheet yet, or this node has not received it."},
-	{NotRun, "not_run", http.StatusServiceUnavailable, RetryLater, "The call was not executed and will not be."},
+	{NotExecuted, "not_run", http.StatusServiceUnavailable, RetryLater, "The call was not executed and will not be."},
 	{OutcomeUnknown, "outcome_unknown", http.StatusBadGateway, RetryCheck, "The call may have been executed; it was not sent again."},
-	{DeadlinePassed, "deadline_passed", http.StatusGatewayTimeout, RetryLater, "The deadline passed before the first event of a stream or before the complete answer."},
-	{StreamCut, "stream_cut", http.StatusBadGateway, RetryLater, "The stream ended before its final event."},
-	{BadAnswer, "bad_answer", http.StatusBadGateway, RetryLater, "The answer was incomplete, malformed or another request's."},
+	{DeadlineExceeded, "deadline_passed", http.StatusGatewayTimeout, RetryLater, "The deadline passed before the first event of a stream or before the complete answer."},
+	{StreamAborted, "stream_cut", http.StatusBadGateway, RetryLater, "The stream ended before its final event."},
+	{BadResponse, "bad_answer", http.StatusBadGateway, RetryLater, "The answer was incomplete, malformed or another request's."},
 	{KeyRevoked, "key_revoked", http.StatusForbidden, RetryNo, "The key was revoked while the request was in progress."},
-	{CallerGone, "caller_gone", 499, RetryNo, "The caller closed the connection or stopped reading from it."},
-	{StreamNotBegun, "stream_not_begun", http.StatusServiceUnavailable, RetryLater, "No server started the stream; no event was forwarded."},
-	{BaseMoved, "base_moved", http.StatusConflict, RetryNo, "The order's base is not the sheet's current epoch or revision; read the sheet again and rebuild the order."},
+	{CallerDisconnected, "caller_gone", 499, RetryNo, "The caller closed the connection or stopped reading from it."},
+	{StreamNotStarted, "stream_not_begun", http.StatusServiceUnavailable, RetryLater, "No server started the stream; no event was forwarded."},
+	{BaseConflict, "base_moved", http.StatusConflict, RetryNo, "The order's base is not the sheet's current epoch or revision; read the sheet again and rebuild the order."},
 	{OutcomePending, "outcome_pending", http.StatusAccepted, RetrySame, "The order is not known to be in force yet; send it again with the same id."},
 	{InvalidSheet, "invalid_sheet", http.StatusUnprocessableEntity, RetryNo, "The sheet violates a rule; nothing was changed."},
 	{SheetTooLarge, "sheet_too_large", http.StatusRequestEntityTooLarge, RetryNo, "The sheet or order exceeds a limit; nothing was changed."},
@@ -143,7 +143,7 @@
 	{OrderIDReused, "order_id_reused", http.StatusConflict, RetryNo, "The order id was already used for a different order."},
 	{UnknownVersion, "unknown_epoch", http.StatusNotFound, RetryNo, "The epoch is not in the history that is kept."},
 	{NoMajority, "no_majority", http.StatusServiceUnavailable, RetrySame, "No majority of the cores answered, or this core has not caught up with one."},
-	{CoreAmnesiac, "core_amnesiac", http.StatusServiceUnavailable, RetrySame, "The core does not vote yet: it is rebuilding its state from the other cores."},
+	{CoreRecovering, "core_amnesiac", http.StatusServiceUnavailable, RetrySame, "The core does not vote yet: it is rebuilding its state from the other cores."},
 	{CoreBlank, "core_blank", http.StatusServiceUnavailable, RetrySame, "The cores have not formed a fleet yet."},
 	{DiskFull, "disk_full", http.StatusInsufficientStorage, RetrySame, "The core's disk is full except for the reserved space."},
 	{CoreUnreachable, "core_unreachable", http.StatusServiceUnavailable, RetrySame, "No core could be reached, or the core is not running."},
--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -88,7 +88,7 @@
 		text = "\n  " + strings.ReplaceAll(detailOrHelp(apiErr), "\n", "\n  ")
 	}
 	a.printErrorf("stepwick: %s (%d):%s\n", apiErr.Code, apiErr.Code, text)
-	return Exit(apiErr.Code)
+	return ExitCode(apiErr.Code)
 }
 
 // detailOrHelp returns the detail of an error, or the help text of its code if
--- a/internal/cli/docs.go
+++ b/internal/cli/docs.go
@@ -101,7 +101,7 @@
 |---|---|---|---|---|---|
 `)
 	for _, row := range apierror.Codes {
-		fmt.Fprintf(&page, "| %d | `%s` | %d | %s | %d | %s |\n", row.Code, row.Name, row.Status, row.Retry, Exit(row.Code), row.Help)
+		fmt.Fprintf(&page, "| %d | `%s` | %d | %s | %d | %s |\n", row.Code, row.Name, row.Status, row.Retry, ExitCode(row.Code), row.Help)
 	}
 	return page.String()
 }
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -12,14 +12,14 @@
 	ExitConflict   = 6 // another order with the same base was accepted first
 )
 
-// Exit returns the exit code for a result code, 0 for apierror.OK.
-func Exit(code apierror.Code) int {
+// ExitCode returns the exit code for a result code, 0 for apierror.OK.
+func ExitCode(code apierror.Code) int {
 	switch code {
 	case apierror.OK:
 		return 0
 	case apierror.BadSetting:
 		return ExitUsage
-	case apierror.BaseMoved:
+	case apierror.BaseConflict:
 		return ExitConflict
 	}
 	switch code.Info().Retry {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -38,7 +38,7 @@
 			}
 			var explanation front.Explanation
 			if err := json.Unmarshal(body, &explanation); err != nil {
-				return apierror.Errorf(apierror.BadAnswer, "decode explanation: %v", err)
+				return apierror.Errorf(apierror.BadResponse, "decode explanation: %v", err)
 			}
 			return a.printExplanation(&explanation)
 		},
--- a/internal/cli/fleet_client.go
+++ b/internal/cli/fleet_client.go
@@ -102,7 +102,7 @@
 // decode decodes the JSON body. An error has the code BadAnswer.
 func (r *response) decode(into any) error {
 	if err := json.Unmarshal(r.body, into); err != nil {
-		return apierror.Errorf(apierror.BadAnswer, "%s: %v", r.node, err)
+		return apierror.Errorf(apierror.BadResponse, "%s: %v", r.node, err)
 	}
 	return nil
 }
--- a/internal/cli/lookup.go
+++ b/internal/cli/lookup.go
@@ -53,7 +53,7 @@
 			rows = append(rows, lookupRow{
 				number: int(row.Code),
 				name:   row.Name,
-				cells:  []any{uint32(row.Code), row.Name, row.Status, row.Retry, Exit(row.Code), row.Help},
+				cells:  []any{uint32(row.Code), row.Name, row.Status, row.Retry, ExitCode(row.Code), row.Help},
 			})
 		}
 		return rows
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -34,7 +34,7 @@
 			}
 			var plan wire.Plan
 			if err := json.Unmarshal(body, &plan); err != nil {
-				return apierror.Errorf(apierror.BadAnswer, "decode plan: %v", err)
+				return apierror.Errorf(apierror.BadResponse, "decode plan: %v", err)
 			}
 			return a.printPlan(&plan)
 		},
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -162,7 +162,7 @@
 		return err
 	}
 	if notReady := report.notReadyReason(); wait > 0 && notReady != "" {
-		return apierror.Errorf(apierror.NotRuling, "the fleet is not ready after %s: %s", wait, notReady)
+		return apierror.Errorf(apierror.NoAuthority, "the fleet is not ready after %s: %s", wait, notReady)
 	}
 	return nil
 }
@@ -253,7 +253,7 @@
 func (a *App) printStatusJSON(body, tenants []byte) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return apierror.Errorf(apierror.BadAnswer, "decode status: %v", err)
+		return apierror.Errorf(apierror.BadResponse, "decode status: %v", err)
 	}
 	if len(tenants) > 0 {
 		fields["tenants"] = tenants
--- a/internal/cli/tally.go
+++ b/internal/cli/tally.go
@@ -59,7 +59,7 @@
 			}
 			var usages []tenantUsage
 			if err := json.Unmarshal(body, &usages); err != nil {
-				return apierror.Errorf(apierror.BadAnswer, "decode tenant usage: %v", err)
+				return apierror.Errorf(apierror.BadResponse, "decode tenant usage: %v", err)
 			}
 			if tenant != "" {
 				usages = slices.DeleteFunc(usages, func(usage tenantUsage) bool { return usage.Tenant != tenant })
--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -98,7 +98,7 @@
 func exitList() string {
 	var out strings.Builder
 	for _, row := range apierror.Codes {
-		fmt.Fprintf(&out, "%d exits %d\n", row.Code, cli.Exit(row.Code))
+		fmt.Fprintf(&out, "%d exits %d\n", row.Code, cli.ExitCode(row.Code))
 	}
 	return out.String()
 }
@@ -124,7 +124,7 @@
 			Routings: []*front.Routing{{Server: "m1", Region: "lagos", Error: "2009 budget_spent", WaitedMS: 0.5,
 				Candidates: []front.Candidate{{Server: "m1", Score: 0.81, Excluded: "draining"}}}},
 			Attempts: []*front.Attempt{{Server: "m1", Result: "whole", Detail: "said so", Events: 40, FirstEventMS: 310.25, TookMS: 900}},
-			Outcome:  &front.Outcome{Code: apierror.StreamCut, Name: "stream_cut", Detail: "the server went away", TookMS: 903.25}},
+			Outcome:  &front.Outcome{Code: apierror.StreamAborted, Name: "stream_cut", Detail: "the server went away", TookMS: 903.25}},
 		"node": follower.Status{Name: "n2", Zone: "lagos/a", Version: 21, SheetVersion: 20, HasAuthority: true, AuthoritySource: "lease", Plan: 44, PlanTerm: 2,
 			PlanHolder: "n1", Servers: map[string]string{"m1": "ready"}, Roster: []string{"n1", "n2"}, Fronts: []string{"n1"}, FleetTimeMS: orderedAtMS},
 		"data": replica.Contents{Core: "a", Formation: "a-1", Voters: []string{"a"}, Standing: "voting", DiskIncarnation: 1, Version: 2,
--- a/internal/compat/adapt_log_test.go
+++ b/internal/compat/adapt_log_test.go
@@ -22,7 +22,7 @@
 		defer close(done)
 		_ = stream.Serve(ctx)
 	}()
-	stream.Emit(events.OrderChosen, "order", "first", "epoch", 7, "code", apierror.BaseMoved, "took", 1500*time.Millisecond, "text", `two "words"`)
+	stream.Emit(events.OrderChosen, "order", "first", "epoch", 7, "code", apierror.BaseConflict, "took", 1500*time.Millisecond, "text", `two "words"`)
 	for range 30 {
 		stream.Emit(events.PeerUnresponsive, "peer", "n2")
 	}
--- a/internal/decision/balance/fleet_limits_test.go
+++ b/internal/decision/balance/fleet_limits_test.go
@@ -113,7 +113,7 @@
 			request.Retry = true
 			choice := balancer.Choose(request, now)
 			if choice.Err != nil {
-				So(choice.Err.Code, ShouldEqual, apierror.BudgetSpent)
+				So(choice.Err.Code, ShouldEqual, apierror.RetryBudgetExhausted)
 				So(choice.Err.RetryAfter, ShouldBeGreaterThan, 0)
 				continue
 			}
--- a/internal/decision/balance/table.go
+++ b/internal/decision/balance/table.go
@@ -75,7 +75,7 @@
 	t.recomputeIsolationIfDue(now)
 	budget := t.retryBudget(request.Service)
 	if request.Retry && !budget.allows(now, t.retrySlackPerNode()) {
-		apiErr := apierror.Errorf(apierror.BudgetSpent,
+		apiErr := apierror.Errorf(apierror.RetryBudgetExhausted,
 			"retry budget of service %s exhausted: the limit is %g of this node's requests within %s plus %.3g retries",
 			request.Service, t.config.RetryRatio, t.config.RetryWindow, t.retrySlackPerNode())
 		return Choice{Err: apiErr.WithRetryAfter(budgetRetryAfter)}
--- a/internal/decision/paxos/acceptor.go
+++ b/internal/decision/paxos/acceptor.go
@@ -69,7 +69,7 @@
 		return nil, resp
 	}
 	if s.anyOutdated(req.PromisedLives) {
-		resp.Refusal = uint32(apierror.CoreAmnesiac)
+		resp.Refusal = uint32(apierror.CoreRecovering)
 		return nil, resp
 	}
 	slot := s.OpenSlots[req.Slot]
--- a/internal/decision/paxos/acceptor_test.go
+++ b/internal/decision/paxos/acceptor_test.go
@@ -33,7 +33,7 @@
 	Convey("A value is refused if it depends on the promise of a core that has lost its disk", t, func() {
 		s := IncarnationRecorded{Core: "c", Incarnation: 2}.Apply(votingCore("a"))
 		_, resp := accept(s, 1, 5, "b", "y", map[string]uint64{"a": 1, "c": 1})
-		So(apierror.Code(resp.Refusal), ShouldEqual, apierror.CoreAmnesiac)
+		So(apierror.Code(resp.Refusal), ShouldEqual, apierror.CoreRecovering)
 		_, resp = accept(s, 1, 5, "b", "y", map[string]uint64{"a": 1, "c": 2})
 		So(resp.Accepted, ShouldBeTrue)
 	})
@@ -41,7 +41,7 @@
 		joined := FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState("a"))
 		foreign := votingCore("a")
 		foreign.Formation = "g"
-		for code, s := range map[apierror.Code]State{apierror.CoreBlank: BlankState("a"), apierror.CoreAmnesiac: joined, apierror.WrongFormation: foreign} {
+		for code, s := range map[apierror.Code]State{apierror.CoreBlank: BlankState("a"), apierror.CoreRecovering: joined, apierror.WrongFormation: foreign} {
 			_, prepareResp := prepare(s, 1, 1, "b")
 			So(apierror.Code(prepareResp.Refusal), ShouldEqual, code)
 			_, acceptResp := accept(s, 1, 1, "b", "x", nil)
--- a/internal/decision/paxos/recovery.go
+++ b/internal/decision/paxos/recovery.go
@@ -44,7 +44,7 @@
 	resp := s.recoverSummary()
 	resp.Ok = true
 	if s.lostDisk() {
-		resp.Refusal = uint32(apierror.CoreAmnesiac)
+		resp.Refusal = uint32(apierror.CoreRecovering)
 	}
 	return resp
 }
@@ -62,7 +62,7 @@
 	case req.Life < s.Incarnations[req.Core] || req.Life == 0:
 		return apierror.VersionBehind
 	case s.Incarnation() == 0 && s.AnnouncedIncarnation != firstIncarnation:
-		return apierror.CoreAmnesiac
+		return apierror.CoreRecovering
 	}
 	return apierror.OK
 }
--- a/internal/decision/paxos/recovery_test.go
+++ b/internal/decision/paxos/recovery_test.go
@@ -42,7 +42,7 @@
 	Convey("A core that lost its disk serves no recovery, and its answer does not prove that another core never voted", t, func() {
 		lost := IncarnationRecorded{Core: "c", Incarnation: 2}.Apply(FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState("c")))
 		_, resp := announceA(lost, 2)
-		So(apierror.Code(resp.Refusal), ShouldEqual, apierror.CoreAmnesiac)
+		So(apierror.Code(resp.Refusal), ShouldEqual, apierror.CoreRecovering)
 		unannounced := FormationJoined{Formation: "f", Voters: voters}.Apply(BlankState("b"))
 		_, missing := wiped.NextIncarnation(map[string]*wire.RecoverResponse{"b": probe(unannounced), "c": probe(lost)}, 0)
 		So(missing, ShouldNotBeEmpty)
--- a/internal/decision/paxos/state.go
+++ b/internal/decision/paxos/state.go
@@ -114,7 +114,7 @@
 	case formation != s.Formation:
 		return apierror.WrongFormation
 	case s.Incarnation() == 0:
-		return apierror.CoreAmnesiac
+		return apierror.CoreRecovering
 	}
 	return apierror.OK
 }
--- a/internal/decision/route/choose.go
+++ b/internal/decision/route/choose.go
@@ -23,7 +23,7 @@
 	if len(req.TriedServers) == 0 {
 		t.retries.addRequest()
 	} else if !t.retries.available() {
-		return Choice{Err: apierror.Errorf(apierror.BudgetSpent, "retry budget exhausted: at most %g retries per request on average", t.config.RetryBudget).WithRetryAfter(defaultRetryAfter)}
+		return Choice{Err: apierror.Errorf(apierror.RetryBudgetExhausted, "retry budget exhausted: at most %g retries per request on average", t.config.RetryBudget).WithRetryAfter(defaultRetryAfter)}
 	}
 	if req.Prefix != 0 {
 		t.popularity.record(req.Prefix)
@@ -81,7 +81,7 @@
 	case t.view.Plan == nil || t.view.State.Sheet == nil:
 		return apierror.Errorf(apierror.NoPlan, "this front has not yet received both a plan and a sheet").WithRetryAfter(defaultRetryAfter)
 	case !now.Before(req.Deadline):
-		return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed %s ago", now.Sub(req.Deadline).Round(time.Millisecond)).WithRetryAfter(minRetryAfter)
+		return apierror.Errorf(apierror.DeadlineExceeded, "the deadline passed %s ago", now.Sub(req.Deadline).Round(time.Millisecond)).WithRetryAfter(minRetryAfter)
 	}
 	if _, exists := t.view.State.Sheet.Services[req.Service]; !exists {
 		return apierror.Errorf(apierror.UnknownService, "the sheet in force has no service %q", req.Service)
--- a/internal/decision/route/queue_test.go
+++ b/internal/decision/route/queue_test.go
@@ -63,7 +63,7 @@
 			ready, ok := table.Next(start.Add(10 * time.Second))
 			So(ok, ShouldBeTrue)
 			So(ready.Request.ID, ShouldEqual, soon.ID)
-			So(ready.Choice.Err.Code, ShouldEqual, apierror.DeadlinePassed)
+			So(ready.Choice.Err.Code, ShouldEqual, apierror.DeadlineExceeded)
 			wake, ok := table.NextWake(late.Deadline.Add(-time.Millisecond))
 			So(ok, ShouldBeTrue)
 			So(wake, ShouldEqual, late.Deadline)
--- a/internal/decision/route/route_test.go
+++ b/internal/decision/route/route_test.go
@@ -222,7 +222,7 @@
 				spent++
 				So(spent, ShouldBeLessThan, 100)
 			}
-			So(table.Choose(retry, start).Err.Code, ShouldEqual, apierror.BudgetSpent)
+			So(table.Choose(retry, start).Err.Code, ShouldEqual, apierror.RetryBudgetExhausted)
 			for i := range 10 {
 				table.Choose(requestNumber(i), start)
 			}
@@ -230,7 +230,7 @@
 			So(choice.Server, ShouldNotEqual, "m0")
 			So(choice.Server, ShouldNotEqual, "")
 			table.Reconfigure(RuntimeConfig{Strategy: Affinity, MaxQueued: 1, SlowStartCap: 2})
-			So(table.Choose(retry, start).Err.Code, ShouldEqual, apierror.BudgetSpent)
+			So(table.Choose(retry, start).Err.Code, ShouldEqual, apierror.RetryBudgetExhausted)
 		})
 		Convey("applies the runtime configuration, and SlowStartCap also to the plan's caps", func() {
 			servers := withServer(map[string]*wire.ServerStatus{"m0": modelServer("m0", "lagos", "a")}, "m0", func(s *wire.ServerStatus) { s.Answered = 0 })
--- a/internal/decision/statemachine/order.go
+++ b/internal/decision/statemachine/order.go
@@ -94,9 +94,9 @@
 		return Result{}, false
 	}
 	changeVersion := s.sheetVersionAfter(order.Base)
-	rejection := s.result(apierror.BaseMoved, "base %d was taken by epoch %d; the sheet is at %d", order.Base, changeVersion, s.SheetVersion)
+	rejection := s.result(apierror.BaseConflict, "base %d was taken by epoch %d; the sheet is at %d", order.Base, changeVersion, s.SheetVersion)
 	if order.Base > s.SheetVersion {
-		rejection = s.result(apierror.BaseMoved, "base %d is above the sheet's epoch %d", order.Base, s.SheetVersion)
+		rejection = s.result(apierror.BaseConflict, "base %d is above the sheet's epoch %d", order.Base, s.SheetVersion)
 	}
 	rejection.Version = changeVersion
 	return rejection, true
@@ -107,7 +107,7 @@
 func (s State) checkRevision(order Order) (Result, bool) {
 	switch {
 	case order.BaseRevision != s.Revision:
-		return s.result(apierror.BaseMoved, "base revision %d is not the sheet's; it is at %d", order.BaseRevision, s.Revision), true
+		return s.result(apierror.BaseConflict, "base revision %d is not the sheet's; it is at %d", order.BaseRevision, s.Revision), true
 	case order.Revision <= s.Revision:
 		return s.result(apierror.InvalidSheet, "revision %d is not above the sheet's revision %d", order.Revision, s.Revision), true
 	}
--- a/internal/decision/statemachine/revision_test.go
+++ b/internal/decision/statemachine/revision_test.go
@@ -21,7 +21,7 @@
 		for _, c := range []struct {
 			revision, base uint64
 			code           apierror.Code
-		}{{9, 5, apierror.OK}, {9, 4, apierror.BaseMoved}, {9, 6, apierror.BaseMoved}, {5, 5, apierror.InvalidSheet}, {4, 5, apierror.InvalidSheet}} {
+		}{{9, 5, apierror.OK}, {9, 4, apierror.BaseConflict}, {9, 6, apierror.BaseConflict}, {5, 5, apierror.InvalidSheet}, {4, 5, apierror.InvalidSheet}} {
 			next, result := MergeSheet{Order: revisionOrder(c.revision, c.base)}.Apply(first, 2)
 			So(result.Code, ShouldEqual, c.code)
 			So(next.Revision == 9, ShouldEqual, c.code == apierror.OK)
@@ -34,7 +34,7 @@
 		other := sampleRoutes()
 		delete(other.Routes, "map")
 		_, result = PutSheet{Order: revisionOrder(5, 0), Sheet: other}.Apply(first, 2)
-		So(result.Code, ShouldEqual, apierror.BaseMoved)
+		So(result.Code, ShouldEqual, apierror.BaseConflict)
 	})
 	Convey("A merge removes rows, then replaces rows by name, and keeps all others", t, func() {
 		upsert := &sheet.Sheet{Routes: map[string]sheet.Route{"digest": {Host: "news.example", Prefix: "/d/", Kind: sheet.RouteSafe, TimeoutMS: 5, Splits: []sheet.Split{{Service: "desk", Weight: 1}}}}}
--- a/internal/decision/statemachine/role.go
+++ b/internal/decision/statemachine/role.go
@@ -34,7 +34,7 @@
 		return state, state.result(apierror.OK, "")
 	}
 	if c.Term != current.Term+1 || c.Role == "" || c.Holder == "" {
-		return state, state.result(apierror.BaseMoved, "%q can't claim term %d of role %q: the current term is %d, held by %q", c.Holder, c.Term, c.Role, current.Term, current.Holder)
+		return state, state.result(apierror.BaseConflict, "%q can't claim term %d of role %q: the current term is %d, held by %q", c.Holder, c.Term, c.Role, current.Term, current.Holder)
 	}
 	state.Roles = cloneMap(state.Roles)
 	state.Roles[c.Role] = claimed
--- a/internal/decision/statemachine/state.go
+++ b/internal/decision/statemachine/state.go
@@ -78,14 +78,14 @@
 		return Result{}, false
 	}
 	_, result := command.Apply(s, s.Version+1)
-	if result.Code != apierror.OK && result.Code != apierror.BaseMoved {
+	if result.Code != apierror.OK && result.Code != apierror.BaseConflict {
 		result.Version = s.Version
 	}
 	switch result.Code {
 	case apierror.OK:
 		_, applied := s.AppliedOrder(order.OrderID)
 		return result, applied && order.OrderID != ""
-	case apierror.BaseMoved:
+	case apierror.BaseConflict:
 		if order.Revision > 0 {
 			return result, order.BaseRevision < s.Revision
 		}
--- a/internal/decision/statemachine/state_test.go
+++ b/internal/decision/statemachine/state_test.go
@@ -145,7 +145,7 @@
 			s, result = s.Step(s.Version+1, Encode(command))
 			if result.Code == apierror.OK {
 				accepted = append(accepted, result.Version)
-			} else if result.Code != apierror.BaseMoved || result.Version != accepted[0] {
+			} else if result.Code != apierror.BaseConflict || result.Version != accepted[0] {
 				t.Fatalf("a rejected order returned %+v", result)
 			}
 		}
@@ -264,9 +264,9 @@
 		s, again := AcquireRole{"planner", 1, "n1"}.Apply(s, 2)
 		So(again.Code, ShouldEqual, apierror.OK)
 		s, late := AcquireRole{"planner", 1, "n2"}.Apply(s, 3)
-		So(late.Code, ShouldEqual, apierror.BaseMoved)
+		So(late.Code, ShouldEqual, apierror.BaseConflict)
 		s, early := AcquireRole{"planner", 3, "n2"}.Apply(s, 4)
-		So(early.Code, ShouldEqual, apierror.BaseMoved)
+		So(early.Code, ShouldEqual, apierror.BaseConflict)
 		s, next := AcquireRole{"planner", 2, "n2"}.Apply(s, 5)
 		So(next.Code, ShouldEqual, apierror.OK)
 		So(s.Roles["planner"], ShouldResemble, RoleTerm{Term: 2, Holder: "n2"})
--- a/internal/node/control/controller.go
+++ b/internal/node/control/controller.go
@@ -238,7 +238,7 @@
 	case wire.Standing_STANDING_BLANK, wire.Standing_STANDING_UNSPECIFIED:
 		return apierror.Errorf(apierror.CoreBlank, "the group of cores has not formed yet")
 	case wire.Standing_STANDING_AMNESIAC:
-		return apierror.Errorf(apierror.CoreAmnesiac, "the core is rebuilding its state from the other cores")
+		return apierror.Errorf(apierror.CoreRecovering, "the core is rebuilding its state from the other cores")
 	}
 	if !c.caughtUp {
 		return apierror.Errorf(apierror.NoMajority, "the core has not caught up with a majority of cores since its start")
--- a/internal/node/control/orders.go
+++ b/internal/node/control/orders.go
@@ -103,7 +103,7 @@
 func undecidedError(err error) *apierror.Error {
 	apiErr := apierror.From(err)
 	switch apiErr.Code {
-	case apierror.CoreBlank, apierror.CoreAmnesiac, apierror.DiskFull, apierror.NoMajority, apierror.OutcomePending:
+	case apierror.CoreBlank, apierror.CoreRecovering, apierror.DiskFull, apierror.NoMajority, apierror.OutcomePending:
 		return apiErr.WithRetryAfter(retryAfter)
 	}
 	return apierror.Errorf(apierror.NoMajority, "no majority of the cores answered before the time-out").WithRetryAfter(retryAfter)
@@ -159,7 +159,7 @@
 		return statemachine.Result{}, false
 	}
 	_, result = command.Apply(state, state.Version+1)
-	if result.Code != apierror.BaseMoved {
+	if result.Code != apierror.BaseConflict {
 		result.Version = state.Version
 	}
 	return result, result.Code != apierror.OK
@@ -167,7 +167,7 @@
 
 func (c *Controller) rejectOrder(req *wire.OrderRequest, result statemachine.Result, orderID string) *wire.OrderResponse {
 	event := events.OrderRejected
-	if result.Code == apierror.BaseMoved {
+	if result.Code == apierror.BaseConflict {
 		event = events.OrderConflicted
 	}
 	c.log.Emit(event, "order", orderID, "verb", req.Verb, "operator", req.Operator, "code", result.Code, "epoch", result.Version)
--- a/internal/node/front/admission.go
+++ b/internal/node/front/admission.go
@@ -57,11 +57,11 @@
 // draining and has authority; otherwise the reason.
 func (f *Front) checkAccepting() *apierror.Error {
 	if f.draining.Load() {
-		return apierror.Errorf(apierror.FrontLeaving, "the node is draining; retry at another node").WithRetryAfter(defaultRetryAfter)
+		return apierror.Errorf(apierror.FrontDraining, "the node is draining; retry at another node").WithRetryAfter(defaultRetryAfter)
 	}
 	if !f.views.HasAuthority() {
 		wait := f.views.View().Authority.RetryAfter
-		return apierror.Errorf(apierror.NotRuling, "the node has no authority to serve requests; retry at another node").WithRetryAfter(max(wait, shortRetryAfter))
+		return apierror.Errorf(apierror.NoAuthority, "the node has no authority to serve requests; retry at another node").WithRetryAfter(max(wait, shortRetryAfter))
 	}
 	return nil
 }
--- a/internal/node/front/admission_test.go
+++ b/internal/node/front/admission_test.go
@@ -43,7 +43,7 @@
 			f.views.publish(withKeys("other"))
 			f.checkEqual("key", requestCode("/v1/prompt", `{"service":"none","max_tokens":1}`), apierror.UnknownKey)
 			f.views.hasAuthority.Store(false)
-			f.checkEqual("authority", requestCode("/v1/prompt", `{}`), apierror.NotRuling)
+			f.checkEqual("authority", requestCode("/v1/prompt", `{}`), apierror.NoAuthority)
 		})
 	})
 }
--- a/internal/node/front/call_registry.go
+++ b/internal/node/front/call_registry.go
@@ -134,7 +134,7 @@
 		if r.clock.Now().Sub(r.started)-time.Duration(r.authoritySeen.Load()) < r.authorityGrace {
 			return nil
 		}
-		return apierror.Errorf(apierror.NotRuling, "the node has been without authority for longer than the grace period of %s", r.authorityGrace).WithRetryAfter(time.Second)
+		return apierror.Errorf(apierror.NoAuthority, "the node has been without authority for longer than the grace period of %s", r.authorityGrace).WithRetryAfter(time.Second)
 	}
 	r.recordAuthority()
 	index := r.views.View().Index
@@ -238,7 +238,7 @@
 // errDrainGraceEnded is the answer to a request that is still active when a drain's
 // grace period ends.
 func errDrainGraceEnded() *apierror.Error {
-	return apierror.Errorf(apierror.FrontLeaving, "the node is shutting down and the grace period of its drain has ended").WithRetryAfter(time.Second)
+	return apierror.Errorf(apierror.FrontDraining, "the node is shutting down and the grace period of its drain has ended").WithRetryAfter(time.Second)
 }
 
 // drain waits until no request is active. If the context ends first, it cancels the
--- a/internal/node/front/call_registry_test.go
+++ b/internal/node/front/call_registry_test.go
@@ -46,10 +46,10 @@
 				<-time.After(wait)
 			}
 			loseAuthority(time.Second)
-			f.checkEqual("ready", f.front.Ready().Code, apierror.NotRuling)
+			f.checkEqual("ready", f.front.Ready().Code, apierror.NoAuthority)
 			other := f.connect()
 			other.prompt("r2", time.Minute)
-			f.checkEqual("new request", other.readResponse().code, apierror.NotRuling)
+			f.checkEqual("new request", other.readResponse().code, apierror.NoAuthority)
 			f.views.publish(func(*follower.View) { f.views.hasAuthority.Store(true) })
 			for range 10 {
 				caller.readEvent()
@@ -108,10 +108,10 @@
 			defer cancel()
 			go func() { drained <- f.front.Drain(ctx) }()
 			synctest.Wait()
-			f.checkEqual("ready", f.front.Ready().Code, apierror.FrontLeaving)
+			f.checkEqual("ready", f.front.Ready().Code, apierror.FrontDraining)
 			other := f.connect()
 			other.prompt("r2", time.Minute)
-			f.checkEqual("new request", other.readResponse().code, apierror.FrontLeaving)
+			f.checkEqual("new request", other.readResponse().code, apierror.FrontDraining)
 			for line := ""; !strings.Contains(line, "final"); line = caller.readEvent() {
 			}
 			f.checkEqual("drained", <-drained, nil)
@@ -150,7 +150,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
 			f.checkEqual("drained", f.front.Drain(ctx), context.DeadlineExceeded)
-			f.checkEqual("answer", caller.readResponse().code, apierror.FrontLeaving)
+			f.checkEqual("answer", caller.readResponse().code, apierror.FrontDraining)
 			f.checkEqual("runs", f.runs("r1"), 0)
 		})
 	})
--- a/internal/node/front/dispatch.go
+++ b/internal/node/front/dispatch.go
@@ -26,7 +26,7 @@
 		choice.Err = c.contextError(ctx, "the deadline passed while the request was queued")
 	}
 	c.record(JournalEntry{Routing: routingRecord(choice, c.front.clock.Now().Sub(requestedAt))})
-	if choice.Err != nil && choice.Err.Code == apierror.BudgetSpent {
+	if choice.Err != nil && choice.Err.Code == apierror.RetryBudgetExhausted {
 		c.front.log.Emit(events.RetryBudgetExhausted, "request", c.id, "service", c.service, "tried", len(c.request.TriedServers))
 	}
 	if choice.Err == nil {
@@ -46,7 +46,7 @@
 // are already running at a server.
 func (c *call) checkSend() *apierror.Error {
 	if !c.front.views.HasAuthority() {
-		return apierror.Errorf(apierror.NotRuling, "the node has no authority to serve requests; retry at another node").WithRetryAfter(defaultRetryAfter)
+		return apierror.Errorf(apierror.NoAuthority, "the node has no authority to serve requests; retry at another node").WithRetryAfter(defaultRetryAfter)
 	}
 	return c.front.calls.checkRunning(&c.runningCall)
 }
@@ -59,7 +59,7 @@
 	case c.rejection.Load() != nil:
 		return c.rejection.Load()
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return apierror.Errorf(apierror.DeadlinePassed, "%s", deadlineDetail).WithRetryAfter(shortRetryAfter)
+		return apierror.Errorf(apierror.DeadlineExceeded, "%s", deadlineDetail).WithRetryAfter(shortRetryAfter)
 	}
-	return apierror.Errorf(apierror.CallerGone, "the caller closed the connection")
+	return apierror.Errorf(apierror.CallerDisconnected, "the caller closed the connection")
 }
--- a/internal/node/front/explain_test.go
+++ b/internal/node/front/explain_test.go
@@ -70,7 +70,7 @@
 				explanation, _ := f.front.Inspect("explain", "r3")
 				f.checkEqual("attempts with an empty retry budget", len(explanation.(*Explanation).Attempts), 1)
 			}
-			f.checkEqual("codes with round robin and no retries", codes, map[apierror.Code]bool{0: true, apierror.StreamNotBegun: true})
+			f.checkEqual("codes with round robin and no retries", codes, map[apierror.Code]bool{0: true, apierror.StreamNotStarted: true})
 		})
 	})
 	Convey("Inspect explains the latest request with an ID from the journal", t, func() {
--- a/internal/node/front/fixture_test.go
+++ b/internal/node/front/fixture_test.go
@@ -89,7 +89,7 @@
 		select {
 		case <-time.After(f.wait):
 		case <-ctx.Done():
-			return quota.Decision{Code: apierror.CallerGone}
+			return quota.Decision{Code: apierror.CallerDisconnected}
 		}
 	}
 	if f.decide == nil {
--- a/internal/node/front/oneshot.go
+++ b/internal/node/front/oneshot.go
@@ -16,7 +16,7 @@
 		if apiErr == nil {
 			return answer, nil
 		}
-		if server == "" || apiErr.Code != apierror.NotRun {
+		if server == "" || apiErr.Code != apierror.NotExecuted {
 			return nil, apiErr
 		}
 		c.recordRetry(server)
@@ -74,14 +74,14 @@
 	case ctx.Err() != nil:
 		return nil, "", c.notRunError(c.contextError(ctx, "the deadline passed before the call was sent"))
 	}
-	return nil, server, apierror.Errorf(apierror.NotRun, "%s", failure.Detail)
+	return nil, server, apierror.Errorf(apierror.NotExecuted, "%s", failure.Detail)
 }
 
 // checkAnswer returns nil if a received answer may be forwarded to the caller,
 // otherwise the reason.
 func (c *call) checkAnswer() *apierror.Error {
 	if !c.front.clock.Now().Before(c.request.Deadline) {
-		return apierror.Errorf(apierror.DeadlinePassed, "the answer arrived after the deadline")
+		return apierror.Errorf(apierror.DeadlineExceeded, "the answer arrived after the deadline")
 	}
 	return c.front.calls.checkRunning(&c.runningCall)
 }
@@ -95,8 +95,8 @@
 // DeadlinePassed, which does not imply it, becomes NotRun. After a retry every code
 // becomes NotRun.
 func (c *call) notRunError(apiErr *apierror.Error) *apierror.Error {
-	if len(c.request.TriedServers) == 0 && apiErr.Code != apierror.DeadlinePassed {
+	if len(c.request.TriedServers) == 0 && apiErr.Code != apierror.DeadlineExceeded {
 		return apiErr
 	}
-	return apierror.Errorf(apierror.NotRun, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, shortRetryAfter))
+	return apierror.Errorf(apierror.NotExecuted, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, shortRetryAfter))
 }
--- a/internal/node/front/oneshot_test.go
+++ b/internal/node/front/oneshot_test.go
@@ -31,7 +31,7 @@
 		{"answers another request", func() *fakeServer {
 			return respondingServer("HTTP/1.1 200 OK\nStepwick-Request-Id: r9\nContent-Length: 2\n\nok")
 		}, 502, apierror.OutcomeUnknown, 1},
-		{"refuses connections", func() *fakeServer { return &fakeServer{refuseConnections: true} }, 503, apierror.NotRun, 0},
+		{"refuses connections", func() *fakeServer { return &fakeServer{refuseConnections: true} }, 503, apierror.NotExecuted, 0},
 	}
 	for _, row := range rows {
 		for _, method := range []string{"GET", "POST"} {
--- a/internal/node/front/pause_detector_test.go
+++ b/internal/node/front/pause_detector_test.go
@@ -59,9 +59,9 @@
 			}
 			f.checkEqual("before", requestCode("r1", "2000"), apierror.OK)
 			f.clock.offset.Add(int64(5 * time.Second))
-			f.checkEqual("read before the first tick", requestCode("r2", "2000"), apierror.DeadlinePassed)
+			f.checkEqual("read before the first tick", requestCode("r2", "2000"), apierror.DeadlineExceeded)
 			<-time.After(100 * time.Millisecond)
-			f.checkEqual("read after the first tick", requestCode("r3", "2000"), apierror.DeadlinePassed)
+			f.checkEqual("read after the first tick", requestCode("r3", "2000"), apierror.DeadlineExceeded)
 			f.checkEqual("with a deadline longer than the pause", requestCode("r4", "9000"), apierror.OK)
 			<-time.After(time.Second)
 			f.checkEqual("later", requestCode("r5", "2000"), apierror.OK)
--- a/internal/node/front/prompt.go
+++ b/internal/node/front/prompt.go
@@ -86,21 +86,21 @@
 	case ctx.Err() != nil:
 		return "", c.contextError(ctx, "no event arrived before the deadline")
 	case begun:
-		return "", apierror.Errorf(apierror.StreamCut, "%s", failure.Detail).WithRetryAfter(shortRetryAfter)
+		return "", apierror.Errorf(apierror.StreamAborted, "%s", failure.Detail).WithRetryAfter(shortRetryAfter)
 	}
-	return server, apierror.Errorf(apierror.StreamNotBegun, "%s", failure.Detail)
+	return server, apierror.Errorf(apierror.StreamNotStarted, "%s", failure.Detail)
 }
 
 // notBegunError returns the error for a prompt that no server has started to answer.
 // On a first attempt the code is kept. After a retry it becomes StreamNotBegun,
 // except for CallerGone and KeyRevoked.
 func (c *call) notBegunError(apiErr *apierror.Error) *apierror.Error {
-	if len(c.request.TriedServers) == 0 || apiErr.Code == apierror.CallerGone || apiErr.Code == apierror.KeyRevoked {
+	if len(c.request.TriedServers) == 0 || apiErr.Code == apierror.CallerDisconnected || apiErr.Code == apierror.KeyRevoked {
 		return apiErr
 	}
-	return apierror.Errorf(apierror.StreamNotBegun, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, shortRetryAfter))
+	return apierror.Errorf(apierror.StreamNotStarted, "%s", apiErr.Error()).WithRetryAfter(max(apiErr.RetryAfter, shortRetryAfter))
 }
 
 func errDeadlineDuringStream() *apierror.Error {
-	return apierror.Errorf(apierror.StreamCut, "the deadline passed before the stream was complete").WithRetryAfter(shortRetryAfter)
+	return apierror.Errorf(apierror.StreamAborted, "the deadline passed before the stream was complete").WithRetryAfter(shortRetryAfter)
 }
--- a/internal/node/front/prompt_test.go
+++ b/internal/node/front/prompt_test.go
@@ -57,7 +57,7 @@
 				caller := f.connect()
 				caller.prompt("r1", time.Minute)
 				got := caller.readResponse()
-				f.checkEqual("status and code", []any{got.status, got.code, got.complete}, []any{200, apierror.StreamCut, false})
+				f.checkEqual("status and code", []any{got.status, got.code, got.complete}, []any{200, apierror.StreamAborted, false})
 				f.checkEqual("forwarded events", strings.Count(got.body, `"seq"`), 1)
 				f.checkEqual("final event", strings.Contains(got.body, `"final":true`), false)
 				f.checkEqual("runs", f.runs("r1"), 1)
@@ -76,7 +76,7 @@
 			caller, began := f.connect(), time.Now()
 			caller.prompt("r1", time.Minute)
 			got := caller.readResponse()
-			f.checkEqual("code", []any{got.code, got.complete, time.Since(began)}, []any{apierror.StreamCut, false, 5 * time.Second})
+			f.checkEqual("code", []any{got.code, got.complete, time.Since(began)}, []any{apierror.StreamAborted, false, 5 * time.Second})
 		})
 	})
 	Convey("When every server fails, the prompt is rejected with retry_after_ms", t, func() {
@@ -86,7 +86,7 @@
 			caller := f.connect()
 			caller.prompt("r1", time.Minute)
 			got := caller.readResponse()
-			f.checkEqual("answer", []any{got.status, got.code, got.complete, strings.Contains(got.body, "retry_after_ms")}, []any{503, apierror.StreamNotBegun, true, true})
+			f.checkEqual("answer", []any{got.status, got.code, got.complete, strings.Contains(got.body, "retry_after_ms")}, []any{503, apierror.StreamNotStarted, true, true})
 		})
 	})
 }
--- a/internal/node/front/result_events.go
+++ b/internal/node/front/result_events.go
@@ -9,12 +9,12 @@
 // resultEvents maps result codes to log events. Any other code is logged as
 // RequestRejected.
 var resultEvents = map[apierror.Code]events.Event{
-	apierror.OutcomeUnknown: events.OutcomeUnknown,
-	apierror.StreamCut:      events.StreamAborted,
-	apierror.KeyRevoked:     events.StreamKeyRevoked,
-	apierror.QueueFull:      events.QueueFull,
-	apierror.DeadlinePassed: events.DeadlineExceeded,
-	apierror.CallerGone:     events.CallerDisconnected,
+	apierror.OutcomeUnknown:     events.OutcomeUnknown,
+	apierror.StreamAborted:      events.StreamAborted,
+	apierror.KeyRevoked:         events.StreamKeyRevoked,
+	apierror.QueueFull:          events.QueueFull,
+	apierror.DeadlineExceeded:   events.DeadlineExceeded,
+	apierror.CallerDisconnected: events.CallerDisconnected,
 }
 
 // logResult logs the result of a call that failed.
--- a/internal/node/front/router_test.go
+++ b/internal/node/front/router_test.go
@@ -35,7 +35,7 @@
 			queued, began := f.connect(), time.Now()
 			queued.prompt("w1", 2*time.Second)
 			got := queued.readResponse()
-			f.checkEqual("answer", []any{got.code, time.Since(began), f.runs("w1")}, []any{apierror.DeadlinePassed, 2 * time.Second, 0})
+			f.checkEqual("answer", []any{got.code, time.Since(began), f.runs("w1")}, []any{apierror.DeadlineExceeded, 2 * time.Second, 0})
 			queued.prompt("w2", 50*time.Second)
 			synctest.Wait()
 			f.checkEqual("runs before a slot is free", f.runs("w2"), 0)
--- a/internal/node/front/stream_forwarder.go
+++ b/internal/node/front/stream_forwarder.go
@@ -50,12 +50,12 @@
 	now := front.clock.Now()
 	if !now.Before(s.call.request.Deadline) {
 		if !s.stream.Begun() {
-			return apierror.Errorf(apierror.DeadlinePassed, "the first event arrived after the deadline").WithRetryAfter(shortRetryAfter)
+			return apierror.Errorf(apierror.DeadlineExceeded, "the first event arrived after the deadline").WithRetryAfter(shortRetryAfter)
 		}
 		return errDeadlineDuringStream()
 	}
 	if err := s.stream.SendEvent(event.Data); err != nil {
-		return apierror.Errorf(apierror.CallerGone, "write an event to the caller: %s", err)
+		return apierror.Errorf(apierror.CallerDisconnected, "write an event to the caller: %s", err)
 	}
 	s.observeEvent(now)
 	return nil
--- a/internal/node/gateway/admission.go
+++ b/internal/node/gateway/admission.go
@@ -19,7 +19,7 @@
 func (q *request) admit() *apierror.Error {
 	gateway := q.gateway
 	if gateway.closed.Load() {
-		return apierror.Errorf(apierror.FrontLeaving, "the node is shutting down; send the request to another node").WithRetryAfter(noAuthorityRetryAfter)
+		return apierror.Errorf(apierror.FrontDraining, "the node is shutting down; send the request to another node").WithRetryAfter(noAuthorityRetryAfter)
 	}
 	var apiErr *apierror.Error
 	if q.call, apiErr = gateway.dialect.ReadRequest(q.http); apiErr != nil {
@@ -93,7 +93,7 @@
 	}
 	servesRoute := func(split sheet.Split) bool { return split.Service == q.service && split.Weight > 0 }
 	if q.tenant != admittedTenant || !slices.ContainsFunc(q.route.Splits, servesRoute) {
-		return apierror.Errorf(apierror.NotRun, "the route or the tenant of the key has changed since the request was admitted").WithRetryAfter(noAuthorityRetryAfter)
+		return apierror.Errorf(apierror.NotExecuted, "the route or the tenant of the key has changed since the request was admitted").WithRetryAfter(noAuthorityRetryAfter)
 	}
 	return nil
 }
--- a/internal/node/gateway/attempt.go
+++ b/internal/node/gateway/attempt.go
@@ -61,21 +61,21 @@
 // incomplete.
 func (q *request) finalError(clientRelay *relay, apiErr, previous *apierror.Error) *apierror.Error {
 	if q.http.Context().Err() != nil {
-		apiErr = apierror.Errorf(apierror.CallerGone, "the client closed the connection")
+		apiErr = apierror.Errorf(apierror.CallerDisconnected, "the client closed the connection")
 	}
 	if clientRelay.started {
 		panic(http.ErrAbortHandler)
 	}
 	switch {
-	case apiErr.Code == apierror.CallerGone:
+	case apiErr.Code == apierror.CallerDisconnected:
 		return apiErr
 	case q.possibleExecutions > 0:
-		if previous != nil && apiErr.Code != apierror.DeadlinePassed {
+		if previous != nil && apiErr.Code != apierror.DeadlineExceeded {
 			apiErr = previous
 		}
 		return possiblyExecuted(apiErr)
-	case apiErr.Code == apierror.DeadlinePassed:
-		return apierror.Errorf(apierror.NotRun, "%s", apiErr.Detail).WithRetryAfter(minRetryAfter)
+	case apiErr.Code == apierror.DeadlineExceeded:
+		return apierror.Errorf(apierror.NotExecuted, "%s", apiErr.Detail).WithRetryAfter(minRetryAfter)
 	}
 	return apiErr
 }
@@ -85,7 +85,7 @@
 // told that the request can be sent again.
 func possiblyExecuted(apiErr *apierror.Error) *apierror.Error {
 	switch apiErr.Code {
-	case apierror.DeadlinePassed, apierror.OutcomeUnknown, apierror.BadAnswer:
+	case apierror.DeadlineExceeded, apierror.OutcomeUnknown, apierror.BadResponse:
 		return apiErr
 	}
 	return apierror.Errorf(apierror.OutcomeUnknown, "%s", apiErr.Detail)
@@ -164,7 +164,7 @@
 		return q.contextError(ctx, nil), false
 	}
 	if !failure.Sent {
-		return apierror.Errorf(apierror.NotRun, "%s", failure).WithRetryAfter(minRetryAfter), true
+		return apierror.Errorf(apierror.NotExecuted, "%s", failure).WithRetryAfter(minRetryAfter), true
 	}
 	return apierror.Errorf(apierror.OutcomeUnknown, "%s", failure), q.prepareRetry()
 }
@@ -181,7 +181,7 @@
 		*outcome = balance.OutcomeReplaced
 		reason = "the server has been replaced by another one at its address"
 	}
-	return apierror.Errorf(apierror.NotRun, "%s", reason).WithRetryAfter(rejectedRetryAfter), true
+	return apierror.Errorf(apierror.NotExecuted, "%s", reason).WithRetryAfter(rejectedRetryAfter), true
 }
 
 // contextError returns CallerGone if the client has disconnected, DeadlinePassed if the
@@ -189,9 +189,9 @@
 func (q *request) contextError(ctx context.Context, apiErr *apierror.Error) *apierror.Error {
 	switch {
 	case q.http.Context().Err() != nil:
-		return apierror.Errorf(apierror.CallerGone, "the client closed the connection")
+		return apierror.Errorf(apierror.CallerDisconnected, "the client closed the connection")
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) || apiErr == nil:
-		return apierror.Errorf(apierror.DeadlinePassed, "the deadline passed before the response was complete")
+		return apierror.Errorf(apierror.DeadlineExceeded, "the deadline passed before the response was complete")
 	}
 	return apiErr
 }
--- a/internal/node/gateway/authority.go
+++ b/internal/node/gateway/authority.go
@@ -19,7 +19,7 @@
 // its view (Views.HasAuthority) and a configuration.
 func (g *Gateway) checkAuthority() *apierror.Error {
 	if !g.views.HasAuthority() {
-		return apierror.Errorf(apierror.NotRuling, "the node has no valid lease; send the request to another node").WithRetryAfter(noAuthorityRetryAfter)
+		return apierror.Errorf(apierror.NoAuthority, "the node has no valid lease; send the request to another node").WithRetryAfter(noAuthorityRetryAfter)
 	}
 	if g.views.View().State.Sheet == nil {
 		return apierror.Errorf(apierror.NoSheet, "").WithRetryAfter(noAuthorityRetryAfter)
--- a/internal/node/gateway/drain.go
+++ b/internal/node/gateway/drain.go
@@ -39,7 +39,7 @@
 // Ready returns nil if the node accepts requests for routes, and the reason otherwise.
 func (g *Gateway) Ready() *apierror.Error {
 	if g.draining.Load() {
-		return apierror.Errorf(apierror.FrontLeaving, "the node is draining; send the request to another node").WithRetryAfter(drainingRetryAfter)
+		return apierror.Errorf(apierror.FrontDraining, "the node is draining; send the request to another node").WithRetryAfter(drainingRetryAfter)
 	}
 	return g.checkAuthority()
 }
--- a/internal/node/gateway/drain_test.go
+++ b/internal/node/gateway/drain_test.go
@@ -22,7 +22,7 @@
 		for fleet.gateway.Ready() == nil {
 			_ = fleet.send("/safe/", "")
 		}
-		So(fleet.gateway.Ready().Code, ShouldEqual, apierror.FrontLeaving)
+		So(fleet.gateway.Ready().Code, ShouldEqual, apierror.FrontDraining)
 		So(<-drained, ShouldBeNil)
 		So(fleet.send("/safe/", "").status, ShouldEqual, http.StatusServiceUnavailable)
 	})
--- a/internal/node/gateway/queue.go
+++ b/internal/node/gateway/queue.go
@@ -53,7 +53,7 @@
 	case <-d.stopped:
 	}
 	d.sendUpdate(attemptUpdate{kind: requestAbandoned, request: submitted})
-	return assignment{apiErr: apierror.Errorf(apierror.DeadlinePassed, "the request ended while it waited for a server")}
+	return assignment{apiErr: apierror.Errorf(apierror.DeadlineExceeded, "the request ended while it waited for a server")}
 }
 
 // assignOrQueue assigns a server to a submitted request, or queues the request if no
--- a/internal/node/gateway/relay.go
+++ b/internal/node/gateway/relay.go
@@ -42,7 +42,7 @@
 		return r.relayStream(response, attempt)
 	}
 	if r.started {
-		return apierror.Errorf(apierror.StreamCut, "the server responded with status %d to a request to resume the stream", response.Status), true
+		return apierror.Errorf(apierror.StreamAborted, "the server responded with status %d to a request to resume the stream", response.Status), true
 	}
 	return r.relaySingle(response, attempt)
 }
@@ -145,7 +145,7 @@
 // clientError returns the error for a failed write to the client.
 func (r *relay) clientError(err error) *apierror.Error {
 	r.clientDisconnected = true
-	return apierror.Errorf(apierror.CallerGone, "write the response to the client: %s", err)
+	return apierror.Errorf(apierror.CallerDisconnected, "write the response to the client: %s", err)
 }
 
 // responseError returns the error for a response that could not be relayed completely.
@@ -154,5 +154,5 @@
 	if errors.As(err, &apiErr) {
 		return apiErr
 	}
-	return r.request.contextError(r.ctx, apierror.Errorf(apierror.BadAnswer, "%s", err))
+	return r.request.contextError(r.ctx, apierror.Errorf(apierror.BadResponse, "%s", err))
 }
--- a/internal/node/gateway/request.go
+++ b/internal/node/gateway/request.go
@@ -83,7 +83,7 @@
 // writeError logs an error and writes it as the response. It panics with
 // http.ErrAbortHandler if the client has disconnected.
 func (q *request) writeError(apiErr *apierror.Error) {
-	if apiErr.Code == apierror.CallerGone {
+	if apiErr.Code == apierror.CallerDisconnected {
 		panic(http.ErrAbortHandler)
 	}
 	q.gateway.log.Emit(events.RequestRejected, "request", q.call.ID, "service", q.service, "tenant", q.tenant,
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -67,7 +67,7 @@
 	case err != io.EOF: //nolint:errorlint // an io.Reader returns io.EOF itself
 		return r.responseError(err), true
 	case !response.HasFraming() && len(incomplete) > 0:
-		return apierror.Errorf(apierror.StreamCut, "the server closed the stream within an event"), true
+		return apierror.Errorf(apierror.StreamAborted, "the server closed the stream within an event"), true
 	}
 	r.writeHeader(response)
 	if _, err := r.writer().Write(incomplete); err != nil {
--- a/internal/node/order_forwarder.go
+++ b/internal/node/order_forwarder.go
@@ -83,7 +83,7 @@
 		return false
 	}
 	switch apierror.Code(a.resp.Code) {
-	case apierror.CoreAmnesiac, apierror.CoreBlank, apierror.DiskFull, apierror.NoMajority, apierror.NotCore, apierror.CoreUnreachable:
+	case apierror.CoreRecovering, apierror.CoreBlank, apierror.DiskFull, apierror.NoMajority, apierror.NotCore, apierror.CoreUnreachable:
 		return false
 	}
 	return true
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -28,7 +28,7 @@
 
 var (
 	errNotCore     = apierror.Errorf(apierror.NotCore, "this process is not a core")
-	errNoFleetTime = apierror.Errorf(apierror.NotRuling, "this process has not determined fleet time yet")
+	errNoFleetTime = apierror.Errorf(apierror.NoAuthority, "this process has not determined fleet time yet")
 )
 
 // serve serves a call with the method of a service.
--- a/internal/node/platform_node.go
+++ b/internal/node/platform_node.go
@@ -44,7 +44,7 @@
 // the fronts that do not respond to it.
 func (n *platformNode) NearestFronts(region string, limit int) []string {
 	fronts := n.process.follower.View().Fronts
-	if apiErr := n.Ready(); apiErr != nil && apiErr.Code == apierror.NotRuling {
+	if apiErr := n.Ready(); apiErr != nil && apiErr.Code == apierror.NoAuthority {
 		fronts = n.unresponsiveFronts()
 	}
 	return nearestAddresses(fronts, region, limit)
--- a/internal/node/process.go
+++ b/internal/node/process.go
@@ -93,7 +93,7 @@
 	if p.front != nil {
 		apiErr := p.readiness()
 		self.Ready = apiErr == nil
-		self.Leaving = apiErr != nil && apiErr.Code == apierror.FrontLeaving
+		self.Leaving = apiErr != nil && apiErr.Code == apierror.FrontDraining
 	}
 	return self
 }
--- a/internal/node/quotasync/service.go
+++ b/internal/node/quotasync/service.go
@@ -194,9 +194,9 @@
 // rejectionCode returns the code for a request whose context ended with err.
 func rejectionCode(err error) apierror.Code {
 	if errors.Is(err, context.DeadlineExceeded) {
-		return apierror.DeadlinePassed
+		return apierror.DeadlineExceeded
 	}
-	return apierror.CallerGone
+	return apierror.CallerDisconnected
 }
 
 // Add applies another front's counts of tenants that this front owns and returns the
--- a/internal/node/replica/replica_test.go
+++ b/internal/node/replica/replica_test.go
@@ -116,7 +116,7 @@
 		f.wipe("b")
 		f.start("a", "b")
 		So(f.waitUntil(5*time.Second, func() bool { return f.voting("a")() || f.voting("b")() }), ShouldBeFalse)
-		So(f.core("a").Ready().Code, ShouldEqual, apierror.CoreAmnesiac)
+		So(f.core("a").Ready().Code, ShouldEqual, apierror.CoreRecovering)
 		_, err = f.core("c").ReadMajority(withTimeout(time.Second))
 		So(apierror.From(err).Code, ShouldEqual, apierror.NoMajority)
 	})
--- a/internal/node/replica/view.go
+++ b/internal/node/replica/view.go
@@ -143,7 +143,7 @@
 	case wire.Standing_STANDING_BLANK:
 		return apierror.CoreBlank
 	case wire.Standing_STANDING_AMNESIAC:
-		return apierror.CoreAmnesiac
+		return apierror.CoreRecovering
 	case wire.Standing_STANDING_DISK_FULL:
 		return apierror.DiskFull
 	}
--- a/sim/fleet/simulate.go
+++ b/sim/fleet/simulate.go
@@ -177,7 +177,7 @@
 			w.report.Acknowledged++
 			w.next = a.SheetVersion
 			w.acked = append(w.acked, ack{s.key, w.clock.Now()})
-		case a.Status == http.StatusConflict && a.Code == apierror.BaseMoved:
+		case a.Status == http.StatusConflict && a.Code == apierror.BaseConflict:
 			s.outcome = a.Status
 			w.lost[s.key] = true
 		default:
