--- a/sim/paxos/message.go
+++ b/sim/paxos/message.go
@@ -10,80 +10,80 @@
 	"stepwick/internal/wire"
 )
 
-// message is a request or an answer in flight, in the one field that is set of
-// prepare to recovered. An answer names the process and the run of its proposer
-// that sent the request.
+// message is a request or an answer in flight. Exactly one of the fields from
+// prepareRequest to recoverAnswer is set. An answer carries the process incarnation
+// and the proposal number of its request.
 type message struct {
 	hash               uint64
 	from               int
 	to                 int
 	processIncarnation int
-	run                int
-	prepare            *wire.PrepareRequest
-	prepared           *wire.PrepareResponse
-	accept             *wire.AcceptRequest
-	accepted           *wire.AcceptResponse
-	recover            *wire.RecoverRequest
-	recovered          *wire.RecoverResponse
+	proposalNumber     int
+	prepareRequest     *wire.PrepareRequest
+	prepareAnswer      *wire.PrepareResponse
+	acceptRequest      *wire.AcceptRequest
+	acceptAnswer       *wire.AcceptResponse
+	recoverRequest     *wire.RecoverRequest
+	recoverAnswer      *wire.RecoverResponse
 	deliveredOnce      bool
 }
 
 // Tags separate the kinds of messages in their hashes.
 const (
-	prepareTag byte = 1 + iota
-	preparedTag
-	acceptTag
-	acceptedTag
-	recoverTag
-	recoveredTag
+	prepareRequestTag byte = 1 + iota
+	prepareAnswerTag
+	acceptRequestTag
+	acceptAnswerTag
+	recoverRequestTag
+	recoverAnswerTag
 )
 
-// hashBufferSize is enough for the messages of small worlds.
+// hashBufferSize is the initial capacity, in bytes, of the hash key of a message.
 const hashBufferSize = 256
 
-// isRefusal reports whether an answer changes nothing at its receiver. Such an
-// answer need not be delivered: whatever can happen after it can happen while it
-// is in flight.
+// isRefusal reports whether an answer changes nothing at its receiver. Such an answer
+// need not be delivered: every transition that is possible after its delivery is also
+// possible without it.
 func (msg *message) isRefusal() bool {
 	switch {
-	case msg.prepared != nil:
-		return !msg.prepared.Promised && !msg.prepared.Chosen
-	case msg.accepted != nil:
-		return !msg.accepted.Accepted && !msg.accepted.Chosen
+	case msg.prepareAnswer != nil:
+		return !msg.prepareAnswer.Promised && !msg.prepareAnswer.Chosen
+	case msg.acceptAnswer != nil:
+		return !msg.acceptAnswer.Accepted && !msg.acceptAnswer.Chosen
 	}
-	return !msg.recovered.Ok
+	return !msg.recoverAnswer.Ok
 }
 
 func (msg *message) isAnswer() bool {
-	return msg.prepared != nil || msg.accepted != nil || msg.recovered != nil
+	return msg.prepareAnswer != nil || msg.acceptAnswer != nil || msg.recoverAnswer != nil
 }
 
 func (msg *message) String() string {
-	return fmt.Sprintf("%s to %s (life %d, run %d) ", names[msg.from], names[msg.to], msg.processIncarnation, msg.run) + msg.body()
+	return fmt.Sprintf("%s to %s (process %d, proposal %d) ", modelCoreNames[msg.from], modelCoreNames[msg.to], msg.processIncarnation, msg.proposalNumber) + msg.body()
 }
 
 func (msg *message) body() string {
 	switch {
-	case msg.prepare != nil:
-		return fmt.Sprintf("prepare %d", msg.prepare.Ballot.Number)
-	case msg.prepared != nil:
-		resp := msg.prepared
-		return fmt.Sprintf("promised %v %v accepted %v %q chosen %v %q lives %v", resp.Promised, paxos.BallotFromWire(resp.PromisedBallot),
+	case msg.prepareRequest != nil:
+		return fmt.Sprintf("prepare %d", msg.prepareRequest.Ballot.Number)
+	case msg.prepareAnswer != nil:
+		resp := msg.prepareAnswer
+		return fmt.Sprintf("promised %v %v accepted %v %q chosen %v %q incarnations %v", resp.Promised, paxos.BallotFromWire(resp.PromisedBallot),
 			paxos.BallotFromWire(resp.AcceptedBallot), resp.AcceptedValue, resp.Chosen, resp.ChosenValue, resp.Lives)
-	case msg.accept != nil:
-		return fmt.Sprintf("accept %d %q on lives %v", msg.accept.Ballot.Number, msg.accept.Value, msg.accept.PromisedLives)
-	case msg.accepted != nil:
-		resp := msg.accepted
-		return fmt.Sprintf("accepted %v of %v lives %v chosen %v %q", resp.Accepted, paxos.BallotFromWire(resp.PromisedBallot),
+	case msg.acceptRequest != nil:
+		return fmt.Sprintf("accept %d %q with promises of incarnations %v", msg.acceptRequest.Ballot.Number, msg.acceptRequest.Value, msg.acceptRequest.PromisedLives)
+	case msg.acceptAnswer != nil:
+		resp := msg.acceptAnswer
+		return fmt.Sprintf("accepted %v promised %v incarnations %v chosen %v %q", resp.Accepted, paxos.BallotFromWire(resp.PromisedBallot),
 			resp.Lives, resp.Chosen, resp.ChosenValue)
-	case msg.recover != nil:
-		return fmt.Sprintf("recover life %d", msg.recover.Life)
+	case msg.recoverRequest != nil:
+		return fmt.Sprintf("recover incarnation %d", msg.recoverRequest.Life)
 	}
-	resp := msg.recovered
-	return fmt.Sprintf("recovered %v votes %v chosen %v lives %v", resp.Ok, resp.Votes, resp.Chosen, resp.Lives)
+	resp := msg.recoverAnswer
+	return fmt.Sprintf("recovered %v votes %v chosen %v incarnations %v", resp.Ok, resp.Votes, resp.Chosen, resp.Lives)
 }
 
-// withHash returns the message with the hash by which equal ones are recognized.
+// withHash returns the message with its hash, which identifies equal messages.
 func (msg message) withHash() *message {
 	msg.hash = msg.computeHash()
 	return &msg
@@ -91,40 +91,40 @@
 
 func (msg *message) computeHash() uint64 {
 	key := make([]byte, 0, hashBufferSize)
-	key = append(key, byte(msg.from), byte(msg.to), byte(msg.processIncarnation), byte(msg.run))
+	key = append(key, byte(msg.from), byte(msg.to), byte(msg.processIncarnation), byte(msg.proposalNumber))
 	return xxhash.Sum64(msg.appendBody(key))
 }
 
 func (msg *message) appendBody(key []byte) []byte {
 	switch {
-	case msg.prepare != nil:
-		return binary.AppendUvarint(append(key, prepareTag), msg.prepare.Ballot.Number)
-	case msg.prepared != nil:
-		resp := msg.prepared
-		key = append(key, preparedTag, bit(resp.Promised), bit(resp.Chosen), byte(resp.Refusal))
+	case msg.prepareRequest != nil:
+		return binary.AppendUvarint(append(key, prepareRequestTag), msg.prepareRequest.Ballot.Number)
+	case msg.prepareAnswer != nil:
+		resp := msg.prepareAnswer
+		key = append(key, prepareAnswerTag, boolByte(resp.Promised), boolByte(resp.Chosen), byte(resp.Refusal))
 		key = appendBallots(key, resp.PromisedBallot, resp.AcceptedBallot)
 		key = append(key, resp.AcceptedValue...)
 		key = append(key, resp.ChosenValue...)
 		return appendIncarnations(key, resp.Lives)
-	case msg.accept != nil:
-		key = binary.AppendUvarint(append(key, acceptTag), msg.accept.Ballot.Number)
-		key = append(key, msg.accept.Value...)
-		return appendIncarnations(key, msg.accept.PromisedLives)
-	case msg.accepted != nil:
-		resp := msg.accepted
-		key = append(key, acceptedTag, bit(resp.Accepted), bit(resp.Chosen), byte(resp.Refusal))
+	case msg.acceptRequest != nil:
+		key = binary.AppendUvarint(append(key, acceptRequestTag), msg.acceptRequest.Ballot.Number)
+		key = append(key, msg.acceptRequest.Value...)
+		return appendIncarnations(key, msg.acceptRequest.PromisedLives)
+	case msg.acceptAnswer != nil:
+		resp := msg.acceptAnswer
+		key = append(key, acceptAnswerTag, boolByte(resp.Accepted), boolByte(resp.Chosen), byte(resp.Refusal))
 		key = appendBallots(key, resp.PromisedBallot)
 		key = append(key, resp.ChosenValue...)
 		return appendIncarnations(key, resp.Lives)
-	case msg.recover != nil:
-		return append(key, recoverTag, byte(msg.recover.Life))
-	case msg.recovered != nil:
-		return appendRecovered(append(key, recoveredTag), msg.recovered)
+	case msg.recoverRequest != nil:
+		return append(key, recoverRequestTag, byte(msg.recoverRequest.Life))
+	case msg.recoverAnswer != nil:
+		return appendRecoverResponse(append(key, recoverAnswerTag), msg.recoverAnswer)
 	}
 	return key
 }
 
-func bit(b bool) byte {
+func boolByte(b bool) byte {
 	if b {
 		return 1
 	}
@@ -132,7 +132,7 @@
 }
 
 func appendIncarnations(key []byte, incarnations map[string]uint64) []byte {
-	for _, name := range names {
+	for _, name := range modelCoreNames {
 		key = append(key, byte(incarnations[name]))
 	}
 	return key
@@ -146,8 +146,8 @@
 	return append(key, 0)
 }
 
-func appendRecovered(key []byte, resp *wire.RecoverResponse) []byte {
-	key = append(key, bit(resp.Ok), byte(len(resp.Votes)), byte(len(resp.Chosen)))
+func appendRecoverResponse(key []byte, resp *wire.RecoverResponse) []byte {
+	key = append(key, boolByte(resp.Ok), byte(len(resp.Votes)), byte(len(resp.Chosen)))
 	key = appendIncarnations(key, resp.Lives)
 	for _, vote := range resp.Votes {
 		key = appendBallots(key, vote.Promised, vote.Accepted)
--- a/sim/paxos/model.go
+++ b/sim/paxos/model.go
@@ -1,9 +1,10 @@
-// Package paxos explores internal/decision/paxos: exhaustively in a small world
-// of one slot, and at random over many slots, seeds and faults. The decisions
-// are those that run in production; only calls, disks and time are the model's.
+// Package paxos model-checks internal/decision/paxos. Explore visits every
+// reachable state of a small model with three cores and one slot; Run simulates
+// many slots in virtual time under random faults that a seed determines. Both call
+// the production package; only calls, disks and time are simulated.
 //
-//	go test ./sim/paxos                                             as CI does
-//	go test ./sim/paxos -run ExhaustiveLong -long -v -timeout 30m   further
+//	go test ./sim/paxos                                             the runs of CI
+//	go test ./sim/paxos -run ExhaustiveLong -long -v -timeout 30m   larger models
 //	go test ./sim/paxos -run 'Random$' -seeds 3000 -seed 1001 -v    more seeds
 package paxos
 
@@ -19,89 +20,92 @@
 	"stepwick/internal/wire"
 )
 
-// Flaw is a rule left out on purpose, to show that the checker finds the violation.
+// Flaw is a deliberate defect of the protocol. Each shows that the checker detects
+// the violation that the disabled rule prevents.
 type Flaw int
 
-// Flaws.
+// Flaws. NoFlaw is the protocol as implemented.
 const (
-	Sound                Flaw = iota
-	IncarnationsHidden        // answers omit later disk incarnations
-	IncarnationForgotten      // an acceptor does not record the disk incarnation that is announced
-	PromiseTwice              // a ballot may be promised twice
-	PartialRecovery           // a wiped core takes the first answer for a recovery quorum
-	VoteWithoutRecovery       // a wiped core votes without a recovery
-	SharedIncarnation         // two processes of one name may announce the same disk incarnation
+	NoFlaw               Flaw = iota
+	IncarnationsOmitted       // answers report no disk incarnation after the first
+	IncarnationForgotten      // an acceptor does not record an announced disk incarnation
+	PromiseTwice              // an acceptor may promise the same ballot twice
+	PartialRecovery           // a core that lost its disk treats the first answer as a recovery quorum
+	VoteWithoutRecovery       // a core that lost its disk votes without recovery
+	SharedIncarnation         // two processes with the same name may announce the same disk incarnation
 )
 
-// Bounds limit an exploration.
+// Bounds limits an exploration.
 type Bounds struct {
-	Ballots    []int  // by core, how many each may open
-	Wipes      int    // never of the last disk
-	Wiped      string // which cores may be; empty is all
-	Crashes    int
-	Recoveries int // attempts of wiped cores to recover; 0 is one for each wipe and crash
-	Duplicates int
-	Eager      bool // an answer arrives at once or is lost; else it may arrive at any time
-	States     int  // stop after so many; 0 is none
-	Flaw       Flaw
+	Ballots          []int  // number of ballots that each core may open
+	Wipes            int    // number of disk losses; at least one disk always survives
+	WipeableCores    string // names of the cores that may lose their disk; empty means all
+	Crashes          int
+	Recoveries       int // number of recovery attempts; 0 means one for each wipe and crash
+	Duplicates       int
+	ImmediateAnswers bool // an answer arrives immediately or is lost; otherwise it may arrive at any time
+	MaxStates        int  // maximum number of visited states; 0 means unlimited
+	Flaw             Flaw
 }
 
-// Report is the result of an exploration. Trace leads to the violation, if there is one.
+// Report is the result of an exploration. Trace holds the transitions that lead to
+// the violation, if one was found.
 type Report struct {
 	States      int
 	Transitions int
-	Deepest     int
-	Complete    bool // every reachable state was seen
+	MaxDepth    int
+	Complete    bool // every reachable state was visited
 	Violation   string
 	Trace       []string
 }
 
-const slot = 1
+const modelSlot = 1
 
-var names = []string{"a", "b", "c"}
+var modelCoreNames = []string{"a", "b", "c"}
 
-// world is one state of the model. It is a value: transitions copy it, and share
-// the cache.
+// world is one state of the model. It is an immutable value: a transition returns a
+// modified copy. All copies share the cache.
 type world struct {
-	cores   [3]node
-	network []*message // sorted by hash
-	bounds  Bounds     // what is left of them
-	decided []byte     // the first value that any core took for chosen
-	cache   *handlerCache
+	cores       [3]modelCore
+	network     []*message // sorted by hash
+	bounds      Bounds     // remaining bounds
+	chosenValue []byte     // the first value that a proposer found to be chosen; nil if none
+	cache       *handlerCache
 }
 
-// handling identifies the handling of a message by the hashes of the node and
-// the message.
-type handling struct {
-	node    uint64
-	message uint64
+// handlerKey identifies the handling of a message by a core.
+type handlerKey struct {
+	coreHash    uint64
+	messageHash uint64
 }
 
-// handlerCache keeps what a node does with a message, which recurs in many worlds.
+// handlerCache caches the result of handling a message, which recurs in many worlds.
 type handlerCache struct {
-	requests map[handling]requestResult
-	answers  map[handling]answerResult
+	requests map[handlerKey]requestResult
+	answers  map[handlerKey]answerResult
 }
 
 type requestResult struct {
-	node    node
+	core    modelCore
 	answer  *message
 	changed bool
 }
 
 type answerResult struct {
-	node     node
-	messages []*message
-	decided  []byte
+	core        modelCore
+	messages    []*message
+	chosenValue []byte
 }
 
-type node struct {
+// modelCore is the state of one core. hash covers all fields that affect its later
+// behaviour.
+type modelCore struct {
 	state              paxos.State
-	processIncarnation int // answers to an earlier process are lost
-	run                int // of the proposer
+	processIncarnation int // answers to an earlier process are dropped
+	proposalNumber     int // number of ballots that the core has opened
 	proposer           *paxos.Proposer
 	recovery           *recovery
-	proposals          int
+	remainingProposals int
 	hash               uint64
 }
 
@@ -110,7 +114,7 @@
 	answers     map[string]*wire.RecoverResponse
 }
 
-// step is one transition; it is formatted only when it is printed.
+// step describes one transition. It is formatted only when a trace is printed.
 type step struct {
 	description string
 	core        int
@@ -121,50 +125,52 @@
 	if s.message != nil {
 		return strings.TrimSpace(s.message.String() + " " + s.description)
 	}
-	return s.description + " " + names[s.core]
+	return s.description + " " + modelCoreNames[s.core]
 }
 
-// Explore visits every reachable state within the bounds, depth first, and
+// Explore visits every state that is reachable within the bounds, depth first. It
 // stops at the first violation.
 func Explore(b Bounds) Report {
 	if b.Recoveries == 0 {
 		b.Recoveries = b.Wipes + b.Crashes
 	}
-	cache := &handlerCache{requests: map[handling]requestResult{}, answers: map[handling]answerResult{}}
+	cache := &handlerCache{requests: map[handlerKey]requestResult{}, answers: map[handlerKey]answerResult{}}
 	w := world{bounds: b, cache: cache}
-	for i, name := range names {
-		state := paxos.FormationJoined{Formation: modelFormation, Voters: names}.Apply(paxos.BlankState(name))
+	for i, name := range modelCoreNames {
+		state := paxos.FormationJoined{Formation: modelFormation, Voters: modelCoreNames}.Apply(paxos.BlankState(name))
 		state = paxos.RecoveryCompleted{Incarnations: firstIncarnations}.Apply(state)
-		w.cores[i] = node{state: state, proposals: b.Ballots[i]}.hashed()
+		w.cores[i] = modelCore{state: state, remainingProposals: b.Ballots[i]}.withHash()
 	}
-	e := explorer{limit: b.States, visited: map[uint64]struct{}{}}
+	e := explorer{maxStates: b.MaxStates, visited: map[uint64]struct{}{}}
 	e.report.Complete = true
 	e.explore(w, 0)
 	return e.report
 }
 
 type explorer struct {
-	report  Report
-	limit   int
-	visited map[uint64]struct{}
-	trace   []step
-	buffer  []byte
+	report    Report
+	maxStates int
+	visited   map[uint64]struct{}
+	trace     []step
+	buffer    []byte
 }
 
+// explore visits a world and all its successors. It reports whether it found a
+// violation.
 func (e *explorer) explore(w world, depth int) bool {
 	e.buffer = w.appendKey(e.buffer[:0])
 	hash := xxhash.Sum64(e.buffer)
 	if _, seen := e.visited[hash]; seen {
 		return false
 	}
-	if e.limit > 0 && len(e.visited) >= e.limit {
+	if e.maxStates > 0 && len(e.visited) >= e.maxStates {
 		e.report.Complete = false
 		return false
 	}
 	e.visited[hash] = struct{}{}
 	e.report.States++
-	e.report.Deepest = max(e.report.Deepest, depth)
-	if violation := w.check(); violation != "" {
+	e.report.MaxDepth = max(e.report.MaxDepth, depth)
+	if violation := w.findViolation(); violation != "" {
 		e.report.Violation = violation
 		e.report.Complete = false
 		for _, step := range e.trace {
@@ -172,47 +178,49 @@
 		}
 		return true
 	}
-	return w.each(func(step step, next world) bool {
+	return w.forEachSuccessor(func(step step, next world) bool {
 		e.report.Transitions++
 		e.trace = append(e.trace, step)
-		found := e.explore(next, depth+1)
+		violationFound := e.explore(next, depth+1)
 		e.trace = e.trace[:len(e.trace)-1]
-		return found
+		return violationFound
 	})
 }
 
-// check finds a broken rule: a second value decided, or a decided value that a
-// ballot opened now by some majority would not find.
-func (w world) check() string {
-	if w.decided == nil {
+// findViolation returns a description of the violated rule, or "". Once a value is
+// chosen, no core may learn another one, and a ballot promised by any majority must
+// propose the chosen value.
+func (w world) findViolation() string {
+	if w.chosenValue == nil {
 		return ""
 	}
-	for _, n := range w.cores {
-		if value, learned := n.state.LearnedValue(slot); learned && !bytes.Equal(value, w.decided) {
-			return fmt.Sprintf("%s took %q for chosen after %q", n.state.Self, value, w.decided)
+	for _, c := range w.cores {
+		if value, learned := c.state.LearnedValue(modelSlot); learned && !bytes.Equal(value, w.chosenValue) {
+			return fmt.Sprintf("%s learned %q as chosen after %q was chosen", c.state.Self, value, w.chosenValue)
 		}
 	}
 	for i := range w.cores {
 		for j := i + 1; j < len(w.cores); j++ {
-			if value, open := acceptedValue(w.cores[i].state, w.cores[j].state); open && !bytes.Equal(value, w.decided) {
-				return fmt.Sprintf("%s and %s would choose %q after %q was chosen", names[i], names[j], value, w.decided)
+			if value, bothVote := valueToPropose(w.cores[i].state, w.cores[j].state); bothVote && !bytes.Equal(value, w.chosenValue) {
+				return fmt.Sprintf("a ballot promised by %s and %s would propose %q after %q was chosen", modelCoreNames[i], modelCoreNames[j], value, w.chosenValue)
 			}
 		}
 	}
 	return ""
 }
 
-// acceptedValue returns the value that a ballot would take up from two voting cores.
-func acceptedValue(a, b paxos.State) (value []byte, open bool) {
+// valueToPropose returns the value that a ballot would have to propose if both cores
+// promised it. bothVote is false if one of them does not vote.
+func valueToPropose(a, b paxos.State) (value []byte, bothVote bool) {
 	var highest paxos.Ballot
 	for _, state := range []paxos.State{a, b} {
 		if state.Incarnation() == 0 {
 			return nil, false
 		}
-		if command, learned := state.LearnedValue(slot); learned {
-			return command, true
+		if learnedValue, learned := state.LearnedValue(modelSlot); learned {
+			return learnedValue, true
 		}
-		if accepted := state.OpenSlots[slot]; highest.Less(accepted.Accepted) {
+		if accepted := state.OpenSlots[modelSlot]; highest.Less(accepted.Accepted) {
 			highest = accepted.Accepted
 			value = accepted.Value
 		}
@@ -220,8 +228,9 @@
 	return value, true
 }
 
-// each calls visit with every next state until it returns true.
-func (w world) each(visit func(step, world) bool) bool {
+// forEachSuccessor calls visit with every successor until visit returns true, and
+// reports whether it did.
+func (w world) forEachSuccessor(visit func(step, world) bool) bool {
 	for i, msg := range w.network {
 		if w.deliver(i, msg, visit) {
 			return true
@@ -238,7 +247,7 @@
 // firstIncarnations are the disk incarnations before any wipe.
 var firstIncarnations = map[string]uint64{"a": 1, "b": 1, "c": 1}
 
-// Tags separate the parts of the keys of nodes and worlds.
+// Tags separate the parts of the hash keys of cores and worlds.
 const (
 	proposerTag      byte = 0xf0
 	recoveryTag      byte = 0xf1
@@ -246,32 +255,32 @@
 	boundsTag        byte = 0xf4
 )
 
-// nodeBufferSize is enough for the nodes of small worlds.
+// nodeBufferSize is the initial capacity, in bytes, of the hash key of a core.
 const nodeBufferSize = 512
 
-// hashed returns the node with the hash of all that makes a difference later.
-func (n node) hashed() node {
+// withHash returns the core with its hash updated.
+func (c modelCore) withHash() modelCore {
 	key := make([]byte, 0, nodeBufferSize)
-	key = append(key, n.state.Self...)
-	key = append(key, byte(n.processIncarnation), byte(n.run), byte(n.proposals))
-	key = n.state.AppendKey(key)
-	if n.proposer != nil {
-		key = n.proposer.AppendKey(append(key, proposerTag))
+	key = append(key, c.state.Self...)
+	key = append(key, byte(c.processIncarnation), byte(c.proposalNumber), byte(c.remainingProposals))
+	key = c.state.AppendKey(key)
+	if c.proposer != nil {
+		key = c.proposer.AppendKey(append(key, proposerTag))
 	}
-	if n.recovery != nil {
-		key = append(key, recoveryTag, byte(n.recovery.incarnation))
-		for _, name := range names {
-			if answer := n.recovery.answers[name]; answer != nil {
-				key = appendRecovered(append(key, name...), answer)
+	if c.recovery != nil {
+		key = append(key, recoveryTag, byte(c.recovery.incarnation))
+		for _, name := range modelCoreNames {
+			if answer := c.recovery.answers[name]; answer != nil {
+				key = appendRecoverResponse(append(key, name...), answer)
 			}
 		}
 	}
-	n.hash = xxhash.Sum64(key)
-	return n
+	c.hash = xxhash.Sum64(key)
+	return c
 }
 
-// appendKey appends a canonical form of the world: two with the same have the
-// same future.
+// appendKey appends a canonical encoding of the world. Worlds with equal encodings
+// have the same successors.
 func (w world) appendKey(key []byte) []byte {
 	for _, core := range w.cores {
 		key = binary.LittleEndian.AppendUint64(key, core.hash)
@@ -283,5 +292,5 @@
 		}
 	}
 	key = append(key, boundsTag, byte(w.bounds.Wipes), byte(w.bounds.Crashes), byte(w.bounds.Recoveries), byte(w.bounds.Duplicates))
-	return append(key, w.decided...)
+	return append(key, w.chosenValue...)
 }
--- a/sim/paxos/random.go
+++ b/sim/paxos/random.go
@@ -13,127 +13,129 @@
 	"stepwick/sim/eventqueue"
 )
 
-// Faults configures a random run. Times are in virtual milliseconds, rates are
-// probabilities.
+// Faults configures a random run. Times are virtual.
 type Faults struct {
-	Cores           int     // 3 if zero
-	FaultsFrom      int64   // time before the first fault or lost message, for the cores to form
-	FaultsUntil     int64   // end of the faults, after which the cores must agree
-	Loss            float64 // of a message
-	Duplicate       float64 // of a request
-	FaultInterval   int64   // mean time between two faults: a crash, a wipe, a partition or a slow disk
-	Wipes           float64 // fraction of the crashes that lose the disk
-	Delayed         float64 // fraction of the messages that take up to 2 s
-	ProposalTimeout int64   // how long a proposer waits for answers
-	TwoWipes        bool    // a second disk may be lost while the first recovers
-	Replaced        bool    // instead of a wipe another process takes the name, and the old one continues
-	Flaw            Flaw    // Sound, IncarnationForgotten, VoteWithoutRecovery or SharedIncarnation
+	Cores                int     // zero means 3
+	FaultsFromMS         int64   // start of the faults and losses, after the cores have formed
+	FaultsUntilMS        int64   // end of the faults, after which the cores must agree
+	LossProbability      float64 // that a message is lost
+	DuplicateProbability float64 // that a request is delivered twice
+	FaultIntervalMS      int64   // mean time between faults: a crash, a wipe, a partition or a slow disk
+	WipeFraction         float64 // fraction of crashes that lose the disk
+	DelayedFraction      float64 // fraction of messages that take up to 2 s
+	ProposalTimeoutMS    int64   // how long a proposer waits for answers
+	OverlappingWipes     bool    // one more disk may be lost than the recovery tolerates
+	ReplaceProcesses     bool    // instead of a wipe, a new process with a blank disk takes the name while the old one continues
+	Flaw                 Flaw    // NoFlaw, IncarnationForgotten, VoteWithoutRecovery or SharedIncarnation
 }
 
 // Outcome is the result of a random run.
 type Outcome struct {
-	Chosen    int // slots
-	Crashes   int
-	Wipes     int
-	Snapshots int
-	Events    int
-	Lost      bool // two disks were lost at once: the cores wait, as they must
-	Violation string
+	Chosen          int // number of slots with a chosen value
+	Crashes         int
+	Wipes           int
+	Snapshots       int
+	Events          int
+	QuorumMayBeLost bool // too many disks may have been lost at once; the cores may have to wait, so agreement is not required
+	Violation       string
 }
 
 const (
-	compactEvery     = 12 // chosen slots
-	compactLog       = 40 // records, when no action waits for a sync
-	compactBusyLog   = 200
-	faultStream      = 7      // of random numbers
-	agreementTimeout = 20_000 // ms to come to an agreement after the faults
-	recoveryTimeout  = 600    // ms
-	probeGrace       = 80     // ms that a recovering core waits for all probes
+	compactionSlots       = 12 // chosen slots in memory above which the state is compacted
+	compactionRecords     = 40 // log records above which the log is compacted, if no action waits for a sync
+	busyCompactionRecords = 200
+	randomStream          = 7      // second half of the generator's seed
+	agreementTimeoutMS    = 20_000 // time after the last fault within which the cores must agree
+	recoveryTimeoutMS     = 600
+	probeGraceMS          = 80 // time that a core of a formation of five waits for all answers to its probes
 )
 
-// Run simulates one seed: cores found a formation and agree on commands while
-// messages are lost, duplicated and reordered, processes crash between an append
-// and its sync, disks are wiped and links are partitioned. Then all faults end.
+// Run simulates one seed. Cores found a formation and agree on commands while messages
+// are lost, duplicated and reordered, processes crash between an append and its sync,
+// disks are lost and links are partitioned. After the faults end, all cores must agree.
 func Run(seed uint64, faults Faults) Outcome {
 	if faults.Cores == 0 {
-		faults.Cores = len(names)
+		faults.Cores = len(modelCoreNames)
 	}
-	s := &sim{
-		random:   rand.New(rand.NewPCG(seed, faultStream)),
-		faults:   faults,
-		chosen:   map[uint64][]byte{},
-		names:    fiveNames[:faults.Cores],
-		detached: make([]*core, faults.Cores),
+	s := &simulation{
+		random:    rand.New(rand.NewPCG(seed, randomStream)),
+		faults:    faults,
+		chosen:    map[uint64][]byte{},
+		coreNames: fiveCoreNames[:faults.Cores],
+		detached:  make([]*core, faults.Cores),
 	}
-	for i, name := range s.names {
+	for i, name := range s.coreNames {
 		s.cores = append(s.cores, &core{sim: s, index: i, state: paxos.BlankState(name)})
 	}
 	for _, c := range s.cores {
-		s.boot(c)
+		s.start(c)
 	}
-	s.after(faults.FaultsFrom+s.between(1, faults.FaultInterval), s.fault)
-	s.after(faults.FaultsUntil, s.heal)
+	s.scheduleAfter(faults.FaultsFromMS+s.randomBetween(1, faults.FaultIntervalMS), s.injectFault)
+	s.scheduleAfter(faults.FaultsUntilMS, s.endFaults)
 	s.runEvents()
 	s.outcome.Chosen = len(s.chosen)
-	if s.outcome.Violation == "" && !s.outcome.Lost && !s.agreed() {
-		s.violate("%d ms after the last fault the cores don't agree: %s", agreementTimeout, s.summary())
+	if s.outcome.Violation == "" && !s.outcome.QuorumMayBeLost && !s.allAgree() {
+		s.recordViolation("the cores do not agree %d ms after the last fault: %s", agreementTimeoutMS, s.summary())
 	}
 	return s.outcome
 }
 
-// runEvents runs until the processes agree after the last fault, a rule is
-// violated, or the time to come to an agreement is over.
-func (s *sim) runEvents() {
-	for s.outcome.Violation == "" && s.now < s.faults.FaultsUntil+agreementTimeout {
+// runEvents runs the scheduled events until all cores agree after the last fault, a
+// rule is violated or agreementTimeoutMS is over.
+func (s *simulation) runEvents() {
+	for s.outcome.Violation == "" && s.nowMS < s.faults.FaultsUntilMS+agreementTimeoutMS {
 		if _, ok := s.events.Next(); !ok {
 			return
 		}
 		instant, action := s.events.Pop()
-		s.now = instant
+		s.nowMS = instant
 		s.outcome.Events++
 		action()
-		if s.now > s.faults.FaultsUntil && s.agreed() {
+		if s.nowMS > s.faults.FaultsUntilMS && s.allAgree() {
 			return
 		}
 	}
 }
 
-// fiveNames are the cores of the largest random run.
-var fiveNames = []string{"a", "b", "c", "d", "e"}
+// fiveCoreNames are the names of the cores of the largest random run.
+var fiveCoreNames = []string{"a", "b", "c", "d", "e"}
 
-type sim struct {
+// simulation is one random run.
+type simulation struct {
 	random      *rand.Rand
 	faults      Faults
-	now         int64
-	events      eventqueue.Queue[int64] // by milliseconds
-	names       []string
+	nowMS       int64
+	events      eventqueue.Queue[int64] // by virtual time in ms
+	coreNames   []string
 	cores       []*core
-	detached    []*core // by index, the replaced process that still runs under the name
+	detached    []*core // by core index, the replaced process that still runs under the name; nil if none
 	partitioned [5][5]bool
 	chosen      map[uint64][]byte
-	digests     []uint64 // digest of the first commands, by count
-	faultsEnded bool     // no further fault or loss
-	target      uint64   // all cores must learn this slot after the faults
+	digests     []uint64 // digests[i] covers the chosen commands of slots 1 to i+1
+	faultsEnded bool     // no further faults and losses
+	targetSlot  uint64   // first slot chosen after the faults, which all cores must learn; zero until then
 	outcome     Outcome
 }
 
-// faultsActive reports whether messages may be lost or delayed now.
-func (s *sim) faultsActive() bool { return s.now >= s.faults.FaultsFrom && !s.faultsEnded }
+// faultsActive reports whether messages may now be lost or delayed by a fault.
+func (s *simulation) faultsActive() bool { return s.nowMS >= s.faults.FaultsFromMS && !s.faultsEnded }
 
-func (s *sim) between(low, high int64) int64 { return low + s.random.Int64N(max(high-low, 1)) }
-func (s *sim) chance(p float64) bool         { return s.random.Float64() < p }
+func (s *simulation) randomBetween(low, high int64) int64 {
+	return low + s.random.Int64N(max(high-low, 1))
+}
+func (s *simulation) chance(p float64) bool { return s.random.Float64() < p }
 
-func (s *sim) after(ms int64, action func()) {
-	s.events.Schedule(s.now+ms, action)
+func (s *simulation) scheduleAfter(ms int64, action func()) {
+	s.events.Schedule(s.nowMS+ms, action)
 }
 
-func (s *sim) violate(format string, args ...any) {
+func (s *simulation) recordViolation(format string, args ...any) {
 	if s.outcome.Violation == "" {
-		s.outcome.Violation = fmt.Sprintf("at %d ms: ", s.now) + fmt.Sprintf(format, args...)
+		s.outcome.Violation = fmt.Sprintf("at %d ms: ", s.nowMS) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (s *sim) summary() string {
+func (s *simulation) summary() string {
 	text := ""
 	for _, c := range s.cores {
 		text += fmt.Sprintf("%s %s learned %d; ", c.state.Self, c.state.Standing(), c.state.HighestLearnedSlot())
@@ -141,28 +143,28 @@
 	return text
 }
 
-// agreed reports whether all cores vote and have learned a slot chosen after the
-// last fault.
-func (s *sim) agreed() bool {
-	if !s.faultsEnded || s.target == 0 {
+// allAgree reports whether all cores vote and have learned targetSlot.
+func (s *simulation) allAgree() bool {
+	if !s.faultsEnded || s.targetSlot == 0 {
 		return false
 	}
 	for _, c := range s.cores {
-		if c.state.Incarnation() == 0 || c.state.HighestLearnedSlot() < s.target {
+		if c.state.Incarnation() == 0 || c.state.HighestLearnedSlot() < s.targetSlot {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *sim) fault() {
+// injectFault injects a random fault and schedules the next one.
+func (s *simulation) injectFault() {
 	if s.faultsEnded {
 		return
 	}
 	c := s.cores[s.random.IntN(len(s.cores))]
 	switch s.random.IntN(4) {
 	case 0, 1:
-		if c.up {
+		if c.running {
 			s.crash(c)
 		}
 	case 2:
@@ -172,94 +174,98 @@
 		if s.chance(0.5) {
 			s.partitioned[to][from] = true
 		}
-		s.after(s.between(1, 3000), func() {
+		s.scheduleAfter(s.randomBetween(1, 3000), func() {
 			s.partitioned[from][to] = false
 			s.partitioned[to][from] = false
 		})
 	case 3:
-		c.slow = s.between(0, 1500)
-		s.after(s.between(1, 3000), func() { c.slow = 0 })
+		c.extraSyncMS = s.randomBetween(0, 1500)
+		s.scheduleAfter(s.randomBetween(1, 3000), func() { c.extraSyncMS = 0 })
 	}
-	s.after(s.between(1, 2*s.faults.FaultInterval), s.fault)
+	s.scheduleAfter(s.randomBetween(1, 2*s.faults.FaultIntervalMS), s.injectFault)
 }
 
-func (s *sim) heal() {
+// endFaults ends all faults and the detached processes.
+func (s *simulation) endFaults() {
 	s.faultsEnded = true
 	s.partitioned = [5][5]bool{}
 	for _, c := range s.cores {
-		c.slow = 0
+		c.extraSyncMS = 0
 	}
 	for _, old := range s.detached {
 		if old != nil {
-			old.up = false
+			old.running = false
 		}
 	}
 }
 
-func (s *sim) crash(c *core) {
+// crash ends a process and schedules its restart. The disk is lost or keeps a random
+// number of the records that were not synced.
+func (s *simulation) crash(c *core) {
 	s.outcome.Crashes++
-	c.up = false
+	c.running = false
 	c.processIncarnation++
-	if s.chance(s.faults.Wipes) && s.canWipe(c) {
+	if s.chance(s.faults.WipeFraction) && s.canWipe(c) {
 		s.outcome.Wipes++
-		if s.faults.Replaced {
+		if s.faults.ReplaceProcesses {
 			s.detach(c)
 		}
 		c.loseDisk()
 	} else {
-		c.log = c.log[:s.random.IntN(len(c.log)-c.synced+1)+c.synced]
+		c.log = c.log[:s.random.IntN(len(c.log)-c.syncedRecords+1)+c.syncedRecords]
 	}
-	s.after(s.between(1, 600), func() { s.boot(c) })
+	s.scheduleAfter(s.randomBetween(1, 600), func() { s.start(c) })
 }
 
-// detach keeps the process that had a core's name running on its own disk, beside
-// the one that takes the name with a blank disk.
-func (s *sim) detach(c *core) {
-	kept := s.random.IntN(len(c.log)-c.synced+1) + c.synced
+// detach restarts the crashed process on its old disk, while another process takes its
+// name with a blank disk.
+func (s *simulation) detach(c *core) {
+	kept := s.random.IntN(len(c.log)-c.syncedRecords+1) + c.syncedRecords
 	old := &core{sim: s, index: c.index, base: c.base, log: slices.Clone(c.log[:kept]), processIncarnation: 1 << 20}
 	if last := s.detached[c.index]; last != nil {
-		last.up = false
+		last.running = false
 		old.processIncarnation = last.processIncarnation + 1
 	}
 	s.detached[c.index] = old
-	s.after(s.between(1, 600), func() {
+	s.scheduleAfter(s.randomBetween(1, 600), func() {
 		if !s.faultsEnded && s.detached[c.index] == old {
-			s.boot(old)
+			s.start(old)
 		}
 	})
 }
 
-// receiver returns the process that a message to a name reaches: any that has it.
-func (s *sim) receiver(from, to *core) *core {
+// receiver returns the process that a message to a name reaches. If a detached process
+// also runs under the name, it is either of the two at random.
+func (s *simulation) receiver(from, to *core) *core {
 	old := s.detached[to.index]
-	if from.index == to.index || old == nil || !old.up || s.chance(0.5) {
+	if from.index == to.index || old == nil || !old.running || s.chance(0.5) {
 		return to
 	}
 	return old
 }
 
-// canWipe reports whether a core may lose its disk: a majority must keep theirs,
-// unless TwoWipes is set.
-func (s *sim) canWipe(c *core) bool {
+// canWipe reports whether a core may lose its disk. A majority must keep theirs, unless
+// OverlappingWipes is set.
+func (s *simulation) canWipe(c *core) bool {
 	blank := 0
 	for _, other := range s.cores {
-		if other != c && (other.durable().Incarnation() == 0) {
+		if other != c && (other.durableState().Incarnation() == 0) {
 			blank++
 		}
 	}
-	tolerated := len(s.cores) - paxos.State{Voters: s.names}.Quorum()
-	if blank == tolerated && s.faults.TwoWipes && c.durable().Incarnation() != 0 && len(s.chosen) > 0 {
-		s.outcome.Lost = true
+	tolerated := len(s.cores) - paxos.State{Voters: s.coreNames}.Quorum()
+	if blank == tolerated && s.faults.OverlappingWipes && c.durableState().Incarnation() != 0 && len(s.chosen) > 0 {
+		s.outcome.QuorumMayBeLost = true
 		return true
 	}
 	return blank < tolerated
 }
 
-// checkChosen checks that a slot has one chosen value.
-func (s *sim) checkChosen(who string, slot uint64, value []byte) {
-	if first, known := s.chosen[slot]; known {
+// checkChosen checks that no other value was chosen in the slot before.
+func (s *simulation) checkChosen(coreName string, slot uint64, value []byte) {
+	if first, learnedBefore := s.chosen[slot]; learnedBefore {
 		if !bytes.Equal(first, value) {
-			s.violate("%s took %q for chosen in slot %d after %q", who, value, slot, first)
+			s.recordViolation("%s learned %q as chosen in slot %d after %q was chosen", coreName, value, slot, first)
 		}
 		return
 	}
@@ -267,24 +273,27 @@
 	for next := uint64(len(s.digests)) + 1; s.chosen[next] != nil; next++ {
 		s.digests = append(s.digests, xxhash.Sum64(binary.LittleEndian.AppendUint64(slices.Clone(s.chosen[next]), s.digest(next-1))))
 	}
-	if s.faultsEnded && s.target == 0 {
-		s.target = slot
+	if s.faultsEnded && s.targetSlot == 0 {
+		s.targetSlot = slot
 	}
 }
 
-func (s *sim) digest(version uint64) uint64 {
-	if version == 0 || version > uint64(len(s.digests)) {
+// digest returns the digest of the chosen commands up to a slot, or zero if one of them
+// is not known.
+func (s *simulation) digest(slot uint64) uint64 {
+	if slot == 0 || slot > uint64(len(s.digests)) {
 		return 0
 	}
-	return s.digests[version-1]
+	return s.digests[slot-1]
 }
 
-func (s *sim) latency(from, to *core) int64 {
+// latency draws the duration of a message in ms.
+func (s *simulation) latency(from, to *core) int64 {
 	if from == to {
 		return 0
 	}
-	if s.chance(s.faults.Delayed) && s.faultsActive() {
-		return s.between(1, 2000)
+	if s.chance(s.faults.DelayedFraction) && s.faultsActive() {
+		return s.randomBetween(1, 2000)
 	}
-	return s.between(1, 20)
+	return s.randomBetween(1, 20)
 }
--- a/sim/paxos/rpc.go
+++ b/sim/paxos/rpc.go
@@ -6,59 +6,60 @@
 	"stepwick/internal/decision/paxos"
 )
 
-// call is one request from a core to another and its answer. Either may be lost,
-// duplicated or delayed.
+// call is a request from one core to another and its answer. Both may be lost or
+// delayed; the request may also be duplicated.
 type call[A any] struct {
-	sim                *sim
+	sim                *simulation
 	from, to           *core
 	processIncarnation int // of the caller
 	handle             func(*core) ([]paxos.Record, A)
-	answered           func(A)
+	onAnswer           func(A)
 }
 
-// rpc calls one core. The answer leaves once all that the callee has appended is
-// synced, and is lost if the caller has crashed by then.
+// rpc calls a core. The callee sends its answer once its log is synced. The answer is
+// dropped if the caller has crashed in the meantime.
 func rpc[A any](from, to *core, handle func(*core) ([]paxos.Record, A), answered func(A)) {
 	s := from.sim
-	c := &call[A]{sim: s, from: from, to: to, processIncarnation: from.processIncarnation, handle: handle, answered: answered}
-	if c.lost() {
+	c := &call[A]{sim: s, from: from, to: to, processIncarnation: from.processIncarnation, handle: handle, onAnswer: answered}
+	if c.drawLoss() {
 		return
 	}
-	s.after(s.latency(from, to), c.deliver)
-	if from != to && s.chance(s.faults.Duplicate) {
-		s.after(s.latency(from, to)+s.between(0, 3000), c.deliver)
+	s.scheduleAfter(s.latency(from, to), c.deliver)
+	if from != to && s.chance(s.faults.DuplicateProbability) {
+		s.scheduleAfter(s.latency(from, to)+s.randomBetween(0, 3000), c.deliver)
 	}
 }
 
-// lost draws whether a message of a call over the network is lost.
-func (c *call[A]) lost() bool {
-	return c.from != c.to && c.sim.chance(c.sim.faults.Loss) && c.sim.faultsActive()
+// drawLoss reports whether the request is lost. Calls of a core to itself are not.
+func (c *call[A]) drawLoss() bool {
+	return c.from != c.to && c.sim.chance(c.sim.faults.LossProbability) && c.sim.faultsActive()
 }
 
 func (c *call[A]) deliver() {
 	receiver := c.sim.receiver(c.from, c.to)
-	if !receiver.up || c.sim.partitioned[c.from.index][receiver.index] {
+	if !receiver.running || c.sim.partitioned[c.from.index][receiver.index] {
 		return
 	}
 	records, answer := c.handle(receiver)
-	receiver.commit(records)
-	receiver.whenSynced(func() { c.answer(receiver, answer) })
+	receiver.appendRecords(records)
+	receiver.whenSynced(func() { c.sendAnswer(receiver, answer) })
 }
 
-func (c *call[A]) answer(receiver *core, answer A) {
+func (c *call[A]) sendAnswer(receiver *core, answer A) {
 	s := c.sim
-	if c.from != receiver && (s.chance(s.faults.Loss) && s.faultsActive() || s.partitioned[receiver.index][c.from.index]) {
+	if c.from != receiver && (s.chance(s.faults.LossProbability) && s.faultsActive() || s.partitioned[receiver.index][c.from.index]) {
 		return
 	}
-	s.after(s.latency(c.from, receiver), func() {
-		if c.from.processIncarnation == c.processIncarnation && c.from.up {
-			c.answered(answer)
+	s.scheduleAfter(s.latency(c.from, receiver), func() {
+		if c.from.processIncarnation == c.processIncarnation && c.from.running {
+			c.onAnswer(answer)
 		}
 	})
 }
 
-// firstAnswer returns handlers that pass on only the first answer of each core.
-func firstAnswer[A any](handle func(core string, answer A)) func(core string) func(A) {
+// firstAnswerOnly returns a function that returns the answer handler for a core. The
+// handler ignores all answers of that core but the first.
+func firstAnswerOnly[A any](handle func(core string, answer A)) func(core string) func(A) {
 	answered := map[string]bool{}
 	return func(core string) func(A) {
 		return func(answer A) {
@@ -70,6 +71,7 @@
 	}
 }
 
-func (c *core) others() []*core {
+// otherCores returns the voters other than this core.
+func (c *core) otherCores() []*core {
 	return slices.DeleteFunc(c.voters(), func(other *core) bool { return other == c })
 }
--- a/sim/paxos/transitions.go
+++ b/sim/paxos/transitions.go
@@ -11,30 +11,30 @@
 	"stepwick/internal/wire"
 )
 
-// modelFormation is the id of the one formation of the model.
+// modelFormation is the ID of the only formation of the model.
 const modelFormation = "f"
 
-// openBallot has a core open a ballot in the slot.
+// openBallot lets a core open a ballot in the slot.
 func (w world) openBallot(i int, visit func(step, world) bool) bool {
 	proposing := w.cores[i]
-	if proposing.proposals == 0 || proposing.state.Incarnation() == 0 || proposing.state.HighestLearnedSlot() >= slot {
+	if proposing.remainingProposals == 0 || proposing.state.Incarnation() == 0 || proposing.state.HighestLearnedSlot() >= modelSlot {
 		return false
 	}
-	proposing.run++
-	proposing.proposals--
-	value := fmt.Appendf(nil, "%s%d", names[i], proposing.run)
-	proposer, request := paxos.NewProposer(proposing.state, slot, proposing.state.NextBallotNumber(slot), value)
+	proposing.proposalNumber++
+	proposing.remainingProposals--
+	value := fmt.Appendf(nil, "%s%d", modelCoreNames[i], proposing.proposalNumber)
+	proposer, request := paxos.NewProposer(proposing.state, modelSlot, proposing.state.NextBallotNumber(modelSlot), value)
 	proposing.proposer = &proposer
-	w.cores[i] = proposing.hashed()
+	w.cores[i] = proposing.withHash()
 	for to := range w.cores {
-		msg := message{from: i, to: to, processIncarnation: proposing.processIncarnation, run: proposing.run, prepare: request}
+		msg := message{from: i, to: to, processIncarnation: proposing.processIncarnation, proposalNumber: proposing.proposalNumber, prepareRequest: request}
 		w = w.send(msg.withHash())
 	}
 	return visit(step{description: fmt.Sprintf("ballot %d opened by", proposer.Ballot.Number), core: i}, w)
 }
 
-// startRecovery has a wiped core announce its next disk incarnation. The probes
-// before it are answered at once.
+// startRecovery lets a core that lost its disk announce its next disk incarnation. The
+// preceding probes are answered immediately.
 func (w world) startRecovery(i int, visit func(step, world) bool) bool {
 	wiped := w.cores[i]
 	if wiped.state.Incarnation() != 0 || wiped.recovery != nil || w.bounds.Recoveries == 0 {
@@ -43,7 +43,7 @@
 	probes := map[string]*wire.RecoverResponse{}
 	for j, other := range w.cores {
 		if j != i {
-			_, probes[names[j]] = other.state.Recover(&wire.RecoverRequest{Core: names[i], Probe: true})
+			_, probes[modelCoreNames[j]] = other.state.Recover(&wire.RecoverRequest{Core: modelCoreNames[i], Probe: true})
 		}
 	}
 	incarnation, missing := wiped.state.NextIncarnation(probes, 0)
@@ -52,21 +52,21 @@
 	}
 	w.bounds.Recoveries--
 	wiped.recovery = &recovery{incarnation: incarnation}
-	wiped.state = paxos.IncarnationRecorded{Core: names[i], Incarnation: incarnation}.Apply(wiped.state)
-	w.cores[i] = wiped.hashed()
-	request := &wire.RecoverRequest{Formation: modelFormation, Core: names[i], Life: incarnation}
+	wiped.state = paxos.IncarnationRecorded{Core: modelCoreNames[i], Incarnation: incarnation}.Apply(wiped.state)
+	w.cores[i] = wiped.withHash()
+	request := &wire.RecoverRequest{Formation: modelFormation, Core: modelCoreNames[i], Life: incarnation}
 	for to := range w.cores {
 		if to != i {
-			msg := message{from: i, to: to, processIncarnation: wiped.processIncarnation, recover: request}
+			msg := message{from: i, to: to, processIncarnation: wiped.processIncarnation, recoverRequest: request}
 			w = w.send(msg.withHash())
 		}
 	}
-	return visit(step{description: fmt.Sprintf("life %d announced by", incarnation), core: i}, w)
+	return visit(step{description: fmt.Sprintf("disk incarnation %d announced by", incarnation), core: i}, w)
 }
 
-// wipe has a core lose its disk, unless both others have lost theirs.
+// wipe lets a core lose its disk, unless neither of the other two votes.
 func (w world) wipe(i int, visit func(step, world) bool) bool {
-	if w.bounds.Wipes == 0 || w.bounds.Wiped != "" && !strings.Contains(w.bounds.Wiped, names[i]) {
+	if w.bounds.Wipes == 0 || w.bounds.WipeableCores != "" && !strings.Contains(w.bounds.WipeableCores, modelCoreNames[i]) {
 		return false
 	}
 	if w.cores[(i+1)%3].state.Incarnation() == 0 && w.cores[(i+2)%3].state.Incarnation() == 0 {
@@ -74,7 +74,7 @@
 	}
 	w.bounds.Wipes--
 	wiped := w.cores[i]
-	state := paxos.FormationJoined{Formation: modelFormation, Voters: names}.Apply(paxos.BlankState(names[i]))
+	state := paxos.FormationJoined{Formation: modelFormation, Voters: modelCoreNames}.Apply(paxos.BlankState(modelCoreNames[i]))
 	if w.bounds.Flaw == VoteWithoutRecovery {
 		state = paxos.RecoveryCompleted{Incarnations: wiped.state.Incarnations}.Apply(state)
 	}
@@ -82,7 +82,7 @@
 	return visit(step{description: "wipe", core: i}, w)
 }
 
-// crash has a core that is doing something restart from its disk.
+// crash restarts a core that runs a ballot or a recovery, with the state on its disk.
 func (w world) crash(i int, visit func(step, world) bool) bool {
 	crashed := w.cores[i]
 	if w.bounds.Crashes == 0 || crashed.proposer == nil && crashed.recovery == nil {
@@ -93,12 +93,12 @@
 	return visit(step{description: "crash", core: i}, w)
 }
 
-// restarted returns the node as its next process, with what is on its disk.
-func (n node) restarted(state paxos.State) node {
-	return node{state: state, processIncarnation: n.processIncarnation + 1, run: n.run, proposals: n.proposals}.hashed()
+// restarted returns the core as its next process, which starts from the given state.
+func (c modelCore) restarted(state paxos.State) modelCore {
+	return modelCore{state: state, processIncarnation: c.processIncarnation + 1, proposalNumber: c.proposalNumber, remainingProposals: c.remainingProposals}.withHash()
 }
 
-// deliver delivers message i, with and without a duplicate that stays in flight.
+// deliver delivers message i, with and without a duplicate that remains in flight.
 func (w world) deliver(i int, msg *message, visit func(step, world) bool) bool {
 	if w.bounds.Duplicates > 0 && !msg.isAnswer() && !msg.deliveredOnce {
 		duplicated := w
@@ -107,29 +107,29 @@
 		remaining.deliveredOnce = true
 		duplicated.network = slices.Clone(w.network)
 		duplicated.network[i] = &remaining
-		if duplicated.deliverNow(msg, visit) {
+		if duplicated.handleDelivery(msg, visit) {
 			return true
 		}
 	}
 	w.network = slices.Delete(slices.Clone(w.network), i, i+1)
-	return w.deliverNow(msg, visit)
+	return w.handleDelivery(msg, visit)
 }
 
-func (w world) deliverNow(msg *message, visit func(step, world) bool) bool {
+func (w world) handleDelivery(msg *message, visit func(step, world) bool) bool {
 	if msg.isAnswer() {
 		return visit(step{message: msg}, w.handleAnswer(msg))
 	}
-	key := handling{node: w.cores[msg.to].hash, message: msg.hash}
+	key := handlerKey{coreHash: w.cores[msg.to].hash, messageHash: msg.hash}
 	result, cached := w.cache.requests[key]
 	if !cached {
 		result = w.handleRequest(msg)
 		w.cache.requests[key] = result
 	}
-	w.cores[msg.to] = result.node
+	w.cores[msg.to] = result.core
 	if result.answer == nil {
 		return result.changed && visit(step{message: msg}, w)
 	}
-	if !w.bounds.Eager {
+	if !w.bounds.ImmediateAnswers {
 		return visit(step{message: msg}, w.send(result.answer))
 	}
 	if visit(step{message: msg}, w.handleAnswer(result.answer)) {
@@ -138,29 +138,29 @@
 	return result.changed && visit(step{message: msg, description: "(answer lost)"}, w)
 }
 
-// handleRequest has a core answer a request; a refusal that changes nothing is
-// omitted.
+// handleRequest lets a core answer a request. The result has no answer if the core
+// refuses.
 func (w world) handleRequest(msg *message) requestResult {
-	answer := &message{from: msg.to, to: msg.from, processIncarnation: msg.processIncarnation, run: msg.run}
+	answer := &message{from: msg.to, to: msg.from, processIncarnation: msg.processIncarnation, proposalNumber: msg.proposalNumber}
 	receiver := w.cores[msg.to]
 	var records []paxos.Record
 	switch {
-	case msg.prepare != nil:
-		records, answer.prepared = receiver.state.Prepare(msg.prepare)
-		w.applyPrepareFlaw(receiver.state, msg.prepare, answer.prepared)
-	case msg.accept != nil:
-		records, answer.accepted = receiver.state.Accept(msg.accept)
-		if w.bounds.Flaw == IncarnationsHidden {
-			answer.accepted.Lives = firstIncarnations
+	case msg.prepareRequest != nil:
+		records, answer.prepareAnswer = receiver.state.Prepare(msg.prepareRequest)
+		w.applyPrepareFlaw(receiver.state, msg.prepareRequest, answer.prepareAnswer)
+	case msg.acceptRequest != nil:
+		records, answer.acceptAnswer = receiver.state.Accept(msg.acceptRequest)
+		if w.bounds.Flaw == IncarnationsOmitted {
+			answer.acceptAnswer.Lives = firstIncarnations
 		}
-	case msg.recover != nil:
-		records, answer.recovered = receiver.state.Recover(msg.recover)
+	case msg.recoverRequest != nil:
+		records, answer.recoverAnswer = receiver.state.Recover(msg.recoverRequest)
 		if w.bounds.Flaw == IncarnationForgotten {
 			records = nil
 		}
 	}
 	receiver.state = applyAll(receiver.state, records)
-	result := requestResult{node: receiver.hashed(), changed: len(records) > 0}
+	result := requestResult{core: receiver.withHash(), changed: len(records) > 0}
 	if !answer.isRefusal() {
 		answer.hash = answer.computeHash()
 		result.answer = answer
@@ -175,10 +175,10 @@
 	return state
 }
 
-// applyPrepareFlaw changes an answer as the flaw under test would.
+// applyPrepareFlaw changes an answer according to the flaw under test.
 func (w world) applyPrepareFlaw(state paxos.State, req *wire.PrepareRequest, resp *wire.PrepareResponse) {
 	switch w.bounds.Flaw {
-	case IncarnationsHidden:
+	case IncarnationsOmitted:
 		resp.Lives = firstIncarnations
 	case PromiseTwice:
 		open := state.OpenSlots[req.Slot]
@@ -191,28 +191,29 @@
 	}
 }
 
-// handleAnswer gives an answer to the process that waits for it, if it still does.
+// handleAnswer delivers an answer to the process that sent the request. It is dropped
+// if that process or its proposer has ended.
 func (w world) handleAnswer(msg *message) world {
 	receiver := w.cores[msg.to]
 	if receiver.processIncarnation != msg.processIncarnation {
 		return w
 	}
-	key := handling{node: receiver.hash, message: msg.hash}
+	key := handlerKey{coreHash: receiver.hash, messageHash: msg.hash}
 	result, cached := w.cache.answers[key]
 	if !cached {
 		switch {
-		case msg.recovered != nil:
-			result = answerResult{node: w.withRecovery(receiver, msg)}
-		case receiver.proposer == nil || receiver.run != msg.run:
-			result = answerResult{node: receiver}
+		case msg.recoverAnswer != nil:
+			result = answerResult{core: w.handleRecoverAnswer(receiver, msg)}
+		case receiver.proposer == nil || receiver.proposalNumber != msg.proposalNumber:
+			result = answerResult{core: receiver}
 		default:
-			result = w.withProposerStep(receiver, msg)
+			result = w.handleProposerAnswer(receiver, msg)
 		}
 		w.cache.answers[key] = result
 	}
-	w.cores[msg.to] = result.node
-	if result.decided != nil && w.decided == nil {
-		w.decided = result.decided
+	w.cores[msg.to] = result.core
+	if result.chosenValue != nil && w.chosenValue == nil {
+		w.chosenValue = result.chosenValue
 	}
 	for _, sent := range result.messages {
 		w = w.send(sent)
@@ -220,14 +221,14 @@
 	return w
 }
 
-// withProposerStep has a core's proposer take an answer.
-func (w world) withProposerStep(receiver node, msg *message) answerResult {
+// handleProposerAnswer lets a core's proposer handle an answer.
+func (w world) handleProposerAnswer(receiver modelCore, msg *message) answerResult {
 	var proposer paxos.Proposer
 	var next paxos.Step
-	if msg.prepared != nil {
-		proposer, next = receiver.proposer.HandlePrepare(msg.prepared)
+	if msg.prepareAnswer != nil {
+		proposer, next = receiver.proposer.HandlePrepare(msg.prepareAnswer)
 	} else {
-		proposer, next = receiver.proposer.HandleAccept(msg.accepted)
+		proposer, next = receiver.proposer.HandleAccept(msg.acceptAnswer)
 	}
 	receiver.proposer = &proposer
 	if proposer.Phase == paxos.Ended {
@@ -237,38 +238,38 @@
 	switch next.Action {
 	case paxos.AwaitAnswers, paxos.FetchChosen, paxos.BallotLost:
 	case paxos.ValueChosen:
-		learn := &wire.LearnRequest{Formation: modelFormation, Chosen: []*wire.Chosen{{Epoch: slot, Command: next.Value}}}
+		learn := &wire.LearnRequest{Formation: modelFormation, Chosen: []*wire.Chosen{{Epoch: modelSlot, Command: next.Value}}}
 		records, _, _ := receiver.state.Learn(learn)
 		receiver.state = applyAll(receiver.state, records)
-		result.decided = next.Value
+		result.chosenValue = next.Value
 	case paxos.SendAccept:
-		if w.bounds.Flaw == IncarnationsHidden {
+		if w.bounds.Flaw == IncarnationsOmitted {
 			next.Accept.PromisedLives = nil
 		}
 		for to := range w.cores {
-			accept := message{from: msg.to, to: to, processIncarnation: receiver.processIncarnation, run: receiver.run, accept: next.Accept}
+			accept := message{from: msg.to, to: to, processIncarnation: receiver.processIncarnation, proposalNumber: receiver.proposalNumber, acceptRequest: next.Accept}
 			result.messages = append(result.messages, accept.withHash())
 		}
 	}
-	result.node = receiver.hashed()
+	result.core = receiver.withHash()
 	return result
 }
 
-// withRecovery has a recovering core take an answer.
-func (w world) withRecovery(receiver node, msg *message) node {
-	if receiver.recovery == nil || receiver.state.Incarnation() != 0 || !msg.recovered.Ok {
+// handleRecoverAnswer lets a recovering core handle an answer.
+func (w world) handleRecoverAnswer(receiver modelCore, msg *message) modelCore {
+	if receiver.recovery == nil || receiver.state.Incarnation() != 0 || !msg.recoverAnswer.Ok {
 		return receiver
 	}
 	answers := maps.Clone(receiver.recovery.answers)
 	if answers == nil {
 		answers = map[string]*wire.RecoverResponse{}
 	}
-	answers[names[msg.from]] = msg.recovered
+	answers[modelCoreNames[msg.from]] = msg.recoverAnswer
 	receiver.recovery = &recovery{incarnation: receiver.recovery.incarnation, answers: answers}
 	if w.bounds.Flaw == PartialRecovery {
 		for _, other := range receiver.state.OtherVoters() {
 			if answers[other] == nil {
-				answers[other] = &wire.RecoverResponse{Ok: true, Formation: modelFormation, Lives: msg.recovered.Lives}
+				answers[other] = &wire.RecoverResponse{Ok: true, Formation: modelFormation, Lives: msg.recoverAnswer.Lives}
 			}
 		}
 	}
@@ -277,11 +278,11 @@
 		receiver.state = record.Apply(receiver.state)
 		receiver.recovery = nil
 	}
-	return receiver.hashed()
+	return receiver.withHash()
 }
 
-// send adds a message to the network; an equal one in flight represents both. An
-// answer that its receiver no longer waits for is dropped.
+// send adds a message to the network. Equal messages in flight are kept as one. An
+// answer for which the receiver no longer waits is dropped.
 func (w world) send(msg *message) world {
 	if msg.isAnswer() && !w.cores[msg.to].waitsFor(msg) {
 		return w
@@ -295,14 +296,14 @@
 	return w
 }
 
-// waitsFor reports whether the process and proposer, or the recovery, that sent
-// the request of an answer are still there.
-func (n node) waitsFor(answer *message) bool {
-	if n.processIncarnation != answer.processIncarnation {
+// waitsFor reports whether the proposer or the recovery that sent the request of an
+// answer is still active in the same process.
+func (c modelCore) waitsFor(answer *message) bool {
+	if c.processIncarnation != answer.processIncarnation {
 		return false
 	}
-	if answer.recovered != nil {
-		return n.recovery != nil
+	if answer.recoverAnswer != nil {
+		return c.recovery != nil
 	}
-	return n.proposer != nil && n.run == answer.run
+	return c.proposer != nil && c.proposalNumber == answer.proposalNumber
 }
