--- a/sim/confirm/checker.go
+++ b/sim/confirm/checker.go
@@ -2,56 +2,57 @@
 
 import "stepwick/internal/decision/lease"
 
-// sampleTicks is the interval at which all running fronts are sampled.
+// sampleTicks is the interval, in ticks, at which all running fronts are sampled.
 const sampleTicks = 10
 
-// acknowledgement is of an order.
+// acknowledgement is the acknowledgement of an order.
 type acknowledgement struct {
 	version uint64
 	atMS    int64
 }
 
-// checker checks that no front serves by an older version than was acknowledged.
+// checker checks that no front serves with a version older than an acknowledged one.
 type checker struct {
-	// recent are the acknowledgements not older than lapseMS.
-	recent []acknowledgement
-	// floor is the highest version acknowledged longer ago than lapseMS: no front may
-	// serve by an older one. leaseFloor is the same after leaseSlackMS: no front may by
-	// a lease.
-	floor      acknowledgement
-	leaseFloor acknowledgement
+	// recentAcknowledgements holds those not older than outdatedServingLimitMS.
+	recentAcknowledgements []acknowledgement
+	// requiredVersion is the highest version acknowledged more than
+	// outdatedServingLimitMS ago: no front may serve with an older one. requiredByLease
+	// is the highest one acknowledged more than outdatedLeaseLimitMS ago: no front may
+	// serve with an older one by a lease.
+	requiredVersion acknowledgement
+	requiredByLease acknowledgement
 
 	samples        int
 	servingSamples int
-	violation      *Violation // the first found
+	violation      *Violation // the first one found
 }
 
 func (c *checker) recordAcknowledgement(acknowledged acknowledgement) {
-	c.recent = append(c.recent, acknowledged)
+	c.recentAcknowledgements = append(c.recentAcknowledgements, acknowledged)
 }
 
-// raiseFloors raises the floors to what was acknowledged long enough ago.
-func (c *checker) raiseFloors(nowMS int64) {
-	recent := c.recent[:0]
-	for _, acknowledged := range c.recent {
-		if nowMS > acknowledged.atMS+leaseSlackMS && acknowledged.version > c.leaseFloor.version {
-			c.leaseFloor = acknowledged
+// updateRequiredVersions raises the required versions as acknowledgements age.
+func (c *checker) updateRequiredVersions(nowMS int64) {
+	recent := c.recentAcknowledgements[:0]
+	for _, acknowledged := range c.recentAcknowledgements {
+		if nowMS > acknowledged.atMS+outdatedLeaseLimitMS && acknowledged.version > c.requiredByLease.version {
+			c.requiredByLease = acknowledged
 		}
-		if nowMS <= acknowledged.atMS+lapseMS {
+		if nowMS <= acknowledged.atMS+outdatedServingLimitMS {
 			recent = append(recent, acknowledged)
-		} else if acknowledged.version > c.floor.version {
-			c.floor = acknowledged
+		} else if acknowledged.version > c.requiredVersion.version {
+			c.requiredVersion = acknowledged
 		}
 	}
-	c.recent = recent
+	c.recentAcknowledgements = recent
 }
 
-// check checks what a node would decide now, by its state alone.
-func (w *world) check(node *nodeState) {
+// checkNode checks the version with which a node would serve a request now.
+func (w *world) checkNode(node *nodeState) {
 	proc := node.process
 	version := proc.state.Version
 	sample := w.tick%sampleTicks == 0
-	if version == node.servedVersion && version >= w.checker.leaseFloor.version && !sample {
+	if version == node.servedVersion && version >= w.checker.requiredByLease.version && !sample {
 		return
 	}
 	authority := proc.holder.Authority(w.clock(node))
@@ -68,39 +69,39 @@
 	node.servedVersion = max(node.servedVersion, version)
 }
 
-// checkServing checks the version that a node serves by.
+// checkServing checks the version with which a node serves.
 func (w *world) checkServing(node *nodeState, source lease.Source) {
 	version := node.process.state.Version
 	switch {
-	case version < w.checker.floor.version:
-		w.recordViolation(node, "rules by an older epoch than was acknowledged", w.checker.floor, source)
-	case version < w.checker.leaseFloor.version && source == lease.SourceLease:
-		w.recordViolation(node, "holds a lease at an older epoch than was acknowledged", w.checker.leaseFloor, source)
+	case version < w.checker.requiredVersion.version:
+		w.recordViolation(node, "serves with an older version than was acknowledged", w.checker.requiredVersion, source)
+	case version < w.checker.requiredByLease.version && source == lease.SourceLease:
+		w.recordViolation(node, "holds a lease at an older version than was acknowledged", w.checker.requiredByLease, source)
 	case version < node.servedVersion:
-		w.recordViolation(node, "went back to an older epoch", acknowledgement{version: node.servedVersion}, source)
+		w.recordViolation(node, "reverted to an older version", acknowledgement{version: node.servedVersion}, source)
 	}
 }
 
-func (w *world) recordViolation(node *nodeState, rule string, newer acknowledgement, source lease.Source) {
+func (w *world) recordViolation(node *nodeState, rule string, required acknowledgement, source lease.Source) {
 	if w.checker.violation != nil {
 		return
 	}
 	w.checker.violation = &Violation{
-		Mix:            w.config.Name,
-		Seed:           w.seed,
-		AtMS:           w.now,
-		Node:           node.name,
-		Rule:           rule,
-		Version:        node.process.state.Version,
-		Newer:          newer.version,
-		AcknowledgedMS: newer.atMS,
-		Source:         source,
-		Faults:         w.faults,
+		Mix:             w.config.Name,
+		Seed:            w.seed,
+		AtMS:            w.now,
+		Node:            node.name,
+		Rule:            rule,
+		Version:         node.process.state.Version,
+		RequiredVersion: required.version,
+		AcknowledgedMS:  required.atMS,
+		Source:          source,
+		Faults:          w.faults,
 	}
 }
 
-// result returns the outcome of the run.
-func (w *world) result() Outcome {
+// finalOutcome returns the outcome after the end of the run.
+func (w *world) finalOutcome() Outcome {
 	w.outcome.Violation = w.checker.violation
 	if w.checker.samples > 0 {
 		w.outcome.ServingRatio = float64(w.checker.servingSamples) / float64(w.checker.samples)
--- a/sim/confirm/config.go
+++ b/sim/confirm/config.go
@@ -2,86 +2,88 @@
 
 import "time"
 
-// Times of the model.
+// Times of the simulation. Constants in ticks are multiples of tickMS.
 const (
-	tickMS         = 50
-	renewTicks     = 10
-	pingTicks      = 10
-	viewRoundTicks = 6
-	orderTicks     = 160
-	// fetchTimeoutMS is after how long a front requests a state again.
+	tickMS                 = 50
+	renewIntervalTicks     = 10
+	pingIntervalTicks      = 10
+	viewRoundDurationTicks = 6
+	orderTimeoutTicks      = 160
+	// fetchTimeoutMS is how long a front waits for a state before it requests one again.
 	fetchTimeoutMS = 500
-	// lapseMS is how long after an acknowledgement no front may serve by an older
-	// version any more; leaseSlackMS after which none may by a lease.
-	lapseMS      = 2500
-	leaseSlackMS = 100
-	ttl          = 2 * time.Second
-	// foreverMS is a downtime longer than any run.
+	// outdatedServingLimitMS is how long after the acknowledgement of a version a front
+	// may still serve with an older one; outdatedLeaseLimitMS is the shorter limit for a
+	// front whose authority is a lease.
+	outdatedServingLimitMS = 2500
+	outdatedLeaseLimitMS   = 100
+	leaseTTL               = 2 * time.Second
+	// foreverMS is longer than any run.
 	foreverMS = 1 << 40
 )
 
-// Mutation is a rule that is left out, to show that the checker can fail.
+// Mutation is a disabled rule of the protocol, described by the resulting fault.
 type Mutation string
 
-// Mutations. None is the protocol as designed.
+// Mutations. None is the unmodified protocol.
 const (
 	None             Mutation = ""
-	ConfirmedByPeer  Mutation = "a restarted front is confirmed by whoever gave it its state"
-	AnyRefusalCounts Mutation = "a refusal counts without unbroken contact"
-	NoRosterMajority Mutation = "an acknowledgement needs no majority of the roster"
-	NoLeaseWait      Mutation = "an acknowledgement doesn't wait for leases"
-	NoPriorRoster    Mutation = "a roster change holds at once"
-	NoCatchUp        Mutation = "a restarted core gives leases before it has read from a majority"
-	NoStartupGrace   Mutation = "a restarted core counts before its former leases lapsed"
-	LeaseFromArrival Mutation = "a renewal counts from when it was answered"
-	IgnoresOpenSlot  Mutation = "a core confirms a restarted front over an open ballot"
-	TimeoutIsRefusal Mutation = "silence counts as a refusal"
+	ConfirmedByPeer  Mutation = "a restarted front is confirmed by the peer that sent it the state"
+	AnyRefusalCounts Mutation = "a refused connection counts without recent contact"
+	NoRosterMajority Mutation = "an acknowledgement requires no majority of the roster"
+	NoLeaseWait      Mutation = "an acknowledgement does not wait for unconfirmed leases"
+	NoPriorRoster    Mutation = "a roster change takes effect without confirmation by the prior roster"
+	NoCatchUp        Mutation = "a restarted core grants leases before it has read from a majority"
+	NoStartupGrace   Mutation = "a restarted core counts before the leases that it granted have expired"
+	LeaseFromArrival Mutation = "a lease is timed from the arrival of the answer"
+	IgnoreOpenSlot   Mutation = "a core confirms a restarted front despite an accepted slot that it has not learned"
+	TimeoutIsRefusal Mutation = "a timeout counts as a refused connection"
 )
 
-// FaultWeights are the relative frequencies of the kinds of faults.
+// FaultWeights holds the relative frequencies of the kinds of faults.
 type FaultWeights struct {
-	Kill     int
-	KillMany int
-	Freeze   int
-	Split    int
-	Isolate  int
-	Links    int
-	Core     int
-	Remove   int
+	Kill           int
+	KillSeveral    int
+	Freeze         int
+	Partition      int
+	Isolate        int
+	PartitionLinks int
+	RestartCore    int
+	RemoveMembers  int
 }
 
-// Config configures a run. Chances are per tick.
+// Config configures a run. Chances are probabilities per tick.
 type Config struct {
 	Name string
-	// Nodes are the members at the start; the first Cores of them are cores. Spares
-	// are processes that join later.
+	// Nodes is the number of nodes at the start, of which the first Cores are cores.
+	// Spares is the number of nodes that join later.
 	Nodes  int
 	Spares int
 	Cores  int
-	// JoinMS is the span within which spares join; zero lets all join at once.
+	// JoinMS is the length of the period in which spares join; zero lets all join at
+	// the same instant.
 	JoinMS  int
 	Seconds int
-	// FaultChance and HealChance are for the fleet, OrderChance is for each core.
+	// FaultChance and HealChance apply to the fleet, OrderChance to each core.
 	FaultChance float64
 	HealChance  float64
 	OrderChance float64
-	// LearnChance is that a core learns from another one, FinishChance that it
-	// finishes an open slot.
+	// LearnChance is the chance that a core learns from another one, FinishChance the
+	// chance that it finishes an open slot.
 	LearnChance  float64
 	FinishChance float64
-	// ClockDrift bounds the rate of clocks to 1 ± ClockDrift.
+	// ClockDrift is the maximum deviation of a clock rate from 1.
 	ClockDrift float64
 	// FixedLatency makes every message take one tick.
 	FixedLatency bool
 	FaultWeights FaultWeights
-	// DowntimesMS are how long killed processes may stay down.
+	// DowntimesMS holds the downtimes from which that of a killed process is drawn.
 	DowntimesMS []int64
 	Mutation    Mutation
 }
 
-// Mixes are the configurations that are simulated: a usual mix, about a fault in 4 s
-// and a heal in 15 s; quick restarts with cores that learn slowly; links partitioned
-// one by one; and a small fleet that more than doubles at once.
+// Mixes returns the simulated configurations: a usual mix with about one fault in 4 s
+// and one heal in 15 s; quick restarts with cores that learn slowly; individually
+// partitioned links; and a small fleet that more than doubles at one instant.
 func Mixes() []Config {
 	usual := Config{
 		Name:         "usual",
@@ -96,7 +98,7 @@
 		LearnChance:  0.5,
 		FinishChance: 0.05,
 		ClockDrift:   0.002,
-		FaultWeights: FaultWeights{Kill: 1, KillMany: 1, Freeze: 1, Split: 1, Isolate: 1, Links: 1, Core: 1, Remove: 1},
+		FaultWeights: FaultWeights{Kill: 1, KillSeveral: 1, Freeze: 1, Partition: 1, Isolate: 1, PartitionLinks: 1, RestartCore: 1, RemoveMembers: 1},
 		DowntimesMS:  []int64{200, 1000, 5000, 15000, foreverMS},
 	}
 	restarts := usual
@@ -104,13 +106,13 @@
 	restarts.FaultChance = 0.05
 	restarts.HealChance = 0.02
 	restarts.LearnChance = 0.04
-	restarts.FaultWeights = FaultWeights{Kill: 4, KillMany: 4, Freeze: 1, Split: 2, Isolate: 1, Links: 3, Core: 5}
+	restarts.FaultWeights = FaultWeights{Kill: 4, KillSeveral: 4, Freeze: 1, Partition: 2, Isolate: 1, PartitionLinks: 3, RestartCore: 5}
 	restarts.DowntimesMS = []int64{100, 300, 1000, 2500}
 	links := usual
 	links.Name = "links"
 	links.FaultChance = 0.03
 	links.HealChance = 0.006
-	links.FaultWeights = FaultWeights{Kill: 1, KillMany: 1, Freeze: 1, Split: 1, Links: 8, Core: 1, Remove: 1}
+	links.FaultWeights = FaultWeights{Kill: 1, KillSeveral: 1, Freeze: 1, Partition: 1, PartitionLinks: 8, RestartCore: 1, RemoveMembers: 1}
 	growth := usual
 	growth.Name = "growth"
 	growth.Nodes = 5
@@ -118,6 +120,6 @@
 	growth.JoinMS = 0
 	growth.Seconds = 40
 	growth.FaultChance = 0.02
-	growth.FaultWeights = FaultWeights{Kill: 1, Split: 5, Isolate: 1, Links: 2, Core: 1}
+	growth.FaultWeights = FaultWeights{Kill: 1, Partition: 5, Isolate: 1, PartitionLinks: 2, RestartCore: 1}
 	return []Config{usual, restarts, links, growth}
 }
--- a/sim/confirm/confirm_test.go
+++ b/sim/confirm/confirm_test.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	seeds   = flag.Uint64("seeds", 20, "number of seeds of each mix")
-	first   = flag.Uint64("first", 1, "the first seed")
-	workers = flag.Int("workers", min(4, runtime.NumCPU()), "number of parallel runs")
+	seeds     = flag.Uint64("seeds", 20, "number of seeds for each mix")
+	firstSeed = flag.Uint64("first", 1, "first seed")
+	workers   = flag.Int("workers", min(4, runtime.NumCPU()), "number of parallel runs")
 )
 
 func TestMain(m *testing.M) {
@@ -23,29 +23,30 @@
 	os.Exit(m.Run())
 }
 
-// search simulates seeds of one mix. It stops at the first violation when it is
-// asked for just one.
-func search(first, count uint64, config Config, one bool) (least *Violation, violations int, sum Outcome) {
-	found := make([]Outcome, count)
+// simulateSeeds simulates consecutive seeds of one mix and returns the violation of the
+// lowest seed, the number of violations and the summed outcomes. With firstOnly, it
+// stops after a violation.
+func simulateSeeds(first, count uint64, config Config, firstOnly bool) (firstViolation *Violation, violations int, sum Outcome) {
+	outcomes := make([]Outcome, count)
 	var next atomic.Uint64
 	var stop atomic.Bool
 	var group sync.WaitGroup
 	for range *workers {
 		group.Go(func() {
-			for i := next.Add(1) - 1; i < count && !(one && stop.Load()); i = next.Add(1) - 1 {
-				found[i] = Simulate(first+i, config)
-				if found[i].Violation != nil {
+			for i := next.Add(1) - 1; i < count && !(firstOnly && stop.Load()); i = next.Add(1) - 1 {
+				outcomes[i] = Simulate(first+i, config)
+				if outcomes[i].Violation != nil {
 					stop.Store(true)
 				}
 			}
 		})
 	}
 	group.Wait()
-	for _, outcome := range found {
+	for _, outcome := range outcomes {
 		if outcome.Violation != nil {
 			violations++
-			if least == nil {
-				least = outcome.Violation
+			if firstViolation == nil {
+				firstViolation = outcome.Violation
 			}
 		}
 		sum.Chosen += outcome.Chosen
@@ -54,17 +55,17 @@
 		sum.RosterChanges += outcome.RosterChanges
 		sum.ServingRatio += outcome.ServingRatio / float64(count)
 	}
-	return least, violations, sum
+	return firstViolation, violations, sum
 }
 
 func TestWalk(t *testing.T) {
 	for _, mix := range Mixes() {
-		Convey("In the mix "+mix.Name+" no front serves by a version older than one acknowledged, and none steps back", t, func() {
-			least, violations, sum := search(*first, *seeds, mix, false)
-			t.Logf("mix %s, seeds %d..%d: %d violations; %d chosen, %d of %d orders acknowledged, %d roster changes settled, ruling %.3f",
-				mix.Name, *first, *first+*seeds-1, violations, sum.Chosen, sum.Acknowledged, sum.Orders, sum.RosterChanges, sum.ServingRatio)
-			if least != nil {
-				t.Log(least)
+		Convey("In the mix "+mix.Name+" no front serves with a version older than an acknowledged one, and none reverts to an older version", t, func() {
+			firstViolation, violations, sum := simulateSeeds(*firstSeed, *seeds, mix, false)
+			t.Logf("mix %s, seeds %d..%d: %d violations; %d chosen, %d of %d orders acknowledged, %d roster changes committed, serving ratio %.3f",
+				mix.Name, *firstSeed, *firstSeed+*seeds-1, violations, sum.Chosen, sum.Acknowledged, sum.Orders, sum.RosterChanges, sum.ServingRatio)
+			if firstViolation != nil {
+				t.Log(firstViolation)
 			}
 			So(violations, ShouldEqual, 0)
 			So(sum.Acknowledged, ShouldBeGreaterThan, sum.Orders/5)
--- a/sim/confirm/core.go
+++ b/sim/confirm/core.go
@@ -8,54 +8,55 @@
 	"stepwick/internal/wire"
 )
 
-// Intervals of a core.
+// Intervals and time limits of a core.
 const (
-	corePingMS = 250
-	// rosterMS is the interval of roster changes, which each core's id staggers.
-	rosterMS        = 300
-	rosterStaggerMS = 100
-	pingAfter       = 700 * time.Millisecond
-	removeAfter     = 6 * time.Second
+	corePingIntervalMS = 250
+	// rosterIntervalMS is the interval between roster checks. A core's ID times
+	// rosterStaggerMS is added, so that the cores do not propose at the same instant.
+	rosterIntervalMS    = 300
+	rosterStaggerMS     = 100
+	pingIdleAfter       = 700 * time.Millisecond
+	removeRefusingAfter = 6 * time.Second
 )
 
-// coreState is the core's part of a process. Instants are in ms.
+// coreState is the state of a core in a process. Instants are in ms.
 type coreState struct {
-	leases   *lease.Table
-	caughtUp bool
-	learned  uint64
-	pingAt   int64
-	rosterAt int64
-	orders   []*order
-	// rosterCheck is the round that checks the last roster change, or nil.
-	rosterCheck *viewRound
+	leases            *lease.Table
+	caughtUp          bool
+	learnedVersion    uint64
+	nextPingAt        int64
+	nextRosterCheckAt int64
+	pendingOrders     []*pendingOrder
+	// rosterViews is the round of views that checks the last roster change, or nil.
+	rosterViews *viewRound
 }
 
-// order is an operator's order that waits to be in force.
-type order struct {
+// pendingOrder is an operator's order that is not acknowledged yet.
+type pendingOrder struct {
 	version   uint64
 	timeoutAt int64
 	views     *viewRound // nil between rounds
 }
 
-// viewRound is one round of lease views.
+// viewRound is one round of lease views of all cores; it ends at endAt, in ms.
 type viewRound struct {
 	endAt int64
 	views []*wire.LeaseViewResponse
 }
 
-// actCore runs what a core does at a tick.
-func (w *world) actCore(proc *process) {
+// runCore runs the work of a core in one tick.
+func (w *world) runCore(proc *process) {
 	core := proc.core
-	w.learn(proc)
+	w.updateLearnedVersion(proc)
 	if w.random.IntN(10) == 0 {
-		w.synced[proc.node.id] = core.learned
+		w.syncedVersions[proc.node.id] = core.learnedVersion
 	}
-	if w.now >= core.pingAt {
-		core.pingAt = w.now + corePingMS
+	if w.now >= core.nextPingAt {
+		core.nextPingAt = w.now + corePingIntervalMS
 		w.pingIdleMembers(proc)
 	}
-	if w.now >= core.rosterAt {
-		core.rosterAt = w.now + rosterMS + int64(proc.node.id)*rosterStaggerMS
+	if w.now >= core.nextRosterCheckAt {
+		core.nextRosterCheckAt = w.now + rosterIntervalMS + int64(proc.node.id)*rosterStaggerMS
 		w.maintainRoster(proc)
 	}
 	if w.random.Float64() < w.config.OrderChance {
@@ -65,38 +66,38 @@
 	w.acknowledgeOrders(proc)
 }
 
-// learn lets a core catch up from a majority, finish an open slot, or learn from
-// another core.
-func (w *world) learn(proc *process) {
+// updateLearnedVersion lets a core catch up from a majority, finish an open slot or
+// learn from another core.
+func (w *world) updateLearnedVersion(proc *process) {
 	core, node := proc.core, proc.node
-	reached := w.quorum(node)
-	if reached != nil && (!core.caughtUp || w.accepted[node.id] > core.learned && w.random.Float64() < w.config.FinishChance) {
-		core.learned = uint64(len(w.log) - 1)
+	reached := w.reachableMajority(node)
+	if reached != nil && (!core.caughtUp || w.acceptedVersions[node.id] > core.learnedVersion && w.random.Float64() < w.config.FinishChance) {
+		core.learnedVersion = uint64(len(w.log) - 1)
 		core.caughtUp = true
 	}
 	for _, other := range w.nodes[:w.config.Cores] {
 		if w.running(other) && w.connected(node, other) && w.random.Float64() < w.config.LearnChance {
-			core.learned = max(core.learned, other.process.core.learned)
+			core.learnedVersion = max(core.learnedVersion, other.process.core.learnedVersion)
 		}
 	}
 }
 
-// submitOrder proposes an operator's order at a core.
+// submitOrder submits an operator's order to a core.
 func (w *world) submitOrder(node *nodeState) {
 	version, chosen := w.propose(node, statemachine.Noop{})
 	if !chosen {
 		return
 	}
 	w.outcome.Orders++
-	submitted := &order{version: version, timeoutAt: w.now + orderTicks*tickMS}
-	node.process.core.orders = append(node.process.core.orders, submitted)
+	submitted := &pendingOrder{version: version, timeoutAt: w.now + orderTimeoutTicks*tickMS}
+	node.process.core.pendingOrders = append(node.process.core.pendingOrders, submitted)
 }
 
-// pingIdleMembers pings the members without recent contact.
+// pingIdleMembers pings the members without contact for pingIdleAfter.
 func (w *world) pingIdleMembers(proc *process) {
 	leases := proc.core.leases
 	leases.Prune(w.clock(proc.node))
-	for _, target := range leases.PingTargets(w.log[proc.core.learned].Roster, pingAfter, w.clock(proc.node)) {
+	for _, target := range leases.PingTargets(w.log[proc.core.learnedVersion].Roster, pingIdleAfter, w.clock(proc.node)) {
 		for _, node := range w.nodes {
 			if node.name == target.Name && node != proc.node {
 				w.pingFromCore(proc, node, target)
@@ -111,15 +112,16 @@
 		incarnation := callee.incarnation
 		return func() { leases.RecordPingResponse(to.name, incarnation, w.clock(proc.node)) }
 	}
-	refused := func() { leases.RecordRefusal(target, w.clock(proc.node)) }
-	w.call(proc, to, serve, refused)
+	onRefused := func() { leases.RecordRefusal(target, w.clock(proc.node)) }
+	w.call(proc, to, serve, onRefused)
 }
 
-// maintainRoster proposes to add members that renew, or to remove those that refuse.
+// maintainRoster proposes to add unlisted members that renew leases or, if there are
+// none, to remove members that refuse connections.
 func (w *world) maintainRoster(proc *process) {
 	core := proc.core
 	now := w.clock(proc.node)
-	state := w.log[core.learned]
+	state := w.log[core.learnedVersion]
 	if !core.caughtUp || !state.RosterCommitted() {
 		return
 	}
@@ -127,21 +129,23 @@
 		w.propose(proc.node, statemachine.AddMembers{Members: members, ProposedBy: proc.node.name})
 		return
 	}
-	if names := core.leases.RefusingMembers(state.Roster, removeAfter, now); len(names) > 0 {
+	if names := core.leases.RefusingMembers(state.Roster, removeRefusingAfter, now); len(names) > 0 {
 		w.propose(proc.node, statemachine.RemoveMembers{Names: names, ProposedBy: proc.node.name})
 	}
 }
 
+// leaseView returns a core's lease view. It counts as settled only once the core has
+// caught up.
 func (w *world) leaseView(proc *process, version uint64) *wire.LeaseViewResponse {
-	view := proc.core.leases.View(version, proc.core.learned, w.clock(proc.node))
+	view := proc.core.leases.View(version, proc.core.learnedVersion, w.clock(proc.node))
 	view.Settled = view.Settled && proc.core.caughtUp
 	return view
 }
 
-// requestViews starts a round of lease views.
+// requestViews starts a round of lease views, which includes the core's own view.
 func (w *world) requestViews(proc *process, version uint64) *viewRound {
 	round := &viewRound{
-		endAt: w.now + viewRoundTicks*tickMS,
+		endAt: w.now + viewRoundDurationTicks*tickMS,
 		views: []*wire.LeaseViewResponse{w.leaseView(proc, version)},
 	}
 	serve := func(callee *process) func() {
@@ -156,10 +160,10 @@
 	return round
 }
 
-// confirmationCheck returns the check of a version by a round of views, without the
-// rule that a mutation leaves out.
+// confirmationCheck returns the confirmation check of a version for a round of views,
+// without the rule that the mutation disables.
 func (w *world) confirmationCheck(proc *process, version uint64, round *viewRound) lease.ConfirmationCheck {
-	state := w.log[proc.core.learned]
+	state := w.log[proc.core.learnedVersion]
 	check := lease.ConfirmationCheck{
 		Version:     version,
 		Voters:      w.config.Cores,
@@ -181,13 +185,13 @@
 	return check
 }
 
-// completeRosterChange proposes to settle the last roster change once it is
+// completeRosterChange proposes to commit the last roster change once it is
 // confirmed.
 func (w *world) completeRosterChange(proc *process) {
 	core := proc.core
-	state := w.log[core.learned]
+	state := w.log[core.learnedVersion]
 	if state.RosterCommitted() || !core.caughtUp {
-		core.rosterCheck = nil
+		core.rosterViews = nil
 		return
 	}
 	command := statemachine.CommitRoster{RosterVersion: state.RosterVersion}
@@ -195,38 +199,38 @@
 		w.propose(proc.node, command)
 		return
 	}
-	if core.rosterCheck == nil {
-		core.rosterCheck = w.requestViews(proc, state.RosterVersion)
+	if core.rosterViews == nil {
+		core.rosterViews = w.requestViews(proc, state.RosterVersion)
 		return
 	}
-	if w.now < core.rosterCheck.endAt {
+	if w.now < core.rosterViews.endAt {
 		return
 	}
-	check := w.confirmationCheck(proc, state.RosterVersion, core.rosterCheck)
+	check := w.confirmationCheck(proc, state.RosterVersion, core.rosterViews)
 	if confirmed, _ := lease.RosterChangeConfirmed(check); confirmed {
 		if _, chosen := w.propose(proc.node, command); chosen {
 			w.outcome.RosterChanges++
 		}
 	}
-	core.rosterCheck = nil
+	core.rosterViews = nil
 }
 
-// acknowledgeOrders acknowledges the orders that are in force and drops those that
-// timed out.
+// acknowledgeOrders acknowledges the orders whose version is confirmed and drops those
+// that timed out.
 func (w *world) acknowledgeOrders(proc *process) {
 	core := proc.core
-	open := core.orders[:0]
-	for _, submitted := range core.orders {
-		if w.now <= submitted.timeoutAt && !w.acknowledged(proc, submitted) {
+	open := core.pendingOrders[:0]
+	for _, submitted := range core.pendingOrders {
+		if w.now <= submitted.timeoutAt && !w.tryAcknowledge(proc, submitted) {
 			open = append(open, submitted)
 		}
 	}
-	core.orders = open
+	core.pendingOrders = open
 }
 
-// acknowledged starts a round of views for an order, or evaluates one that ended; it
-// reports whether the order was acknowledged.
-func (w *world) acknowledged(proc *process, submitted *order) bool {
+// tryAcknowledge starts a round of views for an order or evaluates one that has ended.
+// It reports whether the order was acknowledged.
+func (w *world) tryAcknowledge(proc *process, submitted *pendingOrder) bool {
 	if submitted.views == nil {
 		submitted.views = w.requestViews(proc, submitted.version)
 		return false
--- a/sim/confirm/doc.go
+++ b/sim/confirm/doc.go
@@ -1,11 +1,13 @@
 // Package confirm simulates the confirmation of configuration versions under random
-// faults in virtual time. Fronts and cores decide by the production packages
-// (lease.Holder, lease.Table, lease.VersionConfirmed, sheet's commands); a proposal
-// is atomic; network, faults and clocks are simulated.
+// faults in virtual time. Fronts and cores run the production code (lease.Holder,
+// lease.Table, lease.VersionConfirmed and the commands of package statemachine).
+// Consensus is modelled as an atomic step; network, faults and clocks are simulated.
 //
-// The property checked is that no front serves by an older version than one that was
-// acknowledged, and that no front steps back. Each Mutation leaves out one rule of
-// the protocol, to show that the checker finds what the rule prevents.
+// The checked properties are that no front serves with a version older than an
+// acknowledged one, and that no front reverts to an older version. Each Mutation
+// disables one rule of the protocol, to show that the checker detects the violation
+// that the rule prevents.
 //
-// A run is a function of its seed alone: the order of random draws is part of it.
+// A run depends only on its configuration and seed. Changing the order or number of
+// random draws changes the run of every seed.
 package confirm
--- a/sim/confirm/explore.go
+++ b/sim/confirm/explore.go
@@ -2,46 +2,47 @@
 
 import "fmt"
 
-// EventKind is a kind of fault.
+// EventKind is the kind of an Event.
 type EventKind string
 
-// Kinds of faults.
+// Kinds of events.
 const (
-	partitionEvent EventKind = "cut"
+	partitionEvent EventKind = "partition"
 	freezeEvent    EventKind = "freeze"
 	killEvent      EventKind = "kill"
 )
 
-// Event is a fault of a Schedule.
+// Event is a fault in a Schedule.
 type Event struct {
-	Kind EventKind
-	At   int64 // ms
-	Span int64 // ms, how long the fault lasts
-	Mask uint  // the nodes that fail, or those on one side of a partition
+	Kind       EventKind
+	AtMS       int64
+	DurationMS int64 // how long the fault lasts
+	Mask       uint  // bit set of the IDs of the affected nodes, or of those on one side of a partition
 }
 
-// Schedule is a course of faults in a small fleet: three cores and two more
-// fronts, with orders at the first and the second core between the faults.
+// Schedule is a sequence of faults in a small fleet of three cores and two nodes with
+// only a front. Orders are submitted to the first and the second core at fixed
+// instants.
 type Schedule []Event
 
 func (s Schedule) String() string {
 	text := ""
 	for _, event := range s {
-		text += fmt.Sprintf("%s %05b at %d ms for %d; ", event.Kind, event.Mask, event.At, event.Span)
+		text += fmt.Sprintf("%s %05b at %d ms for %d ms; ", event.Kind, event.Mask, event.AtMS, event.DurationMS)
 	}
 	return text
 }
 
 const (
-	exploreNodes = 5
-	exploreFrom  = 4000  // ms, of the first fault
-	exploreEnd   = 15000 // ms
-	faultsWithin = 3000  // ms from exploreFrom until the last fault
+	exploreNodes  = 5
+	firstFaultMS  = 4000 // instant of the earliest fault
+	exploreEndMS  = 15000
+	faultWindowMS = 3000 // faults start within this time after firstFaultMS
 )
 
-// Schedules returns every course of one partition and one freeze, and of one
-// partition and one kill, with the faults at each of some instants and of each of
-// some lengths. Step is the distance of the instants in ms.
+// Schedules returns every combination of one partition with one freeze or one kill,
+// with each fault at each of several instants and of several durations. step is the
+// distance between the instants in ms.
 func Schedules(step int64) []Schedule {
 	var schedules []Schedule
 	for _, partition := range partitions(step) {
@@ -52,36 +53,36 @@
 	return schedules
 }
 
-// partitions returns every partition of the fleet at each of the instants.
+// partitions returns every partition of the fleet at each instant.
 func partitions(step int64) []Event {
 	var events []Event
-	for at := int64(exploreFrom); at < exploreFrom+faultsWithin; at += step {
+	for at := int64(firstFaultMS); at < firstFaultMS+faultWindowMS; at += step {
 		for mask := uint(1); mask < 1<<(exploreNodes-1); mask++ {
 			for _, span := range []int64{1200, 3600, foreverMS} {
-				events = append(events, Event{Kind: partitionEvent, At: at, Span: span, Mask: mask})
+				events = append(events, Event{Kind: partitionEvent, AtMS: at, DurationMS: span, Mask: mask})
 			}
 		}
 	}
 	return events
 }
 
-// nodeFaults returns every freeze and kill of a node at each of the instants.
+// nodeFaults returns every freeze and kill of one node at each instant.
 func nodeFaults(step int64) []Event {
 	var events []Event
-	for at := int64(exploreFrom); at < exploreFrom+faultsWithin; at += step {
+	for at := int64(firstFaultMS); at < firstFaultMS+faultWindowMS; at += step {
 		for node := range exploreNodes {
 			for _, span := range []int64{1000, 4000} {
-				events = append(events, Event{Kind: freezeEvent, At: at, Span: span, Mask: 1 << node})
+				events = append(events, Event{Kind: freezeEvent, AtMS: at, DurationMS: span, Mask: 1 << node})
 			}
 			for _, span := range []int64{150, 2200} {
-				events = append(events, Event{Kind: killEvent, At: at, Span: span, Mask: 1 << node})
+				events = append(events, Event{Kind: killEvent, AtMS: at, DurationMS: span, Mask: 1 << node})
 			}
 		}
 	}
 	return events
 }
 
-// Explore simulates one schedule. Messages take one tick, clocks have no drift.
+// Explore simulates one schedule. Messages take one tick and clocks do not drift.
 func Explore(schedule Schedule, mutation Mutation) Outcome {
 	w := newWorld(1, Config{
 		Name:         schedule.String(),
@@ -92,8 +93,8 @@
 		FixedLatency: true,
 		Mutation:     mutation,
 	})
-	for w.now < exploreEnd && w.checker.violation == nil {
-		w.step(func() {
+	for w.now < exploreEndMS && w.checker.violation == nil {
+		w.runTick(func() {
 			switch w.now {
 			case 4600, 6100:
 				if node := w.nodes[w.now/6000]; w.running(node) {
@@ -101,33 +102,34 @@
 				}
 			}
 			for _, event := range schedule {
-				w.apply(event)
+				w.applyEvent(event)
 			}
 		})
 	}
-	return w.result()
+	return w.finalOutcome()
 }
 
-// apply causes or ends a fault that is due now.
-func (w *world) apply(event Event) {
-	if event.Kind == partitionEvent && w.now == event.At+event.Span {
-		w.heal()
+// applyEvent starts a fault that is due now, or heals a partition whose duration is
+// over.
+func (w *world) applyEvent(event Event) {
+	if event.Kind == partitionEvent && w.now == event.AtMS+event.DurationMS {
+		w.healPartitions()
 	}
-	if w.now != event.At {
+	if w.now != event.AtMS {
 		return
 	}
 	affected := func(node *nodeState) bool { return event.Mask>>node.id&1 == 1 }
 	if event.Kind == partitionEvent {
-		w.split(affected)
+		w.partitionNodes(affected)
 		return
 	}
 	for _, node := range w.nodes {
 		switch {
 		case !affected(node) || node.process == nil:
 		case event.Kind == killEvent:
-			w.kill(node, event.Span)
+			w.kill(node, event.DurationMS)
 		default:
-			node.process.frozenUntil = w.now + event.Span
+			node.process.frozenUntil = w.now + event.DurationMS
 		}
 	}
 }
--- a/sim/confirm/faults.go
+++ b/sim/confirm/faults.go
@@ -7,7 +7,7 @@
 	"stepwick/internal/decision/statemachine"
 )
 
-// maxLoggedFaults is how many of the last faults a violation lists.
+// maxLoggedFaults is the number of most recent faults that a violation lists.
 const maxLoggedFaults = 12
 
 // faultKind is a kind of random fault.
@@ -15,47 +15,48 @@
 
 // Kinds of random faults, in the order of FaultWeights' fields.
 const (
-	killOne faultKind = iota
-	killMany
-	freezeOne
-	splitFleet
-	isolateOne
-	cutLinks
+	killNode faultKind = iota
+	killSeveral
+	freezeProcess
+	partitionFleet
+	isolateNode
+	partitionLinks
 	restartCore
 	removeMembers
 )
 
-// inOrder returns the weights by faultKind.
-func (f FaultWeights) inOrder() []int {
-	return []int{f.Kill, f.KillMany, f.Freeze, f.Split, f.Isolate, f.Links, f.Core, f.Remove}
+// byFaultKind returns the weights, indexed by faultKind.
+func (f FaultWeights) byFaultKind() []int {
+	return []int{f.Kill, f.KillSeveral, f.Freeze, f.Partition, f.Isolate, f.PartitionLinks, f.RestartCore, f.RemoveMembers}
 }
 
-// injectFault causes a fault or heals all partitions, each with its chance.
+// injectFault injects a random fault with FaultChance or heals all partitions with
+// HealChance.
 func (w *world) injectFault() {
 	draw := w.random.Float64()
 	if draw >= w.config.FaultChance+w.config.HealChance {
 		return
 	}
 	if draw >= w.config.FaultChance {
-		w.heal()
+		w.healPartitions()
 		w.logFault("heal")
 		return
 	}
-	one := w.nodes[w.random.IntN(len(w.nodes))]
+	target := w.nodes[w.random.IntN(len(w.nodes))]
 	switch w.drawFaultKind() {
-	case killOne:
-		w.killOne(one)
-	case killMany:
-		w.killMany()
-	case freezeOne:
-		w.freeze(one)
-	case splitFleet:
-		w.splitAtRandom()
-	case isolateOne:
-		w.split(func(node *nodeState) bool { return node == one })
-		w.logFault("isolate %s", one.name)
-	case cutLinks:
-		w.cutLinks()
+	case killNode:
+		w.killAndLog(target)
+	case killSeveral:
+		w.killSeveral()
+	case freezeProcess:
+		w.freeze(target)
+	case partitionFleet:
+		w.partitionAtRandom()
+	case isolateNode:
+		w.partitionNodes(func(node *nodeState) bool { return node == target })
+		w.logFault("isolate %s", target.name)
+	case partitionLinks:
+		w.partitionLinks()
 	case restartCore:
 		w.restartCore()
 	case removeMembers:
@@ -64,7 +65,7 @@
 }
 
 func (w *world) drawFaultKind() faultKind {
-	weights := w.config.FaultWeights.inOrder()
+	weights := w.config.FaultWeights.byFaultKind()
 	sum := 0
 	for _, weight := range weights {
 		sum += weight
@@ -76,50 +77,55 @@
 		}
 		drawn -= weight
 	}
-	return killOne
+	return killNode
 }
 
 func (w *world) drawDowntime() int64 {
 	return w.config.DowntimesMS[w.random.IntN(len(w.config.DowntimesMS))]
 }
 
-func (w *world) killOne(node *nodeState) {
+// killAndLog kills the process of a node for a random downtime.
+func (w *world) killAndLog(node *nodeState) {
 	downtime := w.drawDowntime()
 	w.kill(node, downtime)
-	w.logFault("kill %s for %d", node.name, downtime)
+	w.logFault("kill %s for %d ms", node.name, downtime)
 }
 
-func (w *world) killMany() {
+// killSeveral kills the processes of two to five random nodes.
+func (w *world) killSeveral() {
 	count := 2 + w.random.IntN(4)
 	for _, i := range w.random.Perm(len(w.nodes))[:count] {
 		w.kill(w.nodes[i], w.drawDowntime())
 	}
-	w.logFault("kill %d", count)
+	w.logFault("kill %d processes", count)
 }
 
+// freeze suspends the process of a node for a random duration.
 func (w *world) freeze(node *nodeState) {
 	if node.process == nil {
 		return
 	}
-	span := []int64{1000, 3000, 8000, 20000}[w.random.IntN(4)]
-	node.process.frozenUntil = w.now + span
-	w.logFault("freeze %s for %d", node.name, span)
+	durationMS := []int64{1000, 3000, 8000, 20000}[w.random.IntN(4)]
+	node.process.frozenUntil = w.now + durationMS
+	w.logFault("freeze %s for %d ms", node.name, durationMS)
 }
 
-func (w *world) splitAtRandom() {
+// partitionAtRandom partitions the fleet into two random sides.
+func (w *world) partitionAtRandom() {
 	mask := w.random.Uint64()
-	w.split(func(node *nodeState) bool { return mask>>node.id&1 == 1 })
-	w.logFault("cut %b", mask&(1<<len(w.nodes)-1))
+	w.partitionNodes(func(node *nodeState) bool { return mask>>node.id&1 == 1 })
+	w.logFault("partition %b", mask&(1<<len(w.nodes)-1))
 }
 
-func (w *world) cutLinks() {
+// partitionLinks partitions up to twelve random links.
+func (w *world) partitionLinks() {
 	for range 1 + w.random.IntN(12) {
 		a := w.random.IntN(len(w.nodes))
 		b := w.random.IntN(len(w.nodes))
 		w.partitioned[a][b] = true
 		w.partitioned[b][a] = true
 	}
-	w.logFault("cut some links")
+	w.logFault("partition some links")
 }
 
 func (w *world) restartCore() {
@@ -128,8 +134,8 @@
 	w.logFault("restart core %s", node.name)
 }
 
-// removeMembers is the operator's order to remove members by name: machines that are
-// off for good, which is what the operator vouches for.
+// removeMembers submits an operator's order to remove members by name. The operator
+// vouches that their machines are down permanently.
 func (w *world) removeMembers() {
 	var names []string
 	for _, node := range w.nodes {
@@ -152,15 +158,16 @@
 	}
 }
 
-// heal ends all partitions.
-func (w *world) heal() {
+// healPartitions ends all partitions.
+func (w *world) healPartitions() {
 	for _, links := range w.partitioned {
 		clear(links)
 	}
 }
 
-// split partitions the fleet: messages between the sides are dropped.
-func (w *world) split(side func(node *nodeState) bool) {
+// partitionNodes partitions the fleet into two sides; messages between them are
+// dropped.
+func (w *world) partitionNodes(side func(node *nodeState) bool) {
 	for _, a := range w.nodes {
 		for _, b := range w.nodes {
 			w.partitioned[a.id][b.id] = side(a) != side(b)
--- a/sim/confirm/front.go
+++ b/sim/confirm/front.go
@@ -7,22 +7,22 @@
 	"stepwick/internal/wire"
 )
 
-// act runs what a process does at a tick.
-func (w *world) act(proc *process) {
-	if w.now >= proc.renewAt {
-		proc.renewAt = w.now + renewTicks*tickMS
+// runProcess runs the work of a process in one tick.
+func (w *world) runProcess(proc *process) {
+	if w.now >= proc.nextRenewAt {
+		proc.nextRenewAt = w.now + renewIntervalTicks*tickMS
 		w.renewAll(proc)
 	}
-	if w.now >= proc.pingAt {
-		proc.pingAt = w.now + pingTicks*tickMS
+	if w.now >= proc.nextPingAt {
+		proc.nextPingAt = w.now + pingIntervalTicks*tickMS
 		w.pingAll(proc)
 	}
 	if proc.core != nil {
-		w.actCore(proc)
+		w.runCore(proc)
 	}
 }
 
-// renewAll renews a front's lease at every core.
+// renewAll requests a renewal of a front's lease from every core.
 func (w *world) renewAll(proc *process) {
 	for _, core := range w.nodes[:w.config.Cores] {
 		w.renew(proc, core)
@@ -35,11 +35,11 @@
 	req := &wire.RenewRequest{Self: record, Epoch: proc.state.Version, Unconfirmed: proc.holder.Unconfirmed()}
 	serve := func(callee *process) func() {
 		core := callee.core
-		open := w.accepted[to.id] > core.learned && w.config.Mutation != IgnoresOpenSlot
-		if !core.caughtUp || (req.Unconfirmed && open) {
+		openSlot := w.acceptedVersions[to.id] > core.learnedVersion && w.config.Mutation != IgnoreOpenSlot
+		if !core.caughtUp || (req.Unconfirmed && openSlot) {
 			return nil
 		}
-		resp := core.leases.Renew(req, core.learned, w.clock(to))
+		resp := core.leases.Renew(req, core.learnedVersion, w.clock(to))
 		return func() { w.recordRenewal(proc, to, sentAt, req, resp) }
 	}
 	w.call(proc, to, serve, nil)
@@ -50,7 +50,7 @@
 		sentAt = w.clock(proc.node)
 	}
 	if resp.Learned > proc.state.Version || !proc.hasState {
-		w.fetch(proc, core)
+		w.fetchState(proc, core)
 	}
 	if resp.Granted {
 		proc.holder.RecordGrant(core.name, sentAt, req.Epoch, resp.Learned)
@@ -59,8 +59,9 @@
 	}
 }
 
-// fetch requests the state of a node, one request at a time.
-func (w *world) fetch(proc *process, from *nodeState) {
+// fetchState requests the state of a node. At most one request is in flight until it
+// times out.
+func (w *world) fetchState(proc *process, from *nodeState) {
 	if w.now < proc.fetchTimeoutAt {
 		return
 	}
@@ -68,7 +69,7 @@
 	serve := func(callee *process) func() {
 		state := callee.state
 		if callee.core != nil {
-			state = w.log[callee.core.learned]
+			state = w.log[callee.core.learnedVersion]
 		}
 		return func() {
 			proc.fetchTimeoutAt = 0
@@ -78,6 +79,7 @@
 	w.call(proc, from, serve, nil)
 }
 
+// adoptState replaces a front's state with a newer one and renews its leases at once.
 func (w *world) adoptState(proc *process, state statemachine.State) {
 	if state.Version <= proc.state.Version {
 		return
@@ -94,7 +96,7 @@
 	w.renewAll(proc)
 }
 
-// pingAll pings the members of a front's roster.
+// pingAll pings the other members on a front's roster.
 func (w *world) pingAll(proc *process) {
 	for _, node := range w.nodes {
 		if _, member := proc.state.Roster[node.name]; member && node != proc.node {
@@ -112,16 +114,16 @@
 		return func() {
 			proc.holder.RecordPingResponse(to.name, incarnation, sentAt, version, unconfirmed)
 			if version > proc.state.Version && !unconfirmed {
-				w.fetch(proc, to)
+				w.fetchState(proc, to)
 			}
 		}
 	}
-	refused := func() {
+	onRefused := func() {
 		now := w.clock(proc.node)
 		if w.config.Mutation == AnyRefusalCounts || w.config.Mutation == TimeoutIsRefusal {
 			proc.holder.RecordPingResponse(to.name, 0, now, 0, true)
 		}
 		proc.holder.RecordRefusal(to.name, now)
 	}
-	w.call(proc, to, serve, refused)
+	w.call(proc, to, serve, onRefused)
 }
--- a/sim/confirm/network.go
+++ b/sim/confirm/network.go
@@ -1,13 +1,15 @@
 package confirm
 
-// connected reports whether messages between two nodes arrive.
+// connected reports whether messages between two nodes are delivered.
 func (w *world) connected(a, b *nodeState) bool { return a == b || !w.partitioned[a.id][b.id] }
 
+// schedule schedules an event after a number of ticks.
 func (w *world) schedule(ticks int64, event func()) {
-	w.events[w.tick+ticks] = append(w.events[w.tick+ticks], event)
+	w.scheduledEvents[w.tick+ticks] = append(w.scheduledEvents[w.tick+ticks], event)
 }
 
-// latency returns how many ticks a message takes: one in twenty is slow.
+// latency draws the number of ticks that a message takes: 1 to 16 for one message in
+// twenty, otherwise 1 or 2.
 func (w *world) latency() int64 {
 	if w.config.FixedLatency {
 		return 1
@@ -18,13 +20,14 @@
 	return int64(1 + w.random.IntN(2))
 }
 
-// deliver runs a step at a process. A frozen process buffers it until it resumes.
+// deliver runs a step at a process, unless the process has ended. Steps at a frozen
+// process are deferred until it resumes.
 func (w *world) deliver(proc *process, step func()) {
 	if proc.node.process != proc {
 		return
 	}
 	if proc.frozenUntil > w.now {
-		proc.mailbox = append(proc.mailbox, step)
+		proc.undelivered = append(proc.undelivered, step)
 		return
 	}
 	step()
@@ -32,44 +35,45 @@
 
 // call is a request from a process to a node and its answer.
 type call struct {
-	world   *world
-	caller  *process
-	to      *nodeState
-	serve   func(callee *process) (answer func())
-	refused func() // may be nil
+	world     *world
+	caller    *process
+	to        *nodeState
+	serve     func(callee *process) (answer func())
+	onRefused func() // may be nil
 }
 
-// call sends a request to another node and its answer back. Refused runs when the
-// node's process is down; a partition drops messages in both directions.
-func (w *world) call(caller *process, to *nodeState, serve func(callee *process) (answer func()), refused func()) {
-	c := &call{world: w, caller: caller, to: to, serve: serve, refused: refused}
-	w.schedule(w.latency(), c.arrive)
+// call sends a request to another node, which serves it and sends an answer. If no
+// process runs on the node, onRefused runs at the caller instead. A partition drops
+// messages in both directions.
+func (w *world) call(caller *process, to *nodeState, serve func(callee *process) (answer func()), onRefused func()) {
+	c := &call{world: w, caller: caller, to: to, serve: serve, onRefused: onRefused}
+	w.schedule(w.latency(), c.handleArrival)
 }
 
-func (c *call) arrive() {
+func (c *call) handleArrival() {
 	w := c.world
 	switch {
 	case !w.connected(c.caller.node, c.to):
-		if w.config.Mutation == TimeoutIsRefusal && c.refused != nil {
-			w.deliver(c.caller, c.refused)
+		if w.config.Mutation == TimeoutIsRefusal && c.onRefused != nil {
+			w.deliver(c.caller, c.onRefused)
 		}
 	case c.to.process == nil:
-		if c.refused != nil {
-			c.reply(c.refused)
+		if c.onRefused != nil {
+			c.reply(c.onRefused)
 		}
 	default:
 		callee := c.to.process
-		w.deliver(callee, func() { c.handle(callee) })
+		w.deliver(callee, func() { c.serveRequest(callee) })
 	}
 }
 
-func (c *call) handle(callee *process) {
+func (c *call) serveRequest(callee *process) {
 	if answer := c.serve(callee); answer != nil {
 		c.reply(answer)
 	}
 }
 
-// reply runs a step at the caller, unless a partition drops it.
+// reply runs a step at the caller after the latency, unless a partition drops it.
 func (c *call) reply(step func()) {
 	w := c.world
 	w.schedule(w.latency(), func() {
--- a/sim/confirm/scenario_test.go
+++ b/sim/confirm/scenario_test.go
@@ -6,18 +6,18 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// action is what a scenario does at an instant, in ms.
+// action is a step of a scenario at an instant.
 type action struct {
-	at int64
-	do func(w *world)
+	atMS int64
+	run  func(w *world)
 }
 
-// scenario leads up to the fault that one rule protects from.
+// scenario produces the violation that one rule prevents.
 type scenario struct {
 	mutation     Mutation
 	nodes        int
 	spares       int
-	acknowledged int // orders acknowledged with the rule
+	acknowledged int // number of orders acknowledged with the rule in place
 	actions      []action
 }
 
@@ -32,7 +32,7 @@
 	}
 }
 
-// restrictLinks leaves a node no links but those named.
+// restrictLinks partitions a node from all others except those with the given IDs.
 func restrictLinks(w *world, id int, links ...int) {
 	for _, n := range w.nodes {
 		partitioned := n.id != id && !isOneOf(links...)(n)
@@ -43,15 +43,17 @@
 
 func submitOrderAt(id int) func(w *world) { return func(w *world) { w.submitOrder(w.nodes[id]) } }
 
-func split(ids ...int) func(w *world) { return func(w *world) { w.split(isOneOf(ids...)) } }
+func partitionNodes(ids ...int) func(w *world) {
+	return func(w *world) { w.partitionNodes(isOneOf(ids...)) }
+}
 
 var scenarios = []scenario{
 	{mutation: NoLeaseWait, nodes: 9, acknowledged: 1, actions: []action{
-		{10000, split(8)},
+		{10000, partitionNodes(8)},
 		{10200, submitOrderAt(0)},
 	}},
 	{mutation: NoRosterMajority, nodes: 9, acknowledged: 0, actions: []action{
-		{10000, split(2, 5, 6, 7, 8)},
+		{10000, partitionNodes(2, 5, 6, 7, 8)},
 		{13000, submitOrderAt(0)},
 	}},
 	{mutation: NoStartupGrace, nodes: 9, acknowledged: 1, actions: []action{
@@ -64,19 +66,19 @@
 		{10300, submitOrderAt(0)},
 	}},
 	{mutation: NoCatchUp, nodes: 9, acknowledged: 1, actions: []action{
-		{10000, split(8)},
+		{10000, partitionNodes(8)},
 		{10200, submitOrderAt(0)},
 		{13500, func(w *world) {
 			for _, id := range []int{0, 1} {
-				w.synced[id] = w.nodes[2].process.core.learned - 1
+				w.syncedVersions[id] = w.nodes[2].process.core.learnedVersion - 1
 				w.kill(w.nodes[id], 100)
 			}
-			w.heal()
+			w.healPartitions()
 			restrictLinks(w, 2)
 			restrictLinks(w, 8, 0, 1)
 		}},
 	}},
-	{mutation: IgnoresOpenSlot, nodes: 9, acknowledged: 0, actions: []action{
+	{mutation: IgnoreOpenSlot, nodes: 9, acknowledged: 0, actions: []action{
 		{10000, func(w *world) {
 			w.config.LearnChance = 0
 			restrictLinks(w, 8, 0, 1, 2)
@@ -89,25 +91,25 @@
 		}},
 	}},
 	{mutation: ConfirmedByPeer, nodes: 9, acknowledged: 1, actions: []action{
-		{10000, split(2, 6, 7, 8)},
+		{10000, partitionNodes(2, 6, 7, 8)},
 		{10200, submitOrderAt(0)},
 		{13500, func(w *world) {
 			w.kill(w.nodes[5], 200)
-			w.split(isOneOf(2, 5, 6, 7, 8))
+			w.partitionNodes(isOneOf(2, 5, 6, 7, 8))
 		}},
 	}},
 	{mutation: AnyRefusalCounts, nodes: 9, acknowledged: 1, actions: []action{
-		{10000, split(2, 6, 7, 8)},
+		{10000, partitionNodes(2, 6, 7, 8)},
 		{10200, submitOrderAt(0)},
 		{13500, func(w *world) {
 			for _, id := range []int{0, 1, 3, 4, 5} {
 				w.kill(w.nodes[id], foreverMS)
 			}
 		}},
-		{14500, (*world).heal},
+		{14500, (*world).healPartitions},
 	}},
 	{mutation: TimeoutIsRefusal, nodes: 9, acknowledged: 1, actions: []action{
-		{10000, split(8)},
+		{10000, partitionNodes(8)},
 		{10200, submitOrderAt(0)},
 	}},
 	{mutation: LeaseFromArrival, nodes: 9, acknowledged: 1, actions: []action{
@@ -115,7 +117,7 @@
 		{10200, submitOrderAt(0)},
 	}},
 	{mutation: NoPriorRoster, nodes: 5, spares: 7, acknowledged: 0, actions: []action{
-		{9900, split(2, 3, 4)},
+		{9900, partitionNodes(2, 3, 4)},
 		{12500, submitOrderAt(0)},
 	}},
 }
@@ -128,44 +130,44 @@
 	}
 	remaining := s.actions
 	for w.now < int64(config.Seconds)*1000 && w.checker.violation == nil {
-		w.step(func() {
-			for len(remaining) > 0 && remaining[0].at <= w.now {
-				remaining[0].do(w)
+		w.runTick(func() {
+			for len(remaining) > 0 && remaining[0].atMS <= w.now {
+				remaining[0].run(w)
 				remaining = remaining[1:]
 			}
 		})
 	}
-	return w.result()
+	return w.finalOutcome()
 }
 
 func TestEachRuleIsNeeded(t *testing.T) {
 	for _, s := range scenarios {
-		Convey("Where "+string(s.mutation)+", the checker finds it; with the rule there is no violation", t, func() {
-			found := 0
-			var last *Violation
+		Convey("If "+string(s.mutation)+", the checker finds a violation; with the rule it finds none", t, func() {
+			violations := 0
+			var lastViolation *Violation
 			for seed := range uint64(20) {
-				sound := s.run(seed, None)
-				So(sound.Violation, ShouldBeNil)
-				So(sound.Acknowledged, ShouldEqual, s.acknowledged)
-				if broken := s.run(seed, s.mutation); broken.Violation != nil {
-					found++
-					last = broken.Violation
+				unmodified := s.run(seed, None)
+				So(unmodified.Violation, ShouldBeNil)
+				So(unmodified.Acknowledged, ShouldEqual, s.acknowledged)
+				if mutated := s.run(seed, s.mutation); mutated.Violation != nil {
+					violations++
+					lastViolation = mutated.Violation
 				}
 			}
-			t.Logf("%s: seen at %d of 20 seeds; %v", s.mutation, found, last)
-			So(found, ShouldBeGreaterThan, 0)
+			t.Logf("%s: violation in %d of 20 seeds; %v", s.mutation, violations, lastViolation)
+			So(violations, ShouldBeGreaterThan, 0)
 		})
 	}
 }
 
 func TestSeedReproduces(t *testing.T) {
-	Convey("A seed gives the same run each time", t, func() {
+	Convey("Runs of the same seed are identical", t, func() {
 		mix := Mixes()[0]
 		mix.Mutation = LeaseFromArrival
-		least, _, _ := search(1, 40, mix, false)
-		So(least, ShouldNotBeNil)
-		t.Log(least)
-		So(Simulate(least.Seed, mix).Violation, ShouldResemble, least)
-		So(Simulate(least.Seed, mix).Violation, ShouldResemble, least)
+		firstViolation, _, _ := simulateSeeds(1, 40, mix, false)
+		So(firstViolation, ShouldNotBeNil)
+		t.Log(firstViolation)
+		So(Simulate(firstViolation.Seed, mix).Violation, ShouldResemble, firstViolation)
+		So(Simulate(firstViolation.Seed, mix).Violation, ShouldResemble, firstViolation)
 	})
 }
--- a/sim/confirm/simulate.go
+++ b/sim/confirm/simulate.go
@@ -1,16 +1,17 @@
 package confirm
 
-// Simulate runs one seed to its end or to the first violation.
+// Simulate runs one seed until its end or the first violation.
 func Simulate(seed uint64, config Config) Outcome {
 	w := newWorld(seed, config)
 	for w.now < int64(config.Seconds)*1000 && w.checker.violation == nil {
-		w.step(w.injectFault)
+		w.runTick(w.injectFault)
 	}
-	return w.result()
+	return w.finalOutcome()
 }
 
-// step runs one tick: faults, restarts, messages, then what processes do.
-func (w *world) step(injectFaults func()) {
+// runTick runs one tick: faults, restarts, scheduled messages, the work of the
+// processes and finally the checks.
+func (w *world) runTick(injectFaults func()) {
 	w.tick++
 	w.now += tickMS
 	injectFaults()
@@ -20,33 +21,33 @@
 		}
 		w.resume(node)
 	}
-	due := w.events[w.tick]
-	delete(w.events, w.tick)
+	due := w.scheduledEvents[w.tick]
+	delete(w.scheduledEvents, w.tick)
 	for _, event := range due {
 		event()
 	}
 	for _, node := range w.nodes {
 		if w.running(node) {
-			w.act(node.process)
+			w.runProcess(node.process)
 		}
 	}
-	w.checker.raiseFloors(w.now)
+	w.checker.updateRequiredVersions(w.now)
 	for _, node := range w.nodes {
 		if w.running(node) {
-			w.check(node)
+			w.checkNode(node)
 		}
 	}
 }
 
-// resume delivers what arrived while a process was frozen. It is checked before, as
-// it may serve a request first.
+// resume runs the steps deferred while a process was frozen. The node is checked
+// first, because a process may serve a request before it handles them.
 func (w *world) resume(node *nodeState) {
-	if !w.running(node) || len(node.process.mailbox) == 0 {
+	if !w.running(node) || len(node.process.undelivered) == 0 {
 		return
 	}
-	w.check(node)
-	steps := node.process.mailbox
-	node.process.mailbox = nil
+	w.checkNode(node)
+	steps := node.process.undelivered
+	node.process.undelivered = nil
 	for _, step := range steps {
 		step()
 	}
--- a/sim/confirm/world.go
+++ b/sim/confirm/world.go
@@ -9,38 +9,38 @@
 	"stepwick/internal/decision/statemachine"
 )
 
-// nodeState is a machine; process is what runs on it, nil while it is down.
+// nodeState is a machine. Its process is nil while it is down.
 type nodeState struct {
 	id        int
 	name      string
 	process   *process
 	downUntil int64 // ms
-	// servedVersion is the highest version that the node has served by.
+	// servedVersion is the highest version with which the node has served.
 	servedVersion uint64
 	// clockOffset and clockRate define the node's monotonic clock.
-	clockOffset  time.Duration
-	clockRate    float64
-	incarnations uint64 // number of processes started
+	clockOffset      time.Duration
+	clockRate        float64
+	startedProcesses uint64
 }
 
-// process is one incarnation of a front, with a core's part on some nodes. Instants
+// process is one incarnation of a front, and of a core on the first nodes. Instants
 // are in ms.
 type process struct {
 	node        *nodeState
 	incarnation uint64
 	frozenUntil int64
-	// mailbox holds what arrived while the process was frozen.
-	mailbox        []func()
+	// undelivered holds the steps deferred while the process is frozen.
+	undelivered    []func()
 	holder         *lease.Holder
 	state          statemachine.State
 	hasState       bool
-	renewAt        int64
-	pingAt         int64
+	nextRenewAt    int64
+	nextPingAt     int64
 	fetchTimeoutAt int64
-	core           *coreState // nil for a mere front
+	core           *coreState // nil if the process runs only a front
 }
 
-// world is the whole simulated fleet.
+// world is the state of a simulated fleet.
 type world struct {
 	seed   uint64
 	config Config
@@ -50,24 +50,25 @@
 
 	nodes  []*nodeState
 	voters []string
-	// partitioned holds, by two nodes' ids, the links that drop messages.
+	// partitioned[a][b] is set if messages between the nodes with these IDs are
+	// dropped.
 	partitioned [][]bool
-	// events holds what happens at each tick to come.
-	events map[int64][]func()
+	// scheduledEvents holds the events of future ticks, by tick.
+	scheduledEvents map[int64][]func()
 
-	// log holds the agreed state by version. accepted and synced hold, by core, the
-	// highest version accepted and the one learned as of the last sync; both survive
-	// a restart.
-	log      []statemachine.State
-	accepted []uint64
-	synced   []uint64
+	// log holds the agreed states by version. acceptedVersions holds each core's highest
+	// accepted version, and syncedVersions the learned version at its last sync. Both
+	// survive a restart.
+	log              []statemachine.State
+	acceptedVersions []uint64
+	syncedVersions   []uint64
 
 	checker checker
-	faults  []string // the last ones
+	faults  []string // the most recent faults, oldest first
 	outcome Outcome
 }
 
-// clockOrigin is what the clocks of nodes without an offset show at the start.
+// clockOrigin is the initial time of a clock without an offset.
 var clockOrigin = time.UnixMilli(1_700_000_000_000)
 
 // randomStream is the second half of the generator's seed.
@@ -75,19 +76,19 @@
 
 func newWorld(seed uint64, config Config) *world {
 	w := &world{
-		seed:     seed,
-		config:   config,
-		random:   rand.New(rand.NewPCG(seed, randomStream)),
-		events:   map[int64][]func(){},
-		accepted: make([]uint64, config.Cores),
-		synced:   make([]uint64, config.Cores),
+		seed:             seed,
+		config:           config,
+		random:           rand.New(rand.NewPCG(seed, randomStream)),
+		scheduledEvents:  map[int64][]func(){},
+		acceptedVersions: make([]uint64, config.Cores),
+		syncedVersions:   make([]uint64, config.Cores),
 	}
 	w.addNodes()
 	first, _ := statemachine.Noop{}.Apply(statemachine.State{}, 1)
 	w.log = []statemachine.State{{}, first}
 	for i := range config.Cores {
-		w.accepted[i] = 1
-		w.synced[i] = 1
+		w.acceptedVersions[i] = 1
+		w.syncedVersions[i] = 1
 	}
 	for _, node := range w.nodes[:config.Nodes] {
 		w.start(node)
@@ -117,20 +118,21 @@
 	}
 }
 
-// drawJoinAt returns an instant within a span of ms, after the fleet has formed.
+// drawJoinAt returns a random instant, in ms, within spanMS after the fleet has
+// formed.
 func (w *world) drawJoinAt(spanMS int) int64 { return int64(5000 + w.random.IntN(spanMS)) }
 
-// clock returns the time of a node's own monotonic clock, which drifts.
+// clock returns the time of a node's monotonic clock, which has an offset and drifts.
 func (w *world) clock(node *nodeState) time.Time {
 	return clockOrigin.Add(node.clockOffset + time.Duration(float64(w.now)*node.clockRate*float64(time.Millisecond)))
 }
 
 // start starts a process on a node.
 func (w *world) start(node *nodeState) {
-	node.incarnations++
-	proc := &process{node: node, incarnation: node.incarnations, holder: lease.NewHolder(node.name, ttl)}
-	proc.renewAt = w.now + int64(w.random.IntN(500))
-	proc.pingAt = w.now + int64(w.random.IntN(500))
+	node.startedProcesses++
+	proc := &process{node: node, incarnation: node.startedProcesses, holder: lease.NewHolder(node.name, leaseTTL)}
+	proc.nextRenewAt = w.now + int64(w.random.IntN(500))
+	proc.nextPingAt = w.now + int64(w.random.IntN(500))
 	proc.holder.SetCores(w.voters)
 	if node.id < w.config.Cores {
 		proc.core = w.newCore(node)
@@ -144,13 +146,13 @@
 		startedAt = startedAt.Add(-time.Minute)
 	}
 	return &coreState{
-		leases:   lease.NewTable(node.name, ttl, startedAt),
-		learned:  w.synced[node.id],
-		caughtUp: w.config.Mutation == NoCatchUp,
+		leases:         lease.NewTable(node.name, leaseTTL, startedAt),
+		learnedVersion: w.syncedVersions[node.id],
+		caughtUp:       w.config.Mutation == NoCatchUp,
 	}
 }
 
-// kill stops the process of a node, if there is one, for a span.
+// kill ends the process of a node, if there is one. A new one starts after forMS.
 func (w *world) kill(node *nodeState, forMS int64) {
 	if node.process == nil {
 		return
@@ -163,9 +165,9 @@
 	return node.process != nil && node.process.frozenUntil <= w.now
 }
 
-// quorum returns the running cores that a core reaches, or nil when they are not a
-// majority.
-func (w *world) quorum(from *nodeState) []*nodeState {
+// reachableMajority returns the running cores to which a core is connected, including
+// itself, or nil if they are not a majority.
+func (w *world) reachableMajority(from *nodeState) []*nodeState {
 	var reached []*nodeState
 	for _, other := range w.nodes[:w.config.Cores] {
 		if w.running(other) && w.connected(from, other) {
@@ -178,9 +180,10 @@
 	return reached
 }
 
-// propose is an atomic agreement: the command is chosen if a majority is reached.
+// propose models consensus as an atomic step: the command is chosen if the core has
+// caught up and a majority is reachable.
 func (w *world) propose(node *nodeState, command statemachine.Command) (version uint64, chosen bool) {
-	reached := w.quorum(node)
+	reached := w.reachableMajority(node)
 	if reached == nil || !node.process.core.caughtUp {
 		return 0, false
 	}
@@ -188,9 +191,9 @@
 	next, _ := command.Apply(w.log[version-1], version)
 	w.log = append(w.log, next)
 	for _, other := range reached {
-		w.accepted[other.id] = version
+		w.acceptedVersions[other.id] = version
 	}
-	node.process.core.learned = version
+	node.process.core.learnedVersion = version
 	w.outcome.Chosen++
 	return version, true
 }
