--- a/sim/paxos/random.go
+++ b/sim/paxos/random.go
@@ -25,7 +25,7 @@
 	DelayedFraction      float64 // fraction of messages that take up to 2 s
 	ProposalTimeoutMS    int64   // how long a proposer waits for answers
 	OverlappingWipes     bool    // one more disk may be lost than the recovery tolerates
-	ReplaceProcesses     bool    // instead of a wipe, a new process with a blank disk takes the name while the old one continues
+	ReplaceProcesses     bool    // a wiped core is replaced by a new process while the old one keeps its disk and continues
 	Flaw                 Flaw    // NoFlaw, IncarnationForgotten, VoteWithoutRecovery or SharedIncarnation
 }
 
@@ -36,7 +36,7 @@
 	Wipes           int
 	Snapshots       int
 	Events          int
-	QuorumMayBeLost bool // too many disks may have been lost at once; the cores may have to wait, so agreement is not required
+	QuorumMayBeLost bool // too many disks may be lost at once for a recovery; agreement is not required
 	Violation       string
 }
 
