--- a/sim/quota/checker.go
+++ b/sim/quota/checker.go
@@ -8,56 +8,57 @@
 )
 
 const (
-	span           = 8 * time.Second // length of the spans that are checked
-	spanStep       = 20 * time.Millisecond
-	underLimit     = 0.8 // offers of at most this part of the limit must not be refused
-	regions        = 2
-	notMeasured    = -1.0
-	exactTolerance = 0.5 // part of a request that the exact log admits beyond the limit
+	checkedSpan        = 8 * time.Second       // length of every measured span
+	spanStep           = 20 * time.Millisecond // distance between the starts of two spans of steady excess demand
+	underLimitFraction = 0.8                   // demand of at most this fraction of the limit must not be refused
+	regionCount        = 2
+	notMeasured        = -1.0
+	exactTolerance     = 0.5 // fraction of a request's tokens by which DecideWithExactLog may exceed the limit
 )
 
-// Result measures a run. Tokens are fractions of the tenant's limit.
+// Result holds the measurements of one run. Amounts of tokens are fractions of the tenant's limit.
 type Result struct {
-	Max         float64       // most tokens admitted in any span
-	MaxAt       time.Duration // start of that span
-	Min         float64       // least tokens admitted in a span of steady excess demand; -1 when there was none
-	MinAt       time.Duration // start of that span
-	Refused     float64       // refused share of the tokens offered while the offer was under the limit
-	Offered     float64       // tokens so offered
-	Wait        time.Duration // longest time until an admitted request was answered
-	MinByRegion [regions]float64
-	Mean        float64 // tokens admitted in a span of steady excess demand, over the whole run
+	MaxAdmitted         float64              // maximum of the tokens admitted in a span
+	MaxAdmittedAt       time.Duration        // start of that span
+	MinAdmitted         float64              // minimum of the tokens admitted in a span of steady excess demand; -1 if there was no such span
+	MinAdmittedAt       time.Duration        // start of that span
+	RefusedFraction     float64              // fraction of OfferedUnderLimit that was refused
+	OfferedUnderLimit   float64              // tokens offered while demand was under the limit, see Check
+	MaxWait             time.Duration        // longest time from the arrival of an admitted request to its decision
+	MinAdmittedByRegion [regionCount]float64 // as MinAdmitted, for each region
+	MeanAdmitted        float64              // mean of the tokens admitted in a span of steady excess demand
 }
 
-// admission is an admitted request at the instant of its answer.
+// admission is an admitted request.
 type admission struct {
-	at     time.Duration
-	tokens float64
-	region int
+	answeredAt time.Duration
+	tokens     float64
+	region     int
 }
 
-// Check measures every span of 8 s. Only spans within the steady excess demand,
-// from one instant until another, count for Min, MinByRegion and Mean. Tokens
-// offered while the offer of the 8 s before and of the 8 s after was at most 0.8
-// of the limit count for Refused.
+// Check measures the requests of a run over spans of 8 s. MinAdmitted,
+// MinAdmittedByRegion and MeanAdmitted cover only the spans of steady excess demand,
+// between from and until. OfferedUnderLimit covers the requests for which the tokens
+// offered in the preceding 8 s and in the following 8 s are each at most 0.8 of the
+// limit. Fronts below firstRegion belong to the first region.
 func Check(requests []Request, firstRegion int, from, until time.Duration) Result {
-	result := Result{Min: notMeasured, MinByRegion: [regions]float64{notMeasured, notMeasured}}
-	admissions := admitted(requests, firstRegion)
+	result := Result{MinAdmitted: notMeasured, MinAdmittedByRegion: [regionCount]float64{notMeasured, notMeasured}}
+	admissions := collectAdmissions(requests, firstRegion)
 	for _, r := range requests {
 		if r.Decision.Allowed {
-			result.Wait = max(result.Wait, r.Answered-r.At)
+			result.MaxWait = max(result.MaxWait, r.AnsweredAt-r.ArrivedAt)
 		}
 	}
 	result.measureRefusals(requests)
 	result.measureMax(admissions)
-	if until-from >= span {
-		result.measureExcess(admissions, from, until)
+	if until-from >= checkedSpan {
+		result.measureSteadyExcess(admissions, from, until)
 	}
 	return result
 }
 
-// admitted returns the admitted requests by the instant of their answer.
-func admitted(requests []Request, firstRegion int) []admission {
+// collectAdmissions returns the admitted requests, sorted by the time of the decision.
+func collectAdmissions(requests []Request, firstRegion int) []admission {
 	var admissions []admission
 	for _, r := range requests {
 		if !r.Decision.Allowed {
@@ -67,81 +68,83 @@
 		if r.Front >= firstRegion {
 			region = 1
 		}
-		admissions = append(admissions, admission{at: r.Answered, tokens: r.Tokens, region: region})
+		admissions = append(admissions, admission{answeredAt: r.AnsweredAt, tokens: r.Tokens, region: region})
 	}
-	sort.SliceStable(admissions, func(i, j int) bool { return admissions[i].at < admissions[j].at })
+	sort.SliceStable(admissions, func(i, j int) bool { return admissions[i].answeredAt < admissions[j].answeredAt })
 	return admissions
 }
 
-// measureRefusals slides one span that ends and one that begins at each request.
+// measureRefusals sums the offered tokens of the span that ends and of the span that
+// begins at each request.
 func (result *Result) measureRefusals(requests []Request) {
-	before, after, refused := 0.0, 0.0, 0.0
+	offeredBefore, offeredAfter, refusedTokens := 0.0, 0.0, 0.0
 	oldest, newest := 0, 0
 	for _, r := range requests {
-		for before += r.Tokens; requests[oldest].At <= r.At-span; oldest++ {
-			before -= requests[oldest].Tokens
+		for offeredBefore += r.Tokens; requests[oldest].ArrivedAt <= r.ArrivedAt-checkedSpan; oldest++ {
+			offeredBefore -= requests[oldest].Tokens
 		}
-		for ; newest < len(requests) && requests[newest].At < r.At+span; newest++ {
-			after += requests[newest].Tokens
+		for ; newest < len(requests) && requests[newest].ArrivedAt < r.ArrivedAt+checkedSpan; newest++ {
+			offeredAfter += requests[newest].Tokens
 		}
-		under := before <= underLimit && after <= underLimit
-		after -= r.Tokens
-		if !under {
+		isUnderLimit := offeredBefore <= underLimitFraction && offeredAfter <= underLimitFraction
+		offeredAfter -= r.Tokens
+		if !isUnderLimit {
 			continue
 		}
-		result.Offered += r.Tokens
+		result.OfferedUnderLimit += r.Tokens
 		if !r.Decision.Allowed && r.Decision.Code != 0 {
-			refused += r.Tokens
+			refusedTokens += r.Tokens
 		}
 	}
-	if result.Offered > 0 {
-		result.Refused = refused / result.Offered
+	if result.OfferedUnderLimit > 0 {
+		result.RefusedFraction = refusedTokens / result.OfferedUnderLimit
 	}
 }
 
-// measureMax slides a span over the admissions.
+// measureMax finds the span with the most admitted tokens. It suffices to check the
+// spans that begin at an admission.
 func (result *Result) measureMax(admissions []admission) {
 	inSpan, last := 0.0, 0
 	for first, start := range admissions {
 		if first > 0 {
 			inSpan -= admissions[first-1].tokens
 		}
-		for ; last < len(admissions) && admissions[last].at < start.at+span; last++ {
+		for ; last < len(admissions) && admissions[last].answeredAt < start.answeredAt+checkedSpan; last++ {
 			inSpan += admissions[last].tokens
 		}
-		if inSpan > result.Max {
-			result.Max, result.MaxAt = inSpan, start.at
+		if inSpan > result.MaxAdmitted {
+			result.MaxAdmitted, result.MaxAdmittedAt = inSpan, start.answeredAt
 		}
 	}
 }
 
-// measureExcess looks at the spans of steady excess demand.
-func (result *Result) measureExcess(admissions []admission, from, until time.Duration) {
+// measureSteadyExcess measures the spans between from and until.
+func (result *Result) measureSteadyExcess(admissions []admission, from, until time.Duration) {
 	total := 0.0
 	for _, a := range admissions {
-		if a.at >= from && a.at < until {
+		if a.answeredAt >= from && a.answeredAt < until {
 			total += a.tokens
 		}
 	}
-	result.Mean = total / ((until - from).Seconds() / span.Seconds())
-	for start := from; start+span <= until; start += spanStep {
-		sums := sumByRegion(admissions, start)
-		if all := sums[0] + sums[1]; result.Min < 0 || all < result.Min {
-			result.Min, result.MinAt = all, start
+	result.MeanAdmitted = total / ((until - from).Seconds() / checkedSpan.Seconds())
+	for start := from; start+checkedSpan <= until; start += spanStep {
+		sums := tokensByRegion(admissions, start)
+		if spanTotal := sums[0] + sums[1]; result.MinAdmitted < 0 || spanTotal < result.MinAdmitted {
+			result.MinAdmitted, result.MinAdmittedAt = spanTotal, start
 		}
 		for region, sum := range sums {
-			if least := &result.MinByRegion[region]; *least < 0 || sum < *least {
-				*least = sum
+			if regionMin := &result.MinAdmittedByRegion[region]; *regionMin < 0 || sum < *regionMin {
+				*regionMin = sum
 			}
 		}
 	}
 }
 
-// sumByRegion returns the tokens admitted in the span from start on.
-func sumByRegion(admissions []admission, start time.Duration) (sums [regions]float64) {
-	first := sort.Search(len(admissions), func(i int) bool { return admissions[i].at >= start })
+// tokensByRegion returns the tokens admitted in the span that begins at start.
+func tokensByRegion(admissions []admission, start time.Duration) (sums [regionCount]float64) {
+	first := sort.Search(len(admissions), func(i int) bool { return admissions[i].answeredAt >= start })
 	for _, a := range admissions[first:] {
-		if a.at >= start+span {
+		if a.answeredAt >= start+checkedSpan {
 			break
 		}
 		sums[a.region] += a.tokens
@@ -149,18 +152,18 @@
 	return sums
 }
 
-// Exact decides the same requests by one exact log of the last 8 s, as the best
+// DecideWithExactLog decides the same requests by one exact log of the last 8 s, as the best
 // limiter with the same bound and without a network would.
-func Exact(requests []Request) []Request {
+func DecideWithExactLog(requests []Request) []Request {
 	exact := make([]Request, len(requests))
 	sum, oldest := 0.0, 0
 	for i, r := range requests {
-		for ; requests[oldest].At <= r.At-span; oldest++ {
+		for ; requests[oldest].ArrivedAt <= r.ArrivedAt-checkedSpan; oldest++ {
 			if exact[oldest].Decision.Allowed {
 				sum -= exact[oldest].Tokens
 			}
 		}
-		exact[i] = Request{At: r.At, Answered: r.At, Front: r.Front, Tokens: r.Tokens}
+		exact[i] = Request{ArrivedAt: r.ArrivedAt, AnsweredAt: r.ArrivedAt, Front: r.Front, Tokens: r.Tokens}
 		exact[i].Decision.Code = apierror.QuotaExceeded
 		if sum+exactTolerance*r.Tokens <= 1 {
 			sum += r.Tokens
--- a/sim/quota/counter_queue.go
+++ b/sim/quota/counter_queue.go
@@ -1,15 +1,15 @@
 package quota
 
-// enqueue has the owner's counter handle the request after those that arrived before,
-// each of which takes AddTime as of its arrival. A request whose sender has given up by
-// then is dropped.
-func (x *exchange) enqueue() {
+// enqueueAtCounter queues the request at the owner's counter, which handles requests in
+// the order of arrival and takes AddTime, evaluated at the arrival, for each. A request
+// that has timed out at its sender before its turn is dropped.
+func (x *exchange) enqueueAtCounter() {
 	r := x.run
 	owner := r.fronts[x.to]
 	incarnation := owner.incarnation
-	owner.busyUntil = max(owner.busyUntil, r.now) + r.AddTime(r.now)
-	r.after(max(0, x.began+exchangeTimeout-r.now), x.fail)
-	r.after(owner.busyUntil-r.now, func() {
+	owner.counterBusyUntil = max(owner.counterBusyUntil, r.now) + r.AddTime(r.now)
+	r.after(max(0, x.startedAt+exchangeTimeout-r.now), x.fail)
+	r.after(owner.counterBusyUntil-r.now, func() {
 		if !x.ended && !owner.down && owner.incarnation == incarnation {
 			x.complete()
 		}
--- a/sim/quota/fleet.go
+++ b/sim/quota/fleet.go
@@ -1,6 +1,7 @@
-// Package quota runs the fronts' limiters and the owners' counters of a tenant's
-// quota, the same code that decides in production, as a fleet in virtual time. A
-// checker compares what callers asked for with what they got.
+// Package quota simulates the enforcement of a tenant's quota by a fleet of fronts in
+// virtual time. The fronts run the limiters, counters and relays of
+// internal/decision/quota, the same code as in production. A checker compares the
+// demand of the callers with the tokens they were admitted.
 package quota
 
 import (
@@ -14,73 +15,74 @@
 	"stepwick/sim/eventqueue"
 )
 
-// Fleet configures one run. Instants count from the run's start; tokens are
-// fractions of the tenant's limit.
+// Fleet configures one run. Instants are relative to the start of the run; amounts of
+// tokens are fractions of the tenant's limit. Equal values give equal runs.
 type Fleet struct {
-	Seed         uint64
-	Config       quota.Config
-	Allowance    quota.Allowance
-	Fronts       int           // defaults to 9
-	FirstRegion  int           // number of fronts in the first region, the others are in the second; defaults to 6
-	RegionDelay  time.Duration // longest delay between regions; defaults to 150 ms
-	Loss         float64       // probability that a message is lost
-	RequestSize  float64       // mean tokens of a request; defaults to 0.004
-	Sizes        SizeMix       // kinds of requests, in place of RequestSize
-	Retries      int           // times that a client repeats a refused request after its RetryAfter, at any front
-	SkipFull     bool          // counts that are due are not sent to an owner with maxInFlight exchanges, as in production
-	Length       time.Duration
-	Poisson      bool                                            // requests arrive at random instead of at regular intervals
-	QueueTimeout time.Duration                                   // longest time that a front queues a request; defaults to 2.5 s
-	Demand       func(at time.Duration, front int) float64       // tokens offered at a front, as a multiple of limit/window
-	Bursts       []Burst                                         // in addition to Demand
-	Down         func(at time.Duration, front int) bool          // the front's process is not running
-	Frozen       func(at time.Duration, front int) bool          // the front's process is suspended; its callers go to the next one
-	Partitioned  func(at time.Duration) bool                     // messages between the regions are dropped
-	Unreachable  func(at time.Duration, from, to int) bool       // messages from one front to another are dropped
-	ClockOffset  func(at time.Duration, front int) time.Duration // error of the front's clock
-	AddTime      func(at time.Duration) time.Duration            // that a counter takes for one request with counts, one after the other
-	ForgetAfter  time.Duration                                   // time after which fronts remove a dead front from the roster; zero: never
-	FlushOnStop  bool                                            // a front sends its counts before it stops
-	OwnerFirst   bool                                            // the first front owns the tenant's counter
-	SecondNext   bool                                            // the second front is the owner among all but the first
-
-	// FollowFaults makes fronts learn of refused connections after 0.5 to 1 s
-	// and of time-outs after 1.5 to 2 s. For 0.2 s after a freeze of its own a
-	// front finds all others unresponsive.
-	FollowFaults bool
+	Seed              uint64
+	Config            quota.Config
+	Allowance         quota.Allowance
+	Fronts            int           // defaults to 9
+	FirstRegion       int           // number of fronts in the first region; the others are in the second; defaults to 6
+	MaxRegionDelay    time.Duration // maximum one-way delay between regions; defaults to 150 ms
+	Loss              float64       // probability that a message is lost
+	RequestSize       float64       // mean tokens of a request; defaults to 0.004
+	Sizes             SizeMix       // kinds of requests; replaces RequestSize if set
+	Retries           int           // number of times that a client retries a refused request, after RetryAfter and at a random front
+	LimitInFlight     bool          // periodic counts are not sent to an owner with maxInFlight exchanges in flight, as in production
+	Length            time.Duration
+	PoissonArrivals   bool                                            // interarrival times are exponential instead of uniform between 0.5 and 1.5 of their mean
+	QueueTimeout      time.Duration                                   // maximum time that a front queues a request; defaults to 2.5 s
+	Demand            func(at time.Duration, front int) float64       // tokens offered at a front, as a multiple of limit/window
+	Bursts            []Burst                                         // in addition to Demand
+	Down              func(at time.Duration, front int) bool          // the front's process is not running
+	Frozen            func(at time.Duration, front int) bool          // the front's process is suspended; its callers use the next running front
+	Partitioned       func(at time.Duration) bool                     // all messages between the regions are dropped
+	Unreachable       func(at time.Duration, from, to int) bool       // messages from one front to the other are dropped
+	ClockOffset       func(at time.Duration, front int) time.Duration // offset of the front's clock from the true time
+	AddTime           func(at time.Duration) time.Duration            // time that a counter takes for one AddRequest, which it handles one by one; nil: none
+	RemoveDownAfter   time.Duration                                   // time after which a front that is down is removed from the roster; 0: never
+	FlushOnStop       bool                                            // a front sends its due counts before it stops
+	FirstIsOwner      bool                                            // the first front owns the tenant's counter
+	SecondIsNextOwner bool                                            // the second front becomes the owner if the first is removed
+
+	// StaggeredDetection gives each front its own detection delays: it removes a front
+	// that is down from the roster after 0.5 to 1 s, and finds a front that doesn't
+	// answer unresponsive after 1.5 to 2 s. Otherwise these delays are RemoveDownAfter
+	// and 2 s at all fronts.
+	StaggeredDetection bool
 }
 
-// Burst is a batch of requests that arrive at the same instant.
+// Burst is a number of tokens whose requests arrive at one front at the same instant.
 type Burst struct {
 	At     time.Duration
 	Front  int
 	Tokens float64
 }
 
-// Request is one request as its caller sees it.
+// Request is one request with its decision, as observed by the caller.
 type Request struct {
-	At, Answered time.Duration
-	Front        int
-	Tokens       float64
-	Decision     quota.Decision
-	retries      int // left after a refusal
+	ArrivedAt, AnsweredAt time.Duration
+	Front                 int
+	Tokens                float64
+	Decision              quota.Decision
+	retriesLeft           int // how often the client will still retry it if it is refused
 }
 
 const (
-	tenant      = "press"
-	originMicro = int64(1_800_000_000_000_000) // start of a run, a multiple of the window
+	tenant         = "press"
+	startUnixMicro = int64(1_800_000_000_000_000) // Unix time of the start of a run, a multiple of the window
 
-	paceDivisor   = 10 // ticks of a front in an exchange interval
-	expireTicks   = 100
-	arrivalStep   = 4 * time.Millisecond
-	defaultWindow = 8 * time.Second
+	ticksPerInterval = 10  // a front's ticks in one Config.Interval
+	ticksPerPrune    = 100 // ticks between two calls of Counter.Prune
+	arrivalStep      = 4 * time.Millisecond
+	defaultWindow    = 8 * time.Second
 )
 
 // run is the state of one simulation.
 type run struct {
 	Fleet
 	random      *rand.Rand
-	probeRandom *rand.Rand // for the relays' probes
+	probeRandom *rand.Rand // source for the exchanges that are probes, see exchange.random
 	now         time.Duration
 	events      eventqueue.Queue[time.Duration]
 	fronts      []*front
@@ -88,17 +90,17 @@
 	limit       float64
 	requests    []Request
 
-	healthyOwner string // of the tenant while all fronts can be reached
+	healthyOwner string // owner of the tenant while all fronts are reachable
 }
 
-// Run simulates the fleet and returns every request in the order of arrival.
+// Run simulates the fleet and returns all requests in the order of arrival.
 func (f Fleet) Run() []Request {
 	r := newRun(f.withDefaults())
 	for i := range r.fronts {
 		r.startFront(i)
 	}
 	for _, burst := range f.Bursts {
-		r.after(burst.At, func() { r.arriveAtOnce(burst) })
+		r.after(burst.At, func() { r.arriveBurst(burst) })
 	}
 	for at, ok := r.events.Next(); ok && at <= f.Length; at, ok = r.events.Next() {
 		instant, action := r.events.Pop()
@@ -111,7 +113,7 @@
 func (f Fleet) withDefaults() Fleet {
 	f.Fronts = cmp.Or(f.Fronts, 9)
 	f.FirstRegion = cmp.Or(f.FirstRegion, 6)
-	f.RegionDelay = cmp.Or(f.RegionDelay, 150*time.Millisecond)
+	f.MaxRegionDelay = cmp.Or(f.MaxRegionDelay, 150*time.Millisecond)
 	f.RequestSize = cmp.Or(f.Sizes.mean(), f.RequestSize, 0.004)
 	f.QueueTimeout = cmp.Or(f.QueueTimeout, 2500*time.Millisecond)
 	f.Config.Window = cmp.Or(f.Config.Window, defaultWindow)
@@ -130,10 +132,10 @@
 	for i := range f.Fronts {
 		r.names = append(r.names, fmt.Sprintf("front-%d-%d", i, f.Seed))
 	}
-	if f.OwnerFirst {
+	if f.FirstIsOwner {
 		r.moveOwnerTo(0)
 	}
-	if f.SecondNext {
+	if f.SecondIsNextOwner {
 		r.moveOwnerTo(1)
 	}
 	r.healthyOwner = quota.OwnerOf(tenant, r.names)
@@ -143,30 +145,31 @@
 	return r
 }
 
-// moveOwnerTo makes the owner among the fronts from a position on the front there.
+// moveOwnerTo swaps names so that the front at a position owns the tenant among the
+// fronts from that position on.
 func (r *run) moveOwnerTo(position int) {
-	owner := r.index(quota.OwnerOf(tenant, r.names[position:]))
+	owner := r.frontIndex(quota.OwnerOf(tenant, r.names[position:]))
 	r.names[position], r.names[owner] = r.names[owner], r.names[position]
 }
 
 // startFront starts front i and schedules its first tick and requests.
 func (r *run) startFront(i int) {
-	r.fronts[i].untilNext = r.random.Float64()
+	r.fronts[i].untilNextArrival = r.random.Float64()
 	r.boot(i)
 	firstTick := time.Duration(r.random.Int64N(int64(r.tickInterval())))
-	r.after(firstTick, func() { r.tick(i, int(r.random.Int64N(paceDivisor))) })
+	r.after(firstTick, func() { r.tick(i, int(r.random.Int64N(ticksPerInterval))) })
 	if r.Demand != nil {
 		r.after(0, func() { r.arrive(i) })
 	}
 }
 
-func (r *run) tickInterval() time.Duration { return r.Config.Interval / paceDivisor }
+func (r *run) tickInterval() time.Duration { return r.Config.Interval / ticksPerInterval }
 
 func (r *run) after(delay time.Duration, action func()) { r.events.Schedule(r.now+delay, action) }
 
-// clock returns the time that front i reads from its clock.
+// clock returns the current time by the clock of front i.
 func (r *run) clock(i int) time.Time {
-	now := time.UnixMicro(originMicro + r.now.Microseconds())
+	now := time.UnixMicro(startUnixMicro + r.now.Microseconds())
 	if r.ClockOffset != nil {
 		now = now.Add(r.ClockOffset(r.now, i))
 	}
@@ -177,7 +180,7 @@
 
 func (r *run) isFrozen(at time.Duration, i int) bool { return r.Frozen != nil && r.Frozen(at, i) }
 
-func (r *run) index(name string) int { return max(0, slices.Index(r.names, name)) }
+func (r *run) frontIndex(name string) int { return max(0, slices.Index(r.names, name)) }
 
 func (r *run) drawSize() float64 {
 	if len(r.Sizes) > 0 {
@@ -186,23 +189,24 @@
 	return r.RequestSize * (0.5 + r.random.Float64())
 }
 
-// arrive offers the demand at front i, again and again.
+// arrive creates the requests that arrive at front i in one arrivalStep, and schedules
+// itself for the next.
 func (r *run) arrive(i int) {
 	r.after(arrivalStep, func() { r.arrive(i) })
 	f := r.fronts[i]
-	f.untilNext -= r.Demand(r.now, i) / r.RequestSize / r.Config.Window.Seconds() * arrivalStep.Seconds()
-	for f.untilNext <= 0 {
-		if r.Poisson {
-			f.untilNext += r.random.ExpFloat64()
+	f.untilNextArrival -= r.Demand(r.now, i) / r.RequestSize / r.Config.Window.Seconds() * arrivalStep.Seconds()
+	for f.untilNextArrival <= 0 {
+		if r.PoissonArrivals {
+			f.untilNextArrival += r.random.ExpFloat64()
 		} else {
-			f.untilNext += 0.5 + r.random.Float64()
+			f.untilNextArrival += 0.5 + r.random.Float64()
 		}
 		r.request(i, r.drawSize(), r.Retries)
 	}
 }
 
-// arriveAtOnce splits a burst into requests.
-func (r *run) arriveAtOnce(burst Burst) {
+// arriveBurst creates the requests of a burst.
+func (r *run) arriveBurst(burst Burst) {
 	for remaining := burst.Tokens; remaining > 0; {
 		tokens := min(remaining, r.drawSize())
 		remaining -= tokens
--- a/sim/quota/front.go
+++ b/sim/quota/front.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	maxPending  = 256 // requests that a front queues
-	maxInFlight = 8   // exchanges of a front with one owner
-	resumeGrace = 200 * time.Millisecond
+	maxPending  = 256                    // maximum number of requests that a front queues
+	maxInFlight = 8                      // maximum number of exchanges in flight from a front to one owner
+	resumeGrace = 200 * time.Millisecond // time after a freeze during which fronts are still found unresponsive
 
-	minRetryAfter = 50 * time.Millisecond // shortest that a client is told
+	minRetryAfter = 50 * time.Millisecond // minimum delay before a client's retry
 )
 
-// front is one front of the fleet with its limiter and, for the tenants that it
-// owns, its counter.
+// front is the state of one front. Its counter is in use while the front owns the
+// tenant.
 type front struct {
-	name        string
-	limiter     *quota.Limiter
-	counter     *quota.Counter
-	relays      *quota.Relays
-	incarnation uint64
-	down        bool
-	frozen      bool
-	resumedAt   time.Duration         // end of the last freeze; zero: none
-	sentTo      map[string]bool       // owners that an exchange was sent to since the last tick
-	inFlight    map[string]int        // exchanges by owner
-	unanswered  map[int]time.Duration // since when direct exchanges have had no answer, by owner
-	pending     []pendingRequest
-	untilNext   float64       // requests until the next one arrives
-	busyUntil   time.Duration // when the counter has handled all requests that arrived
+	name             string
+	limiter          *quota.Limiter
+	counter          *quota.Counter
+	relays           *quota.Relays
+	incarnation      uint64
+	down             bool
+	frozen           bool
+	resumedAt        time.Duration         // end of the last freeze; 0: none
+	sentSinceTick    map[string]bool       // owners to which counts were sent since the last tick
+	inFlight         map[string]int        // number of exchanges in flight, by owner
+	unansweredSince  map[int]time.Duration // start of the oldest unanswered direct exchange, by owner
+	pending          []pendingRequest
+	untilNextArrival float64       // demand, in requests, that remains until the next arrival
+	counterBusyUntil time.Duration // time when the counter will have handled all queued AddRequests
 }
 
-// pendingRequest is a queued request; request is its index in run.requests.
+// pendingRequest is a queued request.
 type pendingRequest struct {
-	request  int
-	tokens   float64
-	deadline time.Duration
+	requestIndex int // in run.requests
+	tokens       float64
+	deadline     time.Duration
 }
 
-// boot starts a new incarnation of front i without the state of the last.
+// boot starts a new incarnation of front i, without the state of the previous one.
 func (r *run) boot(i int) {
 	f := r.fronts[i]
 	f.down = false
@@ -49,30 +49,30 @@
 	f.limiter = quota.NewLimiter(f.name, r.Config)
 	f.counter = quota.NewCounter(f.name, f.incarnation, r.Config)
 	f.relays = quota.NewRelays(f.name, r.Config)
-	f.sentTo = map[string]bool{}
+	f.sentSinceTick = map[string]bool{}
 	f.inFlight = map[string]int{}
-	f.unanswered = map[int]time.Duration{}
+	f.unansweredSince = map[int]time.Duration{}
 	f.pending = nil
 }
 
-// tick is the periodic work of front i.
-func (r *run) tick(i, number int) {
-	r.after(r.tickInterval(), func() { r.tick(i, number+1) })
+// tick runs the periodic work of front i and schedules the next tick.
+func (r *run) tick(i, tickNumber int) {
+	r.after(r.tickInterval(), func() { r.tick(i, tickNumber+1) })
 	r.updateProcess(i)
 	f := r.fronts[i]
 	if f.down || f.frozen {
 		return
 	}
-	clear(f.sentTo)
-	r.suspectOverdue(i)
-	if number%paceDivisor == 0 {
+	clear(f.sentSinceTick)
+	r.suspectOverdueOwners(i)
+	if tickNumber%ticksPerInterval == 0 {
 		r.probeRelays(i)
-		live, unresponsive := r.unreachable(i)
+		live, unresponsive := r.membershipWithRelays(i)
 		f.limiter.SetFronts(live)
 		f.counter.SetMembership(live, unresponsive, r.clock(i))
 		r.send(i, f.limiter.CountsToSend(r.clock(i), r.ownerOf(i)))
 	}
-	if number%expireTicks == 0 {
+	if tickNumber%ticksPerPrune == 0 {
 		f.counter.Prune(r.clock(i))
 	}
 	r.sendUrgent(i)
@@ -110,37 +110,37 @@
 	f.down = true
 }
 
-// sendUrgent sends the counts that can't wait for the next interval.
+// sendUrgent sends the counts of front i that can't wait for the next interval.
 func (r *run) sendUrgent(i int) {
 	f := r.fronts[i]
-	ready := func(owner string) bool { return !f.sentTo[owner] && f.inFlight[owner] < maxInFlight }
-	r.send(i, f.limiter.UrgentCounts(r.clock(i), r.ownerOf(i), ready))
+	canSend := func(owner string) bool { return !f.sentSinceTick[owner] && f.inFlight[owner] < maxInFlight }
+	r.send(i, f.limiter.UrgentCounts(r.clock(i), r.ownerOf(i), canSend))
 }
 
-// request admits, queues or rejects a request at front i or, when that one
-// doesn't run, at the next one that does.
-func (r *run) request(i int, tokens float64, retries int) {
+// request admits, queues or rejects a new request at front i or, if that front is not
+// running, at the next running one.
+func (r *run) request(i int, tokens float64, retriesLeft int) {
 	i = r.nextRunning(i)
 	f := r.fronts[i]
-	number := len(r.requests)
-	r.requests = append(r.requests, Request{At: r.now, Answered: r.now, Front: i, Tokens: tokens, retries: retries})
+	index := len(r.requests)
+	r.requests = append(r.requests, Request{ArrivedAt: r.now, AnsweredAt: r.now, Front: i, Tokens: tokens, retriesLeft: retriesLeft})
 	decision := f.limiter.Admit(tenant, tokens*r.limit, r.Allowance, r.clock(i))
 	if decision.Queue && len(f.pending) < maxPending {
-		f.pending = append(f.pending, pendingRequest{request: number, tokens: tokens, deadline: r.now + r.QueueTimeout})
+		f.pending = append(f.pending, pendingRequest{requestIndex: index, tokens: tokens, deadline: r.now + r.QueueTimeout})
 		return
 	}
-	r.answer(number, decision)
+	r.answer(index, decision)
 }
 
-// answer gives a request's caller the decision.
-func (r *run) answer(number int, decision quota.Decision) {
-	request := &r.requests[number]
+// answer records the decision on a request and schedules the client's retry.
+func (r *run) answer(index int, decision quota.Decision) {
+	request := &r.requests[index]
 	request.Decision = decision
-	request.Answered = r.now
-	if decision.Allowed || request.retries == 0 {
+	request.AnsweredAt = r.now
+	if decision.Allowed || request.retriesLeft == 0 {
 		return
 	}
-	tokens, retries := request.Tokens, request.retries-1
+	tokens, retries := request.Tokens, request.retriesLeft-1
 	delay := max(decision.RetryAfter, minRetryAfter)
 	r.after(delay, func() { r.request(r.random.IntN(len(r.fronts)), tokens, retries) })
 }
@@ -155,7 +155,7 @@
 	return i
 }
 
-// retryPending decides the queued requests of front i again.
+// retryPending reevaluates the queued requests of front i.
 func (r *run) retryPending(i int) {
 	f := r.fronts[i]
 	stillPending := f.pending[:0]
@@ -165,12 +165,13 @@
 			stillPending = append(stillPending, p)
 			continue
 		}
-		r.answer(p.request, decision)
+		r.answer(p.requestIndex, decision)
 	}
 	f.pending = stillPending
 }
 
-// applyTotals applies an owner's response at front i.
+// applyTotals applies an owner's response at front i, unless the front has stopped since
+// it sent the request.
 func (r *run) applyTotals(i int, incarnation uint64, resp *wire.AddResponse, sentAt time.Time) {
 	f := r.fronts[i]
 	if f.down || f.incarnation != incarnation {
--- a/sim/quota/large_test.go
+++ b/sim/quota/large_test.go
@@ -10,26 +10,26 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The long run: go test ./sim/quota -v -run Large -large 10 -report
-var largeSeeds = flag.Int("large", 1, "seeds of each scenario of a large fleet")
+// A longer run: go test ./sim/quota -v -run Large -large 10 -report
+var largeSeeds = flag.Int("large", 1, "number of seeds for each scenario of a large fleet")
 
-// brokenBy plays a scenario of a large fleet and returns the violations.
-func brokenBy(scenario Scenario, seed uint64) []string {
+// playLarge runs a scenario of a large fleet and returns the violations.
+func playLarge(scenario Scenario, seed uint64) []string {
 	result, exact := play(scenario, seed)
 	if *report {
-		fmt.Printf("%-42s seed %d  most %.3f at %v  least %.3f\n", scenario.Name, seed, result.Max, result.MaxAt, result.Min)
+		fmt.Printf("%-56s seed %d  max %.3f at %v  min %.3f\n", scenario.Name, seed, result.MaxAdmitted, result.MaxAdmittedAt, result.MinAdmitted)
 	}
-	return scenario.Broken(result, exact)
+	return scenario.Violations(result, exact)
 }
 
 func TestLargeScenarios(t *testing.T) {
 	for _, scenario := range LargeScenarios() {
-		if !strings.Contains(scenario.Name, *only) {
+		if !strings.Contains(scenario.Name, *nameFilter) {
 			continue
 		}
-		Convey("A tenant's jump stays within its bounds: "+scenario.Name, t, func() {
-			for seed := *first; seed < *first+uint64(*largeSeeds); seed++ {
-				So(brokenBy(scenario, seed), ShouldBeEmpty)
+		Convey("The tokens admitted stay within the bounds: "+scenario.Name, t, func() {
+			for seed := *firstSeed; seed < *firstSeed+uint64(*largeSeeds); seed++ {
+				So(playLarge(scenario, seed), ShouldBeEmpty)
 			}
 		})
 	}
@@ -37,16 +37,16 @@
 
 func TestLargeFleetJumpWithSlowOwnerStaysWithinLimit(t *testing.T) {
 	for _, scenario := range slowOwnerScenarios {
-		Convey("A tenant's jump stays within its bounds: "+scenario.Name, t, func() {
-			for seed := *first; seed < *first+uint64(*largeSeeds); seed++ {
-				So(brokenBy(scenario, seed), ShouldBeEmpty)
+		Convey("The tokens admitted stay within the bounds: "+scenario.Name, t, func() {
+			for seed := *firstSeed; seed < *firstSeed+uint64(*largeSeeds); seed++ {
+				So(playLarge(scenario, seed), ShouldBeEmpty)
 			}
 		})
 	}
 }
 
 func TestMeanOfSizeMix(t *testing.T) {
-	Convey("The mean of a mix is that of its drawn requests", t, func() {
+	Convey("The computed mean of a mix matches the mean of drawn requests", t, func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		const draws = 200_000
 		sum := 0.0
--- a/sim/quota/network.go
+++ b/sim/quota/network.go
@@ -8,82 +8,83 @@
 	"stepwick/internal/wire"
 )
 
-const exchangeTimeout = time.Second
+const exchangeTimeout = time.Second // of an AddRequest at its sender
 
-// reachability returns the fronts that front i takes for members, and which of
-// those it finds unresponsive.
-func (r *run) reachability(i int) (live, unresponsive []string) {
+// membership returns the fronts on front i's roster, and those of them that it finds
+// unresponsive.
+func (r *run) membership(i int) (live, unresponsive []string) {
 	if !r.hasFaults() {
 		return r.names, nil
 	}
 	skew := time.Duration(i%defaultFronts) * 60 * time.Millisecond
-	forgetAfter, detectAfter := r.ForgetAfter, 2*time.Second
-	if r.FollowFaults {
-		forgetAfter, detectAfter = 500*time.Millisecond+skew, 1500*time.Millisecond+skew
+	removeAfter, detectAfter := r.RemoveDownAfter, 2*time.Second
+	if r.StaggeredDetection {
+		removeAfter, detectAfter = 500*time.Millisecond+skew, 1500*time.Millisecond+skew
 	}
 	for j, name := range r.names {
-		if forgetAfter > 0 && r.isDown(r.now, j) && r.isDown(r.now-forgetAfter, j) {
+		if removeAfter > 0 && r.isDown(r.now, j) && r.isDown(r.now-removeAfter, j) {
 			continue
 		}
 		live = append(live, name)
-		if i != j && r.unresponsive(i, j, detectAfter) {
+		if i != j && r.findsUnresponsive(i, j, detectAfter) {
 			unresponsive = append(unresponsive, name)
 		}
 	}
 	return live, unresponsive
 }
 
-// hasFaults reports whether any front may be out of reach at any time.
+// hasFaults reports whether the run contains faults that make fronts unreachable.
 func (r *run) hasFaults() bool {
 	return r.Down != nil || r.Frozen != nil || r.Partitioned != nil || r.Unreachable != nil
 }
 
-// unresponsive reports whether front i finds front j unresponsive: behind a
-// partition, frozen or just resumed, or all others after a freeze of its own.
-func (r *run) unresponsive(i, j int, detectAfter time.Duration) bool {
-	if r.pingFails(i, j, r.now) && r.pingFails(i, j, r.now-detectAfter) && !r.isDown(r.now, j) {
+// findsUnresponsive reports whether front i finds front j unresponsive: it is behind a
+// partition, is frozen or has just resumed, or front i itself has just resumed, after
+// which it finds all others unresponsive for resumeGrace.
+func (r *run) findsUnresponsive(i, j int, detectAfter time.Duration) bool {
+	if r.pathFails(i, j, r.now) && r.pathFails(i, j, r.now-detectAfter) && !r.isDown(r.now, j) {
 		return true
 	}
 	if r.isFrozen(r.now-detectAfter, j) && (r.isFrozen(r.now, j) || r.now-r.fronts[j].resumedAt < resumeGrace) {
 		return true
 	}
-	own := r.fronts[i].resumedAt
-	return own > 0 && r.now-own < resumeGrace
+	resumedAt := r.fronts[i].resumedAt
+	return resumedAt > 0 && r.now-resumedAt < resumeGrace
 }
 
-// partitioned reports whether messages from front i to front j are dropped.
-func (r *run) partitioned(i, j int, at time.Duration) bool {
+// dropsMessages reports whether a partition drops messages from front i to front j.
+func (r *run) dropsMessages(i, j int, at time.Duration) bool {
 	if r.Unreachable != nil && r.Unreachable(at, i, j) {
 		return true
 	}
 	return r.Partitioned != nil && r.crossesRegions(i, j) && r.Partitioned(at)
 }
 
-// pingFails reports whether front j doesn't answer front i across the network.
-func (r *run) pingFails(i, j int, at time.Duration) bool {
-	return r.partitioned(i, j, at) || r.partitioned(j, i, at)
+// pathFails reports whether a ping from front i to front j or its answer is dropped.
+func (r *run) pathFails(i, j int, at time.Duration) bool {
+	return r.dropsMessages(i, j, at) || r.dropsMessages(j, i, at)
 }
 
 func (r *run) crossesRegions(i, j int) bool { return (i < r.FirstRegion) != (j < r.FirstRegion) }
 
-func (x *exchange) delay(i, j int) time.Duration {
+func (x *exchange) drawDelay(i, j int) time.Duration {
 	if i == j {
 		return 20 * time.Microsecond
 	}
 	r := x.run
 	if r.crossesRegions(i, j) {
-		return r.RegionDelay/2 + time.Duration(x.random().Int64N(int64(r.RegionDelay/2)))
+		return r.MaxRegionDelay/2 + time.Duration(x.random().Int64N(int64(r.MaxRegionDelay/2)))
 	}
 	return time.Millisecond + time.Duration(x.random().Int64N(int64(2*time.Millisecond)))
 }
 
-func (x *exchange) lost(i, j int) bool {
+func (x *exchange) drawLoss(i, j int) bool {
 	r := x.run
-	return i != j && (x.random().Float64() < r.Loss || r.partitioned(i, j, r.now))
+	return i != j && (x.random().Float64() < r.Loss || r.dropsMessages(i, j, r.now))
 }
 
-// random returns the source of an exchange's delays and losses. Probes have one of
-// their own, so that those without a consequence don't change a run.
+// random returns the random source of an exchange's delays and losses. Probes have a
+// separate source, so that a probe without effect doesn't change the rest of the run.
 func (x *exchange) random() *rand.Rand {
 	if x.request == nil {
 		return x.run.probeRandom
@@ -91,69 +92,69 @@
 	return x.run.random
 }
 
-// deliver calls action once a message has come from front i to front j, or failed if
-// it does not.
+// deliver calls action when a message from front i arrives at front j, or failed if the
+// message is lost.
 func (x *exchange) deliver(i, j int, action, failed func()) {
-	if x.lost(i, j) {
+	if x.drawLoss(i, j) {
 		failed()
 		return
 	}
-	x.run.after(x.delay(i, j), action)
+	x.run.after(x.drawDelay(i, j), action)
 }
 
-// ownerOf returns front i's choice of a tenant's owner.
+// ownerOf returns the function by which front i determines a tenant's owner.
 func (r *run) ownerOf(i int) func(tenant string) string {
 	if !r.hasFaults() {
 		return func(string) string { return r.healthyOwner }
 	}
 	return func(tenant string) string {
-		return quota.OwnerOf(tenant, quota.Reachable(r.unreachable(i)))
+		return quota.OwnerOf(tenant, quota.Reachable(r.membershipWithRelays(i)))
 	}
 }
 
-// exchange is one request with counts from a front to an owner, by index.
+// exchange is one AddRequest from a front to an owner, and its response.
 type exchange struct {
 	run         *run
-	from, to    int
-	relay       int    // noRelay: direct
-	incarnation uint64 // of the sender
-	sentAt      time.Time
-	began       time.Duration
-	ended       bool             // answered or given up
-	request     *wire.AddRequest // nil: a probe
+	from, to    int       // indexes of the fronts
+	relay       int       // index of the front that forwards it; noRelay: direct
+	incarnation uint64    // of the sender, when it sent the request
+	sentAt      time.Time // by the sender's clock
+	startedAt   time.Duration
+	ended       bool             // answered or failed
+	request     *wire.AddRequest // nil: a probe, an AddRequest without counts
 }
 
-// send sends counts to their owners.
+// send sends counts from front i to their owners.
 func (r *run) send(i int, batches map[string][]*wire.Count) {
 	f := r.fronts[i]
 	for owner, counts := range batches {
-		if r.SkipFull && f.inFlight[owner] >= maxInFlight {
+		if r.LimitInFlight && f.inFlight[owner] >= maxInFlight {
 			continue
 		}
-		f.sentTo[owner] = true
+		f.sentSinceTick[owner] = true
 		f.inFlight[owner]++
-		to := r.index(owner)
-		x := &exchange{run: r, from: i, to: to, relay: r.relayTo(i, to), incarnation: f.incarnation, sentAt: r.clock(i), began: r.now,
+		to := r.frontIndex(owner)
+		x := &exchange{run: r, from: i, to: to, relay: r.relayTo(i, to), incarnation: f.incarnation, sentAt: r.clock(i), startedAt: r.now,
 			request: &wire.AddRequest{Front: f.name, Incarnation: f.incarnation, Counts: counts}}
 		x.start()
 	}
 }
 
 func (x *exchange) start() {
-	x.begin()
+	x.recordUnanswered()
 	if x.relay != noRelay {
 		x.startRelayed()
 		return
 	}
-	if x.lost(x.from, x.to) || x.run.fronts[x.to].down {
+	if x.drawLoss(x.from, x.to) || x.run.fronts[x.to].down {
 		x.timeOut()
 		return
 	}
-	x.run.after(x.delay(x.from, x.to), x.arrive)
+	x.run.after(x.drawDelay(x.from, x.to), x.arrive)
 }
 
-// arrive delivers the request. A frozen owner handles it once it resumes, after
-// the sender has given up.
+// arrive delivers the request to the owner. A frozen owner handles it when it resumes,
+// which may be after the time-out at the sender.
 func (x *exchange) arrive() {
 	r := x.run
 	if r.fronts[x.to].down {
@@ -166,16 +167,16 @@
 		return
 	}
 	if r.AddTime != nil {
-		x.enqueue()
+		x.enqueueAtCounter()
 		return
 	}
 	x.complete()
 }
 
-// complete handles the request and sends the response.
+// complete has the owner handle the request and send the response.
 func (x *exchange) complete() {
 	resp := x.handle()
-	respond := func() { x.respond(resp) }
+	respond := func() { x.receiveResponse(resp) }
 	if x.relay != noRelay {
 		x.respondRelayed(respond)
 		return
@@ -190,7 +191,7 @@
 	return x.run.fronts[x.to].counter.Add(x.request, x.run.clock(x.to))
 }
 
-func (x *exchange) respond(resp *wire.AddResponse) {
+func (x *exchange) receiveResponse(resp *wire.AddResponse) {
 	if x.ended {
 		return
 	}
@@ -202,7 +203,7 @@
 
 func (x *exchange) timeOut() { x.run.after(exchangeTimeout, x.fail) }
 
-func (x *exchange) done() {
+func (x *exchange) end() {
 	if x.ended {
 		return
 	}
@@ -214,11 +215,11 @@
 	owner := x.run.names[x.to]
 	f.inFlight[owner]--
 	if f.inFlight[owner] == 0 {
-		delete(f.unanswered, x.to)
+		delete(f.unansweredSince, x.to)
 	}
 }
 
-// whenResumed runs an action once front i isn't frozen, at once if it is not.
+// whenResumed runs an action as soon as front i isn't frozen.
 func (r *run) whenResumed(i int, action func()) {
 	if !r.isFrozen(r.now, i) {
 		action()
--- a/sim/quota/relay.go
+++ b/sim/quota/relay.go
@@ -4,54 +4,56 @@
 	"stepwick/internal/decision/quota"
 )
 
-// noRelay is the index of the relay of a direct exchange.
+// noRelay is the relay index of a direct exchange.
 const noRelay = -1
 
-// probeRelays sends front i's probes for the fronts that it finds unresponsive.
+// probeRelays sends the probes of front i, direct and through relays, to the fronts that
+// it finds unresponsive or suspects.
 func (r *run) probeRelays(i int) {
 	f := r.fronts[i]
-	live, unresponsive := r.reachability(i)
+	live, unresponsive := r.membership(i)
 	for _, probe := range f.relays.Probes(live, unresponsive, r.clock(i)) {
 		relay := noRelay
 		if probe.Relay != "" {
-			relay = r.index(probe.Relay)
+			relay = r.frontIndex(probe.Relay)
 		}
-		x := &exchange{run: r, from: i, to: r.index(probe.Front), relay: relay, incarnation: f.incarnation, sentAt: r.clock(i), began: r.now}
+		x := &exchange{run: r, from: i, to: r.frontIndex(probe.Front), relay: relay, incarnation: f.incarnation, sentAt: r.clock(i), startedAt: r.now}
 		x.start()
 	}
 }
 
-// unreachable returns the fronts that front i takes for members, and which of those
-// it neither reaches itself nor through a relay.
-func (r *run) unreachable(i int) (live, unreachable []string) {
-	live, unresponsive := r.reachability(i)
+// membershipWithRelays returns the fronts on front i's roster, and those of them that it
+// reaches neither directly nor through a relay.
+func (r *run) membershipWithRelays(i int) (live, unreachable []string) {
+	live, unresponsive := r.membership(i)
 	return live, quota.WithoutRelay(unresponsive, r.fronts[i].relays.ActiveRelays(r.clock(i)))
 }
 
-// relayTo returns the relay through which front i reaches front j, or noRelay.
+// relayTo returns the relay that front i uses for front j, or noRelay.
 func (r *run) relayTo(i, j int) int {
-	if relay, known := r.fronts[i].relays.ActiveRelays(r.clock(i))[r.names[j]]; known {
-		return r.index(relay)
+	if relay, relayed := r.fronts[i].relays.ActiveRelays(r.clock(i))[r.names[j]]; relayed {
+		return r.frontIndex(relay)
 	}
 	return noRelay
 }
 
-// relayRefuses reports whether an exchange's relay doesn't reach the owner.
+// relayRefuses reports whether the relay refuses to forward the request because it finds
+// the owner unresponsive itself.
 func (x *exchange) relayRefuses() bool {
 	r := x.run
-	live, unresponsive := r.reachability(x.relay)
+	live, unresponsive := r.membership(x.relay)
 	return !quota.MayRelayTo(r.names[x.to], live, unresponsive)
 }
 
-func (x *exchange) way() quota.Path {
-	probe := quota.Path{Front: x.run.names[x.to]}
+func (x *exchange) path() quota.Path {
+	path := quota.Path{Front: x.run.names[x.to]}
 	if x.relay != noRelay {
-		probe.Relay = x.run.names[x.relay]
+		path.Relay = x.run.names[x.relay]
 	}
-	return probe
+	return path
 }
 
-// startRelayed sends the request to the relay, which passes it on.
+// startRelayed sends the request to the relay, which forwards or refuses it.
 func (x *exchange) startRelayed() {
 	r := x.run
 	x.deliver(x.from, x.relay, func() {
@@ -66,18 +68,19 @@
 	}, x.timeOut)
 }
 
-// respondRelayed returns the owner's answer by way of the relay.
+// respondRelayed sends the owner's response through the relay.
 func (x *exchange) respondRelayed(respond func()) {
 	x.deliver(x.to, x.relay, func() { x.deliver(x.relay, x.from, respond, x.timeOut) }, x.timeOut)
 }
 
-// suspectOverdue has front i seek ways to the owners that don't answer in time.
-func (r *run) suspectOverdue(i int) {
+// suspectOverdueOwners makes front i suspect the owners that haven't answered a direct
+// exchange in time, and probe them.
+func (r *run) suspectOverdueOwners(i int) {
 	f := r.fronts[i]
 	overdue := false
 	for j, name := range r.names {
-		if since, unanswered := f.unanswered[j]; unanswered && r.now-since > f.relays.SuspectAfter() {
-			f.unanswered[j] = r.now
+		if since, waiting := f.unansweredSince[j]; waiting && r.now-since > f.relays.SuspectAfter() {
+			f.unansweredSince[j] = r.now
 			f.relays.Suspect(name)
 			overdue = true
 		}
@@ -87,28 +90,29 @@
 	}
 }
 
-// begin records since when direct exchanges with an owner have had no answer.
-func (x *exchange) begin() {
-	unanswered := x.run.fronts[x.from].unanswered
-	if _, known := unanswered[x.to]; x.relay == noRelay && x.request != nil && !known {
-		unanswered[x.to] = x.run.now
+// recordUnanswered records the start of a direct exchange, unless an older one with the
+// same owner is still unanswered.
+func (x *exchange) recordUnanswered() {
+	unansweredSince := x.run.fronts[x.from].unansweredSince
+	if _, recorded := unansweredSince[x.to]; x.relay == noRelay && x.request != nil && !recorded {
+		unansweredSince[x.to] = x.run.now
 	}
 }
 
-// fail ends an exchange without an answer.
+// fail ends an exchange that was not answered.
 func (x *exchange) fail() {
 	if x.ended {
 		return
 	}
-	x.run.fronts[x.from].relays.Failed(x.way())
-	x.done()
+	x.run.fronts[x.from].relays.Failed(x.path())
+	x.end()
 }
 
-// succeed ends an exchange with an answer.
+// succeed ends an exchange that was answered.
 func (x *exchange) succeed() {
 	if x.request != nil {
-		delete(x.run.fronts[x.from].unanswered, x.to)
+		delete(x.run.fronts[x.from].unansweredSince, x.to)
 	}
-	x.run.fronts[x.from].relays.Answered(x.way(), x.run.clock(x.from))
-	x.done()
+	x.run.fronts[x.from].relays.Answered(x.path(), x.run.clock(x.from))
+	x.end()
 }
--- a/sim/quota/scenarios.go
+++ b/sim/quota/scenarios.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// Scenario is a kind of run with its requirements.
+// Scenario draws runs of one kind from a random source and sets their requirements.
 type Scenario struct {
 	Name    string
 	Draw    func(random *rand.Rand) Setup
 	Require Requirements
 }
 
-// Setup is one drawn run. Its demand is in steady excess of the limit from
-// ExcessFrom until ExcessUntil; both are zero when it isn't.
+// Setup is one run of a scenario. Its demand exceeds the limit from ExcessFrom until
+// ExcessUntil; both are zero if the checker measures no such phase.
 type Setup struct {
 	Fleet                   Fleet
 	ExcessFrom, ExcessUntil time.Duration
 }
 
-// Requirements bound the result of a run. A bound of zero isn't checked, unless
-// its comment says otherwise.
+// Requirements are bounds on the Result of a run. A minimum of zero is not checked.
 type Requirements struct {
-	Max         float64 // most tokens in any span
-	Min         float64 // least tokens in a span of steady excess demand
-	MinByRegion float64 // least tokens of each region in such a span
-	MaxRefused  float64 // largest refused share of what is offered under the limit; negative: not checked
-	// ExactMargin, where set, lowers Min to what an exact log in one place
-	// admits, less the margin.
+	MaxAdmitted         float64 // maximum of Result.MaxAdmitted; always checked
+	MinAdmitted         float64 // minimum of Result.MinAdmitted
+	MinAdmittedByRegion float64 // minimum of each region's Result.MinAdmittedByRegion
+	MaxRefusedFraction  float64 // maximum of Result.RefusedFraction; negative: not checked
+
+	// ExactMargin, if positive, lowers the bound MinAdmitted to the MinAdmitted of
+	// DecideWithExactLog on the same requests less this margin, if that is smaller.
 	ExactMargin float64
 }
 
-// Broken names the requirements that a run breaks. exact is what one exact log
-// in one place makes of the same requests.
-func (s Scenario) Broken(result, exact Result) []string {
-	var broken []string
+// Violations describes the requirements that a run violates. exact is the result of
+// DecideWithExactLog on the same requests; it is used only if ExactMargin is set.
+func (s Scenario) Violations(result, exact Result) []string {
+	var violations []string
 	required := s.Require
-	least := required.Min
+	minRequired := required.MinAdmitted
 	if required.ExactMargin > 0 {
-		least = min(least, exact.Min-required.ExactMargin)
+		minRequired = min(minRequired, exact.MinAdmitted-required.ExactMargin)
 	}
-	if result.Max > required.Max {
-		broken = append(broken, fmt.Sprintf("%.3f of the limit passed in the span from %v, over %.2f", result.Max, result.MaxAt, required.Max))
+	if result.MaxAdmitted > required.MaxAdmitted {
+		violations = append(violations, fmt.Sprintf("admitted %.3f of the limit in the span from %v, maximum %.2f", result.MaxAdmitted, result.MaxAdmittedAt, required.MaxAdmitted))
 	}
-	if result.Min >= 0 && result.Min < least {
-		broken = append(broken, fmt.Sprintf("%.3f of the limit passed in the span from %v, under %.3f", result.Min, result.MinAt, least))
+	if result.MinAdmitted >= 0 && result.MinAdmitted < minRequired {
+		violations = append(violations, fmt.Sprintf("admitted %.3f of the limit in the span from %v, minimum %.3f", result.MinAdmitted, result.MinAdmittedAt, minRequired))
 	}
-	if side := min(result.MinByRegion[0], result.MinByRegion[1]); required.MinByRegion > 0 && side < required.MinByRegion {
-		broken = append(broken, fmt.Sprintf("one side of the cut got %.3f of the limit, under %.2f", side, required.MinByRegion))
+	if leastRegion := min(result.MinAdmittedByRegion[0], result.MinAdmittedByRegion[1]); required.MinAdmittedByRegion > 0 && leastRegion < required.MinAdmittedByRegion {
+		violations = append(violations, fmt.Sprintf("admitted %.3f of the limit to one region in a span, minimum %.2f", leastRegion, required.MinAdmittedByRegion))
 	}
-	if required.MaxRefused >= 0 && result.Refused > required.MaxRefused {
-		broken = append(broken, fmt.Sprintf("%.5f of what was offered under 0.8 was refused", result.Refused))
+	if required.MaxRefusedFraction >= 0 && result.RefusedFraction > required.MaxRefusedFraction {
+		violations = append(violations, fmt.Sprintf("refused %.5f of the tokens offered while demand was at most 0.8 of the limit", result.RefusedFraction))
 	}
-	return broken
+	return violations
 }
 
 const (
@@ -65,31 +65,33 @@
 	maxAdmittedPartitioned = 1.3
 	minByRegionPartitioned = 0.2
 	exactMargin            = 0.1
-	refusalsAllowed        = -1
+	refusalsUnchecked      = -1
 )
 
 var (
-	steadyUse       = Requirements{Max: maxAdmitted, Min: minAdmitted, MaxRefused: refusalsAllowed}
-	steadyUseRandom = Requirements{Max: maxAdmitted, Min: minAdmitted, MaxRefused: refusalsAllowed, ExactMargin: exactMargin}
-	jumpToExcess    = Requirements{Max: maxAdmitted, Min: minAdmitted}
-	noRefusal       = Requirements{Max: maxAdmitted}
-	onlyMax         = Requirements{Max: maxAdmitted, MaxRefused: refusalsAllowed}
+	steadyExcessRequirements  = Requirements{MaxAdmitted: maxAdmitted, MinAdmitted: minAdmitted, MaxRefusedFraction: refusalsUnchecked}
+	poissonExcessRequirements = Requirements{MaxAdmitted: maxAdmitted, MinAdmitted: minAdmitted, MaxRefusedFraction: refusalsUnchecked, ExactMargin: exactMargin}
+	jumpRequirements          = Requirements{MaxAdmitted: maxAdmitted, MinAdmitted: minAdmitted}
+	noRefusalRequirements     = Requirements{MaxAdmitted: maxAdmitted}
+	maxOnlyRequirements       = Requirements{MaxAdmitted: maxAdmitted, MaxRefusedFraction: refusalsUnchecked}
 )
 
-// Scenarios returns all kinds of runs.
+// Scenarios returns all scenarios of a fleet of the default size.
 func Scenarios() []Scenario {
 	return slices.Concat(excessScenarios, underLimitScenarios, networkScenarios, partialScenarios, ownerScenarios, processScenarios)
 }
 
-// between draws a number.
-func between(random *rand.Rand, low, high float64) float64 { return low + random.Float64()*(high-low) }
+// drawBetween draws a number from [low, high).
+func drawBetween(random *rand.Rand, low, high float64) float64 {
+	return low + random.Float64()*(high-low)
+}
 
-// durationBetween draws a duration.
-func durationBetween(random *rand.Rand, low, high time.Duration) time.Duration {
+// drawDuration draws a duration from [low, high).
+func drawDuration(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Int64N(int64(high-low)))
 }
 
-// faultStart draws the instant of a scenario's fault or jump.
-func faultStart(random *rand.Rand) time.Duration {
-	return durationBetween(random, 16*second, 24*second)
+// drawFaultStart draws the time at which a scenario's fault or jump begins.
+func drawFaultStart(random *rand.Rand) time.Duration {
+	return drawDuration(random, 16*second, 24*second)
 }
--- a/sim/quota/scenarios_large.go
+++ b/sim/quota/scenarios_large.go
@@ -8,113 +8,118 @@
 )
 
 const (
-	// gatewayFraction is the part of a tenant's limit that the gateway gives the quota
-	// (setting tally.part). Tokens are fractions of this part, as in all scenarios.
-	gatewayFraction = 0.93
-
-	// The platform's bound on what a tenant gets in a span, of its whole limit: a tenth
-	// more, and a fixed number of tokens for requests that cross the span's ends.
+	// quotaFraction is the fraction of a tenant's limit that the gateway configures as
+	// its allowance (setting tally.part). As in all scenarios, amounts of tokens are
+	// fractions of the allowance.
+	quotaFraction = 0.93
+
+	// The platform's bound on the tokens that a tenant is admitted in a span:
+	// platformTolerance times its whole limit, and platformSlack for requests that
+	// cross the span's ends.
 	platformTolerance = 1.1
 	platformSlack     = 140_000 // tokens
 
-	largeWholeLimit = 9_501_894 // tokens in a window: eight seconds' rate and as much as one second's in a burst
-	largeLimit      = gatewayFraction * largeWholeLimit
+	largePlatformLimit = 9_501_894 // tokens in a window: the rate times 8 s, and a burst of the rate times 1 s
+	largeLimit         = quotaFraction * largePlatformLimit
 
-	// maxAdmittedPlatform is the platform's bound as a part of what the quota is given.
-	// The quota's own bound, maxAdmitted, is the lower one here.
-	maxAdmittedPlatform = (platformTolerance*largeWholeLimit + platformSlack) / largeLimit
+	// maxAdmittedPlatform is the platform's bound as a multiple of the allowance. The
+	// bound of the other scenarios, maxAdmitted, is lower.
+	maxAdmittedPlatform = (platformTolerance*largePlatformLimit + platformSlack) / largeLimit
 
-	largeFronts       = 300
-	largeFirstRegion  = 155
-	largeRegionDelay  = 26 * time.Millisecond
-	largeQueueTimeout = 400 * time.Millisecond
-	largeJumpFactor   = 6
-	largeJumpLength   = 11 * second
-	afterLargeJump    = 2 * second
-	largeRetries      = 1
+	largeFronts        = 300
+	largeFirstRegion   = 155
+	largeRegionDelay   = 26 * time.Millisecond
+	largeQueueTimeout  = 400 * time.Millisecond
+	largeJumpFactor    = 6
+	largeJumpLength    = 11 * second
+	timeAfterLargeJump = 2 * second
+	largeRetries       = 1
 
-	leastSlowAdd = 600 * time.Microsecond // of a slow owner, for one request with counts
-	mostSlowAdd  = time.Millisecond
+	minSlowAddTime = 600 * time.Microsecond // range of AddTime of a slow owner
+	maxSlowAddTime = time.Millisecond
 )
 
-// The rate of a tenant's use before its jump, of the quota's rate, and the same of its limit.
+// A tenant's demand before its jump, as a fraction of the rate of its whole limit, and the
+// factor that converts it into a multiple of limit/window.
 const (
-	leastUseBefore = 0.60
-	mostUseBefore  = 0.77
-	windowSeconds  = 8.0
-	burstSeconds   = 1.0
-	useOfLimit     = windowSeconds / (windowSeconds + burstSeconds) / gatewayFraction
+	minUseBeforeJump = 0.60
+	maxUseBeforeJump = 0.77
+	windowSeconds    = 8.0
+	burstSeconds     = 1.0
+	useOfLimit       = windowSeconds / (windowSeconds + burstSeconds) / quotaFraction
 )
 
-// mixedRequests are the requests of a tenant with few large and many small ones, in
-// tokens, by their rates in requests per second.
+// mixedRequests are the requests of a tenant that sends few large and many small ones.
+// Rates are in requests per second, sizes in tokens.
 var mixedRequests = SizeMix{
 	{Rate: 290, Constant: 5382 + 375, Mean: 6610, Sigma: 1.4, Max: 54_600}, // long texts
 	{Rate: 264, Constant: 300, Mean: 826, Sigma: 1, Max: 54_600},           // questions
-	{Rate: 752, Constant: 40, Mean: 2368, Sigma: 1.2, Max: 54_600},         // short texts, to be labelled
-	{Rate: 327, Constant: 200},                                             // requests without a size of their own
+	{Rate: 752, Constant: 40, Mean: 2368, Sigma: 1.2, Max: 54_600},         // short texts to classify
+	{Rate: 327, Constant: 200},                                             // requests of unknown size
 }
 
-// LargeScenarios are runs of a fleet whose even share of the limit is a few requests.
+// LargeScenarios returns scenarios of a fleet so large that the even share of the limit of
+// one front amounts to a few requests.
 func LargeScenarios() []Scenario {
 	return []Scenario{
-		{"large fleet, jump", largeJump, jumpInLargeFleet},
-		{"large fleet, jump, requests of one size", largeJumpOfEqualRequests, jumpInLargeFleet},
-		{"large fleet, jump, holder killed", largeJumpOwnerKilled, jumpInLargeFleet},
-		{"large fleet, jump, fronts restarted", largeJumpRestarts, jumpInLargeFleet},
+		{"large fleet, jump", largeJump, largeFleetRequirements},
+		{"large fleet, jump, requests of one size", largeJumpOfEqualRequests, largeFleetRequirements},
+		{"large fleet, jump, holder killed", largeJumpOwnerKilled, largeFleetRequirements},
+		{"large fleet, jump, fronts restarted", largeJumpRestarts, largeFleetRequirements},
 	}
 }
 
-// slowOwnerScenarios have an owner that can't keep up with the fronts' counts.
+// slowOwnerScenarios have an owner whose counter can't keep up with the fronts' counts
+// during the jump.
 var slowOwnerScenarios = []Scenario{
-	{"large fleet, jump, slow holder", largeJumpSlowOwner, jumpInLargeFleet},
-	{"large fleet, jump, holder slowed by it", largeJumpOwnerSlowed, jumpInLargeFleet},
+	{"large fleet, jump, slow owner", largeJumpSlowOwner, largeFleetRequirements},
+	{"large fleet, jump, owner slowed by it", largeJumpOwnerSlowed, largeFleetRequirements},
 }
 
-var jumpInLargeFleet = Requirements{Max: min(maxAdmitted, maxAdmittedPlatform), Min: minAdmitted, MaxRefused: refusalsAllowed}
+var largeFleetRequirements = Requirements{MaxAdmitted: min(maxAdmitted, maxAdmittedPlatform), MinAdmitted: minAdmitted, MaxRefusedFraction: refusalsUnchecked}
 
 func largeJump(random *rand.Rand) Setup {
-	at := durationBetween(random, 10*second, 18*second)
-	before := between(random, leastUseBefore, mostUseBefore) * useOfLimit
+	at := drawDuration(random, 10*second, 18*second)
+	before := drawBetween(random, minUseBeforeJump, maxUseBeforeJump) * useOfLimit
 	until := at + largeJumpLength
 	fleet := Fleet{
-		Fronts:       largeFronts,
-		FirstRegion:  largeFirstRegion,
-		RegionDelay:  largeRegionDelay,
-		QueueTimeout: largeQueueTimeout,
-		Allowance:    quota.Allowance{Rate: largeLimit / (windowSeconds + burstSeconds), Burst: largeLimit / (windowSeconds + burstSeconds)},
-		Sizes:        mixedRequests.scaled(1 / largeLimit),
-		Retries:      largeRetries,
-		Poisson:      true,
-		OwnerFirst:   true,
-		SkipFull:     true,
-		Length:       until + afterLargeJump,
-		Demand:       pulse(largeFronts, at, largeJumpLength, before, largeJumpFactor*before),
+		Fronts:          largeFronts,
+		FirstRegion:     largeFirstRegion,
+		MaxRegionDelay:  largeRegionDelay,
+		QueueTimeout:    largeQueueTimeout,
+		Allowance:       quota.Allowance{Rate: largeLimit / (windowSeconds + burstSeconds), Burst: largeLimit / (windowSeconds + burstSeconds)},
+		Sizes:           mixedRequests.scaled(1 / largeLimit),
+		Retries:         largeRetries,
+		PoissonArrivals: true,
+		FirstIsOwner:    true,
+		LimitInFlight:   true,
+		Length:          until + timeAfterLargeJump,
+		Demand:          demandPulse(largeFronts, at, largeJumpLength, before, largeJumpFactor*before),
 	}
 	return Setup{Fleet: fleet, ExcessFrom: at, ExcessUntil: until}
 }
 
-// largeJumpOfEqualRequests has the mean size of the mixed requests.
+// largeJumpOfEqualRequests has only requests of the mean size of mixedRequests.
 func largeJumpOfEqualRequests(random *rand.Rand) Setup {
 	setup := largeJump(random)
 	setup.Fleet.Sizes = SizeMix{{Rate: 1, Constant: setup.Fleet.Sizes.mean()}}
 	return setup
 }
 
-// largeJumpSlowOwner has an owner that handles 1000 to 1700 requests with counts in a
-// second: all of them while the tenant is calm, and fewer than arrive in its jump.
+// largeJumpSlowOwner has an owner that handles 1000 to 1700 AddRequests per second: enough
+// before the jump, but fewer than arrive during it.
 func largeJumpSlowOwner(random *rand.Rand) Setup {
 	setup := largeJump(random)
-	addTime := durationBetween(random, leastSlowAdd, mostSlowAdd)
+	addTime := drawDuration(random, minSlowAddTime, maxSlowAddTime)
 	setup.Fleet.AddTime = func(time.Duration) time.Duration { return addTime }
 	return setup
 }
 
-// largeJumpOwnerSlowed has an owner that serves its part of the jump as well, and takes
-// two to three times as long for each request with counts from then on.
+// largeJumpOwnerSlowed has an owner that takes two to three times as long for each
+// AddRequest from the jump on, because it also serves its part of the jump's requests.
 func largeJumpOwnerSlowed(random *rand.Rand) Setup {
 	setup := largeJump(random)
-	addTime, factor := durationBetween(random, leastSlowAdd, mostSlowAdd), between(random, 2, 3)
+	addTime, factor := drawDuration(random, minSlowAddTime, maxSlowAddTime), drawBetween(random, 2, 3)
 	setup.Fleet.AddTime = func(at time.Duration) time.Duration {
 		if at < setup.ExcessFrom {
 			return addTime
@@ -126,15 +131,16 @@
 
 func largeJumpOwnerKilled(random *rand.Rand) Setup {
 	setup := largeJump(random)
-	setup.Fleet.ForgetAfter = rosterExpiry
-	setup.Fleet.Down = downFrom(setup.ExcessFrom + durationBetween(random, -2*second, 2*second))
+	setup.Fleet.RemoveDownAfter = rosterRemovalDelay
+	setup.Fleet.Down = ownerDownFrom(setup.ExcessFrom + drawDuration(random, -2*second, 2*second))
 	return setup
 }
 
-// largeJumpRestarts restarts a tenth of the fronts together, beside the jump.
+// largeJumpRestarts restarts a tenth of the fronts at the same time, shortly before or
+// after the start of the jump.
 func largeJumpRestarts(random *rand.Rand) Setup {
 	setup := largeJump(random)
-	down := during(setup.ExcessFrom+durationBetween(random, -3*second, second), restartTime)
+	down := within(setup.ExcessFrom+drawDuration(random, -3*second, second), restartLength)
 	setup.Fleet.Down = func(now time.Duration, front int) bool { return front%10 == 5 && down(now) }
 	return setup
 }
--- a/sim/quota/sizes.go
+++ b/sim/quota/sizes.go
@@ -5,14 +5,14 @@
 	"math/rand/v2"
 )
 
-// RequestKind is one kind of a tenant's requests. A request has the constant tokens
-// and, where Mean is set, a lognormal number of them in addition.
+// RequestKind is one kind of a tenant's requests. Each has Constant tokens and, if Mean
+// is set, a lognormally distributed number of tokens in addition.
 type RequestKind struct {
-	Rate     float64 // relative to the other kinds
+	Rate     float64 // frequency relative to the other kinds
 	Constant float64 // tokens of each request
-	Mean     float64 // of the lognormal part before its cut at Max; zero: there is none
+	Mean     float64 // of the lognormal part before truncation at Max; 0: no lognormal part
 	Sigma    float64 // standard deviation of the lognormal part's logarithm
-	Max      float64 // largest lognormal part
+	Max      float64 // maximum of the lognormal part
 }
 
 // logMean returns the mean of the lognormal part's logarithm.
@@ -25,7 +25,7 @@
 	return k.Constant + min(k.Max, math.Exp(k.logMean()+k.Sigma*random.NormFloat64()))
 }
 
-// mean returns the expected tokens of a request, with the cut at Max.
+// mean returns the expected tokens of a request, including the truncation at Max.
 func (k RequestKind) mean() float64 {
 	if k.Mean == 0 {
 		return k.Constant
@@ -37,7 +37,7 @@
 // normalBelow returns the standard normal distribution function.
 func normalBelow(x float64) float64 { return math.Erfc(-x/math.Sqrt2) / 2 }
 
-// SizeMix is a tenant's kinds of requests; an empty one has no mean.
+// SizeMix is the mix of a tenant's kinds of requests. The mean of an empty mix is 0.
 type SizeMix []RequestKind
 
 func (m SizeMix) rate() (total float64) {
