--- a/sim/eventqueue/eventqueue.go
+++ b/sim/eventqueue/eventqueue.go
@@ -1,4 +1,4 @@
-// Package eventqueue orders the events of a simulation in virtual time.
+// Package eventqueue is the event queue of a discrete-event simulation in virtual time.
 package eventqueue
 
 import (
@@ -6,21 +6,22 @@
 	"container/heap"
 )
 
-// Queue holds the events that are due. Events of the same instant run in the
-// order in which they were scheduled, so that equal seeds give equal runs. The
-// zero value is an empty queue.
+// Queue is a priority queue of scheduled actions. Actions of the same instant are
+// removed in the order in which they were scheduled, so that equal seeds give equal
+// runs. The zero value is an empty queue. It is not safe for concurrent use.
 type Queue[T cmp.Ordered] struct {
 	events   eventHeap[T]
 	sequence uint64
 }
 
-// Schedule adds an action that is due at an instant.
+// Schedule adds an action to run at an instant.
 func (q *Queue[T]) Schedule(at T, action func()) {
 	q.sequence++
 	heap.Push(&q.events, event[T]{at: at, sequence: q.sequence, action: action})
 }
 
-// Next returns the instant of the earliest event, and false when there is none.
+// Next returns the instant of the earliest event without removing it, or false if the
+// queue is empty.
 func (q *Queue[T]) Next() (at T, ok bool) {
 	if len(q.events) == 0 {
 		return at, false
--- a/sim/eventqueue/eventqueue_test.go
+++ b/sim/eventqueue/eventqueue_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestEventsRunInOrderOfInstantThenOfScheduling(t *testing.T) {
+func TestEventsRunInOrderOfTimeThenOfScheduling(t *testing.T) {
 	var queue Queue[int]
 	var got []string
 	record := func(name string) func() { return func() { got = append(got, name) } }
@@ -16,11 +16,11 @@
 	for at, ok := queue.Next(); ok; at, ok = queue.Next() {
 		popped, action := queue.Pop()
 		if popped != at {
-			t.Errorf("popped an event of %d, %d was next", popped, at)
+			t.Errorf("Pop returned an event at %d, Next had returned %d", popped, at)
 		}
 		action()
 	}
 	if want := []string{"early", "first", "second", "late"}; !slices.Equal(got, want) {
-		t.Errorf("ran %v, want %v", got, want)
+		t.Errorf("actions ran in the order %v, want %v", got, want)
 	}
 }
--- a/sim/route/request.go
+++ b/sim/route/request.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	networkDelay = time.Millisecond // between front and server, one way
+	networkDelay = time.Millisecond // one-way, between front and server
 	maxAttempts  = 3
 )
 
-// request is one request of a caller.
+// request is the state of one request.
 type request struct {
 	id            string
 	front         *front
@@ -33,31 +33,31 @@
 	ended     bool
 }
 
-// attempt is the current attempt of a request at a server.
+// attempt is an attempt to serve a request at one server.
 type attempt struct {
-	number     int
-	server     string
-	startedAt  time.Duration
-	firstToken time.Duration // time to it; zero: none yet
+	number           int
+	server           string
+	startedAt        time.Duration
+	timeToFirstToken time.Duration // from startedAt; 0: none yet
 }
 
-// ending is how an attempt ended.
-type ending int
+// attemptOutcome is the way in which an attempt ended.
+type attemptOutcome int
 
 const (
-	answered ending = iota
-	refused
-	busy
-	interrupted
-	late
+	answered    attemptOutcome = iota
+	refused                    // the server was down
+	busy                       // all slots and the queue of the server were full
+	interrupted                // the server crashed
+	late                       // the deadline passed
 )
 
-// arrive offers a request and schedules the next one.
+// arrive creates and routes a request, and schedules the arrival of the next one.
 func (r *run) arrive(number int) {
 	if r.now >= r.Length {
 		return
 	}
-	r.after(seconds(r.random.ExpFloat64()/r.currentRate()), func() { r.arrive(number + 1) })
+	r.scheduleAfter(seconds(r.random.ExpFloat64()/r.currentRate()), func() { r.arrive(number + 1) })
 	r.result.Offered++
 	r.route(r.newRequest(number))
 }
@@ -70,7 +70,7 @@
 }
 
 func (r *run) newRequest(number int) *request {
-	index, _ := slices.BinarySearch(r.zipf, r.random.Float64()*r.zipf[len(r.zipf)-1])
+	index, _ := slices.BinarySearch(r.cumulativePrefixWeights, r.random.Float64()*r.cumulativePrefixWeights[len(r.cumulativePrefixWeights)-1])
 	prefix := xxhash.Sum64String(fmt.Sprintf("prefix %d", index))
 	req := &request{
 		id:           fmt.Sprintf("r%d", number),
@@ -79,7 +79,7 @@
 		arrivedAt:    r.now,
 		deadline:     r.now + r.Deadline,
 	}
-	// The order of these random draws is part of a seed's result.
+	// The result of a seed depends on the order of these random draws.
 	req.front = r.drawFront()
 	req.sessionTokens = r.drawTokens(r.SessionTokens)
 	req.outputTokens = r.drawTokens(r.OutputTokens)
@@ -106,7 +106,7 @@
 	return r.fronts[0]
 }
 
-// route sends a request to a server, queues or rejects it.
+// route sends a request to a server, or queues or rejects it, as its front decides.
 func (r *run) route(req *request) {
 	routed := route.Request{
 		ID:           req.id,
@@ -138,61 +138,63 @@
 		server:    choice.Server,
 		startedAt: r.now,
 	}
-	s := r.byName[choice.Server]
+	s := r.serversByName[choice.Server]
 	number := req.attempt.number
-	r.at(req.deadline, func() {
+	r.schedule(req.deadline, func() {
 		if !req.ended && req.attempt.number == number && s.cancel(req) {
 			r.finishAttempt(req, number, late)
 		}
 	})
-	r.after(networkDelay, func() { s.receive(req) })
+	r.scheduleAfter(networkDelay, func() { s.receive(req) })
 }
 
 func (r *run) reject(req *request, err *apierror.Error) {
 	req.ended = true
-	r.result.Refused++
+	r.result.RejectedByFront++
 	r.result.Codes[err.Code.String()]++
 }
 
-// receiveFirstToken records the first token that the caller gets.
+// receiveFirstToken records the caller's first token, unless the attempt is no longer the
+// current one.
 func (r *run) receiveFirstToken(req *request, number int) {
 	if req.streaming || req.ended || number != req.attempt.number {
 		return
 	}
 	req.streaming = true
-	req.attempt.firstToken = r.now - req.attempt.startedAt
+	req.attempt.timeToFirstToken = r.now - req.attempt.startedAt
 	r.result.TTFT = append(r.result.TTFT, r.now-req.arrivedAt)
 }
 
-// finishAttempt reports the end of an attempt to the front.
-func (r *run) finishAttempt(req *request, number int, how ending) {
+// finishAttempt reports the end of an attempt to the front, one network delay later.
+func (r *run) finishAttempt(req *request, number int, outcome attemptOutcome) {
 	server := req.attempt.server
-	r.after(networkDelay, func() {
+	r.scheduleAfter(networkDelay, func() {
 		req.front.table.Finished(server, route.Outcome{
-			Result:           resultOf(how, req.streaming),
+			Result:           routeResult(outcome, req.streaming),
 			Service:          service,
-			TimeToFirstEvent: req.attempt.firstToken,
+			TimeToFirstEvent: req.attempt.timeToFirstToken,
 			Duration:         r.now - req.attempt.startedAt,
 		}, r.clock())
-		r.startReady(req.front)
+		r.startReadyRequests(req.front)
 		if !req.ended && number == req.attempt.number {
-			r.endOrRetry(req, server, how)
+			r.endOrRetry(req, server, outcome)
 		}
 	})
 }
 
-// endOrRetry ends a request by the end of its last attempt, or routes it again.
-func (r *run) endOrRetry(req *request, server string, how ending) {
+// endOrRetry ends a request according to the outcome of its last attempt, or routes it
+// again. It never retries a request whose caller has received tokens.
+func (r *run) endOrRetry(req *request, server string, outcome attemptOutcome) {
 	req.ended = true
 	switch {
-	case how == late || how == answered && r.now > req.deadline:
+	case outcome == late || outcome == answered && r.now > req.deadline:
 		r.result.Late++
-	case how == answered:
+	case outcome == answered:
 		r.result.countServed(r.now)
-	case how == interrupted && req.streaming:
+	case outcome == interrupted && req.streaming:
 		r.result.Interrupted++
 	case len(req.tried)+1 >= maxAttempts:
-		r.result.Rejected++
+		r.result.AttemptsExhausted++
 	default:
 		req.ended = false
 		req.tried = append(req.tried, server)
@@ -200,16 +202,16 @@
 	}
 }
 
-// resultOf returns what the end of an attempt tells the front's table.
-func resultOf(how ending, streaming bool) route.Result {
+// routeResult returns the result of an attempt as reported to the front's route.Table.
+func routeResult(outcome attemptOutcome, streaming bool) route.Result {
 	switch {
-	case how == answered:
+	case outcome == answered:
 		return route.Answered
-	case how == refused:
+	case outcome == refused:
 		return route.Refused
-	case how == busy:
+	case outcome == busy:
 		return route.Busy
-	case how == late && !streaming:
+	case outcome == late && !streaming:
 		return route.TimedOut
 	}
 	return route.Inconclusive
--- a/sim/route/result.go
+++ b/sim/route/result.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Result counts what callers and servers observed.
+// Result counts the requests of a run as the callers and the servers observed them.
 type Result struct {
-	Offered     int
-	Served      int
-	Refused     int // rejected with a retry delay
-	Interrupted int // streams that a server's end interrupted
-	Late        int // ended by the deadline
-	Rejected    int // failed at as many servers as are tried
+	Offered           int
+	Served            int
+	RejectedByFront   int // rejected by the front with a retry delay, see Codes
+	Interrupted       int // response streams interrupted by a server's crash
+	Late              int // not answered by the deadline
+	AttemptsExhausted int // failed in all attempts
 
-	Codes     map[string]int  // rejections by code
-	TTFT      []time.Duration // times to the first token, ascending
-	PerSecond []int           // served in each second of the run
+	Codes     map[string]int  // RejectedByFront by error code
+	TTFT      []time.Duration // times from arrival to the first token, ascending
+	PerSecond []int           // requests served in each second of the run
 
-	Hits    int // prefills that found their prefix cached
-	Misses  int
+	Hits    int // prefills with a cached prefix
+	Misses  int // prefills without a cached prefix
 	Servers []ServerReport
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// complete adds the servers' reports.
+// complete adds the servers' reports and sorts TTFT.
 func (r *Result) complete(servers []*server) {
 	slices.Sort(r.TTFT)
 	for _, s := range servers {
@@ -48,7 +48,8 @@
 	}
 }
 
-// Quantile returns a quantile of the time to the first token.
+// Quantile returns the q-quantile of the time to the first token, 0 <= q <= 1, or 0 if no
+// request received a token.
 func (r Result) Quantile(q float64) time.Duration {
 	if len(r.TTFT) == 0 {
 		return 0
@@ -56,16 +57,16 @@
 	return r.TTFT[min(len(r.TTFT)-1, int(q*float64(len(r.TTFT))))]
 }
 
-// HitRatio returns the share of prefills that found their prefix cached.
+// HitRatio returns the fraction of prefills with a cached prefix.
 func (r Result) HitRatio() float64 { return float64(r.Hits) / float64(max(1, r.Hits+r.Misses)) }
 
-// String returns the result in one line.
+// String returns the main values in one line.
 func (r Result) String() string {
-	return fmt.Sprintf("offered %d served %d refused %d cut %d late %d ttft p50 %dms p95 %dms hits %.3f", r.Offered, r.Served, r.Refused,
+	return fmt.Sprintf("offered %d served %d rejected %d interrupted %d late %d ttft p50 %dms p95 %dms hits %.3f", r.Offered, r.Served, r.RejectedByFront,
 		r.Interrupted, r.Late, r.Quantile(0.5).Milliseconds(), r.Quantile(0.95).Milliseconds(), r.HitRatio())
 }
 
-// perSecond returns the mean number of requests served in a second of a span.
+// perSecond returns the mean number of requests served per second between two instants.
 func (r Result) perSecond(from, to time.Duration) float64 {
 	first, last := int(from/time.Second), int(to/time.Second)
 	sum := 0
--- a/sim/route/run.go
+++ b/sim/route/run.go
@@ -1,7 +1,7 @@
-// Package route runs fronts that route by internal/decision/route, and plans by
-// internal/decision/plan, over model servers in virtual time. Fronts receive the
-// servers' status and the plan late, as from health checks and the feed. Equal
-// configurations give equal results.
+// Package route simulates, in virtual time, fronts that route requests to model servers.
+// The fronts route with internal/decision/route, by plans from internal/decision/plan.
+// Servers' status and plans reach the fronts with the delay of health checks and the feed.
+// Equal configurations give equal results.
 package route
 
 import (
@@ -20,44 +20,44 @@
 )
 
 const (
-	statusInterval = 500 * time.Millisecond
-	minStatusDelay = 250 * time.Millisecond
-	maxStatusDelay = minStatusDelay + 100*time.Millisecond
-	planPeriod     = 5 * time.Second
-	queueInterval  = 50 * time.Millisecond // between two checks of the fronts' queues
-	firstArrival   = time.Second
+	statusInterval     = 500 * time.Millisecond
+	minStatusDelay     = 250 * time.Millisecond
+	maxStatusDelay     = minStatusDelay + 100*time.Millisecond
+	planPeriod         = 5 * time.Second
+	queueCheckInterval = 50 * time.Millisecond // time between two checks of the fronts' queues
+	firstArrival       = time.Second
 
 	service          = "chat"
 	firstRegion      = "lagos"
 	secondRegion     = "abeokuta"
 	defaultMaxQueued = 256
-	warmAnswers      = 1000 // of a server that has answered before the run
+	warmStartAnswers = 1000 // answers given before the run by each server if Config.StartWarm is set
 )
 
-// Config configures one run. Instants count from the run's start; sizes spread evenly
-// from half to one and a half of their means.
+// Config configures one run. Instants are relative to the start of the run. Numbers of
+// tokens are distributed uniformly between half and one and a half times their mean.
 type Config struct {
 	Seed     uint64
 	Strategy route.Strategy
 	Policy   plan.Policy
-	Length   time.Duration // requests arrive until then
+	Length   time.Duration // requests arrive until this instant
 
 	Fronts       int
-	FrontWeights []float64 // shares of the clients; even if nil
-	MaxQueued    int       // at each front; defaults to 256
+	FrontWeights []float64 // relative shares of the clients; nil: equal shares
+	MaxQueued    int       // maximum number of requests that a front queues; defaults to 256
 	Servers      int
 	Server       ServerConfig
-	StartWarm    bool // servers have answered before the run, with no prefix cached yet
+	StartWarm    bool // servers are past slow start when the run begins, without cached prefixes
 
-	Rate          float64 // requests a second
-	Surge         float64 // multiplies the rate between SurgeFrom and SurgeTo
+	Rate          float64 // requests per second
+	Surge         float64 // factor of Rate between SurgeFrom and SurgeTo; 0: no surge
 	SurgeFrom     time.Duration
 	SurgeTo       time.Duration
 	Prefixes      int           // number of shared prompt prefixes
 	Skew          float64       // exponent of the prefixes' Zipf distribution
-	PrefixTokens  int           // mean
+	PrefixTokens  int           // mean tokens of a prefix
 	SessionTokens int           // mean tokens of a prompt after its prefix
-	OutputTokens  int           // mean
+	OutputTokens  int           // mean tokens of a response
 	Deadline      time.Duration // from a request's arrival
 
 	Faults []Fault
@@ -70,32 +70,32 @@
 	Kind   FaultKind
 }
 
-// FaultKind is what happens to a server.
+// FaultKind is the kind of a fault or of the recovery from one.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	Crash       FaultKind = "crash"
-	RestartCold FaultKind = "cold" // the server runs again, with empty caches
-	Drain       FaultKind = "drain"
-	Undrain     FaultKind = "undrain"
+	Crash       FaultKind = "crash"   // the process ends and interrupts its requests
+	RestartCold FaultKind = "cold"    // the process starts with an empty cache, cold for ServerConfig.ColdAnswers answers
+	Drain       FaultKind = "drain"   // the server reports that it is draining
+	Undrain     FaultKind = "undrain" // the server stops reporting it
 )
 
 // run is the state of one simulation.
 type run struct {
 	Config
-	random     *rand.Rand
-	now        time.Duration
-	events     eventqueue.Queue[time.Duration]
-	servers    []*server
-	byName     map[string]*server
-	fronts     []*front
-	frontNames []string
-	state      statemachine.State
-	plan       *wire.Plan
-	planNumber uint64
-	zipf       []float64 // cumulative weights of the prefixes
-	result     Result
+	random                  *rand.Rand
+	now                     time.Duration
+	events                  eventqueue.Queue[time.Duration]
+	servers                 []*server
+	serversByName           map[string]*server
+	fronts                  []*front
+	frontNames              []string
+	state                   statemachine.State
+	plan                    *wire.Plan
+	planNumber              uint64
+	cumulativePrefixWeights []float64 // cumulative weights of the prefixes
+	result                  Result
 }
 
 type front struct {
@@ -116,19 +116,19 @@
 	r.publishStatus()
 	r.checkQueues()
 	for _, fault := range r.Faults {
-		r.at(fault.At, func() { r.inject(fault) })
+		r.schedule(fault.At, func() { r.injectFault(fault) })
 	}
-	r.at(firstArrival, func() { r.arrive(0) })
-	r.runEvents(r.end())
+	r.schedule(firstArrival, func() { r.arrive(0) })
+	r.runEvents(r.endTime())
 	r.result.complete(r.servers)
 	return r.result
 }
 
 func newRun(config Config) *run {
 	r := &run{
-		Config: config,
-		random: rand.New(rand.NewPCG(config.Seed, 1)),
-		byName: map[string]*server{},
+		Config:        config,
+		random:        rand.New(rand.NewPCG(config.Seed, 1)),
+		serversByName: map[string]*server{},
 		state: statemachine.State{
 			Version:      1,
 			SheetVersion: 1,
@@ -142,13 +142,13 @@
 	sum := 0.0
 	for i := range config.Prefixes {
 		sum += 1 / math.Pow(float64(i+1), config.Skew)
-		r.zipf = append(r.zipf, sum)
+		r.cumulativePrefixWeights = append(r.cumulativePrefixWeights, sum)
 	}
 	return r
 }
 
-// addServers adds ten of eighteen servers in two zones of the first region, and the
-// others in the second.
+// addServers adds the servers: 10 of 18 alternate between the two zones of the first
+// region, the others are in the second region.
 func (r *run) addServers() {
 	for i := range r.Servers {
 		region, zone := firstRegion, []string{"a", "b"}[i%2]
@@ -157,14 +157,15 @@
 		}
 		s := newServer(r, fmt.Sprintf("m%02d", i), region, zone)
 		if r.StartWarm {
-			s.answered = warmAnswers
+			s.answered = warmStartAnswers
 		}
 		r.servers = append(r.servers, s)
-		r.byName[s.name] = s
+		r.serversByName[s.name] = s
 	}
 }
 
-// addFronts adds the fronts in turn to both zones of the first region and the second.
+// addFronts adds the fronts, assigned in turn to the two zones of the first region and to
+// the second region.
 func (r *run) addFronts() {
 	for i := range r.Fronts {
 		name := fmt.Sprintf("n%d", i)
@@ -185,10 +186,10 @@
 	}
 }
 
-// end returns the instant by which all requests have ended.
-func (r *run) end() time.Duration { return r.Length + r.Deadline }
+// endTime returns the instant of the last request's deadline.
+func (r *run) endTime() time.Duration { return r.Length + r.Deadline }
 
-// runEvents runs the events that are due until an instant, included.
+// runEvents runs the events up to and including an instant.
 func (r *run) runEvents(until time.Duration) {
 	for at, ok := r.events.Next(); ok && at <= until; at, ok = r.events.Next() {
 		instant, action := r.events.Pop()
@@ -197,15 +198,15 @@
 	}
 }
 
-func (r *run) at(at time.Duration, action func()) {
+func (r *run) schedule(at time.Duration, action func()) {
 	r.events.Schedule(max(at, r.now), action)
 }
 
-func (r *run) after(delay time.Duration, action func()) { r.at(r.now+delay, action) }
+func (r *run) scheduleAfter(delay time.Duration, action func()) { r.schedule(r.now+delay, action) }
 
 func (r *run) clock() time.Time { return origin.Add(r.now) }
 
-func (r *run) inject(fault Fault) {
+func (r *run) injectFault(fault Fault) {
 	s := r.servers[fault.Server]
 	switch fault.Kind {
 	case Crash:
@@ -219,8 +220,9 @@
 	}
 }
 
-// publishStatus acts as the health checks, the planner and the feed: each half second
-// it sends the servers' status to all fronts, delayed, and a plan when one is due.
+// publishStatus simulates the health checks, the planner and the feed: each
+// statusInterval it computes a new plan if one is due, and sends the servers' status and
+// the plan to all fronts, each with a random delay.
 func (r *run) publishStatus() {
 	statuses := map[string]*wire.ServerStatus{}
 	for _, s := range r.servers {
@@ -236,13 +238,13 @@
 	for _, f := range r.fronts {
 		spread := int((maxStatusDelay - minStatusDelay) / time.Millisecond)
 		delay := minStatusDelay + time.Duration(r.random.IntN(spread))*time.Millisecond
-		r.after(delay, func() {
+		r.scheduleAfter(delay, func() {
 			f.table.Update(view)
-			r.startReady(f)
+			r.startReadyRequests(f)
 		})
 	}
-	if r.now < r.end() {
-		r.after(statusInterval, r.publishStatus)
+	if r.now < r.endTime() {
+		r.scheduleAfter(statusInterval, r.publishStatus)
 	}
 }
 
@@ -265,18 +267,20 @@
 	}
 }
 
-// checkQueues starts queued requests whose servers became available by time alone.
+// checkQueues starts queued requests for which a server became available by the passage
+// of time alone, without an event at the front.
 func (r *run) checkQueues() {
 	for _, f := range r.fronts {
-		r.startReady(f)
+		r.startReadyRequests(f)
 	}
-	if r.now < r.end() {
-		r.after(queueInterval, r.checkQueues)
+	if r.now < r.endTime() {
+		r.scheduleAfter(queueCheckInterval, r.checkQueues)
 	}
 }
 
-// startReady starts or rejects the queued requests of a front that are ready.
-func (r *run) startReady(f *front) {
+// startReadyRequests starts or rejects the queued requests of a front that need not wait
+// any longer.
+func (r *run) startReadyRequests(f *front) {
 	for {
 		ready, ok := f.table.Next(r.clock())
 		if !ok {
--- a/sim/route/run_test.go
+++ b/sim/route/run_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	fullCap = 20
-	maxPeak = 2 * fullCap
+	capAfterSlowStart = 20
+	maxPeak           = 2 * capAfterSlowStart
 )
 
 var modelServer = ServerConfig{Slots: 16, Queue: 8, Prefill: 12000, Decode: 1600, DecodePerRequest: 120, CacheTokens: 120_000, ColdAnswers: 10, ColdSpeed: 0.5}
@@ -23,10 +23,10 @@
 		Prefixes: 200, Skew: 0.9, PrefixTokens: 3000, SessionTokens: 200, OutputTokens: 100, Deadline: 15 * time.Second, StartWarm: true}
 }
 
-// seeds gives the fixed seeds of CI, or 1 to STEPWICK_SEEDS.
+// seeds returns the seeds 1 to n, or 1 to STEPWICK_SEEDS if that is set.
 func seeds(n int) []uint64 {
-	if asked, err := strconv.Atoi(os.Getenv("STEPWICK_SEEDS")); err == nil {
-		n = asked
+	if requested, err := strconv.Atoi(os.Getenv("STEPWICK_SEEDS")); err == nil {
+		n = requested
 	}
 	var all []uint64
 	for i := range n {
@@ -35,8 +35,8 @@
 	return all
 }
 
-func crash(at int, server int) Fault { return Fault{time.Duration(at) * time.Second, server, Crash} }
-func cold(at int, server int) Fault {
+func crashAt(at int, server int) Fault { return Fault{time.Duration(at) * time.Second, server, Crash} }
+func restartCold(at int, server int) Fault {
 	return Fault{time.Duration(at) * time.Second, server, RestartCold}
 }
 
@@ -46,33 +46,33 @@
 		change func(*Config)
 		from   int
 	}{
-		{"all start cold", func(c *Config) { c.StartWarm = false }, 12},
-		{"cold return and second loss", func(c *Config) { c.Faults = []Fault{crash(20, 3), cold(30, 3), crash(33, 5)} }, 45},
-		{"the same in a crowd, with no bound at the servers", func(c *Config) {
+		{"all servers start cold", func(c *Config) { c.StartWarm = false }, 12},
+		{"crash, cold restart, then a crash of another server", func(c *Config) { c.Faults = []Fault{crashAt(20, 3), restartCold(30, 3), crashAt(33, 5)} }, 45},
+		{"crashes and a cold restart in a surge, servers' queues unbounded", func(c *Config) {
 			c.Server.Queue = 10000
 			c.Surge, c.SurgeFrom, c.SurgeTo = 10, 20*time.Second, 30*time.Second
-			c.Faults = []Fault{crash(15, 3), cold(22, 3), crash(25, 5)}
+			c.Faults = []Fault{crashAt(15, 3), restartCold(22, 3), crashAt(25, 5)}
 		}, 37},
-		{"a crowd of long answers", func(c *Config) {
+		{"surge of requests with long responses, one crash, servers' queues unbounded", func(c *Config) {
 			c.Server.Queue = 10000
 			c.OutputTokens, c.PrefixTokens = 400, 500
 			c.Surge, c.SurgeFrom, c.SurgeTo = 10, 20*time.Second, 30*time.Second
-			c.Faults = []Fault{crash(25, 5)}
+			c.Faults = []Fault{crashAt(25, 5)}
 		}, 37},
-		{"all replaced in turn", func(c *Config) {
+		{"rolling replacement of all servers", func(c *Config) {
 			for i := range 18 {
-				c.Faults = append(c.Faults, Fault{time.Duration(10+i*2) * time.Second, i, Drain}, crash(13+i*2, i),
-					Fault{time.Duration(14+i*2) * time.Second, i, Undrain}, cold(14+i*2, i))
+				c.Faults = append(c.Faults, Fault{time.Duration(10+i*2) * time.Second, i, Drain}, crashAt(13+i*2, i),
+					Fault{time.Duration(14+i*2) * time.Second, i, Undrain}, restartCold(14+i*2, i))
 			}
 		}, 57},
-		{"half lost at once and back cold", func(c *Config) {
+		{"half of the servers crash at once and restart cold", func(c *Config) {
 			for i := range 9 {
-				c.Faults = append(c.Faults, crash(20, i*2), cold(25, i*2))
+				c.Faults = append(c.Faults, crashAt(20, i*2), restartCold(25, i*2))
 			}
 		}, 37},
-		{"all clients at one zone's fronts", func(c *Config) { c.FrontWeights = []float64{1, 0, 0, 1, 0, 0, 1, 0, 0} }, 12},
+		{"all clients at the fronts of one zone", func(c *Config) { c.FrontWeights = []float64{1, 0, 0, 1, 0, 0, 1, 0, 0} }, 12},
 		{"all clients at one front", func(c *Config) { c.FrontWeights = []float64{1, 0, 0, 0, 0, 0, 0, 0, 0} }, 12},
-		{"one prefix in three requests of five", func(c *Config) { c.Skew = 2 }, 12},
+		{"one prefix in three of five requests", func(c *Config) { c.Skew = 2 }, 12},
 		{"eight prefixes", func(c *Config) { c.Prefixes = 8 }, 12},
 	}
 	for _, c := range cases {
@@ -82,7 +82,7 @@
 			result := Run(config)
 			peak := 0
 			for _, report := range result.Servers {
-				peak = max(peak, report.Peak)
+				peak = max(peak, report.PeakInFlight)
 			}
 			t.Logf("%s, seed %d: %v peak %d %v", c.name, seed, result, peak, result.Codes)
 			for _, v := range Check(config, result, maxPeak, time.Duration(c.from)*time.Second) {
@@ -92,47 +92,48 @@
 	}
 }
 
-// TestRestartBeforeDetection crashes servers that restart, cold, before any health
-// check has found them down. Until their new status arrives the fronts know of it only
-// by refused connections, so that the bound of slow start may be exceeded, but by few.
-func TestRestartBeforeDetection(t *testing.T) {
+// Guards against overload of a server that crashes and restarts cold before a health
+// check detects the crash. Until the fronts receive its new status they know of the crash
+// only by refused connections, so they may exceed the slow start cap, but only by a few
+// requests.
+func TestRestartBeforeDetectionExceedsSlowStartCapOnlySlightly(t *testing.T) {
 	const maxExcess = 8
 	worst := 0
 	for _, seed := range seeds(4) {
 		config := baseConfig(seed)
 		for i := range 6 {
-			config.Faults = append(config.Faults, crash(20+4*i, 3*i), Fault{time.Duration(20+4*i)*time.Second + 200*time.Millisecond, 3 * i, RestartCold})
+			config.Faults = append(config.Faults, crashAt(20+4*i, 3*i), Fault{time.Duration(20+4*i)*time.Second + 200*time.Millisecond, 3 * i, RestartCold})
 		}
 		for _, report := range Run(config).Servers {
-			worst = max(worst, report.MaxExcess)
-			if report.MaxExcess > maxExcess {
-				t.Errorf("seed %d: %s had %d in flight beyond its ramp", seed, report.Server, report.MaxExcess)
+			worst = max(worst, report.MaxOverSlowStart)
+			if report.MaxOverSlowStart > maxExcess {
+				t.Errorf("seed %d: %s had %d requests in flight over the slow start cap", seed, report.Server, report.MaxOverSlowStart)
 			}
 		}
 	}
-	t.Logf("at most %d beyond the ramp", worst)
+	t.Logf("at most %d requests over the slow start cap", worst)
 }
 
 func TestCheckerFindsFloods(t *testing.T) {
 	config := baseConfig(1)
-	config.Faults = []Fault{crash(20, 3), cold(22, 3)}
-	config.Policy = plan.Policy{SlowStartCap: fullCap}
+	config.Faults = []Fault{crashAt(20, 3), restartCold(22, 3)}
+	config.Policy = plan.Policy{SlowStartCap: capAfterSlowStart}
 	if len(Check(config, Run(config), maxPeak, 45*time.Second)) == 0 {
-		t.Error("a server without a ramp was not seen to be flooded")
+		t.Error("no violation reported with slow start disabled")
 	}
 	config = baseConfig(1)
 	config.Server.Queue = 10000
 	config.Surge, config.SurgeFrom, config.SurgeTo = 10, 20*time.Second, 30*time.Second
 	config.Policy = plan.Policy{QueueFraction: 10}
 	if len(Check(config, Run(config), maxPeak, 45*time.Second)) == 0 {
-		t.Error("servers without a cap were not seen to be flooded")
+		t.Error("no violation reported with a QueueFraction of 10")
 	}
 	config = baseConfig(1)
 	for i := range 18 {
-		config.Faults = append(config.Faults, crash(30, i))
+		config.Faults = append(config.Faults, crashAt(30, i))
 	}
 	if len(Check(config, Run(config), maxPeak, 45*time.Second)) == 0 {
-		t.Error("a fleet without servers was not seen to serve nothing")
+		t.Error("no violation reported after all servers crashed")
 	}
 }
 
@@ -146,20 +147,20 @@
 				results[strategy] = Run(config)
 				t.Logf("%.0f/s seed %d %s: %v", rate, seed, strategy, results[strategy])
 			}
-			for _, base := range []route.Strategy{route.RoundRobin, route.LeastLoaded} {
-				a, b := results[route.Affinity], results[base]
-				if a.HitRatio() <= b.HitRatio() || a.Quantile(0.5) > b.Quantile(0.5) || a.Quantile(0.95) >= b.Quantile(0.95) || a.Served < b.Served {
-					t.Errorf("%.0f/s seed %d: affinity %v, %s %v", rate, seed, a, base, b)
+			for _, baseline := range []route.Strategy{route.RoundRobin, route.LeastLoaded} {
+				affinity, other := results[route.Affinity], results[baseline]
+				if affinity.HitRatio() <= other.HitRatio() || affinity.Quantile(0.5) > other.Quantile(0.5) || affinity.Quantile(0.95) >= other.Quantile(0.95) || affinity.Served < other.Served {
+					t.Errorf("%.0f/s seed %d: affinity %v, %s %v", rate, seed, affinity, baseline, other)
 				}
 			}
 		}
 	}
 }
 
-func TestEqualRunsAreEqual(t *testing.T) {
+func TestEqualConfigsGiveEqualResults(t *testing.T) {
 	config := baseConfig(1)
-	config.Faults = []Fault{crash(20, 3), cold(30, 3)}
+	config.Faults = []Fault{crashAt(20, 3), restartCold(30, 3)}
 	if !reflect.DeepEqual(Run(config), Run(config)) {
-		t.Error("equal runs differ")
+		t.Error("two runs of the same configuration differ")
 	}
 }
--- a/sim/route/server.go
+++ b/sim/route/server.go
@@ -9,38 +9,40 @@
 	"stepwick/internal/wire"
 )
 
-// firstCap is the bound of a server's requests in flight at the begin of slow start.
-const firstCap = 2
+// initialSlowStartCap is the maximum number of requests in flight at a server that has not
+// answered any request since its start.
+const initialSlowStartCap = 2
 
 // ServerConfig configures the model servers.
 type ServerConfig struct {
-	Slots            int     // requests that decode at once
-	Queue            int     // requests that wait for a slot
-	Prefill          float64 // prompt tokens a second
-	Decode           float64 // tokens a second over the batch
-	DecodePerRequest float64 // tokens a second for one request at most
-	CacheTokens      int     // size of the KV cache
+	Slots            int     // maximum number of requests being processed
+	Queue            int     // maximum number of requests that wait for a slot
+	Prefill          float64 // prompt tokens per second
+	Decode           float64 // output tokens per second, all requests together
+	DecodePerRequest float64 // maximum output tokens per second of one request
+	CacheTokens      int     // capacity of the KV cache
 
-	// Until a server has given ColdAnswers answers after a restart it works at the
-	// fraction ColdSpeed of its speed.
+	// After a restart a server is cold until it has answered ColdAnswers requests. A
+	// cold server runs at the fraction ColdSpeed of its speed.
 	ColdAnswers uint64
 	ColdSpeed   float64
 }
 
 // ServerReport counts the requests of one server.
 type ServerReport struct {
-	Server        string
-	Peak          int // most requests in flight
-	PeakCold      int // most in flight during slow start after a restart
-	OverSlowStart int // arrivals beyond the bound of slow start
-	MaxExcess     int // most requests by which that bound was exceeded
-	Busy          int
-	Served        int
-	Hits          int
-	Misses        int
+	Server                string
+	PeakInFlight          int // maximum number of requests in flight
+	PeakAfterRestart      int // maximum number of requests in flight during slow start after a restart
+	ArrivalsOverSlowStart int // requests that arrived over the slow start cap
+	MaxOverSlowStart      int // maximum number of requests in flight over that cap
+	RejectedBusy          int // rejected because all slots and the queue were full
+	Served                int
+	Hits                  int // prefills with a cached prefix
+	Misses                int // prefills without a cached prefix
 }
 
-// server is a model server in virtual time: one prefill at a time, decode in a batch.
+// server simulates a model server that prefills one prompt at a time and decodes all
+// requests with a slot as a batch.
 type server struct {
 	name   string
 	region string
@@ -49,16 +51,16 @@
 	run    *run
 	report ServerReport
 
-	up          bool
-	draining    bool
-	incarnation uint64
-	answered    uint64
-	warmAfter   uint64 // answers
-	prefillFree time.Duration
-	cache       prefixCache
-	inFlight    map[*request]bool
-	decoding    map[*request]bool // have a slot, as a part of inFlight
-	queue       []*request
+	up               bool
+	draining         bool
+	incarnation      uint64
+	answered         uint64        // requests answered by this incarnation
+	warmAfterAnswers uint64        // the server is cold until answered reaches it
+	prefillFreeAt    time.Duration // end of the last scheduled prefill
+	cache            prefixCache
+	inFlight         map[*request]bool
+	decoding         map[*request]bool // the requests of inFlight that have a slot
+	queue            []*request        // the requests of inFlight that wait for a slot
 }
 
 func newServer(r *run, name, region, zone string) *server {
@@ -75,21 +77,21 @@
 	return s
 }
 
-// boot starts a new incarnation that is cold for a number of answers.
+// boot starts a new incarnation that is cold for its first coldAnswers answers.
 func (s *server) boot(coldAnswers uint64) {
 	s.up = true
 	s.incarnation++
 	s.answered = 0
-	s.warmAfter = coldAnswers
+	s.warmAfterAnswers = coldAnswers
 	s.decoding = map[*request]bool{}
 	s.queue = nil
-	s.prefillFree = 0
+	s.prefillFreeAt = 0
 	s.cache = newPrefixCache(s.config.CacheTokens)
 }
 
-func (s *server) cold() bool { return s.answered < s.warmAfter }
+func (s *server) cold() bool { return s.answered < s.warmAfterAnswers }
 
-// speed returns the fraction of its speed that the server works at.
+// speed returns the current fraction of the server's full speed.
 func (s *server) speed() float64 {
 	if s.cold() {
 		return s.config.ColdSpeed
@@ -134,61 +136,64 @@
 		return
 	}
 	if len(s.decoding) >= s.config.Slots && len(s.queue) >= s.config.Queue {
-		s.report.Busy++
+		s.report.RejectedBusy++
 		s.run.finishAttempt(req, req.attempt.number, busy)
 		return
 	}
 	s.inFlight[req] = true
-	s.countInFlight()
+	s.recordInFlight()
 	s.queue = append(s.queue, req)
 	s.startQueued()
 }
 
-// countInFlight compares the requests in flight to the bounds of slow start.
-func (s *server) countInFlight() {
+// recordInFlight records the number of requests in flight and compares it with the slow
+// start cap.
+func (s *server) recordInFlight() {
 	count := len(s.inFlight)
-	s.report.Peak = max(s.report.Peak, count)
+	s.report.PeakInFlight = max(s.report.PeakInFlight, count)
 	if s.answered >= uint64(s.config.Slots) {
 		return
 	}
 	if s.incarnation > 1 {
-		s.report.PeakCold = max(s.report.PeakCold, count)
+		s.report.PeakAfterRestart = max(s.report.PeakAfterRestart, count)
 	}
-	if allowed := firstCap + int(s.answered); count > allowed {
-		s.report.OverSlowStart++
-		s.report.MaxExcess = max(s.report.MaxExcess, count-allowed)
+	if allowed := initialSlowStartCap + int(s.answered); count > allowed {
+		s.report.ArrivalsOverSlowStart++
+		s.report.MaxOverSlowStart = max(s.report.MaxOverSlowStart, count-allowed)
 	}
 }
 
-// startQueued starts queued requests while there are free slots.
+// startQueued assigns free slots to queued requests.
 func (s *server) startQueued() {
 	for len(s.queue) > 0 && len(s.decoding) < s.config.Slots {
 		req := s.queue[0]
 		s.queue = s.queue[1:]
 		s.decoding[req] = true
-		s.start(req)
+		s.process(req)
 	}
 }
 
-// start schedules the first token and the end of a request.
-func (s *server) start(req *request) {
-	s.prefillFree = max(s.prefillFree, s.run.now) + seconds(s.prefillTokens(req)/(s.config.Prefill*s.speed()))
+// process schedules the first token and the end of a request. The decode rate is fixed at
+// its start, from the number of requests with a slot at that time.
+func (s *server) process(req *request) {
+	s.prefillFreeAt = max(s.prefillFreeAt, s.run.now) + seconds(s.prefillTokens(req)/(s.config.Prefill*s.speed()))
 	decodeRate := min(s.config.DecodePerRequest, s.config.Decode/float64(len(s.decoding))) * s.speed()
-	firstToken := s.prefillFree + seconds(1/decodeRate)
+	firstToken := s.prefillFreeAt + seconds(1/decodeRate)
 	incarnation, number := s.incarnation, req.attempt.number
-	s.run.at(firstToken, func() {
+	s.run.schedule(firstToken, func() {
 		if s.up && s.incarnation == incarnation {
 			s.run.receiveFirstToken(req, number)
 		}
 	})
-	s.run.at(firstToken+seconds(float64(req.outputTokens)/decodeRate), func() {
+	s.run.schedule(firstToken+seconds(float64(req.outputTokens)/decodeRate), func() {
 		if s.up && s.incarnation == incarnation {
 			s.finish(req, number)
 		}
 	})
 }
 
-// prefillTokens returns the tokens of a request's prompt that are not cached.
+// prefillTokens returns the number of prompt tokens that are not cached, and caches the
+// prefix.
 func (s *server) prefillTokens(req *request) float64 {
 	if s.cache.lookUpOrAdd(req.prefix, req.prefixTokens) {
 		s.report.Hits++
@@ -198,7 +203,7 @@
 	return float64(req.sessionTokens) + float64(req.prefixTokens)
 }
 
-// cancel ends a request and reports whether it was in flight.
+// cancel removes a request and reports whether it was in flight.
 func (s *server) cancel(req *request) bool {
 	if !s.inFlight[req] {
 		return false
@@ -222,14 +227,14 @@
 	s.startQueued()
 }
 
-// crash ends the process and interrupts all of its requests.
+// crash stops the server and interrupts all of its requests.
 func (s *server) crash() {
 	s.up = false
-	lost := s.inFlight
+	interruptedRequests := s.inFlight
 	s.inFlight = map[*request]bool{}
 	s.decoding = map[*request]bool{}
 	s.queue = nil
-	for _, req := range sortedByID(lost) {
+	for _, req := range sortedByID(interruptedRequests) {
 		s.run.finishAttempt(req, req.attempt.number, interrupted)
 	}
 }
@@ -243,13 +248,12 @@
 	return sorted
 }
 
-// prefixCache is a KV cache of a bounded number of tokens that evicts the least
-// recently used prefix first.
+// prefixCache is an LRU cache of prompt prefixes with a capacity in tokens.
 type prefixCache struct {
-	maxTokens int
-	tokens    int
-	entries   map[uint64]*list.Element
-	recent    *list.List // of cachedPrefix, the most recently used first
+	maxTokens    int
+	tokens       int
+	entries      map[uint64]*list.Element
+	recentlyUsed *list.List // of cachedPrefix, most recently used first
 }
 
 type cachedPrefix struct {
@@ -259,28 +263,28 @@
 
 func newPrefixCache(maxTokens int) prefixCache {
 	return prefixCache{
-		maxTokens: maxTokens,
-		entries:   map[uint64]*list.Element{},
-		recent:    list.New(),
+		maxTokens:    maxTokens,
+		entries:      map[uint64]*list.Element{},
+		recentlyUsed: list.New(),
 	}
 }
 
-// lookUpOrAdd reports whether a prefix is cached, and adds it if not.
+// lookUpOrAdd reports whether a prefix is cached, and adds it if it is not.
 func (c *prefixCache) lookUpOrAdd(prefix uint64, tokens int) bool {
 	if entry := c.entries[prefix]; entry != nil {
-		c.recent.MoveToFront(entry)
+		c.recentlyUsed.MoveToFront(entry)
 		return true
 	}
-	for c.tokens+tokens > c.maxTokens && c.recent.Len() > 0 {
-		c.evict(c.recent.Back())
+	for c.tokens+tokens > c.maxTokens && c.recentlyUsed.Len() > 0 {
+		c.evict(c.recentlyUsed.Back())
 	}
-	c.entries[prefix] = c.recent.PushFront(cachedPrefix{prefix, tokens})
+	c.entries[prefix] = c.recentlyUsed.PushFront(cachedPrefix{prefix, tokens})
 	c.tokens += tokens
 	return false
 }
 
 func (c *prefixCache) evict(entry *list.Element) {
-	c.recent.Remove(entry)
+	c.recentlyUsed.Remove(entry)
 	evicted := entry.Value.(cachedPrefix)
 	delete(c.entries, evicted.prefix)
 	c.tokens -= evicted.tokens
