--- a/sim/quota/front.go
+++ b/sim/quota/front.go
@@ -28,7 +28,7 @@
 	resumedAt        time.Duration         // end of the last freeze; 0: none
 	sentSinceTick    map[string]bool       // owners to which counts were sent since the last tick
 	inFlight         map[string]int        // number of exchanges in flight, by owner
-	unansweredSince  map[int]time.Duration // start of the oldest unanswered direct exchange, by owner
+	unansweredSince  map[int]time.Duration // start of the oldest unanswered direct exchange or, if later, time of the last Suspect; by owner
 	pending          []pendingRequest
 	untilNextArrival float64       // demand, in requests, that remains until the next arrival
 	counterBusyUntil time.Duration // time when the counter will have handled all queued AddRequests
--- a/sim/quota/relay.go
+++ b/sim/quota/relay.go
@@ -37,8 +37,8 @@
 	return noRelay
 }
 
-// relayRefuses reports whether the relay refuses to forward the request because it finds
-// the owner unresponsive itself.
+// relayRefuses reports whether the relay refuses to forward the request because the owner
+// is not on its roster or is unresponsive to its own pings.
 func (x *exchange) relayRefuses() bool {
 	r := x.run
 	live, unresponsive := r.membership(x.relay)
@@ -91,7 +91,7 @@
 }
 
 // recordUnanswered records the start of a direct exchange, unless an older one with the
-// same owner is still unanswered.
+// same owner is recorded.
 func (x *exchange) recordUnanswered() {
 	unansweredSince := x.run.fronts[x.from].unansweredSince
 	if _, recorded := unansweredSince[x.to]; x.relay == noRelay && x.request != nil && !recorded {
