--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -75,7 +75,7 @@
 
 // runEvents runs the events that are due before an instant, in milliseconds.
 func (r *run) runEvents(until float64) {
-	for at, ok := r.events.Next(); ok && at < until; at, ok = r.events.Next() {
+	for at, ok := r.events.NextTime(); ok && at < until; at, ok = r.events.NextTime() {
 		instant, action := r.events.Pop()
 		r.now = instant
 		action()
--- a/sim/eventqueue/eventqueue.go
+++ b/sim/eventqueue/eventqueue.go
@@ -20,9 +20,9 @@
 	heap.Push(&q.events, event[T]{at: at, sequence: q.sequence, action: action})
 }
 
-// Next returns the instant of the earliest event without removing it, or false if the
+// NextTime returns the instant of the earliest event without removing it, or false if the
 // queue is empty.
-func (q *Queue[T]) Next() (at T, ok bool) {
+func (q *Queue[T]) NextTime() (at T, ok bool) {
 	if len(q.events) == 0 {
 		return at, false
 	}
--- a/sim/eventqueue/eventqueue_test.go
+++ b/sim/eventqueue/eventqueue_test.go
@@ -13,7 +13,7 @@
 	queue.Schedule(1, record("first"))
 	queue.Schedule(1, record("second"))
 	queue.Schedule(0, record("early"))
-	for at, ok := queue.Next(); ok; at, ok = queue.Next() {
+	for at, ok := queue.NextTime(); ok; at, ok = queue.NextTime() {
 		popped, action := queue.Pop()
 		if popped != at {
 			t.Errorf("Pop returned an event at %d, Next had returned %d", popped, at)
--- a/sim/paxos/random.go
+++ b/sim/paxos/random.go
@@ -84,7 +84,7 @@
 // rule is violated or agreementTimeoutMS is over.
 func (s *simulation) runEvents() {
 	for s.outcome.Violation == "" && s.nowMS < s.faults.FaultsUntilMS+agreementTimeoutMS {
-		if _, ok := s.events.Next(); !ok {
+		if _, ok := s.events.NextTime(); !ok {
 			return
 		}
 		instant, action := s.events.Pop()
--- a/sim/quota/fleet.go
+++ b/sim/quota/fleet.go
@@ -102,7 +102,7 @@
 	for _, burst := range f.Bursts {
 		r.after(burst.At, func() { r.arriveBurst(burst) })
 	}
-	for at, ok := r.events.Next(); ok && at <= f.Length; at, ok = r.events.Next() {
+	for at, ok := r.events.NextTime(); ok && at <= f.Length; at, ok = r.events.NextTime() {
 		instant, action := r.events.Pop()
 		r.now = instant
 		action()
--- a/sim/route/run.go
+++ b/sim/route/run.go
@@ -191,7 +191,7 @@
 
 // runEvents runs the events up to and including an instant.
 func (r *run) runEvents(until time.Duration) {
-	for at, ok := r.events.Next(); ok && at <= until; at, ok = r.events.Next() {
+	for at, ok := r.events.NextTime(); ok && at <= until; at, ok = r.events.NextTime() {
 		instant, action := r.events.Pop()
 		r.now = instant
 		action()
