--- a/cmd/rig/faultcase/capacity.go
+++ b/cmd/rig/faultcase/capacity.go
@@ -10,7 +10,7 @@
 }
 
 // crashDuringWarmUp crashes a model server, and a second one while the first
-// warms up again.
+// warms up after its restart.
 func crashDuringWarmUp(r *Run) error {
 	start := r.Recorder.Now()
 	r.Callers.SetLoadFactor("", 1.5)
@@ -35,12 +35,12 @@
 	return nil
 }
 
-// replaceZoneServers replaces the model servers of a zone one after another.
+// replaceZoneServers replaces the model servers of one zone in turn.
 func replaceZoneServers(r *Run) error {
 	start := r.Recorder.Now()
 	zone := r.Fleet.Spec.Models[r.Random.IntN(len(r.Fleet.Spec.Models))]
 	for r.hasTimeLeft(start) {
-		_, servers := r.inZone(zone)
+		_, servers := r.zoneMembers(zone)
 		for _, name := range servers {
 			if r.Fleet.Model(name) == nil || !r.hasTimeLeft(start) {
 				continue
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// burstOfCalls raises the load tenfold at once, and later the share of long
-// answers.
+// burstOfCalls raises the load of two tenants tenfold without a ramp, and later
+// shifts the load from long prompts to long answers.
 func burstOfCalls(r *Run) error {
 	r.Wait(6 * time.Second)
 	r.Recorder.AddAction("crowd tenfold", false)
--- a/cmd/rig/faultcase/cases.go
+++ b/cmd/rig/faultcase/cases.go
@@ -3,10 +3,10 @@
 // Case injects one kind of fault.
 type Case struct {
 	Name      string
-	Group     int // number in the users' list of what must never happen
+	Group     int // number of the forbidden outcome that the case tries to provoke, 1 to 8
 	Help      string
-	Seconds   int            // the usual length
-	Configure func(*Options) // changes the options before the start; nil for none
+	Seconds   int            // default length
+	Configure func(*Options) // adjusts the options before the fleet starts; may be nil
 	Run       func(*Run) error
 }
 
@@ -16,143 +16,143 @@
 // ChecksQuotas reports whether the case is about quotas.
 func (c Case) ChecksQuotas() bool { return c.Group == quotaGroup }
 
-// Cases are all cases, in the order of their groups. Faults also have two other
-// tables: those that the mix draws at random (randomFaults) and those that a
-// scenario's file may name (faultTargets, caused by Run.causeFault). What a single
-// server does wrong is in package emulator.
+// Cases lists all cases in the order of their groups. Two other tables list faults:
+// randomFaults, from which the case mix draws, and faultTargets, the kinds that a
+// scenario file may name (applied by Run.applyFault). Package emulator implements
+// the faults of a single server.
 var Cases = []Case{
 	{
 		Name:    "shots_reset",
 		Group:   1,
-		Help:    "web servers reset kept-alive connections before reading, before and after running, truncate and cross answers",
+		Help:    "web servers reset kept-alive connections before reading, before and after running, truncate answers and send those of other requests",
 		Seconds: 20,
 		Run:     oneShotsReset,
 	},
 	{
 		Name:    "shots_fronts",
 		Group:   1,
-		Help:    "fronts killed and frozen 5 s in the middle of one-shots",
+		Help:    "fronts killed, and nodes frozen for 5 s, during one-shot requests",
 		Seconds: 25,
 		Run:     oneShotsThroughFaultyFronts,
 	},
 	{
 		Name:    "shots_deadline",
 		Group:   1,
-		Help:    "dark web servers, full pending, deadlines that pass while waiting",
+		Help:    "unresponsive web servers, full queues, deadlines that expire in a queue",
 		Seconds: 25,
 		Run:     oneShotsPastDeadline,
 	},
 	{
 		Name:    "streams_faults",
 		Group:   2,
-		Help:    "model servers end early, leave out, repeat and cross events, answer under other ids",
+		Help:    "model servers end streams early, drop, repeat and mix up events, and answer under wrong ids",
 		Seconds: 20,
 		Run:     streamsFaults,
 	},
 	{
 		Name:    "streams_crash",
 		Group:   2,
-		Help:    "model servers crash and go dark, fronts are killed, callers are slow or leave",
+		Help:    "model servers crash or stop responding, fronts are killed, callers read slowly or disconnect",
 		Seconds: 25,
 		Run:     streamsCrash,
 	},
 	{
 		Name:    "orders_kills",
 		Group:   3,
-		Help:    "changes in quick succession with every core killed and restarted, then read back",
+		Help:    "changes in quick succession while every core is killed and restarted, then read back",
 		Seconds: 40,
 		Run:     ordersKills,
 	},
 	{
 		Name:    "orders_wipe",
 		Group:   3,
-		Help:    "an acknowledged order followed at once by a wiped disk on one core, then on another after repair",
+		Help:    "each acknowledged order is followed at once by a wipe of one core's disk, a different core after each recovery",
 		Seconds: 40,
 		Run:     ordersWipe,
 	},
 	{
 		Name:      "orders_disk",
 		Group:     3,
-		Help:      "one core with a full disk, then one 2 s slow a sync, with torn tails",
+		Help:      "one core with a full disk, then one whose syncs take 2 s, with torn log tails",
 		Seconds:   40,
-		Configure: limitOneDisk,
+		Configure: limitDiskOfCore1,
 		Run:       ordersDisk,
 	},
 	{
 		Name:      "orders_disks",
 		Group:     3,
-		Help:      "one core with a full disk and one 2 s slow a sync at once",
+		Help:      "one core with a full disk and one whose syncs take 2 s, at the same time",
 		Seconds:   45,
-		Configure: limitOneDisk,
+		Configure: limitDiskOfCore1,
 		Run:       ordersDisks,
 	},
 	{
 		Name:    "orders_race",
 		Group:   3,
-		Help:    "two operators on one base at all cores at once, with lost answers and cuts",
+		Help:    "two operators submit changes of the same base to all cores at once, with lost answers and partitions",
 		Seconds: 30,
 		Run:     ordersRace,
 	},
 	{
 		Name:    "orders_invalid",
 		Group:   3,
-		Help:    "invalid and very large sheets among good ones",
+		Help:    "invalid sheets alternating with valid, very large ones",
 		Seconds: 20,
 		Run:     ordersInvalid,
 	},
 	{
 		Name:    "force_node",
 		Group:   4,
-		Help:    "one node cut off in silence for 20 s while keys are revoked",
+		Help:    "one node partitioned for 20 s, connections hang, while keys are revoked",
 		Seconds: 40,
 		Run:     partitionNode,
 	},
 	{
 		Name:    "force_core",
 		Group:   4,
-		Help:    "one core cut off in silence for 20 s while keys are revoked",
+		Help:    "one core partitioned for 20 s, connections hang, while keys are revoked",
 		Seconds: 40,
 		Run:     partitionCore,
 	},
 	{
 		Name:    "force_zone",
 		Group:   4,
-		Help:    "a zone cut off in silence for 20 s while keys are revoked",
+		Help:    "one zone partitioned for 20 s, connections hang, while keys are revoked",
 		Seconds: 40,
 		Run:     partitionZone,
 	},
 	{
 		Name:    "force_cores",
 		Group:   4,
-		Help:    "two cores and two fronts cut off from the rest in silence",
+		Help:    "two cores and two fronts partitioned from the rest, connections hang",
 		Seconds: 40,
 		Run:     partitionTwoCores,
 	},
 	{
 		Name:    "force_freeze",
 		Group:   4,
-		Help:    "nodes frozen and thawed, restarted into a partition",
+		Help:    "nodes frozen and resumed, others restarted in a partition",
 		Seconds: 40,
 		Run:     freezeDuringChanges,
 	},
 	{
 		Name:    "drain",
 		Group:   5,
-		Help:    "servers drain and leave, with a core and a front killed in the same second",
+		Help:    "servers drain and leave, and a core and a front are killed in the same second",
 		Seconds: 30,
 		Run:     drainServers,
 	},
 	{
 		Name:    "evacuate",
 		Group:   5,
-		Help:    "a zone is evacuated and taken back, with a core and a front killed in the same second",
+		Help:    "a zone is evacuated and restored, and a core and a front are killed in the same second as the evacuation",
 		Seconds: 35,
 		Run:     evacuateZone,
 	},
 	{
 		Name:      "cold_start",
 		Group:     6,
-		Help:      "all servers begin cold, model and web",
+		Help:      "all model and web servers start cold",
 		Seconds:   25,
 		Configure: startServersWarmingUp,
 		Run:       serveDuringWarmUp,
@@ -160,7 +160,7 @@
 	{
 		Name:    "cold",
 		Group:   6,
-		Help:    "a server comes back cold; a second one is lost right after",
+		Help:    "a server returns cold and a second one crashes while the first warms up",
 		Seconds: 40,
 		Run:     crashDuringWarmUp,
 	},
@@ -174,21 +174,21 @@
 	{
 		Name:    "crowd",
 		Group:   6,
-		Help:    "a crowd tenfold at once; long prompts turn to long answers",
+		Help:    "a sudden tenfold load, then a shift to long answers",
 		Seconds: 30,
 		Run:     burstOfCalls,
 	},
 	{
 		Name:    "tally_tenfold",
 		Group:   7,
-		Help:    "one tenant asks tenfold, clients move between zones",
+		Help:    "one tenant sends tenfold load, callers move between zones",
 		Seconds: 50,
 		Run:     quotaExcess,
 	},
 	{
 		Name:      "tally_restart",
 		Group:     7,
-		Help:      "nodes killed and restarted in turn under excess demand, one clock wrong",
+		Help:      "nodes killed and restarted in turn under excess demand, one clock wrong by 37 s",
 		Seconds:   50,
 		Configure: stepOneClock,
 		Run:       quotaRestarts,
@@ -196,21 +196,21 @@
 	{
 		Name:    "tally_cut",
 		Group:   7,
-		Help:    "a region cut off under excess demand",
+		Help:    "a region partitioned under excess demand",
 		Seconds: 50,
 		Run:     quotaPartition,
 	},
 	{
 		Name:    "rolling",
 		Group:   8,
-		Help:    "machines stopped and restarted in turn; each leaves by itself and cuts nothing",
+		Help:    "nodes stopped and restarted in turn; each must exit cleanly and break no stream",
 		Seconds: 50,
 		Run:     rollingRestart,
 	},
 	{
 		Name:    "final_nodes",
 		Group:   8,
-		Help:    "half of the nodes killed at once",
+		Help:    "four of nine nodes killed at once",
 		Seconds: 30,
 		Run:     finalNodes,
 	},
@@ -224,21 +224,21 @@
 	{
 		Name:    "final_zone",
 		Group:   8,
-		Help:    "one zone gone with its nodes and servers",
+		Help:    "all nodes and servers of one zone killed",
 		Seconds: 30,
 		Run:     finalZone,
 	},
 	{
 		Name:    "final_region",
 		Group:   8,
-		Help:    "one region cut off",
+		Help:    "one region partitioned",
 		Seconds: 30,
 		Run:     finalRegion,
 	},
 	{
 		Name:    "final_rolling",
 		Group:   8,
-		Help:    "half of the nodes killed right after a rolling restart",
+		Help:    "four of nine nodes killed after a rolling restart",
 		Seconds: 60,
 		Run:     finalRolling,
 	},
@@ -251,14 +251,14 @@
 	},
 }
 
-// Find returns a case by name.
+// Find returns the case of Cases with a name, or RollingUpgrade.
 func Find(name string) (Case, bool) {
 	if name == RollingUpgrade.Name {
 		return RollingUpgrade, true
 	}
-	for _, known := range Cases {
-		if known.Name == name {
-			return known, true
+	for _, candidate := range Cases {
+		if candidate.Name == name {
+			return candidate, true
 		}
 	}
 	return Case{}, false
--- a/cmd/rig/faultcase/cases_test.go
+++ b/cmd/rig/faultcase/cases_test.go
@@ -9,17 +9,17 @@
 )
 
 func TestCases(t *testing.T) {
-	Convey("Cases have names of their own and cover every group", t, func() {
+	Convey("Case names are unique and the cases cover every group", t, func() {
 		seen, groups := map[string]bool{}, map[int]bool{}
-		for _, c := range Cases {
-			So(seen[c.Name], ShouldBeFalse)
-			seen[c.Name], groups[c.Group] = true, true
+		for _, testCase := range Cases {
+			So(seen[testCase.Name], ShouldBeFalse)
+			seen[testCase.Name], groups[testCase.Group] = true, true
 		}
 		for group := 1; group <= 8; group++ {
 			So(groups[group], ShouldBeTrue)
 		}
 	})
-	Convey("The scenarios beside the program parse, and unknown words don't", t, func() {
+	Convey("The scenario files of the rig parse; a length out of range, an unknown field or an unknown fault is rejected", t, func() {
 		files, err := filepath.Glob("../scenarios/*.yaml")
 		So(err, ShouldBeNil)
 		So(files, ShouldNotBeEmpty)
--- a/cmd/rig/faultcase/disks.go
+++ b/cmd/rig/faultcase/disks.go
@@ -14,16 +14,14 @@
 const (
 	diskChangeInterval = 20 * time.Millisecond
 	recoveryTimeout    = 20 * time.Second
-	afterRecovery      = 2 * time.Second // after a core has recovered
+	pauseAfterRecovery = 2 * time.Second // until the sheet is read and the next core is wiped
 
-	// largeChangeEvery is how many changes there are for each that adds many
-	// tenants, and tenantsPerLargeChange how many it adds.
-	largeChangeEvery      = 4
+	changesPerLargeChange = 4 // changes for each one that adds many tenants
 	tenantsPerLargeChange = 60
-	maxExtraTenants       = 900
+	maxExtraTenants       = 900 // different names; later changes overwrite them
 )
 
-// ordersWipe wipes the disk of one core after another, each right after an
+// ordersWipe wipes the disks of the cores in turn, each immediately after an
 // acknowledged order.
 func ordersWipe(r *Run) error {
 	start := r.Recorder.Now()
@@ -31,7 +29,7 @@
 	for round := uint64(0); r.hasTimeLeft(start); round++ {
 		acknowledged, version := r.submit(r.Operators.Change(firstOperator, base), round, orderTimeout)
 		if !acknowledged {
-			return errors.Errorf("round %d: the order was not accepted within 15 s", round)
+			return errors.Errorf("round %d: the order was not acknowledged within %s", round, orderTimeout)
 		}
 		base = version
 		cores := r.Fleet.Cores()
@@ -39,8 +37,8 @@
 		if err := r.wipeAndRestart(core); err != nil {
 			return err
 		}
-		if !r.isRecovered(core) {
-			return errors.Errorf("round %d: %s was not repaired within 20 s", round, core.Name)
+		if !r.awaitRecovery(core) {
+			return errors.Errorf("round %d: %s did not serve the newest sheet within %s of its restart on a wiped disk", round, core.Name, recoveryTimeout)
 		}
 		r.readThroughAll(false)
 	}
@@ -56,68 +54,70 @@
 	return core.Start()
 }
 
-// isRecovered waits until a restarted core uses the newest sheet, and a little
-// longer.
-func (r *Run) isRecovered(core *fleet.Node) bool {
-	return r.servesNewestSheet(core, recoveryTimeout) && r.Wait(afterRecovery)
+// awaitRecovery waits until a restarted core serves by the newest sheet, and then for
+// pauseAfterRecovery.
+func (r *Run) awaitRecovery(core *fleet.Node) bool {
+	return r.awaitNewestSheet(core, recoveryTimeout) && r.Wait(pauseAfterRecovery)
 }
 
-// limitOneDisk gives the first core a small disk.
-func limitOneDisk(options *Options) {
+// limitDiskOfCore1 gives core1 a disk quota that the large changes soon exhaust.
+func limitDiskOfCore1(options *Options) {
 	options.setNodeSettings("core1", map[string]string{
 		"disk.quota":   "256KiB",
 		"disk.segment": "64KiB",
 	})
 }
 
-// submitLargeChanges submits changes that fill a small disk.
+// submitLargeChanges submits changes that fill a disk limited by limitDiskOfCore1.
 func (r *Run) submitLargeChanges(ctx context.Context) {
-	r.submitChanges(ctx, diskChangeInterval, manyTenants)
+	r.submitChanges(ctx, diskChangeInterval, extraTenantChanges)
 }
 
-// ordersDisk lets core1 fill its disk, then gives it space and slows core2's disk.
-// Two cores with good disks are left at each time, so orders must go on.
+// ordersDisk fills the disk of core1, then lifts its quota and slows down the disk of
+// core2. Two cores have working disks at any time, so orders must still be
+// acknowledged.
 func ordersDisk(r *Run) error {
-	endChanges := r.runBeside(r.submitLargeChanges)
-	defer endChanges()
+	stopChanges := r.runInBackground(r.submitLargeChanges)
+	defer stopChanges()
 	cores := r.Fleet.Cores()
 	r.Wait(14 * time.Second)
 	if err := r.checkAcknowledged("core1's disk was full", 5*time.Second); err != nil {
 		return err
 	}
-	if err := restartTornWith(cores[0], "disk.quota", ""); err != nil {
+	if err := restartWithTornLog(cores[0], "disk.quota", ""); err != nil {
 		return err
 	}
 	r.Wait(4 * time.Second)
-	if err := restartTornWith(cores[1], "disk.sync_delay", "2s"); err != nil {
+	if err := restartWithTornLog(cores[1], "disk.sync_delay", "2s"); err != nil {
 		return err
 	}
 	r.Wait(14 * time.Second)
 	if err := r.checkAcknowledged("core2's disk was slow", 8*time.Second); err != nil {
 		return err
 	}
-	endChanges()
+	stopChanges()
 	return r.readBack(readBackTimeout)
 }
 
-// ordersDisks has one disk full and one slow at once.
+// ordersDisks fills the disk of core1 while the disk of core2 is slow.
 func ordersDisks(r *Run) error {
-	endChanges := r.runBeside(r.submitLargeChanges)
-	defer endChanges()
+	stopChanges := r.runInBackground(r.submitLargeChanges)
+	defer stopChanges()
 	r.Wait(12 * time.Second)
-	if err := restartTornWith(r.Fleet.Cores()[1], "disk.sync_delay", "2s"); err != nil {
+	if err := restartWithTornLog(r.Fleet.Cores()[1], "disk.sync_delay", "2s"); err != nil {
 		return err
 	}
 	r.Wait(26 * time.Second)
 	if err := r.checkAcknowledged("core1's disk was full and core2's slow", 20*time.Second); err != nil {
 		return err
 	}
-	endChanges()
+	stopChanges()
 	return r.readBack(readBackTimeout)
 }
 
-// restartTornWith kills a core, tears its log and starts it with a changed setting.
-func restartTornWith(core *fleet.Node, setting, value string) error {
+// restartWithTornLog kills a core, appends a torn record to its log and restarts it
+// with a changed setting.
+func restartWithTornLog(core *fleet.Node, setting, value string) error {
 	core.Kill()
 	core.SetSetting(setting, value)
 	if err := core.TearLog(); err != nil {
@@ -126,10 +126,10 @@
 	return core.Start()
 }
 
-// manyTenants returns the further changes of a numbered order: some orders add
-// many tenants.
-func manyTenants(number uint64) []loadgen.Change {
-	if number%largeChangeEvery != 0 {
+// extraTenantChanges returns the extra changes of the order of a number: every fourth order
+// adds many tenants.
+func extraTenantChanges(number uint64) []loadgen.Change {
+	if number%changesPerLargeChange != 0 {
 		return nil
 	}
 	var changes []loadgen.Change
--- a/cmd/rig/faultcase/draining.go
+++ b/cmd/rig/faultcase/draining.go
@@ -10,7 +10,7 @@
 	"stepwick/internal/clock"
 )
 
-// States in which the cases list a server.
+// Server states in the platform's listing.
 const (
 	stateReady    = "ready"
 	stateCold     = "cold"
@@ -19,12 +19,13 @@
 )
 
 const (
-	leaveAfter      = 4 * time.Second // from the listing as leaving
-	zoneOrderLimit  = 15 * time.Second
-	maxKillDelaySec = 0.3 // after the order of an evacuation
+	leaveDelay       = 4 * time.Second // from the listing as leaving to the leave time
+	zoneOrderTimeout = 15 * time.Second
+	maxKillDelaySec  = 0.3 // from the start of an evacuation order
 )
 
-func leaveTime(after time.Duration) int64 { return clock.System().Now().Add(after).UnixMilli() }
+// leaveTime returns the time after a delay, in Unix milliseconds.
+func leaveTime(delay time.Duration) int64 { return clock.System().Now().Add(delay).UnixMilli() }
 
 func drainServers(r *Run) error {
 	start := r.Recorder.Now()
@@ -37,7 +38,7 @@
 		platform.SetState(drained.Name, stateDraining, 0)
 		platform.SetState(web.Name, stateDraining, 0)
 		if leaving != drained {
-			platform.SetState(leaving.Name, stateLeaving, leaveTime(leaveAfter))
+			platform.SetState(leaving.Name, stateLeaving, leaveTime(leaveDelay))
 		}
 		core := r.randomCore()
 		front := r.randomFront()
@@ -63,13 +64,13 @@
 		zone := zones[r.Random.IntN(len(zones))]
 		core := r.randomCore()
 		front := r.randomFront()
-		awaitKills := r.runBeside(func(ctx context.Context) {
+		awaitKills := r.runInBackground(func(ctx context.Context) {
 			owner.Sleep(ctx, seconds(r.Random.Float64()*maxKillDelaySec))
 			core.Kill()
 			front.Kill()
 		})
-		if acknowledged, _ := r.submit(r.Operators.Evacuate(firstOperator, zone), number, zoneOrderLimit); !acknowledged {
-			return errors.Errorf("the evacuation of %s was not acknowledged within 15 s", zone)
+		if acknowledged, _ := r.submit(r.Operators.Evacuate(firstOperator, zone), number, zoneOrderTimeout); !acknowledged {
+			return errors.Errorf("the evacuation of %s was not acknowledged within %s", zone, zoneOrderTimeout)
 		}
 		r.Wait(7 * time.Second)
 		awaitKills()
@@ -77,8 +78,8 @@
 			return err
 		}
 		r.Wait(2 * time.Second)
-		if acknowledged, _ := r.submit(r.Operators.Restore(secondOperator, zone), number, zoneOrderLimit); !acknowledged {
-			return errors.Errorf("the restore of %s was not acknowledged within 15 s", zone)
+		if acknowledged, _ := r.submit(r.Operators.Restore(secondOperator, zone), number, zoneOrderTimeout); !acknowledged {
+			return errors.Errorf("the restore of %s was not acknowledged within %s", zone, zoneOrderTimeout)
 		}
 		r.Wait(3 * time.Second)
 	}
--- a/cmd/rig/faultcase/failure_log.go
+++ b/cmd/rig/faultcase/failure_log.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// failureEvents are the log events of a panic or of a part that ended by itself. The
-// numbers are those of docs/EVENTS.md, which never change.
+// failureEvents maps the numbers of the log events that report a panic or an unexpected
+// end of a service to their names, as in docs/EVENTS.md. The numbers never change.
 var failureEvents = map[int]string{
 	1006: "service_failed",
 	6012: "request_broke",
@@ -17,15 +17,16 @@
 	6016: "route_broke",
 }
 
-// failureTexts are what the runtime writes about a process that it ends.
+// failureTexts begin the lines that the Go runtime writes about a panic, a fatal error
+// or a data race.
 var failureTexts = []string{"panic: ", "fatal error: ", "WARNING: DATA RACE"}
 
-// findFailure returns the first line of a log file with one of failureEvents or
-// failureTexts, or an empty string.
+// findFailure returns the first line of a log file that has one of failureEvents or
+// begins with one of failureTexts, or an empty string if there is none.
 func findFailure(logFile string) (string, error) {
 	log, err := os.ReadFile(logFile)
 	if err != nil {
-		return "", errors.Wrap(err, "log")
+		return "", errors.Wrap(err, "read node log")
 	}
 	for line := range bytes.Lines(log) {
 		if isFailure(line) {
--- a/cmd/rig/faultcase/final.go
+++ b/cmd/rig/faultcase/final.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	beforeFinalFault = 8 * time.Second // of undisturbed service
-	afterFinalFault  = 17 * time.Second
-	killedOfHalf     = 4 // of nine nodes
+	waitBeforeFinalFault = 8 * time.Second // of service without faults
+	waitAfterFinalFault  = 17 * time.Second
+	nodesKilledByHalf    = 4 // of nine nodes
 )
 
-// recordFinalFault records that nothing is repaired from now on, and waits until
-// the recovery of service can be checked.
+// recordFinalFault records the last fault, which is not repaired, and waits long
+// enough for the checker to judge whether service recovers.
 func (r *Run) recordFinalFault(description string) {
 	r.Recorder.AddAction(description, true)
-	r.Wait(afterFinalFault)
+	r.Wait(waitAfterFinalFault)
 }
 
-// killHalf kills four nodes of nine; one core is among them at the most.
+// killHalf kills four of nine nodes at once: one core and three fronts.
 func (r *Run) killHalf() {
 	killed := []*fleet.Node{r.randomCore()}
-	for len(killed) < killedOfHalf {
+	for len(killed) < nodesKilledByHalf {
 		if node := r.randomFront(); !slices.Contains(killed, node) {
 			killed = append(killed, node)
 		}
@@ -34,29 +34,29 @@
 }
 
 func finalNodes(r *Run) error {
-	r.Wait(beforeFinalFault)
+	r.Wait(waitBeforeFinalFault)
 	r.killHalf()
 	r.recordFinalFault("four of nine nodes killed at once")
 	return nil
 }
 
 func finalCores(r *Run) error {
-	r.Wait(beforeFinalFault)
+	r.Wait(waitBeforeFinalFault)
 	killAll(r.Fleet.Cores()[:2])
 	r.recordFinalFault("two of three cores killed")
 	return nil
 }
 
 func finalAllCores(r *Run) error {
-	r.Wait(beforeFinalFault)
+	r.Wait(waitBeforeFinalFault)
 	killAll(r.Fleet.Cores())
 	r.recordFinalFault("all cores killed")
 	return nil
 }
 
 func finalZone(r *Run) error {
-	r.Wait(beforeFinalFault)
-	nodes, servers := r.inZone(fleet.Location{Region: "lagos", Zone: "a"})
+	r.Wait(waitBeforeFinalFault)
+	nodes, servers := r.zoneMembers(fleet.Location{Region: "lagos", Zone: "a"})
 	killAll(nodes)
 	for _, name := range servers {
 		r.crashServer(name)
@@ -66,8 +66,8 @@
 }
 
 func finalRegion(r *Run) error {
-	r.Wait(beforeFinalFault)
-	r.Partition(r.inRegion("abeokuta"), r.inRegion("lagos"))
+	r.Wait(waitBeforeFinalFault)
+	r.Partition(r.regionMemberNames("abeokuta"), r.regionMemberNames("lagos"))
 	r.recordFinalFault("regions cut off from each other")
 	return nil
 }
@@ -78,7 +78,7 @@
 	}
 	recording := r.Recorder.Snapshot()
 	if broken := brokenStreams(&recording); broken > 0 {
-		return errors.Errorf("%d streams were cut although every node left by itself", broken)
+		return errors.Errorf("%d streams were broken although every node exited cleanly", broken)
 	}
 	return nil
 }
--- a/cmd/rig/faultcase/nodes.go
+++ b/cmd/rig/faultcase/nodes.go
@@ -9,8 +9,8 @@
 	"stepwick/cmd/rig/fleet"
 )
 
-// uncheckedStopTimeout is how long a node may take to stop before it is killed, where a
-// clean stop is not checked.
+// uncheckedStopTimeout is how long a node may take to stop before it is killed, in
+// cases that don't check for a clean exit.
 const uncheckedStopTimeout = 12 * time.Second
 
 func (r *Run) randomNode() *fleet.Node {
@@ -39,12 +39,13 @@
 	return r.Fleet.Webs[r.Random.IntN(len(r.Fleet.Webs))]
 }
 
-// rotatedNodes returns all nodes, from one on that a number and the seed decide.
+// rotatedNodes returns all nodes, rotated by an offset that depends on the number
+// and the seed.
 func (r *Run) rotatedNodes(number uint64) []*fleet.Node {
 	return r.Fleet.NodesFrom(int((number*7 + r.Seed*3) % uint64(len(r.Fleet.Nodes))))
 }
 
-// runningNodes returns the nodes whose process runs.
+// runningNodes returns the nodes whose process is running.
 func runningNodes(nodes []*fleet.Node) []*fleet.Node {
 	var running []*fleet.Node
 	for _, node := range nodes {
@@ -55,8 +56,8 @@
 	return running
 }
 
-// inZone returns the nodes and servers of a zone.
-func (r *Run) inZone(zone fleet.Location) (nodes []*fleet.Node, servers []string) {
+// zoneMembers returns the nodes, and the names of the servers, of a zone.
+func (r *Run) zoneMembers(zone fleet.Location) (nodes []*fleet.Node, servers []string) {
 	for _, node := range r.Fleet.Nodes {
 		if node.Location == zone {
 			nodes = append(nodes, node)
@@ -68,8 +69,8 @@
 	return nodes, servers
 }
 
-// inRegion returns the names of the nodes and servers of a region.
-func (r *Run) inRegion(region string) []string {
+// regionMemberNames returns the names of the nodes and servers of a region.
+func (r *Run) regionMemberNames(region string) []string {
 	return r.Fleet.Names(func(_ string, location fleet.Location) bool { return location.Region == region })
 }
 
@@ -82,13 +83,13 @@
 	return nil
 }
 
-// killAll kills nodes at once and waits for their end.
+// killAll kills nodes concurrently and waits until all have exited.
 func killAll(nodes []*fleet.Node) {
-	var running sync.WaitGroup
+	var kills sync.WaitGroup
 	for _, node := range nodes {
-		running.Go(node.Kill)
+		kills.Go(node.Kill)
 	}
-	running.Wait()
+	kills.Wait()
 }
 
 func (r *Run) killAndRestart(node *fleet.Node, down time.Duration) error {
@@ -97,7 +98,8 @@
 	return node.Start()
 }
 
-// restartInTurn restarts every node; each must stop by itself with code 0.
+// restartInTurn restarts one node after another; each must exit with code 0 on
+// SIGTERM.
 func (r *Run) restartInTurn(interval time.Duration) error {
 	for _, node := range r.Fleet.Nodes {
 		if err := restartGracefully(node); err != nil {
@@ -110,11 +112,11 @@
 	return nil
 }
 
-// restartGracefully stops a node, which must stop by itself with code 0, and
-// starts it again with its data kept.
+// restartGracefully stops a node with SIGTERM, on which it must exit with code 0, and
+// starts it again with its data.
 func restartGracefully(node *fleet.Node) error {
 	if !node.Terminate(gracefulStopTimeout) {
-		return fmt.Errorf("%s did not leave cleanly within %s: exit code %d", node.Name, gracefulStopTimeout, node.ExitCode())
+		return fmt.Errorf("%s did not exit cleanly within %s of SIGTERM: exit code %d", node.Name, gracefulStopTimeout, node.ExitCode())
 	}
 	return node.Start()
 }
--- a/cmd/rig/faultcase/orders.go
+++ b/cmd/rig/faultcase/orders.go
@@ -17,17 +17,17 @@
 	killChangeInterval = 10 * time.Millisecond
 	racersPerRound     = 3
 	raceLossDelay      = 3 * time.Millisecond
-	partitionEvery     = 3 // rounds of races for each in a partition
+	roundsPerPartition = 3 // rounds for each one in a partition
 
 	tenantsOfLargeSheet = 3000
-	oversizedBytes      = 17 << 20 // more than a node accepts in a body
+	oversizedBytes      = 17 << 20 // exceeds a node's limit for request bodies
 )
 
-// ordersKills submits changes in quick succession while every core is killed and
-// restarted, some with a torn log, some two at a time.
+// ordersKills submits changes in quick succession while the cores are killed and
+// restarted in turn, some with a torn log, and in every fourth round two of them.
 func ordersKills(r *Run) error {
 	start := r.Recorder.Now()
-	endChanges := r.runBeside(func(ctx context.Context) { r.submitChanges(ctx, killChangeInterval, nil) })
+	stopChanges := r.runInBackground(func(ctx context.Context) { r.submitChanges(ctx, killChangeInterval, nil) })
 	for round := 0; r.hasTimeLeft(start); round++ {
 		if err := r.killCores(round); err != nil {
 			return err
@@ -35,7 +35,7 @@
 		r.Wait(seconds(1 + r.Random.Float64()*2))
 	}
 	r.Wait(4 * time.Second)
-	endChanges()
+	stopChanges()
 	for _, core := range r.Fleet.Cores() {
 		core.Kill()
 	}
@@ -65,7 +65,7 @@
 	return core.Start()
 }
 
-// ordersRace has operators submit changes on one base through all cores at once.
+// ordersRace submits concurrent changes of the same base through all cores.
 func ordersRace(r *Run) error {
 	start := r.Recorder.Now()
 	_, base := r.Operators.NewestKey()
@@ -78,9 +78,10 @@
 	return r.readBack(readBackTimeout)
 }
 
-// race runs one round and returns the sheet's version after it.
+// race runs one round and returns the version of the sheet after it; ok is false if
+// it could not be read.
 func (r *Run) race(round, base uint64) (version uint64, ok bool) {
-	partitioned := round%partitionEvery == partitionEvery-1
+	partitioned := round%roundsPerPartition == roundsPerPartition-1
 	if partitioned {
 		r.isolate(r.randomCore().Name)
 	}
@@ -88,7 +89,7 @@
 	defer cancel()
 	var racers sync.WaitGroup
 	for racer := range racersPerRound {
-		order := r.Operators.Change(operatorOf(uint64(racer)), base)
+		order := r.Operators.Change(operatorFor(uint64(racer)), base)
 		order.Race = fmt.Sprintf("race %d", round)
 		nodes := append([]*fleet.Node{r.Fleet.Cores()[racer]}, r.rotatedNodes(round+uint64(racer))...)
 		loseAnswer := r.Random.IntN(3) == 0
@@ -118,7 +119,7 @@
 		sheet := r.largeSheet(round, key)
 		acknowledged, version := r.submit(r.Operators.Put(firstOperator, base, sheet, key), round, orderTimeout)
 		if !acknowledged {
-			return errors.Errorf("round %d: a sheet of 3,000 tenants was not accepted within 15 s", round)
+			return errors.Errorf("round %d: a sheet of %d tenants was not acknowledged within %s", round, tenantsOfLargeSheet, orderTimeout)
 		}
 		base = version
 		r.Wait(500 * time.Millisecond)
@@ -126,8 +127,8 @@
 	return r.readBack(readBackTimeout)
 }
 
-// submitInvalidSheet sends an invalid sheet once. A node need not answer one that
-// is too large.
+// submitInvalidSheet sends an invalid sheet once. A node may close the connection
+// without an answer only if the sheet is too large.
 func (r *Run) submitInvalidSheet(round, base uint64) error {
 	key := r.Operators.NextKey()
 	order := r.Operators.Put(secondOperator, base, loadgen.Sheet{}, key)
@@ -136,12 +137,12 @@
 	order.Body.Sheet = problem.apply(loadgen.NewSheet(r.Fleet, r.Tenants, key))
 	answer := r.Operators.Send(order, r.randomNode(), 0)
 	if answer.Status == 0 && !problem.mayGetNoAnswer {
-		return errors.Errorf("an invalid sheet got no answer: %s", answer.Detail)
+		return errors.Errorf("round %d: an invalid sheet got no answer: %s", round, answer.Detail)
 	}
 	return nil
 }
 
-// sheetProblem makes a sheet invalid.
+// sheetProblem makes a valid sheet invalid in one way.
 type sheetProblem struct {
 	apply          func(sheet loadgen.Sheet) any
 	mayGetNoAnswer bool
@@ -176,13 +177,13 @@
 	},
 }
 
-// sheetWithUnknownField is a sheet with a field that no sheet has.
+// sheetWithUnknownField is a sheet with a field that is not part of the format.
 type sheetWithUnknownField struct {
 	loadgen.Sheet
 	Colour string `json:"colour"`
 }
 
-// largeSheet returns a valid sheet of thousands of tenants.
+// largeSheet returns a valid sheet with tenantsOfLargeSheet more tenants.
 func (r *Run) largeSheet(round uint64, key int) loadgen.Sheet {
 	sheet := loadgen.NewSheet(r.Fleet, r.Tenants, key)
 	for i := range tenantsOfLargeSheet {
--- a/cmd/rig/faultcase/partitions.go
+++ b/cmd/rig/faultcase/partitions.go
@@ -10,30 +10,30 @@
 	partitionChangeInterval = 700 * time.Millisecond
 	freezeChangeInterval    = 500 * time.Millisecond
 	minPartitionTime        = 20 * time.Second
-	partitionMargin         = 12 * time.Second // of the case, before and after the partition
+	partitionMargin         = 12 * time.Second // length of a case minus that of its partition
 )
 
-// partitionDuringChanges isolates a group of nodes for most of the case while the
-// operators change keys.
+// partitionDuringChanges partitions a group of nodes from the others for most of the case
+// while the operators revoke keys.
 func partitionDuringChanges(r *Run, group []string) error {
 	start := r.Recorder.Now()
-	endChanges := r.runBeside(func(ctx context.Context) { r.submitChanges(ctx, partitionChangeInterval, nil) })
+	stopChanges := r.runInBackground(func(ctx context.Context) { r.submitChanges(ctx, partitionChangeInterval, nil) })
 	r.Wait(3 * time.Second)
 	r.isolate(group...)
 	r.Wait(max(minPartitionTime, time.Duration(r.Seconds)*time.Second-partitionMargin))
-	err := r.checkAcknowledged(fmt.Sprintf("%v was cut off", group), 10*time.Second)
+	err := r.checkAcknowledged(fmt.Sprintf("%v was partitioned from the other nodes", group), 10*time.Second)
 	if err != nil && !r.neitherSideCommits(group) {
 		return err
 	}
 	r.Heal()
 	r.waitUntilEnd(start)
 	r.Wait(3 * time.Second)
-	endChanges()
+	stopChanges()
 	return r.readBack(readBackTimeout)
 }
 
-// neitherSideCommits reports whether a partition leaves neither side with most
-// cores and most nodes, so that no order can be acknowledged.
+// neitherSideCommits reports whether neither side of a partition has a majority of
+// both the cores and the nodes, so that no order can be acknowledged.
 func (r *Run) neitherSideCommits(group []string) bool {
 	cores := 0
 	for _, name := range group {
@@ -51,7 +51,7 @@
 func partitionCore(r *Run) error { return partitionDuringChanges(r, []string{r.randomCore().Name}) }
 
 func partitionZone(r *Run) error {
-	nodes, _ := r.inZone(r.randomNode().Location)
+	nodes, _ := r.zoneMembers(r.randomNode().Location)
 	var names []string
 	for _, node := range nodes {
 		names = append(names, node.Name)
@@ -69,10 +69,11 @@
 	})
 }
 
-// freezeDuringChanges freezes nodes, and restarts others into a partition.
+// freezeDuringChanges freezes and resumes nodes, and restarts others in a partition,
+// while the operators revoke keys.
 func freezeDuringChanges(r *Run) error {
 	start := r.Recorder.Now()
-	endChanges := r.runBeside(func(ctx context.Context) { r.submitChanges(ctx, freezeChangeInterval, nil) })
+	stopChanges := r.runInBackground(func(ctx context.Context) { r.submitChanges(ctx, freezeChangeInterval, nil) })
 	for r.hasTimeLeft(start) {
 		frozen := r.randomNode()
 		isolated := r.randomFront()
@@ -89,6 +90,6 @@
 		r.Wait(2 * time.Second)
 	}
 	r.Wait(2 * time.Second)
-	endChanges()
+	stopChanges()
 	return r.readBack(readBackTimeout)
 }
--- a/cmd/rig/faultcase/quota.go
+++ b/cmd/rig/faultcase/quota.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Tenants of which demand exceeds the allowance in the cases of quotas.
+// Tenants whose demand exceeds their allowance in the quota cases.
 const (
 	mostExcessiveTenant = "crews"
 	excessiveTenant     = "grid"
@@ -10,7 +10,7 @@
 
 const steadyDemandTime = 18 * time.Second // before the first fault
 
-// exceedQuotas multiplies the demand of two tenants.
+// exceedQuotas raises the demand of two tenants above their allowances.
 func (r *Run) exceedQuotas() {
 	r.Callers.SetLoadFactor(mostExcessiveTenant, 6)
 	r.Callers.SetLoadFactor(excessiveTenant, 4)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// stepOneClock makes one front's clock wrong.
+// stepOneClock sets the clock of front4 wrong by 37 s.
 func stepOneClock(options *Options) {
 	options.setNodeSettings("front4", map[string]string{"clock.step": "37s"})
 }
@@ -46,8 +46,8 @@
 	}
 }
 
-// quotaRestarts restarts every second node, by turns killed and stopped, under
-// excess demand.
+// quotaRestarts restarts every second node under excess demand, alternately after
+// SIGKILL and after SIGTERM.
 func quotaRestarts(r *Run) error {
 	start := r.Recorder.Now()
 	r.exceedQuotas()
@@ -73,7 +73,7 @@
 	start := r.Recorder.Now()
 	r.exceedQuotas()
 	r.Wait(steadyDemandTime)
-	r.Partition(r.inRegion("abeokuta"), r.inRegion("lagos"))
+	r.Partition(r.regionMemberNames("abeokuta"), r.regionMemberNames("lagos"))
 	r.Wait(16 * time.Second)
 	r.Heal()
 	r.waitUntilEnd(start)
--- a/cmd/rig/faultcase/randomfaults.go
+++ b/cmd/rig/faultcase/randomfaults.go
@@ -13,27 +13,27 @@
 	maxActiveFaults         = 3
 	randomChangeInterval    = 400 * time.Millisecond
 	minRandomFaultSeconds   = 10
-	afterRandomFaultSeconds = 22 // of the case: repair, reading back and the final fault
+	afterRandomFaultSeconds = 22 // of the case, for repair, reading back and the final fault
 	randomOrderTimeout      = 10 * time.Second
 	randomReadBackTimeout   = 15 * time.Second
 )
 
-// Mix is the case that a seed draws.
+// Mix is the case whose faults are drawn from the seed.
 var Mix = Case{
 	Name:    "mix",
-	Help:    "faults drawn by the seed, together and twice, then a final fault",
+	Help:    "faults drawn from the seed, up to three at once and possibly the same twice, then a final fault",
 	Seconds: 40,
 	Run:     injectRandomFaults,
 }
 
-// randomFault is one fault that the mix may draw.
+// randomFault is a fault that the case mix may draw.
 type randomFault struct {
 	name   string
 	inject func(r *Run) (repair func() error)
 }
 
-// randomFaults are what the mix draws from. Their order is part of what a seed
-// stands for.
+// randomFaults lists the faults that the case mix draws from. A seed selects them by
+// index, so a change of the order changes the runs of all seeds.
 var randomFaults = []randomFault{
 	{"kill a front", func(r *Run) func() error { return killNode(r.randomFront()) }},
 	{"kill a core", func(r *Run) func() error { return killNode(r.randomCore()) }},
@@ -53,8 +53,8 @@
 	{"wipe a core's disk", (*Run).wipeCore},
 }
 
-// noError returns a repair that can't fail.
-func noError(repair func()) func() error {
+// withoutError adapts a function that can't fail.
+func withoutError(repair func()) func() error {
 	return func() error {
 		repair()
 		return nil
@@ -82,7 +82,7 @@
 func (r *Run) freezeNode() func() error {
 	node := r.randomNode()
 	node.Freeze()
-	return noError(node.Thaw)
+	return withoutError(node.Thaw)
 }
 
 func (r *Run) isolateUntilRepair(nodes ...*fleet.Node) func() error {
@@ -91,7 +91,7 @@
 		names = append(names, node.Name)
 	}
 	r.isolate(names...)
-	return noError(r.Heal)
+	return withoutError(r.Heal)
 }
 
 func (r *Run) crashRandomModelServer() func() error {
@@ -104,13 +104,13 @@
 	server := r.randomModelServer()
 	r.Recorder.AddAction("dark "+server.Name, false)
 	server.SetUnresponsive(true)
-	return noError(func() { server.SetUnresponsive(false) })
+	return withoutError(func() { server.SetUnresponsive(false) })
 }
 
 func (r *Run) drainModelServer() func() error {
 	name := r.randomModelServer().Name
 	r.Fleet.Platform.SetState(name, stateDraining, 0)
-	return noError(func() { r.Fleet.Platform.SetState(name, stateReady, 0) })
+	return withoutError(func() { r.Fleet.Platform.SetState(name, stateReady, 0) })
 }
 
 func (r *Run) makeStreamsFaulty() func() error {
@@ -123,7 +123,7 @@
 		emulator.AbortedStream:   .03,
 		emulator.Busy:            .03,
 	})
-	return noError(func() { r.setModelFaults(nil) })
+	return withoutError(func() { r.setModelFaults(nil) })
 }
 
 func (r *Run) makeWebServersFaulty() func() error {
@@ -136,23 +136,23 @@
 		emulator.CrossedBody:     .02,
 		emulator.SlowAnswer:      .05,
 	})
-	return noError(func() { r.setWebFaults(nil) })
+	return withoutError(func() { r.setWebFaults(nil) })
 }
 
 func (r *Run) exceedOneQuota() func() error {
 	r.Callers.SetLoadFactor(mostExcessiveTenant, 6)
-	return noError(func() { r.Callers.SetLoadFactor(mostExcessiveTenant, 1) })
+	return withoutError(func() { r.Callers.SetLoadFactor(mostExcessiveTenant, 1) })
 }
 
 func (r *Run) moveCallers() func() error {
 	r.Callers.SetZoneShares(map[string]float64{r.randomNode().ZoneName(): 1})
-	return noError(func() { r.Callers.SetZoneShares(nil) })
+	return withoutError(func() { r.Callers.SetZoneShares(nil) })
 }
 
 func (r *Run) evacuateRandomZone() func() error {
 	zone := []string{"lagos/a", "lagos/b"}[r.Random.IntN(2)]
 	r.submit(r.Operators.Evacuate(firstOperator, zone), r.Random.Uint64()%9, randomOrderTimeout)
-	return noError(func() {
+	return withoutError(func() {
 		r.submit(r.Operators.Restore(secondOperator, zone), r.Random.Uint64()%9, randomOrderTimeout)
 	})
 }
@@ -168,22 +168,22 @@
 
 // activeFault is a fault that has not been repaired.
 type activeFault struct {
-	name   string
-	until  time.Duration
-	repair func() error
+	name       string
+	repairTime time.Duration
+	repair     func() error
 }
 
-// injectRandomFaults draws faults from the seed, at any moment, together and
-// twice, while operators submit changes; then all is repaired and read back, and a
-// final fault follows.
+// injectRandomFaults injects faults drawn from the seed, up to maxActiveFaults at a
+// time and possibly the same one twice, while operators submit changes. It then
+// repairs all faults, reads the sheet back and injects a final fault.
 func injectRandomFaults(r *Run) error {
 	start := r.Recorder.Now()
-	endChanges := r.runBeside(func(ctx context.Context) { r.submitChanges(ctx, randomChangeInterval, nil) })
+	stopChanges := r.runInBackground(func(ctx context.Context) { r.submitChanges(ctx, randomChangeInterval, nil) })
 	if err := r.runRandomFaults(start); err != nil {
 		return err
 	}
 	r.Wait(4 * time.Second)
-	endChanges()
+	stopChanges()
 	if err := r.readBack(randomReadBackTimeout); err != nil {
 		return err
 	}
@@ -193,13 +193,14 @@
 	return nil
 }
 
-// runRandomFaults injects and repairs faults, and repairs all at the end.
+// runRandomFaults injects and repairs random faults, and repairs the remaining ones at
+// the end.
 func (r *Run) runRandomFaults(start time.Duration) error {
 	var active []activeFault
 	var err error
 	length := max(minRandomFaultSeconds, r.Seconds-afterRandomFaultSeconds)
-	until := start + time.Duration(length)*time.Second
-	for r.Recorder.Now() < until && r.ctx.Err() == nil {
+	end := start + time.Duration(length)*time.Second
+	for r.Recorder.Now() < end && r.ctx.Err() == nil {
 		if len(active) < maxActiveFaults {
 			active = append(active, r.injectRandomFault())
 		}
@@ -216,16 +217,16 @@
 	r.Recorder.AddAction("trouble: "+fault.name, false)
 	repair := fault.inject(r)
 	return activeFault{
-		name:   fault.name,
-		until:  r.Recorder.Now() + seconds(1+r.Random.Float64()*6),
-		repair: repair,
+		name:       fault.name,
+		repairTime: r.Recorder.Now() + seconds(1+r.Random.Float64()*6),
+		repair:     repair,
 	}
 }
 
-// repairDue repairs the faults whose time is over and returns the others.
+// repairDue repairs the faults whose repair time has come and returns the others.
 func (r *Run) repairDue(active []activeFault) (remaining []activeFault, err error) {
 	for _, fault := range active {
-		if r.Recorder.Now() < fault.until {
+		if r.Recorder.Now() < fault.repairTime {
 			remaining = append(remaining, fault)
 			continue
 		}
@@ -242,7 +243,7 @@
 	for _, fault := range active {
 		r.Recorder.AddAction("mend: "+fault.name, false)
 		if failure := fault.repair(); failure != nil {
-			err = fmt.Errorf("mend %s: %w", fault.name, failure)
+			err = fmt.Errorf("repair fault %q: %w", fault.name, failure)
 		}
 	}
 	return err
--- a/cmd/rig/faultcase/requests.go
+++ b/cmd/rig/faultcase/requests.go
@@ -6,7 +6,7 @@
 	"stepwick/cmd/rig/emulator"
 )
 
-// favorOneShots gives most of the load to one-shot requests.
+// favorOneShots shifts most of the load to one-shot requests.
 func (r *Run) favorOneShots() {
 	r.Callers.SetLoadFactor("", 0.3)
 	r.Callers.SetLoadFactor("grid", 1.9)
@@ -82,7 +82,7 @@
 	}
 }
 
-// setImpatientCallers makes some callers leave or read slowly.
+// setImpatientCallers makes some callers disconnect early or read slowly.
 func (r *Run) setImpatientCallers() {
 	r.Callers.Behavior.LeaveOdds = .03
 	r.Callers.Behavior.SlowReadOdds = .05
--- a/cmd/rig/faultcase/rolling_upgrade.go
+++ b/cmd/rig/faultcase/rolling_upgrade.go
@@ -12,13 +12,13 @@
 	"stepwick/cmd/rig/loadgen"
 )
 
-// RollingUpgrade is the case that replaces the previous build by the new one,
-// process by process, and then rolls back. It is not one of Cases because it
+// RollingUpgrade is the case that replaces the previous build by the new one, one
+// process after another, and then rolls back. It is not one of Cases because it
 // needs a second binary.
 var RollingUpgrade = Case{
 	Name:      "roll",
 	Group:     8,
-	Help:      "rolling upgrade from a previous build and rollback to it, an order after each process; needs --older",
+	Help:      "rolling upgrade from a previous build and rollback to it, with an order after each restart; needs --older",
 	Seconds:   40,
 	Configure: startOnPreviousBinary,
 	Run:       rollingUpgrade,
@@ -37,7 +37,7 @@
 // tenants in a sheet is the number of orders in force.
 const stepTenantPrefix = "rollstep"
 
-// stepTenantRate is the allowance of those tenants in tokens a second.
+// stepTenantRate is the allowance of each of these tenants in tokens per second.
 const stepTenantRate = 10
 
 // rollingPhase is the direction in which processes are replaced.
@@ -56,18 +56,18 @@
 	binary string
 }
 
-// RollingStepResult is what was measured after one step.
+// RollingStepResult is the state of the fleet after one step.
 type RollingStepResult struct {
 	Phase string `json:"phase"`
 	Node  string `json:"node"`
 	// NodesOnNewBinary is the number of nodes whose process executes the new binary.
 	NodesOnNewBinary int `json:"nodes_on_new_binary"`
-	// OrdersInForce is the smallest number of the case's orders that any node
-	// showed in force.
+	// OrdersInForce is the minimum over all nodes of the number of the case's orders in
+	// the sheet read through the node.
 	OrdersInForce int `json:"orders_in_force"`
 	// NodesInForce is the number of nodes that accepted the key of this step's order.
 	NodesInForce int `json:"nodes_in_force"`
-	// Milliseconds is the duration of the step without the pause after it.
+	// Milliseconds is the duration of the step, excluding the pause after it.
 	Milliseconds int64 `json:"milliseconds"`
 }
 
@@ -81,14 +81,14 @@
 }
 
 // CheckPreviousBinary returns an error if one of the cases needs a previous
-// binary and the path does not name an executable file.
+// binary and path is not an executable regular file.
 func CheckPreviousBinary(cases []Case, path string) error {
-	for _, chosen := range cases {
-		if chosen.Name != RollingUpgrade.Name {
+	for _, selected := range cases {
+		if selected.Name != RollingUpgrade.Name {
 			continue
 		}
 		if path == "" {
-			return errors.Errorf("case %q needs the binary of a previous build: --older PATH", chosen.Name)
+			return errors.Errorf("case %q needs the binary of a previous build: --older PATH", selected.Name)
 		}
 		info, err := os.Stat(path)
 		if err != nil {
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// snapshotRecords makes cores write a snapshot every few orders, so that each
-// build has to read snapshots of the other.
+// snapshotRecords is the number of log records between snapshots. It is small enough
+// that each build has to read snapshots written by the other.
 const snapshotRecords = "8"
 
 // startOnPreviousBinary makes every node start on the previous binary.
@@ -136,8 +136,8 @@
 	return steps
 }
 
-// rollingUpgrade runs all steps, spread over the length of the case, or longer
-// if the steps themselves take longer.
+// rollingUpgrade runs all steps, spread evenly over the length of the case. It takes
+// longer if the steps themselves do.
 func rollingUpgrade(r *Run) error {
 	start := r.Recorder.Now()
 	steps := rollingSteps(r.Fleet.Nodes, r.Binary, r.PreviousBinary)
@@ -161,20 +161,20 @@
 		return err
 	}
 	for _, node := range r.Fleet.Nodes {
-		if err := stored.node(node); err != nil {
+		if err := stored.checkNode(node); err != nil {
 			return err
 		}
 	}
 	recording := r.Recorder.Snapshot()
 	summary.BrokenStreams = brokenStreams(&recording)
 	if summary.BrokenStreams > 0 {
-		return errors.Errorf("%d streams were cut although every node left by itself", summary.BrokenStreams)
+		return errors.Errorf("%d streams were broken although every node exited cleanly", summary.BrokenStreams)
 	}
 	return nil
 }
 
-// runRollingStep restarts one node on the binary of the step, submits an order
-// and waits until every node shows it in force.
+// runRollingStep restarts one node on the binary of the step, submits an order and
+// waits until it is in force at every node.
 func (r *Run) runRollingStep(index int, step rollingStep, stored *storedDataCheck, summary *RollingSummary) error {
 	start := r.Recorder.Now()
 	r.Recorder.AddAction(fmt.Sprintf("%s %s", step.phase, step.node.Name), false)
@@ -182,8 +182,8 @@
 	if err := restartGracefully(step.node); err != nil {
 		return err
 	}
-	if !r.servesNewestSheet(step.node, restartTimeout) {
-		return errors.Errorf("%s did not serve within %s of its restart", step.node.Name, restartTimeout)
+	if !r.awaitNewestSheet(step.node, restartTimeout) {
+		return errors.Errorf("%s did not serve the newest sheet within %s of its restart", step.node.Name, restartTimeout)
 	}
 	if step.phase == phaseUpgrade {
 		summary.Upgraded++
@@ -193,7 +193,7 @@
 	if err := r.submitStepOrder(index); err != nil {
 		return err
 	}
-	if err := stored.node(step.node); err != nil {
+	if err := stored.checkNode(step.node); err != nil {
 		return err
 	}
 	result := RollingStepResult{Phase: string(step.phase), Node: step.node.Name}
@@ -203,13 +203,13 @@
 	result.Milliseconds = (r.Recorder.Now() - start).Milliseconds()
 	summary.Steps = append(summary.Steps, result)
 	if want := summary.Upgraded - summary.RolledBack; result.NodesOnNewBinary != want || r.nodesOn(r.PreviousBinary) != len(r.Fleet.Nodes)-want {
-		return errors.Errorf("%d nodes execute the new binary instead of %d", result.NodesOnNewBinary, want)
+		return errors.Errorf("%d nodes execute the new binary, want %d", result.NodesOnNewBinary, want)
 	}
 	if result.NodesInForce != len(r.Fleet.Nodes) {
 		return errors.Errorf("the order is in force at %d of %d nodes", result.NodesInForce, len(r.Fleet.Nodes))
 	}
 	if result.OrdersInForce != index+1 {
-		return errors.Errorf("%d of %d orders are in force", result.OrdersInForce, index+1)
+		return errors.Errorf("%d of %d orders are in force at every node", result.OrdersInForce, index+1)
 	}
 	return nil
 }
@@ -253,9 +253,9 @@
 	return count
 }
 
-// stepOrdersInForce reads the sheet through every node until each shows the
-// wanted number of step orders or the timeout has passed. It returns the
-// smallest number shown, which is zero if a node cannot be read.
+// stepOrdersInForce reads the sheet through every node until it has the wanted number
+// of step orders at each or the timeout has passed. It returns the smallest number
+// found at any node, which is zero if the sheet can't be read through a node.
 func (r *Run) stepOrdersInForce(want int, timeout time.Duration) int {
 	deadline := r.Recorder.Now() + timeout
 	smallest := want
@@ -282,7 +282,7 @@
 }
 
 // brokenStreams returns the number of streams that ended before their final event
-// without the caller having left.
+// although the caller had not disconnected.
 func brokenStreams(recording *history.Recording) int {
 	count := 0
 	for _, attempt := range recording.Attempts {
--- a/cmd/rig/faultcase/rolling_upgrade_test.go
+++ b/cmd/rig/faultcase/rolling_upgrade_test.go
@@ -54,24 +54,24 @@
 
 func TestStartOnPreviousBinary(t *testing.T) {
 	Convey("The whole fleet starts on the previous binary", t, func() {
-		o := Options{Spec: fleet.FirstDeployment(), Binary: "new", PreviousBinary: "previous"}
-		startOnPreviousBinary(&o)
-		for _, spec := range o.Spec.Nodes {
+		options := Options{Spec: fleet.FirstDeployment(), Binary: "new", PreviousBinary: "previous"}
+		startOnPreviousBinary(&options)
+		for _, spec := range options.Spec.Nodes {
 			So(spec.Binary, ShouldEqual, "previous")
 		}
 	})
 }
 
 func TestBrokenStreams(t *testing.T) {
-	Convey("Streams count as cut if they began and neither ended nor were left by the caller", t, func() {
+	Convey("A stream is broken if it began and neither ended nor was abandoned by the caller", t, func() {
 		events := []history.Event{{}}
-		l := &history.Recording{Attempts: []history.Attempt{
+		recording := &history.Recording{Attempts: []history.Attempt{
 			{Events: events, Outcome: history.Served},
 			{Events: events, Outcome: history.Abandoned},
 			{Outcome: history.Rejected},
 			{Events: events, Outcome: history.ConnectionBroken},
 			{Events: events, Outcome: history.EndedByError},
 		}}
-		So(brokenStreams(l), ShouldEqual, 2)
+		So(brokenStreams(recording), ShouldEqual, 2)
 	})
 }
--- a/cmd/rig/faultcase/run.go
+++ b/cmd/rig/faultcase/run.go
@@ -1,8 +1,8 @@
-// Package faultcase injects faults into a running fleet: the cases, each of one
-// kind of fault, a mix drawn by the seed, and scenarios from files. What callers,
-// operators, servers and the platform observed is recorded; package checker finds
-// the violations. The package itself decides only whether a case could do its
-// work, such as whether an order was acknowledged in time.
+// Package faultcase injects faults into a running fleet: in cases, each for one kind
+// of fault, in a mix of faults drawn from a seed, and in scenarios read from files. It
+// records what callers, operators, servers and the platform observe; package checker
+// finds the violations in the recording. The package itself reports only errors that
+// keep a case from doing its work, such as an order that was not acknowledged in time.
 package faultcase
 
 import (
@@ -29,14 +29,14 @@
 )
 
 const (
-	// caseStream is the second half of the seed of a run's random numbers.
-	caseStream = 5
+	// caseSeedWord is the second word of the PCG seed; the first is the run's seed.
+	caseSeedWord = 5
 
 	firstSheetTimeout  = 40 * time.Second
 	keyCheckInterval   = 300 * time.Millisecond
 	readyCheckInterval = 100 * time.Millisecond
 	pollInterval       = 200 * time.Millisecond
-	lateRunsTime       = time.Second // for servers to record what still runs at the end
+	lateRunsWait       = time.Second // for servers to record requests that are still running at the end
 	logTailBytes       = 600
 
 	savedFileMode = 0o644
@@ -54,17 +54,17 @@
 	Spec    fleet.Spec
 	Tenants []loadgen.Tenant
 	Binary  string
-	// PreviousBinary is that of an earlier build; only a rolling upgrade uses it.
+	// PreviousBinary is the binary of an earlier build, for a rolling upgrade only.
 	PreviousBinary string
 	Seed           uint64
 	Seconds        int    // length of the case
-	KeepDir        string // gets the recording and the nodes' logs; empty for none
+	KeepDir        string // receives the recording and the nodes' logs; empty to keep neither
 	Out            io.Writer
-	PrintTable     bool              // a line each second
+	PrintTable     bool              // print request counts every second
 	SheetSettings  map[string]string // run-time settings of the first sheet
 }
 
-// Run is a fleet that serves, with callers and operators.
+// Run is a serving fleet with its callers and operators.
 type Run struct {
 	Options
 	Fleet        *fleet.Fleet
@@ -79,22 +79,23 @@
 	// Soak is the result of a soak; nil in other cases.
 	Soak *SoakSummary
 
-	ctx    context.Context // ends with the load
-	cancel context.CancelFunc
-	parts  sync.WaitGroup // load, key checks and table
-	dir    string
+	ctx        context.Context // canceled when the load ends
+	cancel     context.CancelFunc
+	background sync.WaitGroup // load, key checks and printed table
+	dir        string
 }
 
-// Start starts a fleet, gives it a first sheet and starts the load.
+// Start starts a fleet, submits the first sheet, waits until every node serves by it
+// and starts the load.
 func Start(ctx context.Context, options Options) (*Run, error) {
 	dir, err := os.MkdirTemp("", "stepwick-rig-")
 	if err != nil {
-		return nil, errors.Wrap(err, "temp folder")
+		return nil, errors.Wrap(err, "create temporary directory")
 	}
 	run := &Run{
 		Options:  options,
 		Recorder: history.NewRecorder(int64(options.Seed)),
-		Random:   rand.New(rand.NewPCG(options.Seed, caseStream)),
+		Random:   rand.New(rand.NewPCG(options.Seed, caseSeedWord)),
 		dir:      dir,
 	}
 	run.ctx, run.cancel = context.WithCancel(ctx)
@@ -118,21 +119,21 @@
 
 func (r *Run) startLoad() {
 	r.TrafficStart = r.Recorder.Now()
-	r.parts.Go(func() { r.Callers.Run(r.ctx) })
-	r.parts.Go(func() { r.Operators.RunKeyChecks(r.ctx, r.keyCheckInterval()) })
+	r.background.Go(func() { r.Callers.Run(r.ctx) })
+	r.background.Go(func() { r.Operators.RunKeyChecks(r.ctx, r.keyCheckInterval()) })
 	if r.PrintTable {
-		r.parts.Go(r.printTable)
+		r.background.Go(r.printTable)
 	}
 }
 
-// keyCheckInterval grows with the fleet, so that the checks of a large one don't
-// outnumber its requests.
+// keyCheckInterval returns the interval between key checks. It grows with the fleet,
+// so that the checks of a large fleet don't outnumber its requests.
 func (r *Run) keyCheckInterval() time.Duration {
 	firstNodes := len(fleet.FirstDeployment().Nodes)
 	return keyCheckInterval * time.Duration(max(1, len(r.Fleet.Nodes)/firstNodes))
 }
 
-// submitFirstSheet submits the first sheet and waits until every node uses it.
+// submitFirstSheet submits the first sheet and waits until every node serves by it.
 func (r *Run) submitFirstSheet() error {
 	ctx, cancel := context.WithTimeout(r.ctx, firstSheetTimeout)
 	defer cancel()
@@ -141,7 +142,7 @@
 	sheet.Settings = r.SheetSettings
 	order := r.Operators.Put(firstOperator, 0, sheet, key)
 	if answer := r.Operators.Submit(ctx, order, r.Fleet.Nodes); !answer.Acknowledged() {
-		return errors.Errorf("the first sheet was not accepted: status %d code %d %s; node logs:\n%s",
+		return errors.Errorf("the first sheet was not acknowledged: status %d code %d %s; node logs:\n%s",
 			answer.Status, answer.Code, answer.Detail, r.logTails())
 	}
 	for _, node := range r.Fleet.Nodes {
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// awaitKey waits until a node accepts a checked key.
+// awaitKey waits until a node accepts a key.
 func (r *Run) awaitKey(ctx context.Context, node *fleet.Node, key int) error {
 	for {
 		check := r.Operators.CheckKey(node, key)
@@ -160,13 +161,13 @@
 			return nil
 		}
 		if !owner.Sleep(ctx, readyCheckInterval) {
-			return errors.Errorf("node %s did not serve within 40 s: probe status %d code %d %s; node logs:\n%s",
-				node.Name, check.Status, check.Code, check.Detail, r.logTails())
+			return errors.Errorf("node %s did not serve within %s: key check status %d code %d %s; node logs:\n%s",
+				node.Name, firstSheetTimeout, check.Status, check.Code, check.Detail, r.logTails())
 		}
 	}
 }
 
-// logTails returns the ends of the nodes' logs.
+// logTails returns the last logTailBytes of each node's log.
 func (r *Run) logTails() string {
 	var text strings.Builder
 	for _, node := range r.Fleet.Nodes {
@@ -186,7 +187,7 @@
 	_ = os.RemoveAll(r.dir)
 }
 
-// saveLogs copies the nodes' logs to KeepDir, if that is set.
+// saveLogs copies the nodes' logs to KeepDir if it is set.
 func (r *Run) saveLogs() {
 	if r.KeepDir == "" {
 		return
@@ -208,12 +209,12 @@
 	}
 }
 
-// Close ends the load, waits for late runs, ends the fleet and returns the
-// recording.
+// Close stops the load, gives servers time to record requests that are still running,
+// stops the fleet and returns the recording.
 func (r *Run) Close() history.Recording {
 	r.cancel()
-	r.parts.Wait()
-	owner.Sleep(context.Background(), lateRunsTime)
+	r.background.Wait()
+	owner.Sleep(context.Background(), lateRunsWait)
 	recording := r.Recorder.Snapshot()
 	r.saveLogs()
 	r.saveRecording(recording)
@@ -224,40 +225,40 @@
 	return recording
 }
 
-// Context ends when the load ends.
+// Context returns a context that is canceled when the load ends.
 func (r *Run) Context() context.Context { return r.ctx }
 
-// Wait waits for a time; false when the run ends before.
+// Wait waits for a duration; it returns false if the run ends first.
 func (r *Run) Wait(d time.Duration) bool { return owner.Sleep(r.ctx, d) }
 
-// end returns when a case that started at an instant is over.
+// end returns the instant at which a case that began at start ends.
 func (r *Run) end(start history.Instant) history.Instant {
 	return start + time.Duration(r.Seconds)*time.Second
 }
 
-// waitUntilEnd waits until a case that started at an instant is over.
+// waitUntilEnd waits until the end of a case that began at start.
 func (r *Run) waitUntilEnd(start history.Instant) {
 	if remaining := r.end(start) - r.Recorder.Now(); remaining > 0 {
 		r.Wait(remaining)
 	}
 }
 
-// hasTimeLeft reports whether a case that started at an instant goes on.
+// hasTimeLeft reports whether a case that began at start has not ended yet.
 func (r *Run) hasTimeLeft(start history.Instant) bool {
 	return r.ctx.Err() == nil && r.Recorder.Now() < r.end(start)
 }
 
-// seconds returns a number of seconds as a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(number float64) time.Duration { return time.Duration(number * float64(time.Second)) }
 
 // Partition blocks the links between two groups, in both directions.
 func (r *Run) Partition(left, right []string) {
 	r.Recorder.AddAction(fmt.Sprintf("cut %v from the rest", left), false)
 	r.Recorder.SetPartitioned(true)
-	r.Fleet.Links.Between(left, right, faultproxy.Mode{Blocked: true})
+	r.Fleet.Links.SetBetween(left, right, faultproxy.Mode{Blocked: true})
 }
 
-// Heal lets all links pass again.
+// Heal removes all faults from all links.
 func (r *Run) Heal() {
 	r.Recorder.AddAction("heal", false)
 	r.Fleet.Links.Heal()
@@ -275,14 +276,14 @@
 	return names
 }
 
-// isolate partitions a group of nodes from all other nodes.
+// isolate partitions a group of nodes from all other nodes; servers stay reachable.
 func (r *Run) isolate(group ...string) { r.Partition(group, r.Others(group)) }
 
-// printTable prints what happened in each second.
+// printTable prints the counts of requests in each second until the load ends.
 func (r *Run) printTable() {
 	ticker := clock.System().Ticker(time.Second)
 	defer ticker.Stop()
-	var last loadgen.Counts
+	var previous loadgen.Counts
 	r.printf("%6s %8s %9s %8s %8s %7s %8s\n", "second", "served", "refused", "failed", "unsent", "epoch", "skipped")
 	for second := 1; ; second++ {
 		select {
@@ -290,42 +291,43 @@
 		case <-r.ctx.Done():
 			return
 		}
-		now := r.Callers.Counts()
+		counts := r.Callers.Counts()
 		_, version := r.Operators.NewestKey()
-		r.printf("%6d %8d %9d %8d %8d %7d %8d\n", second, now.Served-last.Served, now.Rejected-last.Rejected,
-			now.Failed-last.Failed, now.Unsent-last.Unsent, version, r.Callers.Skipped.Load())
-		last = now
+		r.printf("%6d %8d %9d %8d %8d %7d %8d\n", second, counts.Served-previous.Served, counts.Rejected-previous.Rejected,
+			counts.Failed-previous.Failed, counts.Unsent-previous.Unsent, version, r.Callers.Skipped.Load())
+		previous = counts
 	}
 }
 
 func (r *Run) printf(format string, args ...any) { _, _ = fmt.Fprintf(r.Out, format, args...) }
 
-// NodeVersions returns the newest sheet version that each running node uses, by
-// key checks from outside; 0 for one that doesn't use the newest in time.
+// NodeVersions checks, through requests with the newest key, which running nodes serve
+// by the newest sheet. It returns the newest version by node name, or 0 for a node
+// that does not accept the key within the timeout.
 func (r *Run) NodeVersions(timeout time.Duration) map[string]uint64 {
 	versions := map[string]uint64{}
 	key, version := r.Operators.NewestKey()
-	until := r.Recorder.Now() + timeout
+	deadline := r.Recorder.Now() + timeout
 	for _, node := range r.Fleet.Nodes {
 		if _, runs := node.Running(); !runs {
 			continue
 		}
 		versions[node.Name] = 0
-		if r.acceptsKey(node, key, until) {
+		if r.acceptsKey(node, key, deadline) {
 			versions[node.Name] = version
 		}
 	}
 	return versions
 }
 
-// acceptsKey checks a key at a node until it is accepted; false when it isn't by
-// an instant. The first check is made even after that.
-func (r *Run) acceptsKey(node *fleet.Node, key int, until history.Instant) bool {
+// acceptsKey checks a key at a node until it is accepted. It returns false if that
+// has not happened by the deadline, and makes at least one check even after it.
+func (r *Run) acceptsKey(node *fleet.Node, key int, deadline history.Instant) bool {
 	for {
 		if r.Operators.CheckKey(node, key).Accepted() {
 			return true
 		}
-		if r.Recorder.Now() > until || !r.Wait(pollInterval) {
+		if r.Recorder.Now() > deadline || !r.Wait(pollInterval) {
 			return false
 		}
 	}
--- a/cmd/rig/faultcase/scenario.go
+++ b/cmd/rig/faultcase/scenario.go
@@ -19,7 +19,7 @@
 	maxScenarioSeconds = 3600
 )
 
-// Scenario is an experiment that a file describes. Times are in seconds after the
+// Scenario is an experiment described by a YAML file. Times are in seconds since the
 // start of traffic.
 type Scenario struct {
 	Seconds  int               `yaml:"seconds"`
@@ -31,12 +31,12 @@
 
 // ScenarioFleet describes how the fleet differs from the first deployment.
 type ScenarioFleet struct {
-	Fronts        int               `yaml:"fronts"` // beside the cores; 0 for six
+	Fronts        int               `yaml:"fronts"` // in addition to the cores; 0 for the default of six
 	Settings      map[string]string `yaml:"settings"`
 	ServersWarmUp bool              `yaml:"cold"`
 }
 
-// LoadPhase changes the load from a time on.
+// LoadPhase changes the load at a time.
 type LoadPhase struct {
 	At         float64            `yaml:"at"`
 	Tenant     string             `yaml:"tenant"` // empty for all
@@ -44,37 +44,37 @@
 	ZoneShares map[string]float64 `yaml:"from"`   // share of callers by zone; nil for no change
 }
 
-// Fault is injected at a time and repaired after a duration; never when that is
-// zero.
+// Fault is injected at a time and repaired after a duration, or never if the duration
+// is zero.
 type Fault struct {
 	At       float64   `yaml:"at"`
 	Duration float64   `yaml:"for"`
 	Kind     FaultKind `yaml:"what"`
 	Target   []string  `yaml:"target"`
-	Odds     float64   `yaml:"odds"` // for each request, of faults of servers
+	Odds     float64   `yaml:"odds"` // of affecting each request; for faults of servers
 }
 
-// ParseScenario reads a scenario and rejects fields and faults that it doesn't
-// know.
+// ParseScenario parses a scenario. It returns an error for an unknown field, an unknown
+// kind of fault or a length out of range.
 func ParseScenario(data []byte) (*Scenario, error) {
 	var scenario Scenario
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
 	if err := decoder.Decode(&scenario); err != nil {
-		return nil, errors.Wrap(err, "scenario")
+		return nil, errors.Wrap(err, "parse scenario")
 	}
 	if scenario.Seconds < minScenarioSeconds || scenario.Seconds > maxScenarioSeconds {
-		return nil, errors.New("scenario: seconds must be 1 to 3600")
+		return nil, errors.New("scenario: seconds must be between 1 and 3600")
 	}
 	for i, fault := range scenario.Faults {
 		if _, ok := faultTargets[fault.Kind]; !ok {
-			return nil, errors.Errorf("scenario: fault %d: %q is none of %s", i+1, fault.Kind, faultKindNames())
+			return nil, errors.Errorf("scenario: fault %d: unknown kind %q, must be one of %s", i+1, fault.Kind, faultKindNames())
 		}
 	}
 	return &scenario, nil
 }
 
-// Options returns those of the scenario's fleet.
+// Options returns the options of a run of the scenario.
 func (s *Scenario) Options() Options {
 	spec := fleet.FirstDeployment()
 	if s.Fleet.Fronts > 0 {
@@ -96,19 +96,19 @@
 	}
 }
 
-// step is something that happens at a time of a scenario.
+// step is one timed action of a scenario.
 type step struct {
-	at     time.Duration // after the start of traffic
-	effect func() error
+	offset time.Duration // after the start of traffic
+	run    func() error
 }
 
-// Run runs the scenario's steps.
+// Run runs the scenario's steps and waits until its end.
 func (s *Scenario) Run(r *Run) error {
-	for _, next := range s.steps(r) {
-		if wait := r.TrafficStart + next.at - r.Recorder.Now(); wait > 0 && !r.Wait(wait) {
+	for _, timedStep := range s.steps(r) {
+		if wait := r.TrafficStart + timedStep.offset - r.Recorder.Now(); wait > 0 && !r.Wait(wait) {
 			return nil
 		}
-		if err := next.effect(); err != nil {
+		if err := timedStep.run(); err != nil {
 			return err
 		}
 	}
@@ -116,20 +116,20 @@
 	return nil
 }
 
-// steps returns the steps sorted by time: load phases first, then faults.
+// steps returns the steps sorted by time. Load phases precede faults of the same time.
 func (s *Scenario) steps(r *Run) []step {
 	var steps []step
 	for _, phase := range s.Load {
-		steps = append(steps, step{seconds(phase.At), noError(func() { r.changeLoad(phase) })})
+		steps = append(steps, step{seconds(phase.At), withoutError(func() { r.changeLoad(phase) })})
 	}
 	for _, fault := range s.Faults {
-		steps = append(steps, step{seconds(fault.At), func() error { return r.causeFault(fault, false) }})
+		steps = append(steps, step{seconds(fault.At), func() error { return r.applyFault(fault, false) }})
 		if fault.Duration > 0 {
 			repairTime := seconds(fault.At + fault.Duration)
-			steps = append(steps, step{repairTime, func() error { return r.causeFault(fault, true) }})
+			steps = append(steps, step{repairTime, func() error { return r.applyFault(fault, true) }})
 		}
 	}
-	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.offset, b.offset) })
 	return steps
 }
 
--- a/cmd/rig/faultcase/scenariofault.go
+++ b/cmd/rig/faultcase/scenariofault.go
@@ -11,8 +11,8 @@
 	"stepwick/cmd/rig/fleet"
 )
 
-// FaultKind is a kind of fault that a scenario may name: one of those below, or a
-// fault of a server for some requests.
+// FaultKind is a kind of fault that a scenario may name: one of the constants below, or
+// a fault of package emulator that affects some of a server's requests.
 type FaultKind string
 
 // Kinds of faults.
@@ -30,25 +30,25 @@
 	FaultFinal     FaultKind = "final" // marks the instant from which recovery is checked
 )
 
-// scenarioLeaveAfter is the time from the listing of a server as draining or
-// leaving until it leaves.
-const scenarioLeaveAfter = 5 * time.Second
+// scenarioLeaveDelay is the time from the listing of a server as draining or leaving
+// to its announced leave time.
+const scenarioLeaveDelay = 5 * time.Second
 
-// faultTargets says what the target of each kind of fault must be, for the message
-// of a wrong one. A new kind is caused and repaired in causeNodeFault or
-// causeServerFault; the faults of package emulator need no more than their row.
+// faultTargets describes the valid targets of each kind of fault, for error messages.
+// A new kind also needs a case in applyNodeFault or applyServerFault; a fault of
+// package emulator needs only its entry here.
 var faultTargets = map[FaultKind]string{
 	FaultKill:      "nodes",
 	FaultStop:      "nodes",
 	FaultFreeze:    "nodes",
 	FaultWipe:      "cores",
-	FaultPartition: "nodes and servers, cut from all others in silence",
+	FaultPartition: "nodes and servers, partitioned from all others, connections hang",
 	FaultCrash:     "servers",
 	FaultDark:      "model servers",
 	FaultDrain:     "servers",
 	FaultLeave:     "servers",
 	FaultEvacuate:  "localities",
-	FaultFinal:     "nothing: service is judged from here on",
+	FaultFinal:     "none: recovery of service is checked from this time on",
 
 	FaultKind(emulator.EarlyEnd):        "model servers",
 	FaultKind(emulator.DuplicatedEvent): "model servers",
@@ -66,8 +66,8 @@
 	return strings.Join(names, ", ")
 }
 
-// causeFault injects or repairs a fault of a scenario.
-func (r *Run) causeFault(fault Fault, repair bool) error {
+// applyFault injects a fault of a scenario, or repairs it.
+func (r *Run) applyFault(fault Fault, repair bool) error {
 	switch {
 	case fault.Kind == FaultFinal:
 		r.Recorder.AddAction("final", true)
@@ -82,41 +82,41 @@
 		return nil
 	}
 	for _, name := range fault.Target {
-		if err := r.causeFaultOf(name, fault, repair); err != nil {
+		if err := r.applyFaultToTarget(name, fault, repair); err != nil {
 			return errors.Wrapf(err, "%s %s", fault.Kind, name)
 		}
 	}
 	return nil
 }
 
-// causeFaultOf injects or repairs a fault of one target.
-func (r *Run) causeFaultOf(name string, fault Fault, repair bool) error {
+// applyFaultToTarget injects a fault into one target, or repairs it.
+func (r *Run) applyFaultToTarget(name string, fault Fault, repair bool) error {
 	if fault.Kind == FaultEvacuate {
-		r.causeEvacuation(name, repair)
+		r.applyEvacuation(name, repair)
 		return nil
 	}
 	if node := r.Fleet.Node(name); node != nil {
-		return causeNodeFault(node, fault.Kind, repair)
+		return applyNodeFault(node, fault.Kind, repair)
 	}
 	if r.Fleet.Model(name) != nil || r.Fleet.Web(name) != nil {
-		return r.causeServerFault(name, fault, repair)
+		return r.applyServerFault(name, fault, repair)
 	}
-	return wrongTarget(fault.Kind)
+	return invalidTargetError(fault.Kind)
 }
 
-func wrongTarget(kind FaultKind) error {
-	return errors.Errorf("the target must be of: %s", faultTargets[kind])
+func invalidTargetError(kind FaultKind) error {
+	return errors.Errorf("invalid target, must be one of: %s", faultTargets[kind])
 }
 
-func (r *Run) causeEvacuation(zone string, repair bool) {
+func (r *Run) applyEvacuation(zone string, repair bool) {
 	if repair {
-		r.submit(r.Operators.Restore(firstOperator, zone), 0, zoneOrderLimit)
+		r.submit(r.Operators.Restore(firstOperator, zone), 0, zoneOrderTimeout)
 		return
 	}
-	r.submit(r.Operators.Evacuate(firstOperator, zone), 0, zoneOrderLimit)
+	r.submit(r.Operators.Evacuate(firstOperator, zone), 0, zoneOrderTimeout)
 }
 
-func causeNodeFault(node *fleet.Node, kind FaultKind, repair bool) error {
+func applyNodeFault(node *fleet.Node, kind FaultKind, repair bool) error {
 	switch {
 	case kind == FaultFreeze && repair:
 		node.Thaw()
@@ -132,12 +132,12 @@
 	case kind == FaultKill:
 		node.Kill()
 	default:
-		return wrongTarget(kind)
+		return invalidTargetError(kind)
 	}
 	return nil
 }
 
-func (r *Run) causeServerFault(name string, fault Fault, repair bool) error {
+func (r *Run) applyServerFault(name string, fault Fault, repair bool) error {
 	model := r.Fleet.Model(name)
 	switch {
 	case fault.Kind == FaultCrash && repair:
@@ -145,18 +145,19 @@
 	case fault.Kind == FaultCrash:
 		r.crashServer(name)
 	case fault.Kind == FaultDrain || fault.Kind == FaultLeave:
-		r.Fleet.Platform.SetState(name, listedState(fault.Kind, repair), leaveTime(scenarioLeaveAfter))
+		r.Fleet.Platform.SetState(name, listedState(fault.Kind, repair), leaveTime(scenarioLeaveDelay))
 	case model != nil && fault.Kind == FaultDark:
 		model.SetUnresponsive(!repair)
 	case fault.Odds > 0:
 		r.setFaultOdds(name, requestFaultOdds(fault, repair))
 	default:
-		return wrongTarget(fault.Kind)
+		return invalidTargetError(fault.Kind)
 	}
 	return nil
 }
 
-// listedState returns the state in which a server is listed.
+// listedState returns the state in which the platform lists a server during a drain or
+// leave fault, or after its repair.
 func listedState(kind FaultKind, repair bool) string {
 	switch {
 	case repair:
@@ -167,7 +168,8 @@
 	return stateLeaving
 }
 
-// requestFaultOdds returns the odds of a fault of some requests.
+// requestFaultOdds returns the odds of a fault that affects some requests, or nil to
+// repair it.
 func requestFaultOdds(fault Fault, repair bool) emulator.FaultOdds {
 	if repair {
 		return nil
--- a/cmd/rig/faultcase/soak.go
+++ b/cmd/rig/faultcase/soak.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	// soakGrace is how soon after SIGTERM a process must have ended, and soakDrainGrace
-	// the setting drain.grace, which leaves 1.2 s of it for the hand-over.
-	soakGrace      = 8 * time.Second
-	soakDrainGrace = "6.8s"
+	// soakStopTimeout is the time within which a process must exit after SIGTERM. The setting
+	// drain.grace, soakDrainGrace, leaves 1.2 s of it for the handover.
+	soakStopTimeout = 8 * time.Second
+	soakDrainGrace  = "6.8s"
 
-	// soakRecovery is how soon after the last step of a storm every node must serve by
-	// the newest sheet again.
-	soakRecovery = checker.RecoveryTime
+	// soakRecoveryTimeout is the time after the last step of a storm within which every node
+	// must serve by the newest sheet again.
+	soakRecoveryTimeout = checker.RecoveryTime
 
 	stormLength          = 10 * time.Second
 	persistentInterval   = 150 * time.Millisecond
 	soakLoadFactor       = 0.4 // of the first deployment's load
-	excessiveLoadFactor  = 4   // of one tenant, which then asks for 1.6 of its allowance
+	excessiveLoadFactor  = 4   // of one tenant, whose demand is then 1.6 times its allowance
 	maxProblemsInMessage = 10
 )
 
 // SoakSize is the size of a soak.
 type SoakSize struct {
 	fleet.Size
-	Clients int // that keep using one connection each
+	Clients int // each keeps reusing one connection
 }
 
-// SmallSoak is the size of the case soak: that of the first deployment in nodes.
+// SmallSoak returns the default size of a soak, which has the nodes of the first
+// deployment.
 func SmallSoak() SoakSize {
 	return SoakSize{
 		Size:    fleet.Size{Cores: 3, Fronts: 6, Models: 9, Webs: 3},
@@ -48,25 +49,25 @@
 	}
 }
 
-// SoakSummary counts what happened in a soak.
+// SoakSummary is the result of a soak.
 type SoakSummary struct {
 	Steps            map[soakAction]int `json:"steps"`
 	OrdersKept       int                `json:"orders_kept"`         // acknowledged, and in force at every node at the end
 	KeptRequests     int                `json:"kept_requests"`       // sent on a connection that was open before
-	LeavingAnswers   int                `json:"leaving_answers"`     // of those, answered that the node is leaving
+	LeavingAnswers   int                `json:"leaving_answers"`     // of those, answered that the node is draining
 	ClosedUnread     int                `json:"closed_unread"`       // of those, whose connection was closed without an answer
 	SlowestExit      int64              `json:"slowest_exit_ms"`     // from SIGTERM
 	SlowestRecovery  int64              `json:"slowest_recovery_ms"` // from the end of a storm
 	HangupsDelivered int                `json:"hangups"`
-	EndedBeforeStart int                `json:"ended_before_start"` // by SIGTERM, before the program had begun
+	EndedBeforeStart int                `json:"ended_before_start"` // by SIGTERM, before the program had logged anything
 }
 
-// Soak returns the case of a soak of a size.
+// Soak returns the soak case for a size.
 func Soak(size SoakSize) Case {
 	return Case{
 		Name:      "soak",
 		Group:     8,
-		Help:      "signals, restarts, settings and sheet changes in series that overlap, while clients keep their connections",
+		Help:      "overlapping series of signals, restarts, settings changes and sheet changes, while clients reuse their connections",
 		Seconds:   60,
 		Configure: func(options *Options) { configureSoak(options, size) },
 		Run:       func(r *Run) error { return runSoak(r, size) },
@@ -79,7 +80,7 @@
 	options.Tenants = append(options.Tenants, loadgen.PersistentTenants()...)
 }
 
-// soak is a soak that runs.
+// soak is a running soak.
 type soak struct {
 	*Run
 	size     SoakSize
@@ -88,11 +89,11 @@
 	nextTenant atomic.Int64 // number of the last tenant that an order added
 }
 
-// soakProgress is what a soak has found and done so far.
+// soakProgress holds the problems and counts of a soak so far.
 type soakProgress struct {
 	problems []string
 	summary  SoakSummary
-	orders   map[string]uint64 // version by the tenant that an acknowledged order added
+	orders   map[string]uint64 // version of each acknowledged order, by the tenant that it added
 }
 
 func runSoak(r *Run, size SoakSize) error {
@@ -107,18 +108,18 @@
 	defer s.progress.Close()
 	r.Callers.SetLoadFactor("", soakLoadFactor)
 	r.Callers.SetLoadFactor(mostExcessiveTenant, excessiveLoadFactor)
-	r.parts.Go(func() { r.Callers.RunPersistent(r.ctx, size.Clients, persistentInterval) })
+	r.background.Go(func() { r.Callers.RunPersistent(r.ctx, size.Clients, persistentInterval) })
 	for i, length := range stormLengths(time.Duration(r.Seconds) * time.Second) {
 		storm := uint64(i)
-		s.runStorm(drawSoakSchedule(r.Seed, storm, s.targets(), length))
-		s.checkCalm(storm)
+		s.runStorm(newSoakSteps(r.Seed, storm, s.targets(), length))
+		s.checkAfterStorm(storm)
 	}
 	s.checkLogs()
-	return s.conclude()
+	return s.finish()
 }
 
-// stormLengths divides the length of a soak into storms. What a storm has begun, and
-// the check after it, take a few seconds more.
+// stormLengths divides the length of a soak into storms. The end of the last steps of a
+// storm, and the check after it, take a few seconds more.
 func stormLengths(total time.Duration) []time.Duration {
 	var lengths []time.Duration
 	for remaining := total; remaining > 0; remaining -= stormLength {
@@ -142,27 +143,28 @@
 	return targets
 }
 
-// runStorm runs the steps of a storm: those of one target one after another, those of
-// different targets, and hangups, beside each other.
+// runStorm runs the steps of a storm: those of one target in sequence, those of
+// different targets concurrently. Hangups run concurrently with the other steps of
+// their target.
 func (s *soak) runStorm(steps []soakStep) {
 	start := s.Recorder.Now()
-	byTarget := map[string][]soakStep{}
+	lanes := map[string][]soakStep{}
 	for _, step := range steps {
-		lane := step.Target
+		laneName := step.Target
 		if step.Action == soakHangups {
-			lane += " hangups"
+			laneName += " hangups"
 		}
-		byTarget[lane] = append(byTarget[lane], step)
+		lanes[laneName] = append(lanes[laneName], step)
 	}
-	var running sync.WaitGroup
-	for _, lane := range byTarget {
-		running.Go(func() {
+	var laneRunners sync.WaitGroup
+	for _, lane := range lanes {
+		laneRunners.Go(func() {
 			for _, step := range lane {
 				s.runStep(step, start)
 			}
 		})
 	}
-	running.Wait()
+	laneRunners.Wait()
 }
 
 func (s *soak) runStep(step soakStep, start history.Instant) {
@@ -181,39 +183,39 @@
 	case soakRaceOperators:
 		s.raceOperators(step)
 	case soakReplaceServer:
-		s.noteError(s.replaceModelServer(step.Target))
+		s.addErrorAsProblem(s.replaceModelServer(step.Target))
 	case soakCrashServer:
 		s.Fleet.CrashModelServer(step.Target)
 		s.Wait(step.Length)
-		s.noteError(s.Fleet.RestartModelServer(step.Target))
+		s.addErrorAsProblem(s.Fleet.RestartModelServer(step.Target))
 	}
 }
 
-// addProblem notes something that must not happen.
+// addProblem records a violation or a failed operation, with the current time.
 func (s *soak) addProblem(format string, args ...any) {
 	problem := fmt.Sprintf("at %.3fs: ", s.Recorder.Now().Seconds()) + fmt.Sprintf(format, args...)
 	s.progress.Post(func(p *soakProgress) { p.problems = append(p.problems, problem) })
 }
 
-func (s *soak) noteError(err error) {
+func (s *soak) addErrorAsProblem(err error) {
 	if err != nil {
 		s.addProblem("%v", err)
 	}
 }
 
-// checkLogs looks for panics and parts that failed in the logs of all nodes.
+// checkLogs searches the logs of all nodes for panics and failed services.
 func (s *soak) checkLogs() {
 	for _, node := range s.Fleet.Nodes {
 		line, err := findFailure(node.LogFile())
-		s.noteError(err)
+		s.addErrorAsProblem(err)
 		if line != "" {
 			s.addProblem("the log of %s has: %s", node.Name, line)
 		}
 	}
 }
 
-// conclude sets the run's summary and returns an error that names the problems.
-func (s *soak) conclude() error {
+// finish sets the run's summary and returns an error that lists the first problems.
+func (s *soak) finish() error {
 	var problems []string
 	s.progress.Do(func(p *soakProgress) {
 		problems = p.problems
--- a/cmd/rig/faultcase/soak_nodes.go
+++ b/cmd/rig/faultcase/soak_nodes.go
@@ -9,15 +9,16 @@
 
 const hangupGap = 2 * time.Millisecond // between the signals of a burst
 
-// runNodeStep runs a step on a node, which runs before and after it.
+// runNodeStep runs a step on a node. The node must be running before the step, and is
+// running again after it.
 func (s *soak) runNodeStep(step soakStep, node *fleet.Node) {
 	if step.Action == soakHangups {
 		s.sendHangups(node, step.Count)
 		return
 	}
 	if _, running := node.Running(); !running {
-		s.addProblem("%s had ended by itself with exit code %d before %s", node.Name, node.ExitCode(), step.Action)
-		s.noteError(node.Start())
+		s.addProblem("%s had exited unexpectedly with code %d before step %s", node.Name, node.ExitCode(), step.Action)
+		s.addErrorAsProblem(node.Start())
 		return
 	}
 	switch step.Action {
@@ -46,22 +47,22 @@
 		s.awaitExit(node, node.SendTerminate())
 	}
 	s.Wait(step.Length)
-	s.noteError(node.Start())
+	s.addErrorAsProblem(node.Start())
 }
 
-// awaitExit checks that a process to which SIGTERM was sent, and which is not frozen,
-// ends within the grace period and with code 0. One whose program had not begun yet
-// is ended by the signal itself.
+// awaitExit checks that a process that was sent SIGTERM, and is not frozen, exits within
+// the grace period and with code 0. A process that SIGTERM ended before it handled
+// signals is only counted.
 func (s *soak) awaitExit(node *fleet.Node, exited <-chan struct{}) {
 	start := s.Recorder.Now()
-	clean := node.AwaitExit(exited, soakGrace)
+	clean := node.AwaitExit(exited, soakStopTimeout)
 	if !clean && node.TerminatedBeforeStart() {
 		s.progress.Post(func(p *soakProgress) { p.summary.EndedBeforeStart++ })
 		return
 	}
 	if !clean {
-		s.addProblem("%s did not end with code 0 within %s of SIGTERM: exit code %d after %s",
-			node.Name, soakGrace, node.ExitCode(), s.Recorder.Now()-start)
+		s.addProblem("%s did not exit with code 0 within %s of SIGTERM: exit code %d after %s",
+			node.Name, soakStopTimeout, node.ExitCode(), s.Recorder.Now()-start)
 	}
 	took := (s.Recorder.Now() - start).Milliseconds()
 	s.progress.Post(func(p *soakProgress) { p.summary.SlowestExit = max(p.summary.SlowestExit, took) })
@@ -78,42 +79,44 @@
 	s.progress.Post(func(p *soakProgress) { p.summary.HangupsDelivered += sent })
 }
 
-// changeSettings writes another settings file for a node while it runs, and tells it.
+// changeSettings writes a changed settings file for a running node and sends the node
+// SIGHUP to reload it.
 func (s *soak) changeSettings(node *fleet.Node, step soakStep) {
 	values := []string{"50", "100", "200"}
 	node.SetSetting("memory.gc", values[step.Count%len(values)])
-	s.noteError(node.WriteSettings())
+	s.addErrorAsProblem(node.WriteSettings())
 	node.Hangup()
 }
 
-// checkCalm checks, after a storm, that a new order is acknowledged, and that every
-// node serves by it and has all acknowledged orders, all within the recovery time.
-func (s *soak) checkCalm(storm uint64) {
+// checkAfterStorm checks after a storm that, within the recovery time, a new order is
+// acknowledged, every node serves by it, and the sheet at every node has all
+// acknowledged orders.
+func (s *soak) checkAfterStorm(storm uint64) {
 	if s.ctx.Err() != nil {
 		return
 	}
 	start := s.Recorder.Now()
-	until := start + soakRecovery
-	key, acknowledged := s.submitCalmOrder(storm, until)
+	deadline := start + soakRecoveryTimeout
+	key, acknowledged := s.submitOrderAfterStorm(storm, deadline)
 	if !acknowledged {
-		s.addProblem("storm %d: no order was acknowledged within %s of its last step", storm, soakRecovery)
+		s.addProblem("storm %d: no order was acknowledged within %s of its last step", storm, soakRecoveryTimeout)
 		return
 	}
-	s.forEachNode(func(node *fleet.Node) { s.checkRecovered(storm, node, key, until) })
+	s.forEachNode(func(node *fleet.Node) { s.checkRecovered(storm, node, key, deadline) })
 	took := (s.Recorder.Now() - start).Milliseconds()
 	s.progress.Post(func(p *soakProgress) { p.summary.SlowestRecovery = max(p.summary.SlowestRecovery, took) })
 }
 
-func (s *soak) checkRecovered(storm uint64, node *fleet.Node, key int, until history.Instant) {
+func (s *soak) checkRecovered(storm uint64, node *fleet.Node, key int, deadline history.Instant) {
 	if _, running := node.Running(); !running {
-		s.addProblem("storm %d: %s has ended by itself with exit code %d", storm, node.Name, node.ExitCode())
+		s.addProblem("storm %d: %s has exited unexpectedly with code %d", storm, node.Name, node.ExitCode())
 		return
 	}
-	if !s.acceptsKey(node, key, until) {
+	if !s.acceptsKey(node, key, deadline) {
 		check := s.Operators.CheckKey(node, key)
-		s.addProblem("storm %d: %s did not serve by the newest sheet within %s of the last step: status %d code %d %s",
-			storm, node.Name, soakRecovery, check.Status, check.Code, check.Detail)
+		s.addProblem("storm %d: %s did not serve the newest sheet within %s of the last step: status %d code %d %s",
+			storm, node.Name, soakRecoveryTimeout, check.Status, check.Code, check.Detail)
 		return
 	}
-	s.checkOrdersAt(storm, node, until)
+	s.checkOrdersAt(storm, node, deadline)
 }
--- a/cmd/rig/faultcase/soak_orders.go
+++ b/cmd/rig/faultcase/soak_orders.go
@@ -18,19 +18,19 @@
 	soakTenantRate   = 10     // tokens a second
 	limitedTenant    = "limited"
 
-	maxOrderGap    = 50 * time.Millisecond // between the orders of a series
-	soakOrderTime  = 10 * time.Second      // for a series of orders; what is pending then stays undecided
-	racesPerSeries = 4
+	maxOrderGap      = 50 * time.Millisecond // between the orders of a series
+	soakOrderTimeout = 10 * time.Second      // for a series of orders; one still pending then is not retried
+	racesPerSeries   = 4
 )
 
 // changeSheet submits orders in quick succession.
 func (s *soak) changeSheet(step soakStep) {
-	ctx, cancel := context.WithTimeout(s.ctx, soakOrderTime)
+	ctx, cancel := context.WithTimeout(s.ctx, soakOrderTimeout)
 	defer cancel()
 	base := s.sheetVersion(ctx)
 	gap := maxOrderGap * time.Duration(step.Count) / maxBurst
 	for i := 0; i < step.Count && ctx.Err() == nil; i++ {
-		answer := s.submitSoakOrder(ctx, operatorOf(uint64(i)), base)
+		answer := s.submitSoakOrder(ctx, operatorFor(uint64(i)), base)
 		base = answer.Version
 		if !answer.Acknowledged() {
 			base = s.sheetVersion(ctx)
@@ -39,9 +39,9 @@
 	}
 }
 
-// raceOperators has both operators submit orders on one base at once.
+// raceOperators has both operators submit orders of the same base concurrently.
 func (s *soak) raceOperators(step soakStep) {
-	ctx, cancel := context.WithTimeout(s.ctx, soakOrderTime)
+	ctx, cancel := context.WithTimeout(s.ctx, soakOrderTimeout)
 	defer cancel()
 	for i := 0; i < min(step.Count, racesPerSeries) && ctx.Err() == nil; i++ {
 		base := s.sheetVersion(ctx)
@@ -53,14 +53,15 @@
 	}
 }
 
-// sheetVersion reads the version of the sheet in force, 0 if ctx ends before.
+// sheetVersion reads the version of the sheet in force, or returns 0 if ctx ends first.
 func (s *soak) sheetVersion(ctx context.Context) uint64 {
 	version, _ := s.Operators.SheetVersion(ctx, s.Fleet.Nodes)
 	return version
 }
 
-// submitSoakOrder submits an order that adds a tenant, changes the limit of another
-// one and revokes the checked key, and notes the new tenant if it is acknowledged.
+// submitSoakOrder submits an order that adds a tenant, changes the limit of another one
+// and revokes the last checked key. It records the new tenant if the order is
+// acknowledged.
 func (s *soak) submitSoakOrder(ctx context.Context, operator string, base uint64) history.Order {
 	order, tenant := s.newSoakOrder(operator, base)
 	answer := s.Operators.Submit(ctx, order, s.rotatedNodes(uint64(order.Key)))
@@ -85,13 +86,14 @@
 	}
 }
 
-// submitCalmOrder submits orders until one is acknowledged, and returns the checked
-// key of that one. Its base may be moved by an order of the storm that was pending.
-func (s *soak) submitCalmOrder(storm uint64, until history.Instant) (key int, acknowledged bool) {
-	ctx, cancel := context.WithTimeout(s.ctx, until-s.Recorder.Now())
+// submitOrderAfterStorm submits orders until one is acknowledged, and returns its checked key.
+// More than one may be needed, as a pending order of the storm may still change the
+// base.
+func (s *soak) submitOrderAfterStorm(storm uint64, deadline history.Instant) (key int, acknowledged bool) {
+	ctx, cancel := context.WithTimeout(s.ctx, deadline-s.Recorder.Now())
 	defer cancel()
 	for ctx.Err() == nil {
-		order, tenant := s.newSoakOrder(operatorOf(storm), s.sheetVersion(ctx))
+		order, tenant := s.newSoakOrder(operatorFor(storm), s.sheetVersion(ctx))
 		answer := s.Operators.Submit(ctx, order, s.rotatedNodes(storm))
 		if answer.Acknowledged() {
 			s.progress.Post(func(p *soakProgress) { p.orders[tenant] = answer.Version })
@@ -101,13 +103,13 @@
 	return 0, false
 }
 
-// checkOrdersAt checks that the sheet read through a node has the tenant of every
-// order that was acknowledged.
-func (s *soak) checkOrdersAt(storm uint64, node *fleet.Node, until history.Instant) {
+// checkOrdersAt checks that the sheet read through a node has the tenants of all
+// acknowledged orders.
+func (s *soak) checkOrdersAt(storm uint64, node *fleet.Node, deadline history.Instant) {
 	read, sheet := s.Operators.ReadSheet(node, false)
 	for read.Status != http.StatusOK {
-		if s.Recorder.Now() > until || !s.Wait(pollInterval) {
-			s.addProblem("storm %d: the sheet could not be read through %s: status %d code %d",
+		if s.Recorder.Now() > deadline || !s.Wait(pollInterval) {
+			s.addProblem("storm %d: reading the sheet through %s failed until the deadline: status %d code %d",
 				storm, node.Name, read.Status, read.Code)
 			return
 		}
@@ -127,11 +129,11 @@
 	}
 }
 
-// forEachNode runs a function for all nodes at once and waits for its end.
+// forEachNode runs a check for all nodes concurrently and waits until all have returned.
 func (s *soak) forEachNode(check func(node *fleet.Node)) {
-	var running sync.WaitGroup
+	var checks sync.WaitGroup
 	for _, node := range s.Fleet.Nodes {
-		running.Go(func() { check(node) })
+		checks.Go(func() { check(node) })
 	}
-	running.Wait()
+	checks.Wait()
 }
--- a/cmd/rig/faultcase/soak_schedule.go
+++ b/cmd/rig/faultcase/soak_schedule.go
@@ -11,17 +11,17 @@
 // soakAction is what one step of a soak does to its target.
 type soakAction string
 
-// Actions of a soak. Those on nodes leave the node running.
+// Actions of a soak. A node is running again after each action on it.
 const (
 	soakRestart         soakAction = "restart"          // SIGTERM, then a start
-	soakRestartFrozen   soakAction = "restart_frozen"   // SIGTERM to a frozen process, which is then resumed
-	soakKillDraining    soakAction = "kill_draining"    // SIGTERM, and SIGKILL soon after
+	soakRestartFrozen   soakAction = "restart_frozen"   // SIGTERM to a process stopped by SIGSTOP, then SIGCONT and a start
+	soakKillDraining    soakAction = "kill_draining"    // SIGTERM, SIGKILL during the drain, then a start
 	soakKill            soakAction = "kill"             // SIGKILL, then a start
 	soakFreeze          soakAction = "freeze"           // SIGSTOP, then SIGCONT
 	soakHangups         soakAction = "hangups"          // a burst of SIGHUP, also while the process drains
 	soakChangeSettings  soakAction = "change_settings"  // another settings file, SIGHUP, and a restart
 	soakChangeSheet     soakAction = "change_sheet"     // orders in quick succession: a new tenant, a revoked key, a limit
-	soakRaceOperators   soakAction = "race_operators"   // two operators submit on one base at once
+	soakRaceOperators   soakAction = "race_operators"   // two operators submit orders of one base concurrently
 	soakReplaceServer   soakAction = "replace_server"   // a model server drains, leaves and returns cold
 	soakCrashServer     soakAction = "crash_server"     // a model server crashes and returns cold
 	soakRestartCores    soakAction = "restart_cores"    // cores restarted in turn; a series only
@@ -30,69 +30,70 @@
 
 // Limits of a storm's schedule.
 const (
-	minSeriesGap = 200 * time.Millisecond // from the beginning of a series to that of the next
+	minSeriesGap = 200 * time.Millisecond // from the start of a series to the start of the next
 	maxSeriesGap = 900 * time.Millisecond
 	minStepGap   = time.Millisecond // from one step of a series to the next
 	maxStepGap   = time.Second
-	maxDownTime  = 500 * time.Millisecond  // of a node between its end and its start
-	maxFreeze    = 2500 * time.Millisecond // somewhat more than a lease lasts
-	maxBurst     = 15                      // orders or signals of a step
+	maxDownTime  = 500 * time.Millisecond  // of a node between its exit and its restart
+	maxFreeze    = 2500 * time.Millisecond // slightly longer than a lease
+	maxBurst     = 15                      // orders or signals in a step
 
-	// A crashed server is away for two status intervals (watch.interval) at least:
-	// nobody can know before that it is cold.
+	// A crashed server is down for at least two status intervals (watch.interval);
+	// before that, no node can detect that it is cold again.
 	minServerDown = time.Second
 	maxServerDown = 2 * time.Second
 
-	// maxStepsOfNode bounds how far the steps of a node, which follow one another,
-	// can fall behind the schedule. The same holds for a server.
-	maxStepsOfNode   = 4
-	maxStepsOfServer = 1
+	// maxStepsPerNode bounds how far the steps of a node, which run in sequence, can fall
+	// behind the schedule; maxStepsPerServer does so for a server.
+	maxStepsPerNode   = 4
+	maxStepsPerServer = 1
 )
 
-// soakStep is one step of a schedule. Steps of one target follow one another; those
-// of different targets overlap.
+// soakStep is one step of a schedule. Steps of one target run in sequence, those of
+// different targets may overlap.
 type soakStep struct {
-	At     time.Duration // after the storm's beginning, or after the target's step before
+	At     time.Duration // from the start of the storm; later if the target's previous step has not ended
 	Action soakAction
 	Target string
-	Length time.Duration // of the step's inner wait
+	Length time.Duration // of the wait within the step
 	Count  int           // of orders or signals
 }
 
-// soakTargets are the names of what a schedule may disturb.
+// soakTargets holds the names of the nodes and servers that a schedule may act on.
 type soakTargets struct {
 	cores  []string
 	fronts []string
 	models []string
 }
 
-// soakSchedule draws the steps of a storm.
+// soakSchedule generates the steps of a storm.
 type soakSchedule struct {
 	random      *rand.Rand
 	targets     soakTargets
 	length      time.Duration
 	steps       []soakStep
-	stepsOf     map[string]int // by target
+	stepCounts  map[string]int // by target
 	orderSeries int
 }
 
-// drawSoakSchedule returns the steps of a numbered storm, sorted by time. It depends
-// on nothing but its arguments.
-func drawSoakSchedule(seed, storm uint64, targets soakTargets, length time.Duration) []soakStep {
+// newSoakSteps returns the steps of the storm of a number, sorted by time. The
+// result depends only on the arguments.
+func newSoakSteps(seed, storm uint64, targets soakTargets, length time.Duration) []soakStep {
 	schedule := &soakSchedule{
-		random:  rand.New(rand.NewPCG(seed, storm)),
-		targets: targets,
-		length:  length,
-		stepsOf: map[string]int{},
+		random:     rand.New(rand.NewPCG(seed, storm)),
+		targets:    targets,
+		length:     length,
+		stepCounts: map[string]int{},
 	}
-	// The kinds are dealt like cards, so that each storm that is long enough has all.
-	var deck []soakAction
-	for at := time.Duration(0); at < length; at += schedule.draw(minSeriesGap, maxSeriesGap) {
-		if len(deck) == 0 {
-			deck = schedule.shuffledKinds()
+	// Kinds are taken from a shuffled list until it is empty, so that every storm that is
+	// long enough has each kind.
+	var remainingKinds []soakAction
+	for offset := time.Duration(0); offset < length; offset += schedule.randomDuration(minSeriesGap, maxSeriesGap) {
+		if len(remainingKinds) == 0 {
+			remainingKinds = schedule.shuffledKinds()
 		}
-		schedule.addSeries(deck[0], at)
-		deck = deck[1:]
+		schedule.addSeries(remainingKinds[0], offset)
+		remainingKinds = remainingKinds[1:]
 	}
 	slices.SortStableFunc(schedule.steps, func(a, b soakStep) int { return cmp.Compare(a.At, b.At) })
 	return schedule.steps
@@ -108,79 +109,80 @@
 	return kinds
 }
 
-// addSeries adds a series of steps that begins at a time.
-func (s *soakSchedule) addSeries(kind soakAction, at time.Duration) {
+// addSeries adds the steps of a series of a kind that starts at a time.
+func (s *soakSchedule) addSeries(kind soakAction, offset time.Duration) {
 	nodes := slices.Concat(s.targets.cores, s.targets.fronts)
 	switch kind {
 	case soakRestart:
-		s.addInTurn(kind, at, s.pick(s.targets.fronts, 1+s.random.IntN(len(s.targets.fronts))))
+		s.addInTurn(kind, offset, s.randomNames(s.targets.fronts, 1+s.random.IntN(len(s.targets.fronts))))
 	case soakRestartCores:
-		s.addInTurn(soakRestart, at, s.pick(s.targets.cores, len(s.targets.cores)))
+		s.addInTurn(soakRestart, offset, s.randomNames(s.targets.cores, len(s.targets.cores)))
 	case soakHangups:
-		s.addInTurn(kind, at, s.pick(nodes, 1+len(nodes)/2))
+		s.addInTurn(kind, offset, s.randomNames(nodes, 1+len(nodes)/2))
 	case soakReloadThenLeave:
-		leaving := s.pick(nodes, 2)
-		s.addInTurn(soakHangups, at, leaving)
-		s.addInTurn(soakRestart, at, leaving)
+		leaving := s.randomNames(nodes, 2)
+		s.addInTurn(soakHangups, offset, leaving)
+		s.addInTurn(soakRestart, offset, leaving)
 	case soakChangeSheet, soakRaceOperators:
 		s.orderSeries++
-		s.add(kind, at, fmt.Sprintf("orders%d", s.orderSeries))
+		s.addStep(kind, offset, fmt.Sprintf("orders%d", s.orderSeries))
 	case soakReplaceServer, soakCrashServer:
-		s.addInTurn(kind, at, s.pick(s.targets.models, 1))
+		s.addInTurn(kind, offset, s.randomNames(s.targets.models, 1))
 	default:
-		s.addInTurn(kind, at, s.pick(nodes, 1+s.random.IntN(2)))
+		s.addInTurn(kind, offset, s.randomNames(nodes, 1+s.random.IntN(2)))
 	}
 }
 
-// addInTurn adds a step for each target, with gaps of milliseconds to a second.
-func (s *soakSchedule) addInTurn(action soakAction, at time.Duration, targets []string) {
+// addInTurn adds a step for each target, with gaps of one millisecond to one second.
+func (s *soakSchedule) addInTurn(action soakAction, offset time.Duration, targets []string) {
 	for _, target := range targets {
-		s.add(action, at, target)
-		at += s.draw(minStepGap, maxStepGap)
+		s.addStep(action, offset, target)
+		offset += s.randomDuration(minStepGap, maxStepGap)
 	}
 }
 
-// add adds a step unless it is too late in the storm or its target has enough.
-func (s *soakSchedule) add(action soakAction, at time.Duration, target string) {
+// addStep adds a step unless it starts after the end of the storm or its target already has
+// the maximum number of steps. It draws the same random numbers in either case.
+func (s *soakSchedule) addStep(action soakAction, offset time.Duration, target string) {
 	step := soakStep{
-		At:     at,
+		At:     offset,
 		Action: action,
 		Target: target,
-		Length: s.drawLength(action),
+		Length: s.randomLength(action),
 		Count:  1 + s.random.IntN(maxBurst),
 	}
-	if at >= s.length || (action != soakHangups && s.stepsOf[target] >= s.maxSteps(action)) {
+	if offset >= s.length || (action != soakHangups && s.stepCounts[target] >= s.maxSteps(action)) {
 		return
 	}
 	if action != soakHangups {
-		s.stepsOf[target]++
+		s.stepCounts[target]++
 	}
 	s.steps = append(s.steps, step)
 }
 
 func (s *soakSchedule) maxSteps(action soakAction) int {
 	if action == soakReplaceServer || action == soakCrashServer {
-		return maxStepsOfServer
+		return maxStepsPerServer
 	}
-	return maxStepsOfNode
+	return maxStepsPerNode
 }
 
-func (s *soakSchedule) drawLength(action soakAction) time.Duration {
+func (s *soakSchedule) randomLength(action soakAction) time.Duration {
 	switch action {
 	case soakFreeze, soakRestartFrozen:
-		return s.draw(minStepGap, maxFreeze)
+		return s.randomDuration(minStepGap, maxFreeze)
 	case soakCrashServer:
-		return s.draw(minServerDown, maxServerDown)
+		return s.randomDuration(minServerDown, maxServerDown)
 	}
-	return s.draw(0, maxDownTime)
+	return s.randomDuration(0, maxDownTime)
 }
 
-func (s *soakSchedule) draw(from, to time.Duration) time.Duration {
+func (s *soakSchedule) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(s.random.Int64N(int64(to-from)))
 }
 
-// pick returns a number of different names in random order.
-func (s *soakSchedule) pick(names []string, count int) []string {
+// randomNames returns at most count different names in random order.
+func (s *soakSchedule) randomNames(names []string, count int) []string {
 	shuffled := slices.Clone(names)
 	s.random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 	return shuffled[:min(count, len(shuffled))]
--- a/cmd/rig/faultcase/soak_test.go
+++ b/cmd/rig/faultcase/soak_test.go
@@ -18,17 +18,17 @@
 }
 
 func TestSoakSchedule(t *testing.T) {
-	Convey("The schedule of a storm depends on its seed and number alone", t, func() {
-		schedule := drawSoakSchedule(7, 1, testTargets, stormLength)
-		So(drawSoakSchedule(7, 1, testTargets, stormLength), ShouldResemble, schedule)
-		So(drawSoakSchedule(8, 1, testTargets, stormLength), ShouldNotResemble, schedule)
-		So(drawSoakSchedule(7, 2, testTargets, stormLength), ShouldNotResemble, schedule)
+	Convey("The schedule of a storm depends only on its seed and number", t, func() {
+		schedule := newSoakSteps(7, 1, testTargets, stormLength)
+		So(newSoakSteps(7, 1, testTargets, stormLength), ShouldResemble, schedule)
+		So(newSoakSteps(8, 1, testTargets, stormLength), ShouldNotResemble, schedule)
+		So(newSoakSteps(7, 2, testTargets, stormLength), ShouldNotResemble, schedule)
 	})
-	Convey("Every storm is within its length, sorted, and bounded for each target", t, func() {
+	Convey("The steps of a storm are within its length, sorted by time and bounded for each target", t, func() {
 		for seed := range uint64(200) {
 			last := time.Duration(0)
 			stepsOf := map[string]int{}
-			for _, step := range drawSoakSchedule(seed, 0, testTargets, stormLength) {
+			for _, step := range newSoakSteps(seed, 0, testTargets, stormLength) {
 				So(step.At, ShouldBeBetweenOrEqual, last, stormLength)
 				last = step.At
 				if step.Action != soakHangups {
@@ -36,16 +36,16 @@
 				}
 			}
 			for _, count := range stepsOf {
-				So(count, ShouldBeLessThanOrEqualTo, maxStepsOfNode)
+				So(count, ShouldBeLessThanOrEqualTo, maxStepsPerNode)
 			}
 		}
 	})
-	Convey("Two storms have every action, and steps of different nodes overlap", t, func() {
+	Convey("Three storms include every action, and steps of different targets overlap", t, func() {
 		for seed := range uint64(50) {
 			seen := map[soakAction]bool{}
 			overlaps := false
 			for storm := range uint64(3) {
-				schedule := drawSoakSchedule(seed, storm, testTargets, stormLength)
+				schedule := newSoakSteps(seed, storm, testTargets, stormLength)
 				for i, step := range schedule {
 					seen[step.Action] = true
 					overlaps = overlaps || i > 0 && step.At < schedule[i-1].At+schedule[i-1].Length && step.Target != schedule[i-1].Target
@@ -60,13 +60,13 @@
 			}
 		}
 	})
-	Convey("The storms of a soak depend on its length alone", t, func() {
+	Convey("The storms of a soak depend only on its length", t, func() {
 		So(stormLengths(25*time.Second), ShouldResemble, []time.Duration{stormLength, stormLength, 5 * time.Second})
 		So(stormLengths(10*time.Second), ShouldResemble, []time.Duration{stormLength})
 	})
 	Convey("A fleet of one front and one core has a schedule", t, func() {
 		smallest := soakTargets{cores: []string{"core1"}, fronts: []string{"front1"}, models: []string{"model1"}}
-		So(drawSoakSchedule(1, 0, smallest, stormLength), ShouldNotBeEmpty)
+		So(newSoakSteps(1, 0, smallest, stormLength), ShouldNotBeEmpty)
 	})
 }
 
@@ -76,7 +76,7 @@
 		So(os.WriteFile(path, []byte(text), savedFileMode), ShouldBeNil)
 		return path
 	}
-	Convey("A log of ordinary events passes; one with a panic or a part that failed does not", t, func() {
+	Convey("Ordinary log events are no failure; a panic, a fatal error and a failed service are", t, func() {
 		ordinary := "node=front1 level=info event=1002 event_name=process_stopping name=front1\n"
 		line, err := findFailure(write(ordinary))
 		So(err, ShouldBeNil)
@@ -91,7 +91,7 @@
 			So(line, ShouldEqual, failure)
 		}
 	})
-	Convey("The numbers are those of the catalogue", t, func() {
+	Convey("The event numbers and names match the event catalogue", t, func() {
 		names := map[int]string{}
 		for _, event := range events.Catalogue() {
 			names[event.Number] = event.Name
--- a/cmd/rig/faultcase/summary.go
+++ b/cmd/rig/faultcase/summary.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	maxLatency        = 2 * time.Minute // that a histogram holds
+	maxLatency        = 2 * time.Minute // upper bound of the histograms
 	latencyDigits     = 3               // significant figures
-	maxPrintedPerRule = 5               // violations that are printed in full
+	maxPrintedPerRule = 5               // violations of each rule that are printed in full
 )
 
-// Summary is the result of a run. Goodput is the attempts served a second.
+// Summary is the result of a run. Goodput is the number of attempts served per second.
 type Summary struct {
 	Served             int               `json:"served"`
 	Rejected           int               `json:"refused"`
@@ -37,7 +37,8 @@
 	Versions           map[string]uint64 `json:"epochs,omitempty"`
 }
 
-// Summarize summarizes a recording from an instant on.
+// Summarize summarizes the attempts of a recording that were sent at or after an
+// instant, and all of its orders.
 func Summarize(recording *history.Recording, from history.Instant) Summary {
 	summary := Summary{ByCode: map[string]int{}}
 	firstEvents := newLatencies()
@@ -63,10 +64,10 @@
 	}
 	summary.CacheHitRatio = cacheHitRatio(recording, from)
 	summary.OrdersAcknowledged = acknowledgedOrders(recording)
-	summary.TTFTP50 = firstEvents.quantile(50)
-	summary.TTFTP95 = firstEvents.quantile(95)
-	summary.OneShotP50 = oneShots.quantile(50)
-	summary.OneShotP95 = oneShots.quantile(95)
+	summary.TTFTP50 = firstEvents.percentile(50)
+	summary.TTFTP95 = firstEvents.percentile(95)
+	summary.OneShotP50 = oneShots.percentile(50)
+	summary.OneShotP95 = oneShots.percentile(95)
 	return summary
 }
 
@@ -97,13 +98,13 @@
 
 func (l latencies) record(d time.Duration) { _ = l.histogram.RecordValue(d.Microseconds()) }
 
-// quantile returns a percentile in milliseconds.
-func (l latencies) quantile(percent float64) float64 {
+// percentile returns the latency at a percentile, in milliseconds.
+func (l latencies) percentile(percent float64) float64 {
 	return float64(l.histogram.ValueAtQuantile(percent)) / 1000
 }
 
-// cacheHitRatio returns the share of prompts whose prefix a model server had in
-// its cache.
+// cacheHitRatio returns the fraction of prompts whose prefix was in the cache of the
+// model server.
 func cacheHitRatio(recording *history.Recording, from history.Instant) float64 {
 	prompts, hits := 0, 0
 	for _, run := range recording.Runs {
@@ -118,7 +119,7 @@
 	return ratio(hits, prompts)
 }
 
-// acknowledgedOrders counts the different orders that were acknowledged.
+// acknowledgedOrders returns the number of distinct orders that were acknowledged.
 func acknowledgedOrders(recording *history.Recording) int {
 	acknowledged := map[string]bool{}
 	for _, order := range recording.Orders {
@@ -129,7 +130,7 @@
 	return len(acknowledged)
 }
 
-// ratio returns a part of a total, cut to three decimals; 0 if the total is 0.
+// ratio returns part/total, truncated to three decimals, or 0 if total is 0.
 func ratio(part, total int) float64 {
 	if total == 0 {
 		return 0
@@ -137,10 +138,11 @@
 	return float64(part*1000/total) / 1000
 }
 
-// oneDecimal cuts a number to one decimal.
+// oneDecimal truncates a number to one decimal.
 func oneDecimal(number float64) float64 { return float64(int(number*10)) / 10 }
 
-// PrintViolations prints violations, at most a few of each rule in full.
+// PrintViolations prints at most maxPrintedPerRule violations of each rule in full, and
+// the total for rules that have more.
 func PrintViolations(out io.Writer, name string, violations []checker.Violation) {
 	counts := map[string]int{}
 	for _, violation := range violations {
@@ -157,7 +159,7 @@
 	sort.Strings(rules)
 	for _, rule := range rules {
 		if counts[rule] > maxPrintedPerRule {
-			_, _ = fmt.Fprintf(out, "    … %d by the judge %s in all\n", counts[rule], rule)
+			_, _ = fmt.Fprintf(out, "    … %d violations of rule %s in total\n", counts[rule], rule)
 		}
 	}
 }
--- a/cmd/rig/faultproxy/links.go
+++ b/cmd/rig/faultproxy/links.go
@@ -9,31 +9,31 @@
 	"stepwick/cmd/rig/owner"
 )
 
-// anySource as a link's From stands for every source without a link of its own.
+// anySource as a link's From matches every source that has no link of its own.
 const anySource = "*"
 
-// Link is one direction between two processes, by their names.
+// Link is one direction of traffic between two processes, identified by their names.
 type Link struct {
 	From string
 	To   string
 }
 
-// Mode is how a link behaves. The zero mode passes everything.
+// Mode is the behavior of a link. The zero mode forwards all data unchanged.
 type Mode struct {
 	Blocked bool          // data waits until the mode changes; new connections hang
 	Reset   bool          // connections are reset
 	Delay   time.Duration // delay of each chunk of data
 }
 
-// Links holds the mode of each link. Changes are published as a whole and read
-// without waiting.
+// Links holds the mode of each link. Each change replaces the table of modes atomically,
+// so readers never block.
 type Links struct {
 	table   atomic.Pointer[table]
 	owner   *owner.Owner[map[Link]Mode]
 	sources atomic.Pointer[map[string]string] // name by IP address
 }
 
-// table is an immutable view of all modes; changed is closed when a newer one
+// table is an immutable snapshot of all modes; changed is closed when a newer one
 // replaces it.
 type table struct {
 	modes   map[Link]Mode
@@ -47,7 +47,7 @@
 	}
 }
 
-// NewLinks returns links that all pass.
+// NewLinks returns links that all have the zero mode.
 func NewLinks() *Links {
 	links := &Links{owner: owner.New(map[Link]Mode{})}
 	links.table.Store(newTable(map[Link]Mode{}))
@@ -58,7 +58,7 @@
 // SetSources sets the name of the process that dials from each IP address.
 func (l *Links) SetSources(nameByIP map[string]string) { l.sources.Store(&nameByIP) }
 
-// Set changes the modes of links, all at one instant; a zero mode passes.
+// Set changes the modes of links atomically; a zero mode removes the fault of a link.
 func (l *Links) Set(changes map[Link]Mode) {
 	l.owner.Do(func(modes *map[Link]Mode) {
 		next := maps.Clone(*modes)
@@ -74,7 +74,7 @@
 	})
 }
 
-// Heal lets all links pass.
+// Heal gives all links the zero mode.
 func (l *Links) Heal() {
 	l.owner.Do(func(modes *map[Link]Mode) {
 		*modes = map[Link]Mode{}
@@ -83,12 +83,12 @@
 }
 
 func (l *Links) publish(modes map[Link]Mode) {
-	before := l.table.Swap(newTable(modes))
-	close(before.changed)
+	previous := l.table.Swap(newTable(modes))
+	close(previous.changed)
 }
 
-// Between sets the mode of both directions between two groups of names.
-func (l *Links) Between(left, right []string, mode Mode) {
+// SetBetween sets the mode of both directions between two groups of names.
+func (l *Links) SetBetween(left, right []string, mode Mode) {
 	changes := map[Link]Mode{}
 	for _, a := range left {
 		for _, b := range right {
@@ -111,8 +111,9 @@
 	return current.modes[Link{From: anySource, To: to}], current.changed
 }
 
-// source returns the name of the process at an address; empty if it has none.
-func (l *Links) source(address net.Addr) string {
+// sourceName returns the name of the process that dials from an address, or an empty string
+// if the address is unknown.
+func (l *Links) sourceName(address net.Addr) string {
 	if tcp, ok := address.(*net.TCPAddr); ok {
 		return (*l.sources.Load())[tcp.IP.String()]
 	}
--- a/cmd/rig/faultproxy/proxy.go
+++ b/cmd/rig/faultproxy/proxy.go
@@ -1,6 +1,6 @@
 // Package faultproxy forwards the TCP connections between processes, so that any
-// directed link can be blocked, delayed or reset. A connection's source is known
-// by the IP address from which it dials.
+// directed link can be blocked, delayed or reset. It identifies the source of a
+// connection by the IP address from which it dials.
 package faultproxy
 
 import (
@@ -14,14 +14,14 @@
 	"stepwick/cmd/rig/owner"
 )
 
-// chunkSize is how many bytes are forwarded, and delayed, at a time.
+// chunkSize is the maximum number of bytes that are forwarded, and delayed, at a time.
 const chunkSize = 32 << 10
 
-// Proxy forwards connections to one target. Connections are refused while it is
-// stopped.
+// Proxy forwards connections to one target. While it is stopped, connections are
+// refused.
 type Proxy struct {
 	Name    string // name of the target in links
-	Address string // on which it listens
+	Address string // on which the proxy listens
 	target  string
 	links   *Links
 	state   *owner.Owner[state]
@@ -30,10 +30,10 @@
 type state struct {
 	listener    net.Listener // nil while stopped
 	cancel      context.CancelFunc
-	connections *sync.WaitGroup // the open connections, and the accepting of more
+	connections *sync.WaitGroup // goroutines of the accept loop and of the open connections
 }
 
-// New returns a proxy that is stopped.
+// New returns a stopped proxy.
 func New(name, address, target string, links *Links) *Proxy {
 	return &Proxy{
 		Name:    name,
@@ -44,7 +44,7 @@
 	}
 }
 
-// Start begins to listen; a proxy that listens already stays as it is.
+// Start starts listening. It does nothing if the proxy is already listening.
 func (p *Proxy) Start() error {
 	var err error
 	p.state.Do(func(s *state) {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// Stop stops listening, so that connections are refused, and resets the open
-// ones. None is open when it returns.
+// Stop stops listening, so that new connections are refused, resets the open ones and
+// waits until they are closed.
 func (p *Proxy) Stop() {
 	var connections *sync.WaitGroup
 	p.state.Do(func(s *state) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Close stops the proxy for good.
+// Close stops the proxy, which can't be started again.
 func (p *Proxy) Close() {
 	p.Stop()
 	p.state.Close()
@@ -103,14 +103,14 @@
 	}
 }
 
-// reset closes a connection with RST in place of FIN.
+// reset closes a connection with RST instead of FIN.
 func reset(conn *net.TCPConn) {
 	_ = conn.SetLinger(0)
 	_ = conn.Close()
 }
 
-// admit waits until data may pass a link; false means that the connection must
-// be reset.
+// admit waits until data may pass a link. It returns false if the connection must be
+// reset.
 func (p *Proxy) admit(ctx context.Context, from, to string) bool {
 	for {
 		mode, changed := p.links.mode(from, to)
@@ -128,12 +128,12 @@
 	}
 }
 
-// forward carries one connection until both directions have ended cleanly, one
-// has failed or the proxy stops.
+// forward copies the data of one connection until both directions have ended cleanly,
+// one has failed or the proxy stops.
 func (p *Proxy) forward(proxyContext context.Context, client *net.TCPConn) {
 	ctx, cancel := context.WithCancel(proxyContext)
 	defer cancel()
-	source := p.links.source(client.RemoteAddr())
+	source := p.links.sourceName(client.RemoteAddr())
 	server, ok := p.dial(ctx, source)
 	if !ok {
 		reset(client)
@@ -147,7 +147,7 @@
 	cleanEnds := make(chan bool, 2)
 	go func() { cleanEnds <- p.copyDirection(ctx, client, server, source, p.Name) }()
 	go func() { cleanEnds <- p.copyDirection(ctx, server, client, p.Name, source) }()
-	// After a failure of one direction the other is not waited for: the reset ends it.
+	// If one direction failed, don't wait for the other: the reset below ends it.
 	clean := <-cleanEnds
 	if clean {
 		clean = <-cleanEnds
@@ -162,7 +162,7 @@
 	_ = server.Close()
 }
 
-// dial connects to the target, if the link from the source lets connections pass.
+// dial connects to the target once the link from the source admits the connection.
 func (p *Proxy) dial(ctx context.Context, source string) (*net.TCPConn, bool) {
 	if !p.admit(ctx, source, p.Name) {
 		return nil, false
@@ -174,7 +174,8 @@
 	return conn.(*net.TCPConn), true
 }
 
-// copyDirection copies one direction and reports whether it ended cleanly.
+// copyDirection copies data in one direction until EOF or an error, and reports whether
+// it ended with EOF.
 func (p *Proxy) copyDirection(ctx context.Context, in, out *net.TCPConn, from, to string) bool {
 	buffer := make([]byte, chunkSize)
 	for {
--- a/cmd/rig/faultproxy/proxy_test.go
+++ b/cmd/rig/faultproxy/proxy_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestProxy(t *testing.T) {
-	Convey("A proxy between two named machines", t, func() {
+	Convey("A proxy with two named sources", t, func() {
 		target := startEchoServer()
 		links := NewLinks()
 		links.SetSources(map[string]string{"127.0.0.2": "a", "127.0.0.3": "b"})
@@ -66,11 +66,11 @@
 			_, err := in.ReadString('\n')
 			return err
 		}
-		Convey("passes data", func() {
+		Convey("forwards data", func() {
 			c, in := dial("127.0.0.2")
 			So(exchange(c, in), ShouldBeNil)
 		})
-		Convey("delays the data of a blocked link until it heals, and of no other", func() {
+		Convey("holds the data of a blocked link, and of no other link, until it heals", func() {
 			c, in := dial("127.0.0.2")
 			So(exchange(c, in), ShouldBeNil)
 			links.Set(map[Link]Mode{{From: "a", To: "c"}: {Blocked: true}})
@@ -84,7 +84,7 @@
 			links.Heal()
 			So(<-got, ShouldBeNil)
 		})
-		Convey("delays answers when only the way back is blocked", func() {
+		Convey("holds answers when only the reverse link is blocked", func() {
 			c, in := dial("127.0.0.2")
 			links.Set(map[Link]Mode{{From: "c", To: "a"}: {Blocked: true}})
 			got := make(chan error, 1)
@@ -97,7 +97,7 @@
 			links.Heal()
 			So(<-got, ShouldBeNil)
 		})
-		Convey("resets on a reset link", func() {
+		Convey("resets connections over a link in reset mode", func() {
 			links.Set(map[Link]Mode{{From: "a", To: "c"}: {Reset: true}})
 			c, err := dialFrom("127.0.0.2", proxy.Address)
 			if err == nil {
