--- a/cmd/rig/checker/attempts.go
+++ b/cmd/rig/checker/attempts.go
@@ -9,10 +9,10 @@
 )
 
 // firstServerCode is the lowest result code of a request that was forwarded to a
-// server. A lower one says that the request did not run.
+// server. A lower code means that the request was not executed.
 const firstServerCode = 3000
 
-// webRunsByToken returns the runs that began at web servers.
+// webRunsByToken returns the runs that web servers started to execute, by token.
 func webRunsByToken(recording *history.Recording) map[string][]history.Run {
 	runs := map[string][]history.Run{}
 	for _, run := range recording.Runs {
@@ -23,36 +23,37 @@
 	return runs
 }
 
-// checkRunsOnce finds calls that ran more than once.
+// checkRunsOnce finds calls that were executed more than once.
 func checkRunsOnce(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	for token, runs := range webRunsByToken(recording) {
 		if len(runs) > 1 {
-			found.add("call %s ran %d times: %s at %s and %s at %s", token, len(runs),
+			evidence.addf("call %s ran %d times: %s at %s and %s at %s", token, len(runs),
 				runs[0].ID, seconds(runs[0].Arrived), runs[1].ID, seconds(runs[1].Arrived))
 		}
 	}
-	sort.Strings(found)
-	return found
+	sort.Strings(evidence)
+	return evidence
 }
 
-// checkReportedNotRun finds calls that ran although the answer says they didn't.
+// checkReportedNotRun finds calls that were executed although the caller was told
+// that they were not.
 func checkReportedNotRun(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	runsByToken := webRunsByToken(recording)
 	for _, attempt := range recording.Attempts {
 		runs := runsByToken[attempt.Token]
 		if attempt.Kind == history.KindStream || !reportedNotRun(attempt) || len(runs) == 0 {
 			continue
 		}
-		found.add("%s %s through %s was told code %d (%s) at %s and ran as %s at %s, fault %q",
+		evidence.addf("%s %s through %s was rejected as not executed with code %d (%s) at %s, but ran as %s at %s, fault %q",
 			attempt.Kind, attempt.Token, attempt.Front, attempt.Code, attempt.RetryAdvice, seconds(attempt.Done),
 			runs[0].ID, seconds(runs[0].Arrived), runs[0].Fault)
 	}
-	return found
+	return evidence
 }
 
-// reportedNotRun reports whether the answer says that the request did not run.
+// reportedNotRun reports whether the answer states that the request was not executed.
 func reportedNotRun(attempt history.Attempt) bool {
 	if attempt.Code == 0 {
 		return false
@@ -62,18 +63,19 @@
 		attempt.RetryAdvice == string(apierror.RetryLater)
 }
 
-// checkStreams finds wrong events and streams that only look complete.
+// checkStreams finds lost, duplicated and foreign events, and incomplete streams that
+// appear complete to the caller.
 func checkStreams(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	runs := modelRunsByID(recording)
 	for _, attempt := range recording.Attempts {
 		if attempt.Kind != history.KindStream {
 			continue
 		}
-		found.addWrongEvent(attempt, runs)
-		found.addFalseEnd(attempt, runs)
+		evidence.addWrongEvent(attempt, runs)
+		evidence.addFalseEnd(attempt, runs)
 	}
-	return found
+	return evidence
 }
 
 func modelRunsByID(recording *history.Recording) map[string]history.Run {
@@ -86,80 +88,83 @@
 	return runs
 }
 
-// addWrongEvent adds the first event that doesn't belong at its position.
+// addWrongEvent adds the first event that is not the expected one at its position.
 func (f *findings) addWrongEvent(attempt history.Attempt, runs map[string]history.Run) {
 	for i, event := range attempt.Events {
 		if problem := eventProblem(attempt, i); problem != "" {
-			f.add("stream %s through %s: event %d %s (ended %s, server fault %q)",
+			f.addf("stream %s through %s: event %d %s (outcome %s, server fault %q)",
 				attempt.Token, attempt.Front, i, problem, attempt.Outcome, runs[event.Run].Fault)
 			return
 		}
 	}
 }
 
-// eventProblem describes what is wrong with an event; empty if nothing is.
+// eventProblem describes how an event differs from the expected one at its position;
+// empty if it doesn't.
 func eventProblem(attempt history.Attempt, position int) string {
 	event := attempt.Events[position]
 	firstRun := attempt.Events[0].Run
 	switch {
 	case event.ID != attempt.Token:
-		return "carries the id " + event.ID
+		return "carries the request ID " + event.ID
 	case event.Token != attempt.Token:
-		return "was made for " + event.Token
+		return "was generated for token " + event.Token
 	case event.Seq != position || event.Index != position:
-		return fmt.Sprintf("has sequence %d and index %d", event.Seq, event.Index)
+		return fmt.Sprintf("has sequence number %d and index %d", event.Seq, event.Index)
 	case event.Run != firstRun:
-		return "is of run " + event.Run + ", the first of " + firstRun
+		return "belongs to run " + event.Run + ", the first event to run " + firstRun
 	}
 	return ""
 }
 
-// addFalseEnd adds a stream whose end doesn't match what its server sent.
+// addFalseEnd adds a stream that ended without an error although it has no final event,
+// or whose final event doesn't match what the caller received and the server sent.
 func (f *findings) addFalseEnd(attempt history.Attempt, runs map[string]history.Run) {
 	count := len(attempt.Events)
 	switch {
 	case attempt.Outcome == history.EndedWithoutFinal:
-		f.add("stream %s through %s ended cleanly after %d events without a final one",
+		f.addf("stream %s through %s ended without an error after %d events, but without the final event",
 			attempt.Token, attempt.Front, count)
 	case attempt.Outcome == history.Served && attempt.EventCount != count:
-		f.add("stream %s through %s: final event counts %d, %d came",
+		f.addf("stream %s through %s: the final event announces %d events, %d were received",
 			attempt.Token, attempt.Front, attempt.EventCount, count)
 	case attempt.Outcome == history.Served && count > 0:
 		run := runs[attempt.Events[0].Run]
 		if !run.Final || run.Sent != count {
-			f.add("stream %s through %s looks complete with %d events; its server %s sent %d, final %v",
+			f.addf("stream %s through %s appears complete with %d events; server %s sent %d, final event sent: %v",
 				attempt.Token, attempt.Front, count, run.Server, run.Sent, run.Final)
 		}
 	}
 }
 
-// checkBodies finds answers to other requests and incomplete bodies.
+// checkBodies finds answers that belong to another request and incomplete bodies.
 func checkBodies(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	for _, attempt := range recording.Attempts {
 		switch {
 		case attempt.AnswerID != "" && attempt.AnswerID != attempt.Token:
-			found.add("%s %s through %s was answered under id %s", attempt.Kind, attempt.Token, attempt.Front, attempt.AnswerID)
+			evidence.addf("%s %s through %s was answered with request ID %s", attempt.Kind, attempt.Token, attempt.Front, attempt.AnswerID)
 		case attempt.Kind == history.KindStream || attempt.Outcome != history.Served:
 			continue
 		case !attempt.BodyIntact:
-			found.add("%s %s through %s got a body that is not whole", attempt.Kind, attempt.Token, attempt.Front)
+			evidence.addf("%s %s through %s received an incomplete or corrupt body", attempt.Kind, attempt.Token, attempt.Front)
 		case attempt.BodyToken != attempt.Token:
-			found.add("%s %s through %s got the body of %s", attempt.Kind, attempt.Token, attempt.Front, attempt.BodyToken)
+			evidence.addf("%s %s through %s received the body of %s", attempt.Kind, attempt.Token, attempt.Front, attempt.BodyToken)
 		}
 	}
-	return found
+	return evidence
 }
 
-// checkDeadlines finds answers that began after the caller's deadline.
+// checkDeadlines finds answers whose first byte arrived later than DeadlineTolerance
+// after the caller's deadline.
 func checkDeadlines(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	for _, attempt := range recording.Attempts {
 		answered := attempt.Outcome == history.Served || len(attempt.Events) > 0
 		if answered && attempt.First > attempt.Deadline+DeadlineTolerance {
-			found.add("%s %s through %s: first of the answer at %s, deadline %s",
+			evidence.addf("%s %s through %s: answer began at %s, deadline was %s",
 				attempt.Kind, attempt.Token, attempt.Front, seconds(attempt.First), seconds(attempt.Deadline))
 		}
 	}
-	return found
+	return evidence
 }
--- a/cmd/rig/checker/checker.go
+++ b/cmd/rig/checker/checker.go
@@ -1,7 +1,7 @@
-// Package checker finds violations of the users' requirements in a recording of
-// a run. It sees only what an outside observer can see: it never reads the
-// product's state. A rule that finds nothing has been checked only as far as the
-// recording reaches; the tests give each rule a recording that violates it.
+// Package checker finds violations of the users' requirements in the recording of
+// a run. It uses only what is observable from outside and never reads the state of
+// the fleet's processes. A rule without findings holds only for the events that the
+// recording contains; the tests check each rule against a recording that violates it.
 package checker
 
 import (
@@ -11,9 +11,9 @@
 	"stepwick/cmd/rig/history"
 )
 
-// Violation is one breach of a requirement.
+// Violation is one violation of a requirement.
 type Violation struct {
-	Rule     string `json:"judge"` // name of the rule that found it
+	Rule     string `json:"judge"` // name of the violated rule
 	Point    string `json:"point"` // the requirement, in the users' words
 	Seed     int64  `json:"seed"`
 	Evidence string `json:"evidence"`
@@ -44,25 +44,25 @@
 	pointService = "Service stays below a quarter of its former level 12 s after a final fault."
 )
 
-// Bounds that the requirements name, or that give a number to their words.
+// Bounds that the requirements state, or that quantify their wording.
 const (
-	MaxSheetLag            = 2500 * time.Millisecond // from an acknowledgement until no node uses an older sheet
-	MaxRevocationLag       = 5 * time.Second         // from an acknowledgement until a revoked key is rejected
-	MaxDrainLag            = 3 * time.Second         // from the listing until no request reaches the server
-	MaxEvacuationLag       = 5 * time.Second         // from an acknowledgement until no request reaches the zone
-	DeadlineTolerance      = time.Second             // for the caller's own scheduling
-	QuotaWindow            = 8 * time.Second         // in which quota use is summed
-	MaxQuotaUse            = 1.15                    // share of the allowance in a window
-	MaxQuotaUsePartitioned = 1.3                     // the same, beside a partition
-	MinQuotaServed         = 0.85                    // share of the allowance served under excess demand
-	MinRejectedDemand      = 0.8                     // share of the allowance below which nothing may be rejected
-	SlowStartInFlight      = 4                       // requests in flight at a server that has answered none
-	SlowStartGrowth        = 2                       // further requests in flight for each answer
-	RecoveryTime           = 12 * time.Second        // from a final fault until service is back
-	MinServiceLevel        = 0.25                    // share of the rate before the fault
+	MaxSheetLag            = 2500 * time.Millisecond // from an acknowledgement until all nodes have stopped using older sheets
+	MaxRevocationLag       = 5 * time.Second         // from an acknowledgement until all nodes reject the revoked key
+	MaxDrainLag            = 3 * time.Second         // from the listing as draining until requests stop arriving at the server
+	MaxEvacuationLag       = 5 * time.Second         // from an acknowledgement until requests stop arriving in the zone
+	DeadlineTolerance      = time.Second             // allows for scheduling delays of the caller
+	QuotaWindow            = 8 * time.Second         // length of the sliding window for quota use
+	MaxQuotaUse            = 1.15                    // fraction of a window's allowance
+	MaxQuotaUsePartitioned = 1.3                     // the same, during or shortly after a partition
+	MinQuotaServed         = 0.85                    // fraction of the allowance, under constant excess demand
+	MinRejectedDemand      = 0.8                     // fraction of the allowance; rejections at a lower demand are violations
+	SlowStartInFlight      = 4                       // allowed at a cold server that has answered no request
+	SlowStartGrowth        = 2                       // additional requests in flight allowed per answer
+	RecoveryTime           = 12 * time.Second        // from a final fault until service must have recovered
+	MinServiceLevel        = 0.25                    // fraction of the rate served before the fault
 )
 
-// Rules are all rules, in the order in which they are checked.
+// Rules lists all rules in the order of their checks.
 var Rules = []Rule{
 	{"once", pointTwice, checkRunsOnce},
 	{"not_run", pointTwice, checkReportedNotRun},
@@ -86,7 +86,8 @@
 	{"service", pointService, checkRecovery},
 }
 
-// Check applies every rule to a recording.
+// Check applies all rules to a recording and returns the violations in the order of
+// the rules.
 func Check(recording *history.Recording) []Violation {
 	var violations []Violation
 	for _, rule := range Rules {
@@ -102,11 +103,11 @@
 	return violations
 }
 
-// findings are the evidence of one rule, a text for each violation.
+// findings lists the violations of one rule, each described by its evidence.
 type findings []string
 
-func (f *findings) add(format string, args ...any) {
+func (f *findings) addf(format string, args ...any) {
 	*f = append(*f, fmt.Sprintf(format, args...))
 }
 
-func seconds(at history.Instant) string { return fmt.Sprintf("%.3fs", at.Seconds()) }
+func seconds(instant history.Instant) string { return fmt.Sprintf("%.3fs", instant.Seconds()) }
--- a/cmd/rig/checker/checker_test.go
+++ b/cmd/rig/checker/checker_test.go
@@ -58,30 +58,30 @@
 var quotaRejection = history.Attempt{Outcome: history.Rejected, Status: 429, Code: int(apierror.QuotaExceeded)}
 
 func TestRules(t *testing.T) {
-	Convey("A recording without a breach gives no violation", t, func() {
+	Convey("A valid recording has no violations", t, func() {
 		So(Check(validRecording()), ShouldBeEmpty)
 	})
 	cases := []struct {
-		rule    string
-		what    string
-		violate func(recording *history.Recording)
+		rule      string
+		violation string
+		violate   func(recording *history.Recording)
 	}{
-		{"once", "a one-shot that ran on two servers", func(recording *history.Recording) {
+		{"once", "a call executed by two servers", func(recording *history.Recording) {
 			recording.Runs = append(recording.Runs, history.Run{ID: "w2", Server: "web2", Kind: "web", Token: "g1", Arrived: second, Ran: true})
 		}},
-		{"not_run", "a call told to come back that ran later", func(recording *history.Recording) {
+		{"not_run", "a call rejected with retry advice that was executed later", func(recording *history.Recording) {
 			recording.Runs = append(recording.Runs, history.Run{ID: "w3", Server: "web1", Kind: "web", Token: "g2", Arrived: 3 * second, Ran: true})
 		}},
-		{"not_run", "a deadline fault that says it is safe to send again", func(recording *history.Recording) {
+		{"not_run", "an executed call whose error advises a retry", func(recording *history.Recording) {
 			recording.Attempts[1].Outcome, recording.Attempts[1].Code, recording.Attempts[1].RetryAdvice = history.EndedByError, int(apierror.BadResponse), "later"
 		}},
-		{"lost_request", "a call that ran and whose connection broke", func(recording *history.Recording) {
+		{"lost_request", "an executed call whose connection broke", func(recording *history.Recording) {
 			recording.Attempts[1].Outcome, recording.Attempts[1].BodyToken = history.ConnectionBroken, ""
 		}},
-		{"lost_request", "an answer that broke off", func(recording *history.Recording) {
+		{"lost_request", "an answer whose connection broke", func(recording *history.Recording) {
 			recording.Attempts[2].Outcome, recording.Attempts[2].Status = history.ConnectionBroken, 200
 		}},
-		{"lost_request", "a broken call beside the kill of another node", func(recording *history.Recording) {
+		{"lost_request", "a broken call during the kill of another node", func(recording *history.Recording) {
 			recording.Attempts[1].Outcome = history.ConnectionBroken
 			recording.Interruptions = []history.Interruption{{At: second, Target: "front2"}}
 		}},
@@ -92,8 +92,8 @@
 				Sent: second + lostRequestSlack, Done: 2 * second, Outcome: history.Rejected, Status: 503, Code: int(apierror.FrontDraining)})
 		}},
 		{"stream", "a gap", func(recording *history.Recording) { recording.Attempts[0].Events[1].Seq = 2 }},
-		{"stream", "a gap behind renumbered frames", func(recording *history.Recording) { recording.Attempts[0].Events[1].Index = 2 }},
-		{"stream", "a doubled event", func(recording *history.Recording) {
+		{"stream", "a gap hidden by renumbered frames", func(recording *history.Recording) { recording.Attempts[0].Events[1].Index = 2 }},
+		{"stream", "a duplicated event", func(recording *history.Recording) {
 			recording.Attempts[0].Events[1] = recording.Attempts[0].Events[0]
 		}},
 		{"stream", "an event of another request", func(recording *history.Recording) { recording.Attempts[0].Events[1].Token = "s9" }},
@@ -101,8 +101,8 @@
 		{"stream", "a splice of two runs", func(recording *history.Recording) { recording.Attempts[0].Events[1].Run = "r2" }},
 		{"stream", "a clean end without a final event", func(recording *history.Recording) { recording.Attempts[0].Outcome = history.EndedWithoutFinal }},
 		{"stream", "a final count that is too high", func(recording *history.Recording) { recording.Attempts[0].EventCount = 3 }},
-		{"stream", "a stream that looks complete though its server was cut", func(recording *history.Recording) { recording.Runs[0].Final = false }},
-		{"body", "a body that is not whole", func(recording *history.Recording) { recording.Attempts[1].BodyIntact = false }},
+		{"stream", "a stream that appears complete although its server sent no final event", func(recording *history.Recording) { recording.Runs[0].Final = false }},
+		{"body", "an incomplete body", func(recording *history.Recording) { recording.Attempts[1].BodyIntact = false }},
 		{"body", "another request's body", func(recording *history.Recording) { recording.Attempts[1].BodyToken = "g9" }},
 		{"body", "another request's id", func(recording *history.Recording) { recording.Attempts[1].AnswerID = "g9" }},
 		{"late", "an answer after its deadline", func(recording *history.Recording) { recording.Attempts[1].First = 7 * second }},
@@ -110,16 +110,16 @@
 			recording.ReadBacks[0].Version, recording.ReadBacks[0].SheetMarker = 3, "1"
 		}},
 		{"lost_sheet", "another sheet under the acknowledged epoch", func(recording *history.Recording) { recording.ReadBacks[0].SheetMarker = "1" }},
-		{"old_sheet", "a superseded key that passes", func(recording *history.Recording) {
+		{"old_sheet", "a superseded key that is accepted", func(recording *history.Recording) {
 			recording.KeyChecks[0].Sent, recording.KeyChecks[0].Done = 13*second, 13*second
 		}},
 		{"old_sheet", "a key of the newest sheet that is unknown", func(recording *history.Recording) {
 			recording.KeyChecks[1].Sent, recording.KeyChecks[1].Status, recording.KeyChecks[1].Code = 13*second, 403, int(apierror.UnknownKey)
 		}},
-		{"step_back", "a node that rules by the older sheet again", func(recording *history.Recording) {
+		{"step_back", "a node that goes back to an older sheet", func(recording *history.Recording) {
 			recording.KeyChecks = append(recording.KeyChecks, history.KeyCheck{Front: "front1", Key: 1, Sent: 12100 * time.Millisecond, Done: 12200 * time.Millisecond, Status: 200})
 		}},
-		{"invalid_sheet", "an invalid sheet that was taken", func(recording *history.Recording) { recording.Orders[1].Invalid = true }},
+		{"invalid_sheet", "an invalid sheet that was acknowledged", func(recording *history.Recording) { recording.Orders[1].Invalid = true }},
 		{"race", "two winners", func(recording *history.Recording) {
 			recording.Orders[2].Status, recording.Orders[2].Code, recording.Orders[2].Version = 200, 0, 6
 		}},
@@ -130,11 +130,11 @@
 		{"resent", "an order accepted twice", func(recording *history.Recording) {
 			recording.Orders = append(recording.Orders, history.Order{ID: "o2", Verb: "patch", Base: 3, Status: 200, Version: 9, SheetMarker: "2"})
 		}},
-		{"resent", "an accepted order that is refused when sent again", func(recording *history.Recording) {
+		{"resent", "an accepted order that is rejected when resent", func(recording *history.Recording) {
 			recording.Orders = append(recording.Orders, history.Order{ID: "o2", Verb: "patch", Base: 3, Status: 409, Code: int(apierror.BaseConflict)})
 		}},
-		{"resent", "a refused order that was applied", func(recording *history.Recording) { recording.Orders[2].SheetMarker = "2" }},
-		{"revoked", "a revoked key that works", func(recording *history.Recording) {
+		{"resent", "a rejected order that was applied", func(recording *history.Recording) { recording.Orders[2].SheetMarker = "2" }},
+		{"revoked", "a revoked key that is accepted", func(recording *history.Recording) {
 			recording.KeyChecks[0].Sent, recording.KeyChecks[0].Done = 16*second, 16*second
 		}},
 		{"drain", "a request to a draining server", func(recording *history.Recording) {
@@ -152,11 +152,11 @@
 			recording.Runs = append(recording.Runs, history.Run{ID: "r5", Server: "web1", Kind: "web", Arrived: 25100 * time.Millisecond})
 		}},
 		{"flood", "a cold server with too many requests", func(recording *history.Recording) { recording.Runs[0].WarmingUp, recording.Runs[0].InFlight = true, 12 }},
-		{"flood", "a survivor with too many requests", func(recording *history.Recording) { recording.Runs[0].InFlight = 33 }},
-		{"over_quota", "a tenant that gets 1.5 of its allowance", func(recording *history.Recording) {
+		{"flood", "a warm server with too many requests", func(recording *history.Recording) { recording.Runs[0].InFlight = 33 }},
+		{"over_quota", "a tenant that is served 1.5 times its allowance", func(recording *history.Recording) {
 			addSteadyLoad(recording, "press", 150, 30*second, func(int) history.Attempt { return history.Attempt{Outcome: history.Served} })
 		}},
-		{"under_quota", "a refusal at half of the allowance", func(recording *history.Recording) {
+		{"under_quota", "a rejection at half of the allowance", func(recording *history.Recording) {
 			addSteadyLoad(recording, "press", 50, 30*second, func(i int) history.Attempt {
 				if i == 250 {
 					return quotaRejection
@@ -164,7 +164,7 @@
 				return history.Attempt{Outcome: history.Served}
 			})
 		}},
-		{"starved", "half of the allowance under steady excess", func(recording *history.Recording) {
+		{"starved", "half of the allowance served under steady excess demand", func(recording *history.Recording) {
 			addSteadyLoad(recording, "press", 200, 40*second, func(i int) history.Attempt {
 				if i%4 != 0 {
 					return quotaRejection
@@ -186,7 +186,7 @@
 	covered := map[string]bool{}
 	for _, c := range cases {
 		covered[c.rule] = true
-		Convey(c.rule+" finds "+c.what, t, func() {
+		Convey(c.rule+" finds "+c.violation, t, func() {
 			recording := validRecording()
 			c.violate(recording)
 			names := map[string]bool{}
@@ -210,29 +210,29 @@
 		recording.Attempts[1].Outcome = history.ConnectionBroken
 		return recording
 	}
-	Convey("A broken connection is no lost request", t, func() {
-		Convey("if the node was killed, frozen or resumed meanwhile", func() {
+	Convey("A broken connection is not a lost request", t, func() {
+		Convey("if the node was killed, suspended or resumed during the attempt", func() {
 			recording := broken()
 			recording.Interruptions = []history.Interruption{{At: second, Target: "front1"}}
 			So(checkLostRequests(recording), ShouldBeEmpty)
 		})
-		Convey("if the server crashed meanwhile", func() {
+		Convey("if the server crashed during the attempt", func() {
 			recording := broken()
 			recording.Interruptions = []history.Interruption{{At: second, Target: "web1"}}
 			So(checkLostRequests(recording), ShouldBeEmpty)
 		})
-		Convey("if the server broke off by a fault", func() {
+		Convey("if the server injected a fault", func() {
 			recording := broken()
 			recording.Runs[1].Fault = "reset after run"
 			So(checkLostRequests(recording), ShouldBeEmpty)
 		})
-		Convey("if nothing shows that the node had read the request", func() {
+		Convey("if nothing proves that the node had read the request", func() {
 			recording := broken()
 			recording.Runs = recording.Runs[:1]
 			So(checkLostRequests(recording), ShouldBeEmpty)
 		})
 	})
-	Convey("A request on a new connection is no lost request because a later one on another was answered", t, func() {
+	Convey("A request on a new connection is not a lost request although a later one on another connection was answered", t, func() {
 		recording := validRecording()
 		recording.Attempts[2].Outcome, recording.Attempts[2].Code, recording.Attempts[2].Done = history.ConnectionBroken, 0, 3*second
 		recording.Attempts[2].Written = second
--- a/cmd/rig/checker/lost_requests.go
+++ b/cmd/rig/checker/lost_requests.go
@@ -7,18 +7,18 @@
 	"stepwick/cmd/rig/history"
 )
 
-// lostRequestSlack is how much later another request may be sent that the node still
-// answers before it closes the connection of one that it leaves unread.
+// lostRequestSlack is the time for which a request may stay unread in an open
+// connection while the node still reads and answers requests on other connections.
 const lostRequestSlack = 200 * time.Millisecond
 
-// checkLostRequests finds requests that a node had read, and whose connection it
-// closed without a complete answer although neither the node nor the server was
-// interrupted meanwhile. It had read those that a server ran, those whose answer had
-// begun, and those that were written to an open connection well before another one was
-// sent that it answered. A request that a process leaves unread when it ends is no
-// violation.
+// checkLostRequests finds requests that a node had read but whose connection it closed
+// without a complete answer, although neither the node nor a server was interrupted
+// during the attempt. A request counts as read if a server executed it, if its answer
+// had begun, or if it was written to an open connection at least lostRequestSlack before
+// another request was sent that the node answered. Requests that a terminating process
+// has not read are not violations.
 func checkLostRequests(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	runs := runsByToken(recording)
 	for _, attempt := range recording.Attempts {
 		if attempt.Outcome != history.ConnectionBroken || partitionedNear(recording, attempt.Sent, attempt.Done) {
@@ -28,18 +28,18 @@
 		if !wasRead(recording, attempt, ran) || interrupted(recording, attempt, ran) {
 			continue
 		}
-		found.add("%s %s through %s, sent at %s, lost its connection at %s with status %d; %d servers ran it",
+		evidence.addf("%s %s through %s, sent at %s, lost its connection at %s (status %d, runs at servers: %d)",
 			attempt.Kind, attempt.Token, attempt.Front, seconds(attempt.Sent), seconds(attempt.Done), attempt.Status, len(ran))
 	}
-	return found
+	return evidence
 }
 
-// wasRead reports whether the recording shows that the node had read a request.
+// wasRead reports whether the recording proves that the node had read the request.
 func wasRead(recording *history.Recording, attempt history.Attempt, runs []history.Run) bool {
 	if attempt.Status != 0 || slices.ContainsFunc(runs, func(run history.Run) bool { return run.Ran }) {
 		return true
 	}
-	// A new connection may not have been accepted yet.
+	// The node may not have accepted a new connection yet.
 	if !attempt.Reused || attempt.Written == 0 {
 		return false
 	}
@@ -59,8 +59,8 @@
 	return runs
 }
 
-// interrupted reports whether the node of an attempt or one of its servers was ended,
-// suspended or resumed during the attempt, or a server broke off by a fault.
+// interrupted reports whether the node of an attempt or one of its servers was killed,
+// suspended or resumed during the attempt, or whether a server injected a fault into it.
 func interrupted(recording *history.Recording, attempt history.Attempt, runs []history.Run) bool {
 	targets := []string{attempt.Front}
 	for _, run := range runs {
--- a/cmd/rig/checker/orders.go
+++ b/cmd/rig/checker/orders.go
@@ -8,25 +8,27 @@
 	"stepwick/internal/apierror"
 )
 
-// checkRaces finds races with two winners or with none.
+// checkRaces finds sheet versions with two acknowledged successors, and races in which
+// every order was rejected because of a conflict.
 func checkRaces(recording *history.Recording) findings {
-	var found findings
-	found.addSecondWinners(recording)
-	found.addRacesWithoutWinner(recording)
-	sort.Strings(found)
-	return found
+	var evidence findings
+	evidence.addSecondWinners(recording)
+	evidence.addRacesWithoutWinner(recording)
+	sort.Strings(evidence)
+	return evidence
 }
 
-// addSecondWinners adds orders acknowledged on a base on which another one was.
+// addSecondWinners adds acknowledged orders whose base version is also that of another
+// acknowledged order.
 func (f *findings) addSecondWinners(recording *history.Recording) {
 	winners := map[uint64]history.Order{} // by base version
 	for _, order := range recording.Orders {
-		if !changesSheet(order) || !order.Acknowledged() {
+		if !isSheetOrder(order) || !order.Acknowledged() {
 			continue
 		}
 		winner, ok := winners[order.Base]
 		if ok && winner.ID != order.ID {
-			f.add("orders %s and %s, both on base %d, were told that they won (epochs %d and %d)",
+			f.addf("orders %s and %s, both on base %d, were both acknowledged (epochs %d and %d)",
 				winner.ID, order.ID, order.Base, winner.Version, order.Version)
 			continue
 		}
@@ -34,31 +36,31 @@
 	}
 }
 
-// addRacesWithoutWinner adds races of which each order was rejected because
-// another had moved the base.
+// addRacesWithoutWinner adds races in which every order was rejected because its base
+// was no longer the current version.
 func (f *findings) addRacesWithoutWinner(recording *history.Recording) {
-	beatenByRace := map[string]map[string]bool{} // race, order ID
+	conflictsByRace := map[string]map[string]bool{} // race, order ID
 	for _, order := range recording.Orders {
-		if !changesSheet(order) || order.Race == "" {
+		if !isSheetOrder(order) || order.Race == "" {
 			continue
 		}
-		orders := beatenByRace[order.Race]
+		orders := conflictsByRace[order.Race]
 		if orders == nil {
 			orders = map[string]bool{}
-			beatenByRace[order.Race] = orders
+			conflictsByRace[order.Race] = orders
 		}
-		beaten := order.Code == int(apierror.BaseConflict) && !order.AnswerLost
-		orders[order.ID] = orders[order.ID] || beaten
+		conflicted := order.Code == int(apierror.BaseConflict) && !order.AnswerLost
+		orders[order.ID] = orders[order.ID] || conflicted
 	}
-	for race, orders := range beatenByRace {
+	for race, orders := range conflictsByRace {
 		if allTrue(orders) {
-			f.add("all %d operators of %s were told that another won", len(orders), race)
+			f.addf("all %d orders of %s were rejected with a base conflict", len(orders), race)
 		}
 	}
 }
 
-func allTrue(set map[string]bool) bool {
-	for _, value := range set {
+func allTrue(values map[string]bool) bool {
+	for _, value := range values {
 		if !value {
 			return false
 		}
@@ -66,27 +68,28 @@
 	return true
 }
 
-// checkResentOrders finds orders with two different answers.
+// checkResentOrders finds orders that got different answers when they were resent, and
+// rejected orders that were applied.
 func checkResentOrders(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	accepted := map[string]history.Order{} // by order ID
 	for _, order := range recording.Orders {
 		if !order.Acknowledged() {
 			continue
 		}
 		if first, ok := accepted[order.ID]; ok && first.Version != order.Version {
-			found.add("order %s was accepted as epoch %d and again as epoch %d", order.ID, first.Version, order.Version)
+			evidence.addf("order %s was acknowledged as epoch %d and, when resent, as epoch %d", order.ID, first.Version, order.Version)
 		}
 		accepted[order.ID] = order
 	}
 	for _, order := range recording.Orders {
-		if before, ok := accepted[order.ID]; ok && rejected(order) {
-			found.add("order %s was accepted as epoch %d and, sent again at %s through %s, refused with code %d",
-				order.ID, before.Version, seconds(order.Sent), order.Front, order.Code)
+		if acknowledged, ok := accepted[order.ID]; ok && rejected(order) {
+			evidence.addf("order %s was acknowledged as epoch %d, but rejected when resent at %s through %s with code %d",
+				order.ID, acknowledged.Version, seconds(order.Sent), order.Front, order.Code)
 		}
 	}
-	found.addRejectedButApplied(recording)
-	return found
+	evidence.addRejectedButApplied(recording)
+	return evidence
 }
 
 // addRejectedButApplied adds rejected orders whose sheet was read back.
@@ -99,13 +102,13 @@
 	}
 	for _, order := range recording.Orders {
 		if rejected(order) && order.SheetMarker != "" && applied[order.SheetMarker] {
-			f.add("order %s was refused with code %d at %s, but its sheet was read back",
+			f.addf("order %s was rejected with code %d at %s, but its sheet was read back",
 				order.ID, order.Code, seconds(order.Answered))
 		}
 	}
 }
 
-// rejected reports whether the operator received that the order is rejected.
+// rejected reports whether the operator received a rejection of the order.
 func rejected(order history.Order) bool {
 	clientError := order.Status >= http.StatusBadRequest && order.Status < http.StatusInternalServerError
 	return !order.AnswerLost && clientError
--- a/cmd/rig/checker/quota.go
+++ b/cmd/rig/checker/quota.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// rejectionStep is the distance of the windows before a rejection in which the
-	// tenant's demand is summed.
+	// rejectionStep is the interval between the ends of the windows before a rejection
+	// in which the tenant's demand is summed.
 	rejectionStep = QuotaWindow / 4
-	// excessDemand is the share of the allowance that a tenant must request in each
-	// second for its demand to count as excessive all the time.
+	// excessDemand is the fraction of the allowance that a tenant must request in each
+	// second for its demand to count as steady excess.
 	excessDemand = 1.2
 )
 
-// served reports whether a tenant got what an attempt asked for, at least in part.
+// served reports whether an attempt was served at least in part.
 func served(attempt history.Attempt) bool {
 	return attempt.Outcome == history.Served || attempt.Outcome == history.Abandoned || len(attempt.Events) > 0
 }
@@ -29,8 +29,8 @@
 	return attempt.Outcome == history.Rejected && quotaCode
 }
 
-// attemptsByTenant returns the attempts of tenants with an allowance, by the
-// time at which they were sent.
+// attemptsByTenant returns the attempts of each tenant with an allowance, sorted by
+// the time at which they were sent.
 func attemptsByTenant(recording *history.Recording) map[string][]history.Attempt {
 	attempts := map[string][]history.Attempt{}
 	for _, attempt := range recording.Attempts {
@@ -44,13 +44,13 @@
 	return attempts
 }
 
-// windowLimit returns the tokens that an allowance gives in a quota window.
+// windowLimit returns the tokens that an allowance grants in a quota window.
 func windowLimit(allowance history.Allowance) float64 {
 	return allowance.Rate*QuotaWindow.Seconds() + allowance.Burst
 }
 
-// partitionedNear reports whether links were partitioned between two instants or
-// up to two quota windows before.
+// partitionedNear reports whether links were partitioned at any time from two quota
+// windows before the first instant until the second one.
 func partitionedNear(recording *history.Recording, from, to history.Instant) bool {
 	return slices.ContainsFunc(recording.Partitions, func(partition history.Interval) bool {
 		ongoing := partition.To == 0
@@ -67,9 +67,9 @@
 	return names
 }
 
-// PeakQuotaUse returns the most that a tenant got in any quota window, as a share
-// of the window's limit, and the window's end.
-func PeakQuotaUse(recording *history.Recording, tenant string) (peak float64, at history.Instant) {
+// PeakQuotaUse returns the highest use of a tenant's quota in any quota window, as a
+// fraction of the window's limit, and the end of that window.
+func PeakQuotaUse(recording *history.Recording, tenant string) (peak float64, windowEnd history.Instant) {
 	attempts := attemptsByTenant(recording)[tenant]
 	limit := windowLimit(recording.Allowances[tenant])
 	first := 0
@@ -85,15 +85,15 @@
 		}
 		if use := sum / limit; use > peak {
 			peak = use
-			at = attempt.Sent
+			windowEnd = attempt.Sent
 		}
 	}
-	return peak, at
+	return peak, windowEnd
 }
 
-// checkOverQuota finds tenants that got more than their allowance.
+// checkOverQuota finds tenants that were served more than their allowance.
 func checkOverQuota(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	for _, tenant := range sortedTenants(recording) {
 		bound := MaxQuotaUse
 		peak, peakEnd := PeakQuotaUse(recording, tenant)
@@ -101,21 +101,21 @@
 			bound = MaxQuotaUsePartitioned
 		}
 		if peak > bound {
-			found.add("tenant %s got %.2f of its allowance in the 8 s before %s; the bound is %.2f",
+			evidence.addf("tenant %s was served %.2f of its allowance in the 8 s before %s; the bound is %.2f",
 				tenant, peak, seconds(peakEnd), bound)
 		}
 	}
-	return found
+	return evidence
 }
 
-// demand sums up the attempts that were sent in a period.
+// demand totals the attempts sent in a period.
 type demand struct {
 	requested     float64 // tokens
 	served        float64 // tokens
-	otherFailures int     // attempts not served for another reason than the quota
+	otherFailures int     // attempts that failed for reasons other than the quota
 }
 
-// demandIn returns the demand in (from, to] of attempts sorted by time.
+// demandIn returns the demand in (from, to]; the attempts must be sorted by time.
 func demandIn(attempts []history.Attempt, from, to history.Instant) demand {
 	var sum demand
 	start := sort.Search(len(attempts), func(i int) bool { return attempts[i].Sent > from })
@@ -133,10 +133,10 @@
 	return sum
 }
 
-// checkUnderQuota finds rejections of tenants that requested well below their
-// allowance; the first of each tenant.
+// checkUnderQuota finds the first quota rejection of each tenant whose demand was well
+// below its allowance.
 func checkUnderQuota(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	attemptsOf := attemptsByTenant(recording)
 	for _, tenant := range sortedTenants(recording) {
 		attempts := attemptsOf[tenant]
@@ -146,38 +146,39 @@
 				continue
 			}
 			if peak := peakDemandBefore(attempts, attempt.Sent, MinRejectedDemand*limit); peak < MinRejectedDemand*limit {
-				found.add("tenant %s was refused with code %d at %s through %s; in no 8 s span of the last 16 s did it ask for more than %.2f of its allowance",
+				evidence.addf("tenant %s was rejected with code %d at %s through %s; its peak demand in any 8 s window of the last 16 s was %.2f of its allowance",
 					tenant, attempt.Code, seconds(attempt.Sent), attempt.Front, peak/limit)
 				break
 			}
 		}
 	}
-	return found
+	return evidence
 }
 
-// excusedByPartition reports whether a node rejected by its share of the quota
-// while links were partitioned.
+// excusedByPartition reports whether a node rejected the attempt because its own share
+// of the quota was used up during or shortly after a partition.
 func excusedByPartition(recording *history.Recording, attempt history.Attempt) bool {
 	return attempt.Code == int(apierror.ShareExceeded) &&
 		partitionedNear(recording, attempt.Sent-2*QuotaWindow, attempt.Sent)
 }
 
-// peakDemandBefore returns the most tokens requested in the windows that end up
-// to one window before an instant. It stops at the first window that reaches
-// enough.
-func peakDemandBefore(attempts []history.Attempt, at history.Instant, enough float64) float64 {
+// peakDemandBefore returns the highest demand, in tokens, of the quota windows that end
+// at the instant or up to one window earlier. It stops at the first window that reaches
+// sufficient.
+func peakDemandBefore(attempts []history.Attempt, instant history.Instant, sufficient float64) float64 {
 	peak := 0.0
-	for back := history.Instant(0); back <= QuotaWindow && peak < enough; back += rejectionStep {
-		window := demandIn(attempts, at-back-QuotaWindow, at-back)
+	for back := history.Instant(0); back <= QuotaWindow && peak < sufficient; back += rejectionStep {
+		window := demandIn(attempts, instant-back-QuotaWindow, instant-back)
 		peak = max(peak, window.requested)
 	}
 	return peak
 }
 
-// checkStarvation finds tenants that got less than their allowance in a window of
-// steady excess demand in which nothing but the quota rejected; the first of each.
+// checkStarvation finds, for each tenant, the first window of steady excess demand in
+// which it was served less than MinQuotaServed of its allowance and no attempt failed
+// for reasons other than the quota.
 func checkStarvation(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	attemptsOf := attemptsByTenant(recording)
 	for _, tenant := range sortedTenants(recording) {
 		attempts := attemptsOf[tenant]
@@ -189,19 +190,20 @@
 			}
 			window := demandIn(attempts, windowEnd-QuotaWindow, windowEnd)
 			if window.otherFailures == 0 && window.served < MinQuotaServed*limit {
-				found.add("tenant %s got %.2f of its allowance in the 8 s before %s although it asked for more all the time",
+				evidence.addf("tenant %s was served %.2f of its allowance in the 8 s before %s under steady excess demand",
 					tenant, window.served/limit, seconds(windowEnd))
 				break
 			}
 		}
 	}
-	return found
+	return evidence
 }
 
-// steadyExcess reports whether demand exceeded the allowance in each second.
+// steadyExcess reports whether the demand of each second reached excessDemand of the
+// allowance.
 func steadyExcess(attempts []history.Attempt, from, to history.Instant, limit float64) bool {
-	for at := from; at < to; at += time.Second {
-		if demandIn(attempts, at, at+time.Second).requested < excessDemand*limit/QuotaWindow.Seconds() {
+	for secondStart := from; secondStart < to; secondStart += time.Second {
+		if demandIn(attempts, secondStart, secondStart+time.Second).requested < excessDemand*limit/QuotaWindow.Seconds() {
 			return false
 		}
 	}
--- a/cmd/rig/checker/servers.go
+++ b/cmd/rig/checker/servers.go
@@ -10,10 +10,10 @@
 // its slots.
 const slotsFactor = 2
 
-// checkDraining finds servers that got requests long after they were listed as
-// draining; the first request of each.
+// checkDraining finds the first request that arrived at a server later than MaxDrainLag
+// after the platform listed it as draining or leaving.
 func checkDraining(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	changesByServer := map[string][]history.ListingChange{}
 	for _, change := range recording.ListingChanges {
 		changesByServer[change.Server] = append(changesByServer[change.Server], change)
@@ -22,39 +22,39 @@
 	for _, run := range recording.Runs {
 		listed := listingAt(changesByServer[run.Server], run.Arrived)
 		key := run.Server + seconds(listed.At)
-		if !takesNoRequests(listed) || run.Arrived <= listed.At+MaxDrainLag || reported[key] {
+		if !isDraining(listed) || run.Arrived <= listed.At+MaxDrainLag || reported[key] {
 			continue
 		}
 		reported[key] = true
-		found.add("request %s reached %s at %s, %s after it showed as %s",
+		evidence.addf("request %s reached %s at %s, %s after it was listed as %s",
 			run.Token, run.Server, seconds(run.Arrived), seconds(run.Arrived-listed.At), listed.State)
 	}
-	return found
+	return evidence
 }
 
-// listingAt returns the change that put a server into its state of that instant.
-// From draining to leaving counts as no change: the time runs from the first.
-func listingAt(changes []history.ListingChange, at history.Instant) history.ListingChange {
+// listingAt returns the change by which a server got its state at the instant. A change
+// from draining to leaving is ignored: the drain starts with the first of them.
+func listingAt(changes []history.ListingChange, instant history.Instant) history.ListingChange {
 	var last history.ListingChange
 	for _, change := range changes {
-		if change.At > at {
+		if change.At > instant {
 			break
 		}
-		if !takesNoRequests(last) || !takesNoRequests(change) {
+		if !isDraining(last) || !isDraining(change) {
 			last = change
 		}
 	}
 	return last
 }
 
-func takesNoRequests(listed history.ListingChange) bool {
+func isDraining(listed history.ListingChange) bool {
 	return listed.State == history.StateDraining || listed.State == history.StateLeaving
 }
 
-// checkEvacuations finds evacuated zones that got requests; the first request of
-// each evacuation.
+// checkEvacuations finds, for each evacuation, the first request that arrived in the
+// zone later than MaxEvacuationLag after the acknowledgement.
 func checkEvacuations(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	for _, order := range recording.Orders {
 		if order.Verb != history.VerbEvacuate || !order.Acknowledged() {
 			continue
@@ -63,17 +63,17 @@
 		for _, run := range recording.Runs {
 			evacuated := inZone(recording.Zones[run.Server], order.Target)
 			if evacuated && run.Arrived > order.Answered+MaxEvacuationLag && run.Arrived < until {
-				found.add("request %s reached %s in %s at %s, %s after the evacuation was acknowledged",
+				evidence.addf("request %s reached %s in %s at %s, %s after the evacuation was acknowledged",
 					run.Token, run.Server, order.Target, seconds(run.Arrived), seconds(run.Arrived-order.Answered))
 				break
 			}
 		}
 	}
-	return found
+	return evidence
 }
 
-// restoredAt returns when the first order to restore an evacuated zone was sent,
-// or the end of the recording.
+// restoredAt returns the time at which the first order to restore an evacuated zone
+// was sent, or the end of the recording.
 func restoredAt(recording *history.Recording, evacuation history.Order) history.Instant {
 	until := recording.End
 	for _, order := range recording.Orders {
@@ -84,22 +84,22 @@
 	return until
 }
 
-// inZone reports whether a zone is the target or lies in it (a region).
+// inZone reports whether the target is the zone itself or its region.
 func inZone(zone, target string) bool {
 	return zone == target || strings.HasPrefix(zone, target+"/")
 }
 
-// checkInFlight finds model servers with too many requests at a time; the first
-// case of each server and kind of bound.
+// checkInFlight finds model servers with too many requests in flight: the first case
+// for each server and kind of bound.
 func checkInFlight(recording *history.Recording) findings {
-	var found findings
+	var evidence findings
 	reported := map[string]bool{}
 	for _, run := range recording.Runs {
 		if run.Kind != history.KindModel {
 			continue
 		}
 		bound := slotsFactor * run.Slots
-		description := "a server that was left"
+		description := "a warm server"
 		if run.WarmingUp {
 			bound = min(bound, SlowStartInFlight+SlowStartGrowth*run.Answered)
 			description = "a cold server"
@@ -108,8 +108,8 @@
 			continue
 		}
 		reported[run.Server+description] = true
-		found.add("%s, %s, had %d requests at %s after %d answers; the bound is %d",
+		evidence.addf("%s, %s, had %d requests in flight at %s after %d answers; the bound is %d",
 			description, run.Server, run.InFlight, seconds(run.Arrived), run.Answered, bound)
 	}
-	return found
+	return evidence
 }
