--- a/cmd/rig/history/recorder.go
+++ b/cmd/rig/history/recorder.go
@@ -9,20 +9,20 @@
 	"stepwick/internal/clock"
 )
 
-// records is a recording with an index of its runs.
+// records is a recording with an index of its runs by ID.
 type records struct {
 	Recording
 	runIndex map[string]int // position in Runs by run ID
 }
 
-// Recorder builds a recording from many goroutines.
+// Recorder builds a recording. Its methods may be called concurrently.
 type Recorder struct {
 	clock clock.Clock
 	start time.Time
 	owner *owner.Owner[records]
 }
 
-// NewRecorder starts an empty recording; the seed is that of the run.
+// NewRecorder starts an empty recording of a run with the given seed.
 func NewRecorder(seed int64) *Recorder {
 	systemClock := clock.System()
 	return &Recorder{
@@ -42,9 +42,9 @@
 // Now returns the offset from the start of the recording.
 func (r *Recorder) Now() Instant { return r.clock.Now().Sub(r.start) }
 
-// Update queues a change of the recording and doesn't wait for it.
+// Update queues a change of the recording and returns without waiting for it.
 func (r *Recorder) Update(change func(*Recording)) {
-	r.owner.Post(func(all *records) { change(&all.Recording) })
+	r.owner.Post(func(current *records) { change(&current.Recording) })
 }
 
 // AddAttempt adds a finished attempt.
@@ -54,20 +54,20 @@
 	})
 }
 
-// PutRun adds a run or replaces the one of the same ID.
+// PutRun adds a run or replaces the run with the same ID.
 func (r *Recorder) PutRun(run Run) {
-	r.owner.Post(func(all *records) {
-		if i, ok := all.runIndex[run.ID]; ok {
-			all.Runs[i] = run
+	r.owner.Post(func(current *records) {
+		if i, ok := current.runIndex[run.ID]; ok {
+			current.Runs[i] = run
 			return
 		}
-		all.runIndex[run.ID] = len(all.Runs)
-		all.Runs = append(all.Runs, run)
+		current.runIndex[run.ID] = len(current.Runs)
+		current.Runs = append(current.Runs, run)
 	})
 }
 
-// AddAction adds something that the rig does now. After a final one nothing is
-// repaired any more.
+// AddAction records an action of the rig at the present time. No fault is repaired
+// after a final action.
 func (r *Recorder) AddAction(description string, final bool) {
 	action := Action{
 		At:          r.Now(),
@@ -79,8 +79,8 @@
 	})
 }
 
-// AddInterruption records that a process is being ended, suspended or resumed
-// without warning.
+// AddInterruption records that the process of a node or server is being killed,
+// suspended or resumed.
 func (r *Recorder) AddInterruption(target string) {
 	interruption := Interruption{
 		At:     r.Now(),
@@ -91,7 +91,7 @@
 	})
 }
 
-// SetPartitioned records whether links between nodes are partitioned from now on.
+// SetPartitioned records that a partition of links between nodes begins or ends now.
 func (r *Recorder) SetPartitioned(partitioned bool) {
 	now := r.Now()
 	r.Update(func(recording *Recording) { recording.setPartitioned(partitioned, now) })
@@ -108,10 +108,10 @@
 	}
 }
 
-// Snapshot returns a copy of the recording that ends now.
+// Snapshot returns a copy of the recording up to the present time.
 func (r *Recorder) Snapshot() Recording {
 	var snapshot Recording
-	r.owner.Do(func(all *records) { snapshot = all.clone() })
+	r.owner.Do(func(current *records) { snapshot = current.clone() })
 	snapshot.End = r.Now()
 	return snapshot
 }
@@ -134,5 +134,5 @@
 	return copied
 }
 
-// Close stops the recorder; later changes are dropped.
+// Close stops the recorder; later changes are discarded.
 func (r *Recorder) Close() { r.owner.Close() }
--- a/cmd/rig/history/recorder_test.go
+++ b/cmd/rig/history/recorder_test.go
@@ -12,13 +12,13 @@
 	Convey("A recorder", t, func() {
 		recorder := NewRecorder(7)
 		Reset(recorder.Close)
-		Convey("replaces a run of the same ID in its place", func() {
+		Convey("replaces a run with the same ID without changing the order", func() {
 			recorder.PutRun(Run{ID: "a"})
 			recorder.PutRun(Run{ID: "b"})
 			recorder.PutRun(Run{ID: "a", Final: true})
 			So(recorder.Snapshot().Runs, ShouldResemble, []Run{{ID: "a", Final: true}, {ID: "b"}})
 		})
-		Convey("records one interval from the first partition to the healing", func() {
+		Convey("records one interval from the first partition to its end", func() {
 			recorder.SetPartitioned(false)
 			recorder.SetPartitioned(true)
 			recorder.SetPartitioned(true)
@@ -28,7 +28,7 @@
 			So(partitions[0].To, ShouldBeGreaterThan, partitions[0].From)
 		})
 	})
-	Convey("The stored form of a recording keeps its names", t, func() {
+	Convey("The JSON field names of a recording are stable", t, func() {
 		data, err := json.Marshal(Recording{})
 		So(err, ShouldBeNil)
 		var fields map[string]json.RawMessage
--- a/cmd/rig/history/recording.go
+++ b/cmd/rig/history/recording.go
@@ -1,11 +1,11 @@
-// Package history records what an outside observer of a fleet can know: what
-// callers sent and received, what servers executed, how operators' orders were
-// answered and which servers the platform listed. Package checker looks for
-// violations in the result.
+// Package history records what is observable of a fleet from outside: what callers
+// sent and received, what servers executed, how operators' orders were answered and
+// which servers the platform listed. Package checker looks for violations in the
+// recording.
 //
-// All times are offsets from the start of the recording, by one monotonic clock.
-// The package never reads the fleet itself. A field's JSON name is the form of
-// the file ledger.json that a run leaves, and outlives a renaming in Go.
+// All times are offsets from the start of the recording on one monotonic clock. The
+// package never reads the state of the fleet. The JSON names are the format of the file
+// ledger.json that a run writes; they don't change when a Go field is renamed.
 package history
 
 import (
@@ -23,25 +23,25 @@
 
 // Outcomes of an attempt.
 const (
-	Served            Outcome = "served"    // a complete 2xx answer, or a stream up to its final event
-	Rejected          Outcome = "refused"   // a numbered error before any event
-	EndedByError      Outcome = "cut_error" // a stream ended by an error event
+	Served            Outcome = "served"    // a complete 2xx answer, or a stream with its final event
+	Rejected          Outcome = "refused"   // an error with a result code before any event
+	EndedByError      Outcome = "cut_error" // a stream ended by an error event, or an error with an unknown outcome
 	ConnectionBroken  Outcome = "cut_abort" // the connection broke after the request was written
-	EndedWithoutFinal Outcome = "clean_end" // a stream ended cleanly without a final event
+	EndedWithoutFinal Outcome = "clean_end" // a stream ended without an error, but without the final event
 	Unsent            Outcome = "unsent"    // the connection could not be opened; nothing was written
-	TimedOut          Outcome = "timed_out" // the caller's time-out passed
-	Abandoned         Outcome = "gave_up"   // the caller left on purpose
-	Malformed         Outcome = "malformed" // the answer was not HTTP or not in the declared form
+	TimedOut          Outcome = "timed_out" // the caller's timeout expired
+	Abandoned         Outcome = "gave_up"   // the caller closed the connection on purpose
+	Malformed         Outcome = "malformed" // the answer or an event could not be decoded
 )
 
-// Kinds of an attempt.
+// Kinds of attempts.
 const (
 	KindStream = "stream"
 	KindGet    = "get"
 	KindPost   = "post"
 )
 
-// Kinds of a server.
+// Kinds of servers.
 const (
 	KindModel = "model"
 	KindWeb   = "web"
@@ -53,7 +53,7 @@
 	StateLeaving  = "leaving"
 )
 
-// Verbs of an order that the checker knows.
+// Verbs of orders.
 const (
 	VerbPut      = "put"
 	VerbPatch    = "patch"
@@ -61,8 +61,8 @@
 	VerbRestore  = "restore"
 )
 
-// Event is one event of a stream as a caller received it. Token, Run and Index
-// come from the text that the server wrote; ID and Seq from the event's frame.
+// Event is one event of a stream as received by a caller. Token, Run and Index are
+// parsed from the text that the server generated; ID and Seq are fields of the event.
 type Event struct {
 	ID    string `json:"id"`
 	Seq   int    `json:"seq"`
@@ -94,9 +94,9 @@
 	Final       bool    `json:"final"`
 	EventCount  int     `json:"count"`
 	BodyToken   string  `json:"body,omitempty"` // the token that the body carries
-	BodyIntact  bool    `json:"whole"`          // length and digest match
-	Reused      bool    `json:"kept,omitempty"` // the connection had carried another attempt before
-	Written     Instant `json:"written"`        // when the request had been handed over to the system; 0 if it was not
+	BodyIntact  bool    `json:"whole"`          // the digest in the body matches
+	Reused      bool    `json:"kept,omitempty"` // the connection had already been used for another attempt
+	Written     Instant `json:"written"`        // when the request had been written to the socket; 0 if it was not
 }
 
 // Run is one request that a server accepted.
@@ -107,19 +107,19 @@
 	Token     string  `json:"token"`
 	Request   string  `json:"request"`
 	Arrived   Instant `json:"arrived"`
-	Ran       bool    `json:"ran"` // execution began; false if it was rejected as busy or reset before
+	Ran       bool    `json:"ran"` // execution began; false if the request was rejected as busy or reset before
 	Done      Instant `json:"done"`
 	Sent      int     `json:"sent"`
 	Final     bool    `json:"final"`
 	Fault     string  `json:"fault,omitempty"`
-	InFlight  int     `json:"in_flight"` // at arrival, this one included
-	Answered  int     `json:"answered"`  // answers of this incarnation before this request
+	InFlight  int     `json:"in_flight"` // at arrival, including this request
+	Answered  int     `json:"answered"`  // requests answered by this incarnation before
 	WarmingUp bool    `json:"cold"`
 	Slots     int     `json:"slots"`
 	CacheHit  bool    `json:"hit"`
 }
 
-// Order is one sending of an operator's order, with its answer.
+// Order is one transmission of an operator's order, with its answer.
 type Order struct {
 	ID          string  `json:"id"`
 	Operator    string  `json:"operator"`
@@ -134,16 +134,16 @@
 	Code        int     `json:"code"`
 	Version     uint64  `json:"epoch"`
 	InForce     bool    `json:"in_force"`
-	Invalid     bool    `json:"invalid,omitempty"` // must be rejected
+	Invalid     bool    `json:"invalid,omitempty"` // the sheet is invalid, so the order must be rejected
 	SheetMarker string  `json:"mark,omitempty"`    // identifies the sheet from outside: see KeyCheck and ReadBack
 	Target      string  `json:"target,omitempty"`  // zone of an evacuation or restore
 	Detail      string  `json:"detail,omitempty"`
 }
 
-// Acknowledged reports whether the operator received that the order is in force.
+// Acknowledged reports whether the operator received the acknowledgement of the order.
 func (o Order) Acknowledged() bool { return !o.AnswerLost && o.Status == http.StatusOK && o.Code == 0 }
 
-// ReadBack is a sheet as an operator read it.
+// ReadBack is one read of the sheet by an operator.
 type ReadBack struct {
 	Front       string  `json:"front"`
 	Sent        Instant `json:"sent"`
@@ -155,25 +155,26 @@
 	Final       bool    `json:"final"` // read after the end of traffic
 }
 
-// KeyCheck is a request with a key that is in one sheet only.
+// KeyCheck is a request with a key that exactly one sheet contains. Its answer shows
+// whether the node uses that sheet.
 type KeyCheck struct {
 	Front            string  `json:"front"`
-	Key              int     `json:"key"` // number k: the key is only in the sheet whose marker is k
+	Key              int     `json:"key"` // number of the key; equals the marker of the sheet that contains it
 	Sent             Instant `json:"sent"`
 	Done             Instant `json:"done"`
 	Status           int     `json:"status"`
 	Code             int     `json:"code"`
-	ReusedConnection bool    `json:"kept"` // the connection was open before
+	ReusedConnection bool    `json:"kept"` // the connection had already been used for another check
 	Detail           string  `json:"detail,omitempty"`
 }
 
-// Accepted reports whether the key was accepted, even when its quota is exceeded.
+// Accepted reports whether the key was accepted, also if its quota was exceeded.
 func (p KeyCheck) Accepted() bool { return p.Status/100 == 2 || p.Code == int(apierror.QuotaExceeded) }
 
 // RejectedAsUnknown reports whether the key was rejected as belonging to no tenant.
 func (p KeyCheck) RejectedAsUnknown() bool { return p.Code == int(apierror.UnknownKey) }
 
-// KeyRotation is a sheet in which key number Key replaces all other checked keys.
+// KeyRotation is a sheet in which key number Key replaces the previous checked key.
 type KeyRotation struct {
 	Key          int     `json:"key"`
 	Sent         Instant `json:"sent"`
@@ -196,15 +197,15 @@
 	Status int     `json:"status"` // HTTP status; 0 without an answer
 }
 
-// Action is something that the rig did to the fleet, such as a fault.
+// Action is an intervention of the rig in the fleet, such as a fault.
 type Action struct {
 	At          Instant `json:"at"`
 	Description string  `json:"what"`
-	Final       bool    `json:"final,omitempty"` // nothing is repaired after it
+	Final       bool    `json:"final,omitempty"` // no fault is repaired afterwards
 }
 
-// Interruption is the moment at which the rig ended or suspended a node's or a
-// server's process without warning, or resumed it. A SIGTERM is none.
+// Interruption is a point in time at which the rig killed, suspended or resumed the
+// process of a node or server. A SIGTERM does not count.
 type Interruption struct {
 	At     Instant `json:"at"`
 	Target string  `json:"target"`
@@ -222,7 +223,7 @@
 	Burst float64 `json:"burst"`
 }
 
-// Recording is everything recorded in a run.
+// Recording is the complete record of a run.
 type Recording struct {
 	Seed            int64                `json:"Seed"`
 	Attempts        []Attempt            `json:"Attempts"`
@@ -236,7 +237,7 @@
 	Actions         []Action             `json:"Marks"`
 	Interruptions   []Interruption       `json:"Interruptions"`
 	Partitions      []Interval           `json:"Cuts"`       // some links between nodes were partitioned
-	Allowances      map[string]Allowance `json:"Allowances"` // by tenant, constant through the run
+	Allowances      map[string]Allowance `json:"Allowances"` // by tenant, constant during the run
 	Zones           map[string]string    `json:"Localities"` // by server
 	End             Instant              `json:"End"`
 }
