--- a/cmd/rig/loadgen/answer.go
+++ b/cmd/rig/loadgen/answer.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	maxBodyBytes    = 8 << 20
-	eventBufferSize = 4096
-	maxEventBytes   = 1 << 20
-	slowReadDelay   = 60 * time.Millisecond // for each event
-	successClass    = 2                     // of HTTP statuses
+	maxBodyBytes       = 8 << 20
+	eventBufferSize    = 4096
+	maxEventBytes      = 1 << 20
+	slowReadDelay      = 60 * time.Millisecond // before the next event
+	successStatusClass = 2                     // first digit of HTTP 2xx
 )
 
-// perform sends a request once and fills in how the attempt ended.
-func (c *Callers) perform(attempt *history.Attempt, req *http.Request, address string, timeout time.Duration, chance float64) {
-	conn, err := c.connections.take(address)
+// perform sends a request once, on a pooled connection, and sets the attempt's outcome.
+func (c *Callers) perform(attempt *history.Attempt, req *http.Request, address string, timeout time.Duration, behaviorDraw float64) {
+	conn, err := c.connections.get(address)
 	if err != nil {
 		attempt.Outcome = history.Unsent
 		return
 	}
-	if c.exchangeOn(conn, attempt, req, timeout, chance) {
+	if c.exchangeOn(conn, attempt, req, timeout, behaviorDraw) {
 		c.connections.put(address, conn)
 	} else {
 		conn.close()
@@ -40,46 +40,46 @@
 
 // exchangeOn sends a request and reads its answer on a connection; it reports
 // whether the connection can be used again.
-func (c *Callers) exchangeOn(conn *connection, attempt *history.Attempt, req *http.Request, timeout time.Duration, chance float64) (reusable bool) {
+func (c *Callers) exchangeOn(conn *connection, attempt *history.Attempt, req *http.Request, timeout time.Duration, behaviorDraw float64) (reusable bool) {
 	attempt.Reused = conn.reused
 	if err := conn.write(req, timeout); err != nil {
-		attempt.Outcome = failedOutcome(err)
+		attempt.Outcome = connectionFailureOutcome(err)
 		return false
 	}
 	attempt.Written = c.Recorder.Now()
-	resp, err := conn.readHead(req) //nolint:bodyclose // closing would read the rest of a stream that the caller leaves
+	resp, err := conn.readHead(req) //nolint:bodyclose // closing would read the rest of an abandoned stream
 	if err != nil {
-		attempt.Outcome = failedOutcome(err)
+		attempt.Outcome = connectionFailureOutcome(err)
 		return false
 	}
 	attempt.Status = resp.StatusCode
 	attempt.AnswerID = resp.Header.Get(requestIDHeader)
 	isStream := strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 	if isStream && resp.StatusCode == http.StatusOK {
-		complete := c.readStream(attempt, resp.Body, chance)
+		complete := c.readStream(attempt, resp.Body, behaviorDraw)
 		return complete && !resp.Close
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	attempt.First = c.Recorder.Now()
 	if err != nil {
-		attempt.Outcome = failedOutcome(err)
+		attempt.Outcome = connectionFailureOutcome(err)
 		return false
 	}
 	readBody(attempt, resp, data)
 	return !resp.Close
 }
 
-// failedOutcome returns the outcome of an attempt whose connection failed.
-func failedOutcome(err error) history.Outcome {
+// connectionFailureOutcome returns the outcome of an attempt whose connection failed.
+func connectionFailureOutcome(err error) history.Outcome {
 	if isTimeout(err) {
 		return history.TimedOut
 	}
 	return history.ConnectionBroken
 }
 
-// readBody fills in the outcome of a complete answer that is no stream.
+// readBody sets the outcome of an attempt with a complete answer that is not a stream.
 func readBody(attempt *history.Attempt, resp *http.Response, data []byte) {
-	isError := resp.Header.Get(codeHeader) != "" || resp.StatusCode/100 != successClass
+	isError := resp.Header.Get(codeHeader) != "" || resp.StatusCode/100 != successStatusClass
 	if attempt.Kind != history.KindStream && !isError {
 		attempt.Outcome = history.Served
 		attempt.BodyToken, attempt.BodyIntact = emulator.VerifyBody(string(data))
@@ -96,8 +96,8 @@
 	}
 }
 
-// readError fills in the code and retry advice of an error; the code is 0 if the
-// data is none.
+// readError sets the attempt's code and retry advice from the body of an error and
+// returns the code; 0 if the data is not an error body.
 func readError(attempt *history.Attempt, data []byte) apierror.Code {
 	var body apierror.ErrorBody
 	_ = json.Unmarshal(data, &body)
@@ -106,7 +106,8 @@
 	return body.Code
 }
 
-// streamEvent is the data of one event of a stream, or of its final one.
+// streamEvent is the data of an event of a stream; the final event has only ID, Final
+// and Count.
 type streamEvent struct {
 	ID    string `json:"id"`
 	Seq   int    `json:"seq"`
@@ -115,9 +116,9 @@
 	Count int    `json:"count"`
 }
 
-// readStream reads events until the stream ends or the caller leaves; it reports
+// readStream reads events until the stream ends or the caller abandons it; it reports
 // whether the stream is complete.
-func (c *Callers) readStream(attempt *history.Attempt, in io.Reader, chance float64) (complete bool) {
+func (c *Callers) readStream(attempt *history.Attempt, in io.Reader, behaviorDraw float64) (complete bool) {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(make([]byte, eventBufferSize), maxEventBytes)
 	isError := false
@@ -139,15 +140,16 @@
 			attempt.Outcome = history.EndedByError
 			continue
 		}
-		if !c.readEvent(attempt, data, chance) {
+		if !c.readEvent(attempt, data, behaviorDraw) {
 			return false
 		}
 	}
-	return endStream(attempt, scanner.Err())
+	return finishStream(attempt, scanner.Err())
 }
 
-// readEvent adds an event to the attempt; false when the caller reads no further.
-func (c *Callers) readEvent(attempt *history.Attempt, data string, chance float64) bool {
+// readEvent adds an event to the attempt; false if the caller abandons the stream or the
+// event is malformed.
+func (c *Callers) readEvent(attempt *history.Attempt, data string, behaviorDraw float64) bool {
 	var event streamEvent
 	if json.Unmarshal([]byte(data), &event) != nil {
 		attempt.Outcome = history.Malformed
@@ -164,24 +166,24 @@
 	}
 	_, _ = fmt.Sscanf(event.Text, "%s %s %d", &received.Token, &received.Run, &received.Index)
 	attempt.Events = append(attempt.Events, received)
-	if chance < c.Behavior.LeaveOdds {
+	if behaviorDraw < c.Behavior.LeaveOdds {
 		attempt.Outcome = history.Abandoned
 		return false
 	}
-	if chance > 1-c.Behavior.SlowReadOdds {
+	if behaviorDraw > 1-c.Behavior.SlowReadOdds {
 		owner.Sleep(context.Background(), slowReadDelay)
 	}
 	return true
 }
 
-// endStream fills in the outcome at a stream's end; it reports whether the stream
-// is complete.
-func endStream(attempt *history.Attempt, err error) (complete bool) {
+// finishStream sets the outcome of an attempt at the end of its stream; it reports
+// whether the stream is complete.
+func finishStream(attempt *history.Attempt, err error) (complete bool) {
 	switch {
 	case attempt.Outcome == history.EndedByError:
 		return false
 	case err != nil:
-		attempt.Outcome = failedOutcome(err)
+		attempt.Outcome = connectionFailureOutcome(err)
 		return false
 	case attempt.Final:
 		attempt.Outcome = history.Served
--- a/cmd/rig/loadgen/call.go
+++ b/cmd/rig/loadgen/call.go
@@ -20,26 +20,27 @@
 	deadlineHeader  = "Stepwick-Deadline-Ms"
 	codeHeader      = "Stepwick-Code"
 
-	// minAttemptTime is the least time that an attempt gets, even past the deadline.
+	// minAttemptTime is the minimum time for an attempt, even after the deadline.
 	minAttemptTime = 50 * time.Millisecond
-	// answerGrace is how long after the deadline a caller still waits.
+	// answerGrace is the time for which a caller waits beyond the deadline.
 	answerGrace = 1500 * time.Millisecond
 
-	avoidUnreachable = 2 * time.Second // after a refused connection
-	avoidFailed      = time.Second     // after a time-out, a broken connection or a rejection by the node
+	avoidUnreachable = 2 * time.Second // after a failed connection attempt
+	avoidFailed      = time.Second     // after a timeout, a broken connection or a rejection by the node
 )
 
 // Call is one request of a caller, which may take several attempts.
 type Call struct {
 	Tenant       Tenant
 	Location     fleet.Location // of the caller
-	Prefix       int            // number of the prompt prefix
-	Chance       float64        // decides whether the caller leaves or reads slowly, 0 to 1
-	FrontIndex   uint64         // chooses among the fronts
-	FrontAddress string         // if set, the only front to use, without retries
+	Prefix       int            // index of the prompt prefix, from 0
+	Chance       float64        // random number, 0 to 1, that decides whether the caller abandons a stream or reads it slowly
+	FrontIndex   uint64         // selects one of the usable fronts
+	FrontAddress string         // if set, the call uses only this front and is not retried
 }
 
-// Do makes attempts until one ran or may have run, and returns the last.
+// Do makes attempts until one was or may have been executed or no retries are left, and
+// returns the last attempt.
 func (c *Callers) Do(ctx context.Context, call Call) history.Attempt {
 	tried := map[string]bool{}
 	deadline := c.Recorder.Now() + call.Tenant.Deadline
@@ -48,10 +49,10 @@
 		if address == "" {
 			address = c.fronts.choose(call.Location, c.nodeAddresses(), call.FrontIndex+uint64(retry), tried)
 		}
-		attempt := c.attempt(call, address, deadline)
+		attempt := c.sendAttempt(call, address, deadline)
 		c.Recorder.AddAttempt(attempt)
-		c.counts.Post(func(counts *Counts) { counts.add(attempt) })
-		retriable := c.avoidAfter(attempt, address)
+		c.counts.Post(func(counts *Counts) { counts.count(attempt) })
+		retriable := c.avoidFailedFront(attempt, address)
 		if !retriable || retry >= c.Behavior.Retries || call.FrontAddress != "" || ctx.Err() != nil {
 			return attempt
 		}
@@ -59,9 +60,10 @@
 	}
 }
 
-// avoidAfter keeps callers from a front that failed. It reports whether the
-// request certainly did not run, so that it may be retried elsewhere.
-func (c *Callers) avoidAfter(attempt history.Attempt, address string) (retriable bool) {
+// avoidFailedFront makes callers avoid the front of a failed attempt for a while. It
+// reports whether the request was certainly not executed, so that it may be retried
+// through another front.
+func (c *Callers) avoidFailedFront(attempt history.Attempt, address string) (retriable bool) {
 	switch {
 	case attempt.Outcome == history.Unsent:
 		c.fronts.avoidFor(address, avoidUnreachable)
@@ -76,7 +78,7 @@
 	return false
 }
 
-// nodeAt returns the name of the node at an address, or the address.
+// nodeAt returns the name of the node at an address, or the address if there is none.
 func (c *Callers) nodeAt(address string) string {
 	for _, node := range c.Fleet.Nodes {
 		if node.CallerAddress == address {
@@ -86,8 +88,8 @@
 	return address
 }
 
-// attempt sends a call once, through the front at an address.
-func (c *Callers) attempt(call Call, address string, deadline history.Instant) history.Attempt {
+// sendAttempt sends a call once, through the front at an address.
+func (c *Callers) sendAttempt(call Call, address string, deadline history.Instant) history.Attempt {
 	attempt := c.newAttempt(call, address, deadline)
 	remaining := remainingTime(attempt)
 	req := callRequest(call, address, attempt.Token, remaining)
@@ -96,13 +98,13 @@
 	return attempt
 }
 
-// remainingTime returns the time from the sending of an attempt to its deadline, or
-// the least time that an attempt gets.
+// remainingTime returns the time from the sending of an attempt to its deadline, but at
+// least minAttemptTime.
 func remainingTime(attempt history.Attempt) time.Duration {
 	return max(attempt.Deadline-attempt.Sent, minAttemptTime)
 }
 
-// newAttempt returns an attempt that is about to be sent.
+// newAttempt returns an attempt with a new token that is to be sent now.
 func (c *Callers) newAttempt(call Call, address string, deadline history.Instant) history.Attempt {
 	tenant := call.Tenant
 	return history.Attempt{
@@ -131,7 +133,7 @@
 	SessionTokens int    `json:"session_tokens"`
 }
 
-// callRequest returns the request of an attempt to a front.
+// callRequest returns the HTTP request of an attempt through a front.
 func callRequest(call Call, address, token string, remaining time.Duration) *http.Request {
 	tenant := call.Tenant
 	var req *http.Request
@@ -163,7 +165,7 @@
 
 func (c Call) prefix() string { return fmt.Sprintf("%s prefix %d", c.Tenant.Name, c.Prefix) }
 
-// session returns the text of a prompt that carries an attempt's token.
+// session returns the session text of a prompt, which contains the attempt's token.
 func session(token string) string { return "token=" + token }
 
 func newJSONRequest(address, path string, body any) *http.Request {
@@ -184,8 +186,8 @@
 	SessionTokens int    `json:"session_tokens"`
 }
 
-// DoAtServer sends a call to a server itself, by the servers' protocol and over
-// kept connections, and doesn't record it.
+// DoAtServer sends a call directly to a server, in the servers' protocol and over pooled
+// connections. The attempt is not recorded.
 func (c *Callers) DoAtServer(call Call, address string) history.Attempt {
 	tenant := call.Tenant
 	attempt := history.Attempt{
@@ -197,13 +199,13 @@
 	}
 	attempt.Deadline = attempt.Sent + tenant.Deadline
 	req := serverRequest(call, address, attempt.Token)
-	c.perform(&attempt, req, address, tenant.Deadline, neverLeaves)
+	c.perform(&attempt, req, address, tenant.Deadline, neutralBehaviorDraw)
 	attempt.Done = c.Recorder.Now()
 	return attempt
 }
 
-// neverLeaves is a Chance at which a caller neither leaves nor reads slowly.
-const neverLeaves = 0.5
+// neutralBehaviorDraw is a Chance at which a caller neither abandons a stream nor reads slowly.
+const neutralBehaviorDraw = 0.5
 
 func serverRequest(call Call, address, token string) *http.Request {
 	tenant := call.Tenant
--- a/cmd/rig/loadgen/callers.go
+++ b/cmd/rig/loadgen/callers.go
@@ -13,20 +13,19 @@
 )
 
 const (
-	maxInFlight     = 3000 // calls; more are skipped
+	maxInFlight     = 3000 // calls; further ones are skipped
 	maxIdlePerFront = 64   // connections
 	defaultRetries  = 2
 
-	// loadUnit is the load factor 1 in Callers.loadFactors.
-	loadUnit = 1000
+	// loadFactorUnit is the load factor 1 in Callers.loadFactors.
+	loadFactorUnit = 1000
 
-	// tenantStreams is where the tenants' random numbers begin among the streams of
-	// a seed.
-	tenantStreams = 1000
+	// tenantRandomStreams is the first PCG stream of the tenants' random numbers.
+	tenantRandomStreams = 1000
 
-	idlePollInterval  = 50 * time.Millisecond // between polls of a load factor of zero
+	idlePollInterval  = 50 * time.Millisecond // while the load factor is zero
 	drainPollInterval = 50 * time.Millisecond
-	maxDrainPolls     = 300 // for calls in flight at the end, drainPollInterval apart
+	maxDrainPolls     = 300 // for calls in flight at the end of the load
 )
 
 // Callers send the requests of all tenants.
@@ -35,27 +34,27 @@
 	Recorder *history.Recorder
 	Tenants  []Tenant
 	Behavior Behavior
-	Skipped  atomic.Int64 // calls not made since too many were in flight
+	Skipped  atomic.Int64 // calls omitted because maxInFlight was reached
 
 	seed        uint64
-	zones       []fleet.Location // in which callers are
-	connections *pool
-	loadFactors []atomic.Uint64                    // by tenant, in units of 1/loadUnit
-	zoneShares  atomic.Pointer[map[string]float64] // share of calls by zone; nil for even
-	serial      atomic.Int64                       // of the last attempt
+	zones       []fleet.Location // locations of callers
+	connections *connectionPool
+	loadFactors []atomic.Uint64                    // by tenant, in units of 1/loadFactorUnit
+	zoneShares  atomic.Pointer[map[string]float64] // fraction of calls by zone; nil for even shares
+	serial      atomic.Int64                       // number of the last attempt
 	inFlight    atomic.Int64
 	fronts      frontSelector
 	counts      *owner.Owner[Counts]
 }
 
-// Behavior is how callers behave.
+// Behavior describes how callers read answers and retry.
 type Behavior struct {
-	LeaveOdds    float64 // probability of leaving after the first event
+	LeaveOdds    float64 // probability of abandoning a stream after the first event
 	SlowReadOdds float64 // probability of reading each event slowly
-	Retries      int     // further attempts after one that did not run
+	Retries      int     // maximum number of retries after attempts that were not executed
 }
 
-// Counts are the attempts so far, by how they ended.
+// Counts are numbers of finished attempts by outcome.
 type Counts struct {
 	Served   int
 	Rejected int
@@ -63,7 +62,7 @@
 	Unsent   int
 }
 
-func (c *Counts) add(attempt history.Attempt) {
+func (c *Counts) count(attempt history.Attempt) {
 	switch attempt.Outcome {
 	case history.Served, history.Abandoned:
 		c.Served++
@@ -76,8 +75,8 @@
 	}
 }
 
-// NewCallers returns callers that send nothing until Run, and records the
-// tenants' allowances.
+// NewCallers returns callers that send no load until Run, and records the tenants'
+// allowances.
 func NewCallers(f *fleet.Fleet, tenants []Tenant, seed uint64) *Callers {
 	callers := &Callers{
 		Fleet:       f,
@@ -86,13 +85,13 @@
 		Behavior:    Behavior{Retries: defaultRetries},
 		seed:        seed,
 		zones:       nodeZones(f),
-		connections: newPool(maxIdlePerFront),
+		connections: newConnectionPool(maxIdlePerFront),
 		loadFactors: make([]atomic.Uint64, len(tenants)),
 		fronts:      newFrontSelector(f),
 		counts:      owner.New(Counts{}),
 	}
 	for i := range callers.loadFactors {
-		callers.loadFactors[i].Store(loadUnit)
+		callers.loadFactors[i].Store(loadFactorUnit)
 	}
 	allowances := map[string]history.Allowance{}
 	for _, tenant := range tenants {
@@ -109,27 +108,27 @@
 // nodeZones returns the zones that have nodes, in the order of the nodes.
 func nodeZones(f *fleet.Fleet) []fleet.Location {
 	var zones []fleet.Location
-	known := map[fleet.Location]bool{}
+	seen := map[fleet.Location]bool{}
 	for _, node := range f.Nodes {
-		if !known[node.Location] {
-			known[node.Location] = true
+		if !seen[node.Location] {
+			seen[node.Location] = true
 			zones = append(zones, node.Location)
 		}
 	}
 	return zones
 }
 
-// SetLoadFactor multiplies the load of one tenant, or of all when the name is
-// empty.
+// SetLoadFactor sets the factor on the normal load of one tenant, or of all tenants if
+// the name is empty.
 func (c *Callers) SetLoadFactor(tenant string, factor float64) {
 	for i, t := range c.Tenants {
 		if tenant == "" || t.Name == tenant {
-			c.loadFactors[i].Store(uint64(factor * loadUnit))
+			c.loadFactors[i].Store(uint64(factor * loadFactorUnit))
 		}
 	}
 }
 
-// SetZoneShares sets the share of calls from each zone, by name; nil means even
+// SetZoneShares sets the fraction of calls from each zone, by zone name; nil for even
 // shares.
 func (c *Callers) SetZoneShares(shares map[string]float64) {
 	if shares == nil {
@@ -139,14 +138,15 @@
 	c.zoneShares.Store(&shares)
 }
 
-// Counts returns the counts so far.
+// Counts returns the present counts.
 func (c *Callers) Counts() Counts {
 	var counts Counts
 	c.counts.Do(func(current *Counts) { counts = *current })
 	return counts
 }
 
-// Run sends load until ctx ends, then waits for calls in flight.
+// Run sends load until ctx ends, then waits for calls in flight, for at most
+// maxDrainPolls polls.
 func (c *Callers) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for i := range c.Tenants {
@@ -161,20 +161,21 @@
 	}
 }
 
-// Close drops the callers' connections.
+// Close closes the callers' idle connections.
 func (c *Callers) Close() {
 	c.connections.close()
 	c.fronts.close()
 	c.counts.Close()
 }
 
-// runTenant makes calls of one tenant at random intervals until ctx ends.
+// runTenant makes calls of one tenant at exponentially distributed intervals until ctx
+// ends.
 func (c *Callers) runTenant(ctx context.Context, index int) {
-	random := rand.New(rand.NewPCG(c.seed, uint64(index)+tenantStreams))
+	random := rand.New(rand.NewPCG(c.seed, uint64(index)+tenantRandomStreams))
 	tenant := c.Tenants[index]
 	next := c.Recorder.Now()
 	for {
-		rate := tenant.PerSecond * float64(c.loadFactors[index].Load()) / loadUnit
+		rate := tenant.PerSecond * float64(c.loadFactors[index].Load()) / loadFactorUnit
 		if rate <= 0 {
 			if !owner.Sleep(ctx, idlePollInterval) {
 				return
@@ -193,12 +194,12 @@
 			c.Skipped.Add(1)
 			continue
 		}
-		c.begin(ctx, c.drawCall(random, tenant))
+		c.startCall(ctx, c.drawCall(random, tenant))
 	}
 }
 
-// drawCall draws a tenant's next call. The order of the draws is part of what a
-// seed stands for.
+// drawCall draws the random parts of a tenant's next call. A seed gives the same run
+// only as long as the order of the draws is unchanged.
 func (c *Callers) drawCall(random *rand.Rand, tenant Tenant) Call {
 	location := c.drawZone(random)
 	return Call{
@@ -223,7 +224,7 @@
 	return c.zones[random.IntN(len(c.zones))]
 }
 
-func (c *Callers) begin(ctx context.Context, call Call) {
+func (c *Callers) startCall(ctx context.Context, call Call) {
 	c.inFlight.Add(1)
 	go func() {
 		defer c.inFlight.Add(-1)
--- a/cmd/rig/loadgen/client.go
+++ b/cmd/rig/loadgen/client.go
@@ -1,7 +1,7 @@
-// Package loadgen generates the load on a fleet: callers, who send the tenants'
-// requests, and operators, who send orders and check their effect. Its HTTP client
-// never sends a request twice and keeps connections open, so that what it records
-// is what the fleet did.
+// Package loadgen generates the load on a fleet: callers send the tenants' requests,
+// operators send orders and check their effect. Its HTTP client keeps connections open
+// and never retransmits a request by itself, so that every attempt in the recording is
+// exactly one request to the fleet.
 package loadgen
 
 import (
@@ -22,20 +22,19 @@
 	maxAnswerBytes = 64 << 20
 )
 
-// errUnsent is the cause when no connection could be opened: nothing was written.
-var errUnsent = errors.New("nothing was written")
+// errUnsent reports that no connection could be opened, so that nothing was written.
+var errUnsent = errors.New("request not sent")
 
-// connection is one connection to a front.
+// connection is an HTTP connection to a front or server.
 type connection struct {
 	conn   net.Conn
 	in     *bufio.Reader
 	reused bool
 }
 
-// roundTrip writes a request and reads the head of its answer within a time-out,
-// which holds for the reading of the body as well. The connection can be used
-// again once the body is read; a body that isn't read to its end must not be
-// closed, as that would read the rest.
+// roundTrip writes a request and reads the header of its answer. The timeout includes
+// the reading of the body. The connection can be reused after the body was read to its
+// end; a body that was not must not be closed, since closing it reads the rest.
 func (c *connection) roundTrip(req *http.Request, timeout time.Duration) (*http.Response, error) {
 	if err := c.write(req, timeout); err != nil {
 		return nil, err
@@ -43,7 +42,7 @@
 	return c.readHead(req)
 }
 
-// write writes a request and sets the time-out of its round trip.
+// write writes a request and sets the timeout of its round trip.
 func (c *connection) write(req *http.Request, timeout time.Duration) error {
 	if err := c.conn.SetDeadline(clock.System().Now().Add(timeout)); err != nil {
 		return err
@@ -51,7 +50,7 @@
 	return req.Write(c.conn)
 }
 
-// readHead reads the head of the answer to a request that was written.
+// readHead reads the status line and header of the answer to a written request.
 func (c *connection) readHead(req *http.Request) (*http.Response, error) {
 	return http.ReadResponse(c.in, req)
 }
@@ -63,38 +62,38 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// pool keeps idle connections by address.
-type pool struct {
+// connectionPool keeps idle connections by address.
+type connectionPool struct {
 	idle    *owner.Owner[map[string][]*connection]
 	maxIdle int // for each address
 }
 
-func newPool(maxIdle int) *pool {
-	return &pool{
+func newConnectionPool(maxIdle int) *connectionPool {
+	return &connectionPool{
 		idle:    owner.New(map[string][]*connection{}),
 		maxIdle: maxIdle,
 	}
 }
 
-// take returns an idle connection, the last one used first, or opens one.
-func (p *pool) take(address string) (*connection, error) {
-	var taken *connection
+// get returns the most recently used idle connection, or opens a new one.
+func (p *connectionPool) get(address string) (*connection, error) {
+	var reused *connection
 	p.idle.Do(func(idle *map[string][]*connection) {
 		list := (*idle)[address]
 		if len(list) == 0 {
 			return
 		}
 		last := len(list) - 1
-		taken = list[last]
+		reused = list[last]
 		(*idle)[address] = list[:last]
 	})
-	if taken != nil {
-		return taken, nil
+	if reused != nil {
+		return reused, nil
 	}
 	return dial(address)
 }
 
-// dial opens a connection.
+// dial opens a connection to an address. The error is errUnsent with the cause as text.
 func dial(address string) (*connection, error) {
 	conn, err := net.DialTimeout("tcp4", address, dialTimeout)
 	if err != nil {
@@ -106,8 +105,8 @@
 	}, nil
 }
 
-// put keeps a connection for the next request, or closes it if there are enough.
-func (p *pool) put(address string, returned *connection) {
+// put returns a connection to the pool, or closes it if the pool is full.
+func (p *connectionPool) put(address string, returned *connection) {
 	returned.reused = true
 	kept := false
 	p.idle.Do(func(idle *map[string][]*connection) {
@@ -121,7 +120,7 @@
 	}
 }
 
-func (p *pool) close() {
+func (p *connectionPool) close() {
 	p.idle.Do(func(idle *map[string][]*connection) {
 		for _, list := range *idle {
 			for _, conn := range list {
@@ -132,26 +131,26 @@
 	p.idle.Close()
 }
 
-// newRequest returns a request to an address. Its parts are always well-formed.
+// newRequest returns a request to an address. The arguments must be well-formed.
 func newRequest(method, address, path string, body io.Reader) *http.Request {
 	req, _ := http.NewRequest(method, "http://"+address+path, body)
 	return req
 }
 
-// exchange sends one request on a connection of its own and returns the status
-// and the complete body of the answer.
+// exchange sends one request on a new connection and returns the status and the
+// complete body of the answer. It closes the connection.
 func exchange(req *http.Request, address string, timeout time.Duration) (int, []byte, error) {
-	connections := newPool(0)
+	connections := newConnectionPool(0)
 	defer connections.close()
-	conn, err := connections.take(address)
+	conn, err := connections.get(address)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer conn.close()
 	resp, err := conn.roundTrip(req, timeout) //nolint:bodyclose // the connection is closed instead
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "read answer")
+		return 0, nil, errors.Wrap(err, "send request and read answer header")
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
-	return resp.StatusCode, data, errors.Wrap(err, "read body")
+	return resp.StatusCode, data, errors.Wrap(err, "read answer body")
 }
--- a/cmd/rig/loadgen/forms_test.go
+++ b/cmd/rig/loadgen/forms_test.go
@@ -22,7 +22,7 @@
 func TestRequestForms(t *testing.T) {
 	tenant := FirstTenants()[1]
 	call := Call{Tenant: tenant, Location: fleet.Location{Region: "lagos", Zone: "a"}, Prefix: 4}
-	Convey("A prompt has the fields of the callers' page", t, func() {
+	Convey("A prompt has the documented fields of the callers' API", t, func() {
 		body, err := io.ReadAll(callRequest(call, "127.0.0.1:1", "t1", time.Second).Body)
 		So(err, ShouldBeNil)
 		So(string(body), ShouldEqual, marshalMap(map[string]any{
@@ -30,7 +30,7 @@
 			"session_tokens": 200, "max_tokens": 40, "deadline_ms": 1000, "region": "lagos", "home": "lagos",
 		}))
 	})
-	Convey("A request to a model server has the fields of the servers' page", t, func() {
+	Convey("A request to a model server has the documented fields of the servers' protocol", t, func() {
 		body, err := io.ReadAll(serverRequest(call, "127.0.0.1:1", "d1").Body)
 		So(err, ShouldBeNil)
 		So(string(body), ShouldEqual, marshalMap(map[string]any{
@@ -38,7 +38,7 @@
 			"prefix_tokens": 1200, "session_tokens": 200, "max_tokens": 40,
 		}))
 	})
-	Convey("Orders have the fields of the operators' page", t, func() {
+	Convey("Orders have the documented fields of the operators' API", t, func() {
 		operators := &Operators{idPrefix: "o1"}
 		sheet := Sheet{Services: map[string]SheetService{"a": {Kind: history.KindWeb, PlainTokens: 50}}}
 		for _, order := range []struct {
--- a/cmd/rig/loadgen/fronts.go
+++ b/cmd/rig/loadgen/fronts.go
@@ -18,45 +18,46 @@
 	discoveryInterval = time.Second
 	discoveryRetry    = 200 * time.Millisecond
 	discoveryTimeout  = 2 * time.Second
-	maxRemoteFronts   = 3 // used when a zone has none of its own
+	maxRemoteFronts   = 3 // used if a zone has no front
 )
 
-// frontSelector chooses the front of an attempt: one of the nearest that has not
-// just failed.
+// frontSelector selects the front of an attempt: one of the nearest fronts without a
+// recent failure.
 type frontSelector struct {
-	recorder *history.Recorder
-	nearest  *owner.Owner[map[string][]string]        // addresses by zone
-	avoid    *owner.Owner[map[string]history.Instant] // until when, by address
+	recorder   *history.Recorder
+	nearest    *owner.Owner[map[string][]string]        // addresses by zone
+	avoidUntil *owner.Owner[map[string]history.Instant] // end of the avoidance, by address
 }
 
 func newFrontSelector(f *fleet.Fleet) frontSelector {
 	return frontSelector{
-		recorder: f.Recorder,
-		nearest:  owner.New(map[string][]string{}),
-		avoid:    owner.New(map[string]history.Instant{}),
+		recorder:   f.Recorder,
+		nearest:    owner.New(map[string][]string{}),
+		avoidUntil: owner.New(map[string]history.Instant{}),
 	}
 }
 
 func (s *frontSelector) close() {
 	s.nearest.Close()
-	s.avoid.Close()
+	s.avoidUntil.Close()
 }
 
 func (s *frontSelector) setNearest(zone fleet.Location, addresses []string) {
 	s.nearest.Do(func(nearest *map[string][]string) { (*nearest)[zone.ZoneName()] = addresses })
 }
 
-// choose returns the address of a front, the index-th of those that may be used.
+// choose returns the address of a front: the index-th, modulo their number, of the
+// usable nearest fronts, else of all usable fronts, else of all fronts.
 func (s *frontSelector) choose(zone fleet.Location, all []string, index uint64, tried map[string]bool) string {
 	var nearest []string
 	s.nearest.Do(func(byZone *map[string][]string) { nearest = (*byZone)[zone.ZoneName()] })
 	now := s.recorder.Now()
 	chosen := ""
-	s.avoid.Do(func(avoid *map[string]history.Instant) {
+	s.avoidUntil.Do(func(avoid *map[string]history.Instant) {
 		usable := func(address string) bool { return !tried[address] && (*avoid)[address] <= now }
-		chosen = pick(nearest, index, usable)
+		chosen = pickUsable(nearest, index, usable)
 		if chosen == "" {
-			chosen = pick(all, index, usable)
+			chosen = pickUsable(all, index, usable)
 		}
 	})
 	if chosen == "" {
@@ -65,8 +66,9 @@
 	return chosen
 }
 
-// pick returns the index-th of the usable addresses; empty if there is none.
-func pick(addresses []string, index uint64, usable func(string) bool) string {
+// pickUsable returns the index-th of the usable addresses, modulo their number; empty
+// if there is none.
+func pickUsable(addresses []string, index uint64, usable func(string) bool) string {
 	var candidates []string
 	for _, address := range addresses {
 		if usable(address) {
@@ -79,10 +81,10 @@
 	return candidates[index%uint64(len(candidates))]
 }
 
-// avoidFor keeps callers from a front for a time.
+// avoidFor makes callers avoid a front for a duration.
 func (s *frontSelector) avoidFor(address string, d time.Duration) {
 	until := s.recorder.Now() + d
-	s.avoid.Post(func(avoid *map[string]history.Instant) { (*avoid)[address] = until })
+	s.avoidUntil.Post(func(avoid *map[string]history.Instant) { (*avoid)[address] = until })
 }
 
 func (c *Callers) nodeAddresses() []string {
@@ -105,7 +107,8 @@
 	Zone    string
 }
 
-// discoverFronts keeps requesting where callers of one zone should connect.
+// discoverFronts periodically requests which fronts the callers of a zone should connect
+// to, each time from a random node, until ctx ends.
 func (c *Callers) discoverFronts(ctx context.Context, zone fleet.Location) {
 	random := rand.New(rand.NewPCG(c.seed, uint64(len(zone.ZoneName()))))
 	for {
@@ -131,20 +134,20 @@
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, errors.Errorf("status %d", status)
+		return nil, errors.Errorf("GET /v1/connect: HTTP status %d, want 200", status)
 	}
 	var answer connectAnswer
 	if err := json.Unmarshal(data, &answer); err != nil {
-		return nil, errors.Wrap(err, "answer to connect")
+		return nil, errors.Wrap(err, "decode answer to GET /v1/connect")
 	}
 	if len(answer.Nodes) == 0 {
-		return nil, errors.New("no node to connect to")
+		return nil, errors.New("answer to GET /v1/connect lists no nodes")
 	}
 	return answer.Nodes, nil
 }
 
 // nearestAddresses returns the addresses of the nodes in a zone, or of the first
-// few if none is.
+// maxRemoteFronts nodes if the zone has none.
 func nearestAddresses(nodes []connectNode, zone fleet.Location) []string {
 	var addresses []string
 	for _, node := range nodes {
--- a/cmd/rig/loadgen/keycheck.go
+++ b/cmd/rig/loadgen/keycheck.go
@@ -21,9 +21,9 @@
 	maxKeyCheckBytes = 1 << 20
 )
 
-// RunKeyChecks checks each node at an interval, over connections that stay open,
-// with the keys of the newest acknowledged sheet and of the one before. The key
-// that a node accepts shows from outside which sheet it uses.
+// RunKeyChecks periodically checks each node, over persistent connections, with the keys
+// of the newest acknowledged sheet and of the previous one, until ctx ends. The key that
+// a node accepts shows which sheet the node uses.
 func (o *Operators) RunKeyChecks(ctx context.Context, interval time.Duration) {
 	var running sync.WaitGroup
 	for _, node := range o.Fleet.Nodes {
@@ -33,7 +33,7 @@
 }
 
 func (o *Operators) checkKeysAt(ctx context.Context, node *fleet.Node, interval time.Duration) {
-	connections := newPool(1)
+	connections := newConnectionPool(1)
 	defer connections.close()
 	newest, previous := 0, 0
 	for owner.Sleep(ctx, interval) {
@@ -48,20 +48,20 @@
 	}
 }
 
-// CheckKey checks one node with one key on a connection of its own.
+// CheckKey checks one node with one key on a new connection.
 func (o *Operators) CheckKey(node *fleet.Node, key int) history.KeyCheck {
-	connections := newPool(0)
+	connections := newConnectionPool(0)
 	defer connections.close()
 	return o.checkKey(node, key, connections)
 }
 
-func (o *Operators) checkKey(node *fleet.Node, key int, connections *pool) history.KeyCheck {
+func (o *Operators) checkKey(node *fleet.Node, key int, connections *connectionPool) history.KeyCheck {
 	check := history.KeyCheck{
 		Front: node.Name,
 		Key:   key,
 		Sent:  o.Recorder.Now(),
 	}
-	if conn, err := connections.take(node.CallerAddress); err == nil {
+	if conn, err := connections.get(node.CallerAddress); err == nil {
 		check.ReusedConnection = conn.reused
 		if o.checkKeyOn(conn, node, &check) {
 			connections.put(node.CallerAddress, conn)
@@ -76,8 +76,8 @@
 	return check
 }
 
-// checkKeyOn sends the request of a check and reads its answer; it reports whether
-// the connection can be used again.
+// checkKeyOn sends the request of a check and reads its answer; it reports whether the
+// connection can be reused.
 func (o *Operators) checkKeyOn(conn *connection, node *fleet.Node, check *history.KeyCheck) (reusable bool) {
 	path := fmt.Sprintf("/v1/call/%s/probe?token=p%d-%s", o.Fleet.Spec.Services.Web[0], o.serial.Add(1), o.idPrefix)
 	req := newRequest(http.MethodGet, node.CallerAddress, path, nil)
@@ -92,7 +92,7 @@
 		return false
 	}
 	check.Status = resp.StatusCode
-	if resp.Header.Get(codeHeader) != "" || resp.StatusCode/100 != successClass {
+	if resp.Header.Get(codeHeader) != "" || resp.StatusCode/100 != successStatusClass {
 		var body apierror.ErrorBody
 		_ = json.Unmarshal(data, &body)
 		check.Code = int(body.Code)
--- a/cmd/rig/loadgen/loadgen_test.go
+++ b/cmd/rig/loadgen/loadgen_test.go
@@ -19,10 +19,10 @@
 	"stepwick/cmd/rig/history"
 )
 
-// passThrough is a front that passes on whatever its servers send.
-func passThrough(model *emulator.Model, web *emulator.Web) http.Handler {
+// newForwardingFront returns a front that forwards its servers' answers unchecked.
+func newForwardingFront(model *emulator.Model, web *emulator.Web) http.Handler {
 	mux := http.NewServeMux()
-	pass := func(w http.ResponseWriter, r *http.Request, url string, body io.Reader) {
+	forward := func(w http.ResponseWriter, r *http.Request, url string, body io.Reader) {
 		req, _ := http.NewRequest(r.Method, url, body)
 		req.Header.Set("Stepwick-Request-Id", r.Header.Get("Stepwick-Request-Id"))
 		resp, err := http.DefaultTransport.RoundTrip(req)
@@ -44,10 +44,10 @@
 		}
 	}
 	mux.HandleFunc("POST /v1/prompt", func(w http.ResponseWriter, r *http.Request) {
-		pass(w, r, "http://"+model.Address+"/v1/generate", r.Body)
+		forward(w, r, "http://"+model.Address+"/v1/generate", r.Body)
 	})
 	mux.HandleFunc("/v1/call/{service}/{path...}", func(w http.ResponseWriter, r *http.Request) {
-		pass(w, r, "http://"+web.Address+"/"+r.PathValue("path")+"?"+r.URL.RawQuery, r.Body)
+		forward(w, r, "http://"+web.Address+"/"+r.PathValue("path")+"?"+r.URL.RawQuery, r.Body)
 	})
 	return mux
 }
@@ -70,7 +70,7 @@
 	s.model.Address, s.web.Address = freeAddress(), freeAddress()
 	So(s.model.Start(), ShouldBeNil)
 	So(s.web.Start(), ShouldBeNil)
-	s.front = httptest.NewServer(passThrough(s.model, s.web))
+	s.front = httptest.NewServer(newForwardingFront(s.model, s.web))
 	f.Nodes[0].CallerAddress = strings.TrimPrefix(s.front.URL, "http://")
 	s.callers = NewCallers(f, FirstTenants(), 3)
 	Reset(func() {
@@ -109,15 +109,15 @@
 }
 
 func TestCallers(t *testing.T) {
-	Convey("Through a front that passes everything on", t, func() {
+	Convey("Through a front that forwards everything", t, func() {
 		s := newHarness()
-		Convey("honest servers give complete answers and no violation", func() {
+		Convey("servers without faults give complete answers and no violations", func() {
 			for _, tenant := range []string{"press", "press", "grid", "crews"} {
 				So(s.call(tenant).Outcome, ShouldEqual, history.Served)
 			}
 			So(s.violations(), ShouldBeEmpty)
-			hits, asked, _ := s.model.CacheCounts()
-			So([]int{hits, asked}, ShouldResemble, []int{1, 2})
+			hits, prompts, _ := s.model.CacheStats()
+			So([]int{hits, prompts}, ShouldResemble, []int{1, 2})
 		})
 		for fault, rule := range map[emulator.Fault]string{emulator.EarlyEnd: "stream", emulator.DroppedEvent: "stream", emulator.DuplicatedEvent: "stream", emulator.WrongID: "stream"} {
 			Convey("a model server's "+string(fault)+" is found by the checker", func() {
@@ -126,7 +126,7 @@
 				So(s.violations()[rule], ShouldBeTrue)
 			})
 		}
-		Convey("an aborted stream does not look complete", func() {
+		Convey("an aborted stream does not appear complete", func() {
 			s.model.SetFaultOdds(emulator.FaultOdds{emulator.AbortedStream: 1})
 			So(s.call("press").Outcome, ShouldBeIn, history.ConnectionBroken, history.EndedByError, history.Malformed)
 			So(s.violations(), ShouldBeEmpty)
@@ -137,7 +137,7 @@
 			s.call("crews")
 			So(s.violations()["body"], ShouldBeTrue)
 		})
-		Convey("a truncated body is not taken for complete", func() {
+		Convey("a truncated body does not count as served", func() {
 			s.web.SetFaultOdds(emulator.FaultOdds{emulator.TruncatedBody: 1})
 			So(s.call("grid").Outcome, ShouldNotEqual, history.Served)
 			So(s.violations(), ShouldBeEmpty)
--- a/cmd/rig/loadgen/operators.go
+++ b/cmd/rig/loadgen/operators.go
@@ -17,20 +17,20 @@
 const (
 	defaultAnswerTimeout = 8 * time.Second
 	resendInterval       = 200 * time.Millisecond
-	readingOperator      = "ade" // who reads the sheet
+	sheetReader          = "ade" // operator that reads the sheet
 )
 
-// Operators send orders to a fleet and number the orders and the checked keys.
+// Operators send orders to a fleet. They assign the numbers of orders and checked keys.
 type Operators struct {
 	Fleet         *fleet.Fleet
 	Recorder      *history.Recorder
 	AnswerTimeout time.Duration
 
-	idPrefix      string        // of orders
-	serial        atomic.Int64  // of the last order
-	lastKey       atomic.Int64  // the highest checked key so far
-	newestKey     atomic.Int64  // of the newest acknowledged sheet
-	newestVersion atomic.Uint64 // of that sheet
+	idPrefix      string        // of order IDs
+	serial        atomic.Int64  // number of the last order or key check
+	lastKey       atomic.Int64  // highest number of a checked key assigned
+	newestKey     atomic.Int64  // checked key of the newest acknowledged sheet
+	newestVersion atomic.Uint64 // version of that sheet
 }
 
 // NewOperators returns the operators of a fleet.
@@ -43,7 +43,7 @@
 	}
 }
 
-// NextKey returns the number of a checked key that no sheet had before.
+// NextKey returns the number of a checked key that no sheet has used.
 func (o *Operators) NextKey() int { return int(o.lastKey.Add(1)) }
 
 // NewestKey returns the checked key of the newest acknowledged sheet, and the
@@ -52,7 +52,7 @@
 	return int(o.newestKey.Load()), o.newestVersion.Load()
 }
 
-// controlAnswer is the answer to an order or to the reading of the sheet.
+// controlAnswer is the answer to an order or to a read of the sheet.
 type controlAnswer struct {
 	Code         int    `json:"code"`
 	Detail       string `json:"detail"`
@@ -62,8 +62,8 @@
 	Sheet        Sheet  `json:"sheet"`
 }
 
-// Send sends an order once through a node. If loseAfter is set, the operator
-// breaks the connection after that time and ignores any answer.
+// Send sends an order once through a node and records it. If loseAfter is positive, the
+// operator closes the connection after that time and ignores any answer.
 func (o *Operators) Send(order *Order, node *fleet.Node, loseAfter time.Duration) history.Order {
 	req := orderRequest(order, node)
 	sent := order.Order
@@ -117,11 +117,11 @@
 		Acknowledged: sent.Answered,
 		Version:      sent.Version,
 	})
-	o.adoptNewer(order.Key, sent.Version)
+	o.updateNewestKey(order.Key, sent.Version)
 }
 
-// adoptNewer sets the newest key if its sheet is newer than all before.
-func (o *Operators) adoptNewer(key int, version uint64) {
+// updateNewestKey sets the newest key if its sheet is newer than the present newest.
+func (o *Operators) updateNewestKey(key int, version uint64) {
 	for {
 		current := o.newestVersion.Load()
 		if version <= current {
@@ -134,18 +134,18 @@
 	}
 }
 
-// recordKeyRotation records that a checked key was sent, or its first
-// acknowledgement.
+// recordKeyRotation records that a checked key was sent, or the first acknowledgement of
+// its sheet.
 func (o *Operators) recordKeyRotation(rotation history.KeyRotation) {
 	o.Recorder.Update(func(recording *history.Recording) {
 		for i := range recording.KeyRotations {
-			known := &recording.KeyRotations[i]
-			if known.Key != rotation.Key {
+			recorded := &recording.KeyRotations[i]
+			if recorded.Key != rotation.Key {
 				continue
 			}
-			if rotation.Acknowledged > 0 && known.Acknowledged == 0 {
-				known.Acknowledged = rotation.Acknowledged
-				known.Version = rotation.Version
+			if rotation.Acknowledged > 0 && recorded.Acknowledged == 0 {
+				recorded.Acknowledged = rotation.Acknowledged
+				recorded.Version = rotation.Version
 			}
 			return
 		}
@@ -153,30 +153,31 @@
 	})
 }
 
-// Final reports whether an answer decides an order for good.
-func Final(order history.Order) bool {
+// IsFinal reports whether an order's answer is final: an acknowledgement or a client
+// error.
+func IsFinal(order history.Order) bool {
 	clientError := order.Status >= http.StatusBadRequest && order.Status < http.StatusInternalServerError
 	return !order.AnswerLost && (order.Acknowledged() || clientError)
 }
 
-// Submit sends an order through one node after another until its answer is final
-// or ctx ends, and returns the last sending.
+// Submit sends an order through one node after another until its answer is final or ctx
+// ends, and returns the last transmission.
 func (o *Operators) Submit(ctx context.Context, order *Order, nodes []*fleet.Node) history.Order {
 	var last history.Order
 	for i := 0; ctx.Err() == nil; i++ {
 		last = o.Send(order, nodes[i%len(nodes)], 0)
-		if Final(last) || !owner.Sleep(ctx, resendInterval) {
+		if IsFinal(last) || !owner.Sleep(ctx, resendInterval) {
 			return last
 		}
 	}
 	return last
 }
 
-// ReadSheet reads the sheet through a node. A final read is one after the end of
-// traffic.
+// ReadSheet reads the sheet through a node and records the read. A final read takes
+// place after the end of traffic.
 func (o *Operators) ReadSheet(node *fleet.Node, final bool) (history.ReadBack, Sheet) {
 	req := newRequest(http.MethodGet, node.CallerAddress, "/v1/control/sheet", nil)
-	req.Header.Set("Authorization", "Bearer "+fleet.OperatorKeys[readingOperator])
+	req.Header.Set("Authorization", "Bearer "+fleet.OperatorKeys[sheetReader])
 	read := history.ReadBack{
 		Front: node.Name,
 		Sent:  o.Recorder.Now(),
@@ -198,7 +199,7 @@
 	return read, answer.Sheet
 }
 
-// markerOf returns the number of a sheet's checked key; empty if it is unknown.
+// markerOf returns the number of a sheet's checked key; empty if the key is unknown.
 func (o *Operators) markerOf(sheet Sheet) string {
 	keys := sheet.Tenants[checkedTenant].Keys
 	if len(keys) != 1 {
@@ -213,7 +214,7 @@
 }
 
 // SheetVersion reads the sheet's version through one node after another until one
-// answers; false if ctx ended before.
+// answers; false if ctx ends first.
 func (o *Operators) SheetVersion(ctx context.Context, nodes []*fleet.Node) (uint64, bool) {
 	for i := 0; ctx.Err() == nil; i++ {
 		if read, _ := o.ReadSheet(nodes[i%len(nodes)], false); read.Status == http.StatusOK {
--- a/cmd/rig/loadgen/order.go
+++ b/cmd/rig/loadgen/order.go
@@ -8,14 +8,14 @@
 	"stepwick/cmd/rig/history"
 )
 
-// Order is an order that may be sent several times under one ID.
+// Order is an order that may be sent several times with the same ID.
 type Order struct {
 	history.Order
 	Body OrderBody
 	Key  int // number of the checked key that it sets; 0 for none
 }
 
-// OrderBody is the body of an order. An order has the fields of its verb.
+// OrderBody is the request body of an order. Only the fields of its verb are set.
 type OrderBody struct {
 	Base    *uint64  `json:"base,omitempty"` // put and patch
 	Changes []Change `json:"changes,omitempty"`
@@ -24,13 +24,13 @@
 	Sheet   any      `json:"sheet,omitempty"` // put: a Sheet, or an invalid one
 }
 
-// Change is one change of a patch: the value at a path of the sheet.
+// Change is one change of a patch: the new value at a path of the sheet.
 type Change struct {
 	Path  string `json:"path"`
 	Value any    `json:"value"`
 }
 
-// endpoint is where orders of a verb are sent.
+// endpoint is the HTTP method and path for orders of a verb.
 type endpoint struct {
 	method string
 	path   string
@@ -43,7 +43,7 @@
 	history.VerbRestore:  {http.MethodPost, "/v1/control/restore"},
 }
 
-// newOrder returns an order with an ID of its own.
+// newOrder returns an order with a new ID.
 func (o *Operators) newOrder(operator, verb string, body OrderBody) *Order {
 	body.ID = fmt.Sprintf("%s-%d", o.idPrefix, o.serial.Add(1))
 	order := &Order{
@@ -60,26 +60,28 @@
 	return order
 }
 
-// setKey notes the checked key that an order sets.
-func (o *Order) setKey(key int) {
+// setCheckedKey sets the number of the checked key that the order's sheet contains, and
+// the sheet marker of the same value.
+func (o *Order) setCheckedKey(key int) {
 	o.Key = key
 	if key > 0 {
 		o.SheetMarker = fmt.Sprint(key)
 	}
 }
 
-// Put returns an order that replaces the sheet; key is the sheet's checked key.
+// Put returns an order that replaces the sheet; key is the number of the sheet's checked
+// key.
 func (o *Operators) Put(operator string, base uint64, sheet Sheet, key int) *Order {
 	order := o.newOrder(operator, history.VerbPut, OrderBody{
 		Base:  &base,
 		Sheet: sheet,
 	})
-	order.setKey(key)
+	order.setCheckedKey(key)
 	return order
 }
 
-// Change returns an order that sets the next checked key, with further changes.
-func (o *Operators) Change(operator string, base uint64, further ...Change) *Order {
+// Change returns a patch order that sets the next checked key and makes other changes.
+func (o *Operators) Change(operator string, base uint64, otherChanges ...Change) *Order {
 	key := o.NextKey()
 	rotation := Change{
 		Path:  "tenants." + checkedTenant + ".keys",
@@ -87,9 +89,9 @@
 	}
 	order := o.newOrder(operator, history.VerbPatch, OrderBody{
 		Base:    &base,
-		Changes: append([]Change{rotation}, further...),
+		Changes: append([]Change{rotation}, otherChanges...),
 	})
-	order.setKey(key)
+	order.setCheckedKey(key)
 	return order
 }
 
--- a/cmd/rig/loadgen/persistent.go
+++ b/cmd/rig/loadgen/persistent.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	persistentStreams = 5000 // where the random numbers of persistent callers begin
-	reconnectInterval = 20 * time.Millisecond
+	persistentRandomStreams = 5000 // first PCG stream of the random numbers of persistent callers
+	reconnectInterval       = 20 * time.Millisecond
 
-	// persistentAllowance lets a tenant of persistent callers send without a limit.
+	// persistentAllowance is far above the demand of persistent callers.
 	persistentAllowance = 1e7 // tokens a second
 	persistentDeadline  = 3 * time.Second
 )
 
 // PersistentTenants returns the tenants of persistent callers, one for each kind of
-// request. They send nothing but through RunPersistent.
+// request. Only RunPersistent sends requests of these tenants.
 func PersistentTenants() []Tenant {
 	allowance := history.Allowance{Rate: persistentAllowance, Burst: persistentAllowance}
 	return []Tenant{
@@ -55,9 +55,10 @@
 	}
 }
 
-// RunPersistent runs a number of callers, spread over all nodes, until ctx ends.
-// Each keeps to one node and to one connection: whatever the answers say, it sends
-// on until the node closes the connection, and then connects again.
+// RunPersistent runs count callers, distributed over all nodes, until ctx ends. Each
+// caller uses one node and one connection. It keeps sending after errors until the node
+// closes the connection, and then reconnects. Interval is the time from an answer to the
+// next request.
 func (c *Callers) RunPersistent(ctx context.Context, count int, interval time.Duration) {
 	tenants := PersistentTenants()
 	var running sync.WaitGroup
@@ -66,7 +67,7 @@
 		caller := &persistentCaller{
 			callers:  c,
 			address:  c.Fleet.Nodes[i%len(c.Fleet.Nodes)].CallerAddress,
-			random:   rand.New(rand.NewPCG(c.seed, persistentStreams+uint64(i))),
+			random:   rand.New(rand.NewPCG(c.seed, persistentRandomStreams+uint64(i))),
 			tenant:   tenant,
 			interval: interval,
 		}
@@ -95,15 +96,15 @@
 	}
 }
 
-// sendUntilClosed sends one request after another until the connection can't be used
-// any more or ctx ends.
+// sendUntilClosed sends one request after another until the connection can't be reused
+// or ctx ends.
 func (p *persistentCaller) sendUntilClosed(ctx context.Context, conn *connection) {
 	for ctx.Err() == nil {
 		call := p.callers.drawCall(p.random, p.tenant)
 		attempt := p.callers.newAttempt(call, p.address, p.callers.Recorder.Now()+p.tenant.Deadline)
 		remaining := remainingTime(attempt)
 		req := callRequest(call, p.address, attempt.Token, remaining)
-		reusable := p.callers.exchangeOn(conn, &attempt, req, remaining+answerGrace, neverLeaves)
+		reusable := p.callers.exchangeOn(conn, &attempt, req, remaining+answerGrace, neutralBehaviorDraw)
 		attempt.Done = p.callers.Recorder.Now()
 		p.callers.Recorder.AddAttempt(attempt)
 		if !reusable {
--- a/cmd/rig/loadgen/persistent_test.go
+++ b/cmd/rig/loadgen/persistent_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestRunPersistent(t *testing.T) {
-	Convey("A persistent caller sends on after errors, and connects again only when its connection is closed", t, func() {
+	Convey("A persistent caller keeps sending after errors and reconnects only when its connection is closed", t, func() {
 		s := newHarness()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -38,7 +38,7 @@
 		s.callers.RunPersistent(ctx, 1, time.Microsecond)
 		attempts := s.recorder.Snapshot().Attempts
 		So(attempts, ShouldHaveLength, 5)
-		for i, wanted := range []struct {
+		for i, want := range []struct {
 			outcome history.Outcome
 			reused  bool
 		}{
@@ -48,8 +48,8 @@
 			{history.Rejected, false},
 			{history.Rejected, true},
 		} {
-			So(attempts[i].Outcome, ShouldEqual, wanted.outcome)
-			So(attempts[i].Reused, ShouldEqual, wanted.reused)
+			So(attempts[i].Outcome, ShouldEqual, want.outcome)
+			So(attempts[i].Reused, ShouldEqual, want.reused)
 		}
 	})
 }
--- a/cmd/rig/loadgen/sheet.go
+++ b/cmd/rig/loadgen/sheet.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// checkedTenant is the tenant whose only key identifies a sheet from outside.
+	// checkedTenant is the tenant whose only key differs in each sheet, so that key checks
+	// show which sheet a node uses.
 	checkedTenant      = "probe"
 	checkedTenantRate  = 50000
 	checkedTenantBurst = 100000
 )
 
-// Sheet is the users' configuration document as operators write it.
+// Sheet is the fleet's configuration document as sent by operators.
 type Sheet struct {
 	Services map[string]SheetService       `json:"services"`
 	Weights  map[string]map[string]float64 `json:"weights"` // by service and region
@@ -22,24 +23,24 @@
 	Settings map[string]string             `json:"settings,omitempty"`
 }
 
-// SheetService is a row of the services.
+// SheetService is a service in the sheet.
 type SheetService struct {
 	Kind        string `json:"kind"`
 	PlainTokens int    `json:"plain_tokens,omitempty"`
 }
 
-// SheetTenant is a row of the tenants.
+// SheetTenant is a tenant in the sheet.
 type SheetTenant struct {
 	Rate  float64  `json:"rate"`
 	Burst float64  `json:"burst,omitempty"`
 	Home  string   `json:"home,omitempty"`
-	Keys  []string `json:"keys,omitempty"` // hashes
+	Keys  []string `json:"keys,omitempty"` // hashes of the keys
 }
 
-// CheckedKey returns key number k of the checked tenant; each sheet has one.
+// CheckedKey returns key number k of the checked tenant. Each sheet contains one.
 func CheckedKey(k int) string { return fmt.Sprintf("probe-key-%d", k) }
 
-// NewSheet returns the sheet of a fleet with checked key number k.
+// NewSheet returns a sheet for a fleet and its tenants with checked key number k.
 func NewSheet(f *fleet.Fleet, tenants []Tenant, k int) Sheet {
 	sheet := Sheet{
 		Services: map[string]SheetService{},
@@ -75,7 +76,7 @@
 	return sheet
 }
 
-// serversByRegion counts servers; the counts serve as weights.
+// serversByRegion returns the number of servers in each region, used as weights.
 func serversByRegion(servers []fleet.Location) map[string]float64 {
 	counts := map[string]float64{}
 	for _, location := range servers {
--- a/cmd/rig/loadgen/tenant.go
+++ b/cmd/rig/loadgen/tenant.go
@@ -6,26 +6,26 @@
 	"stepwick/cmd/rig/history"
 )
 
-// plainTokens is what a request without a prompt costs.
+// plainTokens is the quota cost of a request without a prompt, in tokens.
 const plainTokens = 50
 
-// Tenant is one tenant's load and allowance.
+// Tenant describes one tenant's load and allowance.
 type Tenant struct {
 	Name          string
 	Key           string
 	Service       string
 	Kind          string  // history.KindStream, KindGet or KindPost
 	PerSecond     float64 // requests at load factor 1
-	Prefixes      int     // different prompt prefixes
+	Prefixes      int     // number of different prompt prefixes
 	PrefixTokens  int
 	SessionTokens int
 	MaxTokens     int
-	Deadline      time.Duration // of a call with all its attempts
-	Home          string        // region; empty for none
+	Deadline      time.Duration // of a call, including all retries
+	Home          string        // home region; empty for none
 	history.Allowance
 }
 
-// Tokens returns what one request costs.
+// Tokens returns the quota cost of one request, in tokens.
 func (t Tenant) Tokens() float64 {
 	if t.Kind != history.KindStream {
 		return plainTokens
@@ -33,8 +33,8 @@
 	return float64(t.PrefixTokens + t.SessionTokens + t.MaxTokens)
 }
 
-// FirstTenants returns the five tenants of the first deployment, who send about
-// 170 requests a second.
+// FirstTenants returns the five tenants of the first deployment, which send about 170
+// requests a second.
 func FirstTenants() []Tenant { return append(firstStreamTenants(), firstOneShotTenants()...) }
 
 func firstStreamTenants() []Tenant {
