--- a/cmd/rig/emulator/batch.go
+++ b/cmd/rig/emulator/batch.go
@@ -2,8 +2,8 @@
 
 import "stepwick/cmd/rig/history"
 
-// batch is the requests of a model server: those that run, at most as many as it
-// has slots, and those that wait.
+// batch holds the requests of a model server: the running ones, at most one per slot,
+// and the queued ones.
 type batch struct {
 	queue   []*job
 	running []*job
@@ -17,26 +17,26 @@
 	request       string // request ID
 	prefix        string
 	prefixTokens  int
-	prefillTokens float64 // still to prefill
-	remaining     int     // events still to send
+	prefillTokens float64 // tokens that remain to be prefilled
+	remaining     int     // events that remain to be sent
 	sent          int     // events sent
-	eventCredit   float64 // events that decoding has earned
+	eventCredit   float64 // decoded but unsent events, including a fraction of the next
 	out           chan frame
-	canceled      <-chan struct{} // closed when the caller leaves
+	canceled      <-chan struct{} // closed when the caller cancels the request
 	fault         Fault
-	faultAt       int // event at which the fault happens
+	faultAt       int // index of the event at which the fault is injected
 }
 
-// frame is one message of a job to its HTTP handler.
+// frame is one message from a job to its HTTP handler.
 type frame struct {
-	event history.Event
-	final bool
-	count int   // events in all, in the final frame
-	end   Fault // ends the stream without a final event
+	event    history.Event
+	final    bool
+	count    int   // total number of events; set in the final frame
+	endFault Fault // if set, ends the stream without a final event
 }
 
-// push hands a frame to the handler; false when its channel is full.
-func (j *job) push(f frame) bool {
+// trySend sends a frame to the handler without blocking; false if the channel is full.
+func (j *job) trySend(f frame) bool {
 	select {
 	case j.out <- f:
 		return true
@@ -54,18 +54,18 @@
 	}
 }
 
-// prefillBudget is the prompt tokens that a batch may still prefill in a step.
+// prefillBudget is the number of prompt tokens that a batch may still prefill in a step.
 type prefillBudget float64
 
-// spend prefills a job as far as the budget goes.
+// spend prefills a job as far as the budget allows and deducts the tokens.
 func (b *prefillBudget) spend(j *job) {
-	part := min(float64(*b), j.prefillTokens)
-	j.prefillTokens -= part
-	*b -= prefillBudget(part)
+	spent := min(float64(*b), j.prefillTokens)
+	j.prefillTokens -= spent
+	*b -= prefillBudget(spent)
 }
 
-// step advances the batch by one tick: queued jobs enter, then each running job
-// prefills within the shared budget or decodes.
+// step advances the batch by one tick: queued jobs fill free slots, then each running
+// job prefills within the shared budget or decodes.
 func (m *Model) step(s *modelState) {
 	if s.unresponsive || !s.isUp() {
 		return
@@ -93,7 +93,7 @@
 	}
 }
 
-// admit begins to run a job. A prefix in the cache needs no prefill.
+// admit starts a job. A cached prefix needs no prefill.
 func (m *Model) admit(s *modelState, j *job) {
 	s.prompts++
 	if _, ok := s.cache[j.prefix]; ok && j.prefix != "" {
@@ -107,7 +107,7 @@
 	m.recorder.PutRun(j.run)
 }
 
-// advance prefills or decodes one job; false when it has ended.
+// advance prefills or decodes one job for a tick; false when the job has ended.
 func (m *Model) advance(s *modelState, j *job, budget *prefillBudget) bool {
 	if j.isCanceled() {
 		m.finish(s, j, frame{})
@@ -138,13 +138,13 @@
 	s.cache.evict(m.spec.CacheTokens)
 }
 
-// emit sends a job's next event, or what its fault makes of it; false when the
-// job has ended.
+// emit sends a job's next event and injects the job's fault when it is due; false when
+// the job has ended.
 func (m *Model) emit(s *modelState, j *job) bool {
 	atFault := j.sent == j.faultAt
 	switch {
 	case atFault && (j.fault == EarlyEnd || j.fault == AbortedStream):
-		m.finish(s, j, frame{end: j.fault})
+		m.finish(s, j, frame{endFault: j.fault})
 		return false
 	case atFault && j.fault == StalledStream:
 		return true
@@ -156,12 +156,12 @@
 	if atFault && j.fault == CrossedEvent {
 		event = s.batch.crossedEvent(j, event)
 	}
-	if !j.push(frame{event: event}) {
-		m.finish(s, j, frame{end: AbortedStream})
+	if !j.trySend(frame{event: event}) {
+		m.finish(s, j, frame{endFault: AbortedStream})
 		return false
 	}
 	if atFault && j.fault == DuplicatedEvent {
-		j.push(frame{event: event})
+		j.trySend(frame{event: event})
 	}
 	j.sent++
 	j.remaining--
@@ -175,7 +175,7 @@
 func (j *job) nextEvent() history.Event {
 	id := j.request
 	if j.fault == WrongID {
-		id = wrongID(id)
+		id = nonexistentID(id)
 	}
 	return history.Event{
 		ID:    id,
@@ -186,8 +186,8 @@
 	}
 }
 
-// crossedEvent returns an event of another job in a job's place, or the original
-// event if no other runs.
+// crossedEvent returns an event of another running job, at the position of j's next
+// event, or the original event if no other job is running.
 func (b *batch) crossedEvent(j *job, original history.Event) history.Event {
 	for _, other := range b.running {
 		if other != j {
@@ -203,10 +203,11 @@
 	return original
 }
 
-// finish ends a job with a last frame and records its run.
+// finish ends a job, sends its last frame if that is final or a fault, and records the
+// run.
 func (m *Model) finish(s *modelState, j *job, last frame) {
-	if last.final || last.end != NoFault {
-		j.push(last)
+	if last.final || last.endFault != NoFault {
+		j.trySend(last)
 	}
 	close(j.out)
 	if last.final {
--- a/cmd/rig/emulator/body.go
+++ b/cmd/rig/emulator/body.go
@@ -9,14 +9,14 @@
 
 const digestBase = 16
 
-// NewBody returns a web server's answer to a token: the token, padding and a
-// digest of both.
+// NewBody returns the body of a web server's answer: the request's token, padding and a
+// digest of both, separated by spaces.
 func NewBody(token string, padding int) string {
 	text := token + " " + strings.Repeat("o", padding)
 	return text + " " + digest(text)
 }
 
-// VerifyBody returns the token of a body and reports whether the body is complete.
+// VerifyBody returns the token of a body and reports whether its digest is correct.
 func VerifyBody(body string) (token string, intact bool) {
 	end := strings.LastIndexByte(body, ' ')
 	if end < 0 {
--- a/cmd/rig/emulator/cache.go
+++ b/cmd/rig/emulator/cache.go
@@ -6,8 +6,7 @@
 	"stepwick/cmd/rig/history"
 )
 
-// prefixCache is a model server's cache of prompt prefixes, by prefix. The least
-// recently used entry is evicted first.
+// prefixCache is a model server's LRU cache of prompt prefixes, by prefix.
 type prefixCache map[string]cacheEntry
 
 type cacheEntry struct {
@@ -15,7 +14,8 @@
 	lastUsed history.Instant
 }
 
-// evict removes entries until the rest fits, but never the last one.
+// evict removes the least recently used entries until the rest fits into the capacity,
+// in tokens. It keeps at least one entry.
 func (c prefixCache) evict(capacity int) {
 	used := c.tokens()
 	for used > capacity && len(c) > 1 {
--- a/cmd/rig/emulator/generate.go
+++ b/cmd/rig/emulator/generate.go
@@ -12,9 +12,9 @@
 
 const (
 	maxRequestBytes = 4 << 20
-	// frameReserve is the room for frames beyond a job's events: the final one and
-	// those of faults.
-	frameReserve = 4
+	// extraFrames is the channel capacity for frames beyond a job's events: the final
+	// frame and those of faults.
+	extraFrames = 4
 )
 
 // generateRequest is the body of POST /v1/generate.
@@ -29,7 +29,7 @@
 	MaxTokens     int    `json:"max_tokens"`
 }
 
-// generate answers a prompt with a stream of server-sent events.
+// generate answers a prompt by a stream of server-sent events.
 func (m *Model) generate(w http.ResponseWriter, r *http.Request) {
 	var body generateRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&body); err != nil {
@@ -41,7 +41,7 @@
 	m.state.Do(func(s *modelState) { busy = !m.enqueue(s, accepted, body) })
 	answerID := accepted.request
 	if accepted.fault == WrongID {
-		answerID = wrongID(answerID)
+		answerID = nonexistentID(answerID)
 	}
 	w.Header().Set(requestIDHeader, answerID)
 	if busy {
@@ -63,13 +63,13 @@
 		prefixTokens:  body.PrefixTokens,
 		prefillTokens: float64(body.PrefixTokens + body.SessionTokens),
 		remaining:     events,
-		out:           make(chan frame, events+frameReserve),
+		out:           make(chan frame, events+extraFrames),
 		canceled:      r.Context().Done(),
 	}
 }
 
-// enqueue draws a job's fault, records it and queues it; false when the server is
-// busy.
+// enqueue draws a job's fault, records its run and queues the job; false if the server
+// is busy.
 func (m *Model) enqueue(s *modelState, j *job, body generateRequest) bool {
 	s.serial++
 	j.fault = s.odds.draw(s.random)
@@ -96,7 +96,7 @@
 	return true
 }
 
-// stream writes a job's frames until the job ends or the caller leaves.
+// stream writes a job's frames until the job ends or the caller cancels the request.
 func (j *job) stream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher, _ := w.(http.Flusher)
@@ -117,13 +117,13 @@
 	}
 }
 
-// writeFrame writes one frame; false when it ends the stream. It panics with
-// http.ErrAbortHandler to break the connection.
+// writeFrame writes one frame; false if the frame ends the stream without a final
+// event. It panics with http.ErrAbortHandler to break the connection.
 func writeFrame(out io.Writer, f frame) bool {
 	switch {
-	case f.end == AbortedStream:
+	case f.endFault == AbortedStream:
 		panic(http.ErrAbortHandler)
-	case f.end != NoFault:
+	case f.endFault != NoFault:
 		return false
 	case f.final:
 		_, _ = fmt.Fprintf(out, "data: {\"id\":%q,\"final\":true,\"count\":%d}\n\n", f.event.ID, f.count)
--- a/cmd/rig/emulator/model.go
+++ b/cmd/rig/emulator/model.go
@@ -11,23 +11,23 @@
 	"stepwick/internal/clock"
 )
 
-// modelStream is the second half of the seed of a model server's random numbers.
-const modelStream = 17
+// modelRandomStream selects the PCG stream of a model server's random numbers.
+const modelRandomStream = 17
 
-// ModelSpec is the capacity of a model server.
+// ModelSpec describes the capacity of a model server.
 type ModelSpec struct {
-	Slots         int           // requests in the batch
-	QueueLength   int           // requests that wait for the batch
-	PrefillRate   float64       // prompt tokens a second, over the batch
+	Slots         int           // requests that run at the same time
+	QueueLength   int           // requests that may wait for a slot
+	PrefillRate   float64       // prompt tokens a second, shared by the batch
 	DecodeRate    float64       // events a second for each request
-	EventTokens   int           // tokens of an event
-	CacheTokens   int           // tokens that the prefix cache holds
-	WarmUpAnswers int           // answers until it is warm
-	WarmUpFactor  float64       // prefill rate while warming up, as a share
-	Tick          time.Duration // time of one step of the batch
+	EventTokens   int           // tokens per event
+	CacheTokens   int           // capacity of the prefix cache
+	WarmUpAnswers int           // answers until the server is warm
+	WarmUpFactor  float64       // prefill rate while warming up, as a fraction of PrefillRate
+	Tick          time.Duration // duration of one step of the batch
 }
 
-// TypicalModel returns the capacity of a model server of the first deployment.
+// TypicalModel returns the capacity of the model servers in the first deployment.
 func TypicalModel() ModelSpec {
 	return ModelSpec{
 		Slots:         16,
@@ -55,9 +55,9 @@
 
 type modelState struct {
 	process
-	cancel       context.CancelFunc // ends the steps of the batch
-	serial       int                // requests so far, over all incarnations
-	answered     int                // complete answers of this incarnation
+	cancel       context.CancelFunc // stops the batch
+	serial       int                // number of requests over all incarnations
+	answered     int                // complete answers by this incarnation
 	batch        batch
 	cache        prefixCache
 	odds         FaultOdds
@@ -65,11 +65,11 @@
 	unresponsive bool
 	draining     bool
 	cacheHits    int
-	prompts      int // prompts that were looked up in the cache
+	prompts      int // number of prompts looked up in the cache
 	peakInFlight int
 }
 
-// NewModel returns a model server that is down.
+// NewModel returns a model server that is not started.
 func NewModel(name, address string, services []string, spec ModelSpec, recorder *history.Recorder, seed uint64) *Model {
 	return &Model{
 		Name:     name,
@@ -79,13 +79,13 @@
 		recorder: recorder,
 		state: owner.New(modelState{
 			odds:   FaultOdds{},
-			random: rand.New(rand.NewPCG(seed, modelStream)),
+			random: rand.New(rand.NewPCG(seed, modelRandomStream)),
 		}),
 	}
 }
 
-// Start brings the server up, without warmth and with an empty cache. A server
-// that is up stays as it is.
+// Start starts the server cold and with an empty cache. It does nothing if the server
+// is already up.
 func (m *Model) Start() error {
 	var err error
 	m.state.Do(func(s *modelState) {
@@ -127,12 +127,12 @@
 	}
 }
 
-// SkipWarmUp makes the server count as warm from now on.
+// SkipWarmUp makes a running server count as warm.
 func (m *Model) SkipWarmUp() {
 	m.state.Do(func(s *modelState) { s.answered = max(s.answered, m.spec.WarmUpAnswers) })
 }
 
-// Crash ends the server at once; its connections break.
+// Crash stops the server immediately and breaks its connections.
 func (m *Model) Crash() {
 	m.state.Do(func(s *modelState) {
 		if !s.isUp() {
@@ -144,13 +144,13 @@
 	})
 }
 
-// Close ends the server for good.
+// Close stops the server permanently.
 func (m *Model) Close() {
 	m.Crash()
 	m.state.Close()
 }
 
-// SetUnresponsive sets whether the server keeps its connections and does nothing.
+// SetUnresponsive sets whether the server keeps its connections open without answering.
 func (m *Model) SetUnresponsive(unresponsive bool) {
 	m.state.Do(func(s *modelState) { s.unresponsive = unresponsive })
 }
@@ -165,9 +165,9 @@
 	m.state.Do(func(s *modelState) { s.odds = odds })
 }
 
-// CacheCounts returns the cache hits and the prompts so far, and the most
-// requests in flight at a time.
-func (m *Model) CacheCounts() (hits, prompts, peakInFlight int) {
+// CacheStats returns the number of cache hits and of prompts looked up, and the peak
+// number of requests in flight.
+func (m *Model) CacheStats() (hits, prompts, peakInFlight int) {
 	m.state.Do(func(s *modelState) {
 		hits = s.cacheHits
 		prompts = s.prompts
--- a/cmd/rig/emulator/platform.go
+++ b/cmd/rig/emulator/platform.go
@@ -21,11 +21,11 @@
 	readinessInterval = time.Second
 	readinessTimeout  = 900 * time.Millisecond
 
-	// stateRemoved is recorded when a server leaves the list.
+	// stateRemoved is recorded when a server is removed from the list.
 	stateRemoved = "gone"
 )
 
-// ListedServer is a server as the platform lists it.
+// ListedServer is a server's entry in the platform's list.
 type ListedServer struct {
 	Name     string   `json:"name"`
 	Address  string   `json:"address"`
@@ -34,7 +34,7 @@
 	Region   string   `json:"region"`
 	Zone     string   `json:"zone"`
 	State    string   `json:"state"`       // ready, draining, cold or leaving
-	LeaveAt  int64    `json:"leave_at_ms"` // Unix time; 0 if it isn't leaving
+	LeaveAt  int64    `json:"leave_at_ms"` // Unix time in milliseconds; 0 if it isn't leaving
 }
 
 // serverList is the answer to GET /servers.
@@ -42,21 +42,22 @@
 	Servers []ListedServer `json:"servers"`
 }
 
-// Platform lists servers and checks the nodes' readiness once a second.
+// Platform emulates the platform, which lists servers and checks the nodes' readiness
+// once a second.
 type Platform struct {
 	Address  string
 	recorder *history.Recorder
 	state    *owner.Owner[platformState]
 	server   *http.Server
-	cancel   context.CancelFunc // ends the readiness checks
+	cancel   context.CancelFunc // stops the readiness checks
 }
 
 type platformState struct {
 	servers       map[string]ListedServer // by name
-	nodeAddresses map[string]string       // by name, of the nodes whose readiness is checked
+	nodeAddresses map[string]string       // by name; nodes whose readiness is checked
 }
 
-// NewPlatform returns a platform that is down.
+// NewPlatform returns a platform that is not started.
 func NewPlatform(address string, recorder *history.Recorder) *Platform {
 	return &Platform{
 		Address:  address,
@@ -71,16 +72,16 @@
 // PutServer adds a server to the list or replaces its entry.
 func (p *Platform) PutServer(server ListedServer) {
 	p.state.Do(func(state *platformState) {
-		before, ok := state.servers[server.Name]
+		previous, ok := state.servers[server.Name]
 		state.servers[server.Name] = server
-		if !ok || before.State != server.State {
-			p.record(server, server.State)
+		if !ok || previous.State != server.State {
+			p.recordListingChange(server, server.State)
 		}
 	})
 }
 
-// record records that a server's state has changed.
-func (p *Platform) record(server ListedServer, state string) {
+// recordListingChange records a server's new state.
+func (p *Platform) recordListingChange(server ListedServer, state string) {
 	change := history.ListingChange{
 		At:     p.recorder.Now(),
 		Server: server.Name,
@@ -93,18 +94,18 @@
 	})
 }
 
-// SetState changes the state of a listed server; leaveAt is Unix time in
-// milliseconds, 0 for none.
+// SetState changes the state of a listed server; leaveAt is the Unix time in
+// milliseconds at which it leaves, 0 for none. Unlisted servers are ignored.
 func (p *Platform) SetState(name, state string, leaveAt int64) {
-	p.state.Do(func(all *platformState) {
-		server, ok := all.servers[name]
+	p.state.Do(func(platform *platformState) {
+		server, ok := platform.servers[name]
 		if !ok {
 			return
 		}
 		server.State = state
 		server.LeaveAt = leaveAt
-		all.servers[name] = server
-		p.record(server, state)
+		platform.servers[name] = server
+		p.recordListingChange(server, state)
 	})
 }
 
@@ -112,14 +113,14 @@
 func (p *Platform) RemoveServer(name string) {
 	p.state.Do(func(state *platformState) {
 		if server, ok := state.servers[name]; ok {
-			p.record(server, stateRemoved)
+			p.recordListingChange(server, stateRemoved)
 		}
 		delete(state.servers, name)
 	})
 }
 
-// CheckReadiness checks the readiness of a node from now on, at the address that
-// callers use; an empty address ends that.
+// CheckReadiness starts the periodic readiness checks of a node at the address that
+// callers use; an empty address stops them.
 func (p *Platform) CheckReadiness(node, address string) {
 	p.state.Do(func(state *platformState) {
 		if address == "" {
@@ -130,11 +131,11 @@
 	})
 }
 
-// Start brings the platform up.
+// Start starts the platform.
 func (p *Platform) Start() error {
 	listener, err := net.Listen("tcp4", p.Address)
 	if err != nil {
-		return errors.Wrap(err, "platform")
+		return errors.Wrap(err, "start platform")
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /servers", p.listServers)
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// Close ends the platform.
+// Close stops the platform.
 func (p *Platform) Close() {
 	if p.cancel != nil {
 		p.cancel()
@@ -187,7 +188,7 @@
 	}
 }
 
-// checkReadiness checks one node and records its status, 0 without an answer.
+// checkReadiness checks one node and records the HTTP status, 0 without an answer.
 func (p *Platform) checkReadiness(client *http.Client, node, address string) {
 	check := history.ReadinessCheck{
 		At:   p.recorder.Now(),
--- a/cmd/rig/emulator/server.go
+++ b/cmd/rig/emulator/server.go
@@ -1,7 +1,7 @@
-// Package emulator emulates what surrounds a fleet: the platform with its list
-// of servers, the model servers and the web servers. Each server records every
-// request that it accepts, so that a checker can compare it with what callers
-// received. Servers can be told to misbehave; see Fault.
+// Package emulator emulates the environment of a fleet: the platform with its list of
+// servers, the model servers and the web servers. Each server records every request
+// that it accepts, so that package checker can compare the requests with what callers
+// received. Servers can inject faults into their answers; see Fault.
 package emulator
 
 import (
@@ -20,22 +20,22 @@
 	requestIDHeader   = "Stepwick-Request-Id"
 	readHeaderTimeout = 10 * time.Second
 
-	// runIDModulus shortens an incarnation in the ID of a run.
+	// runIDModulus shortens the incarnation number in the ID of a run.
 	runIDModulus = 1e9
 )
 
-// States that a server reports of itself.
+// States that a server reports in its status.
 const (
 	stateReady    = "ready"
 	stateCold     = "cold"
 	stateDraining = "draining"
 )
 
-// Status is the answer of a server to GET /v1/status.
+// Status is a server's answer to GET /v1/status.
 type Status struct {
 	Answered         int     `json:"answered"`
 	Incarnation      uint64  `json:"incarnation"`
-	CacheUsed        float64 `json:"kv_used"`            // share of the cache
+	CacheUsed        float64 `json:"kv_used"`            // fraction of the cache's capacity, 0 to 1
 	PrefillPerSecond float64 `json:"prefill_per_second"` // tokens
 	Queued           int     `json:"queued"`
 	Running          int     `json:"running"`
@@ -45,7 +45,7 @@
 	TokensPerSecond  float64 `json:"tokens_per_second"`
 }
 
-// process is the part of a server that starts and crashes.
+// process emulates the process of a server, which can be started and crashed.
 type process struct {
 	listener    net.Listener // nil while down
 	server      *http.Server
@@ -54,7 +54,7 @@
 
 func (p *process) isUp() bool { return p.listener != nil }
 
-// listen begins a new incarnation on an address.
+// listen starts a new incarnation that serves on an address.
 func (p *process) listen(name, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -81,11 +81,11 @@
 	}
 }
 
-// serve returns when the server is closed; the error says just that.
+// serve blocks until the server is closed. The error only reports the closing.
 func serve(server *http.Server, listener net.Listener) { _ = server.Serve(listener) }
 
-// writeStatus answers a status request; an unresponsive server holds it until
-// the caller leaves.
+// writeStatus answers a status request. An unresponsive server blocks until the caller
+// cancels the request.
 func writeStatus(w http.ResponseWriter, r *http.Request, body Status, unresponsive bool) {
 	if unresponsive {
 		<-r.Context().Done()
@@ -100,11 +100,11 @@
 	_, _ = w.Write([]byte(`{"code":"busy"}`))
 }
 
-// wrongID returns the ID of a request that doesn't exist.
-func wrongID(id string) string { return "x" + id }
+// nonexistentID returns the ID of a request that doesn't exist.
+func nonexistentID(id string) string { return "x" + id }
 
-// FindToken returns the rig's token in a text: what follows "token=". It is empty
-// if there is none.
+// FindToken returns the token of an attempt from a text, where it follows "token=";
+// empty if the text has none.
 func FindToken(text string) string {
 	_, rest, ok := strings.Cut(text, "token=")
 	if !ok {
--- a/cmd/rig/emulator/web.go
+++ b/cmd/rig/emulator/web.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// webStream is the second half of the seed of a web server's random numbers.
-	webStream = 23
+	// webRandomStream selects the PCG stream of a web server's random numbers.
+	webRandomStream = 23
 
-	webSlots           = 64    // that a web server reports
-	webTokensPerSecond = 20000 // that it reports
-	warmWebAnswers     = 1000  // answers that SkipWarmUp pretends
+	webSlots           = 64    // reported slots
+	webTokensPerSecond = 20000 // reported rate of answers and of prefill
+	warmWebAnswers     = 1000  // minimum number of answers after SkipWarmUp
 	slowAnswerDelay    = 2 * time.Second
 	maxWebRequestBytes = 2 << 20
-	minPadding         = 40
-	paddingSpread      = 3000
+	minPadding         = 40   // bytes
+	paddingSpread      = 3000 // bytes; the padding is minPadding plus less than this
 )
 
-// Web emulates a small web server that accepts any method on any path.
+// Web emulates a web server that accepts any method on any path.
 type Web struct {
 	Name     string
 	Address  string
@@ -37,7 +37,7 @@
 
 type webState struct {
 	process
-	serial       int    // requests so far, over all incarnations
+	serial       int    // number of requests over all incarnations
 	inFlight     int    // of this incarnation
 	answered     int    // of this incarnation
 	lastToken    string // of the previous request
@@ -47,7 +47,7 @@
 	draining     bool
 }
 
-// NewWeb returns a web server that is down.
+// NewWeb returns a web server that is not started.
 func NewWeb(name, address string, services []string, recorder *history.Recorder, seed uint64) *Web {
 	return &Web{
 		Name:     name,
@@ -56,12 +56,12 @@
 		recorder: recorder,
 		state: owner.New(webState{
 			odds:   FaultOdds{},
-			random: rand.New(rand.NewPCG(seed, webStream)),
+			random: rand.New(rand.NewPCG(seed, webRandomStream)),
 		}),
 	}
 }
 
-// Start brings the server up. A server that is up stays as it is.
+// Start starts the server. It does nothing if the server is already up.
 func (w *Web) Start() error {
 	var err error
 	w.state.Do(func(s *webState) {
@@ -77,12 +77,12 @@
 	return err
 }
 
-// SkipWarmUp makes the server count as one that has answered many requests.
+// SkipWarmUp makes a running server report that it has answered many requests.
 func (w *Web) SkipWarmUp() {
 	w.state.Do(func(s *webState) { s.answered = max(s.answered, warmWebAnswers) })
 }
 
-// Crash ends the server at once; its connections break.
+// Crash stops the server immediately and breaks its connections.
 func (w *Web) Crash() {
 	w.state.Do(func(s *webState) {
 		if s.isUp() {
@@ -91,13 +91,13 @@
 	})
 }
 
-// Close ends the server for good.
+// Close stops the server permanently.
 func (w *Web) Close() {
 	w.Crash()
 	w.state.Close()
 }
 
-// SetUnresponsive sets whether the server keeps its connections and does nothing.
+// SetUnresponsive sets whether the server keeps its connections open without answering.
 func (w *Web) SetUnresponsive(unresponsive bool) {
 	w.state.Do(func(s *webState) { s.unresponsive = unresponsive })
 }
@@ -127,14 +127,14 @@
 		<-r.Context().Done()
 		return
 	}
-	run, previousToken := w.begin(r, token, draw.fault)
+	run, previousToken := w.recordArrival(r, token, draw.fault)
 	defer w.state.Post(func(s *webState) {
 		s.inFlight--
 		s.answered++
 	})
 	answer := webAnswer{id: run.Request, body: NewBody(token, draw.padding)}
 	if draw.fault == CrossedBody {
-		answer = webAnswer{id: wrongID(run.Request), body: NewBody(previousToken, draw.padding)}
+		answer = webAnswer{id: nonexistentID(run.Request), body: NewBody(previousToken, draw.padding)}
 	}
 	if !answer.send(out, r, draw.fault) {
 		return
@@ -144,7 +144,8 @@
 	w.recorder.PutRun(run)
 }
 
-// webDraw is what chance and the server's state decide for one request.
+// webDraw holds the random draws for one request, and whether the server is
+// unresponsive.
 type webDraw struct {
 	fault        Fault
 	padding      int
@@ -161,8 +162,7 @@
 	return draw
 }
 
-// readToken reads the whole request and returns its token, from the query or the
-// body.
+// readToken reads the complete request and returns the token in its query or body.
 func readToken(r *http.Request) string {
 	text, _ := io.ReadAll(io.LimitReader(r.Body, maxWebRequestBytes))
 	if token := FindToken(r.URL.RawQuery); token != "" {
@@ -171,8 +171,9 @@
 	return FindToken(string(text))
 }
 
-// begin records a request and returns its run and the previous request's token.
-func (w *Web) begin(r *http.Request, token string, fault Fault) (run history.Run, previousToken string) {
+// recordArrival records the run of a request and returns it with the token of the
+// previous request.
+func (w *Web) recordArrival(r *http.Request, token string, fault Fault) (run history.Run, previousToken string) {
 	run = history.Run{
 		Server:  w.Name,
 		Kind:    history.KindWeb,
@@ -201,9 +202,8 @@
 	body string
 }
 
-// send writes the answer, or what a fault makes of it; it reports whether a
-// complete answer was written. It panics with http.ErrAbortHandler to break the
-// connection.
+// send writes the answer with the fault injected; it reports whether a complete answer
+// was written. It panics with http.ErrAbortHandler to break the connection.
 func (a webAnswer) send(out http.ResponseWriter, r *http.Request, fault Fault) bool {
 	switch fault {
 	case ResetBeforeRun, ResetAfterRun:
@@ -214,7 +214,7 @@
 		writeBusy(out)
 		return false
 	case WrongID:
-		a.id = wrongID(a.id)
+		a.id = nonexistentID(a.id)
 	case SlowAnswer:
 		owner.Sleep(r.Context(), slowAnswerDelay)
 	}
@@ -229,7 +229,7 @@
 	return true
 }
 
-// resetConnection closes the connection under a request with RST.
+// resetConnection closes the connection of a request with a TCP RST.
 func resetConnection(out http.ResponseWriter) {
 	hijacker, ok := out.(http.Hijacker)
 	if !ok {
