--- a/cmd/rig/checker/checker_test.go
+++ b/cmd/rig/checker/checker_test.go
@@ -44,9 +44,9 @@
 	return recording
 }
 
-func addSteadyLoad(recording *history.Recording, tenant string, perSecond float64, until time.Duration, end func(i int) history.Attempt) {
+func addSteadyLoad(recording *history.Recording, tenant string, perSecond float64, until time.Duration, outcome func(i int) history.Attempt) {
 	for i := range int(until.Seconds() * 10) {
-		a := end(i)
+		a := outcome(i)
 		a.Token, a.Tenant, a.Kind = fmt.Sprint(tenant, i), tenant, "post"
 		a.Sent = time.Duration(i) * second / 10
 		a.First, a.Done, a.Deadline, a.Tokens = a.Sent, a.Sent, a.Sent+second, perSecond/10
@@ -205,29 +205,29 @@
 }
 
 func TestLostRequests(t *testing.T) {
-	broken := func() *history.Recording {
+	recordingWithBrokenConnection := func() *history.Recording {
 		recording := validRecording()
 		recording.Attempts[1].Outcome = history.ConnectionBroken
 		return recording
 	}
 	Convey("A broken connection is not a lost request", t, func() {
 		Convey("if the node was killed, suspended or resumed during the attempt", func() {
-			recording := broken()
+			recording := recordingWithBrokenConnection()
 			recording.Interruptions = []history.Interruption{{At: second, Target: "front1"}}
 			So(checkLostRequests(recording), ShouldBeEmpty)
 		})
 		Convey("if the server crashed during the attempt", func() {
-			recording := broken()
+			recording := recordingWithBrokenConnection()
 			recording.Interruptions = []history.Interruption{{At: second, Target: "web1"}}
 			So(checkLostRequests(recording), ShouldBeEmpty)
 		})
 		Convey("if the server injected a fault", func() {
-			recording := broken()
+			recording := recordingWithBrokenConnection()
 			recording.Runs[1].Fault = "reset after run"
 			So(checkLostRequests(recording), ShouldBeEmpty)
 		})
 		Convey("if nothing proves that the node had read the request", func() {
-			recording := broken()
+			recording := recordingWithBrokenConnection()
 			recording.Runs = recording.Runs[:1]
 			So(checkLostRequests(recording), ShouldBeEmpty)
 		})
@@ -240,7 +240,7 @@
 		So(checkLostRequests(recording), ShouldBeEmpty)
 	})
 	Convey("A kill before or after the request does not excuse it", t, func() {
-		recording := broken()
+		recording := recordingWithBrokenConnection()
 		recording.Interruptions = []history.Interruption{{At: second - 1, Target: "front1"}, {At: second + 1, Target: "front1"}}
 		So(checkLostRequests(recording), ShouldHaveLength, 1)
 	})
--- a/cmd/rig/history/recording.go
+++ b/cmd/rig/history/recording.go
@@ -169,10 +169,10 @@
 }
 
 // Accepted reports whether the key was accepted, also if its quota was exceeded.
-func (p KeyCheck) Accepted() bool { return p.Status/100 == 2 || p.Code == int(apierror.QuotaExceeded) }
+func (c KeyCheck) Accepted() bool { return c.Status/100 == 2 || c.Code == int(apierror.QuotaExceeded) }
 
 // RejectedAsUnknown reports whether the key was rejected as belonging to no tenant.
-func (p KeyCheck) RejectedAsUnknown() bool { return p.Code == int(apierror.UnknownKey) }
+func (c KeyCheck) RejectedAsUnknown() bool { return c.Code == int(apierror.UnknownKey) }
 
 // KeyRotation is a sheet in which key number Key replaces the previous checked key.
 type KeyRotation struct {
