--- a/cmd/rig/cost_command.go
+++ b/cmd/rig/cost_command.go
@@ -99,7 +99,7 @@
 			Tenant:       tenant,
 			Location:     run.Fleet.LocationOf(server),
 			Prefix:       1,
-			Chance:       calmChance,
+			BehaviorDraw: calmChance,
 			FrontAddress: run.Fleet.Nodes[3].CallerAddress,
 			FrontIndex:   uint64(i),
 		}
--- a/cmd/rig/demo_command.go
+++ b/cmd/rig/demo_command.go
@@ -124,7 +124,7 @@
 // Like the checks below, it returns the problem it found, or an empty string.
 func submitInRow(ctx context.Context, run *faultcase.Run, base uint64) (next uint64, problem string) {
 	for i := range demoChanges {
-		answer := run.Operators.Submit(ctx, run.Operators.Change("ade", base), run.Fleet.NodesFrom(i))
+		answer := run.Operators.Submit(ctx, run.Operators.Patch("ade", base), run.Fleet.NodesFrom(i))
 		if !answer.Acknowledged() {
 			return base, fmt.Sprintf("change %d: status %d code %d %s", i+1, answer.Status, answer.Code, answer.Detail)
 		}
@@ -135,7 +135,7 @@
 
 // raceOnBase submits two changes on one base at once: one must be acknowledged.
 func raceOnBase(ctx context.Context, run *faultcase.Run, base uint64) (problem string) {
-	orders := []*loadgen.Order{run.Operators.Change("ade", base), run.Operators.Change("bola", base)}
+	orders := []*loadgen.Order{run.Operators.Patch("ade", base), run.Operators.Patch("bola", base)}
 	answers := make([]history.Order, len(orders))
 	var racers sync.WaitGroup
 	for i, order := range orders {
@@ -154,7 +154,7 @@
 // answers must be the same.
 func resendAfterLostAnswer(ctx context.Context, run *faultcase.Run) (problem string) {
 	_, base := run.Operators.NewestKey()
-	order := run.Operators.Change("bola", base)
+	order := run.Operators.Patch("bola", base)
 	run.Operators.Send(order, run.Fleet.Nodes[1], demoLossDelay)
 	first := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(2))
 	again := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(5))
--- a/cmd/rig/emulator/batch.go
+++ b/cmd/rig/emulator/batch.go
@@ -66,7 +66,7 @@
 
 // step advances the batch by one tick: queued jobs fill free slots, then each running
 // job prefills within the shared budget or decodes.
-func (m *Model) step(s *modelState) {
+func (m *ModelServer) step(s *modelState) {
 	if s.unresponsive || !s.isUp() {
 		return
 	}
@@ -84,7 +84,7 @@
 	s.batch.running = remaining
 }
 
-func (m *Model) fillBatch(s *modelState) {
+func (m *ModelServer) fillBatch(s *modelState) {
 	for len(s.batch.running) < m.spec.Slots && len(s.batch.queue) > 0 {
 		next := s.batch.queue[0]
 		s.batch.queue = s.batch.queue[1:]
@@ -94,7 +94,7 @@
 }
 
 // admit starts a job. A cached prefix needs no prefill.
-func (m *Model) admit(s *modelState, j *job) {
+func (m *ModelServer) admit(s *modelState, j *job) {
 	s.prompts++
 	if _, ok := s.cache[j.prefix]; ok && j.prefix != "" {
 		s.cacheHits++
@@ -108,7 +108,7 @@
 }
 
 // advance prefills or decodes one job for a tick; false when the job has ended.
-func (m *Model) advance(s *modelState, j *job, budget *prefillBudget) bool {
+func (m *ModelServer) advance(s *modelState, j *job, budget *prefillBudget) bool {
 	if j.isCanceled() {
 		m.finish(s, j, frame{})
 		return false
@@ -130,7 +130,7 @@
 	return true
 }
 
-func (m *Model) cachePrefix(s *modelState, j *job) {
+func (m *ModelServer) cachePrefix(s *modelState, j *job) {
 	if j.prefix == "" {
 		return
 	}
@@ -140,7 +140,7 @@
 
 // emit sends a job's next event and injects the job's fault when it is due; false when
 // the job has ended.
-func (m *Model) emit(s *modelState, j *job) bool {
+func (m *ModelServer) emit(s *modelState, j *job) bool {
 	atFault := j.sent == j.faultAt
 	switch {
 	case atFault && (j.fault == EarlyEnd || j.fault == AbortedStream):
@@ -205,7 +205,7 @@
 
 // finish ends a job, sends its last frame if that is final or a fault, and records the
 // run.
-func (m *Model) finish(s *modelState, j *job, last frame) {
+func (m *ModelServer) finish(s *modelState, j *job, last frame) {
 	if last.final || last.endFault != NoFault {
 		j.trySend(last)
 	}
--- a/cmd/rig/emulator/generate.go
+++ b/cmd/rig/emulator/generate.go
@@ -30,7 +30,7 @@
 }
 
 // generate answers a prompt by a stream of server-sent events.
-func (m *Model) generate(w http.ResponseWriter, r *http.Request) {
+func (m *ModelServer) generate(w http.ResponseWriter, r *http.Request) {
 	var body generateRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&body); err != nil {
 		http.Error(w, `{"code":"bad"}`, http.StatusBadRequest)
@@ -51,7 +51,7 @@
 	accepted.stream(w, r)
 }
 
-func (m *Model) newJob(r *http.Request, body generateRequest) *job {
+func (m *ModelServer) newJob(r *http.Request, body generateRequest) *job {
 	requestID := r.Header.Get(requestIDHeader)
 	if requestID == "" {
 		requestID = body.ID
@@ -70,7 +70,7 @@
 
 // enqueue draws a job's fault, records its run and queues the job; false if the server
 // is busy.
-func (m *Model) enqueue(s *modelState, j *job, body generateRequest) bool {
+func (m *ModelServer) enqueue(s *modelState, j *job, body generateRequest) bool {
 	s.serial++
 	j.fault = s.odds.draw(s.random)
 	j.faultAt = s.random.IntN(j.remaining)
--- a/cmd/rig/emulator/model.go
+++ b/cmd/rig/emulator/model.go
@@ -27,8 +27,8 @@
 	Tick          time.Duration // duration of one step of the batch
 }
 
-// TypicalModel returns the capacity of the model servers in the first deployment.
-func TypicalModel() ModelSpec {
+// TypicalModelSpec returns the capacity of the model servers in the first deployment.
+func TypicalModelSpec() ModelSpec {
 	return ModelSpec{
 		Slots:         16,
 		QueueLength:   48,
@@ -42,9 +42,9 @@
 	}
 }
 
-// Model emulates a model server with continuous batching, a prefix cache and a
+// ModelServer emulates a model server with continuous batching, a prefix cache and a
 // slow start.
-type Model struct {
+type ModelServer struct {
 	Name     string
 	Address  string
 	Services []string
@@ -69,9 +69,9 @@
 	peakInFlight int
 }
 
-// NewModel returns a model server that is not started.
-func NewModel(name, address string, services []string, spec ModelSpec, recorder *history.Recorder, seed uint64) *Model {
-	return &Model{
+// NewModelServer returns a model server that is not started.
+func NewModelServer(name, address string, services []string, spec ModelSpec, recorder *history.Recorder, seed uint64) *ModelServer {
+	return &ModelServer{
 		Name:     name,
 		Address:  address,
 		Services: services,
@@ -86,7 +86,7 @@
 
 // Start starts the server cold and with an empty cache. It does nothing if the server
 // is already up.
-func (m *Model) Start() error {
+func (m *ModelServer) Start() error {
 	var err error
 	m.state.Do(func(s *modelState) {
 		if s.isUp() {
@@ -106,7 +106,7 @@
 	return err
 }
 
-func (m *Model) handler() http.Handler {
+func (m *ModelServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", m.generate)
 	mux.HandleFunc("GET /v1/status", m.status)
@@ -114,7 +114,7 @@
 }
 
 // runSteps advances the batch at each tick until ctx ends.
-func (m *Model) runSteps(ctx context.Context) {
+func (m *ModelServer) runSteps(ctx context.Context) {
 	ticker := clock.System().Ticker(m.spec.Tick)
 	defer ticker.Stop()
 	for {
@@ -128,12 +128,12 @@
 }
 
 // SkipWarmUp makes a running server count as warm.
-func (m *Model) SkipWarmUp() {
+func (m *ModelServer) SkipWarmUp() {
 	m.state.Do(func(s *modelState) { s.answered = max(s.answered, m.spec.WarmUpAnswers) })
 }
 
 // Crash stops the server immediately and breaks its connections.
-func (m *Model) Crash() {
+func (m *ModelServer) Crash() {
 	m.state.Do(func(s *modelState) {
 		if !s.isUp() {
 			return
@@ -145,29 +145,29 @@
 }
 
 // Close stops the server permanently.
-func (m *Model) Close() {
+func (m *ModelServer) Close() {
 	m.Crash()
 	m.state.Close()
 }
 
 // SetUnresponsive sets whether the server keeps its connections open without answering.
-func (m *Model) SetUnresponsive(unresponsive bool) {
+func (m *ModelServer) SetUnresponsive(unresponsive bool) {
 	m.state.Do(func(s *modelState) { s.unresponsive = unresponsive })
 }
 
 // SetDraining sets whether the server reports that it is draining.
-func (m *Model) SetDraining(draining bool) {
+func (m *ModelServer) SetDraining(draining bool) {
 	m.state.Do(func(s *modelState) { s.draining = draining })
 }
 
 // SetFaultOdds replaces the odds of faults.
-func (m *Model) SetFaultOdds(odds FaultOdds) {
+func (m *ModelServer) SetFaultOdds(odds FaultOdds) {
 	m.state.Do(func(s *modelState) { s.odds = odds })
 }
 
 // CacheStats returns the number of cache hits and of prompts looked up, and the peak
 // number of requests in flight.
-func (m *Model) CacheStats() (hits, prompts, peakInFlight int) {
+func (m *ModelServer) CacheStats() (hits, prompts, peakInFlight int) {
 	m.state.Do(func(s *modelState) {
 		hits = s.cacheHits
 		prompts = s.prompts
@@ -176,9 +176,9 @@
 	return hits, prompts, peakInFlight
 }
 
-func (m *Model) warmingUp(s *modelState) bool { return s.answered < m.spec.WarmUpAnswers }
+func (m *ModelServer) warmingUp(s *modelState) bool { return s.answered < m.spec.WarmUpAnswers }
 
-func (m *Model) status(w http.ResponseWriter, r *http.Request) {
+func (m *ModelServer) status(w http.ResponseWriter, r *http.Request) {
 	var body Status
 	unresponsive := false
 	m.state.Do(func(s *modelState) {
@@ -188,7 +188,7 @@
 	writeStatus(w, r, body, unresponsive)
 }
 
-func (m *Model) currentStatus(s *modelState) Status {
+func (m *ModelServer) currentStatus(s *modelState) Status {
 	state := stateReady
 	prefillRate := m.spec.PrefillRate
 	if m.warmingUp(s) {
--- a/cmd/rig/emulator/web.go
+++ b/cmd/rig/emulator/web.go
@@ -26,8 +26,8 @@
 	paddingSpread      = 3000 // bytes; the padding is minPadding plus less than this
 )
 
-// Web emulates a web server that accepts any method on any path.
-type Web struct {
+// WebServer emulates a web server that accepts any method on any path.
+type WebServer struct {
 	Name     string
 	Address  string
 	Services []string
@@ -47,9 +47,9 @@
 	draining     bool
 }
 
-// NewWeb returns a web server that is not started.
-func NewWeb(name, address string, services []string, recorder *history.Recorder, seed uint64) *Web {
-	return &Web{
+// NewWebServer returns a web server that is not started.
+func NewWebServer(name, address string, services []string, recorder *history.Recorder, seed uint64) *WebServer {
+	return &WebServer{
 		Name:     name,
 		Address:  address,
 		Services: services,
@@ -62,7 +62,7 @@
 }
 
 // Start starts the server. It does nothing if the server is already up.
-func (w *Web) Start() error {
+func (w *WebServer) Start() error {
 	var err error
 	w.state.Do(func(s *webState) {
 		if s.isUp() {
@@ -78,12 +78,12 @@
 }
 
 // SkipWarmUp makes a running server report that it has answered many requests.
-func (w *Web) SkipWarmUp() {
+func (w *WebServer) SkipWarmUp() {
 	w.state.Do(func(s *webState) { s.answered = max(s.answered, warmWebAnswers) })
 }
 
 // Crash stops the server immediately and breaks its connections.
-func (w *Web) Crash() {
+func (w *WebServer) Crash() {
 	w.state.Do(func(s *webState) {
 		if s.isUp() {
 			s.crash()
@@ -92,27 +92,27 @@
 }
 
 // Close stops the server permanently.
-func (w *Web) Close() {
+func (w *WebServer) Close() {
 	w.Crash()
 	w.state.Close()
 }
 
 // SetUnresponsive sets whether the server keeps its connections open without answering.
-func (w *Web) SetUnresponsive(unresponsive bool) {
+func (w *WebServer) SetUnresponsive(unresponsive bool) {
 	w.state.Do(func(s *webState) { s.unresponsive = unresponsive })
 }
 
 // SetDraining sets whether the server reports that it is draining.
-func (w *Web) SetDraining(draining bool) {
+func (w *WebServer) SetDraining(draining bool) {
 	w.state.Do(func(s *webState) { s.draining = draining })
 }
 
 // SetFaultOdds replaces the odds of faults.
-func (w *Web) SetFaultOdds(odds FaultOdds) {
+func (w *WebServer) SetFaultOdds(odds FaultOdds) {
 	w.state.Do(func(s *webState) { s.odds = odds })
 }
 
-func (w *Web) handle(out http.ResponseWriter, r *http.Request) {
+func (w *WebServer) handle(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/status" {
 		w.status(out, r)
 		return
@@ -152,7 +152,7 @@
 	unresponsive bool
 }
 
-func (w *Web) draw() webDraw {
+func (w *WebServer) draw() webDraw {
 	var draw webDraw
 	w.state.Do(func(s *webState) {
 		draw.fault = s.odds.draw(s.random)
@@ -173,7 +173,7 @@
 
 // recordArrival records the run of a request and returns it with the token of the
 // previous request.
-func (w *Web) recordArrival(r *http.Request, token string, fault Fault) (run history.Run, previousToken string) {
+func (w *WebServer) recordArrival(r *http.Request, token string, fault Fault) (run history.Run, previousToken string) {
 	run = history.Run{
 		Server:  w.Name,
 		Kind:    history.KindWeb,
@@ -245,7 +245,7 @@
 	_ = conn.Close()
 }
 
-func (w *Web) status(out http.ResponseWriter, r *http.Request) {
+func (w *WebServer) status(out http.ResponseWriter, r *http.Request) {
 	var body Status
 	unresponsive := false
 	w.state.Do(func(s *webState) {
@@ -255,7 +255,7 @@
 	writeStatus(out, r, body, unresponsive)
 }
 
-func (w *Web) currentStatus(s *webState) Status {
+func (w *WebServer) currentStatus(s *webState) Status {
 	state := stateReady
 	if s.draining {
 		state = stateDraining
--- a/cmd/rig/faultcase/changes.go
+++ b/cmd/rig/faultcase/changes.go
@@ -56,7 +56,7 @@
 		if extraChanges != nil {
 			changes = extraChanges(number)
 		}
-		order := r.Operators.Change(operatorFor(number), base, changes...)
+		order := r.Operators.Patch(operatorFor(number), base, changes...)
 		base = r.submitChange(ctx, order, number, base)
 		if !owner.Sleep(ctx, interval) {
 			return
--- a/cmd/rig/faultcase/disks.go
+++ b/cmd/rig/faultcase/disks.go
@@ -27,7 +27,7 @@
 	start := r.Recorder.Now()
 	_, base := r.Operators.NewestKey()
 	for round := uint64(0); r.hasTimeLeft(start); round++ {
-		acknowledged, version := r.submit(r.Operators.Change(firstOperator, base), round, orderTimeout)
+		acknowledged, version := r.submit(r.Operators.Patch(firstOperator, base), round, orderTimeout)
 		if !acknowledged {
 			return errors.Errorf("round %d: the order was not acknowledged within %s", round, orderTimeout)
 		}
--- a/cmd/rig/faultcase/nodes.go
+++ b/cmd/rig/faultcase/nodes.go
@@ -31,11 +31,11 @@
 	}
 }
 
-func (r *Run) randomModelServer() *emulator.Model {
+func (r *Run) randomModelServer() *emulator.ModelServer {
 	return r.Fleet.Models[r.Random.IntN(len(r.Fleet.Models))]
 }
 
-func (r *Run) randomWebServer() *emulator.Web {
+func (r *Run) randomWebServer() *emulator.WebServer {
 	return r.Fleet.Webs[r.Random.IntN(len(r.Fleet.Webs))]
 }
 
--- a/cmd/rig/faultcase/orders.go
+++ b/cmd/rig/faultcase/orders.go
@@ -89,7 +89,7 @@
 	defer cancel()
 	var racers sync.WaitGroup
 	for racer := range racersPerRound {
-		order := r.Operators.Change(operatorFor(uint64(racer)), base)
+		order := r.Operators.Patch(operatorFor(uint64(racer)), base)
 		order.Race = fmt.Sprintf("race %d", round)
 		nodes := append([]*fleet.Node{r.Fleet.Cores()[racer]}, r.rotatedNodes(round+uint64(racer))...)
 		loseAnswer := r.Random.IntN(3) == 0
--- a/cmd/rig/faultcase/requests.go
+++ b/cmd/rig/faultcase/requests.go
@@ -84,7 +84,7 @@
 
 // setImpatientCallers makes some callers disconnect early or read slowly.
 func (r *Run) setImpatientCallers() {
-	r.Callers.Behavior.LeaveOdds = .03
+	r.Callers.Behavior.AbandonOdds = .03
 	r.Callers.Behavior.SlowReadOdds = .05
 }
 
--- a/cmd/rig/faultcase/rolling_upgrade.go
+++ b/cmd/rig/faultcase/rolling_upgrade.go
@@ -223,7 +223,7 @@
 		Rate: stepTenantRate,
 		Keys: []string{fleet.HashKey("key-of-" + name)},
 	}
-	order := r.Operators.Change(firstOperator, base, loadgen.Change{Path: "tenants." + name, Value: tenant})
+	order := r.Operators.Patch(firstOperator, base, loadgen.Change{Path: "tenants." + name, Value: tenant})
 	if acknowledged, _ := r.submit(order, uint64(index), orderTimeout); !acknowledged {
 		return errors.Errorf("the order was not acknowledged within %s", orderTimeout)
 	}
--- a/cmd/rig/faultcase/soak_orders.go
+++ b/cmd/rig/faultcase/soak_orders.go
@@ -73,7 +73,7 @@
 
 func (s *soak) newSoakOrder(operator string, base uint64) (order *loadgen.Order, tenant string) {
 	tenant = fmt.Sprintf("%s%d", soakTenantPrefix, s.nextTenant.Add(1))
-	order = s.Operators.Change(operator, base,
+	order = s.Operators.Patch(operator, base,
 		loadgen.Change{Path: "tenants." + tenant, Value: soakTenant(tenant, soakTenantRate)},
 		loadgen.Change{Path: "tenants." + limitedTenant, Value: soakTenant(limitedTenant, float64(base+1))})
 	return order, tenant
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -58,8 +58,8 @@
 	Links    *faultproxy.Links
 	Platform *emulator.Platform
 	Nodes    []*Node
-	Models   []*emulator.Model
-	Webs     []*emulator.Web
+	Models   []*emulator.ModelServer
+	Webs     []*emulator.WebServer
 	Dir      string // of the nodes' settings, data and logs
 
 	loopback  int                          // second number of all addresses
@@ -147,7 +147,7 @@
 	for i, location := range f.Spec.Models {
 		name := fmt.Sprintf("model%d", i+1)
 		address := f.ip(modelServerGroup, i+1) + serverPort
-		server := emulator.NewModel(name, address, f.Spec.Services.Model, f.Spec.ModelSpec, f.Recorder, seed+uint64(i))
+		server := emulator.NewModelServer(name, address, f.Spec.Services.Model, f.Spec.ModelSpec, f.Recorder, seed+uint64(i))
 		f.Models = append(f.Models, server)
 		f.addProxy(name, location, f.ip(modelProxyGroup, i+1)+serverPort, address)
 	}
@@ -157,7 +157,7 @@
 	for i, location := range f.Spec.Webs {
 		name := fmt.Sprintf("web%d", i+1)
 		address := f.ip(webServerGroup, i+1) + serverPort
-		server := emulator.NewWeb(name, address, f.Spec.Services.Web, f.Recorder, seed+webSeedOffset+uint64(i))
+		server := emulator.NewWebServer(name, address, f.Spec.Services.Web, f.Recorder, seed+webSeedOffset+uint64(i))
 		f.Webs = append(f.Webs, server)
 		f.addProxy(name, location, f.ip(webProxyGroup, i+1)+serverPort, address)
 	}
--- a/cmd/rig/fleet/spec.go
+++ b/cmd/rig/fleet/spec.go
@@ -67,7 +67,7 @@
 // of the first deployment; each kind of process is spread evenly.
 func SizedDeployment(size Size) Spec {
 	spec := Spec{
-		ModelSpec:   emulator.TypicalModel(),
+		ModelSpec:   emulator.TypicalModelSpec(),
 		ServersWarm: true,
 		Services:    firstServices(),
 	}
@@ -108,7 +108,7 @@
 	zones := firstZones
 	lagos, abeokuta := zones[:2], zones[2]
 	spec := Spec{
-		ModelSpec:   emulator.TypicalModel(),
+		ModelSpec:   emulator.TypicalModelSpec(),
 		Webs:        zones,
 		ServersWarm: true,
 		Services:    firstServices(),
--- a/cmd/rig/loadgen/answer.go
+++ b/cmd/rig/loadgen/answer.go
@@ -166,7 +166,7 @@
 	}
 	_, _ = fmt.Sscanf(event.Text, "%s %s %d", &received.Token, &received.Run, &received.Index)
 	attempt.Events = append(attempt.Events, received)
-	if behaviorDraw < c.Behavior.LeaveOdds {
+	if behaviorDraw < c.Behavior.AbandonOdds {
 		attempt.Outcome = history.Abandoned
 		return false
 	}
--- a/cmd/rig/loadgen/call.go
+++ b/cmd/rig/loadgen/call.go
@@ -34,7 +34,7 @@
 	Tenant       Tenant
 	Location     fleet.Location // of the caller
 	Prefix       int            // index of the prompt prefix, from 0
-	Chance       float64        // random number, 0 to 1, that decides whether the caller abandons a stream or reads it slowly
+	BehaviorDraw float64        // random number, 0 to 1, that decides whether the caller abandons a stream or reads it slowly
 	FrontIndex   uint64         // selects one of the usable fronts
 	FrontAddress string         // if set, the call uses only this front and is not retried
 }
@@ -93,7 +93,7 @@
 	attempt := c.newAttempt(call, address, deadline)
 	remaining := remainingTime(attempt)
 	req := callRequest(call, address, attempt.Token, remaining)
-	c.perform(&attempt, req, address, remaining+answerGrace, call.Chance)
+	c.perform(&attempt, req, address, remaining+answerGrace, call.BehaviorDraw)
 	attempt.Done = c.Recorder.Now()
 	return attempt
 }
--- a/cmd/rig/loadgen/callers.go
+++ b/cmd/rig/loadgen/callers.go
@@ -49,7 +49,7 @@
 
 // Behavior describes how callers read answers and retry.
 type Behavior struct {
-	LeaveOdds    float64 // probability of abandoning a stream after the first event
+	AbandonOdds  float64 // probability of abandoning a stream after the first event
 	SlowReadOdds float64 // probability of reading each event slowly
 	Retries      int     // maximum number of retries after attempts that were not executed
 }
@@ -203,11 +203,11 @@
 func (c *Callers) drawCall(random *rand.Rand, tenant Tenant) Call {
 	location := c.drawZone(random)
 	return Call{
-		Tenant:     tenant,
-		Location:   location,
-		Prefix:     random.IntN(max(1, tenant.Prefixes)),
-		Chance:     random.Float64(),
-		FrontIndex: random.Uint64(),
+		Tenant:       tenant,
+		Location:     location,
+		Prefix:       random.IntN(max(1, tenant.Prefixes)),
+		BehaviorDraw: random.Float64(),
+		FrontIndex:   random.Uint64(),
 	}
 }
 
--- a/cmd/rig/loadgen/forms_test.go
+++ b/cmd/rig/loadgen/forms_test.go
@@ -46,7 +46,7 @@
 			fields map[string]any
 		}{
 			{operators.Put("ade", 0, sheet, 7), map[string]any{"order_id": "o1-1", "base": 0, "sheet": sheet}},
-			{operators.Change("ade", 3, Change{Path: "x", Value: "y"}), map[string]any{"order_id": "o1-2", "base": 3, "changes": []map[string]any{
+			{operators.Patch("ade", 3, Change{Path: "x", Value: "y"}), map[string]any{"order_id": "o1-2", "base": 3, "changes": []map[string]any{
 				{"path": "tenants.probe.keys", "value": []string{fleet.HashKey("probe-key-1")}}, {"path": "x", "value": "y"}}}},
 			{operators.Evacuate("ade", "lagos/a"), map[string]any{"order_id": "o1-3", "locality": "lagos/a"}},
 			{operators.Restore("ade", "lagos/a"), map[string]any{"order_id": "o1-4", "locality": "lagos/a"}},
--- a/cmd/rig/loadgen/loadgen_test.go
+++ b/cmd/rig/loadgen/loadgen_test.go
@@ -20,7 +20,7 @@
 )
 
 // newForwardingFront returns a front that forwards its servers' answers unchecked.
-func newForwardingFront(model *emulator.Model, web *emulator.Web) http.Handler {
+func newForwardingFront(model *emulator.ModelServer, web *emulator.WebServer) http.Handler {
 	mux := http.NewServeMux()
 	forward := func(w http.ResponseWriter, r *http.Request, url string, body io.Reader) {
 		req, _ := http.NewRequest(r.Method, url, body)
@@ -55,18 +55,18 @@
 type harness struct {
 	recorder *history.Recorder
 	callers  *Callers
-	model    *emulator.Model
-	web      *emulator.Web
+	model    *emulator.ModelServer
+	web      *emulator.WebServer
 	front    *httptest.Server
 }
 
 func newHarness() *harness {
 	recorder := history.NewRecorder(3)
-	spec := fleet.Spec{Nodes: []fleet.NodeSpec{{Name: "front1", Location: fleet.Location{Region: "lagos", Zone: "a"}}}, ModelSpec: emulator.TypicalModel()}
+	spec := fleet.Spec{Nodes: []fleet.NodeSpec{{Name: "front1", Location: fleet.Location{Region: "lagos", Zone: "a"}}}, ModelSpec: emulator.TypicalModelSpec()}
 	spec.ModelSpec.Tick = time.Millisecond
 	f, err := fleet.New(spec, "", "", recorder, 3)
 	So(err, ShouldBeNil)
-	s := &harness{recorder: recorder, model: emulator.NewModel("model1", "127.0.0.1:0", nil, spec.ModelSpec, recorder, 3), web: emulator.NewWeb("web1", "127.0.0.1:0", nil, recorder, 3)}
+	s := &harness{recorder: recorder, model: emulator.NewModelServer("model1", "127.0.0.1:0", nil, spec.ModelSpec, recorder, 3), web: emulator.NewWebServer("web1", "127.0.0.1:0", nil, recorder, 3)}
 	s.model.Address, s.web.Address = freeAddress(), freeAddress()
 	So(s.model.Start(), ShouldBeNil)
 	So(s.web.Start(), ShouldBeNil)
@@ -93,7 +93,7 @@
 	for _, t := range FirstTenants() {
 		if t.Name == tenant {
 			t.Deadline = 3 * time.Second
-			return s.callers.Do(context.Background(), Call{Tenant: t, Location: fleet.Location{Region: "lagos", Zone: "a"}, Chance: 0.5})
+			return s.callers.Do(context.Background(), Call{Tenant: t, Location: fleet.Location{Region: "lagos", Zone: "a"}, BehaviorDraw: 0.5})
 		}
 	}
 	return history.Attempt{}
--- a/cmd/rig/loadgen/order.go
+++ b/cmd/rig/loadgen/order.go
@@ -80,8 +80,8 @@
 	return order
 }
 
-// Change returns a patch order that sets the next checked key and makes other changes.
-func (o *Operators) Change(operator string, base uint64, otherChanges ...Change) *Order {
+// Patch returns a patch order that sets the next checked key and makes other changes.
+func (o *Operators) Patch(operator string, base uint64, otherChanges ...Change) *Order {
 	key := o.NextKey()
 	rotation := Change{
 		Path:  "tenants." + checkedTenant + ".keys",
--- a/cmd/rig/stand_ins_command.go
+++ b/cmd/rig/stand_ins_command.go
@@ -92,10 +92,10 @@
 // startServer starts an emulated server; a model server begins warm.
 func startServer(listed emulator.ListedServer, recorder *history.Recorder, seed uint64) (stop func(), err error) {
 	if listed.Kind == history.KindWeb {
-		server := emulator.NewWeb(listed.Name, listed.Address, listed.Services, recorder, seed)
+		server := emulator.NewWebServer(listed.Name, listed.Address, listed.Services, recorder, seed)
 		return server.Close, server.Start()
 	}
-	server := emulator.NewModel(listed.Name, listed.Address, listed.Services, emulator.TypicalModel(), recorder, seed)
+	server := emulator.NewModelServer(listed.Name, listed.Address, listed.Services, emulator.TypicalModelSpec(), recorder, seed)
 	if err := server.Start(); err != nil {
 		return server.Close, err
 	}
