--- a/sim/fleet/faults.go
+++ b/sim/fleet/faults.go
@@ -5,165 +5,168 @@
 	"time"
 )
 
-// faultInterval is the mean number of steps between two faults.
-const faultInterval = 40
+// meanStepsBetweenFaults is the mean number of steps between two faults.
+const meanStepsBetweenFaults = 40
 
-// fault heals, restarts and replaces what is due, and now and then causes a fault.
-func (w *simulation) fault() {
-	now := w.clock.Now()
-	w.healDue(now)
-	w.restartDue(now)
-	w.leave(now)
-	w.replace(now)
-	if w.random.IntN(faultInterval) == 0 {
-		w.drawFault(now)
+// injectFaults performs the heals, restarts and replacements that are due, and injects
+// a random fault every meanStepsBetweenFaults steps on average.
+func (sim *simulation) injectFaults() {
+	now := sim.clock.Now()
+	sim.healDue(now)
+	sim.restartDue(now)
+	sim.handleExits(now)
+	sim.replaceNext(now)
+	if sim.random.IntN(meanStepsBetweenFaults) == 0 {
+		sim.injectRandomFault(now)
 	}
 }
 
-func (w *simulation) healDue(now time.Time) {
-	if w.split != nil && now.After(w.heal) {
-		w.fleet.Split(w.split, false)
-		w.split = nil
-		w.note("heal")
+func (sim *simulation) healDue(now time.Time) {
+	if sim.partitionedSide != nil && now.After(sim.healAt) {
+		sim.fleet.SetPartitioned(sim.partitionedSide, false)
+		sim.partitionedSide = nil
+		sim.recordFault("heal the partition")
 	}
 }
 
-func (w *simulation) restartDue(now time.Time) {
-	for i, at := range w.back {
-		if !now.After(at) {
+func (sim *simulation) restartDue(now time.Time) {
+	for i, restartAt := range sim.restartAt {
+		if !now.After(restartAt) {
 			continue
 		}
-		delete(w.back, i)
-		if err := w.fleet.Up(i); err != nil {
-			w.report.Violations = append(w.report.Violations, fmt.Sprintf("node %d doesn't start: %v", i, err))
+		delete(sim.restartAt, i)
+		if err := sim.fleet.StartNode(i); err != nil {
+			sim.report.Violations = append(sim.report.Violations, fmt.Sprintf("node %d failed to start: %v", i, err))
 		}
-		w.note("up %d", i)
+		sim.recordFault("start node %d", i)
 	}
 }
 
-func (w *simulation) drawFault(now time.Time) {
-	switch w.random.IntN(7) {
+func (sim *simulation) injectRandomFault(now time.Time) {
+	switch sim.random.IntN(7) {
 	case 0, 1:
-		w.kill(w.random.IntN(w.n))
+		sim.killTemporarily(sim.random.IntN(sim.nodeCount))
 	case 2:
-		for range 2 + w.random.IntN(3) {
-			w.kill(w.random.IntN(w.n))
+		for range 2 + sim.random.IntN(3) {
+			sim.killTemporarily(sim.random.IntN(sim.nodeCount))
 		}
 	case 3, 4:
-		w.partition(now)
+		sim.partitionAtRandom(now)
 	case 5:
-		w.terminate(w.random.IntN(w.n))
+		sim.terminate(sim.random.IntN(sim.nodeCount))
 	case 6:
-		w.replaceTwo()
+		sim.scheduleTwoReplacements()
 	}
 }
 
-// replaceTwo has two nodes replaced, one after the other.
-func (w *simulation) replaceTwo() {
-	if len(w.turns) > 0 {
+// scheduleTwoReplacements schedules the replacement of two nodes, one after the other.
+func (sim *simulation) scheduleTwoReplacements() {
+	if len(sim.toReplace) > 0 {
 		return
 	}
-	i := w.random.IntN(w.n)
-	w.turns = []int{i, (i + 1 + w.random.IntN(w.n-1)) % w.n}
-	w.note("replace %v in turn", w.turns)
+	i := sim.random.IntN(sim.nodeCount)
+	sim.toReplace = []int{i, (i + 1 + sim.random.IntN(sim.nodeCount-1)) % sim.nodeCount}
+	sim.recordFault("replace nodes %v one after the other", sim.toReplace)
 }
 
-// partition isolates one node or splits the fleet at random, for a while.
-func (w *simulation) partition(now time.Time) {
-	if w.split != nil {
+// partitionAtRandom isolates one node or divides the fleet at random, for 3 to 27 s.
+func (sim *simulation) partitionAtRandom(now time.Time) {
+	if sim.partitionedSide != nil {
 		return
 	}
-	w.split = map[int]bool{}
-	if w.random.IntN(2) == 0 {
-		w.split[w.random.IntN(w.n)] = true
+	sim.partitionedSide = map[int]bool{}
+	if sim.random.IntN(2) == 0 {
+		sim.partitionedSide[sim.random.IntN(sim.nodeCount)] = true
 	} else {
-		for i := range w.n {
-			w.split[i] = w.random.IntN(2) == 0
+		for i := range sim.nodeCount {
+			sim.partitionedSide[i] = sim.random.IntN(2) == 0
 		}
 	}
-	w.heal = now.Add(time.Duration(3+w.random.IntN(25)) * time.Second)
-	w.fleet.Split(w.split, true)
-	w.note("split %v", w.split)
+	sim.healAt = now.Add(time.Duration(3+sim.random.IntN(25)) * time.Second)
+	sim.fleet.SetPartitioned(sim.partitionedSide, true)
+	sim.recordFault("partition %v", sim.partitionedSide)
 }
 
 // terminate requests a graceful shutdown of a node.
-func (w *simulation) terminate(i int) {
-	if !w.fleet.Running(i) || w.leaving[i] {
+func (sim *simulation) terminate(i int) {
+	if !sim.fleet.Running(i) || sim.terminating[i] {
 		return
 	}
-	w.fleet.Terminate(i)
-	w.leaving[i] = true
-	w.note("terminate %d", i)
+	sim.fleet.Terminate(i)
+	sim.terminating[i] = true
+	sim.recordFault("terminate node %d", i)
 }
 
-// leave restarts later the nodes whose graceful shutdown has ended.
-func (w *simulation) leave(now time.Time) {
-	for i := range w.n {
-		if !w.leaving[i] {
+// handleExits schedules the restart of nodes whose graceful shutdown has ended, and
+// records a violation if it ended with an error.
+func (sim *simulation) handleExits(now time.Time) {
+	for i := range sim.nodeCount {
+		if !sim.terminating[i] {
 			continue
 		}
-		ended, err := w.fleet.Ended(i)
+		ended, err := sim.fleet.Exited(i)
 		if !ended {
 			continue
 		}
 		if err != nil {
-			w.violate("node %d ended with %v", i, err)
+			sim.recordViolation("graceful shutdown of node %d failed: %v", i, err)
 		}
-		delete(w.leaving, i)
-		delete(w.took, i)
-		w.back[i] = now.Add(time.Duration(1+w.random.IntN(6)) * time.Second)
-		w.note("ended %d", i)
+		delete(sim.terminating, i)
+		delete(sim.newestAccepted, i)
+		sim.restartAt[i] = now.Add(time.Duration(1+sim.random.IntN(6)) * time.Second)
+		sim.recordFault("node %d exited", i)
 	}
 }
 
-// replace takes the next node away for good and puts one of the same name and
-// without its disk in its place, once the one before is up again for 3 s.
-func (w *simulation) replace(now time.Time) {
-	if len(w.turns) == 0 || now.Before(w.turnAt) {
+// replaceNext replaces the next scheduled node by one of the same name, with a blank
+// disk where canWipe allows it. The new node starts after 2 s, and the next
+// replacement follows about 3 s after that.
+func (sim *simulation) replaceNext(now time.Time) {
+	if len(sim.toReplace) == 0 || now.Before(sim.replaceNotBefore) {
 		return
 	}
-	i := w.turns[0]
-	w.turns = w.turns[1:]
-	if !w.fleet.Running(i) {
+	i := sim.toReplace[0]
+	sim.toReplace = sim.toReplace[1:]
+	if !sim.fleet.Running(i) {
 		return
 	}
-	w.lose(i, now.Add(2*time.Second), i < w.fleet.config.Cores && w.canWipe(i))
-	w.turnAt = now.Add(5 * time.Second)
+	sim.killUntil(i, now.Add(2*time.Second), i < sim.fleet.config.Cores && sim.canWipe(i))
+	sim.replaceNotBefore = now.Add(5 * time.Second)
 }
 
-// kill ends a node for a while; one core at a time may lose its disk, and only
-// while the others are up.
-func (w *simulation) kill(i int) {
-	if !w.fleet.Running(i) {
+// killTemporarily kills a node for 1 to 12 s. A core may lose its disk as well, but only
+// while all other cores are running and voting.
+func (sim *simulation) killTemporarily(i int) {
+	if !sim.fleet.Running(i) {
 		return
 	}
-	back := w.clock.Now().Add(time.Duration(1+w.random.IntN(12)) * time.Second)
-	w.lose(i, back, i < w.fleet.config.Cores && w.random.IntN(3) == 0 && w.canWipe(i))
+	restartAt := sim.clock.Now().Add(time.Duration(1+sim.random.IntN(12)) * time.Second)
+	sim.killUntil(i, restartAt, i < sim.fleet.config.Cores && sim.random.IntN(3) == 0 && sim.canWipe(i))
 }
 
-func (w *simulation) lose(i int, back time.Time, wiped bool) {
-	w.fleet.Kill(i)
-	delete(w.took, i)
-	delete(w.leaving, i)
-	w.back[i] = back
-	if w.split != nil {
-		w.fleet.Split(w.split, true)
+func (sim *simulation) killUntil(i int, restartAt time.Time, wipe bool) {
+	sim.fleet.Kill(i)
+	delete(sim.newestAccepted, i)
+	delete(sim.terminating, i)
+	sim.restartAt[i] = restartAt
+	if sim.partitionedSide != nil {
+		sim.fleet.SetPartitioned(sim.partitionedSide, true)
 	}
-	if wiped {
-		if err := w.fleet.Wipe(i); err != nil {
-			w.violate("%v", err)
+	if wipe {
+		if err := sim.fleet.WipeDisk(i); err != nil {
+			sim.recordViolation("%v", err)
 		}
 	}
-	w.note("kill %d wiped %v", i, wiped)
+	sim.recordFault("kill node %d, disk wiped: %v", i, wipe)
 }
 
 // canWipe reports whether all other cores are running and voting.
-func (w *simulation) canWipe(i int) bool {
-	for c := range w.fleet.config.Cores {
+func (sim *simulation) canWipe(i int) bool {
+	for c := range sim.fleet.config.Cores {
 		if c == i {
 			continue
 		}
-		if !w.fleet.Running(c) || w.fleet.standing(c) != "voting" {
+		if !sim.fleet.Running(c) || sim.fleet.coreStanding(c) != "voting" {
 			return false
 		}
 	}
--- a/sim/fleet/losses.go
+++ b/sim/fleet/losses.go
@@ -9,131 +9,132 @@
 	"stepwick/internal/events"
 )
 
-// grown is the fleet of the grown deployments: six machines with a disk, of
-// which five vote and one stands by, and two disks may be lost at once.
-func grown(seeds []int) Config {
+// sixCoreConfig is a large deployment: six cores, of which five vote and one is a
+// standby. It tolerates the simultaneous loss of two disks.
+func sixCoreConfig(seeds []int) Config {
 	return Config{Nodes: 12, Cores: 6, Voters: 5, Join: true, Seeds: seeds}
 }
 
-// recoverWithin is how soon after the last machine is back an acknowledged
-// configuration must be readable again.
-const recoverWithin = 10 * time.Second
+// recoveryTimeout is the time after the restart of the last node within which an
+// acknowledged configuration must be readable again.
+const recoveryTimeout = 10 * time.Second
 
-// Losses simulates large power failures: every core loses power at one moment and
-// comes back; then, around an order, all nodes lose power and two cores their
-// disks as well. The order, if it was acknowledged, must be read back. Which
-// cores lose their disks, which are seeds and when each machine is back is drawn.
-func Losses(ctx context.Context, seed uint64, folder string, log func(node int) events.Log) (report Report, err error) {
+// SimulatePowerLosses simulates large power failures. In two of three runs, all cores
+// lose power simultaneously and restart. Then, shortly after an order is sent, all
+// nodes lose power and two cores also lose their disks. If the order was
+// acknowledged, its key must be read back. The seed nodes, the cores that lose their
+// disks and the restart times are random.
+func SimulatePowerLosses(ctx context.Context, seed uint64, dataDir string, log func(node int) events.Log) (report Report, err error) {
 	report.Seed = seed
-	random := Draw(seed)
+	random := NewRandom(seed)
 	cores := random.Perm(6)
-	config := grown(cores[:3])
+	config := sixCoreConfig(cores[:3])
 	config.Log = log
-	f, err := Start(ctx, config, folder)
+	f, err := Start(ctx, config, dataDir)
 	if err != nil {
 		return report, err
 	}
 	defer f.Close()
-	w := &simulation{fleet: f, random: random, clock: clock.System(), report: &report, n: config.Nodes}
-	w.start = w.clock.Now()
-	w.note("seeds %v", config.Seeds)
-	if !w.form() {
-		w.violate("no first sheet in force within 30 s: %s", w.fleet.formation())
+	sim := &simulation{fleet: f, random: random, clock: clock.System(), report: &report, nodeCount: config.Nodes}
+	sim.start = sim.clock.Now()
+	sim.recordFault("seeds %v", config.Seeds)
+	if !sim.submitFirstSheet() {
+		sim.recordViolation("no first sheet in force within 30 s: %s", sim.fleet.describeFormation())
 		return report, nil
 	}
-	w.pause(3 * time.Second)
+	sim.pause(3 * time.Second)
 	if random.IntN(3) > 0 {
-		w.loseCores(config)
+		sim.powerCycleCores(config)
 	}
-	w.lastFault(config)
+	sim.powerCycleAllDuringOrder(config)
 	return report, nil
 }
 
-// loseCores takes the power of every core, for three seconds or a little more
-// each.
-func (w *simulation) loseCores(config Config) {
-	lost := upTo(config.Cores)
-	w.fleet.PowerOff(lost...)
-	w.note("cores without power")
-	w.bringBack(lost, 3*time.Second, 2*time.Second)
-	w.pause(8 * time.Second)
+// powerCycleCores powers off all cores simultaneously and restarts each after 3 to 5 s.
+func (sim *simulation) powerCycleCores(config Config) {
+	cores := firstNodes(config.Cores)
+	sim.fleet.PowerOff(cores...)
+	sim.recordFault("all cores lost power")
+	sim.restartStaggered(cores, 3*time.Second, 2*time.Second)
+	sim.pause(8 * time.Second)
 }
 
-// lastFault sends an order, takes the power of all nodes some milliseconds later
-// and the disks of two cores, and reads back.
-func (w *simulation) lastFault(config Config) {
-	w.key++
-	s := &sending{key: w.key}
-	w.send(s)
-	w.pause(time.Duration(5+w.random.IntN(400)) * time.Millisecond)
-	w.fleet.PowerOff(upTo(config.Nodes)...)
-	wiped := w.random.Perm(config.Cores)[:2]
-	w.note("all without power, disks lost of %v", wiped)
+// powerCycleAllDuringOrder sends an order, powers off all nodes 5 to 404 ms later,
+// wipes the disks of two cores, restarts all nodes and reads the sheet back.
+func (sim *simulation) powerCycleAllDuringOrder(config Config) {
+	sim.newestKey++
+	order := &keyOrder{key: sim.newestKey}
+	sim.send(order)
+	sim.pause(time.Duration(5+sim.random.IntN(400)) * time.Millisecond)
+	sim.fleet.PowerOff(firstNodes(config.Nodes)...)
+	wiped := sim.random.Perm(config.Cores)[:2]
+	sim.recordFault("all nodes lost power, disks wiped of cores %v", wiped)
 	for _, i := range wiped {
-		if err := w.fleet.Wipe(i); err != nil {
-			w.violate("%v", err)
+		if err := sim.fleet.WipeDisk(i); err != nil {
+			sim.recordViolation("%v", err)
 		}
 	}
-	w.bringBack(upTo(config.Nodes), 300*time.Millisecond, time.Second)
+	sim.restartStaggered(firstNodes(config.Nodes), 300*time.Millisecond, time.Second)
 	acknowledged := false
 	select {
-	case a := <-s.answers:
-		acknowledged = a.Status == http.StatusOK && a.InForce
+	case response := <-order.responses:
+		acknowledged = response.Status == http.StatusOK && response.InForce
 	default:
 	}
-	w.readBack(acknowledged)
+	sim.verifyReadBack(acknowledged)
 }
 
-// readBack retries until a sheet is read, and checks it.
-func (w *simulation) readBack(acknowledged bool) {
-	until := w.clock.Now().Add(recoverWithin)
-	for w.clock.Now().Before(until) {
-		a := w.fleet.Read(w.random.IntN(w.n))
-		if a.Status != http.StatusOK {
-			w.pause(200 * time.Millisecond)
+// verifyReadBack reads the sheet, with retries until recoveryTimeout, and checks its
+// key: the key of the last order if that was acknowledged, else that key or key 0.
+func (sim *simulation) verifyReadBack(acknowledged bool) {
+	deadline := sim.clock.Now().Add(recoveryTimeout)
+	for sim.clock.Now().Before(deadline) {
+		response := sim.fleet.ReadSheet(sim.random.IntN(sim.nodeCount))
+		if response.Status != http.StatusOK {
+			sim.pause(200 * time.Millisecond)
 			continue
 		}
-		if acknowledged && !a.Holds(w.key) {
-			w.violate("read back without the acknowledged key %d", w.key)
+		if acknowledged && !response.HasKey(sim.newestKey) {
+			sim.recordViolation("the sheet read back lacks the acknowledged key %d", sim.newestKey)
 		}
-		if !a.Holds(w.key) && !a.Holds(0) {
-			w.violate("read back what was never sent")
+		if !response.HasKey(sim.newestKey) && !response.HasKey(0) {
+			sim.recordViolation("the sheet read back has a key that was never sent")
 		}
 		return
 	}
-	w.violate("nothing can be read back within %v", recoverWithin)
+	sim.recordViolation("no sheet could be read back within %v of the last restart", recoveryTimeout)
 }
 
-// bringBack starts nodes again, each after a least time and a random part of a
+// restartStaggered restarts nodes, each after minDelay plus a random delay below
 // spread.
-func (w *simulation) bringBack(nodes []int, least, spread time.Duration) {
-	w.pause(least)
+func (sim *simulation) restartStaggered(nodes []int, minDelay, spread time.Duration) {
+	sim.pause(minDelay)
 	delays := make(map[int]time.Duration, len(nodes))
 	for _, i := range nodes {
-		delays[i] = time.Duration(w.random.Int64N(int64(spread)))
+		delays[i] = time.Duration(sim.random.Int64N(int64(spread)))
 	}
-	for passed := time.Duration(0); len(delays) > 0; passed += backStep {
-		w.startDue(delays, passed)
-		w.pause(backStep)
+	for elapsed := time.Duration(0); len(delays) > 0; elapsed += restartStep {
+		sim.startNodesDue(delays, elapsed)
+		sim.pause(restartStep)
 	}
 }
 
-const backStep = 10 * time.Millisecond
+const restartStep = 10 * time.Millisecond
 
-func (w *simulation) startDue(delays map[int]time.Duration, passed time.Duration) {
-	for i := range w.n {
-		delay, waits := delays[i]
-		if !waits || delay > passed {
+func (sim *simulation) startNodesDue(delays map[int]time.Duration, elapsed time.Duration) {
+	for i := range sim.nodeCount {
+		delay, scheduled := delays[i]
+		if !scheduled || delay > elapsed {
 			continue
 		}
 		delete(delays, i)
-		if err := w.fleet.Up(i); err != nil {
-			w.violate("node %d doesn't start: %v", i, err)
+		if err := sim.fleet.StartNode(i); err != nil {
+			sim.recordViolation("node %d failed to start: %v", i, err)
 		}
 	}
 }
 
-func upTo(n int) []int {
+func firstNodes(n int) []int {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
--- a/sim/fleet/simulate.go
+++ b/sim/fleet/simulate.go
@@ -11,128 +11,130 @@
 	"stepwick/internal/clock"
 )
 
-// Report counts what one run did, and lists its faults and violations.
+// Report is the result of one run: its counters, injected faults and violations.
 type Report struct {
 	Seed         uint64
 	Acknowledged int
-	Pending      int
-	Asked        int
-	Taken        int // probes that a node accepted, with any key
+	Resent       int
+	Probed       int
+	Accepted     int // probes that a node accepted, with any key
 	Faults       []string
 	Violations   []string
 }
 
-// Simulate drives a fleet of the first deployment's size through faults; see SimulateIn.
-func Simulate(ctx context.Context, seed uint64, folder string, span time.Duration) (Report, error) {
-	return SimulateIn(ctx, small, seed, folder, span)
+// Simulate runs SimulateIn on a fleet of nine nodes with three cores.
+func Simulate(ctx context.Context, seed uint64, dataDir string, span time.Duration) (Report, error) {
+	return SimulateIn(ctx, smallConfig, seed, dataDir, span)
 }
 
-// SimulateIn drives a fleet through random faults for a span while operators
-// replace the only key again and again, now and then two of them on one base,
-// and checks: no node takes an older key 2.5 s after a newer one was
-// acknowledged, none steps back, of a race one operator wins and the other's key
-// is never taken, and what was acknowledged is read back at the end.
-func SimulateIn(ctx context.Context, config Config, seed uint64, folder string, span time.Duration) (report Report, err error) {
+// SimulateIn injects random faults into a fleet for a span of virtual time while
+// operators repeatedly replace the only tenant key; some of the orders race on the
+// same base. It checks that
+//   - no node accepts an older key 2.5 s after a newer one was acknowledged,
+//   - no node accepts an older key after it accepted a newer one,
+//   - exactly one order of a race is accepted, and the key of the other never is,
+//   - the last acknowledged key is read back at the end.
+func SimulateIn(ctx context.Context, config Config, seed uint64, dataDir string, span time.Duration) (report Report, err error) {
 	report.Seed = seed
-	random := Draw(seed)
-	f, err := Start(ctx, config, folder)
+	random := NewRandom(seed)
+	f, err := Start(ctx, config, dataDir)
 	if err != nil {
 		return report, err
 	}
 	defer f.Close()
-	w := &simulation{fleet: f, random: random, clock: clock.System(), report: &report, took: map[int]int{}, lost: map[int]bool{}, leaving: map[int]bool{}, n: config.Nodes}
-	w.start = w.clock.Now()
-	if !w.form() {
+	sim := &simulation{fleet: f, random: random, clock: clock.System(), report: &report, newestAccepted: map[int]int{}, rejectedKeys: map[int]bool{}, terminating: map[int]bool{}, nodeCount: config.Nodes}
+	sim.start = sim.clock.Now()
+	if !sim.submitFirstSheet() {
 		report.Violations = append(report.Violations, "no first sheet in force within 30 s")
 		return report, nil
 	}
-	end := w.clock.Now().Add(span)
-	for w.clock.Now().Before(end) {
-		w.step()
+	end := sim.clock.Now().Add(span)
+	for sim.clock.Now().Before(end) {
+		sim.step()
 	}
-	w.finish()
+	sim.finish()
 	return report, nil
 }
 
-// simulation is the state of one run: the fleet, its faults and the operators'
+// simulation is the state of one run: the fleet, the active faults and the operators'
 // orders.
 type simulation struct {
-	fleet  *Fleet
-	random *rand.Rand
-	clock  clock.Clock
-	start  time.Time
-	report *Report
-	n      int
+	fleet     *Fleet
+	random    *rand.Rand
+	clock     clock.Clock
+	start     time.Time
+	report    *Report
+	nodeCount int
 
-	race    []*sending // orders under way, all on one base
-	key     int        // newest key that was sent
-	base    uint64
-	next    uint64 // base after the orders under way
-	acked   []ack
-	lost    map[int]bool // keys of orders that lost a race
-	took    map[int]int  // newest key that the incarnation of a node accepted
-	split   map[int]bool
-	heal    time.Time
-	back    map[int]time.Time
-	leaving map[int]bool // asked to stop and still up
-	turns   []int        // nodes to be replaced, one after another
-	turnAt  time.Time
+	pendingOrders    []*keyOrder // orders without a final response, all on one base
+	newestKey        int         // newest key that was sent
+	base             uint64
+	nextBase         uint64 // base after the pending orders
+	acknowledged     []acknowledgement
+	rejectedKeys     map[int]bool // keys of orders that lost a race
+	newestAccepted   map[int]int  // newest key that the current incarnation of a node accepted
+	partitionedSide  map[int]bool
+	healAt           time.Time
+	restartAt        map[int]time.Time
+	terminating      map[int]bool // nodes in graceful shutdown
+	toReplace        []int        // nodes to be replaced, one after another
+	replaceNotBefore time.Time
 }
 
-// sending is one operator's order and what became of it.
-type sending struct {
-	key     int
-	answers chan Answer
-	outcome int // status of the answer that settled it, 0 while it is open
+// keyOrder is one operator's order to replace the key, and its result.
+type keyOrder struct {
+	key         int
+	responses   chan Response
+	finalStatus int // HTTP status of the final response, 0 while pending
 }
 
-type ack struct {
-	key int
-	at  time.Time
+type acknowledgement struct {
+	key  int
+	time time.Time
 }
 
-func (w *simulation) pause(d time.Duration) { <-w.clock.After(d) }
+func (sim *simulation) pause(d time.Duration) { <-sim.clock.After(d) }
 
-func (w *simulation) since() string {
-	return fmt.Sprintf("%.1fs", w.clock.Now().Sub(w.start).Seconds())
+func (sim *simulation) elapsed() string {
+	return fmt.Sprintf("%.1fs", sim.clock.Now().Sub(sim.start).Seconds())
 }
 
-func (w *simulation) form() bool {
+func (sim *simulation) submitFirstSheet() bool {
 	for range 30 {
-		a := w.fleet.First(w.random.IntN(w.n))
-		if a.Status == http.StatusOK && a.InForce {
-			w.base = a.SheetVersion
-			w.acked = append(w.acked, ack{0, w.clock.Now()})
-			w.back = map[int]time.Time{}
+		response := sim.fleet.SubmitFirstSheet(sim.random.IntN(sim.nodeCount))
+		if response.Status == http.StatusOK && response.InForce {
+			sim.base = response.SheetVersion
+			sim.acknowledged = append(sim.acknowledged, acknowledgement{0, sim.clock.Now()})
+			sim.restartAt = map[int]time.Time{}
 			return true
 		}
-		w.pause(time.Second)
+		sim.pause(time.Second)
 	}
 	return false
 }
 
-// step takes a tenth of a second: an order ends or begins, a fault may come or
-// heal, and one node is asked with the newest keys.
-func (w *simulation) step() {
-	w.pause(100 * time.Millisecond)
-	w.order()
-	w.fault()
-	w.probe()
+// step advances the simulation by 100 ms: it processes or submits orders, injects or
+// heals faults, and probes one node.
+func (sim *simulation) step() {
+	sim.pause(100 * time.Millisecond)
+	sim.processOrders()
+	sim.injectFaults()
+	sim.probe()
 }
 
-func (w *simulation) order() {
-	if w.race == nil {
-		if w.random.IntN(6) == 0 {
-			w.begin()
+func (sim *simulation) processOrders() {
+	if sim.pendingOrders == nil {
+		if sim.random.IntN(6) == 0 {
+			sim.submitOrders()
 		}
 		return
 	}
 	open, winners := 0, 0
-	for _, s := range w.race {
-		if s.outcome == 0 {
-			w.answered(s)
+	for _, order := range sim.pendingOrders {
+		if order.finalStatus == 0 {
+			sim.handleResponse(order)
 		}
-		switch s.outcome {
+		switch order.finalStatus {
 		case 0:
 			open++
 		case http.StatusOK:
@@ -140,164 +142,165 @@
 		}
 	}
 	if winners > 1 {
-		w.violate("%d operators were told that they won on base %d", winners, w.base)
+		sim.recordViolation("%d racing orders were acknowledged on base %d", winners, sim.base)
 	}
 	if open > 0 {
 		return
 	}
 	if winners == 0 {
-		w.violate("no order won on base %d", w.base)
+		sim.recordViolation("no order was acknowledged on base %d", sim.base)
 	}
-	w.race = nil
-	w.base = w.next
+	sim.pendingOrders = nil
+	sim.base = sim.nextBase
 }
 
-// begin sends an order, or two that race on one base.
-func (w *simulation) begin() {
+// submitOrders sends one order, or two that race on the same base.
+func (sim *simulation) submitOrders() {
 	n := 1
-	if w.random.IntN(5) == 0 {
+	if sim.random.IntN(5) == 0 {
 		n = 2
 	}
 	for range n {
-		w.key++
-		s := &sending{key: w.key}
-		w.race = append(w.race, s)
-		w.send(s)
+		sim.newestKey++
+		order := &keyOrder{key: sim.newestKey}
+		sim.pendingOrders = append(sim.pendingOrders, order)
+		sim.send(order)
 	}
 }
 
-// answered handles the answer to an order, if there is one. An order that neither
-// won nor lost is sent again.
-func (w *simulation) answered(s *sending) {
+// handleResponse processes the response to an order, if it has arrived. An order that
+// was neither acknowledged nor rejected for its base is sent again.
+func (sim *simulation) handleResponse(order *keyOrder) {
 	select {
-	case a := <-s.answers:
+	case response := <-order.responses:
 		switch {
-		case a.Status == http.StatusOK && a.InForce:
-			s.outcome = a.Status
-			w.report.Acknowledged++
-			w.next = a.SheetVersion
-			w.acked = append(w.acked, ack{s.key, w.clock.Now()})
-		case a.Status == http.StatusConflict && a.Code == apierror.BaseConflict:
-			s.outcome = a.Status
-			w.lost[s.key] = true
+		case response.Status == http.StatusOK && response.InForce:
+			order.finalStatus = response.Status
+			sim.report.Acknowledged++
+			sim.nextBase = response.SheetVersion
+			sim.acknowledged = append(sim.acknowledged, acknowledgement{order.key, sim.clock.Now()})
+		case response.Status == http.StatusConflict && response.Code == apierror.BaseConflict:
+			order.finalStatus = response.Status
+			sim.rejectedKeys[order.key] = true
 		default:
-			w.report.Pending++
-			w.send(s)
+			sim.report.Resent++
+			sim.send(order)
 		}
 	default:
 	}
 }
 
-// send sends an order, or sends it again, through a running node.
-func (w *simulation) send(s *sending) {
-	i := w.random.IntN(w.n)
-	for range w.n {
-		if w.fleet.Running(i) {
+// send sends an order, or retries it, through a random running node.
+func (sim *simulation) send(order *keyOrder) {
+	i := sim.random.IntN(sim.nodeCount)
+	for range sim.nodeCount {
+		if sim.fleet.Running(i) {
 			break
 		}
-		i = (i + 1) % w.n
+		i = (i + 1) % sim.nodeCount
 	}
-	answers, base := make(chan Answer, 1), w.base
-	s.answers = answers
+	responses, base := make(chan Response, 1), sim.base
+	order.responses = responses
 	go func() {
-		a := w.fleet.Change(i, s.key, base)
-		if a.Status != http.StatusOK {
-			<-w.clock.After(300 * time.Millisecond)
+		response := sim.fleet.ReplaceKey(i, order.key, base)
+		if response.Status != http.StatusOK {
+			<-sim.clock.After(300 * time.Millisecond)
 		}
-		answers <- a
+		responses <- response
 	}()
 }
 
-func (w *simulation) violate(format string, args ...any) {
-	w.report.Violations = append(w.report.Violations, w.since()+" "+fmt.Sprintf(format, args...))
+func (sim *simulation) recordViolation(format string, args ...any) {
+	sim.report.Violations = append(sim.report.Violations, sim.elapsed()+" "+fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) note(format string, args ...any) {
-	w.report.Faults = append(w.report.Faults, w.since()+" "+fmt.Sprintf(format, args...))
+func (sim *simulation) recordFault(format string, args ...any) {
+	sim.report.Faults = append(sim.report.Faults, sim.elapsed()+" "+fmt.Sprintf(format, args...))
 }
 
-// ruleDelay is the time after an acknowledgement from which no node may accept an
-// older key.
-const ruleDelay = 2500 * time.Millisecond
+// enforcementDelay is the time after an acknowledgement from which no node may accept
+// an older key.
+const enforcementDelay = 2500 * time.Millisecond
 
-// probe sends one node the newest key and, 2.5 s after a newer one was
-// acknowledged, an older one, which it must refuse.
-func (w *simulation) probe() {
-	i := w.random.IntN(w.n)
-	if !w.fleet.Running(i) {
+// probe sends requests to one node with the newest key, with a key that was superseded
+// more than enforcementDelay ago, and with the other key of a race.
+func (sim *simulation) probe() {
+	i := sim.random.IntN(sim.nodeCount)
+	if !sim.fleet.Running(i) {
 		return
 	}
 	newest, older := -1, -1
-	for _, a := range w.acked {
-		if w.clock.Now().Sub(a.at) > ruleDelay {
+	for _, a := range sim.acknowledged {
+		if sim.clock.Now().Sub(a.time) > enforcementDelay {
 			newest, older = a.key, newest
 		}
 	}
-	keys := []int{w.key, older}
-	if len(w.race) == 2 || w.lost[w.key] {
-		keys = append(keys, w.key-1)
+	keys := []int{sim.newestKey, older}
+	if len(sim.pendingOrders) == 2 || sim.rejectedKeys[sim.newestKey] {
+		keys = append(keys, sim.newestKey-1)
 	}
 	for _, k := range keys {
 		if k >= 0 {
-			w.probeKey(i, k, newest)
+			sim.probeKey(i, k, newest)
 		}
 	}
 }
 
-// probeKey sends node i a key and checks what it accepts. newest is the newest key
-// that no node may be behind of.
-func (w *simulation) probeKey(i, k, newest int) {
-	w.report.Asked++
-	if w.fleet.Ask(i, k).Status != http.StatusOK {
+// probeKey sends a request with key k to node i and checks whether the node may accept
+// it. newest is the newest key that every node must already apply.
+func (sim *simulation) probeKey(i, k, newest int) {
+	sim.report.Probed++
+	if sim.fleet.Call(i, k).Status != http.StatusOK {
 		return
 	}
-	w.report.Taken++
-	if w.lost[k] {
-		w.violate("node %d took key %d of an order that lost", i, k)
+	sim.report.Accepted++
+	if sim.rejectedKeys[k] {
+		sim.recordViolation("node %d accepted key %d of a rejected order", i, k)
 	}
 	if k < newest {
-		w.violate("node %d took key %d although %d was acknowledged 2.5 s before", i, k, newest)
+		sim.recordViolation("node %d accepted key %d although key %d was acknowledged more than 2.5 s earlier", i, k, newest)
 	}
-	if k < w.took[i] {
-		w.violate("node %d stepped back from key %d to %d", i, w.took[i], k)
+	if k < sim.newestAccepted[i] {
+		sim.recordViolation("node %d went from key %d back to the older key %d", i, sim.newestAccepted[i], k)
 	}
-	w.took[i] = max(w.took[i], k)
+	sim.newestAccepted[i] = max(sim.newestAccepted[i], k)
 }
 
-// finish ends all faults, and reads back what was acknowledged last.
-func (w *simulation) finish() {
-	if w.split != nil {
-		w.fleet.Split(w.split, false)
+// finish heals all faults, waits for the pending orders, and checks that the last
+// acknowledged key is read back.
+func (sim *simulation) finish() {
+	if sim.partitionedSide != nil {
+		sim.fleet.SetPartitioned(sim.partitionedSide, false)
 	}
 	for range 40 {
-		w.pause(500 * time.Millisecond)
-		w.leave(w.clock.Now())
-		w.restartAll()
-		if w.race != nil {
-			w.order()
+		sim.pause(500 * time.Millisecond)
+		sim.handleExits(sim.clock.Now())
+		sim.restartAll()
+		if sim.pendingOrders != nil {
+			sim.processOrders()
 			continue
 		}
-		last := w.acked[len(w.acked)-1].key
-		a := w.fleet.Read(w.random.IntN(w.n))
-		if a.Status != http.StatusOK {
+		last := sim.acknowledged[len(sim.acknowledged)-1].key
+		response := sim.fleet.ReadSheet(sim.random.IntN(sim.nodeCount))
+		if response.Status != http.StatusOK {
 			continue
 		}
-		if !a.Holds(last) {
-			w.violate("read back epoch %d without the acknowledged key %d", a.Version, last)
+		if !response.HasKey(last) {
+			sim.recordViolation("the sheet read back at version %d lacks the acknowledged key %d", response.Version, last)
 		}
 		return
 	}
-	w.report.Violations = append(w.report.Violations, fmt.Sprintf("20 s after the last fault: order under way %v, nothing can be read back", w.race != nil))
+	sim.report.Violations = append(sim.report.Violations, fmt.Sprintf("20 s after the last fault: orders pending: %v, no sheet could be read back", sim.pendingOrders != nil))
 }
 
-// restartAll restarts the nodes that are down.
-func (w *simulation) restartAll() {
-	for i := range w.back {
-		if w.fleet.Running(i) {
+// restartAll restarts the nodes that are not running.
+func (sim *simulation) restartAll() {
+	for i := range sim.restartAt {
+		if sim.fleet.Running(i) {
 			continue
 		}
-		if err := w.fleet.Up(i); err != nil {
-			w.violate("node %d doesn't start: %v", i, err)
+		if err := sim.fleet.StartNode(i); err != nil {
+			sim.recordViolation("node %d failed to start: %v", i, err)
 		}
 	}
 }
