--- a/sim/memnet/memnet.go
+++ b/sim/memnet/memnet.go
@@ -1,7 +1,7 @@
-// Package memnet is an in-memory network for complete nodes in virtual time. A link
-// is a directed pair of hosts. A partitioned link drops what is sent; a host that is
-// down refuses connections. One goroutine owns the state; connections read the
-// partitions through atomic flags.
+// Package memnet is an in-memory network for simulations of complete nodes in virtual
+// time. A link is a directed pair of hosts. A partitioned link drops all data; an
+// address without a listener refuses connections. One goroutine owns the state;
+// connections read the partitions through atomic flags.
 package memnet
 
 import (
@@ -19,23 +19,23 @@
 
 const dialTimeout = 2 * time.Second
 
-// Network connects hosts named by their IP numbers.
+// Network connects hosts that are identified by their IP addresses.
 type Network struct {
 	calls chan func(*state)
 	ended <-chan struct{}
 }
 
 type state struct {
-	listeners map[string]*listener
-	cut       map[[2]string]*atomic.Bool // by link
-	conns     map[*conn]struct{}
+	listeners   map[string]*listener
+	partitioned map[[2]string]*atomic.Bool // by link
+	conns       map[*conn]struct{}
 }
 
-// New returns a network; it lives until the context ends.
+// New returns a network that works until the context ends.
 func New(ctx context.Context) *Network {
 	n := &Network{calls: make(chan func(*state)), ended: ctx.Done()}
 	go func() {
-		s := &state{listeners: map[string]*listener{}, cut: map[[2]string]*atomic.Bool{}, conns: map[*conn]struct{}{}}
+		s := &state{listeners: map[string]*listener{}, partitioned: map[[2]string]*atomic.Bool{}, conns: map[*conn]struct{}{}}
 		for {
 			select {
 			case <-ctx.Done():
@@ -48,7 +48,8 @@
 	return n
 }
 
-// do runs a call on the state and waits for it; it does nothing once the network ended.
+// do runs a call on the state and waits until it returns. It does nothing once the
+// network has ended.
 func (n *Network) do(call func(*state)) {
 	done := make(chan struct{})
 	select {
@@ -58,30 +59,31 @@
 	}
 }
 
-// flag returns whether a link is partitioned.
-func (s *state) flag(from, to string) *atomic.Bool {
+// partitionFlag returns the flag that is set while a link is partitioned.
+func (s *state) partitionFlag(from, to string) *atomic.Bool {
 	key := [2]string{from, to}
-	f, ok := s.cut[key]
+	f, ok := s.partitioned[key]
 	if !ok {
 		f = &atomic.Bool{}
-		s.cut[key] = f
+		s.partitioned[key] = f
 	}
 	return f
 }
 
 // Cut partitions two hosts in both directions, or heals the partition. Connections
-// that existed during a partition stay silent.
-func (n *Network) Cut(a, b string, cut bool) {
+// that existed when the partition began drop all data from then on, also after it
+// has healed.
+func (n *Network) Cut(a, b string, partitioned bool) {
 	n.do(func(s *state) {
-		s.flag(a, b).Store(cut)
-		s.flag(b, a).Store(cut)
-		if !cut {
+		s.partitionFlag(a, b).Store(partitioned)
+		s.partitionFlag(b, a).Store(partitioned)
+		if !partitioned {
 			return
 		}
 		for c := range s.conns {
 			if (c.from == a && c.to == b) || (c.from == b && c.to == a) {
-				c.dead.Store(true)
-				c.other.dead.Store(true)
+				c.blackholed.Store(true)
+				c.peer.blackholed.Store(true)
 			}
 		}
 	})
@@ -93,7 +95,7 @@
 	n.do(func(s *state) {
 		for address, l := range s.listeners {
 			if hostOf(address) == host {
-				l.shut()
+				l.shutDown()
 				delete(s.listeners, address)
 			}
 		}
@@ -110,7 +112,7 @@
 func (n *Network) Close() {
 	n.do(func(s *state) {
 		for address, l := range s.listeners {
-			l.shut()
+			l.shutDown()
 			delete(s.listeners, address)
 		}
 		for c := range s.conns {
@@ -120,37 +122,38 @@
 	})
 }
 
-// Listen opens a listener at an address, ip:port.
+// Listen opens a listener at an address in the form ip:port. It returns an error if
+// the address is in use.
 func (n *Network) Listen(address string) (net.Listener, error) {
-	l := &listener{network: n, address: address, accepted: make(chan net.Conn, 128), closed: make(chan struct{})}
-	var taken bool
+	l := &listener{network: n, address: address, backlog: make(chan net.Conn, 128), closed: make(chan struct{})}
+	var inUse bool
 	n.do(func(s *state) {
-		if _, taken = s.listeners[address]; !taken {
+		if _, inUse = s.listeners[address]; !inUse {
 			s.listeners[address] = l
 		}
 	})
-	if taken {
-		return nil, errors.Errorf("address %s is taken", address)
+	if inUse {
+		return nil, errors.Errorf("listen on %s: address already in use", address)
 	}
 	return l, nil
 }
 
-// Dialer returns a dial function for a host's connections.
+// Dialer returns a dial function whose connections originate from a host.
 func (n *Network) Dialer(host string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		d := &dial{network: n, from: host, to: hostOf(address), address: address, ended: true}
+		d := &dialAttempt{network: n, from: host, to: hostOf(address), address: address, networkEnded: true}
 		n.do(d.connect)
 		switch {
-		case d.ended:
+		case d.networkEnded:
 			return nil, &net.OpError{Op: "dial", Net: network, Err: net.ErrClosed}
 		case d.partitioned:
-			return nil, n.unanswered(ctx, network)
+			return nil, n.awaitDialTimeout(ctx, network)
 		case d.listener == nil:
 			return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 		}
 		select {
-		case d.listener.accepted <- d.far:
-			return d.near, nil
+		case d.listener.backlog <- d.serverEnd:
+			return d.clientEnd, nil
 		case <-d.listener.closed:
 			return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 		case <-ctx.Done():
@@ -159,63 +162,64 @@
 	}
 }
 
-// dial is one attempt to connect, and what the network's state made of it.
-type dial struct {
-	network           *Network
-	from, to, address string
-	ended             bool // the network has ended
-	partitioned       bool
-	listener          *listener // nil if nobody listens
-	near, far         *conn
+// dialAttempt is one attempt to connect, and its result.
+type dialAttempt struct {
+	network              *Network
+	from, to, address    string
+	networkEnded         bool
+	partitioned          bool
+	listener             *listener // nil if the address has no listener
+	clientEnd, serverEnd *conn
 }
 
-// connect creates both ends of the connection, if the address can be reached.
-func (d *dial) connect(s *state) {
-	d.ended = false
-	d.partitioned = s.flag(d.from, d.to).Load()
+// connect creates both ends of the connection if the address is reachable.
+func (d *dialAttempt) connect(s *state) {
+	d.networkEnded = false
+	d.partitioned = s.partitionFlag(d.from, d.to).Load()
 	d.listener = s.listeners[d.address]
 	if d.listener == nil || d.partitioned {
 		return
 	}
 	near, far := net.Pipe()
 	local := d.from + ":0"
-	d.near = &conn{Conn: near, network: d.network, from: d.from, to: d.to, local: local, remote: d.address}
-	d.far = &conn{Conn: far, network: d.network, from: d.to, to: d.from, local: d.address, remote: local}
-	d.near.other, d.far.other = d.far, d.near
-	s.conns[d.near], s.conns[d.far] = struct{}{}, struct{}{}
+	d.clientEnd = &conn{Conn: near, network: d.network, from: d.from, to: d.to, local: local, remote: d.address}
+	d.serverEnd = &conn{Conn: far, network: d.network, from: d.to, to: d.from, local: d.address, remote: local}
+	d.clientEnd.peer, d.serverEnd.peer = d.serverEnd, d.clientEnd
+	s.conns[d.clientEnd], s.conns[d.serverEnd] = struct{}{}, struct{}{}
 }
 
-// unanswered waits until a dial to an unreachable host times out.
-func (n *Network) unanswered(ctx context.Context, network string) error {
-	wait, stop := clock.NewTimer(dialTimeout)
+// awaitDialTimeout waits for the dial timeout, or until the context or the network
+// ends, and returns a deadline error.
+func (n *Network) awaitDialTimeout(ctx context.Context, network string) error {
+	timeout, stop := clock.NewTimer(dialTimeout)
 	defer stop()
 	select {
 	case <-ctx.Done():
-	case <-wait:
+	case <-timeout:
 	case <-n.ended:
 	}
 	return &net.OpError{Op: "dial", Net: network, Err: os.ErrDeadlineExceeded}
 }
 
 type listener struct {
-	network  *Network
-	address  string
-	accepted chan net.Conn
-	closed   chan struct{}
-	shutOnce atomic.Bool
+	network      *Network
+	address      string
+	backlog      chan net.Conn
+	closed       chan struct{}
+	shutDownOnce atomic.Bool
 }
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accepted:
+	case c := <-l.backlog:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *listener) shut() {
-	if l.shutOnce.CompareAndSwap(false, true) {
+func (l *listener) shutDown() {
+	if l.shutDownOnce.CompareAndSwap(false, true) {
 		close(l.closed)
 	}
 }
@@ -226,25 +230,25 @@
 			delete(s.listeners, l.address)
 		}
 	})
-	l.shut()
+	l.shutDown()
 	return nil
 }
 
 func (l *listener) Addr() net.Addr { return address(l.address) }
 
-// conn is one end of a connection. It drops what is written once its link has been
-// partitioned.
+// conn is one end of a connection. Once its link has been partitioned, it drops all
+// data written to it.
 type conn struct {
 	net.Conn
 	network       *Network
 	from, to      string
 	local, remote string
-	other         *conn
-	dead          atomic.Bool // its link has been partitioned
+	peer          *conn
+	blackholed    atomic.Bool // its link has been partitioned
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if c.dead.Load() {
+	if c.blackholed.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -252,7 +256,7 @@
 
 func (c *conn) Close() error {
 	c.network.do(func(s *state) { delete(s.conns, c) })
-	if c.dead.Load() {
+	if c.blackholed.Load() {
 		_ = c.Conn.SetDeadline(time.UnixMilli(1))
 		return nil
 	}
