--- a/sim/balance/balance_test.go
+++ b/sim/balance/balance_test.go
@@ -8,69 +8,69 @@
 	"stepwick/internal/decision/balance"
 )
 
-// mean plays a site under some seeds and returns the means of what a policy came
-// to.
-func mean(site Site, off balance.Disabled, seeds int) Result {
+// meanResult simulates a site under the given number of seeds. It returns the means of
+// Worth and SharedTokensReadAgain and the sums of the counts.
+func meanResult(site Site, disabled balance.Disabled, seeds int) Result {
 	var sum Result
 	for seed := range uint64(seeds) {
-		r := Play(site, Policy{Disabled: off}, seed+1)
+		r := Simulate(site, Policy{Disabled: disabled}, seed+1)
 		sum.Worth += r.Worth / float64(seeds)
-		sum.ReadAgain += r.ReadAgain / float64(seeds)
-		sum.Excluded += r.Excluded
+		sum.SharedTokensReadAgain += r.SharedTokensReadAgain / float64(seeds)
+		sum.Exclusions += r.Exclusions
 		if sum.Kinds == nil {
 			sum.Kinds = make([]KindResult, len(r.Kinds))
 		}
 		for i, kind := range r.Kinds {
 			sum.Kinds[i].Name = kind.Name
-			sum.Kinds[i].Asked += kind.Asked
+			sum.Kinds[i].Requests += kind.Requests
 			sum.Kinds[i].Late += kind.Late
 		}
 	}
 	return sum
 }
 
-func late(r Result, kind string) float64 {
+func lateShare(r Result, kind string) float64 {
 	for _, k := range r.Kinds {
 		if k.Name == kind {
-			return float64(k.Late) / float64(k.Asked)
+			return float64(k.Late) / float64(k.Requests)
 		}
 	}
 	return 1
 }
 
-func site(name string) Site {
+func loadSite(name string) Site {
 	s, err := Load(name)
 	So(err, ShouldBeNil)
 	return s
 }
 
 func TestPolicies(t *testing.T) {
-	Convey("A run repeats by its seed", t, func() {
-		short := site("three-regions")
+	Convey("The same seed gives the same result", t, func() {
+		short := loadSite("three-regions")
 		short.Seconds = 4
-		So(Play(short, Policy{}, 7), ShouldResemble, Play(short, Policy{}, 7))
+		So(Simulate(short, Policy{}, 7), ShouldResemble, Simulate(short, Policy{}, 7))
 	})
-	Convey("Long answers to short prompts that are isolated pause less often, and nothing else suffers much", t, func() {
+	Convey("Isolation of decode-heavy routes makes fewer of their requests late, and increases the total worth", t, func() {
 		for name, kind := range map[string]string{"three-regions": "hint", "two-regions": "reply"} {
-			with, without := mean(site(name), nil, 2), mean(site(name), balance.Disabled{balance.Isolation: true}, 2)
-			So(late(with, kind), ShouldBeLessThan, 0.6*late(without, kind))
+			with, without := meanResult(loadSite(name), nil, 2), meanResult(loadSite(name), balance.Disabled{balance.Isolation: true}, 2)
+			So(lateShare(with, kind), ShouldBeLessThan, 0.6*lateShare(without, kind))
 			So(with.Worth, ShouldBeGreaterThan, without.Worth+0.003)
 		}
 	})
-	Convey("A crowd of a decode-heavy route is not left at the servers that are set aside", t, func() {
-		crowd := site("two-regions")
-		crowd.Burst = Burst{Kind: "reply", At: 14, For: 8, Times: 8}
-		So(Play(crowd, Policy{}, 1).Worth, ShouldBeGreaterThan, 0.9)
+	Convey("A burst on a decode-heavy route is not confined to the isolated servers", t, func() {
+		burst := loadSite("two-regions")
+		burst.Burst = Burst{Kind: "reply", At: 14, For: 8, Times: 8}
+		So(Simulate(burst, Policy{}, 1).Worth, ShouldBeGreaterThan, 0.9)
 	})
-	Convey("Requests that share a prompt and meet at one server read a fraction of what they read elsewhere", t, func() {
-		with, without := mean(site("three-regions"), nil, 1), mean(site("three-regions"), balance.Disabled{balance.Affinity: true}, 1)
-		So(with.ReadAgain, ShouldBeLessThan, 0.3*without.ReadAgain)
+	Convey("Prefix affinity reduces the tokens that are read again to less than 30%", t, func() {
+		with, without := meanResult(loadSite("three-regions"), nil, 1), meanResult(loadSite("three-regions"), balance.Disabled{balance.Affinity: true}, 1)
+		So(with.SharedTokensReadAgain, ShouldBeLessThan, 0.3*without.SharedTokensReadAgain)
 	})
-	Convey("Servers that are probed before the fleet is told are seldom out on a calm day", t, func() {
-		with, without := mean(site("three-regions"), nil, 1), mean(site("three-regions"), balance.Disabled{balance.ProbeBeforeReport: true}, 1)
-		So(with.Excluded, ShouldBeLessThan, without.Excluded/4)
+	Convey("Probing before a report reduces the exclusions of healthy servers to less than a quarter", t, func() {
+		with, without := meanResult(loadSite("three-regions"), nil, 1), meanResult(loadSite("three-regions"), balance.Disabled{balance.ProbeBeforeReport: true}, 1)
+		So(with.Exclusions, ShouldBeLessThan, without.Exclusions/4)
 	})
-	Convey("A site that does not come with the program is refused", t, func() {
+	Convey("Loading an unknown site returns an error", t, func() {
 		_, err := Load("nowhere")
 		So(err, ShouldNotBeNil)
 	})
--- a/sim/balance/engine.go
+++ b/sim/balance/engine.go
@@ -2,164 +2,166 @@
 
 import "container/list"
 
-// job is one request at one server.
+// job is one request at a server.
 type job struct {
-	number      uint64
-	chain       []promptPart
-	own         float64
-	left        float64 // tokens still to be read
-	context     float64 // tokens of the prompt that are in the cache
-	out         float64 // tokens still to be written
-	unsent      int     // tokens of an event that is not full yet
-	lastEventAt float64
-	pause       float64 // the longest between two events
-	began       func()
-	ended       func()
-	found       bool // the cached prefix was looked up
+	number         uint64
+	chain          []promptPart
+	unsharedTokens float64
+	tokensToRead   float64 // prompt tokens still to be read
+	contextTokens  float64 // prompt tokens already in the cache
+	outputTokens   float64 // tokens still to be generated
+	bufferedTokens int     // tokens of the event that is not yet sent
+	lastEventAt    float64
+	maxEventGap    float64 // longest time between two events, in ms
+	onFirstToken   func()
+	onEnd          func()
+	prefixLookedUp bool // the cached prefix was looked up
 }
 
-// promptPart is one shared part of a prompt.
+// promptPart is a part of a prompt that requests share.
 type promptPart struct {
 	id     uint64
 	tokens float64
 }
 
-// engine is one server.
+// engine emulates a model server; see Engine.
 type engine struct {
-	sim     *run
-	config  Engine
-	name    string
-	reading []*job // in the order of their coming
-	writing []*job
-	waiting []*job // beyond the slots
-	busy    bool
-	cached  map[uint64]*list.Element
-	recent  *list.List // the most recently used first
-	used    float64
+	sim          *run
+	config       Engine
+	name         string
+	prefilling   []*job // in order of arrival
+	decoding     []*job
+	queued       []*job // waiting for a slot
+	busy         bool
+	cached       map[uint64]*list.Element
+	lru          *list.List // of promptPart, most recently used first
+	cachedTokens float64
 }
 
 func newEngine(sim *run, config Engine, name string) *engine {
-	return &engine{sim: sim, config: config, name: name, cached: map[uint64]*list.Element{}, recent: list.New()}
+	return &engine{sim: sim, config: config, name: name, cached: map[uint64]*list.Element{}, lru: list.New()}
 }
 
-// arrive takes a request; it is looked at after a while.
-func (e *engine) arrive(j *job) {
-	e.sim.after(e.config.First, func() {
-		e.waiting = append(e.waiting, j)
-		e.work()
+// enqueue accepts a request, which is queued after the fixed delay Engine.QueueDelay.
+func (e *engine) enqueue(j *job) {
+	e.sim.schedule(e.config.QueueDelay, func() {
+		e.queued = append(e.queued, j)
+		e.startStep()
 	})
 }
 
-// work begins a step unless one is under way or there is nothing to do.
-func (e *engine) work() {
-	for len(e.waiting) > 0 && len(e.reading)+len(e.writing) < e.config.Slots {
-		e.reading = append(e.reading, e.waiting[0])
-		e.waiting = e.waiting[1:]
+// startStep assigns free slots to queued requests, and starts a step unless one is
+// running or there is no request.
+func (e *engine) startStep() {
+	for len(e.queued) > 0 && len(e.prefilling)+len(e.decoding) < e.config.Slots {
+		e.prefilling = append(e.prefilling, e.queued[0])
+		e.queued = e.queued[1:]
 	}
-	if e.busy || len(e.reading)+len(e.writing) == 0 {
+	if e.busy || len(e.prefilling)+len(e.decoding) == 0 {
 		return
 	}
 	e.busy = true
-	took := e.config.Step + e.config.StepPerSlot*float64(len(e.writing)) + e.read()
-	e.sim.after(took, e.stepped)
+	duration := e.config.Step + e.config.StepPerSlot*float64(len(e.decoding)) + e.prefillChunk()
+	e.sim.schedule(duration, e.finishStep)
 }
 
-// read takes up to a chunk of the waiting prompts and returns how long that
-// takes.
-func (e *engine) read() (took float64) {
-	room := e.config.Chunk
-	for _, j := range e.reading {
-		if room <= 0 {
+// prefillChunk reads up to a chunk of tokens of the prompts and returns the duration
+// in milliseconds.
+func (e *engine) prefillChunk() (duration float64) {
+	remaining := e.config.Chunk
+	for _, j := range e.prefilling {
+		if remaining <= 0 {
 			break
 		}
-		if !j.found {
-			e.lookUp(j)
+		if !j.prefixLookedUp {
+			e.lookUpPrefix(j)
 		}
-		tokens := min(room, j.left)
-		took += tokens/e.config.ReadPerMS + tokens*(j.context+tokens/2)*e.config.PairsPerM/1e6
-		j.left -= tokens
-		j.context += tokens
-		room -= tokens
+		tokens := min(remaining, j.tokensToRead)
+		duration += tokens/e.config.ReadPerMS + tokens*(j.contextTokens+tokens/2)*e.config.PairsPerM/1e6
+		j.tokensToRead -= tokens
+		j.contextTokens += tokens
+		remaining -= tokens
 	}
-	return took
+	return duration
 }
 
-// stepped ends a step: prompts that are read begin to be answered, and every
-// answer gets a token.
-func (e *engine) stepped() {
+// finishStep ends a step: every response gets a token, and requests whose prompt is
+// completely read start to generate.
+func (e *engine) finishStep() {
 	e.busy = false
-	kept := e.writing[:0]
-	for _, j := range e.writing {
-		j.out--
-		j.write(e.sim.now, e.config.Stride)
-		if j.out > 0 {
-			kept = append(kept, j)
+	stillDecoding := e.decoding[:0]
+	for _, j := range e.decoding {
+		j.outputTokens--
+		j.addToken(e.sim.now, e.config.Stride)
+		if j.outputTokens > 0 {
+			stillDecoding = append(stillDecoding, j)
 			continue
 		}
-		j.ended()
+		j.onEnd()
 	}
-	e.writing = kept
-	still := e.reading[:0]
-	for _, j := range e.reading {
-		if !j.found || j.left > 0 {
-			still = append(still, j)
+	e.decoding = stillDecoding
+	stillPrefilling := e.prefilling[:0]
+	for _, j := range e.prefilling {
+		if !j.prefixLookedUp || j.tokensToRead > 0 {
+			stillPrefilling = append(stillPrefilling, j)
 			continue
 		}
 		j.lastEventAt = e.sim.now
-		j.began()
-		e.writing = append(e.writing, j)
+		j.onFirstToken()
+		e.decoding = append(e.decoding, j)
 	}
-	e.reading = still
-	e.work()
+	e.prefilling = stillPrefilling
+	e.startStep()
 }
 
-// write adds a token to the event in hand, which leaves when it is full or the
-// last.
-func (j *job) write(now float64, stride int) {
-	j.unsent++
-	if j.unsent < stride && j.out > 0 {
+// addToken adds a token to the current event, which is sent when it has stride tokens
+// or the response ends.
+func (j *job) addToken(now float64, stride int) {
+	j.bufferedTokens++
+	if j.bufferedTokens < stride && j.outputTokens > 0 {
 		return
 	}
-	j.pause = max(j.pause, now-j.lastEventAt)
-	j.unsent, j.lastEventAt = 0, now
+	j.maxEventGap = max(j.maxEventGap, now-j.lastEventAt)
+	j.bufferedTokens, j.lastEventAt = 0, now
 }
 
-// lookUp finds the cached prefix of a prompt, and caches the rest.
-func (e *engine) lookUp(j *job) {
-	j.found, j.left = true, j.own
-	held := true
+// lookUpPrefix counts the cached prefix of a prompt as read, and caches all its parts
+// and the response.
+func (e *engine) lookUpPrefix(j *job) {
+	j.prefixLookedUp, j.tokensToRead = true, j.unsharedTokens
+	prefixCached := true
 	for _, p := range j.chain {
-		held = held && e.holds(p.id)
-		if held {
-			j.context += p.tokens
-			e.sim.used(p)
+		prefixCached = prefixCached && e.isCached(p.id)
+		if prefixCached {
+			j.contextTokens += p.tokens
+			e.sim.recordCacheHit(p)
 		} else {
-			j.left += p.tokens
-			e.sim.readAnew(p)
+			j.tokensToRead += p.tokens
+			e.sim.recordPrefill(p)
 		}
-		e.keep(p)
+		e.cachePart(p)
 	}
-	e.keep(promptPart{id: j.number, tokens: j.own + j.out})
+	e.cachePart(promptPart{id: j.number, tokens: j.unsharedTokens + j.outputTokens})
 }
 
-func (e *engine) holds(id uint64) bool {
-	at := e.cached[id]
-	return at != nil
+func (e *engine) isCached(id uint64) bool {
+	element := e.cached[id]
+	return element != nil
 }
 
-// keep makes a part the most recently used one, and evicts the least recently used
-// ones where the cache is full.
-func (e *engine) keep(p promptPart) {
-	if at := e.cached[p.id]; at != nil {
-		e.recent.MoveToFront(at)
+// cachePart makes a part the most recently used one, and evicts the least recently
+// used parts while the cache exceeds its capacity.
+func (e *engine) cachePart(p promptPart) {
+	if element := e.cached[p.id]; element != nil {
+		e.lru.MoveToFront(element)
 		return
 	}
-	e.cached[p.id] = e.recent.PushFront(p)
-	e.used += p.tokens
-	for e.used > e.config.Memory && e.recent.Len() > 1 {
-		last := e.recent.Back()
-		evicted := e.recent.Remove(last).(promptPart)
+	e.cached[p.id] = e.lru.PushFront(p)
+	e.cachedTokens += p.tokens
+	for e.cachedTokens > e.config.Memory && e.lru.Len() > 1 {
+		oldest := e.lru.Back()
+		evicted := e.lru.Remove(oldest).(promptPart)
 		delete(e.cached, evicted.id)
-		e.used -= evicted.tokens
+		e.cachedTokens -= evicted.tokens
 	}
 }
--- a/sim/balance/front.go
+++ b/sim/balance/front.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	suspectEvery        = 100.0  // ms
-	recentResponse      = 400.0  // ms; see the gateway's passive_health.go
-	reportDelay         = 80.0   // ms until one front's report is known to all
-	reportFresh         = 3000.0 // ms
+	stallCheckInterval  = 100.0  // ms
+	responseWindow      = 400.0  // ms; as in the gateway's passive_health.go
+	reportDelay         = 80.0   // ms from a report to its effect at all fronts
+	reportFresh         = 3000.0 // ms; older reports are ignored
 	assignInterval      = 5.0    // ms between attempts to assign a queued request
 	queueTimeoutDivisor = 4      // a request is queued for at most 1/queueTimeoutDivisor of its objective
 	probeTimeout        = 400.0  // ms
 )
 
-// front is a node that carries traffic: the product's table, and connections.
+// front is a node that forwards requests: the production balance.Table, and counts of
+// idle connections.
 type front struct {
 	run          *run
 	name         string
@@ -29,125 +30,125 @@
 	suspected    map[string]balance.StallLevel
 }
 
-// report is what a front reported of a server.
+// report is a front's latest report on a server.
 type report struct {
-	reachable bool
-	at        float64
+	reachable  bool
+	reportedAt float64
 }
 
-// request is one client's request.
+// request is one client request. Times are in milliseconds of virtual time.
 type request struct {
-	kind   Kind
-	came   float64
-	chain  []promptPart
-	own    float64
-	out    float64
-	number uint64
+	kind           Kind
+	arrivedAt      float64
+	chain          []promptPart
+	unsharedTokens float64
+	outputTokens   float64
+	number         uint64
 }
 
-func (f *front) order(q *request) *balance.Request {
-	order := &balance.Request{ID: string(rune(q.number)), Service: serviceName, Route: q.kind.Name, MaxEventGap: time.Duration(q.kind.Pause * float64(time.Millisecond)), AllowedRegions: q.kind.Homes, UnsharedTokens: q.own, OutputTokens: q.out,
-		QueueUntil: start.Add(time.Duration((q.came + q.kind.Objective/queueTimeoutDivisor) * float64(time.Millisecond)))}
+func (f *front) balanceRequest(q *request) *balance.Request {
+	balanceRequest := &balance.Request{ID: string(rune(q.number)), Service: serviceName, Route: q.kind.Name, MaxEventGap: time.Duration(q.kind.MaxEventGap * float64(time.Millisecond)), AllowedRegions: q.kind.AllowedRegions, UnsharedTokens: q.unsharedTokens, OutputTokens: q.outputTokens,
+		QueueUntil: start.Add(time.Duration((q.arrivedAt + q.kind.Objective/queueTimeoutDivisor) * float64(time.Millisecond)))}
 	for _, p := range q.chain {
-		order.PrefixDigest = p.id
-		order.SharedTokens += p.tokens
+		balanceRequest.PrefixDigest = p.id
+		balanceRequest.SharedTokens += p.tokens
 	}
-	return order
+	return balanceRequest
 }
 
-// take sends a request to a server, at once or when one has capacity.
-func (f *front) take(q *request) { f.try(q, f.order(q)) }
+// handle sends a request to a server, or queues it until one has capacity.
+func (f *front) handle(q *request) { f.assign(q, f.balanceRequest(q)) }
 
-func (f *front) try(q *request, order *balance.Request) {
+func (f *front) assign(q *request, balanceRequest *balance.Request) {
 	r := f.run
-	choice := f.table.Choose(order, r.clock())
+	choice := f.table.Choose(balanceRequest, r.clock())
 	switch {
 	case choice.Wait:
-		r.after(assignInterval, func() { f.try(q, order) })
+		r.schedule(assignInterval, func() { f.assign(q, balanceRequest) })
 		return
 	case choice.Err != nil:
-		r.result.ended(q, outcome{})
+		r.result.record(q, outcome{})
 		return
 	}
-	f.send(q, order, choice.Server)
+	f.send(q, balanceRequest, choice.Server)
 }
 
-func (f *front) send(q *request, order *balance.Request, name string) {
+func (f *front) send(q *request, balanceRequest *balance.Request, name string) {
 	r := f.run
 	s := r.servers[name]
-	attempt := f.table.StartAttempt(name, order, r.clock())
-	way := r.oneWay(f, s)
-	setUp := 0.0
+	attempt := f.table.StartAttempt(name, balanceRequest, r.clock())
+	latency := r.oneWay(f, s)
+	connectDelay := 0.0
 	if f.idle[name] > 0 {
 		f.idle[name]--
 	} else {
 		r.result.Connections++
-		setUp = 2 * way
+		connectDelay = 2 * latency
 	}
 	if f.region != s.region {
-		r.result.Crossed += q.kind.Bytes
+		r.result.CrossRegionBytes += q.kind.Bytes
 	}
-	answer := outcome{}
-	j := &job{own: q.own, out: q.out, chain: q.chain, number: q.number}
-	j.began = func() {
-		r.after(way, func() {
+	result := outcome{}
+	j := &job{unsharedTokens: q.unsharedTokens, outputTokens: q.outputTokens, chain: q.chain, number: q.number}
+	j.onFirstToken = func() {
+		r.schedule(latency, func() {
 			f.table.ResponseStarted(attempt, r.clock())
-			answer.served = true
-			answer.took = r.now + r.site.ToClient - q.came
+			result.served = true
+			result.timeToFirstToken = r.now + r.site.ToClient - q.arrivedAt
 		})
 	}
-	j.ended = func() {
-		r.after(way, func() {
+	j.onEnd = func() {
+		r.schedule(latency, func() {
 			f.table.FinishAttempt(attempt, balance.OutcomeSucceeded, r.clock())
 			f.idle[name]++
-			answer.pause = j.pause
-			r.result.ended(q, answer)
+			result.maxEventGap = j.maxEventGap
+			r.result.record(q, result)
 		})
 	}
-	r.after(setUp+way, func() { s.engine.arrive(j) })
+	r.schedule(connectDelay+latency, func() { s.engine.enqueue(j) })
 }
 
-// suspect reports servers that are unresponsive to what this front sent them, as
-// the gateway's dispatcher does.
-func (f *front) suspect() {
+// checkStalls periodically reports servers that don't respond to the requests of this
+// front, and those that respond again, as the gateway's dispatcher does.
+func (f *front) checkStalls() {
 	r := f.run
-	r.after(suspectEvery, f.suspect)
+	r.schedule(stallCheckInterval, f.checkStalls)
 	if r.policy.Disabled[balance.UnresponsiveReports] {
 		return
 	}
 	now := r.clock()
-	since := now.Add(-time.Duration(recentResponse * float64(time.Millisecond)))
+	windowStart := now.Add(-time.Duration(responseWindow * float64(time.Millisecond)))
 	stalled := f.table.StalledServers(now)
-	for name, one := range stalled {
+	for name, stall := range stalled {
 		if f.suspected[name] == balance.NotStalled {
-			r.result.Suspicions++
+			r.result.Stalls++
 		}
 		reportLevel := balance.Unresponsive
 		if r.policy.Disabled[balance.ProbeBeforeReport] {
 			reportLevel = balance.Stalled
 		}
-		if one.Level >= reportLevel && f.suspected[name] < reportLevel {
+		if stall.Level >= reportLevel && f.suspected[name] < reportLevel {
 			f.reportServer(name, false)
 		}
-		f.suspected[name] = max(f.suspected[name], one.Level)
+		f.suspected[name] = max(f.suspected[name], stall.Level)
 	}
 	for name := range f.suspected {
 		if _, still := stalled[name]; still {
 			continue
 		}
 		delete(f.suspected, name)
-		if f.table.RespondedSince(name, since) {
+		if f.table.RespondedSince(name, windowStart) {
 			f.reportServer(name, true)
 		}
 	}
 	for name, status := range r.view.Servers {
-		if _, mine := stalled[name]; !status.Reachable && !mine && f.table.RespondedSince(name, since) {
+		if _, stalledHere := stalled[name]; !status.Reachable && !stalledHere && f.table.RespondedSince(name, windowStart) {
 			f.reportServer(name, true)
 		}
 	}
 }
 
-// reportServer reports a server as reachable or not to all fronts.
+// reportServer reports a server as reachable or unreachable to all fronts.
 func (f *front) reportServer(name string, reachable bool) {
 	r := f.run
 	if r.reports[name] == nil {
@@ -156,31 +157,31 @@
 		}
 		r.reports[name] = map[string]report{}
 	}
-	r.reports[name][f.name] = report{reachable: reachable, at: r.now}
-	if r.changed {
+	r.reports[name][f.name] = report{reachable: reachable, reportedAt: r.now}
+	if r.reportsPending {
 		return
 	}
-	r.changed = true
-	r.after(reportDelay, r.applyReports)
+	r.reportsPending = true
+	r.schedule(reportDelay, r.applyReports)
 }
 
-// applyReports applies the newest reports on all servers to every front's view.
+// applyReports updates the reachability of all servers in the view of every front.
 func (r *run) applyReports() {
-	r.changed = false
-	moved := false
+	r.reportsPending = false
+	changed := false
 	servers := make(map[string]*wire.ServerStatus, len(r.view.Servers))
 	for name, status := range r.view.Servers {
 		servers[name] = status
-		if reachable := r.reachable(name); reachable != status.Reachable {
+		if reachable := r.reportedReachable(name); reachable != status.Reachable {
 			next := proto.Clone(status).(*wire.ServerStatus)
 			next.Reachable = reachable
-			servers[name], moved = next, true
+			servers[name], changed = next, true
 			if !reachable {
-				r.result.Excluded++
+				r.result.Exclusions++
 			}
 		}
 	}
-	if !moved {
+	if !changed {
 		return
 	}
 	r.view.Servers = servers
@@ -189,16 +190,16 @@
 	}
 }
 
-func (r *run) reachable(name string) bool {
-	silent, all := 0, 0
-	for _, told := range r.reports[name] {
-		if r.now-told.at > reportFresh {
+func (r *run) reportedReachable(name string) bool {
+	unreachable, fresh := 0, 0
+	for _, received := range r.reports[name] {
+		if r.now-received.reportedAt > reportFresh {
 			continue
 		}
-		all++
-		if !told.reachable {
-			silent++
+		fresh++
+		if !received.reachable {
+			unreachable++
 		}
 	}
-	return 2*silent <= all
+	return 2*unreachable <= fresh
 }
--- a/sim/balance/result.go
+++ b/sim/balance/result.go
@@ -7,83 +7,83 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// windowMS is the length of the windows of which the worst count.
+// windowMS is the length, in milliseconds, of the windows of Result.WorstWindow.
 const windowMS = 2000
 
-// Result is the result of a run.
+// Result contains the figures of a run.
 type Result struct {
-	Worth       float64 // earned of what was owed
-	WorstWindow float64 // of the mean of the two worst windows of two seconds
-	Kinds       []KindResult
-	Read        float64 // tokens of shared parts
-	ReadAgain   float64 // of them that another server had read of late
-	Crossed     float64 // bytes between regions
-	Connections int
-	Suspicions  int // servers found silent
-	Excluded    int // times that a server was out for all fronts
+	Worth                 float64 // share of the attainable worth that was earned
+	WorstWindow           float64 // mean Worth of the two worst windows of 2 s
+	Kinds                 []KindResult
+	SharedTokensRead      float64 // tokens of shared parts that were read
+	SharedTokensReadAgain float64 // those read or used on any server within Site.ReuseWindow before
+	CrossRegionBytes      float64 // bytes transferred between regions
+	Connections           int
+	Stalls                int // times that a front found a server stalled
+	Exclusions            int // times that a server was excluded for all fronts
 
-	asked []answered
+	requests []finishedRequest
 }
 
-// KindResult is the result of one kind of requests. Times are milliseconds to the
-// first token.
+// KindResult contains the figures of one kind of request. P50 and P99 are the time to
+// the first token in milliseconds.
 type KindResult struct {
-	Name     string
-	Asked    int
-	Late     int
-	Paused   int // late by a pause alone
-	P50, P99 float64
-	Large    float64 // worth of the largest tenth
+	Name              string
+	Requests          int
+	Late              int
+	LateByGap         int // late only because of a gap between events
+	P50, P99          float64
+	LargestTenthWorth float64 // Worth of the largest tenth of the requests
 }
 
-type answered struct {
-	kind   string
-	came   float64
-	took   float64
-	owed   float64
-	earned float64
-	size   float64
-	late   bool
-	paused bool
+type finishedRequest struct {
+	kind             string
+	arrivedAt        float64
+	timeToFirstToken float64
+	attainable       float64
+	earned           float64
+	size             float64
+	late             bool
+	paused           bool
 }
 
-// outcome is the end of a request.
+// outcome describes how a request ended.
 type outcome struct {
-	served bool
-	took   float64 // ms to the first token
-	pause  float64 // ms, the longest between two events
+	served           bool
+	timeToFirstToken float64 // ms
+	maxEventGap      float64 // ms, longest time between two events
 }
 
-func (r *Result) ended(q *request, end outcome) {
-	size := q.own + 10*q.out
+func (r *Result) record(q *request, end outcome) {
+	size := q.unsharedTokens + 10*q.outputTokens
 	for _, p := range q.chain {
 		size += p.tokens
 	}
-	one := answered{kind: q.kind.Name, came: q.came, took: end.took, owed: q.kind.Worth, size: size}
+	finished := finishedRequest{kind: q.kind.Name, arrivedAt: q.arrivedAt, timeToFirstToken: end.timeToFirstToken, attainable: q.kind.Worth, size: size}
 	switch {
-	case end.served && one.took <= q.kind.Objective && end.pause <= q.kind.Pause:
-		one.earned = q.kind.Worth
+	case end.served && finished.timeToFirstToken <= q.kind.Objective && end.maxEventGap <= q.kind.MaxEventGap:
+		finished.earned = q.kind.Worth
 	case end.served:
-		one.earned, one.late = q.kind.LateWorth, true
-		one.paused = one.took <= q.kind.Objective
+		finished.earned, finished.late = q.kind.LateWorth, true
+		finished.paused = finished.timeToFirstToken <= q.kind.Objective
 	default:
-		one.late = true
+		finished.late = true
 	}
-	r.asked = append(r.asked, one)
+	r.requests = append(r.requests, finished)
 }
 
-// finished computes the figures.
-func (r Result) finished(site Site) Result {
-	r.weigh(site)
-	earned, owed := 0.0, 0.0
+// summarize computes the figures from the finished requests.
+func (r Result) summarize(site Site) Result {
+	r.weightBySize(site)
+	earned, attainable := 0.0, 0.0
 	windows := map[int][2]float64{}
-	for _, a := range r.asked {
+	for _, a := range r.requests {
 		earned += a.earned
-		owed += a.owed
-		w := windows[int(a.came/windowMS)]
-		windows[int(a.came/windowMS)] = [2]float64{w[0] + a.earned, w[1] + a.owed}
+		attainable += a.attainable
+		w := windows[int(a.arrivedAt/windowMS)]
+		windows[int(a.arrivedAt/windowMS)] = [2]float64{w[0] + a.earned, w[1] + a.attainable}
 	}
-	r.Worth = earned / math.Max(owed, 1)
+	r.Worth = earned / math.Max(attainable, 1)
 	var shares []float64
 	for _, w := range windows {
 		shares = append(shares, w[0]/w[1])
@@ -91,27 +91,27 @@
 	slices.Sort(shares)
 	r.WorstWindow = stat.Mean(shares[:min(2, len(shares))], nil)
 	for _, kind := range site.Kinds {
-		r.Kinds = append(r.Kinds, r.ofKind(kind))
+		r.Kinds = append(r.Kinds, r.summarizeKind(kind))
 	}
-	r.asked = nil
+	r.requests = nil
 	return r
 }
 
-// weigh makes what a request is owed grow with its size, around the mean of its
-// kind.
-func (r *Result) weigh(site Site) {
+// weightBySize weights the worth of each request by its size relative to the mean
+// size of its kind.
+func (r *Result) weightBySize(site Site) {
 	for _, kind := range site.Kinds {
 		total, count := 0.0, 0.0
-		for _, a := range r.asked {
+		for _, a := range r.requests {
 			if a.kind == kind.Name {
 				total += a.size
 				count++
 			}
 		}
-		for i := range r.asked {
-			if a := &r.asked[i]; a.kind == kind.Name {
-				weight := math.Min(sizeFloor+(1-sizeFloor)*a.size*count/total, sizeMost)
-				a.owed *= weight
+		for i := range r.requests {
+			if a := &r.requests[i]; a.kind == kind.Name {
+				weight := math.Min(minSizeWeight+(1-minSizeWeight)*a.size*count/total, maxSizeWeight)
+				a.attainable *= weight
 				a.earned *= weight
 			}
 		}
@@ -119,42 +119,42 @@
 }
 
 const (
-	sizeFloor = 0.3 // of its kind's worth that the smallest request has
-	sizeMost  = 4
+	minSizeWeight = 0.3 // lower bound of the weight, as a share of the kind's worth
+	maxSizeWeight = 4   // upper bound of the weight
 )
 
-func (r *Result) ofKind(kind Kind) KindResult {
+func (r *Result) summarizeKind(kind Kind) KindResult {
 	result := KindResult{Name: kind.Name}
-	var took, sizes []float64
-	for _, a := range r.asked {
+	var firstTokenTimes, sizes []float64
+	for _, a := range r.requests {
 		if a.kind != kind.Name {
 			continue
 		}
-		result.Asked++
+		result.Requests++
 		if a.late {
 			result.Late++
 		}
 		if a.paused {
-			result.Paused++
+			result.LateByGap++
 		}
-		took = append(took, a.took)
+		firstTokenTimes = append(firstTokenTimes, a.timeToFirstToken)
 		sizes = append(sizes, a.size)
 	}
-	if len(took) == 0 {
+	if len(firstTokenTimes) == 0 {
 		return result
 	}
-	slices.Sort(took)
+	slices.Sort(firstTokenTimes)
 	slices.Sort(sizes)
-	result.P50 = stat.Quantile(0.5, stat.Empirical, took, nil)
-	result.P99 = stat.Quantile(0.99, stat.Empirical, took, nil)
+	result.P50 = stat.Quantile(0.5, stat.Empirical, firstTokenTimes, nil)
+	result.P99 = stat.Quantile(0.99, stat.Empirical, firstTokenTimes, nil)
 	large := stat.Quantile(0.9, stat.Empirical, sizes, nil)
-	earned, owed := 0.0, 0.0
-	for _, a := range r.asked {
+	earned, attainable := 0.0, 0.0
+	for _, a := range r.requests {
 		if a.kind == kind.Name && a.size >= large {
 			earned += a.earned
-			owed += a.owed
+			attainable += a.attainable
 		}
 	}
-	result.Large = earned / owed
+	result.LargestTenthWorth = earned / attainable
 	return result
 }
