--- a/internal/archtest/doc.go
+++ b/internal/archtest/doc.go
@@ -1,4 +1,4 @@
-// Package archtest holds tests of the project's structure: which packages may
-// import which, and that the links of docs/ARCHITECTURE.md name declarations
-// that exist. It has no code beside its tests.
+// Package archtest tests the structure of the project: the import rules between
+// packages, and that the identifiers named in docs/ARCHITECTURE.md and
+// docs/GLOSSARY.md exist. It contains only tests.
 package archtest
--- a/internal/archtest/glossary_test.go
+++ b/internal/archtest/glossary_test.go
@@ -13,7 +13,7 @@
 // glossaryIdentifier matches an identifier such as `lease.Table`.
 var glossaryIdentifier = regexp.MustCompile("`([a-z]+)\\.([A-Z][A-Za-z]*)`")
 
-// packageFolders returns the folders of the module's packages by their last element.
+// packageFolders returns the folders of the module's packages, keyed by base name.
 func packageFolders(t *testing.T) map[string][]string {
 	t.Helper()
 	folders := map[string][]string{}
@@ -29,11 +29,11 @@
 	return folders
 }
 
-// declares reports whether a file of one of the folders declares a name, as a type, a
-// function, a constant or a variable.
+// declares reports whether a Go file in one of the folders declares name as a type,
+// function, constant or variable.
 func declares(t *testing.T, folders []string, name string) bool {
 	t.Helper()
-	value := regexp.MustCompile(`(?m)^\s*(var |const )?` + name + `\b[^(]*=`)
+	valueDeclaration := regexp.MustCompile(`(?m)^\s*(var |const )?` + name + `\b[^(]*=`)
 	for _, folder := range folders {
 		files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 		if err != nil {
@@ -47,7 +47,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if value.Match(source) {
+			if valueDeclaration.Match(source) {
 				return true
 			}
 		}
@@ -63,12 +63,12 @@
 	folders := packageFolders(t)
 	identifiers := glossaryIdentifier.FindAllStringSubmatch(string(page), -1)
 	if len(identifiers) == 0 {
-		t.Fatal("the page names no identifiers")
+		t.Fatal("docs/GLOSSARY.md names no identifiers")
 	}
 	for _, identifier := range identifiers {
 		packageName, name := identifier[1], identifier[2]
 		if !declares(t, folders[packageName], name) {
-			t.Errorf("%s is not declared", strings.Trim(identifier[0], "`"))
+			t.Errorf("docs/GLOSSARY.md names %s, which is not declared", strings.Trim(identifier[0], "`"))
 		}
 	}
 }
--- a/internal/archtest/imports_test.go
+++ b/internal/archtest/imports_test.go
@@ -13,7 +13,7 @@
 
 const modulePrefix = "stepwick/"
 
-// sourceFiles returns the Go files below a folder, without tests.
+// sourceFiles returns the Go files in a folder and its subfolders, except test files.
 func sourceFiles(t *testing.T, folder string) []string {
 	t.Helper()
 	var files []string
@@ -30,12 +30,12 @@
 		t.Fatal(err)
 	}
 	if len(files) == 0 {
-		t.Fatalf("no Go files below %s", folder)
+		t.Fatalf("no Go source files in %s or its subfolders", folder)
 	}
 	return files
 }
 
-// imports returns the paths that a file imports.
+// imports returns the import paths of a Go file.
 func imports(t *testing.T, file string) []string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
@@ -53,6 +53,8 @@
 	return paths
 }
 
+// hasAnyPrefix reports whether path starts with one of the prefixes. A prefix that
+// ends in a slash also matches the path without the slash.
 func hasAnyPrefix(path string, prefixes []string) bool {
 	return slices.ContainsFunc(prefixes, func(prefix string) bool {
 		return path == strings.TrimSuffix(prefix, "/") || strings.HasPrefix(path, prefix)
@@ -63,11 +65,11 @@
 	rules := []struct {
 		layer  string
 		folder string
-		// allowed are the prefixes of the module's own packages that the layer imports.
+		// allowed lists the prefixes of this module's packages that the layer may import.
 		allowed []string
 	}{
 		{
-			layer:  "decisions use messages, result codes and other decisions",
+			layer:  "decision packages import only wire messages, result codes and each other",
 			folder: "../decision",
 			allowed: []string{
 				"stepwick/internal/apierror",
@@ -76,7 +78,7 @@
 			},
 		},
 		{
-			layer:  "adapters know ports and no owner of state",
+			layer:  "adapters import ports but no package that owns state",
 			folder: "../adapter",
 			allowed: []string{
 				"stepwick/internal/adapter/listen",
@@ -91,12 +93,12 @@
 			},
 		},
 		{
-			layer:   "the program's packages know neither the platform nor the rig",
+			layer:   "program packages import neither the platform nor the rig",
 			folder:  "..",
 			allowed: []string{"stepwick/internal/"},
 		},
 		{
-			layer:   "simulators run decisions and owners",
+			layer:   "simulators import only program packages and each other",
 			folder:  "../../sim",
 			allowed: []string{"stepwick/internal/", "stepwick/sim/"},
 		},
@@ -106,7 +108,7 @@
 			for _, file := range sourceFiles(t, rule.folder) {
 				for _, path := range imports(t, file) {
 					if strings.HasPrefix(path, modulePrefix) && !hasAnyPrefix(path, rule.allowed) {
-						t.Errorf("%s imports %s", file, path)
+						t.Errorf("%s imports %s, which its layer does not allow", file, path)
 					}
 				}
 			}
@@ -114,13 +116,13 @@
 	}
 }
 
-func TestDecisionsDoNoInputOrOutput(t *testing.T) {
+func TestDecisionPackagesAvoidIOConcurrencyAndRandomness(t *testing.T) {
 	forbidden := []string{"context", "math/rand", "net", "os", "runtime", "sync", "syscall"}
 	for _, file := range sourceFiles(t, "../decision") {
 		for _, path := range imports(t, file) {
 			root, _, _ := strings.Cut(path, "/")
 			if slices.Contains(forbidden, path) || slices.Contains(forbidden, root) {
-				t.Errorf("%s imports %s", file, path)
+				t.Errorf("%s imports %s, which decision packages must not use", file, path)
 			}
 		}
 	}
--- a/internal/archtest/links_test.go
+++ b/internal/archtest/links_test.go
@@ -11,15 +11,14 @@
 	"testing"
 )
 
-// architecturePage is the page whose links name declarations.
 const architecturePage = "../../docs/ARCHITECTURE.md"
 
-// codeLink matches a link from a declaration's name to a Go file, such as
+// codeLink matches a Markdown link from an identifier to the Go file that declares it, such as
 // [Holder.Authority](../internal/decision/lease/authority.go).
 var codeLink = regexp.MustCompile("\\[`?([A-Za-z_.]+)`?\\]\\(([^)]+\\.go)\\)")
 
-// declarations returns the names that a file declares; a method's name has its
-// receiver's type before it.
+// declarations returns the functions, methods and types that a file declares. A
+// method is named Type.Method.
 func declarations(t *testing.T, path string) map[string]bool {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -42,6 +41,7 @@
 	return names
 }
 
+// qualifiedName returns the name of a function, or Type.Method for a method.
 func qualifiedName(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return function.Name.Name
@@ -57,14 +57,14 @@
 	return name.Name + "." + function.Name.Name
 }
 
-func TestLinksOfTheArchitecturePageNameDeclarations(t *testing.T) {
+func TestArchitecturePageLinksNameDeclarations(t *testing.T) {
 	page, err := os.ReadFile(architecturePage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	links := codeLink.FindAllStringSubmatch(string(page), -1)
 	if len(links) == 0 {
-		t.Fatal("the page has no links to code")
+		t.Fatal("docs/ARCHITECTURE.md has no links to Go files")
 	}
 	for _, link := range links {
 		name := strings.TrimSuffix(link[1], "()")
@@ -74,7 +74,7 @@
 			continue
 		}
 		if !declarations(t, path)[name] {
-			t.Errorf("%s does not declare %s", link[2], name)
+			t.Errorf("docs/ARCHITECTURE.md links to %s, which does not declare %s", link[2], name)
 		}
 	}
 }
