--- a/internal/compat/adapt_calls_test.go
+++ b/internal/compat/adapt_calls_test.go
@@ -36,18 +36,18 @@
 	frontAddress = "127.0.2.2:7000"
 )
 
-// keyHash returns the hash of a key as sheets and settings hold it.
+// keyHash returns the hash of a key as stored in sheets and settings.
 func keyHash(key string) string { return sheet.HashKey(key) }
 
-// site is a core and a front, a model server, a web server and a platform, on a
-// network in memory.
+// site is a core, a front, a model server, a web server and a platform on an
+// in-memory network.
 type site struct {
 	net    *memnet.Network
 	ctx    context.Context
 	client *http.Client
 }
 
-// startSite starts a site that ends with the test; it needs a synctest bubble.
+// startSite starts a site that runs until ctx is cancelled. It must run in a synctest bubble.
 func startSite(ctx context.Context, t testing.TB, servers http.Handler) *site {
 	t.Helper()
 	s := &site{net: memnet.New(ctx), ctx: ctx}
@@ -66,20 +66,22 @@
 	return s
 }
 
-func (s *site) run(t testing.TB, role, name, host, more string) {
+// run starts a node on the site with additional settings.
+func (s *site) run(t testing.TB, role, name, host, extraSettings string) {
 	t.Helper()
 	text := fmt.Sprintf("name: %s\nregion: lagos\nzone: a\nlisten: {caller: %s:7000, internal: %s:7001}\nseeds: 127.0.2.1:7001,127.0.2.2:7001\n"+
 		"platform.url: http://127.0.3.1:80/servers\nfleet.secret: a secret of the fleet\noperator.keys: ada:%s\ndrain.grace: 1s\n%s",
-		name, host, host, keyHash(operatorKey), more)
+		name, host, host, keyHash(operatorKey), extraSettings)
 	values, problems := settings.Read("site", []byte(text), nil, role)
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	world := node.Environment{Clock: clock.System(), Listen: s.net.Listen, Dial: s.net.Dialer(host)}
-	go func() { _ = node.RunIn(s.ctx, world, role, values, events.Discard) }()
+	environment := node.Environment{Clock: clock.System(), Listen: s.net.Listen, Dial: s.net.Dialer(host)}
+	go func() { _ = node.RunIn(s.ctx, environment, role, values, events.Discard) }()
 }
 
-// command runs a command line against the site and returns what it prints.
+// command runs a command line against the site and returns its output and exit code.
+// A nil site is enough for commands that send no request.
 func (s *site) command(args ...string) (output string, exit int) {
 	var out bytes.Buffer
 	env := map[string]string{"STEPWICK_OPERATOR_KEY": operatorKey, "STEPWICK_NODE": frontAddress}
@@ -103,7 +105,8 @@
 	return out.String()
 }
 
-// filledValues returns what programs read, with every field filled, by its name.
+// filledValues returns the values that other programs read as JSON, keyed by name, with
+// every field set.
 func filledValues() map[string]any {
 	at := time.UnixMilli(orderedAtMS).UTC()
 	apiErr := apierror.Errorf(apierror.QuotaExceeded, "press has 24000 tokens in a window").WithRetryAfter(8531 * time.Millisecond)
@@ -135,8 +138,8 @@
 	}
 }
 
-// faultAnswer returns a refusal as it is written to a client.
-func faultAnswer(w http.ResponseWriter) {
+// writeSampleError writes an error response with a retry delay, as sent to a client.
+func writeSampleError(w http.ResponseWriter) {
 	apierror.WriteError(w, apierror.Errorf(apierror.QuotaExceeded, "the <allowance> is spent").WithRetryAfter(8531*time.Millisecond), "r-3")
 }
 
--- a/internal/compat/adapt_lists_test.go
+++ b/internal/compat/adapt_lists_test.go
@@ -8,7 +8,7 @@
 	"stepwick/internal/events"
 )
 
-// codeList returns one line for each result code.
+// codeList returns one line for each result code: number, name, HTTP status and retry rule.
 func codeList() string {
 	var out strings.Builder
 	for _, row := range apierror.Codes {
@@ -17,7 +17,7 @@
 	return out.String()
 }
 
-// eventList returns one line for each event of the log.
+// eventList returns one line for each log event: number, name and level.
 func eventList() string {
 	var out strings.Builder
 	for _, event := range events.Catalogue() {
--- a/internal/compat/adapt_log_test.go
+++ b/internal/compat/adapt_log_test.go
@@ -12,8 +12,8 @@
 	"stepwick/internal/events"
 )
 
-// logEvents writes two events of the log, the second of them more often than
-// its bound; it needs a synctest bubble.
+// logEvents logs one event once and another more often than its rate limit allows.
+// It must run in a synctest bubble.
 func logEvents(out io.Writer) {
 	stream := events.NewAsyncLog(log.NewLogfmtLogger(out), clock.System())
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/compat/adapt_metrics_test.go
+++ b/internal/compat/adapt_metrics_test.go
@@ -16,11 +16,11 @@
 	"stepwick/internal/node/quotasync"
 )
 
-// metricFamilies returns one line, sorted, for each metric that a part of a
-// front registers: name, type, labels and help.
+// metricFamilies returns one line, sorted, for each metric that a component of the
+// front registers: name, type, unit, labels and help.
 func metricFamilies(t testing.TB, part string) string {
 	t.Helper()
-	registry := &recorder{Registry: prometheus.NewRegistry()}
+	registry := &metricRecorder{Registry: prometheus.NewRegistry()}
 	var err error
 	switch part {
 	case "front":
@@ -30,7 +30,7 @@
 	case "spend":
 		_, err = quotasync.New(quotasync.Config{Self: "n1", Metrics: registry}, nil, clock.System(), nil, nil, events.Discard)
 	default:
-		t.Fatalf("no part %s", part)
+		t.Fatalf("unknown component %s", part)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -40,16 +40,17 @@
 	return strings.Join(families, "")
 }
 
-// recorder notes what is registered, also where no series exists yet.
-type recorder struct {
+// metricRecorder records the description of each registered metric, including
+// metrics that have no series yet.
+type metricRecorder struct {
 	*prometheus.Registry
 	out strings.Builder
 }
 
-var described = regexp.MustCompile(`^Desc{fqName: "([^"]*)", help: "([^"]*)", unit: "([^"]*)", constLabels: {([^}]*)}, variableLabels: {([^}]*)}}$`)
+var descriptionPattern = regexp.MustCompile(`^Desc{fqName: "([^"]*)", help: "([^"]*)", unit: "([^"]*)", constLabels: {([^}]*)}, variableLabels: {([^}]*)}}$`)
 
-// Register notes a collector and registers it.
-func (r *recorder) Register(collector prometheus.Collector) error {
+// Register registers a collector and records its descriptions.
+func (r *metricRecorder) Register(collector prometheus.Collector) error {
 	if err := r.Registry.Register(collector); err != nil {
 		return err
 	}
@@ -57,19 +58,19 @@
 	collector.Describe(descriptions)
 	close(descriptions)
 	for description := range descriptions {
-		found := described.FindStringSubmatch(description.String())
-		if found == nil {
-			return fmt.Errorf("no description: %s", description)
+		match := descriptionPattern.FindStringSubmatch(description.String())
+		if match == nil {
+			return fmt.Errorf("cannot parse metric description: %s", description)
 		}
-		fmt.Fprintf(&r.out, "%s: %s, unit [%s], labels [%s], constant labels [%s]: %s\n", found[1], r.kind(collector, found[1]),
-			found[3], found[5], found[4], found[2])
+		fmt.Fprintf(&r.out, "%s: %s, unit [%s], labels [%s], constant labels [%s]: %s\n", match[1], r.kind(collector, match[1]),
+			match[3], match[5], match[4], match[2])
 	}
 	return nil
 }
 
-// kind returns a metric's type. One with labels has no series yet, so that its
-// type is the collector's.
-func (r *recorder) kind(collector prometheus.Collector, name string) string {
+// kind returns a metric's type. A metric with labels has no series yet, so its type
+// follows from the type of its collector.
+func (r *metricRecorder) kind(collector prometheus.Collector, name string) string {
 	switch collector.(type) {
 	case *prometheus.HistogramVec:
 		return "histogram"
--- a/internal/compat/adapt_settings_test.go
+++ b/internal/compat/adapt_settings_test.go
@@ -30,13 +30,13 @@
 	return names
 }
 
-// runtimeSettings returns the names that a sheet may set.
+// runtimeSettings returns the names of the settings that a sheet may change at run time.
 func runtimeSettings() []string { return settings.RuntimeNames() }
 
-// runtimeRefusal returns why a sheet may not set a value, or nil.
+// runtimeRefusal returns the error for a sheet that sets the value, or nil.
 func runtimeRefusal(name, value string) error { return settings.ValidateRuntime(name, value) }
 
-// formerNames returns the names that settings had before.
+// formerNames returns the deprecated names of renamed settings.
 func formerNames() (names []string) {
 	for _, row := range settings.Table {
 		if row.FormerName != "" {
@@ -46,19 +46,19 @@
 	return names
 }
 
-// refusal returns why a setting does not accept a text, or nil.
+// refusal returns the error for parsing text as a setting's value, or nil.
 func refusal(name, text string) error {
-	row, known := settings.Lookup(name)
-	if !known {
-		return fmt.Errorf("no setting %s", name)
+	row, exists := settings.Lookup(name)
+	if !exists {
+		return fmt.Errorf("unknown setting %s", name)
 	}
 	_, err := row.Parse(text)
 	return err
 }
 
-// load reads a settings file and flags. It returns one line for each setting
+// loadSettings reads a settings file and flags. It returns one line for each setting
 // with its value and source, and one for each former name in the file.
-func load(t testing.TB, file string, args ...string) (values, former string) {
+func loadSettings(t testing.TB, file string, args ...string) (values, former string) {
 	t.Helper()
 	flags := pflag.NewFlagSet("core", pflag.ContinueOnError)
 	settings.Register(flags)
--- a/internal/compat/adapt_stored_test.go
+++ b/internal/compat/adapt_stored_test.go
@@ -36,7 +36,7 @@
 	orderedAtMS     = 1790000000000
 )
 
-// encodeBody returns the stored bytes of an operator's order.
+// encodeBody returns the command stored for an operator's order.
 func encodeBody(verb, operator, body string) (string, error) {
 	command, apiErr := statemachine.ParseOrder(verb, operator, []byte(body), statemachine.OrderLimits{MaxBytes: 1 << 20}, orderedAtMS)
 	if apiErr != nil {
@@ -54,7 +54,7 @@
 	return string(statemachine.Encode(decoded)), nil
 }
 
-// recodeSheet reads a sheet as an operator writes it and returns its JSON.
+// recodeSheet parses a sheet as submitted by an operator and returns it as JSON.
 func recodeSheet(text string) (string, error) {
 	parsed, apiErr := sheet.ParseSheet([]byte(text), 1<<20)
 	if apiErr != nil {
@@ -64,14 +64,14 @@
 	return string(data), err
 }
 
-// recodeState decodes a stored state of the configuration and encodes it again.
+// recodeState decodes a stored configuration state and encodes it again.
 func recodeState(text string) (string, error) {
 	state, err := statemachine.DecodeState([]byte(text))
 	return string(state.Encode()), err
 }
 
-// applyCommands applies commands to the empty configuration and returns the code
-// and epochs of each result, and the last state's bytes.
+// applyCommands applies commands to an empty configuration. It returns the code, epoch,
+// sheet epoch and detail of each result, and the final state in encoded form.
 func applyCommands(commands []string) (results []string, state string) {
 	var current statemachine.State
 	for _, command := range commands {
@@ -82,7 +82,7 @@
 	return results, string(current.Encode())
 }
 
-// sampleRecords returns one record of each kind, by a description of it.
+// sampleRecords returns encoded records of every kind, keyed by description.
 func sampleRecords() map[string][]byte {
 	ballotOfB := paxos.Ballot{Number: 5, Core: "b"}
 	chosen := []*wire.Chosen{{Epoch: 18, Command: []byte("eighteen")}, {Epoch: 19, Command: []byte("nineteen")}}
@@ -103,8 +103,8 @@
 			Snapshot: []byte("state"), Chosen: chosen, OpenSlots: votes},
 	}
 	encoded := map[string][]byte{}
-	for what, record := range records {
-		encoded[what] = paxos.EncodeRecord(record)
+	for description, record := range records {
+		encoded[description] = paxos.EncodeRecord(record)
 	}
 	return encoded
 }
@@ -118,19 +118,20 @@
 	return paxos.EncodeRecord(record), nil
 }
 
-// recodeSnapshot decodes a log's snapshot and encodes it again.
+// recodeSnapshot decodes the Paxos state in a log's snapshot and encodes it again.
 func recodeSnapshot(data []byte) ([]byte, error) {
 	state, err := paxos.DecodeState(data)
 	return state.Encode(), err
 }
 
+// digest returns the length and the first 8 bytes of the SHA-256 hash of data.
 func digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return fmt.Sprintf("%d bytes %s", len(data), hex.EncodeToString(sum[:8]))
 }
 
-// describeFolder describes what a core's data folder holds: the log, the state of
-// the agreement and the configuration.
+// describeFolder describes the content of a core's data folder: the log, the Paxos
+// state and the configuration.
 func describeFolder(t testing.TB, folder, core string) string {
 	t.Helper()
 	replay, err := disklog.Inspect(folder)
@@ -200,21 +201,21 @@
 	fmt.Fprintf(out, "configuration: %s\n", current.Encode())
 }
 
-// openLog opens a folder's log and returns its snapshot and records, the size
-// of the torn tail that it cut, and functions that append a synced record and
-// close the log.
-func openLog(t testing.TB, folder string) (snapshot []byte, records [][]byte, cut int64, add func([]byte), end func()) {
+// openLog opens the log in a folder. It returns the snapshot, the records, the number
+// of bytes cut from a torn tail, and functions that append a record, waiting until
+// it is synced, and close the log.
+func openLog(t testing.TB, folder string) (snapshot []byte, records [][]byte, cut int64, appendRecord func([]byte), closeLog func()) {
 	t.Helper()
 	log, replay, err := disklog.Open(disklog.Config{Folder: folder, SegmentBytes: segmentBytes, ReserveBytes: reserveBytes})
 	if err != nil {
 		t.Fatal(err)
 	}
-	add = func(record []byte) {
-		place, err := log.Append([][]byte{record}, disklog.Ordinary)
+	appendRecord = func(record []byte) {
+		index, err := log.Append([][]byte{record}, disklog.Ordinary)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for synced := uint64(0); synced < place; {
+		for synced := uint64(0); synced < index; {
 			select {
 			case synced = <-log.Synced():
 			case <-log.Failed():
@@ -222,15 +223,15 @@
 			}
 		}
 	}
-	end = func() {
+	closeLog = func() {
 		if err := log.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return replay.Snapshot, replay.Records, replay.TornBytes, add, end
+	return replay.Snapshot, replay.Records, replay.TornBytes, appendRecord, closeLog
 }
 
-// writeSnapshot appends records to a new log in a folder and takes a snapshot.
+// writeSnapshot creates a log in a folder, appends a number of records and writes a snapshot.
 func writeSnapshot(t testing.TB, folder string, records int, snapshot []byte) {
 	t.Helper()
 	log, _, err := disklog.Open(disklog.Config{Folder: folder, SegmentBytes: segmentBytes, ReserveBytes: reserveBytes})
@@ -250,7 +251,7 @@
 	}
 }
 
-// fleet runs cores on data folders, joined by direct calls.
+// fleet runs cores on data folders; they call each other's methods directly.
 type fleet struct {
 	root  string
 	cores map[string]*atomic.Pointer[replica.Replica]
@@ -292,37 +293,38 @@
 	}
 }
 
-// voting waits, in virtual time, until the cores vote.
-func (f *fleet) voting(t testing.TB, names ...string) {
+// waitVoting waits, in virtual time, until the cores have voting standing.
+func (f *fleet) waitVoting(t testing.TB, names ...string) {
 	t.Helper()
 	for _, name := range names {
-		f.until(t, func() bool {
+		f.waitUntil(t, func() bool {
 			return f.cores[name].Load().Standing() == wire.Standing_STANDING_VOTING
 		})
 	}
 }
 
-func (f *fleet) until(t testing.TB, met func() bool) {
+// waitUntil polls the condition and fails the test if it is not met within a minute.
+func (f *fleet) waitUntil(t testing.TB, condition func() bool) {
 	t.Helper()
 	for range 3000 {
-		if met() {
+		if condition() {
 			return
 		}
 		<-time.After(20 * time.Millisecond)
 	}
-	t.Fatal("not within a minute")
+	t.Fatal("the awaited condition was not met within 60 s of virtual time")
 }
 
-// learned waits until each core holds an epoch.
-func (f *fleet) learned(t testing.TB, version uint64) {
+// waitVersion waits until every core has applied the version.
+func (f *fleet) waitVersion(t testing.TB, version uint64) {
 	t.Helper()
 	for _, name := range []string{"a", "b", "c"} {
-		f.until(t, func() bool { return f.cores[name].Load().Current().Version >= version })
+		f.waitUntil(t, func() bool { return f.cores[name].Load().Current().Version >= version })
 	}
 }
 
-// propose has a command agreed through a core. It returns the epoch that the
-// command made, which for one sent again is the first time's, and its code.
+// propose proposes a command through a core. It returns the result's version and code;
+// a repeated command returns the version of its first execution.
 func (f *fleet) propose(t testing.TB, core, command string) (version uint64, code int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -334,7 +336,7 @@
 	return result.Version, int(result.Code)
 }
 
-// configuration reads the state that a majority agrees on.
+// configuration returns the encoded state from a majority read through a core.
 func (f *fleet) configuration(t testing.TB, core string) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -346,14 +348,15 @@
 	return string(state.Encode())
 }
 
+// peers is one core's view of the fleet.
 type peers struct {
 	fleet *fleet
 	self  string
 }
 
 func (p peers) Process(name string) (*wire.Process, bool) {
-	_, known := p.fleet.cores[name]
-	return &wire.Process{Name: name, Address: name, Core: true}, known
+	_, exists := p.fleet.cores[name]
+	return &wire.Process{Name: name, Address: name, Core: true}, exists
 }
 
 func (p peers) Cores() []*wire.Process { return port.CoresOf(p.Processes()) }
@@ -370,13 +373,15 @@
 	return client{fleet: p.fleet, to: address}
 }
 
+// client calls the core with the name in its to field.
 type client struct {
 	wireconnect.PeerClient
 	fleet *fleet
 	to    string
 }
 
-func reach[Q, A any](ctx context.Context, c client, req *connect.Request[Q],
+// invoke calls a handler on the destination core, or returns ECONNREFUSED if it is stopped.
+func invoke[Q, A any](ctx context.Context, c client, req *connect.Request[Q],
 	handler func(*replica.Replica, context.Context, *Q) (*A, error)) (*connect.Response[A], error) {
 	to := c.fleet.cores[c.to].Load()
 	if to == nil {
@@ -390,29 +395,29 @@
 }
 
 func (c client) Found(ctx context.Context, q *connect.Request[wire.FoundRequest]) (*connect.Response[wire.FoundResponse], error) {
-	return reach(ctx, c, q, (*replica.Replica).Found)
+	return invoke(ctx, c, q, (*replica.Replica).Found)
 }
 
 func (c client) Prepare(ctx context.Context, q *connect.Request[wire.PrepareRequest]) (*connect.Response[wire.PrepareResponse], error) {
-	return reach(ctx, c, q, (*replica.Replica).Prepare)
+	return invoke(ctx, c, q, (*replica.Replica).Prepare)
 }
 
 func (c client) Accept(ctx context.Context, q *connect.Request[wire.AcceptRequest]) (*connect.Response[wire.AcceptResponse], error) {
-	return reach(ctx, c, q, (*replica.Replica).Accept)
+	return invoke(ctx, c, q, (*replica.Replica).Accept)
 }
 
 func (c client) Learn(ctx context.Context, q *connect.Request[wire.LearnRequest]) (*connect.Response[wire.LearnResponse], error) {
-	return reach(ctx, c, q, (*replica.Replica).Learn)
+	return invoke(ctx, c, q, (*replica.Replica).Learn)
 }
 
 func (c client) Recover(ctx context.Context, q *connect.Request[wire.RecoverRequest]) (*connect.Response[wire.RecoverResponse], error) {
-	return reach(ctx, c, q, (*replica.Replica).Recover)
+	return invoke(ctx, c, q, (*replica.Replica).Recover)
 }
 
 func (c client) Read(ctx context.Context, q *connect.Request[wire.ReadRequest]) (*connect.Response[wire.ReadResponse], error) {
-	return reach(ctx, c, q, (*replica.Replica).Read)
+	return invoke(ctx, c, q, (*replica.Replica).Read)
 }
 
 func (c client) Fetch(ctx context.Context, q *connect.Request[wire.FetchRequest]) (*connect.Response[wire.FetchResponse], error) {
-	return reach(ctx, c, q, (*replica.Replica).Fetch)
+	return invoke(ctx, c, q, (*replica.Replica).Fetch)
 }
--- a/internal/compat/adapt_wire_test.go
+++ b/internal/compat/adapt_wire_test.go
@@ -7,10 +7,10 @@
 	"stepwick/internal/wire"
 )
 
-// wireFile describes the messages that processes send to each other.
+// wireFile returns the descriptor of the protobuf file with the messages between processes.
 func wireFile() protoreflect.FileDescriptor { return wire.File_stepwick_v1_wire_proto }
 
-// packedCounts returns the bytes of a tally exchange whose counts are packed.
+// packedCounts returns the encoding of a tally exchange with packed counts.
 func packedCounts() ([]byte, error) {
 	counts := []*wire.Count{
 		{Tenant: "press", Window: 7, Own: 303.5, Learned: 4, Slices: []float64{1, 2.5, 0, 300}, LearnedSlices: []float64{4}},
--- a/internal/compat/calls_test.go
+++ b/internal/compat/calls_test.go
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// fillMessage gives each field of a message a value.
+// fillMessage sets every field of a message, recursively, to a sample value.
 func fillMessage(message protoreflect.Message, depth int) {
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -46,6 +46,8 @@
 	}
 }
 
+// sampleScalar returns a value of the field's kind; numbers, strings and bytes are
+// derived from the field number.
 func sampleScalar(field protoreflect.FieldDescriptor) protoreflect.Value {
 	number := int(field.Number())
 	switch field.Kind() {
@@ -68,10 +70,10 @@
 	case protoreflect.Uint32Kind:
 		return protoreflect.ValueOfUint32(uint32(number))
 	}
-	panic(fmt.Sprint("no sample of kind ", field.Kind()))
+	panic(fmt.Sprint("no sample value for protobuf kind ", field.Kind()))
 }
 
-func TestValuesThatProgramsReadKeepTheirKeys(t *testing.T) {
+func TestJSONValuesKeepTheirKeys(t *testing.T) {
 	var out strings.Builder
 	values := filledValues()
 	for _, name := range slices.Sorted(maps.Keys(values)) {
@@ -84,9 +86,9 @@
 	sameAsFixture(t, out.String(), "json", "values.txt")
 }
 
-func TestARefusalKeepsStatusHeadersAndBody(t *testing.T) {
+func TestErrorResponseKeepsStatusHeadersAndBody(t *testing.T) {
 	recorder := httptest.NewRecorder()
-	faultAnswer(recorder)
+	writeSampleError(recorder)
 	var out strings.Builder
 	fmt.Fprintf(&out, "%d\n", recorder.Code)
 	for _, name := range slices.Sorted(maps.Keys(recorder.Header())) {
@@ -95,11 +97,11 @@
 	sameAsFixture(t, out.String()+recorder.Body.String(), "json", "refusal.txt")
 }
 
-func TestExitCodesOfTheCommandLineStay(t *testing.T) {
+func TestCommandLineKeepsExitCodes(t *testing.T) {
 	sameAsFixture(t, exitList(), "json", "exits.txt")
 }
 
-func TestDataShowKeepsItsOutput(t *testing.T) {
+func TestDataShowCommandKeepsItsOutput(t *testing.T) {
 	var out strings.Builder
 	for _, core := range []string{"a", "b", "c"} {
 		text, exit := (*site)(nil).command("data", "show", filepath.Join("testdata", "stored", "cores", core), "--name", core, "-o", "json")
@@ -108,8 +110,8 @@
 	sameAsFixture(t, out.String(), "json", "data.txt")
 }
 
-// servers answers as a platform, a model server and a web server.
-func servers() http.Handler {
+// fakeServers returns a handler that acts as the platform, a model server and a web server.
+func fakeServers() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/servers", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"servers":[
@@ -133,8 +135,8 @@
 	return mux
 }
 
-// call sends a request with an id to the site's front and returns status and
-// body.
+// call sends a request with a request ID to the site's front and returns the status
+// and the body, or 0 and the error text if the request fails.
 func (s *site) call(t testing.TB, id, method, path, key, body string) (status int, text string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(s.ctx, method, "http://"+frontAddress+path, strings.NewReader(body))
@@ -155,8 +157,9 @@
 	return resp.StatusCode, string(data)
 }
 
-// settle waits, in virtual time, until a call gives a status and a text.
-func (s *site) settle(t testing.TB, path, key string, status int, text string) {
+// waitForResponse polls path for up to a minute of virtual time until the response
+// has the status and contains the text.
+func (s *site) waitForResponse(t testing.TB, path, key string, status int, text string) {
 	t.Helper()
 	for range 600 {
 		got, body := s.call(t, "poll", "GET", path, key, "")
@@ -166,23 +169,23 @@
 		<-time.After(100 * time.Millisecond)
 	}
 	got, body := s.call(t, "poll", "GET", path, key, "")
-	t.Fatalf("%s gives %d %s after a minute", path, got, body)
+	t.Fatalf("GET %s still returns status %d, body %s after a minute", path, got, body)
 }
 
-// shape adds the paths of a JSON value's members, each with its kind, to a set.
-// Names of servers, tenants and the like in maps are part of the paths.
-func shape(set map[string]bool, path string, value any) {
+// collectPaths adds the path and type of each leaf of a JSON value to a set. Map keys
+// such as server and tenant names are part of the paths.
+func collectPaths(set map[string]bool, path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
 		for name, member := range v {
-			shape(set, path+"."+name, member)
+			collectPaths(set, path+"."+name, member)
 		}
 		if len(v) == 0 {
 			set[path+" {}"] = true
 		}
 	case []any:
 		for _, item := range v {
-			shape(set, path+"[]", item)
+			collectPaths(set, path+"[]", item)
 		}
 		if len(v) == 0 {
 			set[path+" []"] = true
@@ -198,55 +201,56 @@
 	}
 }
 
-func shapeOf(t testing.TB, what, text string) string {
+// describeShape returns the title and the sorted paths and types of a JSON text.
+func describeShape(t testing.TB, title, text string) string {
 	t.Helper()
 	var value any
 	if err := json.Unmarshal([]byte(text), &value); err != nil {
-		t.Fatalf("%s: %v in %s", what, err, text)
+		t.Fatalf("%s: cannot parse response: %v in %s", title, err, text)
 	}
 	set := map[string]bool{}
-	shape(set, "", value)
-	return "=== " + what + "\n" + strings.Join(slices.Sorted(maps.Keys(set)), "\n") + "\n"
+	collectPaths(set, "", value)
+	return "=== " + title + "\n" + strings.Join(slices.Sorted(maps.Keys(set)), "\n") + "\n"
 }
 
-// TestAnswersOfANodeKeepTheirKeys sends complete nodes each call of the operators'
-// and callers' interfaces, and each command that prints JSON.
-func TestAnswersOfANodeKeepTheirKeys(t *testing.T) {
+// TestNodeResponsesKeepTheirKeys guards the JSON that other programs read: it calls the
+// operator and caller APIs of running nodes and each command that prints JSON.
+func TestNodeResponsesKeepTheirKeys(t *testing.T) {
 	var out strings.Builder
 	sheetPath := sheetFile(t)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := startSite(ctx, t, servers())
-		s.settle(t, "/v1/control/status", operatorKey, 200, `"confirmed":2`)
+		s := startSite(ctx, t, fakeServers())
+		s.waitForResponse(t, "/v1/control/status", operatorKey, 200, `"confirmed":2`)
 		if text, exit := s.command("sheet", "import", sheetPath, "--base", "0"); exit != 0 {
 			t.Fatal(text)
 		}
-		s.settle(t, "/readyz", "", 200, "true")
-		s.settle(t, "/v1/control/plan", operatorKey, 200, "m1")
-		s.settle(t, "/v1/control/status", operatorKey, 200, `"w1":"ready"`)
-		ask := func(method, path, key, body string) string {
+		s.waitForResponse(t, "/readyz", "", 200, "true")
+		s.waitForResponse(t, "/v1/control/plan", operatorKey, 200, "m1")
+		s.waitForResponse(t, "/v1/control/status", operatorKey, 200, `"w1":"ready"`)
+		recordShape := func(method, path, key, body string) string {
 			status, text := s.call(t, "r-2", method, path, key, body)
-			out.WriteString(shapeOf(t, fmt.Sprintf("%s %s %s gives %d", method, path, body, status), text))
+			out.WriteString(describeShape(t, fmt.Sprintf("%s %s %s gives %d", method, path, body, status), text))
 			return text
 		}
-		ask("GET", "/v1/connect?service=chat", callerKey, "")
+		recordShape("GET", "/v1/connect?service=chat", callerKey, "")
 		status, stream := s.call(t, "r-1", "POST", "/v1/prompt", callerKey, `{"service":"chat","prefix":"p","max_tokens":7}`)
 		fmt.Fprintf(&out, "=== POST /v1/prompt gives %d\n%s", status, stream)
-		ask("POST", "/v1/prompt", callerKey, `{"service":"chta","max_tokens":7}`)
-		ask("POST", "/v1/call/outage/areas/7", callerKey, "{}")
-		ask("GET", "/readyz", "", "")
+		recordShape("POST", "/v1/prompt", callerKey, `{"service":"chta","max_tokens":7}`)
+		recordShape("POST", "/v1/call/outage/areas/7", callerKey, "{}")
+		recordShape("GET", "/readyz", "", "")
 		<-time.After(3 * time.Second)
 		for _, path := range []string{"sheet", "history", "status", "plan", "tally", "tally?tenant=press", "explain/r-1", "explain/none"} {
-			ask("GET", "/v1/control/"+path, operatorKey, "")
+			recordShape("GET", "/v1/control/"+path, operatorKey, "")
 		}
-		ask("POST", "/v1/control/evacuate", operatorKey, `{"order_id":"out","locality":"lagos/b"}`)
-		ask("POST", "/v1/control/restore", operatorKey, `{"order_id":"back","locality":"lagos/b"}`)
-		ask("PATCH", "/v1/control/sheet", operatorKey, `{"order_id":"late","base":1,"changes":[{"path":"tenants.press.rate","value":2}]}`)
-		ask("GET", "/v1/control/sheet", "nobody", "")
+		recordShape("POST", "/v1/control/evacuate", operatorKey, `{"order_id":"out","locality":"lagos/b"}`)
+		recordShape("POST", "/v1/control/restore", operatorKey, `{"order_id":"back","locality":"lagos/b"}`)
+		recordShape("PATCH", "/v1/control/sheet", operatorKey, `{"order_id":"late","base":1,"changes":[{"path":"tenants.press.rate","value":2}]}`)
+		recordShape("GET", "/v1/control/sheet", "nobody", "")
 		for _, line := range []string{"status -o json", "plan -o json", "tally -o json", "explain r-1 -o json", "sheet get -o json",
 			"sheet history -o json", "settings list -o json"} {
 			text, exit := s.command(strings.Fields(line)...)
-			out.WriteString(shapeOf(t, fmt.Sprintf("stepwick %s exits %d", line, exit), text))
+			out.WriteString(describeShape(t, fmt.Sprintf("stepwick %s exits %d", line, exit), text))
 		}
 		_, metrics := s.call(t, "r-3", "GET", "/metrics", "", "")
 		out.WriteString("=== GET /metrics\n" + ownMetrics(metrics))
@@ -256,8 +260,8 @@
 	sameAsFixture(t, out.String(), "json", "answers.txt")
 }
 
-// ownMetrics returns the help and type lines of the program's own metrics, and
-// the bounds of its histograms.
+// ownMetrics returns the HELP and TYPE lines of the stepwick_ metrics and the bucket
+// bounds of their histograms.
 func ownMetrics(text string) string {
 	var own strings.Builder
 	for row := range strings.Lines(text) {
--- a/internal/compat/metrics_test.go
+++ b/internal/compat/metrics_test.go
@@ -10,7 +10,7 @@
 		t.Run(part, func(t *testing.T) {
 			families := metricFamilies(t, part)
 			if strings.Contains(families, ": unknown,") {
-				t.Errorf("a metric of no known type:\n%s", families)
+				t.Errorf("a registered metric has an unknown type:\n%s", families)
 			}
 			sameAsFixture(t, families, "metrics", part+".txt")
 		})
--- a/internal/compat/stored_test.go
+++ b/internal/compat/stored_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 )
 
-// copyOfCores copies the cores' data folders to a place of the test's own.
-func copyOfCores(t testing.TB) string {
+// copyCoreFolders copies the cores' data folders to a temporary folder and returns its path.
+func copyCoreFolders(t testing.TB) string {
 	t.Helper()
 	root := t.TempDir()
 	if err := os.CopyFS(root, os.DirFS(filepath.Join("testdata", "stored", "cores"))); err != nil {
@@ -23,7 +23,7 @@
 	return root
 }
 
-func TestStoredFoldersReadAsWritten(t *testing.T) {
+func TestStoredFoldersDecodeAsWritten(t *testing.T) {
 	for _, core := range []string{"a", "b", "c"} {
 		t.Run(core, func(t *testing.T) {
 			got := describeFolder(t, filepath.Join("testdata", "stored", "cores", core), core)
@@ -32,58 +32,63 @@
 	}
 }
 
-func TestStoredLogGoesOnAfterItsTornTail(t *testing.T) {
+// TestStoredLogAcceptsAppendsAfterTornTail guards against losing or corrupting records when a
+// log whose last write was cut short is opened, extended and opened again.
+func TestStoredLogAcceptsAppendsAfterTornTail(t *testing.T) {
 	for core, torn := range map[string]bool{"a": true, "b": false, "c": false} {
 		t.Run(core, func(t *testing.T) {
-			folder := filepath.Join(copyOfCores(t), core)
-			snapshot, records, cut, add, end := openLog(t, folder)
+			folder := filepath.Join(copyCoreFolders(t), core)
+			snapshot, records, cut, appendRecord, closeLog := openLog(t, folder)
 			if (cut > 0) != torn {
-				t.Errorf("cut %d bytes", cut)
+				t.Errorf("opening the log cut %d bytes of a torn tail", cut)
 			}
 			added := [][]byte{}
 			for n := range 40 {
 				added = append(added, fmt.Appendf(nil, "record %d %s", n, strings.Repeat("x", 3*n)))
-				add(added[n])
+				appendRecord(added[n])
 			}
-			end()
-			sameSnapshot, all, cut, _, end := openLog(t, folder)
-			end()
+			closeLog()
+			sameSnapshot, all, cut, _, closeLog := openLog(t, folder)
+			closeLog()
 			if cut != 0 || !bytes.Equal(sameSnapshot, snapshot) {
-				t.Errorf("opened again, it cut %d bytes or has another snapshot", cut)
+				t.Errorf("reopening the log cut %d bytes (want 0) or changed the snapshot", cut)
 			}
 			if !slices.EqualFunc(all, slices.Concat(records, added), bytes.Equal) {
-				t.Error("opened again, it has other records")
+				t.Error("reopening the log changed its records")
 			}
 		})
 	}
 }
 
-func TestStoredCoresGoOnTogether(t *testing.T) {
+// TestStoredCoresContinueAsCluster starts three cores on stored folders, has orders chosen and
+// restarts the cores. Core a has accepted an order in slot 60, which must be completed first,
+// so the new order gets slot 61.
+func TestStoredCoresContinueAsCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(copyOfCores(t))
+		f := newFleet(copyCoreFolders(t))
 		defer f.stopAll()
 		f.start("a", "b")
-		f.voting(t, "a", "b")
+		f.waitVoting(t, "a", "b")
 		order, err := encodeBody("evacuate", "ada", `{"order_id":"next","locality":"lagos/c"}`)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if version, code := f.propose(t, "b", order); version != 61 || code != 0 {
-			t.Errorf("an order got epoch %d and code %d, though a has accepted another in slot 60 and c is away", version, code)
+			t.Errorf("an order got epoch %d and code %d, want epoch 61 and code 0: core a has accepted another order in slot 60, and core c is stopped", version, code)
 		}
 		if version, code := f.propose(t, "a", lines(t, "stored", "commands.txt")[0]); version != 1 || code != 0 {
-			t.Errorf("the first order sent again got epoch %d and code %d", version, code)
+			t.Errorf("the first order, repeated, got epoch %d and code %d, want epoch 1 and code 0", version, code)
 		}
 		f.start("c")
-		f.voting(t, "c")
-		f.learned(t, 62)
+		f.waitVoting(t, "c")
+		f.waitVersion(t, 62)
 		before := f.configuration(t, "a")
 		f.stopAll()
 		f.start("a", "b", "c")
-		f.voting(t, "a", "b", "c")
+		f.waitVoting(t, "a", "b", "c")
 		for _, core := range []string{"a", "b", "c"} {
 			if after := f.configuration(t, core); after != before {
-				t.Errorf("%s holds after a restart\n%s\nbut before\n%s", core, after, before)
+				t.Errorf("core %s: configuration after the restart\n%s\nbefore it\n%s", core, after, before)
 			}
 		}
 		sameAsFixture(t, before+"\n", "stored", "continued.txt")
@@ -93,67 +98,67 @@
 func TestStoredRecordsKeepTheirBytes(t *testing.T) {
 	var out strings.Builder
 	records := sampleRecords()
-	for _, what := range slices.Sorted(maps.Keys(records)) {
-		fmt.Fprintf(&out, "%s: %s\n", what, hex.EncodeToString(records[what]))
+	for _, description := range slices.Sorted(maps.Keys(records)) {
+		fmt.Fprintf(&out, "%s: %s\n", description, hex.EncodeToString(records[description]))
 	}
 	sameAsFixture(t, out.String(), "stored", "records.txt")
 	for _, row := range lines(t, "stored", "records.txt") {
-		what, text, _ := strings.Cut(row, ": ")
+		description, text, _ := strings.Cut(row, ": ")
 		data, err := hex.DecodeString(text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		again, err := recodeRecord(data)
 		if err != nil || !bytes.Equal(again, data) {
-			t.Errorf("%s is read and written again as %x (%v)", what, again, err)
+			t.Errorf("record %s decodes and encodes as %x (%v)", description, again, err)
 		}
 	}
 }
 
 func TestStoredSnapshotsKeepTheirBytes(t *testing.T) {
 	for _, core := range []string{"a", "c"} {
-		snapshot, _, _, _, end := openLog(t, filepath.Join(copyOfCores(t), core))
-		end()
+		snapshot, _, _, _, closeLog := openLog(t, filepath.Join(copyCoreFolders(t), core))
+		closeLog()
 		again, err := recodeSnapshot(snapshot)
 		if err != nil || !bytes.Equal(again, snapshot) {
-			t.Errorf("the snapshot of %s is written again as %x (%v)", core, again, err)
+			t.Errorf("the snapshot of core %s decodes and encodes as %x (%v)", core, again, err)
 		}
 	}
 }
 
-// TestLogWritesTheSameFiles appends the records of a stored folder to a log of
-// its own, so that a release before can read what this one writes.
+// TestLogWritesTheSameFiles appends the records of a stored folder to a new log. The
+// files must be identical, so that the previous release can read them.
 func TestLogWritesTheSameFiles(t *testing.T) {
-	stored := filepath.Join(copyOfCores(t), "b")
-	_, records, _, _, end := openLog(t, stored)
-	end()
+	stored := filepath.Join(copyCoreFolders(t), "b")
+	_, records, _, _, closeLog := openLog(t, stored)
+	closeLog()
 	written := t.TempDir()
-	_, _, _, add, end := openLog(t, written)
+	_, _, _, appendRecord, closeLog := openLog(t, written)
 	for _, record := range records {
-		add(record)
+		appendRecord(record)
 	}
-	end()
-	if got, want := filesOf(t, written), filesOf(t, filepath.Join("testdata", "stored", "cores", "b")); !maps.Equal(got, want) {
-		t.Errorf("the log wrote %v, not %v", slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
+	closeLog()
+	if got, want := readFiles(t, written), readFiles(t, filepath.Join("testdata", "stored", "cores", "b")); !maps.Equal(got, want) {
+		t.Errorf("the log wrote files %v, want %v", slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
 		for name, data := range want {
-			t.Logf("%s is %x, was %x", name, got[name], data)
+			t.Logf("file %s has content %x, want %x", name, got[name], data)
 		}
 	}
 }
 
 func TestLogWritesTheSameSnapshot(t *testing.T) {
-	const name, before = "00000000000000000111.snap", 111
-	snapshot, _, _, _, end := openLog(t, filepath.Join(copyOfCores(t), "a"))
-	end()
+	const name, recordCount = "00000000000000000111.snap", 111
+	snapshot, _, _, _, closeLog := openLog(t, filepath.Join(copyCoreFolders(t), "a"))
+	closeLog()
 	folder := t.TempDir()
-	writeSnapshot(t, folder, before, snapshot)
-	if got, want := filesOf(t, folder)[name], fixture(t, "stored", "cores", "a", name); got != want {
-		t.Errorf("%s is written as %x, not %x", name, got, want)
+	writeSnapshot(t, folder, recordCount, snapshot)
+	if got, want := readFiles(t, folder)[name], fixture(t, "stored", "cores", "a", name); got != want {
+		t.Errorf("snapshot file %s has content %x, want %x", name, got, want)
 	}
 }
 
-// filesOf returns the content of a folder's files by their names.
-func filesOf(t testing.TB, folder string) map[string]string {
+// readFiles returns the contents of the files in a folder, keyed by name.
+func readFiles(t testing.TB, folder string) map[string]string {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -175,14 +180,14 @@
 	for _, command := range stored {
 		again, err := recodeCommand(command)
 		if err != nil || again != command {
-			t.Errorf("%s\nis read and written again as\n%s (%v)", command, again, err)
+			t.Errorf("%s\ndecodes and encodes as\n%s (%v)", command, again, err)
 		}
 	}
 	for _, row := range lines(t, "stored", "bodies.txt") {
 		part := strings.SplitN(row, " ", 3)
 		command, err := encodeBody(part[0], part[1], part[2])
 		if err != nil || !slices.Contains(stored, command) {
-			t.Errorf("%s\nis stored as\n%s (%v)", row, command, err)
+			t.Errorf("order\n%s\nis encoded as\n%s (%v), which is not a stored command", row, command, err)
 		}
 	}
 }
@@ -191,7 +196,7 @@
 	results, state := applyCommands(lines(t, "stored", "commands.txt"))
 	sameAsFixture(t, strings.Join(results, "\n")+"\n"+state+"\n", "stored", "applied.txt")
 	if again, err := recodeState(state); err != nil || again != state {
-		t.Errorf("the state is read and written again as %s (%v)", again, err)
+		t.Errorf("the state decodes and encodes as %s (%v)", again, err)
 	}
 }
 
@@ -199,7 +204,7 @@
 	for _, text := range lines(t, "stored", "sheets.txt") {
 		again, err := recodeSheet(text)
 		if err != nil || again != text {
-			t.Errorf("%s\nis read and written again as\n%s (%v)", text, again, err)
+			t.Errorf("%s\ndecodes and encodes as\n%s (%v)", text, again, err)
 		}
 	}
 }
