--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -75,7 +75,7 @@
 
 // runEvents runs the events that are due before a time in milliseconds.
 func (r *run) runEvents(until float64) {
-	for due, ok := r.events.Next(); ok && due < until; due, ok = r.events.Next() {
+	for due, ok := r.events.NextTime(); ok && due < until; due, ok = r.events.NextTime() {
 		now, action := r.events.Pop()
 		r.now = now
 		action()
