--- a/cmd/rig/experiment_command.go
+++ b/cmd/rig/experiment_command.go
@@ -57,9 +57,9 @@
 	command.Flags().Float64Var(&flags.scale, "scale", 1, "times the site's fronts, servers and load")
 	command.Flags().Float64Var(&flags.seconds, "seconds", 0, "length of a run; the site's own when zero")
 	command.Flags().StringVar(&flags.burst.Kind, "burst", "", "kind of requests that comes more often for a while")
-	command.Flags().Float64Var(&flags.burst.Times, "burst-times", 4, "how many times as often")
-	command.Flags().Float64Var(&flags.burst.At, "burst-at", 14, "from this second on")
-	command.Flags().Float64Var(&flags.burst.For, "burst-for", 8, "for so many seconds")
+	command.Flags().Float64Var(&flags.burst.Factor, "burst-times", 4, "how many times as often")
+	command.Flags().Float64Var(&flags.burst.Start, "burst-at", 14, "from this second on")
+	command.Flags().Float64Var(&flags.burst.Duration, "burst-for", 8, "for so many seconds")
 	command.Flags().StringVar(&flags.plotFile, "plot", "", "file for a plot of the differences in worth by seed (svg, png or pdf)")
 	return command
 }
@@ -120,7 +120,7 @@
 	table := newTable(out)
 	_, _ = fmt.Fprintf(table, "figure\tall\twithout %s\tdifference\t95%%\t\n", label)
 	for _, d := range differences {
-		_, _ = fmt.Fprintf(table, "%s\t%.4g\t%.4g\t%+.4g\t±%.2g\t\n", d.Figure, d.A, d.B, d.Mean, d.Within)
+		_, _ = fmt.Fprintf(table, "%s\t%.4g\t%.4g\t%+.4g\t±%.2g\t\n", d.Figure, d.A, d.B, d.Mean, d.HalfWidth)
 	}
 	return table.Flush()
 }
@@ -133,7 +133,7 @@
 		differences := model.Compare(site, model.Policy{}, model.Policy{Disabled: balance.Disabled{mechanism: true}}, seeds)
 		value, worstWindows := differences[0], differences[1]
 		_, _ = fmt.Fprintf(table, "%s\t%+.4f\t±%.4f\t%+.3f\t±%.3f\t",
-			mechanism, -value.Mean, value.Within, -worstWindows.Mean, worstWindows.Within)
+			mechanism, -value.Mean, value.HalfWidth, -worstWindows.Mean, worstWindows.HalfWidth)
 		for _, difference := range differences[2:6] {
 			_, _ = fmt.Fprintf(table, "%+.4g\t", -difference.Mean)
 		}
--- a/internal/adapter/internalrpc/directory_test.go
+++ b/internal/adapter/internalrpc/directory_test.go
@@ -118,12 +118,12 @@
 			if err := call(); err == nil || port.IsConnectionRefused(err) {
 				t.Errorf("wrong secret: got %v, want an error other than a refused connection", err)
 			}
-			net.Cut("127.0.1.0", "127.0.1.9", true)
+			net.SetPartitioned("127.0.1.0", "127.0.1.9", true)
 			if err := call(); err == nil || port.IsConnectionRefused(err) {
 				t.Errorf("unresponsive host: got %v, want an error other than a refused connection", err)
 			}
-			net.Cut("127.0.1.0", "127.0.1.9", false)
-			net.Down("127.0.1.0")
+			net.SetPartitioned("127.0.1.0", "127.0.1.9", false)
+			net.ResetHost("127.0.1.0")
 			synctest.Wait()
 			if err := call(); !port.IsConnectionRefused(err) {
 				t.Errorf("host that is down: got %v, want a refused connection", err)
--- a/sim/balance/balance_test.go
+++ b/sim/balance/balance_test.go
@@ -59,7 +59,7 @@
 	})
 	Convey("A burst on a decode-heavy route is not confined to the isolated servers", t, func() {
 		burst := loadSite("two-regions")
-		burst.Burst = Burst{Kind: "reply", At: 14, For: 8, Times: 8}
+		burst.Burst = Burst{Kind: "reply", Start: 14, Duration: 8, Factor: 8}
 		So(Simulate(burst, Policy{}, 1).Worth, ShouldBeGreaterThan, 0.9)
 	})
 	Convey("Prefix affinity reduces the tokens that are read again to less than 30%", t, func() {
--- a/sim/balance/paired.go
+++ b/sim/balance/paired.go
@@ -10,11 +10,11 @@
 // Difference is the difference of one figure between two policies under the same
 // seeds: its mean with the 95% confidence interval.
 type Difference struct {
-	Figure string
-	A, B   float64   // means under each policy
-	Mean   float64   // of A minus B
-	Within float64   // 95% confidence interval: Mean ± Within; 0 with a single seed
-	Each   []float64 // difference under each seed
+	Figure    string
+	A, B      float64   // means under each policy
+	Mean      float64   // of A minus B
+	HalfWidth float64   // 95% confidence interval: Mean ± Within; 0 with a single seed
+	Each      []float64 // difference under each seed
 }
 
 // confidence is the confidence level of the intervals.
@@ -37,7 +37,7 @@
 			d.Each = append(d.Each, left[i][figure]-right[i][figure])
 		}
 		d.A, d.B, d.Mean = stat.Mean(aValues, nil), stat.Mean(bValues, nil), stat.Mean(d.Each, nil)
-		d.Within = halfWidth(d.Each)
+		d.HalfWidth = halfWidth(d.Each)
 		all = append(all, d)
 	}
 	return all
--- a/sim/balance/run.go
+++ b/sim/balance/run.go
@@ -152,7 +152,7 @@
 func (r *run) scheduleArrivals(kind Kind, region int) {
 	mean := kind.PerSecond / float64(len(r.site.Regions)) / 1000
 	if r.inBurst(kind) {
-		mean *= r.site.Burst.Times
+		mean *= r.site.Burst.Factor
 	}
 	peak := mean * (1 + r.site.Swing)
 	r.schedule(r.random.ExpFloat64()/peak, func() {
@@ -185,7 +185,7 @@
 // inBurst reports whether a kind of request is in its burst now.
 func (r *run) inBurst(kind Kind) bool {
 	burst, seconds := r.site.Burst, r.now/1000
-	return burst.Kind == kind.Name && seconds >= burst.At && seconds < burst.At+burst.For
+	return burst.Kind == kind.Name && seconds >= burst.Start && seconds < burst.Start+burst.Duration
 }
 
 // pickChain draws the index of one of n chains; lower indices are more frequent.
--- a/sim/balance/site.go
+++ b/sim/balance/site.go
@@ -37,10 +37,10 @@
 
 // Burst is a period in which the rate of one kind of request is multiplied by Times.
 type Burst struct {
-	Kind  string  `yaml:"kind"`
-	At    float64 `yaml:"at"`  // seconds
-	For   float64 `yaml:"for"` // seconds
-	Times float64 `yaml:"times"`
+	Kind     string  `yaml:"kind"`
+	Start    float64 `yaml:"at"`  // seconds
+	Duration float64 `yaml:"for"` // seconds
+	Factor   float64 `yaml:"times"`
 }
 
 // Region is the size of one region.
--- a/sim/fleet/fleet.go
+++ b/sim/fleet/fleet.go
@@ -188,11 +188,11 @@
 // that it sends afterwards is delivered.
 func (f *Fleet) Kill(i int) {
 	m := f.nodes[i]
-	f.Net.Down(nodeHost(i))
+	f.Net.ResetHost(nodeHost(i))
 	f.setIsolated(i, true)
 	m.stop()
 	<-m.exited //nolint:errcheck // a killed process reports no error
-	f.Net.Down(nodeHost(i))
+	f.Net.ResetHost(nodeHost(i))
 	f.setIsolated(i, false)
 	m.stop = nil
 }
@@ -215,10 +215,10 @@
 // setIsolated partitions node i from all hosts, or heals the partition.
 func (f *Fleet) setIsolated(i int, partitioned bool) {
 	for j := range f.nodes {
-		f.Net.Cut(nodeHost(i), nodeHost(j), partitioned)
+		f.Net.SetPartitioned(nodeHost(i), nodeHost(j), partitioned)
 	}
-	f.Net.Cut(nodeHost(i), serverHost, partitioned)
-	f.Net.Cut(nodeHost(i), clientHost, partitioned)
+	f.Net.SetPartitioned(nodeHost(i), serverHost, partitioned)
+	f.Net.SetPartitioned(nodeHost(i), clientHost, partitioned)
 }
 
 // Terminate starts a graceful shutdown of node i, as SIGTERM does. The node runs
@@ -230,7 +230,7 @@
 	m := f.nodes[i]
 	select {
 	case err := <-m.exited:
-		f.Net.Down(nodeHost(i))
+		f.Net.ResetHost(nodeHost(i))
 		m.stop = nil
 		return true, err
 	default:
@@ -250,7 +250,7 @@
 	for i := range f.nodes {
 		for j := range i {
 			if side[i] != side[j] {
-				f.Net.Cut(nodeHost(i), nodeHost(j), partitioned)
+				f.Net.SetPartitioned(nodeHost(i), nodeHost(j), partitioned)
 			}
 		}
 	}
--- a/sim/memnet/memnet.go
+++ b/sim/memnet/memnet.go
@@ -70,10 +70,10 @@
 	return f
 }
 
-// Cut partitions two hosts in both directions, or heals the partition. Connections
+// SetPartitioned partitions two hosts in both directions, or heals the partition. Connections
 // that existed when the partition began drop all data from then on, also after it
 // has healed.
-func (n *Network) Cut(a, b string, partitioned bool) {
+func (n *Network) SetPartitioned(a, b string, partitioned bool) {
 	n.do(func(s *state) {
 		s.partitionFlag(a, b).Store(partitioned)
 		s.partitionFlag(b, a).Store(partitioned)
@@ -89,9 +89,9 @@
 	})
 }
 
-// Down closes a host's listeners and resets its connections, as a killed
+// ResetHost closes a host's listeners and resets its connections, as a killed
 // process does.
-func (n *Network) Down(host string) {
+func (n *Network) ResetHost(host string) {
 	n.do(func(s *state) {
 		for address, l := range s.listeners {
 			if hostOf(address) == host {
