--- a/cmd/rig/fleet/config.go
+++ b/cmd/rig/fleet/config.go
@@ -17,29 +17,30 @@
 const (
 	fleetSecret = "rig-fleet-secret-0123456789"
 
-	maxFrontSeeds = 2 // addresses of fronts among a node's seeds
-	maxSeeds      = 3
+	maxFrontSeeds = 2 // fronts among a node's seed addresses
+	maxSeeds      = 3 // seed addresses of a node
 
 	configMode  = 0o600
 	dataDirMode = 0o700
 )
 
-// OperatorKeys are the keys of the operators by name.
+// OperatorKeys maps the names of the operators to their keys in plain text.
 var OperatorKeys = map[string]string{
 	"ade":  "operator-key-of-ade",
 	"bola": "operator-key-of-bola",
 }
 
-// HashKey returns the hex SHA-256 of a key.
+// HashKey returns the SHA-256 of a key in hexadecimal, the form in the setting
+// operator.keys.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// prepare writes the node's settings file, makes its data folder and returns the
-// arguments of its process.
-func (n *Node) prepare() ([]string, error) {
-	text, err := yaml.Marshal(n.allSettings())
+// prepareStart writes the node's settings file, creates the data directory of a core and
+// returns the command-line arguments of the process.
+func (n *Node) prepareStart() ([]string, error) {
+	text, err := yaml.Marshal(n.effectiveSettings())
 	if err != nil {
 		return nil, err
 	}
@@ -56,19 +57,19 @@
 	return []string{"core", "--config", config}, nil
 }
 
-// allSettings returns the settings that the fleet gives the node, overridden by
-// those of the deployment and then by the node's own.
-func (n *Node) allSettings() map[string]string {
+// effectiveSettings returns the fleet's default settings for the node, overridden by the
+// settings of the deployment and then by the node's own.
+func (n *Node) effectiveSettings() map[string]string {
 	settings := map[string]string{
 		"name":               n.Name,
 		"region":             n.Region,
 		"zone":               n.Zone,
 		"listen.caller":      n.CallerAddress,
-		"listen.internal":    n.internal,
+		"listen.internal":    n.internalAddress,
 		"advertise.caller":   n.CallerAddress,
-		"advertise.internal": n.advertised,
+		"advertise.internal": n.advertisedAddress,
 		"bind":               n.SourceIP,
-		"seeds":              strings.Join(n.seeds(), ","),
+		"seeds":              strings.Join(n.seedAddresses(), ","),
 		"core.voters":        strconv.Itoa(len(n.fleet.Cores())),
 		"platform.url":       "http://" + n.fleet.Platform.Address + "/servers",
 		"fleet.secret":       fleetSecret,
@@ -82,17 +83,17 @@
 	return settings
 }
 
-// seeds returns the addresses of other nodes at which the node begins: fronts,
-// then cores.
-func (n *Node) seeds() []string {
+// seedAddresses returns the addresses of the nodes that the node contacts first to join the
+// fleet: fronts, then cores.
+func (n *Node) seedAddresses() []string {
 	var fronts, cores []string
 	for _, other := range slices.Backward(n.fleet.Nodes) {
 		switch {
 		case other == n:
 		case other.Core:
-			cores = append(cores, other.advertised)
+			cores = append(cores, other.advertisedAddress)
 		default:
-			fronts = append(fronts, other.advertised)
+			fronts = append(fronts, other.advertisedAddress)
 		}
 	}
 	seeds := fronts[:min(maxFrontSeeds, len(fronts))]
--- a/cmd/rig/fleet/disk.go
+++ b/cmd/rig/fleet/disk.go
@@ -9,11 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// tornRecord is the beginning of a log record: its header announces more bytes
-// than follow.
+// tornRecord is an incomplete log record: its header gives a length greater than
+// the number of bytes that follow.
 var tornRecord = []byte{0, 0, 1, 44, 9, 9, 9, 9, 7, 7, 7}
 
-// Wipe removes the node's data; the process must not run.
+// Wipe deletes the contents of the node's data directory. The process must not be
+// running.
 func (n *Node) Wipe() error {
 	n.fleet.Recorder.AddAction("wipe "+n.Name, false)
 	if err := os.RemoveAll(n.dataDir); err != nil {
@@ -22,13 +23,13 @@
 	return os.MkdirAll(n.dataDir, dataDirMode)
 }
 
-// TearLog appends a torn record to the newest file of the log, as a power failure
-// during a write would; the process must not run.
+// TearLog appends an incomplete record to the newest log file, which simulates a
+// power failure during a write. The process must not be running.
 func (n *Node) TearLog() error {
 	n.fleet.Recorder.AddAction("torn tail "+n.Name, false)
 	newest, err := newestLogFile(n.dataDir)
 	if err != nil || newest == "" {
-		return errors.Wrapf(err, "%s has no log to tear", n.Name)
+		return errors.Wrapf(err, "%s: find a log file in %s", n.Name, n.dataDir)
 	}
 	file, err := os.OpenFile(newest, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -39,7 +40,8 @@
 	return errors.Wrap(err, n.Name)
 }
 
-// newestLogFile returns the log file with the highest name; empty if there is none.
+// newestLogFile returns the path of the log file whose path sorts last, or the empty
+// string if there is none.
 func newestLogFile(dir string) (string, error) {
 	newest := ""
 	err := filepath.Walk(dir, func(path string, info fs.FileInfo, err error) error {
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs a whole deployment on one machine: nodes as real processes,
+// Package fleet runs a complete deployment on one machine: nodes as real processes,
 // an emulated platform and emulated servers, and a fault proxy in front of each
-// node and server. All addresses are on a loopback range of the fleet's own.
+// node and server. Each fleet uses its own loopback range, 127.N.0.0/16.
 package fleet
 
 import (
@@ -20,7 +20,7 @@
 	"stepwick/cmd/rig/owner"
 )
 
-// Third number of the addresses 127.N.group.i of the processes.
+// Third octet of the addresses 127.N.group.i of the processes.
 const (
 	platformGroup    = 1
 	nodeGroup        = 20
@@ -39,13 +39,14 @@
 	serverPort   = ":8000"
 )
 
-// Second numbers of addresses: a fleet tries some, from one that depends on its
-// process ID, until one is free.
+// A fleet looks for a free second octet of its addresses, starting at one derived
+// from the process ID of the rig, so that rigs running at the same time rarely
+// compete for a range.
 const (
-	firstLoopback     = 10
-	loopbackRanges    = 200
-	loopbackStep      = 37
-	maxLoopbackTrials = 60
+	firstLoopbackOctet  = 10
+	loopbackOctets      = 200
+	loopbackOctetStep   = 37
+	maxLoopbackAttempts = 60
 )
 
 // webSeedOffset keeps the seeds of web servers apart from those of model servers.
@@ -60,85 +61,87 @@
 	Nodes    []*Node
 	Models   []*emulator.Model
 	Webs     []*emulator.Web
-	Dir      string // of the nodes' settings, data and logs
+	Dir      string // directory of the nodes' settings, data and logs
 
-	loopback  int                          // second number of all addresses
-	proxies   map[string]*faultproxy.Proxy // by name of the node or server
-	locations map[string]Location          // by name of the node or server
-	spawn     chan spawnRequest
-	stopSpawn context.CancelFunc
+	loopbackOctet int                          // second octet of all addresses
+	proxies       map[string]*faultproxy.Proxy // by node or server name
+	locations     map[string]Location          // by node or server name
+	spawnRequests chan spawnRequest
+	stopSpawner   context.CancelFunc
 }
 
-// Build compiles the program into a folder and returns its path.
+// Build compiles cmd/stepwick into a directory and returns the path of the binary.
 func Build(dir string) (string, error) {
 	binary := filepath.Join(dir, "stepwick")
 	out, err := exec.Command("go", "build", "-o", binary, "./cmd/stepwick").CombinedOutput()
 	return binary, errors.Wrapf(err, "build stepwick: %s", out)
 }
 
-// New prepares a deployment without starting it. The binary is that of Build, the
-// folder is the caller's to remove.
+// New prepares a deployment without starting it. Nodes run the given binary unless
+// their NodeSpec names another. The caller removes dir after Close.
 func New(spec Spec, binary, dir string, recorder *history.Recorder, seed uint64) (*Fleet, error) {
-	loopback, err := freeLoopback()
+	loopback, err := freeLoopbackOctet()
 	if err != nil {
 		return nil, err
 	}
 	ctx, stopSpawn := context.WithCancel(context.Background())
 	fleet := &Fleet{
-		Spec:      spec,
-		Recorder:  recorder,
-		Links:     faultproxy.NewLinks(),
-		Dir:       dir,
-		loopback:  loopback,
-		proxies:   map[string]*faultproxy.Proxy{},
-		locations: map[string]Location{},
-		spawn:     make(chan spawnRequest),
-		stopSpawn: stopSpawn,
-	}
-	go runSpawner(ctx, fleet.spawn)
-	fleet.Platform = emulator.NewPlatform(fleet.ip(platformGroup, 1)+platformPort, recorder)
+		Spec:          spec,
+		Recorder:      recorder,
+		Links:         faultproxy.NewLinks(),
+		Dir:           dir,
+		loopbackOctet: loopback,
+		proxies:       map[string]*faultproxy.Proxy{},
+		locations:     map[string]Location{},
+		spawnRequests: make(chan spawnRequest),
+		stopSpawner:   stopSpawn,
+	}
+	go runSpawner(ctx, fleet.spawnRequests)
+	fleet.Platform = emulator.NewPlatform(fleet.loopbackIP(platformGroup, 1)+platformPort, recorder)
 	fleet.addNodes(binary)
 	fleet.addModelServers(seed)
 	fleet.addWebServers(seed)
 	return fleet, nil
 }
 
-// freeLoopback returns the second number of a loopback range that no other fleet
+// freeLoopbackOctet returns the second octet of a loopback range that no other fleet
 // uses.
-func freeLoopback() (int, error) {
-	for i := range maxLoopbackTrials {
-		number := firstLoopback + (os.Getpid()+i*loopbackStep)%loopbackRanges
+func freeLoopbackOctet() (int, error) {
+	for i := range maxLoopbackAttempts {
+		number := firstLoopbackOctet + (os.Getpid()+i*loopbackOctetStep)%loopbackOctets
 		listener, err := net.Listen("tcp4", fmt.Sprintf("127.%d.1.1%s", number, platformPort))
 		if err == nil {
 			_ = listener.Close()
 			return number, nil
 		}
 	}
-	return 0, errors.New("no free loopback range")
+	return 0, errors.Errorf("no free loopback range after %d attempts on port %s", maxLoopbackAttempts, platformPort)
 }
 
-func (f *Fleet) ip(group, i int) string { return fmt.Sprintf("127.%d.%d.%d", f.loopback, group, i) }
+func (f *Fleet) loopbackIP(group, i int) string {
+	return fmt.Sprintf("127.%d.%d.%d", f.loopbackOctet, group, i)
+}
 
 func (f *Fleet) addNodes(binary string) {
 	sources := map[string]string{}
 	for i, spec := range f.Spec.Nodes {
-		sourceIP := f.ip(nodeGroup, i+1)
+		sourceIP := f.loopbackIP(nodeGroup, i+1)
 		sources[sourceIP] = spec.Name
 		if spec.Binary == "" {
 			spec.Binary = binary
 		}
 		node := &Node{
-			NodeSpec:      spec,
-			SourceIP:      sourceIP,
-			CallerAddress: sourceIP + callerPort,
-			internal:      sourceIP + internalPort,
-			advertised:    f.ip(nodeProxyGroup, i+1) + internalPort,
-			dataDir:       filepath.Join(f.Dir, spec.Name),
-			fleet:         f,
-			state:         owner.New(nodeState{}),
+			NodeSpec:          spec,
+			SourceIP:          sourceIP,
+			CallerAddress:     sourceIP + callerPort,
+			internalAddress:   sourceIP + internalPort,
+			advertisedAddress: f.loopbackIP(nodeProxyGroup, i+1) + internalPort,
+			dataDir:           filepath.Join(f.Dir, spec.Name),
+			fleet:             f,
+			state:             owner.New(nodeState{}),
 		}
 		f.Nodes = append(f.Nodes, node)
-		f.addProxy(spec.Name, spec.Location, node.advertised, node.internal)
+		f.addProxy(spec.Name, spec.Location, node.advertisedAddress, node.internalAddress)
 	}
 	f.Links.SetSources(sources)
 }
@@ -146,20 +149,20 @@
 func (f *Fleet) addModelServers(seed uint64) {
 	for i, location := range f.Spec.Models {
 		name := fmt.Sprintf("model%d", i+1)
-		address := f.ip(modelServerGroup, i+1) + serverPort
+		address := f.loopbackIP(modelServerGroup, i+1) + serverPort
 		server := emulator.NewModel(name, address, f.Spec.Services.Model, f.Spec.ModelSpec, f.Recorder, seed+uint64(i))
 		f.Models = append(f.Models, server)
-		f.addProxy(name, location, f.ip(modelProxyGroup, i+1)+serverPort, address)
+		f.addProxy(name, location, f.loopbackIP(modelProxyGroup, i+1)+serverPort, address)
 	}
 }
 
 func (f *Fleet) addWebServers(seed uint64) {
 	for i, location := range f.Spec.Webs {
 		name := fmt.Sprintf("web%d", i+1)
-		address := f.ip(webServerGroup, i+1) + serverPort
+		address := f.loopbackIP(webServerGroup, i+1) + serverPort
 		server := emulator.NewWeb(name, address, f.Spec.Services.Web, f.Recorder, seed+webSeedOffset+uint64(i))
 		f.Webs = append(f.Webs, server)
-		f.addProxy(name, location, f.ip(webProxyGroup, i+1)+serverPort, address)
+		f.addProxy(name, location, f.loopbackIP(webProxyGroup, i+1)+serverPort, address)
 	}
 }
 
@@ -168,7 +171,7 @@
 	f.proxies[name] = faultproxy.New(name, address, target, f.Links)
 }
 
-// Start brings up the platform, the servers and then the nodes.
+// Start starts the platform, the servers and then the nodes.
 func (f *Fleet) Start() error {
 	if err := f.Platform.Start(); err != nil {
 		return err
@@ -193,7 +196,7 @@
 	return nil
 }
 
-// Node returns a node by name, or nil.
+// Node returns the node with the given name, or nil.
 func (f *Fleet) Node(name string) *Node {
 	for _, node := range f.Nodes {
 		if node.Name == name {
@@ -203,21 +206,23 @@
 	return nil
 }
 
-// NodesFrom returns all nodes, beginning with number i.
+// NodesFrom returns all nodes in order, starting at index i modulo their number.
 func (f *Fleet) NodesFrom(i int) []*Node {
 	i %= len(f.Nodes)
 	return append(slices.Clone(f.Nodes[i:]), f.Nodes[:i]...)
 }
 
-// Cores returns the nodes with a disk.
+// Cores returns the core nodes, which store data on disk.
 func (f *Fleet) Cores() []*Node {
 	return slices.DeleteFunc(slices.Clone(f.Nodes), func(n *Node) bool { return !n.Core })
 }
 
-// LocationOf returns the location of a node or server.
+// LocationOf returns the location of a node or server, or the zero Location for an
+// unknown name.
 func (f *Fleet) LocationOf(name string) Location { return f.locations[name] }
 
-// Names returns the sorted names of all nodes and servers that pass a filter.
+// Names returns the sorted names of the nodes and servers for which keep returns
+// true.
 func (f *Fleet) Names(keep func(name string, location Location) bool) []string {
 	var names []string
 	for name, location := range f.locations {
@@ -229,7 +234,7 @@
 	return names
 }
 
-// Close ends all that the fleet started.
+// Close ends all processes, proxies and servers of the fleet.
 func (f *Fleet) Close() {
 	for _, node := range f.Nodes {
 		node.close()
@@ -244,5 +249,5 @@
 		server.Close()
 	}
 	f.Platform.Close()
-	f.stopSpawn()
+	f.stopSpawner()
 }
--- a/cmd/rig/fleet/fleet_test.go
+++ b/cmd/rig/fleet/fleet_test.go
@@ -27,27 +27,27 @@
 			})
 			So(inAbeokuta, ShouldHaveLength, 9)
 		})
-		Convey("gives a node the last two other fronts and the last other core as seeds", func() {
-			So(f.Node("core3").seeds(), ShouldResemble, []string{
-				f.Node("front6").advertised, f.Node("front5").advertised, f.Node("core2").advertised})
-			So(f.Node("front6").seeds(), ShouldResemble, []string{
-				f.Node("front5").advertised, f.Node("front4").advertised, f.Node("core3").advertised})
+		Convey("uses the last two other fronts and the last other core as a node's seeds", func() {
+			So(f.Node("core3").seedAddresses(), ShouldResemble, []string{
+				f.Node("front6").advertisedAddress, f.Node("front5").advertisedAddress, f.Node("core2").advertisedAddress})
+			So(f.Node("front6").seedAddresses(), ShouldResemble, []string{
+				f.Node("front5").advertisedAddress, f.Node("front4").advertisedAddress, f.Node("core3").advertisedAddress})
 		})
-		Convey("lets a node's settings override the deployment's, and those the fleet's", func() {
+		Convey("applies a node's settings over the deployment's, and those over the fleet's defaults", func() {
 			f.Spec.Settings = map[string]string{"core.voters": "5", "disk.quota": "1MiB"}
 			node := f.Node("core1")
 			node.SetSetting("disk.quota", "256KiB")
-			settings := node.allSettings()
+			settings := node.effectiveSettings()
 			So(settings["core.voters"], ShouldEqual, "5")
 			So(settings["disk.quota"], ShouldEqual, "256KiB")
 			node.SetSetting("disk.quota", "")
-			So(node.allSettings()["disk.quota"], ShouldEqual, "1MiB")
+			So(node.effectiveSettings()["disk.quota"], ShouldEqual, "1MiB")
 		})
 	})
 }
 
 func TestSizedDeployment(t *testing.T) {
-	Convey("A sized deployment has the wanted processes, spread over the zones", t, func() {
+	Convey("A sized deployment has the requested processes, spread evenly over the zones", t, func() {
 		spec := SizedDeployment(Size{Cores: 5, Fronts: 100, Models: 9, Webs: 3})
 		So(spec.Nodes, ShouldHaveLength, 105)
 		So(spec.Models, ShouldHaveLength, 9)
@@ -60,7 +60,7 @@
 			}
 		}
 		So(cores, ShouldEqual, 5)
-		for _, zone := range firstZones {
+		for _, zone := range firstDeploymentZones {
 			So(inZone[zone], ShouldBeBetweenOrEqual, 34, 36)
 		}
 	})
--- a/cmd/rig/fleet/node.go
+++ b/cmd/rig/fleet/node.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	logMode         = 0o600
-	listenTimeout   = time.Second
-	listenCheckTime = 20 * time.Millisecond // between checks whether a process listens
+	logMode             = 0o600
+	listenTimeout       = time.Second
+	listenCheckInterval = 20 * time.Millisecond // interval between checks whether a process listens
 )
 
-// Node is one node and its process, if that runs.
+// Node is one node of the fleet and its process, if it is running.
 type Node struct {
 	NodeSpec
-	SourceIP      string // from which it dials
-	CallerAddress string
-	internal      string // address on which it listens for other nodes
-	advertised    string // address of its proxy, which it gives to other nodes
-	dataDir       string
-	fleet         *Fleet
-	state         *owner.Owner[nodeState]
+	SourceIP          string // local address of the node's outgoing connections
+	CallerAddress     string
+	internalAddress   string // address on which the node listens for other nodes
+	advertisedAddress string // address of the node's proxy, which other nodes dial
+	dataDir           string
+	fleet             *Fleet
+	state             *owner.Owner[nodeState]
 }
 
 type nodeState struct {
-	process      *exec.Cmd     // nil when it doesn't run
-	exited       chan struct{} // closed when the process has ended
-	logStart     int64         // size of the log when the last process started
-	lastExitCode int
-	lastSignal   syscall.Signal // that ended the last process; -1 for none
+	process        *exec.Cmd     // nil while no process runs
+	exited         chan struct{} // closed when the process has exited
+	logSizeAtStart int64         // size of the log in bytes when the last process started
+	lastExitCode   int
+	lastSignal     syscall.Signal // signal that ended the last process; -1 for none
 }
 
-// Start runs the node's process; one that runs already stays as it is. The node's
-// proxy starts once the process listens.
+// Start starts the node's process unless it is running already. The node's proxy
+// starts once the process listens.
 func (n *Node) Start() error {
-	args, err := n.prepare()
+	args, err := n.prepareStart()
 	if err != nil {
 		return err
 	}
@@ -73,20 +73,20 @@
 	process := exec.Command(n.Binary, args...)
 	process.Stdout = log
 	process.Stderr = log
-	if err := startBySpawner(n.fleet.spawn, process); err != nil {
+	if err := startWithSpawner(n.fleet.spawnRequests, process); err != nil {
 		_ = log.Close()
 		return err
 	}
 	s.process = process
-	s.logStart = info.Size()
+	s.logSizeAtStart = info.Size()
 	s.exited = make(chan struct{})
 	go n.awaitExit(process, log, s.exited)
 	go n.startProxy(s.exited)
 	return nil
 }
 
-// awaitExit stops the proxy when the process has ended, so that connections to
-// the node are refused.
+// awaitExit waits for the process to exit and then stops the proxy, so that
+// connections to the node are refused.
 func (n *Node) awaitExit(process *exec.Cmd, log *os.File, exited chan struct{}) {
 	_ = process.Wait()
 	_ = log.Close()
@@ -94,15 +94,15 @@
 	n.state.Do(func(s *nodeState) {
 		s.process = nil
 		s.lastExitCode = process.ProcessState.ExitCode()
-		s.lastSignal = endingSignal(process.ProcessState)
+		s.lastSignal = terminatingSignal(process.ProcessState)
 	})
 	close(exited)
 }
 
 // startProxy starts the node's proxy once the process listens.
 func (n *Node) startProxy(exited <-chan struct{}) {
-	for !n.listens() {
-		timer, _ := clock.NewTimer(listenCheckTime)
+	for !n.isListening() {
+		timer, _ := clock.NewTimer(listenCheckInterval)
 		select {
 		case <-timer:
 		case <-exited:
@@ -116,8 +116,8 @@
 	}
 }
 
-func (n *Node) listens() bool {
-	conn, err := net.DialTimeout("tcp4", n.internal, listenTimeout)
+func (n *Node) isListening() bool {
+	conn, err := net.DialTimeout("tcp4", n.internalAddress, listenTimeout)
 	if err != nil {
 		return false
 	}
@@ -125,10 +125,10 @@
 	return true
 }
 
-// LogFile returns the path of the node's log.
+// LogFile returns the path of the file with the output of the node's processes.
 func (n *Node) LogFile() string { return filepath.Join(n.fleet.Dir, n.Name+".log") }
 
-// Running reports whether the process runs, and its ID.
+// Running reports whether the process is running, and its process ID.
 func (n *Node) Running() (pid int, running bool) {
 	n.state.Do(func(s *nodeState) {
 		if s.process != nil {
@@ -139,57 +139,57 @@
 	return pid, running
 }
 
-// ExitCode returns that of the last process that ended.
+// ExitCode returns the exit code of the last process that ended: -1 if a signal
+// ended it, 0 if none has ended.
 func (n *Node) ExitCode() int {
 	code := 0
 	n.state.Do(func(s *nodeState) { code = s.lastExitCode })
 	return code
 }
 
-// endingSignal returns the signal that ended a process, -1 for none.
-func endingSignal(state *os.ProcessState) syscall.Signal {
+// terminatingSignal returns the signal that ended a process, or -1 if it exited by itself.
+func terminatingSignal(state *os.ProcessState) syscall.Signal {
 	if status, ok := state.Sys().(syscall.WaitStatus); ok && status.Signaled() {
 		return status.Signal()
 	}
 	return -1
 }
 
-// TerminatedBeforeStart reports whether the last process was ended by the default
-// action of SIGTERM before it had logged anything: its program had not begun, as the
-// first thing that this does is to handle the signal.
+// TerminatedBeforeStart reports whether the default action of SIGTERM ended the last
+// process before it logged anything. The program installs its signal handler first,
+// so such a process had not yet reached the program's main function.
 func (n *Node) TerminatedBeforeStart() bool {
 	var ended syscall.Signal
 	var logStart int64
 	n.state.Do(func(s *nodeState) {
 		ended = s.lastSignal
-		logStart = s.logStart
+		logStart = s.logSizeAtStart
 	})
 	info, err := os.Stat(n.LogFile())
 	return err == nil && ended == syscall.SIGTERM && info.Size() == logStart
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (n *Node) Kill() {
 	n.fleet.Recorder.AddAction("kill "+n.Name, false)
 	n.killAndWait()
 }
 
-// Terminate sends SIGTERM and waits for the end of the process, at most d, then
-// kills it. It reports whether the process ended with code 0 or did not run.
+// Terminate sends SIGTERM, waits at most d for the process to exit, and kills it
+// after that. It reports whether the process exited with code 0 or was not running.
 func (n *Node) Terminate(d time.Duration) (clean bool) {
 	return n.AwaitExit(n.SendTerminate(), d)
 }
 
-// SendTerminate sends SIGTERM and returns the channel that the end of the process
-// closes; nil if it doesn't run.
+// SendTerminate sends SIGTERM and returns a channel that is closed when the process
+// has exited, or nil if it is not running.
 func (n *Node) SendTerminate() (exited <-chan struct{}) {
 	n.fleet.Recorder.AddAction("term "+n.Name, false)
-	return n.signal(terminate)
+	return n.sendSignal(terminate)
 }
 
-// AwaitExit waits for the end of a process to which SendTerminate has sent
-// SIGTERM, at most d, then kills it. It reports whether the process ended with
-// code 0 or did not run.
+// AwaitExit waits at most d on the channel from SendTerminate, then kills the
+// process. It reports whether the process exited with code 0 or was not running.
 func (n *Node) AwaitExit(exited <-chan struct{}, d time.Duration) (clean bool) {
 	if exited == nil {
 		return true
@@ -205,11 +205,11 @@
 	}
 }
 
-// Hangup sends SIGHUP to the process if it listens; before that, the default action
-// of the signal would end it. It reports whether the signal was sent.
+// Hangup sends SIGHUP to the process if it listens. An earlier SIGHUP could end the
+// process by the signal's default action. It reports whether the signal was sent.
 func (n *Node) Hangup() (sent bool) {
 	pid, running := n.Running()
-	if !running || !n.listens() {
+	if !running || !n.isListening() {
 		return false
 	}
 	n.state.Do(func(s *nodeState) {
@@ -220,23 +220,23 @@
 	return sent
 }
 
-// Freeze stops the process without ending it.
+// Freeze suspends the process with SIGSTOP.
 func (n *Node) Freeze() {
 	n.fleet.Recorder.AddAction("freeze "+n.Name, false)
 	n.fleet.Recorder.AddInterruption(n.Name)
-	n.signal(freeze)
+	n.sendSignal(freeze)
 }
 
-// Thaw continues a frozen process.
+// Thaw resumes a suspended process with SIGCONT.
 func (n *Node) Thaw() {
 	n.fleet.Recorder.AddAction("thaw "+n.Name, false)
-	n.signal(thaw)
+	n.sendSignal(thaw)
 	n.fleet.Recorder.AddInterruption(n.Name)
 }
 
-// signal sends a signal to the process, if it runs, and returns the channel that
-// its end closes; nil if it doesn't run.
-func (n *Node) signal(sig os.Signal) <-chan struct{} {
+// sendSignal sends a signal to the process and returns a channel that is closed when the
+// process has exited, or nil if it is not running.
+func (n *Node) sendSignal(sig os.Signal) <-chan struct{} {
 	var exited chan struct{}
 	n.state.Do(func(s *nodeState) {
 		if s.process == nil {
@@ -250,13 +250,13 @@
 
 func (n *Node) killAndWait() {
 	n.fleet.Recorder.AddInterruption(n.Name)
-	if exited := n.signal(kill); exited != nil {
+	if exited := n.sendSignal(kill); exited != nil {
 		<-exited
 	}
 }
 
-// SetSetting changes a setting of the node from its next start on; an empty value
-// removes it.
+// SetSetting changes a setting of the node with effect from the next start or
+// WriteSettings; an empty value removes the setting.
 func (n *Node) SetSetting(name, value string) {
 	if n.Settings == nil {
 		n.Settings = map[string]string{}
@@ -267,16 +267,16 @@
 	}
 }
 
-// WriteSettings writes the node's settings file anew, as its next start will.
+// WriteSettings rewrites the node's settings file without restarting the process.
 func (n *Node) WriteSettings() error {
-	_, err := n.prepare()
+	_, err := n.prepareStart()
 	return err
 }
 
-// UseBinary changes the path of the node's program from its next start on.
+// UseBinary sets the path of the node's program, with effect from the next start.
 func (n *Node) UseBinary(path string) { n.Binary = path }
 
-// RunsBinary reports whether the node's process runs and executes the file at a path.
+// RunsBinary reports whether the node's process is running the executable at path.
 func (n *Node) RunsBinary(path string) bool {
 	pid, running := n.Running()
 	if !running {
@@ -291,7 +291,7 @@
 }
 
 func (n *Node) close() {
-	if n.signal(thaw) != nil {
+	if n.sendSignal(thaw) != nil {
 		n.killAndWait()
 	}
 	n.state.Close()
--- a/cmd/rig/fleet/servers.go
+++ b/cmd/rig/fleet/servers.go
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// PutServer lists a server on the platform in a state.
+// PutServer adds a server to the platform's list, or updates it there, with the given
+// state.
 func (f *Fleet) PutServer(name, state string) {
 	kind := history.KindModel
 	services := f.Spec.Services.Model
@@ -47,11 +48,11 @@
 	})
 }
 
-// ServerAddress returns the address at which nodes reach a server: that of its
-// proxy.
+// ServerAddress returns the address that nodes use for a server, which is its
+// proxy's.
 func (f *Fleet) ServerAddress(server string) string { return f.proxies[server].Address }
 
-// Model returns a model server by name, or nil.
+// Model returns the model server with the given name, or nil.
 func (f *Fleet) Model(name string) *emulator.Model {
 	for _, server := range f.Models {
 		if server.Name == name {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Web returns a web server by name, or nil.
+// Web returns the web server with the given name, or nil.
 func (f *Fleet) Web(name string) *emulator.Web {
 	for _, server := range f.Webs {
 		if server.Name == name {
@@ -71,41 +72,41 @@
 	return nil
 }
 
-// crashable is a server of any kind.
+// crashable is an emulated server of either kind.
 type crashable interface {
 	Start() error
 	Crash()
 }
 
-// crash ends a server; from then on its address refuses connections.
-func (f *Fleet) crash(name string, server crashable) {
+// crashServer stops a server and its proxy, so that its address refuses connections.
+func (f *Fleet) crashServer(name string, server crashable) {
 	f.Recorder.AddAction("crash "+name, false)
 	f.Recorder.AddInterruption(name)
 	f.proxies[name].Stop()
 	server.Crash()
 }
 
-func (f *Fleet) restart(name string, server crashable) error {
+func (f *Fleet) restartServer(name string, server crashable) error {
 	if err := server.Start(); err != nil {
 		return err
 	}
 	return f.proxies[name].Start()
 }
 
-// CrashWebServer ends a web server at once; its address refuses connections.
-func (f *Fleet) CrashWebServer(name string) { f.crash(name, f.Web(name)) }
+// CrashWebServer stops a web server abruptly; its address refuses connections.
+func (f *Fleet) CrashWebServer(name string) { f.crashServer(name, f.Web(name)) }
 
-// RestartWebServer brings a web server back.
+// RestartWebServer starts a crashed web server again.
 func (f *Fleet) RestartWebServer(name string) error {
 	f.Recorder.AddAction("return "+name, false)
-	return f.restart(name, f.Web(name))
+	return f.restartServer(name, f.Web(name))
 }
 
-// CrashModelServer ends a model server at once; its address refuses connections.
-func (f *Fleet) CrashModelServer(name string) { f.crash(name, f.Model(name)) }
+// CrashModelServer stops a model server abruptly; its address refuses connections.
+func (f *Fleet) CrashModelServer(name string) { f.crashServer(name, f.Model(name)) }
 
-// RestartModelServer brings a model server back, without warmth.
+// RestartModelServer starts a crashed model server again; it has to warm up.
 func (f *Fleet) RestartModelServer(name string) error {
 	f.Recorder.AddAction("cold return "+name, false)
-	return f.restart(name, f.Model(name))
+	return f.restartServer(name, f.Model(name))
 }
--- a/cmd/rig/fleet/spawn.go
+++ b/cmd/rig/fleet/spawn.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// Signals to a node's process.
+// Signals sent to the processes of nodes.
 var (
 	kill      os.Signal = syscall.SIGKILL
 	terminate os.Signal = syscall.SIGTERM
@@ -17,15 +17,15 @@
 	thaw      os.Signal = syscall.SIGCONT
 )
 
-// spawnRequest is a process to start; done receives the result.
+// spawnRequest asks runSpawner to start a process; done receives the error of Start.
 type spawnRequest struct {
 	process *exec.Cmd
 	done    chan error
 }
 
-// runSpawner starts processes from one thread that lives as long as the fleet, so
-// that the kernel ends them if the rig dies: the signal of Pdeathsig is sent when
-// the thread that started the process ends.
+// runSpawner starts processes from one OS thread that lives as long as the fleet.
+// The kernel sends Pdeathsig when the thread that started the process ends, so the
+// processes are killed if the rig dies, but not while the fleet runs.
 func runSpawner(ctx context.Context, requests <-chan spawnRequest) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -43,7 +43,7 @@
 	}
 }
 
-func startBySpawner(requests chan<- spawnRequest, process *exec.Cmd) error {
+func startWithSpawner(requests chan<- spawnRequest, process *exec.Cmd) error {
 	done := make(chan error, 1)
 	requests <- spawnRequest{process, done}
 	return <-done
--- a/cmd/rig/fleet/spec.go
+++ b/cmd/rig/fleet/spec.go
@@ -12,7 +12,7 @@
 	Zone   string
 }
 
-// ZoneName returns the zone's name over all regions: "region/zone".
+// ZoneName returns the name of the zone, unique across regions: "region/zone".
 func (l Location) ZoneName() string { return l.Region + "/" + l.Zone }
 
 // NodeSpec describes one node.
@@ -21,21 +21,21 @@
 	Location
 	Core     bool
 	Settings map[string]string // override those of the fleet
-	Binary   string            // path of the node's program; empty for the fleet's
+	Binary   string            // path of the node's program; empty for the fleet's binary
 }
 
 // Spec describes a deployment.
 type Spec struct {
 	Nodes       []NodeSpec
-	Models      []Location // of the model servers
-	Webs        []Location // of the web servers
+	Models      []Location // one for each model server
+	Webs        []Location // one for each web server
 	ModelSpec   emulator.ModelSpec
 	Services    Services
 	Settings    map[string]string // of all nodes
-	ServersWarm bool              // servers begin warm
+	ServersWarm bool              // servers start without a warm-up
 }
 
-// Services are the names of the services, by the kind of their servers.
+// Services lists the names of the services by the kind of server that offers them.
 type Services struct {
 	Model []string
 	Web   []string
@@ -48,14 +48,14 @@
 	firstModelsInAbeokuta = 8
 )
 
-// firstZones are the zones of the first deployment.
-var firstZones = []Location{
+// firstDeploymentZones are the zones of the first deployment.
+var firstDeploymentZones = []Location{
 	{Region: "lagos", Zone: "a"},
 	{Region: "lagos", Zone: "b"},
 	{Region: "abeokuta", Zone: "a"},
 }
 
-// Size is how many processes of each kind a deployment has.
+// Size is the number of processes of each kind in a deployment.
 type Size struct {
 	Cores  int
 	Fronts int
@@ -63,55 +63,55 @@
 	Webs   int
 }
 
-// SizedDeployment returns a deployment of a size in the zones and with the services
-// of the first deployment; each kind of process is spread evenly.
+// SizedDeployment returns a deployment of the given size with the zones and services
+// of FirstDeployment; each kind of process is spread evenly over the zones.
 func SizedDeployment(size Size) Spec {
 	spec := Spec{
 		ModelSpec:   emulator.TypicalModel(),
 		ServersWarm: true,
-		Services:    firstServices(),
+		Services:    firstDeploymentServices(),
 	}
 	for i := range size.Cores {
 		spec.Nodes = append(spec.Nodes, NodeSpec{
 			Name:     fmt.Sprintf("core%d", i+1),
-			Location: zoneOf(i),
+			Location: zoneForIndex(i),
 			Core:     true,
 		})
 	}
 	for i := range size.Fronts {
 		spec.Nodes = append(spec.Nodes, NodeSpec{
 			Name:     fmt.Sprintf("front%d", i+1),
-			Location: zoneOf(i),
+			Location: zoneForIndex(i),
 		})
 	}
 	for i := range size.Models {
-		spec.Models = append(spec.Models, zoneOf(i))
+		spec.Models = append(spec.Models, zoneForIndex(i))
 	}
 	for i := range size.Webs {
-		spec.Webs = append(spec.Webs, zoneOf(i))
+		spec.Webs = append(spec.Webs, zoneForIndex(i))
 	}
 	return spec
 }
 
-func zoneOf(i int) Location { return firstZones[i%len(firstZones)] }
+func zoneForIndex(i int) Location { return firstDeploymentZones[i%len(firstDeploymentZones)] }
 
-func firstServices() Services {
+func firstDeploymentServices() Services {
 	return Services{
 		Model: []string{"digest", "helpline", "headline"},
 		Web:   []string{"outage", "repairs"},
 	}
 }
 
-// FirstDeployment returns the first deployment: 9 nodes, 3 of them cores, in three
-// zones; 18 model and 3 web servers.
+// FirstDeployment returns the standard deployment of the rig: 9 nodes, 3 of them
+// cores, in three zones, with 18 model and 3 web servers.
 func FirstDeployment() Spec {
-	zones := firstZones
+	zones := firstDeploymentZones
 	lagos, abeokuta := zones[:2], zones[2]
 	spec := Spec{
 		ModelSpec:   emulator.TypicalModel(),
 		Webs:        zones,
 		ServersWarm: true,
-		Services:    firstServices(),
+		Services:    firstDeploymentServices(),
 	}
 	for i, zone := range zones {
 		spec.Nodes = append(spec.Nodes, NodeSpec{
--- a/cmd/rig/owner/owner.go
+++ b/cmd/rig/owner/owner.go
@@ -1,6 +1,6 @@
-// Package owner runs functions on a piece of state in one goroutine, so that the
-// state needs no lock. Callers hand the functions over through a channel; they
-// run one after the other, in the order in which they arrive.
+// Package owner confines a value to one goroutine, so that it needs no lock. Callers
+// send functions through a channel; the goroutine runs them on the value one at a
+// time, in the order of arrival.
 package owner
 
 import (
@@ -10,17 +10,17 @@
 	"stepwick/internal/clock"
 )
 
-// queueLength is how many functions may wait for an owner; Post blocks beyond it.
+// queueLength is the capacity of an owner's queue; Post and Do block while it is full.
 const queueLength = 1024
 
-// Owner holds a state that only its own goroutine accesses.
+// Owner holds a value of type S that only its own goroutine accesses.
 type Owner[S any] struct {
 	queue chan func(*S)
 	done  chan struct{}
 	stop  context.CancelFunc
 }
 
-// New starts the goroutine that owns the state.
+// New starts the goroutine that owns the state. Close stops it.
 func New[S any](state S) *Owner[S] {
 	ctx, stop := context.WithCancel(context.Background())
 	owner := &Owner[S]{
@@ -44,8 +44,8 @@
 	}
 }
 
-// Post queues a change and doesn't wait until it has run. After Close it does
-// nothing.
+// Post queues a function without waiting until it has run. After Close the function
+// is not run.
 func (o *Owner[S]) Post(change func(*S)) {
 	select {
 	case o.queue <- change:
@@ -53,8 +53,8 @@
 	}
 }
 
-// Do queues a function, waits until it has run and reports true. After Close it
-// reports false.
+// Do queues a function, waits until it has run and returns true. It returns false if
+// the owner is closed first.
 func (o *Owner[S]) Do(function func(*S)) bool {
 	ran := make(chan struct{})
 	queued := func(state *S) {
@@ -74,14 +74,14 @@
 	}
 }
 
-// Close stops the owner's goroutine and waits for its end. Queued functions that
-// have not begun are dropped.
+// Close stops the owner's goroutine and waits until it has ended. Queued functions
+// that have not started may be dropped.
 func (o *Owner[S]) Close() {
 	o.stop()
 	<-o.done
 }
 
-// Sleep waits until d has passed or ctx ends; it reports whether d passed.
+// Sleep waits until d has elapsed or ctx is done; it reports whether d elapsed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer, stop := clock.NewTimer(d)
 	defer stop()
--- a/cmd/rig/report/chart.go
+++ b/cmd/rig/report/chart.go
@@ -20,12 +20,12 @@
 	chartWidth  = 14 * vg.Inch
 	chartHeight = 6 * vg.Inch
 
-	// minLabelDistance is the time between two actions that are both labelled;
-	// labels nearer to each other would overlap.
+	// minLabelDistance is the minimum time between two labelled actions; labels that
+	// are closer would overlap.
 	minLabelDistance = 700 * time.Millisecond
 )
 
-// chart is lines over time, with a vertical line for each action.
+// chart is a line chart over time with a vertical line for each action.
 type chart struct {
 	title     string
 	unit      string
@@ -34,7 +34,7 @@
 	limitLine bool // draw a dashed line at 1
 }
 
-// serviceLines returns the attempts a second, by how they ended.
+// serviceLines returns the attempts per second by outcome.
 func serviceLines(seconds []Second) map[string]plotter.XYs {
 	lines := map[string]plotter.XYs{}
 	for _, second := range seconds {
@@ -50,7 +50,7 @@
 	return lines
 }
 
-// quotaLines returns the use of quotas, by tenant.
+// quotaLines returns the quota use by tenant.
 func quotaLines(seconds []Second) map[string]plotter.XYs {
 	lines := map[string]plotter.XYs{}
 	for _, second := range seconds {
@@ -61,7 +61,7 @@
 	return lines
 }
 
-// save draws the chart into a file, in the format of its extension.
+// save draws the chart into a file; the extension of path selects the format.
 func (c chart) save(path string) error {
 	canvas := plot.New()
 	canvas.Title.Text = c.title
@@ -71,17 +71,17 @@
 	canvas.Legend.Left = true
 	canvas.Y.Min = 0
 	if err := c.addLines(canvas); err != nil {
-		return errors.Wrap(err, "plot")
+		return errors.Wrap(err, "draw chart")
 	}
 	if c.limitLine {
 		if err := addLimitLine(canvas); err != nil {
-			return errors.Wrap(err, "plot")
+			return errors.Wrap(err, "draw chart")
 		}
 	}
 	if err := c.addActions(canvas); err != nil {
-		return errors.Wrap(err, "plot")
+		return errors.Wrap(err, "draw chart")
 	}
-	return errors.Wrap(canvas.Save(chartWidth, chartHeight, path), fmt.Sprint("plot ", path))
+	return errors.Wrap(canvas.Save(chartWidth, chartHeight, path), fmt.Sprint("save chart ", path))
 }
 
 func (c chart) addLines(p *plot.Plot) error {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// addLimitLine draws a dashed line at 1 over the width of the lines before.
+// addLimitLine draws a dashed line at 1 over the X range of the lines added so far.
 func addLimitLine(p *plot.Plot) error {
 	bound, err := plotter.NewLine(plotter.XYs{{X: p.X.Min, Y: 1}, {X: p.X.Max, Y: 1}})
 	if err != nil {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// top returns the highest value of all lines, at least 1.
-func (c chart) top() float64 {
+// maxY returns the highest value of all lines, at least 1.
+func (c chart) maxY() float64 {
 	top := 1.0
 	for _, line := range c.lines {
 		for _, point := range line {
@@ -125,10 +125,10 @@
 	return top
 }
 
-// addActions draws a vertical line for each action, and labels those that have
-// space.
+// addActions draws a vertical line for each action, and labels those at least
+// minLabelDistance after the last label.
 func (c chart) addActions(p *plot.Plot) error {
-	top := c.top()
+	top := c.maxY()
 	labels := plotter.XYLabels{}
 	lastLabel := time.Duration(math.MinInt64 / 2)
 	for _, action := range c.actions {
--- a/cmd/rig/report/report.go
+++ b/cmd/rig/report/report.go
@@ -1,6 +1,6 @@
-// Package report writes the result of a run into a folder: JSON lines by the
-// second and by violation, and plots of the service, with the faults marked, and
-// of each tenant's use of its quota.
+// Package report writes the results of a run into a directory: JSON lines, one for
+// each second and one for each violation, and two charts with the rig's actions
+// marked: the requests by outcome, and the quota use of each tenant.
 package report
 
 import (
@@ -17,10 +17,10 @@
 const folderMode = 0o755
 
 // Write writes seconds.jsonl, violations.jsonl, service.svg and spend.svg into a
-// folder, which it makes if it is missing.
+// directory, which it creates if it doesn't exist.
 func Write(folder, title string, recording *history.Recording, violations []checker.Violation) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "report")
+		return errors.Wrap(err, "write report")
 	}
 	seconds := Seconds(recording)
 	if err := writeLines(filepath.Join(folder, "seconds.jsonl"), seconds); err != nil {
@@ -31,7 +31,7 @@
 	}
 	service := chart{
 		title:   title,
-		unit:    "requests a second",
+		unit:    "requests per second",
 		lines:   serviceLines(seconds),
 		actions: recording.Actions,
 	}
@@ -40,7 +40,7 @@
 	}
 	quota := chart{
 		title:     title,
-		unit:      "tokens got in the last 8 s / allowance",
+		unit:      "tokens served in the last 8 s / allowance",
 		lines:     quotaLines(seconds),
 		actions:   recording.Actions,
 		limitLine: true,
@@ -52,14 +52,14 @@
 func writeLines[T any](path string, rows []T) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return errors.Wrap(err, "report")
+		return errors.Wrap(err, "write report")
 	}
 	encoder := json.NewEncoder(file)
 	for _, row := range rows {
 		if err := encoder.Encode(row); err != nil {
 			_ = file.Close()
-			return errors.Wrap(err, "report")
+			return errors.Wrap(err, "write report")
 		}
 	}
-	return errors.Wrap(file.Close(), "report")
+	return errors.Wrap(file.Close(), "write report")
 }
--- a/cmd/rig/report/report_test.go
+++ b/cmd/rig/report/report_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestReport(t *testing.T) {
-	Convey("A recording gives a line for each second and plots", t, func() {
+	Convey("Write creates a line for each second, and the charts", t, func() {
 		recording := &history.Recording{End: 10 * time.Second, Allowances: map[string]history.Allowance{"press": {Rate: 10, Burst: 20}},
 			Actions: []history.Action{{At: 4 * time.Second, Description: "kill core1"}}}
 		for i := range 10 {
--- a/cmd/rig/report/seconds.go
+++ b/cmd/rig/report/seconds.go
@@ -7,17 +7,18 @@
 	"stepwick/cmd/rig/history"
 )
 
-// Second is one line of seconds.jsonl: the attempts that ended in one second.
+// Second is one line of seconds.jsonl: the attempts that ended and the actions that
+// took place in one second of the run.
 type Second struct {
 	Second   int                `json:"second"`
 	Served   int                `json:"served"`
 	Rejected int                `json:"refused"`
 	Failed   int                `json:"failed"`
-	QuotaUse map[string]float64 `json:"spend"` // by tenant: tokens served in the quota window before, as a share of the allowance
+	QuotaUse map[string]float64 `json:"spend"` // by tenant: tokens served in the quota window that ends here, as a share of the allowance
 	Actions  []string           `json:"marks,omitempty"`
 }
 
-func (s *Second) count(outcome history.Outcome) {
+func (s *Second) countOutcome(outcome history.Outcome) {
 	switch outcome {
 	case history.Served, history.Abandoned:
 		s.Served++
@@ -28,7 +29,7 @@
 	}
 }
 
-// Seconds sums a recording up by the second.
+// Seconds aggregates a recording by second.
 func Seconds(recording *history.Recording) []Second {
 	count := int(math.Ceil(recording.End.Seconds()))
 	if count == 0 {
@@ -41,7 +42,7 @@
 	}
 	rowAt := func(at history.Instant) *Second { return &rows[min(max(int(at.Seconds()), 0), count-1)] }
 	for _, attempt := range recording.Attempts {
-		rowAt(attempt.Done).count(attempt.Outcome)
+		rowAt(attempt.Done).countOutcome(attempt.Outcome)
 	}
 	for _, action := range recording.Actions {
 		row := rowAt(action.At)
@@ -69,7 +70,7 @@
 	return tokens
 }
 
-// addQuotaUse adds a tenant's use in the quota window that ends with each second.
+// addQuotaUse sets a tenant's quota use in the window that ends with each second.
 func addQuotaUse(rows []Second, tenant string, tokens []float64, allowance history.Allowance) {
 	windowSeconds := int(checker.QuotaWindow.Seconds())
 	limit := allowance.Rate*checker.QuotaWindow.Seconds() + allowance.Burst
