--- a/cmd/rig/cost_command.go
+++ b/cmd/rig/cost_command.go
@@ -19,7 +19,8 @@
 	costAnswerTokens  = 4
 	maxMeasuredTime   = time.Minute
 	significantDigits = 3
-	// calmChance is a Chance at which a caller neither leaves nor reads slowly.
+	// calmChance is a Call.Chance at which a caller neither abandons its request nor
+	// reads slowly.
 	calmChance = 0.5
 )
 
@@ -27,10 +28,10 @@
 	requests := 400
 	command := &cobra.Command{
 		Use:   "cost",
-		Short: "Measure what a front adds to a request against calling the server itself",
+		Short: "Measure the latency that a front adds to a request, compared with a direct call to the server",
 		RunE:  func(cmd *cobra.Command, _ []string) error { return measureCosts(cmd.Context(), requests) },
 	}
-	command.Flags().IntVar(&requests, "requests", requests, "requests of each kind, one after another, direct and through a front in turns")
+	command.Flags().IntVar(&requests, "requests", requests, "sequential requests of each tenant, alternately direct and through a front")
 	return command
 }
 
@@ -77,7 +78,8 @@
 	Failed     int     `json:"failed"`
 }
 
-// measureCost measures one tenant's requests. Both ways pass one fault proxy.
+// measureCost measures the requests of one tenant. The direct path and the path
+// through a front both cross the server's fault proxy.
 func measureCost(run *faultcase.Run, tenant loadgen.Tenant, requests int) requestCost {
 	direct := hdrhistogram.New(1, maxMeasuredTime.Microseconds(), significantDigits)
 	through := hdrhistogram.New(1, maxMeasuredTime.Microseconds(), significantDigits)
@@ -103,8 +105,8 @@
 			FrontAddress: run.Fleet.Nodes[3].CallerAddress,
 			FrontIndex:   uint64(i),
 		}
-		cost.add(direct, run.Callers.DoAtServer(call, run.Fleet.ServerAddress(server)))
-		cost.add(through, run.Callers.Do(run.Context(), call))
+		cost.recordAttempt(direct, run.Callers.DoAtServer(call, run.Fleet.ServerAddress(server)))
+		cost.recordAttempt(through, run.Callers.Do(run.Context(), call))
 	}
 	cost.DirectP50 = milliseconds(direct, 50)
 	cost.DirectP95 = milliseconds(direct, 95)
@@ -114,7 +116,7 @@
 	return cost
 }
 
-func (c *requestCost) add(histogram *hdrhistogram.Histogram, attempt history.Attempt) {
+func (c *requestCost) recordAttempt(histogram *hdrhistogram.Histogram, attempt history.Attempt) {
 	if attempt.Outcome != history.Served {
 		c.Failed++
 		return
--- a/cmd/rig/demo_command.go
+++ b/cmd/rig/demo_command.go
@@ -18,17 +18,17 @@
 
 const (
 	demoChanges        = 30
-	demoOperatorsGrace = 20 * time.Second // for orders after the length of the demo
+	demoOperatorsGrace = 20 * time.Second // extra time for orders after the demo's duration
 	demoLossDelay      = 5 * time.Millisecond
 	demoVersionTimeout = 5 * time.Second
 )
 
-// demo serves the first deployment's load while operators submit changes.
+// demo holds the flags of the demo command.
 type demo struct {
 	seconds int
 	seed    uint64
 	keepDir string
-	report  string // folder
+	report  string // directory of the report; empty for none
 }
 
 func demoCommand() *cobra.Command {
@@ -38,7 +38,7 @@
 		Short: "Serve the first deployment's load while operators submit changes",
 		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
 	}
-	command.Flags().IntVar(&flags.seconds, "seconds", flags.seconds, "how long to serve")
+	command.Flags().IntVar(&flags.seconds, "seconds", flags.seconds, "duration of the load in seconds")
 	command.Flags().Uint64Var(&flags.seed, "seed", flags.seed, "seed of the load")
 	command.Flags().StringVar(&flags.keepDir, "keep", flags.keepDir, "folder for the ledger and the nodes' logs")
 	command.Flags().StringVar(&flags.report, "report", flags.report, "folder for JSON lines and plots")
@@ -64,9 +64,9 @@
 	if err != nil {
 		return err
 	}
-	problems := operate(run, d.seconds)
+	problems := runOperatorChecks(run, d.seconds)
 	versions := run.NodeVersions(demoVersionTimeout)
-	result := conclude(run, "demo")
+	result := finishRun(run, "demo")
 	if err := result.writeReport(d.report, "demo"); err != nil {
 		return err
 	}
@@ -88,17 +88,18 @@
 	return violationError(summary.Violations)
 }
 
-// operate submits changes in a row, one race and one order whose answer is lost,
-// while the fleet serves, and returns what did not go as it must.
-func operate(run *faultcase.Run, length int) []string {
+// runOperatorChecks submits a series of changes, two concurrent changes on one base and an
+// order whose answer is lost while the fleet serves requests. It returns the problems
+// found.
+func runOperatorChecks(run *faultcase.Run, length int) []string {
 	duration := time.Duration(length) * time.Second
-	until := run.Recorder.Now() + duration
+	trafficEnd := run.Recorder.Now() + duration
 	ctx, cancel := context.WithTimeout(run.Context(), duration+demoOperatorsGrace)
 	defer cancel()
 	run.Wait(2 * time.Second)
 	base, ok := run.Operators.SheetVersion(ctx, run.Fleet.Nodes)
 	if !ok {
-		return []string{"no node gave the sheet"}
+		return []string{"no node returned the sheet"}
 	}
 	base, problem := submitInRow(ctx, run, base)
 	if problem != "" {
@@ -114,14 +115,15 @@
 			problems = append(problems, check)
 		}
 	}
-	if remaining := until - run.Recorder.Now(); remaining > 0 {
+	if remaining := trafficEnd - run.Recorder.Now(); remaining > 0 {
 		run.Wait(remaining)
 	}
 	return problems
 }
 
-// submitInRow submits changes one after another and returns the base of the next.
-// Like the checks below, it returns the problem it found, or an empty string.
+// submitInRow submits changes one after another and returns the base version for the
+// next change. Like the checks below, it returns a description of the problem found,
+// or an empty string.
 func submitInRow(ctx context.Context, run *faultcase.Run, base uint64) (next uint64, problem string) {
 	for i := range demoChanges {
 		answer := run.Operators.Submit(ctx, run.Operators.Change("ade", base), run.Fleet.NodesFrom(i))
@@ -133,16 +135,17 @@
 	return base, ""
 }
 
-// raceOnBase submits two changes on one base at once: one must be acknowledged.
+// raceOnBase submits two changes on one base concurrently: exactly one must be
+// acknowledged.
 func raceOnBase(ctx context.Context, run *faultcase.Run, base uint64) (problem string) {
 	orders := []*loadgen.Order{run.Operators.Change("ade", base), run.Operators.Change("bola", base)}
 	answers := make([]history.Order, len(orders))
-	var racers sync.WaitGroup
+	var submissions sync.WaitGroup
 	for i, order := range orders {
 		order.Race = "demo"
-		racers.Go(func() { answers[i] = run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(i*4)) })
+		submissions.Go(func() { answers[i] = run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(i*4)) })
 	}
-	racers.Wait()
+	submissions.Wait()
 	first, second := answers[0], answers[1]
 	if first.Acknowledged() == second.Acknowledged() {
 		return fmt.Sprintf("race: %d/%d and %d/%d", first.Status, first.Code, second.Status, second.Code)
@@ -150,17 +153,17 @@
 	return ""
 }
 
-// resendAfterLostAnswer sends one order three times, first with a lost answer: the
-// answers must be the same.
+// resendAfterLostAnswer sends one order three times and loses the answer to the
+// first: the other two answers must be the same.
 func resendAfterLostAnswer(ctx context.Context, run *faultcase.Run) (problem string) {
 	_, base := run.Operators.NewestKey()
 	order := run.Operators.Change("bola", base)
 	run.Operators.Send(order, run.Fleet.Nodes[1], demoLossDelay)
-	first := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(2))
-	again := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(5))
-	if !first.Acknowledged() || !again.Acknowledged() || first.Version != again.Version {
+	firstAnswer := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(2))
+	repeatedAnswer := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(5))
+	if !firstAnswer.Acknowledged() || !repeatedAnswer.Acknowledged() || firstAnswer.Version != repeatedAnswer.Version {
 		return fmt.Sprintf("lost answer: %d/%d epoch %d, again %d/%d epoch %d",
-			first.Status, first.Code, first.Version, again.Status, again.Code, again.Version)
+			firstAnswer.Status, firstAnswer.Code, firstAnswer.Version, repeatedAnswer.Status, repeatedAnswer.Code, repeatedAnswer.Version)
 	}
 	return ""
 }
--- a/cmd/rig/experiment_command.go
+++ b/cmd/rig/experiment_command.go
@@ -23,7 +23,7 @@
 	plotBarWidth = 16 // points
 )
 
-// experiment is the flags of the experiment command.
+// experiment holds the flags of the experiment command.
 type experiment struct {
 	site     string
 	disabled []string // mechanisms
@@ -31,7 +31,7 @@
 	seeds    int
 	from     uint64
 	scale    float64
-	seconds  float64 // 0 for the site's own
+	seconds  float64 // 0 for the site's default
 	plotFile string
 	burst    model.Burst
 }
@@ -40,26 +40,26 @@
 	flags := &experiment{}
 	command := &cobra.Command{
 		Use:   "experiment",
-		Short: "Compare policies of choosing servers in virtual time, paired by seed",
-		Long: `Compare policies of choosing servers in virtual time, paired by seed.
+		Short: "Compare server selection policies in virtual time, paired by seed",
+		Long: `Compare server selection policies in virtual time, paired by seed.
 
-The choices are the product's own code for every front of a site; servers, links
-and clients are modelled (sim/balance). Without flags all mechanisms are compared
-with themselves: name those to be switched off, or ask for each in turn.`,
+Every front of a site runs the production code that selects servers; servers, links
+and clients are simulated (sim/balance). Without flags the default policy is compared
+with itself: --off names mechanisms to disable, --ablate disables each in turn.`,
 		Example: "  rig experiment --site three-regions --off isolation --seeds 6\n  rig experiment --site two-regions --ablate",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.OutOrStdout()) },
 	}
 	command.Flags().StringVar(&flags.site, "site", "three-regions", "three-regions or two-regions")
-	command.Flags().StringSliceVar(&flags.disabled, "off", nil, "mechanisms that the second policy has switched off")
-	command.Flags().BoolVar(&flags.ablate, "ablate", false, "switch each mechanism off in turn")
+	command.Flags().StringSliceVar(&flags.disabled, "off", nil, "mechanisms disabled in the second policy")
+	command.Flags().BoolVar(&flags.ablate, "ablate", false, "disable each mechanism in turn")
 	command.Flags().IntVar(&flags.seeds, "seeds", 6, "number of seeds")
 	command.Flags().Uint64Var(&flags.from, "from", 1, "first seed")
-	command.Flags().Float64Var(&flags.scale, "scale", 1, "times the site's fronts, servers and load")
-	command.Flags().Float64Var(&flags.seconds, "seconds", 0, "length of a run; the site's own when zero")
-	command.Flags().StringVar(&flags.burst.Kind, "burst", "", "kind of requests that comes more often for a while")
-	command.Flags().Float64Var(&flags.burst.Times, "burst-times", 4, "how many times as often")
-	command.Flags().Float64Var(&flags.burst.At, "burst-at", 14, "from this second on")
-	command.Flags().Float64Var(&flags.burst.For, "burst-for", 8, "for so many seconds")
+	command.Flags().Float64Var(&flags.scale, "scale", 1, "factor for the site's fronts, servers and load")
+	command.Flags().Float64Var(&flags.seconds, "seconds", 0, "duration of a run in seconds; 0 for the site's default")
+	command.Flags().StringVar(&flags.burst.Kind, "burst", "", "kind of requests whose rate rises temporarily")
+	command.Flags().Float64Var(&flags.burst.Times, "burst-times", 4, "factor by which the rate rises")
+	command.Flags().Float64Var(&flags.burst.At, "burst-at", 14, "start of the burst in seconds")
+	command.Flags().Float64Var(&flags.burst.For, "burst-for", 8, "duration of the burst in seconds")
 	command.Flags().StringVar(&flags.plotFile, "plot", "", "file for a plot of the differences in worth by seed (svg, png or pdf)")
 	return command
 }
@@ -91,14 +91,14 @@
 	return plotValues(e.plotFile, label, differences[0])
 }
 
-// loadSite returns the site with the changes that the flags make.
+// loadSite loads the site and applies the flags to it.
 func (e *experiment) loadSite() (model.Site, error) {
 	site, err := model.Load(e.site)
 	if err != nil {
 		return site, err
 	}
 	if e.scale <= 0 || e.seeds <= 0 {
-		return site, errors.New("scale and seeds must be above zero")
+		return site, errors.Errorf("scale %v and seeds %d must be above zero", e.scale, e.seeds)
 	}
 	if e.scale != 1 {
 		site = site.Scaled(e.scale)
@@ -125,7 +125,8 @@
 	return table.Flush()
 }
 
-// printAblation switches each mechanism off in turn.
+// printAblation prints one line for each mechanism: the differences between the
+// policy with all mechanisms and the one with only that mechanism disabled.
 func printAblation(out io.Writer, site model.Site, seeds []uint64) error {
 	table := newTable(out)
 	_, _ = fmt.Fprintf(table, "off\tworth\t95%%\tworst windows\t95%%\t1,000 tokens read again\tMB between regions\tconnections\tservers out\t\n")
@@ -142,7 +143,7 @@
 	return table.Flush()
 }
 
-// plotValues plots a difference by seed.
+// plotValues draws a bar chart of a difference by seed.
 func plotValues(file, label string, difference model.Difference) error {
 	p := plot.New()
 	p.Title.Text = "with and without " + label
--- a/cmd/rig/fleet/node.go
+++ b/cmd/rig/fleet/node.go
@@ -159,14 +159,14 @@
 // process before it logged anything. The program installs its signal handler first,
 // so such a process had not yet reached the program's main function.
 func (n *Node) TerminatedBeforeStart() bool {
-	var ended syscall.Signal
+	var lastSignal syscall.Signal
 	var logStart int64
 	n.state.Do(func(s *nodeState) {
-		ended = s.lastSignal
+		lastSignal = s.lastSignal
 		logStart = s.logSizeAtStart
 	})
 	info, err := os.Stat(n.LogFile())
-	return err == nil && ended == syscall.SIGTERM && info.Size() == logStart
+	return err == nil && lastSignal == syscall.SIGTERM && info.Size() == logStart
 }
 
 // Kill sends SIGKILL and waits until the process has exited.
@@ -175,10 +175,10 @@
 	n.killAndWait()
 }
 
-// Terminate sends SIGTERM, waits at most d for the process to exit, and kills it
+// Terminate sends SIGTERM, waits at most timeout for the process to exit, and kills it
 // after that. It reports whether the process exited with code 0 or was not running.
-func (n *Node) Terminate(d time.Duration) (clean bool) {
-	return n.AwaitExit(n.SendTerminate(), d)
+func (n *Node) Terminate(timeout time.Duration) (clean bool) {
+	return n.AwaitExit(n.SendTerminate(), timeout)
 }
 
 // SendTerminate sends SIGTERM and returns a channel that is closed when the process
@@ -188,13 +188,13 @@
 	return n.sendSignal(terminate)
 }
 
-// AwaitExit waits at most d on the channel from SendTerminate, then kills the
+// AwaitExit waits at most timeout on the channel from SendTerminate, then kills the
 // process. It reports whether the process exited with code 0 or was not running.
-func (n *Node) AwaitExit(exited <-chan struct{}, d time.Duration) (clean bool) {
+func (n *Node) AwaitExit(exited <-chan struct{}, timeout time.Duration) (clean bool) {
 	if exited == nil {
 		return true
 	}
-	timer, stop := clock.NewTimer(d)
+	timer, stop := clock.NewTimer(timeout)
 	defer stop()
 	select {
 	case <-exited:
--- a/cmd/rig/hollow_command.go
+++ b/cmd/rig/hollow_command.go
@@ -10,21 +10,21 @@
 	"stepwick/cmd/rig/simnode"
 )
 
-// controlCost is the flags of the hollow command.
-type controlCost struct {
+// hollowRun holds the flags of the hollow command.
+type hollowRun struct {
 	fronts  []int
 	tenants []int
 	servers []int
 	warmUp  int // seconds
 	seconds int
-	options simnode.Options // what all measurements share
+	options simnode.Options // shared by all measurements
 }
 
 func hollowCommand() *cobra.Command {
-	flags := &controlCost{}
+	flags := &hollowRun{}
 	command := &cobra.Command{
 		Use:   "hollow",
-		Short: "Measure what control costs a node and a core as the fleet grows",
+		Short: "Measure the cost of the control plane per front and core as the fleet grows",
 		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
 	}
 	command.Flags().IntSliceVar(&flags.fronts, "fronts", []int{10, 50, 100}, "numbers of fronts")
@@ -32,16 +32,16 @@
 	command.Flags().IntSliceVar(&flags.servers, "servers", []int{0}, "numbers of servers")
 	command.Flags().StringToStringVar(&flags.options.Settings, "set", nil, "settings of every process, NAME=VALUE")
 	command.Flags().StringVar(&flags.options.HeapProfile, "profile", "", "file for a heap profile of the fronts")
-	command.Flags().BoolVar(&flags.options.RestartFronts, "herd", false, "last, stop all fronts and start them anew at once")
+	command.Flags().BoolVar(&flags.options.RestartFronts, "herd", false, "finally stop all fronts and restart them at the same time")
 	command.Flags().IntVar(&flags.options.Cores, "cores", 3, "number of cores")
 	command.Flags().IntVar(&flags.warmUp, "warm", 10, "seconds before the measurement")
 	command.Flags().IntVar(&flags.seconds, "seconds", 15, "seconds of the measurement")
-	command.Flags().IntVar(&flags.options.Orders, "orders", 10, "changes put in force after it")
+	command.Flags().IntVar(&flags.options.Orders, "orders", 10, "changes submitted one after another after the measurement")
 	return command
 }
 
-// run measures every combination of the numbers given.
-func (m *controlCost) run(ctx context.Context) error {
+// run measures every combination of the given numbers of tenants, fronts and servers.
+func (m *hollowRun) run(ctx context.Context) error {
 	binary, remove, err := buildProgram()
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func (m *controlCost) measure(ctx context.Context, fronts, tenants, servers int) error {
+func (m *hollowRun) measure(ctx context.Context, fronts, tenants, servers int) error {
 	dir, err := os.MkdirTemp("", "stepwick-hollow-")
 	if err != nil {
 		return err
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -18,7 +18,7 @@
 	defer stop()
 	root := &cobra.Command{
 		Use:           "rig",
-		Short:         "Prove stepwick from outside",
+		Short:         "Test stepwick from outside",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/rig/pages_command.go
+++ b/cmd/rig/pages_command.go
@@ -19,10 +19,10 @@
 	logTailLines      = 8
 )
 
-// pageRun is the flags of the pages command.
+// pageRun holds the flags of the pages command.
 type pageRun struct {
 	page    string
-	workDir string // empty for a temporary one
+	workDir string // empty for a temporary directory
 	seconds int
 }
 
@@ -37,15 +37,15 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
 	}
-	command.Flags().IntVar(&flags.seconds, "seconds", flags.seconds, "bound of the whole run")
-	command.Flags().StringVar(&flags.page, "page", flags.page, "the page")
-	command.Flags().StringVar(&flags.workDir, "keep", flags.workDir, "an empty folder to work in and keep")
+	command.Flags().IntVar(&flags.seconds, "seconds", flags.seconds, "time limit of the whole run in seconds")
+	command.Flags().StringVar(&flags.page, "page", flags.page, "path of the page")
+	command.Flags().StringVar(&flags.workDir, "keep", flags.workDir, "empty working directory that is kept")
 	return command
 }
 
-// run runs the page's blocks under a shell that stops at the first command that
-// fails. The shell works in a folder of its own; what it leaves running ends with
-// its process group.
+// run executes the page's blocks in a shell that stops at the first failing command.
+// The shell has its own working directory; processes that it leaves running are
+// killed with its process group.
 func (p *pageRun) run(ctx context.Context) error {
 	text, err := os.ReadFile(p.page)
 	if err != nil {
@@ -53,9 +53,9 @@
 	}
 	blocks := shellBlocks(string(text))
 	if len(blocks) == 0 {
-		return errors.Errorf("%s has no commands", p.page)
+		return errors.Errorf("%s has no sh blocks", p.page)
 	}
-	dir, remove, err := p.folder()
+	dir, remove, err := p.workingDir()
 	if err != nil {
 		return err
 	}
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// folder returns the absolute path of the folder to work in. The function returned
-// removes it if it is temporary.
-func (p *pageRun) folder() (dir string, remove func(), err error) {
+// workingDir returns the absolute path of the working directory. The returned function
+// removes the directory if it is temporary.
+func (p *pageRun) workingDir() (dir string, remove func(), err error) {
 	dir = p.workDir
 	remove = func() {}
 	if dir == "" {
@@ -90,8 +90,8 @@
 	return dir, remove, err
 }
 
-// pageScript returns a script that prints and runs each block. In it the command
-// go works in the checkout, but writes to bin/ of the folder.
+// pageScript returns a script that prints and runs each block. In the script, the
+// command go runs in the checkout, but writes to bin/ of the working directory.
 func pageScript(blocks []string, dir string) (string, error) {
 	root, err := os.Getwd()
 	if err != nil {
@@ -105,8 +105,8 @@
 	return script.String(), nil
 }
 
-// runShell runs a script in a process group of its own and kills the group when
-// the script or ctx ends.
+// runShell runs a script in its own process group and kills the group when the
+// script ends or ctx is done.
 func runShell(ctx context.Context, script, dir string) error {
 	shell := exec.Command("bash", "-c", script)
 	shell.Dir = dir
@@ -123,7 +123,7 @@
 	return shell.Wait()
 }
 
-// shellBlocks returns the blocks of a page that are marked as sh.
+// shellBlocks returns the fenced code blocks of a Markdown page whose language is sh.
 func shellBlocks(text string) []string {
 	var blocks []string
 	var block strings.Builder
@@ -143,7 +143,7 @@
 	return blocks
 }
 
-// printLogTails prints the ends of the logs that the page's commands wrote.
+// printLogTails prints the last lines of the logs that the page's commands wrote.
 func printLogTails(dir string) {
 	logs, _ := filepath.Glob(filepath.Join(dir, "tour", "*.log"))
 	for _, log := range logs {
--- a/cmd/rig/pages_command_test.go
+++ b/cmd/rig/pages_command_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestShellBlocks(t *testing.T) {
-	Convey("Blocks of commands are taken as printed, in their order, and nothing else is", t, func() {
+	Convey("shellBlocks returns the closed sh blocks unchanged and in order, and nothing else", t, func() {
 		So(shellBlocks("a\n```sh\nb\n  c\n```\n\n    d\n```text\ne\n```\n```sh\nf\n```\n"), ShouldResemble, []string{"b\n  c\n", "f\n"})
 		So(shellBlocks("```sh\nnever closed\n"), ShouldBeEmpty)
 	})
-	Convey("The operators' page has commands for every task that they are promised", t, func() {
+	Convey("The operators' page has the commands for every documented task", t, func() {
 		text, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATING.md"))
 		So(err, ShouldBeNil)
 		all := ""
--- a/cmd/rig/prove_command.go
+++ b/cmd/rig/prove_command.go
@@ -18,55 +18,55 @@
 	"stepwick/cmd/rig/loadgen"
 )
 
-// allCases as a case's name stands for all of them.
-const allCases = "all"
+// allCasesName is the value of --case that selects all cases.
+const allCasesName = "all"
 
-// trafficBeforeCase is how long traffic runs before the first fault.
+// trafficBeforeCase is the duration of the traffic before the first fault.
 const trafficBeforeCase = 2 * time.Second
 
-// proof is the flags of the prove command.
-type proof struct {
+// proveRun holds the flags of the prove and soak commands.
+type proveRun struct {
 	list           bool
 	cases          []string
 	seed           uint64
 	seeds          int
-	seconds        int // 0 for the usual length of each case
+	seconds        int // 0 for the default duration of each case
 	keepDir        string
 	reportDir      string
-	binary         string // empty to build one
+	binary         string // empty to build the program
 	previousBinary string
 	printTable     bool
-	openRules      []string // rules whose violations are known and not repaired yet
+	openRules      []string // rules with known violations that are not fixed yet
 }
 
 func proveCommand() *cobra.Command {
-	flags := &proof{}
+	flags := &proveRun{}
 	command := &cobra.Command{
 		Use:     "prove",
-		Short:   "Cause faults and judge from outside what came of them",
+		Short:   "Inject faults and check from outside that the rules hold",
 		Example: "  rig prove --list\n  rig prove --case force_core --seed 4\n  rig prove --seed 100 --seeds 20 --seconds 40",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
 	}
 	command.Flags().BoolVar(&flags.list, "list", false, "list the cases")
-	command.Flags().StringSliceVar(&flags.cases, "case", nil, "cases to run (all for every one); without it the seed draws a mix")
+	command.Flags().StringSliceVar(&flags.cases, "case", nil, "cases to run, or all; by default the seed selects a random mix of faults")
 	flags.addRunFlags(command)
-	command.Flags().StringVar(&flags.previousBinary, "older", "", "the stepwick program of a previous build, for the case roll")
+	command.Flags().StringVar(&flags.previousBinary, "older", "", "path of a stepwick program from a previous build, for the case roll")
 	return command
 }
 
 // addRunFlags adds the flags that do not depend on the case.
-func (p *proof) addRunFlags(command *cobra.Command) {
+func (p *proveRun) addRunFlags(command *cobra.Command) {
 	command.Flags().Uint64Var(&p.seed, "seed", 1, "seed")
-	command.Flags().IntVar(&p.seeds, "seeds", 1, "how many seeds, from --seed on")
-	command.Flags().IntVar(&p.seconds, "seconds", 0, "length of a case; 0 for its usual one")
+	command.Flags().IntVar(&p.seeds, "seeds", 1, "number of consecutive seeds, starting at --seed")
+	command.Flags().IntVar(&p.seconds, "seconds", 0, "duration of a case in seconds; 0 for its default")
 	command.Flags().StringVar(&p.keepDir, "keep", "", "folder for ledgers and the nodes' logs")
 	command.Flags().StringVar(&p.reportDir, "report", "", "folder for JSON lines and plots")
-	command.Flags().StringVar(&p.binary, "binary", "", "a stepwick program that is built already")
-	command.Flags().StringSliceVar(&p.openRules, "open", nil, "rules whose violations are printed and counted apart, as known and not repaired yet")
+	command.Flags().StringVar(&p.binary, "binary", "", "path of an existing stepwick program; built if empty")
+	command.Flags().StringSliceVar(&p.openRules, "open", nil, "rules whose violations are known and not fixed yet; these are printed and counted separately")
 	command.Flags().BoolVar(&p.printTable, "table", false, "print a line each second")
 }
 
-func (p *proof) run(ctx context.Context) error {
+func (p *proveRun) run(ctx context.Context) error {
 	if p.list {
 		listCases()
 		return nil
@@ -91,33 +91,33 @@
 	fmt.Printf("-  %-16s %3ds  %s (the one without --case)\n", mix.Name, mix.Seconds, mix.Help)
 }
 
-// chooseCases returns the named cases; without a name the mix.
+// chooseCases returns the named cases, or the mix if no name is given.
 func chooseCases(names []string) ([]faultcase.Case, error) {
 	if len(names) == 0 {
 		return []faultcase.Case{faultcase.Mix}, nil
 	}
 	var chosen []faultcase.Case
 	for _, name := range names {
-		if name == allCases {
+		if name == allCasesName {
 			chosen = append(chosen, faultcase.Cases...)
 			continue
 		}
-		found, ok := faultcase.Find(name)
+		namedCase, ok := faultcase.Find(name)
 		if !ok {
-			return nil, errors.Errorf("no case %q; see --list", name)
+			return nil, errors.Errorf("unknown case %q; see --list", name)
 		}
-		chosen = append(chosen, found)
+		chosen = append(chosen, namedCase)
 	}
 	return chosen, nil
 }
 
-// proofTotals is the last line that is printed.
-type proofTotals struct {
+// proveTotals is the last line of the output.
+type proveTotals struct {
 	Cases      int `json:"cases"`
 	Violations int `json:"violations"`
 }
 
-func (p *proof) runAll(ctx context.Context, cases []faultcase.Case) error {
+func (p *proveRun) runAll(ctx context.Context, cases []faultcase.Case) error {
 	if err := checkRuleNames(p.openRules); err != nil {
 		return err
 	}
@@ -129,13 +129,13 @@
 		defer remove()
 		p.binary = binary
 	}
-	var totals proofTotals
+	var totals proveTotals
 	for i := range p.seeds {
-		for _, chosen := range cases {
+		for _, testCase := range cases {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			verdict := p.runCase(ctx, chosen, p.seed+uint64(i))
+			verdict := p.runCase(ctx, testCase, p.seed+uint64(i))
 			totals.Cases++
 			totals.Violations += verdict.Violations
 			if err := printJSON(verdict); err != nil {
@@ -149,13 +149,13 @@
 	return violationError(totals.Violations)
 }
 
-// verdict is the line that is printed for a case.
+// verdict is the line of the output for one case and seed.
 type verdict struct {
 	Case               string                    `json:"case"`
 	Seed               uint64                    `json:"seed"`
 	Violations         int                       `json:"violations"`
-	OpenViolations     int                       `json:"open,omitempty"`    // of rules that are known to be violated
-	Problem            string                    `json:"trouble,omitempty"` // why the case could not do its work
+	OpenViolations     int                       `json:"open,omitempty"`    // of the rules in --open
+	Problem            string                    `json:"trouble,omitempty"` // why the case could not be run to its end
 	Served             int                       `json:"served"`
 	Rejected           int                       `json:"refused"`
 	Failed             int                       `json:"failed"`
@@ -165,15 +165,15 @@
 	Soak               *faultcase.SoakSummary    `json:"soak,omitempty"`
 }
 
-// setProblem notes that the case could not do its work, such as an order that was
-// never accepted. That counts as a violation.
+// setProblem records that the case could not be run to its end, for example because
+// an order was never accepted. That counts as a violation.
 func (v *verdict) setProblem(err error) {
 	v.Problem = err.Error()
 	v.Violations++
 	fmt.Printf("TROUBLE case %s seed %d: %v\n", v.Case, v.Seed, err)
 }
 
-func (p *proof) options(c faultcase.Case, seed uint64) faultcase.Options {
+func (p *proveRun) options(c faultcase.Case, seed uint64) faultcase.Options {
 	options := faultcase.Options{
 		Spec:           fleet.FirstDeployment(),
 		Tenants:        loadgen.FirstTenants(),
@@ -196,10 +196,10 @@
 	return options
 }
 
-// runName names the folders of a case's run.
+// runName returns the name of a run's directories under --keep and --report.
 func runName(c faultcase.Case, seed uint64) string { return fmt.Sprintf("%s-%d", c.Name, seed) }
 
-func (p *proof) runCase(ctx context.Context, c faultcase.Case, seed uint64) verdict {
+func (p *proveRun) runCase(ctx context.Context, c faultcase.Case, seed uint64) verdict {
 	caseVerdict := verdict{Case: c.Name, Seed: seed}
 	run, err := faultcase.Start(ctx, p.options(c, seed))
 	if err != nil {
@@ -208,12 +208,12 @@
 	}
 	run.Wait(trafficBeforeCase)
 	caseErr := c.Run(run)
-	result := conclude(run, c.Name)
+	result := finishRun(run, c.Name)
 	p.writeReport(&result, runName(c, seed))
 	summary := result.summarize(run.TrafficStart)
 	caseVerdict.Rolling = run.Rolling
 	caseVerdict.Soak = run.Soak
-	caseVerdict.OpenViolations = countOfRules(result.violations, p.openRules)
+	caseVerdict.OpenViolations = countViolationsOf(result.violations, p.openRules)
 	caseVerdict.Violations = summary.Violations - caseVerdict.OpenViolations
 	caseVerdict.Served = summary.Served
 	caseVerdict.Rejected = summary.Rejected
@@ -228,8 +228,8 @@
 	return caseVerdict
 }
 
-// countOfRules returns how many violations were found by one of the named rules.
-func countOfRules(violations []checker.Violation, rules []string) int {
+// countViolationsOf returns the number of violations of the named rules.
+func countViolationsOf(violations []checker.Violation, rules []string) int {
 	count := 0
 	for _, violation := range violations {
 		if slices.Contains(rules, violation.Rule) {
@@ -239,19 +239,19 @@
 	return count
 }
 
-// checkRuleNames returns an error for a name that is no rule's.
+// checkRuleNames returns an error if a name is not the name of a rule.
 func checkRuleNames(names []string) error {
 	for _, name := range names {
 		if !slices.ContainsFunc(checker.Rules, func(rule checker.Rule) bool { return rule.Name == name }) {
-			return errors.Errorf("no rule %q", name)
+			return errors.Errorf("unknown rule %q", name)
 		}
 	}
 	return nil
 }
 
-// writeReport writes a case's report, if one is wanted; its failure is printed and
-// doesn't end the proof.
-func (p *proof) writeReport(result *outcome, name string) {
+// writeReport writes the report of a case if --report is set. It prints an error
+// instead of returning it, so that the remaining cases still run.
+func (p *proveRun) writeReport(result *runResult, name string) {
 	if p.reportDir == "" {
 		return
 	}
@@ -260,7 +260,7 @@
 	}
 }
 
-// peakQuotaUse returns the peak use of each tenant's quota, cut to three decimals.
+// peakQuotaUse returns the peak quota use of each tenant, truncated to three decimals.
 func peakQuotaUse(recording *history.Recording) map[string]float64 {
 	peaks := map[string]float64{}
 	for tenant := range recording.Allowances {
--- a/cmd/rig/report/chart.go
+++ b/cmd/rig/report/chart.go
@@ -105,12 +105,12 @@
 
 // addLimitLine draws a dashed line at 1 over the X range of the lines added so far.
 func addLimitLine(p *plot.Plot) error {
-	bound, err := plotter.NewLine(plotter.XYs{{X: p.X.Min, Y: 1}, {X: p.X.Max, Y: 1}})
+	limit, err := plotter.NewLine(plotter.XYs{{X: p.X.Min, Y: 1}, {X: p.X.Max, Y: 1}})
 	if err != nil {
 		return err
 	}
-	bound.Dashes = plotutil.Dashes(1)
-	p.Add(bound)
+	limit.Dashes = plotutil.Dashes(1)
+	p.Add(limit)
 	return nil
 }
 
@@ -132,8 +132,8 @@
 	labels := plotter.XYLabels{}
 	lastLabel := time.Duration(math.MinInt64 / 2)
 	for _, action := range c.actions {
-		atSecond := action.At.Seconds()
-		bar, err := plotter.NewLine(plotter.XYs{{X: atSecond, Y: 0}, {X: atSecond, Y: top}})
+		xSeconds := action.At.Seconds()
+		bar, err := plotter.NewLine(plotter.XYs{{X: xSeconds, Y: 0}, {X: xSeconds, Y: top}})
 		if err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 		if action.At-lastLabel <= minLabelDistance {
 			continue
 		}
-		labels.XYs = append(labels.XYs, plotter.XY{X: atSecond, Y: top})
+		labels.XYs = append(labels.XYs, plotter.XY{X: xSeconds, Y: top})
 		labels.Labels = append(labels.Labels, action.Description)
 		lastLabel = action.At
 	}
--- a/cmd/rig/route_command.go
+++ b/cmd/rig/route_command.go
@@ -15,7 +15,7 @@
 
 const routeWarmUp = 5 * time.Second
 
-// routeComparison compares strategies of choosing a model server.
+// routeComparison holds the flags of the route command.
 type routeComparison struct {
 	seconds    int
 	seed       uint64
@@ -32,12 +32,12 @@
 	}
 	command := &cobra.Command{
 		Use:   "route",
-		Short: "Compare prefix affinity with the baselines on long prompts with shared prefixes",
+		Short: "Compare prefix affinity with other routing strategies on long prompts with shared prefixes",
 		RunE:  func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.Context()) },
 	}
-	command.Flags().IntVar(&flags.seconds, "seconds", flags.seconds, "how long to measure each strategy, after 5 s")
-	command.Flags().Uint64Var(&flags.seed, "seed", flags.seed, "seed of the load, the same for each")
-	command.Flags().Float64Var(&flags.loadFactor, "load", flags.loadFactor, "load as a factor of 110 prompts a second")
+	command.Flags().IntVar(&flags.seconds, "seconds", flags.seconds, "duration of each measurement in seconds, after 5 s of warm-up")
+	command.Flags().Uint64Var(&flags.seed, "seed", flags.seed, "seed of the load, the same for each strategy")
+	command.Flags().Float64Var(&flags.loadFactor, "load", flags.loadFactor, "load as a multiple of 110 prompts per second")
 	command.Flags().StringSliceVar(&flags.strategies, "strategies", flags.strategies, "strategies to compare")
 	return command
 }
@@ -45,7 +45,7 @@
 // longPromptTenants returns tenants whose prefixes do not all fit into one
 // server's cache.
 func longPromptTenants() []loadgen.Tenant {
-	plenty := history.Allowance{Rate: 1e7, Burst: 1e7}
+	largeAllowance := history.Allowance{Rate: 1e7, Burst: 1e7}
 	return []loadgen.Tenant{
 		{
 			Name:          "press",
@@ -58,7 +58,7 @@
 			SessionTokens: 150,
 			MaxTokens:     48,
 			Deadline:      8 * time.Second,
-			Allowance:     plenty,
+			Allowance:     largeAllowance,
 		},
 		{
 			Name:          "helpdesk",
@@ -71,7 +71,7 @@
 			SessionTokens: 200,
 			MaxTokens:     40,
 			Deadline:      8 * time.Second,
-			Allowance:     plenty,
+			Allowance:     largeAllowance,
 		},
 	}
 }
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// strategySummary is the line that is printed for a strategy.
+// strategySummary is the line of the output for one strategy.
 type strategySummary struct {
 	Strategy string `json:"strategy"`
 	faultcase.Summary
@@ -113,6 +113,6 @@
 	run.Wait(routeWarmUp)
 	from := run.Recorder.Now()
 	run.Wait(time.Duration(r.seconds) * time.Second)
-	result := conclude(run, strategy)
+	result := finishRun(run, strategy)
 	return printJSON(strategySummary{strategy, result.summarize(from)})
 }
--- a/cmd/rig/run.go
+++ b/cmd/rig/run.go
@@ -14,8 +14,8 @@
 	"stepwick/cmd/rig/report"
 )
 
-// buildProgram compiles stepwick into a folder of its own. The function returned
-// removes the folder.
+// buildProgram compiles stepwick into a temporary directory. The returned function
+// removes the directory.
 func buildProgram() (binary string, remove func(), err error) {
 	dir, err := os.MkdirTemp("", "stepwick-build-")
 	if err != nil {
@@ -29,36 +29,37 @@
 	return binary, remove, nil
 }
 
-// outcome is what a run left.
-type outcome struct {
+// runResult is the recording of a finished run and the violations found in it.
+type runResult struct {
 	recording  history.Recording
 	violations []checker.Violation
 }
 
-// conclude ends a run, checks its recording and prints the violations.
-func conclude(run *faultcase.Run, name string) outcome {
+// finishRun ends a run, checks the recording and prints the violations.
+func finishRun(run *faultcase.Run, name string) runResult {
 	recording := run.Close()
 	violations := checker.Check(&recording)
 	faultcase.PrintViolations(os.Stdout, name, violations)
-	return outcome{recording, violations}
+	return runResult{recording, violations}
 }
 
-// writeReport writes the report of a run; an empty folder means none.
-func (o *outcome) writeReport(folder, title string) error {
+// writeReport writes the report of a run into folder; it does nothing if folder is
+// empty.
+func (o *runResult) writeReport(folder, title string) error {
 	if folder == "" {
 		return nil
 	}
 	return report.Write(folder, title, &o.recording, o.violations)
 }
 
-// summarize summarizes the run from an instant on.
-func (o *outcome) summarize(from history.Instant) faultcase.Summary {
+// summarize returns the summary of the run from the given instant to its end.
+func (o *runResult) summarize(from history.Instant) faultcase.Summary {
 	summary := faultcase.Summarize(&o.recording, from)
 	summary.Violations = len(o.violations)
 	return summary
 }
 
-// printJSON prints a value as one line.
+// printJSON prints a value as one line of JSON.
 func printJSON(value any) error {
 	line, err := json.Marshal(value)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// violationError returns an error that counts violations, or nil for none.
+// violationError returns an error with the number of violations, or nil if count is 0.
 func violationError(count int) error {
 	if count == 0 {
 		return nil
--- a/cmd/rig/scenario_command.go
+++ b/cmd/rig/scenario_command.go
@@ -16,7 +16,7 @@
 	reportDir := ""
 	command := &cobra.Command{
 		Use:     "scenario FILE",
-		Short:   "Play an experiment from a YAML file: fleet, load phases, faults at times",
+		Short:   "Run an experiment from a YAML file: fleet, load phases and timed faults",
 		Args:    cobra.ExactArgs(1),
 		Example: "  rig scenario cmd/rig/scenarios/two-faults.yaml --report /tmp/two-faults",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -53,7 +53,7 @@
 		return err
 	}
 	scenarioErr := scenario.Run(run)
-	result := conclude(run, path)
+	result := finishRun(run, path)
 	if err := result.writeReport(reportDir, path); err != nil {
 		return err
 	}
--- a/cmd/rig/simnode/nodes.go
+++ b/cmd/rig/simnode/nodes.go
@@ -20,8 +20,8 @@
 	"stepwick/internal/settings"
 )
 
-// Third numbers of the addresses of the processes; a group goes on in the next
-// number when it is full.
+// Third octets of the addresses 127.N.group.i of the processes; a full group
+// continues in the next octet.
 const (
 	platformGroup = 89
 	coreGroup     = 90
@@ -35,8 +35,8 @@
 	serverPort   = 8000
 )
 
-// A node's zone keeps the ratio of the users' large site: 410 nodes in 65 zones of
-// 22 regions.
+// The numbers of zones and regions grow with the fronts in the proportions of the
+// users' large site: 410 nodes in 65 zones of 22 regions.
 const (
 	siteNodes   = 410
 	siteZones   = 65
@@ -67,17 +67,17 @@
 func (f *simFleet) coreSettings(i int) map[string]string {
 	values := f.nodeSettings(coreName(i), coreGroup, i)
 	values["data"] = filepath.Join(f.options.Dir, coreName(i))
-	f.override(values)
+	f.overrideSettings(values)
 	return values
 }
 
 func (f *simFleet) frontSettings(i int) map[string]string {
 	values := f.nodeSettings(fmt.Sprintf("front%03d", i), frontGroup, i)
-	f.override(values)
+	f.overrideSettings(values)
 	return values
 }
 
-// nodeSettings returns the settings that cores and fronts share.
+// nodeSettings returns the settings common to cores and fronts.
 func (f *simFleet) nodeSettings(name string, group, i int) map[string]string {
 	var seeds []string
 	for core := range min(maxSeeds, f.options.Cores) {
@@ -89,7 +89,7 @@
 		"zone":            f.zoneOf(i),
 		"listen.caller":   f.address(group, i, callerPort),
 		"listen.internal": f.address(group, i, internalPort),
-		"bind":            f.ip(group, i),
+		"bind":            f.loopbackIP(group, i),
 		"seeds":           strings.Join(seeds, ","),
 		"core.voters":     fmt.Sprint(f.options.Cores),
 		"fleet.secret":    fleetSecret,
@@ -102,8 +102,8 @@
 	return values
 }
 
-// override applies the settings of the options.
-func (f *simFleet) override(values map[string]string) {
+// overrideSettings replaces the values that Options.Settings sets.
+func (f *simFleet) overrideSettings(values map[string]string) {
 	for name, value := range f.options.Settings {
 		values[name] = value
 	}
@@ -137,7 +137,7 @@
 	command.Stdout = log
 	command.Stderr = log
 	if err := command.Start(); err != nil {
-		return errors.Wrap(err, "start a core")
+		return errors.Wrapf(err, "start %s", coreName(i))
 	}
 	f.cores = append(f.cores, &coreProcess{command})
 	return nil
@@ -156,12 +156,13 @@
 	environment := f.environment(values.String("bind"))
 	go func() {
 		_ = node.RunIn(ctx, environment, node.RoleFront, values, events.Discard)
-		f.ended <- struct{}{}
+		f.frontEnded <- struct{}{}
 	}()
 	return nil
 }
 
-// environment returns an environment that counts a node's traffic.
+// environment returns a node environment that dials from sourceIP and counts the
+// node's traffic.
 func (f *simFleet) environment(sourceIP string) node.Environment {
 	dialer := &net.Dialer{
 		Timeout:   dialTimeout,
--- a/cmd/rig/simnode/orders.go
+++ b/cmd/rig/simnode/orders.go
@@ -19,18 +19,18 @@
 const (
 	sheetPath          = "/v1/control/sheet"
 	orderTimeout       = 15 * time.Second
-	firstSheetTrials   = 60
+	firstSheetAttempts = 60
 	firstSheetInterval = time.Second
 
 	modelServices    = 11
-	tenantAllowance  = 1600 // tokens a second, and burst
+	tenantAllowance  = 1600 // tokens per second, and burst in tokens
 	changedWeight    = "weights.model00.r00"
 	firstSheetOrder  = "first"
 	maxRegionWeight  = 10
 	minChangedWeight = 2
 )
 
-// operator sends orders through the front at an address.
+// operator sends orders through the front at the given address.
 type operator struct{ address string }
 
 // putRequest is the body of an order that replaces the sheet.
@@ -52,7 +52,7 @@
 	Value int    `json:"value"`
 }
 
-// orderAnswer is the answer to an order or to the reading of the sheet.
+// orderAnswer is the answer to an order or to a read of the sheet.
 type orderAnswer struct {
 	Code    apierror.Code `json:"code"`
 	Version uint64        `json:"epoch"`
@@ -86,11 +86,11 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	err = json.NewDecoder(resp.Body).Decode(&answer)
-	return answer, errors.Wrap(err, "answer to an order")
+	return answer, errors.Wrapf(err, "decode answer of %s to %s %s", o.address, method, sheetPath)
 }
 
-// newSheet returns a sheet with a number of tenants, and with models that have
-// weights in every region.
+// newSheet returns a sheet with the given number of tenants, and with model services
+// that have a weight in every region.
 func newSheet(tenants int) *sheet.Sheet {
 	built := &sheet.Sheet{
 		Services: map[string]sheet.Service{},
@@ -118,13 +118,13 @@
 
 func modelName(i int) string { return fmt.Sprintf("model%02d", i) }
 
-// submitFirstSheet submits the sheet until it is in force everywhere, for about a
-// minute at the most.
-func (f *simFleet) submitFirstSheet(through operator) error {
+// submitFirstSheet resubmits the sheet until it is in force everywhere, at most
+// firstSheetAttempts times, which takes about a minute.
+func (f *simFleet) submitFirstSheet(sender operator) error {
 	var last orderAnswer
 	var err error
-	for range firstSheetTrials {
-		last, err = through.call(f.ctx, http.MethodPut, putRequest{
+	for range firstSheetAttempts {
+		last, err = sender.call(f.ctx, http.MethodPut, putRequest{
 			OrderID: firstSheetOrder,
 			Sheet:   newSheet(f.options.Tenants),
 		})
@@ -133,21 +133,21 @@
 		}
 		<-f.clock.After(firstSheetInterval)
 	}
-	return errors.Errorf("first sheet not in force: %+v, %v", last, err)
+	return errors.Errorf("first sheet not in force after %d attempts: last answer %+v, error %v", firstSheetAttempts, last, err)
 }
 
-// measureOrders puts changes in force one after another and measures how long each
-// takes.
-func (f *simFleet) measureOrders(through operator, result *Result) {
+// measureOrders submits changes one after another and measures the time until each is
+// in force.
+func (f *simFleet) measureOrders(sender operator, result *Result) {
 	var milliseconds []float64
 	for i := range f.options.Orders {
-		current, err := through.call(f.ctx, http.MethodGet, nil)
+		current, err := sender.call(f.ctx, http.MethodGet, nil)
 		if err != nil {
 			result.OrdersNotInForce++
 			continue
 		}
 		start := f.clock.Now()
-		answer, err := through.call(f.ctx, http.MethodPatch, patchRequest{
+		answer, err := sender.call(f.ctx, http.MethodPatch, patchRequest{
 			Base:    current.Sheet,
 			Changes: []weightPatch{{Path: changedWeight, Value: i + minChangedWeight}},
 			OrderID: fmt.Sprintf("change%d", i),
--- a/cmd/rig/simnode/resources.go
+++ b/cmd/rig/simnode/resources.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/procfs"
 )
 
-// heapBytes returns the memory in use by heap and stacks after a collection.
+// heapBytes returns the memory in use by heap and stacks after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -14,16 +14,16 @@
 	return int64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// ownCPU returns the processor seconds of this process; 0 if they can't be read.
-func ownCPU() float64 {
+// selfCPU returns the CPU seconds used by this process, or 0 if they can't be read.
+func selfCPU() float64 {
 	process, err := procfs.Self()
 	if err != nil {
 		return 0
 	}
-	return cpuOf(process)
+	return processCPU(process)
 }
 
-func cpuOf(process procfs.Proc) float64 {
+func processCPU(process procfs.Proc) float64 {
 	stat, err := process.Stat()
 	if err != nil {
 		return 0
@@ -31,12 +31,12 @@
 	return stat.CPUTime()
 }
 
-// coreCPU returns the processor seconds of all cores.
+// coreCPU returns the CPU seconds used by all cores.
 func (f *simFleet) coreCPU() float64 {
 	sum := 0.0
 	for _, core := range f.cores {
 		if process, err := procfs.NewProc(core.command.Process.Pid); err == nil {
-			sum += cpuOf(process)
+			sum += processCPU(process)
 		}
 	}
 	return sum
--- a/cmd/rig/simnode/restart.go
+++ b/cmd/rig/simnode/restart.go
@@ -18,13 +18,13 @@
 	peakWindowSeconds   = 0.5
 )
 
-// measureRestart stops every front, starts all of them at once, and measures until
-// the last one is ready.
+// measureRestart stops every front, starts all of them at once, and measures the time
+// and the cores' CPU use until the last one is ready.
 func (f *simFleet) measureRestart(result *Result) error {
 	f.stopFronts()
 	for range f.options.Fronts {
-		if !f.awaitFrontEnd() {
-			return errFrontRuns
+		if !f.awaitFrontExit() {
+			return errFrontStillRunning
 		}
 	}
 	start := f.clock.Now()
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// awaitReadiness waits until all fronts are ready and returns the cores' highest
-// mean CPU share in a window meanwhile.
+// awaitReadiness waits until all fronts are ready. It returns the highest CPU share,
+// as a mean over the cores, in any window of peakWindowSeconds.
 func (f *simFleet) awaitReadiness(start time.Time, cpuAtStart float64) (peak float64, err error) {
 	windowStart := start
 	windowCPU := cpuAtStart
@@ -58,7 +58,7 @@
 			windowCPU = used
 		}
 		if now.Sub(start) > restartTimeout {
-			return peak, errors.Errorf("%d of %d fronts rule %s after their start", ready, f.options.Fronts, restartTimeout)
+			return peak, errors.Errorf("%d of %d fronts ready %s after their start", ready, f.options.Fronts, restartTimeout)
 		}
 		for ready < f.options.Fronts && f.isReady(ready) {
 			ready++
@@ -67,7 +67,7 @@
 	return peak, nil
 }
 
-// readyFronts counts the fronts that are ready.
+// readyFronts returns the number of fronts that are ready.
 func (f *simFleet) readyFronts() int {
 	count := 0
 	for i := range f.options.Fronts {
@@ -78,8 +78,8 @@
 	return count
 }
 
-// isReady reports whether a front accepts requests, or would if there were a plan,
-// which a fleet without servers doesn't have.
+// isReady reports whether a front is ready for requests. Without servers there is no
+// plan, so then a front that lacks only the plan counts as ready.
 func (f *simFleet) isReady(front int) bool {
 	ctx, cancel := context.WithTimeout(f.ctx, readyTimeout)
 	defer cancel()
--- a/cmd/rig/simnode/servers.go
+++ b/cmd/rig/simnode/servers.go
@@ -25,14 +25,14 @@
 	State    string   `json:"state"`
 }
 
-// serverList is the platform's answer.
+// serverList is the body of the platform's answer.
 type serverList struct {
 	Servers []listedServer `json:"servers"`
 }
 
-// startServers emulates the platform and a number of servers that are listed,
-// answer for their status with a changing load, and serve nothing. Each has an
-// address of its own.
+// startServers emulates the platform and the servers that it lists. Each server has
+// its own address and answers every request with its status, whose load changes;
+// none serves callers' requests.
 func (f *simFleet) startServers() error {
 	var list serverList
 	start := f.clock.Now()
@@ -43,11 +43,11 @@
 			age := f.clock.Now().Sub(start)
 			apierror.WriteJSON(w, http.StatusOK, statusAt(server.Name, age, i))
 		}
-		if err := serve(f.ctx, server.Address, handler); err != nil {
+		if err := serveHTTP(f.ctx, server.Address, handler); err != nil {
 			return err
 		}
 	}
-	return serve(f.ctx, f.platformAddress(), list.handle)
+	return serveHTTP(f.ctx, f.platformAddress(), list.handle)
 }
 
 func (f *simFleet) listedServer(i int) listedServer {
@@ -64,8 +64,8 @@
 
 func serverName(i int) string { return fmt.Sprintf("server%05d", i) }
 
-// statusAt returns a status whose load changes each second, differently for each
-// server.
+// statusAt returns the status of server i at the given age. The load changes every
+// second and differs between servers.
 func statusAt(name string, age time.Duration, i int) emulator.Status {
 	tick := int(age.Seconds()) + i
 	return emulator.Status{
@@ -93,8 +93,9 @@
 
 func (f *simFleet) platformAddress() string { return f.address(platformGroup, 0, serverPort) }
 
-// serve serves at an address until ctx ends.
-func serve(ctx context.Context, address string, handler http.HandlerFunc) error {
+// serveHTTP listens on address and serves requests in the background until ctx is
+// done.
+func serveHTTP(ctx context.Context, address string, handler http.HandlerFunc) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
--- a/cmd/rig/simnode/simnode.go
+++ b/cmd/rig/simnode/simnode.go
@@ -1,8 +1,8 @@
-// Package simnode measures what control costs a node and a core as the fleet
-// grows. Cores run as processes of their own; fronts are complete nodes without
-// traffic that share the rig's process, so that hundreds fit on one machine.
-// Their use of processor, memory and network is therefore measured as a sum and
-// given as a mean.
+// Package simnode measures the cost of the control plane per front and per core as
+// the fleet grows. Cores run as separate processes; fronts are complete nodes without
+// traffic that share the rig's process, so that hundreds fit on one machine. Their
+// use of CPU, memory and network is therefore measured as a total and reported as a
+// mean per front.
 package simnode
 
 import (
@@ -22,29 +22,29 @@
 	kib = 1 << 10
 	mib = 1 << 20
 
-	stopTimeout        = 15 * time.Second // of a front
-	startBatch         = 20               // fronts that start at once
+	stopTimeout        = 15 * time.Second // for one front to stop
+	startBatch         = 20               // fronts started without a pause
 	startBatchInterval = 200 * time.Millisecond
 )
 
-// Options of one measurement.
+// Options configures one measurement.
 type Options struct {
 	Binary        string
-	Dir           string // of the cores' settings, data and logs
+	Dir           string // directory of the cores' settings, data and logs
 	Fronts        int
 	Cores         int
-	Tenants       int           // in the sheet
-	Servers       int           // that the platform lists
-	WarmUp        time.Duration // before the measurement
+	Tenants       int           // tenants in the sheet
+	Servers       int           // servers in the platform's list
+	WarmUp        time.Duration // wait before the measurement
 	Duration      time.Duration
-	Orders        int               // changes put in force one after another after the measurement
+	Orders        int               // changes submitted one after another after the measurement
 	RestartFronts bool              // at the end, stop all fronts and start them at once
 	Settings      map[string]string // of every process
 	HeapProfile   string            // file for a heap profile of the fronts; empty for none
 }
 
-// Result is the result of one measurement. CPU shares are processor seconds a
-// second; bytes count both directions of TCP payload.
+// Result is the result of one measurement. CPU shares are CPU seconds per second;
+// byte counts include the TCP payload of both directions.
 type Result struct {
 	Fronts              int     `json:"fronts"`
 	Tenants             int     `json:"tenants"`
@@ -61,13 +61,13 @@
 	InForceMaxMS        float64 `json:"in_force_max_ms"`
 	OrdersNotInForce    int     `json:"orders_not_in_force"`
 	LastFailure         string  `json:"last_not_in_force,omitempty"`
-	RestartMS           float64 `json:"herd_ms,omitempty"`              // from the start until every front is ready
-	RestartPeakCPUShare float64 `json:"herd_core_peak_share,omitempty"` // of the busiest half second, mean of the cores
+	RestartMS           float64 `json:"herd_ms,omitempty"`              // from the restart until every front is ready
+	RestartPeakCPUShare float64 `json:"herd_core_peak_share,omitempty"` // in the busiest window of at least half a second, mean of the cores
 	RestartCPUSeconds   float64 `json:"herd_core_seconds,omitempty"`    // for each core
 }
 
-// Measure starts the cores and the fronts, waits, and measures. It ends what it
-// started.
+// Measure starts the servers, cores and fronts, waits for the warm-up and measures.
+// It stops everything that it started before it returns.
 func Measure(ctx context.Context, options Options) (Result, error) {
 	sim := newFleet(ctx, options)
 	defer sim.close()
@@ -94,7 +94,7 @@
 	return result, nil
 }
 
-// usage is the resources used so far.
+// usage is the cumulative resource use since the start.
 type usage struct {
 	frontCPU         float64 // seconds
 	coreCPU          float64 // seconds
@@ -104,14 +104,14 @@
 
 func (f *simFleet) usage() usage {
 	return usage{
-		frontCPU:         ownCPU(),
+		frontCPU:         selfCPU(),
 		coreCPU:          f.coreCPU(),
 		bytes:            f.nodeTraffic.bytes.Load(),
 		healthCheckBytes: f.healthCheckTraffic.bytes.Load(),
 	}
 }
 
-// measureUsage measures the resources used in the duration of the measurement.
+// measureUsage measures the resources used during Options.Duration.
 func (f *simFleet) measureUsage(heapBefore int64) Result {
 	before := f.usage()
 	start := f.clock.Now()
@@ -147,33 +147,33 @@
 
 // simFleet is the running fleet of a measurement.
 type simFleet struct {
-	options Options
-	clock   clock.Clock
-	base    int // second number of all addresses
+	options       Options
+	clock         clock.Clock
+	loopbackOctet int // second octet of all addresses
 
-	ctx        context.Context // ends with the measurement
+	ctx        context.Context // done when the measurement ends
 	stop       context.CancelFunc
 	cores      []*coreProcess
 	stopFronts context.CancelFunc
-	ended      chan struct{} // gets a value when a front has ended
+	frontEnded chan struct{} // receives a value when a front has ended
 
 	nodeTraffic        traffic // between nodes
 	healthCheckTraffic traffic // to the platform and the servers
 }
 
-// Second numbers of addresses: a fleet takes one that depends on its process ID.
+// The second octet of a fleet's addresses is derived from the process ID of the rig.
 const (
-	firstLoopback  = 10
-	loopbackRanges = 200
+	firstLoopbackOctet = 10
+	loopbackOctets     = 200
 )
 
 func newFleet(ctx context.Context, options Options) *simFleet {
 	f := &simFleet{
-		options:    options,
-		clock:      clock.System(),
-		base:       firstLoopback + os.Getpid()%loopbackRanges,
-		stopFronts: func() {},
-		ended:      make(chan struct{}, options.Fronts),
+		options:       options,
+		clock:         clock.System(),
+		loopbackOctet: firstLoopbackOctet + os.Getpid()%loopbackOctets,
+		stopFronts:    func() {},
+		frontEnded:    make(chan struct{}, options.Fronts),
 	}
 	f.ctx, f.stop = context.WithCancel(ctx)
 	return f
@@ -198,7 +198,8 @@
 	})
 }
 
-// startFronts starts all fronts and calls a function after each.
+// startFronts starts all fronts and calls afterEach after each of them with the
+// number of fronts started so far.
 func (f *simFleet) startFronts(afterEach func(started int)) error {
 	ctx, stopFronts := context.WithCancel(f.ctx)
 	f.stopFronts = stopFronts
@@ -211,10 +212,11 @@
 	return nil
 }
 
-// awaitFrontEnd waits until one more front has ended; false after a time-out.
-func (f *simFleet) awaitFrontEnd() bool {
+// awaitFrontExit waits until one more front has ended. It returns false if that takes
+// longer than stopTimeout.
+func (f *simFleet) awaitFrontExit() bool {
 	select {
-	case <-f.ended:
+	case <-f.frontEnded:
 		return true
 	case <-f.clock.After(stopTimeout):
 		return false
@@ -225,7 +227,7 @@
 	f.stop()
 	f.stopFronts()
 	for range f.options.Fronts {
-		f.awaitFrontEnd()
+		f.awaitFrontExit()
 	}
 	for _, core := range f.cores {
 		core.terminate()
@@ -235,15 +237,15 @@
 	}
 }
 
-// errFrontRuns is returned when a front did not stop in time.
-var errFrontRuns = errors.New("a front did not stop")
+// errFrontStillRunning is returned if a front did not stop within stopTimeout.
+var errFrontStillRunning = errors.Errorf("a front did not stop within %s", stopTimeout)
 
-// address returns the i-th address of a group.
+// address returns the address of process i of a group with the given port.
 func (f *simFleet) address(group, i, port int) string {
-	return fmt.Sprintf("%s:%d", f.ip(group, i), port)
+	return fmt.Sprintf("%s:%d", f.loopbackIP(group, i), port)
 }
 
-func (f *simFleet) ip(group, i int) string {
+func (f *simFleet) loopbackIP(group, i int) string {
 	const hostsPerGroup = 200
-	return fmt.Sprintf("127.%d.%d.%d", f.base, group+i/hostsPerGroup, 1+i%hostsPerGroup)
+	return fmt.Sprintf("127.%d.%d.%d", f.loopbackOctet, group+i/hostsPerGroup, 1+i%hostsPerGroup)
 }
--- a/cmd/rig/simnode/simnode_test.go
+++ b/cmd/rig/simnode/simnode_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// marshal returns the JSON of a value; the fields of a map are sorted by name.
+// marshal returns the JSON of a value; the keys of a map are sorted.
 func marshal(value any) string {
 	data, err := json.Marshal(value)
 	So(err, ShouldBeNil)
@@ -16,14 +16,14 @@
 }
 
 func TestForms(t *testing.T) {
-	Convey("A status has the fields of the servers' page", t, func() {
+	Convey("A server status has the documented fields", t, func() {
 		So(marshal(statusAt("server00001", 5*time.Second, 100)), ShouldEqual, marshal(map[string]any{
 			"server": "server00001", "incarnation": 1, "state": "ready", "slots": 16, "running": 105 % 13,
 			"queued": 105 % 3, "tokens_per_second": 2000, "prefill_per_second": 24000, "kv_used": float64(105%97) / 100,
 			"answered": 1105,
 		}))
 	})
-	Convey("Orders have the fields of the operators' page", t, func() {
+	Convey("Orders have the documented fields", t, func() {
 		s := newSheet(1)
 		So(marshal(putRequest{OrderID: "first", Sheet: s}), ShouldEqual,
 			marshal(map[string]any{"order_id": "first", "base": 0, "sheet": s}))
@@ -33,7 +33,7 @@
 }
 
 func TestNodeSettings(t *testing.T) {
-	Convey("Nodes get seeds, a data folder for cores only, and the options' settings", t, func() {
+	Convey("Nodes get seeds and the options' settings, and only cores get a data directory", t, func() {
 		f := newFleet(t.Context(), Options{
 			Dir:      "/data",
 			Cores:    3,
@@ -48,13 +48,13 @@
 		So(front["name"], ShouldEqual, "front201")
 		So(front, ShouldNotContainKey, "data")
 		So(front, ShouldNotContainKey, "platform.url")
-		So(front["bind"], ShouldEqual, f.ip(frontGroup+1, 1))
+		So(front["bind"], ShouldEqual, f.loopbackIP(frontGroup+1, 1))
 		So(front["seeds"], ShouldEqual, f.address(coreGroup, 0, 7001)+","+f.address(coreGroup, 1, 7001)+","+f.address(coreGroup, 2, 7001))
 	})
 }
 
 func TestStateCost(t *testing.T) {
-	Convey("The state's messages have a size that grows with servers and tenants", t, func() {
+	Convey("The message sizes grow with the numbers of servers and tenants", t, func() {
 		So(MeasureServerState(20).SnapshotBytes, ShouldBeGreaterThan, MeasureServerState(2).SnapshotBytes)
 		small, err := MeasureTenantState(2)
 		So(err, ShouldBeNil)
--- a/cmd/rig/simnode/state_cost.go
+++ b/cmd/rig/simnode/state_cost.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	timedCalls = 10 // of which the mean is taken
+	timedCalls = 10 // calls per mean
 
-	reportsOfList = 3 // reports of a server by the fronts that read the list
-	reportsOfOwn  = 2 // and by those that check it themselves
+	listReports        = 3 // reports of a server from the fronts that poll the platform's list
+	healthCheckReports = 2 // reports of a server from the fronts that check its health
 
 	planTenants = 5
 	planPeriod  = 5 * time.Second
@@ -28,8 +28,8 @@
 	mergedReporter = "core1/fold"
 )
 
-// StateCost is what the state of one size costs: heap in KiB, messages in bytes,
-// the time of one call in milliseconds.
+// StateCost is the cost of state of one size: heap in KiB, messages in bytes and the
+// mean time of one call in milliseconds.
 type StateCost struct {
 	Servers int `json:"servers,omitempty"`
 	Tenants int `json:"tenants,omitempty"`
@@ -41,7 +41,7 @@
 	PlanBytes           int     `json:"plan_bytes,omitempty"`
 	PlanMS              float64 `json:"plan_compute_ms,omitempty"`
 	ReplanCauseMS       float64 `json:"plan_forced_ms,omitempty"`
-	RouteUpdateMS       float64 `json:"routes_update_one_ms,omitempty"` // after a change of one server
+	RouteUpdateMS       float64 `json:"routes_update_one_ms,omitempty"` // after a change to one server
 	LoadChangeBytes     int     `json:"load_change_bytes,omitempty"`
 
 	StateHeapKiB float64 `json:"state_heap_kib,omitempty"`
@@ -52,8 +52,8 @@
 	DecodeMS     float64 `json:"state_decode_ms,omitempty"`
 }
 
-// heapOf returns the heap that the result of a function holds, in KiB.
-func heapOf(build func() any) float64 {
+// measureHeapKiB returns the heap in KiB that the result of build retains.
+func measureHeapKiB(build func() any) float64 {
 	heapBytes()
 	before := heapBytes()
 	built := build()
@@ -63,8 +63,8 @@
 	return float64(after-before) / kib
 }
 
-// millisecondsOf returns the mean time of a call.
-func millisecondsOf(call func()) float64 {
+// measureMilliseconds returns the mean time of a call in milliseconds.
+func measureMilliseconds(call func()) float64 {
 	systemClock := clock.System()
 	start := systemClock.Now()
 	for range timedCalls {
@@ -104,19 +104,19 @@
 	}
 }
 
-// MeasureServerState measures the state that grows with the servers.
+// MeasureServerState measures the state whose size depends on the number of servers.
 func MeasureServerState(servers int) StateCost {
 	now := time.UnixMilli(2000)
 	cost := StateCost{Servers: servers}
 	merged := serverstatus.NewReportStore(serverstatus.Config{})
-	cost.FrontReportsHeapKiB = heapOf(func() any {
+	cost.FrontReportsHeapKiB = measureHeapKiB(func() any {
 		for i := range servers {
 			merged.Add(serverReport(i, mergedReporter), now)
 		}
 		merged.Servers()
 		return merged
 	})
-	cost.CoreReportsHeapKiB = heapOf(func() any { return coreReports(servers, now) })
+	cost.CoreReportsHeapKiB = measureHeapKiB(func() any { return coreReports(servers, now) })
 	cost.SnapshotBytes = proto.Size(&wire.FollowResponse{Snapshot: &wire.Snapshot{Reports: merged.Reports()}})
 	cost.LoadChangeBytes = proto.Size(loadChange())
 	input := plan.Input{
@@ -132,14 +132,15 @@
 	return cost
 }
 
-// coreReports returns what a core keeps: reports of each server by several fronts.
+// coreReports returns the reports that a core keeps: several for each server, each
+// from another front.
 func coreReports(servers int, now time.Time) *serverstatus.ReportStore {
 	reports := serverstatus.NewReportStore(serverstatus.Config{})
 	for i := range servers {
-		for front := range reportsOfList {
+		for front := range listReports {
 			reports.Add(serverReport(i, fmt.Sprintf("front%d/list", front)), now)
 		}
-		for front := range reportsOfOwn {
+		for front := range healthCheckReports {
 			reports.Add(serverReport(i, fmt.Sprintf("front%d/own", front)), now)
 		}
 	}
@@ -147,7 +148,7 @@
 	return reports
 }
 
-// loadChange returns the message that one server's load has changed.
+// loadChange returns the message for a change of one server's load.
 func loadChange() *wire.FollowResponse {
 	load := &wire.Load{
 		Server:      "server00001",
@@ -164,9 +165,9 @@
 
 func (c *StateCost) measurePlan(input plan.Input) *wire.Plan {
 	current := plan.Compute(input)
-	c.PlanMS = millisecondsOf(func() { current = plan.Compute(input) })
+	c.PlanMS = measureMilliseconds(func() { current = plan.Compute(input) })
 	c.PlanBytes = proto.Size(current)
-	c.ReplanCauseMS = millisecondsOf(func() { plan.ReplanCause(current, input) })
+	c.ReplanCauseMS = measureMilliseconds(func() { plan.ReplanCause(current, input) })
 	return current
 }
 
@@ -178,13 +179,13 @@
 		Fronts:  []string{"front000", "front001"},
 	}
 	var table *route.Table
-	c.RouteTableHeapKiB = heapOf(func() any {
+	c.RouteTableHeapKiB = measureHeapKiB(func() any {
 		table = route.New(route.Config{Self: "front000", Region: "r00", Zone: "z00"})
 		table.Update(view)
 		return table
 	})
 	counter := uint64(c.Servers)
-	c.RouteUpdateMS = millisecondsOf(func() {
+	c.RouteUpdateMS = measureMilliseconds(func() {
 		counter++
 		report := serverReport(0, mergedReporter)
 		report.Counter = counter
@@ -196,7 +197,7 @@
 	})
 }
 
-// MeasureTenantState measures the state that grows with the tenants.
+// MeasureTenantState measures the state whose size depends on the number of tenants.
 func MeasureTenantState(tenants int) (StateCost, error) {
 	cost := StateCost{Tenants: tenants}
 	put := statemachine.PutSheet{
@@ -213,17 +214,17 @@
 	}
 	encoded := state.Encode()
 	cost.StateBytes = len(encoded)
-	cost.StateHeapKiB = heapOf(func() any {
+	cost.StateHeapKiB = measureHeapKiB(func() any {
 		decoded, _ := statemachine.DecodeState(encoded)
 		return decoded
 	})
-	cost.IndexHeapKiB = heapOf(func() any { return state.Index() })
+	cost.IndexHeapKiB = measureHeapKiB(func() any { return state.Index() })
 	patch := statemachine.Encode(statemachine.PatchSheet{
 		Order:   statemachine.Order{OrderID: "p", Operator: operatorName, Base: 1},
 		Changes: []sheet.Change{change},
 	})
-	cost.StepMS = millisecondsOf(func() { state.Step(2, patch) })
-	cost.EncodeMS = millisecondsOf(func() { state.Encode() })
-	cost.DecodeMS = millisecondsOf(func() { _, _ = statemachine.DecodeState(encoded) })
+	cost.StepMS = measureMilliseconds(func() { state.Step(2, patch) })
+	cost.EncodeMS = measureMilliseconds(func() { state.Encode() })
+	cost.DecodeMS = measureMilliseconds(func() { _, _ = statemachine.DecodeState(encoded) })
 	return cost, nil
 }
--- a/cmd/rig/simnode/traffic.go
+++ b/cmd/rig/simnode/traffic.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// traffic counts the payload of connections in both directions.
+// traffic counts the payload bytes of connections in both directions.
 type traffic struct{ bytes atomic.Int64 }
 
-// countedConn counts what passes a connection.
+// countedConn is a connection whose payload is counted.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
@@ -26,7 +26,7 @@
 	return count, err
 }
 
-// countedListener counts what passes the connections that it accepts.
+// countedListener counts the payload of the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	traffic *traffic
--- a/cmd/rig/slopes_command.go
+++ b/cmd/rig/slopes_command.go
@@ -10,7 +10,7 @@
 	var servers, tenants []int
 	command := &cobra.Command{
 		Use:   "slopes",
-		Short: "Measure what state costs as servers and tenants grow",
+		Short: "Measure the memory, size and time that state takes as servers and tenants grow",
 		RunE:  func(*cobra.Command, []string) error { return printStateCosts(servers, tenants) },
 	}
 	command.Flags().IntSliceVar(&servers, "servers", []int{21, 200, 1000, 12000}, "numbers of servers")
@@ -18,7 +18,7 @@
 	return command
 }
 
-// printStateCosts prints one line for each number of servers and of tenants.
+// printStateCosts prints one line of JSON for each number of servers and of tenants.
 func printStateCosts(servers, tenants []int) error {
 	for _, count := range servers {
 		if err := printJSON(simnode.MeasureServerState(count)); err != nil {
--- a/cmd/rig/soak_command.go
+++ b/cmd/rig/soak_command.go
@@ -7,11 +7,11 @@
 )
 
 func soakCommand() *cobra.Command {
-	flags := &proof{}
+	flags := &proveRun{}
 	size := faultcase.SmallSoak()
 	command := &cobra.Command{
 		Use:     "soak",
-		Short:   "Disturb a fleet in series that overlap while clients keep their connections",
+		Short:   "Inject overlapping series of faults into a fleet while clients keep their connections",
 		Example: "  rig soak --seed 7 --seconds 60\n  rig soak --seed 100 --seeds 50 --seconds 10\n  rig soak --fronts 100 --cores 5 --clients 200",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return flags.runAll(cmd.Context(), []faultcase.Case{faultcase.Soak(size)})
@@ -22,6 +22,6 @@
 	command.Flags().IntVar(&size.Fronts, "fronts", size.Fronts, "nodes without a disk")
 	command.Flags().IntVar(&size.Models, "models", size.Models, "model servers")
 	command.Flags().IntVar(&size.Webs, "webs", size.Webs, "web servers")
-	command.Flags().IntVar(&size.Clients, "clients", size.Clients, "clients that keep using one connection each")
+	command.Flags().IntVar(&size.Clients, "clients", size.Clients, "clients with one persistent connection each")
 	return command
 }
--- a/cmd/rig/stand_ins_command.go
+++ b/cmd/rig/stand_ins_command.go
@@ -10,8 +10,8 @@
 	"stepwick/cmd/rig/history"
 )
 
-// operatingPlatform is the platform's address on docs/OPERATING.md.
-const operatingPlatform = "127.0.9.200:8500"
+// operatingPlatformAddress is the address of the platform in docs/OPERATING.md.
+const operatingPlatformAddress = "127.0.9.200:8500"
 
 // operatingServers are the servers of docs/OPERATING.md.
 var operatingServers = []emulator.ListedServer{
@@ -70,7 +70,7 @@
 func runStandIns(ctx context.Context) error {
 	recorder := history.NewRecorder(1)
 	defer recorder.Close()
-	platform := emulator.NewPlatform(operatingPlatform, recorder)
+	platform := emulator.NewPlatform(operatingPlatformAddress, recorder)
 	if err := platform.Start(); err != nil {
 		return err
 	}
@@ -84,12 +84,12 @@
 		listed.State = "ready"
 		platform.PutServer(listed)
 	}
-	fmt.Printf("platform at http://%s/servers, %d servers\n", operatingPlatform, len(operatingServers))
+	fmt.Printf("platform at http://%s/servers, %d servers\n", operatingPlatformAddress, len(operatingServers))
 	<-ctx.Done()
 	return nil
 }
 
-// startServer starts an emulated server; a model server begins warm.
+// startServer starts an emulated server; a model server skips its warm-up.
 func startServer(listed emulator.ListedServer, recorder *history.Recorder, seed uint64) (stop func(), err error) {
 	if listed.Kind == history.KindWeb {
 		server := emulator.NewWeb(listed.Name, listed.Address, listed.Services, recorder, seed)
--- a/cmd/rig/up_command.go
+++ b/cmd/rig/up_command.go
@@ -21,16 +21,16 @@
 	seconds := 600
 	command := &cobra.Command{
 		Use:   "up",
-		Short: "Run the first deployment with its first sheet and no load, to try commands by hand",
+		Short: "Run the first deployment with its first sheet and without load, to try commands manually",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runFleet(cmd.Context(), time.Duration(seconds)*time.Second)
 		},
 	}
-	command.Flags().IntVar(&seconds, "seconds", seconds, "how long to run")
+	command.Flags().IntVar(&seconds, "seconds", seconds, "duration in seconds")
 	return command
 }
 
-// runFleet runs the first deployment without load for a time.
+// runFleet runs the first deployment without load until d has elapsed or ctx is done.
 func runFleet(ctx context.Context, d time.Duration) error {
 	binary, remove, err := buildProgram()
 	if err != nil {
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// submitFirstSheet submits the first deployment's sheet and returns the last answer.
+// submitFirstSheet submits the sheet of the first deployment and returns the last
+// answer.
 func submitFirstSheet(ctx context.Context, f *fleet.Fleet) history.Order {
 	ctx, cancel := context.WithTimeout(ctx, upSheetTimeout)
 	defer cancel()
