--- a/cmd/rig/experiment_command.go
+++ b/cmd/rig/experiment_command.go
@@ -153,8 +153,8 @@
 	copy(values, difference.Each)
 	bars, err := plotter.NewBarChart(values, vg.Points(plotBarWidth))
 	if err != nil {
-		return errors.Wrap(err, "plot")
+		return errors.Wrap(err, "draw plot")
 	}
 	p.Add(bars, plotter.NewGrid())
-	return errors.Wrap(p.Save(plotWidth, plotHeight, file), "plot")
+	return errors.Wrap(p.Save(plotWidth, plotHeight, file), "save plot")
 }
--- a/cmd/rig/run.go
+++ b/cmd/rig/run.go
@@ -19,7 +19,7 @@
 func buildProgram() (binary string, remove func(), err error) {
 	dir, err := os.MkdirTemp("", "stepwick-build-")
 	if err != nil {
-		return "", nil, errors.Wrap(err, "temp folder")
+		return "", nil, errors.Wrap(err, "create temporary directory")
 	}
 	remove = func() { _ = os.RemoveAll(dir) }
 	if binary, err = fleet.Build(dir); err != nil {
@@ -63,7 +63,7 @@
 func printJSON(value any) error {
 	line, err := json.Marshal(value)
 	if err != nil {
-		return errors.Wrap(err, "result")
+		return errors.Wrap(err, "encode result")
 	}
 	fmt.Println(string(line))
 	return nil
--- a/cmd/rig/scenario_command.go
+++ b/cmd/rig/scenario_command.go
@@ -31,7 +31,7 @@
 func runScenario(ctx context.Context, path string, seed uint64, reportDir string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return errors.Wrap(err, "scenario")
+		return errors.Wrap(err, "read scenario")
 	}
 	scenario, err := faultcase.ParseScenario(data)
 	if err != nil {
--- a/cmd/rig/up_command.go
+++ b/cmd/rig/up_command.go
@@ -39,7 +39,7 @@
 	defer remove()
 	dir, err := os.MkdirTemp("", "stepwick-rig-")
 	if err != nil {
-		return errors.Wrap(err, "temp folder")
+		return errors.Wrap(err, "create temporary directory")
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	deployment, err := fleet.New(fleet.FirstDeployment(), binary, dir, history.NewRecorder(1), 1)
