--- a/cmd/rig/experiment_command.go
+++ b/cmd/rig/experiment_command.go
@@ -57,9 +57,9 @@
 	command.Flags().Float64Var(&flags.scale, "scale", 1, "factor for the site's fronts, servers and load")
 	command.Flags().Float64Var(&flags.seconds, "seconds", 0, "duration of a run in seconds; 0 for the site's default")
 	command.Flags().StringVar(&flags.burst.Kind, "burst", "", "kind of requests whose rate rises temporarily")
-	command.Flags().Float64Var(&flags.burst.Times, "burst-times", 4, "factor by which the rate rises")
-	command.Flags().Float64Var(&flags.burst.At, "burst-at", 14, "start of the burst in seconds")
-	command.Flags().Float64Var(&flags.burst.For, "burst-for", 8, "duration of the burst in seconds")
+	command.Flags().Float64Var(&flags.burst.Factor, "burst-times", 4, "factor by which the rate rises")
+	command.Flags().Float64Var(&flags.burst.Start, "burst-at", 14, "start of the burst in seconds")
+	command.Flags().Float64Var(&flags.burst.Duration, "burst-for", 8, "duration of the burst in seconds")
 	command.Flags().StringVar(&flags.plotFile, "plot", "", "file for a plot of the differences in worth by seed (svg, png or pdf)")
 	return command
 }
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -59,8 +59,8 @@
 	Links    *faultproxy.Links
 	Platform *emulator.Platform
 	Nodes    []*Node
-	Models   []*emulator.Model
-	Webs     []*emulator.Web
+	Models   []*emulator.ModelServer
+	Webs     []*emulator.WebServer
 	Dir      string // directory of the nodes' settings, data and logs
 
 	loopbackOctet int                          // second octet of all addresses
@@ -150,7 +150,7 @@
 	for i, location := range f.Spec.Models {
 		name := fmt.Sprintf("model%d", i+1)
 		address := f.loopbackIP(modelServerGroup, i+1) + serverPort
-		server := emulator.NewModel(name, address, f.Spec.Services.Model, f.Spec.ModelSpec, f.Recorder, seed+uint64(i))
+		server := emulator.NewModelServer(name, address, f.Spec.Services.Model, f.Spec.ModelSpec, f.Recorder, seed+uint64(i))
 		f.Models = append(f.Models, server)
 		f.addProxy(name, location, f.loopbackIP(modelProxyGroup, i+1)+serverPort, address)
 	}
@@ -160,7 +160,7 @@
 	for i, location := range f.Spec.Webs {
 		name := fmt.Sprintf("web%d", i+1)
 		address := f.loopbackIP(webServerGroup, i+1) + serverPort
-		server := emulator.NewWeb(name, address, f.Spec.Services.Web, f.Recorder, seed+webSeedOffset+uint64(i))
+		server := emulator.NewWebServer(name, address, f.Spec.Services.Web, f.Recorder, seed+webSeedOffset+uint64(i))
 		f.Webs = append(f.Webs, server)
 		f.addProxy(name, location, f.loopbackIP(webProxyGroup, i+1)+serverPort, address)
 	}
--- a/cmd/rig/fleet/servers.go
+++ b/cmd/rig/fleet/servers.go
@@ -53,7 +53,7 @@
 func (f *Fleet) ServerAddress(server string) string { return f.proxies[server].Address }
 
 // Model returns the model server with the given name, or nil.
-func (f *Fleet) Model(name string) *emulator.Model {
+func (f *Fleet) Model(name string) *emulator.ModelServer {
 	for _, server := range f.Models {
 		if server.Name == name {
 			return server
@@ -63,7 +63,7 @@
 }
 
 // Web returns the web server with the given name, or nil.
-func (f *Fleet) Web(name string) *emulator.Web {
+func (f *Fleet) Web(name string) *emulator.WebServer {
 	for _, server := range f.Webs {
 		if server.Name == name {
 			return server
