--- a/cmd/rig/demo_command.go
+++ b/cmd/rig/demo_command.go
@@ -126,7 +126,7 @@
 // or an empty string.
 func submitInRow(ctx context.Context, run *faultcase.Run, base uint64) (next uint64, problem string) {
 	for i := range demoChanges {
-		answer := run.Operators.Submit(ctx, run.Operators.Patch("ade", base), run.Fleet.NodesFrom(i))
+		answer := run.Operators.Submit(ctx, run.Operators.Patch("ade", base), run.Fleet.NodesStartingAt(i))
 		if !answer.Acknowledged() {
 			return base, fmt.Sprintf("change %d: status %d code %d %s", i+1, answer.Status, answer.Code, answer.Detail)
 		}
@@ -143,7 +143,7 @@
 	var submissions sync.WaitGroup
 	for i, order := range orders {
 		order.Race = "demo"
-		submissions.Go(func() { answers[i] = run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(i*4)) })
+		submissions.Go(func() { answers[i] = run.Operators.Submit(ctx, order, run.Fleet.NodesStartingAt(i*4)) })
 	}
 	submissions.Wait()
 	first, second := answers[0], answers[1]
@@ -159,8 +159,8 @@
 	_, base := run.Operators.NewestKey()
 	order := run.Operators.Patch("bola", base)
 	run.Operators.Send(order, run.Fleet.Nodes[1], demoLossDelay)
-	firstAnswer := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(2))
-	repeatedAnswer := run.Operators.Submit(ctx, order, run.Fleet.NodesFrom(5))
+	firstAnswer := run.Operators.Submit(ctx, order, run.Fleet.NodesStartingAt(2))
+	repeatedAnswer := run.Operators.Submit(ctx, order, run.Fleet.NodesStartingAt(5))
 	if !firstAnswer.Acknowledged() || !repeatedAnswer.Acknowledged() || firstAnswer.Version != repeatedAnswer.Version {
 		return fmt.Sprintf("lost answer: %d/%d epoch %d, again %d/%d epoch %d",
 			firstAnswer.Status, firstAnswer.Code, firstAnswer.Version, repeatedAnswer.Status, repeatedAnswer.Code, repeatedAnswer.Version)
--- a/cmd/rig/faultcase/capacity.go
+++ b/cmd/rig/faultcase/capacity.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-func startServersWarmingUp(options *Options) { options.Spec.ServersWarm = false }
+func startServersWarmingUp(options *Options) { options.Spec.ServersStartWarm = false }
 
 func serveDuringWarmUp(r *Run) error {
 	r.waitUntilEnd(r.Recorder.Now())
@@ -38,11 +38,11 @@
 // replaceZoneServers replaces the model servers of one zone in turn.
 func replaceZoneServers(r *Run) error {
 	start := r.Recorder.Now()
-	zone := r.Fleet.Spec.Models[r.Random.IntN(len(r.Fleet.Spec.Models))]
+	zone := r.Fleet.Spec.ModelLocations[r.Random.IntN(len(r.Fleet.Spec.ModelLocations))]
 	for r.hasTimeLeft(start) {
 		_, servers := r.zoneMembers(zone)
 		for _, name := range servers {
-			if r.Fleet.Model(name) == nil || !r.hasTimeLeft(start) {
+			if r.Fleet.ModelServer(name) == nil || !r.hasTimeLeft(start) {
 				continue
 			}
 			if err := r.replaceModelServer(name); err != nil {
--- a/cmd/rig/faultcase/nodes.go
+++ b/cmd/rig/faultcase/nodes.go
@@ -32,17 +32,17 @@
 }
 
 func (r *Run) randomModelServer() *emulator.ModelServer {
-	return r.Fleet.Models[r.Random.IntN(len(r.Fleet.Models))]
+	return r.Fleet.ModelServers[r.Random.IntN(len(r.Fleet.ModelServers))]
 }
 
 func (r *Run) randomWebServer() *emulator.WebServer {
-	return r.Fleet.Webs[r.Random.IntN(len(r.Fleet.Webs))]
+	return r.Fleet.WebServers[r.Random.IntN(len(r.Fleet.WebServers))]
 }
 
 // rotatedNodes returns all nodes, rotated by an offset that depends on the number
 // and the seed.
 func (r *Run) rotatedNodes(number uint64) []*fleet.Node {
-	return r.Fleet.NodesFrom(int((number*7 + r.Seed*3) % uint64(len(r.Fleet.Nodes))))
+	return r.Fleet.NodesStartingAt(int((number*7 + r.Seed*3) % uint64(len(r.Fleet.Nodes))))
 }
 
 // runningNodes returns the nodes whose process is running.
@@ -63,7 +63,7 @@
 			nodes = append(nodes, node)
 		}
 	}
-	servers = r.Fleet.Names(func(name string, location fleet.Location) bool {
+	servers = r.Fleet.NamesWhere(func(name string, location fleet.Location) bool {
 		return location == zone && r.Fleet.Node(name) == nil
 	})
 	return nodes, servers
@@ -71,7 +71,7 @@
 
 // regionMemberNames returns the names of the nodes and servers of a region.
 func (r *Run) regionMemberNames(region string) []string {
-	return r.Fleet.Names(func(_ string, location fleet.Location) bool { return location.Region == region })
+	return r.Fleet.NamesWhere(func(_ string, location fleet.Location) bool { return location.Region == region })
 }
 
 func startAll(nodes ...*fleet.Node) error {
@@ -122,19 +122,19 @@
 }
 
 func (r *Run) setWebFaults(odds emulator.FaultOdds) {
-	for _, server := range r.Fleet.Webs {
+	for _, server := range r.Fleet.WebServers {
 		server.SetFaultOdds(odds)
 	}
 }
 
 func (r *Run) setModelFaults(odds emulator.FaultOdds) {
-	for _, server := range r.Fleet.Models {
+	for _, server := range r.Fleet.ModelServers {
 		server.SetFaultOdds(odds)
 	}
 }
 
 func (r *Run) crashServer(name string) {
-	if r.Fleet.Model(name) != nil {
+	if r.Fleet.ModelServer(name) != nil {
 		r.Fleet.CrashModelServer(name)
 		return
 	}
@@ -142,7 +142,7 @@
 }
 
 func (r *Run) restartServer(name string) error {
-	if r.Fleet.Model(name) != nil {
+	if r.Fleet.ModelServer(name) != nil {
 		return r.Fleet.RestartModelServer(name)
 	}
 	return r.Fleet.RestartWebServer(name)
--- a/cmd/rig/faultcase/requests.go
+++ b/cmd/rig/faultcase/requests.go
@@ -77,7 +77,7 @@
 }
 
 func (r *Run) setWebsUnresponsive(unresponsive bool) {
-	for _, server := range r.Fleet.Webs {
+	for _, server := range r.Fleet.WebServers {
 		server.SetUnresponsive(unresponsive)
 	}
 }
--- a/cmd/rig/faultcase/scenario.go
+++ b/cmd/rig/faultcase/scenario.go
@@ -88,7 +88,7 @@
 		}
 	}
 	spec.Settings = s.Fleet.Settings
-	spec.ServersWarm = !s.Fleet.ServersWarmUp
+	spec.ServersStartWarm = !s.Fleet.ServersWarmUp
 	return Options{
 		Spec:          spec,
 		SheetSettings: s.Settings,
--- a/cmd/rig/faultcase/scenariofault.go
+++ b/cmd/rig/faultcase/scenariofault.go
@@ -76,7 +76,7 @@
 		r.Heal()
 		return nil
 	case fault.Kind == FaultPartition:
-		r.Partition(fault.Target, r.Fleet.Names(func(name string, _ fleet.Location) bool {
+		r.Partition(fault.Target, r.Fleet.NamesWhere(func(name string, _ fleet.Location) bool {
 			return !slices.Contains(fault.Target, name)
 		}))
 		return nil
@@ -98,7 +98,7 @@
 	if node := r.Fleet.Node(name); node != nil {
 		return applyNodeFault(node, fault.Kind, repair)
 	}
-	if r.Fleet.Model(name) != nil || r.Fleet.Web(name) != nil {
+	if r.Fleet.ModelServer(name) != nil || r.Fleet.WebServer(name) != nil {
 		return r.applyServerFault(name, fault, repair)
 	}
 	return invalidTargetError(fault.Kind)
@@ -138,7 +138,7 @@
 }
 
 func (r *Run) applyServerFault(name string, fault Fault, repair bool) error {
-	model := r.Fleet.Model(name)
+	model := r.Fleet.ModelServer(name)
 	switch {
 	case fault.Kind == FaultCrash && repair:
 		return r.restartServer(name)
@@ -178,9 +178,9 @@
 }
 
 func (r *Run) setFaultOdds(server string, odds emulator.FaultOdds) {
-	if model := r.Fleet.Model(server); model != nil {
+	if model := r.Fleet.ModelServer(server); model != nil {
 		model.SetFaultOdds(odds)
 		return
 	}
-	r.Fleet.Web(server).SetFaultOdds(odds)
+	r.Fleet.WebServer(server).SetFaultOdds(odds)
 }
--- a/cmd/rig/faultcase/soak.go
+++ b/cmd/rig/faultcase/soak.go
@@ -137,7 +137,7 @@
 			targets.fronts = append(targets.fronts, node.Name)
 		}
 	}
-	for _, model := range s.Fleet.Models {
+	for _, model := range s.Fleet.ModelServers {
 		targets.models = append(targets.models, model.Name)
 	}
 	return targets
--- a/cmd/rig/fleet/fleet.go
+++ b/cmd/rig/fleet/fleet.go
@@ -54,14 +54,14 @@
 
 // Fleet is a running deployment.
 type Fleet struct {
-	Spec     Spec
-	Recorder *history.Recorder
-	Links    *faultproxy.Links
-	Platform *emulator.Platform
-	Nodes    []*Node
-	Models   []*emulator.ModelServer
-	Webs     []*emulator.WebServer
-	Dir      string // directory of the nodes' settings, data and logs
+	Spec         Spec
+	Recorder     *history.Recorder
+	Links        *faultproxy.Links
+	Platform     *emulator.Platform
+	Nodes        []*Node
+	ModelServers []*emulator.ModelServer
+	WebServers   []*emulator.WebServer
+	Dir          string // directory of the nodes' settings, data and logs
 
 	loopbackOctet int                          // second octet of all addresses
 	proxies       map[string]*faultproxy.Proxy // by node or server name
@@ -147,21 +147,21 @@
 }
 
 func (f *Fleet) addModelServers(seed uint64) {
-	for i, location := range f.Spec.Models {
+	for i, location := range f.Spec.ModelLocations {
 		name := fmt.Sprintf("model%d", i+1)
 		address := f.loopbackIP(modelServerGroup, i+1) + serverPort
 		server := emulator.NewModelServer(name, address, f.Spec.Services.Model, f.Spec.ModelSpec, f.Recorder, seed+uint64(i))
-		f.Models = append(f.Models, server)
+		f.ModelServers = append(f.ModelServers, server)
 		f.addProxy(name, location, f.loopbackIP(modelProxyGroup, i+1)+serverPort, address)
 	}
 }
 
 func (f *Fleet) addWebServers(seed uint64) {
-	for i, location := range f.Spec.Webs {
+	for i, location := range f.Spec.WebLocations {
 		name := fmt.Sprintf("web%d", i+1)
 		address := f.loopbackIP(webServerGroup, i+1) + serverPort
 		server := emulator.NewWebServer(name, address, f.Spec.Services.Web, f.Recorder, seed+webSeedOffset+uint64(i))
-		f.Webs = append(f.Webs, server)
+		f.WebServers = append(f.WebServers, server)
 		f.addProxy(name, location, f.loopbackIP(webProxyGroup, i+1)+serverPort, address)
 	}
 }
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// NodesFrom returns all nodes in order, starting at index i modulo their number.
-func (f *Fleet) NodesFrom(i int) []*Node {
+// NodesStartingAt returns all nodes in order, starting at index i modulo their number.
+func (f *Fleet) NodesStartingAt(i int) []*Node {
 	i %= len(f.Nodes)
 	return append(slices.Clone(f.Nodes[i:]), f.Nodes[:i]...)
 }
@@ -221,9 +221,9 @@
 // unknown name.
 func (f *Fleet) LocationOf(name string) Location { return f.locations[name] }
 
-// Names returns the sorted names of the nodes and servers for which keep returns
+// NamesWhere returns the sorted names of the nodes and servers for which keep returns
 // true.
-func (f *Fleet) Names(keep func(name string, location Location) bool) []string {
+func (f *Fleet) NamesWhere(keep func(name string, location Location) bool) []string {
 	var names []string
 	for name, location := range f.locations {
 		if keep(name, location) {
@@ -242,10 +242,10 @@
 	for _, proxy := range f.proxies {
 		proxy.Close()
 	}
-	for _, server := range f.Models {
+	for _, server := range f.ModelServers {
 		server.Close()
 	}
-	for _, server := range f.Webs {
+	for _, server := range f.WebServers {
 		server.Close()
 	}
 	f.Platform.Close()
--- a/cmd/rig/fleet/fleet_test.go
+++ b/cmd/rig/fleet/fleet_test.go
@@ -20,9 +20,9 @@
 		Convey("has 9 nodes, 3 of them cores, 18 model and 3 web servers in three zones", func() {
 			So(f.Nodes, ShouldHaveLength, 9)
 			So(f.Cores(), ShouldHaveLength, 3)
-			So(f.Models, ShouldHaveLength, 18)
-			So(f.Webs, ShouldHaveLength, 3)
-			inAbeokuta := f.Names(func(name string, location Location) bool {
+			So(f.ModelServers, ShouldHaveLength, 18)
+			So(f.WebServers, ShouldHaveLength, 3)
+			inAbeokuta := f.NamesWhere(func(name string, location Location) bool {
 				return f.Node(name) == nil && location.ZoneName() == "abeokuta/a"
 			})
 			So(inAbeokuta, ShouldHaveLength, 9)
@@ -50,8 +50,8 @@
 	Convey("A sized deployment has the requested processes, spread evenly over the zones", t, func() {
 		spec := SizedDeployment(Size{Cores: 5, Fronts: 100, Models: 9, Webs: 3})
 		So(spec.Nodes, ShouldHaveLength, 105)
-		So(spec.Models, ShouldHaveLength, 9)
-		So(spec.Webs, ShouldHaveLength, 3)
+		So(spec.ModelLocations, ShouldHaveLength, 9)
+		So(spec.WebLocations, ShouldHaveLength, 3)
 		cores, inZone := 0, map[Location]int{}
 		for _, node := range spec.Nodes {
 			inZone[node.Location]++
--- a/cmd/rig/fleet/servers.go
+++ b/cmd/rig/fleet/servers.go
@@ -8,19 +8,19 @@
 )
 
 func (f *Fleet) startServers() error {
-	for _, server := range f.Models {
+	for _, server := range f.ModelServers {
 		if err := server.Start(); err != nil {
 			return err
 		}
-		if f.Spec.ServersWarm {
+		if f.Spec.ServersStartWarm {
 			server.SkipWarmUp()
 		}
 	}
-	for _, server := range f.Webs {
+	for _, server := range f.WebServers {
 		if err := server.Start(); err != nil {
 			return err
 		}
-		if f.Spec.ServersWarm {
+		if f.Spec.ServersStartWarm {
 			server.SkipWarmUp()
 		}
 	}
@@ -52,9 +52,9 @@
 // proxy's.
 func (f *Fleet) ServerAddress(server string) string { return f.proxies[server].Address }
 
-// Model returns the model server with the given name, or nil.
-func (f *Fleet) Model(name string) *emulator.ModelServer {
-	for _, server := range f.Models {
+// ModelServer returns the model server with the given name, or nil.
+func (f *Fleet) ModelServer(name string) *emulator.ModelServer {
+	for _, server := range f.ModelServers {
 		if server.Name == name {
 			return server
 		}
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// Web returns the web server with the given name, or nil.
-func (f *Fleet) Web(name string) *emulator.WebServer {
-	for _, server := range f.Webs {
+// WebServer returns the web server with the given name, or nil.
+func (f *Fleet) WebServer(name string) *emulator.WebServer {
+	for _, server := range f.WebServers {
 		if server.Name == name {
 			return server
 		}
@@ -94,19 +94,19 @@
 }
 
 // CrashWebServer stops a web server abruptly; its address refuses connections.
-func (f *Fleet) CrashWebServer(name string) { f.crashServer(name, f.Web(name)) }
+func (f *Fleet) CrashWebServer(name string) { f.crashServer(name, f.WebServer(name)) }
 
 // RestartWebServer starts a crashed web server again.
 func (f *Fleet) RestartWebServer(name string) error {
 	f.Recorder.AddAction("return "+name, false)
-	return f.restartServer(name, f.Web(name))
+	return f.restartServer(name, f.WebServer(name))
 }
 
 // CrashModelServer stops a model server abruptly; its address refuses connections.
-func (f *Fleet) CrashModelServer(name string) { f.crashServer(name, f.Model(name)) }
+func (f *Fleet) CrashModelServer(name string) { f.crashServer(name, f.ModelServer(name)) }
 
 // RestartModelServer starts a crashed model server again; it has to warm up.
 func (f *Fleet) RestartModelServer(name string) error {
 	f.Recorder.AddAction("cold return "+name, false)
-	return f.restartServer(name, f.Model(name))
+	return f.restartServer(name, f.ModelServer(name))
 }
--- a/cmd/rig/fleet/spec.go
+++ b/cmd/rig/fleet/spec.go
@@ -26,13 +26,13 @@
 
 // Spec describes a deployment.
 type Spec struct {
-	Nodes       []NodeSpec
-	Models      []Location // one for each model server
-	Webs        []Location // one for each web server
-	ModelSpec   emulator.ModelSpec
-	Services    Services
-	Settings    map[string]string // of all nodes
-	ServersWarm bool              // servers start without a warm-up
+	Nodes            []NodeSpec
+	ModelLocations   []Location // one for each model server
+	WebLocations     []Location // one for each web server
+	ModelSpec        emulator.ModelSpec
+	Services         Services
+	Settings         map[string]string // of all nodes
+	ServersStartWarm bool              // servers start without a warm-up
 }
 
 // Services lists the names of the services by the kind of server that offers them.
@@ -67,9 +67,9 @@
 // of FirstDeployment; each kind of process is spread evenly over the zones.
 func SizedDeployment(size Size) Spec {
 	spec := Spec{
-		ModelSpec:   emulator.TypicalModelSpec(),
-		ServersWarm: true,
-		Services:    firstDeploymentServices(),
+		ModelSpec:        emulator.TypicalModelSpec(),
+		ServersStartWarm: true,
+		Services:         firstDeploymentServices(),
 	}
 	for i := range size.Cores {
 		spec.Nodes = append(spec.Nodes, NodeSpec{
@@ -85,10 +85,10 @@
 		})
 	}
 	for i := range size.Models {
-		spec.Models = append(spec.Models, zoneForIndex(i))
+		spec.ModelLocations = append(spec.ModelLocations, zoneForIndex(i))
 	}
 	for i := range size.Webs {
-		spec.Webs = append(spec.Webs, zoneForIndex(i))
+		spec.WebLocations = append(spec.WebLocations, zoneForIndex(i))
 	}
 	return spec
 }
@@ -108,10 +108,10 @@
 	zones := firstDeploymentZones
 	lagos, abeokuta := zones[:2], zones[2]
 	spec := Spec{
-		ModelSpec:   emulator.TypicalModelSpec(),
-		Webs:        zones,
-		ServersWarm: true,
-		Services:    firstDeploymentServices(),
+		ModelSpec:        emulator.TypicalModelSpec(),
+		WebLocations:     zones,
+		ServersStartWarm: true,
+		Services:         firstDeploymentServices(),
 	}
 	for i, zone := range zones {
 		spec.Nodes = append(spec.Nodes, NodeSpec{
@@ -127,10 +127,10 @@
 		})
 	}
 	for i := range firstModelsInLagos {
-		spec.Models = append(spec.Models, lagos[i%len(lagos)])
+		spec.ModelLocations = append(spec.ModelLocations, lagos[i%len(lagos)])
 	}
 	for range firstModelsInAbeokuta {
-		spec.Models = append(spec.Models, abeokuta)
+		spec.ModelLocations = append(spec.ModelLocations, abeokuta)
 	}
 	return spec
 }
--- a/cmd/rig/loadgen/sheet.go
+++ b/cmd/rig/loadgen/sheet.go
@@ -47,12 +47,12 @@
 		Weights:  map[string]map[string]float64{},
 		Tenants:  map[string]SheetTenant{},
 	}
-	modelWeights := serversByRegion(f.Spec.Models)
+	modelWeights := serversByRegion(f.Spec.ModelLocations)
 	for _, name := range f.Spec.Services.Model {
 		sheet.Services[name] = SheetService{Kind: history.KindModel}
 		sheet.Weights[name] = modelWeights
 	}
-	webWeights := serversByRegion(f.Spec.Webs)
+	webWeights := serversByRegion(f.Spec.WebLocations)
 	for _, name := range f.Spec.Services.Web {
 		sheet.Services[name] = SheetService{
 			Kind:        history.KindWeb,
